--- a/tests/test_maintenance_releases.py
+++ b/tests/test_maintenance_releases.py
@@ -166,8 +166,11 @@
         world.outages["o"] = Outage("o", ("b0",))
         world.document()
         world.store.kill = world.store.keeps + at, stored
-        world.until(lambda: world.issuer is None or (  # noqa: B023
-            stage(world) is Stage.DONE if "r" in world.store.courses else False))  # noqa: B023
+
+        def killed_or_done(world: World = world) -> bool:
+            return world.issuer is None or ("r" in world.store.courses and stage(world) is Stage.DONE)
+
+        world.until(killed_or_done)
         if world.issuer is not None:
             break
         before = {one.id: one for one in world.store.permits.values() if one.state is not State.FREE}
