--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -48,8 +48,9 @@
         for at in range(begin, min(tenants, begin + 1000)):
             name = f"tenant-{at}"
             rows += [row(Account(name)), row(Key(name, f"hk{at:016x}", digest(f"secret{at}")))]
-            rows += [row(Bucket(name, f"bucket-{n}", f"{at * BUCKETS_EACH + n:016x}", "basic"))
-                     for n in range(BUCKETS_EACH)]
+            rows += [
+                row(Bucket(name, f"bucket-{n}", f"{at * BUCKETS_EACH + n:016x}", "basic")) for n in range(BUCKETS_EACH)
+            ]
         ledger.change(lambda rows=rows: (rows, Entry(1, "bench", "operator", "fill", "", {}), None))  # type: ignore[misc]
 
 
@@ -86,9 +87,13 @@
         took = []
         for at in range(CHANGES):
             since = time.perf_counter()
-            ledger.change(lambda at=at: (       # type: ignore[misc]
-                [row(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", f"plan{at}"))],
-                Entry(2, "bench", "operator", "change", "", {}), None))
+            ledger.change(
+                lambda at=at: (  # type: ignore[misc]
+                    [row(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", f"plan{at}"))],
+                    Entry(2, "bench", "operator", "change", "", {}),
+                    None,
+                )
+            )
             took.append((time.perf_counter() - since) * 1e3)
         copy_accounts = Accounts()
         copy = Ledger(folder / f"{tenants}-copy.db", copy_accounts.take)
@@ -97,8 +102,13 @@
         whole, parts = copied(ledger, copy, taker)
         whole_s = time.perf_counter() - since
         assert copy_accounts.volumes == accounts.volumes
-        ledger.change(lambda: ([row(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", "last"))],
-                               Entry(2, "bench", "operator", "change", "", {}), None))
+        ledger.change(
+            lambda: (
+                [row(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", "last"))],
+                Entry(2, "bench", "operator", "change", "", {}),
+                None,
+            )
+        )
         one, _ = copied(ledger, copy, taker)
         copy.close()
         since = time.perf_counter()
@@ -108,11 +118,17 @@
         ledger.close()
         since = time.perf_counter()
         assert verify(folder / f"{tenants}.db")[2] is None
-        rows.append(f"| {tenants} | {tenants * BUCKETS_EACH} | {filled:.2f} | {check:.1f} | {quantile(took, 0.5):.2f} "
-                    f"| {quantile(took, 0.99):.2f} | {whole / 1e6:.2f} in {parts} | {whole_s:.2f} | {one} | "
-                    f"{start:.2f} |")
-    return ["| tenants | buckets | filled, s | a key's check, us | a change, p50 ms | p99 ms | whole copy, MB in parts "
-            "| s | one change, B | a start with it, s |", "| --- " * 10 + "|", *rows]
+        rows.append(
+            f"| {tenants} | {tenants * BUCKETS_EACH} | {filled:.2f} | {check:.1f} | {quantile(took, 0.5):.2f} "
+            f"| {quantile(took, 0.99):.2f} | {whole / 1e6:.2f} in {parts} | {whole_s:.2f} | {one} | "
+            f"{start:.2f} |"
+        )
+    return [
+        "| tenants | buckets | filled, s | a key's check, us | a change, p50 ms | p99 ms | whole copy, MB in parts "
+        "| s | one change, B | a start with it, s |",
+        "| --- " * 10 + "|",
+        *rows,
+    ]
 
 
 async def follow(folder: Path) -> list[str]:
@@ -126,23 +142,42 @@
     heads, ports, seconds = [], [free_port(), free_port()], [free_port(), free_port()]
     for at in range(2):
         config = json.loads((ROOT / "examples" / "config.json").read_text())
-        config.update(listen=f"127.0.0.1:{ports[at]}", control=f"127.0.0.1:{seconds[at]}", name=f"n{at}",
-                      discovery=f"127.0.0.1:{discovery}")
+        config.update(
+            listen=f"127.0.0.1:{ports[at]}",
+            control=f"127.0.0.1:{seconds[at]}",
+            name=f"n{at}",
+            discovery=f"127.0.0.1:{discovery}",
+        )
         config["settings"].update(Balancers=2, Me=at)
         (folder / f"config{at}.json").write_text(json.dumps(config))
-        (folder / f"op{at}.toml").write_text(f'[stream]\nendpoints = ["127.0.0.1:{control_port}"]\n'
-                                             f'token_file = "token"\nfolder = "state{at}"\n')
-        heads.append(subprocess.Popen([sys.executable, "-m", "hophinge"], cwd=ROOT, env={
-            **os.environ, "EDGE_CONFIG": str(folder / f"config{at}.json"),
-            "HOPHINGE_OPERATOR_FILE": str(folder / f"op{at}.toml")}, stdout=(folder / f"head{at}.log").open("wb")))
+        (folder / f"op{at}.toml").write_text(
+            f'[stream]\nendpoints = ["127.0.0.1:{control_port}"]\ntoken_file = "token"\nfolder = "state{at}"\n'
+        )
+        heads.append(
+            subprocess.Popen(
+                [sys.executable, "-m", "hophinge"],
+                cwd=ROOT,
+                env={
+                    **os.environ,
+                    "EDGE_CONFIG": str(folder / f"config{at}.json"),
+                    "HOPHINGE_OPERATOR_FILE": str(folder / f"op{at}.toml"),
+                },
+                stdout=(folder / f"head{at}.log").open("wb"),
+            )
+        )
     rows: list[str] = []
     try:
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as client:
             for port in ports:
                 await until(lambda port=port: ready(client, port))
-            await staff(control_port, "Push", text=(
-                f"{POOLS}(spare (depth 100 units) (leases on))"
-                f"(tenant aa (volumes 00000000000000aa) (reserve {RESERVE} units/s))"))
+            await staff(
+                control_port,
+                "Push",
+                text=(
+                    f"{POOLS}(spare (depth 100 units) (leases on))"
+                    f"(tenant aa (volumes 00000000000000aa) (reserve {RESERVE} units/s))"
+                ),
+            )
             numbers, busy, now = itertools.count(1), True, 0
 
             async def ask_on() -> None:
@@ -150,9 +185,16 @@
                     number = next(numbers)
                     url = f"http://127.0.0.1:{ports[now]}/transfer-write/00000000000000aa/{number:016x}"
                     with contextlib.suppress(aiohttp.ClientError):
-                        async with client.put(url, data=b"x", headers={
-                                "X-Qos-Policy": "priority", "X-Remaining-Ms": "1000", "X-Txn": f"{number:016x}",
-                                "X-Placement": "units=1,shard=-1,hosts=1"}) as answer:
+                        async with client.put(
+                            url,
+                            data=b"x",
+                            headers={
+                                "X-Qos-Policy": "priority",
+                                "X-Remaining-Ms": "1000",
+                                "X-Txn": f"{number:016x}",
+                                "X-Placement": "units=1,shard=-1,hosts=1",
+                            },
+                        ) as answer:
                             await answer.read()
                     await asyncio.sleep(0.03)
 
@@ -170,8 +212,10 @@
                     if parts[now] >= 0.8 * RESERVE:
                         break
                     await asyncio.sleep(0.1)
-                rows.append(f"| {'begins at' if not turn else 'moves to'} n{now} | {time.monotonic() - since:.1f} | "
-                            f"{most:.1f} | {sums:.1f} |")
+                rows.append(
+                    f"| {'begins at' if not turn else 'moves to'} n{now} | {time.monotonic() - since:.1f} | "
+                    f"{most:.1f} | {sums:.1f} |"
+                )
                 await asyncio.sleep(3.0)
             busy = False
             await asking
@@ -180,10 +224,15 @@
             process.terminate()
             process.wait()
         platform.close()
-    return [f"A reserve of {RESERVE:g} units/s over two heads, 0.25 of it spread evenly whatever is asked; all of its "
-            "demand at one head, then at the other. Time until that head has 0.8 of the reserve. Sums are of two "
-            "readings, one after the other.", "",
-            "| demand | s | at that head, units/s | both, at most |", "| --- | --- | --- | --- |", *rows]
+    return [
+        f"A reserve of {RESERVE:g} units/s over two heads, 0.25 of it spread evenly whatever is asked; all of its "
+        "demand at one head, then at the other. Time until that head has 0.8 of the reserve. Sums are of two "
+        "readings, one after the other.",
+        "",
+        "| demand | s | at that head, units/s | both, at most |",
+        "| --- | --- | --- | --- |",
+        *rows,
+    ]
 
 
 def main() -> None:
@@ -192,8 +241,19 @@
         held = ledgers(Path(folder))
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             moved = runner.run(follow(Path(folder)))
-    text = [f"# Accounts, measured on {os.cpu_count()} cores", "", "`python benchmarks/accounts.py` writes this file.",
-            "", "## Ledgers", "", *held, "", "## Shares that follow demand", "", *moved]
+    text = [
+        f"# Accounts, measured on {os.cpu_count()} cores",
+        "",
+        "`python benchmarks/accounts.py` writes this file.",
+        "",
+        "## Ledgers",
+        "",
+        *held,
+        "",
+        "## Shares that follow demand",
+        "",
+        *moved,
+    ]
     (Path(__file__).parent / "accounts.md").write_text("\n".join(text) + "\n")
 
 
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -27,13 +27,36 @@
 CALM_S, CUT_S, MOST_S = 20.0, 20.0, 300.0
 SIZES, LOSSES = (10, 100, 1000), (0.0, 0.3)
 HEAD = {
-    "members": ("members", "loss", "deaths found by all others, median s", "longest s",
-                "false suspicions a minute and member",
-                "false deaths", "bytes/s a process, mean", "most in any second", "bound"),
-    "split": ("members", "loss", "entries of each member", "all agree after healing, s", "bytes/s a process meanwhile",
-              "most in any second", "bound"),
-    "real": ("processes", "joined after s", "death found by all, median s", "longest s", "bytes/s a process, mean",
-             "CPU of one core a process, mean", "most")}
+    "members": (
+        "members",
+        "loss",
+        "deaths found by all others, median s",
+        "longest s",
+        "false suspicions a minute and member",
+        "false deaths",
+        "bytes/s a process, mean",
+        "most in any second",
+        "bound",
+    ),
+    "split": (
+        "members",
+        "loss",
+        "entries of each member",
+        "all agree after healing, s",
+        "bytes/s a process meanwhile",
+        "most in any second",
+        "bound",
+    ),
+    "real": (
+        "processes",
+        "joined after s",
+        "death found by all, median s",
+        "longest s",
+        "bytes/s a process, mean",
+        "CPU of one core a process, mean",
+        "most",
+    ),
+}
 
 
 class Forgotten(list[Any]):
@@ -69,8 +92,13 @@
     for node in nodes:
         seen = set()
         for when, what in node.told:
-            if (isinstance(what, Changed) and when > since_us and what.member.standing is standing
-                    and what.member.name in names and what.member.name not in seen):
+            if (
+                isinstance(what, Changed)
+                and when > since_us
+                and what.member.standing is standing
+                and what.member.name in names
+                and what.member.name not in seen
+            ):
                 seen.add(what.member.name)
                 found.append((when, what.member.name))
     return found
@@ -89,10 +117,12 @@
     began = net.now_us
     net.run(calm_s)
     # As one member sees all others: each suspicion of a living one that reached it.
-    suspected = sum(isinstance(what, Changed) and what.member.standing is Standing.SUSPECT and when > began
-                    for when, what in nodes[0].told)
+    suspected = sum(
+        isinstance(what, Changed) and what.member.standing is Standing.SUSPECT and when > began
+        for when, what in nodes[0].told
+    )
     calm = sent(nodes, began, net.now_us)
-    dead, rest = nodes[-max(1, count // 50):], nodes[:-max(1, count // 50)]
+    dead, rest = nodes[-max(1, count // 50) :], nodes[: -max(1, count // 50)]
     killed = net.now_us
     for node in dead:
         net.kill(node)
@@ -101,9 +131,17 @@
     found = [(when - killed) / SECOND for when, _ in news(rest, killed, Standing.DEAD, gone)]
     false = len(news(rest, began, Standing.DEAD, {node.machine.me for node in rest}))
     complete = "" if len(found) >= len(rest) * len(gone) else f" ({len(found)} of {len(rest) * len(gone)} views)"
-    return [count, f"{loss:.0%}", f"{statistics.median(found):.1f}{complete}", f"{max(found):.1f}",
-            f"{suspected / count / calm_s * 60:.2f}", false, f"{calm:.0f}", max(map(net.most_bytes, nodes)),
-            nodes[0].machine.core.limits.bytes_s]
+    return [
+        count,
+        f"{loss:.0%}",
+        f"{statistics.median(found):.1f}{complete}",
+        f"{max(found):.1f}",
+        f"{suspected / count / calm_s * 60:.2f}",
+        false,
+        f"{calm:.0f}",
+        max(map(net.most_bytes, nodes)),
+        nodes[0].machine.core.limits.bytes_s,
+    ]
 
 
 def split(count: int, loss: float) -> list[Any]:
@@ -122,9 +160,15 @@
     healed = net.now_us
     done = net.until(lambda: agreed(nodes), MOST_S, 0.25)
     took = (net.now_us - healed) / SECOND
-    return [count, f"{loss:.0%}", f"{entries} of 100 bytes", f"{took:.1f}" if done else f"not within {MOST_S:.0f}",
-            f"{sent(nodes, healed, net.now_us):.0f}", max(map(net.most_bytes, nodes)),
-            nodes[0].machine.core.limits.bytes_s]
+    return [
+        count,
+        f"{loss:.0%}",
+        f"{entries} of 100 bytes",
+        f"{took:.1f}" if done else f"not within {MOST_S:.0f}",
+        f"{sent(nodes, healed, net.now_us):.0f}",
+        max(map(net.most_bytes, nodes)),
+        nodes[0].machine.core.limits.bytes_s,
+    ]
 
 
 def real(count: int, loss: float) -> list[Any]:
@@ -142,19 +186,32 @@
             time.sleep(CALM_S)
             after, calm_s = [one.ask() for one in started], time.monotonic() - at
             cpu = [(new["cpu_s"] - old["cpu_s"]) / calm_s for old, new in zip(before, after, strict=True)]
-            bytes_ = [(new["counters"]["bytes_sent"] - old["counters"]["bytes_sent"]) / calm_s
-                      for old, new in zip(before, after, strict=True)]
+            bytes_ = [
+                (new["counters"]["bytes_sent"] - old["counters"]["bytes_sent"]) / calm_s
+                for old, new in zip(before, after, strict=True)
+            ]
             took = []
             for _ in range(3):
                 victim = started.pop()
                 victim.process.kill()
                 killed = time.monotonic()
-                assert until(lambda name=victim.name: all(                      # type: ignore[misc] # bound in its turn
-                    one.standings()[name] == "dead" for one in started), 120)
+                assert until(
+                    lambda name=victim.name: all(  # type: ignore[misc] # bound in its turn
+                        one.standings()[name] == "dead" for one in started
+                    ),
+                    120,
+                )
                 took.append(time.monotonic() - killed)
                 victim.end()
-            return [count, f"{joined:.1f}", f"{statistics.median(took):.1f}", f"{max(took):.1f}",
-                    f"{statistics.mean(bytes_):.0f}", f"{statistics.mean(cpu):.2%}", f"{max(cpu):.2%}"]
+            return [
+                count,
+                f"{joined:.1f}",
+                f"{statistics.median(took):.1f}",
+                f"{max(took):.1f}",
+                f"{statistics.mean(bytes_):.0f}",
+                f"{statistics.mean(cpu):.2%}",
+                f"{max(cpu):.2%}",
+            ]
         finally:
             for one in started:
                 one.end()
@@ -168,21 +225,32 @@
     kinds = {"members": members, "split": split, "real": real}
     if only:
         began = time.monotonic()
-        gc.disable()        # hardly anything here is a cycle, and each full look is at millions of objects
+        gc.disable()  # hardly anything here is a cycle, and each full look is at millions of objects
         row = kinds[only[0]](int(only[1]), float(only[2]))
         print(json.dumps(row))
         print(f"{only}: {time.monotonic() - began:.0f} s", file=sys.stderr)
         return
-    text = ["# Members: what was measured", "", "One command, `python benchmarks/cluster.py`; seeds are fixed. In",
-            "virtual time a way takes 0.2 to 2 ms; one member in fifty is killed, all at once, and of ten one."]
-    titles = {"members": "Virtual time: deaths and suspicions",
-              "split": "Virtual time: a split of 20 s in two halves heals",
-              "real": "Real processes on loopback, one killed three times, beside other work"}
+    text = [
+        "# Members: what was measured",
+        "",
+        "One command, `python benchmarks/cluster.py`; seeds are fixed. In",
+        "virtual time a way takes 0.2 to 2 ms; one member in fifty is killed, all at once, and of ten one.",
+    ]
+    titles = {
+        "members": "Virtual time: deaths and suspicions",
+        "split": "Virtual time: a split of 20 s in two halves heals",
+        "real": "Real processes on loopback, one killed three times, beside other work",
+    }
     for kind, title in titles.items():
         text += ["", f"## {title}", "", "| " + " | ".join(HEAD[kind]) + " |", "| --- " * len(HEAD[kind]) + "|"]
-        for count, loss in ([(10, 0.0), (40, 0.0)] if kind == "real" else [(n, p) for n in SIZES for p in LOSSES]):
-            done = subprocess.run([sys.executable, __file__, "--only", kind, str(count), str(loss)], cwd=ROOT,
-                                  capture_output=True, text=True, check=False)
+        for count, loss in [(10, 0.0), (40, 0.0)] if kind == "real" else [(n, p) for n in SIZES for p in LOSSES]:
+            done = subprocess.run(
+                [sys.executable, __file__, "--only", kind, str(count), str(loss)],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                check=False,
+            )
             row = json.loads(done.stdout) if done.returncode == 0 else [count, f"{loss:.0%}", "not measured"]
             text.append("| " + " | ".join(map(str, row)) + " |")
             print(text[-1], flush=True)
--- a/benchmarks/cluster_cuts.py
+++ b/benchmarks/cluster_cuts.py
@@ -19,7 +19,7 @@
 SEEDS = range(1, 6)
 MOST_S = 1_800.0
 CUTS_S = (20.0, 60.0)
-LONG_S = 900.0          # half as long again as the dead are listed
+LONG_S = 900.0  # half as long again as the dead are listed
 
 
 def spread(found: Iterable[float]) -> str:
@@ -65,10 +65,18 @@
     before = [sum(node.machine.core.counters[name] for node in nodes) for name in ("suspicions", "deaths")]
     began = net.now_us
     net.run(60)
-    found = [sum(node.machine.core.counters[name] for node in nodes) - old
-             for name, old in zip(("suspicions", "deaths"), before, strict=True)]
-    return [str(count), f"{loss:.0%}", f"{found[0] / count:.2f}", str(found[1]),
-            f"{bytes_s(nodes, began, net.now_us):.0f}", str(max(map(net.most_bytes, nodes)))]
+    found = [
+        sum(node.machine.core.counters[name] for node in nodes) - old
+        for name, old in zip(("suspicions", "deaths"), before, strict=True)
+    ]
+    return [
+        str(count),
+        f"{loss:.0%}",
+        f"{found[0] / count:.2f}",
+        str(found[1]),
+        f"{bytes_s(nodes, began, net.now_us):.0f}",
+        str(max(map(net.most_bytes, nodes))),
+    ]
 
 
 def cut_off(count: int, cut_s: float) -> list[str]:
@@ -79,12 +87,12 @@
         nodes = net.fleet(count, 120)
         lonely = nodes[count // 2]
         rest = [node for node in nodes if node is not lonely]
-        net.cut = lambda source, target: lonely.address in (source, target)         # noqa: B023 - called in its turn
+        net.cut = lambda source, target: lonely.address in (source, target)  # noqa: B023 - called in its turn
         net.run(cut_s)
         net.cut = lambda source, target: False
         began = net.now_us
         before = {node.machine.me: node.machine.core.roster.own.incarnation for node in rest}
-        assert net.until(lambda: net.agreed(nodes), 240, 0.25)                      # noqa: B023
+        assert net.until(lambda: net.agreed(nodes), 240, 0.25)  # noqa: B023
         took.append((net.now_us - began) / SECOND)
         refuted.append(float(sum(node.machine.core.roster.own.incarnation > before[node.machine.me] for node in rest)))
         sent.append(bytes_s(nodes, began, max(net.now_us, began + SECOND)))
@@ -101,11 +109,11 @@
         for node in nodes:
             node.machine.joiner.seeds = []
         inside = {node.address for node in nodes[:side]}
-        net.cut = lambda source, target: (source in inside) != (target in inside)   # noqa: B023
+        net.cut = lambda source, target: (source in inside) != (target in inside)  # noqa: B023
         net.run(LONG_S)
         net.cut = lambda source, target: False
         began = net.now_us
-        if net.until(lambda: net.agreed(nodes), 300, 0.25):                         # noqa: B023
+        if net.until(lambda: net.agreed(nodes), 300, 0.25):  # noqa: B023
             took.append((net.now_us - began) / SECOND)
         most = max(most, *map(net.most_bytes, nodes))
     healed = spread(took) if len(took) == len(SEEDS) else f"{len(took)} of {len(SEEDS)} within 300 s"
@@ -122,16 +130,26 @@
 def main() -> None:
     """Print all tables."""
     counts = [int(word) for word in sys.argv[1:]] or [12, 40, 100]
-    table("All but one are killed at once; seeds 1 to 5, median (least to most)", [
-        "members", "it suspects all others, s", "it holds them dead, s", "bytes/s, mean", "most in any second"],
-        map(survivor, counts))
-    table("Nobody dies for a minute", ["members", "loss", "suspicions a member", "deaths", "bytes/s a process",
-          "most in any second"], (calm(count, loss) for count in counts for loss in (0.0, 0.3, 0.5)))
-    table("One is cut off and comes back", ["members", "cut, s", "all agree after, s", "others that cleared themselves",
-          "bytes/s a process until then"], (cut_off(count, cut_s) for count in counts for cut_s in CUTS_S))
-    table(f"Two sides are cut off for {LONG_S:g} s and know no seed of each other", [
-        "sides", "loss", "all agree after, s", "most in any second"],
-        (long_cut(*sides, loss) for sides in ((1, 1), (1, 11), (6, 6), (20, 20)) for loss in (0.0, 0.3)))
+    table(
+        "All but one are killed at once; seeds 1 to 5, median (least to most)",
+        ["members", "it suspects all others, s", "it holds them dead, s", "bytes/s, mean", "most in any second"],
+        map(survivor, counts),
+    )
+    table(
+        "Nobody dies for a minute",
+        ["members", "loss", "suspicions a member", "deaths", "bytes/s a process", "most in any second"],
+        (calm(count, loss) for count in counts for loss in (0.0, 0.3, 0.5)),
+    )
+    table(
+        "One is cut off and comes back",
+        ["members", "cut, s", "all agree after, s", "others that cleared themselves", "bytes/s a process until then"],
+        (cut_off(count, cut_s) for count in counts for cut_s in CUTS_S),
+    )
+    table(
+        f"Two sides are cut off for {LONG_S:g} s and know no seed of each other",
+        ["sides", "loss", "all agree after, s", "most in any second"],
+        (long_cut(*sides, loss) for sides in ((1, 1), (1, 11), (6, 6), (20, 20)) for loss in (0.0, 0.3)),
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_soak.py
+++ b/benchmarks/fleet_soak.py
@@ -22,7 +22,7 @@
 from tests.soak_fleet import Course, Soak
 
 ROOT = Path(__file__).parent.parent
-MOST_SHOWN = 300            # characters of a finding; the report has it whole
+MOST_SHOWN = 300  # characters of a finding; the report has it whole
 LONG: cappa.Arg[Any] = cappa.Arg(long=True)
 
 
@@ -30,13 +30,13 @@
 class Options:
     """Which soaks to play."""
 
-    first: Annotated[int, LONG] = 1             # seed
+    first: Annotated[int, LONG] = 1  # seed
     count: Annotated[int, LONG] = 50
     side_by_side: Annotated[int, LONG] = 4
-    play: Annotated[float, LONG] = 20.0         # seconds of trouble
+    play: Annotated[float, LONG] = 20.0  # seconds of trouble
     machines: Annotated[int, LONG] = 3
     clients: Annotated[int, LONG] = 16
-    alone: Annotated[bool, LONG] = False        # play the first seed in this process, and print its report
+    alone: Annotated[bool, LONG] = False  # play the first seed in this process, and print its report
 
 
 def _play(options: Options) -> dict[str, object]:
@@ -46,7 +46,7 @@
         try:
             asyncio.run(soak.run())
             found = findings(soak)
-        except Exception as error:          # a soak that comes to no end is a finding with its cause
+        except Exception as error:  # a soak that comes to no end is a finding with its cause
             found = [f"the soak failed: {error!r}"]
             parts = getattr(error, "exceptions", ())
             found += [repr(part)[:2_000] for part in parts]
@@ -54,12 +54,27 @@
 
 
 async def _one(options: Options, seed: int, turns: asyncio.Semaphore) -> dict[str, object]:
-    words = ["--first", str(seed), "--play", str(options.play), "--machines", str(options.machines),
-             "--clients", str(options.clients), "--alone"]
+    words = [
+        "--first",
+        str(seed),
+        "--play",
+        str(options.play),
+        "--machines",
+        str(options.machines),
+        "--clients",
+        str(options.clients),
+        "--alone",
+    ]
     async with turns:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "benchmarks.fleet_soak", *words, cwd=ROOT, stdout=subprocess.PIPE,
-            stderr=subprocess.DEVNULL)
+            sys.executable,
+            "-m",
+            "benchmarks.fleet_soak",
+            *words,
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+        )
         output, _ = await process.communicate()
     try:
         report: dict[str, object] = json.loads(output.splitlines()[-1])
@@ -90,8 +105,15 @@
     begun = _now()
     reports = asyncio.run(_all(options))
     head = subprocess.run(["git", "rev-parse", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=True).stdout
-    entry = {"v": 1, "cmd": "soak", "at": [begun, _now()], "head": head.strip()[:8], "options": asdict(options),
-             "failed": sum(bool(report["found"]) for report in reports), "soaks": reports}
+    entry = {
+        "v": 1,
+        "cmd": "soak",
+        "at": [begun, _now()],
+        "head": head.strip()[:8],
+        "options": asdict(options),
+        "failed": sum(bool(report["found"]) for report in reports),
+        "soaks": reports,
+    }
     path = ROOT / "journal" / f"soak-{begun.replace('-', '').replace(':', '')}-{options.first}.json"
     path.write_text(json.dumps(entry, indent=1) + "\n")
     print(f"{entry['failed']} of {len(reports)} soaks found something; {path}")
--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -27,9 +27,15 @@
 
 def draw(files: dict[str, Path]) -> str:
     """Draw goodput, in times what the usual rate is owed, by times the usual rate."""
-    chart = pygal.XY(title="Goodput by load, virtual time", x_title="times the usual rate",
-                     y_title="worth earned, times what the usual rate is owed", width=800, height=450,
-                     js=(), no_prefix=True)
+    chart = pygal.XY(
+        title="Goodput by load, virtual time",
+        x_title="times the usual rate",
+        y_title="worth earned, times what the usual rate is owed",
+        width=800,
+        height=450,
+        js=(),
+        no_prefix=True,
+    )
     for name, path in files.items():
         rows = [line.split() for line in path.read_text().splitlines()]
         for deployment in sorted({row[0] for row in rows}):
--- a/benchmarks/hunts.py
+++ b/benchmarks/hunts.py
@@ -16,7 +16,7 @@
 from hophinge.fleet.analysis.hunts import Hunt, conspicuous, read_hunt
 
 JOURNAL = Path(__file__).parent.parent / "journal"
-STATE_DIGITS = 7            # of a commit, as hunts are told by
+STATE_DIGITS = 7  # of a commit, as hunts are told by
 LONG: cappa.Arg[Any] = cappa.Arg(long=True)
 
 
@@ -24,7 +24,7 @@
 class Options:
     """Which hunts to read."""
 
-    state: Annotated[str, LONG] = ""        # of all commits where none is named
+    state: Annotated[str, LONG] = ""  # of all commits where none is named
     site: Annotated[str, LONG] = ""
 
 
@@ -44,8 +44,9 @@
         print(f"{hunt.site} {hunt.state}: {len(hunt.days)} days, mean figure {mean:.3f}")
         for day, reason in conspicuous(hunt.days):
             found += 1
-            print(f"    {day.name}: served {day.served:.2f}, figure {day.figure:.2f}, orders {day.orders}: "
-                  f"{reason.value}")
+            print(
+                f"    {day.name}: served {day.served:.2f}, figure {day.figure:.2f}, orders {day.orders}: {reason.value}"
+            )
     sys.exit(1 if found else 0)
 
 
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -16,14 +16,16 @@
 from hophinge.fleet.analysis.losses import Kind, Loss, losses
 from hophinge.fleet.analysis.traces import Request, read_requests
 
-SECONDS = 2.0               # of one window
+SECONDS = 2.0  # of one window
 
 
 def kinds(site: Path) -> list[Kind]:
     """Read the kinds of requests of a site."""
     raw = tomllib.loads(site.read_text())
-    return [Kind(one["name"], float(one["worth"]), float(one["late_worth"]), one.get("kind") == "stream",
-                 _tokens(one)) for one in raw["classes"]]
+    return [
+        Kind(one["name"], float(one["worth"]), float(one["late_worth"]), one.get("kind") == "stream", _tokens(one))
+        for one in raw["classes"]
+    ]
 
 
 def _tokens(raw: dict[str, Any]) -> float:
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -25,8 +25,8 @@
 from tests.maintenance_world import S, World  # noqa: E402
 
 HISTORIES = int(sys.argv[1]) if len(sys.argv) > 1 else 1000
-LOGS = min(20, HISTORIES - 1)    # histories that pysyncobj plays: some seconds each
-HEADS, SPARE = 40, 1.1         # what all heads together carry, in parts of the load
+LOGS = min(20, HISTORIES - 1)  # histories that pysyncobj plays: some seconds each
+HEADS, SPARE = 40, 1.1  # what all heads together carry, in parts of the load
 RULE = Maintenance(Most(3, 0.1), Most(2, -1.0, 1))
 
 
@@ -66,8 +66,10 @@
 
     def row(self, name: str, end: str) -> str:
         """Tell it as a row."""
-        return (f"| {name} | {self.most_out} | {self.purpose} | {100 * self.sum / self.turns:.1f} % | "
-                f"{100 * self.least:.1f} % | {self.turns} s | {len(self.met)} | {end} |")
+        return (
+            f"| {name} | {self.most_out} | {self.purpose} | {100 * self.sum / self.turns:.1f} % | "
+            f"{100 * self.least:.1f} % | {self.turns} s | {len(self.met)} | {end} |"
+        )
 
 
 def agreed(bad_build: bool, losses: bool) -> str:
@@ -88,16 +90,20 @@
         up = sum(head.ready for head in world.heads.values())
         bad = [head for head in world.heads.values() if head.build == "2" and bad_build and int(head.name[1:]) % 3 == 0]
         tally.met.update(head.name for head in world.heads.values() if head.build == "2")
-        tally.see(up, sum(head.ready for head in bad), sum(
-            one.state is not State.GRANTED for one in world.store.held(Kind.HEAD).values()))
+        tally.see(
+            up,
+            sum(head.ready for head in bad),
+            sum(one.state is not State.GRANTED for one in world.store.held(Kind.HEAD).values()),
+        )
         if losses and not lost and sum(head.build == "2" for head in world.heads.values()) >= 10:
             lost = True
             for name in lots.sample([name for name, head in world.heads.items() if head.ready], 3):
                 world.kill_head(name)
                 world.heads[name].returns_at = world.now + 120 * S
         if course.stage is Stage.HALTED and all(head.alive for head in world.heads.values()):
-            form = Release("r", "2", (), (0.1, 0.5, 1.0), 10 * S, 120 * S, 0.02, "back" if bad_build else "go",
-                           course.again + 1)
+            form = Release(
+                "r", "2", (), (0.1, 0.5, 1.0), 10 * S, 120 * S, 0.02, "back" if bad_build else "go", course.again + 1
+            )
             world.releases["r"] = form
             world.document()
         if course.stage in (Stage.DONE, Stage.UNDONE):
@@ -128,8 +134,11 @@
                 gone.add(at)
         up = [at for at in build if back_at[at] <= now]
         tally.met.update(str(at) for at in build if build[at] == 2)
-        tally.see(len(up), sum(bad_build and build[at] == 2 and at % 3 == 0 for at in up),
-                  sum(back_at[at] > now and at not in gone for at in build))
+        tally.see(
+            len(up),
+            sum(bad_build and build[at] == 2 and at % 3 == 0 for at in up),
+            sum(back_at[at] > now and at not in gone for at in build),
+        )
     name = "two scripts" + (", bad build" if bad_build else "") + (", three heads lost" if losses else "")
     return tally.row(name, "all on the bad build" if bad_build else "done")
 
@@ -144,42 +153,63 @@
             struck.update(one_struck)
             done.update(one_done)
     lines = [
-        "# Agreed maintenance, measured", "",
+        "# Agreed maintenance, measured",
+        "",
         "By `python benchmarks/maintenance.py`, all in virtual time: the deciders are the program's, heads, bricks, "
-        "lines and the store are stand-ins (`tests/maintenance_world.py`).", "",
-        f"## {HISTORIES} histories of faults", "",
+        "lines and the store are stand-ins (`tests/maintenance_world.py`).",
+        "",
+        f"## {HISTORIES} histories of faults",
+        "",
         f"Eight heads and four bricks, heads `most 3`, 40 %, 2 in a zone; bricks `most 2`, 1 in a zone. **{breaches} "
         f"breaches**: of a bound, of a place granted twice, of a begun permit freed by nothing, of a drained verdict "
-        "without each live head's word, of a head that goes without a permit.", "",
-        "| what struck | times |", "| --- | --- |",
-        *(f"| {name} | {count:,} |" for name, count in struck.most_common()), "",
-        "| what was done | times |", "| --- | --- |",
-        *(f"| {name} | {count:,} |" for name, count in done.items()), "",
-        "## A release over forty heads", "",
+        "without each live head's word, of a head that goes without a permit.",
+        "",
+        "| what struck | times |",
+        "| --- | --- |",
+        *(f"| {name} | {count:,} |" for name, count in struck.most_common()),
+        "",
+        "| what was done | times |",
+        "| --- | --- |",
+        *(f"| {name} | {count:,} |" for name, count in done.items()),
+        "",
+        "## A release over forty heads",
+        "",
         f"A restart takes 20 s and 2 s more until the head is ready; all heads together carry {SPARE} times the load; "
         "a bad build fails 30 % of the requests at every third head. Bounds: `most 3`, 10 %. Waves: one head, 10 %, "
-        "50 %, all; 10 s to settle. Three heads fail by themselves for two minutes once ten have the build.", "",
+        "50 %, all; 10 s to settle. Three heads fail by themselves for two minutes once ten have the build.",
+        "",
         "| way | most out at once | on purpose | served, mean | served, least | time | heads with the build | end |",
-        "| --- | --- | --- | --- | --- | --- | --- | --- |"]
+        "| --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
     for bad_build, losses in ((False, False), (False, True), (True, False)):
         lines += [agreed(bad_build, losses), alone(bad_build, losses)]
-    lines += ["", "## Who grants", "",
-              f"Models on the same {HISTORIES} histories of {issuers.ROUNDS} rounds: five hosts that end, stop and are "
-              f"split from each other, one answer in ten lost, `most {issuers.MOST}`. `over`: rounds at which more "
-              "were out than allowed. `nobody there`: asks that found no issuer on their side. `held in vain`: rounds "
-              "that a place stayed taken, over all places, as nobody could free it or an answer was lost. pysyncobj is "
-              f"the library itself on the first {LOGS} of them, a round being a second of its clock.", "",
-              "| issuer | over | granted | nobody there | held in vain |", "| --- | --- | --- | --- | --- |"]
-    for name, kind, count in [*((name, kind, HISTORIES) for name, kind in issuers.KINDS.items()),
-                              ("control service alone, grants stored, the first", issuers.Single, LOGS),
-                              ("pysyncobj, five members, the first", Members, LOGS)]:
+    lines += [
+        "",
+        "## Who grants",
+        "",
+        f"Models on the same {HISTORIES} histories of {issuers.ROUNDS} rounds: five hosts that end, stop and are "
+        f"split from each other, one answer in ten lost, `most {issuers.MOST}`. `over`: rounds at which more "
+        "were out than allowed. `nobody there`: asks that found no issuer on their side. `held in vain`: rounds "
+        "that a place stayed taken, over all places, as nobody could free it or an answer was lost. pysyncobj is "
+        f"the library itself on the first {LOGS} of them, a round being a second of its clock.",
+        "",
+        "| issuer | over | granted | nobody there | held in vain |",
+        "| --- | --- | --- | --- | --- |",
+    ]
+    for name, kind, count in [
+        *((name, kind, HISTORIES) for name, kind in issuers.KINDS.items()),
+        ("control service alone, grants stored, the first", issuers.Single, LOGS),
+        ("pysyncobj, five members, the first", Members, LOGS),
+    ]:
         sums = Counter[str]()
         with multiprocessing.Pool(2) as pool:
             for told in pool.starmap(issuers.play, [(kind, seed) for seed in range(count)], chunksize=1):
                 sums.update(told)
         name += f" {count}" if count == LOGS else ""
-        lines.append(f"| {name} | {sums['over']:,} | {sums['granted']:,} | "
-                     f"{100 * sums['nobody there'] / sums['asked']:.1f} % | {sums['held in vain']:,} |")
+        lines.append(
+            f"| {name} | {sums['over']:,} | {sums['granted']:,} | "
+            f"{100 * sums['nobody there'] / sums['asked']:.1f} % | {sums['held in vain']:,} |"
+        )
     lines += ["", f"Took {time.monotonic() - begun:.0f} s on two cores.", ""]
     (ROOT / "benchmarks" / "maintenance.md").write_text("\n".join(lines))
     print("\n".join(lines))
--- a/benchmarks/maintenance_heads.py
+++ b/benchmarks/maintenance_heads.py
@@ -22,14 +22,13 @@
 from tests.maintenance_rig import PLAN, REFUSES, Whole
 
 TABLE = Path(__file__).with_suffix(".md")
-RATE = 240.0            # requests a second over all heads
-MOST, EACH = 3, 3       # out at once by the document; by each of two scripts that do not know of each other
-WINDOW_S = 5            # of the least share
-AFTER_S = 2.0           # of load after the end
+RATE = 240.0  # requests a second over all heads
+MOST, EACH = 3, 3  # out at once by the document; by each of two scripts that do not know of each other
+WINDOW_S = 5  # of the least share
+AFTER_S = 2.0  # of load after the end
 BOUND_S = 300.0
-TRIES = 3               # of a start
-WORDS = ("(maintenance (heads (most {}))) "
-         "(release r (build 2) (waves 10% 50% 100%) (settle 5 s) (refused 5%) {}) ")
+TRIES = 3  # of a start
+WORDS = "(maintenance (heads (most {}))) (release r (build 2) (waves 10% 50% 100%) (settle 5 s) (refused 5%) {}) "
 
 
 class Clients:
@@ -37,7 +36,7 @@
 
     def __init__(self, fleet: Whole) -> None:
         self.fleet = fleet
-        self.asked: Counter[int] = Counter()        # by window
+        self.asked: Counter[int] = Counter()  # by window
         self.served: Counter[int] = Counter()
         self.times: list[float] = []
         self.begun = time.monotonic()
@@ -83,6 +82,7 @@
 
 async def scripts(fleet: Whole) -> str:
     """Restart half of the heads each, so many at a time; neither looks at anything but its own heads' readiness."""
+
     async def one(names: list[str]) -> None:
         room = asyncio.Semaphore(EACH)
 
@@ -94,6 +94,7 @@
                 fleet.builds[name] = "2"
                 await fleet.again(name)
                 fleet.out.discard(name)
+
         await asyncio.gather(*map(restart, names))
 
     for task in fleet.tasks:
@@ -117,7 +118,7 @@
         span = time.monotonic() - begun
         await asyncio.sleep(AFTER_S)
         for task in fleet.tasks if way == "agreed" else ():
-            if task.done():         # whoever starts heads has failed, and with it the figures
+            if task.done():  # whoever starts heads has failed, and with it the figures
                 task.result()
         for task in (asking, *fleet.tasks):
             task.cancel()
@@ -126,16 +127,34 @@
             await fleet.check(MOST)
         shares = [clients.served[at] / clients.asked[at] for at in sorted(clients.asked)[:-1]]
         times = sorted(clients.times)
-        return [way + (", bad build" if bad else ""), str(fleet.most_out),
-                f"{100 * clients.served.total() / clients.asked.total():.2f} %", f"{100 * min(shares):.2f} %",
-                f"{1e3 * times[len(times) // 2]:.1f} ms", f"{1e3 * times[int(len(times) * 0.99)]:.0f} ms",
-                f"{span:.0f} s", str(list(fleet.builds.values()).count("2")), end, str(clients.asked.total())]
+        return [
+            way + (", bad build" if bad else ""),
+            str(fleet.most_out),
+            f"{100 * clients.served.total() / clients.asked.total():.2f} %",
+            f"{100 * min(shares):.2f} %",
+            f"{1e3 * times[len(times) // 2]:.1f} ms",
+            f"{1e3 * times[int(len(times) * 0.99)]:.0f} ms",
+            f"{span:.0f} s",
+            str(list(fleet.builds.values()).count("2")),
+            end,
+            str(clients.asked.total()),
+        ]
 
 
 def table(count: int, load: float, rows: list[list[str]]) -> str:
     """Write the rows."""
-    heads = ["way", "most out at once", "served", f"least in {WINDOW_S} s", "p50", "p99", "time", "with the build",
-             "end", "requests"]
+    heads = [
+        "way",
+        "most out at once",
+        "served",
+        f"least in {WINDOW_S} s",
+        "p50",
+        "p99",
+        "time",
+        "with the build",
+        "end",
+        "requests",
+    ]
     cores = len(os.sched_getaffinity(0))
     words = (
         f"By `python -m benchmarks.maintenance_heads {count}`: real processes on {cores} cores (load "
@@ -145,10 +164,20 @@
         f"5 s to settle. The scripts restart {EACH} each at a time. A bad build refuses one request in "
         f"{REFUSES} at every third head, by a fault set beside the program. `Most out at once` is from "
         f"being let go until ready again, by the heads' own logs; the audit of permits was checked "
-        f"against the bound over the whole history.")
-    return "\n".join([
-        f"# A release over {count} whole heads", "", words, "", "| " + " | ".join(heads) + " |",
-        "| --- " * len(heads) + "|", *("| " + " | ".join(row) + " |" for row in rows), ""])
+        f"against the bound over the whole history."
+    )
+    return "\n".join(
+        [
+            f"# A release over {count} whole heads",
+            "",
+            words,
+            "",
+            "| " + " | ".join(heads) + " |",
+            "| --- " * len(heads) + "|",
+            *("| " + " | ".join(row) + " |" for row in rows),
+            "",
+        ]
+    )
 
 
 async def main() -> None:
@@ -162,7 +191,7 @@
                 try:
                     rows.append(await play(Path(folder) / f"{at}-{again}", count, way, bad))
                     break
-                except ConditionError as error:     # a port that was free when it was chosen may be taken by then
+                except ConditionError as error:  # a port that was free when it was chosen may be taken by then
                     if "Address already in use" not in str(error) or again + 1 == TRIES:
                         raise
             print(rows[-1], flush=True)
--- a/benchmarks/maintenance_issuers.py
+++ b/benchmarks/maintenance_issuers.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 NODES, MOST, ROUNDS, OUT_ROUNDS = 5, 3, 600, 20
-TAKEOVER = 60       # rounds until an operator starts a service on the same store elsewhere
-ELECTION = 4        # rounds without a leader before a log has another one
+TAKEOVER = 60  # rounds until an operator starts a service on the same store elsewhere
+ELECTION = 4  # rounds without a leader before a log has another one
 
 
 @dataclass
@@ -15,11 +15,11 @@
     """What befalls five hosts, drawn once for all issuers."""
 
     seed: int
-    up: list[set[int]] = field(default_factory=list)            # by round
+    up: list[set[int]] = field(default_factory=list)  # by round
     side: list[dict[int, int]] = field(default_factory=list)
-    asks: list[int] = field(default_factory=list)               # by round: the side that asks, -1: nobody
-    lost: list[bool] = field(default_factory=list)              # the answer does not arrive
-    ends: list[int] = field(default_factory=list)               # a host that ends and starts again, -1: none
+    asks: list[int] = field(default_factory=list)  # by round: the side that asks, -1: nobody
+    lost: list[bool] = field(default_factory=list)  # the answer does not arrive
+    ends: list[int] = field(default_factory=list)  # a host that ends and starts again, -1: none
 
     def __post_init__(self) -> None:
         """Draw it."""
@@ -121,7 +121,7 @@
 
     def __init__(self, history: History) -> None:
         super().__init__(history)
-        self.votes: list[dict[int, int]] = [{} for _ in range(NODES)]       # by voter: place to permit
+        self.votes: list[dict[int, int]] = [{} for _ in range(NODES)]  # by voter: place to permit
 
     def ended(self, node: int) -> None:
         """Forget what is not stored."""
@@ -145,7 +145,7 @@
         here = self.reach(now, side)
         if len(here) <= NODES // 2:
             return False
-        for node in range(NODES):       # who is away hears of it as it comes back: the kindest case for this way
+        for node in range(NODES):  # who is away hears of it as it comes back: the kindest case for this way
             self.votes[node] = {place: one for place, one in self.votes[node].items() if one != permit}
         return True
 
@@ -200,18 +200,21 @@
 
 
 KINDS: dict[str, type[Issuer]] = {
-    "control service alone, grants stored": Single, "the same, grants in memory": Forgetful,
-    "majority of five voters, votes stored": Voters, "the same, votes in memory": ForgetfulVoters,
-    "replicated log, five members": Log}
+    "control service alone, grants stored": Single,
+    "the same, grants in memory": Forgetful,
+    "majority of five voters, votes stored": Voters,
+    "the same, votes in memory": ForgetfulVoters,
+    "replicated log, five members": Log,
+}
 
 
 def play(kind: type[Issuer], seed: int) -> dict[str, int]:
     """Play one history; tell the counts."""
     history = History(seed)
     issuer = kind(history)
-    out: dict[int, tuple[int, int]] = {}        # permits that are begun: when they are over, and the side
+    out: dict[int, tuple[int, int]] = {}  # permits that are begun: when they are over, and the side
     told = {"asked": 0, "granted": 0, "nobody there": 0, "over": 0, "held in vain": 0}
-    ghosts: dict[int, int] = {}                 # granted, and the answer was lost: until its lease is over
+    ghosts: dict[int, int] = {}  # granted, and the answer was lost: until its lease is over
     for now in range(ROUNDS):
         issuer.turn(now)
         if history.ends[now] >= 0:
--- a/benchmarks/maintenance_log.py
+++ b/benchmarks/maintenance_log.py
@@ -14,7 +14,7 @@
 from pysyncobj.node import Node
 from pysyncobj.transport import Transport
 
-TICKS = 10          # in one round, each 0.1 s of the log's clock
+TICKS = 10  # in one round, each 0.1 s of the log's clock
 CLOCK = [0.0]
 
 
@@ -54,9 +54,14 @@
     """The table of places as each member has it."""
 
     def __init__(self, me: int, lines: Lines, folder: Path) -> None:
-        conf = SyncObjConf(autoTick=False, journalFile=str(folder / f"journal-{me}"), dynamicMembershipChange=False,
-                           commandsWaitLeader=False,
-                           logCompactionMinTime=10**9, logCompactionMinEntries=10**9)
+        conf = SyncObjConf(
+            autoTick=False,
+            journalFile=str(folder / f"journal-{me}"),
+            dynamicMembershipChange=False,
+            commandsWaitLeader=False,
+            logCompactionMinTime=10**9,
+            logCompactionMinEntries=10**9,
+        )
         super().__init__(Node(str(me)), [Node(str(one)) for one in range(NODES) if one != me], conf, transport=lines)
         self.held: set[int] = set()
 
@@ -80,7 +85,7 @@
 
     def __init__(self, history: History) -> None:
         super().__init__(history)
-        random.seed(history.seed)       # the library's election times
+        random.seed(history.seed)  # the library's election times
         CLOCK[0] = 0.0
         pysyncobj.syncobj.monotonicTime = lambda: CLOCK[0]
         self.folder = tempfile.TemporaryDirectory()
@@ -88,7 +93,7 @@
         self.now, self.seen = 0, set[tuple[int, int]]()
         self.lines = [Lines(self, me) for me in range(NODES)]
         self.nodes = [Places(me, self.lines[me], Path(self.folder.name)) for me in range(NODES)]
-        self.limbo: set[int] = set()        # asked for, and nobody has told what came of it
+        self.limbo: set[int] = set()  # asked for, and nobody has told what came of it
 
     def line(self, one: int, other: int) -> bool:
         """Tell whether two hosts can talk now."""
@@ -105,7 +110,7 @@
     def turn(self, now: int) -> None:
         """Let a round pass."""
         self.now = now
-        if self.limbo and now % 5 == 0:     # whoever asked and heard nothing gives it back, were it granted
+        if self.limbo and now % 5 == 0:  # whoever asked and heard nothing gives it back, were it granted
             permit = min(self.limbo)
             if any(self._call(now, side, "give", permit) for side in (0, 1)):
                 self.limbo.discard(permit)
@@ -120,7 +125,8 @@
                         there = self.line(one, other)
                         (self.seen.add if there else self.seen.discard)((one, other))
                         (self.lines[one]._onNodeConnected if there else self.lines[one]._onNodeDisconnected)(
-                            Node(str(other)))
+                            Node(str(other))
+                        )
             for node in self.history.up[self.now]:
                 self.nodes[node].doTick(0.0)
             for _ in range(len(self.queue)):
@@ -135,8 +141,9 @@
         answers: list[Any] = []
         if not here:
             return None
-        getattr(self.nodes[min(here)], what)(permit, callback=lambda done, error: answers.append(
-            done if not error else None))
+        getattr(self.nodes[min(here)], what)(
+            permit, callback=lambda done, error: answers.append(done if not error else None)
+        )
         for _ in range(TICKS):
             self._ticks(1)
             if answers:
--- a/benchmarks/maintenance_reports.py
+++ b/benchmarks/maintenance_reports.py
@@ -19,15 +19,18 @@
 TABLE = Path(__file__).with_suffix(".md")
 BEAT_S, BEATS = 2.0, 300
 SIZES = ((40, 60), (200, 200))
-CHANGES = (0, 1, 5)     # bricks whose state changes from one beat to the next
-DRAINS = 2              # bricks out, for which each head has said its word, as the cluster's board tells it
+CHANGES = (0, 1, 5)  # bricks whose state changes from one beat to the next
+DRAINS = 2  # bricks out, for which each head has said its word, as the cluster's board tells it
 
 
 def whole(report: Report) -> int:
     """Tell the bytes of a report with all that it has, as every one was before and the first on a stream is."""
     fields = {name: getattr(report, name) for name in Report.__struct_fields__ if name not in ("parts", "unsure")}
-    return len(wire.encode_request(wire.Request(wire.Kind.MAINTENANCE, head="n0017", initial={
-        REPORT: msgspec.json.encode(fields).decode()})))
+    return len(
+        wire.encode_request(
+            wire.Request(wire.Kind.MAINTENANCE, head="n0017", initial={REPORT: msgspec.json.encode(fields).decode()})
+        )
+    )
 
 
 def beats(heads: int, bricks: int, changes: int, drains: int) -> tuple[int, float, int]:
@@ -41,8 +44,19 @@
     for beat in range(BEATS):
         for name in lots.sample(sorted(rows), changes):
             rows[name] = msgspec.structs.replace(rows[name], up=not rows[name].up)
-        report = Report(0x7f3a9c21e0b4, "2.4.1", "hall-a", True, statements=own, heard=heard, bricks=dict(rows),
-                        live=names, clustered=True, taken=1e6 + 40 * beat, failed=12.0)
+        report = Report(
+            0x7F3A9C21E0B4,
+            "2.4.1",
+            "hall-a",
+            True,
+            statements=own,
+            heard=heard,
+            bricks=dict(rows),
+            live=names,
+            clustered=True,
+            taken=1e6 + 40 * beat,
+            failed=12.0,
+        )
         before.append(whole(report))
         after.append(len(wire.encode_request(report_request("n0017", teller.made(int(2e6) * beat, report, 0)))))
     return round(sum(before) / BEATS), sum(after[1:]) / (BEATS - 1), after[0]
@@ -50,18 +64,25 @@
 
 def main() -> None:
     """Measure and write the table."""
-    lines = ["# Reports on maintenance, in bytes", "",
-             f"By `python -m benchmarks.maintenance_reports`: requests as the stream carries them, {BEATS} beats of "
-             f"{BEAT_S:g} s by seed 1, each head in a cluster of all. `Out`: bricks that are being drained, of which "
-             "each head passes on what all others have said. `Into the service`: of all heads together.", "",
-             "| heads | bricks | changed a beat | out | whole, bytes | changes, bytes | first on a stream | "
-             "into the service, whole | as changes | times less |", "| --- " * 10 + "|"]
+    lines = [
+        "# Reports on maintenance, in bytes",
+        "",
+        f"By `python -m benchmarks.maintenance_reports`: requests as the stream carries them, {BEATS} beats of "
+        f"{BEAT_S:g} s by seed 1, each head in a cluster of all. `Out`: bricks that are being drained, of which "
+        "each head passes on what all others have said. `Into the service`: of all heads together.",
+        "",
+        "| heads | bricks | changed a beat | out | whole, bytes | changes, bytes | first on a stream | "
+        "into the service, whole | as changes | times less |",
+        "| --- " * 10 + "|",
+    ]
     for heads, bricks in SIZES:
         for changes, drains in [*((one, 0) for one in CHANGES), (1, DRAINS)]:
             before, after, first = beats(heads, bricks, changes, drains)
-            lines.append(f"| {heads} | {bricks} | {changes} | {drains} | {before:,} | {after:,.0f} | {first:,} | "
-                         f"{heads * before / BEAT_S / 1e3:,.1f} kB/s | {heads * after / BEAT_S / 1e3:,.1f} kB/s | "
-                         f"{before / after:.0f} |")
+            lines.append(
+                f"| {heads} | {bricks} | {changes} | {drains} | {before:,} | {after:,.0f} | {first:,} | "
+                f"{heads * before / BEAT_S / 1e3:,.1f} kB/s | {heads * after / BEAT_S / 1e3:,.1f} kB/s | "
+                f"{before / after:.0f} |"
+            )
     TABLE.write_text("\n".join(lines) + "\n")
     print(TABLE.read_text())
 
--- a/benchmarks/popularity.py
+++ b/benchmarks/popularity.py
@@ -28,7 +28,7 @@
 from popularity_replay import AGEING, prewarming  # noqa: E402
 from popularity_traces import SHAPES, SPANS_A_DAY, Trace  # noqa: E402
 
-SEEDS = range(1001, 1004)       # kept apart from those that constants were chosen on
+SEEDS = range(1001, 1004)  # kept apart from those that constants were chosen on
 
 
 def sketches() -> list[str]:
@@ -59,8 +59,10 @@
         items = datasketches.frequent_items_sketch(power)
         for at in stream:
             items.update(int(at))
-        found = {int(one[0]) for one in items.get_frequent_items(
-            datasketches.frequent_items_error_type.NO_FALSE_NEGATIVES, 0)[:100]}
+        found = {
+            int(one[0])
+            for one in items.get_frequent_items(datasketches.frequent_items_error_type.NO_FALSE_NEGATIVES, 0)[:100]
+        }
         told = {at: (items.get_lower_bound(at) + items.get_upper_bound(at)) / 2 for at in top}
         size = len(items.serialize(datasketches.PyIntsSerDe()))
         row(f"datasketches frequent_items, 2^{power}", size, "", told, found)
@@ -84,7 +86,7 @@
         errors = dict.fromkeys(found, 0.0)
         total = seen = 0.0
         for span in range(len(counts)):
-            if span >= SPANS_A_DAY:     # a day to learn in, for all
+            if span >= SPANS_A_DAY:  # a day to learn in, for all
                 own = [predictor.predict(bytes([at])) for at in range(160)]
                 means = np.array([one.mean if one is not None else 0.0 for one in own])
                 for name, guess in (("last", counts[span - 1]), ("lfu", aged), ("own", means)):
@@ -121,32 +123,50 @@
 
 def main() -> None:
     """Measure all and write the tables."""
-    lines = [f"# Popularity, measured on Python {platform.python_version()}", "",
-             "`python benchmarks/popularity.py` writes this file. Traces and streams are seeded; the tables' seeds "
-             f"({SEEDS[0]} to {SEEDS[-1]}) are kept apart from those that constants were chosen on.", "",
-             "## Counts", "",
-             "200,000 requests, 50,000 keys by Zipf's law (1.0), no decay, for datasketches has none. Bytes are those "
-             "that are sent: 20 a counter of the project's own (key, count, error; a page's item bears 32, its sealed "
-             "locator among them, and no error), the serialized form of the others. "
-             "The error is the mean over the 100 keys asked for most, of the middle of the bounds. " + doubled(), "",
-             "| counts | bytes sent | bytes held | error | found of the first 100 |", "| --- | --- | --- | --- | --- |",
-             *(row.rstrip() for row in sketches()), "",
-             "## Predictions", "",
-             "Sum of absolute errors over all requests, after a day to learn in: of the next span's rates (who knows "
-             "the future errs by 0), then of its counts, where who knows the rates still errs by the draw. An object's "
-             "first span, of which nobody can know, is among them. `held`: how often a count lay within the interval, "
-             "meant for 90 %.", "",
-             "| shape | last count | LFU with ageing | own | own, counts | knowing the rates, counts | held |",
-             "| --- | --- | --- | --- | --- | --- | --- |",
-             *(prediction(shape) for shape in (*SHAPES, "all together")), "",
-             "## Prewarming", "",
-             "One of three sites, all shapes, 1,500 objects, a cache of 8 % of their bytes; fetches may take a fifth "
-             "of the bytes asked for. Parts of requests and of bytes asked for; `of use`: fetched bytes that were "
-             "asked for while kept; `read`: what bricks were read, for misses and beforehand. Once a day the head is "
-             "killed and begins with no cache and no counts; what its peers told, it then hears.", "",
-             "| policy | hits | of first requests | in the span after a kill | byte hits | fetched | of use | read |",
-             "| --- | --- | --- | --- | --- | --- | --- | --- |",
-             *prewarming(SEEDS), "", *others(), "", *asyncio.run(latency()), ""]
+    lines = [
+        f"# Popularity, measured on Python {platform.python_version()}",
+        "",
+        "`python benchmarks/popularity.py` writes this file. Traces and streams are seeded; the tables' seeds "
+        f"({SEEDS[0]} to {SEEDS[-1]}) are kept apart from those that constants were chosen on.",
+        "",
+        "## Counts",
+        "",
+        "200,000 requests, 50,000 keys by Zipf's law (1.0), no decay, for datasketches has none. Bytes are those "
+        "that are sent: 20 a counter of the project's own (key, count, error; a page's item bears 32, its sealed "
+        "locator among them, and no error), the serialized form of the others. "
+        "The error is the mean over the 100 keys asked for most, of the middle of the bounds. " + doubled(),
+        "",
+        "| counts | bytes sent | bytes held | error | found of the first 100 |",
+        "| --- | --- | --- | --- | --- |",
+        *(row.rstrip() for row in sketches()),
+        "",
+        "## Predictions",
+        "",
+        "Sum of absolute errors over all requests, after a day to learn in: of the next span's rates (who knows "
+        "the future errs by 0), then of its counts, where who knows the rates still errs by the draw. An object's "
+        "first span, of which nobody can know, is among them. `held`: how often a count lay within the interval, "
+        "meant for 90 %.",
+        "",
+        "| shape | last count | LFU with ageing | own | own, counts | knowing the rates, counts | held |",
+        "| --- | --- | --- | --- | --- | --- | --- |",
+        *(prediction(shape) for shape in (*SHAPES, "all together")),
+        "",
+        "## Prewarming",
+        "",
+        "One of three sites, all shapes, 1,500 objects, a cache of 8 % of their bytes; fetches may take a fifth "
+        "of the bytes asked for. Parts of requests and of bytes asked for; `of use`: fetched bytes that were "
+        "asked for while kept; `read`: what bricks were read, for misses and beforehand. Once a day the head is "
+        "killed and begins with no cache and no counts; what its peers told, it then hears.",
+        "",
+        "| policy | hits | of first requests | in the span after a kill | byte hits | fetched | of use | read |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- |",
+        *prewarming(SEEDS),
+        "",
+        *others(),
+        "",
+        *asyncio.run(latency()),
+        "",
+    ]
     (ROOT / "benchmarks" / "popularity.md").write_text("\n".join(lines))
     print("\n".join(lines))
 
--- a/benchmarks/popularity_latency.py
+++ b/benchmarks/popularity_latency.py
@@ -17,11 +17,11 @@
 
 from tests.popular import Installation, installation  # noqa: E402
 
-PAIRS, SECONDS, RATE = 20, 1.0, 60.0    # of runs with and without fetches in turn; each; requests a second
-WORK_S = 0.002                          # of a brick for a read
-OBJECTS = 30                            # that others read, and that are fetched
-SIZE = 2_000                            # bytes of each, two pieces
-LOST: list[str] = []                    # reads of the run that were not served
+PAIRS, SECONDS, RATE = 20, 1.0, 60.0  # of runs with and without fetches in turn; each; requests a second
+WORK_S = 0.002  # of a brick for a read
+OBJECTS = 30  # that others read, and that are fetched
+SIZE = 2_000  # bytes of each, two pieces
+LOST: list[str] = []  # reads of the run that were not served
 FETCH_BYTES_S = 100_000.0
 
 
@@ -33,7 +33,7 @@
     async def one(path: str) -> None:
         since = time.perf_counter()
         if await client.status("GET", path) != 200:
-            LOST.append(path)       # refused, for want of time: told in the table
+            LOST.append(path)  # refused, for want of time: told in the table
             return
         took.append((time.perf_counter() - since) * 1000)
 
@@ -63,6 +63,7 @@
 
 async def latency() -> list[str]:
     """Measure pairs of runs in turn; tell a table."""
+
     async def work(request: web.BaseRequest, body: bytes) -> None:
         if request.method == "GET":
             await asyncio.sleep(WORK_S)
@@ -80,14 +81,14 @@
             popular.tick()
             while popular.site.step(100):
                 pass
-            popular.store.core.cache = None     # others' reads go to bricks whether or not a piece is kept
+            popular.store.core.cache = None  # others' reads go to bricks whether or not a piece is kept
             for brick in built.world.bricks:
                 brick.behave = work
             await load(built, paths, 2.0, 1)
             found: dict[bool, list[list[float]]] = {True: [], False: []}
             ratios, fetched, lost = [], 0, {True: 0, False: 0}
             for pair in range(PAIRS):
-                for on in ((True, False) if pair % 2 else (False, True)):
+                for on in (True, False) if pair % 2 else (False, True):
                     before = popular.fetcher.bytes
                     task = asyncio.create_task(fetching(built)) if on else None
                     LOST.clear()
@@ -101,19 +102,27 @@
     rows = []
     for on, runs in sorted(found.items()):
         whole = [one for run in runs for one in run]
-        rows.append(f"| {'on' if on else 'off'} | {len(whole)} | {lost[on]} | {quantile(whole, 0.5):.1f} | "
-                    f"{quantile(whole, 0.99):.1f} | {fetched / PAIRS / SECONDS / 1000 if on else 0.0:.0f} |")
+        rows.append(
+            f"| {'on' if on else 'off'} | {len(whole)} | {lost[on]} | {quantile(whole, 0.5):.1f} | "
+            f"{quantile(whole, 0.99):.1f} | {fetched / PAIRS / SECONDS / 1000 if on else 0.0:.0f} |"
+        )
     whole_ratio = quantile([one for run in found[True] for one in run], 0.99) / quantile(
-        [one for run in found[False] for one in run], 0.99)
+        [one for run in found[False] for one in run], 0.99
+    )
     spread = statistics.quantiles(ratios, n=4)
-    return ["## Others' requests while fetches run", "",
-            f"A real head with an object front, three stand-in bricks of {WORK_S * 1000:.0f} ms a read and the "
-            f"clients in one process; {RATE:.0f} reads a second of {SIZE} bytes in two "
-            f"pieces, {PAIRS} pairs of runs of {SECONDS:.1f} s in turn. p99 with fetches to p99 without: "
-            f"{whole_ratio:.2f} over the reads that were served; in pairs median {statistics.median(ratios):.2f}, "
-            f"quartiles {spread[0]:.2f} and {spread[2]:.2f}.", "",
-            "| fetches | reads served | not served | p50, ms | p99, ms | fetched, kB/s |",
-            "| --- | --- | --- | --- | --- | --- |", *rows]
+    return [
+        "## Others' requests while fetches run",
+        "",
+        f"A real head with an object front, three stand-in bricks of {WORK_S * 1000:.0f} ms a read and the "
+        f"clients in one process; {RATE:.0f} reads a second of {SIZE} bytes in two "
+        f"pieces, {PAIRS} pairs of runs of {SECONDS:.1f} s in turn. p99 with fetches to p99 without: "
+        f"{whole_ratio:.2f} over the reads that were served; in pairs median {statistics.median(ratios):.2f}, "
+        f"quartiles {spread[0]:.2f} and {spread[2]:.2f}.",
+        "",
+        "| fetches | reads served | not served | p50, ms | p99, ms | fetched, kB/s |",
+        "| --- | --- | --- | --- | --- | --- |",
+        *rows,
+    ]
 
 
 if __name__ == "__main__":
--- a/benchmarks/popularity_model.py
+++ b/benchmarks/popularity_model.py
@@ -75,8 +75,10 @@
 
     def call_at(self, when_us: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
         """Call back at a time, never early."""
+
         def due() -> None:
             callback()
+
         return self.loop.call_at(max(self.loop.time(), (when_us + 0.6) / 1e6), due)
 
     def call_soon(self, callback: Callable[[], None]) -> None:
@@ -118,26 +120,46 @@
 class Model:
     """One head and its bricks."""
 
-    def __init__(self, loop: VirtualLoop, seed: int, folder: Path, settings: dict[str, Any], bricks: int = 3,
-                 work_us: float = 2000.0, fetch_bytes_s: float = 1e5, cache_bytes: int = 50_000_000) -> None:
+    def __init__(
+        self,
+        loop: VirtualLoop,
+        seed: int,
+        folder: Path,
+        settings: dict[str, Any],
+        bricks: int = 3,
+        work_us: float = 2000.0,
+        fetch_bytes_s: float = 1e5,
+        cache_bytes: int = 50_000_000,
+    ) -> None:
         self.loop, self.seed, self.timers = loop, seed, Timers(loop)
         self.lots = random.Random(seed)
         self.bricks = [ModelBrick(self, shard, work_us) for shard in range(bricks)]
         self.exchange = Exchange(read_settings(json.dumps(settings)), seed, self.timers, Counters(), lambda text: None)
         self.exchange.start = lambda attempt: self.bricks[attempt.shard].start(attempt)
-        self.exchange.nodes(api.NodeList(api.ListKind.FULL, tuple(
-            api.NodeEntry(f"b{shard}", 0, shard, api.Phase.ON, 0.0, 0) for shard in range(bricks))))
-        self.store = Store(Core(self.exchange, ObjectConfig(
-            "", folder, "record-read", "transfer-write", piece_bytes=1000)), loop.time)
+        self.exchange.nodes(
+            api.NodeList(
+                api.ListKind.FULL,
+                tuple(api.NodeEntry(f"b{shard}", 0, shard, api.Phase.ON, 0.0, 0) for shard in range(bricks)),
+            )
+        )
+        self.store = Store(
+            Core(self.exchange, ObjectConfig("", folder, "record-read", "transfer-write", piece_bytes=1000)), loop.time
+        )
         (folder / "key").write_bytes(b"the installation's secret")
         self.popular = HeadPopularity(
             PopularityConfig(folder / "key", cache_bytes=cache_bytes, tenant_part=1.0, fetch_bytes_s=fetch_bytes_s),
-            self.store, lambda volume: ("alba", "priority"), lambda text: None, span_us=SPAN_US, day_us=DAY_US)
+            self.store,
+            lambda volume: ("alba", "priority"),
+            lambda text: None,
+            span_us=SPAN_US,
+            day_us=DAY_US,
+        )
         self.volume = Volume("00000003b4d60021", "priority")
         self.lost: Counter[str] = Counter()
 
     async def put(self, names: list[str], size: int) -> None:
         """Write objects and read each, so that they are known."""
+
         async def chunks() -> Any:
             for _ in range(0, size, 1000):
                 yield b"x" * 1000
@@ -188,9 +210,12 @@
 def virtual(main: Callable[[VirtualLoop, Path], Coroutine[Any, Any, Value]], seed: int) -> Value:
     """Run in virtual time; ids are drawn from the seed, so the same run is the same each time."""
     lots = random.Random(seed)
-    with (mock.patch("secrets.token_hex", lambda size=8: lots.randbytes(size).hex()),
-          mock.patch("secrets.token_bytes", lambda size=8: lots.randbytes(size)),
-          tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=VirtualLoop) as runner):
+    with (
+        mock.patch("secrets.token_hex", lambda size=8: lots.randbytes(size).hex()),
+        mock.patch("secrets.token_bytes", lambda size=8: lots.randbytes(size)),
+        tempfile.TemporaryDirectory() as folder,
+        asyncio.Runner(loop_factory=VirtualLoop) as runner,
+    ):
         loop = runner.get_loop()
         assert isinstance(loop, VirtualLoop)
         return runner.run(main(loop, Path(folder)))
--- a/benchmarks/popularity_others.py
+++ b/benchmarks/popularity_others.py
@@ -23,19 +23,19 @@
 from popularity_model import Model, VirtualLoop, virtual  # noqa: E402
 from tests.stand_in import setup  # noqa: E402
 
-SEEDS = range(1001, 1025)               # none of them was looked at while constants were chosen
-OTHERS = (0.4, 0.6, 0.7)                # of each brick's time that other heads' work takes
-RATE, SECONDS = 60.0, 10.0              # reads a second, and seconds of each run
-OBJECTS, SIZE = 30, 2000                # bytes, in two pieces
+SEEDS = range(1001, 1025)  # none of them was looked at while constants were chosen
+OTHERS = (0.4, 0.6, 0.7)  # of each brick's time that other heads' work takes
+RATE, SECONDS = 60.0, 10.0  # reads a second, and seconds of each run
+OBJECTS, SIZE = 30, 2000  # bytes, in two pieces
 
 
 class Found(Struct):
     """One run."""
 
-    took: list[float]       # milliseconds of each read that was served
+    took: list[float]  # milliseconds of each read that was served
     lost: int
-    fetched: float          # bytes a second
-    cpu_us: float           # a read
+    fetched: float  # bytes a second
+    cpu_us: float  # a read
 
     def p99(self) -> float:
         """Tell the 99th percentile, milliseconds."""
@@ -48,7 +48,7 @@
 
     async def main(loop: VirtualLoop, folder: Path) -> Found:
         settings = setup()
-        settings["Grades"][1]["Reserve"] = 20       # most of the tenant's use is beyond its reserve
+        settings["Grades"][1]["Reserve"] = 20  # most of the tenant's use is beyond its reserve
         model = Model(loop, seed, folder, settings)
         names = [str(at) for at in range(OBJECTS)]
         await model.put(names, SIZE)
@@ -60,7 +60,7 @@
         popular.tick()
         while popular.site.step(100):
             pass
-        popular.store.core.cache = None     # others' reads go to bricks whether or not a piece is kept
+        popular.store.core.cache = None  # others' reads go to bricks whether or not a piece is kept
         beside = [asyncio.create_task(model.others(others))]
         await model.load(names, RATE, 2.0)
         model.lost.clear()
@@ -73,8 +73,9 @@
         for task in beside:
             task.cancel()
         await asyncio.gather(*beside, return_exceptions=True)
-        return Found(took, model.lost.total(), (popular.fetcher.bytes - before) / SECONDS,
-                     1e6 * spent / max(1, len(took)))
+        return Found(
+            took, model.lost.total(), (popular.fetcher.bytes - before) / SECONDS, 1e6 * spent / max(1, len(took))
+        )
 
     return virtual(main, seed)
 
@@ -93,17 +94,25 @@
             whole = [list(itertools.chain.from_iterable(one.took for one in runs)) for runs in (off, on)]
             p99 = [Found(one, 0, 0.0, 0.0).p99() for one in whole]
             cpu = statistics.median(one.cpu_us / other.cpu_us for one, other in zip(on, off, strict=True))
-            rows.append(f"| {part:.0%} | {reads} | {sum(one.lost for one in off)} | {sum(one.lost for one in on)} | "
-                        f"{p99[0]:.1f} | {p99[1]:.1f} | {statistics.median(ratios):.3f} ({low:.3f} to {high:.3f}) | "
-                        f"{statistics.mean(one.fetched for one in on) / 1000:.1f} | {cpu:.2f} |")
-    return ["## Others' requests while fetches run, in virtual time", "",
-            "The real front, exchange, module and popularity on three model bricks of 2 ms a unit, exponential; "
-            f"{RATE:.0f} reads a second of {SIZE} bytes in two pieces, mostly beyond the tenant's reserve, "
-            f"{len(seeds)} pairs of runs of {SECONDS:.0f} s that differ by the fetches alone. p99 in ms, of all reads; "
-            "its ratio by pairs, median and quartiles; fetched in kB/s; processor time of the whole run a read, with "
-            "fetches to without.", "",
-            "| others' work | reads | not served, without | with fetches | p99 without | p99 with | ratio | fetched | "
-            "processor |", "| --- | --- | --- | --- | --- | --- | --- | --- | --- |", *rows]
+            rows.append(
+                f"| {part:.0%} | {reads} | {sum(one.lost for one in off)} | {sum(one.lost for one in on)} | "
+                f"{p99[0]:.1f} | {p99[1]:.1f} | {statistics.median(ratios):.3f} ({low:.3f} to {high:.3f}) | "
+                f"{statistics.mean(one.fetched for one in on) / 1000:.1f} | {cpu:.2f} |"
+            )
+    return [
+        "## Others' requests while fetches run, in virtual time",
+        "",
+        "The real front, exchange, module and popularity on three model bricks of 2 ms a unit, exponential; "
+        f"{RATE:.0f} reads a second of {SIZE} bytes in two pieces, mostly beyond the tenant's reserve, "
+        f"{len(seeds)} pairs of runs of {SECONDS:.0f} s that differ by the fetches alone. p99 in ms, of all reads; "
+        "its ratio by pairs, median and quartiles; fetched in kB/s; processor time of the whole run a read, with "
+        "fetches to without.",
+        "",
+        "| others' work | reads | not served, without | with fetches | p99 without | p99 with | ratio | fetched | "
+        "processor |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+        *rows,
+    ]
 
 
 if __name__ == "__main__":
--- a/benchmarks/popularity_replay.py
+++ b/benchmarks/popularity_replay.py
@@ -19,12 +19,18 @@
 from hophinge.popularity.site import Site  # noqa: E402
 from popularity_traces import SHAPES, SPANS_A_DAY, Trace  # noqa: E402
 
-SPAN_US = 10_000_000            # of the replay's clock: a span's bytes are what a planner may save up
-AGEING = 0.7                    # of LFU: what a span leaves of a count
+SPAN_US = 10_000_000  # of the replay's clock: a span's bytes are what a planner may save up
+AGEING = 0.7  # of LFU: what a span leaves of a count
 VOLUME = "{:016x}"
 
-POLICIES = ("none: LRU", "none: LFU with ageing", "none: evicted by prediction", "prewarming, own site alone",
-            "prewarming, with other sites' words", "knowing the next span's rates")
+POLICIES = (
+    "none: LRU",
+    "none: LFU with ageing",
+    "none: evicted by prediction",
+    "prewarming, own site alone",
+    "prewarming, with other sites' words",
+    "knowing the next span's rates",
+)
 
 
 class Replay:
@@ -33,8 +39,9 @@
     def __init__(self, trace: Trace, policy: str, most: int, bytes_span: float) -> None:
         self.trace, self.policy = trace, policy
         objects = len(trace.sizes)
-        self.locators = [Locator(VOLUME.format(int(trace.publisher[at])), VOLUME.format(at), at % 8)
-                         for at in range(objects)]
+        self.locators = [
+            Locator(VOLUME.format(int(trace.publisher[at])), VOLUME.format(at), at % 8) for at in range(objects)
+        ]
         self.runs = [Run(at.to_bytes(8, "big"), [Piece(at % 8, int(size), 0)]) for at, size in enumerate(trace.sizes)]
         self.bodies = [bytes(int(size)) for size in trace.sizes]
         keys = Keys(b"x" * 16)
@@ -126,7 +133,7 @@
         keys = self.site.keys
         for site in range(1, self.trace.counts.shape[0]):
             counts = self.trace.counts[site, span]
-            top = [int(at) for at in np.argsort(-counts)[:ITEMS_EACH * MOST_PAGES] if counts[at] > 0]
+            top = [int(at) for at in np.argsort(-counts)[: ITEMS_EACH * MOST_PAGES] if counts[at] > 0]
             items = [Item(self.keys[at], keys.seal(self.locators[at]), float(counts[at])) for at in top]
             for number, page in enumerate(pages(span, float(counts.sum()), items)):
                 self.site.hearsay.take(now, f"peer-{site}", f"site-{site}", (1, span * 10 + number), page)
@@ -138,15 +145,18 @@
             for at in map(int, np.flatnonzero(self.values > 0.2)):
                 key = self.site.note(self.locators[at], self.locators[at].volume, int(self.trace.sizes[at]))
                 self.site.elsewhere[key] = float(self.values[at])
-        wanted = [one for one in self.site.candidates(lambda size: 1.0)
-                  if not self.cache.holds(self.site.object(one.key))]
+        wanted = [
+            one for one in self.site.candidates(lambda size: 1.0) if not self.cache.holds(self.site.object(one.key))
+        ]
         for one in self.planner.plan(now, [], facts, wanted, 512):
             at = self.number[one.key]
             place = self.locators[at].volume, self.locators[at].manifest
             self.cache.seen(*place, Manifest("e", 1, 0, "", "", [self.runs[at]]))
             size = len(self.bodies[at])
-            if not self.cache.would_keep(place, size + 200) or self.planner.may(
-                    now, one.tenant, one.shard, size, 1.0, facts) is not None:
+            if (
+                not self.cache.would_keep(place, size + 200)
+                or self.planner.may(now, one.tenant, one.shard, size, 1.0, facts) is not None
+            ):
                 continue
             if word := self.site.by_word(one.key):
                 self.words[at] = word
@@ -164,11 +174,17 @@
         for policy in POLICIES:
             replay = Replay(trace, policy, int(trace.sizes.sum() * 0.08), 0.2 * per_span)
             replay.run(SPANS_A_DAY)
-            found[policy].append((
-                replay.hits / replay.requests, replay.first_hits / replay.firsts, replay.cold_hits / replay.cold,
-                replay.hit_bytes / replay.all_bytes, replay.fetched / replay.all_bytes,
-                replay.useful / max(1, replay.fetched),
-                (replay.all_bytes - replay.hit_bytes + replay.fetched) / replay.all_bytes))
+            found[policy].append(
+                (
+                    replay.hits / replay.requests,
+                    replay.first_hits / replay.firsts,
+                    replay.cold_hits / replay.cold,
+                    replay.hit_bytes / replay.all_bytes,
+                    replay.fetched / replay.all_bytes,
+                    replay.useful / max(1, replay.fetched),
+                    (replay.all_bytes - replay.hit_bytes + replay.fetched) / replay.all_bytes,
+                )
+            )
     rows = []
     for policy, runs in found.items():
         mean = [100 * float(one) for one in np.mean(runs, axis=0)]
--- a/benchmarks/popularity_traces.py
+++ b/benchmarks/popularity_traces.py
@@ -45,12 +45,21 @@
 class Trace:
     """Rates and counts by site, span and object; sizes and publishers by object."""
 
-    def __init__(self, seed: int, shapes: tuple[str, ...], objects: int, days: int, height: float,
-                 sites: int = 1, depth: float = 0.0, exponent: float = 0.9) -> None:
+    def __init__(
+        self,
+        seed: int,
+        shapes: tuple[str, ...],
+        objects: int,
+        days: int,
+        height: float,
+        sites: int = 1,
+        depth: float = 0.0,
+        exponent: float = 0.9,
+    ) -> None:
         lots = np.random.default_rng(seed)
         spans = days * SPANS_A_DAY
         self.publisher = lots.integers(0, 8, objects)
-        pace = lots.uniform(3, 20, 8)       # a publisher's usual course
+        pace = lots.uniform(3, 20, 8)  # a publisher's usual course
         kind = [shapes[at % len(shapes)] for at in range(8)]
         born = np.where(lots.random(objects) < 0.3, 0.0, lots.uniform(0, spans, objects))
         if set(shapes) <= {"steady", "daily wave"}:
@@ -63,8 +72,12 @@
                 # The publisher's own site comes first, others some spans later, each with its own liking.
                 late = 0.0 if site == self.publisher[at] % sites else lots.uniform(1, 6)
                 liking = lots.lognormal(0, 0.5) if sites > 1 else 1.0
-                shape = life(own, np.floor(np.arange(spans) - born[at] - late), lots,
-                             pace[self.publisher[at]] * lots.lognormal(0, 0.2))
+                shape = life(
+                    own,
+                    np.floor(np.arange(spans) - born[at] - late),
+                    lots,
+                    pace[self.publisher[at]] * lots.lognormal(0, 0.2),
+                )
                 depth_here = 0.8 if own == "daily wave" else depth
                 self.rate[site, :, at] = height * weight[at] * liking * shape * wave(spans, depth_here, site / sites)
         self.counts = lots.poisson(self.rate)
--- a/benchmarks/scoring_costs.py
+++ b/benchmarks/scoring_costs.py
@@ -19,7 +19,7 @@
 from hophinge.scoring.engine import Engine
 from hophinge.scoring.interface import Surroundings
 
-TURNS = 15              # pairs, in turn; the table tells their median and how far the middle half spreads
+TURNS = 15  # pairs, in turn; the table tells their median and how far the middle half spreads
 T0 = 50_000_000
 ASK = api.Arrival("r", 1.0, "v", 0, -1, 1, "key", 1_000_000, True, 0)
 
@@ -29,8 +29,16 @@
     made = dict(list(model.scorers().items())[:number])
     if not made:
         return None
-    head = Engine(made, {name: model.VERSIONS[name] for name in made}, 75_000.0, 1e6, time.perf_counter_ns, print,
-                  Surroundings(10_000_000), usage=usage)
+    head = Engine(
+        made,
+        {name: model.VERSIONS[name] for name in made},
+        75_000.0,
+        1e6,
+        time.perf_counter_ns,
+        print,
+        Surroundings(10_000_000),
+        usage=usage,
+    )
     head.surroundings.drains, head.surroundings.demand = frozenset(names[:1]), lambda key: 5.0
     rng = random.Random(1)
     for node in names:
@@ -64,16 +72,18 @@
     rows = []
     for size in (10, 100, 1000):
         names = [f"brick-{number:04d}" for number in range(size)]
-        books = [Book(api.NodeEntry(name, 0, number, api.Phase.ON, 1.0, T0 - 5_000_000))
-                 for number, name in enumerate(names)]
+        books = [
+            Book(api.NodeEntry(name, 0, number, api.Phase.ON, 1.0, T0 - 5_000_000)) for number, name in enumerate(names)
+        ]
         for number, book in enumerate(books):
             book.free = T0 + number * 37 % 1000
 
         def choose(head: Engine | None, books: list[Book] = books) -> list[Book]:
             now = T0 + 2
             added = head.added_us(now, ASK, books) if head is not None else {}
-            return sorted(books, key=lambda one: (
-                one.failures > 0, max(one.free, now) + added.get(one.entry.node, 0.0)))
+            return sorted(
+                books, key=lambda one: (one.failures > 0, max(one.free, now) + added.get(one.entry.node, 0.0))
+            )
 
         heads = {number: engine(number, names) for number in (0, 1, 3)}
         found: dict[int, list[float]] = {number: [] for number in heads}
@@ -81,10 +91,15 @@
             for number, head in heads.items():
                 found[number].append(timed(max(20, 40_000 // size // (1 + number)), partial(choose, head)))
         more = [[with_ - none for none, with_ in zip(found[0], found[number], strict=True)] for number in (1, 3)]
-        rows.append(f"| {size} | {spread(found[0])} | {spread(found[1])} | {spread(found[3])} | "
-                    f"{statistics.median(more[0]):.1f} | {statistics.median(more[1]):.1f} |")
-    return ["| candidates | none, us | one, us | three, us | one adds | three add |",
-            "| --- | --- | --- | --- | --- | --- |", *rows]
+        rows.append(
+            f"| {size} | {spread(found[0])} | {spread(found[1])} | {spread(found[3])} | "
+            f"{statistics.median(more[0]):.1f} | {statistics.median(more[1]):.1f} |"
+        )
+    return [
+        "| candidates | none, us | one, us | three, us | one adds | three add |",
+        "| --- | --- | --- | --- | --- | --- |",
+        *rows,
+    ]
 
 
 def requests() -> list[str]:
@@ -106,16 +121,20 @@
             if isinstance(action, api.Send):
                 if head is not None:
                     head.heard(now + 900, action.node, api.Result.OK, 900)
-                module.handle(now + 900, [
-                    api.Outcome(name, 0, action.node, api.Result.OK, 900, True, 0, 0.0, {})])
+                module.handle(now + 900, [api.Outcome(name, 0, action.node, api.Result.OK, 900, True, 0, 0.0, {})])
 
     for _ in range(TURNS):
         for number, (head, module) in heads.items():
             found[number].append(timed(1000, partial(request, head, module)))
     more = {number: [with_ - none for none, with_ in zip(found[0], found[number], strict=True)] for number in (1, 3)}
-    return ["| scorers | a request, us | more than none |", "| --- | --- | --- |",
-            *(f"| {number} | {spread(found[number])} | "
-              f"{statistics.median(more[number]) if number else 0.0:.1f} |" for number in found)]
+    return [
+        "| scorers | a request, us | more than none |",
+        "| --- | --- | --- |",
+        *(
+            f"| {number} | {spread(found[number])} | {statistics.median(more[number]) if number else 0.0:.1f} |"
+            for number in found
+        ),
+    ]
 
 
 def slices(head: Engine, now_us: int, names: Sequence[str], entries: Sequence[Entry]) -> list[float]:
@@ -151,11 +170,17 @@
                         entries.append(Entry(f"p{number}", Topic.WEIGHTS, key, (1, count), value))
             since = T0 + 1_000_000
             first = slices(head, since, names, entries)
-            while head.reader is not None and len(head.reader.versions) < len(entries):     # some are read later
+            while head.reader is not None and len(head.reader.versions) < len(entries):  # some are read later
                 slices(head, since, names, entries)
             again = [slices(head, since + at * 1_000_000, names, entries) for at in range(1, 12)]
-            rows.append(f"| {peers} | {bricks} | {label} | {len(entries)} | {sum(first):.1f} | "
-                        f"{statistics.median(map(sum, again)):.1f} | {max(first):.1f} | "
-                        f"{spread(list(map(max, again)))} |")
-    return ["| peers | bricks | each peer accuses | entries | first tick, ms | each further one, ms "
-            "| longest slice of the first, ms | of a further one, ms |", "| --- " * 8 + "|", *rows]
+            rows.append(
+                f"| {peers} | {bricks} | {label} | {len(entries)} | {sum(first):.1f} | "
+                f"{statistics.median(map(sum, again)):.1f} | {max(first):.1f} | "
+                f"{spread(list(map(max, again)))} |"
+            )
+    return [
+        "| peers | bricks | each peer accuses | entries | first tick, ms | each further one, ms "
+        "| longest slice of the first, ms | of a further one, ms |",
+        "| --- " * 8 + "|",
+        *rows,
+    ]
--- a/benchmarks/scoring_hook.py
+++ b/benchmarks/scoring_hook.py
@@ -28,16 +28,23 @@
     from tests.test_choice import SETTINGS
 
     module = Scheduler(SETTINGS, 1)
-    module.handle(START_US, [api.NodeList(api.ListKind.FULL, tuple(
-        api.NodeEntry(f"n{at}", 0, at, api.Phase.ON, 1.0, 0) for at in range(NODES)))])
+    module.handle(
+        START_US,
+        [
+            api.NodeList(
+                api.ListKind.FULL, tuple(api.NodeEntry(f"n{at}", 0, at, api.Phase.ON, 1.0, 0) for at in range(NODES))
+            )
+        ],
+    )
     since, served = time.thread_time_ns(), 0
     for count in range(requests):
         now, name = START_US + count * STEP_US, f"r{count}"
         for action in module.handle(now, [api.Arrival(name, 1.0, "v", 0, -1, 10, name, 2_000_000, False, 0)]):
             if isinstance(action, api.Send):
                 served += 1
-                module.handle(now + TAKES_US, [
-                    api.Outcome(name, 0, action.node, api.Result.OK, TAKES_US, True, 0, 0.0, {})])
+                module.handle(
+                    now + TAKES_US, [api.Outcome(name, 0, action.node, api.Result.OK, TAKES_US, True, 0, 0.0, {})]
+                )
     took = time.thread_time_ns() - since
     if served != requests:
         raise SystemExit(f"{served} of {requests} requests were served")
@@ -56,8 +63,9 @@
     """Tell the instructions of one request, those of the start-up taken off."""
     found = []
     for requests in (0, COUNTED):
-        text = child(folder, requests, "valgrind", "--tool=cachegrind", "--cache-sim=no",
-                     "--cachegrind-out-file=/dev/null")
+        text = child(
+            folder, requests, "valgrind", "--tool=cachegrind", "--cache-sim=no", "--cachegrind-out-file=/dev/null"
+        )
         refs = re.search(r"I\s+refs:\s+([\d,]+)", text)
         if refs is None:
             raise SystemExit(text)
@@ -74,8 +82,10 @@
             took[at].append(float(child(folders[at], REQUESTS).split()[0]))
     parts = sorted(later / before for before, later in zip(*took, strict=True))
     low, middle, high = statistics.quantiles(parts, n=4)
-    print(f"CPU us a request: {statistics.median(took[0]):.2f} and {statistics.median(took[1]):.2f}; "
-          f"pair by pair {middle:.4f} times ({low:.4f} to {high:.4f}), {PAIRS} pairs")
+    print(
+        f"CPU us a request: {statistics.median(took[0]):.2f} and {statistics.median(took[1]):.2f}; "
+        f"pair by pair {middle:.4f} times ({low:.4f} to {high:.4f}), {PAIRS} pairs"
+    )
     if shutil.which("valgrind"):
         counts = [instructions(folder) for folder in folders]
         print(f"instructions a request: {counts[0]:.0f} and {counts[1]:.0f}, {counts[1] / counts[0]:.4f} times")
--- a/benchmarks/scoring_model.py
+++ b/benchmarks/scoring_model.py
@@ -24,36 +24,73 @@
 
 S, MS = 1_000_000, 1_000
 HEADS, BRICKS = 10, 24
-WORK_US, FAIL_US = 12 * MS, 2 * MS          # of a brick for a request, mean of exponential times; until it fails one
+WORK_US, FAIL_US = 12 * MS, 2 * MS  # of a brick for a request, mean of exponential times; until it fails one
 FAIL_FROM = 8 * S
 RESTART_EVERY_US = 4 * S
-HEARD_LATE_US = 500 * MS                    # what an entry takes to all heads
+HEARD_LATE_US = 500 * MS  # what an entry takes to all heads
 NAMES = [f"brick-{number:02d}" for number in range(BRICKS)]
 FAILING, ACCUSED = NAMES[3], NAMES[11]
 MOST_PART = 0.25
 AIM_US = 300 * MS
-KLASS = api.RequestClass(aim_us=AIM_US, deadline_us=2 * S, effect=api.Effect.SAFE, scope=api.DedupScope.ALL,
-                         dedup_window_us=S, worth=2.0, late_worth=0.1, in_order=False, stream=False)
+KLASS = api.RequestClass(
+    aim_us=AIM_US,
+    deadline_us=2 * S,
+    effect=api.Effect.SAFE,
+    scope=api.DedupScope.ALL,
+    dedup_window_us=S,
+    worth=2.0,
+    late_worth=0.1,
+    in_order=False,
+    stream=False,
+)
 PLAN = api.Plan(rate=1000, reserve=1000, weight=1, price=1, limit=0, limit_burst=0, limit_slack=0)
 SETTINGS = api.Settings(
-    me=0, gateways=HEADS, tick_us=MS, classes=(KLASS,), plans=(PLAN,),
-    rules=api.Rules(answer_grace_us=8 * MS, drain_grace_us=250 * MS, fall_multiple=4, fall_us=S, cold_share=0.16,
-                    cold_us=10 * S, cold_units=8, budget_free=10, budget_share=0.5, budget_us=5 * S,
-                    settle_us=0, ask_within_us=10 * S),
+    me=0,
+    gateways=HEADS,
+    tick_us=MS,
+    classes=(KLASS,),
+    plans=(PLAN,),
+    rules=api.Rules(
+        answer_grace_us=8 * MS,
+        drain_grace_us=250 * MS,
+        fall_multiple=4,
+        fall_us=S,
+        cold_share=0.16,
+        cold_us=10 * S,
+        cold_units=8,
+        budget_free=10,
+        budget_share=0.5,
+        budget_us=5 * S,
+        settle_us=0,
+        ask_within_us=10 * S,
+    ),
     allowed=api.Allowed(attempts=3, second_copies=False, cancel=False, probes=False, retry_after_us=S),
-    discovery=api.Discovery.PUSHED, mean_units=1, most_units=4, share_worth=0.4, spare_worth=0.1, meter_us=0,
-    tells_elsewhere=False, report_fields=(), report_in_answers=False, probe_price=0)
-LIST = api.NodeList(api.ListKind.FULL, tuple(
-    api.NodeEntry(name, number % 3, number, api.Phase.ON, 1.0, 0) for number, name in enumerate(NAMES)))
+    discovery=api.Discovery.PUSHED,
+    mean_units=1,
+    most_units=4,
+    share_worth=0.4,
+    spare_worth=0.1,
+    meter_us=0,
+    tells_elsewhere=False,
+    report_fields=(),
+    report_in_answers=False,
+    probe_price=0,
+)
+LIST = api.NodeList(
+    api.ListKind.FULL,
+    tuple(api.NodeEntry(name, number % 3, number, api.Phase.ON, 1.0, 0) for number, name in enumerate(NAMES)),
+)
 VERSIONS = {"latency": "latency-1", "suspicion": "suspicion-1", "outlook": ""}
 
 
 def scorers() -> dict[str, Scorer]:
     """Make the three at work."""
     setting = Setting(AIM_US, AIM_US * MOST_PART)
-    return {"latency": latency.Latency(latency.Parameters(), setting),
-            "suspicion": suspicion.Suspicion(suspicion.Parameters(), setting),
-            "outlook": outlook.Outlook(outlook.Parameters(), setting)}
+    return {
+        "latency": latency.Latency(latency.Parameters(), setting),
+        "suspicion": suspicion.Suspicion(suspicion.Parameters(), setting),
+        "outlook": outlook.Outlook(outlook.Parameters(), setting),
+    }
 
 
 class Head:
@@ -65,36 +102,55 @@
         self.engine: Engine | None = None
         if scored:
             more: dict[str, Any] = {} if merge is None else {"merge": merge}
-            self.engine = Engine(scorers(), VERSIONS, AIM_US * MOST_PART, 1e6, lambda: 0, lambda text: None,
-                                 Surroundings(SETTINGS.rules.cold_us), **more)
+            self.engine = Engine(
+                scorers(),
+                VERSIONS,
+                AIM_US * MOST_PART,
+                1e6,
+                lambda: 0,
+                lambda text: None,
+                Surroundings(SETTINGS.rules.cold_us),
+                **more,
+            )
             if shared:
                 self.engine.share_as(self.name)
             self.module.scorers = self.engine
-        self.sent: dict[str, int] = {}          # attempts so far, by open request
+        self.sent: dict[str, int] = {}  # attempts so far, by open request
 
 
 class Model:
     """One history; `met` counts requests that met a failure, by second since the brick began to fail."""
 
-    NEVER = 10 ** 12
+    NEVER = 10**12
 
-    def __init__(self, seed: int, scored: bool, shared: bool, rate: float, seconds: int, fail_part: float,
-                 liars: int = 0, merge: Merge | None = None, restarts: bool = False, mended: int = 0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        scored: bool,
+        shared: bool,
+        rate: float,
+        seconds: int,
+        fail_part: float,
+        liars: int = 0,
+        merge: Merge | None = None,
+        restarts: bool = False,
+        mended: int = 0,
+    ) -> None:
         self.random, self.liars = random.Random(seed), liars
         self.make: Callable[[int], Head] = lambda number: Head(number, seed + number, scored, shared, merge)
         self.heads = [self.make(number) for number in range(HEADS)]
-        self.mended = mended * S or self.NEVER     # when the brick fails no more
-        self.by_span: Counter[int] = Counter()     # sends to it, by 10 s since then
+        self.mended = mended * S or self.NEVER  # when the brick fails no more
+        self.by_span: Counter[int] = Counter()  # sends to it, by 10 s since then
         self.all_by_span: Counter[int] = Counter()
         self.restarts, self.rate, self.until, self.fail_part = restarts, rate, seconds * S, fail_part
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.order = itertools.count()
         self.now = 0
         self.free = dict.fromkeys(NAMES, 0)
-        self.board: dict[tuple[str, str], tuple[int, Entry]] = {}    # when it is heard by all
+        self.board: dict[tuple[str, str], tuple[int, Entry]] = {}  # when it is heard by all
         self.heard: dict[tuple[str, str], Entry] = {}
         self.versions = itertools.count(1)
-        self.placed: Counter[str] = Counter()       # by honest heads, once liars speak, by brick
+        self.placed: Counter[str] = Counter()  # by honest heads, once liars speak, by brick
         self.met: set[str] = set()
         self.met_by_second: Counter[int] = Counter()
         self.served, self.unserved = 0, 0
@@ -169,8 +225,12 @@
                 self.met_by_second[(self.now - FAIL_FROM) // S] += 1
             if head.engine is not None:
                 head.engine.heard(self.now, node, result, self.now - sent)
-            self.handle(head, api.Outcome(action.request, attempt, node, result, self.now - sent,
-                                          result is api.Result.OK, 0, 0.0, {}))
+            self.handle(
+                head,
+                api.Outcome(
+                    action.request, attempt, node, result, self.now - sent, result is api.Result.OK, 0, 0.0, {}
+                ),
+            )
 
         self.at(done, ended)
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -19,15 +19,17 @@
 from hophinge.load.plan import LoadPlan  # noqa: E402
 from hophinge.load.rig.run import Run  # noqa: E402
 
-BEFORE = "24e5f03"          # the last commit without any of it
-ROUNDS = 11                 # pairs of starts, in turn
+BEFORE = "24e5f03"  # the last commit without any of it
+ROUNDS = 11  # pairs of starts, in turn
 # A head as `python -m hophinge` runs it, which tells what it has imported as it ends.
-TELL = ("import atexit, runpy, sys\n"
-        "sys.argv = ['hophinge']\n"
-        "atexit.register(lambda: print('modules', len(sys.modules), sum(name.split('.')[1:2] in "
-        "[['cluster'], ['peers'], ['maintenance'], ['scoring'], ['popularity']] for name in sys.modules "
-        "if name.startswith('hophinge.')), flush=True))\n"
-        "runpy.run_module('hophinge', run_name='__main__', alter_sys=True)\n")
+TELL = (
+    "import atexit, runpy, sys\n"
+    "sys.argv = ['hophinge']\n"
+    "atexit.register(lambda: print('modules', len(sys.modules), sum(name.split('.')[1:2] in "
+    "[['cluster'], ['peers'], ['maintenance'], ['scoring'], ['popularity']] for name in sys.modules "
+    "if name.startswith('hophinge.')), flush=True))\n"
+    "runpy.run_module('hophinge', run_name='__main__', alter_sys=True)\n"
+)
 
 
 def spread(values: Iterable[float], digits: int = 1) -> str:
@@ -41,8 +43,14 @@
     process = await made.head(name)
     begun = time.monotonic()
     child = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", TELL, cwd=program, env={**os.environ, **process.environ, "PYTHONPATH": str(program)},
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+        sys.executable,
+        "-c",
+        TELL,
+        cwd=program,
+        env={**os.environ, **process.environ, "PYTHONPATH": str(program)},
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.STDOUT,
+    )
     try:
         async with asyncio.timeout(30):
             while True:
@@ -76,13 +84,16 @@
     found: dict[str, list[dict[str, float]]] = {"before": [], "after": []}
     async with Run(folder / "starts", plan=plan) as made:
         for turn in range(ROUNDS + 1):
-            for name, program in (("before", old), ("after", ROOT))[::1 if turn % 2 else -1]:
+            for name, program in (("before", old), ("after", ROOT))[:: 1 if turn % 2 else -1]:
                 row = await start_once(made, program, f"{name}{turn}")
-                if turn:        # the first pair fills caches
+                if turn:  # the first pair fills caches
                     found[name].append(row)
     digits = {"start ms": 0, "resident MB": 2, "modules": 0, "of the new packages": 0}
     lines = ["| a platform's head | " + " | ".join(digits) + " |", "| --- " * (len(digits) + 1) + "|"]
     for name, rows in found.items():
-        lines.append(f"| {name} | " + " | ".join(spread((row[key] for row in rows), places)
-                                                for key, places in digits.items()) + " |")
+        lines.append(
+            f"| {name} | "
+            + " | ".join(spread((row[key] for row in rows), places) for key, places in digits.items())
+            + " |"
+        )
     return lines
--- a/benchmarks/stream.py
+++ b/benchmarks/stream.py
@@ -27,10 +27,18 @@
 from stream_costs import look_up, quantile  # noqa: E402
 from stream_emulated import EMULATED, RECORDS, increments  # noqa: E402
 from stream_processes import (  # noqa: E402
-    HEADS, POOLS, STAFF, TOKEN, WAIT_S, Installation, control_process, staff, until,
+    HEADS,
+    POOLS,
+    STAFF,
+    TOKEN,
+    WAIT_S,
+    Installation,
+    control_process,
+    staff,
+    until,
 )
 
-ROUNDS = 20                         # pushes of each sort
+ROUNDS = 20  # pushes of each sort
 
 
 class Truncating(Stream):
@@ -49,7 +57,7 @@
     """Push good, bad and truncated versions to ten heads under load; kill the control service under load."""
     import hophinge.control.service as module
 
-    module.Stream = Truncating      # type: ignore[misc]
+    module.Stream = Truncating  # type: ignore[misc]
     service = ControlService(Store(folder / "versions.db"), frozenset({TOKEN}), {STAFF: "bench"}, lambda text: None)
     await service.start("127.0.0.1:0")
     here = Installation(folder, service.port)
@@ -85,17 +93,24 @@
                 await asyncio.sleep(0.001)
             if sort == "bad" and any(head.runs == order for head in service.rollout.heads.values()):
                 raise AssertionError("a bad version is in force")
-        rows.append(f"| {sort} | {len(took)} | {quantile(took, 0.5) * 1000:.0f} | {quantile(took, 0.99) * 1000:.0f} | "
-                    f"{max(took) * 1000:.0f} |")
+        rows.append(
+            f"| {sort} | {len(took)} | {quantile(took, 0.5) * 1000:.0f} | {quantile(took, 0.99) * 1000:.0f} | "
+            f"{max(took) * 1000:.0f} |"
+        )
     stop.set()
     await loading
     answered = dict(sorted(codes.items()))
     await service.stop()
     here.stop()
-    return [f"Ten heads as processes, the control service and the load ({sum(codes.values())} requests beside the "
-            f"pushes, by status: {answered}) in one more; from the push until the control service knows what each head "
-            "does with the version.", "", "| version | reports | p50, ms | p99, ms | most, ms |",
-            "| --- | --- | --- | --- | --- |", *rows]
+    return [
+        f"Ten heads as processes, the control service and the load ({sum(codes.values())} requests beside the "
+        f"pushes, by status: {answered}) in one more; from the push until the control service knows what each head "
+        "does with the version.",
+        "",
+        "| version | reports | p50, ms | p99, ms | most, ms |",
+        "| --- | --- | --- | --- | --- |",
+        *rows,
+    ]
 
 
 async def killed(folder: Path) -> list[str]:
@@ -127,9 +142,11 @@
         control.wait()
         here.stop()
     failed = sum(count for code, count in codes.items() if code != 200)
-    return [f"Three SIGKILLs of the control service, each away for 4 s, under {sum(codes.values())} requests: "
-            f"{failed} of them failed ({dict(sorted(codes.items()))}). A version pushed right after its last start was "
-            f"in force at all ten heads {back:.2f} s after the push had returned."]
+    return [
+        f"Three SIGKILLs of the control service, each away for 4 s, under {sum(codes.values())} requests: "
+        f"{failed} of them failed ({dict(sorted(codes.items()))}). A version pushed right after its last start was "
+        f"in force at all ten heads {back:.2f} s after the push had returned."
+    ]
 
 
 async def all_run(port: int, version: str) -> bool:
@@ -141,16 +158,26 @@
 def main() -> None:
     """Measure all and write the tables."""
     parts = []
-    for title, measure in (("Ten heads", real_heads), ("The control service killed", killed),
-                           (f"{EMULATED} emulated heads, {RECORDS} records", increments)):
-        with (tempfile.TemporaryDirectory(prefix="hophinge-bench-") as folder,
-              asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner):
+    for title, measure in (
+        ("Ten heads", real_heads),
+        ("The control service killed", killed),
+        (f"{EMULATED} emulated heads, {RECORDS} records", increments),
+    ):
+        with (
+            tempfile.TemporaryDirectory(prefix="hophinge-bench-") as folder,
+            asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
+        ):
             parts += [f"## {title}", "", *runner.run(measure(Path(folder))), ""]
             print("\n".join(parts[-12:]), flush=True)
     parts += ["## Look-up of a route", "", *look_up(), ""]
     cores = os.cpu_count()
-    text = [f"# Streamed configuration, measured on {cores} cores shared by everything named here", "",
-            "`python benchmarks/stream.py` writes this file.", "", *parts]
+    text = [
+        f"# Streamed configuration, measured on {cores} cores shared by everything named here",
+        "",
+        "`python benchmarks/stream.py` writes this file.",
+        "",
+        *parts,
+    ]
     (Path(__file__).parent / "stream.md").write_text("\n".join(text).rstrip() + "\n")
 
 
--- a/benchmarks/stream_costs.py
+++ b/benchmarks/stream_costs.py
@@ -36,8 +36,9 @@
     for tenants in (10, 1000, 10_000):
         values = [(Scope(f"t{at}", "", klass), at) for at in range(tenants) for klass in ("read", "")]
         index = Index.of(values)
-        plain = sorted(values, key=lambda row: (bool(row[0].volume), bool(row[0].tenant), bool(row[0].klass)),
-                       reverse=True)
+        plain = sorted(
+            values, key=lambda row: (bool(row[0].volume), bool(row[0].tenant), bool(row[0].klass)), reverse=True
+        )
         rng = random.Random(1)
         asked = [(f"t{rng.randrange(tenants)}", "v", rng.choice(("read", "write"))) for _ in range(300)]
 
@@ -60,8 +61,15 @@
                 best.append((time.perf_counter() - since) / turns / len(asked) * 1e6)
             times.append(quantile(best, 0.5))
         rows.append(f"| {tenants} | {times[0]:.2f} | {times[1]:.2f} | {times[1] / times[0]:.0f} |")
-    return ["Two routes for each tenant; microseconds a look-up, the median of five turns over 300 requests.", "",
-            "| tenants | index | plain list | ratio |", "| --- | --- | --- | --- |", *rows, "", *admission()]
+    return [
+        "Two routes for each tenant; microseconds a look-up, the median of five turns over 300 requests.",
+        "",
+        "| tenants | index | plain list | ratio |",
+        "| --- | --- | --- | --- |",
+        *rows,
+        "",
+        *admission(),
+    ]
 
 
 def admission() -> list[str]:
@@ -73,7 +81,9 @@
     for tenants in (10, 1000, 10_000):
         text = "(hophinge 1)(pool a (zones hall-a))(pool b (zones hall-b))" + "".join(
             f"(tenant t{at} (volumes {at:016x}))(route (tenant t{at}) (pools a b))"
-            f"(limit (tenant t{at}) (rate 100000 units/s) (burst 10 s) (open 64 requests))" for at in range(tenants))
+            f"(limit (tenant t{at}) (rate 100000 units/s) (burst 10 s) (open 64 requests))"
+            for at in range(tenants)
+        )
         found = read(text.encode())
         if found.mistakes:
             raise AssertionError(found.lines("the document"))
@@ -97,7 +107,11 @@
                 router.answered(1_000_000 * turn + 3, bounds)
             best.append((time.perf_counter() - since) / len(asks) * 1e6)
         rows.append(f"| {tenants} | {quantile(best, 0.5):.1f} | {taken_up * 1000:.0f} | {one_more * 1000:.2f} |")
-    return ["What a request costs at the router (owner, route, pool, limit, and all given back), in microseconds; and "
-            "how long a whole table, and one changed record of it, take to compile and put in force, in milliseconds.",
-            "", "| tenants | a request, us | whole table, ms | one changed record, ms |", "| --- | --- | --- | --- |",
-            *rows]
+    return [
+        "What a request costs at the router (owner, route, pool, limit, and all given back), in microseconds; and "
+        "how long a whole table, and one changed record of it, take to compile and put in force, in milliseconds.",
+        "",
+        "| tenants | a request, us | whole table, ms | one changed record, ms |",
+        "| --- | --- | --- | --- |",
+        *rows,
+    ]
--- a/benchmarks/stream_emulated.py
+++ b/benchmarks/stream_emulated.py
@@ -32,7 +32,9 @@
     """Write a document of many tenants' limits, one of them changed."""
     return "(hophinge 1)\n" + "".join(
         f"(limit (tenant tenant-{at:05d}) (rate {100 + (changed if at == 77 else 0)} units/s) (burst 2 s) "
-        "(open 64 requests))\n" for at in range(RECORDS))
+        "(open 64 requests))\n"
+        for at in range(RECORDS)
+    )
 
 
 async def emulate(first: int, count: int, port: int) -> None:
@@ -40,16 +42,23 @@
     clients = []
     for at in range(first, first + count):
         follower = Follower(f"e{at}", [f"127.0.0.1:{port}"], FACTS, at, 20_000_000, 600_000_000)
-        clients.append(Client(follower, TOKEN, None, lambda table: None, lambda: time.monotonic_ns() // 1000,
-                              lambda text: None))
+        clients.append(
+            Client(follower, TOKEN, None, lambda table: None, lambda: time.monotonic_ns() // 1000, lambda text: None)
+        )
     tasks = [asyncio.create_task(client.run()) for client in clients]
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := (await reader.readline()).decode().strip():
-        await until(lambda line=line: all(
-            client.follower.running == line and client.follower.state is State.IN_FORCE for client in clients))
-        print(f"{time.monotonic()} {sum(client.bytes_in for client in clients)} "
-              f"{sum(client.bytes_out for client in clients)} {memory_mb(os.getpid()):.0f}", flush=True)
+        await until(
+            lambda line=line: all(
+                client.follower.running == line and client.follower.state is State.IN_FORCE for client in clients
+            )
+        )
+        print(
+            f"{time.monotonic()} {sum(client.bytes_in for client in clients)} "
+            f"{sum(client.bytes_out for client in clients)} {memory_mb(os.getpid()):.0f}",
+            flush=True,
+        )
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -63,9 +72,18 @@
     empty_mb = memory_mb(control.pid)
     each = EMULATED // PROCESSES
     since = time.monotonic()
-    farms = [await asyncio.create_subprocess_exec(
-        sys.executable, __file__, str(at * each), str(each), str(port), stdin=asyncio.subprocess.PIPE,
-        stdout=asyncio.subprocess.PIPE) for at in range(PROCESSES)]
+    farms = [
+        await asyncio.create_subprocess_exec(
+            sys.executable,
+            __file__,
+            str(at * each),
+            str(each),
+            str(port),
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
+        for at in range(PROCESSES)
+    ]
 
     async def told(version: str) -> tuple[float, int, int, float]:
         rows = []
@@ -75,14 +93,20 @@
         for farm in farms:
             assert farm.stdout is not None
             rows.append((await farm.stdout.readline()).split())
-        return (max(float(row[0]) for row in rows), sum(int(row[1]) for row in rows), sum(int(row[2]) for row in rows),
-                sum(float(row[3]) for row in rows))
+        return (
+            max(float(row[0]) for row in rows),
+            sum(int(row[1]) for row in rows),
+            sum(int(row[2]) for row in rows),
+            sum(float(row[3]) for row in rows),
+        )
 
     rows = []
     try:
         at, whole_in, _, mb = await told(first["version"])
-        rows.append(f"| all {RECORDS} records, heads that start with none | {whole_in / EMULATED / 1024:.1f} KiB | "
-                    f"{at - since:.2f} s |")
+        rows.append(
+            f"| all {RECORDS} records, heads that start with none | {whole_in / EMULATED / 1024:.1f} KiB | "
+            f"{at - since:.2f} s |"
+        )
         before, taken = whole_in, []
         size = []
         for change in range(1, 6):
@@ -92,13 +116,17 @@
             taken.append(max(0.0, at - since))
             size.append((total - before) / EMULATED)
             before = total
-        rows.append(f"| one changed record of {RECORDS}, median of 5 | {quantile(size, 0.5):.0f} B | "
-                    f"{quantile(taken, 0.5):.2f} s |")
+        rows.append(
+            f"| one changed record of {RECORDS}, median of 5 | {quantile(size, 0.5):.0f} B | "
+            f"{quantile(taken, 0.5):.2f} s |"
+        )
         rows.append("")
-        rows.append(f"Time is until the last of {EMULATED} heads has the version in force, after the push has returned "
-                    f"(for the first row: from the start of their {PROCESSES} processes). Memory: control service "
-                    f"{empty_mb:.0f} MB with the version and no head, {memory_mb(control.pid):.0f} MB with all; "
-                    f"{mb / EMULATED:.1f} MB for each emulated head, of which its {RECORDS} records are the most.")
+        rows.append(
+            f"Time is until the last of {EMULATED} heads has the version in force, after the push has returned "
+            f"(for the first row: from the start of their {PROCESSES} processes). Memory: control service "
+            f"{empty_mb:.0f} MB with the version and no head, {memory_mb(control.pid):.0f} MB with all; "
+            f"{mb / EMULATED:.1f} MB for each emulated head, of which its {RECORDS} records are the most."
+        )
     finally:
         for farm in farms:
             assert farm.stdin is not None
--- a/benchmarks/stream_processes.py
+++ b/benchmarks/stream_processes.py
@@ -39,9 +39,25 @@
     """Start a control service."""
     (folder / "heads").write_text(f"heads {TOKEN}\n")
     (folder / "staff").write_text(f"bench {STAFF}\n")
-    return subprocess.Popen([sys.executable, "-m", "hophinge", "control", "serve", "--store", str(folder / "v.db"),
-                             "--heads", str(folder / "heads"), "--staff", str(folder / "staff"), "--listen",
-                             f"127.0.0.1:{port}"], cwd=ROOT, stderr=(folder / "control.log").open("wb"))
+    return subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "hophinge",
+            "control",
+            "serve",
+            "--store",
+            str(folder / "v.db"),
+            "--heads",
+            str(folder / "heads"),
+            "--staff",
+            str(folder / "staff"),
+            "--listen",
+            f"127.0.0.1:{port}",
+        ],
+        cwd=ROOT,
+        stderr=(folder / "control.log").open("wb"),
+    )
 
 
 async def staff(port: int, method: str, **body: Any) -> dict[str, Any]:
@@ -74,20 +90,31 @@
         bricks = [toy_server.Brick(at, free_port()) for at in range(3)]
         self.platform = await toy_server.serve(bricks, discovery)
         (self.folder / "token").write_text(TOKEN)
-        (self.folder / "op.toml").write_text(f'[stream]\nendpoints = ["127.0.0.1:{self.endpoint}"]\n'
-                                             'token_file = "token"\nfolder = "state"\n')
+        (self.folder / "op.toml").write_text(
+            f'[stream]\nendpoints = ["127.0.0.1:{self.endpoint}"]\ntoken_file = "token"\nfolder = "state"\n'
+        )
         config = json.loads((ROOT / "examples" / "config.json").read_text())
         config["settings"]["Balancers"] = HEADS
         for at in range(HEADS):
             port, second = free_port(), free_port()
-            config.update(name=f"n{at}", listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{discovery}",
-                          control=f"127.0.0.1:{second}")
+            config.update(
+                name=f"n{at}",
+                listen=f"127.0.0.1:{port}",
+                discovery=f"127.0.0.1:{discovery}",
+                control=f"127.0.0.1:{second}",
+            )
             path = self.folder / f"config-{at}.json"
             path.write_text(json.dumps(config))
             self.ports.append(port)
             environ = {**os.environ, "EDGE_CONFIG": str(path), "HOPHINGE_OPERATOR_FILE": str(self.folder / "op.toml")}
-            self.heads.append(subprocess.Popen([sys.executable, "-m", "hophinge"], cwd=ROOT, env=environ,
-                                               stdout=(self.folder / f"head-{at}.log").open("wb")))
+            self.heads.append(
+                subprocess.Popen(
+                    [sys.executable, "-m", "hophinge"],
+                    cwd=ROOT,
+                    env=environ,
+                    stdout=(self.folder / f"head-{at}.log").open("wb"),
+                )
+            )
         async with aiohttp.ClientSession() as client:
             for port in self.ports:
                 await until(lambda port=port: ready(client, port))
@@ -99,10 +126,16 @@
 
         async def one(client: aiohttp.ClientSession, port: int, number: int) -> None:
             try:
-                async with client.put(f"http://127.0.0.1:{port}/transfer-write/00000003b4d60021/{number:016x}",
-                                      data=b"x", headers={
-                        "X-Qos-Policy": "priority", "X-Remaining-Ms": "1000", "X-Txn": f"{number:016x}",
-                        "X-Placement": f"units=1,shard=-1,hosts={HEADS}"}) as answer:
+                async with client.put(
+                    f"http://127.0.0.1:{port}/transfer-write/00000003b4d60021/{number:016x}",
+                    data=b"x",
+                    headers={
+                        "X-Qos-Policy": "priority",
+                        "X-Remaining-Ms": "1000",
+                        "X-Txn": f"{number:016x}",
+                        "X-Placement": f"units=1,shard=-1,hosts={HEADS}",
+                    },
+                ) as answer:
                     await answer.read()
                     codes[answer.status] = codes.get(answer.status, 0) + 1
             except aiohttp.ClientError:
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -34,10 +34,10 @@
 from stream_processes import POOLS, TOKEN, control_process, ready, staff, until  # noqa: E402
 from tenants_costs import costs, fairness  # noqa: E402
 
-SECONDS, RATE, RESERVE = 50.0, 76.0, 80.0       # of each run; requests a second of a calm tenant; its units a second
+SECONDS, RATE, RESERVE = 50.0, 76.0, 80.0  # of each run; requests a second of a calm tenant; its units a second
 SURGE, WARM_S, LONGEST_S = 10, 3.0, 300.0
-WORK_S = 0.020                                  # of a brick for a unit; each has two slots, three bricks 300 units/s
-DEPTH = 2                                       # units: four of the six slots are left to reserves
+WORK_S = 0.020  # of a brick for a unit; each has two slots, three bricks 300 units/s
+DEPTH = 2  # units: four of the six slots are left to reserves
 TENANTS = ("aa", "bb", "cc")
 
 
@@ -56,8 +56,9 @@
         return aiohttp.web.Response(body=b"kept\n")
 
 
-async def load(client: aiohttp.ClientSession, port: int, surge: int, seed: int,
-               seconds: float) -> dict[str, list[tuple[int, float]]]:
+async def load(
+    client: aiohttp.ClientSession, port: int, surge: int, seed: int, seconds: float
+) -> dict[str, list[tuple[int, float]]]:
     """Ask as three tenants at once, by Poisson's law, whatever is answered; tell statuses and milliseconds."""
     rng, numbers = random.Random(seed), itertools.count(1)
     found: dict[str, list[tuple[int, float]]] = {name: [] for name in TENANTS}
@@ -66,13 +67,19 @@
     async def one(name: str, number: int) -> None:
         since = time.monotonic()
         try:
-            async with client.put(f"http://127.0.0.1:{port}/transfer-write/00000000000000{name}/{number:016x}",
-                                  data=b"x", headers={
-                    "X-Qos-Policy": "priority", "X-Remaining-Ms": "1000", "X-Txn": f"{number:016x}",
-                    "X-Placement": "units=1,shard=-1,hosts=1"}) as answer:
+            async with client.put(
+                f"http://127.0.0.1:{port}/transfer-write/00000000000000{name}/{number:016x}",
+                data=b"x",
+                headers={
+                    "X-Qos-Policy": "priority",
+                    "X-Remaining-Ms": "1000",
+                    "X-Txn": f"{number:016x}",
+                    "X-Placement": "units=1,shard=-1,hosts=1",
+                },
+            ) as answer:
                 await answer.read()
                 found[name].append((answer.status, (time.monotonic() - since) * 1000))
-        except aiohttp.ClientError:     # among them a request that crossed the close of a connection at rest
+        except aiohttp.ClientError:  # among them a request that crossed the close of a connection at rest
             found[name].append((0, (time.monotonic() - since) * 1000))
 
     async def ask(name: str, rate: float) -> None:
@@ -106,11 +113,15 @@
     rows = []
     for title, spare in (("off", ""), ("on", f"(spare (depth {DEPTH} units) (wait 50 ms))")):
         rows += await surge_at_a_head(folder / title, title, spare)
-    return [f"Each tenant reserves {RESERVE:g} units/s and asks for {RATE:g} requests of one unit a second; in a surge "
-            f"the third asks for {SURGE} times that. Three bricks with two slots of {WORK_S * 1000:g} ms a unit; a "
-            f"spare depth of {DEPTH} units. Head, control service, bricks and load are a process each.", "",
-            "| admission | load | tenant | asked, /s | served, /s | served | p50, ms | p99, ms | p99 to calm |",
-            "| --- | --- | --- | --- | --- | --- | --- | --- | --- |", *rows]
+    return [
+        f"Each tenant reserves {RESERVE:g} units/s and asks for {RATE:g} requests of one unit a second; in a surge "
+        f"the third asks for {SURGE} times that. Three bricks with two slots of {WORK_S * 1000:g} ms a unit; a "
+        f"spare depth of {DEPTH} units. Head, control service, bricks and load are a process each.",
+        "",
+        "| admission | load | tenant | asked, /s | served, /s | served | p50, ms | p99, ms | p99 to calm |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+        *rows,
+    ]
 
 
 async def surge_at_a_head(folder: Path, title: str, spare: str) -> list[str]:
@@ -122,18 +133,27 @@
     bricks.stdout.readline()
     control = control_process(folder, control_port)
     (folder / "token").write_text(TOKEN)
-    (folder / "op.toml").write_text(f'[stream]\nendpoints = ["127.0.0.1:{control_port}"]\ntoken_file = "token"\n'
-                                    'folder = "state"\n')
+    (folder / "op.toml").write_text(
+        f'[stream]\nendpoints = ["127.0.0.1:{control_port}"]\ntoken_file = "token"\nfolder = "state"\n'
+    )
     config = json.loads((ROOT / "examples" / "config.json").read_text())
     config.update(listen=f"127.0.0.1:{port}", control=f"127.0.0.1:{second}", discovery=f"127.0.0.1:{discovery}")
     for plan in config["settings"]["Grades"]:
         plan.update(BaseRate=RESERVE, Reserve=RESERVE)
     (folder / "config.json").write_text(json.dumps(config))
-    head = subprocess.Popen([sys.executable, "-m", "hophinge"], cwd=ROOT, env={
-        **os.environ, "EDGE_CONFIG": str(folder / "config.json"), "HOPHINGE_OPERATOR_FILE": str(folder / "op.toml")},
-        stdout=(folder / "head.log").open("wb"))
-    tenants = "".join(f"(tenant {name} (volumes 00000000000000{name}) (reserve {RESERVE:g} units/s))"
-                      for name in TENANTS)
+    head = subprocess.Popen(
+        [sys.executable, "-m", "hophinge"],
+        cwd=ROOT,
+        env={
+            **os.environ,
+            "EDGE_CONFIG": str(folder / "config.json"),
+            "HOPHINGE_OPERATOR_FILE": str(folder / "op.toml"),
+        },
+        stdout=(folder / "head.log").open("wb"),
+    )
+    tenants = "".join(
+        f"(tenant {name} (volumes 00000000000000{name}) (reserve {RESERVE:g} units/s))" for name in TENANTS
+    )
     rows, calm = [], dict[str, float]()
     try:
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as client:
@@ -145,7 +165,7 @@
                 return bool(heads) and all(row["runs"] == version for row in heads)
 
             await until(runs)
-            await load(client, port, 1, 5, WARM_S)      # what a head learns of bricks at first is no matter here
+            await load(client, port, 1, 5, WARM_S)  # what a head learns of bricks at first is no matter here
             quiet()
             for surge in (1, SURGE):
                 found = await load(client, port, surge, 7, SECONDS)
@@ -153,10 +173,12 @@
                     served = [ms for code, ms in found[name] if code == 200]
                     p99 = quantile(served, 0.99)
                     calm.setdefault(name, p99)
-                    rows.append(f"| {title} | {'calm' if surge == 1 else f'cc at {surge} times'} | {name} | "
-                                f"{len(found[name]) / SECONDS:.0f} | {len(served) / SECONDS:.0f} | "
-                                f"{100 * len(served) / len(found[name]):.1f} % | {quantile(served, 0.5):.1f} | "
-                                f"{p99:.1f} | {p99 / calm[name]:.2f} |")
+                    rows.append(
+                        f"| {title} | {'calm' if surge == 1 else f'cc at {surge} times'} | {name} | "
+                        f"{len(found[name]) / SECONDS:.0f} | {len(served) / SECONDS:.0f} | "
+                        f"{100 * len(served) / len(found[name]):.1f} % | {quantile(served, 0.5):.1f} | "
+                        f"{p99:.1f} | {p99 / calm[name]:.2f} |"
+                    )
                 await asyncio.sleep(1.0)
     finally:
         gc.enable()
@@ -168,13 +190,31 @@
 
 def main() -> None:
     """Measure all and write the tables."""
-    with (tempfile.TemporaryDirectory(prefix="hophinge-bench-") as folder,
-          asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner):
+    with (
+        tempfile.TemporaryDirectory(prefix="hophinge-bench-") as folder,
+        asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
+    ):
         surge = runner.run(surges(Path(folder)))
-    parts: list[Any] = ["## A surge of one tenant", "", *surge, "", "## What is spare", "", *fairness(), "",
-                        "## What a decision costs", "", *costs()]
-    text = [f"# Tenants kept apart, measured on {os.cpu_count()} cores shared by everything named here", "",
-            "`python benchmarks/tenants.py` writes this file.", "", *parts]
+    parts: list[Any] = [
+        "## A surge of one tenant",
+        "",
+        *surge,
+        "",
+        "## What is spare",
+        "",
+        *fairness(),
+        "",
+        "## What a decision costs",
+        "",
+        *costs(),
+    ]
+    text = [
+        f"# Tenants kept apart, measured on {os.cpu_count()} cores shared by everything named here",
+        "",
+        "`python benchmarks/tenants.py` writes this file.",
+        "",
+        *parts,
+    ]
     (Path(__file__).parent / "tenants.md").write_text("\n".join(text).rstrip() + "\n")
 
 
--- a/benchmarks/tenants_costs.py
+++ b/benchmarks/tenants_costs.py
@@ -39,8 +39,10 @@
             got[done.ask.tenant] += done.ask.units
             admission.left(now, done)
             inside += [ticket for ticket, wait in admission.turn(now) if not wait]
-    return [f"Twenty tenants of weights 1 to 5, all asking for more than there is, units of 0.5 to 8: Jain's index of "
-            f"what each got for its weight is {jain([got[name] / weight for name, weight in weights.items()]):.4f}."]
+    return [
+        f"Twenty tenants of weights 1 to 5, all asking for more than there is, units of 0.5 to 8: Jain's index of "
+        f"what each got for its weight is {jain([got[name] / weight for name, weight in weights.items()]):.4f}."
+    ]
 
 
 class Scan:
@@ -69,9 +71,11 @@
         rng = random.Random(2)
         admission = Admission(lambda name: Shares(1.0, 1.0, 64), Spare(64.0, 50_000), 8.0)
         now = 0
-        asks = [Ask(names[at % tenants], f"v{at % (tenants * volumes)}", 1.0, 1.0, 0.1, 1.0, 150_000)
-                for at in range(tenants * volumes)]
-        for ask in asks:        # all are known
+        asks = [
+            Ask(names[at % tenants], f"v{at % (tenants * volumes)}", 1.0, 1.0, 0.1, 1.0, 150_000)
+            for at in range(tenants * volumes)
+        ]
+        for ask in asks:  # all are known
             now += 10
             admission.left(now, admission.arrive(now, ask)[1])
             admission.turn(now)
@@ -91,6 +95,11 @@
             scan.decide(names[at % tenants], 1.0)
         plain = (time.perf_counter() - since) / 200 * 1e6
         rows.append(f"| {tenants} | {tenants * volumes} | {quantile(best, 0.5):.1f} | {plain:.1f} |")
-    return ["A decision (arrival, its end, and a look for who is next), in microseconds; the scan looks for whose turn "
-            "it is among all tenants and knows neither reserves nor volumes.", "",
-            "| tenants | volumes | admission, us | plain scan, us |", "| --- | --- | --- | --- |", *rows]
+    return [
+        "A decision (arrival, its end, and a look for who is next), in microseconds; the scan looks for whose turn "
+        "it is among all tenants and knows neither reserves nor volumes.",
+        "",
+        "| tenants | volumes | admission, us | plain scan, us |",
+        "| --- | --- | --- | --- |",
+        *rows,
+    ]
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -31,12 +31,12 @@
 from startup import ROUNDS, spread, starts  # noqa: E402
 
 SIZES = (10, 40)
-BATCH = 4                   # heads started at once
+BATCH = 4  # heads started at once
 BOUND_S = 240.0
 STEADY_S, ROUGH_S, STOPPED_S = 10.0, 15.0, 10.0
 KILLS = 2
-RATE = 2.0                  # requests a second to each head
-HEADER = 28                 # bytes of IPv4 and UDP
+RATE = 2.0  # requests a second to each head
+HEADER = 28  # bytes of IPv4 and UDP
 ROUGH = Rule(loss=0.2, twice=0.05, late=0.2, delay_us=1_000, spread_us=4_000)
 PLAN = LoadPlan(work_us=2_000, slots=16)
 TABLE = Path(__file__).with_suffix(".md")
@@ -49,8 +49,12 @@
 
 def holds(made: Run, name: str, others: list[str], standing: str) -> Condition:
     """One holds others so."""
-    return made.tells(name, "/ops/cluster", f"{standing}: {others}", lambda text: all(
-        standings(text).get(other) == standing for other in others))
+    return made.tells(
+        name,
+        "/ops/cluster",
+        f"{standing}: {others}",
+        lambda text: all(standings(text).get(other) == standing for other in others),
+    )
 
 
 class Rows(dict[str, str]):
@@ -67,7 +71,7 @@
 
     def __init__(self, made: Run, count: int) -> None:
         self.made, self.names = made, [f"n{at}" for at in range(count)]
-        self.out: set[str] = set()      # killed or stopped: nothing is asked of it
+        self.out: set[str] = set()  # killed or stopped: nothing is asked of it
         self.asked = self.served = 0
         self.rows = Rows()
 
@@ -76,7 +80,7 @@
         for name in self.names:
             await self.made.head(name, seeds=self.names[:2], zone="z" + str(int(name[1:]) % 4))
         for at in range(0, len(self.names), BATCH):
-            batch = self.names[at:at + BATCH]
+            batch = self.names[at : at + BATCH]
             await self.made.processes.start(*batch)
             await until([self.made.ready(name) for name in batch], BOUND_S)
         self.rows["all see all after the last is ready, s"] = f"{await self.together():.1f}"
@@ -99,7 +103,7 @@
 
     async def _ask(self, name: str, number: int) -> None:
         status = await self.made.request(name, number, number % len(self.made.platform.bricks))
-        if name not in self.out:        # what was on its way to one that was killed is nobody's to answer
+        if name not in self.out:  # what was on its way to one that was killed is nobody's to answer
             self.asked += 1
             self.served += status == 200
 
@@ -111,7 +115,8 @@
         await while_
         span = time.monotonic() - begun
         self.rows[f"bytes/s sent by a process, {what}"] = spread(
-            ((relay.sent[name] + HEADER * relay.datagrams[name] - before[name]) / span for name in self.names), 0)
+            ((relay.sent[name] + HEADER * relay.datagrams[name] - before[name]) / span for name in self.names), 0
+        )
 
     async def counted(self, counter: str, names: list[str] | None = None) -> int:
         """Sum a counter over some, or all."""
@@ -121,7 +126,7 @@
     async def kills(self) -> None:
         """Kill some, one after another; how long until one, and until all others hold it dead."""
         first, last, back = [], [], []
-        for name in self.names[3:3 + KILLS]:
+        for name in self.names[3 : 3 + KILLS]:
             self.out.add(name)
             await self.made[name].kill()
             begun = time.monotonic()
@@ -131,6 +136,7 @@
             async def found(other: str, victim: str = name, since: float = begun, into: list[float] = seen) -> None:
                 await until([holds(self.made, other, [victim], "dead")], BOUND_S)
                 into.append(time.monotonic() - since)
+
             await asyncio.gather(*map(found, rest))
             first.append(min(seen))
             last.append(max(seen))
@@ -155,9 +161,10 @@
         network.set(CLEAR)
         await self.together()
         self.rows[f"false deaths, false suspicions in {ROUGH_S:g} s of that"] = (
-            f"{await self.counted('deaths') - deaths}, {await self.counted('suspicions') - suspicions}")
-        side = self.names[:len(self.names) // 4]
-        rest = self.names[len(side):]
+            f"{await self.counted('deaths') - deaths}, {await self.counted('suspicions') - suspicions}"
+        )
+        side = self.names[: len(self.names) // 4]
+        rest = self.names[len(side) :]
         network.split(side, rest)
         await until([holds(self.made, name, side, "dead") for name in rest], BOUND_S)
         network.heal()
@@ -165,6 +172,7 @@
 
         async def heal() -> None:
             healed.append(await self.together())
+
         await self.bytes_s("while a split heals", heal())
         self.rows["a quarter cut off until held dead, then all see all after the heal, s"] = f"{healed[0]:.1f}"
         await self.stop(self.names[-1], rest[:-1])
@@ -180,7 +188,8 @@
         self.out.discard(name)
         self.rows[f"stopped for {STOPPED_S:g} s and woken: all see all, s"] = f"{await self.together():.1f}"
         self.rows["the living that it held dead; that others did"] = (
-            f"{await self.counted('deaths', [name]) - own}, {await self.counted('deaths', others) - theirs - dead}")
+            f"{await self.counted('deaths', [name]) - own}, {await self.counted('deaths', others) - theirs - dead}"
+        )
 
 
 async def fleet(folder: Path, count: int) -> dict[str, str]:
@@ -204,16 +213,26 @@
 
 def table(before: list[str], sizes: dict[int, dict[str, str]]) -> str:
     """Write what is measured so far."""
-    lines = ["# Heads among peers", "",
-             f"`python benchmarks/together.py`; {len(os.sched_getaffinity(0))} cores, load average "
-             f"{os.getloadavg()[0]:.0f} at the end. Median (least to most). Real heads with `[cluster]` of 20,000 "
-             f"bytes/s, all datagrams through the rig's relay, {RATE:g} requests/s to each head that runs; no request "
-             "is asked again. Bytes are of datagrams with 28 bytes of headers each.", "",
-             "| | " + " | ".join(f"{count} heads" for count in sizes) + " |", "| --- " * (len(sizes) + 1) + "|"]
+    lines = [
+        "# Heads among peers",
+        "",
+        f"`python benchmarks/together.py`; {len(os.sched_getaffinity(0))} cores, load average "
+        f"{os.getloadavg()[0]:.0f} at the end. Median (least to most). Real heads with `[cluster]` of 20,000 "
+        f"bytes/s, all datagrams through the rig's relay, {RATE:g} requests/s to each head that runs; no request "
+        "is asked again. Bytes are of datagrams with 28 bytes of headers each.",
+        "",
+        "| | " + " | ".join(f"{count} heads" for count in sizes) + " |",
+        "| --- " * (len(sizes) + 1) + "|",
+    ]
     for row in next(iter(sizes.values())):
         lines.append(f"| {row} | " + " | ".join(one[row] for one in sizes.values()) + " |")
-    lines += ["", "A platform's head, which has no operator's file, before the cluster came into the program and now; "
-              f"{ROUNDS} starts each, in turn:", "", *before]
+    lines += [
+        "",
+        "A platform's head, which has no operator's file, before the cluster came into the program and now; "
+        f"{ROUNDS} starts each, in turn:",
+        "",
+        *before,
+    ]
     return "\n".join(lines) + "\n"
 
 
--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -219,7 +219,7 @@
 def main(arguments: list[str]) -> int:
     """Make the variants, tell their site files; without a kit the status is 2, with an unfit recipe 1."""
     given = [Path(each) for each in arguments]
-    base, recipes, made = given + [BASE, HERE, HERE / "made"][len(given):]
+    base, recipes, made = given + [BASE, HERE, HERE / "made"][len(given) :]
     try:
         for site in make(base, recipes, made):
             print(site)
--- a/examples/scorer/hophinge_own_zone.py
+++ b/examples/scorer/hophinge_own_zone.py
@@ -7,13 +7,13 @@
 from hophinge.scoring.interface import Kind, Scorer, Setting, View, scorer_impl
 
 
-WRITTEN_FOR = 1     # version of hophinge's interface that this was tested with; a head with another one refuses it
+WRITTEN_FOR = 1  # version of hophinge's interface that this was tested with; a head with another one refuses it
 
 
 class Parameters(Struct, forbid_unknown_fields=True):
     """`[scoring.parameters.own-zone]` of the operator's file."""
 
-    zone: int                   # the head's, by its number in the node list
+    zone: int  # the head's, by its number in the node list
     beyond_us: float = 2_000.0  # what the way to another zone and back takes
 
     def __post_init__(self) -> None:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -28,7 +28,7 @@
         """Keep or give a body."""
         if self.state != "Ready":
             return web.Response(status=503, headers={"X-Turned-Away": "1"})
-        _, _, where = request.path.lstrip("/").partition("/")       # without the class
+        _, _, where = request.path.lstrip("/").partition("/")  # without the class
         if request.method == "PUT":
             self.objects[where] = await request.read()
             return web.Response(body=b"kept\n")
@@ -37,8 +37,16 @@
 
     def target(self) -> dict[str, object]:
         """Tell what discovery says of it."""
-        return {"uid": f"toy-{self.shard}", "endpoint": f"{HOST}:{self.port}", "az": "hall-a", "model": "std-1c",
-                "pod_group": self.shard, "state": self.state, "capacity_hint": 1.0, "boot_ms": 0}
+        return {
+            "uid": f"toy-{self.shard}",
+            "endpoint": f"{HOST}:{self.port}",
+            "az": "hall-a",
+            "model": "std-1c",
+            "pod_group": self.shard,
+            "state": self.state,
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
 
 
 class Discovery:
@@ -85,8 +93,9 @@
     loop = asyncio.get_running_loop()
     discovery = Discovery(bricks)
     handlers = [(discovery.handle, port), *((brick.handle, brick.port) for brick in bricks)]
-    return Platform(discovery, [await loop.create_server(web.Server(handle), HOST, where)
-                                for handle, where in handlers])
+    return Platform(
+        discovery, [await loop.create_server(web.Server(handle), HOST, where) for handle, where in handlers]
+    )
 
 
 async def main() -> None:
--- a/hophinge/admin/api.py
+++ b/hophinge/admin/api.py
@@ -19,7 +19,16 @@
 from hophinge.admin import shapes
 from hophinge.admin.calls import Calls, Made
 from hophinge.admin.operations import (
-    LONGEST_PAGE, OPERATIONS, OPERATOR, PAGE, TITLES, Call, Operation, Principal, ProblemError, Reply,
+    LONGEST_PAGE,
+    OPERATIONS,
+    OPERATOR,
+    PAGE,
+    TITLES,
+    Call,
+    Operation,
+    Principal,
+    ProblemError,
+    Reply,
 )
 from hophinge.state.ledger import BusyError, FullError, Ledger
 from hophinge.state.rows import Entry, Kept, Row
@@ -27,13 +36,26 @@
 from hophinge.tenancy.records import AccountError, Role, digest
 from hophinge.tenancy.attempts import Callers
 
-__all__ = ["LONGEST_PAGE", "MOST_BODY", "OPERATIONS", "PAGE", "TITLES", "Api", "Call", "Operation", "Principal",
-           "ProblemError", "Reply", "fault", "too_large"]
+__all__ = [
+    "LONGEST_PAGE",
+    "MOST_BODY",
+    "OPERATIONS",
+    "PAGE",
+    "TITLES",
+    "Api",
+    "Call",
+    "Operation",
+    "Principal",
+    "ProblemError",
+    "Reply",
+    "fault",
+    "too_large",
+]
 
 MOST_BODY = 16 * 1024
-CALLS_S, CALLS_BURST = 20.0, 40.0       # of one caller
-GUESSES_S, GUESSES_BURST = 1.0, 20.0    # wrong tokens from one place
-AGAIN_S = 1                             # after a busy ledger
+CALLS_S, CALLS_BURST = 20.0, 40.0  # of one caller
+GUESSES_S, GUESSES_BURST = 1.0, 20.0  # wrong tokens from one place
+AGAIN_S = 1  # after a busy ledger
 REPEAT = re.compile(r"[\x21-\x7e]{1,128}", re.ASCII)
 STATUS = {"exists": 409, "missing": 404, "invalid": 400, "state": 409, "quota": 409, "stale": 412}
 
@@ -41,10 +63,18 @@
 class Api(Calls):
     """The API over one ledger; `plans` are those of the platform, none: any name is taken."""
 
-    def __init__(self, ledger: Ledger, accounts: Accounts, plans: Callable[[], Collection[str]], operator: str,
-                 now_ms: Callable[[], int], now_us: Callable[[], int], describe: Callable[[], bytes],
-                 promises: Callable[[dict[str, float]], str] = lambda reserves: "",
-                 calls_s: float = CALLS_S) -> None:
+    def __init__(
+        self,
+        ledger: Ledger,
+        accounts: Accounts,
+        plans: Callable[[], Collection[str]],
+        operator: str,
+        now_ms: Callable[[], int],
+        now_us: Callable[[], int],
+        describe: Callable[[], bytes],
+        promises: Callable[[dict[str, float]], str] = lambda reserves: "",
+        calls_s: float = CALLS_S,
+    ) -> None:
         super().__init__(ledger, accounts, plans, describe, promises)
         self.operator, self.now_ms, self.now_us = digest(operator), now_ms, now_us
         self.callers = Callers(calls_s, 2 * calls_s)
@@ -64,8 +94,11 @@
         except msgspec.MsgspecError as error:
             return _problem(ProblemError(400, f"the body is malformed: {error}"))
         except BusyError:
-            return _problem(ProblemError(503, "another process changes the accounts; nothing was changed here",
-                                         wait_us=AGAIN_S * 1_000_000))
+            return _problem(
+                ProblemError(
+                    503, "another process changes the accounts; nothing was changed here", wait_us=AGAIN_S * 1_000_000
+                )
+            )
         except FullError:
             return _problem(ProblemError(507, "the accounts could not be stored; nothing was changed"))
 
@@ -78,7 +111,7 @@
             raise ProblemError(404, "no such call")
         tenant = names.get("tenant", "")
         if caller.tenant and tenant and tenant != caller.tenant:
-            raise AccountError("missing", f"no tenant {tenant}")        # as where there is none
+            raise AccountError("missing", f"no tenant {tenant}")  # as where there is none
         if caller.role not in operation.roles:
             raise ProblemError(403, f"a {caller.role}'s key may not {operation.name.replace('_', ' ')}")
         if len(call.body) > MOST_BODY:
@@ -111,17 +144,18 @@
         methods = set()
         for operation, template in self.table:
             if len(template) == len(parts) and all(
-                    want == part or (want[:1] == "{" and part) for want, part in zip(template, parts, strict=True)):
+                want == part or (want[:1] == "{" and part) for want, part in zip(template, parts, strict=True)
+            ):
                 if operation.method == call.method:
-                    return operation, {want[1:-1]: part for want, part in zip(template, parts, strict=True)
-                                       if want[:1] == "{"}
+                    return operation, {
+                        want[1:-1]: part for want, part in zip(template, parts, strict=True) if want[:1] == "{"
+                    }
                 methods.add(operation.method)
         if methods:
             raise ProblemError(405, f"allowed: {', '.join(sorted(methods))}")
         return None, {}
 
-    def _changed(self, operation: Operation, caller: Principal, call: Call, names: dict[str, str],
-                 body: Any) -> Reply:
+    def _changed(self, operation: Operation, caller: Principal, call: Call, names: dict[str, str], body: Any) -> Reply:
         repeat = call.headers.get("idempotency-key", "")
         if repeat and not REPEAT.fullmatch(repeat):
             raise ProblemError(400, "Idempotency-Key has 1 to 128 visible ASCII characters")
@@ -149,8 +183,9 @@
 
 
 def _problem(problem: ProblemError) -> Reply:
-    body = shapes.Problem(f"urn:hophinge:problem:{problem.kind}", TITLES[problem.status], problem.status,
-                          problem.detail)
+    body = shapes.Problem(
+        f"urn:hophinge:problem:{problem.kind}", TITLES[problem.status], problem.status, problem.detail
+    )
     headers = {"Content-Type": "application/problem+json"}
     if problem.status == 401:
         headers["WWW-Authenticate"] = "Bearer"
--- a/hophinge/admin/calls.py
+++ b/hophinge/admin/calls.py
@@ -35,10 +35,16 @@
 class Calls:
     """What the calls do, over one ledger; `plans` are those of the platform, none: any name is taken."""
 
-    def __init__(self, ledger: Ledger, accounts: Accounts, plans: Callable[[], Collection[str]],
-                 describe: Callable[[], bytes], promises: Callable[[dict[str, float]], str]) -> None:
+    def __init__(
+        self,
+        ledger: Ledger,
+        accounts: Accounts,
+        plans: Callable[[], Collection[str]],
+        describe: Callable[[], bytes],
+        promises: Callable[[dict[str, float]], str],
+    ) -> None:
         self.ledger, self.accounts, self.plans, self.describe_text = ledger, accounts, plans, describe
-        self.promises = promises        # tells why reserves cannot be kept, or nothing
+        self.promises = promises  # tells why reserves cannot be kept, or nothing
 
     def _guard(self, call: Call, kind: str, name: str) -> None:
         """Hold a change to the version that its caller has seen."""
@@ -53,8 +59,9 @@
     # --- tenants
 
     def _shown(self, held: Account) -> shapes.TenantShown:
-        return shapes.tenant_shown(held, len(self.accounts.buckets.get(held.name, {})),
-                                   len(self.accounts.keys_of.get(held.name, ())))
+        return shapes.tenant_shown(
+            held, len(self.accounts.buckets.get(held.name, {})), len(self.accounts.keys_of.get(held.name, ()))
+        )
 
     def _list_tenants(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
         page, after = _page(call, self.accounts.tenants)
@@ -62,26 +69,31 @@
         return _told(shapes.TenantPage(rows, after))
 
     def _show_tenant(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
-        held = self.accounts.tenants.get(names["tenant"])       # a closed one too, for its end to be seen
+        held = self.accounts.tenants.get(names["tenant"])  # a closed one too, for its end to be seen
         if held is None:
             raise AccountError("missing", f"no tenant {names['tenant']}")
         return _told(self._shown(held), self.accounts.seq(TENANT, held.name))
 
     def _reserved(self, name: str, reserve: float) -> None:
         """Refuse a reserve that the installation cannot keep beside all others."""
-        reserves = {one.name: one.shares.reserve for one in self.accounts.tenants.values()
-                    if one.shares.reserve and one.state in (State.ACTIVE, State.SUSPENDED)}
+        reserves = {
+            one.name: one.shares.reserve
+            for one in self.accounts.tenants.values()
+            if one.shares.reserve and one.state in (State.ACTIVE, State.SUSPENDED)
+        }
         if reserve > reserves.get(name, 0.0) and (why := self.promises({**reserves, name: reserve})):
             raise AccountError("quota", why)
 
-    def _create_tenant(self, caller: Principal, call: Call, names: dict[str, str], body: shapes.NewTenant,
-                       now_ms: int) -> Made:
+    def _create_tenant(
+        self, caller: Principal, call: Call, names: dict[str, str], body: shapes.NewTenant, now_ms: int
+    ) -> Made:
         made = self.accounts.create(names["tenant"], body.quotas, body.shares, body.note, now_ms)
         self._reserved(made.name, body.shares.reserve)
         return Made([row(made)], shapes.tenant_shown(made, 0, 0), made.name, msgspec.to_builtins(body))
 
-    def _change_tenant(self, caller: Principal, call: Call, names: dict[str, str], body: shapes.TenantChange,
-                       now_ms: int) -> Made:
+    def _change_tenant(
+        self, caller: Principal, call: Call, names: dict[str, str], body: shapes.TenantChange, now_ms: int
+    ) -> Made:
         held = self.accounts.tenant(names["tenant"])
         self._guard(call, TENANT, held.name)
         quotas = None if body.quotas is UNSET else body.quotas
@@ -112,22 +124,28 @@
         held = self.accounts.bucket(names["tenant"], names["bucket"])
         return _told(shapes.volume_shown(held), self.accounts.seq(BUCKET, f"{held.tenant}/{held.name}"))
 
-    def _put_volume(self, caller: Principal, call: Call, names: dict[str, str], body: shapes.VolumeBody,
-                    now_ms: int) -> Made:
+    def _put_volume(
+        self, caller: Principal, call: Call, names: dict[str, str], body: shapes.VolumeBody, now_ms: int
+    ) -> Made:
         tenant, name = names["tenant"], names["bucket"]
         held = self.accounts.buckets.get(tenant, {}).get(name)
         if held is not None:
             self._guard(call, BUCKET, f"{tenant}/{name}")
         plans = frozenset(self.plans()) or frozenset({body.plan})
         made = self.accounts.put_bucket(tenant, name, body.plan, plans, secrets.token_hex(8), now_ms)
-        return Made([row(made)], shapes.volume_shown(made), f"{tenant}/{name}",
-                    {"plan": made.plan, "before": held.plan if held else ""})
+        return Made(
+            [row(made)],
+            shapes.volume_shown(made),
+            f"{tenant}/{name}",
+            {"plan": made.plan, "before": held.plan if held else ""},
+        )
 
     def _remove_volume(self, caller: Principal, call: Call, names: dict[str, str], body: None, now_ms: int) -> Made:
         held = self.accounts.bucket(names["tenant"], names["bucket"])
         self._guard(call, BUCKET, f"{held.tenant}/{held.name}")
-        return Made([Row(BUCKET, f"{held.tenant}/{held.name}", None)], None, f"{held.tenant}/{held.name}",
-                    {"volume": held.id})
+        return Made(
+            [Row(BUCKET, f"{held.tenant}/{held.name}", None)], None, f"{held.tenant}/{held.name}", {"volume": held.id}
+        )
 
     # --- keys
 
@@ -144,15 +162,17 @@
         told = shapes.KeyMade(key.id, f"{key.id}.{secret}", key.role, key.ends_ms)
         return Made(rows, told, f"{key.tenant}/{key.id}", detail, shapes.KeyMade(key.id, None, key.role, key.ends_ms))
 
-    def _create_key(self, caller: Principal, call: Call, names: dict[str, str], body: shapes.NewKey,
-                    now_ms: int) -> Made:
+    def _create_key(
+        self, caller: Principal, call: Call, names: dict[str, str], body: shapes.NewKey, now_ms: int
+    ) -> Made:
         ends = now_ms + body.expires_s * 1000 if body.expires_s else 0
         secret = secrets.token_urlsafe(32)
         key = self.accounts.add_key(names["tenant"], _key_id(), secret, body.role, ends, body.note, now_ms)
         return self._made_key([row(key)], key, secret, {"role": key.role.value, "ends_ms": key.ends_ms})
 
-    def _rotate_key(self, caller: Principal, call: Call, names: dict[str, str], body: shapes.Rotation,
-                    now_ms: int) -> Made:
+    def _rotate_key(
+        self, caller: Principal, call: Call, names: dict[str, str], body: shapes.Rotation, now_ms: int
+    ) -> Made:
         secret = secrets.token_urlsafe(32)
         new, old = self.accounts.rotate_key(names["tenant"], names["key"], _key_id(), secret, body.overlap_s, now_ms)
         rows = [row(new), Row(ACCESS, names["key"], None) if old is None else row(old)]
@@ -182,8 +202,10 @@
         limit, after = _bounds(call)
         if after and not after.isdecimal():
             raise ProblemError(400, "after is the number of an entry")
-        rows = [shapes.AuditRow(seq, entry.at_ms, entry.who, entry.role, entry.what, entry.target, dict(entry.detail),
-                                mark) for seq, entry, mark in self.ledger.audit(int(after or 0), limit)]
+        rows = [
+            shapes.AuditRow(seq, entry.at_ms, entry.who, entry.role, entry.what, entry.target, dict(entry.detail), mark)
+            for seq, entry, mark in self.ledger.audit(int(after or 0), limit)
+        ]
         return _told(shapes.AuditPage(rows, rows[-1].seq if len(rows) == limit else None, self.ledger.head()[1]))
 
     def _describe(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
--- a/hophinge/admin/front.py
+++ b/hophinge/admin/front.py
@@ -21,10 +21,10 @@
 from hophinge.tenancy.life import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge
 
 CONNECTIONS, IDLE_S = 16, 30.0
-LEAST_TOKEN = 16        # characters; a shorter one is a mistake
-PURGE_LOOK_S = 0.2      # between looks for tenants that are closing
-PURGE_AGAIN_S = 2.0     # after a step that failed
-SINGLE = ("authorization", "idempotency-key", "if-match")       # headers that may come once
+LEAST_TOKEN = 16  # characters; a shorter one is a mistake
+PURGE_LOOK_S = 0.2  # between looks for tenants that are closing
+PURGE_AGAIN_S = 2.0  # after a step that failed
+SINGLE = ("authorization", "idempotency-key", "if-match")  # headers that may come once
 
 
 def read_token(path: Path) -> str:
@@ -56,8 +56,12 @@
     async def _reply(self, request: web.BaseRequest) -> Reply:
         path, _, query = request.raw_path.partition("?")
         if any(len(request.headers.getall(name, [])) > 1 for name in SINGLE):
-            return Reply(400, b'{"type":"urn:hophinge:problem:status-400","title":"The call is malformed","status":400,'
-                              b'"detail":"a header came twice"}', {"Content-Type": "application/problem+json"})
+            return Reply(
+                400,
+                b'{"type":"urn:hophinge:problem:status-400","title":"The call is malformed","status":400,'
+                b'"detail":"a header came twice"}',
+                {"Content-Type": "application/problem+json"},
+            )
         try:
             if (request.content_length or 0) > MOST_BODY:
                 return too_large()
@@ -68,8 +72,16 @@
                     return too_large()
             headers = {name.lower(): text for name, text in request.headers.items()}
             peer = request.transport.get_extra_info("peername") if request.transport is not None else None
-            return self.api.answer(Call(request.method, path, dict(parse_qsl(query)), headers, bytes(body),
-                                        str(peer[0]) if isinstance(peer, tuple) else ""))
+            return self.api.answer(
+                Call(
+                    request.method,
+                    path,
+                    dict(parse_qsl(query)),
+                    headers,
+                    bytes(body),
+                    str(peer[0]) if isinstance(peer, tuple) else "",
+                )
+            )
         except ConnectionError:
             raise
         except Exception:
@@ -84,8 +96,14 @@
     `abort` aborts what uploads of a tenant are open here, and tells whether none is left.
     """
 
-    def __init__(self, ledger: Ledger, accounts: Accounts, now_ms: Callable[[], int], log: Callable[[str], None],
-                 abort: Callable[[str], Awaitable[None]] | None = None) -> None:
+    def __init__(
+        self,
+        ledger: Ledger,
+        accounts: Accounts,
+        now_ms: Callable[[], int],
+        log: Callable[[str], None],
+        abort: Callable[[str], Awaitable[None]] | None = None,
+    ) -> None:
         self.ledger, self.accounts, self.now_ms, self.log, self.abort = ledger, accounts, now_ms, log, abort
         self.failing = ""
 
@@ -96,9 +114,9 @@
             for name in [one.name for one in self.accounts.tenants.values() if one.state is State.CLOSING]:
                 try:
                     while await self.step(name):
-                        await asyncio.sleep(0)      # others have their turn between two steps
+                        await asyncio.sleep(0)  # others have their turn between two steps
                     self.failing = ""
-                except Exception as error:      # it is tried again: the name stays taken until it has worked
+                except Exception as error:  # it is tried again: the name stays taken until it has worked
                     if str(error) != self.failing:
                         self.failing = str(error)
                         self.log(f"the purge of tenant {name} stands still: {error!r}")
@@ -132,8 +150,9 @@
         def decide() -> tuple[list[Row], Entry, Kept | None]:
             held = self.accounts.tenants.get(name)
             if held is None or held.state is not State.CLOSING:
-                raise LedgerError(f"tenant {name} is not closing any more")     # another process has ended it
+                raise LedgerError(f"tenant {name} is not closing any more")  # another process has ended it
             return rows, entry, None
+
         self.ledger.change(decide)
 
 
--- a/hophinge/admin/openapi.py
+++ b/hophinge/admin/openapi.py
@@ -28,19 +28,38 @@
 
 
 def _parameters(operation: Operation) -> list[dict[str, Any]]:
-    rows: list[dict[str, Any]] = [{"name": name, "in": "path", "required": True, "schema": {"type": "string"}}
-                                  for name in re.findall(r"\{(\w+)\}", operation.path)]
+    rows: list[dict[str, Any]] = [
+        {"name": name, "in": "path", "required": True, "schema": {"type": "string"}}
+        for name in re.findall(r"\{(\w+)\}", operation.path)
+    ]
     if operation.paged:
-        rows += [{"name": "limit", "in": "query", "schema": {
-            "type": "integer", "minimum": 1, "maximum": LONGEST_PAGE, "default": PAGE}},
-            {"name": "after", "in": "query", "schema": {"type": "string"}}]
+        rows += [
+            {
+                "name": "limit",
+                "in": "query",
+                "schema": {"type": "integer", "minimum": 1, "maximum": LONGEST_PAGE, "default": PAGE},
+            },
+            {"name": "after", "in": "query", "schema": {"type": "string"}},
+        ]
     if operation.guarded or operation.name == "put_volume":
-        rows.append({"name": "If-Match", "in": "header", "required": operation.guarded, "schema": {"type": "string"},
-                     "description": "the ETag of the version that is to be changed, or *"})
+        rows.append(
+            {
+                "name": "If-Match",
+                "in": "header",
+                "required": operation.guarded,
+                "schema": {"type": "string"},
+                "description": "the ETag of the version that is to be changed, or *",
+            }
+        )
     if operation.repeatable:
-        rows.append({"name": "Idempotency-Key", "in": "header", "schema": {
-            "type": "string", "minLength": 1, "maxLength": 128},
-            "description": "a call that comes again with it within a day changes nothing and gets the same answer"})
+        rows.append(
+            {
+                "name": "Idempotency-Key",
+                "in": "header",
+                "schema": {"type": "string", "minLength": 1, "maxLength": 128},
+                "description": "a call that comes again with it within a day changes nothing and gets the same answer",
+            }
+        )
     return rows
 
 
@@ -58,17 +77,27 @@
         elif operation.name == "describe":
             good["content"] = {"application/json": {"schema": {"type": "object"}}}
         made: dict[str, Any] = {
-            "operationId": operation.name, "parameters": _parameters(operation),
+            "operationId": operation.name,
+            "parameters": _parameters(operation),
             "description": f"for {', '.join(sorted(operation.roles))}",
-            "responses": {str(operation.status): good, **{
-                str(status): {"description": TITLES[status], "content": problem} for status in _statuses(operation)}}}
+            "responses": {
+                str(operation.status): good,
+                **{str(status): {"description": TITLES[status], "content": problem} for status in _statuses(operation)},
+            },
+        }
         if operation.body is not None:
-            made["requestBody"] = {"content": {"application/json": {
-                "schema": {"$ref": REF.format(name=operation.body.__name__)}}}}
+            made["requestBody"] = {
+                "content": {"application/json": {"schema": {"$ref": REF.format(name=operation.body.__name__)}}}
+            }
         paths.setdefault(operation.path, {})[operation.method.lower()] = made
-    return {"openapi": "3.1.0", "info": {"title": "hophinge administration", "version": "1"},
-            "servers": [{"url": "/"}], "security": [{"bearer": []}], "paths": paths,
-            "components": {"schemas": schemas, "securitySchemes": {"bearer": {"type": "http", "scheme": "bearer"}}}}
+    return {
+        "openapi": "3.1.0",
+        "info": {"title": "hophinge administration", "version": "1"},
+        "servers": [{"url": "/"}],
+        "security": [{"bearer": []}],
+        "paths": paths,
+        "components": {"schemas": schemas, "securitySchemes": {"bearer": {"type": "http", "scheme": "bearer"}}},
+    }
 
 
 @cache
--- a/hophinge/cli/demo.py
+++ b/hophinge/cli/demo.py
@@ -55,9 +55,16 @@
     ports = {name: free_port() for name in ("client", "staff", "stream", "discovery", "a", "b", "c")}
 
     async def start(*words: str, **environ: str) -> None:
-        processes.append(await asyncio.create_subprocess_exec(
-            sys.executable, *words, cwd=ROOT, env={**os.environ, **environ},
-            stdout=(folder / "log").open("ab"), stderr=asyncio.subprocess.STDOUT))
+        processes.append(
+            await asyncio.create_subprocess_exec(
+                sys.executable,
+                *words,
+                cwd=ROOT,
+                env={**os.environ, **environ},
+                stdout=(folder / "log").open("ab"),
+                stderr=asyncio.subprocess.STDOUT,
+            )
+        )
 
     bricks = [toy.Brick(at, ports[name]) for at, name in enumerate("abc")]
     platform = await toy.serve(bricks, ports["discovery"])
@@ -66,16 +73,33 @@
     (folder / "heads").write_text(f"heads {head_token}\n")
     (folder / "staff").write_text(f"you {staff_token}\n")
     (folder / "token").write_text(head_token)
-    await start("-m", "hophinge", "control", "serve", "--store", str(folder / "versions.db"), "--heads",
-                str(folder / "heads"), "--staff", str(folder / "staff"), "--listen", f"127.0.0.1:{ports['stream']}")
+    await start(
+        "-m",
+        "hophinge",
+        "control",
+        "serve",
+        "--store",
+        str(folder / "versions.db"),
+        "--heads",
+        str(folder / "heads"),
+        "--staff",
+        str(folder / "staff"),
+        "--listen",
+        f"127.0.0.1:{ports['stream']}",
+    )
     config = json.loads((ROOT / "examples" / "config.json").read_text())
-    config.update(listen=f"127.0.0.1:{ports['client']}", control=f"127.0.0.1:{ports['staff']}",
-                  discovery=f"127.0.0.1:{ports['discovery']}")
+    config.update(
+        listen=f"127.0.0.1:{ports['client']}",
+        control=f"127.0.0.1:{ports['staff']}",
+        discovery=f"127.0.0.1:{ports['discovery']}",
+    )
     (folder / "config.json").write_text(json.dumps(config))
     (folder / "operator.toml").write_text(
-        f'[stream]\nendpoints = ["127.0.0.1:{ports["stream"]}"]\ntoken_file = "token"\nfolder = "state"\n')
-    await start("-m", "hophinge", EDGE_CONFIG=str(folder / "config.json"),
-                HOPHINGE_OPERATOR_FILE=str(folder / "operator.toml"))
+        f'[stream]\nendpoints = ["127.0.0.1:{ports["stream"]}"]\ntoken_file = "token"\nfolder = "state"\n'
+    )
+    await start(
+        "-m", "hophinge", EDGE_CONFIG=str(folder / "config.json"), HOPHINGE_OPERATOR_FILE=str(folder / "operator.toml")
+    )
     base, staff = f"http://127.0.0.1:{ports['client']}", f"http://127.0.0.1:{ports['staff']}"
     try:
         async with aiohttp.ClientSession() as session:
@@ -83,35 +107,50 @@
             out.print("2. a head and a control service serve")
             path = f"{base}/transfer-write/{VOLUME}/{OBJECT}"
             headers = {"X-Qos-Policy": "priority", "X-Remaining-Ms": "700"}
-            async with session.put(path, data=b"a transfer\n", headers={
-                    **headers, "X-Txn": f"{1:016x}", "X-Placement": "units=1,shard=-1,hosts=1"}) as answer:
+            async with session.put(
+                path,
+                data=b"a transfer\n",
+                headers={**headers, "X-Txn": f"{1:016x}", "X-Placement": "units=1,shard=-1,hosts=1"},
+            ) as answer:
                 out.print(f"3. an object is written: {answer.status}")
                 written = answer.status
             shard = next(brick.shard for brick in bricks if brick.objects)
-            async with session.get(f"{base}/record-read/{VOLUME}/{OBJECT}", headers={
-                    **headers, "X-Txn": f"{2:016x}", "X-Placement": f"units=1,shard={shard},hosts=1"}) as answer:
+            async with session.get(
+                f"{base}/record-read/{VOLUME}/{OBJECT}",
+                headers={**headers, "X-Txn": f"{2:016x}", "X-Placement": f"units=1,shard={shard},hosts=1"},
+            ) as answer:
                 body = await answer.read()
                 out.print(f"4. it is read from brick {shard}: {answer.status}, {body!r}")
             from hophinge.control.client import call
 
             async def push(text: str) -> dict[str, Any]:
-                made: dict[str, Any] = json.loads(await call(
-                    f"127.0.0.1:{ports['stream']}", staff_token, "Push", json.dumps({"text": text}).encode()))
+                made: dict[str, Any] = json.loads(
+                    await call(f"127.0.0.1:{ports['stream']}", staff_token, "Push", json.dumps({"text": text}).encode())
+                )
                 return made
 
             # Without its waves, which take seconds, and with which a version that is turned down is rolled back.
             good = (ROOT / "examples" / "service.sexp").read_text().partition("(rollout")[0]
             await _until(session, f"{staff}/ops/config", lambda text: json.loads(text)["connected"])
             done = await push(good)
-            told = json.loads(await _until(session, f"{staff}/ops/config",
-                                           lambda text: json.loads(text)["running"] == done["version"]))
-            out.print(f"5. examples/service.sexp is pushed as version {done['version']}; the head runs it "
-                      f"({told['records']} records)")
+            told = json.loads(
+                await _until(
+                    session, f"{staff}/ops/config", lambda text: json.loads(text)["running"] == done["version"]
+                )
+            )
+            out.print(
+                f"5. examples/service.sexp is pushed as version {done['version']}; the head runs it "
+                f"({told['records']} records)"
+            )
             bad = await push(good + "(pool moon (zones the-moon))\n")
-            told = json.loads(await _until(session, f"{staff}/ops/config",
-                                           lambda text: json.loads(text)["state"] == "turned down"))
-            out.print(f"6. version {bad['version']} names a zone that is not there: the head turns it down "
-                      f"({told['reason']}) and goes on with {told['running']}", markup=False)
+            told = json.loads(
+                await _until(session, f"{staff}/ops/config", lambda text: json.loads(text)["state"] == "turned down")
+            )
+            out.print(
+                f"6. version {bad['version']} names a zone that is not there: the head turns it down "
+                f"({told['reason']}) and goes on with {told['running']}",
+                markup=False,
+            )
     finally:
         platform.close()
     good_end = written == 200 and body == b"a transfer\n" and told["running"] == done["version"]
--- a/hophinge/cli/load.py
+++ b/hophinge/cli/load.py
@@ -60,9 +60,12 @@
 
 
 @load.command()
-def run(plan: PlanFile, head: Annotated[str, typer.Option(help="host:port of a head, on loopback")],
-        times: Annotated[float, typer.Option(help="of what the bricks do; 0: the plan's own rates")] = 0.0,
-        begin: Annotated[str, typer.Option(help="a URL to call when it starts")] = "") -> None:
+def run(
+    plan: PlanFile,
+    head: Annotated[str, typer.Option(help="host:port of a head, on loopback")],
+    times: Annotated[float, typer.Option(help="of what the bricks do; 0: the plan's own rates")] = 0.0,
+    begin: Annotated[str, typer.Option(help="a URL to call when it starts")] = "",
+) -> None:
     """Play a plan against a head that runs, and print the table."""
     from hophinge.load.clients import Load
     from hophinge.load.report import table
@@ -78,8 +81,9 @@
 
 
 @asynccontextmanager
-async def head_for(plan_path: Path, plan: LoadPlan, times: float, config: Path, operator: Path | None,
-                   program: Path) -> AsyncIterator[tuple[str, str]]:
+async def head_for(
+    plan_path: Path, plan: LoadPlan, times: float, config: Path, operator: Path | None, program: Path
+) -> AsyncIterator[tuple[str, str]]:
     """Start bricks and a head in processes of their own; tells the head's address and discovery's."""
     import aiohttp
 
@@ -103,8 +107,11 @@
             if operator is not None:
                 environ["HOPHINGE_OPERATOR_FILE"] = str(operator.resolve())
             with (Path(folder) / "log").open("wb") as log:
-                processes.append(await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "hophinge", cwd=program, env=environ, stdout=log, stderr=log))
+                processes.append(
+                    await asyncio.create_subprocess_exec(
+                        sys.executable, "-m", "hophinge", cwd=program, env=environ, stdout=log, stderr=log
+                    )
+                )
             async with aiohttp.ClientSession() as session, asyncio.timeout(READY_S):
                 while True:
                     try:
@@ -122,8 +129,9 @@
                 await process.wait()
 
 
-async def _experiment(path: Path, plan: LoadPlan, factors: list[float], config: Path, operator: Path | None,
-                      program: Path) -> dict[str, Result]:
+async def _experiment(
+    path: Path, plan: LoadPlan, factors: list[float], config: Path, operator: Path | None, program: Path
+) -> dict[str, Result]:
     from hophinge.load.clients import Load
 
     results: dict[str, Result] = {}
@@ -135,12 +143,14 @@
 
 
 @load.command()
-def experiment(plan: PlanFile, config: Annotated[Path, typer.Option(help="a head's JSON file")],
-               times: Annotated[list[float] | None, typer.Option(help="of what the bricks do; once for each")] = None,
-               operator: Annotated[Path | None, typer.Option(help="the operator's TOML file")] = None,
-               program: Annotated[Path, typer.Option(help="the checkout whose head runs")] = Path("."),
-               out_file: Annotated[Path | None, typer.Option("--out", help="writes FILE.md and FILE.svg")] = None,
-               ) -> None:
+def experiment(
+    plan: PlanFile,
+    config: Annotated[Path, typer.Option(help="a head's JSON file")],
+    times: Annotated[list[float] | None, typer.Option(help="of what the bricks do; once for each")] = None,
+    operator: Annotated[Path | None, typer.Option(help="the operator's TOML file")] = None,
+    program: Annotated[Path, typer.Option(help="the checkout whose head runs")] = Path("."),
+    out_file: Annotated[Path | None, typer.Option("--out", help="writes FILE.md and FILE.svg")] = None,
+) -> None:
     """Play a plan at several rates, each against a head and bricks that have just started; write table and chart."""
     import uvloop
 
@@ -154,7 +164,9 @@
         out_file.with_suffix(".md").write_text(text)
         lines = {name: by_second(one) for name, one in results.items()}
         if len(results) > 1:
-            lines = {"earned": [(float(name), one.goodput) for name, one in results.items()],
-                     "asked for": [(float(name), one.due) for name, one in results.items()]}
+            lines = {
+                "earned": [(float(name), one.goodput) for name, one in results.items()],
+                "asked for": [(float(name), one.due) for name, one in results.items()],
+            }
         across = "times what the bricks do" if len(results) > 1 else "second of arrival"
         out_file.with_suffix(".svg").write_bytes(chart(plan.stem, lines, across, "worth"))
--- a/hophinge/cli/main.py
+++ b/hophinge/cli/main.py
@@ -17,8 +17,12 @@
 from hophinge.cli import load, tenants, upkeep
 from hophinge.cli.console import fail, out
 
-app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False,
-                  help="A head for shared storage, and the service that streams its configuration.")
+app = typer.Typer(
+    no_args_is_help=True,
+    add_completion=False,
+    pretty_exceptions_enable=False,
+    help="A head for shared storage, and the service that streams its configuration.",
+)
 control = typer.Typer(no_args_is_help=True, help="The control service and what staff ask of it.")
 app.add_typer(control, name="control")
 app.add_typer(tenants.tenant, name="tenant")
@@ -26,25 +30,31 @@
 app.add_typer(load.load, name="load")
 
 Address = Annotated[str, typer.Option(help="host:port of the control service", envvar="HOPHINGE_CONTROL")]
-TokenFile = Annotated[Path, typer.Option("--token-file", help="holds the token of staff, alone or as NAME TOKEN",
-                                         envvar="HOPHINGE_TOKEN_FILE")]
+TokenFile = Annotated[
+    Path,
+    typer.Option("--token-file", help="holds the token of staff, alone or as NAME TOKEN", envvar="HOPHINGE_TOKEN_FILE"),
+]
 DEFAULT_ADDRESS, ADMIN = "127.0.0.1:9700", "127.0.0.1:9081"
 
 
 def logging(as_json: bool) -> Any:
     """Set structured logs up, as JSON lines or for a person, and tell the logger."""
-    renderer: Any = structlog.processors.JSONRenderer() if as_json else structlog.dev.ConsoleRenderer(
-        colors=sys.stderr.isatty())
+    renderer: Any = (
+        structlog.processors.JSONRenderer() if as_json else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+    )
     stamp = structlog.processors.TimeStamper(fmt="iso", utc=True)
     structlog.configure(
         processors=[structlog.processors.add_log_level, stamp, renderer],
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr))
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+    )
     return structlog.get_logger()
 
 
 @app.command()
-def run(config: Annotated[Path | None, typer.Option(help="the head's JSON file; else EDGE_CONFIG names it")] = None,
-        operator: Annotated[Path | None, typer.Option(help="the operator's TOML file")] = None) -> None:
+def run(
+    config: Annotated[Path | None, typer.Option(help="the head's JSON file; else EDGE_CONFIG names it")] = None,
+    operator: Annotated[Path | None, typer.Option(help="the operator's TOML file")] = None,
+) -> None:
     """Run a head, as `python -m hophinge` without words does."""
     environ = dict(os.environ)
     if config is not None:
@@ -87,16 +97,18 @@
 
 
 @control.command()
-def serve(store: Annotated[Path, typer.Option(help="the file that holds all versions; made where there is none")],
-          heads: Annotated[Path, typer.Option(help="tokens of heads, NAME TOKEN a line")],
-          staff: Annotated[Path, typer.Option(help="tokens of staff, NAME TOKEN a line")],
-          listen: Annotated[str, typer.Option(help="host:port")] = DEFAULT_ADDRESS,
-          new_epoch: Annotated[bool, typer.Option(help="after the store was restored from a backup")] = False,
-          accounts: Annotated[Path | None, typer.Option(help="the ledger of tenants, which heads then copy")] = None,
-          admin: Annotated[str, typer.Option(help="host:port of the administration API, with --accounts")] = ADMIN,
-          admin_token: Annotated[Path | None, typer.Option(help="holds the operator's token for it")] = None,
-          plan: Annotated[list[str] | None, typer.Option(help="a plan of the platform; once for each")] = None,
-          json: Annotated[bool, typer.Option(help="logs as JSON lines")] = False) -> None:
+def serve(
+    store: Annotated[Path, typer.Option(help="the file that holds all versions; made where there is none")],
+    heads: Annotated[Path, typer.Option(help="tokens of heads, NAME TOKEN a line")],
+    staff: Annotated[Path, typer.Option(help="tokens of staff, NAME TOKEN a line")],
+    listen: Annotated[str, typer.Option(help="host:port")] = DEFAULT_ADDRESS,
+    new_epoch: Annotated[bool, typer.Option(help="after the store was restored from a backup")] = False,
+    accounts: Annotated[Path | None, typer.Option(help="the ledger of tenants, which heads then copy")] = None,
+    admin: Annotated[str, typer.Option(help="host:port of the administration API, with --accounts")] = ADMIN,
+    admin_token: Annotated[Path | None, typer.Option(help="holds the operator's token for it")] = None,
+    plan: Annotated[list[str] | None, typer.Option(help="a plan of the platform; once for each")] = None,
+    json: Annotated[bool, typer.Option(help="logs as JSON lines")] = False,
+) -> None:
     """Serve versions to heads until SIGTERM."""
     import uvloop
 
@@ -126,8 +138,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stopping.set)
-        await main_(held, of_heads, of_staff, listen, lambda text: log.info(text), stopping,
-                    owner)
+        await main_(held, of_heads, of_staff, listen, lambda text: log.info(text), stopping, owner)
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -145,15 +156,19 @@
         if not words:
             raise fail(f"{token_file}: no token")
         data = asyncio.run(call(address, words[-1], method, msgspec.json.encode(body)))
-    except (OSError, ValueError) as error:      # a ConnectionError is an OSError
+    except (OSError, ValueError) as error:  # a ConnectionError is an OSError
         raise fail(str(error), 1) from error
     return msgspec.json.decode(data, type=dict[str, Any])
 
 
 @control.command()
-def push(file: Path, token_file: TokenFile, address: Address = DEFAULT_ADDRESS,
-         note: Annotated[str, typer.Option(help="why, for the history")] = "",
-         expect: Annotated[str, typer.Option(help="only if this is the newest version, as in 1.17")] = "") -> None:
+def push(
+    file: Path,
+    token_file: TokenFile,
+    address: Address = DEFAULT_ADDRESS,
+    note: Annotated[str, typer.Option(help="why, for the history")] = "",
+    expect: Annotated[str, typer.Option(help="only if this is the newest version, as in 1.17")] = "",
+) -> None:
     """Push a service document as the next version."""
     try:
         text = file.read_bytes().decode()
@@ -171,21 +186,33 @@
 
 
 @control.command()
-def status(token_file: TokenFile, address: Address = DEFAULT_ADDRESS,
-           json: Annotated[bool, typer.Option(help="as JSON")] = False) -> None:
+def status(
+    token_file: TokenFile,
+    address: Address = DEFAULT_ADDRESS,
+    json: Annotated[bool, typer.Option(help="as JSON")] = False,
+) -> None:
     """Tell which head runs what, and where the rollout stands; status 3 while a rollout is held."""
     told = ask(address, token_file, "Status")
     if json:
         print(msgspec.json.format(msgspec.json.encode(told), indent=1).decode())
     else:
         reason = f": {told['reason']}" if told["reason"] else ""
-        out.print(f"version {told['target']} is {told['stage']}, wave {told['wave']} of {told['last_wave']}{reason}; "
-                  f"stable is {told['stable']}, epoch {told['epoch']}", markup=False)
+        out.print(
+            f"version {told['target']} is {told['stage']}, wave {told['wave']} of {told['last_wave']}{reason}; "
+            f"stable is {told['stable']}, epoch {told['epoch']}",
+            markup=False,
+        )
         table = Table("head", "here", "runs", "wanted", "requests", "failed", "turned down")
         for head in told["heads"]:
-            table.add_row(head["name"], "yes" if head["connected"] else "no", head["runs"], head["wanted"],
-                          f"{head['taken']:.0f}", f"{head['failed']:.0f}",
-                          f"{head['turned_down']}: {head['reason']}" if head["reason"] else "")
+            table.add_row(
+                head["name"],
+                "yes" if head["connected"] else "no",
+                head["runs"],
+                head["wanted"],
+                f"{head['taken']:.0f}",
+                f"{head['failed']:.0f}",
+                f"{head['turned_down']}: {head['reason']}" if head["reason"] else "",
+            )
         out.print(table)
         upkeep.show(told["maintenance"])
     if told["stage"] == "held":
@@ -193,9 +220,12 @@
 
 
 @control.command()
-def history(token_file: TokenFile, address: Address = DEFAULT_ADDRESS,
-            most: Annotated[int, typer.Option(help="rows")] = 20,
-            json: Annotated[bool, typer.Option(help="as JSON")] = False) -> None:
+def history(
+    token_file: TokenFile,
+    address: Address = DEFAULT_ADDRESS,
+    most: Annotated[int, typer.Option(help="rows")] = 20,
+    json: Annotated[bool, typer.Option(help="as JSON")] = False,
+) -> None:
     """Tell the newest versions and what was done with them."""
     import datetime
 
@@ -209,8 +239,9 @@
 
     table = Table("version", "pushed (UTC)", "by", "changed", "removed", "note")
     for row in told["versions"]:
-        table.add_row(row["version"], when(row["pushed_ms"]), row["who"], str(row["changed"]), str(row["removed"]),
-                      row["note"])
+        table.add_row(
+            row["version"], when(row["pushed_ms"]), row["who"], str(row["changed"]), str(row["removed"]), row["note"]
+        )
     out.print(table)
     table = Table("at (UTC)", "by", "what", "detail")
     for row in told["audit"]:
@@ -219,9 +250,12 @@
 
 
 @control.command()
-def rollback(to: Annotated[str, typer.Argument(help="a former version, as in 1.17")], token_file: TokenFile,
-             address: Address = DEFAULT_ADDRESS,
-             at_once: Annotated[bool, typer.Option(help="to all heads, without waves")] = False) -> None:
+def rollback(
+    to: Annotated[str, typer.Argument(help="a former version, as in 1.17")],
+    token_file: TokenFile,
+    address: Address = DEFAULT_ADDRESS,
+    at_once: Annotated[bool, typer.Option(help="to all heads, without waves")] = False,
+) -> None:
     """Push the content of a former version as the next one."""
     done = ask(address, token_file, "Rollback", to=to, at_once=at_once)
     print(f"version {done['version']} has the content of {to}")
--- a/hophinge/cli/service.py
+++ b/hophinge/cli/service.py
@@ -57,8 +57,17 @@
     def start(self, service: ControlService) -> None:
         """Listen; heads hear of changes through the service."""
         self.heard = service.accounts_changed
-        api = Api(self.ledger, self.accounts, lambda: self.plans, self.token, self.now_ms, steady_us, openapi.text,
-                  service.promised, self.calls_s)
+        api = Api(
+            self.ledger,
+            self.accounts,
+            lambda: self.plans,
+            self.token,
+            self.now_ms,
+            steady_us,
+            openapi.text,
+            service.promised,
+            self.calls_s,
+        )
         self.front = AdminFront(api, Counters(), self.log)
         self.acceptor = Acceptor(*address(self.listen), self.front)
         # Heads abort what uploads are open at them; here there is nothing to abort.
@@ -77,11 +86,19 @@
         self.ledger.close()
 
 
-async def serve(store: Store, heads: dict[str, str], staff: dict[str, str], where: str, log: Log,
-                stopping: asyncio.Event, owner: Owner | None = None) -> None:
+async def serve(
+    store: Store,
+    heads: dict[str, str],
+    staff: dict[str, str],
+    where: str,
+    log: Log,
+    stopping: asyncio.Event,
+    owner: Owner | None = None,
+) -> None:
     """Serve until told to stop."""
-    service = ControlService(store, frozenset(heads), staff, log, owner.ledger if owner else None,
-                             owner.accounts if owner else None)
+    service = ControlService(
+        store, frozenset(heads), staff, log, owner.ledger if owner else None, owner.accounts if owner else None
+    )
     try:
         await service.start(where)
         if owner is not None:
--- a/hophinge/cli/tenants.py
+++ b/hophinge/cli/tenants.py
@@ -19,8 +19,9 @@
 tenant.add_typer(volume, name="volume")
 
 Url = Annotated[str, typer.Option(help="of the administration API", envvar="HOPHINGE_ADMIN")]
-TokenFile = Annotated[Path, typer.Option("--token-file", help="holds the operator's token, or a key",
-                                         envvar="HOPHINGE_TOKEN_FILE")]
+TokenFile = Annotated[
+    Path, typer.Option("--token-file", help="holds the operator's token, or a key", envvar="HOPHINGE_TOKEN_FILE")
+]
 Name = Annotated[str, typer.Argument(help="the tenant")]
 DEFAULT_URL = "http://127.0.0.1:9081"
 PAGE = 500
@@ -31,11 +32,19 @@
     import aiohttp
 
     async def main() -> tuple[int, bytes]:
-        headers = {"Authorization": f"Bearer {token_file.read_text().split()[-1]}", **(
-            {"If-Match": match} if match else {})}
-        async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(30)) as session, session.request(
-                method, url.rstrip("/") + path, headers=headers,
-                data=None if body is None else msgspec.json.encode(body)) as answer:
+        headers = {
+            "Authorization": f"Bearer {token_file.read_text().split()[-1]}",
+            **({"If-Match": match} if match else {}),
+        }
+        async with (
+            aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(30)) as session,
+            session.request(
+                method,
+                url.rstrip("/") + path,
+                headers=headers,
+                data=None if body is None else msgspec.json.encode(body),
+            ) as answer,
+        ):
             return answer.status, await answer.read()
 
     try:
@@ -65,8 +74,14 @@
     while after is not None:
         page = call(url, token_file, "GET", f"/v1/tenants?limit={PAGE}&after={after}")
         for row in page["tenants"]:
-            table.add_row(row["name"], row["state"], str(row["volumes"]), str(row["keys"]),
-                          f"{row['shares']['reserve']:g}", row["note"])
+            table.add_row(
+                row["name"],
+                row["state"],
+                str(row["volumes"]),
+                str(row["keys"]),
+                f"{row['shares']['reserve']:g}",
+                row["note"],
+            )
         after = page["next"]
     out.print(table)
 
@@ -78,12 +93,24 @@
 
 
 @tenant.command()
-def create(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL,
-           reserve: Annotated[float, typer.Option(help="units a second over all heads")] = 0.0,
-           weight: Annotated[float, typer.Option(help="in what is spare")] = 1.0, note: str = "") -> None:
+def create(
+    name: Name,
+    token_file: TokenFile,
+    url: Url = DEFAULT_URL,
+    reserve: Annotated[float, typer.Option(help="units a second over all heads")] = 0.0,
+    weight: Annotated[float, typer.Option(help="in what is spare")] = 1.0,
+    note: str = "",
+) -> None:
     """Make a tenant."""
-    show(call(url, token_file, "PUT", f"/v1/tenants/{name}",
-              {"shares": {"reserve": reserve, "weight": weight}, "note": note}))
+    show(
+        call(
+            url,
+            token_file,
+            "PUT",
+            f"/v1/tenants/{name}",
+            {"shares": {"reserve": reserve, "weight": weight}, "note": note},
+        )
+    )
 
 
 @tenant.command()
@@ -99,8 +126,12 @@
 
 
 @tenant.command()
-def delete(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL,
-           yes: Annotated[bool, typer.Option("--yes", help="it cannot be undone")] = False) -> None:
+def delete(
+    name: Name,
+    token_file: TokenFile,
+    url: Url = DEFAULT_URL,
+    yes: Annotated[bool, typer.Option("--yes", help="it cannot be undone")] = False,
+) -> None:
     """Close a tenant: keys, uploads and buckets go, and its name is free once they have."""
     if not yes:
         raise fail("a closed tenant does not come back: say --yes")
@@ -147,17 +178,28 @@
 
 
 @key.command("create")
-def create_key(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL,
-               role: Annotated[str, typer.Option(help="data, administrator or reader")] = "data",
-               expires_s: Annotated[int, typer.Option(help="0: until it is ended")] = 0, note: str = "") -> None:
+def create_key(
+    name: Name,
+    token_file: TokenFile,
+    url: Url = DEFAULT_URL,
+    role: Annotated[str, typer.Option(help="data, administrator or reader")] = "data",
+    expires_s: Annotated[int, typer.Option(help="0: until it is ended")] = 0,
+    note: str = "",
+) -> None:
     """Make a key; it is told this once."""
-    show(call(url, token_file, "POST", f"/v1/tenants/{name}/keys",
-              {"role": role, "expires_s": expires_s, "note": note}))
+    show(
+        call(url, token_file, "POST", f"/v1/tenants/{name}/keys", {"role": role, "expires_s": expires_s, "note": note})
+    )
 
 
 @key.command("rotate")
-def rotate_key(name: Name, key_id: str, token_file: TokenFile, url: Url = DEFAULT_URL,
-               overlap_s: Annotated[int, typer.Option(help="for how long the old one lives on")] = 3600) -> None:
+def rotate_key(
+    name: Name,
+    key_id: str,
+    token_file: TokenFile,
+    url: Url = DEFAULT_URL,
+    overlap_s: Annotated[int, typer.Option(help="for how long the old one lives on")] = 3600,
+) -> None:
     """Make the key that replaces one."""
     show(call(url, token_file, "POST", f"/v1/tenants/{name}/keys/{key_id}/rotate", {"overlap_s": overlap_s}))
 
@@ -169,8 +211,10 @@
 
 
 @audit.command("verify")
-def verify(store: Annotated[Path, typer.Argument(help="the ledger: tenants.db of a head, or accounts.db")],
-           head: Annotated[str, typer.Option(help="a hash told earlier, that has to be there still")] = "") -> None:
+def verify(
+    store: Annotated[Path, typer.Argument(help="the ledger: tenants.db of a head, or accounts.db")],
+    head: Annotated[str, typer.Option(help="a hash told earlier, that has to be there still")] = "",
+) -> None:
     """Check that no entry was changed, removed or inserted; status 3 and the first one touched where one was."""
     from hophinge.state.ledger import LedgerError
     from hophinge.state.ledger import verify as check
--- a/hophinge/cli/upkeep.py
+++ b/hophinge/cli/upkeep.py
@@ -19,8 +19,16 @@
         table = Table("permit", "what", "name", "zone", "for", "state", "build", "missing")
         for row in told["permits"]:
             named = ", ".join(row["missing"]) + (" ..." if row["missing_count"] > len(row["missing"]) else "")
-            table.add_row(row["id"], row["kind"], row["name"], row["zone"], row["by"], row["state"], row["build"],
-                          f"{row['missing_count']}: {named}" if row["missing_count"] else "")
+            table.add_row(
+                row["id"],
+                row["kind"],
+                row["name"],
+                row["zone"],
+                row["by"],
+                row["state"],
+                row["build"],
+                f"{row['missing_count']}: {named}" if row["missing_count"] else "",
+            )
         out.print(table)
     for row in told["waiting"]:
         out.print(f"{row['kind']} {row['name']} waits: {row['why']}", markup=False)
@@ -29,5 +37,8 @@
         out.print(f"{row['name']} is away {since}: {row['word']}", markup=False)
     for row in told["releases"]:
         reason = f": {row['reason']}" if row["reason"] else ""
-        out.print(f"release {row['name']} of build {row['build']} is {row['stage']}, wave {row['wave']}, "
-                  f"{row['touched']} heads touched{reason}", markup=False)
+        out.print(
+            f"release {row['name']} of build {row['build']} is {row['stage']}, wave {row['wave']}, "
+            f"{row['touched']} heads touched{reason}",
+            markup=False,
+        )
--- a/hophinge/cluster/budget.py
+++ b/hophinge/cluster/budget.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-HEADERS = 28            # bytes of IPv4 and UDP that each datagram has besides
-BURST_PART = 0.25      # of a second's bytes may go at once; the rest flows in over the second
-LEAST_BURST = 1_300     # bytes: one datagram with its headers
-PROBES, NEWS, FIRST_TOPIC = 0, 1, 2     # ranks: probes and answers, words about members, then topics in their order
-PUSH_PART = 0.75        # of the bucket: below, entries of later topics go only to those that lack them
-RESERVE_PART = 0.16     # of the bucket that each rank leaves to those before it
+HEADERS = 28  # bytes of IPv4 and UDP that each datagram has besides
+BURST_PART = 0.25  # of a second's bytes may go at once; the rest flows in over the second
+LEAST_BURST = 1_300  # bytes: one datagram with its headers
+PROBES, NEWS, FIRST_TOPIC = 0, 1, 2  # ranks: probes and answers, words about members, then topics in their order
+PUSH_PART = 0.75  # of the bucket: below, entries of later topics go only to those that lack them
+RESERVE_PART = 0.16  # of the bucket that each rank leaves to those before it
 
 
 class Budget:
