--- a/hophinge/cluster/copies.py
+++ b/hophinge/cluster/copies.py
@@ -8,7 +8,7 @@
 from hophinge.cluster.entries import DELTA_BYTES, Shelf, Stream, size
 from hophinge.cluster.wire import ROOM
 
-MOST_ITEMS = 100        # of one delta; a reader takes 128
+MOST_ITEMS = 100  # of one delta; a reader takes 128
 
 
 def _delta(owner: str, topic: int, held: Stream, after: int, upto: int, items: list[Item]) -> Delta:
@@ -61,8 +61,9 @@
         # Below the floor what was taken back may be missing: only the whole from its beginning tells.
         return False
     listed = {item.key for item in delta.items}
-    for key in [key for key, item in held.items.items()
-                if delta.after < item.count <= delta.upto and key not in listed]:
+    for key in [
+        key for key, item in held.items.items() if delta.after < item.count <= delta.upto and key not in listed
+    ]:
         shelf.strike(delta.owner, held, key, delta.topic)
     for item in delta.items:
         before = held.items.get(item.key)
--- a/hophinge/cluster/core.py
+++ b/hophinge/cluster/core.py
@@ -17,19 +17,20 @@
 from hophinge.cluster.wire import FIXED, MOST_BYTES, seal
 
 RANKS = ("probes", "members", *(topic.value for topic in TOPICS))
-PIGGYBACK = 500         # bytes of a probe's datagram: news beyond that goes with rounds of news
+PIGGYBACK = 500  # bytes of a probe's datagram: news beyond that goes with rounds of news
 
 
 class Core:
     """One member's books and its mouth."""
 
-    def __init__(self, me: Record, limits: Limits, tuning: Tuning, rng: random.Random, now_us: int,
-                 keys: Sequence[bytes]) -> None:
+    def __init__(
+        self, me: Record, limits: Limits, tuning: Tuning, rng: random.Random, now_us: int, keys: Sequence[bytes]
+    ) -> None:
         self.limits, self.tuning, self.rng, self.keys = limits, tuning, rng, list(keys)
         self.now_us = self.begun_us = now_us
         self.start = me.start
-        self.reference = me.start           # what others' starts are held against
-        self.starts = {me.start}            # of this process: it may have to count above what others remember
+        self.reference = me.start  # what others' starts are held against
+        self.starts = {me.start}  # of this process: it may have to count above what others remember
         self.sent = 0
         self.agenda = Agenda()
         self.out: list[Action] = []
@@ -38,10 +39,10 @@
         self.shelf = Shelf(me.name, me.start, limits, self.count, self._told, self._marked)
         self.roster = Roster(me, limits.members, now_us, self._marks, self.count)
         self.rumours = Rumours(self.shelf)
-        self.health = 0                     # how much this process doubts itself
-        self.heard_us = now_us              # when anybody else was last heard
-        self.woken_us = now_us              # when it last found itself late: no verdict of before counts
-        self.slept_us = 0                   # for how long it stood still in all
+        self.health = 0  # how much this process doubts itself
+        self.heard_us = now_us  # when anybody else was last heard
+        self.woken_us = now_us  # when it last found itself late: no verdict of before counts
+        self.slept_us = 0  # for how long it stood still in all
         self.silent = False
 
     def count(self, name: str) -> None:
@@ -77,7 +78,7 @@
         if not self.roster.put(record, self.now_us):
             return False
         if (before is None or before != record) and not quiet:
-            self.rumours.member(record)     # who hears nobody may still be heard: it keeps its verdicts to itself
+            self.rumours.member(record)  # who hears nobody may still be heard: it keeps its verdicts to itself
         if before is None or before.member() != record.member():
             self.out.append(Changed(record.member()))
         return True
@@ -105,8 +106,11 @@
             count = len(self.roster.live)
             for level in range(max(rank, NEWS), len(RANKS)):
                 room = min(room, self.budget.push(level) - used)
-                more = (self.rumours.of_members(room, self.tuning.sends(count)) if level == NEWS else
-                        self.rumours.of_topic(level - FIRST_TOPIC, room, count.bit_length() + 1))
+                more = (
+                    self.rumours.of_members(room, self.tuning.sends(count))
+                    if level == NEWS
+                    else self.rumours.of_topic(level - FIRST_TOPIC, room, count.bit_length() + 1)
+                )
                 data += more
                 room -= sum(map(len, more))
                 used += sum(map(len, more))
@@ -142,7 +146,7 @@
 
     def _told(self, entry: Entry, gone: bool) -> None:
         if self.silent:
-            return      # nobody fetches it any more
+            return  # nobody fetches it any more
         self.out.append(Told(entry, gone))
         if entry.owner in self.shelf.streams:
             self.rumours.stream(entry.owner, TOPICS.index(entry.topic), entry.version[1] - 1)
--- a/hophinge/cluster/entries.py
+++ b/hophinge/cluster/entries.py
@@ -16,11 +16,11 @@
 from hophinge.cluster.tuning import Limits
 from hophinge.cluster.wire import ROOM
 
-ITEM_BYTES = 16             # what an item's frame takes at most
-DELTA_BYTES = 48            # what a delta's frame takes at most, without its owner's name
-TOPIC_PART = 0.5            # of a member's entries and bytes that a topic after the first may use
-PARTIAL = 2 ** 32 - 1       # a mark that is compared with none
-TOMBSTONES = 2              # times the most entries are kept at most, those taken back among them
+ITEM_BYTES = 16  # what an item's frame takes at most
+DELTA_BYTES = 48  # what a delta's frame takes at most, without its owner's name
+TOPIC_PART = 0.5  # of a member's entries and bytes that a topic after the first may use
+PARTIAL = 2**32 - 1  # a mark that is compared with none
+TOMBSTONES = 2  # times the most entries are kept at most, those taken back among them
 
 
 class Stream(Struct):
@@ -28,14 +28,14 @@
 
     start: int
     high: int = 0
-    floor: int = 0          # the highest count whose tombstone was let go
-    chain: int = 0          # up to where a copy below its owner's floor is being made whole
-    mark: int = 0           # over all that stands at or below `high`
-    size: int = 0           # bytes of keys and values
+    floor: int = 0  # the highest count whose tombstone was let go
+    chain: int = 0  # up to where a copy below its owner's floor is being made whole
+    mark: int = 0  # over all that stands at or below `high`
+    size: int = 0  # bytes of keys and values
     live: int = 0
     items: dict[str, Item] = {}
-    since: dict[str, int] = {}      # when a tombstone came
-    partial: bool = False           # its owner has more than the bounds here allow: no mark can be right
+    since: dict[str, int] = {}  # when a tombstone came
+    partial: bool = False  # its owner has more than the bounds here allow: no mark can be right
 
 
 def _mark(item: Item) -> int:
@@ -50,10 +50,17 @@
 class Shelf:
     """All streams. `told` hears of each change that others may see; `changed` that an owner's marks are others now."""
 
-    def __init__(self, me: str, start: int, limits: Limits, count: Callable[[str], None],
-                 told: Callable[[Entry, bool], None], changed: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        me: str,
+        start: int,
+        limits: Limits,
+        count: Callable[[str], None],
+        told: Callable[[Entry, bool], None],
+        changed: Callable[[str], None],
+    ) -> None:
         self.me, self.start, self.limits, self.count, self.told, self.changed = me, start, limits, count, told, changed
-        self.streams: dict[str, dict[int, Stream]] = {}     # by owner and topic's number
+        self.streams: dict[str, dict[int, Stream]] = {}  # by owner and topic's number
         self.now_us = 0
 
     def stream(self, owner: str, topic: int) -> Stream | None:
@@ -67,22 +74,25 @@
             return [], []
         rows = [held.get(topic) for topic in range(max(held) + 1)]
         return [one.high if one else 0 for one in rows], [
-            (PARTIAL if one.partial else one.mark) if one else 0 for one in rows]
+            (PARTIAL if one.partial else one.mark) if one else 0 for one in rows
+        ]
 
     def entries(self, topic: int, owners: Iterator[str]) -> Iterator[Entry]:
         """Tell the entries of owners under a topic."""
         for owner in owners:
             held = self.stream(owner, topic)
             if held is not None:
-                for item in list(held.items.values()):      # who reads in slices must not meet a change
+                for item in list(held.items.values()):  # who reads in slices must not meet a change
                     if item.value is not None:
                         yield Entry(owner, TOPICS[topic], item.key, (held.start, item.count), item.value)
 
     def put(self, topic: Topic, key: str, value: bytes) -> None:
         """Set an own entry."""
         if not 0 < len(key) <= MOST_NAME or len(value) > MOST_VALUE:
-            raise EntryRefusedError(f"{topic.value}: a key of {len(key)} characters, a value of {len(value)} bytes; "
-                                    f"a key has 1 to {MOST_NAME}, a value at most {MOST_VALUE}")
+            raise EntryRefusedError(
+                f"{topic.value}: a key of {len(key)} characters, a value of {len(value)} bytes; "
+                f"a key has 1 to {MOST_NAME}, a value at most {MOST_VALUE}"
+            )
         item = Item(0, key, value)
         if size(item) + DELTA_BYTES + NAME_BYTES > ROOM:
             raise EntryRefusedError(f"{topic.value}: key and value of {key!r} do not fit into one datagram")
@@ -91,8 +101,10 @@
         if before is not None and before.value == value:
             return
         if not self.fits(self.me, TOPICS.index(topic), item, before):
-            raise EntryRefusedError(f"{topic.value}: no room for {key!r}: a member may have {self.limits.entries} "
-                                    f"entries of {self.limits.entry_bytes} bytes, half of them under this topic")
+            raise EntryRefusedError(
+                f"{topic.value}: no room for {key!r}: a member may have {self.limits.entries} "
+                f"entries of {self.limits.entry_bytes} bytes, half of them under this topic"
+            )
         self._own(TOPICS.index(topic), key, value)
 
     def drop(self, topic: Topic, key: str) -> None:
@@ -105,7 +117,7 @@
         """Say all that is one's own anew, under another start of one's own or above what others hold."""
         self.start = start
         for topic, held in list(self.streams.get(self.me, {}).items()):
-            high = held.high + 1        # above what others may hold, so that they ask for all of it
+            high = held.high + 1  # above what others may hold, so that they ask for all of it
             items = sorted(held.items.values(), key=lambda item: item.count)
             fresh = self.streams[self.me][topic] = Stream(start, high, high, items={}, since={})
             for item in items:
@@ -144,10 +156,12 @@
         topics = self.streams.get(owner, {})
         held = topics.get(topic)
         in_topic, size_in_topic = (held.live, held.size) if held is not None else (0, 0)
-        return (in_topic + count <= self.limits.entries * part
-                and size_in_topic + bytes_ <= self.limits.entry_bytes * part
-                and sum(one.live for one in topics.values()) + count <= self.limits.entries
-                and sum(one.size for one in topics.values()) + bytes_ <= self.limits.entry_bytes)
+        return (
+            in_topic + count <= self.limits.entries * part
+            and size_in_topic + bytes_ <= self.limits.entry_bytes * part
+            and sum(one.live for one in topics.values()) + count <= self.limits.entries
+            and sum(one.size for one in topics.values()) + bytes_ <= self.limits.entry_bytes
+        )
 
     def _own(self, topic: int, key: str, value: bytes | None) -> None:
         held = self.streams.setdefault(self.me, {}).setdefault(topic, Stream(self.start, items={}, since={}))
--- a/hophinge/cluster/joining.py
+++ b/hophinge/cluster/joining.py
@@ -10,9 +10,9 @@
 from hophinge.cluster.core import Core
 from hophinge.cluster.messages import LEFT, Part, Ping, Record
 
-SEEDS_AT_ONCE = 3           # of those that are tried in one turn
-GROWTH = 1.6                # of the pause with each turn in vain
-FAREWELLS = 8               # members that are told of a leave
+SEEDS_AT_ONCE = 3  # of those that are tried in one turn
+GROWTH = 1.6  # of the pause with each turn in vain
+FAREWELLS = 8  # members that are told of a leave
 
 
 class Joiner:
@@ -39,8 +39,11 @@
             return
         self.pause_us = core.tuning.first_pause_us
         lost = [seed for seed in self.seeds if seed not in others and seed != core.roster.own.address]
-        lost += [held.record.address for held in core.roster.held.values()
-                        if not held.record.counts and held.record.standing != LEFT]
+        lost += [
+            held.record.address
+            for held in core.roster.held.values()
+            if not held.record.counts and held.record.standing != LEFT
+        ]
         if lost:
             self.hail(core.rng.choice(lost))
         core.later(core.jitter(core.tuning.rejoin_us), self.turn)
@@ -59,7 +62,7 @@
 
     def hail(self, address: str) -> None:
         """Ask whoever is at an address to answer, and to compare."""
-        ping = Ping(self.core.rng.randrange(2 ** 32), "", self.core.roster.own)
+        ping = Ping(self.core.rng.randrange(2**32), "", self.core.roster.own)
         self.core.say(address, [ping, self.greeting()], fill=False)
 
     def leave(self) -> None:
--- a/hophinge/cluster/machine.py
+++ b/hophinge/cluster/machine.py
@@ -30,8 +30,8 @@
 from hophinge.cluster.tuning import Limits, Tuning
 from hophinge.cluster.wire import Opener
 
-WINDOWS_PART = 3            # times the most members: senders whose windows against replay are kept
-TIDY_US = 10_000_000        # between looks for what may be forgotten
+WINDOWS_PART = 3  # times the most members: senders whose windows against replay are kept
+TIDY_US = 10_000_000  # between looks for what may be forgotten
 
 
 class Cluster:
@@ -41,9 +41,22 @@
     set back, others tell what they remember and the machine counts above it.
     """
 
-    def __init__(self, name: str, address: str, start: int, seeds: Sequence[str], keys: Sequence[bytes],
-                 rng: random.Random, now_us: int, *, zone: str = "", role: Role = Role.HEAD, build: str = "",
-                 limits: Limits | None = None, tuning: Tuning | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        address: str,
+        start: int,
+        seeds: Sequence[str],
+        keys: Sequence[bytes],
+        rng: random.Random,
+        now_us: int,
+        *,
+        zone: str = "",
+        role: Role = Role.HEAD,
+        build: str = "",
+        limits: Limits | None = None,
+        tuning: Tuning | None = None,
+    ) -> None:
         if not 0 < len(name.encode()) <= NAME_BYTES:
             raise ClusterUnusableError(f"name: {name!r} has {len(name.encode())} bytes, not 1 to {NAME_BYTES}")
         limits, tuning = limits or Limits(), tuning or Tuning()
@@ -166,7 +179,7 @@
         elif isinstance(part, Digest):
             self.reconciler.digest(source, part)
         elif isinstance(part, Clash) and (why := self.membership.clash(part)):
-            self.core.lose_others()     # what is held would only grow old from here on
+            self.core.lose_others()  # what is held would only grow old from here on
             self.core.silent = True
             self.core.out.append(SteppedBack(why))
 
--- a/hophinge/cluster/membership.py
+++ b/hophinge/cluster/membership.py
@@ -8,12 +8,12 @@
 from hophinge.cluster.prober import Prober
 from hophinge.cluster.roster import Held
 
-YEAR = 366 * 24 * 3600 * 10_000     # in the unit of starts
+YEAR = 366 * 24 * 3600 * 10_000  # in the unit of starts
 # Starts come from somebody's wall clock: one that is further ahead is a slip or a lie, and would leave its owner no
 # room to overrule it. Its own word may go further, so that it always can.
 HEARSAY_AHEAD, OWN_AHEAD = YEAR, 2 * YEAR
-CLASH_US = 500_000      # between two words to a namesake
-MOST_ACCUSERS = 8       # remembered: more shorten no suspicion
+CLASH_US = 500_000  # between two words to a namesake
+MOST_ACCUSERS = 8  # remembered: more shorten no suspicion
 
 
 class Membership:
@@ -60,7 +60,7 @@
             elif not known.counts and record.counts:
                 core.say(source, [known], NEWS, fill=False)
         elif direct or not known.counts:
-            core.say(source, [known], NEWS, fill=False)       # it has missed something: let it count above, or learn
+            core.say(source, [known], NEWS, fill=False)  # it has missed something: let it count above, or learn
 
     def about_me(self, record: Record) -> None:
         """Refute what others hold of this process, and speak to a namesake."""
@@ -106,8 +106,7 @@
         """Somebody is heard again after nobody was: suspicions that rest on that silence alone are void."""
         core = self.core
         for name, held in list(core.roster.held.items()):
-            if (held.record.standing == SUSPECT and held.since_us > core.heard_us
-                    and held.accusers <= {core.roster.me}):
+            if held.record.standing == SUSPECT and held.since_us > core.heard_us and held.accusers <= {core.roster.me}:
                 core.standing(name, ALIVE, "")
 
     def clash(self, clash: Clash) -> str:
@@ -118,8 +117,10 @@
             return ""
         age_us = core.now_us - core.begun_us
         if (age_us, own.address) < (clash.age_us, clash.record.address):
-            return (f"{own.name} at {own.address} runs for {age_us // 1_000_000} s, another of that name at "
-                    f"{clash.record.address} for {clash.age_us // 1_000_000} s; the younger steps back")
+            return (
+                f"{own.name} at {own.address} runs for {age_us // 1_000_000} s, another of that name at "
+                f"{clash.record.address} for {clash.age_us // 1_000_000} s; the younger steps back"
+            )
         core.say(clash.record.address, [Clash(own, age_us, clash.record.start)], fill=False)
         return ""
 
@@ -131,8 +132,9 @@
                 # A stale word about somebody forgotten: whoever it is has to count above it to come back.
                 core.say(source, [Record(record.name, record.address, grave, DEAD)], NEWS, fill=False)
         elif record.standing == SUSPECT:
-            if core.put(Record(record.name, record.address, record.incarnation, ALIVE, record.zone, record.role,
-                               record.build)):
+            if core.put(
+                Record(record.name, record.address, record.incarnation, ALIVE, record.zone, record.role, record.build)
+            ):
                 self._suspect(record, record.by)
         elif record.counts:
             core.put(record)
@@ -157,8 +159,9 @@
 
     @staticmethod
     def _accusation(record: Record, by: str) -> Record:
-        return Record(record.name, record.address, record.incarnation, SUSPECT, record.zone, record.role,
-                      record.build, by)
+        return Record(
+            record.name, record.address, record.incarnation, SUSPECT, record.zone, record.role, record.build, by
+        )
 
     def _confirmed(self, record: Record) -> None:
         held = self.core.roster.held[record.name]
@@ -173,8 +176,12 @@
 
         def due() -> None:
             held = core.roster.held.get(name)
-            if (held is None or held.record.incarnation != incarnation or held.since_us != since_us
-                    or held.record.standing != SUSPECT):
+            if (
+                held is None
+                or held.record.incarnation != incarnation
+                or held.since_us != since_us
+                or held.record.standing != SUSPECT
+            ):
                 return
             left = self._deadline_us(held) - core.now_us
             if left > 0:
@@ -195,8 +202,18 @@
     def _dead(self, name: str) -> None:
         record = self.core.roster.held[name].record
         self.core.count("deaths")
-        self._take(Record(name, record.address, record.incarnation, DEAD, record.zone, record.role, record.build,
-                          self.core.roster.me))
+        self._take(
+            Record(
+                name,
+                record.address,
+                record.incarnation,
+                DEAD,
+                record.zone,
+                record.role,
+                record.build,
+                self.core.roster.me,
+            )
+        )
 
     def _verify(self, record: Record, source: str) -> None:
         """Look for oneself before a word that a member is dead or has left is believed."""
--- a/hophinge/cluster/messages.py
+++ b/hophinge/cluster/messages.py
@@ -13,9 +13,9 @@
 
 from hophinge.cluster.interface import MOST_VALUE, Member, Role, Standing, Topic
 
-START_BITS = 18                     # of an incarnation lie below its process's start: refutations
-MOST_INCARNATION = 2 ** 63 - 1
-NAME_BYTES = 64                     # of a member's name in UTF-8: what a datagram has room for beside an entry
+START_BITS = 18  # of an incarnation lie below its process's start: refutations
+MOST_INCARNATION = 2**63 - 1
+NAME_BYTES = 64  # of a member's name in UTF-8: what a datagram has room for beside an entry
 STANDINGS = (Standing.ALIVE, Standing.SUSPECT, Standing.DEAD, Standing.LEFT)
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 TOPICS = tuple(Topic)
@@ -26,7 +26,7 @@
 Address: TypeAlias = Annotated[str, Meta(max_length=64, pattern=r"^[^\s:]{1,57}:[0-9]{1,5}$")]
 Count: TypeAlias = Annotated[int, Meta(ge=0, le=MOST_INCARNATION)]
 Index: TypeAlias = Annotated[int, Meta(ge=0, le=255)]
-Mark: TypeAlias = Annotated[int, Meta(ge=0, le=2 ** 32 - 1)]
+Mark: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 Value: TypeAlias = Annotated[bytes, Meta(max_length=MOST_VALUE)]
 
 
@@ -58,8 +58,15 @@
 
     def member(self) -> Member:
         """Tell it as other parts see it; a role of a newer version counts as a head."""
-        return Member(self.name, self.address, self.incarnation, STANDINGS[self.standing], self.zone,
-                      ROLES.get(self.role, Role.HEAD), self.build)
+        return Member(
+            self.name,
+            self.address,
+            self.incarnation,
+            STANDINGS[self.standing],
+            self.zone,
+            ROLES.get(self.role, Role.HEAD),
+            self.build,
+        )
 
 
 class Ping(Part, frozen=True):
@@ -114,7 +121,7 @@
     rows: Annotated[list[Row], Meta(max_length=64)]
     whole: bool
     first: Label = ""
-    last: Label = ""        # the first name that is not covered; empty: to the end
+    last: Label = ""  # the first name that is not covered; empty: to the end
 
 
 class Item(Part, frozen=True):
@@ -134,7 +141,7 @@
     after: Count
     upto: Count
     items: Annotated[list[Item], Meta(max_length=128)]
-    floor: Count = 0        # tombstones up to here may be missing
+    floor: Count = 0  # tombstones up to here may be missing
 
 
 class Clash(Part, frozen=True):
@@ -145,8 +152,17 @@
     to: Count
 
 
-KINDS: dict[int, type[Part]] = {1: Ping, 2: Ack, 3: PingRequest, 4: Nack, 5: Record, 6: Delta, 7: Summary, 8: Digest,
-                                9: Clash}
+KINDS: dict[int, type[Part]] = {
+    1: Ping,
+    2: Ack,
+    3: PingRequest,
+    4: Nack,
+    5: Record,
+    6: Delta,
+    7: Summary,
+    8: Digest,
+    9: Clash,
+}
 NUMBERS = {kind: number for number, kind in KINDS.items()}
 DECODERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in KINDS.items()}
 _encoder = msgspec.msgpack.Encoder()
--- a/hophinge/cluster/prober.py
+++ b/hophinge/cluster/prober.py
@@ -13,9 +13,9 @@
 from hophinge.cluster.core import Core
 from hophinge.cluster.messages import ALIVE, Ack, Nack, Ping, PingRequest, Record
 
-NACK_PART = 0.8         # of the time for a probe: a helper says by then that it has heard nothing
-SEQ = 2 ** 32
-ATTEMPTS = 3            # within a period: the first directly, the others by helpers too
+NACK_PART = 0.8  # of the time for a probe: a helper says by then that it has heard nothing
+SEQ = 2**32
+ATTEMPTS = 3  # within a period: the first directly, the others by helpers too
 
 
 class Probe(Struct):
@@ -45,7 +45,7 @@
         self.order: list[str] = []
         self.probes: dict[int, Probe] = {}
         self.relays: dict[int, Relay] = {}
-        self.urgent: list[str] = []         # to be probed before all others
+        self.urgent: list[str] = []  # to be probed before all others
 
     def begin(self) -> None:
         """Probe from now on."""
@@ -112,7 +112,7 @@
             self.probes.pop(seq, None)
             if self._stale(probe) and not probe.answered and name in core.roster.held:
                 return self.verify(name, done)
-            done(probe.answered)    # where no ping could go out, others' word is all there is
+            done(probe.answered)  # where no ping could go out, others' word is all there is
 
         if not sent:
             core.count("verifications_unsent")
--- a/hophinge/cluster/reconcile.py
+++ b/hophinge/cluster/reconcile.py
@@ -16,11 +16,11 @@
 from hophinge.cluster.entries import PARTIAL
 from hophinge.cluster.wire import ROOM
 
-BUCKETS_AT_ONCE = 4         # whose rows are sent for one summary
-MOST_DATAGRAMS = 12         # sent in answer to one digest: the next comparison goes on from there
-MOST_ROWS = 60              # of one digest; a reader takes 64
-DIGEST_BYTES = 150          # of a digest without its rows, two names among it
-HIGHEST_COUNT = 2 ** 48     # of a stream: beyond it only a liar counts, and a new start counts from 0
+BUCKETS_AT_ONCE = 4  # whose rows are sent for one summary
+MOST_DATAGRAMS = 12  # sent in answer to one digest: the next comparison goes on from there
+MOST_ROWS = 60  # of one digest; a reader takes 64
+DIGEST_BYTES = 150  # of a digest without its rows, two names among it
+HIGHEST_COUNT = 2**48  # of a stream: beyond it only a liar counts, and a new start counts from 0
 
 
 class Reconciler:
@@ -58,8 +58,14 @@
         self.differed |= bool(differ)
         # Rows that lead to entries which nobody has the bytes to send would only take those bytes.
         most = BUCKETS_AT_ONCE if self.core.spare else 1
-        self._send(source, (digest for number in self.core.rng.sample(differ, min(most, len(differ)))
-                            for digest in self._digests(number)))
+        self._send(
+            source,
+            (
+                digest
+                for number in self.core.rng.sample(differ, min(most, len(differ)))
+                for digest in self._digests(number)
+            ),
+        )
 
     def digest(self, source: str, digest: Digest) -> None:
         """Send what the other lacks, and ask for what it has more of."""
@@ -72,7 +78,7 @@
             record = core.roster.record(row.name)
             if record is None or row.incarnation > record.incarnation:
                 if record is not None and record.name == core.roster.me:
-                    records.append(record)      # it knows a higher one: let it say so, to be refuted
+                    records.append(record)  # it knows a higher one: let it say so, to be refuted
                 if not row.incarnation > core.roster.grave(row.name):
                     records.append(Record(row.name, source, core.roster.grave(row.name), DEAD))
                 else:
@@ -88,15 +94,18 @@
         if digest.whole:
             listed = {row.name for row in digest.rows}
             for record in core.roster.of_bucket(digest.bucket):
-                if digest.first <= record.name and record.name not in listed and (
-                        not digest.last or record.name < digest.last):
+                if (
+                    digest.first <= record.name
+                    and record.name not in listed
+                    and (not digest.last or record.name < digest.last)
+                ):
                     records.append(record)
                     lacking.append((record, Row(record.name, 0)))
             if wanted:
-                core.say(source, [Digest(digest.bucket, wanted[:MOST_ROWS // 2], False)], NEWS, fill=False)
+                core.say(source, [Digest(digest.bucket, wanted[: MOST_ROWS // 2], False)], NEWS, fill=False)
         for record, row in lacking:
             if record.name == core.roster.me and self._same_start(row, record):
-                for topic, (high, mark) in enumerate(zip(row.highs[:len(TOPICS)], row.marks, strict=False)):
+                for topic, (high, mark) in enumerate(zip(row.highs[: len(TOPICS)], row.marks, strict=False)):
                     self._overrule(topic, high, mark, True)
         parts = itertools.chain(records, self._above(lacking))
         self.differed |= self._send(source, parts) or bool(wanted)
@@ -151,8 +160,9 @@
     def _below(self, record: Record, row: Row) -> bool:
         """Tell whether a row knows more of a member's entries than is held here."""
         highs, _ = self.core.shelf.marks(record.name)
-        return any(high > (highs[topic] if topic < len(highs) else 0)
-                   for topic, high in enumerate(row.highs[:len(TOPICS)]))
+        return any(
+            high > (highs[topic] if topic < len(highs) else 0) for topic, high in enumerate(row.highs[: len(TOPICS)])
+        )
 
     def _digests(self, number: int) -> Iterator[Digest]:
         """Tell all rows of a bucket, in as many datagrams as they need."""
--- a/hophinge/cluster/roster.py
+++ b/hophinge/cluster/roster.py
@@ -12,8 +12,8 @@
 from hophinge.cluster.messages import LEFT, Record
 from hophinge.cluster.messages import mark as mark_of
 
-BUCKETS = 32            # by which members are compared: of 1,000 members about 31 in each, two datagrams of rows
-GRAVES_PART = 4         # times the most members are remembered after they are forgotten
+BUCKETS = 32  # by which members are compared: of 1,000 members about 31 in each, two datagrams of rows
+GRAVES_PART = 4  # times the most members are remembered after they are forgotten
 
 
 class Held(Struct):
@@ -23,12 +23,12 @@
     since_us: int
     heard_us: int = -1
     accusers: frozenset[str] = frozenset()
-    slept_us: int = 0                   # how long this process had stood still in all when a suspicion began
-    verifying: bool = False             # a word that it is dead is being checked
-    rival: Record | None = None         # a newer process under its name at another address
+    slept_us: int = 0  # how long this process had stood still in all when a suspicion began
+    verifying: bool = False  # a word that it is dead is being checked
+    rival: Record | None = None  # a newer process under its name at another address
     bucket: int = 0
-    mark: int = 0                       # as it stands in its bucket
-    member: Member | None = None        # the record as other parts see it
+    mark: int = 0  # as it stands in its bucket
+    member: Member | None = None  # the record as other parts see it
 
 
 def bucket(name: str) -> int:
@@ -39,15 +39,16 @@
 class Roster:
     """Members by name, this one's own among them."""
 
-    def __init__(self, me: Record, most: int, now_us: int, marks: Callable[[str], bytes],
-                 count: Callable[[str], None]) -> None:
+    def __init__(
+        self, me: Record, most: int, now_us: int, marks: Callable[[str], bytes], count: Callable[[str], None]
+    ) -> None:
         self.me, self.most, self.marks, self.count = me.name, most, marks, count
         self.held: dict[str, Held] = {}
         # Incarnation, when it was forgotten, and its address where it did not leave by its will.
         self.graves: OrderedDict[str, tuple[int, int, str]] = OrderedDict()
         self.buckets = [0] * BUCKETS
-        self.live: dict[str, None] = {}                                     # names of those that count
-        self.by_bucket: list[set[str]] = [set() for _ in range(BUCKETS)]    # the same, by bucket
+        self.live: dict[str, None] = {}  # names of those that count
+        self.by_bucket: list[set[str]] = [set() for _ in range(BUCKETS)]  # the same, by bucket
         self.put(me, now_us)
 
     @property
--- a/hophinge/cluster/rumours.py
+++ b/hophinge/cluster/rumours.py
@@ -13,10 +13,10 @@
 from hophinge.cluster.entries import Shelf
 from hophinge.cluster.wire import ROOM
 
-MOST_AT_ONCE = 16       # records in one datagram
-HARDLY_TOLD = 4         # times that news was sent
-MOST_TIMES = 64         # more than any number of members asks for
-LEAST_ROOM = 120        # bytes: hardly a record or an entry is shorter
+MOST_AT_ONCE = 16  # records in one datagram
+HARDLY_TOLD = 4  # times that news was sent
+MOST_TIMES = 64  # more than any number of members asks for
+LEAST_ROOM = 120  # bytes: hardly a record or an entry is shorter
 
 
 class News(Struct):
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.by_name: dict[str, News] = {}
-        self.told: list[dict[str, None]] = []       # names by times told: nobody sorts all for each datagram
+        self.told: list[dict[str, None]] = []  # names by times told: nobody sorts all for each datagram
 
     def __bool__(self) -> bool:
         return bool(self.by_name)
@@ -128,7 +128,7 @@
             data = packed(delta) if delta is not None else b""
             if not data or len(data) > room:
                 if room > ROOM - LEAST_ROOM:
-                    streams.drop(owner)     # too much for any datagram, or gone: comparisons bring it
+                    streams.drop(owner)  # too much for any datagram, or gone: comparisons bring it
                 continue
             room -= len(data)
             parts.append(data)
--- a/hophinge/cluster/wire.py
+++ b/hophinge/cluster/wire.py
@@ -21,15 +21,15 @@
 from hophinge.cluster.messages import DECODERS, NAME_BYTES, Part
 
 MAGIC = b"hh"
-FORMAT = 1                  # spoken here
-NEEDS = 1                   # the least that a reader of what is sent here must speak
-MOST_BYTES = 1_200          # of a datagram: passes every path that IPv6 allows (1,280) with its headers
-SEAL = 16                   # bytes: 2**64 forgeries for an even chance
+FORMAT = 1  # spoken here
+NEEDS = 1  # the least that a reader of what is sent here must speak
+MOST_BYTES = 1_200  # of a datagram: passes every path that IPv6 allows (1,280) with its headers
+SEAL = 16  # bytes: 2**64 forgeries for an even chance
 HEAD = struct.Struct(">BBQQB")
 FIXED = len(MAGIC) + SEAL + HEAD.size
-ROOM = MOST_BYTES - FIXED - NAME_BYTES - 3      # for parts, whatever the sender's name
-WINDOW = 256                # datagrams of one sender that may overtake each other
-LEAST_KEY, MOST_KEY, MOST_KEYS = 16, 64, 2      # bytes, and keys valid at a time
+ROOM = MOST_BYTES - FIXED - NAME_BYTES - 3  # for parts, whatever the sender's name
+WINDOW = 256  # datagrams of one sender that may overtake each other
+LEAST_KEY, MOST_KEY, MOST_KEYS = 16, 64, 2  # bytes, and keys valid at a time
 
 _body = msgspec.msgpack.Decoder(list[tuple[int, msgspec.Raw]])
 
@@ -57,12 +57,14 @@
     return hashlib.blake2b(rest, digest_size=SEAL, key=key, person=b"hophinge-members").digest()
 
 
-def seal(key: bytes, name: str, start: int, count: int, parts: Sequence[bytes], format_: int = FORMAT,
-         needs: int = NEEDS) -> bytes:
+def seal(
+    key: bytes, name: str, start: int, count: int, parts: Sequence[bytes], format_: int = FORMAT, needs: int = NEEDS
+) -> bytes:
     """Make a datagram of packed parts."""
     own = name.encode()
-    rest = b"".join((HEAD.pack(format_, needs, start, count, len(own)), own,
-                     b"\xdc", len(parts).to_bytes(2, "big"), *parts))
+    rest = b"".join(
+        (HEAD.pack(format_, needs, start, count, len(own)), own, b"\xdc", len(parts).to_bytes(2, "big"), *parts)
+    )
     return MAGIC + _sealed(key, rest) + rest
 
 
@@ -71,7 +73,7 @@
 
     def __init__(self, keys: Sequence[bytes], most_senders: int, count: Callable[[str], None]) -> None:
         self.keys, self.most_senders, self.count = list(keys), most_senders, count
-        self.windows: OrderedDict[tuple[bytes, int], tuple[int, int]] = OrderedDict()   # highest count, those seen
+        self.windows: OrderedDict[tuple[bytes, int], tuple[int, int]] = OrderedDict()  # highest count, those seen
 
     def open(self, data: bytes) -> Opened | None:
         """Tell what a datagram says; None where it was dropped and counted by reason."""
@@ -87,18 +89,18 @@
             return "too_long" if len(data) > MOST_BYTES else "too_short"
         if data[:2] != MAGIC:
             return "unknown"
-        seal_, rest = data[2:2 + SEAL], memoryview(data)[2 + SEAL:]
+        seal_, rest = data[2 : 2 + SEAL], memoryview(data)[2 + SEAL :]
         if not any(hmac.compare_digest(seal_, _sealed(key, rest)) for key in self.keys):
             return "unauthentic"
         _, needs, start, count, length = HEAD.unpack_from(rest)
         if needs > FORMAT:
             return "newer_format"
-        name = bytes(rest[HEAD.size:HEAD.size + length])
+        name = bytes(rest[HEAD.size : HEAD.size + length])
         if not self._new((name, start), count):
             return "replayed"
         parts = []
         try:
-            for number, raw in _body.decode(rest[HEAD.size + length:]):
+            for number, raw in _body.decode(rest[HEAD.size + length :]):
                 decoder = DECODERS.get(number)
                 if decoder is None:
                     self.count("unknown_kinds")
--- a/hophinge/control/actions.py
+++ b/hophinge/control/actions.py
@@ -14,7 +14,7 @@
     """Where the newest version that was heard of stands."""
 
     NONE = "none"
-    RECEIVED = "received"       # told, but not all of its records are here
+    RECEIVED = "received"  # told, but not all of its records are here
     IN_FORCE = "in force"
     TURNED_DOWN = "turned down"
 
--- a/hophinge/control/client.py
+++ b/hophinge/control/client.py
@@ -17,19 +17,32 @@
 from hophinge.routing.table import Table
 from hophinge.state.files import DISK, Disk, UnusableError, tidy
 
-OPTIONS = (("grpc.max_receive_message_length", wire.MOST_MESSAGE), ("grpc.keepalive_time_ms", 10_000),
-           ("grpc.keepalive_timeout_ms", 5_000), ("grpc.enable_retries", 0), ("grpc.use_local_subchannel_pool", 1),
-           ("grpc.enable_http_proxy", 0))
+OPTIONS = (
+    ("grpc.max_receive_message_length", wire.MOST_MESSAGE),
+    ("grpc.keepalive_time_ms", 10_000),
+    ("grpc.keepalive_timeout_ms", 5_000),
+    ("grpc.enable_retries", 0),
+    ("grpc.use_local_subchannel_pool", 1),
+    ("grpc.enable_http_proxy", 0),
+)
 LEAST_SLEEP_S = 0.005
-AIO: Any = grpc.aio      # its published stubs lack a part of it
+AIO: Any = grpc.aio  # its published stubs lack a part of it
 
 
 class Client:
     """One head's stream."""
 
-    def __init__(self, follower: Follower, token: str, path: Path | None, apply: Callable[[Table], None],
-                 now_us: Callable[[], int], log: Callable[[str], None],
-                 figures: Callable[[], Mapping[str, float]] = dict, disk: Disk = DISK) -> None:
+    def __init__(
+        self,
+        follower: Follower,
+        token: str,
+        path: Path | None,
+        apply: Callable[[Table], None],
+        now_us: Callable[[], int],
+        log: Callable[[str], None],
+        figures: Callable[[], Mapping[str, float]] = dict,
+        disk: Disk = DISK,
+    ) -> None:
         self.follower, self.token, self.path, self.apply = follower, token, path, apply
         self.now_us, self.log, self.figures, self.disk = now_us, log, figures, disk
         self.stream: asyncio.Task[None] | None = None
@@ -41,9 +54,9 @@
         # Of the accounts: what a stream begins with, what came, and what is to be said after any response.
         self.greet: Callable[[], list[wire.Request]] = list
         self.take_other: Callable[[wire.Response], None] = lambda response: None
-        self.take_word: Callable[[wire.Response], None] = lambda response: None     # on maintenance
+        self.take_word: Callable[[wire.Response], None] = lambda response: None  # on maintenance
         self.others: Callable[[bool], list[wire.Request]] = lambda beat: []
-        self.ask_lease: Callable[[], dict[str, float]] = dict       # figures of an ask; none: no ask
+        self.ask_lease: Callable[[], dict[str, float]] = dict  # figures of an ask; none: no ask
         self.take_lease: Callable[[bytes], None] = lambda json: None
 
     def restore(self) -> None:
@@ -66,7 +79,7 @@
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        self.follower.figures = self.figures()      # the first request tells them too
+        self.follower.figures = self.figures()  # the first request tells them too
         self._do(self.follower.start(self.now_us()))
         while True:
             self.news.clear()
@@ -112,7 +125,8 @@
         try:
             async with AIO.insecure_channel(endpoint, options=OPTIONS) as channel:
                 call = channel.stream_stream(f"/{wire.SERVICE}/{wire.METHOD}")(
-                    metadata=(("authorization", f"Bearer {self.token}"),))
+                    metadata=(("authorization", f"Bearer {self.token}"),)
+                )
                 writing = asyncio.create_task(self._write(call, outgoing))
                 try:
                     while (data := await call.read()) is not AIO.EOF:
@@ -140,7 +154,7 @@
             raise
         except (grpc.RpcError, wire.WireError, asyncio.InvalidStateError, OSError) as error:
             reason = error.details() or str(error.code()) if isinstance(error, AIO.AioRpcError) else str(error)
-        except Exception as error:      # a fault of ours: what is in force goes on, and staff hear of it
+        except Exception as error:  # a fault of ours: what is in force goes on, and staff hear of it
             self.log(traceback.format_exc())
             reason = repr(error)
         self.stream = None
@@ -167,7 +181,7 @@
             try:
                 await asyncio.to_thread(lastgood.save, path, good, self.disk)
                 error = ""
-            except Exception as failed:     # whatever it is, staff must hear that a restart would not find it
+            except Exception as failed:  # whatever it is, staff must hear that a restart would not find it
                 error = getattr(failed, "strerror", None) or repr(failed)
             self._do(self.follower.keep_done(good.order, error))
 
@@ -176,7 +190,10 @@
     """Make one call of staff; raises ConnectionError with what the service, or the way to it, said."""
     async with AIO.insecure_channel(address, options=OPTIONS) as channel:
         try:
-            return bytes(await channel.unary_unary(f"/{wire.ADMIN}/{method}")(
-                body, metadata=(("authorization", f"Bearer {token}"),), timeout=timeout_s))
+            return bytes(
+                await channel.unary_unary(f"/{wire.ADMIN}/{method}")(
+                    body, metadata=(("authorization", f"Bearer {token}"),), timeout=timeout_s
+                )
+            )
         except AIO.AioRpcError as error:
             raise ConnectionError(f"{address}: {error.details() or error.code()}") from error
--- a/hophinge/control/dial.py
+++ b/hophinge/control/dial.py
@@ -4,9 +4,9 @@
 
 import random
 
-FIRST_PAUSE_US = 200_000        # before the next attempt to connect
-LONGEST_PAUSE_US = 1_500_000    # a thousand heads then knock some 700 times a second, and are back within two
-JITTER = (0.5, 1.5)             # parts of a pause: heads that lost one service do not come back at once
+FIRST_PAUSE_US = 200_000  # before the next attempt to connect
+LONGEST_PAUSE_US = 1_500_000  # a thousand heads then knock some 700 times a second, and are back within two
+JITTER = (0.5, 1.5)  # parts of a pause: heads that lost one service do not come back at once
 
 
 class Dial:
--- a/hophinge/control/follower.py
+++ b/hophinge/control/follower.py
@@ -9,42 +9,57 @@
 from collections.abc import Iterable, Mapping
 
 from hophinge.control.actions import (
-    Action as Action, Apply as Apply, Close as Close, Connect as Connect, Keep as Keep, Log as Log, State as State,
+    Action as Action,
+    Apply as Apply,
+    Close as Close,
+    Connect as Connect,
+    Keep as Keep,
+    Log as Log,
+    State as State,
     Tell as Tell,
 )
 from hophinge.control.dial import LONGEST_PAUSE_US as LONGEST_PAUSE_US, Dial
 from hophinge.control.mirror import LONGEST_REASON, Mirror, short
 from hophinge.control.publisher import name_of
 from hophinge.control.wire import (
-    VERSION_NAME, Kind, Order, Request, Response, Version, WireError, read_version, version_text,
+    VERSION_NAME,
+    Kind,
+    Order,
+    Request,
+    Response,
+    Version,
+    WireError,
+    read_version,
+    version_text,
 )
 from hophinge.routing.table import Facts, Table
 
-CONNECT_US = 3_000_000          # for a stream to give its first response
-SOUND_US = 5_000_000            # a stream that ends sooner was none: pauses go on growing
-COMPLETE_US = 1_000_000         # for records that come behind their version
-MOST_REFUSED = 64               # versions that were turned down and are remembered
+CONNECT_US = 3_000_000  # for a stream to give its first response
+SOUND_US = 5_000_000  # a stream that ends sooner was none: pauses go on growing
+COMPLETE_US = 1_000_000  # for records that come behind their version
+MOST_REFUSED = 64  # versions that were turned down and are remembered
 
 
 class Follower:
     """The state of one head; `due_us` is when `tick` is to be called next."""
 
-    def __init__(self, head: str, endpoints: Iterable[str], facts: Facts, seed: int, silence_us: int,
-                 stale_us: int) -> None:
+    def __init__(
+        self, head: str, endpoints: Iterable[str], facts: Facts, seed: int, silence_us: int, stale_us: int
+    ) -> None:
         self.head, self.dial, self.mirror = head, Dial(tuple(endpoints), seed), Mirror(facts)
         self.silence_us, self.stale_us = silence_us, stale_us
-        self.version: Version | None = None                 # in force
-        self.wanted: Version | None = None                  # told, not decided yet
+        self.version: Version | None = None  # in force
+        self.wanted: Version | None = None  # told, not decided yet
         self.wanted_nonce, self.wanted_until = "", 0
         self.refused: dict[tuple[Order, int], str] = {}
         self.state, self.reason = State.NONE, ""
-        self.resynced: set[Order] = set()                   # versions for which all was asked for anew
+        self.resynced: set[Order] = set()  # versions for which all was asked for anew
         self.kept: Order = (0, 0)
         self.keep_error = ""
         self.figures: Mapping[str, float] = {}
         self.connected = self.opening = False
-        self.heard_us = 0           # last response of any stream
-        self.opened_us = 0          # first response of the open one
+        self.heard_us = 0  # last response of any stream
+        self.opened_us = 0  # first response of the open one
         self.due_us = 0
         self.stale_told = False
         self.counts = dict.fromkeys(("taken_up", "turned_down", "truncated", "connects", "failovers", "replayed"), 0)
@@ -69,9 +84,15 @@
         self.counts["connects"] += 1
         force = {VERSION_NAME: version_text(self.version.order, self.version.sum)} if self.version else {}
         initial = {name: row[0] for name, row in self.mirror.held.items()}
-        return [Connect(self.dial.endpoint, (
-            Request(Kind.RECORD, subscribe=True, initial=initial, head=self.head, figures=self.figures),
-            Request(Kind.VERSION, subscribe=True, initial=force)))]
+        return [
+            Connect(
+                self.dial.endpoint,
+                (
+                    Request(Kind.RECORD, subscribe=True, initial=initial, head=self.head, figures=self.figures),
+                    Request(Kind.VERSION, subscribe=True, initial=force),
+                ),
+            )
+        ]
 
     def closed(self, now_us: int, reason: str) -> list[Action]:
         """Take the end of a stream, or of an attempt to open one."""
@@ -79,7 +100,7 @@
             return []
         lived = self.connected and now_us - self.opened_us >= SOUND_US
         self.opening = self.connected = False
-        self.wanted = None      # whoever answers next tells it again
+        self.wanted = None  # whoever answers next tells it again
         if self.state is State.RECEIVED:
             self.state = State.IN_FORCE if self.version else State.NONE
         self.due_us = now_us + self.dial.ended(lived)
@@ -91,8 +112,9 @@
         actions: list[Action] = []
         if not self.stale_told and now_us - self.heard_us >= self.stale_us:
             self.stale_told = True
-            actions.append(Log(f"no control service for {self.stale_us / 1e6:g} s: "
-                               f"version {self.running} is stale and goes on"))
+            actions.append(
+                Log(f"no control service for {self.stale_us / 1e6:g} s: version {self.running} is stale and goes on")
+            )
         if self.wanted is not None and now_us >= self.wanted_until:
             actions += self._truncated(self.wanted, now_us)
         elif self.connected and now_us - self.heard_us >= self.silence_us:
@@ -161,18 +183,23 @@
         if force is not None and version.order <= force.order:
             why = "has other records than" if version.order == force.order else "is lower than"
             told = f"version {name_of(version.order)} {why} {name_of(force.order)}"
-            return self._turn_down(version, f"{told} in force here; "
-                                            "if the control service was restored from a backup, raise its epoch")
+            return self._turn_down(
+                version, f"{told} in force here; if the control service was restored from a backup, raise its epoch"
+            )
         if (reason := self.refused.get((version.order, version.sum))) is not None:
             return self._turn_down(version, reason)
         if self.mirror.sum != version.sum or len(self.mirror.held) != version.count:
             self.state = State.RECEIVED
-            return []       # its records may come behind it; `tick` ends the wait
+            return []  # its records may come behind it; `tick` ends the wait
         if reasons := self.mirror.faults():
             return self._turn_down(version, short(reasons))
         self.wanted = None
-        return [*self._take_up(version), self._answer(self.wanted_nonce, ""),
-                Log(f"version {name_of(version.order)} is in force"), Keep(version)]
+        return [
+            *self._take_up(version),
+            self._answer(self.wanted_nonce, ""),
+            Log(f"version {name_of(version.order)} is in force"),
+            Keep(version),
+        ]
 
     def _take_up(self, version: Version) -> list[Action]:
         self.mirror.take_up(version)
@@ -202,10 +229,13 @@
         self.resynced.add(version.order)
         # No answer: whoever sent it must not take a loss on the way for a fault of the version.
         self.mirror.drop_all()
-        self.dial.failures = 0      # happens once for a version, so the shortest pause will do
-        actions: list[Action] = [Log(f"version {name_of(version.order)} does not add up ({told}); asking for all anew"),
-                                 Close("records do not add up"), *self.closed(now_us, "records do not add up")]
-        self.dial.stay()        # the service itself is there
+        self.dial.failures = 0  # happens once for a version, so the shortest pause will do
+        actions: list[Action] = [
+            Log(f"version {name_of(version.order)} does not add up ({told}); asking for all anew"),
+            Close("records do not add up"),
+            *self.closed(now_us, "records do not add up"),
+        ]
+        self.dial.stay()  # the service itself is there
         return actions
 
     # --- what was kept
@@ -236,8 +266,17 @@
 
     def status(self, now_us: int) -> dict[str, object]:
         """Tell staff what runs here."""
-        return {"head": self.head, "running": self.running, "state": self.state.value, "reason": self.reason,
-                "stale": self.stale_told, "connected": self.connected,
-                "endpoint": self.dial.endpoint, "records": len(self.mirror.held),
-                "kept": name_of(self.kept),
-                "keep_error": self.keep_error, "silent_s": round((now_us - self.heard_us) / 1e6, 1), **self.counts}
+        return {
+            "head": self.head,
+            "running": self.running,
+            "state": self.state.value,
+            "reason": self.reason,
+            "stale": self.stale_told,
+            "connected": self.connected,
+            "endpoint": self.dial.endpoint,
+            "records": len(self.mirror.held),
+            "kept": name_of(self.kept),
+            "keep_error": self.keep_error,
+            "silent_s": round((now_us - self.heard_us) / 1e6, 1),
+            **self.counts,
+        }
--- a/hophinge/control/lastgood.py
+++ b/hophinge/control/lastgood.py
@@ -18,8 +18,8 @@
     """A version and its records: by name, the version of each and its JSON."""
 
     order: Order
-    sum: bytes                  # of its records' fingerprints, 16 bytes; msgpack's numbers end at 64 bits
-    kept_ms: int                # of the head's clock, since 1970
+    sum: bytes  # of its records' fingerprints, 16 bytes; msgpack's numbers end at 64 bits
+    kept_ms: int  # of the head's clock, since 1970
     rows: list[tuple[str, str, bytes]]
 
     @property
@@ -30,8 +30,12 @@
 
 def made(version: Version, held: Mapping[str, tuple[str, int, bytes]], now_ms: int) -> LastGood:
     """Make one of what is held by name: each record's version, fingerprint and JSON."""
-    return LastGood(version.order, version.sum.to_bytes(16, "big"), now_ms,
-                    [(name, text, body) for name, (text, _, body) in held.items()])
+    return LastGood(
+        version.order,
+        version.sum.to_bytes(16, "big"),
+        now_ms,
+        [(name, text, body) for name, (text, _, body) in held.items()],
+    )
 
 
 def save(path: Path, good: LastGood, disk: files.Disk = files.DISK) -> None:
--- a/hophinge/control/mirror.py
+++ b/hophinge/control/mirror.py
@@ -8,7 +8,7 @@
 from hophinge.routing import records
 from hophinge.routing.table import EMPTY, Facts, check
 
-LONGEST_REASON = 2000           # characters
+LONGEST_REASON = 2000  # characters
 
 
 class Mirror:
@@ -18,10 +18,10 @@
         self.facts = facts
         # What the service believes is held: by name the version, fingerprint and JSON of each record.
         self.held: dict[str, tuple[str, int, bytes]] = {}
-        self.records: dict[str, records.Record] = {}        # the same, read
-        self.unread: dict[str, str] = {}                    # names whose record cannot be read, and why
+        self.records: dict[str, records.Record] = {}  # the same, read
+        self.unread: dict[str, str] = {}  # names whose record cannot be read, and why
         self.sum = 0
-        self.changed: dict[str, records.Record | None] = {}    # what differs from the version in force, as it is there
+        self.changed: dict[str, records.Record | None] = {}  # what differs from the version in force, as it is there
         self.table = EMPTY
 
     def hold(self, name: str, version: str, body: bytes | None) -> None:
@@ -75,7 +75,7 @@
                 continue
             old = self.held.get(one.name)
             if old is not None and order_of(one.version) < order_of(old[0]):
-                replayed += 1       # of a response that was here before
+                replayed += 1  # of a response that was here before
                 continue
             self.hold(one.name, one.version, body)
         for name in response.removed:
--- a/hophinge/control/permits.py
+++ b/hophinge/control/permits.py
@@ -29,10 +29,10 @@
     from hophinge.control.service import ControlService
     from hophinge.control.streams import Stream
 
-SPEAKS = "maintenance"      # the figure of a head that takes words and tells reports
-REPORT = "report"           # the name under which a request bears one
-LOOK_US = 200_000           # between looks where nothing came
-AGAIN_US = 500_000          # after the store failed
+SPEAKS = "maintenance"  # the figure of a head that takes words and tells reports
+REPORT = "report"  # the name under which a request bears one
+LOOK_US = 200_000  # between looks where nothing came
+AGAIN_US = 500_000  # after the store failed
 
 
 class Upkeep:
@@ -43,13 +43,20 @@
         self.promises = Promises(service.store, service.now_ms)
         self.forms = self.promises.upkeep()
         since = service.now_ms() - FORGET_US // 1000
-        self.seen = dict(service.store.heads())     # when each head was here last, in milliseconds since 1970
+        self.seen = dict(service.store.heads())  # when each head was here last, in milliseconds since 1970
         zones = self.promises.zones([name for name, seen in self.seen.items() if seen > since])
-        self.coordinator = Coordinator(self.promises.issuer, self.promises.fence, self.promises.permits(),
-                                       self.promises.courses(), zones, self.promises, service.now_us())
+        self.coordinator = Coordinator(
+            self.promises.issuer,
+            self.promises.fence,
+            self.promises.permits(),
+            self.promises.courses(),
+            zones,
+            self.promises,
+            service.now_us(),
+        )
         self.due_us = 0
         self.failing = ""
-        self.returned: list[str] = []       # named as gone and back, and not stored yet
+        self.returned: list[str] = []  # named as gone and back, and not stored yet
         self.pushed(None)
 
     # --- the document
@@ -59,8 +66,9 @@
         store = self.service.store
         with store.transaction():
             store.set_upkeep(body_of(forms))
-            store.note(self.service.now_ms(), who, "words", f"{len(forms)} forms on maintenance"
-                                                            f"{': ' if note else ''}{note}")
+            store.note(
+                self.service.now_ms(), who, "words", f"{len(forms)} forms on maintenance{': ' if note else ''}{note}"
+            )
         self.pushed(forms)
 
     def refused(self, forms: Sequence[Record], place: Form | None, name: str) -> list[str]:
@@ -72,9 +80,15 @@
         if forms is not None:
             self.forms = list(forms)
         newest = self.service.store.newest
-        rows = [records.decode(row[2]) for row in newest.rows.values()
+        rows = (
+            [
+                records.decode(row[2])
+                for row in newest.rows.values()
                 if row[2].startswith((b'{"type":"pool"', b'{"type":"tenant"', b'{"type":"route"', b'{"type":"spare"'))
-                ] if newest is not None and self.forms else []
+            ]
+            if newest is not None and self.forms
+            else []
+        )
         self.coordinator.document(self.forms, rows, self.service.shares.reserved())
         self.due_us = 0
 
@@ -103,7 +117,7 @@
         """Take a head's report; raises WireError for what is none."""
         name = stream.publisher.head
         if self.service.streams.get(name) is not stream or not stream.speaks:
-            return      # a stream that a newer one has followed
+            return  # a stream that a newer one has followed
         try:
             report = msgspec.json.decode(request.initial.get(REPORT, ""), type=Report)
         except msgspec.MsgspecError as error:
@@ -131,15 +145,19 @@
             with store.transaction():
                 store.set_upkeep(body_of(self.forms))
                 for name in self.returned:
-                    store.note(self.service.now_ms(), "control service", "words",
-                               f"{name} is back: (retired {name}) holds no more, take it out of the document")
+                    store.note(
+                        self.service.now_ms(),
+                        "control service",
+                        "words",
+                        f"{name} is back: (retired {name}) holds no more, take it out of the document",
+                    )
             self.returned.clear()
 
     def _careful(self, step: Any) -> bool:
         """Make a step that stores; what fails is told once, and made again later."""
         try:
             step()
-        except Exception as error:      # a full disk, a fence, a fault of ours: none may end the rollout of versions
+        except Exception as error:  # a full disk, a fence, a fault of ours: none may end the rollout of versions
             if self.failing != (what := told(error)):
                 self.failing = what
                 self.service.log(f"maintenance stands still: {what}")
@@ -153,8 +171,11 @@
 
     def status(self) -> dict[str, Any]:
         """Tell staff what is out, what wants to be, and what is missing."""
-        return {"failing": self.failing, "now_ms": self.service.now_ms(),
-                **shown(self.coordinator, lambda name: self.seen.get(name, 0))}
+        return {
+            "failing": self.failing,
+            "now_ms": self.service.now_ms(),
+            **shown(self.coordinator, lambda name: self.seen.get(name, 0)),
+        }
 
 
 def body_of(forms: Sequence[Record]) -> bytes:
--- a/hophinge/control/promises.py
+++ b/hophinge/control/promises.py
@@ -17,7 +17,7 @@
 from hophinge.routing import records
 from hophinge.routing.records import Record
 
-STARTS = 1_000_000      # of one epoch: a store that was restored begins above all that the lost one gave
+STARTS = 1_000_000  # of one epoch: a store that was restored begins above all that the lost one gave
 
 
 class Promises:
@@ -38,8 +38,10 @@
 
     def zones(self, heads: Sequence[str]) -> dict[str, str]:
         """Tell the zones of heads, as each has told its own; empty where it never has."""
-        return {**dict.fromkeys(heads, ""),
-                **{head: zone for head, zone in self.db.execute("SELECT head, zone FROM place") if head in heads}}
+        return {
+            **dict.fromkeys(heads, ""),
+            **{head: zone for head, zone in self.db.execute("SELECT head, zone FROM place") if head in heads},
+        }
 
     def upkeep(self) -> list[Record]:
         """Tell the forms on maintenance that were pushed last."""
@@ -50,8 +52,9 @@
     def zone(self, head: str, zone: str) -> None:
         """Store a head's zone."""
         with self.store.transaction():
-            self.db.execute("INSERT INTO place VALUES (?, ?) ON CONFLICT(head) DO UPDATE SET zone = excluded.zone",
-                            (head, zone))
+            self.db.execute(
+                "INSERT INTO place VALUES (?, ?) ON CONFLICT(head) DO UPDATE SET zone = excluded.zone", (head, zone)
+            )
 
     def keep(self, permits: Sequence[Permit], courses: Sequence[Course]) -> None:
         """Store rows in one transaction; raises, and then nothing is stored."""
@@ -60,11 +63,18 @@
                 self.db.execute("DELETE FROM permit WHERE id = ?", (row.id,))
                 if row.state is not State.FREE:
                     self.db.execute("INSERT INTO permit VALUES (?, ?)", (row.id, msgspec.json.encode(row)))
-                self.store.note(self.now_ms(), row.by, "permit", f"{row.id} for {row.kind.value} {row.name}: "
-                                                                  f"{row.state.value}")
+                self.store.note(
+                    self.now_ms(), row.by, "permit", f"{row.id} for {row.kind.value} {row.name}: {row.state.value}"
+                )
             for course in courses:
-                self.db.execute("INSERT INTO release VALUES (?, ?) ON CONFLICT(name) DO UPDATE "
-                                "SET body = excluded.body", (course.name, msgspec.json.encode(course)))
-                self.store.note(self.now_ms(), "control service", "release",
-                                f"{course.name}: {course.stage.value}, wave {course.wave}"
-                                f"{': ' if course.reason else ''}{course.reason}")
+                self.db.execute(
+                    "INSERT INTO release VALUES (?, ?) ON CONFLICT(name) DO UPDATE SET body = excluded.body",
+                    (course.name, msgspec.json.encode(course)),
+                )
+                self.store.note(
+                    self.now_ms(),
+                    "control service",
+                    "release",
+                    f"{course.name}: {course.stage.value}, wave {course.wave}"
+                    f"{': ' if course.reason else ''}{course.reason}",
+                )
--- a/hophinge/control/publisher.py
+++ b/hophinge/control/publisher.py
@@ -14,13 +14,24 @@
 from msgspec import Struct
 
 from hophinge.control.wire import (
-    VERSION_NAME, Kind, Order, Request, Resource, Response, Version, chunks, encode_response, order_of, record_body,
-    version_resource, version_text,
+    VERSION_NAME,
+    Kind,
+    Order,
+    Request,
+    Resource,
+    Response,
+    Version,
+    chunks,
+    encode_response,
+    order_of,
+    record_body,
+    version_resource,
+    version_text,
 )
 from hophinge.routing import records
 
-PART = 500              # records in one response: some 100 KB; a head reads one in one turn of its loop
-MOST_CACHED = 16        # differences kept; heads in step share them
+PART = 500  # records in one response: some 100 KB; a head reads one in one turn of its loop
+MOST_CACHED = 16  # differences kept; heads in step share them
 
 
 @dataclass(frozen=True, eq=False)
@@ -51,13 +62,17 @@
 
     def difference(self, held: Mapping[str, str]) -> tuple[list[Resource], list[str]]:
         """Tell what a head that holds these versions of records lacks, and what it has too much."""
-        news = [Resource(name, text, record_body(body)) for name, (text, _, body) in self.rows.items()
-                if held.get(name) != text]
+        news = [
+            Resource(name, text, record_body(body))
+            for name, (text, _, body) in self.rows.items()
+            if held.get(name) != text
+        ]
         return news, [name for name in held if name not in self.rows]
 
 
-def rebuilt(order: Order, bodies: Mapping[str, bytes], changed_at: Mapping[str, Order], before: Snapshot | None,
-             pushed_ms: int) -> Snapshot:
+def rebuilt(
+    order: Order, bodies: Mapping[str, bytes], changed_at: Mapping[str, Order], before: Snapshot | None, pushed_ms: int
+) -> Snapshot:
     """Make a version of a store's rows, beside the one before it."""
     rows: dict[str, tuple[str, int, bytes]] = {}
     old = before.rows if before is not None else {}
@@ -99,8 +114,10 @@
         """Write a step: records in parts, then the version. The same nonces at each head, unlike within a stream."""
         self.made += 1
         name = f"{after.order[0]}.{after.order[1]}"
-        parts = [encode_response(Response(Kind.RECORD, f"{name}/{at}", part, tuple(removed) if not at else ()))
-                 for at, part in enumerate(chunks(news, PART))]
+        parts = [
+            encode_response(Response(Kind.RECORD, f"{name}/{at}", part, tuple(removed) if not at else ()))
+            for at, part in enumerate(chunks(news, PART))
+        ]
         if removed and not parts:
             parts = [encode_response(Response(Kind.RECORD, f"{name}/0", (), tuple(removed)))]
         return (*parts, encode_response(Response(Kind.VERSION, name, (version_resource(after.version),))))
@@ -136,8 +153,8 @@
     parts: Parts
     head: str = ""
     figures: Mapping[str, float] = field(default_factory=dict)
-    held: Mapping[str, str] | None = None       # as the head told it, until the first version went out
-    base: Snapshot | None = None                # then: the version that it was last sent
+    held: Mapping[str, str] | None = None  # as the head told it, until the first version went out
+    base: Snapshot | None = None  # then: the version that it was last sent
     on_way: Snapshot | None = None
     target: Snapshot | None = None
     refused: set[Order] = field(default_factory=set)
@@ -179,8 +196,9 @@
         if target.order in self.refused or (target.order == self.runs and self.held is None):
             return []
         if self.held is not None:
-            parts = self.parts.write(target, *target.difference(self.held)) if self.held else \
-                self.parts.step(None, target)
+            parts = (
+                self.parts.write(target, *target.difference(self.held)) if self.held else self.parts.step(None, target)
+            )
             self.held = None
         elif self.base is target:
             return []
--- a/hophinge/control/rollout.py
+++ b/hophinge/control/rollout.py
@@ -15,8 +15,8 @@
 from hophinge.control.wire import Order
 from hophinge.routing.records import Rollout as Rule
 
-LEAST_TAKEN = 20            # requests of a wave before its failures tell anything
-FORGET_US = 7 * 24 * 3600 * 1_000_000   # a head unheard of for a week counts no more in a wave's share
+LEAST_TAKEN = 20  # requests of a wave before its failures tell anything
+FORGET_US = 7 * 24 * 3600 * 1_000_000  # a head unheard of for a week counts no more in a wave's share
 
 
 class Stage(Enum):
@@ -34,32 +34,32 @@
     seen_us: int
     connected: bool = False
     runs: Order = (0, 0)
-    refused: Order = (0, 0)     # the last version that it turned down
+    refused: Order = (0, 0)  # the last version that it turned down
     reason: str = ""
-    taken: float = 0.0          # requests, by its own count
+    taken: float = 0.0  # requests, by its own count
     failed: float = 0.0
-    since_taken: float = 0.0    # the same when it took up the version that is rolled out
+    since_taken: float = 0.0  # the same when it took up the version that is rolled out
     since_failed: float = 0.0
-    usual: float = 0.0          # part of its requests that failed before it took up the version
+    usual: float = 0.0  # part of its requests that failed before it took up the version
 
 
 class Course(msgspec.Struct):
     """What outlives a restart of the control service."""
 
-    stable: Order = (0, 0)      # what heads run that no wave has reached; (0, 0): nothing yet
-    target: Order = (0, 0)      # what is rolled out; as stable when it is done
+    stable: Order = (0, 0)  # what heads run that no wave has reached; (0, 0): nothing yet
+    target: Order = (0, 0)  # what is rolled out; as stable when it is done
     stage: Stage = Stage.IDLE
     wave: int = 0
     reached: set[str] = msgspec.field(default_factory=set)
     reason: str = ""
-    undoes: bool = False        # the target takes a former one back
+    undoes: bool = False  # the target takes a former one back
 
 
 class Decision(msgspec.Struct, frozen=True):
     """What a step led to: the course is to be stored before heads hear of it; a version may be taken back."""
 
     changed: bool = False
-    roll_back: str = ""         # the reason; the content of the stable version is wanted as a new one
+    roll_back: str = ""  # the reason; the content of the stable version is wanted as a new one
 
 
 class Rollout:
@@ -68,8 +68,8 @@
     def __init__(self, course: Course, rule: Rule, names: Iterable[tuple[str, int]] = ()) -> None:
         self.course, self.rule = course, rule
         self.heads = {name: Head(name, seen) for name, seen in names}
-        self.quiet_since = 0        # when the last head of the wave acknowledged; 0: some are missing
-        self.missing: dict[str, int] = {}       # heads that are aimed at and do not run it yet, and since when
+        self.quiet_since = 0  # when the last head of the wave acknowledged; 0: some are missing
+        self.missing: dict[str, int] = {}  # heads that are aimed at and do not run it yet, and since when
 
     # --- who is to run what
 
@@ -86,7 +86,7 @@
             return first
         share = self.rule.waves[min(wave - bool(self.rule.first), len(self.rule.waves) - 1)]
         ranked = sorted(known, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
-        return first | set(ranked[:math.ceil(share * len(ranked) - 1e-9)])
+        return first | set(ranked[: math.ceil(share * len(ranked) - 1e-9)])
 
     @property
     def last_wave(self) -> int:
@@ -173,9 +173,10 @@
         changed = reached != course.reached
         course.reached = reached
         members = [self.heads[name] for name in reached if name in self.heads and self.heads[name].connected]
-        self.missing = {head.name: self.missing.get(head.name, now_us) for head in members
-                        if head.runs != course.target}
-        if (reason := self._failures(members)):
+        self.missing = {
+            head.name: self.missing.get(head.name, now_us) for head in members if head.runs != course.target
+        }
+        if reason := self._failures(members):
             return self._trouble(reason)
         if self.missing:
             self.quiet_since = 0
@@ -184,7 +185,7 @@
                 return self._trouble(f"{', '.join(late[:5])} gave no answer for {self.rule.patience_us / 1e6:g} s")
             return Decision(changed)
         if not members and not (course.wave == 0 and self.rule.first):
-            return Decision(changed)    # nobody is there to tell whether it is good
+            return Decision(changed)  # nobody is there to tell whether it is good
         self.quiet_since = self.quiet_since or now_us
         if members and now_us - self.quiet_since < self.rule.hold_us:
             return Decision(changed)
@@ -201,6 +202,8 @@
         failed = sum(head.failed - head.since_failed for head in there)
         usual = sum(head.usual * (head.taken - head.since_taken) for head in there)
         if taken >= LEAST_TAKEN and failed > usual + self.rule.failures * taken:
-            return (f"{failed:g} of {taken:g} requests failed where it runs, {usual:.0f} by what was usual there; "
-                    f"over the stated {100 * self.rule.failures:g} % more")
+            return (
+                f"{failed:g} of {taken:g} requests failed where it runs, {usual:.0f} by what was usual there; "
+                f"over the stated {100 * self.rule.failures:g} % more"
+            )
         return ""
--- a/hophinge/control/service.py
+++ b/hophinge/control/service.py
@@ -23,19 +23,31 @@
 from hophinge.state.ledger import Ledger
 from hophinge.tenancy.accounts import Accounts
 
-LOOK_S = 0.05           # between looks at the rollout; a wave's end is seen within this time
-AGAIN_S = 0.5           # after the store failed
-OPTIONS = (("grpc.max_receive_message_length", wire.MOST_MESSAGE), ("grpc.max_send_message_length", wire.MOST_MESSAGE),
-           ("grpc.so_reuseport", 0), ("grpc.keepalive_time_ms", 10_000), ("grpc.keepalive_timeout_ms", 5_000))
+LOOK_S = 0.05  # between looks at the rollout; a wave's end is seen within this time
+AGAIN_S = 0.5  # after the store failed
+OPTIONS = (
+    ("grpc.max_receive_message_length", wire.MOST_MESSAGE),
+    ("grpc.max_send_message_length", wire.MOST_MESSAGE),
+    ("grpc.so_reuseport", 0),
+    ("grpc.keepalive_time_ms", 10_000),
+    ("grpc.keepalive_timeout_ms", 5_000),
+)
 Log = Callable[[str], None]
 
 
 class ControlService:
     """Streams versions to heads and answers staff."""
 
-    def __init__(self, store: Store, head_tokens: frozenset[str], staff: dict[str, str], log: Log,
-                 ledger: Ledger | None = None, accounts: Accounts | None = None) -> None:
-        self.ledger, self.accounts = ledger, accounts       # that heads copy, if they are kept here
+    def __init__(
+        self,
+        store: Store,
+        head_tokens: frozenset[str],
+        staff: dict[str, str],
+        log: Log,
+        ledger: Ledger | None = None,
+        accounts: Accounts | None = None,
+    ) -> None:
+        self.ledger, self.accounts = ledger, accounts  # that heads copy, if they are kept here
         self.store, self.head_tokens, self.staff, self.log = store, head_tokens, staff, log
         self.parts = Parts()
         self.streams: dict[str, Stream] = {}
@@ -44,8 +56,14 @@
         known = [(name, (seen - self.zero_ms) * 1000) for name, seen in store.heads()]
         self.rollout = Rollout(course, store.rule(course.target), known)
         self.owed = Decision()
-        self.shares = Shares(store, accounts, lambda: store.snapshots.get(self.rollout.course.target),
-                             self.streams.keys, self.now_us, log)
+        self.shares = Shares(
+            store,
+            accounts,
+            lambda: store.snapshots.get(self.rollout.course.target),
+            self.streams.keys,
+            self.now_us,
+            log,
+        )
         self.allotment, self.promised = self.shares.allotment, self.shares.promised
         self.heads, self.calls, self.upkeep = Streams(self), Staff(self), Upkeep(self)
         self.push, self.roll_back, self.resume = self.calls.push, self.calls.roll_back, self.calls.resume
@@ -66,12 +84,22 @@
         """Listen."""
         self.server = grpc.aio.server(options=OPTIONS, maximum_concurrent_rpcs=MOST_STREAMS + 64)
         stream = grpc.stream_stream_rpc_method_handler(self.heads.stream)
-        calls = {name: grpc.unary_unary_rpc_method_handler(self.calls.answered(call)) for name, call in (
-            ("Push", self.push), ("Status", self.status), ("History", self.history), ("Rollback", self.roll_back),
-            ("Resume", self.resume))}
-        self.server.add_generic_rpc_handlers((
-            grpc.method_handlers_generic_handler(wire.SERVICE, {wire.METHOD: stream}),
-            grpc.method_handlers_generic_handler(wire.ADMIN, calls)))
+        calls = {
+            name: grpc.unary_unary_rpc_method_handler(self.calls.answered(call))
+            for name, call in (
+                ("Push", self.push),
+                ("Status", self.status),
+                ("History", self.history),
+                ("Rollback", self.roll_back),
+                ("Resume", self.resume),
+            )
+        }
+        self.server.add_generic_rpc_handlers(
+            (
+                grpc.method_handlers_generic_handler(wire.SERVICE, {wire.METHOD: stream}),
+                grpc.method_handlers_generic_handler(wire.ADMIN, calls),
+            )
+        )
         try:
             self.port = self.server.add_insecure_port(address)
         except RuntimeError as error:
@@ -103,7 +131,7 @@
         self.owed = Decision(decision.changed or self.owed.changed, decision.roll_back or self.owed.roll_back)
         try:
             self._carry_out()
-        except Exception as error:      # a full disk must not end the rollout for good, nor what led to this
+        except Exception as error:  # a full disk must not end the rollout for good, nor what led to this
             self.log(f"the rollout stands still: {error}")
 
     def _carry_out(self) -> None:
@@ -124,24 +152,50 @@
         course = self.rollout.course
         bad = course.target
         self.log(f"version {name_of(bad)} is rolled back: {reason}")
-        rule = records.Rollout(patience_us=self.rollout.rule.patience_us)      # to all at once, as all but a few run it
-        self._push(self.store.content(course.stable), rule, "control service",
-                   f"rollback of {name_of(bad)} to {name_of(course.stable)}: {reason}", NO_BYTES, undoes=True)
-
-    def _push(self, bodies: dict[str, bytes], rule: records.Rollout, who: str, note: str, source: bytes,
-              undoes: bool = False, upkeep: Sequence[records.Record] | None = None) -> Order:
-        snapshot = self.store.push(bodies, rule, who, note, source, self.now_ms(),
-                                   lambda order: self.rollout.planned(order, undoes),
-                                   None if upkeep is None else body_of(upkeep))
+        rule = records.Rollout(patience_us=self.rollout.rule.patience_us)  # to all at once, as all but a few run it
+        self._push(
+            self.store.content(course.stable),
+            rule,
+            "control service",
+            f"rollback of {name_of(bad)} to {name_of(course.stable)}: {reason}",
+            NO_BYTES,
+            undoes=True,
+        )
+
+    def _push(
+        self,
+        bodies: dict[str, bytes],
+        rule: records.Rollout,
+        who: str,
+        note: str,
+        source: bytes,
+        undoes: bool = False,
+        upkeep: Sequence[records.Record] | None = None,
+    ) -> Order:
+        snapshot = self.store.push(
+            bodies,
+            rule,
+            who,
+            note,
+            source,
+            self.now_ms(),
+            lambda order: self.rollout.planned(order, undoes),
+            None if upkeep is None else body_of(upkeep),
+        )
         self.rollout.push(self.rollout.planned(snapshot.order, undoes), rule, self.now_us())
-        self.owed = Decision()      # of the course before
+        self.owed = Decision()  # of the course before
         self.upkeep.pushed(upkeep)
         self.log(f"version {name_of(snapshot.order)} is stored: {note or who}")
         course = self.rollout.course
-        self.store.forget({course.stable, course.target, *(stream.publisher.base.order for stream in
-                                                           self.streams.values() if stream.publisher.base)})
+        self.store.forget(
+            {
+                course.stable,
+                course.target,
+                *(stream.publisher.base.order for stream in self.streams.values() if stream.publisher.base),
+            }
+        )
         self._decided(self.rollout.tick(self.now_us()))
-        self._aim()     # who has reached an unfinished version goes on to this one, and no wave tells so
+        self._aim()  # who has reached an unfinished version goes on to this one, and no wave tells so
         return snapshot.order
 
     def _aim(self) -> None:
--- a/hophinge/control/shares.py
+++ b/hophinge/control/shares.py
@@ -18,19 +18,26 @@
 from hophinge.tenancy.life import State
 from hophinge.tenancy.planner import fits
 
-SIZE_S = 3.0            # a push that needs to know how many heads there are waits so long for one to tell
+SIZE_S = 3.0  # a push that needs to know how many heads there are waits so long for one to tell
 
 
 class Shares:
     """One control service's; `target` tells the version that is rolled out, `here` the heads that are connected."""
 
-    def __init__(self, store: Store, accounts: Accounts | None, target: Callable[[], Snapshot | None],
-                 here: Callable[[], Collection[str]], now_us: Callable[[], int], log: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        store: Store,
+        accounts: Accounts | None,
+        target: Callable[[], Snapshot | None],
+        here: Callable[[], Collection[str]],
+        now_us: Callable[[], int],
+        log: Callable[[str], None],
+    ) -> None:
         self.store, self.accounts, self.target, self.here = store, accounts, target, here
         self.now_us, self.log = now_us, log
         self.allotment = Allotment(store.serials, log)
         self.size = store.size()
-        self.told = asyncio.Event()     # set once `size` is known
+        self.told = asyncio.Event()  # set once `size` is known
         if self.size:
             self.told.set()
         self.reserves: tuple[Order, dict[str, float], float] = ((0, 0), {}, 0.0)
@@ -47,8 +54,11 @@
     def reserved(self) -> dict[str, float]:
         """Tell the reserves of tenants that have an account."""
         found = self.accounts.tenants.values() if self.accounts is not None else ()
-        return {one.name: one.shares.reserve for one in found
-                if one.shares.reserve and one.state in (State.ACTIVE, State.SUSPENDED)}
+        return {
+            one.name: one.shares.reserve
+            for one in found
+            if one.shares.reserve and one.state in (State.ACTIVE, State.SUSPENDED)
+        }
 
     def leased(self, head: str, figures: Mapping[str, float]) -> list[bytes]:
         """Answer a head that asks for its shares."""
@@ -59,11 +69,18 @@
             self.reserves = snapshot.order, *reserves_of(row[2] for row in snapshot.rows.values())
         heads, process, asked, held = (int(figures.get(name, 0)) for name in ("heads", "process", "asked", "held"))
         span_s = max(0.1, figures.get("span_s", 1.0))
-        demand = {name.removeprefix(wire.DEMAND): units / span_s for name, units in figures.items()
-                  if name.startswith(wire.DEMAND)}
-        lease = self.allotment.answer(self.now_us(), LeaseAsk(head, heads, process, asked, held, demand),
-                                      {**self.reserved(), **self.reserves[1]}, self.reserves[2],
-                                      self.here())
+        demand = {
+            name.removeprefix(wire.DEMAND): units / span_s
+            for name, units in figures.items()
+            if name.startswith(wire.DEMAND)
+        }
+        lease = self.allotment.answer(
+            self.now_us(),
+            LeaseAsk(head, heads, process, asked, held, demand),
+            {**self.reserved(), **self.reserves[1]},
+            self.reserves[2],
+            self.here(),
+        )
         if lease is None:
             return []
         body = wire.record_body(msgspec.json.encode(lease))
@@ -96,8 +113,10 @@
                 async with asyncio.timeout(SIZE_S):
                     await self.told.wait()
         if not self.size:
-            raise StoreError("no head has told yet how many there are, and one alone cannot keep these reserves: "
-                             "connect a head, then push again")
+            raise StoreError(
+                "no head has told yet how many there are, and one alone cannot keep these reserves: "
+                "connect a head, then push again"
+            )
         if (misfit := fits(promised, dict.fromkeys(map(str, range(self.size)), capacity))) is not None:
             raise StoreError(f"with {self.size} heads {misfit}")
 
--- a/hophinge/control/staff.py
+++ b/hophinge/control/staff.py
@@ -34,6 +34,7 @@
 
     def answered(self, call: Callable[[str, dict[str, Any]], Any]) -> Callable[[bytes, Any], Awaitable[bytes]]:
         """Wrap a call as the wire has it: who asks, and what goes wrong, as a status."""
+
         async def answer(body: bytes, context: Any) -> bytes:
             token = bearer(context)
             who = next((name for one, name in self.service.staff.items() if hmac.compare_digest(token, one)), None)
@@ -49,6 +50,7 @@
             except (StoreError, ValueError, KeyError) as error:
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
                 raise
+
         return answer
 
     async def push(self, who: str, call: dict[str, Any]) -> dict[str, Any]:
@@ -58,8 +60,11 @@
         name = str(call.get("name", "the document"))
         if lines := document.lines(name):
             return {"mistakes": lines}
-        bodies = {name: records.encode(record) for name, record in document.records.items()
-                  if not isinstance(record, (records.Rollout, *records.UPKEEP))}
+        bodies = {
+            name: records.encode(record)
+            for name, record in document.records.items()
+            if not isinstance(record, (records.Rollout, *records.UPKEEP))
+        }
         upkeep = [record for record in document.records.values() if isinstance(record, records.UPKEEP)]
         if mistakes := self.service.upkeep.refused(upkeep, document.places.get("maintenance/*"), name):
             return {"mistakes": mistakes}
@@ -75,17 +80,22 @@
             if upkeep == self.service.upkeep.forms:
                 return {"version": name_of(newest.order), "unchanged": True}
             self.service.upkeep.put(upkeep, who, str(call.get("note", "")))
-            return {"version": name_of(newest.order)}       # heads run it already: only words on maintenance are new
-        return {"version": name_of(self.service._push(bodies, rule, who, str(call.get("note", "")), source,
-                                                      upkeep=upkeep))}
+            return {"version": name_of(newest.order)}  # heads run it already: only words on maintenance are new
+        return {
+            "version": name_of(self.service._push(bodies, rule, who, str(call.get("note", "")), source, upkeep=upkeep))
+        }
 
     def roll_back(self, who: str, call: dict[str, Any]) -> dict[str, Any]:
         """Push the content of a former version as the next one."""
         order = wire.order_of(str(call["to"]))
-        rule = records.Rollout(patience_us=self.service.rollout.rule.patience_us) if call.get("at_once") else \
-            self.service.store.rule(order)
-        made = self.service._push(self.service.store.content(order), rule, who, f"rollback to {name_of(order)}",
-                                  NO_BYTES, undoes=True)
+        rule = (
+            records.Rollout(patience_us=self.service.rollout.rule.patience_us)
+            if call.get("at_once")
+            else self.service.store.rule(order)
+        )
+        made = self.service._push(
+            self.service.store.content(order), rule, who, f"rollback to {name_of(order)}", NO_BYTES, undoes=True
+        )
         return {"version": name_of(made)}
 
     def resume(self, who: str, call: dict[str, Any]) -> dict[str, Any]:
@@ -101,15 +111,31 @@
         """Tell which head runs what, and where the rollout stands."""
         service = self.service
         course = service.rollout.course
-        heads = [{"name": head.name, "connected": head.connected, "runs": name_of(head.runs),
-                  "wanted": name_of(service.rollout.aim(head.name)),
-                  "turned_down": head.reason and name_of(head.refused), "reason": head.reason,
-                  "taken": head.taken, "failed": head.failed}
-                 for head in sorted(service.rollout.heads.values(), key=lambda one: one.name)]
-        return {"epoch": service.store.epoch, "size": service.shares.size, "stable": name_of(course.stable),
-                "target": name_of(course.target), "stage": course.stage.value, "wave": course.wave,
-                "last_wave": service.rollout.last_wave, "reason": course.reason, "heads": heads,
-                "maintenance": service.upkeep.status()}
+        heads = [
+            {
+                "name": head.name,
+                "connected": head.connected,
+                "runs": name_of(head.runs),
+                "wanted": name_of(service.rollout.aim(head.name)),
+                "turned_down": head.reason and name_of(head.refused),
+                "reason": head.reason,
+                "taken": head.taken,
+                "failed": head.failed,
+            }
+            for head in sorted(service.rollout.heads.values(), key=lambda one: one.name)
+        ]
+        return {
+            "epoch": service.store.epoch,
+            "size": service.shares.size,
+            "stable": name_of(course.stable),
+            "target": name_of(course.target),
+            "stage": course.stage.value,
+            "wave": course.wave,
+            "last_wave": service.rollout.last_wave,
+            "reason": course.reason,
+            "heads": heads,
+            "maintenance": service.upkeep.status(),
+        }
 
     def history(self, who: str, call: dict[str, Any]) -> dict[str, Any]:
         """Tell the newest versions and what was done."""
--- a/hophinge/control/store.py
+++ b/hophinge/control/store.py
@@ -26,8 +26,8 @@
 from hophinge.routing import records
 
 FORM = 1
-SERIALS = 10 ** 9       # leases that one start of the service may give
-KEPT = 16       # snapshots held in memory beside those in use
+SERIALS = 10**9  # leases that one start of the service may give
+KEPT = 16  # snapshots held in memory beside those in use
 
 
 class StoreError(HophingeError):
@@ -42,7 +42,7 @@
 
     def __init__(self, path: Path, new_epoch: bool = False) -> None:
         path.parent.mkdir(parents=True, exist_ok=True)
-        self.fence = 0          # grows with each start on this store; whoever has an older one may not write
+        self.fence = 0  # grows with each start on this store; whoever has an older one may not write
         self.lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -77,8 +77,10 @@
                 self.db.execute("UPDATE meta SET epoch = epoch + 1")
             self.epoch += 1
         with self.transaction():
-            self.db.execute("INSERT INTO fence VALUES (1, ?, 1) ON CONFLICT(one) DO UPDATE SET fence = fence + 1",
-                            (secrets.token_hex(8),))
+            self.db.execute(
+                "INSERT INTO fence VALUES (1, ?, 1) ON CONFLICT(one) DO UPDATE SET fence = fence + 1",
+                (secrets.token_hex(8),),
+            )
         self.issuer, self.fence = self.db.execute("SELECT issuer, fence FROM fence").fetchone()
 
     def transaction(self) -> Transaction:
@@ -88,8 +90,10 @@
     def _load(self) -> None:
         """Make the versions in use, and those just before, out of their changes."""
         course = self.course()
-        orders: list[Order] = [(epoch, number) for epoch, number in self.db.execute(
-            "SELECT epoch, number FROM version ORDER BY epoch, number")]
+        orders: list[Order] = [
+            (epoch, number)
+            for epoch, number in self.db.execute("SELECT epoch, number FROM version ORDER BY epoch, number")
+        ]
         wanted = {course.stable, course.target, *orders[-KEPT:]}
         bodies: dict[str, bytes] = {}
         before: Snapshot | None = None
@@ -114,8 +118,17 @@
         """Tell the newest version."""
         return self.snapshots[max(self.snapshots)] if self.snapshots else None
 
-    def push(self, bodies: Mapping[str, bytes], rule: records.Rollout, who: str, note: str, source: bytes,
-             now_ms: int, course: Callable[[Order], Course], upkeep: bytes | None = None) -> Snapshot:
+    def push(
+        self,
+        bodies: Mapping[str, bytes],
+        rule: records.Rollout,
+        who: str,
+        note: str,
+        source: bytes,
+        now_ms: int,
+        course: Callable[[Order], Course],
+        upkeep: bytes | None = None,
+    ) -> Snapshot:
         """Store a version whole, and the course of its rollout with it; it has the next number of the epoch."""
         before = self.newest
         number = before.order[1] + 1 if before is not None and before.order[0] == self.epoch else 1
@@ -124,17 +137,34 @@
         changed = [(name, row[2]) for name, row in snapshot.rows.items() if old.get(name) != row]
         removed = [name for name in old if name not in snapshot.rows]
         with self.transaction():
-            self.db.execute("INSERT INTO version VALUES (?,?,?,?,?,?,?,?,?)", (
-                *snapshot.order, now_ms, who, note, len(changed), len(removed), records.encode(rule),
-                zlib.compress(source)))
-            self.db.executemany("INSERT INTO record VALUES (?,?,?,?)",
-                                [(*snapshot.order, name, body) for name, body in changed]
-                                + [(*snapshot.order, name, None) for name in removed])
+            self.db.execute(
+                "INSERT INTO version VALUES (?,?,?,?,?,?,?,?,?)",
+                (
+                    *snapshot.order,
+                    now_ms,
+                    who,
+                    note,
+                    len(changed),
+                    len(removed),
+                    records.encode(rule),
+                    zlib.compress(source),
+                ),
+            )
+            self.db.executemany(
+                "INSERT INTO record VALUES (?,?,?,?)",
+                [(*snapshot.order, name, body) for name, body in changed]
+                + [(*snapshot.order, name, None) for name in removed],
+            )
             self._set_course(course(snapshot.order))
             if upkeep is not None:
                 self.set_upkeep(upkeep)
-            self.note(now_ms, who, "push", f"version {self.epoch}.{number}: {len(changed)} changed, "
-                                             f"{len(removed)} removed{': ' if note else ''}{note}")
+            self.note(
+                now_ms,
+                who,
+                "push",
+                f"version {self.epoch}.{number}: {len(changed)} changed, "
+                f"{len(removed)} removed{': ' if note else ''}{note}",
+            )
         self.snapshots[snapshot.order] = snapshot
         return snapshot
 
@@ -156,8 +186,9 @@
         if not self.db.execute("SELECT 1 FROM version WHERE epoch = ? AND number = ?", order).fetchone():
             raise StoreError(f"there is no version {order[0]}.{order[1]}")
         bodies: dict[str, bytes] = {}
-        for name, body in self.db.execute("SELECT name, body FROM record WHERE (epoch, number) <= (?, ?) "
-                                          "ORDER BY epoch, number", order):
+        for name, body in self.db.execute(
+            "SELECT name, body FROM record WHERE (epoch, number) <= (?, ?) ORDER BY epoch, number", order
+        ):
             if body is None:
                 bodies.pop(name, None)
             else:
@@ -166,10 +197,22 @@
 
     def history(self, most: int) -> list[dict[str, Any]]:
         """Tell the newest versions, the newest first."""
-        rows = self.db.execute("SELECT epoch, number, pushed_ms, who, note, changed, removed FROM version "
-                               "ORDER BY epoch DESC, number DESC LIMIT ?", (most,))
-        return [{"version": f"{epoch}.{number}", "pushed_ms": pushed, "who": who, "note": note, "changed": changed,
-                 "removed": removed} for epoch, number, pushed, who, note, changed, removed in rows]
+        rows = self.db.execute(
+            "SELECT epoch, number, pushed_ms, who, note, changed, removed FROM version "
+            "ORDER BY epoch DESC, number DESC LIMIT ?",
+            (most,),
+        )
+        return [
+            {
+                "version": f"{epoch}.{number}",
+                "pushed_ms": pushed,
+                "who": who,
+                "note": note,
+                "changed": changed,
+                "removed": removed,
+            }
+            for epoch, number, pushed, who, note, changed, removed in rows
+        ]
 
     def serials(self) -> int:
         """Tell a number for leases that is above any that was ever used, whatever the clocks say."""
@@ -193,8 +236,10 @@
                 self.note(now_ms, who, what, detail)
 
     def _set_course(self, course: Course) -> None:
-        self.db.execute("INSERT INTO course VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET body = excluded.body",
-                        (msgspec.json.encode(course),))
+        self.db.execute(
+            "INSERT INTO course VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET body = excluded.body",
+            (msgspec.json.encode(course),),
+        )
 
     def heads(self) -> list[tuple[str, int]]:
         """Tell the heads ever heard of, and when last, in milliseconds since 1970."""
@@ -203,8 +248,10 @@
     def saw(self, name: str, now_ms: int) -> None:
         """Note a head."""
         with self.transaction():
-            self.db.execute("INSERT INTO head VALUES (?, ?) ON CONFLICT(name) DO UPDATE SET seen_ms = excluded.seen_ms",
-                            (name, now_ms))
+            self.db.execute(
+                "INSERT INTO head VALUES (?, ?) ON CONFLICT(name) DO UPDATE SET seen_ms = excluded.seen_ms",
+                (name, now_ms),
+            )
 
     def size(self) -> int:
         """Tell how many heads the installation has, as one of them told it last; 0: none ever has."""
@@ -214,8 +261,9 @@
     def set_size(self, heads: int) -> None:
         """Store how many heads the installation has."""
         with self.transaction():
-            self.db.execute("INSERT INTO size VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET heads = excluded.heads",
-                            (heads,))
+            self.db.execute(
+                "INSERT INTO size VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET heads = excluded.heads", (heads,)
+            )
 
     def set_upkeep(self, body: bytes) -> None:
         """Put the forms on maintenance in place of those before; within a transaction."""
--- a/hophinge/control/streams.py
+++ b/hophinge/control/streams.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from hophinge.control.service import ControlService
 
-BEAT_S = 2.0            # an empty response to a head that got nothing else; heads take longer silence for an end
+BEAT_S = 2.0  # an empty response to a head that got nothing else; heads take longer silence for an end
 MOST_STREAMS = 2000
 HEAD = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.:-]{0,127}", re.ASCII)
 BEAT = wire.encode_response(Response(Kind.RECORD, wire.BEAT))
@@ -31,8 +31,8 @@
 
     def __init__(self, parts: Parts) -> None:
         self.publisher = Publisher(parts)
-        self.feed: Feed | None = None       # of accounts, where its head asked for them
-        self.speaks = False                 # of permits; a head that has not said so is never told of them
+        self.feed: Feed | None = None  # of accounts, where its head asked for them
+        self.speaks = False  # of permits; a head that has not said so is never told of them
         self.queue: asyncio.Queue[bytes | None] = asyncio.Queue()
 
     def send(self, frames: list[bytes]) -> None:
@@ -111,13 +111,14 @@
                 if totals:
                     ledger.told(reporter, totals)
             except LedgerError as error:
-                self.service.log(f"a report of usage is not stored: {error}")   # it comes again on the next stream
+                self.service.log(f"a report of usage is not stored: {error}")  # it comes again on the next stream
                 return
             stream.send([wire.encode_response(Response(Kind.USAGE, request.nonce))])
         elif request.subscribe:
             figures = request.figures
-            stream.feed = Feed(ledger.epoch, ledger.seq, ledger.floor(), int(figures.get("epoch", 0)),
-                               int(figures.get("seq", 0)))
+            stream.feed = Feed(
+                ledger.epoch, ledger.seq, ledger.floor(), int(figures.get("epoch", 0)), int(figures.get("seq", 0))
+            )
             self.feed(stream)
         elif stream.feed is not None and request.nonce.count(".") == 1:
             stream.feed.acked(wire.order_of(request.nonce)[1])
@@ -136,7 +137,7 @@
             case Subscribed(runs=runs):
                 before = self.service.streams.get(name)
                 if before is not None:
-                    before.queue.put_nowait(None)       # a head has one stream: the newest
+                    before.queue.put_nowait(None)  # a head has one stream: the newest
                 self.service.streams[name] = stream
                 if name not in self.service.rollout.heads:
                     self.service.log(f"{name} is new")
@@ -144,7 +145,7 @@
                 self.service.shares.sized(name, int(stream.publisher.figures.get("heads", 0)))
                 self.service.rollout.connected(name, runs, now)
                 self.service._decided(self.service.rollout.tick(now))
-                stream.send([BEAT])     # at once, so that a head without a version knows that it is heard
+                stream.send([BEAT])  # at once, so that a head without a version knows that it is heard
                 stream.send(stream.publisher.aim(self.service.store.snapshots.get(self.service.rollout.aim(name))))
                 self.service.upkeep.connected(stream)
             case Acked(order=order):
--- a/hophinge/control/wire.py
+++ b/hophinge/control/wire.py
@@ -20,16 +20,16 @@
 from hophinge.state.rows import Row
 from hophinge.tenancy.feed import Part
 
-Order = tuple[int, int]     # of a version: epoch and number
+Order = tuple[int, int]  # of a version: epoch and number
 
 SERVICE = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 METHOD = "DeltaAggregatedResources"
-ADMIN = "hophinge.control.v1.Admin"     # JSON both ways, beside the stream
-MOST_MESSAGE = 16 * 1024 * 1024         # bytes; a response of 500 records is some 100 KB
-VERSION_NAME = "version"                # the one resource of its type
+ADMIN = "hophinge.control.v1.Admin"  # JSON both ways, beside the stream
+MOST_MESSAGE = 16 * 1024 * 1024  # bytes; a response of 500 records is some 100 KB
+VERSION_NAME = "version"  # the one resource of its type
 LEASE_NAME = "lease"
-BEAT = "beat"                           # the nonce of a response that holds nothing
-DEMAND = "demand/"                      # before a tenant, in the figures of an ask for leases
+BEAT = "beat"  # the nonce of a response that holds nothing
+DEMAND = "demand/"  # before a tenant, in the figures of an ask for leases
 
 
 class Kind(Enum):
@@ -40,7 +40,7 @@
     LEASE = "type.googleapis.com/hophinge.config.v1.Lease"
     ACCOUNT = "type.googleapis.com/hophinge.config.v1.Account"
     USAGE = "type.googleapis.com/hophinge.config.v1.Usage"
-    MAINTENANCE = "type.googleapis.com/hophinge.config.v1.Maintenance"      # control/permits.py tells when it is sent
+    MAINTENANCE = "type.googleapis.com/hophinge.config.v1.Maintenance"  # control/permits.py tells when it is sent
 
 
 KINDS = {kind.value: kind for kind in Kind}
@@ -52,7 +52,7 @@
     order: Order
     count: int
     sum: int
-    pushed_ms: int = 0      # of the control service's clock, since 1970
+    pushed_ms: int = 0  # of the control service's clock, since 1970
 
 
 class Resource(Struct, frozen=True):
@@ -77,9 +77,9 @@
 
     kind: Kind
     nonce: str = ""
-    error: str = ""                                 # why a response is turned down; empty: it is taken
+    error: str = ""  # why a response is turned down; empty: it is taken
     subscribe: bool = False
-    initial: Mapping[str, str] = {}                 # with the first: what is held, by name
+    initial: Mapping[str, str] = {}  # with the first: what is held, by name
     head: str = ""
     figures: Mapping[str, float] = {}
 
@@ -89,13 +89,23 @@
 
 
 def _messages() -> tuple[Any, Any]:
-    file = descriptor_pb2.FileDescriptorProto(name="hophinge/config/v1/config.proto", package="hophinge.config.v1",
-                                              syntax="proto3")
+    file = descriptor_pb2.FileDescriptorProto(
+        name="hophinge/config/v1/config.proto", package="hophinge.config.v1", syntax="proto3"
+    )
     field = descriptor_pb2.FieldDescriptorProto
-    for name, fields in (("Record", (("json", field.TYPE_BYTES),)),
-                         ("Version", (("epoch", field.TYPE_UINT64), ("number", field.TYPE_UINT64),
-                                      ("count", field.TYPE_UINT64), ("sum", field.TYPE_BYTES),
-                                      ("pushed_ms", field.TYPE_INT64)))):
+    for name, fields in (
+        ("Record", (("json", field.TYPE_BYTES),)),
+        (
+            "Version",
+            (
+                ("epoch", field.TYPE_UINT64),
+                ("number", field.TYPE_UINT64),
+                ("count", field.TYPE_UINT64),
+                ("sum", field.TYPE_BYTES),
+                ("pushed_ms", field.TYPE_INT64),
+            ),
+        ),
+    ):
         message = file.message_type.add(name=name)
         for at, (one, kind) in enumerate(fields):
             message.field.add(name=one, number=at + 1, type=kind, label=field.LABEL_OPTIONAL)
@@ -110,7 +120,7 @@
 
 def version_text(order: Order, body_print: int) -> str:
     """Tell a record's version: where it was last changed, and a part of its fingerprint."""
-    return f"{order[0]}.{order[1]}-{body_print & 0xffffffff:08x}"
+    return f"{order[0]}.{order[1]}-{body_print & 0xFFFFFFFF:08x}"
 
 
 def order_of(text: str) -> Order:
@@ -121,8 +131,9 @@
 
 def encode_response(response: Response) -> bytes:
     """Write a response."""
-    made = discovery_pb2.DeltaDiscoveryResponse(type_url=response.kind.value, nonce=response.nonce,
-                                                removed_resources=response.removed)
+    made = discovery_pb2.DeltaDiscoveryResponse(
+        type_url=response.kind.value, nonce=response.nonce, removed_resources=response.removed
+    )
     for one in response.resources:
         row = made.resources.add(name=one.name, version=one.version)
         row.resource.type_url = response.kind.value
@@ -139,14 +150,19 @@
     """Take a record's JSON out of its message."""
     try:
         return bytes(_RECORD.FromString(body).json)
-    except Exception as error:      # protobuf's own, of whichever implementation is installed
+    except Exception as error:  # protobuf's own, of whichever implementation is installed
         raise WireError(f"a record that cannot be read: {error}") from error
 
 
 def version_resource(version: Version) -> Resource:
     """Write a version as the one resource of its type."""
-    body = _VERSION(epoch=version.order[0], number=version.order[1], count=version.count,
-                    sum=version.sum.to_bytes(16, "big"), pushed_ms=version.pushed_ms).SerializeToString()
+    body = _VERSION(
+        epoch=version.order[0],
+        number=version.order[1],
+        count=version.count,
+        sum=version.sum.to_bytes(16, "big"),
+        pushed_ms=version.pushed_ms,
+    ).SerializeToString()
     return Resource(VERSION_NAME, version_text(version.order, version.sum), bytes(body))
 
 
@@ -170,19 +186,23 @@
     kind = KINDS.get(made.type_url)
     if kind is None:
         raise WireError(f"a response of the unknown type {made.type_url!r}")
-    return Response(kind, made.nonce, tuple(
-        Resource(row.name, row.version, bytes(row.resource.value)) for row in made.resources),
-        tuple(made.removed_resources))
+    return Response(
+        kind,
+        made.nonce,
+        tuple(Resource(row.name, row.version, bytes(row.resource.value)) for row in made.resources),
+        tuple(made.removed_resources),
+    )
 
 
 def encode_request(request: Request) -> bytes:
     """Write a request."""
-    made = discovery_pb2.DeltaDiscoveryRequest(type_url=request.kind.value, response_nonce=request.nonce,
-                                               initial_resource_versions=request.initial)
+    made = discovery_pb2.DeltaDiscoveryRequest(
+        type_url=request.kind.value, response_nonce=request.nonce, initial_resource_versions=request.initial
+    )
     if request.subscribe:
         made.resource_names_subscribe.append("*")
     if request.error:
-        made.error_detail.code = 3      # INVALID_ARGUMENT, as xDS has it
+        made.error_detail.code = 3  # INVALID_ARGUMENT, as xDS has it
         made.error_detail.message = request.error
     if request.head:
         made.node.id = request.head
@@ -203,10 +223,20 @@
         raise WireError(f"a request for the unknown type {made.type_url!r}")
     detail = made.error_detail
     reason = (detail.message or f"code {detail.code}") if made.HasField("error_detail") else ""
-    figures = {name: value.number_value for name, value in made.node.metadata.fields.items()
-               if value.WhichOneof("kind") == "number_value"}
-    return Request(kind, made.response_nonce, reason, bool(made.resource_names_subscribe),
-                   dict(made.initial_resource_versions), made.node.id, figures)
+    figures = {
+        name: value.number_value
+        for name, value in made.node.metadata.fields.items()
+        if value.WhichOneof("kind") == "number_value"
+    }
+    return Request(
+        kind,
+        made.response_nonce,
+        reason,
+        bool(made.resource_names_subscribe),
+        dict(made.initial_resource_versions),
+        made.node.id,
+        figures,
+    )
 
 
 def chunks(rows: Iterable[Resource], size: int) -> Iterable[tuple[Resource, ...]]:
@@ -224,11 +254,18 @@
 def account_part(part: Part) -> bytes:
     """Write a part of the accounts: rows by kind and name, the nonce tells where it belongs."""
     flags = ("a" if part.anew else "-") + ("f" if part.first else "-") + ("l" if part.last else "-")
-    return encode_response(Response(
-        Kind.ACCOUNT, f"{part.epoch}.{part.seq}.{flags}",
-        tuple(Resource(f"{row.kind}/{row.name}", str(row.seq), record_body(row.body)) for row in part.rows
-              if row.body is not None),
-        tuple(f"{row.seq}/{row.kind}/{row.name}" for row in part.rows if row.body is None)))
+    return encode_response(
+        Response(
+            Kind.ACCOUNT,
+            f"{part.epoch}.{part.seq}.{flags}",
+            tuple(
+                Resource(f"{row.kind}/{row.name}", str(row.seq), record_body(row.body))
+                for row in part.rows
+                if row.body is not None
+            ),
+            tuple(f"{row.seq}/{row.kind}/{row.name}" for row in part.rows if row.body is None),
+        )
+    )
 
 
 def read_account_part(response: Response) -> Part:
--- a/hophinge/coordination/agreement.py
+++ b/hophinge/coordination/agreement.py
@@ -59,8 +59,8 @@
     promises: dict[str, Promise] = field(default_factory=dict)
     accepted: set[str] = field(default_factory=set)
     proposal: View | None = None
-    asked: float = 0.0          # when voters were last asked
-    majority_at: float | None = None        # when more than half of them had promised
+    asked: float = 0.0  # when voters were last asked
+    majority_at: float | None = None  # when more than half of them had promised
 
     def promised(self, voter: str, promise: Promise) -> None:
         """Count a promise for this ballot."""
--- a/hophinge/coordination/chain.py
+++ b/hophinge/coordination/chain.py
@@ -25,9 +25,9 @@
 from hophinge.coordination.registers import Entry, Outcome, Register, Registers
 from hophinge.coordination.view import Replica, View
 
-SYNC_AGAIN_S = 0.3          # a successor that lags is sent the whole state again after so long at least
-SYNC_BYTES_S = 4 << 20      # and later by the time that its bytes take at this rate, the first time
-MOST_DOUBLINGS = 5          # of that wait, each time that the successor still lags: so any link has time for a copy
+SYNC_AGAIN_S = 0.3  # a successor that lags is sent the whole state again after so long at least
+SYNC_BYTES_S = 4 << 20  # and later by the time that its bytes take at this rate, the first time
+MOST_DOUBLINGS = 5  # of that wait, each time that the successor still lags: so any link has time for a copy
 
 
 class Chain:
@@ -38,12 +38,12 @@
         self.registers = Registers()
         self.synced = 0
         self.view: View | None = None
-        self.committed = 0                  # known for the view in force, and for this replica's own history
+        self.committed = 0  # known for the view in force, and for this replica's own history
         self.published_sequence = 0
         self.published: dict[str, Register] = {}
-        self.history: list[tuple[int, dict[str, Register]]] = []     # states not yet known to be committed
+        self.history: list[tuple[int, dict[str, Register]]] = []  # states not yet known to be committed
         self.sync_sent = float("-inf")
-        self.syncs = 0                      # times that the successor was sent the state since it last lagged not
+        self.syncs = 0  # times that the successor was sent the state since it last lagged not
 
     # --- place ---------------------------------------------------------------------------------------------------
 
--- a/hophinge/coordination/codec.py
+++ b/hophinge/coordination/codec.py
@@ -8,8 +8,8 @@
 
 import cbor2
 
-TAG_BASE = 60_000           # CBOR tags of this protocol: in the range that is given to who comes first
-MOST_DEPTH = 32             # nesting of a message; a deeper one is refused before it is built
+TAG_BASE = 60_000  # CBOR tags of this protocol: in the range that is given to who comes first
+MOST_DEPTH = 32  # nesting of a message; a deeper one is refused before it is built
 
 MessageClass = TypeVar("MessageClass", bound=type)
 
--- a/hophinge/coordination/dissemination.py
+++ b/hophinge/coordination/dissemination.py
@@ -18,9 +18,9 @@
 
 BUCKETS = 16
 MARK_BYTES = 8
-LARGE_BYTES = 2_048         # a larger value is announced by its row to a neighbour, which asks for it if it lacks it
-TOMBSTONE_S = 60.0          # how long a record that is gone counts in digests: longer than any member is cut off
-FANOUT = 2                  # neighbours that news is passed on to
+LARGE_BYTES = 2_048  # a larger value is announced by its row to a neighbour, which asks for it if it lacks it
+TOMBSTONE_S = 60.0  # how long a record that is gone counts in digests: longer than any member is cut off
+FANOUT = 2  # neighbours that news is passed on to
 
 
 @wire(50)
@@ -152,7 +152,7 @@
     def __init__(self, random: Random) -> None:
         self.random = random
         self.replicas = Replicas()
-        self.neighbours: tuple[str, ...] = ()       # to whom news is passed on
+        self.neighbours: tuple[str, ...] = ()  # to whom news is passed on
 
     def publish(self, now: float, records: Iterable[Record], direct: Iterable[str] = ()) -> Spread:
         """Take own records; `direct` members get them whole."""
--- a/hophinge/coordination/elections.py
+++ b/hophinge/coordination/elections.py
@@ -15,12 +15,12 @@
 if TYPE_CHECKING:
     from hophinge.coordination.replica import ReplicaMachine
 
-RANK_S = 0.3                # what each replica waits longer than the one before it, so that ballots do not collide
-GATHER_S = 0.2              # waited for promises beyond a majority: who does not promise in time leaves the chain
-ASK_AGAIN_S = 0.2           # after which voters who have not answered are asked again
-ATTEMPT_S = 1.0             # after which a ballot is given up
-BACKOFF_S = 0.4             # at most, after a ballot that lost
-FORMING_S = 1.5             # waited for all seeds at the first start
+RANK_S = 0.3  # what each replica waits longer than the one before it, so that ballots do not collide
+GATHER_S = 0.2  # waited for promises beyond a majority: who does not promise in time leaves the chain
+ASK_AGAIN_S = 0.2  # after which voters who have not answered are asked again
+ATTEMPT_S = 1.0  # after which a ballot is given up
+BACKOFF_S = 0.4  # at most, after a ballot that lost
+FORMING_S = 1.5  # waited for all seeds at the first start
 
 
 class Elections:
@@ -121,8 +121,11 @@
     def _plan(self, now: float, view: View, attempt: Attempt) -> View | None:
         machine = self.machine
         if view.number == 0:
-            known = [peer.replica for peer in machine.peers.known.values()
-                     if peer.heartbeat.votes and peer.replica.address in machine.seeds]
+            known = [
+                peer.replica
+                for peer in machine.peers.known.values()
+                if peer.heartbeat.votes and peer.replica.address in machine.seeds
+            ]
             own = [machine.me] if machine.votes else []
             return first_view(tuple(known + own))
         sight = machine.peers.sight(now, view, machine.writable, machine.started)
--- a/hophinge/coordination/leases.py
+++ b/hophinge/coordination/leases.py
@@ -13,13 +13,13 @@
 from hophinge.coordination.codec import wire
 from hophinge.coordination.view import Replica
 
-LEASE_S = 3.0               # a lease's length
-RENEW_S = 1.0               # between renewals
-FIRST_S = 0.25              # between attempts of a member without a lease
-ANSWER_S = 1.2              # a granter that has not answered for so long is left for another
-FIRST_ANSWER_S = 0.2        # the same for a member without a lease: it serves nobody until one is found
-AVOID_S = 4.0               # how long it is not asked again
-MARGIN_S = 1.0              # longer than the lease that a granter counts a holder which another granter told of
+LEASE_S = 3.0  # a lease's length
+RENEW_S = 1.0  # between renewals
+FIRST_S = 0.25  # between attempts of a member without a lease
+ANSWER_S = 1.2  # a granter that has not answered for so long is left for another
+FIRST_ANSWER_S = 0.2  # the same for a member without a lease: it serves nobody until one is found
+AVOID_S = 4.0  # how long it is not asked again
+MARGIN_S = 1.0  # longer than the lease that a granter counts a holder which another granter told of
 
 
 @wire(60)
@@ -40,7 +40,7 @@
 
     holder: Holder
     marks: tuple[int, ...]
-    asked: float            # by the holder's clock; the grant repeats it
+    asked: float  # by the holder's clock; the grant repeats it
 
 
 @wire(62)
@@ -49,11 +49,11 @@
     """A lease, and what a member has to know of the others."""
 
     lease_s: float
-    holders: int                        # members that hold leases, as far as the granter knows
-    neighbours: tuple[str, ...]         # addresses of some of them
-    granters: tuple[Replica, ...]       # the core's replicas, the granter among them
-    connected: bool                     # the granter hears more than half of the core
-    asked: float                        # when the holder asked for it, by the holder's clock
+    holders: int  # members that hold leases, as far as the granter knows
+    neighbours: tuple[str, ...]  # addresses of some of them
+    granters: tuple[Replica, ...]  # the core's replicas, the granter among them
+    connected: bool  # the granter hears more than half of the core
+    asked: float  # when the holder asked for it, by the holder's clock
 
 
 @wire(63)
@@ -70,7 +70,7 @@
 
     holder: Holder
     until: float
-    own: bool               # granted here
+    own: bool  # granted here
 
 
 class LeaseTable:
@@ -84,7 +84,7 @@
         known = self.leases.get(holder.identity)
         for other in [one for one in self.leases.values() if one.holder.address == holder.address]:
             if other.holder.identity != holder.identity:
-                del self.leases[other.holder.identity]      # its process before this one has ended
+                del self.leases[other.holder.identity]  # its process before this one has ended
         self.leases[holder.identity] = Lease(holder, now + LEASE_S, True)
         return known is None or not known.own
 
@@ -118,10 +118,10 @@
         self.zone, self.seeds, self.random = zone, seeds, random
         self.granters: tuple[Replica, ...] = ()
         self.home: str | None = None
-        self.asked: dict[str, float] = {}           # when each granter was last asked; the lease counts from its grant
-        self.waiting_since: float | None = None     # when it asked without an answer since
-        self.until = float("-inf")                  # when the lease is over, as the holder counts
-        self.avoided: dict[str, float] = {}         # granters that did not answer or are cut off, and until when
+        self.asked: dict[str, float] = {}  # when each granter was last asked; the lease counts from its grant
+        self.waiting_since: float | None = None  # when it asked without an answer since
+        self.until = float("-inf")  # when the lease is over, as the holder counts
+        self.avoided: dict[str, float] = {}  # granters that did not answer or are cut off, and until when
         self.holders = 1
         self.most_holders = 1
 
--- a/hophinge/coordination/messages.py
+++ b/hophinge/coordination/messages.py
@@ -88,9 +88,9 @@
     sequence: int
     committed: int
     writable: bool
-    votes: bool             # this replica has a disk that counts
-    leaving: bool           # it was told to end: the next view is to do without it
-    mark: bytes             # of the history up to `sequence`
+    votes: bool  # this replica has a disk that counts
+    leaving: bool  # it was told to end: the next view is to do without it
+    mark: bytes  # of the history up to `sequence`
 
 
 @wire(18)
--- a/hophinge/coordination/outputs.py
+++ b/hophinge/coordination/outputs.py
@@ -24,7 +24,7 @@
     request: int
     key: str
     change: Change | None
-    patience: float         # seconds until the caller is told that it is unknown
+    patience: float  # seconds until the caller is told that it is unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     """Records to sync first, in order; only then the rest may be let out."""
 
     records: list[Record] = field(default_factory=list)
-    messages: list[tuple[str, object]] = field(default_factory=list)     # address, message
+    messages: list[tuple[str, object]] = field(default_factory=list)  # address, message
     answers: list[Answer] = field(default_factory=list)
     published: list[Published] = field(default_factory=list)
-    notes: list[str] = field(default_factory=list)                       # for the operator's log
+    notes: list[str] = field(default_factory=list)  # for the operator's log
--- a/hophinge/coordination/ownership.py
+++ b/hophinge/coordination/ownership.py
@@ -16,7 +16,7 @@
 from hophinge.coordination.registers import Change, Register
 
 ROLE_PREFIX = "role/"
-MARGIN_S = 0.5              # waited beyond the lease by a new owner
+MARGIN_S = 0.5  # waited beyond the lease by a new owner
 
 
 @wire(65)
@@ -41,7 +41,7 @@
         self.owner: str | None = None
         self.token = 0
         self.owned_since: float | None = None
-        self.refused_token = 0              # a token that an instance refused: it is not used again
+        self.refused_token = 0  # a token that an instance refused: it is not used again
 
     def published(self, now: float, register: Register) -> None:
         """Take the committed owner."""
--- a/hophinge/coordination/peers.py
+++ b/hophinge/coordination/peers.py
@@ -8,11 +8,11 @@
 from hophinge.coordination.planning import Sight
 from hophinge.coordination.view import Replica, View
 
-SUSPECT_S = 1.0             # silence after which a member is taken to be gone for now
-STEADY_S = 0.6              # heard without a gap for so long before it is taken into a chain
-SETTLE_S = 0.6              # after a cut or a change of view, until all others could have been heard
-GONE_S = 2.5                # silence after which an even group of voters does without it
-FORGET_S = 60.0             # silence after which a member outside the view is forgotten
+SUSPECT_S = 1.0  # silence after which a member is taken to be gone for now
+STEADY_S = 0.6  # heard without a gap for so long before it is taken into a chain
+SETTLE_S = 0.6  # after a cut or a change of view, until all others could have been heard
+GONE_S = 2.5  # silence after which an even group of voters does without it
+FORGET_S = 60.0  # silence after which a member outside the view is forgotten
 
 
 @dataclass
@@ -31,16 +31,16 @@
     def __init__(self, me: Replica, losses: int) -> None:
         self.me = me
         self.least_voters = 2 * losses + 1
-        self.leaving = False                # this replica itself was told to end
+        self.leaving = False  # this replica itself was told to end
         self.known: dict[str, Peer] = {}
-        self.settling_since = float("-inf")     # a new view, or the end of a time without contact to most voters
+        self.settling_since = float("-inf")  # a new view, or the end of a time without contact to most voters
 
     def heard(self, now: float, source: Replica, heartbeat: Heartbeat) -> None:
         """Take a sign of life; a gap or a disk that takes no writes begins the steady time anew."""
         peer = self.known.get(source.identity)
         if peer is None:
             for other in [one for one in self.known.values() if one.replica.address == source.address]:
-                del self.known[other.replica.identity]      # one address, one process: the disk before is gone
+                del self.known[other.replica.identity]  # one address, one process: the disk before is gone
             self.known[source.identity] = Peer(source, now, now, heartbeat)
             return
         if now - peer.heard > SUSPECT_S or not heartbeat.writable:
@@ -56,8 +56,11 @@
 
     def forget(self, now: float, view: View | None) -> None:
         """Drop members outside the view that were not heard for long."""
-        old = [identity for identity, peer in self.known.items()
-               if now - peer.heard > FORGET_S and (view is None or view.voter(identity) is None)]
+        old = [
+            identity
+            for identity, peer in self.known.items()
+            if now - peer.heard > FORGET_S and (view is None or view.voter(identity) is None)
+        ]
         for identity in old:
             del self.known[identity]
 
@@ -78,11 +81,14 @@
         elif writable:
             alive.add(self.me.identity)
             steady.add(self.me.identity)
-        candidates = tuple(peer.replica for name, peer in sorted(fresh.items())
-                           if peer.heartbeat.votes and view.voter(name) is None)
-        gone = {voter.identity for voter in view.voters
-                if voter.identity not in alive | {self.me.identity}
-                and now - self._last(voter.identity, started) > GONE_S}
+        candidates = tuple(
+            peer.replica for name, peer in sorted(fresh.items()) if peer.heartbeat.votes and view.voter(name) is None
+        )
+        gone = {
+            voter.identity
+            for voter in view.voters
+            if voter.identity not in alive | {self.me.identity} and now - self._last(voter.identity, started) > GONE_S
+        }
         return Sight(alive, steady, gone, leaving, candidates, self.least_voters)
 
     def settle(self, now: float) -> None:
--- a/hophinge/coordination/planning.py
+++ b/hophinge/coordination/planning.py
@@ -13,12 +13,12 @@
 class Sight:
     """The group as one replica sees it at one moment."""
 
-    alive: Set[str]             # identities heard lately whose disks take writes, this replica among them
-    steady: Set[str]            # of these, heard without a gap for long enough to be taken (back) in
-    gone: Set[str]              # voters that were not heard for long
-    leaving: Set[str]           # replicas that were told to end: they are heard, and take no new place
-    candidates: tuple[Replica, ...]     # replicas with a disk that counts, outside the view
-    least_voters: int           # fewer would not bear the losses that are to be borne
+    alive: Set[str]  # identities heard lately whose disks take writes, this replica among them
+    steady: Set[str]  # of these, heard without a gap for long enough to be taken (back) in
+    gone: Set[str]  # voters that were not heard for long
+    leaving: Set[str]  # replicas that were told to end: they are heard, and take no new place
+    candidates: tuple[Replica, ...]  # replicas with a disk that counts, outside the view
+    least_voters: int  # fewer would not bear the losses that are to be borne
 
     @property
     def least_chain(self) -> int:
@@ -60,15 +60,23 @@
     dispensable = _dispensable(view, sight)
     voters = _next_voters(view, sight)
     identities = {voter.identity for voter in voters}
-    chain = [link for link in view.chain
-             if link.identity in promises and link.identity in identities and link.identity not in dispensable
-             and promises[link.identity].synced >= link.joined]
+    chain = [
+        link
+        for link in view.chain
+        if link.identity in promises
+        and link.identity in identities
+        and link.identity not in dispensable
+        and promises[link.identity].synced >= link.joined
+    ]
     if not chain:
         return None
     placed = {link.identity for link in chain}
     joining = [voter.identity for voter in voters if voter.identity not in placed]
-    chain += [Link(identity, number) for identity in sorted(joining)
-              if identity in sight.steady or (identity in promises and identity in sight.alive)]
+    chain += [
+        Link(identity, number)
+        for identity in sorted(joining)
+        if identity in sight.steady or (identity in promises and identity in sight.alive)
+    ]
     return View(number, tuple(voters), tuple(chain))
 
 
--- a/hophinge/coordination/quorum_hold.py
+++ b/hophinge/coordination/quorum_hold.py
@@ -15,8 +15,8 @@
 from hophinge.coordination.dissemination import Record
 from hophinge.coordination.view import Replica
 
-HOLD_S = 0.6                # in seconds, for the others to hold a record; an instance waits a second for its answer
-HOLD_AGAIN_S = 0.2          # in seconds, after which those that have not answered are told again
+HOLD_S = 0.6  # in seconds, for the others to hold a record; an instance waits a second for its answer
+HOLD_AGAIN_S = 0.2  # in seconds, after which those that have not answered are told again
 
 
 @wire(73)
@@ -41,10 +41,10 @@
 class Core:
     """The voters of the view in force, and whom of them this member heard lately, as it sees them at one moment."""
 
-    view: int                   # below 1 where no view is known
+    view: int  # below 1 where no view is known
     voters: tuple[Replica, ...]
     majority: int
-    heard: Set[str]             # identities, this member's among them where it votes
+    heard: Set[str]  # identities, this member's among them where it votes
 
     def binds(self, holders: Set[str]) -> bool:
         """Tell whether what these members hold cannot be hidden from those that are in touch."""
@@ -57,7 +57,7 @@
     record: Record
     until: float
     told: float
-    holders: dict[str, int] = field(default_factory=dict)       # identity to the view it holds the record in
+    holders: dict[str, int] = field(default_factory=dict)  # identity to the view it holds the record in
 
 
 @dataclass(slots=True)
--- a/hophinge/coordination/registers.py
+++ b/hophinge/coordination/registers.py
@@ -11,18 +11,18 @@
 
 from hophinge.coordination.codec import encode, wire
 
-MOST_TAKEN = 4_096          # changes remembered for each register: more than any day of an operator holds
+MOST_TAKEN = 4_096  # changes remembered for each register: more than any day of an operator holds
 MARK_BYTES = 8
-TAKEN_BYTES = 24            # of a snapshot, for each change remembered
+TAKEN_BYTES = 24  # of a snapshot, for each change remembered
 
 
 class Outcome(IntEnum):
     """What became of a change or a read."""
 
-    TAKEN = 1               # the change is in force, or was and has been replaced since
-    CONFLICT = 2            # another version is current than the one that the change builds on
-    OUTDATED = 3            # the change's version is not above the current one
-    VALUE = 4               # the register's value, for a read
+    TAKEN = 1  # the change is in force, or was and has been replaced since
+    CONFLICT = 2  # another version is current than the one that the change builds on
+    OUTDATED = 3  # the change's version is not above the current one
+    VALUE = 4  # the register's value, for a read
 
 
 @wire(4)
@@ -64,7 +64,7 @@
     sequence: int
     registers: tuple[tuple[str, Register], ...] = ()
     taken: tuple[tuple[str, tuple[tuple[bytes, int], ...]], ...] = ()
-    mark: bytes = b""       # of the history that led there
+    mark: bytes = b""  # of the history that led there
 
 
 EMPTY = Register(0, b"", b"")
@@ -77,7 +77,7 @@
     sequence: int = 0
     values: dict[str, Register] = field(default_factory=dict)
     taken: dict[str, dict[bytes, int]] = field(default_factory=dict)
-    mark: bytes = b""       # of all changes so far in their order: two replicas with one mark hold one history
+    mark: bytes = b""  # of all changes so far in their order: two replicas with one mark hold one history
 
     @property
     def size(self) -> int:
--- a/hophinge/coordination/replica.py
+++ b/hophinge/coordination/replica.py
@@ -39,8 +39,8 @@
 from hophinge.coordination.view import Replica, View, seed_view
 from hophinge.coordination.voting import Voting, voter_name
 
-HEARTBEAT_S = 0.25          # between signs of life
-STALL_S = 0.6               # between two ticks: longer, and this process stood still
+HEARTBEAT_S = 0.25  # between signs of life
+STALL_S = 0.6  # between two ticks: longer, and this process stood still
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +49,9 @@
 
     me: Replica
     seeds: tuple[str, ...]
-    bootstrap: bool         # the whole system starts for the first time, with empty disks
-    votes: bool             # this replica's disk counts
-    losses: int             # replicas that may be lost at once
+    bootstrap: bool  # the whole system starts for the first time, with empty disks
+    votes: bool  # this replica's disk counts
+    losses: int  # replicas that may be lost at once
 
 
 class ReplicaMachine:
@@ -74,10 +74,17 @@
         if membership.bootstrap and self.me.address in membership.seeds:
             self.view = seed_view(membership.seeds)
         self.handlers: dict[type, Callable[[float, Replica, object, Outputs], None]] = {
-            Heartbeat: self._heartbeat, Prepare: self.voting.prepare, Accept: self.voting.accept,
+            Heartbeat: self._heartbeat,
+            Prepare: self.voting.prepare,
+            Accept: self.voting.accept,
             Decided: self._decided,
-            Promise: self.elections.promise, Accepted: self.elections.accepted, Rejection: self.elections.rejection,
-            Submit: self._submit, Forward: self._forward, Sync: self._sync, Reply: self.requests.reply,
+            Promise: self.elections.promise,
+            Accepted: self.elections.accepted,
+            Rejection: self.elections.rejection,
+            Submit: self._submit,
+            Forward: self._forward,
+            Sync: self._sync,
+            Reply: self.requests.reply,
             Committed: self._committed,
         }
 
@@ -91,8 +98,9 @@
 
     def state(self) -> StateRecord:
         """Tell all that has to last."""
-        return StateRecord(self.me.identity, self.view, self.acceptor.vote, self.chain.synced,
-                           self.chain.registers.snapshot())
+        return StateRecord(
+            self.me.identity, self.view, self.acceptor.vote, self.chain.synced, self.chain.registers.snapshot()
+        )
 
     # --- inputs --------------------------------------------------------------------------------------------------
 
@@ -139,8 +147,16 @@
     def heartbeat(self) -> Heartbeat:
         """Tell how this replica stands."""
         number = self.view.number if self.view is not None else -1
-        return Heartbeat(number, self.chain.synced, self.chain.registers.sequence, self.chain.committed,
-                         self.writable, self.votes, self.peers.leaving, self.chain.registers.mark)
+        return Heartbeat(
+            number,
+            self.chain.synced,
+            self.chain.registers.sequence,
+            self.chain.committed,
+            self.writable,
+            self.votes,
+            self.peers.leaving,
+            self.chain.registers.mark,
+        )
 
     def _heartbeat(self, now: float, source: Replica, message: object, outputs: Outputs) -> None:
         assert isinstance(message, Heartbeat)
@@ -226,7 +242,7 @@
     def leave(self) -> None:
         """Have the others do without this replica, which goes on until they do; its end is planned."""
         self.peers.leaving = True
-        self.greeted = float("-inf")        # they hear of it with the next tick
+        self.greeted = float("-inf")  # they hear of it with the next tick
 
     def needed(self) -> bool:
         """Tell whether a replica that leaves is to wait: the chain has it, or does not hold the history without it."""
@@ -235,7 +251,6 @@
             return False
         if view.position(self.me.identity) >= 0:
             return True
-        heard = [self.peers.known[link.identity].heartbeat for link in view.chain
-                 if link.identity in self.peers.known]
+        heard = [self.peers.known[link.identity].heartbeat for link in view.chain if link.identity in self.peers.known]
         holding = sum(heartbeat.synced == view.number for heartbeat in heard)
         return holding < min(len(view.voters), self.losses + 1)
--- a/hophinge/coordination/requests.py
+++ b/hophinge/coordination/requests.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from hophinge.coordination.replica import ReplicaMachine
 
-AGAIN_S = 0.3               # after which a request without a reply is passed to the head again
+AGAIN_S = 0.3  # after which a request without a reply is passed to the head again
 
 
 @dataclass
--- a/hophinge/coordination/storage/store.py
+++ b/hophinge/coordination/storage/store.py
@@ -20,10 +20,10 @@
 
 SLOTS = ("slot-a", "slot-b")
 LOG = "log"
-LOG_LIMIT = 1 << 20         # bytes of log after which a slot is written; the log exceeds it by one record at most
+LOG_LIMIT = 1 << 20  # bytes of log after which a slot is written; the log exceeds it by one record at most
 CHECKSUM_BYTES = 16
-SLOT_HEADER = struct.Struct(f">8sQQ{CHECKSUM_BYTES}s")      # magic, generation, length, checksum
-LOG_HEADER = struct.Struct(f">QQI{CHECKSUM_BYTES}s")        # generation, index, length, checksum
+SLOT_HEADER = struct.Struct(f">8sQQ{CHECKSUM_BYTES}s")  # magic, generation, length, checksum
+LOG_HEADER = struct.Struct(f">QQI{CHECKSUM_BYTES}s")  # generation, index, length, checksum
 MAGIC = b"hopslot1"
 
 
@@ -59,7 +59,7 @@
     if len(data) < SLOT_HEADER.size:
         return None
     magic, generation, length, checksum = SLOT_HEADER.unpack_from(data)
-    payload = data[SLOT_HEADER.size:SLOT_HEADER.size + length]
+    payload = data[SLOT_HEADER.size : SLOT_HEADER.size + length]
     if magic != MAGIC or len(payload) != length or _checksum(generation, 0, payload) != checksum:
         return None
     try:
@@ -74,7 +74,7 @@
     if len(data) < LOG_HEADER.size:
         return 0
     generation, index, length, checksum = LOG_HEADER.unpack_from(data)
-    payload = data[LOG_HEADER.size:LOG_HEADER.size + length]
+    payload = data[LOG_HEADER.size : LOG_HEADER.size + length]
     whole = index == 0 and len(payload) == length and _checksum(generation, 0, payload) == checksum
     return int(generation) if whole else 0
 
@@ -87,8 +87,8 @@
         self.generation = 0
         self.index = 0
         self.offset = 0
-        self.slot = 1               # the slot that holds the newer state; the other is written next
-        self.unreadable = 0         # slots whose bytes were there and did not fit their checksum
+        self.slot = 1  # the slot that holds the newer state; the other is written next
+        self.unreadable = 0  # slots whose bytes were there and did not fit their checksum
 
     def recover(self) -> Recovered:
         """Read what was synced; raises OSError where the disk does not answer."""
@@ -103,7 +103,7 @@
         log = self.volume.read(LOG)
         logged = _log_generation(log)
         if logged > (newest[0] if newest is not None else 0):
-            self.generation = logged            # what is written from now on counts before all that is there
+            self.generation = logged  # what is written from now on counts before all that is there
             return Recovered(None, (), damaged=True)
         if newest is None:
             return Recovered(None, ())
@@ -129,7 +129,7 @@
         while self.offset + LOG_HEADER.size <= len(data):
             generation, index, length, checksum = LOG_HEADER.unpack_from(data, self.offset)
             begin = self.offset + LOG_HEADER.size
-            payload = data[begin:begin + length]
+            payload = data[begin : begin + length]
             if generation != self.generation or index != self.index or len(payload) != length:
                 return
             if _checksum(generation, index, payload) != checksum:
--- a/hophinge/core/choice/books.py
+++ b/hophinge/core/choice/books.py
@@ -7,8 +7,8 @@
 from hophinge.core import interface as api
 from hophinge.core.choice.volumes import Volume
 
-MEMORY = 0.9            # weight kept by what was learned at each new answer: about ten answers count
-HOLD_PART = 0.25        # part of its time that a request is held unsent
+MEMORY = 0.9  # weight kept by what was learned at each new answer: about ten answers count
+HOLD_PART = 0.25  # part of its time that a request is held unsent
 
 
 class Slot:
@@ -28,14 +28,14 @@
         self.slots: dict[tuple[str, int], Slot] = {}
         self.free = 0.0
         self.units_out = 0.0
-        self.spent = self.served = self.sent = 0.0      # sent: units of `recent`
+        self.spent = self.served = self.sent = 0.0  # sent: units of `recent`
         self.heard = 0
-        self.lag = 0.0                  # what answers took lately
-        self.wait, self.wait_at = 0.0, 0    # others' work ahead, as answers told it
+        self.lag = 0.0  # what answers took lately
+        self.wait, self.wait_at = 0.0, 0  # others' work ahead, as answers told it
         self.rest_until = 0
-        self.failures = 0               # trials in a row that failed
+        self.failures = 0  # trials in a row that failed
         self.silent = False
-        self.full = False               # what is next here does not fit until an attempt ends
+        self.full = False  # what is next here does not fit until an attempt ends
         self.recent: deque[tuple[int, float]] = deque()
         self.held: dict[str, Request] = {}
 
@@ -86,21 +86,42 @@
 class Request:
     """A request from its arrival until its answer is given and no attempt is out."""
 
-    __slots__ = ("aim_at", "ask", "attempts", "charged", "copied", "deadline", "done", "group", "hold_until", "klass",
-                 "lot", "out", "place", "queue", "ran_at", "ran_on", "started", "version", "volume", "wrote")
-
-    def __init__(self, ask: api.Arrival, klass: api.RequestClass, volume: Volume, now: int, waited: int,
-                 lot: float) -> None:
+    __slots__ = (
+        "aim_at",
+        "ask",
+        "attempts",
+        "charged",
+        "copied",
+        "deadline",
+        "done",
+        "group",
+        "hold_until",
+        "klass",
+        "lot",
+        "out",
+        "place",
+        "queue",
+        "ran_at",
+        "ran_on",
+        "started",
+        "version",
+        "volume",
+        "wrote",
+    )
+
+    def __init__(
+        self, ask: api.Arrival, klass: api.RequestClass, volume: Volume, now: int, waited: int, lot: float
+    ) -> None:
         self.ask, self.klass, self.volume = ask, klass, volume
-        self.queue: dict[str, Request] = {}    # where it is held
+        self.queue: dict[str, Request] = {}  # where it is held
         self.place = ""
         self.aim_at = now - waited + klass.aim_us
         self.deadline = now + ask.time_left_us
         self.hold_until = now + int(HOLD_PART * ask.time_left_us)
         self.attempts = self.ran_at = 0
-        self.lot = lot                      # from 0 to 1, drawn once
+        self.lot = lot  # from 0 to 1, drawn once
         self.out: dict[int, Book] = {}
         self.group: list[Book] = []
-        self.version = -1, 0                # of the node list and bounds that the group was formed from
-        self.ran_on: Book | None = None     # where the first attempt went that may have run
+        self.version = -1, 0  # of the node list and bounds that the group was formed from
+        self.ran_on: Book | None = None  # where the first attempt went that may have run
         self.done = self.started = self.charged = self.copied = self.wrote = False
--- a/hophinge/core/choice/guards.py
+++ b/hophinge/core/choice/guards.py
@@ -6,7 +6,7 @@
 from hophinge.core.choice.books import Book, Request
 from hophinge.core.choice.nodes import PATIENCE, Nodes
 
-COLD_PART = 0.5         # part of a cold node's reckoned allowance used: units only stand for work
+COLD_PART = 0.5  # part of a cold node's reckoned allowance used: units only stand for work
 
 
 class Guards(Nodes):
@@ -30,8 +30,11 @@
                 if len(self.extra) + 1 > rules.budget_free + rules.budget_share * taken:
                     return False
         # Order: a key's requests one at a time, and a rest after an attempt that may still run.
-        elif klass.in_order and ask.key and (
-                self.turns[ask.volume, ask.key][0] is not request or self.key_rest.get((ask.volume, ask.key), 0) > now):
+        elif (
+            klass.in_order
+            and ask.key
+            and (self.turns[ask.volume, ask.key][0] is not request or self.key_rest.get((ask.volume, ask.key), 0) > now)
+        ):
             return False
         # The plan's limit.
         return request.charged or request.volume.within_limit(ask.units, now)
@@ -68,7 +71,8 @@
         if request.ran_on is not None and request.klass.effect is not api.Effect.SAFE:
             there, here, scope = request.ran_on.entry, book.entry, request.klass.scope
             if (scope is api.DedupScope.ZONE and there.zone != here.zone) or (
-                    scope is api.DedupScope.CELL and there.shard != here.shard):
+                scope is api.DedupScope.CELL and there.shard != here.shard
+            ):
                 return False
         # Drains, and the shard that holds the data.
         if book.entry.phase is not api.Phase.ON or 0 <= request.ask.shard != book.entry.shard:
--- a/hophinge/core/choice/leaving.py
+++ b/hophinge/core/choice/leaving.py
@@ -11,9 +11,9 @@
 from hophinge.core.choice.requests import Requests
 from hophinge.core.choice.volumes import Gauge
 
-GROUP = 9               # members of a key's group: the paper's negotiating group, three times three replicas
-UNHEARD = 8.0           # tightest aims, for each gateway, after which what was learned of an idle node refuses no more
-STEP = 0.7              # power of the part of its full worth that a request earns, by which its patience falls
+GROUP = 9  # members of a key's group: the paper's negotiating group, three times three replicas
+UNHEARD = 8.0  # tightest aims, for each gateway, after which what was learned of an idle node refuses no more
+STEP = 0.7  # power of the part of its full worth that a request earns, by which its patience falls
 Ready = tuple[float, int, str, Request, Book | None]
 
 
@@ -50,8 +50,10 @@
     def _dispatch(self, places: list[str]) -> None:
         """Let what is held at some places go, that of most worth first."""
         ready: list[Ready] = []
-        queues = [(place, book := self.books.get(place), book.held if book else {} if place else self.fresh)
-                  for place in places]
+        queues = [
+            (place, book := self.books.get(place), book.held if book else {} if place else self.fresh)
+            for place in places
+        ]
         for place, book, held in queues:
             if self.again.get(place, self.now) <= self.now:
                 self.again.pop(place, None)
@@ -91,7 +93,7 @@
                 self._answer(request)
                 then = self.now - UNHEARD * self.aim * self.settings.gateways
                 idle = [one for one in self.books.values() if not one.slots and one.heard < then]
-                if book is not None and book in idle:   # what a stall taught would refuse for ever: none unlearns it
+                if book is not None and book in idle:  # what a stall taught would refuse for ever: none unlearns it
                     book.spent = book.served = 0.0
                 if len(idle) == len(self.books):
                     self.all_spent = self.all_served = 0.0
@@ -107,9 +109,14 @@
             request.version, request.group = version, self._group(request)
         members = [book for book in request.group if not book.full and not book.silent and self._open(book)]
         added = self.scorers.added_us(now, request.ask, members) if self.scorers is not None else None
-        members.sort(key=lambda book: (book.failures > 0, max(book.free, now + self._wait(book))
-                                       + units * self._unit_us(book)
-                                       + (added.get(book.entry.node, 0.0) if added else 0.0)))
+        members.sort(
+            key=lambda book: (
+                book.failures > 0,
+                max(book.free, now + self._wait(book))
+                + units * self._unit_us(book)
+                + (added.get(book.entry.node, 0.0) if added else 0.0),
+            )
+        )
         return any(self._send(request, book) for book in members)
 
     def _send(self, request: Request, book: Book) -> bool:
@@ -121,7 +128,7 @@
         # wait, so reserve goes before share before spare without a word between them.
         wait = self._wait(book)
         part = self._part(request, book.entry.node, wait + ask.units * self._nominal(book))
-        if wait > PATIENCE * self.aim * part ** STEP:
+        if wait > PATIENCE * self.aim * part**STEP:
             return False
         if not request.charged:
             request.charged = True
--- a/hophinge/core/choice/nodes.py
+++ b/hophinge/core/choice/nodes.py
@@ -10,17 +10,17 @@
 from hophinge.core.choice.books import MEMORY, Book, Request, Slot
 from hophinge.core.choice.volumes import Volume
 
-CEILING = 32            # requests out at one node, the design's own ceiling
-FLEET = 256             # requests out at one node by all gateways, where that leaves less than the ceiling
-PART = 0.15             # part of the tightest aim that a node's units out may fill; the rest is for others
-MEMORY_ALL = 0.98       # the same for all nodes together: about fifty answers count
-SILENT = 1.0            # tightest aims without any answer after which a node with work out is taken as hung
-FINE = 10               # looks within the tightest aim at a place where something is held
-NOMINAL = 0.25          # quantile of time per unit, by machine kind, that counts as served without waiting
-NOMINAL_STEP = 0.05     # part by which one answer moves that quantile
-STALE = 2.0             # tightest aims after which what was seen of a node's wait counts for a third
-PATIENCE = 1.0          # tightest aims that a request of full worth waits for others' work at a node
-FRESH = 0.5             # weight of the newest answer in a node's wait
+CEILING = 32  # requests out at one node, the design's own ceiling
+FLEET = 256  # requests out at one node by all gateways, where that leaves less than the ceiling
+PART = 0.15  # part of the tightest aim that a node's units out may fill; the rest is for others
+MEMORY_ALL = 0.98  # the same for all nodes together: about fifty answers count
+SILENT = 1.0  # tightest aims without any answer after which a node with work out is taken as hung
+FINE = 10  # looks within the tightest aim at a place where something is held
+NOMINAL = 0.25  # quantile of time per unit, by machine kind, that counts as served without waiting
+NOMINAL_STEP = 0.05  # part by which one answer moves that quantile
+STALE = 2.0  # tightest aims after which what was seen of a node's wait counts for a third
+PATIENCE = 1.0  # tightest aims that a request of full worth waits for others' work at a node
+FRESH = 0.5  # weight of the newest answer in a node's wait
 
 
 class Nodes:
@@ -35,33 +35,33 @@
         self.random = random.Random(seed)
         self.aim = min(klass.aim_us for klass in settings.classes)
         self.wake_us = max(settings.tick_us, self.aim // FINE)
-        self.lead_us = self.wake_us + 2 * settings.tick_us      # an answer leaves so long before its deadline
+        self.lead_us = self.wake_us + 2 * settings.tick_us  # an answer leaves so long before its deadline
         self.books: dict[str, Book] = {}
         self.shards: dict[int, list[Book]] = {}
         self.volumes: dict[str, Volume] = {}
         self.requests: dict[str, Request] = {}
-        self.fresh: dict[str, Request] = {}     # held new objects, not bound to a node
-        self.lost: dict[str, Request] = {}      # held reads whose shard no listed node holds
-        self.turns: dict[tuple[str, str], list[Request]] = {}      # by volume and key, as key_rest
+        self.fresh: dict[str, Request] = {}  # held new objects, not bound to a node
+        self.lost: dict[str, Request] = {}  # held reads whose shard no listed node holds
+        self.turns: dict[tuple[str, str], list[Request]] = {}  # by volume and key, as key_rest
         self.key_rest: dict[tuple[str, str], int] = {}
         self.extra, self.taken = deque[int](), deque[int]()
         self.longest: dict[int, int] = {}
-        self.version = 0                        # of the node list held
-        self.processes = 1                      # that share this gateway's part: two while it is replaced
+        self.version = 0  # of the node list held
+        self.processes = 1  # that share this gateway's part: two while it is replaced
         self.deadlines: list[tuple[int, str]] = []
-        self.copies: list[tuple[int, str]] = []     # when a second copy may go
+        self.copies: list[tuple[int, str]] = []  # when a second copy may go
         self.fair: dict[str, tuple[int, float]] = {}
         self.all_spent = self.all_served = 0.0  # by all nodes, for the time per unit of one not heard
-        self.nominal: dict[int, float] = {}     # time per unit without waiting, by machine kind
-        self.usual_wait, self.usual_at = 0.0, 0     # of all nodes heard, lately
-        self.watch_due = self.woke_at = 0       # when it last found that it had stood still
-        self.now = self.timer_at = 0            # when the next timer is due, 0: none is set
-        self.full = False                       # no node has room for the new object next in turn
-        self.look: dict[str, None] = {}         # places (nodes, "" for new objects) to look at now
-        self.again: dict[str, int] = {}         # places where something is held, and when to look again
-        self.busy: dict[str, Book] = {}         # nodes with attempts out
+        self.nominal: dict[int, float] = {}  # time per unit without waiting, by machine kind
+        self.usual_wait, self.usual_at = 0.0, 0  # of all nodes heard, lately
+        self.watch_due = self.woke_at = 0  # when it last found that it had stood still
+        self.now = self.timer_at = 0  # when the next timer is due, 0: none is set
+        self.full = False  # no node has room for the new object next in turn
+        self.look: dict[str, None] = {}  # places (nodes, "" for new objects) to look at now
+        self.again: dict[str, int] = {}  # places where something is held, and when to look again
+        self.busy: dict[str, Book] = {}  # nodes with attempts out
         self.actions: list[api.Action] = []
-        self.scorers: api.Scorers | None = None     # add times to nodes in `_place`
+        self.scorers: api.Scorers | None = None  # add times to nodes in `_place`
 
     @property
     def _mean_us(self) -> float:
@@ -91,7 +91,7 @@
         last = max((slot.sent for slot in book.slots.values() if slot.units), default=0)
         lone = book.silent and self._usual_wait() < PART * self.aim
         if not last or (lone and self.now - last > 2 * SILENT * self.aim):
-            return True     # one may go when none is out that may answer; what is silent alone is tried anew
+            return True  # one may go when none is out that may answer; what is silent alone is tried anew
         ceiling = max(1, min(CEILING, FLEET // self.settings.gateways) // self.processes)
         if book.silent or book.failures > 1 or len(book.slots) >= ceiling:
             return False
--- a/hophinge/core/choice/requests.py
+++ b/hophinge/core/choice/requests.py
@@ -9,9 +9,9 @@
 from hophinge.core.choice.guards import Guards
 from hophinge.core.choice.volumes import Volume
 
-RETRY_REST = 0.2        # tightest aims that a node rests after it failed or turned away an attempt
-LONGEST_REST = 5        # doublings of that rest while trials go on failing: some seconds, as lists are late
-COME_BACK = 2.0         # tightest aims after which a refused client is told to come back
+RETRY_REST = 0.2  # tightest aims that a node rests after it failed or turned away an attempt
+LONGEST_REST = 5  # doublings of that rest while trials go on failing: some seconds, as lists are late
+COME_BACK = 2.0  # tightest aims after which a refused client is told to come back
 FORGET_US = 60_000_000  # a volume unheard of for a minute is forgotten; no request lives that long
 NEVER_RAN = frozenset({api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT, api.Result.MISPLACED})
 FAILED = frozenset({api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.ERROR, api.Result.RESET})
@@ -64,9 +64,9 @@
             volume = self.volumes[ask.volume] = Volume(self.settings, ask.plan, self.now)
         volume.spread(ask.gateways if ask.gateways > 0 else self.settings.gateways, self.now, self.processes)
         klass = self.settings.classes[ask.klass]
-        left = min(ask.time_left_us, klass.deadline_us)     # what one client says makes no other one late
+        left = min(ask.time_left_us, klass.deadline_us)  # what one client says makes no other one late
         longest = self.longest[ask.klass] = max(self.longest.get(ask.klass, 0), left)
-        waited = longest - left if left > klass.aim_us else 0    # else an impatient client: nothing was late already
+        waited = longest - left if left > klass.aim_us else 0  # else an impatient client: nothing was late already
         request = Request(ask, klass, volume, self.now, waited, self.random.random())
         self.requests[ask.request] = request
         heapq.heappush(self.deadlines, (request.hold_until + self.lead_us, ask.request))
--- a/hophinge/core/choice/scheduler.py
+++ b/hophinge/core/choice/scheduler.py
@@ -11,7 +11,6 @@
 from hophinge.core.choice.nodes import FINE, SILENT
 
 
-
 class Scheduler(Leaving):
     """The decisions of one gateway. It reads no clock and does no I/O."""
 
@@ -54,8 +53,11 @@
 
     def avoided(self, now: int) -> list[str]:
         """Tell which listed nodes get nothing now by choice: they rest, or have gone silent."""
-        return [node for node, book in self.books.items()
-                if book.entry.phase is api.Phase.ON and (book.silent or book.rest_until > now)]
+        return [
+            node
+            for node, book in self.books.items()
+            if book.entry.phase is api.Phase.ON and (book.silent or book.rest_until > now)
+        ]
 
     def _set_timer(self) -> None:
         """Wake for what is due next; a steady tick would cost gateways times nodes."""
--- a/hophinge/core/choice/volumes.py
+++ b/hophinge/core/choice/volumes.py
@@ -6,8 +6,8 @@
 
 from hophinge.core import interface as api
 
-SLACK_USED = 0.5        # part of a limit's slack used; the rest covers what rounding and clocks may add
-USE_MEMORY_S = 1.0      # seconds over which a volume's use counts: worth is dealt out second by second
+SLACK_USED = 0.5  # part of a limit's slack used; the rest covers what rounding and clocks may add
+USE_MEMORY_S = 1.0  # seconds over which a volume's use counts: worth is dealt out second by second
 
 
 class Bucket:
--- a/hophinge/core/exchange/__init__.py
+++ b/hophinge/core/exchange/__init__.py
@@ -18,8 +18,20 @@
 from hophinge.core.exchange.types import Answer, End, Gate, Loop, Rest, Timer, Verdict, giver
 
 __all__ = [
-    "Answer", "Attempt", "BACKSTOP", "End", "Exchange", "Gate", "Loop", "Open", "Probe", "Rest", "Start", "Timer",
-    "Verdict", "giver",
+    "Answer",
+    "Attempt",
+    "BACKSTOP",
+    "End",
+    "Exchange",
+    "Gate",
+    "Loop",
+    "Open",
+    "Probe",
+    "Rest",
+    "Start",
+    "Timer",
+    "Verdict",
+    "giver",
 ]
 
 
@@ -70,7 +82,7 @@
         if request is not None and request.answer is not None:
             self.counters.add("requests_departed")
             self._close(request)
-            self._forget(request)   # one of which nothing is out would else stay for ever
+            self._forget(request)  # one of which nothing is out would else stay for ever
             self._event(api.Departure(name))
 
     def cut_off(self) -> None:
--- a/hophinge/core/exchange/attempts.py
+++ b/hophinge/core/exchange/attempts.py
@@ -42,16 +42,28 @@
 class Open:
     """A request from its arrival until it is answered and no attempt of it is out."""
 
-    __slots__ = ("answer", "ask", "attempts", "backstop", "deadline", "once", "payload", "sent", "since", "waited",
-                 "whole")
-
-    def __init__(self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], since: int,
-                 whole: bool) -> None:
+    __slots__ = (
+        "answer",
+        "ask",
+        "attempts",
+        "backstop",
+        "deadline",
+        "once",
+        "payload",
+        "sent",
+        "since",
+        "waited",
+        "whole",
+    )
+
+    def __init__(
+        self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], since: int, whole: bool
+    ) -> None:
         self.ask, self.payload, self.whole = ask, payload, whole
         self.since, self.deadline = since, since + ask.time_left_us
-        self.once = not whole   # its body is held only until an attempt takes it, whole by then or not
-        self.waited = 0         # while nobody took a body that is on its way; its last byte may have come since then
-        self.answer: Callable[[Answer], None] | None = answer     # None once the one answer is given
+        self.once = not whole  # its body is held only until an attempt takes it, whole by then or not
+        self.waited = 0  # while nobody took a body that is on its way; its last byte may have come since then
+        self.answer: Callable[[Answer], None] | None = answer  # None once the one answer is given
         self.attempts: dict[int, Attempt] = {}
         self.sent = 0
         self.backstop: Timer | None = None
@@ -62,11 +74,12 @@
 
     __slots__ = ("exchange", "give_up", "node", "number", "request", "shard", "since", "stop", "timer", "until")
 
-    def __init__(self, exchange: Owner, request: Open, number: int, node: str, since: int, give_up: int,
-                 until: int = 0) -> None:
+    def __init__(
+        self, exchange: Owner, request: Open, number: int, node: str, since: int, give_up: int, until: int = 0
+    ) -> None:
         self.exchange, self.request, self.number, self.node = exchange, request, number, node
-        self.since, self.give_up, self.until = since, give_up, until    # until: none of it is written from then on
-        self.shard = exchange.shards.get(node, -1)      # its node may be forgotten before it ends
+        self.since, self.give_up, self.until = since, give_up, until  # until: none of it is written from then on
+        self.shard = exchange.shards.get(node, -1)  # its node may be forgotten before it ends
         self.stop: Callable[[], None] | None = None
         self.timer: Timer | None = None
 
@@ -81,10 +94,12 @@
     def may_go(self) -> bool:
         """Guard drains, answered requests, deadlines and windows for repeats after a wait for a connection."""
         # A request that is answered or whose time is over must not reach a node, nor anything a node that drains.
-        return (self.request.answer is not None
-                and (not self.request.whole or self.exchange.now_us() < self.give_up)
-                and (not self.until or self.exchange.now_us() < self.until)
-                and self.exchange.phases.get(self.node) is api.Phase.ON)
+        return (
+            self.request.answer is not None
+            and (not self.request.whole or self.exchange.now_us() < self.give_up)
+            and (not self.until or self.exchange.now_us() < self.until)
+            and self.exchange.phases.get(self.node) is api.Phase.ON
+        )
 
     def goes(self) -> int:
         """Note that its first byte goes now; tell how long it will be waited for, in microseconds."""
--- a/hophinge/core/exchange/turns.py
+++ b/hophinge/core/exchange/turns.py
@@ -15,24 +15,25 @@
 from hophinge.core.figures import Figures
 from hophinge.core.written import Written
 
-BACKSTOP = 0.5      # part of the answer's grace after which a request that the module forgot is failed
+BACKSTOP = 0.5  # part of the answer's grace after which a request that the module forgot is failed
 
 
 class Turns:
     """What is open, what the next turn takes to the module, and what comes of it."""
 
-    def __init__(self, settings: api.Settings, seed: int, loop: Loop, counters: Counters,
-                 log: Callable[[str], None]) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, loop: Loop, counters: Counters, log: Callable[[str], None]
+    ) -> None:
         self.settings, self.loop, self.counters, self.log = settings, loop, counters, log
         self.now_us = loop.now_us
         self.figures = Figures(klass.name for klass in settings.classes)
         self.scheduler = Scheduler(settings, seed)
-        self.start: Start | None = None             # the back; set once it is there
+        self.start: Start | None = None  # the back; set once it is there
         self.probe: Probe | None = None
         self.gate: Gate | None = None
-        self.heard: Callable[[str, api.Result, int], None] | None = None    # told how each attempt at a node ended
-        self.gate_soon = False                      # its turn comes in the loop's next one
-        self.gate_at = 0                            # when a timer calls it
+        self.heard: Callable[[str, api.Result, int], None] | None = None  # told how each attempt at a node ended
+        self.gate_soon = False  # its turn comes in the loop's next one
+        self.gate_at = 0  # when a timer calls it
         self.open: dict[str, Open] = {}
         self.phases: dict[str, api.Phase] = {}
         self.shards: dict[str, int] = {}
@@ -124,9 +125,20 @@
         if moved is not None and not finished:
             self.counters.add("reads_moved")
             request.ask = moved
-        self._event(api.Outcome(
-            request.ask.request, attempt.number, attempt.node, end.result, self.now_us() - attempt.since, finished,
-            end.used, end.elsewhere, end.report, moved))
+        self._event(
+            api.Outcome(
+                request.ask.request,
+                attempt.number,
+                attempt.node,
+                end.result,
+                self.now_us() - attempt.since,
+                finished,
+                end.used,
+                end.elsewhere,
+                end.report,
+                moved,
+            )
+        )
         self._forget(request)
 
     def _event(self, event: api.Event) -> None:
@@ -181,12 +193,12 @@
             case api.Log():
                 self.log(action.text)
             case api.Watch():
-                pass    # discovery watches all the time
+                pass  # discovery watches all the time
 
     def _send(self, action: api.Send, now: int) -> None:
         request = self.open.get(action.request)
         if request is None:
-            return      # answered and forgotten: the module has been told, or is about to be
+            return  # answered and forgotten: the module has been told, or is about to be
         give_up = min(action.give_up_us or request.deadline, request.deadline)
         attempt = Attempt(self, request, request.sent, action.node, now, give_up, action.until_us)
         request.sent += 1
@@ -194,8 +206,12 @@
         shard, most = request.ask.shard, self.settings.allowed.attempts
         if (bounds := request.ask.bounds) is not None and 0 < bounds.attempts < (most or request.sent):
             most = bounds.attempts
-        if (not attempt.may_go() or 0 < most < request.sent or 0 <= shard != self.shards.get(action.node)
-                or self.start is None):
+        if (
+            not attempt.may_go()
+            or 0 < most < request.sent
+            or 0 <= shard != self.shards.get(action.node)
+            or self.start is None
+        ):
             attempt.end(End(api.Result.MOOT))
             return
         self.counters.add("attempts_sent")
--- a/hophinge/core/exchange/types.py
+++ b/hophinge/core/exchange/types.py
@@ -38,7 +38,7 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    ABSENT = "absent"       # a node holds the place where it would be, and it is not there
+    ABSENT = "absent"  # a node holds the place where it would be, and it is not there
 
 
 class Rest(Protocol):
@@ -61,8 +61,8 @@
     verdict: Verdict
     body: bytes = b""
     retry_after_us: int = 0
-    shard: int = -1         # of the node that served it
-    rest: Rest | None = None    # its reader closes it
+    shard: int = -1  # of the node that served it
+    rest: Rest | None = None  # its reader closes it
 
 
 def giver(done: Future[Answer]) -> Callable[[Answer], None]:
@@ -70,6 +70,7 @@
 
     The future of a client that has gone is cancelled before its front gets to say so: there is nobody to tell then.
     """
+
     def give(answer: Answer) -> None:
         if not done.done():
             done.set_result(answer)
@@ -85,7 +86,7 @@
     used: int = 0
     elsewhere: float = 0.0
     report: dict[str, float] = {}
-    absent: bool = False    # with OK: the node did its work and found nothing
+    absent: bool = False  # with OK: the node did its work and found nothing
 
 
 class Gate(Protocol):
--- a/hophinge/core/figures.py
+++ b/hophinge/core/figures.py
@@ -33,7 +33,7 @@
     def __init__(self, classes: Iterable[str]) -> None:
         self.ended = {(klass, outcome): 0 for klass in classes for outcome in OUTCOMES}
         self.relayed = self.open = 0
-        self.now: Callable[[], Mapping[str, int]] = dict    # figures that others hold; asked at each reading
+        self.now: Callable[[], Mapping[str, int]] = dict  # figures that others hold; asked at each reading
 
     def take(self, klass: str) -> Ticket:
         """Note a request that is taken."""
--- a/hophinge/core/interface/events.py
+++ b/hophinge/core/interface/events.py
@@ -33,8 +33,8 @@
     write: bool
     plan: int
     bounds: Bounds | None = None
-    keyless: bool = False       # bears no key that nodes could drop a repeat by, whatever its class says
-    spare: bool = False         # nobody waits for it: it has no reserve, and counts in nobody's fair part
+    keyless: bool = False  # bears no key that nodes could drop a repeat by, whatever its class says
+    spare: bool = False  # nobody waits for it: it has no reserve, and counts in nobody's fair part
 
 
 class Outcome(Struct, frozen=True):
--- a/hophinge/core/interface/nodes.py
+++ b/hophinge/core/interface/nodes.py
@@ -34,7 +34,7 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
-    MISPLACED = "misplaced"     # turned away unrun: over, or not held there; nothing against the node
+    MISPLACED = "misplaced"  # turned away unrun: over, or not held there; nothing against the node
 
 
 @dataclass(frozen=True, slots=True)
--- a/hophinge/core/rotation.py
+++ b/hophinge/core/rotation.py
@@ -24,7 +24,7 @@
         self.tell, self.now_us, self.cold_us = tell, now_us, cold_us
         self.listed: dict[str, NodeEntry] = {}
         self.marks: dict[str, Mark] = {}
-        self.marked: Callable[[], None] = lambda: None      # called when a call has set a mark
+        self.marked: Callable[[], None] = lambda: None  # called when a call has set a mark
 
     def take(self, event: NodeList) -> None:
         """Take a list, or what changed in it, and pass it on with the marks laid over it."""
@@ -70,15 +70,16 @@
         return node in self.listed
 
     def _set(self, node: str, out: bool) -> bool:
-        last = self.marks.get(node)     # a call that follows within one tick of the clock is the later one all the same
+        last = self.marks.get(node)  # a call that follows within one tick of the clock is the later one all the same
         done = self.merge({node: Mark(max(self.now_us(), last.at_us + 1 if last else 0), out)})
         self.marked()
         return done
 
     def merge(self, marks: Mapping[str, Mark]) -> bool:
         """Take marks that are newer than those held; tell whether there were any."""
-        newer = {node: mark for node, mark in marks.items()
-                 if node not in self.marks or mark.at_us > self.marks[node].at_us}
+        newer = {
+            node: mark for node, mark in marks.items() if node not in self.marks or mark.at_us > self.marks[node].at_us
+        }
         self.marks.update(newer)
         changed = tuple(self._laid_over(self.listed[node]) for node in newer if node in self.listed)
         if changed:
--- a/hophinge/core/settings.py
+++ b/hophinge/core/settings.py
@@ -11,8 +11,14 @@
 from hophinge.core.errors import HophingeError
 
 EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
-REPORT_FIELDS = {"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms", "rate": "rate",
-                 "fail_rate": "errors"}
+REPORT_FIELDS = {
+    "rif": "inflight",
+    "q": "queue",
+    "busy": "util",
+    "lat_ms": "latency_ms",
+    "rate": "rate",
+    "fail_rate": "errors",
+}
 
 Value = TypeVar("Value")
 
--- a/hophinge/fleet/analysis/cuts.py
+++ b/hophinge/fleet/analysis/cuts.py
@@ -20,8 +20,14 @@
 SENT = re.compile(r"^request (\w+) \(.*\) sent to (\S+)$")
 STARTED = re.compile(r"^head \w+ at ")
 ENDING = "ending"
-FAILED_WORK = ("a task failed", "a periodic step failed", "could not be taken", "a piece of work failed",
-               "a request failed in the head itself", "Fatal error")
+FAILED_WORK = (
+    "a task failed",
+    "a periodic step failed",
+    "could not be taken",
+    "a piece of work failed",
+    "a request failed in the head itself",
+    "Fatal error",
+)
 
 
 class Cause(Enum):
@@ -37,7 +43,7 @@
     UNKNOWN = "nothing tells of it"
 
 
-FINDINGS = (Cause.HEAD, Cause.UNKNOWN)      # that an allowed day has none of
+FINDINGS = (Cause.HEAD, Cause.UNKNOWN)  # that an allowed day has none of
 SIDES = {"client": Cause.CLIENT, "time": Cause.TIME, "head": Cause.HEAD}
 
 
@@ -94,12 +100,12 @@
         if not CASE_BEGIN.match(row):
             continue
         request, machine, over_at_s = "", "", 0.0
-        for later in rows[number + 1:]:
+        for later in rows[number + 1 :]:
             found = CASE_LINE.match(later)
             if found is None:
                 break
             over_at_s = float(found[1])
-            if sent := SENT.match(found[2]):        # of several tries, the last one
+            if sent := SENT.match(found[2]):  # of several tries, the last one
                 request, machine = sent[1], sent[2]
         yield ReportedCase(request, machine, over_at_s)
 
--- a/hophinge/fleet/analysis/hunts.py
+++ b/hophinge/fleet/analysis/hunts.py
@@ -12,8 +12,8 @@
 from statistics import median
 from typing import Any
 
-FAR_BELOW = 6.0             # median deviations under the median of a hunt's days
-FREE_PRICE = 0.01           # of the worth owed, for refusals while instances were free
+FAR_BELOW = 6.0  # median deviations under the median of a hunt's days
+FREE_PRICE = 0.01  # of the worth owed, for refusals while instances were free
 PRICE_OF_FREE = "worth refused with servers free"
 
 
@@ -29,11 +29,11 @@
 class HuntedDay:
     """One played day."""
 
-    name: str                   # with its seed
+    name: str  # with its seed
     served: float
     figure: float
-    refused_free: float         # price of refusals while instances were free
-    orders: int                 # to instances
+    refused_free: float  # price of refusals while instances were free
+    orders: int  # to instances
     broken: bool
 
 
@@ -42,7 +42,7 @@
     """A hunt that came to its end."""
 
     site: str
-    state: str                  # the commit that was played
+    state: str  # the commit that was played
     days: tuple[HuntedDay, ...]
 
 
--- a/hophinge/fleet/analysis/losses.py
+++ b/hophinge/fleet/analysis/losses.py
@@ -13,9 +13,9 @@
 
 from hophinge.fleet.analysis.traces import AttemptRow, Request
 
-LARGEST, BENEATH = 0.1, 0.3         # parts of a kind, by size, that the operators count on their own
-LEAST_WORTH, SIZED_WORTH, MOST_WORTH = 0.3, 0.7, 4.0    # of a generation, against the mean of its kind
-OUT_TOKEN = 10              # tokens read that one token made counts as
+LARGEST, BENEATH = 0.1, 0.3  # parts of a kind, by size, that the operators count on their own
+LEAST_WORTH, SIZED_WORTH, MOST_WORTH = 0.3, 0.7, 4.0  # of a generation, against the mean of its kind
+OUT_TOKEN = 10  # tokens read that one token made counts as
 READ_WAIT = "prefill"
 
 
@@ -74,8 +74,7 @@
                 if unread < tokens / 2:
                     break
                 unread -= tokens
-                self.of.setdefault(part, []).append(
-                    (request.at + attempt.sent_s, request.at + attempt.over_s, number))
+                self.of.setdefault(part, []).append((request.at + attempt.sent_s, request.at + attempt.over_s, number))
 
     def earlier(self, part: str, number: int, began: float) -> tuple[bool, bool]:
         """Tell whether a part had been read before, and whether it was being read when a request was sent."""
@@ -120,8 +119,10 @@
     tokens: dict[str, list[int]] = {}
     for request in requests:
         tokens.setdefault(request.route, []).append(request.tokens_in)
-    return {route: min(kinds, key=lambda kind: abs(kind.tokens - sum(sizes) / len(sizes)))
-            for route, sizes in tokens.items()}
+    return {
+        route: min(kinds, key=lambda kind: abs(kind.tokens - sum(sizes) / len(sizes)))
+        for route, sizes in tokens.items()
+    }
 
 
 def _reason(request: Request, number: int, reads: Reads) -> Reason:
@@ -154,10 +155,14 @@
     until = attempt.over_s if apart and attempt.over_s is not None else request.first_s or 0.0
     spent = min(attempt.spent_s, until - attempt.sent_s)
     own = min(1.0, request.parts[-1][1] / max(1.0, attempt.units))
-    parts = {Reason.QUEUE: until - attempt.sent_s - spent, Reason.OWN: spent * own,
-             Reason.MAKING: max(0.0, (request.first_s or 0.0) - until)}
+    parts = {
+        Reason.QUEUE: until - attempt.sent_s - spent,
+        Reason.OWN: spent * own,
+        Reason.MAKING: max(0.0, (request.first_s or 0.0) - until),
+    }
     shared = spent * (1.0 - own)
-    before, beside = reads.earlier(request.shared[-1][0], number, request.at + attempt.sent_s) if request.shared else (
-        False, False)
+    before, beside = (
+        reads.earlier(request.shared[-1][0], number, request.at + attempt.sent_s) if request.shared else (False, False)
+    )
     parts[Reason.AGAIN if before else Reason.TWICE if beside else Reason.COLD] = shared
     return max(parts, key=lambda reason: parts[reason])
--- a/hophinge/fleet/analysis/recipes.py
+++ b/hophinge/fleet/analysis/recipes.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-NOISE = 0.1                 # by which the seed moves each factor either way
+NOISE = 0.1  # by which the seed moves each factor either way
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,11 +16,11 @@
     name: str
     base: str
     seed: int
-    pace: float = 1.0           # of reading
-    memory: float = 1.0         # of an engine
-    tokens_in: float = 1.0      # of each prompt's own part
-    shared: float = 1.0         # of shared parts
-    openings: float = 1.0       # number of them
+    pace: float = 1.0  # of reading
+    memory: float = 1.0  # of an engine
+    tokens_in: float = 1.0  # of each prompt's own part
+    shared: float = 1.0  # of shared parts
+    openings: float = 1.0  # number of them
     tokens_out: float = 1.0
     rate: float = 1.0
     aims: float = 1.0
--- a/hophinge/fleet/analysis/traces.py
+++ b/hophinge/fleet/analysis/traces.py
@@ -21,8 +21,8 @@
     sent_s: float
     over_s: float | None
     units: float
-    wait_s: float               # reckoned until the instance begins
-    spent_s: float              # reckoned of the instance's time
+    wait_s: float  # reckoned until the instance begins
+    spent_s: float  # reckoned of the instance's time
     late: bool
     ending: str
 
@@ -33,7 +33,7 @@
 
     route: str
     zone: str
-    at: float                   # of its arrival
+    at: float  # of its arrival
     aim_s: float
     tokens_in: int
     tokens_out: int
@@ -66,21 +66,36 @@
     assert isinstance(parts, list)
     assert isinstance(attempts, list)
     first = raw["first_s"]
-    return Request(str(raw["route"]), str(raw["zone"]), ended - over, _number(raw["aim_s"]),
-                   int(_number(raw.get("tokens-in", 0))), int(_number(raw.get("tokens-out", 0))),
-                   tuple((str(name), int(tokens)) for name, tokens in parts),
-                   tuple(_attempt(one) for one in attempts), None if first is None else _number(first), over,
-                   str(raw["ending"]))
+    return Request(
+        str(raw["route"]),
+        str(raw["zone"]),
+        ended - over,
+        _number(raw["aim_s"]),
+        int(_number(raw.get("tokens-in", 0))),
+        int(_number(raw.get("tokens-out", 0))),
+        tuple((str(name), int(tokens)) for name, tokens in parts),
+        tuple(_attempt(one) for one in attempts),
+        None if first is None else _number(first),
+        over,
+        str(raw["ending"]),
+    )
 
 
 def _attempt(raw: dict[str, object]) -> AttemptRow:
     forecast = raw["forecast"]
     assert isinstance(forecast, dict)
     over = raw["over_s"]
-    return AttemptRow(str(raw["stage"]), str(raw["instance"]), _number(raw["sent_s"]),
-                      None if over is None else _number(over), _number(raw["units"]),
-                      _number(forecast["wait_us"]) / 1e6, _number(forecast["spent_us"]) / 1e6,
-                      bool(forecast["late"]), str(raw["ending"]))
+    return AttemptRow(
+        str(raw["stage"]),
+        str(raw["instance"]),
+        _number(raw["sent_s"]),
+        None if over is None else _number(over),
+        _number(raw["units"]),
+        _number(forecast["wait_us"]) / 1e6,
+        _number(forecast["spent_us"]) / 1e6,
+        bool(forecast["late"]),
+        str(raw["ending"]),
+    )
 
 
 def _number(value: object) -> float:
--- a/hophinge/fleet/cli/commands.py
+++ b/hophinge/fleet/cli/commands.py
@@ -14,8 +14,8 @@
 from hophinge.fleet.configuration.document import check
 from hophinge.fleet.settings import SettingsError, read_settings
 
-FOUND, UNREACHABLE = 1, 2       # exit statuses: something is wrong with the file; the member does not answer
-SHOW_S = 2.0                    # for a member to answer
+FOUND, UNREACHABLE = 1, 2  # exit statuses: something is wrong with the file; the member does not answer
+SHOW_S = 2.0  # for a member to answer
 FAILURES = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
 
 
--- a/hophinge/fleet/configuration/document.py
+++ b/hophinge/fleet/configuration/document.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok, Result
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-MOST_FINDINGS = 50          # told of one document
+MOST_FINDINGS = 50  # told of one document
 
 
 def _alias(name: str) -> str:
--- a/hophinge/fleet/configuration/routes.py
+++ b/hophinge/fleet/configuration/routes.py
@@ -11,11 +11,11 @@
 
 from hophinge.coordination.dissemination import Record
 
-RECORD_KEY = "configuration"        # the record under which members know the configuration in force
-COMPRESSION = 1                     # zlib's level: documents repeat themselves, and time counts more than bytes
-LEAST_PATIENCE_S = 2.0      # silence after which a client gives a stream up, at least
-PATIENT_AIMS = 4.0          # and so many times the route's objective
-PATIENT_GAPS = 8.0          # and its longest pause
+RECORD_KEY = "configuration"  # the record under which members know the configuration in force
+COMPRESSION = 1  # zlib's level: documents repeat themselves, and time counts more than bytes
+LEAST_PATIENCE_S = 2.0  # silence after which a client gives a stream up, at least
+PATIENT_AIMS = 4.0  # and so many times the route's objective
+PATIENT_GAPS = 8.0  # and its longest pause
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,10 +43,10 @@
     name: str
     host: str
     prefix: str
-    kind: str               # safe, unsafe or streaming
+    kind: str  # safe, unsafe or streaming
     timeout_s: float
     target_s: float
-    gap_s: float            # the longest pause between events that keeps an answer in time; 0 where not told
+    gap_s: float  # the longest pause between events that keeps an answer in time; 0 where not told
     priority: int
     max_attempts: int
     resumable: bool
@@ -96,7 +96,7 @@
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            route = prefixes.get(path[:end + 1])
+            route = prefixes.get(path[: end + 1])
             if route is not None:
                 return route
         return None
@@ -107,11 +107,19 @@
     weights = [(one["service"], float(one["weight"])) for one in split] if split else [(raw["service"], 1.0)]
     weights = [one for one in weights if one[1] > 0]
     return Route(
-        name=raw["name"], host=raw["host"], prefix=raw["path-prefix"], kind=raw.get("route-type", "safe"),
-        timeout_s=raw["timeout-ms"] / 1_000, target_s=raw.get("target-latency-ms", 1_000) / 1_000,
-        gap_s=raw.get("gap_aim_ms", 0) / 1_000, priority=raw.get("priority", 0),
-        max_attempts=raw.get("max-attempts", 1), resumable=bool(raw.get("resumable", False)),
-        services=tuple(name for name, _ in weights), bounds=tuple(accumulate(weight for _, weight in weights)))
+        name=raw["name"],
+        host=raw["host"],
+        prefix=raw["path-prefix"],
+        kind=raw.get("route-type", "safe"),
+        timeout_s=raw["timeout-ms"] / 1_000,
+        target_s=raw.get("target-latency-ms", 1_000) / 1_000,
+        gap_s=raw.get("gap_aim_ms", 0) / 1_000,
+        priority=raw.get("priority", 0),
+        max_attempts=raw.get("max-attempts", 1),
+        resumable=bool(raw.get("resumable", False)),
+        services=tuple(name for name, _ in weights),
+        bounds=tuple(accumulate(weight for _, weight in weights)),
+    )
 
 
 def _service(raw: dict[str, Any]) -> Service:
@@ -125,9 +133,16 @@
     raw = json.loads(document)
     limits = raw.get("limits", {})
     return RouteTable(
-        raw["version"], [_route(one) for one in raw["routes"]], [_service(one) for one in raw["services"]],
-        Limits(limits.get("max-header-bytes", 16_384), limits.get("max-body-bytes", 4_194_304),
-               limits.get("idle-timeout-ms", 15_000) / 1_000, limits.get("header-timeout-ms", 3_000) / 1_000))
+        raw["version"],
+        [_route(one) for one in raw["routes"]],
+        [_service(one) for one in raw["services"]],
+        Limits(
+            limits.get("max-header-bytes", 16_384),
+            limits.get("max-body-bytes", 4_194_304),
+            limits.get("idle-timeout-ms", 15_000) / 1_000,
+            limits.get("header-timeout-ms", 3_000) / 1_000,
+        ),
+    )
 
 
 def configuration_record(sequence: int, document: bytes) -> Record:
--- a/hophinge/fleet/controlplane/api.py
+++ b/hophinge/fleet/controlplane/api.py
@@ -22,10 +22,10 @@
 
 CONFIGURATION_PATH = "/v1/config"
 INSTANCES_PATH = "/v1/instances/"
-MEMBER_PATH = "/v1/member"     # for operators: how this member stands
-MOST_BODY = 8 << 20         # above the operator's bound on a configuration
+MEMBER_PATH = "/v1/member"  # for operators: how this member stands
+MOST_BODY = 8 << 20  # above the operator's bound on a configuration
 MOST_HEARTBEAT = 64 << 10
-PATIENCE_S = 2.5            # for a change to come to its end, within the operator's bound on an acknowledgement
+PATIENCE_S = 2.5  # for a change to come to its end, within the operator's bound on an acknowledgement
 READ_PATIENCE_S = 2.0
 JSON_TYPE = (b"content-type", b"application/json")
 AGAIN = (b"retry-after", b"0.2")
@@ -40,7 +40,7 @@
 
     def __init__(self, host: ReplicaHost, directory: Directory) -> None:
         self.host, self.directory = host, directory
-        self.connection_ends: Mapping[str, int] = {}        # of the server in front, where something had been left open
+        self.connection_ends: Mapping[str, int] = {}  # of the server in front, where something had been left open
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
@@ -55,9 +55,9 @@
                 status["connection-ends"] = dict(sorted(self.connection_ends.items()))
                 await answer(send, 200, json.dumps(status).encode(), (JSON_TYPE,))
             elif path.startswith(INSTANCES_PATH) and method == "PUT":
-                await self._beat(unquote(path[len(INSTANCES_PATH):]), receive, send)
+                await self._beat(unquote(path[len(INSTANCES_PATH) :]), receive, send)
             elif path.startswith(INSTANCES_PATH) and method == "DELETE":
-                held = await self.directory.leave(unquote(path[len(INSTANCES_PATH):]))
+                held = await self.directory.leave(unquote(path[len(INSTANCES_PATH) :]))
                 await self._acknowledge(send, held)
             else:
                 await answer(send, 404, _body(error="there is no such resource"), (JSON_TYPE,))
@@ -83,8 +83,16 @@
             await answer(send, 400, _body(error="the heartbeat is invalid", findings=findings), (JSON_TYPE,))
             return
         instance = Instance(
-            identity, form.service, form.address, form.zone, form.version, form.slots, form.state, form.stage or "",
-            tuple(Model(model.name, model.version) for model in form.models))
+            identity,
+            form.service,
+            form.address,
+            form.zone,
+            form.version,
+            form.slots,
+            form.state,
+            form.stage or "",
+            tuple(Model(model.name, model.version) for model in form.models),
+        )
         await self._acknowledge(send, await self.directory.beat(instance, form.sequence))
 
     # --- configuration -------------------------------------------------------------------------------------------
--- a/hophinge/fleet/controlplane/directory.py
+++ b/hophinge/fleet/controlplane/directory.py
@@ -26,17 +26,18 @@
 from hophinge.fleet.settings import Settings
 
 DIRECTORY_TICK_S = 0.25
-SHARE_S = 0.75              # between two words to the other control members about liveness and leases
-COMPARE_S = 1.0             # between two comparisons of digests with one of them
-MOST_DIRECT = 32            # data planes that get news from here whole; the others get it from these
-MOST_NEIGHBOURS = 8         # of which a data plane is told
+SHARE_S = 0.75  # between two words to the other control members about liveness and leases
+COMPARE_S = 1.0  # between two comparisons of digests with one of them
+MOST_DIRECT = 32  # data planes that get news from here whole; the others get it from these
+MOST_NEIGHBOURS = 8  # of which a data plane is told
 
 
 class Directory:
     """The soft state of one control member, and its words to others."""
 
-    def __init__(self, settings: Settings, machine: ReplicaMachine, send: Callable[[str, object], None],
-                 relay: Relay) -> None:
+    def __init__(
+        self, settings: Settings, machine: ReplicaMachine, send: Callable[[str, object], None], relay: Relay
+    ) -> None:
         self.machine, self.send, self.relay = machine, send, relay
         self.loop = asyncio.get_running_loop()
         self.random = Random()
@@ -45,7 +46,7 @@
         self.service = InstanceService(machine.me, self.dissemination, self.registry)
         self.leases = LeaseTable()
         self.loads = StageLoads()
-        self.requests = itertools.count(secrets.randbits(40))      # an answer to the process before this one fits none
+        self.requests = itertools.count(secrets.randbits(40))  # an answer to the process before this one fits none
         self.callers: dict[int, asyncio.Future[bool]] = {}
         self.shared = self.compared = 0.0
         self.relay_due = False
@@ -136,8 +137,10 @@
         far = [one.address for one in others if one.zone != renew.holder.zone]
         chosen = self.random.sample(near, min(MOST_NEIGHBOURS - 2, len(near)))
         chosen += self.random.sample(far, min(2, len(far)))
-        self.send(source, Grant(LEASE_S, len(holders), tuple(chosen), self._granters(now), self.machine.connected(now),
-                                renew.asked))
+        self.send(
+            source,
+            Grant(LEASE_S, len(holders), tuple(chosen), self._granters(now), self.machine.connected(now), renew.asked),
+        )
         step = ServiceStep()
         self.service.receive(now, source, Digest(renew.marks), (), step)
         self._let_go(step)
@@ -184,12 +187,12 @@
     async def beat(self, instance: Instance, sequence: int) -> bool:
         """Take an instance's heartbeat; tells whether it may be acknowledged."""
         return await self._ask(
-            lambda request: self.service.beat(self.loop.time(), self._around(), request, instance, sequence))
+            lambda request: self.service.beat(self.loop.time(), self._around(), request, instance, sequence)
+        )
 
     async def leave(self, identity: str) -> bool:
         """An instance unregisters; tells whether it may be acknowledged."""
-        return await self._ask(
-            lambda request: self.service.leave(self.loop.time(), self._around(), request, identity))
+        return await self._ask(lambda request: self.service.leave(self.loop.time(), self._around(), request, identity))
 
     async def _ask(self, ask: Callable[[int], ServiceStep]) -> bool:
         """Put a caller's request to the service, and wait until it is settled, which its own time bounds."""
