--- a/hophinge/fleet/controlplane/host.py
+++ b/hophinge/fleet/controlplane/host.py
@@ -20,10 +20,10 @@
 from hophinge.coordination.view import Replica
 from hophinge.fleet.settings import Settings
 
-REPLICA_TICK_S = 0.05               # between ticks of the state machine
-DISK_AGAIN_S = 0.25         # between attempts on a disk that takes no writes
-SCRUB_S = 60.0              # between readings of all that counts on the disk
-SLOW_S = 0.4                # a write that takes longer: the disk is told of as one that takes no writes
+REPLICA_TICK_S = 0.05  # between ticks of the state machine
+DISK_AGAIN_S = 0.25  # between attempts on a disk that takes no writes
+SCRUB_S = 60.0  # between readings of all that counts on the disk
+SLOW_S = 0.4  # a write that takes longer: the disk is told of as one that takes no writes
 
 Clock = Callable[[], float]
 
@@ -44,7 +44,7 @@
     records: list[Record]
     state: StateRecord | None
     outputs: list[Outputs]
-    scrub: bool = False         # nothing to write: what is there is read back
+    scrub: bool = False  # nothing to write: what is there is read back
     damages: list[Damage] = field(default_factory=list)
 
 
@@ -90,8 +90,8 @@
         if recovered is not None and recovered.state is not None:
             self.machine.restore([recovered.state, *recovered.records])
         elif self.store is not None:
-            self.store.save(self.machine.state())       # with view 0, where this is a seed: promises bind it for ever
-        self.waiting: list[Outputs] = []        # outputs that came while a batch is being written
+            self.store.save(self.machine.state())  # with view 0, where this is a seed: promises bind it for ever
+        self.waiting: list[Outputs] = []  # outputs that came while a batch is being written
         self.writing_since: float | None = None
         self.failed_at: float | None = None
         self.callers: dict[int, asyncio.Future[Answer]] = {}
--- a/hophinge/fleet/controlplane/keeper.py
+++ b/hophinge/fleet/controlplane/keeper.py
@@ -20,13 +20,13 @@
 from hophinge.fleet.program import repeat
 
 TICK_S = 0.5
-STEADY_S = 1.2              # for which a change is wanted before it is ordered: instances come and go in between
-AGAIN_S = 2.5               # between two orders: the effect of the last one has to show
-URGENT_AGAIN_S = 1.0        # where nobody is left of a stage, and an order was lost or refused
-CONFIRM_S = 0.3             # for the chain to confirm the ownership, right before an order
-ORDER_S = 0.5               # for an instance to answer an order
+STEADY_S = 1.2  # for which a change is wanted before it is ordered: instances come and go in between
+AGAIN_S = 2.5  # between two orders: the effect of the last one has to show
+URGENT_AGAIN_S = 1.0  # where nobody is left of a stage, and an order was lost or refused
+CONFIRM_S = 0.3  # for the chain to confirm the ownership, right before an order
+ORDER_S = 0.5  # for an instance to answer an order
 TAKEN = (200, 202)
-OUTDATED_TOKEN = 412        # an instance's answer where it has seen a higher token
+OUTDATED_TOKEN = 412  # an instance's answer where it has seen a higher token
 
 Request = Callable[[str, Change | None, float], Awaitable[Answer]]
 
@@ -34,13 +34,14 @@
 class StageKeeper:
     """One control member's part in the role."""
 
-    def __init__(self, machine: ReplicaMachine, directory: Directory, request: Request, lease_s: float,
-                 policy: Policy) -> None:
+    def __init__(
+        self, machine: ReplicaMachine, directory: Directory, request: Request, lease_s: float, policy: Policy
+    ) -> None:
         self.machine, self.directory, self.request, self.policy = machine, directory, request, policy
         self.loop = asyncio.get_running_loop()
         self.role = Role("stages", machine.me.identity, lease_s)
         self.loads = directory.loads
-        self.wanted: tuple[str, str] | None = None      # a service, and the stage of which it wants more
+        self.wanted: tuple[str, str] | None = None  # a service, and the stage of which it wants more
         self.wanted_since = 0.0
         self.ordered_at = float("-inf")
 
@@ -110,13 +111,20 @@
 async def _post_order(switch: Switch, holder: str, token: int) -> int | None:
     """Send an order; None where no answer came."""
     body = json.dumps({"operation": "stage", "stage": switch.stage, "holder": holder, "fence-token": token}).encode()
-    headers = [(b"content-type", b"application/json"),
-               (b"hophinge-expected-instance", switch.instance.identity.encode())]
+    headers = [
+        (b"content-type", b"application/json"),
+        (b"hophinge-expected-instance", switch.instance.identity.encode()),
+    ]
     timeout = {"connect": ORDER_S, "read": ORDER_S, "write": ORDER_S, "pool": ORDER_S}
     async with httpcore.AsyncConnectionPool() as pool:
         try:
-            response = await pool.request("POST", f"http://{switch.instance.address}/v1/order", headers=headers,
-                                          content=body, extensions={"timeout": timeout})
+            response = await pool.request(
+                "POST",
+                f"http://{switch.instance.address}/v1/order",
+                headers=headers,
+                content=body,
+                extensions={"timeout": timeout},
+            )
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError):
             return None
         return int(response.status)
--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -23,8 +23,8 @@
 from hophinge.fleet.transport.server import HttpServer, listening
 
 CONTROL = "control"
-LEAVE_S = 0.3               # for requests under way to come to their end
-RESERVE_S = 1.5             # of the time to end that is left unused
+LEAVE_S = 0.3  # for requests under way to come to their end
+RESERVE_S = 1.5  # of the time to end that is left unused
 
 
 class ControlPlane:
@@ -37,8 +37,9 @@
         self.host = ReplicaHost(settings, Effects(self._send, self._publish, log.note))
         self.links = Links(self.host.me, CONTROL, self._received, log.note)
         self.directory = Directory(settings, self.host.machine, self._send, Relay(self.links.send_frame))
-        self.keeper = StageKeeper(self.host.machine, self.directory, self.host.request, settings.bounds.lease_s,
-                                  trial_policy())
+        self.keeper = StageKeeper(
+            self.host.machine, self.directory, self.host.request, settings.bounds.lease_s, trial_policy()
+        )
         self.reporter = Reporter(self.directory, self.keeper.alive, self.host.me.identity)
         api = ControlApi(self.host, self.directory)
         self.server = HttpServer(api)
--- a/hophinge/fleet/controlplane/relay.py
+++ b/hophinge/fleet/controlplane/relay.py
@@ -11,9 +11,9 @@
 from hophinge.fleet.placement.hints import Hints, Reports, Suspects
 from hophinge.fleet.transport.frames import frame
 
-SOON_S = 0.01               # from a word until it is passed on, at least: others may join it
-GATHER_S = 0.02             # between two times of passing on, at least
-EACH_HEAD_S = 0.001         # and for so much longer with each head that is told
+SOON_S = 0.01  # from a word until it is passed on, at least: others may join it
+GATHER_S = 0.02  # between two times of passing on, at least
+EACH_HEAD_S = 0.001  # and for so much longer with each head that is told
 SendFrame = Callable[[str, bytes], None]
 
 
@@ -23,7 +23,7 @@
     def __init__(self, send_frame: SendFrame) -> None:
         self.send_frame = send_frame
         self.hints: list[tuple[str, Hints]] = []
-        self.from_heads = Hints(())             # what the other control members have to hear
+        self.from_heads = Hints(())  # what the other control members have to hear
         self.flushed = float("-inf")
 
     def take(self, source: str, hints: Hints, from_head: bool) -> None:
--- a/hophinge/fleet/controlplane/reports.py
+++ b/hophinge/fleet/controlplane/reports.py
@@ -18,10 +18,10 @@
 from hophinge.fleet.program import repeat
 from hophinge.fleet.registry.instance import Instance
 
-PERIOD_S = 0.8              # between two questions to one instance
+PERIOD_S = 0.8  # between two questions to one instance
 ANSWER_S = 0.4
 RESTING_S = 20.0
-MOST_CONNECTIONS = 1_000    # one to each instance that falls to this member
+MOST_CONNECTIONS = 1_000  # one to each instance that falls to this member
 FAILURES = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, ValueError, KeyError, TypeError)
 
 
@@ -36,16 +36,20 @@
 
     def __init__(self, directory: Directory, alive: Callable[[], set[str]], me: str) -> None:
         self.directory, self.alive, self.me = directory, alive, me
-        self.pool = httpcore.AsyncConnectionPool(max_connections=MOST_CONNECTIONS,
-                                                 max_keepalive_connections=MOST_CONNECTIONS, keepalive_expiry=RESTING_S)
+        self.pool = httpcore.AsyncConnectionPool(
+            max_connections=MOST_CONNECTIONS, max_keepalive_connections=MOST_CONNECTIONS, keepalive_expiry=RESTING_S
+        )
 
     def asked(self) -> list[Instance]:
         """Tell the instances that fall to this member; a member outside the chain asks none."""
         alive = self.alive()
         if self.me not in alive:
             return []
-        return [instance for instance in self.directory.registry.instances.values()
-                if instance.stage and rendezvous(instance.identity, alive) == self.me]
+        return [
+            instance
+            for instance in self.directory.registry.instances.values()
+            if instance.stage and rendezvous(instance.identity, alive) == self.me
+        ]
 
     async def run(self) -> None:
         """Ask for ever."""
@@ -62,8 +66,9 @@
         headers = [(b"hophinge-expected-instance", instance.identity.encode())]
         timeout = {"connect": ANSWER_S, "read": ANSWER_S, "write": ANSWER_S, "pool": ANSWER_S}
         try:
-            response = await self.pool.request("GET", f"http://{instance.address}/v1/report", headers=headers,
-                                               extensions={"timeout": timeout})
+            response = await self.pool.request(
+                "GET", f"http://{instance.address}/v1/report", headers=headers, extensions={"timeout": timeout}
+            )
             return read_report(instance.identity, response.content) if response.status == 200 else None
         except FAILURES:
             return None
--- a/hophinge/fleet/controlplane/status.py
+++ b/hophinge/fleet/controlplane/status.py
@@ -15,18 +15,33 @@
     peers = machine.peers.known.values()
     record = directory.dissemination.replicas.get(RECORD_KEY)
     return {
-        "program": "control-plane", "identity": machine.me.identity, "address": machine.me.address,
-        "votes": machine.votes, "disk-writable": machine.writable, "connected": machine.connected(now),
+        "program": "control-plane",
+        "identity": machine.me.identity,
+        "address": machine.me.address,
+        "votes": machine.votes,
+        "disk-writable": machine.writable,
+        "connected": machine.connected(now),
         "view": view.number if view is not None else None,
         "voters": [voter.address for voter in view.voters] if view is not None else [],
         "chain": [link.identity for link in view.chain] if view is not None else [],
-        "serving": chain.serving, "sequence": chain.registers.sequence, "committed": chain.committed,
-        "peers": [{"address": peer.replica.address, "heard-s-ago": round(now - peer.heard, 2),
-                   "lag": chain.registers.sequence - peer.heartbeat.sequence} for peer in peers],
+        "serving": chain.serving,
+        "sequence": chain.registers.sequence,
+        "committed": chain.committed,
+        "peers": [
+            {
+                "address": peer.replica.address,
+                "heard-s-ago": round(now - peer.heard, 2),
+                "lag": chain.registers.sequence - peer.heartbeat.sequence,
+            }
+            for peer in peers
+        ],
         "configuration": chain.registers.current(RECORD_KEY).version,
         "configuration-record": list(record.stamp) if record is not None else None,
-        "leases": len(directory.leases.all()), "leases-here": len(directory.leases.own()),
-        "instances": {identity: f"{instance.service} {instance.stage} {instance.state}".replace("  ", " ")
-                      for identity, instance in sorted(directory.registry.instances.items())},
+        "leases": len(directory.leases.all()),
+        "leases-here": len(directory.leases.own()),
+        "instances": {
+            identity: f"{instance.service} {instance.stage} {instance.state}".replace("  ", " ")
+            for identity, instance in sorted(directory.registry.instances.items())
+        },
         "digest": [f"{mark:016x}" for mark in directory.dissemination.replicas.marks(now)],
     }
--- a/hophinge/fleet/dataplane/connections.py
+++ b/hophinge/fleet/dataplane/connections.py
@@ -11,11 +11,11 @@
 from hophinge.fleet.forwarding.claims import Claims
 from hophinge.fleet.forwarding.headers import Fields, resting_time
 
-MOST_CONNECTIONS = 48       # of one data plane to one instance
+MOST_CONNECTIONS = 48  # of one data plane to one instance
 MOST_RESTING = 16
-RESTING_S = 8.0             # until an instance tells how long it keeps resting connections, in seconds
-RESTING_PART = 0.8          # of that time after which a connection is not used again: the close may be on its way
-FORGOTTEN_PART = 0.5        # of the rest after which a connection turned out to be dead: so long may others rest then
+RESTING_S = 8.0  # until an instance tells how long it keeps resting connections, in seconds
+RESTING_PART = 0.8  # of that time after which a connection is not used again: the close may be on its way
+FORGOTTEN_PART = 0.5  # of the rest after which a connection turned out to be dead: so long may others rest then
 BROKEN = (httpcore.NetworkError, httpcore.RemoteProtocolError)
 
 
@@ -67,7 +67,7 @@
         self.pool = pool
         self.rests_since: float | None = None
         self.claims = Claims()
-        self.claim: int | None = None       # of the request that it carries
+        self.claim: int | None = None  # of the request that it carries
 
     async def handle_async_request(self, request: httpcore.Request) -> httpcore.Response:
         """Send a request; one that finds the connection dead tells how long connections may rest.
@@ -148,9 +148,9 @@
     def __init__(self) -> None:
         super().__init__(max_connections=MOST_CONNECTIONS, max_keepalive_connections=MOST_RESTING, retries=0)
         self.resting_s = RESTING_S
-        self.longest_s = float("inf")       # learned from connections that had died at rest
+        self.longest_s = float("inf")  # learned from connections that had died at rest
         self.claims = Claims()
-        self.made: set[InstanceConnection] = set()      # that may still be open, those in use after a retirement too
+        self.made: set[InstanceConnection] = set()  # that may still be open, those in use after a retirement too
 
     def create_connection(self, origin: httpcore.Origin) -> httpcore.AsyncConnectionInterface:
         """Open a connection."""
--- a/hophinge/fleet/dataplane/cut_log.py
+++ b/hophinge/fleet/dataplane/cut_log.py
@@ -25,9 +25,16 @@
         """Take one cut answer."""
         now, table = self.loop.time(), self.knowledge.table
         cut = Cut(
-            exchange.inbound.request_id or "-", exchange.life.route.name, side, exchange.step, error,
-            self._instance(now, exchange.instance), table.version if table is not None else 0,
-            now - self.knowledge.table_since, exchange.life.deadline - now)
+            exchange.inbound.request_id or "-",
+            exchange.life.route.name,
+            side,
+            exchange.step,
+            error,
+            self._instance(now, exchange.instance),
+            table.version if table is not None else 0,
+            now - self.knowledge.table_since,
+            exchange.life.deadline - now,
+        )
         self.counts[cut.reason] += 1
         log.note(cut.line())
 
@@ -36,5 +43,6 @@
             return None
         node = self.placement.nodes.get(identity)
         state = node.instance.state if node is not None else ""
-        return InstanceSeen(identity, state, self.upstream.unregistered_s(now, identity),
-                            self.upstream.connections(identity))
+        return InstanceSeen(
+            identity, state, self.upstream.unregistered_s(now, identity), self.upstream.connections(identity)
+        )
--- a/hophinge/fleet/dataplane/exchange.py
+++ b/hophinge/fleet/dataplane/exchange.py
@@ -51,7 +51,7 @@
 
     method: bytes
     target: bytes
-    fields: Fields              # that go on to instances
+    fields: Fields  # that go on to instances
     body: bytes
     request_id: str | None
 
@@ -84,12 +84,12 @@
         self.inbound, self.life, self.upstream, self.send = inbound, life, upstream, send
         self.loop = asyncio.get_running_loop()
         self.closing = closing
-        self.started = False        # an answer's head went to the client
-        self.answered = False       # the answer has gone out whole
-        self.ending = ""            # what the client got
+        self.started = False  # an answer's head went to the client
+        self.answered = False  # the answer has gone out whole
+        self.ending = ""  # what the client got
         self.step = Step.CHOOSING
-        self.instance = ""          # of the newest attempt
-        self.failure: AttemptFailure | None = None      # of the newest attempt, where it failed
+        self.instance = ""  # of the newest attempt
+        self.failure: AttemptFailure | None = None  # of the newest attempt, where it failed
 
     async def run(self) -> None:
         """Go through attempts until the client has its answer; memory read for nothing is freed."""
@@ -141,8 +141,12 @@
     def _call(self, step: Read | Run, extra: Fields) -> Call:
         node = step.placed.node
         left = self.life.deadline - self.loop.time()
-        fields = [*self.inbound.fields, (DEADLINE, str(max(1, int(left * MILLISECONDS))).encode()),
-                  (EXPECTED_INSTANCE, node.instance.identity.encode()), *extra]
+        fields = [
+            *self.inbound.fields,
+            (DEADLINE, str(max(1, int(left * MILLISECONDS))).encode()),
+            (EXPECTED_INSTANCE, node.instance.identity.encode()),
+            *extra,
+        ]
         if self.life.staged:
             fields.append((PRIORITY, str(step.priority).encode()))
         return Call(node.instance.address, self.inbound.method, self.inbound.target, fields, self.inbound.body, left)
@@ -155,7 +159,7 @@
         try:
             async with asyncio.timeout(call.left_s), self.upstream.call(node.instance.identity, call) as response:
                 if not belongs(response.headers, self.inbound.request_id):
-                    return Result(Ending.UNKNOWN)       # unread: its connection is closed, the own answer may be behind
+                    return Result(Ending.UNKNOWN)  # unread: its connection is closed, the own answer may be behind
                 body = await response.aread()
                 refused = unexecuted(response.status, response.headers)
                 if refused is not None:
--- a/hophinge/fleet/dataplane/front.py
+++ b/hophinge/fleet/dataplane/front.py
@@ -49,12 +49,12 @@
 from hophinge.fleet.transport.connection_state import ConnectionState
 
 READY_PATH = "/v1/ready"
-MEMBER_PATH = "/v1/member"     # for operators: how this head stands
+MEMBER_PATH = "/v1/member"  # for operators: how this head stands
 MILLISECONDS = 1_000
-MARGIN_S = 0.03             # an answer leaves so long before the deadline
-COME_BACK = (b"retry-after", b"0.6")         # from a head without routes: it has just started, and soon has them
+MARGIN_S = 0.03  # an answer leaves so long before the deadline
+COME_BACK = (b"retry-after", b"0.6")  # from a head without routes: it has just started, and soon has them
 CLOSE = (b"connection", b"close")
-MOST_BODIES = 64 << 20      # bytes of the bodies of all requests under way: a fifth of the memory of a machine
+MOST_BODIES = 64 << 20  # bytes of the bodies of all requests under way: a fifth of the memory of a machine
 
 
 class Front:
@@ -72,7 +72,7 @@
         self.cuts = CutLog(knowledge, placement, upstream)
         self.ready_port = int(settings.ready.rsplit(":", 1)[1]) if settings.ready else 0
         self.ending = False
-        self.connection_ends: Mapping[str, int] = {}        # of the server in front, where something had been left open
+        self.connection_ends: Mapping[str, int] = {}  # of the server in front, where something had been left open
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
@@ -89,7 +89,7 @@
         except NoRoomError:
             await answer(send, 503, b"", [COME_BACK, CLOSE])
         except BrokenOffError:
-            pass                # told of by then; the server closes the connection behind what has gone
+            pass  # told of by then; the server closes the connection behind what has gone
         except Exception:
             log.logger.exception("a request failed in the head itself")
             raise
@@ -107,15 +107,28 @@
         knowledge, now = self.knowledge, self.loop.time()
         table, renewal = knowledge.table, knowledge.renewal
         return {
-            "program": "data-plane", "identity": knowledge.me.identity, "address": knowledge.me.address,
-            "ready": knowledge.informed and not self.ending, "ending": self.ending,
+            "program": "data-plane",
+            "identity": knowledge.me.identity,
+            "address": knowledge.me.address,
+            "ready": knowledge.informed and not self.ending,
+            "ending": self.ending,
             "configuration": table.version if table is not None else None,
-            "lease-holds": renewal.holds(now), "granter": renewal.home, "heads": renewal.holders,
+            "lease-holds": renewal.holds(now),
+            "granter": renewal.home,
+            "heads": renewal.holders,
             "heads-for-budgets": knowledge.heads(now),
-            "instances": {identity: {"service": node.instance.service, "stage": node.instance.stage,
-                                     "state": node.instance.state, "out": node.out, "rests": node.rests(now)}
-                          for identity, node in sorted(self.placement.nodes.items())},
-            "requests": self.figures.told(), "cuts": dict(sorted(self.cuts.counts.items())),
+            "instances": {
+                identity: {
+                    "service": node.instance.service,
+                    "stage": node.instance.stage,
+                    "state": node.instance.state,
+                    "out": node.out,
+                    "rests": node.rests(now),
+                }
+                for identity, node in sorted(self.placement.nodes.items())
+            },
+            "requests": self.figures.told(),
+            "cuts": dict(sorted(self.cuts.counts.items())),
             "connection-ends": dict(sorted(self.connection_ends.items())),
             "digest": [f"{mark:016x}" for mark in knowledge.dissemination.replicas.marks(now)],
         }
@@ -125,8 +138,7 @@
         budget = self.budgets.get(service)
         if budget is None:
             bounds = self.settings.bounds
-            budget = RetryBudget(
-                bounds.budget_ratio, bounds.budget_slack, bounds.budget_window_s, self.started)
+            budget = RetryBudget(bounds.budget_ratio, bounds.budget_slack, bounds.budget_window_s, self.started)
             self.budgets[service] = budget
         return budget
 
@@ -175,8 +187,20 @@
         name = inbound.request_id or str(self.random.getrandbits(64))
         heads = self.knowledge.heads(arrived)
         trace = RequestTrace(route.name, arrived, route.target_s)
-        return Life(name, route, service, prompt, engine is not None, arrived + route.target_s,
-                    deadline, self.placement, budget, heads, trace, min(deadline, arrived + route.patience_s))
+        return Life(
+            name,
+            route,
+            service,
+            prompt,
+            engine is not None,
+            arrived + route.target_s,
+            deadline,
+            self.placement,
+            budget,
+            heads,
+            trace,
+            min(deadline, arrived + route.patience_s),
+        )
 
     async def _carry(self, exchange: Exchange, receive: Receive, connection: ConnectionState) -> None:
         """Carry a request; where its client leaves, the instance's work is given up with the connection."""
--- a/hophinge/fleet/dataplane/knowledge.py
+++ b/hophinge/fleet/dataplane/knowledge.py
@@ -16,16 +16,22 @@
 from hophinge.fleet.settings import Settings
 
 KNOWLEDGE_TICK_S = 0.25
-COMPARE_S = 1.5             # between comparisons of digests with another data plane
-SETTLE_S = 0.4              # after the first lease, for what differs to arrive
+COMPARE_S = 1.5  # between comparisons of digests with another data plane
+SETTLE_S = 0.4  # after the first lease, for what differs to arrive
 Watcher = Callable[[str, Instance | None], None]
 
 
 class Knowledge:
     """One data plane's view of the fleet."""
 
-    def __init__(self, settings: Settings, send: Callable[[str, object], None], watcher: Watcher,
-                 configured: Callable[[RouteTable], None], first_granted: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        send: Callable[[str, object], None],
+        watcher: Watcher,
+        configured: Callable[[RouteTable], None],
+        first_granted: Callable[[], None],
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings, self.send, self.watcher, self.configured = settings, send, watcher, configured
         self.first_granted = first_granted
--- a/hophinge/fleet/dataplane/program.py
+++ b/hophinge/fleet/dataplane/program.py
@@ -24,11 +24,11 @@
 from hophinge.fleet.transport.server import HttpServer, listening
 
 DATA = "data"
-LEAVE_S = 2.6               # the platform needs two misses, a second apart, to send no new connections
-HINT_S = 0.01               # that what was placed here is gathered before others are told
-SLACK_S = 1.0               # beyond the configuration's times: what a client sent in time may be on its way
-RESERVE_S = 0.5             # of the time to end that is left unused, at most
-RESERVE_PART = 1 / 12       # of that time, at most: half of the part in which what is still under way may be cut
+LEAVE_S = 2.6  # the platform needs two misses, a second apart, to send no new connections
+HINT_S = 0.01  # that what was placed here is gathered before others are told
+SLACK_S = 1.0  # beyond the configuration's times: what a client sent in time may be on its way
+RESERVE_S = 0.5  # of the time to end that is left unused, at most
+RESERVE_PART = 1 / 12  # of that time, at most: half of the part in which what is still under way may be cut
 
 
 class DataPlane:
@@ -44,8 +44,7 @@
         self.placement = Placement(settings.zone, self._ended, Random(), self._schedule_hints, trial_policy())
         self.hints_due = False
         self.upstream = Upstream()
-        self.knowledge = Knowledge(settings, self._send, self._instance, self._configured,
-                                   self._granted)
+        self.knowledge = Knowledge(settings, self._send, self._instance, self._configured, self._granted)
         self.links = Links(self.knowledge.me, DATA, self._received, log.note)
         self.front = Front(settings, self.knowledge, self.placement, self.upstream)
         self.server = HttpServer(self.front)
--- a/hophinge/fleet/dataplane/request_log.py
+++ b/hophinge/fleet/dataplane/request_log.py
@@ -9,7 +9,7 @@
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.prompt import Prompt
 
-MARK = "request "           # that such a line begins with
+MARK = "request "  # that such a line begins with
 
 
 def write(trace: RequestTrace, prompt: Prompt | None, zone: str) -> None:
--- a/hophinge/fleet/dataplane/upstream.py
+++ b/hophinge/fleet/dataplane/upstream.py
@@ -13,9 +13,9 @@
 from hophinge.fleet.forwarding.headers import EXPECTED_INSTANCE, Fields
 from hophinge.fleet.forwarding.results import Handle
 
-CONNECT_S = 0.4             # for a connection to come up: some thousand times what the network takes
-FREE_S = 0.5                # for an instance to free memory
-REMEMBERED_S = 60.0         # for which an instance that has ended is remembered: longer than any request lasts
+CONNECT_S = 0.4  # for a connection to come up: some thousand times what the network takes
+FREE_S = 0.5  # for an instance to free memory
+REMEMBERED_S = 60.0  # for which an instance that has ended is remembered: longer than any request lasts
 UNSENT = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
 FAILURES = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
@@ -29,7 +29,7 @@
     target: bytes
     fields: Fields
     body: bytes
-    left_s: float               # until the request is given up
+    left_s: float  # until the request is given up
 
 
 class Upstream:
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.pools: dict[str, InstancePool] = {}
         self.background: set[asyncio.Task[None]] = set()
-        self.ended: dict[str, float] = {}       # instances that have unregistered, and when this head heard of it
+        self.ended: dict[str, float] = {}  # instances that have unregistered, and when this head heard of it
 
     def _pool(self, identity: str) -> InstancePool:
         """Tell an instance's pool; raises InstanceEndedError where the instance has ended: it gets nothing new."""
@@ -57,11 +57,14 @@
         """
         host, port = call.address.rsplit(":", 1)
         url = httpcore.URL(scheme=b"http", host=host.encode(), port=int(port), target=call.target)
-        timeout = {"connect": min(CONNECT_S, call.left_s), "pool": min(CONNECT_S, call.left_s),
-                   "read": call.left_s, "write": call.left_s}
+        timeout = {
+            "connect": min(CONNECT_S, call.left_s),
+            "pool": min(CONNECT_S, call.left_s),
+            "read": call.left_s,
+            "write": call.left_s,
+        }
         fields = [*call.fields, (b"content-length", str(len(call.body)).encode())]
-        request = httpcore.Request(call.method, url, headers=fields, content=call.body,
-                                   extensions={"timeout": timeout})
+        request = httpcore.Request(call.method, url, headers=fields, content=call.body, extensions={"timeout": timeout})
         pool = self._pool(identity)
         claim = pool.claims.claim(asyncio.get_running_loop().time() + call.left_s)
         assert claim is not None, "no retired pool is given out"
@@ -71,7 +74,7 @@
             try:
                 yield response
             finally:
-                await asyncio.shield(self._start(response.aclose()))   # whoever waits may be cancelled once more
+                await asyncio.shield(self._start(response.aclose()))  # whoever waits may be cancelled once more
         finally:
             if pool.claims.release(claim):
                 self._drop(identity, pool)
--- a/hophinge/fleet/emulation/clock.py
+++ b/hophinge/fleet/emulation/clock.py
@@ -27,9 +27,11 @@
 
     def every(self, period: float, callback: Callback) -> None:
         """Have something done again and again."""
+
         def again() -> None:
             callback()
             self.after(period, again)
+
         self.after(period, again)
 
     def run(self, until: float) -> None:
--- a/hophinge/fleet/emulation/engine.py
+++ b/hophinge/fleet/emulation/engine.py
@@ -27,10 +27,10 @@
 class Fault(Enum):
     """What a test may have go wrong."""
 
-    FULL = auto()           # every request is refused as not executed
-    RESET = auto()          # the connection ends after the request was taken up
-    CUT = auto()            # a stream breaks off in the middle of an event
-    NO_MEMORY = auto()      # no handle can be had
+    FULL = auto()  # every request is refused as not executed
+    RESET = auto()  # the connection ends after the request was taken up
+    CUT = auto()  # a stream breaks off in the middle of an event
+    NO_MEMORY = auto()  # no handle can be had
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,21 +62,31 @@
         self.state = "ready"
         self.faults: set[Fault] = set()
         self.runs: list[RunRecord] = []
-        self.handles: dict[str, str] = {}       # handle to the request whose prompt it holds
+        self.handles: dict[str, str] = {}  # handle to the request whose prompt it holds
         self.freed: set[str] = set()
         self.sequence = 0
-        self.leaving = False        # each answer says that its connection closes behind it
-        self.waiting = self.running = 0         # requests that it reports
-        self.orders = 0             # that it has taken
-        self.next_stage = ""        # while it changes its stage
+        self.leaving = False  # each answer says that its connection closes behind it
+        self.waiting = self.running = 0  # requests that it reports
+        self.orders = 0  # that it has taken
+        self.next_stage = ""  # while it changes its stage
 
     def registration(self, service: str, address: str, zone: str) -> bytes:
         """Tell the body of the next heartbeat."""
         self.sequence += 1
-        return json.dumps({
-            "service": service, "address": address, "zone": zone, "version": "v1", "slots": 8, "state": self.state,
-            "cold-remaining-ms": 0, "stage": self.stage or None, "models": [{"name": "m", "version": 1}],
-            "sequence": self.sequence}).encode()
+        return json.dumps(
+            {
+                "service": service,
+                "address": address,
+                "zone": zone,
+                "version": "v1",
+                "slots": 8,
+                "state": self.state,
+                "cold-remaining-ms": 0,
+                "stage": self.stage or None,
+                "models": [{"name": "m", "version": 1}],
+                "sequence": self.sequence,
+            }
+        ).encode()
 
     def order(self, body: bytes) -> Answered:
         """Take an order to change the stage; `change` carries it out."""
@@ -97,9 +107,19 @@
 
     def report(self) -> bytes:
         """Tell how full it is."""
-        return json.dumps({"stage": self.stage, "models": [], "busy": bool(self.next_stage), "sequence": self.orders,
-                           "waiting": self.waiting, "running": self.running, "kv-used": 0, "kv-total": 400_000,
-                           "handles": len(self.handles)}).encode()
+        return json.dumps(
+            {
+                "stage": self.stage,
+                "models": [],
+                "busy": bool(self.next_stage),
+                "sequence": self.orders,
+                "waiting": self.waiting,
+                "running": self.running,
+                "kv-used": 0,
+                "kv-total": 400_000,
+                "handles": len(self.handles),
+            }
+        ).encode()
 
     def serve(self, target: str, fields: Fields, body: bytes, holders: dict[str, Engine]) -> Answered:
         """Answer a request; `holders` are the instances by address, from which memory is fetched."""
@@ -124,8 +144,9 @@
         self.handles[handle] = request
         return Answered(200, own, json.dumps({"prefill-handle": handle, "tokens": 9, "version": 1}).encode())
 
-    def _run(self, request: str, target: str, fields: Fields, body: bytes, own: Fields,
-             holders: dict[str, Engine]) -> Answered:
+    def _run(
+        self, request: str, target: str, fields: Fields, body: bytes, own: Fields, holders: dict[str, Engine]
+    ) -> Answered:
         source = find(fields, KV_FROM)
         if source is not None and not self._fetch(source, request, holders):
             return Answered(503, [*own, (b"Hophinge-Not-Executed", b"1")])
@@ -137,8 +158,9 @@
         if not self.stage:
             return Answered(200, stamped, f"{self.identity} {request}".encode())
         first = int(find(fields, LAST_EVENT_ID) or 0) + 1
-        text = "".join(EVENT_FORM.format(number=number, identity=self.identity)
-                       for number in range(first, self.events + 1)).encode()
+        text = "".join(
+            EVENT_FORM.format(number=number, identity=self.identity) for number in range(first, self.events + 1)
+        ).encode()
         stream = [*stamped, (b"Content-Type", b"text/event-stream")]
         return Answered(200, stream, text[:-9], True) if Fault.CUT in self.faults else Answered(200, stream, text)
 
--- a/hophinge/fleet/emulation/fleet.py
+++ b/hophinge/fleet/emulation/fleet.py
@@ -20,12 +20,12 @@
 from hophinge.load.rig.processes import USUAL_MOST, Process, Processes
 from hophinge.load.rig.waiting import Condition, until
 
-FRONT, READY, CONTROL, INTERNAL = 0, 1, 2, 3        # ports of a machine, from the fleet's first
-PORTS = range(12_000, 28_000)       # none that the system gives to connections on their way out
+FRONT, READY, CONTROL, INTERNAL = 0, 1, 2, 3  # ports of a machine, from the fleet's first
+PORTS = range(12_000, 28_000)  # none that the system gives to connections on their way out
 ANSWER_S = 5.0
 START_S = 20.0
-BUDGET_WINDOW_S = 2.0       # for which a head that has just started has a small part of the slack
-PROGRAMS = 2                # on each machine
+BUDGET_WINDOW_S = 2.0  # for which a head that has just started has a small part of the slack
+PROGRAMS = 2  # on each machine
 HOST = "models.example"
 ENGINES = {"slots": 8, "kv-cache-tokens": 400_000, "kv-token-bytes": 1_000, "handle-ttl-s": 5.0}
 
@@ -42,11 +42,26 @@
 
 def document(version: int, routes: Iterable[tuple[str, str, str]]) -> bytes:
     """Write a configuration of routes, each a prefix, a kind and a service."""
-    rows = [{"name": f"r{number}", "host": HOST, "path-prefix": prefix, "route-type": kind, "timeout-ms": 4_000,
-             "target-latency-ms": 1_000, "priority": 1, "service": service, "max-attempts": 2,
-             "resumable": kind == "streaming"} for number, (prefix, kind, service) in enumerate(routes)]
-    services = [{"name": "models", "max-connections": 100, "engine": ENGINES}, {"name": "plain", "max-connections": 50},
-                {"name": "other", "max-connections": 50}]
+    rows = [
+        {
+            "name": f"r{number}",
+            "host": HOST,
+            "path-prefix": prefix,
+            "route-type": kind,
+            "timeout-ms": 4_000,
+            "target-latency-ms": 1_000,
+            "priority": 1,
+            "service": service,
+            "max-attempts": 2,
+            "resumable": kind == "streaming",
+        }
+        for number, (prefix, kind, service) in enumerate(routes)
+    ]
+    services = [
+        {"name": "models", "max-connections": 100, "engine": ENGINES},
+        {"name": "plain", "max-connections": 50},
+        {"name": "other", "max-connections": 50},
+    ]
     return json.dumps({"version": version, "routes": rows, "services": services}).encode()
 
 
@@ -104,14 +119,25 @@
     def _settings(self, number: int) -> dict[str, Any]:
         first = self.port + INTERNAL
         return {
-            "node-name": f"machine-{number}", "ip": self.ips[number], "zone": f"zone-{number}", "region": "r",
+            "node-name": f"machine-{number}",
+            "ip": self.ips[number],
+            "zone": f"zone-{number}",
+            "region": "r",
             "zones": {f"zone-{one}": "r" for one in range(len(self.ips))},
-            "listen-addresses": {"front": self.address(number, FRONT), "ready": self.address(number, READY),
-                                 "control": self.address(number, CONTROL)},
-            "internal-port-range": [first, first + 2], "seed-nodes": self.controls[:3], "bootstrap": self.bootstrap,
-            "counts-for-quorum": True, "data-dir": str(self.data_folder(number)), "heartbeat-ms": 400,
-            "fault-tolerance": {"machines": self.losses}, "bounds": {
-                "grace-s": self.grace_s, "retry-budget-slack": 60, "budget-window-s": BUDGET_WINDOW_S}}
+            "listen-addresses": {
+                "front": self.address(number, FRONT),
+                "ready": self.address(number, READY),
+                "control": self.address(number, CONTROL),
+            },
+            "internal-port-range": [first, first + 2],
+            "seed-nodes": self.controls[:3],
+            "bootstrap": self.bootstrap,
+            "counts-for-quorum": True,
+            "data-dir": str(self.data_folder(number)),
+            "heartbeat-ms": 400,
+            "fault-tolerance": {"machines": self.losses},
+            "bounds": {"grace-s": self.grace_s, "retry-budget-slack": 60, "budget-window-s": BUDGET_WINDOW_S},
+        }
 
     async def start(self) -> None:
         """Start all processes for the first time."""
@@ -142,14 +168,16 @@
         self.tasks.pop(identity).cancel()
         self.stand_ins[identity].stop()
 
-    async def call(self, address: str, method: str, target: str, body: bytes = b"",
-                   fields: Iterable[tuple[bytes, bytes]] = ()) -> Reply:
+    async def call(
+        self, address: str, method: str, target: str, body: bytes = b"", fields: Iterable[tuple[bytes, bytes]] = ()
+    ) -> Reply:
         """Make one call on a connection of its own."""
         timeout = {"connect": ANSWER_S, "read": ANSWER_S, "write": ANSWER_S, "pool": ANSWER_S}
         async with httpcore.AsyncConnectionPool() as pool:
             headers = [*fields, (b"content-length", str(len(body)).encode())]
-            request = httpcore.Request(method, f"http://{address}{target}", content=body, headers=headers,
-                                       extensions={"timeout": timeout})
+            request = httpcore.Request(
+                method, f"http://{address}{target}", content=body, headers=headers, extensions={"timeout": timeout}
+            )
             response = await pool.handle_async_request(request)
             parts: list[bytes] = []
             try:
@@ -161,8 +189,14 @@
                 await response.aclose()
             return Reply(response.status, response.headers, b"".join(parts), True)
 
-    async def request(self, number: int, path: str, name: str, *fields: tuple[bytes, bytes], body: bytes = b"x",
-                      ) -> Reply:
+    async def request(
+        self,
+        number: int,
+        path: str,
+        name: str,
+        *fields: tuple[bytes, bytes],
+        body: bytes = b"x",
+    ) -> Reply:
         """Make a client's request at a head."""
         own = [(b"Host", HOST.encode()), (b"Hophinge-Request-Id", name.encode()), (b"Hophinge-Deadline-Ms", b"4000")]
         return await self.call(self.address(number, FRONT), "POST", path, body, [*own, *fields])
@@ -201,6 +235,7 @@
 
     def ready(self, number: int, version: int, instances: int) -> Condition:
         """A head is ready under a version and knows so many instances."""
+
         async def look() -> tuple[bool, str]:
             address = self.address(number, READY)
             try:
@@ -217,15 +252,21 @@
 
     def serving(self, number: int, version: int) -> Condition:
         """A control member holds the chain's history, and a version is in force there."""
-        return self._answers(self.control(number), self.address(number, CONTROL), "/v1/member",
-                             f"holds version {version}", {"serving": True, "configuration": version})
+        return self._answers(
+            self.control(number),
+            self.address(number, CONTROL),
+            "/v1/member",
+            f"holds version {version}",
+            {"serving": True, "configuration": version},
+        )
 
     async def __aenter__(self) -> Self:
         """Begin."""
         return self
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         """End all that was started."""
         for task in self.tasks.values():
             task.cancel()
--- a/hophinge/fleet/emulation/sizes.py
+++ b/hophinge/fleet/emulation/sizes.py
@@ -16,8 +16,17 @@
 def instance(number: int) -> Instance:
     """Make an instance."""
     stage = "prefill" if number % 4 == 0 else "decode"
-    return Instance(f"i-{number:010x}", f"service{number % 22}", f"10.{number % 8}.{number // 250}.{number % 250}:8080",
-                    f"zone-{number % 19}", "v1", 64, READY, stage, (Model("m", 1),))
+    return Instance(
+        f"i-{number:010x}",
+        f"service{number % 22}",
+        f"10.{number % 8}.{number // 250}.{number % 250}:8080",
+        f"zone-{number % 19}",
+        "v1",
+        64,
+        READY,
+        stage,
+        (Model("m", 1),),
+    )
 
 
 def replicas(count: int) -> Replicas:
@@ -30,12 +39,31 @@
 
 def document(routes: int) -> bytes:
     """Write a configuration of routes."""
-    rows = [{"name": f"r-{number:07x}", "host": f"host{number % 50}.example", "path-prefix": f"/t{number:06x}/",
-             "route-type": "streaming", "timeout-ms": 8000, "target-latency-ms": 720, "priority": 1,
-             "service": f"service{number % 22}", "max-attempts": 2, "session-affinity": True, "resumable": True,
-             "gap_aim_ms": 58} for number in range(routes)]
-    services = [{"name": f"service{number}", "max-connections": 390,
-                 "engine": {"slots": 64, "kv-cache-tokens": 441937, "handle-ttl-s": 5.0}} for number in range(22)]
+    rows = [
+        {
+            "name": f"r-{number:07x}",
+            "host": f"host{number % 50}.example",
+            "path-prefix": f"/t{number:06x}/",
+            "route-type": "streaming",
+            "timeout-ms": 8000,
+            "target-latency-ms": 720,
+            "priority": 1,
+            "service": f"service{number % 22}",
+            "max-attempts": 2,
+            "session-affinity": True,
+            "resumable": True,
+            "gap_aim_ms": 58,
+        }
+        for number in range(routes)
+    ]
+    services = [
+        {
+            "name": f"service{number}",
+            "max-connections": 390,
+            "engine": {"slots": 64, "kv-cache-tokens": 441937, "handle-ttl-s": 5.0},
+        }
+        for number in range(22)
+    ]
     return json.dumps({"version": 7, "routes": rows, "services": services}).encode()
 
 
@@ -45,7 +73,7 @@
     return Holder(f"{number:016x}", f"edge-zone-{number % 19}-{number}", address, f"zone-{number % 19}")
 
 
-JOB_NUMBER = 1 << 39        # of the size that most drawn numbers have
+JOB_NUMBER = 1 << 39  # of the size that most drawn numbers have
 
 
 def hint(number: int) -> Hint:
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -35,8 +35,8 @@
 from hophinge.fleet.registry.registry import Liveness
 from hophinge.fleet.transport.frames import LENGTH
 
-FRAME_BYTES = LENGTH.size + 52      # a frame's length and TCP/IP headers, where it goes alone
-LEAST_S = 0.03                      # a time is taken over repetitions that last so long at least
+FRAME_BYTES = LENGTH.size + 52  # a frame's length and TCP/IP headers, where it goes alone
+LEAST_S = 0.03  # a time is taken over repetitions that last so long at least
 Measure = Callable[[int], float]
 
 
@@ -150,39 +150,91 @@
     me = Replica("0" * 16, "10.1.0.35:7660", "zone-1")
     random = Random(1)
     return [
-        fit("record of an instance, pushed", "B by records", lambda n: sent(Push(tuple(
-            record_of(instance(one), 1) for one in range(n)))), few),
-        fit("rows of a comparison, one bucket in 16", "B by instances", lambda n: sent(Rows(1, tuple(
-            (f"instance/i-{one:010x}", (1, 0)) for one in range(n // BUCKETS)))), many),
+        fit(
+            "record of an instance, pushed",
+            "B by records",
+            lambda n: sent(Push(tuple(record_of(instance(one), 1) for one in range(n)))),
+            few,
+        ),
+        fit(
+            "rows of a comparison, one bucket in 16",
+            "B by instances",
+            lambda n: sent(Rows(1, tuple((f"instance/i-{one:010x}", (1, 0)) for one in range(n // BUCKETS)))),
+            many,
+        ),
         fit("two members that differ in one record", "B by instances", lambda n: _missed(n), many),
         fit("digest", "B by instances", lambda n: sent(Digest(marks)), many),
         fit("renewal of a lease", "B by instances", lambda n: sent(Renew(holder(1), marks, 1.5)), many),
-        fit("grant of a lease", "B by core members", lambda n: sent(Grant(
-            3.0, 340, ("10.1.0.35:7661",) * 8, (me,) * n, True, 1.5)), (3, 5, 8)),
-        fit("leases told to another core member", "B by leases", lambda n: sent(Leases(tuple(
-            holder(one) for one in range(n)))), few),
-        fit("heartbeats told to another core member", "B by instances", lambda n: sent(Liveness(tuple(
-            (f"i-{one:010x}", 41) for one in range(n)))), many),
-        fit("heartbeat of a replica", "B by instances", lambda n: sent(Heartbeat(
-            12, 12, 345, 345, True, True, False, bytes(8))), many),
+        fit(
+            "grant of a lease",
+            "B by core members",
+            lambda n: sent(Grant(3.0, 340, ("10.1.0.35:7661",) * 8, (me,) * n, True, 1.5)),
+            (3, 5, 8),
+        ),
+        fit(
+            "leases told to another core member",
+            "B by leases",
+            lambda n: sent(Leases(tuple(holder(one) for one in range(n)))),
+            few,
+        ),
+        fit(
+            "heartbeats told to another core member",
+            "B by instances",
+            lambda n: sent(Liveness(tuple((f"i-{one:010x}", 41) for one in range(n)))),
+            many,
+        ),
+        fit(
+            "heartbeat of a replica",
+            "B by instances",
+            lambda n: sent(Heartbeat(12, 12, 345, 345, True, True, False, bytes(8))),
+            many,
+        ),
         fit("hints", "B by placements", lambda n: sent(Hints(tuple(hint(one) for one in range(n)))), few),
-        fit("ends of reads", "B by ends", lambda n: sent(Hints((), tuple(
-            Done(f"i-{one:010x}", JOB_NUMBER + one, 12) for one in range(n)))), few),
-        fit("reports", "B by engines", lambda n: sent(Reports(tuple(
-            Report(f"i-{one:010x}", 1, 12, 41_000, 441_937) for one in range(n)))), few),
+        fit(
+            "ends of reads",
+            "B by ends",
+            lambda n: sent(Hints((), tuple(Done(f"i-{one:010x}", JOB_NUMBER + one, 12) for one in range(n)))),
+            few,
+        ),
+        fit(
+            "reports",
+            "B by engines",
+            lambda n: sent(Reports(tuple(Report(f"i-{one:010x}", 1, 12, 41_000, 441_937) for one in range(n)))),
+            few,
+        ),
         fit("configuration as the operator sends it", "KB by routes", lambda n: len(document(n)) / 1024, many),
-        fit("configuration as it is spread, compressed", "KB by routes",
-            lambda n: len(zlib.compress(document(n), COMPRESSION)) / 1024, many),
-        fit("state of a chain member, sent whole", "KB by changes remembered",
-            lambda n: sent(Sync(1, _registers(n).snapshot())) / 1024, many),
+        fit(
+            "configuration as it is spread, compressed",
+            "KB by routes",
+            lambda n: len(zlib.compress(document(n), COMPRESSION)) / 1024,
+            many,
+        ),
+        fit(
+            "state of a chain member, sent whole",
+            "KB by changes remembered",
+            lambda n: sent(Sync(1, _registers(n).snapshot())) / 1024,
+            many,
+        ),
         fit("checking a configuration", "us by routes", lambda n: _timed(check, document(n)), many),
-        fit("putting a configuration in force", "us by routes",
-            lambda n: _timed(table_of, configuration_record(1, document(n))), many),
+        fit(
+            "putting a configuration in force",
+            "us by routes",
+            lambda n: _timed(table_of, configuration_record(1, document(n))),
+            many,
+        ),
         fit("marks of all buckets", "us by instances", lambda n: _marks(replicas(n)), (300, 1000, 3000)),
-        fit("encoding and decoding hints", "us by placements", lambda n: _codec(Hints(tuple(
-            hint(one) for one in range(n)))), few),
-        fit("placing a generation", "us by instances of its service",
-            lambda n: micros(_choose(placement(n), random)), few),
+        fit(
+            "encoding and decoding hints",
+            "us by placements",
+            lambda n: _codec(Hints(tuple(hint(one) for one in range(n)))),
+            few,
+        ),
+        fit(
+            "placing a generation",
+            "us by instances of its service",
+            lambda n: micros(_choose(placement(n), random)),
+            few,
+        ),
         fit("prompt parts believed to be kept", "KB by parts", lambda n: kilobytes(lambda: _cache(n)), many),
         fit("records of instances", "KB by instances", lambda n: kilobytes(lambda: replicas(n)), many),
         fit("books of instances", "KB by instances", lambda n: kilobytes(lambda: placement(n)), many),
--- a/hophinge/fleet/emulation/stand_in.py
+++ b/hophinge/fleet/emulation/stand_in.py
@@ -16,7 +16,7 @@
 
 HEARTBEAT_S = 0.4
 CALL_S = 1.0
-CHANGE_S = 0.8              # that a change of stage takes
+CHANGE_S = 0.8  # that a change of stage takes
 MOST_HEAD = 65_536
 EVENT_END = b"\n\n"
 FAILURES = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
@@ -65,13 +65,13 @@
         self.address = ""
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
-        self.pause: Callable[[], Awaitable[object]] | None = None     # before each event of a stream but the first
-        self.delay: Callable[[], Awaitable[object]] | None = None     # before the head of each answer of a run
-        self.under_way: set[str] = set()        # requests whose answers are not out yet
-        self.leaves = asyncio.Event()           # it sends no heartbeats by itself any more
-        self.ranked: Callable[[list[str]], list[str]] = list    # control members, in the order in which it calls them
-        self.arrived: set[str] = set()          # all requests that were read here
-        self.left: set[str] = set()             # requests whose caller closed the connection before the answer's end
+        self.pause: Callable[[], Awaitable[object]] | None = None  # before each event of a stream but the first
+        self.delay: Callable[[], Awaitable[object]] | None = None  # before the head of each answer of a run
+        self.under_way: set[str] = set()  # requests whose answers are not out yet
+        self.leaves = asyncio.Event()  # it sends no heartbeats by itself any more
+        self.ranked: Callable[[list[str]], list[str]] = list  # control members, in the order in which it calls them
+        self.arrived: set[str] = set()  # all requests that were read here
+        self.left: set[str] = set()  # requests whose caller closed the connection before the answer's end
 
     async def start(self) -> None:
         """Listen on a free port."""
@@ -86,7 +86,7 @@
             while (taken := await read_request(reader)) is not None and await self._one(taken, reader, writer):
                 pass
         except (ConnectionError, asyncio.CancelledError):
-            pass                # the caller is gone, or the play is over
+            pass  # the caller is gone, or the play is over
         finally:
             self.writers.discard(writer)
             writer.close()
@@ -104,8 +104,9 @@
             self.under_way.discard(request)
         return not answer.cut and (b"Connection", b"close") not in answer.fields
 
-    async def _send(self, answer: Answered, request: str, reader: asyncio.StreamReader,
-                    writer: asyncio.StreamWriter) -> bool:
+    async def _send(
+        self, answer: Answered, request: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         """Send an answer in pieces, with pauses between them; tells whether its caller was there to the end."""
         data = write_answer(answer)
         streams = (b"Content-Type", b"text/event-stream") in answer.fields
@@ -177,9 +178,13 @@
     async with httpcore.AsyncConnectionPool() as pool:
         for address in addresses:
             try:
-                response = await pool.request(method, f"http://{address}{target}", content=body,
-                                              headers=[(b"content-type", b"application/json")],
-                                              extensions={"timeout": timeout})
+                response = await pool.request(
+                    method,
+                    f"http://{address}{target}",
+                    content=body,
+                    headers=[(b"content-type", b"application/json")],
+                    extensions={"timeout": timeout},
+                )
             except FAILURES:
                 continue
             if response.status == 200:
--- a/hophinge/fleet/emulation/traffic.py
+++ b/hophinge/fleet/emulation/traffic.py
@@ -9,8 +9,8 @@
 
 from hophinge.fleet.placement.prompt import Prompt
 
-SPREAD = 0.6                # of the logarithm of sizes about their middle
-SKEW = 1.4                  # of subjects: the first ones are asked for more often
+SPREAD = 0.6  # of the logarithm of sizes about their middle
+SKEW = 1.4  # of subjects: the first ones are asked for more often
 MEAN_OF_SPREAD = exp(SPREAD * SPREAD / 2)
 
 
@@ -19,7 +19,7 @@
     """One kind of request."""
 
     name: str
-    shared_tokens: int      # on average, of the parts that a subject's requests share
+    shared_tokens: int  # on average, of the parts that a subject's requests share
     own_tokens: int
     tokens_out: int
     per_s: float
@@ -27,7 +27,7 @@
     deadline_s: float
     worth: float
     late_worth: float
-    subjects: int           # last shared parts in use
+    subjects: int  # last shared parts in use
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,8 +64,9 @@
         return sorted(arrivals, key=lambda arrival: arrival.at)
 
     def _rate(self, kind: Kind, moment: float) -> float:
-        times = [burst.times for burst in self.bursts
-                 if burst.kind == kind.name and burst.since_s <= moment < burst.until_s]
+        times = [
+            burst.times for burst in self.bursts if burst.kind == kind.name and burst.since_s <= moment < burst.until_s
+        ]
         return kind.per_s * max(times, default=1.0)
 
     def _of(self, kind: Kind, random: Random, seconds: float) -> Iterator[Arrival]:
--- a/hophinge/fleet/emulation/virtual_engine.py
+++ b/hophinge/fleet/emulation/virtual_engine.py
@@ -18,20 +18,20 @@
 from hophinge.fleet.placement.timing import DECODE, PREFILL
 from hophinge.fleet.placement.prompt import Prompt
 
-DECODE_PACE = 0.5           # of the pace at which a prefill engine reads
-DECODE_PIECE = 0.25         # of the length of its pieces
-QUEUE_SLOTS = 2             # times the slots that may wait; more is turned away
-FAR_MOVE = 2.0              # times as long as within a zone
+DECODE_PACE = 0.5  # of the pace at which a prefill engine reads
+DECODE_PIECE = 0.25  # of the length of its pieces
+QUEUE_SLOTS = 2  # times the slots that may wait; more is turned away
+FAR_MOVE = 2.0  # times as long as within a zone
 
 
 class Event(Enum):
     """What an engine tells of a request."""
 
-    READ = auto()           # the prompt is read, its memory is held
-    FIRST = auto()          # the first token
-    DONE = auto()           # the last token
-    REFUSED = auto()        # it was not run
-    LOST = auto()           # the engine is gone
+    READ = auto()  # the prompt is read, its memory is held
+    FIRST = auto()  # the first token
+    DONE = auto()  # the last token
+    REFUSED = auto()  # it was not run
+    LOST = auto()  # the engine is gone
 
 
 Listener = Callable[[Event], None]
@@ -43,7 +43,7 @@
 
     slots: int
     memory_tokens: int
-    step_s: float                   # a step of a batch without a piece of a prompt
+    step_s: float  # a step of a batch without a piece of a prompt
     tokens_read_a_second: float
     piece_tokens: int
     move_s_a_token: float
@@ -57,7 +57,7 @@
     prompt: Prompt
     priority: int
     read_only: bool
-    fetched_from: str | None        # zone of the engine that holds the prompt's memory
+    fetched_from: str | None  # zone of the engine that holds the prompt's memory
     listener: Listener
     unread: int = 0
     tokens_left: int = 0
--- a/hophinge/fleet/emulation/virtual_fleet.py
+++ b/hophinge/fleet/emulation/virtual_fleet.py
@@ -25,19 +25,19 @@
 from hophinge.fleet.registry.instance import LOST, READY, SWITCHING, Instance
 
 SERVICE = "models"
-PACES = (0.65, 1.1)         # of the profile's pace at which engines read: those of one service differ
-HINT_S = 0.05               # from a placement until the other heads know of it
-REPORT_S = 0.8              # between an engine's reports
-REPORT_AGE_S = 0.2          # of a report when it reaches the heads
-LINK_S = 0.002              # one way between a head and an engine
-LOST_S = 4.8                # after a crash until all heads know of it
+PACES = (0.65, 1.1)  # of the profile's pace at which engines read: those of one service differ
+HINT_S = 0.05  # from a placement until the other heads know of it
+REPORT_S = 0.8  # between an engine's reports
+REPORT_AGE_S = 0.2  # of a report when it reaches the heads
+LINK_S = 0.002  # one way between a head and an engine
+LOST_S = 4.8  # after a crash until all heads know of it
 STAGE_LOOK_S = 0.5
 STAGE_STEADY_S = 1.2
 STAGE_AGAIN_S = 2.5
 BUDGET_RATIO, BUDGET_SLACK, BUDGET_WINDOW_S = 0.2, 60.0, 10.0
-LONGEST_PAUSE_S = 0.3       # between the events of an answer that is in time
+LONGEST_PAUSE_S = 0.3  # between the events of an answer that is in time
 MOST_ATTEMPTS = 2
-RETRIES = 1                 # of a client that was refused
+RETRIES = 1  # of a client that was refused
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     """What became of one arrival."""
 
     arrival: Arrival
-    first_s: float | None = None        # from its arrival to the first token
+    first_s: float | None = None  # from its arrival to the first token
     refusals: int = 0
     failed: bool = False
 
@@ -70,19 +70,30 @@
 class VirtualFleet:
     """A service's engines and the heads before them."""
 
-    def __init__(self, traffic: TrafficProfile, engine: EngineProfile, prefill: int, decode: int, heads: int,
-                 zones: int, seed: int, policy: Policy = Policy()) -> None:        # noqa: B008 - frozen
+    def __init__(
+        self,
+        traffic: TrafficProfile,
+        engine: EngineProfile,
+        prefill: int,
+        decode: int,
+        heads: int,
+        zones: int,
+        seed: int,
+        policy: Policy = Policy(),  # noqa: B008 - frozen
+    ) -> None:
         self.policy = policy
         self.clock, self.random, self.traffic = VirtualClock(), Random(seed), traffic
         self.zones = [f"z{number}" for number in range(zones)]
         self.loads = StageLoads()
         self.engines: dict[str, VirtualEngine] = {}
         self.instances: dict[str, Instance] = {}
-        self.heads = [Placement(self.zones[number % zones], lambda identity: None, Random(seed + number),
-                                policy=policy)
-                      for number in range(heads)]
-        self.budgets = [RetryBudget(BUDGET_RATIO, BUDGET_SLACK, BUDGET_WINDOW_S, -BUDGET_WINDOW_S)
-                        for _ in range(heads)]
+        self.heads = [
+            Placement(self.zones[number % zones], lambda identity: None, Random(seed + number), policy=policy)
+            for number in range(heads)
+        ]
+        self.budgets = [
+            RetryBudget(BUDGET_RATIO, BUDGET_SLACK, BUDGET_WINDOW_S, -BUDGET_WINDOW_S) for _ in range(heads)
+        ]
         self.outcomes: list[Outcome] = []
         self.switch_wanted: tuple[str, float] | None = None
         self.switched_at = float("-inf")
@@ -107,6 +118,7 @@
 
     def crash(self, identity: str, moment: float) -> None:
         """Have an engine end without a word."""
+
         def lost() -> None:
             self._tell(replace(self.instances[identity], state=LOST))
 
@@ -171,18 +183,42 @@
         def arrive() -> None:
             self.outcomes.append(outcome)
             self._try(outcome, self.clock.now, RETRIES)
+
         return arrive
 
     def _try(self, outcome: Outcome, began: float, retries: int) -> None:
         kind, now = outcome.arrival.kind, self.clock.now
         number = self.random.randrange(len(self.heads))
-        route = Route(kind.name, "h", "/", "streaming", kind.deadline_s, kind.aim_s, LONGEST_PAUSE_S, 0, MOST_ATTEMPTS,
-                      False, (SERVICE,), (1.0,))
+        route = Route(
+            kind.name,
+            "h",
+            "/",
+            "streaming",
+            kind.deadline_s,
+            kind.aim_s,
+            LONGEST_PAUSE_S,
+            0,
+            MOST_ATTEMPTS,
+            False,
+            (SERVICE,),
+            (1.0,),
+        )
         budget = self.budgets[number]
         budget.requested(now)
-        life = Life(f"{id(outcome)}-{retries}", route, SERVICE, outcome.arrival.prompt, True, now + kind.aim_s,
-                    began + kind.deadline_s, self.heads[number], budget, len(self.heads),
-                    RequestTrace(kind.name, now, kind.aim_s), now + route.patience_s)
+        life = Life(
+            f"{id(outcome)}-{retries}",
+            route,
+            SERVICE,
+            outcome.arrival.prompt,
+            True,
+            now + kind.aim_s,
+            began + kind.deadline_s,
+            self.heads[number],
+            budget,
+            len(self.heads),
+            RequestTrace(kind.name, now, kind.aim_s),
+            now + route.patience_s,
+        )
         self._next(Journey(outcome, life, self.heads[number], retries), began)
 
     def _next(self, journey: Journey, began: float) -> None:
@@ -197,8 +233,13 @@
         fetched_from = None
         if isinstance(step, Run) and step.handle is not None:
             fetched_from = self.engines[step.handle.instance].zone
-        work = Work(journey.outcome.arrival.prompt, step.priority, isinstance(step, Read), fetched_from,
-                    self._listener(journey, step, began))
+        work = Work(
+            journey.outcome.arrival.prompt,
+            step.priority,
+            isinstance(step, Read),
+            fetched_from,
+            self._listener(journey, step, began),
+        )
         self.clock.after(LINK_S, lambda: engine.submit(work))
 
     def _given_up(self, journey: Journey, step: GiveUp, began: float) -> None:
@@ -211,8 +252,10 @@
 
     def _listener(self, journey: Journey, step: Read | Run, began: float) -> Callable[[Event], None]:
         """Tell a life what its engine says, a link's delay later."""
+
         def listen(event: Event) -> None:
             self.clock.after(LINK_S, lambda: self._heard(journey, step, began, event))
+
         return listen
 
     def _heard(self, journey: Journey, step: Read | Run, began: float, event: Event) -> None:
--- a/hophinge/fleet/forwarding/budget.py
+++ b/hophinge/fleet/forwarding/budget.py
@@ -10,8 +10,8 @@
 
 from collections import deque
 
-USED_PART = 0.8             # of the whole that is spent: windows of the judge lie otherwise than ours
-STARTING_PART = 0.25        # of its part of the slack, for one window: with `USED_PART` of the life before it makes 1
+USED_PART = 0.8  # of the whole that is spent: windows of the judge lie otherwise than ours
+STARTING_PART = 0.25  # of its part of the slack, for one window: with `USED_PART` of the life before it makes 1
 
 
 class RetryBudget:
@@ -19,7 +19,7 @@
 
     def __init__(self, ratio: float, slack: float, window_s: float, started: float) -> None:
         self.ratio, self.slack, self.window_s = ratio, slack, window_s
-        self.whole_from = started + window_s        # seconds of the clock by which the head counts
+        self.whole_from = started + window_s  # seconds of the clock by which the head counts
         self.requests: deque[float] = deque()
         self.extras: deque[float] = deque()
 
--- a/hophinge/fleet/forwarding/cuts.py
+++ b/hophinge/fleet/forwarding/cuts.py
@@ -13,21 +13,21 @@
 class Side(Enum):
     """Who ended first."""
 
-    INSTANCE = "instance"       # it closed or reset the connection, or sent what is no answer
+    INSTANCE = "instance"  # it closed or reset the connection, or sent what is no answer
     CLIENT = "client"
-    HEAD = "head"               # the head closed a connection that was in use, or failed itself
-    TIME = "time"               # the client's deadline or the route's timeout came
-    PROCESS = "process"         # the head came to its own end
+    HEAD = "head"  # the head closed a connection that was in use, or failed itself
+    TIME = "time"  # the client's deadline or the route's timeout came
+    PROCESS = "process"  # the head came to its own end
 
 
 class Step(Enum):
     """How far the request had got."""
 
-    ARRIVING = "arriving"       # its body had not come whole
-    CHOOSING = "choosing"       # no attempt was under way
-    READING = "reading"         # its prompt was being read at an instance
-    WAITING = "waiting"         # sent to an instance, and no answer had begun
-    ANSWERING = "answering"     # some of the answer had gone to the client
+    ARRIVING = "arriving"  # its body had not come whole
+    CHOOSING = "choosing"  # no attempt was under way
+    READING = "reading"  # its prompt was being read at an instance
+    WAITING = "waiting"  # sent to an instance, and no answer had begun
+    ANSWERING = "answering"  # some of the answer had gone to the client
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,9 +35,9 @@
     """What a head knows of an instance at one moment."""
 
     identity: str
-    state: str                          # as registered; empty where it is not known any more
-    unregistered_s: float | None        # since the head heard that it has ended
-    connections: int                    # that the head has to it
+    state: str  # as registered; empty where it is not known any more
+    unregistered_s: float | None  # since the head heard that it has ended
+    connections: int  # that the head has to it
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,11 +48,11 @@
     route: str
     side: Side
     step: Step
-    error: str                          # the exception, where there was one
-    instance: InstanceSeen | None       # of the newest attempt
-    version: int                        # of the configuration in force
+    error: str  # the exception, where there was one
+    instance: InstanceSeen | None  # of the newest attempt
+    version: int  # of the configuration in force
     version_age_s: float
-    left_s: float                       # until the request's deadline
+    left_s: float  # until the request's deadline
 
     @property
     def reason(self) -> str:
--- a/hophinge/fleet/forwarding/events.py
+++ b/hophinge/fleet/forwarding/events.py
@@ -21,7 +21,7 @@
         if end < 0:
             self.rest = held
             return b""
-        whole, self.rest = held[:end + len(END)], held[end + len(END):]
+        whole, self.rest = held[: end + len(END)], held[end + len(END) :]
         self._note(whole)
         return whole
 
@@ -29,5 +29,5 @@
         self.events += whole.count(END)
         for line in reversed(whole.splitlines()):
             if line.startswith(ID_FIELD):
-                self.last_id = line[len(ID_FIELD):].strip().decode("latin-1")
+                self.last_id = line[len(ID_FIELD) :].strip().decode("latin-1")
                 return
--- a/hophinge/fleet/forwarding/figures.py
+++ b/hophinge/fleet/forwarding/figures.py
@@ -7,7 +7,7 @@
 from hophinge.fleet.forwarding.trace import Attempt, RequestTrace
 
 ANSWERED, READ = "ANSWERED", "READ"
-WIDE_S = 0.1                # by which a reading may take longer than forecast and still count as forecast well
+WIDE_S = 0.1  # by which a reading may take longer than forecast and still count as forecast well
 MILLISECONDS = 1_000
 MICROSECONDS = 1_000_000
 
@@ -41,8 +41,10 @@
         """Tell the counts; times are milliseconds, means over all readings."""
         reads = max(1, self.reads)
         return {
-            "endings": dict(sorted(self.endings.items())), "refusals": dict(sorted(self.refusals.items())),
-            "reads": self.reads, "reads-over-100-ms-late": self.reads_far_off,
+            "endings": dict(sorted(self.endings.items())),
+            "refusals": dict(sorted(self.refusals.items())),
+            "reads": self.reads,
+            "reads-over-100-ms-late": self.reads_far_off,
             "read-forecast-ms": round(self.forecast_s / reads * MILLISECONDS, 1),
             "read-actual-ms": round(self.actual_s / reads * MILLISECONDS, 1),
         }
--- a/hophinge/fleet/forwarding/headers.py
+++ b/hophinge/fleet/forwarding/headers.py
@@ -21,8 +21,9 @@
 
 Fields = list[tuple[bytes, bytes]]
 
-_CONNECTION = frozenset({
-    b"connection", KEEP_ALIVE, b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade", b"expect"})
+_CONNECTION = frozenset(
+    {b"connection", KEEP_ALIVE, b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade", b"expect"}
+)
 _OWN = frozenset({b"content-length", DEADLINE, EXPECTED_INSTANCE, SERVING_STAGE, KV_FROM, PRIORITY})
 
 
--- a/hophinge/fleet/forwarding/life.py
+++ b/hophinge/fleet/forwarding/life.py
@@ -19,10 +19,10 @@
 from hophinge.fleet.placement.timing import DECODE, PLAIN, PREFILL
 from hophinge.fleet.placement.prompt import Prompt
 
-LEAST_LEFT_S = 0.02         # no attempt begins with less time than this
-FIRST_PAUSE_S = 0.02        # behind the first round of instances that all refused; each later pause is twice as long
+LEAST_LEFT_S = 0.02  # no attempt begins with less time than this
+FIRST_PAUSE_S = 0.02  # behind the first round of instances that all refused; each later pause is twice as long
 LONGEST_PAUSE_S = 0.32
-MOST_READS = 4              # prompts read for one request
+MOST_READS = 4  # prompts read for one request
 UNAVAILABLE, BAD_GATEWAY, GATEWAY_TIMEOUT = 503, 502, 504
 
 
@@ -41,7 +41,7 @@
     placed: Placed
     priority: int
     handle: Handle | None
-    event_id: str | None        # go on after this event, where a stream broke off
+    event_id: str | None  # go on after this event, where a stream broke off
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,27 +69,27 @@
     name: str
     route: Route
     service: str
-    prompt: Prompt | None       # None where the request tells of none
-    staged: bool                # the service has engines for prefill and for decode
-    aim_at: float               # when the answer is due to earn its full worth
+    prompt: Prompt | None  # None where the request tells of none
+    staged: bool  # the service has engines for prefill and for decode
+    aim_at: float  # when the answer is due to earn its full worth
     deadline: float
     placement: Placement
     budget: RetryBudget
     heads: int
     trace: RequestTrace
-    gone_at: float = float("inf")       # when the client gives up, if nothing has come by then
-    ran: bool = False           # an attempt may have run
-    begun: bool = False         # some of an answer went to the client
+    gone_at: float = float("inf")  # when the client gives up, if nothing has come by then
+    ran: bool = False  # an attempt may have run
+    begun: bool = False  # some of an answer went to the client
     reads: int = 0
     runs: int = 0
-    possible_runs: int = 0      # attempts that may have run
-    handle: Handle | None = None            # memory that was read and not yet asked for
-    asked_for: Handle | None = None         # memory that the attempt under way is to fetch
-    unused: list[Handle] = field(default_factory=list)      # memory read for nothing
+    possible_runs: int = 0  # attempts that may have run
+    handle: Handle | None = None  # memory that was read and not yet asked for
+    asked_for: Handle | None = None  # memory that the attempt under way is to fetch
+    unused: list[Handle] = field(default_factory=list)  # memory read for nothing
     event_id: str | None = None
     avoid: set[str] = field(default_factory=set)
     tries: int = 0
-    rounds: int = 0             # in which each instance has refused
+    rounds: int = 0  # in which each instance has refused
 
     def next(self, now: float) -> Step:
         """Tell what to do now."""
@@ -112,7 +112,7 @@
 
     def _next_round(self, now: float) -> Step:
         """Have all instances asked once more after a pause: an instance that has just refused would do so again."""
-        pause_s = min(FIRST_PAUSE_S * 2 ** self.rounds, LONGEST_PAUSE_S)
+        pause_s = min(FIRST_PAUSE_S * 2**self.rounds, LONGEST_PAUSE_S)
         if self.deadline - now < pause_s + LEAST_LEFT_S:
             return self._give_up(BAD_GATEWAY, "no instance")
         self.avoid.clear()
@@ -121,8 +121,15 @@
 
     def _plan(self, now: float) -> Plan | Hopeless | None:
         """Have the next attempt placed."""
-        wish = Wish(now, (self.name, self.tries + 1), self.service, self.avoid, self.route.target_s, self.aim_at,
-                    float("inf") if self.begun else self.gone_at)
+        wish = Wish(
+            now,
+            (self.name, self.tries + 1),
+            self.service,
+            self.avoid,
+            self.route.target_s,
+            self.aim_at,
+            float("inf") if self.begun else self.gone_at,
+        )
         if self.prompt is None:
             return self.placement.plain(wish, DECODE if self.staged else PLAIN)
         if self.handle is None and self.reads < MOST_READS:
--- a/hophinge/fleet/forwarding/results.py
+++ b/hophinge/fleet/forwarding/results.py
@@ -8,20 +8,20 @@
 from hophinge.fleet.forwarding.headers import NOT_EXECUTED, REQUEST_ID, SIGNATURE, Fields, find
 
 MISDIRECTED = 421
-PROMISES = (408, 429, 503)          # and 421: to a client they say that its request has not run and never will
+PROMISES = (408, 429, 503)  # and 421: to a client they say that its request has not run and never will
 
 
 class Ending(Enum):
     """How an attempt ended."""
 
-    UNSENT = auto()         # no connection came up: nothing was sent
-    REFUSED = auto()        # the instance says that it did not run the request
-    MISPLACED = auto()      # another instance, or another stage, answers at that address
-    READ = auto()           # the prompt was read, and its handle is known
-    ANSWERED = auto()       # the answer went to the client
-    FAILED = auto()         # an answer that is the instance's own failure, for the client to see
-    UNKNOWN = auto()        # sent, and nothing tells whether it ran
-    BROKEN = auto()         # the answer broke off after some of it went to the client
+    UNSENT = auto()  # no connection came up: nothing was sent
+    REFUSED = auto()  # the instance says that it did not run the request
+    MISPLACED = auto()  # another instance, or another stage, answers at that address
+    READ = auto()  # the prompt was read, and its handle is known
+    ANSWERED = auto()  # the answer went to the client
+    FAILED = auto()  # an answer that is the instance's own failure, for the client to see
+    UNKNOWN = auto()  # sent, and nothing tells whether it ran
+    BROKEN = auto()  # the answer broke off after some of it went to the client
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
     ending: Ending
     handle: Handle | None = None
-    event_id: str | None = None         # the newest event that went to the client
+    event_id: str | None = None  # the newest event that went to the client
 
 
 def unexecuted(status: int, fields: Fields) -> Ending | None:
--- a/hophinge/fleet/forwarding/trace.py
+++ b/hophinge/fleet/forwarding/trace.py
@@ -17,7 +17,7 @@
     stage: str
     instance: str
     sent_s: float
-    units: float                # tokens to read that are not believed to be kept there
+    units: float  # tokens to read that are not believed to be kept there
     forecast: Forecast
     over_s: float | None = None
     ending: str = ""
@@ -28,13 +28,13 @@
     """One request of a client."""
 
     route: str
-    arrived: float              # on the head's clock
+    arrived: float  # on the head's clock
     aim_s: float
     attempts: list[Attempt] = field(default_factory=list)
-    first_s: float | None = None        # its first event, or its whole answer
+    first_s: float | None = None  # its first event, or its whole answer
     over_s: float | None = None
     ending: str = ""
-    refusal: str = ""           # why no further attempt was made, where the request was given up
+    refusal: str = ""  # why no further attempt was made, where the request was given up
 
     def sent(self, now: float, stage: str, instance: str, units: float, forecast: Forecast) -> None:
         """An attempt is sent."""
--- a/hophinge/fleet/placement/hints.py
+++ b/hophinge/fleet/placement/hints.py
@@ -19,9 +19,9 @@
     instance: str
     units: int
     parts: tuple[tuple[str, int], ...]
-    priority: int           # at the instance: 0 first
-    memory: int             # tokens that the request holds there while it runs; 0 where it is only read
-    job: int                # its number in the instance's queue, drawn at random
+    priority: int  # at the instance: 0 first
+    memory: int  # tokens that the request holds there while it runs; 0 where it is only read
+    job: int  # its number in the instance's queue, drawn at random
 
 
 @wire(86)
@@ -31,7 +31,7 @@
 
     instance: str
     job: int
-    age_ms: int             # since then, when this was told
+    age_ms: int  # since then, when this was told
 
 
 @wire(87)
@@ -84,7 +84,7 @@
     instance: str
     waiting: int
     running: int
-    used: int               # tokens of memory that can't give way
+    used: int  # tokens of memory that can't give way
     total: int
 
 
--- a/hophinge/fleet/placement/node.py
+++ b/hophinge/fleet/placement/node.py
@@ -12,24 +12,24 @@
 from hophinge.fleet.registry.instance import LOST, READY, Instance
 
 MICROSECONDS = 1_000_000
-REST_S = 0.15               # rest of an instance after a failure; doubles while it goes on failing
+REST_S = 0.15  # rest of an instance after a failure; doubles while it goes on failing
 LONGEST_REST_S = 2.4
-SUSPECTED_S = 0.7           # rest of an instance that did not answer another member
-HEARD_S = 0.3               # an instance heard here so lately is not suspected
-EVIDENCE_S = 5.0            # an answer here so lately shows that an instance lives
-ROOMY = 0.6                 # part of its memory up to which an instance admits requests without a wait
-FILLED_US = 3_000_000.0     # what a request waits at an instance that is full beyond that by all of its memory
-WAITING_US = 40_000.0       # what each request that waits there already adds
+SUSPECTED_S = 0.7  # rest of an instance that did not answer another member
+HEARD_S = 0.3  # an instance heard here so lately is not suspected
+EVIDENCE_S = 5.0  # an answer here so lately shows that an instance lives
+ROOMY = 0.6  # part of its memory up to which an instance admits requests without a wait
+FILLED_US = 3_000_000.0  # what a request waits at an instance that is full beyond that by all of its memory
+WAITING_US = 40_000.0  # what each request that waits there already adds
 
 
 class Cache:
     """The prompt parts believed to be kept at an instance, least recently used first."""
 
     def __init__(self, tokens: int) -> None:
-        self.tokens = tokens            # that fit
+        self.tokens = tokens  # that fit
         self.used = 0
         self.parts: OrderedDict[str, int] = OrderedDict()
-        self.expected: dict[str, int] = {}      # parts that are not read yet, and the job that is to read them
+        self.expected: dict[str, int] = {}  # parts that are not read yet, and the job that is to read them
 
     def remember(self, parts: tuple[tuple[str, int], ...]) -> None:
         """Parts were read, or are going to be read, there."""
@@ -73,15 +73,15 @@
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
         self.book = Book(NodeEntry(instance.identity, 0, 0, Phase.ON, 1.0, 0))
-        self.queue = WorkQueue()        # the work of all heads there
-        self.streams = 0                # answers from here that have begun and not ended
+        self.queue = WorkQueue()  # the work of all heads there
+        self.streams = 0  # answers from here that have begun and not ended
         self.cache = Cache(0)
-        self.unit_us: float | None = None       # learned time per unit
+        self.unit_us: float | None = None  # learned time per unit
         self.consecutive_failures = 0
         self.rest_until = 0.0
         self.answered_at = float("-inf")
         self.report: Report | None = None
-        self.sent_since = 0             # tokens of memory that requests placed since that report hold
+        self.sent_since = 0  # tokens of memory that requests placed since that report hold
 
     def serves(self, now: float) -> bool:
         """Tell whether it takes new requests; one that answers here is not lost, whatever the core has heard."""
@@ -124,7 +124,7 @@
     def failed(self, now: float) -> None:
         """An attempt failed here; what it answered before is no evidence of life any more."""
         self.answered_at = float("-inf")
-        self.rest_until = now + min(LONGEST_REST_S, REST_S * 2 ** self.consecutive_failures)
+        self.rest_until = now + min(LONGEST_REST_S, REST_S * 2**self.consecutive_failures)
         self.consecutive_failures += 1
 
     def suspected(self, now: float) -> None:
--- a/hophinge/fleet/placement/placement.py
+++ b/hophinge/fleet/placement/placement.py
@@ -25,24 +25,30 @@
 from hophinge.fleet.registry.instance import Instance
 
 MILLISECONDS = 1_000
-COME_BACK_S = 0.25          # when a client that was refused is told to come back, at least
-SPREAD_S = 1.0              # over which such clients are spread, at most
-RELAYED_S = 0.03            # that a word takes from one head to another on average
-JOB_BITS = 40               # of a job's number: two alike in one queue are next to impossible
-LEAST_TOKENS = 64           # charged for a request with nothing to read
-SILENT_S = 0.6              # without an answer, before a failed attempt speaks against an instance that answered
+COME_BACK_S = 0.25  # when a client that was refused is told to come back, at least
+SPREAD_S = 1.0  # over which such clients are spread, at most
+RELAYED_S = 0.03  # that a word takes from one head to another on average
+JOB_BITS = 40  # of a job's number: two alike in one queue are next to impossible
+LEAST_TOKENS = 64  # charged for a request with nothing to read
+SILENT_S = 0.6  # without an answer, before a failed attempt speaks against an instance that answered
 
 
 class Placement:
     """The books of one data plane."""
 
-    def __init__(self, zone: str, changed: Callable[[str], None], random: Random,
-                 pending: Callable[[], None] = lambda: None, policy: Policy = Policy()) -> None:    # noqa: B008 - frozen
+    def __init__(
+        self,
+        zone: str,
+        changed: Callable[[str], None],
+        random: Random,
+        pending: Callable[[], None] = lambda: None,
+        policy: Policy = Policy(),  # noqa: B008 - frozen
+    ) -> None:
         self.policy = policy
         self.zone, self.changed, self.random, self.pending = zone, changed, random, pending
         self.pools: dict[tuple[str, str], Pool] = {}
         self.nodes: dict[str, Node] = {}
-        self.memory: dict[str, int] = {}        # tokens that an instance of a service keeps
+        self.memory: dict[str, int] = {}  # tokens that an instance of a service keeps
         self.pending_hints: list[Hint] = []
         self.pending_reads: list[FinishedRead] = []
         self.pending_drops: list[Dropped] = []
@@ -165,8 +171,13 @@
 
     def kept(self) -> Hints:
         """Tell all prompt parts believed to be kept, for a head that has just started."""
-        return Hints(tuple(Hint(identity, 0, tuple(node.cache.parts.items()), 0, 0, 0)
-                           for identity, node in self.nodes.items() if node.cache.parts))
+        return Hints(
+            tuple(
+                Hint(identity, 0, tuple(node.cache.parts.items()), 0, 0, 0)
+                for identity, node in self.nodes.items()
+                if node.cache.parts
+            )
+        )
 
     # --- choice --------------------------------------------------------------------------------------------------
 
@@ -225,8 +236,7 @@
         late = choice is not None and choice.done_us > wish.aim_at * MICROSECONDS
         return choose(True) if late else choice
 
-    def _offers(self, pool: Pool, wish: Wish, key: str, units: Callable[[Node], float],
-                late: bool) -> list[Offer]:
+    def _offers(self, pool: Pool, wish: Wish, key: str, units: Callable[[Node], float], late: bool) -> list[Offer]:
         """Ask the members of a key's group that have room; where no instance has, any that is not full."""
         nodes = pool.group(wish.now, key, wish.avoid, lambda node: pool.room(node, units(node), wish.aim_s))
         if not nodes:
--- a/hophinge/fleet/placement/pool.py
+++ b/hophinge/fleet/placement/pool.py
@@ -18,7 +18,7 @@
 from hophinge.fleet.placement.urgency import priority_of
 from hophinge.fleet.registry.instance import LOST
 
-FEW = 4                     # requests that may always be out at an instance
+FEW = 4  # requests that may always be out at an instance
 
 
 @dataclass(slots=True)
@@ -39,11 +39,11 @@
 
     node: Node
     units: float
-    done_us: float              # when the units would be done
-    spent_us: float             # what they take of the instance's time
-    priority: int               # that it would have there: 0 first
-    wait_us: float              # until it would be begun
-    late: bool                  # it can't be in time
+    done_us: float  # when the units would be done
+    spent_us: float  # what they take of the instance's time
+    priority: int  # that it would have there: 0 first
+    wait_us: float  # until it would be begun
+    late: bool  # it can't be in time
 
 
 def rank(key: str, node: Node) -> bytes:
@@ -76,16 +76,15 @@
     def _ready(self, now: float, avoid: set[str]) -> list[Node]:
         """Tell the instances that take requests; where there are none, those that only the core takes for lost."""
         others = [node for node in self.nodes.values() if node.instance.identity not in avoid]
-        return ([node for node in others if node.serves(now)]
-                or [node for node in others if node.instance.state == LOST])
+        return [node for node in others if node.serves(now)] or [node for node in others if node.instance.state == LOST]
 
     def group(self, now: float, key: str, avoid: set[str], fits: Callable[[Node], bool]) -> list[Node]:
         """Tell the members of a key's group that may take a request; where none may, any other that may."""
         ready = self._ready(now, avoid)
         usable = [node for node in ready if not node.rests(now)] or ready
         ranked = sorted(usable, key=lambda node: rank(key, node))
-        found = [node for node in ranked[:self.policy.group] if fits(node)]
-        return found or [node for node in ranked[self.policy.group:] if fits(node)]
+        found = [node for node in ranked[: self.policy.group] if fits(node)]
+        return found or [node for node in ranked[self.policy.group :] if fits(node)]
 
     def room(self, node: Node, units: float, aim_s: float) -> bool:
         """The bound on what is out at an instance from here."""
--- a/hophinge/fleet/placement/queue.py
+++ b/hophinge/fleet/placement/queue.py
@@ -13,20 +13,20 @@
 from collections import deque
 from dataclasses import dataclass
 
-REMEMBERED = 32             # jobs taken to be begun that are kept, to put back those that were not
-LEAST_SAMPLE_US = 1_000.0   # a job takes at least that: less is an error of clocks
-FRESH_US = 500_000.0        # a report is so old at most: what was placed since may not be in it
-PHANTOM_PRIORITY = 9        # of work that an engine reports and nobody told of
+REMEMBERED = 32  # jobs taken to be begun that are kept, to put back those that were not
+LEAST_SAMPLE_US = 1_000.0  # a job takes at least that: less is an error of clocks
+FRESH_US = 500_000.0  # a report is so old at most: what was placed since may not be in it
+PHANTOM_PRIORITY = 9  # of work that an engine reports and nobody told of
 
 
 @dataclass(slots=True, eq=False)
 class Job:
     """One request's work at the instance."""
 
-    priority: int           # 0 first
-    spent_us: float         # what it takes of the instance's time
+    priority: int  # 0 first
+    spent_us: float  # what it takes of the instance's time
     arrived_us: float
-    number: int = 0         # by which heads tell each other that it is done; 0 where nobody will
+    number: int = 0  # by which heads tell each other that it is done; 0 where nobody will
     units: float = 0.0
 
 
@@ -38,10 +38,10 @@
     """The queue of one instance, played forward as time passes."""
 
     def __init__(self) -> None:
-        self.free_us = 0.0                  # when the job under way ends
-        self.waiting: list[Job] = []        # by priority, then by arrival
+        self.free_us = 0.0  # when the job under way ends
+        self.waiting: list[Job] = []  # by priority, then by arrival
         self.begun: deque[Job] = deque(maxlen=REMEMBERED)
-        self.done_us = 0.0                  # end of the last job that is known to be done
+        self.done_us = 0.0  # end of the last job that is known to be done
 
     def _advance(self, now_us: float) -> None:
         """Begin the jobs that the instance should have come to by now."""
@@ -85,10 +85,10 @@
         self._advance(now_us)
         self.done_us = max(self.done_us, ended_us)
         if job in self.waiting:
-            del self.waiting[:self.waiting.index(job) + 1]
+            del self.waiting[: self.waiting.index(job) + 1]
             self.free_us = ended_us
         elif job in self.begun:
-            behind = list(self.begun)[self.begun.index(job) + 1:]
+            behind = list(self.begun)[self.begun.index(job) + 1 :]
             self.begun = deque(behind, maxlen=REMEMBERED)
             self.free_us = ended_us + sum(one.spent_us for one in behind)
         self._advance(now_us)
@@ -102,7 +102,7 @@
         self._advance(now_us)
         old = [job for job in self.waiting if now_us - job.arrived_us > FRESH_US]
         surplus = len(old) - waiting - 1
-        for job in old[:max(0, surplus)]:
+        for job in old[: max(0, surplus)]:
             self.waiting.remove(job)
         if not waiting and not self.waiting:
             self.free_us = min(self.free_us, now_us + mean_us)
--- a/hophinge/fleet/placement/stages.py
+++ b/hophinge/fleet/placement/stages.py
@@ -19,11 +19,11 @@
 from hophinge.fleet.registry.instance import READY, SWITCHING, Instance
 
 OTHER_STAGE = {PREFILL: DECODE, DECODE: PREFILL}
-NEWEST = 0.4                # weight of the newest report in an instance's means
-QUEUED = 0.25               # of an instance's time that each request that waits there adds to the work there is
-MOST_QUEUED = 4             # requests that wait at one instance and are counted
-LEAST = 2                   # instances of a stage, where there are twice as many in all: one more may be lost
-AT_ONCE = 0.17              # part of a service's instances that change their part together, at most
+NEWEST = 0.4  # weight of the newest report in an instance's means
+QUEUED = 0.25  # of an instance's time that each request that waits there adds to the work there is
+MOST_QUEUED = 4  # requests that wait at one instance and are counted
+LEAST = 2  # instances of a stage, where there are twice as many in all: one more may be lost
+AT_ONCE = 0.17  # part of a service's instances that change their part together, at most
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,15 +32,15 @@
 
     instance: Instance
     stage: str
-    urgent: bool                # nobody is left of that stage
+    urgent: bool  # nobody is left of that stage
 
 
 @dataclass(slots=True)
 class Load:
     """Means of what one instance reported lately."""
 
-    reading: float = 0.0        # part of its time that it reads, and what waits, in its time
-    making: float = 0.0         # part that is taken of its slots or of its memory
+    reading: float = 0.0  # part of its time that it reads, and what waits, in its time
+    making: float = 0.0  # part that is taken of its slots or of its memory
 
     def take(self, report: Report, slots: int) -> None:
         """Take a report."""
--- a/hophinge/fleet/placement/timing.py
+++ b/hophinge/fleet/placement/timing.py
@@ -8,15 +8,15 @@
 from hophinge.fleet.placement.node import Node
 
 PREFILL, DECODE, PLAIN = "prefill", "decode", ""
-REQUEST_STEP = 0.04         # weight of the newest request in the mean size of requests
-START_UNIT_US = {PREFILL: 30.0, DECODE: 60.0, PLAIN: 20_000.0}      # until an answer has taught better
+REQUEST_STEP = 0.04  # weight of the newest request in the mean size of requests
+START_UNIT_US = {PREFILL: 30.0, DECODE: 60.0, PLAIN: 20_000.0}  # until an answer has taught better
 START_FIXED_US = {PREFILL: 25_000.0, DECODE: 30_000.0, PLAIN: 0.0}  # of an answer's time that no unit takes
-QUANTILE = 0.3              # of answers' times, that counts as served without waiting
-NODE_STEP = 0.3             # weight of the newest sample in an instance's time per unit
-TYPICAL_STEP = 0.05         # and in what is typical of its stage
-UNIT_STEP = 0.1             # part by which one answer moves the time per unit at most
-FIXED_STEP_US = 4_000.0     # by which one answer moves it at most
-FAR_OFF = 2.0               # times the time per unit: a sample beyond it is mostly something else
+QUANTILE = 0.3  # of answers' times, that counts as served without waiting
+NODE_STEP = 0.3  # weight of the newest sample in an instance's time per unit
+TYPICAL_STEP = 0.05  # and in what is typical of its stage
+UNIT_STEP = 0.1  # part by which one answer moves the time per unit at most
+FIXED_STEP_US = 4_000.0  # by which one answer moves it at most
+FAR_OFF = 2.0  # times the time per unit: a sample beyond it is mostly something else
 LEAST_TAUGHT = {PREFILL: 1_500.0, DECODE: 1_500.0, PLAIN: 0.0}  # units of a request that teaches the time per unit
 
 
@@ -25,9 +25,9 @@
 
     def __init__(self, stage: str) -> None:
         self.stage = stage
-        self.typical_us = START_UNIT_US[stage]      # per unit, at an instance without a sample
-        self.fixed_us = START_FIXED_US[stage]       # of an answer's time that no unit takes
-        self.mean_units = 0.0                       # of requests placed lately
+        self.typical_us = START_UNIT_US[stage]  # per unit, at an instance without a sample
+        self.fixed_us = START_FIXED_US[stage]  # of an answer's time that no unit takes
+        self.mean_units = 0.0  # of requests placed lately
 
     @property
     def reads_in_turn(self) -> bool:
--- a/hophinge/fleet/placement/urgency.py
+++ b/hophinge/fleet/placement/urgency.py
@@ -9,9 +9,9 @@
 
 from hophinge.fleet.placement.policy import Order, Policy
 
-LATE_PRIORITY = 8           # of requests that are late already: an instance admits all others before them
-EVEN_PRIORITY = 4           # of all others where arrival alone decides
-SHORT_US = (40_000.0, 100_000.0, 200_000.0, 400_000.0, 800_000.0)           # shorter work comes first
+LATE_PRIORITY = 8  # of requests that are late already: an instance admits all others before them
+EVEN_PRIORITY = 4  # of all others where arrival alone decides
+SHORT_US = (40_000.0, 100_000.0, 200_000.0, 400_000.0, 800_000.0)  # shorter work comes first
 
 
 def priority_of(policy: Policy, spent_us: float, late: bool) -> int:
--- a/hophinge/fleet/placement/weighing.py
+++ b/hophinge/fleet/placement/weighing.py
@@ -13,9 +13,9 @@
 from hophinge.fleet.placement.prompt import Prompt
 from hophinge.fleet.registry.instance import LOST, READY
 
-MOVE_US = 15_000.0          # from the end of reading to the first token elsewhere
-FAR_BODY_US = 1.0           # weight of each token of a prompt whose request goes to another zone
-FAR_MEMORY_US = 3.0         # weight of each token whose memory is moved to another zone
+MOVE_US = 15_000.0  # from the end of reading to the first token elsewhere
+FAR_BODY_US = 1.0  # weight of each token of a prompt whose request goes to another zone
+FAR_MEMORY_US = 3.0  # weight of each token whose memory is moved to another zone
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     pool: Pool
     offer: Offer
     reads: bool
-    done_us: float              # when the first token should come
+    done_us: float  # when the first token should come
 
 
 def crowding_us(offer: Offer, prompt: Prompt) -> float:
@@ -69,8 +69,10 @@
             return None
         whole = min(making, key=lambda offer: self._cost_us(offer) + crowding_us(offer, self.prompt))
         at_once = self._cost_us(whole) + crowding_us(whole, self.prompt)
-        apart_costs = [self._cost_us(offer) + min(self._making_us(offer.node, maker) for maker in making) + MOVE_US
-                       for offer in reading]
+        apart_costs = [
+            self._cost_us(offer) + min(self._making_us(offer.node, maker) for maker in making) + MOVE_US
+            for offer in reading
+        ]
         if apart_costs and not self.kept:
             unit_us = self.prefill.unit_us(reading[0].node)
             apart_costs[0] -= self.policy.guessed_part * self.prompt.shared_tokens * unit_us
@@ -81,6 +83,7 @@
 
     def choose_maker(self, reader: Node | None, offers: list[Offer]) -> Choice | None:
         """Choose who makes the tokens of a prompt that was read."""
+
         def cost(offer: Offer) -> float:
             moved = self.far_memory_us(reader, offer.node) if reader is not None else 0.0
             return offer.done_us + crowding_us(offer, self.prompt) + moved + self._far_body_us(offer.node)
--- a/hophinge/fleet/program.py
+++ b/hophinge/fleet/program.py
@@ -12,9 +12,9 @@
 from hophinge.fleet import log
 from hophinge.fleet.settings import Settings, SettingsError, read_settings
 
-FAILED = 1                  # exit status where settings cannot be used
-MOST_FAILURES = 20          # in a row, of a periodic step, before the process ends to be started anew
-REREAD_S = 3.0              # between looks at the settings file: it may change without a signal
+FAILED = 1  # exit status where settings cannot be used
+MOST_FAILURES = 20  # in a row, of a periodic step, before the process ends to be started anew
+REREAD_S = 3.0  # between looks at the settings file: it may change without a signal
 
 
 class Signals:
@@ -97,6 +97,7 @@
 
 async def every(period_s: float, action: Callable[[], None], most_failures: int = MOST_FAILURES) -> None:
     """Call something for ever, as `repeat` does."""
+
     async def call() -> None:
         action()
 
--- a/hophinge/fleet/registry/registry.py
+++ b/hophinge/fleet/registry/registry.py
@@ -22,11 +22,11 @@
     record_of,
 )
 
-MISSED = 4.0                # heartbeats that are missed before an instance is taken for lost
-SWITCH_S = 12.0             # an instance ordered to change its stage is spared for so long at most
-FORGET_S = 600.0            # silence after which a lost or leaving instance is dropped, until its next heartbeat
-REMEMBER_S = 600.0          # how long an instance that has unregistered is remembered as ended
-ENDED = 1 << 62             # the sequence of an instance that has unregistered: above any heartbeat
+MISSED = 4.0  # heartbeats that are missed before an instance is taken for lost
+SWITCH_S = 12.0  # an instance ordered to change its stage is spared for so long at most
+FORGET_S = 600.0  # silence after which a lost or leaving instance is dropped, until its next heartbeat
+REMEMBER_S = 600.0  # how long an instance that has unregistered is remembered as ended
+ENDED = 1 << 62  # the sequence of an instance that has unregistered: above any heartbeat
 
 
 @wire(72)
@@ -50,7 +50,7 @@
     """An ordered change of an instance's stage; kept when given up, until another one or the next stage."""
 
     old_stage: str
-    until: float                # when it counts as not carried out, in seconds on the caller's clock
+    until: float  # when it counts as not carried out, in seconds on the caller's clock
 
 
 class Registry:
@@ -64,7 +64,7 @@
         self.ended: dict[str, float] = {}
         self.unsent_beats: dict[str, int] = {}
         self.ticked = now
-        self.changes: dict[str, StageChange] = {}   # by instance
+        self.changes: dict[str, StageChange] = {}  # by instance
 
     def heartbeat(self, now: float, instance: Instance, sequence: int) -> Record | None:
         """Take a heartbeat; tells the record where it changes what is known."""
@@ -202,8 +202,7 @@
         """Drop lost instances that have been silent for long, and ends that nobody asks about any more."""
         self.ended = {identity: at for identity, at in self.ended.items() if now - at < REMEMBER_S}
         leaving = {identity for identity, instance in self.instances.items() if instance.state in (LOST, DRAINING)}
-        old = [identity for identity, beat in self.beats.items()
-               if identity in leaving and now - beat.heard > FORGET_S]
+        old = [identity for identity, beat in self.beats.items() if identity in leaving and now - beat.heard > FORGET_S]
         records = [Record(INSTANCE_PREFIX + identity, self._stamp_after(identity), b"", True) for identity in old]
         for identity in old:
             self._drop(identity)
--- a/hophinge/fleet/registry/service.py
+++ b/hophinge/fleet/registry/service.py
@@ -20,8 +20,8 @@
     """Whom a member knows of at one moment."""
 
     core: Core
-    heads: tuple[str, ...]          # addresses of data planes that get news from this member whole
-    controls: tuple[str, ...]       # addresses of the other control members
+    heads: tuple[str, ...]  # addresses of data planes that get news from this member whole
+    controls: tuple[str, ...]  # addresses of the other control members
 
 
 @dataclass(slots=True)
@@ -45,8 +45,8 @@
         self.dissemination, self.registry = dissemination, registry
         self.me = me
         self.holds = QuorumHolds(me)
-        self.holding: dict[int, str] = {}       # requests that wait for a quorum, and the instance each is about
-        self.safe: set[str] = set()             # instances whose leaving a quorum holds
+        self.holding: dict[int, str] = {}  # requests that wait for a quorum, and the instance each is about
+        self.safe: set[str] = set()  # instances whose leaving a quorum holds
 
     # --- callers -------------------------------------------------------------------------------------------------
 
@@ -75,13 +75,14 @@
         self._acknowledge_leaving(now, around, request, identity, record, step)
         return step
 
-    def _acknowledge_leaving(self, now: float, around: Surroundings, request: int, identity: str,
-                             record: Record | None, step: ServiceStep) -> None:
+    def _acknowledge_leaving(
+        self, now: float, around: Surroundings, request: int, identity: str, record: Record | None, step: ServiceStep
+    ) -> None:
         """Acknowledge a leaving once a quorum holds it: from then on no data plane in touch may send work there."""
         if identity in self.safe:
             step.settled.append((request, True))
         elif record is None or not is_leaving(record):
-            step.settled.append((request, False))       # an older word than what is known: the next one will do
+            step.settled.append((request, False))  # an older word than what is known: the next one will do
         else:
             self._let_go(now, self.dissemination.publish(now, [record], around.heads), step)
             self.holding[request] = identity
--- a/hophinge/fleet/settings.py
+++ b/hophinge/fleet/settings.py
@@ -11,8 +11,8 @@
 
 VARIABLE = "HOPHINGE_CONFIG"
 DEFAULT_PATH = "/etc/hophinge/local.json"
-MOST_NUMBER = 1e12          # that a setting may be
-CONTROL_PORT, DATA_PORT = 0, 1      # places in the internal port range
+MOST_NUMBER = 1e12  # that a setting may be
+CONTROL_PORT, DATA_PORT = 0, 1  # places in the internal port range
 
 
 class SettingsError(ValueError):
@@ -51,12 +51,12 @@
     control: str | None
     control_internal: str
     data_internal: str
-    seeds: tuple[str, ...]          # control addresses, as the file names them
+    seeds: tuple[str, ...]  # control addresses, as the file names them
     bootstrap: bool
     votes: bool
     data_dir: Path | None
     heartbeat_s: float
-    losses: int                     # machines that may be lost at once
+    losses: int  # machines that may be lost at once
     bounds: Bounds
 
     def seed_members(self) -> tuple[str, ...]:
@@ -136,20 +136,33 @@
         ports = [0, 1]
     folder = top.optional("data-dir")
     settings = Settings(
-        name=top.text("node-name"), ip=ip, zone=top.text("zone"), region=top.text("region", "-"),
+        name=top.text("node-name"),
+        ip=ip,
+        zone=top.text("zone"),
+        region=top.text("region", "-"),
         zones={str(zone): str(region) for zone, region in top.section("zones").raw.items()},
-        front=addresses.optional("front"), ready=addresses.optional("ready"), control=addresses.optional("control"),
-        control_internal=f"{ip}:{ports[0] + CONTROL_PORT}", data_internal=f"{ip}:{ports[0] + DATA_PORT}",
+        front=addresses.optional("front"),
+        ready=addresses.optional("ready"),
+        control=addresses.optional("control"),
+        control_internal=f"{ip}:{ports[0] + CONTROL_PORT}",
+        data_internal=f"{ip}:{ports[0] + DATA_PORT}",
         seeds=tuple(str(seed) for seed in top.items("seed-nodes")),
-        bootstrap=top.flag("bootstrap", False), votes=top.flag("counts-for-quorum", False) and folder is not None,
-        data_dir=Path(folder) if folder else None, heartbeat_s=top.number("heartbeat-ms", 1_000) / 1_000,
+        bootstrap=top.flag("bootstrap", False),
+        votes=top.flag("counts-for-quorum", False) and folder is not None,
+        data_dir=Path(folder) if folder else None,
+        heartbeat_s=top.number("heartbeat-ms", 1_000) / 1_000,
         losses=int(top.section("fault-tolerance").number("machines", 0)),
         bounds=Bounds(
-            bounds.number("config-apply-ms", 2_000) / 1_000, bounds.number("drain-ms", 2_000) / 1_000,
-            bounds.number("grace-s", 8), bounds.number("retry-budget-ratio", 0.1),
-            bounds.number("retry-budget-slack", 10), bounds.number("budget-window-s", 10),
+            bounds.number("config-apply-ms", 2_000) / 1_000,
+            bounds.number("drain-ms", 2_000) / 1_000,
+            bounds.number("grace-s", 8),
+            bounds.number("retry-budget-ratio", 0.1),
+            bounds.number("retry-budget-slack", 10),
+            bounds.number("budget-window-s", 10),
             bounds.number("transit-ms", 120) / 1_000,
-            bounds.number("lease-ms", 3_000) / 1_000))
+            bounds.number("lease-ms", 3_000) / 1_000,
+        ),
+    )
     if findings:
         raise SettingsError(findings)
     return settings
--- a/hophinge/fleet/transport/closing.py
+++ b/hophinge/fleet/transport/closing.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-LINGER_S = 1.0              # for a client to read why it was refused, while it still sends
-FLUSH_S = 10.0              # between looks whether a client reads on what was written before the close
+LINGER_S = 1.0  # for a client to read why it was refused, while it still sends
+FLUSH_S = 10.0  # between looks whether a client reads on what was written before the close
 
 
 def close(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
@@ -28,7 +28,7 @@
         return
     try:
         transport.write_eof()
-    except OSError:             # it was reset, and nobody has noticed yet
+    except OSError:  # it was reset, and nobody has noticed yet
         close(loop, transport)
         return
     loop.call_later(LINGER_S, close, loop, transport)
--- a/hophinge/fleet/transport/connection_context.py
+++ b/hophinge/fleet/transport/connection_context.py
@@ -11,8 +11,8 @@
 from hophinge.fleet.transport.asgi import Scope
 from hophinge.fleet.transport.connection_state import ConnectionBounds, ConnectionState
 
-CONNECTIONS_PART = 0.6      # of the descriptors that a process may have
-CONNECTION = "connection"   # where a request's scope tells the state of its connection
+CONNECTIONS_PART = 0.6  # of the descriptors that a process may have
+CONNECTION = "connection"  # where a request's scope tells the state of its connection
 
 
 def places() -> int:
@@ -27,7 +27,7 @@
 
     bounds: ConnectionBounds = field(default_factory=ConnectionBounds)
     most_connections: int = field(default_factory=places)
-    ends: Counter[str] = field(default_factory=Counter)     # of connections, where something had been left open
+    ends: Counter[str] = field(default_factory=Counter)  # of connections, where something had been left open
 
 
 def connection_of(scope: Scope) -> ConnectionState:
--- a/hophinge/fleet/transport/connection_state.py
+++ b/hophinge/fleet/transport/connection_state.py
@@ -53,8 +53,8 @@
 class ConnectionBounds:
     """What a client may leave open, and for how long."""
 
-    rest_s: float = 60.0            # without a request, and between pieces of a body
-    header_s: float = 10.0          # from the first byte of a header to its last
+    rest_s: float = 60.0  # without a request, and between pieces of a body
+    header_s: float = 10.0  # from the first byte of a header to its last
     header_bytes: int = 65_536
 
 
@@ -63,17 +63,17 @@
 
     def __init__(self, bounds: ConnectionBounds, now: float) -> None:
         self.bounds = bounds
-        self.rest_s = bounds.rest_s     # that holds for the present rest
+        self.rest_s = bounds.rest_s  # that holds for the present rest
         self.reading = Reading.NOTHING
-        self.header_bytes = 0           # of the header that is being read
-        self.header_is_new = False      # it has begun with the newest bytes
-        self.completed = 0              # requests that came whole with the newest bytes
-        self.owed = 0                   # claims; the first of them is being answered
+        self.header_bytes = 0  # of the header that is being read
+        self.header_is_new = False  # it has begun with the newest bytes
+        self.completed = 0  # requests that came whole with the newest bytes
+        self.owed = 0  # claims; the first of them is being answered
         self.taking = True
         self.ending: Ending | None = None
-        self.refusal = 0                # status that is owed behind the last claim; 0 for none
-        self.since = now                # from when on the client is waited for
-        self.over = False               # the close was asked for, or the connection is gone
+        self.refusal = 0  # status that is owed behind the last claim; 0 for none
+        self.since = now  # from when on the client is waited for
+        self.over = False  # the close was asked for, or the connection is gone
 
     # --- what is read --------------------------------------------------------------------------------------------
 
@@ -104,7 +104,7 @@
             self.since = now
         elif self.reading is Reading.HEAD:
             before = 0 if self.header_is_new else self.header_bytes
-            mixed = self.header_is_new and self.completed > 0       # some of these bytes are of another request
+            mixed = self.header_is_new and self.completed > 0  # some of these bytes are of another request
             self.header_bytes = before + (0 if mixed else count)
         self.header_is_new, self.completed = False, 0
         if self.reading is Reading.HEAD and self.header_bytes > self.bounds.header_bytes:
@@ -121,7 +121,7 @@
         self.taking = False
         self._end(ending)
         abandons = self.reading is Reading.BODY and self.owed > 0 and not begun
-        if abandons or self.reading is not Reading.BODY:    # else it is answered, or was, before it had come whole
+        if abandons or self.reading is not Reading.BODY:  # else it is answered, or was, before it had come whole
             self.refusal = status
         self.owed -= abandons
         return [Action.ABANDON] * abandons + self._behind_the_last()
--- a/hophinge/fleet/transport/frames.py
+++ b/hophinge/fleet/transport/frames.py
@@ -9,7 +9,7 @@
 from hophinge.coordination.view import Replica
 
 LENGTH = struct.Struct(">I")
-MOST_BYTES = 16 << 20       # of one frame: above the largest configuration with all that is remembered of older ones
+MOST_BYTES = 16 << 20  # of one frame: above the largest configuration with all that is remembered of older ones
 
 
 @wire(40)
@@ -18,7 +18,7 @@
     """The first frame of a connection."""
 
     sender: Replica
-    program: str            # "control" or "data"
+    program: str  # "control" or "data"
 
 
 def frame(message: object) -> bytes:
@@ -45,7 +45,7 @@
             end = begin + LENGTH.size + length
             if len(self.buffer) < end:
                 break
-            messages.append(decode(bytes(self.buffer[begin + LENGTH.size:end])))
+            messages.append(decode(bytes(self.buffer[begin + LENGTH.size : end])))
             begin = end
         del self.buffer[:begin]
         return messages
--- a/hophinge/fleet/transport/lean.py
+++ b/hophinge/fleet/transport/lean.py
@@ -9,10 +9,10 @@
 import sys
 from types import ModuleType
 
-ABSENT = ("trio", "sniffio")        # an import of it fails as if it were not installed
-EMPTY = ("certifi",)                # imported by httpcore for a function that is only called for TLS
+ABSENT = ("trio", "sniffio")  # an import of it fails as if it were not installed
+EMPTY = ("certifi",)  # imported by httpcore for a function that is only called for TLS
 
-_modules: dict[str, ModuleType | None] = sys.modules    # type: ignore[assignment]
+_modules: dict[str, ModuleType | None] = sys.modules  # type: ignore[assignment]
 for _name in ABSENT:
     _modules.setdefault(_name, None)
 for _name in EMPTY:
--- a/hophinge/fleet/transport/links.py
+++ b/hophinge/fleet/transport/links.py
@@ -16,11 +16,11 @@
 from hophinge.fleet import log
 from hophinge.fleet.transport.frames import FrameReader, Hello, frame
 
-USER_TIMEOUT_MS = 1_500     # unacknowledged bytes for so long end a connection
-CONNECT_S = 1.5             # for a connection to come up
-RETRY_S = 0.15              # between attempts to connect to one address
-MOST_QUEUED = 32 << 20      # bytes that wait for one peer; more, and the connection is ended
-IDLE_CLOSE_S = 60.0         # an outgoing connection not used for so long is closed
+USER_TIMEOUT_MS = 1_500  # unacknowledged bytes for so long end a connection
+CONNECT_S = 1.5  # for a connection to come up
+RETRY_S = 0.15  # between attempts to connect to one address
+MOST_QUEUED = 32 << 20  # bytes that wait for one peer; more, and the connection is ended
+IDLE_CLOSE_S = 60.0  # an outgoing connection not used for so long is closed
 
 Handler = Callable[[Hello, object], None]
 
--- a/hophinge/fleet/transport/server.py
+++ b/hophinge/fleet/transport/server.py
@@ -16,8 +16,8 @@
 from hophinge.fleet.transport.server_connection import ServerConnection
 
 BACKLOG = 1_024
-LOOK_S = 0.05               # between looks at what is still under way at the end
-LAST_S = 0.2                # for answers of those who have given up to go out
+LOOK_S = 0.05  # between looks at what is still under way at the end
+LAST_S = 0.2  # for answers of those who have given up to go out
 
 
 def listening(address: str) -> socket.socket:
@@ -37,9 +37,19 @@
     def __init__(self, app: Any) -> None:
         self.context = ConnectionContext()
         config = uvicorn.Config(
-            app, http=cast(Any, self._connection), ws="none", loop="asyncio", lifespan="off", interface="asgi3",
-            log_config=None, access_log=False, server_header=False, date_header=False, proxy_headers=False,
-            backlog=BACKLOG)
+            app,
+            http=cast(Any, self._connection),
+            ws="none",
+            loop="asyncio",
+            lifespan="off",
+            interface="asgi3",
+            log_config=None,
+            access_log=False,
+            server_header=False,
+            date_header=False,
+            proxy_headers=False,
+            backlog=BACKLOG,
+        )
         super().__init__(config)
         self.ended = asyncio.Event()
 
--- a/hophinge/fleet/transport/server_connection.py
+++ b/hophinge/fleet/transport/server_connection.py
@@ -22,7 +22,7 @@
 )
 from hophinge.fleet.transport.upgrade import without_upgrade
 
-MOST_WAITING = 8            # requests behind the one that is answered, from which on the client is not read
+MOST_WAITING = 8  # requests behind the one that is answered, from which on the client is not read
 BY_CLIENT = (Ending.CLIENT_CLOSED, Ending.CLIENT_RESET)
 
 
@@ -37,17 +37,17 @@
         super().__init__(**params)
         self.context = context
         self.raw: asyncio.Transport | None = None
-        self.cycles: deque[RequestResponseCycle] = deque()      # that are owed, in their order
+        self.cycles: deque[RequestResponseCycle] = deque()  # that are owed, in their order
         self.timer: asyncio.TimerHandle | None = None
         self.state = ConnectionState(context.bounds, self.loop.time())
 
     # --- the connection ------------------------------------------------------------------------------------------
 
-    def connection_made(self, transport: asyncio.Transport) -> None:    # type: ignore[override]
+    def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         """Begin."""
         super().connection_made(transport)
         self.raw = transport
-        self.transport = AnswerTransport(transport, self.close_asked)       # type: ignore[assignment]
+        self.transport = AnswerTransport(transport, self.close_asked)  # type: ignore[assignment]
         self._watch_time()
         if len(self.connections) > self.context.most_connections:
             self._make_room()
@@ -76,7 +76,7 @@
         except httptools.HttpParserUpgrade as upgrade:
             if self.parser.get_method() == b"CONNECT":
                 raise httptools.HttpParserError("CONNECT is not served") from upgrade
-            self._read(self._without_upgrade() + data[upgrade.args[0]:])
+            self._read(self._without_upgrade() + data[upgrade.args[0] :])
 
     def _without_upgrade(self) -> bytes:
         """Have a new parser read the newest header anew, as one that wishes for no other protocol."""
@@ -124,7 +124,7 @@
     def on_headers_complete(self) -> None:
         """Take a header: its request is owed an answer from now on."""
         if self.parser.should_upgrade():
-            return                              # it is read again, without the wish
+            return  # it is read again, without the wish
         super().on_headers_complete()
         self.cycles.append(self.cycle)
         served = self.state.header_read(self.cycle.keep_alive)
@@ -132,7 +132,7 @@
             if not served:
                 self.pipeline[0] = (self.cycle, service_unavailable)
             if len(self.pipeline) < MOST_WAITING:
-                self.flow.resume_reading()      # its client's leaving has to be seen
+                self.flow.resume_reading()  # its client's leaving has to be seen
 
     def on_message_complete(self) -> None:
         """Take a request's last byte."""
@@ -224,7 +224,7 @@
     def _on_time(self) -> None:
         self.timer = None
         if self.flow.read_paused:
-            self.state.since = self.loop.time()     # it is not its client that keeps it waiting
+            self.state.since = self.loop.time()  # it is not its client that keeps it waiting
         self._do(self.state.time(self.loop.time(), self._newest_begun()))
         self._watch_time()
 
@@ -233,8 +233,10 @@
     def owed(self) -> list[str]:
         """Tell the answers that are owed, or have not gone out whole yet."""
         waiting = self.raw.get_write_buffer_size() if self.raw is not None else 0
-        told = [f"{cycle.scope['path']} of {self.client}: no whole answer, {waiting} bytes not sent"
-                for cycle in self.cycles]
+        told = [
+            f"{cycle.scope['path']} of {self.client}: no whole answer, {waiting} bytes not sent"
+            for cycle in self.cycles
+        ]
         if not told and waiting:
             path = self.cycle.scope["path"] if self.cycle is not None else "?"
             told.append(f"{path} of {self.client}: answered, {waiting} bytes not sent")
--- a/hophinge/fleet/trial.py
+++ b/hophinge/fleet/trial.py
@@ -9,7 +9,7 @@
 from hophinge.fleet import log
 from hophinge.fleet.placement.policy import Policy
 
-TRIAL_PATH = Path("trial-policy.json")      # ignored by git
+TRIAL_PATH = Path("trial-policy.json")  # ignored by git
 
 
 def trial_policy(path: Path = TRIAL_PATH) -> Policy:
@@ -19,7 +19,7 @@
     """
     if not path.exists():
         return Policy()
-    from pydantic import TypeAdapter    # not loaded in service: it takes a while
+    from pydantic import TypeAdapter  # not loaded in service: it takes a while
 
     text = path.read_bytes()
     unknown = json.loads(text).keys() - {field.name for field in fields(Policy)}
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -24,10 +24,10 @@
 from hophinge.tenancy.attempts import Callers, Holdings
 from hophinge.tenancy.life import State
 
-FLUSH_S = 1.0           # of usage; a killed head loses what came since
-MOST_SWEPT = 50         # uploads whose state is looked up when a tenant has its most
-AGAIN_S = 1.0           # advice to who has as many connections or requests as it may
-GUESSES_S, GUESSES_BURST = 50.0, 200.0      # wrong keys from one address; beyond, none from there is looked at
+FLUSH_S = 1.0  # of usage; a killed head loses what came since
+MOST_SWEPT = 50  # uploads whose state is looked up when a tenant has its most
+AGAIN_S = 1.0  # advice to who has as many connections or requests as it may
+GUESSES_S, GUESSES_BURST = 50.0, 200.0  # wrong keys from one address; beyond, none from there is looked at
 
 
 class FormTenants(Protocol):
@@ -55,13 +55,14 @@
 class HeadAccounts(Metering):
     """What both fronts ask about tenants. `copy`: the control service owns the accounts."""
 
-    def __init__(self, path: Path, old: Path | None, copy: bool, counters: Counters,
-                 log: Callable[[str], None]) -> None:
+    def __init__(
+        self, path: Path, old: Path | None, copy: bool, counters: Counters, log: Callable[[str], None]
+    ) -> None:
         self.started = False
         super().__init__(path, copy, counters, log, self._became)
         self.front: ObjectFront | None = None
         self.store: Store | None = None
-        self.tenant_ended: Callable[[str], None] = lambda tenant: None      # told of one that is served no more
+        self.tenant_ended: Callable[[str], None] = lambda tenant: None  # told of one that is served no more
         self.connections, self.requests = Holdings(), Holdings()
         self.guesses = Callers(GUESSES_S, GUESSES_BURST)
         if old is not None and not copy and not self.ledger.seq and old.exists():
@@ -73,7 +74,8 @@
         entry = Entry(self.now_ms(), "hophinge", "service", "take_over", str(old), {"rows": len(rows)})
 
         def decide() -> tuple[list[Row], Entry, Kept | None]:
-            return ([] if self.ledger.seq else rows), entry, None      # another process may have done it just now
+            return ([] if self.ledger.seq else rows), entry, None  # another process may have done it just now
+
         self.ledger.change(decide)
         self.log(f"{len(rows)} rows of {old} are taken over into {self.ledger.path}; the file is not read again")
 
@@ -105,11 +107,11 @@
             # The same for another tenant's bucket as for none at all.
             raise ObjectError(404, "NoSuchBucket", "The bucket does not exist.")
         if not self.connections.take(key.tenant, connection, quotas.connections) or not self.requests.take(
-                key.tenant, request, quotas.requests):
+            key.tenant, request, quotas.requests
+        ):
             self.count(key.tenant, held.id, used.REFUSED, 1)
             self.counters.add("tenants_bounded")
-            raise ObjectError(503, "SlowDown", "The account has as many connections or requests as it may.",
-                              AGAIN_S)
+            raise ObjectError(503, "SlowDown", "The account has as many connections or requests as it may.", AGAIN_S)
         return Guest(key.tenant, bucket, Volume(held.id, held.plan))
 
     def dropped(self, holder: object) -> None:
@@ -145,8 +147,8 @@
         """Note that an upload was completed or aborted."""
         try:
             self.ledger.upload_ended(upload)
-        except LedgerError:     # busy or full: what its client asked for is done all the same
-            self.log(f"the end of upload {upload} is noted later")      # a sweep finds it
+        except LedgerError:  # busy or full: what its client asked for is done all the same
+            self.log(f"the end of upload {upload} is noted later")  # a sweep finds it
 
     def _budget(self) -> Budget:
         assert self.store is not None
@@ -157,13 +159,13 @@
         assert self.store is not None
         for upload, body in self.ledger.uploads(tenant, MOST_SWEPT):
             one = msgspec.json.decode(body, type=Upload)
-            with contextlib.suppress(ObjectError):      # it has ended already
+            with contextlib.suppress(ObjectError):  # it has ended already
                 await self.store.abort(Volume(one.volume, one.plan), one.name, upload, self._budget())
             self.ledger.upload_ended(upload)
 
     # --- the platform's front
 
-    forms: FormTenants | None = None        # tenants by the service document
+    forms: FormTenants | None = None  # tenants by the service document
 
     def admits(self, connection: object, volume: str) -> bool:
         """Tell whether a request of a volume may come over a connection of the platform's front."""
@@ -171,8 +173,11 @@
         if not tenant:
             return self.forms is None or self.forms.admits(connection, volume)
         held = self.accounts.tenants.get(tenant)
-        if held is None or held.state is not State.ACTIVE or not self.connections.take(
-                tenant, connection, held.quotas.connections):
+        if (
+            held is None
+            or held.state is not State.ACTIVE
+            or not self.connections.take(tenant, connection, held.quotas.connections)
+        ):
             self.counters.add("tenants_bounded")
             return False
         return True
@@ -184,8 +189,12 @@
         if not tenant:
             return
         end = used.REFUSED if status in (429, 503) else used.SERVED if status in (200, 404) else used.FAILED
-        for field, amount in ((end, 1), (used.IN, bytes_in), (used.OUT, bytes_out),
-                              (used.UNITS, ask.units if end == used.SERVED else 0)):
+        for field, amount in (
+            (end, 1),
+            (used.IN, bytes_in),
+            (used.OUT, bytes_out),
+            (used.UNITS, ask.units if end == used.SERVED else 0),
+        ):
             if amount:
                 self.count(tenant, volume, field, amount)
 
@@ -207,7 +216,7 @@
                 if held is None or held.state in (State.CLOSING, State.CLOSED):
                     try:
                         await self.abort(tenant)
-                    except Exception as error:      # bricks refuse or are away: the next turn tries again
+                    except Exception as error:  # bricks refuse or are away: the next turn tries again
                         self.log(f"uploads of {tenant} are not aborted yet: {error!r}")
 
     def tasks(self) -> list[asyncio.Task[None]]:
--- a/hophinge/head/adapter.py
+++ b/hophinge/head/adapter.py
@@ -11,11 +11,22 @@
 from hophinge.core.settings import REPORT_FIELDS, read_settings
 
 PHASES = {"on": api.Phase.ON, "fading": api.Phase.DRAINING, "off": api.Phase.GONE}
-KINDS = {"Partial": api.ListKind.CHANGES, "Complete": api.ListKind.FULL, "Persisted": api.ListKind.SAVED,
-         "Error": api.ListKind.ERROR}
-RESULTS = {"done": api.Result.OK, "err": api.Result.ERROR, "busy": api.Result.FULL,
-           "etimedout": api.Result.TIMEOUT, "econnrefused": api.Result.CONNECT_FAILED,
-           "econnreset": api.Result.RESET, "ecanceled": api.Result.CANCELLED, "skipped": api.Result.MOOT}
+KINDS = {
+    "Partial": api.ListKind.CHANGES,
+    "Complete": api.ListKind.FULL,
+    "Persisted": api.ListKind.SAVED,
+    "Error": api.ListKind.ERROR,
+}
+RESULTS = {
+    "done": api.Result.OK,
+    "err": api.Result.ERROR,
+    "busy": api.Result.FULL,
+    "etimedout": api.Result.TIMEOUT,
+    "econnrefused": api.Result.CONNECT_FAILED,
+    "econnreset": api.Result.RESET,
+    "ecanceled": api.Result.CANCELLED,
+    "skipped": api.Result.MOOT,
+}
 
 
 class WireError(Exception):
@@ -45,25 +56,38 @@
     word, node, zone, kind, shard, phase, units, since = line.split("\t")
     if word != "node":
         raise WireError("a list is shorter than it said")
-    return api.NodeEntry(node, whole(zone), whole(shard), PHASES[phase], number(units), whole(since),
-                         whole(kind))
+    return api.NodeEntry(node, whole(zone), whole(shard), PHASES[phase], number(units), whole(since), whole(kind))
 
 
 def arrival(part: list[str]) -> api.Event:
     """Translate `inbound`."""
     return api.Arrival(
-        request=part[0], units=number(part[1]), volume=part[2], klass=whole(part[3]),
-        shard=int(number(part[4])), gateways=int(number(part[5])),
-        key="" if part[6] == "-" else part[6], time_left_us=whole(part[7]),
-        write=part[8] == "1", plan=whole(part[10]))
+        request=part[0],
+        units=number(part[1]),
+        volume=part[2],
+        klass=whole(part[3]),
+        shard=int(number(part[4])),
+        gateways=int(number(part[5])),
+        key="" if part[6] == "-" else part[6],
+        time_left_us=whole(part[7]),
+        write=part[8] == "1",
+        plan=whole(part[10]),
+    )
 
 
 def outcome(part: list[str]) -> api.Event:
     """Translate `completed`."""
     return api.Outcome(
-        request=part[0], attempt=whole(part[1]), node=part[2], result=RESULTS[part[3]],
-        elapsed_us=whole(part[4]), finished=part[5] == "1", used=whole(part[6]),
-        elsewhere=number(part[7]), report=report(part[8]))
+        request=part[0],
+        attempt=whole(part[1]),
+        node=part[2],
+        result=RESULTS[part[3]],
+        elapsed_us=whole(part[4]),
+        finished=part[5] == "1",
+        used=whole(part[6]),
+        elsewhere=number(part[7]),
+        report=report(part[8]),
+    )
 
 
 EVENTS: dict[str, Callable[[list[str]], api.Event]] = {
@@ -135,7 +159,7 @@
                     self.schedulers.pop(who, None)
                 elif word == "register":
                     count = int(part[1])
-                    self.lists[int(part[0])] = tuple(map(entry, lines[at:at + count]))
+                    self.lists[int(part[0])] = tuple(map(entry, lines[at : at + count]))
                     at += count
                 elif word == "view":
                     kind = KINDS[part[0]]
@@ -148,8 +172,9 @@
             except Exception as error:
                 raise WireError(f"line {line[:120]!r}: {type(error).__name__}: {error}") from error
         settle()
-        return [line for number, actions in out.items() if actions
-                for line in (f"by\t{number}", *map(action_line, actions))]
+        return [
+            line for number, actions in out.items() if actions for line in (f"by\t{number}", *map(action_line, actions))
+        ]
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
--- a/hophinge/head/administration.py
+++ b/hophinge/head/administration.py
@@ -13,10 +13,19 @@
 from hophinge.objects.config import AdminConfig
 
 
-def administration(accounts: HeadAccounts, config: AdminConfig, settings: Settings, counters: Counters,
-                   log: Callable[[str], None]) -> AdminFront:
+def administration(
+    accounts: HeadAccounts, config: AdminConfig, settings: Settings, counters: Counters, log: Callable[[str], None]
+) -> AdminFront:
     """Make the listener; raises OSError and ValueError where its token cannot be used."""
     plans = frozenset(plan.name for plan in settings.plans)
-    made = Api(accounts.ledger, accounts.accounts, lambda: plans, read_token(config.token_file), accounts.now_ms,
-               steady_us, openapi.text, calls_s=config.calls_s)
+    made = Api(
+        accounts.ledger,
+        accounts.accounts,
+        lambda: plans,
+        read_token(config.token_file),
+        accounts.now_ms,
+        steady_us,
+        openapi.text,
+        calls_s=config.calls_s,
+    )
     return AdminFront(made, counters, log)
--- a/hophinge/head/cluster.py
+++ b/hophinge/head/cluster.py
@@ -18,20 +18,37 @@
     try:
         return importlib.metadata.version("hophinge")
     except importlib.metadata.PackageNotFoundError:
-        return "source"     # run from a checkout that was never installed
+        return "source"  # run from a checkout that was never installed
 
 
 class Member:
     """One process among its peers. `sight` and `board` are what other parts rest on."""
 
-    def __init__(self, config: ClusterConfig, name: str, say: Callable[[str], None], *, role: Role = Role.HEAD,
-                 build: str = "", tuning: Tuning | None = None) -> None:
+    def __init__(
+        self,
+        config: ClusterConfig,
+        name: str,
+        say: Callable[[str], None],
+        *,
+        role: Role = Role.HEAD,
+        build: str = "",
+        tuning: Tuning | None = None,
+    ) -> None:
         """Take the socket and read the keys; raises a HophingeError that names the setting. Needs a running loop."""
         self.say = say
         self.endpoint = Endpoint(
-            config.name or name, config.listen, config.seeds, config.key_file, advertise=config.advertise,
-            zone=config.zone, role=role, build=build or build_of_program(), tuning=tuning, say=say,
-            limits=Limits(config.bytes_s, config.members, config.entries, config.entry_bytes))
+            config.name or name,
+            config.listen,
+            config.seeds,
+            config.key_file,
+            advertise=config.advertise,
+            zone=config.zone,
+            role=role,
+            build=build or build_of_program(),
+            tuning=tuning,
+            say=say,
+            limits=Limits(config.bytes_s, config.members, config.entries, config.entry_bytes),
+        )
 
     @property
     def sight(self) -> Sight:
@@ -67,9 +84,22 @@
         """Tell members and counters, for `/ops/cluster`."""
         core = self.endpoint.machine.core
         failed = self.endpoint.failed
-        return {"name": self.sight.me, "address": self.endpoint.address, "health": core.health,
-                "stepped_back": failed.told() if failed is not None else "",
-                "members": [{"name": one.name, "address": one.address, "standing": one.standing.value,
-                             "incarnation": one.incarnation, "zone": one.zone, "role": one.role.value,
-                             "build": one.build} for one in self.sight.members()],
-                "counters": dict(sorted(core.counters.items()))}
+        return {
+            "name": self.sight.me,
+            "address": self.endpoint.address,
+            "health": core.health,
+            "stepped_back": failed.told() if failed is not None else "",
+            "members": [
+                {
+                    "name": one.name,
+                    "address": one.address,
+                    "standing": one.standing.value,
+                    "incarnation": one.incarnation,
+                    "zone": one.zone,
+                    "role": one.role.value,
+                    "build": one.build,
+                }
+                for one in self.sight.members()
+            ],
+            "counters": dict(sorted(core.counters.items())),
+        }
--- a/hophinge/head/compose.py
+++ b/hophinge/head/compose.py
@@ -29,8 +29,14 @@
 class Parts:
     """What is on; made before a session is opened, as the file can still be refused for any of it."""
 
-    def __init__(self, config: Config, operator: OperatorConfig, exchange: Exchange, counters: Counters,
-                 log: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        config: Config,
+        operator: OperatorConfig,
+        exchange: Exchange,
+        counters: Counters,
+        log: Callable[[str], None],
+    ) -> None:
         self.objects: ObjectFront | None = None
         self.admin: AdminFront | None = None
         self.accounts: HeadAccounts | None = None
@@ -38,12 +44,13 @@
         self.together: Together | None = None
         copied = operator.stream is not None and operator.stream.accounts
         if operator.objects is not None or copied:
-            from hophinge.head.accounts import HeadAccounts     # SQLite, and what the platform's head has no use for
+            from hophinge.head.accounts import HeadAccounts  # SQLite, and what the platform's head has no use for
 
             folder = operator.stream.folder if operator.stream is not None else Path()
             ledger = operator.objects.tenants.with_suffix(".db") if operator.objects else folder / "accounts.db"
-            self.accounts = HeadAccounts(ledger, operator.objects.tenants if operator.objects else None, copied,
-                                         counters, log)
+            self.accounts = HeadAccounts(
+                ledger, operator.objects.tenants if operator.objects else None, copied, counters, log
+            )
         if operator.objects is not None and self.accounts is not None:
             from hophinge.objects.front import ObjectFront
             from hophinge.objects.pieces import Core
@@ -58,15 +65,17 @@
 
                 self.admin = administration(self.accounts, operator.admin, exchange.settings, counters, log)
         if operator.stream is not None:
-            from hophinge.head.streamed import Streamed     # its libraries cost memory
+            from hophinge.head.streamed import Streamed  # its libraries cost memory
 
-            self.streamed = Streamed(operator.stream, config.name or config.listen, exchange,
-                                     int(config.seed, 16), log, self.accounts)
+            self.streamed = Streamed(
+                operator.stream, config.name or config.listen, exchange, int(config.seed, 16), log, self.accounts
+            )
         if operator.cluster is not None or operator.scoring is not None or operator.popularity is not None:
             from hophinge.head.together import Together
 
-            self.together = Together(config, operator, exchange, log,
-                                     self.objects.store if self.objects is not None else None, self.accounts)
+            self.together = Together(
+                config, operator, exchange, log, self.objects.store if self.objects is not None else None, self.accounts
+            )
 
     def join(self, front: Front, control: Control | None) -> None:
         """Have the platform's front keep to the stream's limits, and staff be told of all that is on."""
@@ -85,15 +94,28 @@
         return found
 
 
-def remote_write(config: Config, operator: OperatorConfig, exchange: Exchange, counters: Counters,
-                 gauges: Callable[[], dict[str, float]], accounts: HeadAccounts | None) -> RemoteWrite | None:
+def remote_write(
+    config: Config,
+    operator: OperatorConfig,
+    exchange: Exchange,
+    counters: Counters,
+    gauges: Callable[[], dict[str, float]],
+    accounts: HeadAccounts | None,
+) -> RemoteWrite | None:
     """Make what sends the head's figures to a store of metrics, where it is on."""
     if operator.remote_write is None:
         return None
-    from hophinge.telemetry.remote_write import RemoteWrite   # its libraries cost memory
+    from hophinge.telemetry.remote_write import RemoteWrite  # its libraries cost memory
 
-    return RemoteWrite(operator.remote_write, config.name or config.listen, counters, gauges, exchange.now_us,
-                       exchange.figures, accounts.series if accounts is not None else dict)
+    return RemoteWrite(
+        operator.remote_write,
+        config.name or config.listen,
+        counters,
+        gauges,
+        exchange.now_us,
+        exchange.figures,
+        accounts.series if accounts is not None else dict,
+    )
 
 
 def maintenance(head: Service, log: Callable[[str], None]) -> HeadMaintenance | None:
@@ -109,7 +131,16 @@
     member = head.together.member if head.together is not None else None
     holder = Holder(secrets.randbits(48) | 1, section.build or build_of_program())
     return HeadMaintenance(
-        head.streamed.client, head.rotation, head.exchange, holder, section.zone,
-        stream.folder / f"drains-{re.sub(r'[^0-9A-Za-z-]', '_', name)}.state", log, head.ready,
-        lambda go: head.stop(), lambda: head.handover is None or not head.handover.others,
-        member.board if member is not None else None, member.sight if member is not None else None)
+        head.streamed.client,
+        head.rotation,
+        head.exchange,
+        holder,
+        section.zone,
+        stream.folder / f"drains-{re.sub(r'[^0-9A-Za-z-]', '_', name)}.state",
+        log,
+        head.ready,
+        lambda go: head.stop(),
+        lambda: head.handover is None or not head.handover.others,
+        member.board if member is not None else None,
+        member.sight if member is not None else None,
+    )
--- a/hophinge/head/config.py
+++ b/hophinge/head/config.py
@@ -51,7 +51,7 @@
     limits: Limits = msgspec.field(default_factory=Limits)
     name: str = ""
     control: str = ""
-    accept_fd: int | None = None    # told by the environment alone
+    accept_fd: int | None = None  # told by the environment alone
 
 
 def address(text: str) -> tuple[str, int]:
@@ -83,7 +83,7 @@
     try:
         listing, left_out = read_listing(known)
     except msgspec.MsgspecError:
-        msgspec.json.decode(known, type=Told)       # what is no list at all is a slip in the file
+        msgspec.json.decode(known, type=Told)  # what is no list at all is a slip in the file
         return Listing(0, [])
     return Listing(listing.rev, listing.targets, listing.all and not left_out)
 
--- a/hophinge/head/ending.py
+++ b/hophinge/head/ending.py
@@ -16,12 +16,12 @@
     from hophinge.objects.front import ObjectFront
 
 STILL_ARRIVING_S = 0.6  # new connections keep coming after SIGTERM
-QUEUE_S = 1.0           # for who waits in the listening socket's queue to be taken, where there is no room for all
-RESTED_S = 0.7          # a connection that has rested for so long is hardly the next to be used
-LAST_BESIDE_S = 0.5     # before SIGKILL all end where another process serves: a request here is its connection's last
-AFTER_S = 0.1           # past the last answer, for those that part and for what is written
-UNREAD_S = 10.0         # past the last answer's time, for those that their clients do not read
-DRAIN_LOOK_S = 0.02     # between looks at what is still unanswered at the end
+QUEUE_S = 1.0  # for who waits in the listening socket's queue to be taken, where there is no room for all
+RESTED_S = 0.7  # a connection that has rested for so long is hardly the next to be used
+LAST_BESIDE_S = 0.5  # before SIGKILL all end where another process serves: a request here is its connection's last
+AFTER_S = 0.1  # past the last answer, for those that part and for what is written
+UNREAD_S = 10.0  # past the last answer's time, for those that their clients do not read
+DRAIN_LOOK_S = 0.02  # between looks at what is still unanswered at the end
 
 
 async def first_of(most_s: float, *events: asyncio.Event) -> bool:
@@ -35,8 +35,16 @@
             wait.cancel()
 
 
-async def answer_all(exchange: Exchange, front: Front, objects: ObjectFront | None, admin: Listener | None,
-                     acceptors: list[Acceptor], beside: bool, told_us: int, log: Callable[[str], None]) -> None:
+async def answer_all(
+    exchange: Exchange,
+    front: Front,
+    objects: ObjectFront | None,
+    admin: Listener | None,
+    acceptors: list[Acceptor],
+    beside: bool,
+    told_us: int,
+    log: Callable[[str], None],
+) -> None:
     """Answer what has been taken, and take nothing new in the end.
 
     `beside`: another process takes over; `told_us`: when the signal came, on the exchange's clock. The loop may have
@@ -45,7 +53,7 @@
     log(f"ending with {exchange.unanswered} requests open on {len(front.server.connections)} connections")
     for other in (objects, admin):
         if other is not None:
-            other.closing = True        # their clients have other heads to go to
+            other.closing = True  # their clients have other heads to go to
     # What is taken from now on is answered before the platform would kill this process.
     last = front.last = Last(exchange.settings.classes, told_us)
     closes_us = last.until_us + ANSWER_US - int(LAST_BESIDE_S * 1e6) if beside else last.closes_us
@@ -79,18 +87,23 @@
     for one in (front, objects, admin):
         if one is not None:
             one.close_idle()
+
     # Each request has its deadline, and each wait of the object front its own limit; who is accepted in the last
     # moment is nobody's connection yet. A client that doesn't read holds its connection busy for ever.
     def owed() -> bool:
         left_us = last.until_us - exchange.now_us()
-        return (exchange.unanswered > 0 or coming(acceptors) or (objects is not None and objects.active > 0)
-                or (bool(front.busy) and left_us > -UNREAD_S * 1e6)
-                or (bool(front.server.connections) and left_us > -AFTER_S * 1e6))
+        return (
+            exchange.unanswered > 0
+            or coming(acceptors)
+            or (objects is not None and objects.active > 0)
+            or (bool(front.busy) and left_us > -UNREAD_S * 1e6)
+            or (bool(front.server.connections) and left_us > -AFTER_S * 1e6)
+        )
 
     while owed():
         await asyncio.sleep(DRAIN_LOOK_S)
         if exchange.now_us() >= last.until_us:
-            exchange.cut_off()      # what was taken before the signal may have longer than this process
+            exchange.cut_off()  # what was taken before the signal may have longer than this process
         front.close_idle()
 
 
--- a/hophinge/head/handover.py
+++ b/hophinge/head/handover.py
@@ -13,7 +13,7 @@
 from hophinge.core.rotation import Mark, Rotation
 
 VERSION = 1
-LOOK_S = 0.05           # between looks; the grace on drains is ten times that
+LOOK_S = 0.05  # between looks; the grace on drains is ten times that
 LIVE, MARKS = "live-", "marks.json"
 
 
@@ -31,8 +31,9 @@
     merged, the newer counts; who finds that the file lacks a mark writes it whole again, so no write is lost for long.
     """
 
-    def __init__(self, folder: Path, rotation: Rotation, now_us: Callable[[], int], rest_us: int,
-                 log: Callable[[str], None]) -> None:
+    def __init__(
+        self, folder: Path, rotation: Rotation, now_us: Callable[[], int], rest_us: int, log: Callable[[str], None]
+    ) -> None:
         self.folder, self.rotation, self.now_us, self.rest_us, self.log = folder, rotation, now_us, rest_us, log
         folder.mkdir(mode=0o700, exist_ok=True)
         self.file = open(folder / f"new-{os.getpid()}", "w")  # noqa: SIM115
@@ -41,7 +42,7 @@
         self.path = folder / f"{LIVE}{os.getpid()}"
         os.rename(self.file.name, self.path)
         self.others: list[int] = []
-        self.other_until = 0            # its last requests still count against the rules until then
+        self.other_until = 0  # its last requests still count against the rules until then
         self.seen: tuple[int, int] | None = None
 
     @property
@@ -51,8 +52,11 @@
 
     def look(self) -> None:
         """See who lives and what was marked."""
-        self.others = [int(name.removeprefix(LIVE)) for name in os.listdir(self.folder)
-                       if name.startswith(LIVE) and name != self.path.name and self._lives(name)]
+        self.others = [
+            int(name.removeprefix(LIVE))
+            for name in os.listdir(self.folder)
+            if name.startswith(LIVE) and name != self.path.name and self._lives(name)
+        ]
         if self.others:
             self.other_until = self.now_us() + self.rest_us
         self._read()
--- a/hophinge/head/hanging.py
+++ b/hophinge/head/hanging.py
@@ -13,12 +13,12 @@
 
 from hophinge.scoring.guard import Guard
 
-EVERY_S = 0.2           # between looks; each needs the interpreter, so a process that stands still has none
-LOOKS = 5               # at the same call before it is broken: a second; from then on with each look
-AFTER_S = 0.002         # the timer's: the thread must have given the interpreter back
-TOLD_AT = 50            # looks after which it is told that the scorer does not obey
+EVERY_S = 0.2  # between looks; each needs the interpreter, so a process that stands still has none
+LOOKS = 5  # at the same call before it is broken: a second; from then on with each look
+AFTER_S = 0.002  # the timer's: the thread must have given the interpreter back
+TOLD_AT = 50  # looks after which it is told that the scorer does not obey
 
-AT_WORK: set[Watchdog] = set()      # of this process, whose signal's handler is one for all
+AT_WORK: set[Watchdog] = set()  # of this process, whose signal's handler is one for all
 
 
 def interrupt(number: int, frame: FrameType | None) -> None:
@@ -32,7 +32,7 @@
 
     def __init__(self, guard: Guard, log: Callable[[str], None]) -> None:
         self.guard, self.log = guard, log
-        self.accused: int | None = None     # the call that is to be broken, by when it began
+        self.accused: int | None = None  # the call that is to be broken, by when it began
         self.ended = threading.Event()
         self.thread = threading.Thread(target=self._watch, name="scorers", daemon=True)
 
--- a/hophinge/head/last.py
+++ b/hophinge/head/last.py
@@ -6,9 +6,9 @@
 
 from hophinge.core import interface as api
 
-LONGEST_US, KILL_US = 3_000_000, 700_000    # SIGKILL follows after the longest deadline, this one at most, and this
-ANSWER_US = 250_000         # before SIGKILL the last answer is out
-NEED = 0.5                  # of its aim is what a request of a class usually takes
+LONGEST_US, KILL_US = 3_000_000, 700_000  # SIGKILL follows after the longest deadline, this one at most, and this
+ANSWER_US = 250_000  # before SIGKILL the last answer is out
+NEED = 0.5  # of its aim is what a request of a class usually takes
 
 
 class Last:
--- a/hophinge/head/lean.py
+++ b/hophinge/head/lean.py
@@ -11,7 +11,7 @@
 
 from hophinge.head.environment import OPERATOR_FILE
 
-CERTIFICATES = ("SSL_CERT_FILE", "SSL_CERT_DIR")        # OpenSSL's own names
+CERTIFICATES = ("SSL_CERT_FILE", "SSL_CERT_DIR")  # OpenSSL's own names
 
 
 def service(environ: MutableMapping[str, str] = os.environ) -> Callable[[], int]:
--- a/hophinge/head/log.py
+++ b/hophinge/head/log.py
@@ -10,8 +10,8 @@
 
 from hophinge.core.errors import told
 
-PIECE = select.PIPE_BUF // 4    # characters; their bytes fit into a pipe that has any room
-READ_MS = 50.0          # for a reader that is behind; one that let it pass is not waited for until it has read
+PIECE = select.PIPE_BUF // 4  # characters; their bytes fit into a pipe that has any room
+READ_MS = 50.0  # for a reader that is behind; one that let it pass is not waited for until it has read
 
 
 class Room:
@@ -24,7 +24,7 @@
         """Tell whether a piece can be written at once, after a moment at most."""
         try:
             descriptor = sys.stdout.fileno()
-        except (OSError, ValueError):       # no file of the system's: it keeps nobody waiting
+        except (OSError, ValueError):  # no file of the system's: it keeps nobody waiting
             return True
         look = select.poll()
         look.register(descriptor, select.POLLOUT)
@@ -46,7 +46,7 @@
         for at in range(0, len(text), PIECE):
             if not ROOM.wait():
                 return
-            print(text[at:at + PIECE], end="", flush=True)
+            print(text[at : at + PIECE], end="", flush=True)
 
 
 class Lines(logging.Handler):
--- a/hophinge/head/main.py
+++ b/hophinge/head/main.py
@@ -62,10 +62,10 @@
         raise
     gc.collect()
     gc.enable()
-    gc.freeze()     # what start-up made is never garbage; collections stay short
+    gc.freeze()  # what start-up made is never garbage; collections stay short
     await service.stopping.wait()
     try:
         await service.finish()
-    except Exception as error:      # what does not close cleanly ends with the process
+    except Exception as error:  # what does not close cleanly ends with the process
         say(f"the end was not clean: {told(error)}")
     service.report()
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -22,7 +22,16 @@
 from hophinge.core.interface import Arrival, Bounds, NodeList, Phase, Result, Waits
 from hophinge.core.rotation import Mark, Rotation
 from hophinge.maintenance.drains import (
-    Action, HeadDrains, Phase as DrainPhase, Say, TakeOut, TakeUp, Unsay, heard, standing, value,
+    Action,
+    HeadDrains,
+    Phase as DrainPhase,
+    Say,
+    TakeOut,
+    TakeUp,
+    Unsay,
+    heard,
+    standing,
+    value,
 )
 from hophinge.maintenance.holder import HALT, Go, Holder, halts
 from hophinge.maintenance.listing import Teller
@@ -30,8 +39,8 @@
 from hophinge.state import files
 
 KIND, FORM = "drains", 1
-LOOK_S = 0.1            # between looks at what is out there
-SAVE_AGAIN_S = 1.0      # after the disk failed; until then nothing is said to be drained
+LOOK_S = 0.1  # between looks at what is out there
+SAVE_AGAIN_S = 1.0  # after the disk failed; until then nothing is said to be drained
 
 
 class Answers:
@@ -41,7 +50,7 @@
 
     def __init__(self, gate: Gate) -> None:
         self.gate = gate
-        self.good: dict[str, int] = {}      # by brick: when it answered last
+        self.good: dict[str, int] = {}  # by brick: when it answered last
 
     def admit(self, now_us: int, ask: Arrival) -> Bounds | Waits | int:
         """Pass on."""
@@ -74,10 +83,22 @@
 class HeadMaintenance:
     """One head's; to be made after its stream and before it starts, `begin` called before it lists any brick."""
 
-    def __init__(self, client: Client, rotation: Rotation, exchange: Exchange, holder: Holder, zone: str, path: Path,
-                 log: Callable[[str], None], ready: Callable[[], bool], go: Callable[[Go], None] | None = None,
-                 alone: Callable[[], bool] = lambda: True, board: Board | None = None, sight: Sight | None = None,
-                 disk: files.Disk = files.DISK) -> None:
+    def __init__(
+        self,
+        client: Client,
+        rotation: Rotation,
+        exchange: Exchange,
+        holder: Holder,
+        zone: str,
+        path: Path,
+        log: Callable[[str], None],
+        ready: Callable[[], bool],
+        go: Callable[[Go], None] | None = None,
+        alone: Callable[[], bool] = lambda: True,
+        board: Board | None = None,
+        sight: Sight | None = None,
+        disk: files.Disk = files.DISK,
+    ) -> None:
         self.client, self.rotation, self.exchange, self.holder = client, rotation, exchange, holder
         self.zone, self.path, self.log, self.ready, self.go = zone, path, log, ready, go
         self.alone, self.board, self.sight, self.disk = alone, board, sight, disk
@@ -87,12 +108,12 @@
         self.drains = HeadDrains(self._kept())
         self.saved = self.drains.keeps()
         self.born_us = exchange.now_us()
-        self.up_at: dict[str, int] = {}         # by brick: when it was taken up again
-        self.spoken = False                     # the service has sent a word on this stream, so it takes reports
-        self.last: Report | None = None         # as reported, with all lists whole
-        self.teller = Teller()                  # of this stream
-        self.parts = False                      # the service on this stream takes lists as changes
-        self.halted: set[str] = set()           # on the board by this head
+        self.up_at: dict[str, int] = {}  # by brick: when it was taken up again
+        self.spoken = False  # the service has sent a word on this stream, so it takes reports
+        self.last: Report | None = None  # as reported, with all lists whole
+        self.teller = Teller()  # of this stream
+        self.parts = False  # the service on this stream takes lists as changes
+        self.halted: set[str] = set()  # on the board by this head
         greet, others, figures = client.greet, client.others, client.figures
         client.greet = lambda: self._greet(greet())
         client.others = lambda beat: [*others(beat), *self._due(beat)]
@@ -144,8 +165,10 @@
             self._do(self.drains.told(word.out, word.back))
             self._tell_halts({HALT + one for one in word.halted})
         for one in goes:
-            self.log(f"maintenance: permit {one.permit} lets this head go; it is to come back with "
-                     f"{f'build {one.build}' if one.build else 'any build'}")
+            self.log(
+                f"maintenance: permit {one.permit} lets this head go; it is to come back with "
+                f"{f'build {one.build}' if one.build else 'any build'}"
+            )
             if self.go is not None:
                 self.go(one)
         return None
@@ -169,26 +192,43 @@
         now, listed = self.exchange.now_us(), self.rotation.listed
         settings, counts = self.exchange.settings, self.exchange.counters.counts
         avoided = set(self.exchange.scheduler.avoided(now))
-        bricks = {name: Listed(settings.zones[one.zone] if one.zone < len(settings.zones) else "",
-                               settings.kinds[one.kind] if one.kind < len(settings.kinds) else "",
-                               one.phase is Phase.ON and name not in avoided) for name, one in listed.items()}
+        bricks = {
+            name: Listed(
+                settings.zones[one.zone] if one.zone < len(settings.zones) else "",
+                settings.kinds[one.kind] if one.kind < len(settings.kinds) else "",
+                one.phase is Phase.ON and name not in avoided,
+            )
+            for name, one in listed.items()
+        }
         live, gone = standing(self.sight.members()) if self.sight is not None else ([], [])
         entries = list(self.board.entries(Topic.DRAINS)) if self.board is not None else []
         me = self.sight.me if self.sight is not None else self.client.follower.head
         said = {owner: rows for owner, rows in heard(entries).items() if owner != me}
         return Report(
-            self.holder.process, self.holder.build, self.zone, self.ready() and bool(bricks), self.holder.asks(now),
-            self.holder.begins(now, halts(entries)), tuple(self.drains.statements()), said, bricks, tuple(live),
-            tuple(gone), self.sight is not None, counts["requests_taken"],
-            counts["requests_failed"] + counts["requests_refused"])
+            self.holder.process,
+            self.holder.build,
+            self.zone,
+            self.ready() and bool(bricks),
+            self.holder.asks(now),
+            self.holder.begins(now, halts(entries)),
+            tuple(self.drains.statements()),
+            said,
+            bricks,
+            tuple(live),
+            tuple(gone),
+            self.sight is not None,
+            counts["requests_taken"],
+            counts["requests_failed"] + counts["requests_refused"],
+        )
 
     # --- rotation and exchange
 
     def look(self) -> None:
         """See what is out there, and say what follows."""
         if self.drains.own:
-            open_there = Counter(attempt.node for request in self.exchange.open.values()
-                                 for attempt in request.attempts.values())
+            open_there = Counter(
+                attempt.node for request in self.exchange.open.values() for attempt in request.attempts.values()
+            )
             out = [one.brick for one in self.drains.own.values() if self.rotation.out(one.brick)]
             # Another process of this head, before or after it, may still have something there.
             self._do(self.drains.look(open_there, out if self.alone() else (), self._warm()))
@@ -198,8 +238,11 @@
     def _warm(self) -> list[str]:
         """Tell which bricks have answered since they are back, for longer than they count as cold."""
         now, cold = self.exchange.now_us(), self.rotation.cold_us
-        since = {one.brick: self.up_at.get(one.brick, self.born_us) for one in self.drains.own.values()
-                 if one.phase is DrainPhase.BACK}
+        since = {
+            one.brick: self.up_at.get(one.brick, self.born_us)
+            for one in self.drains.own.values()
+            if one.phase is DrainPhase.BACK
+        }
         return [brick for brick, at in since.items() if self.answers.good.get(brick, -1) > at and now - at >= cold]
 
     def _do(self, actions: Iterable[Action]) -> None:
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -16,16 +16,22 @@
 from hophinge.tenancy.life import State
 from hophinge.tenancy.timekeeper import Timekeeper
 
-CLOCK_OFF_MS = 60_000   # staff hear of a clock that is further off
+CLOCK_OFF_MS = 60_000  # staff hear of a clock that is further off
 OUTCOME = {2: used.SERVED, 3: used.SERVED, 4: used.FAILED, 5: used.FAILED}
-HERE = "here"           # the reporter of this head's own usage, in its own ledger
+HERE = "here"  # the reporter of this head's own usage, in its own ledger
 
 
 class Metering:
     """The accounts' rows as this head has them, and the usage that it counts by them."""
 
-    def __init__(self, path: Path, copy: bool, counters: Counters, log: Callable[[str], None],
-                 became: Callable[[str, State | None], None]) -> None:
+    def __init__(
+        self,
+        path: Path,
+        copy: bool,
+        counters: Counters,
+        log: Callable[[str], None],
+        became: Callable[[str, State | None], None],
+    ) -> None:
         self.counters, self.log, self.copy = counters, log, copy
         self.accounts = Accounts(became)
         self.ledger = Ledger(path, self.accounts.take)
@@ -38,8 +44,12 @@
         off = abs(self.time.off_ms(wall_ms())) > CLOCK_OFF_MS
         if off is not self.clock_told:
             self.clock_told = off
-            self.log(f"the clock is {self.time.off_ms(wall_ms()) / 1000:.0f} s from the time that keys end by; it is "
-                     "followed slowly" if off else "the clock is followed again")
+            self.log(
+                f"the clock is {self.time.off_ms(wall_ms()) / 1000:.0f} s from the time that keys end by; it is "
+                "followed slowly"
+                if off
+                else "the clock is followed again"
+            )
         return now
 
     def count(self, tenant: str, volume: str, field: str, amount: float) -> None:
@@ -49,8 +59,10 @@
 
     def series(self) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
         """Tell what tenants used since the start, for remote write."""
-        return {(f"tenant_{field}_total", (("tenant", tenant),)): amount
-                for (tenant, field), amount in self.exported.counts.items()}
+        return {
+            (f"tenant_{field}_total", (("tenant", tenant),)): amount
+            for (tenant, field), amount in self.exported.counts.items()
+        }
 
     def moved(self, guest: Guest, way: int, size: int) -> None:
         """Count bytes."""
--- a/hophinge/head/operator.py
+++ b/hophinge/head/operator.py
@@ -20,7 +20,7 @@
     folder: Path
     silence_s: float = 6.0
     stale_s: float = 300.0
-    accounts: bool = False      # the control service owns the tenants' accounts
+    accounts: bool = False  # the control service owns the tenants' accounts
 
     def __post_init__(self) -> None:
         """Check ranges."""
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -20,23 +20,25 @@
 from hophinge.popularity.planner import Facts, Planner, Source
 from hophinge.popularity.site import DAY_US, SPAN_US, Site
 
-TICK_S = 0.5            # between looks at peers, spans and what might be fetched
-STEP, REST_S = 25, 0.02 # predictions made at once, and the rest after: a millisecond in twenty, so that nobody waits
-PLAN_TICKS = 4          # between plans, where the last one was carried out
-FETCH_US = 2_000_000    # of one plan: peers are to be heard and spans closed in time
+TICK_S = 0.5  # between looks at peers, spans and what might be fetched
+STEP, REST_S = 25, 0.02  # predictions made at once, and the rest after: a millisecond in twenty, so that nobody waits
+PLAN_TICKS = 4  # between plans, where the last one was carried out
+FETCH_US = 2_000_000  # of one plan: peers are to be heard and spans closed in time
 # Tightest aims of others' work at a brick beyond which it has nothing to spare: the module's own bound for what is late
 # and beyond each reserve and fair part, by the settings' usual worths (0.75 sqrt(0.1 x 0.2)).
 SPARE_WAIT = 0.1
-WAIT_FADES = 4.0        # tightest aims after which a wait that was seen says nothing
-MOST_SECRET = 4096      # bytes of the file
+WAIT_FADES = 4.0  # tightest aims after which a wait that was seen says nothing
+MOST_SECRET = 4096  # bytes of the file
 
 
 class SecretUnusableError(HophingeError):
     """The installation's secret cannot be used."""
 
     code = "popularity-secret-unusable"
-    remedy = ("Put the installation's secret, the same at each head and at least 16 bytes long, into the file that "
-              "[popularity] names, readable by the head.")
+    remedy = (
+        "Put the installation's secret, the same at each head and at least 16 bytes long, into the file that "
+        "[popularity] names, readable by the head."
+    )
 
 
 def read_secret(path: Path) -> bytes:
@@ -60,31 +62,44 @@
 class HeadPopularity:
     """What a head does about popularity; alone, without sight and board, it goes by its own counts."""
 
-    def __init__(self, config: PopularityConfig, store: Store, owner_of: Callable[[str], tuple[str, str] | None],
-                 log: Callable[[str], None], sight: Sight | None = None,
-                 board: Board | None = None, span_us: int = SPAN_US, day_us: int = DAY_US) -> None:
+    def __init__(
+        self,
+        config: PopularityConfig,
+        store: Store,
+        owner_of: Callable[[str], tuple[str, str] | None],
+        log: Callable[[str], None],
+        sight: Sight | None = None,
+        board: Board | None = None,
+        span_us: int = SPAN_US,
+        day_us: int = DAY_US,
+    ) -> None:
         """`owner_of` tells a volume's tenant and plan; it knows the volumes that this head serves."""
         self.config, self.store, self.owner_of, self.log = config, store, owner_of, log
-        self.faults = self.untold = 0       # of this part, and pages that the board had no room for
+        self.faults = self.untold = 0  # of this part, and pages that the board had no room for
         self.sight, self.board = sight, board
         self.exchange = store.core.exchange
         me = sight.me if sight is not None else ""
         zone = next((one.zone for one in sight.members() if one.name == me), "") if sight is not None else ""
-        self.site = Site(Keys(read_secret(config.secret_file)), config.count_bytes, config.tenant_part, me, zone,
-                         span_us, day_us)
-        self.cache = PieceCache(config.cache_bytes, config.tenant_part, lambda volume: (owner_of(volume) or ("",))[0],
-                                lambda one: self.site.wanted_object(one))
+        self.site = Site(
+            Keys(read_secret(config.secret_file)), config.count_bytes, config.tenant_part, me, zone, span_us, day_us
+        )
+        self.cache = PieceCache(
+            config.cache_bytes,
+            config.tenant_part,
+            lambda volume: (owner_of(volume) or ("",))[0],
+            lambda one: self.site.wanted_object(one),
+        )
         self.cache.tell = self._asked_for
         now_us = self.exchange.now_us()
         self.planner = Planner(me, zone, config.fetch_bytes_s, config.tenant_part, now_us)
         self.fetcher = Fetcher(store.core, self.cache, self.planner, self.facts)
         store.watcher, store.core.cache = self, self.cache
         self.closes_us = now_us + span_us
-        self.words: dict[Object, str] = {}          # of what was fetched on a peer's word: whose
-        self.taken: dict[tuple[str, str], tuple[int, int]] = {}     # versions of pages that were looked at
-        self.told = 0                               # pages that are on the board
-        self.tried: dict[bytes, int] = {}           # in which span a fetch was tried
-        self.unfinished: set[bytes] = set()         # whose fetch broke off
+        self.words: dict[Object, str] = {}  # of what was fetched on a peer's word: whose
+        self.taken: dict[tuple[str, str], tuple[int, int]] = {}  # versions of pages that were looked at
+        self.told = 0  # pages that are on the board
+        self.tried: dict[bytes, int] = {}  # in which span a fetch was tried
+        self.unfinished: set[bytes] = set()  # whose fetch broke off
         self.refusals = 0
 
     # --- what the store tells
@@ -132,7 +147,8 @@
             spare = 0.0 if waits else exchange.settings.most_units - book.units_out
             warm = book.warmth(now_us, exchange.settings.rules.cold_us) >= 1.0
             sources.setdefault(book.entry.shard, []).append(
-                Source(name, book.entry.shard, book.entry.phase is api.Phase.ON, warm, spare, name in draining))
+                Source(name, book.entry.shard, book.entry.phase is api.Phase.ON, warm, spare, name in draining)
+            )
         return Facts(max(0, exchange.unanswered - self.fetcher.out), overloaded, sources)
 
     # --- the loop
@@ -201,8 +217,12 @@
             return
         members = self.sight.members() if self.sight is not None else ()
         self.unfinished &= self.site.known.keys()
-        fresh = (one for one in self.site.candidates(self.store.core.units) if one.key not in self.tried and (
-            one.key in self.unfinished or not self.cache.holds(self.site.object(one.key))))
+        fresh = (
+            one
+            for one in self.site.candidates(self.store.core.units)
+            if one.key not in self.tried
+            and (one.key in self.unfinished or not self.cache.holds(self.site.object(one.key)))
+        )
         until_us = self.exchange.now_us() + FETCH_US
         for one in self.planner.plan(self.exchange.now_us(), members, self.facts(), fresh):
             known = self.site.known.get(one.key)
@@ -213,7 +233,8 @@
             if word := self.site.by_word(one.key):
                 self.words[known.locator.volume, known.locator.manifest] = word
             manifest, whole = await self.fetcher.fetch(
-                one, known.locator, Volume(known.locator.volume, owner[1]), until_us)
+                one, known.locator, Volume(known.locator.volume, owner[1]), until_us
+            )
             (self.unfinished.discard if whole else self.unfinished.add)(one.key)
             if manifest is not None and manifest.etag:
                 known.size = manifest.size
@@ -221,7 +242,7 @@
                 self.site.gone(known.locator)
             over = self.exchange.now_us() >= until_us
             if over and not whole:
-                self.tried.pop(one.key, None)       # a long object goes on with the next plan
+                self.tried.pop(one.key, None)  # a long object goes on with the next plan
             if over or self.planner.busy(self.exchange.now_us(), self.facts()):
                 break
 
@@ -230,12 +251,25 @@
     def status(self) -> dict[str, object]:
         """Tell operators how it goes; no object is named."""
         cache, fetcher = self.cache, self.fetcher
-        return {"span": self.site.span, "counters": len(self.site.sketch), "followed": len(self.site.predictor.courses),
-                "peers": len(self.site.hearsay.owners), "malformed": self.site.hearsay.malformed,
-                "kept_bytes": cache.size, "kept_pieces": len(cache.held), "hits": cache.hits, "misses": cache.misses,
-                "fetched_objects": fetcher.objects, "fetched_bytes": fetcher.bytes, "fetches_refused": fetcher.refused,
-                "faults": self.faults, "untold": self.untold, "useful": cache.useful, "useless": cache.useless,
-                "held_back": {why.value: count for why, count in self.planner.held_back.items()}}
+        return {
+            "span": self.site.span,
+            "counters": len(self.site.sketch),
+            "followed": len(self.site.predictor.courses),
+            "peers": len(self.site.hearsay.owners),
+            "malformed": self.site.hearsay.malformed,
+            "kept_bytes": cache.size,
+            "kept_pieces": len(cache.held),
+            "hits": cache.hits,
+            "misses": cache.misses,
+            "fetched_objects": fetcher.objects,
+            "fetched_bytes": fetcher.bytes,
+            "fetches_refused": fetcher.refused,
+            "faults": self.faults,
+            "untold": self.untold,
+            "useful": cache.useful,
+            "useless": cache.useless,
+            "held_back": {why.value: count for why, count in self.planner.held_back.items()},
+        }
 
     def tenant(self, tenant: str) -> dict[str, float]:
         """Tell a tenant its own figures."""
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -26,11 +26,14 @@
 from hophinge.scoring.encoding import MOST_SCORER
 from hophinge.scoring.engine import Drop, Engine, Put
 from hophinge.scoring.errors import (
-    ScorerInterfaceError, ScorerParametersError, ScorerUnknownError, ScorerUnusableError,
+    ScorerInterfaceError,
+    ScorerParametersError,
+    ScorerUnknownError,
+    ScorerUnusableError,
 )
 from hophinge.scoring.interface import GROUP, INTERFACE, PROJECT, Kind, Scorer, Setting, Spec, Surroundings
 
-TICK_S = 1.0            # between merges: long against an answer, short against a repair
+TICK_S = 1.0  # between merges: long against an answer, short against a repair
 BUILT_IN: dict[str, ModuleType] = {"latency": latency, "suspicion": suspicion, "outlook": outlook}
 
 
@@ -58,7 +61,7 @@
         kinds = manager.hook.hophinge_scorer()
     except HophingeError:
         raise
-    except Exception as error:      # another package's import or code
+    except Exception as error:  # another package's import or code
         raise ScorerUnusableError(f"scorer {name!r} cannot be loaded: {type(error).__name__}: {error}") from error
     if len(kinds) != 1 or not isinstance(kinds[0], Kind):
         raise ScorerUnusableError(f"the package of scorer {name!r} has no hophinge_scorer, or it tells no Kind")
@@ -67,7 +70,8 @@
         raise ScorerUnusableError(f"the plug-in of scorer {name!r} brings {kind.name!r}, or states no parameters")
     if kind.interface != INTERFACE:
         raise ScorerInterfaceError(
-            f"scorer {name!r} was made for version {kind.interface} of the interface, this is {INTERFACE}")
+            f"scorer {name!r} was made for version {kind.interface} of the interface, this is {INTERFACE}"
+        )
     return kind
 
 
@@ -110,18 +114,24 @@
 class Scoring:
     """Scorers at work in one head; raises a HophingeError where they cannot be made."""
 
-    def __init__(self, config: ScoringConfig, exchange: Exchange, log: Callable[[str], None],
-                 clock_ns: Callable[[], int] = time.perf_counter_ns) -> None:
+    def __init__(
+        self,
+        config: ScoringConfig,
+        exchange: Exchange,
+        log: Callable[[str], None],
+        clock_ns: Callable[[], int] = time.perf_counter_ns,
+    ) -> None:
         settings = exchange.settings
         aim_us = min(klass.aim_us for klass in settings.classes)
         setting = Setting(aim_us, aim_us * config.most_part)
         self.config, self.exchange, self.log = config, exchange, log
         self.surroundings = Surroundings(settings.rules.cold_us)
         scorers, versions = make(config, setting)
-        self.engine = Engine(scorers, versions, setting.most_us, config.budget_us, clock_ns, log, self.surroundings,
-                             usage=usage)
+        self.engine = Engine(
+            scorers, versions, setting.most_us, config.budget_us, clock_ns, log, self.surroundings, usage=usage
+        )
         self.board: Board | None = None
-        self.refused = ""           # why the board took no entry, as it was last logged
+        self.refused = ""  # why the board took no entry, as it was last logged
         exchange.scheduler.scorers = self.engine
         exchange.heard = self.heard
 
@@ -147,7 +157,7 @@
             while True:
                 await asyncio.sleep(TICK_S)
                 for _ in self.slices():
-                    await asyncio.sleep(0)      # requests first
+                    await asyncio.sleep(0)  # requests first
         finally:
             watchdog.stop()
 
@@ -155,7 +165,7 @@
         """Learn, merge and tell peers, in slices; what goes wrong is logged, as nothing of it may end the head."""
         try:
             entries = self.board.entries(Topic.WEIGHTS) if self.board is not None else ()
-            nodes = frozenset(self.exchange.phases)     # as it is now: it changes between slices
+            nodes = frozenset(self.exchange.phases)  # as it is now: it changes between slices
             actions: list[Put | Drop] = []
             yield from self.engine.slices(self.exchange.now_us(), nodes, entries, actions)
             self._carry_out(actions)
@@ -177,7 +187,7 @@
                 else:
                     self.board.drop(Topic.WEIGHTS, action.key)
             except HophingeError as error:
-                self._refused(error.told())     # tried again with the next tick
+                self._refused(error.told())  # tried again with the next tick
                 continue
             self.engine.done(action)
 
@@ -194,25 +204,45 @@
         """Tell staff what scorers do here, as JSON."""
         now, reader = self.exchange.now_us(), self.engine.reader
         rows: dict[str, Any] = {
-            "interface": INTERFACE, "most_us": self.engine.guard.most_us, "budget_us": self.config.budget_us,
-            "scorers": {one.name: {
-                "at_work": one.pauses.may(now), "off_until_told": one.pauses.off,
-                "back_in_s": max(0, one.pauses.until_us - now) / 1e6, "mistakes": one.pauses.mistakes, **one.counts,
-            } for one in self.engine.guard.scorers},
+            "interface": INTERFACE,
+            "most_us": self.engine.guard.most_us,
+            "budget_us": self.config.budget_us,
+            "scorers": {
+                one.name: {
+                    "at_work": one.pauses.may(now),
+                    "off_until_told": one.pauses.off,
+                    "back_in_s": max(0, one.pauses.until_us - now) / 1e6,
+                    "mistakes": one.pauses.mistakes,
+                    **one.counts,
+                }
+                for one in self.engine.guard.scorers
+            },
         }
         if reader is not None:
-            rows["peers"] = {name: {owner: {"trust": round(peer.agreement.trust, 3),
-                                            "counts_for": round(peer.freshness(now), 3), "bricks": len(peer.words)}
-                                    for owner, peer in shared.peers.items()}
-                             for name, shared in self.engine.shared.items()}
-            rows |= {"entries_bad": reader.bad, "entries_of_other_versions": reader.other_versions,
-                     "bricks_without_room": self.engine.left_out}
+            rows["peers"] = {
+                name: {
+                    owner: {
+                        "trust": round(peer.agreement.trust, 3),
+                        "counts_for": round(peer.freshness(now), 3),
+                        "bricks": len(peer.words),
+                    }
+                    for owner, peer in shared.peers.items()
+                }
+                for name, shared in self.engine.shared.items()
+            }
+            rows |= {
+                "entries_bad": reader.bad,
+                "entries_of_other_versions": reader.other_versions,
+                "bricks_without_room": self.engine.left_out,
+            }
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
     def gauges(self) -> dict[str, float]:
         """Tell what alerts look at."""
         now, reader = self.exchange.now_us(), self.engine.reader
         scorers = self.engine.guard.scorers
-        return {"scorers_left_out": sum(not one.pauses.may(now) for one in scorers),
-                "scorers_off": sum(one.pauses.off for one in scorers),
-                "weights_bad_total": sum(reader.bad.values()) if reader is not None else 0}
+        return {
+            "scorers_left_out": sum(not one.pauses.may(now) for one in scorers),
+            "scorers_off": sum(one.pauses.off for one in scorers),
+            "weights_bad_total": sum(reader.bad.values()) if reader is not None else 0,
+        }
--- a/hophinge/head/sections.py
+++ b/hophinge/head/sections.py
@@ -14,16 +14,16 @@
 class ClusterConfig(msgspec.Struct, forbid_unknown_fields=True):
     """`[cluster]`: who this process is among its peers, and what it may use for them."""
 
-    listen: str                     # host:port for datagrams, which peers reach it at too unless `advertise` says else
-    seeds: list[str]                # host:port of some members; its own may be among them
-    key_file: Path                  # one key a line, the newest first, at most two: the second is still taken
-    name: str = ""                  # unlike all others'; the head's own name where it is empty
+    listen: str  # host:port for datagrams, which peers reach it at too unless `advertise` says else
+    seeds: list[str]  # host:port of some members; its own may be among them
+    key_file: Path  # one key a line, the newest first, at most two: the second is still taken
+    name: str = ""  # unlike all others'; the head's own name where it is empty
     zone: str = ""
     advertise: str = ""
-    bytes_s: int = 20_000           # sent by this process at most, whatever happens
-    members: int = 1_000            # kept at most
-    entries: int = 2_000            # of one member at most
-    entry_bytes: int = 256_000      # of one member's entries at most
+    bytes_s: int = 20_000  # sent by this process at most, whatever happens
+    members: int = 1_000  # kept at most
+    entries: int = 2_000  # of one member at most
+    entry_bytes: int = 256_000  # of one member's entries at most
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -38,18 +38,18 @@
 class MaintenanceConfig(msgspec.Struct, forbid_unknown_fields=True):
     """`[maintenance]`: a head's part in drains and releases that its control service agrees; needs `[stream]`."""
 
-    build: str = ""                 # what runs here, as a release names it; the program's version where it is empty
-    zone: str = ""                  # as bounds by zone count it
+    build: str = ""  # what runs here, as a release names it; the program's version where it is empty
+    zone: str = ""  # as bounds by zone count it
 
 
 class ScoringConfig(msgspec.Struct, forbid_unknown_fields=True):
     """`[scoring]`: which scorers are at work, each with its own parameters."""
 
-    scorers: list[str]                                  # by the names that their packages give them
-    most_part: float = 0.25                             # of the tightest aim: the longest time that they may add
-    budget_us: float = 200.0                            # that one scorer may take for one choice
-    parameters: dict[str, dict[str, Any]] = {}          # by scorer
-    share: bool = True                                  # weights, with peers, where [cluster] is there
+    scorers: list[str]  # by the names that their packages give them
+    most_part: float = 0.25  # of the tightest aim: the longest time that they may add
+    budget_us: float = 200.0  # that one scorer may take for one choice
+    parameters: dict[str, dict[str, Any]] = {}  # by scorer
+    share: bool = True  # weights, with peers, where [cluster] is there
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -60,11 +60,11 @@
 class PopularityConfig(msgspec.Struct, forbid_unknown_fields=True):
     """`[popularity]`: counting, prediction and the cache of a site."""
 
-    secret_file: Path               # of the installation: keys leave a process hashed with it
-    count_bytes: int = 1_000_000    # for counts
-    cache_bytes: int = 16_000_000   # of objects kept at this head; 0: none
-    fetch_bytes_s: float = 1e6      # for fetches beforehand
-    tenant_part: float = 0.5        # of those budgets that one tenant may use
+    secret_file: Path  # of the installation: keys leave a process hashed with it
+    count_bytes: int = 1_000_000  # for counts
+    cache_bytes: int = 16_000_000  # of objects kept at this head; 0: none
+    fetch_bytes_s: float = 1e6  # for fetches beforehand
+    tenant_part: float = 0.5  # of those budgets that one tenant may use
 
     def __post_init__(self) -> None:
         """Check ranges."""
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -26,8 +26,8 @@
 from hophinge.head.operator import OperatorConfig
 from hophinge.core.rotation import Rotation
 
-FIRST_LIST_S = 0.4      # ready with the saved list alone if discovery, which answers at once, is silent for so long
-SHUTDOWN_S = 2.0        # for answers on their way out
+FIRST_LIST_S = 0.4  # ready with the saved list alone if discovery, which answers at once, is silent for so long
+SHUTDOWN_S = 2.0  # for answers on their way out
 
 
 class Service:
@@ -50,20 +50,28 @@
         self.handover: Handover | None = None
         self.share(0)
         self.rotation = Rotation(self.nodes, clock.now_us, settings.rules.cold_us)
-        self.discovery = Discovery(config.discovery, self.directory, self.rotation.take, self.counters,
-                                   settings.gateways, int(config.seed, 16), say,
-                                   settings.discovery is api.Discovery.PUSHED)
+        self.discovery = Discovery(
+            config.discovery,
+            self.directory,
+            self.rotation.take,
+            self.counters,
+            settings.gateways,
+            int(config.seed, 16),
+            say,
+            settings.discovery is api.Discovery.PUSHED,
+        )
         self.figures = self.exchange.figures
         self.figures.now = self.bricks_now
         self.control = Control(self.counters, self.figures, self.rotation, self.ready) if config.control else None
         parts.join(self.front, self.control)
-        self.remote_write = compose.remote_write(config, operator, self.exchange, self.counters, self.gauges,
-                                                 self.accounts)
-        self.listeners: list[Acceptor] = []         # of clients
+        self.remote_write = compose.remote_write(
+            config, operator, self.exchange, self.counters, self.gauges, self.accounts
+        )
+        self.listeners: list[Acceptor] = []  # of clients
         self.control_listener: Acceptor | None = None
         self.tasks: list[asyncio.Task[None]] = []
         self.stopping = asyncio.Event()
-        self.told_us = 0            # of the end
+        self.told_us = 0  # of the end
         self.maintenance = compose.maintenance(self, say)
 
     async def start(self) -> None:
@@ -105,8 +113,10 @@
             self._listen(self.front, self.config.listen, self.config.accept_fd)
         self.front.ready = True
         most = self.config.limits
-        say(f"{self.config.name or 'a head'} serves on {self.config.listen}: {most.cores} cores, "
-            f"{most.memory_mb} MB, {most.sockets} sockets, {self.front.most_connections} for clients")
+        say(
+            f"{self.config.name or 'a head'} serves on {self.config.listen}: {most.cores} cores, "
+            f"{most.memory_mb} MB, {most.sockets} sockets, {self.front.most_connections} for clients"
+        )
 
     def nodes(self, event: api.NodeList) -> None:
         """Take a list of bricks, or what changed in it."""
@@ -131,8 +141,9 @@
         if not folder:
             return say("no TMPDIR: bricks out by hand do not outlive an upgrade")
         name = re.sub(r"[^0-9A-Za-z-]", "_", self.config.name or self.config.listen)
-        self.handover = Handover(Path(folder) / f"hophinge-{name}", self.rotation, self.exchange.now_us,
-                                 self.settings.rules.fall_us, say)
+        self.handover = Handover(
+            Path(folder) / f"hophinge-{name}", self.rotation, self.exchange.now_us, self.settings.rules.fall_us, say
+        )
         self.rotation.marked = self.handover.write
         self._look()
         self.tasks.append(asyncio.create_task(self._look_on()))
@@ -154,8 +165,9 @@
     def share(self, elsewhere: int) -> None:
         """Take this process's part of sockets and memory when so many descriptors are another process's."""
         processes = self.handover.processes if self.handover is not None else 1
-        shares = limits.share(self.config.limits, processes, elsewhere, self.settings.gateways,
-                              bool(self.config.control))
+        shares = limits.share(
+            self.config.limits, processes, elsewhere, self.settings.gateways, bool(self.config.control)
+        )
         self.budget.most = shares.bodies
         self.bricks.most = self.bricks.roll.most = shares.to_bricks
         self.bricks.roll.each = shares.idle_each
@@ -207,13 +219,21 @@
     async def finish(self) -> None:
         """Answer what has been taken, then close everything."""
         self.stop()
-        await ending.answer_all(self.exchange, self.front, self.objects, self.admin, self.listeners,
-                                self.config.accept_fd is not None, self.told_us, say)
+        await ending.answer_all(
+            self.exchange,
+            self.front,
+            self.objects,
+            self.admin,
+            self.listeners,
+            self.config.accept_fd is not None,
+            self.told_us,
+            say,
+        )
         if self.control_listener is not None:
             self.control_listener.close()
         for served in (*self.fronts, self.control):
             if served is not None:
-                served.server.pre_shutdown()        # else those at rest are waited for, too
+                served.server.pre_shutdown()  # else those at rest are waited for, too
                 await served.server.shutdown(SHUTDOWN_S)
         await self.close()
 
@@ -242,8 +262,12 @@
     def gauges(self) -> dict[str, float]:
         """Tell what is now, for remote write."""
         ready = sum(phase is api.Phase.ON for phase in self.exchange.phases.values())
-        return {**self.figures.gauges(), "requests_open": self.exchange.unanswered,
-                "attempts_out": len(self.bricks.tasks), "bricks_ready": ready,
-                "object_requests_open": self.objects.active if self.objects else 0,
-                **(self.streamed.gauges() if self.streamed is not None else {}),
-                **(self.together.gauges() if self.together is not None else {})}
+        return {
+            **self.figures.gauges(),
+            "requests_open": self.exchange.unanswered,
+            "attempts_out": len(self.bricks.tasks),
+            "bricks_ready": ready,
+            "object_requests_open": self.objects.active if self.objects else 0,
+            **(self.streamed.gauges() if self.streamed is not None else {}),
+            **(self.together.gauges() if self.together is not None else {}),
+        }
