--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -26,16 +26,23 @@
 if TYPE_CHECKING:
     from hophinge.head.accounts import HeadAccounts
 
-LEAST_TOKEN = 16        # characters
-MOST_SHOWN = 100        # tenants in what staff are told; the rest is summed
-MOST_TOLD = 500         # tenants whose demand one ask tells
+LEAST_TOKEN = 16  # characters
+MOST_SHOWN = 100  # tenants in what staff are told; the rest is summed
+MOST_TOLD = 500  # tenants whose demand one ask tells
 
 
 class Streamed:
     """What one head has of it."""
 
-    def __init__(self, config: StreamConfig, name: str, exchange: Exchange, seed: int, log: Callable[[str], None],
-                 accounts: HeadAccounts | None) -> None:
+    def __init__(
+        self,
+        config: StreamConfig,
+        name: str,
+        exchange: Exchange,
+        seed: int,
+        log: Callable[[str], None],
+        accounts: HeadAccounts | None,
+    ) -> None:
         token = config.token_file.read_text().strip()
         if len(token) < LEAST_TOKEN or not token.isascii():
             raise ValueError(f"{config.token_file}: a token has {LEAST_TOKEN} ASCII characters or more")
@@ -51,13 +58,26 @@
             accounts.tenant_ended = self.tenant_ended
             self.copied = Copied(accounts, name) if accounts.copy else None
         exchange.gate = self.router
-        self.follower = Follower(name, config.endpoints, Facts.of(exchange.settings), seed,
-                                 int(config.silence_s * 1e6), int(config.stale_s * 1e6))
+        self.follower = Follower(
+            name,
+            config.endpoints,
+            Facts.of(exchange.settings),
+            seed,
+            int(config.silence_s * 1e6),
+            int(config.stale_s * 1e6),
+        )
         self.holder = Holder(exchange.settings.gateways, secrets.randbits(48), exchange.now_us())
         self.demand_since = exchange.now_us()
         path = config.folder / f"last-good-{re.sub(r'[^0-9A-Za-z-]', '_', name)}.state"
-        self.client = Client(self.follower, token, path, self.apply, exchange.now_us,
-                             lambda text: log(f"configuration: {text}"), self.figures)
+        self.client = Client(
+            self.follower,
+            token,
+            path,
+            self.apply,
+            exchange.now_us,
+            lambda text: log(f"configuration: {text}"),
+            self.figures,
+        )
         if self.copied is not None:
             self.client.greet, self.client.take_other = self.copied.greet, self.copied.take
             self.client.others = self.copied.others
@@ -91,8 +111,14 @@
         span_s, self.demand_since = max(0.1, (now - self.demand_since) / 1e6), now
         # The largest are told; for the others the even part will do.
         largest = sorted(self.router.admission.demand().items(), key=lambda row: -row[1])[:MOST_TOLD]
-        return {"heads": self.exchange.settings.gateways, "process": self.holder.process, "asked": asked, "held": held,
-                "span_s": span_s, **{wire.DEMAND + tenant: units for tenant, units in largest if tenant}}
+        return {
+            "heads": self.exchange.settings.gateways,
+            "process": self.holder.process,
+            "asked": asked,
+            "held": held,
+            "span_s": span_s,
+            **{wire.DEMAND + tenant: units for tenant, units in largest if tenant},
+        }
 
     def take_lease(self, json: bytes) -> None:
         """Take a lease off the stream."""
@@ -107,23 +133,33 @@
         counts = self.exchange.counters.counts
         # What a limit or a share refuses is meant; what finds no brick, or no time, may be the version's fault.
         meant = self.router.refused_limit + self.router.refused_share
-        return {"taken": counts["requests_taken"],
-                "failed": counts["requests_failed"] + counts["requests_refused"] - meant,
-                "heads": self.exchange.settings.gateways}
+        return {
+            "taken": counts["requests_taken"],
+            "failed": counts["requests_failed"] + counts["requests_refused"] - meant,
+            "heads": self.exchange.settings.gateways,
+        }
 
     def gauges(self) -> dict[str, float]:
         """Tell what alerts look at."""
         follower = self.follower
-        return {"config_stale": follower.stale_told, "config_turned_down": follower.state is State.TURNED_DOWN,
-                "config_connected": follower.connected, "config_not_kept": bool(follower.keep_error),
-                "config_version": follower.version.order[1] if follower.version else 0,
-                "bricks_resting": len(self.router.ejector.out), "limits_refused_total": self.router.refused_limit,
-                "pools_refused_total": self.router.refused_pools}
+        return {
+            "config_stale": follower.stale_told,
+            "config_turned_down": follower.state is State.TURNED_DOWN,
+            "config_connected": follower.connected,
+            "config_not_kept": bool(follower.keep_error),
+            "config_version": follower.version.order[1] if follower.version else 0,
+            "bricks_resting": len(self.router.ejector.out),
+            "limits_refused_total": self.router.refused_limit,
+            "pools_refused_total": self.router.refused_pools,
+        }
 
     def tenants(self) -> str:
         """Tell staff what tenants get here, as JSON."""
-        rows = {"leases": self._leases(), "serial": self.holder.serial,
-                **self.router.usage(MOST_SHOWN, self.exchange.now_us())}
+        rows = {
+            "leases": self._leases(),
+            "serial": self.holder.serial,
+            **self.router.usage(MOST_SHOWN, self.exchange.now_us()),
+        }
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
     def status(self) -> str:
@@ -165,7 +201,7 @@
     def __init__(self, accounts: HeadAccounts, name: str) -> None:
         self.accounts, self.name = accounts, name
         self.taker = Taker(accounts.ledger.epoch, accounts.ledger.seq)
-        self.owed: Part | None = None       # taken off the stream, and not written yet
+        self.owed: Part | None = None  # taken off the stream, and not written yet
         self.ack: list[wire.Request] = []
 
     def greet(self) -> list[wire.Request]:
@@ -173,8 +209,14 @@
         self.owed, self.ack = None, []
         self.taker.begin()
         self.accounts.reports.lost()
-        return [wire.Request(wire.Kind.ACCOUNT, subscribe=True, head=self.name, figures={
-            "epoch": self.taker.epoch, "seq": self.taker.seq})]
+        return [
+            wire.Request(
+                wire.Kind.ACCOUNT,
+                subscribe=True,
+                head=self.name,
+                figures={"epoch": self.taker.epoch, "seq": self.taker.seq},
+            )
+        ]
 
     def take(self, response: wire.Response) -> None:
         """Take a part of the accounts, or the acknowledgement of a report."""
@@ -192,6 +234,12 @@
         said, self.ack = self.ack, []
         if beat and self.accounts.reports.due:
             number, totals = self.accounts.report(MOST_TOLD)
-            said.append(wire.Request(wire.Kind.USAGE, str(number), head=self.name, figures={
-                f"{self.accounts.ledger.id}/{'/'.join(place)}": total for place, total in totals.items()}))
+            said.append(
+                wire.Request(
+                    wire.Kind.USAGE,
+                    str(number),
+                    head=self.name,
+                    figures={f"{self.accounts.ledger.id}/{'/'.join(place)}": total for place, total in totals.items()},
+                )
+            )
         return said
--- a/hophinge/head/together.py
+++ b/hophinge/head/together.py
@@ -23,8 +23,15 @@
 class Together:
     """A head's place among its peers, its scorers and what it knows of popularity."""
 
-    def __init__(self, config: Config, operator: OperatorConfig, exchange: Exchange, log: Callable[[str], None],
-                 store: Store | None = None, accounts: HeadAccounts | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        operator: OperatorConfig,
+        exchange: Exchange,
+        log: Callable[[str], None],
+        store: Store | None = None,
+        accounts: HeadAccounts | None = None,
+    ) -> None:
         """Take the member's socket; raises a HophingeError that names the setting. Needs a running loop."""
         self.member: Member | None = None
         self.scoring: Scoring | None = None
@@ -90,6 +97,7 @@
             found["/ops/scorers"] = self.scoring.status
         popularity = self.popularity
         if popularity is not None:
-            found["/ops/popularity"] = lambda: msgspec.json.format(
-                msgspec.json.encode(popularity.status())).decode() + "\n"
+            found["/ops/popularity"] = lambda: (
+                msgspec.json.format(msgspec.json.encode(popularity.status())).decode() + "\n"
+            )
         return found
--- a/hophinge/load/bricks.py
+++ b/hophinge/load/bricks.py
@@ -14,7 +14,7 @@
 from hophinge.load.plan import Fault, LoadPlan
 
 HOST = "127.0.0.1"
-COLD_SHARE, COLD_US = 0.18, 17_000_000      # of what a brick does when it has just started, and until it is warm
+COLD_SHARE, COLD_US = 0.18, 17_000_000  # of what a brick does when it has just started, and until it is warm
 LONGEST_S = 3600.0
 
 
@@ -31,24 +31,39 @@
     def fault(self, kind: str) -> Fault | None:
         """Tell the fault of a kind that this brick has now."""
         now = self.now_us()
-        return next((one for one in self.plan.faults if one.kind == kind and one.at_us <= now < one.at_us + one.for_us
-                     and self.shard < round(one.part * self.plan.bricks)), None)
+        return next(
+            (
+                one
+                for one in self.plan.faults
+                if one.kind == kind
+                and one.at_us <= now < one.at_us + one.for_us
+                and self.shard < round(one.part * self.plan.bricks)
+            ),
+            None,
+        )
 
     def speed(self) -> float:
         """Tell the part of its usual speed that it has now."""
         slow = self.fault("slow")
         if slow is not None:
             return 1 / slow.times
-        started = max([one.at_us + (one.for_us if one.kind == "vanish" else 0) for one in self.plan.faults
-                       if one.kind in ("cold", "vanish") and self.shard < round(one.part * self.plan.bricks)
-                       and one.at_us <= self.now_us()], default=-COLD_US)
+        started = max(
+            [
+                one.at_us + (one.for_us if one.kind == "vanish" else 0)
+                for one in self.plan.faults
+                if one.kind in ("cold", "vanish")
+                and self.shard < round(one.part * self.plan.bricks)
+                and one.at_us <= self.now_us()
+            ],
+            default=-COLD_US,
+        )
         warm = max(0, self.now_us() - started) / COLD_US
         return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * warm)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Work on a request for its time."""
         if self.fault("vanish") is not None or self.fault("hang") is not None:
-            await asyncio.sleep(LONGEST_S)      # no sign of it; who waits has its own time
+            await asyncio.sleep(LONGEST_S)  # no sign of it; who waits has its own time
         await request.read()
         fail = self.fault("fail")
         if fail is not None and self.random.random() < fail.share:
@@ -57,7 +72,7 @@
         if self.waiting >= self.plan.queue:
             self.turned_away += 1
             return web.Response(status=503, headers={"X-Turned-Away": "1"})
-        units = float(request.query.get("work", "1"))       # heads pass the query on unchanged
+        units = float(request.query.get("work", "1"))  # heads pass the query on unchanged
         self.waiting += 1
         async with self.slots:
             self.waiting -= 1
@@ -67,8 +82,16 @@
 
     def target(self) -> dict[str, Any]:
         """Tell what discovery says of it."""
-        return {"uid": f"load-{self.shard}", "endpoint": f"{HOST}:{self.port}", "az": "hall-a", "model": "std-1c",
-                "pod_group": self.shard, "state": "Ready", "capacity_hint": 1.0, "boot_ms": 0}
+        return {
+            "uid": f"load-{self.shard}",
+            "endpoint": f"{HOST}:{self.port}",
+            "az": "hall-a",
+            "model": "std-1c",
+            "pod_group": self.shard,
+            "state": "Ready",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
 
 
 class Platform:
@@ -105,8 +128,10 @@
             self.begin()
             return web.Response(body=b"begun\n")
         if request.raw_path.startswith("/end"):
-            rows = {brick.shard: {"done": brick.done, "turned_away": brick.turned_away, "failed": brick.failed}
-                    for brick in self.bricks}
+            rows = {
+                brick.shard: {"done": brick.done, "turned_away": brick.turned_away, "failed": brick.failed}
+                for brick in self.bricks
+            }
             return web.Response(body=msgspec.json.encode(rows))
         if "since" in request.query:
             await asyncio.sleep(int(request.query.get("timeout_ms", "0")) / 1000)
--- a/hophinge/load/clients.py
+++ b/hophinge/load/clients.py
@@ -16,7 +16,7 @@
 LOWEST_US, HIGHEST_US, DIGITS = 1, 60_000_000, 3
 SLICE_S = 1.0
 JITTER = (0.5, 1.5)
-AFTER_S = 5.0           # what is still open then has no answer
+AFTER_S = 5.0  # what is still open then has no answer
 ENDS = ("aim", "late", "refused", "failed", "timed out", "left", "broken")
 
 
@@ -32,9 +32,9 @@
     client: Client
     ends: dict[str, int] = field(default_factory=lambda: dict.fromkeys(ENDS, 0))
     tries: int = 0
-    served: HdrHistogram = field(default_factory=histogram)     # from when the first try was due, in microseconds
-    refused: HdrHistogram = field(default_factory=histogram)    # how long a refusal took
-    behind: HdrHistogram = field(default_factory=histogram)     # how late tries left: what the tool itself cost
+    served: HdrHistogram = field(default_factory=histogram)  # from when the first try was due, in microseconds
+    refused: HdrHistogram = field(default_factory=histogram)  # how long a refusal took
+    behind: HdrHistogram = field(default_factory=histogram)  # how late tries left: what the tool itself cost
 
     @property
     def asked(self) -> int:
@@ -65,7 +65,8 @@
     def due(self) -> float:
         """Tell the worth asked for a second."""
         return sum(one.asked * one.client.worth * one.client.units for one in self.sorts) / max(
-            1e-9, (self.plan.for_us - self.plan.settle_us) / 1e6)
+            1e-9, (self.plan.for_us - self.plan.settle_us) / 1e6
+        )
 
 
 class Load:
@@ -84,10 +85,11 @@
         tasks: set[asyncio.Task[None]] = set()
         gc.collect()
         gc.freeze()
-        gc.disable()        # a collection here would stand still for as long as many a request takes
+        gc.disable()  # a collection here would stand still for as long as many a request takes
         try:
-            async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0),
-                                             timeout=aiohttp.ClientTimeout(None)) as session:
+            async with aiohttp.ClientSession(
+                connector=aiohttp.TCPConnector(limit=0), timeout=aiohttp.ClientTimeout(None)
+            ) as session:
                 if begin:
                     await (await session.get(begin)).read()
                 self.begun = time.monotonic()
@@ -145,16 +147,21 @@
         self.count += 1
         work = ask.units * (client.heavy if ask.heavy else 1.0)
         shard = -1 if client.write else ask.key % self.plan.bricks
-        fields = {"X-Qos-Policy": client.plan, "X-Remaining-Ms": str(client.remaining_us // 1000),
-                  "X-Txn": f"{self.count:016x}", "X-Placement": f"units={ask.units:g},shard={shard},hosts=1"}
+        fields = {
+            "X-Qos-Policy": client.plan,
+            "X-Remaining-Ms": str(client.remaining_us // 1000),
+            "X-Txn": f"{self.count:016x}",
+            "X-Placement": f"units={ask.units:g},shard={shard},hosts=1",
+        }
         if attempt:
             fields["X-Resent"] = "1"
         url = f"http://{self.head}/{client.klass}/{ask.volume:016x}/{ask.key:016x}?work={work:g}"
         patience = (client.stays_us or client.remaining_us) / 1e6
         try:
             async with asyncio.timeout(patience):
-                async with session.request("PUT" if client.write else "GET", url, headers=fields,
-                                           data=b"x" if client.write else None) as answer:
+                async with session.request(
+                    "PUT" if client.write else "GET", url, headers=fields, data=b"x" if client.write else None
+                ) as answer:
                     await answer.read()
         except TimeoutError:
             return ("left" if client.stays_us else "timed out"), 0.0
--- a/hophinge/load/plan.py
+++ b/hophinge/load/plan.py
@@ -11,9 +11,9 @@
 
 VERSION = "1"
 FAULTS = ("fail", "hang", "slow", "cold", "vanish")
-MOST_RATE = 20_000.0        # requests a second of all clients together
+MOST_RATE = 20_000.0  # requests a second of all clients together
 LONGEST_S = 600.0
-VOLUMES = 0x10_0000         # a client's volumes count from its place, times this
+VOLUMES = 0x10_0000  # a client's volumes count from its place, times this
 
 
 @dataclass(frozen=True)
@@ -23,17 +23,17 @@
     name: str
     klass: str
     plan: str
-    rate: float             # requests a second, by Poisson's law
+    rate: float  # requests a second, by Poisson's law
     units: float = 1.0
-    volumes: int = 1        # that they are spread over
+    volumes: int = 1  # that they are spread over
     write: bool = False
     remaining_us: int = 1_000_000
-    aim_us: int = 200_000   # within which an answer is worth something
+    aim_us: int = 200_000  # within which an answer is worth something
     worth: float = 1.0
-    retries: int = 0        # of one request
-    pause_us: int = 100_000         # before one, where the answer names none
-    stays_us: int = 0       # its client leaves then; 0: it stays for its time
-    heavy: float = 1.0      # times the work, of ...
+    retries: int = 0  # of one request
+    pause_us: int = 100_000  # before one, where the answer names none
+    stays_us: int = 0  # its client leaves then; 0: it stays for its time
+    heavy: float = 1.0  # times the work, of ...
     heavy_part: float = 0.0
 
 
@@ -44,7 +44,7 @@
     at_us: int
     for_us: int
     times: float
-    clients: tuple[str, ...] = ()       # none: all
+    clients: tuple[str, ...] = ()  # none: all
 
 
 @dataclass(frozen=True)
@@ -54,9 +54,9 @@
     kind: str
     at_us: int
     for_us: int
-    part: float = 0.5       # of the bricks, the first ones
-    share: float = 1.0      # of the requests, for fail
-    times: float = 5.0      # the work, for slow
+    part: float = 0.5  # of the bricks, the first ones
+    share: float = 1.0  # of the requests, for fail
+    times: float = 5.0  # the work, for slow
 
 
 @dataclass(frozen=True)
@@ -65,11 +65,11 @@
 
     seed: int = 1
     for_us: int = 10_000_000
-    settle_us: int = 2_000_000          # at the beginning, not counted
+    settle_us: int = 2_000_000  # at the beginning, not counted
     bricks: int = 3
-    slots: int = 2          # of a brick
-    work_us: int = 20_000   # for a unit in a slot
-    queue: int = 64         # requests that wait at a brick; beyond, it turns away
+    slots: int = 2  # of a brick
+    work_us: int = 20_000  # for a unit in a slot
+    queue: int = 64  # requests that wait at a brick; beyond, it turns away
     clients: tuple[Client, ...] = ()
     surges: tuple[Surge, ...] = ()
     faults: tuple[Fault, ...] = ()
@@ -105,14 +105,27 @@
 
 def arrivals(plan: LoadPlan) -> list[Ask]:
     """Draw all first tries of a plan: the same for the same seed, whatever becomes of them."""
-    drawn = [(at, client, rng) for place, client in enumerate(plan.clients)
-             for rng in [random.Random(plan.seed * 1_000_003 + place)] for at in _times(plan, client, rng)]
+    drawn = [
+        (at, client, rng)
+        for place, client in enumerate(plan.clients)
+        for rng in [random.Random(plan.seed * 1_000_003 + place)]
+        for at in _times(plan, client, rng)
+    ]
     places = {client.name: place for place, client in enumerate(plan.clients)}
     found = []
     for number, (at, client, rng) in enumerate(sorted(drawn, key=lambda row: row[0])):
         place = places[client.name]
-        found.append(Ask(at, number, place, place * VOLUMES + rng.randrange(client.volumes), rng.getrandbits(64),
-                         client.units, rng.random() < client.heavy_part))
+        found.append(
+            Ask(
+                at,
+                number,
+                place,
+                place * VOLUMES + rng.randrange(client.volumes),
+                rng.getrandbits(64),
+                client.units,
+                rng.random() < client.heavy_part,
+            )
+        )
     return found
 
 
@@ -122,9 +135,16 @@
     if not client.rate:
         return
     while (at := at + rng.expovariate(client.rate * most) * 1e6) < plan.for_us:
-        times = max([surge.times for surge in plan.surges if surge.at_us <= at < surge.at_us + surge.for_us
-                     and (not surge.clients or client.name in surge.clients)], default=1.0)
-        if rng.random() < times / most:     # thinned: the same draws whatever the surges
+        times = max(
+            [
+                surge.times
+                for surge in plan.surges
+                if surge.at_us <= at < surge.at_us + surge.for_us
+                and (not surge.clients or client.name in surge.clients)
+            ],
+            default=1.0,
+        )
+        if rng.random() < times / most:  # thinned: the same draws whatever the surges
             yield int(at)
 
 
@@ -138,8 +158,12 @@
     def wrong(node: Node, text: str) -> None:
         mistakes.append(Mistake(node.line, node.column, text))
 
-    if not mistakes and (not nodes or not isinstance(nodes[0], Form) or nodes[0].word != "load"
-                         or [str(item) for item in nodes[0].items[1:]] != [VERSION]):
+    if not mistakes and (
+        not nodes
+        or not isinstance(nodes[0], Form)
+        or nodes[0].word != "load"
+        or [str(item) for item in nodes[0].items[1:]] != [VERSION]
+    ):
         wrong(nodes[0] if nodes else Atom("", 1, 1), f"a plan begins with (load {VERSION})")
     plan, clients, surges, faults = LoadPlan(), dict[str, Client](), list[Surge](), list[Fault]()
     for node in nodes[1:]:
@@ -156,16 +180,28 @@
             clients[client.name] = client
         elif node.word == "surge":
             part.nameless()
-            surges.append(Surge(part.time("at", needed=True), part.time("for", needed=True),
-                                part.number("times", 2.0, 0.01, 100), part.names("clients", "client")))
+            surges.append(
+                Surge(
+                    part.time("at", needed=True),
+                    part.time("for", needed=True),
+                    part.number("times", 2.0, 0.01, 100),
+                    part.names("clients", "client"),
+                )
+            )
         elif node.word == "fault":
             kind = part.name("fault")
             if kind and kind not in FAULTS:
                 wrong(node, f"(fault {kind} ...): there are {', '.join(FAULTS)}")
-            faults.append(Fault(kind, part.time("at", needed=True), part.time("for", needed=True),
-                                part.quantity("bricks", "share", 0.5, 0.0, 1.0),
-                                part.quantity("requests", "share", 1.0, 0.0, 1.0),
-                                part.number("times", 5.0, 1, 1000)))
+            faults.append(
+                Fault(
+                    kind,
+                    part.time("at", needed=True),
+                    part.time("for", needed=True),
+                    part.quantity("bricks", "share", 0.5, 0.0, 1.0),
+                    part.quantity("requests", "share", 1.0, 0.0, 1.0),
+                    part.number("times", 5.0, 1, 1000),
+                )
+            )
         else:
             wrong(node, f"{node.word or 'a form without a word'!r} is no form; there are run, client, surge, fault")
             continue
@@ -188,18 +224,31 @@
     part.nameless()
     return LoadPlan(
         int(part.number("seed", 1, 0, 1e9, whole=True)),
-        int(part.quantity("for", "time", 10e6, 1e6, LONGEST_S * 1e6)), part.time("settle", 2_000_000),
-        int(part.number("bricks", 3, 1, 64, whole=True)), int(part.number("slots", 2, 1, 64, whole=True)),
-        part.time("work", 20_000, 100), int(part.quantity("queue", "requests", 64, 1, 1e6)))
+        int(part.quantity("for", "time", 10e6, 1e6, LONGEST_S * 1e6)),
+        part.time("settle", 2_000_000),
+        int(part.number("bricks", 3, 1, 64, whole=True)),
+        int(part.number("slots", 2, 1, 64, whole=True)),
+        part.time("work", 20_000, 100),
+        int(part.quantity("queue", "requests", 64, 1, 1e6)),
+    )
 
 
 def _client(part: Fields) -> Client:
     name, way = part.name("client"), part.choice("way", ("read", "write"))
     return Client(
-        name, part.one("class", "class"), part.one("plan", "plan"),
+        name,
+        part.one("class", "class"),
+        part.one("plan", "plan"),
         part.quantity("rate", "request rate", 1.0, 0.0, MOST_RATE, needed=True),
-        part.quantity("units", "units", 1.0, 0.01, 1e6), int(part.number("volumes", 1, 1, VOLUMES - 1, whole=True)),
-        way == "write", part.time("remaining", 1_000_000, 10_000), part.time("aim", 200_000, 1000),
-        part.number("worth", 1.0, 0.0, 1e6), int(part.number("retries", 0, 0, 10, whole=True)),
-        part.time("pause", 100_000, 1000), part.time("stays"), part.number("heavy", 1.0, 1.0, 1000),
-        part.quantity("heavy-part", "share", 0.0, 0.0, 1.0))
+        part.quantity("units", "units", 1.0, 0.01, 1e6),
+        int(part.number("volumes", 1, 1, VOLUMES - 1, whole=True)),
+        way == "write",
+        part.time("remaining", 1_000_000, 10_000),
+        part.time("aim", 200_000, 1000),
+        part.number("worth", 1.0, 0.0, 1e6),
+        int(part.number("retries", 0, 0, 10, whole=True)),
+        part.time("pause", 100_000, 1000),
+        part.time("stays"),
+        part.number("heavy", 1.0, 1.0, 1000),
+        part.quantity("heavy-part", "share", 0.0, 0.0, 1.0),
+    )
--- a/hophinge/load/rig/child.py
+++ b/hophinge/load/rig/child.py
@@ -55,8 +55,9 @@
     """Start a program in a folder, with its output and errors in one stream; raises OSError where that fails."""
     output, inherited = os.pipe()
     try:
-        process = subprocess.Popen(words, cwd=folder, env=environ, stdin=subprocess.DEVNULL, stdout=inherited,
-                                   stderr=subprocess.STDOUT)
+        process = subprocess.Popen(
+            words, cwd=folder, env=environ, stdin=subprocess.DEVNULL, stdout=inherited, stderr=subprocess.STDOUT
+        )
     except OSError:
         os.close(output)
         raise
--- a/hophinge/load/rig/cuts.py
+++ b/hophinge/load/rig/cuts.py
@@ -34,8 +34,8 @@
         def send(sock: socket.socket, data: Any, *flags: int) -> int:
             return cuts.send(sock, data, *flags)
 
-        setattr(socket.socket, "connect", connect)      # noqa: B010 - the type has no place for it
-        setattr(socket.socket, "send", send)            # noqa: B010
+        setattr(socket.socket, "connect", connect)  # noqa: B010 - the type has no place for it
+        setattr(socket.socket, "send", send)  # noqa: B010
 
     def _cut(self, host: str) -> bool:
         try:
--- a/hophinge/load/rig/datagrams.py
+++ b/hophinge/load/rig/datagrams.py
@@ -12,10 +12,10 @@
 
 from msgspec import Struct
 
-STRANGER = "?"              # whoever sends from an address that is no member's
-SAME = 1 << 64              # a lot is one of so many
-LOTS = 5                    # of a datagram: lost, twice, late, its delay, its double's delay
-RETRANSMIT_US = 200_000     # what a lost segment costs a stream: the least time after which a kernel sends it again
+STRANGER = "?"  # whoever sends from an address that is no member's
+SAME = 1 << 64  # a lot is one of so many
+LOTS = 5  # of a datagram: lost, twice, late, its delay, its double's delay
+RETRANSMIT_US = 200_000  # what a lost segment costs a stream: the least time after which a kernel sends it again
 
 Link = tuple[str, str]
 
@@ -25,9 +25,9 @@
 
     loss: float = 0.0
     twice: float = 0.0
-    late: float = 0.0           # held back for `late_us`, so that those after it overtake it
+    late: float = 0.0  # held back for `late_us`, so that those after it overtake it
     delay_us: int = 0
-    spread_us: int = 0          # on top of the delay, uniformly
+    spread_us: int = 0  # on top of the delay, uniformly
     late_us: int = 30_000
 
     def __post_init__(self) -> None:
@@ -45,7 +45,7 @@
     """Draw the lots of a datagram, each from 0 to below 1."""
     source, target = link
     drawn = blake2b(f"{seed}\0{source}\0{target}\0{ordinal}".encode(), digest_size=8 * LOTS).digest()
-    return tuple(int.from_bytes(drawn[at:at + 8], "big") / SAME for at in range(0, 8 * LOTS, 8))
+    return tuple(int.from_bytes(drawn[at : at + 8], "big") / SAME for at in range(0, 8 * LOTS, 8))
 
 
 def fate(rule: Rule, drawn: tuple[float, ...]) -> tuple[int, ...]:
@@ -64,7 +64,7 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.seed = seed
-        self.rule = CLEAR                       # of links that have none of their own
+        self.rule = CLEAR  # of links that have none of their own
         self.rules: dict[Link, Rule] = {}
         self.cuts: set[Link] = set()
         self.ordinals: Counter[Link] = Counter()
@@ -92,7 +92,7 @@
         self.ordinals[link] += 1
         rule = self.rules.get(link, self.rule)
         drawn = lots(self.seed, link, ordinal)
-        found = fate(rule, drawn)       # nothing of a stream is lost, doubled or overtaken: it is sent again, and late
+        found = fate(rule, drawn)  # nothing of a stream is lost, doubled or overtaken: it is sent again, and late
         return found[0] if found else RETRANSMIT_US + rule.delay_us + int(rule.spread_us * drawn[3])
 
     def set(self, rule: Rule, links: Iterable[Link] | None = None) -> None:
@@ -112,7 +112,7 @@
     def split(self, *sides: Collection[str]) -> None:
         """Cut all ways between sides; within a side nothing changes."""
         for at, side in enumerate(sides):
-            for other in sides[at + 1:]:
+            for other in sides[at + 1 :]:
                 self.cut(set(side), set(other))
 
     def split_zones(self, zones: Mapping[str, str], *apart: str) -> None:
--- a/hophinge/load/rig/launch.py
+++ b/hophinge/load/rig/launch.py
@@ -30,8 +30,8 @@
 def clock_off(seconds: float) -> None:
     """Set the wall clock off; what counts spans, the monotonic clock, goes on as it was."""
     true, true_ns = time.time, time.time_ns
-    setattr(time, "time", lambda: true() + seconds)                                    # noqa: B010
-    setattr(time, "time_ns", lambda: true_ns() + int(seconds * 1e9))                   # noqa: B010
+    setattr(time, "time", lambda: true() + seconds)  # noqa: B010
+    setattr(time, "time_ns", lambda: true_ns() + int(seconds * 1e9))  # noqa: B010
 
 
 def disk_by(word: Path) -> None:
@@ -53,6 +53,7 @@
             if wrong(*args) and (number := fault()):
                 raise OSError(number, os.strerror(number))
             return call(*args, **named)
+
         return tried
 
     def plain(handle: int, *_: Any) -> bool:
--- a/hophinge/load/rig/processes.py
+++ b/hophinge/load/rig/processes.py
@@ -19,11 +19,11 @@
 
 ROOT = Path(__file__).parent.parent.parent.parent
 LAUNCH = "hophinge.load.rig.launch"
-USUAL_MOST = 48             # processes of one run, ended ones not counted
-MOST = 200                  # that a run may ask for
-MEMORY_MB = 1024            # of one process: several times what any takes
-LINES, LONGEST_LINE = 2_000, 4_000      # of a process's log, the newest, and bytes of one
-END_S = 4.0                 # for an orderly end; then it is killed
+USUAL_MOST = 48  # processes of one run, ended ones not counted
+MOST = 200  # that a run may ask for
+MEMORY_MB = 1024  # of one process: several times what any takes
+LINES, LONGEST_LINE = 2_000, 4_000  # of a process's log, the newest, and bytes of one
+END_S = 4.0  # for an orderly end; then it is killed
 
 
 class TooManyError(HophingeError):
@@ -39,11 +39,11 @@
     def __init__(self, name: str, folder: Path, words: list[str], environ: Mapping[str, str]) -> None:
         self.name, self.folder, self.words, self.environ = name, folder, words, dict(environ)
         self.lines: deque[str] = deque(maxlen=LINES)
-        self.since = 0          # lines of earlier starts that the log still holds
+        self.since = 0  # lines of earlier starts that the log still holds
         self.starts = 0
         self.child: Child | None = None
         self.reading: asyncio.Task[None] | None = None
-        self.zone = ""          # for splits by zone
+        self.zone = ""  # for splits by zone
 
     @property
     def running(self) -> bool:
@@ -75,9 +75,16 @@
             await self.reading
         self.environ.update(changes)
         self.since, self.starts = len(self.lines), self.starts + 1
-        environ = {**os.environ, "PYTHONUNBUFFERED": "1", MEMORY: str(MEMORY_MB), PARENT: str(os.getpid()),
-                   DISK: str(self.folder / "disk"), CUTS: str(self.folder / "cuts"), BEGUN: str(self.begun),
-                   **self.environ}
+        environ = {
+            **os.environ,
+            "PYTHONUNBUFFERED": "1",
+            MEMORY: str(MEMORY_MB),
+            PARENT: str(os.getpid()),
+            DISK: str(self.folder / "disk"),
+            CUTS: str(self.folder / "cuts"),
+            BEGUN: str(self.begun),
+            **self.environ,
+        }
         self.begun.unlink(missing_ok=True)
         self.child = child.start([sys.executable, "-m", LAUNCH, *self.words], ROOT, environ)
         self.reading = asyncio.create_task(self._read(self.child))
@@ -99,7 +106,7 @@
 
     def said(self, text: str) -> bool:
         """Tell whether its log holds a text since it was last started."""
-        return any(text in line for line in list(self.lines)[self.since:])
+        return any(text in line for line in list(self.lines)[self.since :])
 
     # --- what is done to it
 
@@ -209,7 +216,7 @@
         ids = [one.pid for one in self.running()]
         for one in self.running():
             with contextlib.suppress(ProcessLookupError):
-                one.send(signal.SIGKILL)        # ends one that is stopped too
+                one.send(signal.SIGKILL)  # ends one that is stopped too
         for one in self.by_name.values():
             if one.child is not None:
                 await one.child.wait()
--- a/hophinge/load/rig/relay.py
+++ b/hophinge/load/rig/relay.py
@@ -16,8 +16,8 @@
 from hophinge.load.rig.datagrams import STRANGER, Network
 from hophinge.net.address import split
 
-MOST_WAITING = 50_000       # datagrams under way; what comes beyond is lost, and counted
-CHUNK = 16_384              # bytes of a stream that travel together
+MOST_WAITING = 50_000  # datagrams under way; what comes beyond is lost, and counted
+CHUNK = 16_384  # bytes of a stream that travel together
 Address = tuple[str, int]
 
 
@@ -30,7 +30,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the socket."""
-        self.transport = cast(asyncio.DatagramTransport, transport)     # uvloop's is no subclass of it
+        self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's is no subclass of it
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         """Take what is for this name."""
@@ -49,7 +49,7 @@
         self.ports: dict[str, Port] = {}
         self.real: dict[str, Address] = {}
         self.names: dict[Address, str] = {}
-        self.sent: Counter[str] = Counter()     # bytes by sender, as they came, headers not counted
+        self.sent: Counter[str] = Counter()  # bytes by sender, as they came, headers not counted
         self.datagrams: Counter[str] = Counter()
         self.waiting = 0
         self.servers: list[asyncio.Server] = []
@@ -68,7 +68,8 @@
             self.names[self.real[name]] = name
         if name not in self.ports:
             _, port = await asyncio.get_running_loop().create_datagram_endpoint(
-                lambda: Port(self, name), local_addr=(self.host, 0))
+                lambda: Port(self, name), local_addr=(self.host, 0)
+            )
             self.ports[name] = port
         return self.address(name)
 
@@ -126,19 +127,22 @@
         found = server.sockets[0].getsockname()
         return f"{found[0]}:{found[1]}"
 
-    async def _connected(self, source: str, target: str, real: Address, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+    async def _connected(
+        self, source: str, target: str, real: Address, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         other: asyncio.StreamWriter | None = None
         pumps: list[asyncio.Task[None]] = []
         try:
-            while await self._held(source, target) is None:     # a connection does not come through a cut either
+            while await self._held(source, target) is None:  # a connection does not come through a cut either
                 pass
             back, other = await asyncio.open_connection(*real)
-            pumps = [asyncio.create_task(self._pump(source, target, reader, other)),
-                     asyncio.create_task(self._pump(target, source, back, writer))]
+            pumps = [
+                asyncio.create_task(self._pump(source, target, reader, other)),
+                asyncio.create_task(self._pump(target, source, back, writer)),
+            ]
             await asyncio.gather(*pumps)
         except OSError:
-            pass        # a broken connection: both sides are dropped below
+            pass  # a broken connection: both sides are dropped below
         finally:
             for pump in pumps:
                 pump.cancel()
@@ -179,4 +183,4 @@
             if port.transport is not None:
                 port.transport.close()
         self.ports.clear()
-        await asyncio.sleep(0)      # a transport is closed one turn of the loop later
+        await asyncio.sleep(0)  # a transport is closed one turn of the loop later
--- a/hophinge/load/rig/run.py
+++ b/hophinge/load/rig/run.py
@@ -31,7 +31,7 @@
 # Chosen ahead of the processes that listen there: none that the system gives to connections on their way out (from
 # 32768 on), one of which took such a port in one of 120 starts.
 PORTS = range(10_000, 30_000)
-REMAINING_S, PAUSE_S = 0.75, 0.1    # a request's time, and a client's pause before it asks again
+REMAINING_S, PAUSE_S = 0.75, 0.1  # a request's time, and a client's pause before it asks again
 TRIES = 3
 Sections = Mapping[str, Mapping[str, Any]]
 
@@ -55,7 +55,7 @@
 
     listen: str
     control: str = ""
-    peers: str = ""         # for datagrams
+    peers: str = ""  # for datagrams
 
 
 def own_host() -> str:
@@ -66,8 +66,10 @@
 
 def toml(sections: Sections) -> str:
     """Write an operator's file; TOML takes JSON's texts, numbers, lists and truths."""
-    return "".join(f"[{name}]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
-                   for name, rows in sections.items())
+    return "".join(
+        f"[{name}]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
+        for name, rows in sections.items()
+    )
 
 
 class Run:
@@ -93,8 +95,9 @@
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0, force_close=True))
         return self
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         left = await self.processes.close()
         await self.relay.close()
         if self.session is not None:
@@ -132,14 +135,29 @@
         advertise = await self.relay.member(name, real)
         for seed in seeds:
             if seed not in self.relay.ports:
-                await self.relay.member(seed, self.address())       # told anew when that one is made
-        return {"name": name, "listen": real, "advertise": advertise, "zone": zone, "key_file": str(self.key_file),
-                "seeds": [self.relay.address(seed) for seed in seeds], **more}
-
-    async def head(self, name: str, seeds: Sequence[str] | None = None, zone: str = "",
-                   sections: Sections | None = None, settings: Mapping[str, Any] | None = None,
-                   clock_off_s: float = 0.0, relayed: bool = False, stream: str = "",
-                   cluster: Mapping[str, Any] | None = None) -> Process:
+                await self.relay.member(seed, self.address())  # told anew when that one is made
+        return {
+            "name": name,
+            "listen": real,
+            "advertise": advertise,
+            "zone": zone,
+            "key_file": str(self.key_file),
+            "seeds": [self.relay.address(seed) for seed in seeds],
+            **more,
+        }
+
+    async def head(
+        self,
+        name: str,
+        seeds: Sequence[str] | None = None,
+        zone: str = "",
+        sections: Sections | None = None,
+        settings: Mapping[str, Any] | None = None,
+        clock_off_s: float = 0.0,
+        relayed: bool = False,
+        stream: str = "",
+        cluster: Mapping[str, Any] | None = None,
+    ) -> Process:
         """Make a head, not yet started; `seeds` put it among peers, `stream` names its control service.
 
         `relayed`: it reaches bricks through the relay as well, each under its uid. Without any sections it has no
@@ -154,8 +172,12 @@
         folder.mkdir(exist_ok=True)
         if stream:
             (folder / "token").write_text(self.tokens["heads"])
-            told["stream"] = {"endpoints": [await self.relay.stream(name, stream, self.where[stream].listen)],
-                              "token_file": "token", "folder": "state", **told.get("stream", {})}
+            told["stream"] = {
+                "endpoints": [await self.relay.stream(name, stream, self.where[stream].listen)],
+                "token_file": "token",
+                "folder": "state",
+                **told.get("stream", {}),
+            }
         discovery = f"{HOST}:{self.platform.port}"
         if relayed:
             self.views[name] = view = View(self.platform, self.relay, name)
@@ -163,9 +185,18 @@
         example = json.loads((ROOT / "examples" / "config.json").read_text())
         ruled = {**example["settings"], **(settings or {})}
         ruled["Domain"] = {**ruled["Domain"], "NShards": len(self.platform.bricks)}
-        (folder / "config.json").write_text(json.dumps({
-            **example, "name": name, "listen": where.listen, "control": where.control, "discovery": discovery,
-            "settings": ruled}))
+        (folder / "config.json").write_text(
+            json.dumps(
+                {
+                    **example,
+                    "name": name,
+                    "listen": where.listen,
+                    "control": where.control,
+                    "discovery": discovery,
+                    "settings": ruled,
+                }
+            )
+        )
         environ = {"EDGE_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder), "GRPC_VERBOSITY": "ERROR"}
         if told:
             (folder / "operator.toml").write_text(toml(told))
@@ -184,9 +215,25 @@
             (folder / group).write_text(f"{group} {token}\n")
         where = Where(self.address())
         environ = {"GRPC_VERBOSITY": "ERROR", **({CLOCK: str(clock_off_s)} if clock_off_s else {})}
-        made = self.processes.make(name, [
-            "hophinge", "control", "serve", "--store", str(folder / "versions.db"), "--heads", str(folder / "heads"),
-            "--staff", str(folder / "staff"), "--listen", where.listen, "--json", *words], environ)
+        made = self.processes.make(
+            name,
+            [
+                "hophinge",
+                "control",
+                "serve",
+                "--store",
+                str(folder / "versions.db"),
+                "--heads",
+                str(folder / "heads"),
+                "--staff",
+                str(folder / "staff"),
+                "--listen",
+                where.listen,
+                "--json",
+                *words,
+            ],
+            environ,
+        )
         self.where[name] = where
         return made
 
@@ -204,9 +251,11 @@
 
     def tells(self, name: str, path: str, what: str, good: Callable[[str], bool]) -> Condition:
         """Make the condition that a head's answer to a path is good."""
+
         async def look() -> tuple[bool, str]:
             status, text = await self.ask(name, path)
             return status == 200 and good(text), f"{status} {text}"
+
         return Condition(self[name], f"{path}: {what}", look)
 
     def ready(self, name: str) -> Condition:
@@ -218,8 +267,12 @@
 
         `tries`: a refusal or a silence is asked again so often, as the platform's clients do.
         """
-        fields = {"X-Txn": f"{number:016x}", "X-Qos-Policy": "priority", "X-Remaining-Ms": f"{REMAINING_S * 1e3:.0f}",
-                  "X-Placement": f"units=1,shard={shard},hosts=1"}
+        fields = {
+            "X-Txn": f"{number:016x}",
+            "X-Qos-Policy": "priority",
+            "X-Remaining-Ms": f"{REMAINING_S * 1e3:.0f}",
+            "X-Placement": f"units=1,shard={shard},hosts=1",
+        }
         url = f"http://{self.where[name].listen}/record-read/{number:016x}/{number:016x}"
         assert self.session is not None
         status = 0
@@ -244,4 +297,5 @@
             number = next(numbers)
             status = await self.request(name, number, number % len(self.platform.bricks), TRIES)
             return status == 200, f"status {status}"
+
         return Condition(self[name], "a request is served", look)
--- a/hophinge/load/rig/waiting.py
+++ b/hophinge/load/rig/waiting.py
@@ -12,11 +12,11 @@
 from hophinge.core.errors import HophingeError
 from hophinge.load.rig.processes import Process
 
-LOOK_S, EACH_S = 0.03, 0.01     # between looks, and for each process looked at: looks keep nobody busy
-ASK_S = 2.0         # for one answer of a process that may stand still
-TAIL = 12           # lines of a log that a failure shows
+LOOK_S, EACH_S = 0.03, 0.01  # between looks, and for each process looked at: looks keep nobody busy
+ASK_S = 2.0  # for one answer of a process that may stand still
+TAIL = 12  # lines of a log that a failure shows
 SLOW = f"no answer within {ASK_S:g} s"
-MOST_TEXT = 600     # characters of what was seen last
+MOST_TEXT = 600  # characters of what was seen last
 
 # Looks once; tells whether the state is there, and what was seen.
 Look = Callable[[], Awaitable[tuple[bool, str]]]
@@ -87,7 +87,7 @@
             raise NeverBeganError(failure(stillborn, time.monotonic() - begun))
         if false and time.monotonic() - begun > bound_s:
             raise ConditionError(failure(false, bound_s))
-        open_ = list(false) or rows     # what was true before may be so no more
+        open_ = list(false) or rows  # what was true before may be so no more
         if false:
             await asyncio.sleep(LOOK_S + EACH_S * len(open_))
 
@@ -120,14 +120,18 @@
 
 def said(process: Process, text: str) -> Condition:
     """Make the condition that a process has logged a text since its start."""
+
     async def look() -> tuple[bool, str]:
         return process.said(text), f"{len(process.lines)} lines"
+
     return Condition(process, f"says {text!r}", look)
 
 
 def ended(process: Process, status: int | None = None) -> Condition:
     """Make the condition that a process has ended, with a status where one is given."""
+
     async def look() -> tuple[bool, str]:
         found = process.child.returncode if process.child is not None else None
         return found is not None and status in (None, found), f"status {found}"
+
     return Condition(process, "has ended" if status is None else f"has ended with {status}", look)
--- a/hophinge/maintenance/coordinator.py
+++ b/hophinge/maintenance/coordinator.py
@@ -28,8 +28,16 @@
 class Coordinator:
     """One installation's; `fence` is above that of every process that had this store before."""
 
-    def __init__(self, issuer: str, fence: int, permits: Iterable[Permit], courses: Iterable[Course],
-                 zones: Mapping[str, str], keeper: Keeper, now_us: int) -> None:
+    def __init__(
+        self,
+        issuer: str,
+        fence: int,
+        permits: Iterable[Permit],
+        courses: Iterable[Course],
+        zones: Mapping[str, str],
+        keeper: Keeper,
+        now_us: int,
+    ) -> None:
         self.issuer, self.fence, self.keeper = issuer, fence, keeper
         self.permits, self.releases, self.drains = Permits(permits, fence, now_us), Releases(courses), Drains()
         self.observations = Observations(zones)
@@ -38,11 +46,11 @@
         self.outages: dict[str, Outage] = {}
         self.forms: dict[str, Release] = {}
         self.records: tuple[Record, ...] = ()
-        self.reserves: dict[str, float] = {}                # of tenants that have an account
-        self.reasons: dict[tuple[Kind, str], str] = {}      # why who wants to go out has to wait
+        self.reserves: dict[str, float] = {}  # of tenants that have an account
+        self.reasons: dict[tuple[Kind, str], str] = {}  # why who wants to go out has to wait
         self.told: dict[str, Word] = {}
-        self.number = 0                                     # of the last word
-        self.bricks: Sighting | None = None                 # until something is heard, or time goes on
+        self.number = 0  # of the last word
+        self.bricks: Sighting | None = None  # until something is heard, or time goes on
 
     # --- what comes in
 
@@ -122,8 +130,9 @@
             told = head.heard or now_us - self.began_us >= AWAY_US
             return State.OUT if told and one.state in (State.BEGUN, State.BACK) else None
         report = head.report
-        another = (report is not None and report.process != one.process) or (report is None and not head.speaks
-                                                                              and one.state is State.OUT)
+        another = (report is not None and report.process != one.process) or (
+            report is None and not head.speaks and one.state is State.OUT
+        )
         if one.state in (State.BEGUN, State.OUT):
             return State.BACK if another or not standing else None
         wanted = report is None or not one.build or report.build == one.build
@@ -149,9 +158,19 @@
         """Tell whose word that a brick is drained is missing."""
         form = self.outages.get(one.by.removeprefix(OUTAGE))
         known = [name for name in self.observations.heads if name not in self.rule.retired]
-        return self.drains.verdict(one.id, owing(
-            known, self.observations.connected(), self.observations.told("live"), self.observations.told("gone"),
-            {*(form.without if form is not None else ()), *(set(self.rule.retired) - self.observations.connected())}))
+        return self.drains.verdict(
+            one.id,
+            owing(
+                known,
+                self.observations.connected(),
+                self.observations.told("live"),
+                self.observations.told("gone"),
+                {
+                    *(form.without if form is not None else ()),
+                    *(set(self.rule.retired) - self.observations.connected()),
+                },
+            ),
+        )
 
     # --- who wants to go out
 
@@ -187,11 +206,17 @@
     def _releases(self, now_us: int) -> None:
         self._keep(now_us, (), self.releases.listed(self.forms))
         outcome = self.releases.look(now_us, self.forms, self.views())
-        rows = [msgspec.structs.replace(one, state=State.FREE) for one in self.permits.held.values()
-                if one.state is State.GRANTED and one.by.removeprefix(RELEASE) in outcome.withdrawn]
-        rows += [row for permit, build in outcome.rebuilt
-                 for row in self.permits.step(permit, self.permits.held[permit].state, build)]
-        self._keep(now_us, rows, outcome.courses)       # the way back is stored before anybody is asked to go
+        rows = [
+            msgspec.structs.replace(one, state=State.FREE)
+            for one in self.permits.held.values()
+            if one.state is State.GRANTED and one.by.removeprefix(RELEASE) in outcome.withdrawn
+        ]
+        rows += [
+            row
+            for permit, build in outcome.rebuilt
+            for row in self.permits.step(permit, self.permits.held[permit].state, build)
+        ]
+        self._keep(now_us, rows, outcome.courses)  # the way back is stored before anybody is asked to go
         self._wanted(now_us, outcome)
 
     def _wanted(self, now_us: int, outcome: Outcome) -> None:
@@ -208,14 +233,24 @@
                 continue
             held = self.permits.of(Kind.HEAD, name)
             if held is not None and held.state is State.GRANTED and held.by == HEAD + name and held.key != report.ask:
-                self._keep(now_us, self.permits.step(held.id, State.FREE))      # whoever asked wants it no more
+                self._keep(now_us, self.permits.step(held.id, State.FREE))  # whoever asked wants it no more
             if report.ask and self.permits.of(Kind.HEAD, name) is None:
                 self._ask(now_us, Ask(Kind.HEAD, name, HEAD + name, report.ask))
             held = self.permits.of(Kind.HEAD, name)
             if held is not None and report.begin == held.id:
-                self._answered(now_us, Kind.HEAD, name, self.permits.begin(
-                    now_us, held.id, report.process, self.observations.of_heads(self.rule.retired), self.rule.heads,
-                    self._floors(Kind.HEAD)))
+                self._answered(
+                    now_us,
+                    Kind.HEAD,
+                    name,
+                    self.permits.begin(
+                        now_us,
+                        held.id,
+                        report.process,
+                        self.observations.of_heads(self.rule.retired),
+                        self.rule.heads,
+                        self._floors(Kind.HEAD),
+                    ),
+                )
 
     def views(self) -> dict[str, HeadView]:
         """Tell the heads as releases see them."""
@@ -223,9 +258,16 @@
         for name, head in self.observations.heads.items():
             if head.connected or name not in self.rule.retired:
                 report = head.report or Report(0)
-                found[name] = HeadView(head.connected, head.up, report.build, report.process,
-                                       self.permits.of(Kind.HEAD, name), report.taken, report.failed,
-                                       head.report is not None or not head.speaks)
+                found[name] = HeadView(
+                    head.connected,
+                    head.up,
+                    report.build,
+                    report.process,
+                    self.permits.of(Kind.HEAD, name),
+                    report.taken,
+                    report.failed,
+                    head.report is not None or not head.speaks,
+                )
         return found
 
     # --- what is told
@@ -234,13 +276,18 @@
         """Tell what is new for a head since it was last told, or nothing."""
         bricks = self.permits.all(Kind.BRICK)
         before = self.told.get(name)
-        word = Word(self.issuer, self.fence, before.number if before is not None else 0,
-                    {one.id: one.name for one in bricks if one.state in (State.BEGUN, State.OUT)},
-                    {one.id: one.name for one in bricks if one.state is State.BACK},
-                    self.permits.of(Kind.HEAD, name), self.reasons.get((Kind.HEAD, name), ""),
-                    tuple(f"{one.name}/{one.again}" for one in self.releases.courses.values()
-                          if one.stage is Stage.HALTED),
-                    True, self.observations.heads[name].listener.asks if name in self.observations.heads else 0)
+        word = Word(
+            self.issuer,
+            self.fence,
+            before.number if before is not None else 0,
+            {one.id: one.name for one in bricks if one.state in (State.BEGUN, State.OUT)},
+            {one.id: one.name for one in bricks if one.state is State.BACK},
+            self.permits.of(Kind.HEAD, name),
+            self.reasons.get((Kind.HEAD, name), ""),
+            tuple(f"{one.name}/{one.again}" for one in self.releases.courses.values() if one.stage is Stage.HALTED),
+            True,
+            self.observations.heads[name].listener.asks if name in self.observations.heads else 0,
+        )
         if word == before:
             return None
         self.number += 1
--- a/hophinge/maintenance/drains.py
+++ b/hophinge/maintenance/drains.py
@@ -16,7 +16,7 @@
 
 from hophinge.cluster.interface import Entry, Member, Role, Standing, Topic
 
-DRAINED, SERVED = "drained", "served"       # nothing of one's own is there; it answers again, and is warm
+DRAINED, SERVED = "drained", "served"  # nothing of one's own is there; it answers again, and is warm
 
 
 class Statement(Struct, frozen=True):
@@ -62,8 +62,13 @@
         return not self.missing
 
 
-def owing(known: Iterable[str], connected: Collection[str], live: Mapping[str, Collection[str]],
-          gone: Mapping[str, Collection[str]], without: Collection[str] = ()) -> set[str]:
+def owing(
+    known: Iterable[str],
+    connected: Collection[str],
+    live: Mapping[str, Collection[str]],
+    gone: Mapping[str, Collection[str]],
+    without: Collection[str] = (),
+) -> set[str]:
     """Tell whose word is wanted.
 
     `known` are heads ever heard of, `live` and `gone` what connected heads hold others for, by who says so. One that
@@ -79,7 +84,7 @@
     """What heads have said, by permit; only those of permits that are held are kept."""
 
     def __init__(self) -> None:
-        self.said: dict[tuple[str, str], set[str]] = {}     # (permit, what) to heads
+        self.said: dict[tuple[str, str], set[str]] = {}  # (permit, what) to heads
 
     def take(self, head: str, statements: Iterable[Statement], whole: bool, held: Collection[str]) -> None:
         """Take a head's statements; `whole`: these are all that it says now, the rest is taken back."""
@@ -114,10 +119,10 @@
 class Phase(Enum):
     """A head's own part in one drain."""
 
-    OUT = "out"             # taken out, something of it is still there
-    QUIET = "quiet"         # said: drained
-    BACK = "back"           # taken up again, no answer or not warm yet
-    WARM = "warm"           # said: served
+    OUT = "out"  # taken out, something of it is still there
+    QUIET = "quiet"  # said: drained
+    BACK = "back"  # taken up again, no answer or not warm yet
+    WARM = "warm"  # said: served
 
 
 class TakeOut(Struct, frozen=True):
@@ -200,7 +205,7 @@
                 one.phase = Phase.QUIET
                 actions.append(Say(drained))
             elif one.phase is Phase.QUIET and not quiet:
-                one.phase = Phase.OUT       # somebody took it up by hand: what was said is no longer so
+                one.phase = Phase.OUT  # somebody took it up by hand: what was said is no longer so
                 actions.append(Unsay(drained))
                 if one.brick not in taken_out:
                     actions.append(TakeOut(one.brick))
--- a/hophinge/maintenance/holder.py
+++ b/hophinge/maintenance/holder.py
@@ -15,7 +15,7 @@
 from hophinge.maintenance.permits import BEGIN_US, Permit, State
 from hophinge.maintenance.messages import Word
 
-HALT = "halt/"          # before NAME/AGAIN in the key of an entry that tells of a halt
+HALT = "halt/"  # before NAME/AGAIN in the key of an entry that tells of a halt
 
 
 class IssuerError(HophingeError):
@@ -38,11 +38,11 @@
     def __init__(self, process: int, build: str) -> None:
         self.process, self.build = process, build
         self.word: Word | None = None
-        self.wish, self.wished_at = "", 0       # the key of an ask of this head's own
-        self.wishes = 0                         # that were renewed, as what was granted came too late to be begun
-        self.granted: dict[str, int] = {}       # permits, and when this head may not begin them any more
-        self.gone: str = ""                     # the permit and build that it was last let go for
-        self.older = 0                          # words that came behind later ones
+        self.wish, self.wished_at = "", 0  # the key of an ask of this head's own
+        self.wishes = 0  # that were renewed, as what was granted came too late to be begun
+        self.granted: dict[str, int] = {}  # permits, and when this head may not begin them any more
+        self.gone: str = ""  # the permit and build that it was last let go for
+        self.older = 0  # words that came behind later ones
 
     def ask(self, now_us: int, key: str) -> None:
         """Wish to go out; the wish stands until it is taken back."""
@@ -107,8 +107,9 @@
 
 def halts(entries: Iterable[Entry]) -> set[str]:
     """Tell the releases that peers have heard are halted, as NAME/AGAIN."""
-    return {entry.key.removeprefix(HALT) for entry in entries
-            if entry.topic is Topic.DRAINS and entry.key.startswith(HALT)}
+    return {
+        entry.key.removeprefix(HALT) for entry in entries if entry.topic is Topic.DRAINS and entry.key.startswith(HALT)
+    }
 
 
 def drains(word: Word | None) -> tuple[Mapping[str, str], Mapping[str, str]]:
--- a/hophinge/maintenance/listing.py
+++ b/hophinge/maintenance/listing.py
@@ -16,7 +16,7 @@
 from hophinge.maintenance.drains import Statement
 from hophinge.maintenance.messages import Listed, Part, Parts, Report
 
-WHOLE_US = 1_000_000        # between two whole lists of one head, however often it is asked
+WHOLE_US = 1_000_000  # between two whole lists of one head, however often it is asked
 DIGESTS = 1 << 64
 
 Row = TypeVar("Row")
@@ -75,7 +75,7 @@
         self.bricks: Sender[Listed] = Sender()
         self.members: Sender[bool] = Sender()
         self.heard: Sender[list[Statement]] = Sender()
-        self.answered = -1          # the first report is whole
+        self.answered = -1  # the first report is whole
         self.whole_us = 0
 
     def owes(self, now_us: int, asked: int) -> bool:
@@ -89,8 +89,12 @@
             self.answered, self.whole_us = asked, now_us
         self.number += 1
         members = {**dict.fromkeys(report.gone, False), **dict.fromkeys(report.live, True)}
-        parts = Parts(self.number, self.bricks.part(report.bricks, whole), self.members.part(members, whole),
-                      self.heard.part(report.heard, whole))
+        parts = Parts(
+            self.number,
+            self.bricks.part(report.bricks, whole),
+            self.members.part(members, whole),
+            self.heard.part(report.heard, whole),
+        )
         return msgspec.structs.replace(report, parts=parts, bricks={}, live=(), gone=(), heard={})
 
 
@@ -113,7 +117,7 @@
         """Make a whole report of one that tells changes; None: a later one has come already."""
         parts = report.parts
         if parts is None:
-            return report       # a head of a build that tells all each time
+            return report  # a head of a build that tells all each time
         if parts.number <= self.number:
             return None
         self.number = parts.number
@@ -125,6 +129,10 @@
         members = self.members.rows
         # A witness that is not sure lets nobody off, and passes nobody's yes on.
         return msgspec.structs.replace(
-            report, bricks=self.bricks.rows, live=tuple(name for name, live in members.items() if live),
+            report,
+            bricks=self.bricks.rows,
+            live=tuple(name for name, live in members.items() if live),
             gone=tuple(name for name, live in members.items() if not live) if self.members.sure else (),
-            heard=self.heard.rows if self.heard.sure else {}, unsure=not self.bricks.sure)
+            heard=self.heard.rows if self.heard.sure else {},
+            unsure=not self.bricks.sure,
+        )
--- a/hophinge/maintenance/naming.py
+++ b/hophinge/maintenance/naming.py
@@ -20,8 +20,12 @@
 
 def taken_back(forms: Sequence[Record], head: str) -> list[Record]:
     """Make the forms without the word that a head is gone; the same ones where none says so."""
-    return [msgspec.structs.replace(one, retired=tuple(name for name in one.retired if name != head))
-            if isinstance(one, Maintenance) else one for one in forms]
+    return [
+        msgspec.structs.replace(one, retired=tuple(name for name in one.retired if name != head))
+        if isinstance(one, Maintenance)
+        else one
+        for one in forms
+    ]
 
 
 def refused(forms: Iterable[Record], here: Collection[str], place: Form | None, name: str) -> list[str]:
@@ -29,22 +33,41 @@
     retired = [one for form in forms if isinstance(form, Maintenance) for one in form.retired if one in here]
     found = []
     for head in retired:
-        line, column = next(((atom.line, atom.column) for part in (place.items if place is not None else ())
-                             if isinstance(part, Form) and part.word == RETIRED
-                             for atom in part.items[1:] if isinstance(atom, Atom) and atom.text == head), (1, 1))
-        found.append(Mistake(line, column, f"{head} is not gone, it has a stream here; take it out of "
-                                           "(retired ...), or stop it first").at(name))
+        line, column = next(
+            (
+                (atom.line, atom.column)
+                for part in (place.items if place is not None else ())
+                if isinstance(part, Form) and part.word == RETIRED
+                for atom in part.items[1:]
+                if isinstance(atom, Atom) and atom.text == head
+            ),
+            (1, 1),
+        )
+        found.append(
+            Mistake(
+                line,
+                column,
+                f"{head} is not gone, it has a stream here; take it out of (retired ...), or stop it first",
+            ).at(name)
+        )
     return found
 
 
 def advice(head: str) -> str:
     """Tell the words for a head that nobody hears of."""
-    return (f"start {head} or mend its line; if it is gone for good: (retired {head}) in (maintenance ...); for one "
-            f"drain alone: (without {head}) in its (outage ...)")
+    return (
+        f"start {head} or mend its line; if it is gone for good: (retired {head}) in (maintenance ...); for one "
+        f"drain alone: (without {head}) in its (outage ...)"
+    )
 
 
-def absent(known: Iterable[str], connected: Collection[str], retired: Collection[str],
-           since_ms: Callable[[str], int], most: int) -> list[dict[str, object]]:
+def absent(
+    known: Iterable[str],
+    connected: Collection[str],
+    retired: Collection[str],
+    since_ms: Callable[[str], int],
+    most: int,
+) -> list[dict[str, object]]:
     """Tell heads without a stream, the one longest away first: its name, since when (0: unknown), what to say."""
     rows = sorted((since_ms(name), name) for name in known if name not in connected and name not in retired)
     return [{"name": name, "since_ms": since, "word": advice(name)} for since, name in rows[:most]]
--- a/hophinge/maintenance/observations.py
+++ b/hophinge/maintenance/observations.py
@@ -14,7 +14,7 @@
 from hophinge.routing.records import Pool, Record, Route, Spare, Tenant
 from hophinge.tenancy.planner import fits
 
-REMEMBER_US = 3_600_000_000     # a brick that all lists have lost is out for an hour, then it was taken away for good
+REMEMBER_US = 3_600_000_000  # a brick that all lists have lost is out for an hour, then it was taken away for good
 
 
 class Head(Struct):
@@ -22,7 +22,7 @@
 
     zone: str = ""
     connected: bool = False
-    heard: bool = False             # has had a stream here since the issuer started
+    heard: bool = False  # has had a stream here since the issuer started
     speaks: bool = False
     report: Report | None = None
     listener: Listener = msgspec.field(default_factory=Listener)
@@ -38,8 +38,8 @@
 
     def __init__(self, zones: Mapping[str, str]) -> None:
         self.heads = {name: Head(zone) for name, zone in zones.items()}
-        self.size = 0                                       # heads that the installation counts
-        self.seen: dict[str, tuple[Listed, int]] = {}       # bricks: as listed last, and when
+        self.size = 0  # heads that the installation counts
+        self.seen: dict[str, tuple[Listed, int]] = {}  # bricks: as listed last, and when
 
     def of_heads(self, retired: Collection[str]) -> Sighting:
         """Tell the heads; those that are counted and never heard of are among the total."""
@@ -71,8 +71,11 @@
 
     def told(self, what: str) -> dict[str, tuple[str, ...]]:
         """Tell what each connected head that sees the cluster holds for `live` or `gone`."""
-        return {name: tuple(getattr(one.report, what)) for name, one in self.heads.items()
-                if one.connected and one.report is not None and one.report.clustered}
+        return {
+            name: tuple(getattr(one.report, what))
+            for name, one in self.heads.items()
+            if one.connected and one.report is not None and one.report.clustered
+        }
 
 
 def need(reserves: Mapping[str, float], capacity: float, least: int) -> int:
@@ -84,8 +87,9 @@
     return count
 
 
-def brick_floors(records: Iterable[Record], bricks: Mapping[str, Listed], capacity: float,
-                 accounts: Mapping[str, float]) -> list[Floor]:
+def brick_floors(
+    records: Iterable[Record], bricks: Mapping[str, Listed], capacity: float, accounts: Mapping[str, float]
+) -> list[Floor]:
     """Tell how many bricks each pool needs: its `at-least`, and the reserves of tenants whose first choice it is."""
     rows = list(records)
     pools = {one.name: one for one in rows if isinstance(one, Pool)}
@@ -95,11 +99,16 @@
     for tenant, reserve in reserves.items():
         own = [one for one in routes if one.scope.tenant == tenant] or [one for one in routes if not one.scope.tenant]
         for pool in {one.pools[0] for one in own}:
-            by_pool[pool][tenant] = reserve     # whole in each: no route tells how a tenant's requests divide
-    floors = [Floor(f"the pool {name}", frozenset(
-        brick for brick, listed in bricks.items() if _belongs(pool, brick, listed)),
-        need(by_pool[name], capacity, pool.at_least)) for name, pool in pools.items()]
-    floors = [floor for floor in floors if floor.members]       # of no brick that anybody lists: nothing to keep
+            by_pool[pool][tenant] = reserve  # whole in each: no route tells how a tenant's requests divide
+    floors = [
+        Floor(
+            f"the pool {name}",
+            frozenset(brick for brick, listed in bricks.items() if _belongs(pool, brick, listed)),
+            need(by_pool[name], capacity, pool.at_least),
+        )
+        for name, pool in pools.items()
+    ]
+    floors = [floor for floor in floors if floor.members]  # of no brick that anybody lists: nothing to keep
     return [*floors, Floor("the installation", (), need(reserves, capacity, 0))]
 
 
@@ -112,5 +121,8 @@
 
 
 def _belongs(pool: Pool, brick: str, listed: Listed) -> bool:
-    return ((not pool.zones or listed.zone in pool.zones) and (not pool.kinds or listed.kind in pool.kinds)
-            and (not pool.bricks or brick in pool.bricks))
+    return (
+        (not pool.zones or listed.zone in pool.zones)
+        and (not pool.kinds or listed.kind in pool.kinds)
+        and (not pool.bricks or brick in pool.bricks)
+    )
--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -21,9 +21,9 @@
 from hophinge.core.errors import HophingeError
 from hophinge.routing.bounds import Most
 
-BEGIN_US = 20_000_000       # by the asker's clock, from its asking
-DRIFT = 0.01                # part by which two steady clocks may differ in speed, as in tenancy/leases.py
-LEASE_US = int(BEGIN_US * (1 + DRIFT)) + 10_000_000     # by the issuer's; the ten seconds are for what is on its way
+BEGIN_US = 20_000_000  # by the asker's clock, from its asking
+DRIFT = 0.01  # part by which two steady clocks may differ in speed, as in tenancy/leases.py
+LEASE_US = int(BEGIN_US * (1 + DRIFT)) + 10_000_000  # by the issuer's; the ten seconds are for what is on its way
 
 
 class PermitError(HophingeError):
@@ -67,7 +67,7 @@
     name: str
     zone: str
     by: str
-    key: str                # of the ask: the same ask is answered with the same permit
+    key: str  # of the ask: the same ask is answered with the same permit
     state: State = State.GRANTED
     build: str = ""
     process: int = 0
@@ -78,7 +78,7 @@
 
     total: int
     up: Mapping[str, str]
-    down: Mapping[str, str]         # known, and out unplanned or not to be told about
+    down: Mapping[str, str]  # known, and out unplanned or not to be told about
 
 
 class Floor(Struct, frozen=True):
@@ -97,8 +97,8 @@
     by: str
     key: str
     build: str = ""
-    begun: bool = False     # an operator's word: the place is taken and begun in one step
-    process: int = 0        # of the head that is to go, where that is known
+    begun: bool = False  # an operator's word: the place is taken and begun in one step
+    process: int = 0  # of the head that is to go, where that is known
 
 
 class Answer(Struct, frozen=True):
@@ -150,8 +150,9 @@
         unknown = {f"#{at}": "" for at in range(sight.total - len(sight.up.keys() | sight.down.keys()))}
         return {**unknown, **sight.down, **{one.name: one.zone for one in self.all(kind)}}
 
-    def lacks(self, kind: Kind, name: str, zone: str, sight: Sighting, most: Most | None,
-              floors: Iterable[Floor] = ()) -> str:
+    def lacks(
+        self, kind: Kind, name: str, zone: str, sight: Sighting, most: Most | None, floors: Iterable[Floor] = ()
+    ) -> str:
         """Tell why there is no room for one more to be out, or nothing."""
         if most is None:
             return f"no (maintenance ({kind.value}s ...)) states how many {kind.value}s may be out"
@@ -165,8 +166,10 @@
         sizes = [list(known.values()).count(one) for one in set(known.values()) if one]
         size = list(known.values()).count(zone) if zone else min(sizes, default=total)
         if len(here) > (allowed := most.allowed_zone(size)):
-            return (f"{len(here)} {kind.value}s of {size} would be out in zone {zone or '(unknown)'}, "
-                    f"{allowed} may: {_some(here, name)}")
+            return (
+                f"{len(here)} {kind.value}s of {size} would be out in zone {zone or '(unknown)'}, "
+                f"{allowed} may: {_some(here, name)}"
+            )
         for floor in floors:
             if name in floor.members or not floor.members:
                 up = len([one for one in (floor.members or sight.up) if one in sight.up and one not in out])
@@ -186,13 +189,23 @@
         zone = sight.up.get(ask.name) or sight.down.get(ask.name, "")
         if reason := self.lacks(ask.kind, ask.name, zone, sight, most, floors):
             return Answer(reason=reason)
-        self.count += 1     # an id that is not stored is never told, and never given again
-        made = Permit(f"{self.fence}.{self.count}", ask.kind, ask.name, zone, ask.by, ask.key,
-                      State.BEGUN if ask.begun else State.GRANTED, ask.build, ask.process)
+        self.count += 1  # an id that is not stored is never told, and never given again
+        made = Permit(
+            f"{self.fence}.{self.count}",
+            ask.kind,
+            ask.name,
+            zone,
+            ask.by,
+            ask.key,
+            State.BEGUN if ask.begun else State.GRANTED,
+            ask.build,
+            ask.process,
+        )
         return Answer((made,), made)
 
-    def begin(self, now_us: int, permit: str, process: int, sight: Sighting, most: Most | None,
-              floors: Iterable[Floor] = ()) -> Answer:
+    def begin(
+        self, now_us: int, permit: str, process: int, sight: Sighting, most: Most | None, floors: Iterable[Floor] = ()
+    ) -> Answer:
         """Begin what was granted, if there is still room: what went out unplanned since then has taken it."""
         held = self.held.get(permit)
         if held is None:
@@ -219,13 +232,20 @@
 
     def lapsed(self, now_us: int) -> tuple[Permit, ...]:
         """Make the rows of what was granted, never begun, and has lapsed."""
-        return tuple(msgspec.structs.replace(self.held[one], state=State.FREE)
-                     for one, until in self.lapses.items() if now_us >= until)
+        return tuple(
+            msgspec.structs.replace(self.held[one], state=State.FREE)
+            for one, until in self.lapses.items()
+            if now_us >= until
+        )
 
 
 def _some(out: Mapping[str, str], name: str) -> str:
     unknown = sum(one.startswith("#") for one in out)
     rows = sorted(one for one in out if one != name and not one.startswith("#"))
-    told = [*rows[:5], *([f"{len(rows) - 5} more"] if len(rows) > 5 else []),
-            *([f"{unknown} that nobody can tell about"] if unknown else []), f"and {name} itself"]
+    told = [
+        *rows[:5],
+        *([f"{len(rows) - 5} more"] if len(rows) > 5 else []),
+        *([f"{unknown} that nobody can tell about"] if unknown else []),
+        f"and {name} itself",
+    ]
     return ", ".join(told)
--- a/hophinge/maintenance/releases.py
+++ b/hophinge/maintenance/releases.py
@@ -17,6 +17,7 @@
 from hophinge.maintenance.watch import HeadView, Watch
 from hophinge.routing.bounds import Release
 
+
 class Stage(Enum):
     """Where a release stands."""
 
@@ -26,7 +27,7 @@
     RETURNING = "going back"
     DONE = "done"
     UNDONE = "taken back"
-    DROPPED = "dropped"         # its form is gone
+    DROPPED = "dropped"  # its form is gone
 
 
 ENDED = frozenset({Stage.DONE, Stage.UNDONE, Stage.DROPPED})
@@ -37,11 +38,11 @@
 
     name: str
     build: str
-    began: int                      # the order among releases
+    began: int  # the order among releases
     stage: Stage = Stage.WAITING
-    wave: int = 0                   # 0: one head alone
+    wave: int = 0  # 0: one head alone
     again: int = 0
-    by_itself: bool = False         # what halted it
+    by_itself: bool = False  # what halted it
     reason: str = ""
     was: dict[str, str] = {}
 
@@ -60,8 +61,8 @@
 
     courses: tuple[Course, ...] = ()
     wants: tuple[Want, ...] = ()
-    withdrawn: tuple[str, ...] = ()         # releases
-    rebuilt: tuple[tuple[str, str], ...] = ()   # permit and build
+    withdrawn: tuple[str, ...] = ()  # releases
+    rebuilt: tuple[tuple[str, str], ...] = ()  # permit and build
 
 
 def ranked(names: Iterable[str]) -> list[str]:
@@ -76,7 +77,7 @@
         self.courses: dict[str, Course] = {}
         self.take(courses)
         self.watch = Watch(("", 0, 0))
-        self.left: list[str] = []           # heads that the wave waits for
+        self.left: list[str] = []  # heads that the wave waits for
 
     def take(self, courses: Iterable[Course]) -> None:
         """Take courses that are stored."""
@@ -88,8 +89,9 @@
 
     def active(self) -> Course | None:
         """Tell the release that runs, or that the others wait for."""
-        return min((one for one in self.courses.values() if one.stage not in ENDED), key=lambda one: one.began,
-                   default=None)
+        return min(
+            (one for one in self.courses.values() if one.stage not in ENDED), key=lambda one: one.began, default=None
+        )
 
     def listed(self, forms: Mapping[str, Release]) -> tuple[Course, ...]:
         """Make the courses that follow from the forms alone; they are taken before the next `look`."""
@@ -109,8 +111,14 @@
 
     def look(self, now_us: int, forms: Mapping[str, Release], heads: Mapping[str, HeadView]) -> Outcome:
         """Judge the release that runs, and tell what follows."""
-        undo = next((one for one in self.courses.values() if one.stage is Stage.DONE and one.name in forms
-                     and forms[one.name].word == "back"), None)
+        undo = next(
+            (
+                one
+                for one in self.courses.values()
+                if one.stage is Stage.DONE and one.name in forms and forms[one.name].word == "back"
+            ),
+            None,
+        )
         course = self.active() or undo
         if course is None or course.name not in forms:
             return Outcome()
@@ -142,15 +150,18 @@
         watch = self._watched(course, heads)
         targets = ranked(form.heads or heads)
         share = form.waves[min(course.wave - 1, len(form.waves) - 1)]
-        wave = targets[:1 if course.wave == 0 else max(1, math.ceil(share * len(targets) - 1e-9))]
+        wave = targets[: 1 if course.wave == 0 else max(1, math.ceil(share * len(targets) - 1e-9))]
         views = {name: heads[name] for name in wave if name in heads}
         if reason := watch.trouble(now_us, course.build, course.was, form, views, heads):
             return Outcome((_halted(course, reason),), withdrawn=(course.name,))
         left = self.left = [name for name in wave if name not in views or not _settled(views[name], course.build)]
         if left:
             watch.quiet_since = 0
-            wants = tuple(Want(course.name, name, course.build, f"{course.name}/{course.again}/{course.build}")
-                          for name in left if name in views and _asks(views[name], course.build))
+            wants = tuple(
+                Want(course.name, name, course.build, f"{course.name}/{course.again}/{course.build}")
+                for name in left
+                if name in views and _asks(views[name], course.build)
+            )
             was = {**{one.head: heads[one.head].build for one in wants}, **course.was}
             return Outcome((msgspec.structs.replace(course, was=was),) if was != course.was else (), wants)
         watch.quiet_since = watch.quiet_since or now_us
--- a/hophinge/maintenance/watch.py
+++ b/hophinge/maintenance/watch.py
@@ -10,9 +10,9 @@
 from hophinge.maintenance.permits import Permit, State
 from hophinge.routing.bounds import Release
 
-LEAST_TAKEN = 50        # requests before a share of failures tells anything
-AWAY_US = 10_000_000    # without a stream before a head is lost: a service that starts has all back within five seconds
-SURE = 3.0              # standard errors by which a share has to be over what is allowed
+LEAST_TAKEN = 50  # requests before a share of failures tells anything
+AWAY_US = 10_000_000  # without a stream before a head is lost: a service that starts has all back within five seconds
+SURE = 3.0  # standard errors by which a share has to be over what is allowed
 
 
 class HeadView(Struct, frozen=True):
@@ -25,14 +25,14 @@
     permit: Permit | None
     taken: float
     failed: float
-    known: bool = True      # False: it will tell what it runs and has not yet
+    known: bool = True  # False: it will tell what it runs and has not yet
 
 
 class Watch(Struct):
     """One wave; a coordinator that starts sees it anew, which only makes it wait longer."""
 
-    place: tuple[str, int, int]             # release, wave, again
-    base: dict[str, tuple[int, float, float]] = {}      # process, taken and failed of each head when it began
+    place: tuple[str, int, int]  # release, wave, again
+    base: dict[str, tuple[int, float, float]] = {}  # process, taken and failed of each head when it began
     begun: dict[str, int] = {}
     away: dict[str, int] = {}
     quiet_since: int = 0
@@ -42,8 +42,15 @@
         """Begin to watch a wave."""
         return cls(place, {name: (one.process, one.taken, one.failed) for name, one in heads.items()})
 
-    def trouble(self, now_us: int, build: str, touched: Collection[str], form: Release, wave: Mapping[str, HeadView],
-                heads: Mapping[str, HeadView]) -> str:
+    def trouble(
+        self,
+        now_us: int,
+        build: str,
+        touched: Collection[str],
+        form: Release,
+        wave: Mapping[str, HeadView],
+        heads: Mapping[str, HeadView],
+    ) -> str:
         """Tell why the release must not go on, or nothing; `touched` are heads that it has wanted out."""
         for name, one in wave.items():
             if one.connected or one.permit is not None or name not in touched:
@@ -58,16 +65,20 @@
                 self.begun.pop(name, None)
         there = {name: one for name, one in wave.items() if one.build == build}
         taken, failed = self.counted((name, one) for name, one in heads.items() if name not in there)
-        if not taken:       # all are in the wave: what was usual before it has to do
+        if not taken:  # all are in the wave: what was usual before it has to do
             taken, failed = (sum(row[at] for row in self.base.values()) for at in (1, 2))
         allowed = (failed / taken if taken else 0.0) + form.refused
-        for told, names in [(f"the wave's {len(there)} heads", sorted(there)),
-                            *((name, [name]) for name in sorted(there))]:
+        for told, names in [
+            (f"the wave's {len(there)} heads", sorted(there)),
+            *((name, [name]) for name in sorted(there)),
+        ]:
             taken, failed = self.counted((name, there[name]) for name in names)
             error = math.sqrt(max(allowed * (1 - allowed), 1e-4) / taken) if taken else 0.0
             if taken >= LEAST_TAKEN and failed / taken > allowed + SURE * error:
-                return (f"{told}: {failed:g} of {taken:g} requests were refused or failed; "
-                        f"{100 * allowed:.1f} % may, {100 * form.refused:g} % more than elsewhere")
+                return (
+                    f"{told}: {failed:g} of {taken:g} requests were refused or failed; "
+                    f"{100 * allowed:.1f} % may, {100 * form.refused:g} % more than elsewhere"
+                )
         return ""
 
     def counted(self, views: Iterable[tuple[str, HeadView]]) -> tuple[float, float]:
--- a/hophinge/net/acceptor.py
+++ b/hophinge/net/acceptor.py
@@ -14,11 +14,11 @@
 
 from hophinge.core.counters import Counters
 
-BACKLOG = 1024          # connections that the kernel holds until they are taken
-DEFER_S = 1             # it holds one that says nothing for so long; who connects in order to ask does not notice
-BATCH = 16              # taken in one turn of the loop: closing what must yield gets its turn too
-PAUSE_S = 0.01          # before another look when there is no room
-EMPTY_S = 0.02          # a queue that lets nobody in and has been empty for so long stays so: handshakes are over
+BACKLOG = 1024  # connections that the kernel holds until they are taken
+DEFER_S = 1  # it holds one that says nothing for so long; who connects in order to ask does not notice
+BATCH = 16  # taken in one turn of the loop: closing what must yield gets its turn too
+PAUSE_S = 0.01  # before another look when there is no room
+EMPTY_S = 0.02  # a queue that lets nobody in and has been empty for so long stays so: handshakes are over
 SO_ATTACH_FILTER = 26
 # Of a TCP header the byte of flags; SYN without ACK is dropped, all else is let through.
 NO_SYN = struct.pack("HBBI" * 5, 0x30, 0, 0, 13, 0x54, 0, 0, 0x12, 0x15, 0, 1, 0x02, 0x06, 0, 0, 0, 0x06, 0, 0, 0xFFFF)
@@ -51,7 +51,7 @@
             if not self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 raise OSError(f"descriptor {fd} does not listen")
         self.socket.setblocking(False)
-        self.alone = fd is None and not shared      # nobody else takes from its queue
+        self.alone = fd is None and not shared  # nobody else takes from its queue
         # The queue of a socket of one's own ends with it: it is emptied first, and must then hold all that connected.
         if not shared:
             self._defer(DEFER_S)
@@ -71,7 +71,7 @@
             try:
                 if not self._one():
                     return None
-            except OSError:     # no descriptor is left
+            except OSError:  # no descriptor is left
                 self.front.counters.add("accepts_failed")
                 return self._wait()
         return None
@@ -107,16 +107,17 @@
         """
         if self.alone:
             program = ctypes.create_string_buffer(NO_SYN, len(NO_SYN))
-            with contextlib.suppress(OSError):      # the close is then as good as it can be without
-                self.socket.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER,
-                                       struct.pack("HL", len(NO_SYN) // 8, ctypes.addressof(program)))
+            with contextlib.suppress(OSError):  # the close is then as good as it can be without
+                self.socket.setsockopt(
+                    socket.SOL_SOCKET, SO_ATTACH_FILTER, struct.pack("HL", len(NO_SYN) // 8, ctypes.addressof(program))
+                )
         self._rest()
         until, empty = self.loop.time() + most_s, None
         while (now := self.loop.time()) < until:
             try:
                 took = len(self.tasks) >= BATCH or not self.front.room() or self._one()
                 pause_s = 0.0 if took and self.front.room() else PAUSE_S / 2
-            except OSError:     # no descriptor is left: as if somebody still waited
+            except OSError:  # no descriptor is left: as if somebody still waited
                 self.front.counters.add("accepts_failed")
                 took, pause_s = True, PAUSE_S
             if took:
--- a/hophinge/net/answer.py
+++ b/hophinge/net/answer.py
@@ -17,8 +17,8 @@
 from hophinge.net.brick import BrickConnection, SpoiltError
 from hophinge.net.payload import HOLD, MOST_LONG
 
-HOLD_S = 0.02               # for which an answer of unknown length is held
-MOST_FIGURE = 1e9           # of use, units or load; above it a figure is noise
+HOLD_S = 0.02  # for which an answer of unknown length is held
+MOST_FIGURE = 1e9  # of use, units or load; above it a figure is noise
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
             self.protocol.weigh()
             self.taken += len(chunk)
             if self.taken > MOST_LONG:
-                raise SpoiltError("a body that is too long")    # in chunks that never end
+                raise SpoiltError("a body that is too long")  # in chunks that never end
         except (aiohttp.ClientError, HttpProcessingError, OSError) as error:
             self.end(Result.RESET)
             raise ConnectionResetError("the answer broke off") from error
@@ -91,7 +91,7 @@
         value = float(text) if text and len(text) < 32 else math.nan
     except ValueError:
         return None
-    return value if 0.0 <= value <= MOST_FIGURE else None       # inf and nan are floats too
+    return value if 0.0 <= value <= MOST_FIGURE else None  # inf and nan are floats too
 
 
 def read_report(text: str | None) -> dict[str, float]:
@@ -111,7 +111,7 @@
     status, headers = answer.status, answer.headers
     result = Result.ERROR
     if status in (200, 404):
-        result = Result.OK      # 404: the brick looked and holds no such object
+        result = Result.OK  # 404: the brick looked and holds no such object
     elif status in (503, 504) and headers.get("X-Turned-Away") == "1":
         # A brick without room says 503. With 504 it takes others' work all the same: this request is over, or its data
         # lies elsewhere, and no other attempt at the shard that it names would find it.
@@ -119,6 +119,11 @@
     elif status != 500:
         counters.add("bricks_answered_oddly")
     used = _number(headers.get("X-Iops-Used"))
-    return End(result, answer.body if status == 200 else b"", 0 if used is None else 1 + int(used),
-               _number(headers.get("X-Rho")) or 0.0,
-               read_report(headers.get("X-Pressure")) if reports else {}, absent=status == 404)
+    return End(
+        result,
+        answer.body if status == 200 else b"",
+        0 if used is None else 1 + int(used),
+        _number(headers.get("X-Rho")) or 0.0,
+        read_report(headers.get("X-Pressure")) if reports else {},
+        absent=status == 404,
+    )
--- a/hophinge/net/brick.py
+++ b/hophinge/net/brick.py
@@ -18,14 +18,16 @@
 from hophinge.net.payload import MOST_LONG
 from hophinge.net.roll import Roll
 
-MOST_HEAD = 16 * 1024       # of an answer, the 1xx heads in front of it among it
-STALL_S = 0.5               # an answer that has begun comes on: a brick works before it answers, not within
-STREAM_STALL_S = 5.0        # the same once it is passed on: nothing else could be done with its request
-HIGH = 128 * 1024           # held of one answer; the rest waits in the kernel, and then at the brick
-MOST_FRAMING = 512 * 1024   # of a chunked body beyond as much as the body itself: 64 KiB byte by byte are 384 KiB
+MOST_HEAD = 16 * 1024  # of an answer, the 1xx heads in front of it among it
+STALL_S = 0.5  # an answer that has begun comes on: a brick works before it answers, not within
+STREAM_STALL_S = 5.0  # the same once it is passed on: nothing else could be done with its request
+HIGH = 128 * 1024  # held of one answer; the rest waits in the kernel, and then at the brick
+MOST_FRAMING = 512 * 1024  # of a chunked body beyond as much as the body itself: 64 KiB byte by byte are 384 KiB
 START = b"HTTP/1."
-HEAD = re.compile(rb"HTTP/1\.[01] ([1-5][0-9]{2})(?: [^\r\n\0]*)?\r\n"
-                  rb"((?:[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\r\n\0]*\r\n)*)\r\n")
+HEAD = re.compile(
+    rb"HTTP/1\.[01] ([1-5][0-9]{2})(?: [^\r\n\0]*)?\r\n"
+    rb"((?:[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\r\n\0]*\r\n)*)\r\n"
+)
 LENGTH = re.compile(rb"(?im)^content-length:[ \t]*([^\r\n]*?)[ \t]*\r$")
 CODING = re.compile(rb"(?im)^transfer-encoding:[ \t]*([^\r\n]*?)[ \t]*\r$")
 CLOSE = re.compile(rb"(?im)^connection:[ \t]*close[ \t]*\r$")
@@ -44,8 +46,8 @@
     if len(lengths) == 1 and lengths[0].isdigit() and len(lengths[0]) < 10 and int(lengths[0]) <= MOST_LONG:
         return int(lengths[0])
     if not lengths and head[1] == b"200" and (CLOSE.search(head[2]) or head[0].startswith(b"HTTP/1.0")):
-        return UNTIL_CLOSE      # announced; a head that merely lost its length does not say so
-    return 0 if not lengths and head[1] != b"200" else None     # a refusal needs no body; its connection ends
+        return UNTIL_CLOSE  # announced; a head that merely lost its length does not say so
+    return 0 if not lengths and head[1] != b"200" else None  # a refusal needs no body; its connection ends
 
 
 class BrickConnection(ResponseHandler):
@@ -54,7 +56,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, roll: Roll, budget: Budget) -> None:
         super().__init__(loop)
         self.roll, self.endpoint, self.budget = roll, "", budget
-        self.held, self.waits, self.stall_s = 0, False, STALL_S     # bytes not yet read; reading stands still
+        self.held, self.waits, self.stall_s = 0, False, STALL_S  # bytes not yet read; reading stands still
         self.state, self.head, self.left, self.passed = "new", bytearray(), 0, 0
         self.stall: asyncio.TimerHandle | None = None
 
@@ -119,7 +121,7 @@
             if self.passed + max(len(self.head) if end < 4 else end, 0) > MOST_HEAD:
                 return self._spoil("a head that is too long")
             if end < 4:
-                if not START.startswith(self.head[:len(START)]):
+                if not START.startswith(self.head[: len(START)]):
                     self._spoil("no head")
                 return None
             if whole is None:
@@ -128,7 +130,7 @@
             if whole[1][:1] == b"1":
                 if whole[1] == b"101":
                     return self._spoil("a change of protocol")
-                self.passed += end          # an interim answer in front is passed over
+                self.passed += end  # an interim answer in front is passed over
                 self.head = bytearray(rest)
                 continue
             found = length(whole)
@@ -137,7 +139,7 @@
             text = bytes(self.head[:end])
             if found == 0 and not LENGTH.search(text):
                 self._should_close = True
-                text = text[:-2] + b"Content-Length: 0\r\n\r\n"    # else aiohttp waits for the connection's end
+                text = text[:-2] + b"Content-Length: 0\r\n\r\n"  # else aiohttp waits for the connection's end
             self.head, self.left, self.state = bytearray(), found, "body"
             super().data_received(text)
             self._take_body(rest)
@@ -152,16 +154,16 @@
             super().data_received(data)
             self.passed += len(data)
             if self.exception() is not None:
-                self._spoil("malformed chunks")     # aiohttp tells the connection, not the body that is being read
+                self._spoil("malformed chunks")  # aiohttp tells the connection, not the body that is being read
             elif body is None or body.is_eof():
                 self.state = "idle"
             elif self.passed > MOST_FRAMING + 2 * body.total_bytes:
-                self._spoil("more framing than body")   # endless extensions, or a flood of the smallest chunks
+                self._spoil("more framing than body")  # endless extensions, or a flood of the smallest chunks
             return
-        own, rest = data[:self.left], data[self.left:]
+        own, rest = data[: self.left], data[self.left :]
         self.left -= len(own)
         if rest:
-            self._should_close = True       # a second copy or noise: this answer is whole, the connection is done
+            self._should_close = True  # a second copy or noise: this answer is whole, the connection is done
         if own:
             super().data_received(own)
         if not self.left and self.state == "body":
@@ -179,7 +181,7 @@
         self.waits = not self.waits
         if self.waits:
             self.transport.pause_reading()
-            self._stalls(False)     # the brick is not to blame for what nobody takes
+            self._stalls(False)  # the brick is not to blame for what nobody takes
         else:
             self.transport.resume_reading()
             self._stalls(self.state != "idle")
@@ -207,7 +209,7 @@
     def connection_lost(self, exc: BaseException | None) -> None:
         """Take the connection's end."""
         if self.state == "body" and self.left == UNTIL_CLOSE and exc is not None and self._payload is not None:
-            self._payload.set_exception(SpoiltError("an answer that broke off"))    # only a clean close makes it whole
+            self._payload.set_exception(SpoiltError("an answer that broke off"))  # only a clean close makes it whole
         self.state = "idle"
         self._stalls(False)
         self.budget.held -= self.held
--- a/hophinge/net/client.py
+++ b/hophinge/net/client.py
@@ -26,10 +26,10 @@
 from hophinge.net.roll import Roll
 from hophinge.net.upload import Upload, UploadError
 
-IDLE_PART = 0.5             # of the time after which a brick closes an idle connection: used after it is a reset
-PROBE_S = 0.25              # a brick that is up answers a probe beside its queue
-NOWHERE = "127.0.0.1:0"     # where a brick that no list names is asked: it refuses
-CONNECT_US = 250_000        # where the settings state no limit
+IDLE_PART = 0.5  # of the time after which a brick closes an idle connection: used after it is a reset
+PROBE_S = 0.25  # a brick that is up answers a probe beside its queue
+NOWHERE = "127.0.0.1:0"  # where a brick that no list names is asked: it refuses
+CONNECT_US = 250_000  # where the settings state no limit
 
 
 class StaleError(Exception):
@@ -69,8 +69,15 @@
     be an attempt that the module knows nothing of.
     """
 
-    def __init__(self, settings: Settings, endpoint: Callable[[str], str | None], counters: Counters,
-                 log: Callable[[str], None], budget: Budget, most: int = 256) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        endpoint: Callable[[str], str | None],
+        counters: Counters,
+        log: Callable[[str], None],
+        budget: Budget,
+        most: int = 256,
+    ) -> None:
         self.endpoint, self.counters, self.log, self.most = endpoint, counters, log, most
         self.reports = settings.report_in_answers
         self.tasks: set[asyncio.Task[None]] = set()
@@ -80,7 +87,7 @@
         idle_s = IDLE_PART * (allowed.conn_idle_us or 30_000_000) / 1e6
         self.connector = Connector(self.roll, budget, limit=0)
         self.pool = Pool(self._dial, self.roll, counters, (allowed.connect_timeout_us or CONNECT_US) / 1e6, idle_s)
-        self.routes: dict[str, ClientRequest] = {}      # by endpoint: what the connector wants to know of it
+        self.routes: dict[str, ClientRequest] = {}  # by endpoint: what the connector wants to know of it
 
     def keep(self, endpoints: Iterable[str]) -> None:
         """Forget all bricks but these."""
@@ -94,7 +101,8 @@
         route = self.routes.get(endpoint)
         if route is None:
             route = self.routes[endpoint] = ClientRequest(
-                "GET", URL(f"http://{endpoint}"), loop=asyncio.get_running_loop())
+                "GET", URL(f"http://{endpoint}"), loop=asyncio.get_running_loop()
+            )
         return cast(BrickConnection, await self.connector._create_connection(route, [], ClientTimeout(total=None)))
 
     def start(self, attempt: Attempt) -> Callable[[], None]:
@@ -130,8 +138,14 @@
             if not attempt.may_go():
                 raise StaleError
             # The target goes on as the bytes that came.
-            return (f"{payload.method} {payload.target} HTTP/1.1\r\nHost: {endpoint}\r\nX-Txn: {payload.txn}\r\n"
-                    f"X-Remaining-Ms: {attempt.goes() // 1000}\r\n{length}").encode() + payload.key_line + b"\r\n"
+            return (
+                (
+                    f"{payload.method} {payload.target} HTTP/1.1\r\nHost: {endpoint}\r\nX-Txn: {payload.txn}\r\n"
+                    f"X-Remaining-Ms: {attempt.goes() // 1000}\r\n{length}"
+                ).encode()
+                + payload.key_line
+                + b"\r\n"
+            )
 
         try:
             if endpoint is None:
@@ -154,8 +168,9 @@
             end = End(Result.RESET if flight.written else Result.CONNECT_FAILED)
         attempt.end(end)
 
-    async def _ask(self, endpoint: str, text: Callable[[], bytes], flight: Flight,
-                   attempt: Attempt | None = None) -> Answered:
+    async def _ask(
+        self, endpoint: str, text: Callable[[], bytes], flight: Flight, attempt: Attempt | None = None
+    ) -> Answered:
         """Write a request to a brick and read its answer; whatever goes wrong, the connection is not used again."""
         answer: Answered | None = None
         protocol = await self.pool.take(endpoint)
@@ -164,7 +179,7 @@
             try:
                 request = text()
             except StaleError:
-                self.pool.put_back(protocol)        # nothing was written: it serves the next request
+                self.pool.put_back(protocol)  # nothing was written: it serves the next request
                 raise
             # The stream's own bound is out of reach: what is held is weighed over all connections.
             protocol.set_response_params(read_until_eof=True, auto_decompress=False, read_bufsize=2 * MOST_LONG)
@@ -172,13 +187,13 @@
             if attempt is not None:
                 payload: Payload = attempt.request.payload
                 if payload.body:
-                    transport.write(payload.body)       # uvloop sends what one turn writes at once, without a copy
+                    transport.write(payload.body)  # uvloop sends what one turn writes at once, without a copy
                 if payload.upload is not None:
                     await self._pass_on(payload.upload, protocol, transport)
             flight.wrote()
             message, stream = await protocol.read()
             if protocol.unsent and message.code not in (503, 504):
-                raise SpoiltError("an answer to a request that is not whole")   # a brick can only turn it away yet
+                raise SpoiltError("an answer to a request that is not whole")  # a brick can only turn it away yet
             heard, stated = now_us(), message.headers.get("Content-Length")
             length = None if stated is None else int(stated)
             body, whole = await first(stream, protocol, length if attempt is not None else 0)
@@ -228,7 +243,8 @@
         try:
             async with asyncio.timeout(PROBE_S):
                 answer = await self._ask(
-                    endpoint, lambda: f"GET /load HTTP/1.1\r\nHost: {endpoint}\r\n\r\n".encode(), Flight())
+                    endpoint, lambda: f"GET /load HTTP/1.1\r\nHost: {endpoint}\r\n\r\n".encode(), Flight()
+                )
             result = Result.OK if answer.status == 200 else Result.ERROR
             if result is Result.OK:
                 header = answer.headers.get("X-Pressure")
--- a/hophinge/net/connection.py
+++ b/hophinge/net/connection.py
@@ -14,10 +14,10 @@
 from hophinge.net.budget import Budget
 from hophinge.net.pipeline import Pipeline
 
-YIELD_S = 0.05          # a connection at rest, when connections run out and another asks
-LINGER_S = 1.0          # for an error to be read by a client that goes on sending
-PART_S = 0.3            # for a client to take note of the end of its connection, and to end it too
-DISCARD_S = 0.02        # between reads of what it goes on sending
+YIELD_S = 0.05  # a connection at rest, when connections run out and another asks
+LINGER_S = 1.0  # for an error to be read by a client that goes on sending
+PART_S = 0.3  # for a client to take note of the end of its connection, and to end it too
+DISCARD_S = 0.02  # between reads of what it goes on sending
 MOST_HEAD = 16 * 1024
 
 
@@ -41,7 +41,7 @@
     try:
         descriptor = transport.get_extra_info("socket").fileno()
         return fcntl.ioctl(descriptor, termios.FIONREAD, bytes(4)) != bytes(4)
-    except (AttributeError, OSError, ValueError):       # closed already: it has no descriptor
+    except (AttributeError, OSError, ValueError):  # closed already: it has no descriptor
         return False
 
 
@@ -51,13 +51,13 @@
     def __init__(self, manager: web.Server, front: Owner, **params: Any) -> None:
         super().__init__(manager, front, **params)
         self.front = front
-        self.head = 0                       # bytes of a head that is not whole yet
+        self.head = 0  # bytes of a head that is not whole yet
         self.lingering = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take a new connection."""
         super().connection_made(transport)
-        self._keepalive_timeout = self.front.idle_s     # from the first answer on
+        self._keepalive_timeout = self.front.idle_s  # from the first answer on
         self.front.rests(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -82,20 +82,20 @@
         super()._parse(data)
         if self.taken != taken:
             self.head = 0
-        elif taken == self.answered and (self.head or data.strip(b"\r\n")):     # empty lines begin no head
+        elif taken == self.answered and (self.head or data.strip(b"\r\n")):  # empty lines begin no head
             if not self.head:
                 self._begins()
             self.head += len(data)
             if self.head > MOST_HEAD and not self.lingering:
                 self.head = 0
                 self.drop_behind()
-                super()._parse(b"\0")       # no head holds this: the parser ends it, as any malformed one
+                super()._parse(b"\0")  # no head holds this: the parser ends it, as any malformed one
 
     def _begins(self) -> None:
         # A head takes its time, longer than a connection may rest; the timer that runs looks at this when it is due.
         self._next_keepalive_close_time = max(self._next_keepalive_close_time, self._loop.time() + self.front.head_s)
         if self.answered:
-            self.front.resting.pop(self, None)      # a client's next request: not the one to yield
+            self.front.resting.pop(self, None)  # a client's next request: not the one to yield
 
     def retire(self) -> bool:
         """Close while at rest; False where its next request is here already, which a close would lose."""
@@ -103,7 +103,7 @@
         if self.transport is None or self.taken > self.answered or self.behind or unread(self.transport):
             return False
         if self.lingering:
-            self._close_now(self.transport)     # it was told of its end before, and its place is wanted
+            self._close_now(self.transport)  # it was told of its end before, and its place is wanted
         else:
             self._part()
         return True
@@ -143,8 +143,9 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def handle_error(self, request: web.BaseRequest, status: int = 500, exc: BaseException | None = None,
-                     message: str | None = None) -> web.StreamResponse:
+    def handle_error(
+        self, request: web.BaseRequest, status: int = 500, exc: BaseException | None = None, message: str | None = None
+    ) -> web.StreamResponse:
         """Answer what the parser refuses; aiohttp would write a traceback to the log for each."""
         if status >= 500:
             return super().handle_error(request, status, exc, message)
@@ -153,8 +154,9 @@
         response.force_close()
         return response
 
-    async def finish_response(self, request: web.BaseRequest, resp: web.StreamResponse,
-                              start_time: float | None) -> tuple[web.StreamResponse, bool]:
+    async def finish_response(
+        self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
+    ) -> tuple[web.StreamResponse, bool]:
         """Write an answer, and after a last one wait for the client to read it.
 
         Bytes left unread at a close make the kernel reset the connection, and a reset can destroy the answer.
@@ -167,13 +169,13 @@
             self.lingering = True
             self.drop_behind()
             if sends:
-                self.front.rests(self)      # it may go on for long: the first to yield
+                self.front.rests(self)  # it may go on for long: the first to yield
             else:
                 self.front.resting.pop(self, None)
                 self.front.parting.add(self)
             if transport.can_write_eof():
                 transport.write_eof()
             transport.resume_reading()
-            await asyncio.sleep(LINGER_S if sends else PART_S)      # the client's own end ends it sooner
+            await asyncio.sleep(LINGER_S if sends else PART_S)  # the client's own end ends it sooner
             self.bound(transport)
         return done
--- a/hophinge/net/connects.py
+++ b/hophinge/net/connects.py
@@ -7,13 +7,13 @@
 
 from __future__ import annotations
 
-LATE_TIMES = 4.0        # usual connects' time after which one is late
-LEAST_LATE_S = 0.01     # a busy machine's turns, which are no lateness
-LATE_PART = 1 / 3       # of the connect limit: what is late is found within it, with time for another
-STEP = 0.1              # part by which one connect moves the usual time
-MOST_BESIDE = 3         # connects to one brick beyond those that wait for one
-SPARE_SHARE = 0.5       # connects beside late ones for each other: up to a third late, and a third of those
-SPARE_BURST = 8.0       # of them at once, when many come late together
+LATE_TIMES = 4.0  # usual connects' time after which one is late
+LEAST_LATE_S = 0.01  # a busy machine's turns, which are no lateness
+LATE_PART = 1 / 3  # of the connect limit: what is late is found within it, with time for another
+STEP = 0.1  # part by which one connect moves the usual time
+MOST_BESIDE = 3  # connects to one brick beyond those that wait for one
+SPARE_SHARE = 0.5  # connects beside late ones for each other: up to a third late, and a third of those
+SPARE_BURST = 8.0  # of them at once, when many come late together
 
 
 class Usual:
@@ -44,7 +44,7 @@
 
     def __init__(self, usual: Usual) -> None:
         self.usual = usual
-        self.since: dict[int, float] = {}       # when each began
+        self.since: dict[int, float] = {}  # when each began
         self.number = 0
 
     def _late(self, now: float) -> int:
@@ -60,8 +60,12 @@
         while len(self.since) < waiting:
             self.usual.opened()
             begun.append((self._begin(now), False))
-        while (len(self.since) - late < waiting and len(self.since) < waiting + MOST_BESIDE
-               and held + len(self.since) < most and self.usual.credit >= 1):
+        while (
+            len(self.since) - late < waiting
+            and len(self.since) < waiting + MOST_BESIDE
+            and held + len(self.since) < most
+            and self.usual.credit >= 1
+        ):
             self.usual.credit -= 1
             begun.append((self._begin(now), True))
         return begun
--- a/hophinge/net/control.py
+++ b/hophinge/net/control.py
@@ -13,9 +13,9 @@
 from hophinge.net.listener import Listener, origin_form
 from hophinge.core.rotation import Rotation
 
-CALLERS = 16            # connections at once; clients' load has no part in them
-FIRST_S = 0.8           # for a head to come
-BODY_S = 0.6            # for a body to come; an answer is due within a second
+CALLERS = 16  # connections at once; clients' load has no part in them
+FIRST_S = 0.8  # for a head to come
+BODY_S = 0.6  # for a body to come; an answer is due within a second
 BRICK = re.compile(r"[!-~]{1,256}", re.ASCII)
 CALLS = {"/ops/readiness": "GET", "/ops/stats": "GET", "/ops/bricks/down": "POST", "/ops/bricks/up": "POST"}
 
@@ -27,7 +27,7 @@
         super().__init__(counters, CALLERS, FIRST_S, FIRST_S)
         self.figures, self.rotation, self.ready = figures, rotation, ready
         self.head_s = FIRST_S
-        self.tells: dict[str, Callable[[], str]] = {}       # what else is told, by path
+        self.tells: dict[str, Callable[[], str]] = {}  # what else is told, by path
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one call."""
--- a/hophinge/net/discovery.py
+++ b/hophinge/net/discovery.py
@@ -16,7 +16,7 @@
 from hophinge.net.address import split
 from hophinge.net.pace import BESIDE_S, MOST_BESIDE, CallPace
 
-MOST_BOOT_MS = 2 ** 53      # of a start that is told; one beyond it is no time that anything can be reckoned with
+MOST_BOOT_MS = 2**53  # of a start that is told; one beyond it is no time that anything can be reckoned with
 PHASES = {"Ready": api.Phase.ON, "Terminating": api.Phase.DRAINING, "Gone": api.Phase.GONE}
 
 
@@ -64,7 +64,7 @@
     """
     try:
         told = msgspec.json.decode(body, type=Told)
-    except RecursionError as error:     # nested too deeply; none of msgspec's own
+    except RecursionError as error:  # nested too deeply; none of msgspec's own
         raise msgspec.ValidationError(str(error)) from None
     targets = [target for raw in told.targets if (target := _read_target(raw)) is not None]
     if (told.all or whole) and not targets:
@@ -74,7 +74,7 @@
 
 def _read_target(raw: msgspec.Raw) -> Target | None:
     """Read an entry; None: it is malformed, and tells of no brick that takes nothing more."""
-    with contextlib.suppress(ValueError):       # msgspec's errors are among them
+    with contextlib.suppress(ValueError):  # msgspec's errors are among them
         target = msgspec.json.decode(raw, type=Target)
         if target.uid and (target.state == "Gone" or split(target.endpoint)[1] > 0):
             return target
@@ -113,10 +113,14 @@
         # A state that is not known is no reason to send: it counts as draining. A zone or kind that the settings do not
         # name is one of its own, not the first that they name.
         return api.NodeEntry(
-            target.uid, self.zones.setdefault(target.az, len(self.zones)), target.pod_group,
-            PHASES.get(target.state, api.Phase.DRAINING), target.capacity_hint,
+            target.uid,
+            self.zones.setdefault(target.az, len(self.zones)),
+            target.pod_group,
+            PHASES.get(target.state, api.Phase.DRAINING),
+            target.capacity_hint,
             max(0, min(MOST_BOOT_MS, target.boot_ms)) * 1000,
-            self.kinds.setdefault(target.model, len(self.kinds)))
+            self.kinds.setdefault(target.model, len(self.kinds)),
+        )
 
 
 def _advice(error: Exception) -> float:
@@ -131,18 +135,29 @@
 class Discovery:
     """The watch. It outlives silence and errors; the list held stays in force meanwhile."""
 
-    def __init__(self, address: str, directory: Directory, tell: Callable[[api.NodeList], None],
-                 counters: Counters, heads: int = 1, seed: int = 0,
-                 log: Callable[[str], None] = lambda text: None, pushed: bool = False) -> None:
+    def __init__(
+        self,
+        address: str,
+        directory: Directory,
+        tell: Callable[[api.NodeList], None],
+        counters: Counters,
+        heads: int = 1,
+        seed: int = 0,
+        log: Callable[[str], None] = lambda text: None,
+        pushed: bool = False,
+    ) -> None:
         self.address, self.directory, self.tell, self.counters = address, directory, tell, counters
         self.rev: int | None = None
-        self.log, self.trouble = log, ""    # what the calls that failed last ended with
+        self.log, self.trouble = log, ""  # what the calls that failed last ended with
         self.pace = CallPace(heads, random.Random(seed), pushed)
         self.task: asyncio.Task[None] | None = None
-        self.heard = asyncio.Event()    # the first answer is in, be it that callers are turned away
+        self.heard = asyncio.Event()  # the first answer is in, be it that callers are turned away
         self.session = aiohttp.ClientSession(
-            connector=aiohttp.TCPConnector(limit=0), trust_env=False, cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=None))
+            connector=aiohttp.TCPConnector(limit=0),
+            trust_env=False,
+            cookie_jar=aiohttp.DummyCookieJar(),
+            timeout=aiohttp.ClientTimeout(total=None),
+        )
 
     def follow(self, address: str, rev: int | None = None) -> None:
         """Follow the list at an address, from the version held of it or else begun with a whole one.
@@ -174,22 +189,27 @@
         self.counters.add("discovery_errors")
         away = isinstance(error, (aiohttp.ClientError, ConnectionError))
         if away and self.directory.endpoints and not self.pace.pushed:
-            self.heard.set()    # who has a list waits for no better one; an agent beside may have it the next moment
+            self.heard.set()  # who has a list waits for no better one; an agent beside may have it the next moment
         if isinstance(error, aiohttp.ClientResponseError):
             self._note(f"status {error.status}")
             return self.pace.turned_away(_advice(error))
         expected = isinstance(error, (aiohttp.ClientError, OSError, msgspec.MsgspecError))
-        self._note(f"{type(error).__name__} {error}".strip(),
-                   "" if expected else "\n" + "".join(traceback.format_exception(error)))
+        self._note(
+            f"{type(error).__name__} {error}".strip(),
+            "" if expected else "\n" + "".join(traceback.format_exception(error)),
+        )
         return self.pace.failed()
 
     def _note(self, trouble: str, trace: str = "") -> None:
         """Log a trouble once, and its end."""
         if trouble != self.trouble:
             self.trouble = trouble
-            with contextlib.suppress(Exception):    # a log that is full or gone takes no watch with it
-                self.log(f"discovery at {self.address} fails, the list held stays in force: {trouble}{trace}"
-                         if trouble else f"discovery at {self.address} answers again")
+            with contextlib.suppress(Exception):  # a log that is full or gone takes no watch with it
+                self.log(
+                    f"discovery at {self.address} fails, the list held stays in force: {trouble}{trace}"
+                    if trouble
+                    else f"discovery at {self.address} answers again"
+                )
 
     async def _ask(self, url: str) -> tuple[Listing, int]:
         wait_s, limit_s = self.pace.waits(self.rev is not None, self.heard.is_set())
@@ -202,13 +222,14 @@
     async def _first_of(self, url: str) -> tuple[Listing, int]:
         """Ask beside calls that say nothing, until one is answered: none knows when the agent is back."""
         calls: set[asyncio.Task[tuple[Listing, int]]] = set()
-        pause_s = 0.0       # before another call, after one that failed; those that are open go on meanwhile
+        pause_s = 0.0  # before another call, after one that failed; those that are open go on meanwhile
         try:
             while True:
                 if not pause_s and len(calls) < MOST_BESIDE:
                     calls.add(asyncio.get_running_loop().create_task(self._ask(url)))
-                done, calls = await asyncio.wait(calls, timeout=pause_s or BESIDE_S,
-                                                 return_when=asyncio.FIRST_COMPLETED)
+                done, calls = await asyncio.wait(
+                    calls, timeout=pause_s or BESIDE_S, return_when=asyncio.FIRST_COMPLETED
+                )
                 pause_s = 0.0
                 errors = [call.exception() for call in done]
                 if None in errors:
@@ -230,9 +251,9 @@
         # An answer to a call for the whole list is one even if it does not say so.
         full = listing.all or self.rev is None
         if not full and self.rev is not None and listing.rev < self.rev:
-            self.rev = None     # another count than the one held: only a whole list tells what is so
+            self.rev = None  # another count than the one held: only a whole list tells what is so
             return
-        self.rev = None     # a list that could not be told is asked for again, whole
+        self.rev = None  # a list that could not be told is asked for again, whole
         if full or listing.targets:
             self.tell(self.directory.take(listing, api.ListKind.FULL if full else api.ListKind.CHANGES))
         self.rev = listing.rev
--- a/hophinge/net/listener.py
+++ b/hophinge/net/listener.py
@@ -18,12 +18,12 @@
 
 __all__ = ["IN", "OUT", "Acceptor", "ClientConnection", "Listener", "Pace", "Server", "origin_form"]
 
-IDLE_S = 2.0            # a connection with no request on it, or with half a head
-FIRST_S = 1.2           # the same for a first head: the kernel has held a silent connection for a second already
-HEAD_S = 2.5            # for a head, from its first byte
-SILENT_S = 0.3          # a connection that has said nothing yet, when connections run out
-MOST_BEHIND = 8 * 1024 * 1024       # bytes that all clients together may have sent behind requests that are open
-IN, OUT = 0, 1          # ways of bytes, as seen from a head
+IDLE_S = 2.0  # a connection with no request on it, or with half a head
+FIRST_S = 1.2  # the same for a first head: the kernel has held a silent connection for a second already
+HEAD_S = 2.5  # for a head, from its first byte
+SILENT_S = 0.3  # a connection that has said nothing yet, when connections run out
+MOST_BEHIND = 8 * 1024 * 1024  # bytes that all clients together may have sent behind requests that are open
+IN, OUT = 0, 1  # ways of bytes, as seen from a head
 
 
 def origin_form(target: str) -> str:
@@ -44,28 +44,35 @@
 
     def __call__(self) -> RequestHandler:
         """Make the protocol of a new connection."""
-        return ClientConnection(self, self.front, loop=self._loop, access_log=None, lingering_time=0.0,
-                                keepalive_timeout=self.first_s, auto_decompress=False,
-                                max_line_size=MOST_HEAD // 2, max_field_size=MOST_HEAD // 2)
+        return ClientConnection(
+            self,
+            self.front,
+            loop=self._loop,
+            access_log=None,
+            lingering_time=0.0,
+            keepalive_timeout=self.first_s,
+            auto_decompress=False,
+            max_line_size=MOST_HEAD // 2,
+            max_field_size=MOST_HEAD // 2,
+        )
 
 
-Pace = Callable[[str, str, int, int], Awaitable[None]]      # of a volume and class: a way, and bytes just moved
+Pace = Callable[[str, str, int, int], Awaitable[None]]  # of a volume and class: a way, and bytes just moved
 
 
 class Listener:
     """A low-level server that knows which of its connections are busy and how many there may be."""
 
-    def __init__(self, counters: Counters, most: int = 256, first_s: float = FIRST_S,
-                 idle_s: float = IDLE_S) -> None:
+    def __init__(self, counters: Counters, most: int = 256, first_s: float = FIRST_S, idle_s: float = IDLE_S) -> None:
         self.counters, self.most_connections, self.idle_s = counters, most, idle_s
         self.most_resting = most
         self.head_s = max(first_s, HEAD_S)
         self.behind = Budget(MOST_BEHIND)
         self.closing = False
-        self.gone: Callable[[Any], None] | None = None      # told of connections that have ended
+        self.gone: Callable[[Any], None] | None = None  # told of connections that have ended
         self.busy: set[Any] = set()
-        self.resting: dict[Any, float] = {}     # connections that are not busy, and since when; the oldest first
-        self.parting: set[Any] = set()          # connections that have been told of their end
+        self.resting: dict[Any, float] = {}  # connections that are not busy, and since when; the oldest first
+        self.parting: set[Any] = set()  # connections that have been told of their end
         self.server: web.Server = Server(self, first_s)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -80,13 +87,13 @@
         try:
             response = await self.handle(request)
             if not response.prepared and (self.final(protocol) or not request.content.is_eof()):
-                response.force_close()      # what is left of an unread body must not be taken for a request
+                response.force_close()  # what is left of an unread body must not be taken for a request
             try:
-                await response.prepare(request)     # written here, so that busy means until the last byte
+                await response.prepare(request)  # written here, so that busy means until the last byte
                 await response.write_eof()
                 self.wrote(request, response)
             except ConnectionError:
-                pass        # the client has gone; aiohttp ends the connection
+                pass  # the client has gone; aiohttp ends the connection
             return response
         finally:
             self.over(request)
@@ -119,9 +126,11 @@
         """Close what rests longest, of those that were answered so often at most."""
         now = asyncio.get_running_loop().time()
         # One that has had no answer yet may have its first request on the way: closing it would lose that.
-        old = (connection for connection, since in self.resting.items()
-               if connection.answered <= most_answered
-               and now - since >= (YIELD_S if connection.answered else SILENT_S))
+        old = (
+            connection
+            for connection, since in self.resting.items()
+            if connection.answered <= most_answered and now - since >= (YIELD_S if connection.answered else SILENT_S)
+        )
         for connection in list(itertools.islice(old, number)):
             if connection.retire():
                 self.counters.add("connections_yielded")
@@ -131,7 +140,7 @@
         """Tell whether one more connection may be taken; where not, the one that rests longest yields."""
         if len(self.server._connections) < self.most_connections:
             return True
-        self._yield(max(0, BATCH - len(self.parting)))      # those that part leave their places too
+        self._yield(max(0, BATCH - len(self.parting)))  # those that part leave their places too
         return False
 
     def invite(self, request: web.BaseRequest) -> None:
@@ -154,4 +163,4 @@
         """
         for connection in list(self.resting):
             if not connection.lingering and not connection.head:
-                connection.retire()     # one that is not is answered, and closes with that
+                connection.retire()  # one that is not is answered, and closes with that
--- a/hophinge/net/pace.py
+++ b/hophinge/net/pace.py
@@ -16,24 +16,24 @@
 
 import random
 
-FIRST_PAUSE_S = 0.02        # after an error on the wire; well under the 200 ms within which a watch goes on
-LONGEST_PAUSE_S = 1.0       # after such errors in a row
-CHAINED_S = 0.2             # the protocol's time for the next call of a watch
-JITTER = (0.5, 1.5)         # parts of a pause
-FIRST_TURNED_S = 4.0        # the first pause of one turned away at most
-TURNED_S = 4.75             # those after it: 5.5 s with their lot, which leaves half a second for the call itself
-TURNED_JITTER = (0.85, 1.15)    # parts of such a pause: narrow, as what ends late counts and what ends early costs
-TURNED_CALLS = 5            # of one head in a row that keep to it, 16 s at least; then discovery is not to be reached
-BORNE = 9.5                 # calls a second of all heads at that pace from which a discovery that serves 7.4 recovers
-LONGEST_ADVICE_S = 3.6      # of a Retry-After that is kept to: 5.4 s with its lot
-LIST_S = 2.5                # for a list asked for; over a queue's patience of 2 s, as who gives up begins at its end
-SHORT_S, LONG_S = 2.0, 20.0     # a watch's wait, by what all heads' calls together cost discovery
-SPARE_S = 1.5               # beyond the wait that a watch states; what it had to tell counts as told after 2 s
-FIRST_WATCH_S = 0.1         # of the first: who has the list already is ready after it
-PUSHED_WATCH_S, PUSHED_SPARE_S, PUSHED_LIST_S = 1.0, 0.3, 1.0   # of an agent beside, which has no queue
-PUSHED_PAUSE_S = 0.1        # the longest after errors of such an agent: under every drain's grace
-BESIDE_S = 0.1              # after which another call goes out beside those that say nothing
-MOST_BESIDE = 10            # such calls at once; each waits `PUSHED_LIST_S`
+FIRST_PAUSE_S = 0.02  # after an error on the wire; well under the 200 ms within which a watch goes on
+LONGEST_PAUSE_S = 1.0  # after such errors in a row
+CHAINED_S = 0.2  # the protocol's time for the next call of a watch
+JITTER = (0.5, 1.5)  # parts of a pause
+FIRST_TURNED_S = 4.0  # the first pause of one turned away at most
+TURNED_S = 4.75  # those after it: 5.5 s with their lot, which leaves half a second for the call itself
+TURNED_JITTER = (0.85, 1.15)  # parts of such a pause: narrow, as what ends late counts and what ends early costs
+TURNED_CALLS = 5  # of one head in a row that keep to it, 16 s at least; then discovery is not to be reached
+BORNE = 9.5  # calls a second of all heads at that pace from which a discovery that serves 7.4 recovers
+LONGEST_ADVICE_S = 3.6  # of a Retry-After that is kept to: 5.4 s with its lot
+LIST_S = 2.5  # for a list asked for; over a queue's patience of 2 s, as who gives up begins at its end
+SHORT_S, LONG_S = 2.0, 20.0  # a watch's wait, by what all heads' calls together cost discovery
+SPARE_S = 1.5  # beyond the wait that a watch states; what it had to tell counts as told after 2 s
+FIRST_WATCH_S = 0.1  # of the first: who has the list already is ready after it
+PUSHED_WATCH_S, PUSHED_SPARE_S, PUSHED_LIST_S = 1.0, 0.3, 1.0  # of an agent beside, which has no queue
+PUSHED_PAUSE_S = 0.1  # the longest after errors of such an agent: under every drain's grace
+BESIDE_S = 0.1  # after which another call goes out beside those that say nothing
+MOST_BESIDE = 10  # such calls at once; each waits `PUSHED_LIST_S`
 
 
 class CallPace:
@@ -46,13 +46,13 @@
         self.first_turned_s = max(FIRST_PAUSE_S, min(FIRST_TURNED_S, heads * CHAINED_S / 2))
         self.longest_turned_s = min(TURNED_S, max(LONGEST_PAUSE_S, heads * CHAINED_S * 2))
         self.crowded_turned_s = heads * CHAINED_S * 2 if heads / TURNED_S > BORNE else self.longest_turned_s
-        if pushed:      # other heads ask agents of their own
+        if pushed:  # other heads ask agents of their own
             self.first_turned_s = self.longest_turned_s = self.crowded_turned_s = PUSHED_PAUSE_S
         # Waits that end sooner find silence sooner, and cost discovery as many calls more.
         self.watch_s = PUSHED_WATCH_S if pushed else min(LONG_S, max(SHORT_S, heads * CHAINED_S / 2))
         self.longest_pause_s = PUSHED_PAUSE_S if pushed else LONGEST_PAUSE_S
         self.errors = self.turned = 0
-        self.silent = pushed        # until the next answer, which may come late after an outage
+        self.silent = pushed  # until the next answer, which may come late after an outage
 
     @property
     def beside(self) -> bool:
--- a/hophinge/net/payload.py
+++ b/hophinge/net/payload.py
@@ -7,9 +7,9 @@
 from hophinge.net.upload import Upload
 
 MOST_BODY = 64 * 1024
-MOST_LONG = 33 * 1024 * 1024    # of a long body or answer
+MOST_LONG = 33 * 1024 * 1024  # of a long body or answer
 KEY = "Idempotency-Key"
-HOLD = 64 * 1024                # an answer up to here is passed on only once it is whole
+HOLD = 64 * 1024  # an answer up to here is passed on only once it is whole
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,8 +20,8 @@
     target: str
     txn: str
     body: bytes
-    key_line: bytes = b""          # `Idempotency-Key` with its line end, as a keyed class's client wrote it
-    upload: Upload | None = None    # in place of a body that is not whole yet
+    key_line: bytes = b""  # `Idempotency-Key` with its line end, as a keyed class's client wrote it
+    upload: Upload | None = None  # in place of a body that is not whole yet
 
 
 def key_line(value: bytes) -> bytes:
--- a/hophinge/net/pipeline.py
+++ b/hophinge/net/pipeline.py
@@ -14,13 +14,13 @@
 from hophinge.core.counters import Counters
 from hophinge.net.budget import Budget
 
-END = b"\r\n\r\n"       # of a head
-HELD = 256 * 1024       # bytes behind a request, from which on its client is read no further, and its close seen late
-FAIR = 64 * 1024        # of them, from which on a client floods when all of them hold more than they may
-LOOK_S = 0.04           # between looks for the end of a client that is not read: 0.1 s after it nothing may be sent on
-READ_S = 10.0           # for a client to read what waits for it, and more for each byte
-READ_RATE = 16_000      # bytes a second; slower ones hold a connection for too long
-SAME_S = 0.01           # what comes within it came at once
+END = b"\r\n\r\n"  # of a head
+HELD = 256 * 1024  # bytes behind a request, from which on its client is read no further, and its close seen late
+FAIR = 64 * 1024  # of them, from which on a client floods when all of them hold more than they may
+LOOK_S = 0.04  # between looks for the end of a client that is not read: 0.1 s after it nothing may be sent on
+READ_S = 10.0  # for a client to read what waits for it, and more for each byte
+READ_RATE = 16_000  # bytes a second; slower ones hold a connection for too long
+SAME_S = 0.01  # what comes within it came at once
 GONE = select.POLLHUP | select.POLLERR | getattr(select, "POLLRDHUP", 0)
 
 
@@ -46,7 +46,7 @@
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), GONE)
         return any(events & GONE for _, events in poll.poll(0))
-    except (AttributeError, OSError, ValueError):       # closed here already: it has no descriptor
+    except (AttributeError, OSError, ValueError):  # closed here already: it has no descriptor
         return False
 
 
@@ -60,15 +60,15 @@
     def __init__(self, manager: web.Server, owner: Owner, **params: Any) -> None:
         super().__init__(manager, **params)
         self.owner = owner
-        self.answered = 0                   # requests, malformed ones among them
-        self.behind = bytearray()           # bytes that come after the request that is open
-        self.counted = 0                    # of them, in the owner's budget
-        self.reads = deque[tuple[int, float]]()     # of it: how many bytes came, and when
-        self.arrived = 0.0                  # when the last byte came that the parser has
-        self.before = b""                   # the last few bytes that the parser has
-        self.payload: StreamReader = EMPTY_PAYLOAD      # of the last request read
-        self.length: int | None = None      # of its body, where it is stated
-        self.held_back = False              # it has sent too much, and is not read
+        self.answered = 0  # requests, malformed ones among them
+        self.behind = bytearray()  # bytes that come after the request that is open
+        self.counted = 0  # of them, in the owner's budget
+        self.reads = deque[tuple[int, float]]()  # of it: how many bytes came, and when
+        self.arrived = 0.0  # when the last byte came that the parser has
+        self.before = b""  # the last few bytes that the parser has
+        self.payload: StreamReader = EMPTY_PAYLOAD  # of the last request read
+        self.length: int | None = None  # of its body, where it is stated
+        self.held_back = False  # it has sent too much, and is not read
         self.look: asyncio.TimerHandle | None = None
         self.stalled: asyncio.TimerHandle | None = None
 
@@ -127,13 +127,17 @@
 
     def data_received(self, data: bytes) -> None:
         """Read the request that is the next, and hold what comes behind it."""
-        if not self.before and not self.behind and self._request_count == self.answered and (
-                data.find(END) == len(data) - len(END) >= 0):
+        if (
+            not self.before
+            and not self.behind
+            and self._request_count == self.answered
+            and (data.find(END) == len(data) - len(END) >= 0)
+        ):
             # As nearly always: one head on a connection at rest.
             self.arrived, self.before = self._loop.time(), data[-3:]
             return self._parse(data)
         if not data:
-            self._parse(data)       # a body that was paused goes on
+            self._parse(data)  # a body that was paused goes on
         else:
             self._note(len(data))
         self.behind += data
@@ -141,9 +145,14 @@
 
     def advance(self) -> None:
         """Read as far as the next request's end, if its turn has come."""
-        while self.behind and not self._reading_paused and (
+        while (
+            self.behind
+            and not self._reading_paused
+            and (
                 # Where one body's end and the next head came in one piece the next has been read too.
-                self.taken - self.answered < (1 if self.payload.is_eof() else 2)):
+                self.taken - self.answered < (1 if self.payload.is_eof() else 2)
+            )
+        ):
             size = self._size()
             data = bytes(self.behind[:size])
             del self.behind[:size]
@@ -171,7 +180,7 @@
             self.length = None
             if not isinstance(message, _ErrInfo):
                 if self.payload is not EMPTY_PAYLOAD and (stated := message.headers.get("Content-Length")):
-                    self.length = int(stated)       # digits alone: the parser has seen to that
+                    self.length = int(stated)  # digits alone: the parser has seen to that
             elif not payload.is_eof():
                 # The parser forgets the body that it could not read, and its request would wait for the rest.
                 payload.set_exception(web.RequestPayloadError(message.message))
--- a/hophinge/net/pool.py
+++ b/hophinge/net/pool.py
@@ -18,9 +18,9 @@
 from hophinge.net.connects import Connects, Usual
 from hophinge.net.roll import Roll
 
-LONGEST = 6.0       # connect limits after which a connect that nobody waits for any more is given up
-TURNS = 5           # of the loop before a connect is held for late: a head that stood still has not read of its end yet
-TURN_S = 0.001      # at least, of each
+LONGEST = 6.0  # connect limits after which a connect that nobody waits for any more is given up
+TURNS = 5  # of the loop before a connect is held for late: a head that stood still has not read of its end yet
+TURN_S = 0.001  # at least, of each
 
 Dial = Callable[[str], Awaitable[BrickConnection]]
 
@@ -32,7 +32,7 @@
 
     def __init__(self, usual: Usual) -> None:
         self.connects = Connects(usual)
-        self.idle: deque[tuple[BrickConnection, float]] = deque()      # with the time since when
+        self.idle: deque[tuple[BrickConnection, float]] = deque()  # with the time since when
         self.waiting: deque[asyncio.Future[BrickConnection]] = deque()
         self.dials: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
@@ -74,7 +74,7 @@
                 connection = await self._wait(endpoint, line)
                 if sound(connection):
                     return connection
-                connection.close()      # ended between its coming up and this turn
+                connection.close()  # ended between its coming up and this turn
 
     async def _wait(self, endpoint: str, line: Line) -> BrickConnection:
         future: asyncio.Future[BrickConnection] = self.loop.create_future()
@@ -84,7 +84,7 @@
             return await future
         except BaseException:
             if future.done() and not future.cancelled() and future.exception() is None:
-                self._ready(line, future.result())      # given up in the very turn in which it got one
+                self._ready(line, future.result())  # given up in the very turn in which it got one
             elif future in line.waiting:
                 line.waiting.remove(future)
             raise
@@ -154,7 +154,7 @@
             async with asyncio.timeout(LONGEST * self.limit_s):
                 connection = await self.dial(endpoint)
         except TimeoutError:
-            pass        # who waited has been told by its own limit
+            pass  # who waited has been told by its own limit
         except (aiohttp.ClientError, OSError) as error:
             trouble = error
         finally:
@@ -200,4 +200,4 @@
         return False
     look = select.poll()
     look.register(connection.transport.get_extra_info("socket").fileno(), select.POLLIN)
-    return not look.poll(0)     # an end at hand counts as well
+    return not look.poll(0)  # an end at hand counts as well
--- a/hophinge/net/reader.py
+++ b/hophinge/net/reader.py
@@ -71,10 +71,18 @@
         if not REMAINING.fullmatch(left):
             raise MalformedError(400, "X-Remaining-Ms is malformed")
         return api.Arrival(
-            request=txn, units=units, volume=target[2], klass=klass, shard=int(placement[2]),
-            gateways=min(int(placement[3]), self.heads), key=target[3],
-            time_left_us=max(0, int(left) * 1000 - MARGIN_US), write=request.method == "PUT", plan=plan,
-            keyless=KEY not in headers)
+            request=txn,
+            units=units,
+            volume=target[2],
+            klass=klass,
+            shard=int(placement[2]),
+            gateways=min(int(placement[3]), self.heads),
+            key=target[3],
+            time_left_us=max(0, int(left) * 1000 - MARGIN_US),
+            write=request.method == "PUT",
+            plan=plan,
+            keyless=KEY not in headers,
+        )
 
 
 def read_key(request: web.BaseRequest) -> bytes:
@@ -82,7 +90,7 @@
     key = request.headers.get(KEY)
     if key is None:
         return b""
-    value = key.encode("utf-8", "surrogateescape")     # as aiohttp decoded it
+    value = key.encode("utf-8", "surrogateescape")  # as aiohttp decoded it
     if not KEY_VALUE.fullmatch(value):
         raise MalformedError(400, f"{KEY} is longer than 1024 bytes or holds control characters")
     return key_line(value)
--- a/hophinge/net/roll.py
+++ b/hophinge/net/roll.py
@@ -20,15 +20,15 @@
     def __init__(self, most: int, counters: Counters) -> None:
         self.most, self.counters = most, counters
         self.open: dict[BrickConnection, None] = {}
-        self.kept: set[str] | None = None       # endpoints whose connections may be idle; None: any
-        self.each = most                        # connections to one of them, beyond which idle ones go
+        self.kept: set[str] | None = None  # endpoints whose connections may be idle; None: any
+        self.each = most  # connections to one of them, beyond which idle ones go
 
     def add(self, connection: BrickConnection) -> None:
         """Note a new connection, or one that has just become idle."""
         self.open.pop(connection, None)
         self.open[connection] = None
         if connection.idle and self.kept is not None and connection.endpoint not in self.kept:
-            self._end(connection)       # its brick went out of use while it was busy
+            self._end(connection)  # its brick went out of use while it was busy
             return
         if connection.idle:
             # What a brick holds is shared by all heads, and long answers take part of that: while this head has its
--- a/hophinge/net/server.py
+++ b/hophinge/net/server.py
@@ -20,9 +20,9 @@
 from hophinge.net.reader import MalformedError, Reader, read_key
 from hophinge.net.upload import Upload
 
-BODY_S = 4.0        # for a body to come, and more for each byte that has come
+BODY_S = 4.0  # for a body to come, and more for each byte that has come
 BODY_RATE = 16_000  # bytes a second; slower clients hold a connection for too long
-PIECE_S = 2.2       # for its next bytes
+PIECE_S = 2.2  # for its next bytes
 KEPT = 1024 * 1024  # of a body, while the budget allows: it may be sent again
 RETRY_AFTER_US = 1_000_000  # for whom there is no room, where the settings allow as much
 TICKET = web.RequestKey("ticket", Ticket)
@@ -57,9 +57,9 @@
         self.reader = Reader(exchange.settings)
         self.loop = asyncio.get_running_loop()
         self.ready = False
-        self.pace: Pace | None = None       # of long bodies
-        self.watch: Watch | None = None     # of tenants
-        self.last: Last | None = None       # once the end has begun
+        self.pace: Pace | None = None  # of long bodies
+        self.watch: Watch | None = None  # of tenants
+        self.last: Last | None = None  # once the end has begun
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
@@ -103,7 +103,7 @@
             request[TICKET] = self.exchange.figures.take(klass)
             done: asyncio.Future[Answer] = self.loop.create_future()
             payload = Payload(request.method, origin_form(request.raw_path), ask.request, body, key, upload)
-            if self.last is not None:       # asked now, as a body may have taken its time
+            if self.last is not None:  # asked now, as a body may have taken its time
                 left = self.last.left_us(ask.klass, ask.time_left_us, self.exchange.now_us())
                 ask = structs.replace(ask, time_left_us=left)
             self.exchange.arrive(ask, payload, giver(done), upload is None)
@@ -129,7 +129,7 @@
         request[TICKET] = self.exchange.figures.take(klass)
         advice_us = min(RETRY_AFTER_US, self.exchange.settings.allowed.retry_after_us)
         response = web.Response(status=503, headers={"Retry-After": f"{advice_us / 1e6:g}"} if advice_us > 0 else {})
-        if not cast(ClientConnection, request.protocol).more:   # each that has come behind is owed an answer too
+        if not cast(ClientConnection, request.protocol).more:  # each that has come behind is owed an answer too
             response.force_close()
         return response
 
@@ -147,11 +147,12 @@
         if ticket is not None:
             ticket.end(None)
 
-    async def _pass_on(self, request: web.BaseRequest, answer: Answer, rest: Rest, volume: str,
-                       klass: str) -> web.StreamResponse:
+    async def _pass_on(
+        self, request: web.BaseRequest, answer: Answer, rest: Rest, volume: str, klass: str
+    ) -> web.StreamResponse:
         """Write an answer as it comes; the client's pace is the brick's."""
         response = web.StreamResponse(status=STATUS[answer.verdict])
-        response.content_length = rest.length       # where it is not known, chunks or the connection's end tell it
+        response.content_length = rest.length  # where it is not known, chunks or the connection's end tell it
         if self.final(request.protocol) or (rest.length is None and request.version < HttpVersion11):
             response.force_close()
         chunk = answer.body
@@ -220,9 +221,11 @@
         except web.RequestPayloadError as error:
             raise MalformedError(400, "the body is malformed") from error
 
-    async def _fill(self, request: web.BaseRequest, upload: Upload, ask: api.Arrival, done: asyncio.Future[Answer],
-                    klass: str) -> Answer:
+    async def _fill(
+        self, request: web.BaseRequest, upload: Upload, ask: api.Arrival, done: asyncio.Future[Answer], klass: str
+    ) -> Answer:
         """Pass a body on as it comes, until it is whole or its request is answered."""
+
         async def fill() -> None:
             try:
                 async for chunk in self._pieces(request, upload.held):
@@ -232,14 +235,14 @@
                 upload.end(True)
                 self.exchange.whole(ask.request)
             finally:
-                upload.end(False)       # void after the other
+                upload.end(False)  # void after the other
 
         filling = self.loop.create_task(fill())
         both: set[asyncio.Future[Any]] = {filling, done}
         try:
             await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
             if not done.done():
-                filling.result()        # a body that is none ends its request
+                filling.result()  # a body that is none ends its request
             return await done
         finally:
             filling.cancel()
--- a/hophinge/net/upload.py
+++ b/hophinge/net/upload.py
@@ -15,10 +15,10 @@
     """Filled by the front, emptied by one attempt; a slow brick slows the client down and the other way round."""
 
     def __init__(self, first: bytes, length: int | None, budget: Budget) -> None:
-        self.length, self.budget = length, budget       # length: as the client stated it, None for chunks
+        self.length, self.budget = length, budget  # length: as the client stated it, None for chunks
         self.chunks = [first]
         self.held = len(first)
-        self.state = "coming"                           # then "whole" or "broken"
+        self.state = "coming"  # then "whole" or "broken"
         self.news = asyncio.Event()
         self.room = asyncio.Event()
         budget.held += self.held
--- a/hophinge/objects/cache.py
+++ b/hophinge/objects/cache.py
@@ -15,14 +15,14 @@
 
 from hophinge.objects.records import Manifest, Run
 
-SAMPLE = 16             # of the pieces used longest ago, the one of least demand a byte goes
-MARGIN = 4.0            # times a victim's demand a byte that what nobody asked for must promise: what is chosen for its
+SAMPLE = 16  # of the pieces used longest ago, the one of least demand a byte goes
+MARGIN = 4.0  # times a victim's demand a byte that what nobody asked for must promise: what is chosen for its
 #                         prediction is overrated, and what is given up for its own underrated
-OVERHEAD = 200          # bytes that a kept piece takes beside its body
-MOST_OBJECTS = 50_000   # whose runs are known; beyond, those seen longest ago are forgotten with their pieces
+OVERHEAD = 200  # bytes that a kept piece takes beside its body
+MOST_OBJECTS = 50_000  # whose runs are known; beyond, those seen longest ago are forgotten with their pieces
 
-Place = tuple[str, bytes, int]          # volume, run, place in the run
-Object = tuple[str, str]                # volume, id of the manifest
+Place = tuple[str, bytes, int]  # volume, run, place in the run
+Object = tuple[str, str]  # volume, id of the manifest
 
 
 class Held(Struct):
@@ -31,7 +31,7 @@
     body: bytes
     object: Object
     tenant: str
-    beforehand: bool        # fetched before it was asked for, and not asked for since
+    beforehand: bool  # fetched before it was asked for, and not asked for since
 
 
 class Known(Struct):
@@ -45,19 +45,23 @@
 class PieceCache:
     """Pieces of one head, at most `most` bytes, of one tenant at most `tenant_part` of them."""
 
-    def __init__(self, most: int, tenant_part: float = 1.0,
-                 tenant_of: Callable[[str], str] = lambda volume: "",
-                 wanted: Callable[[Object], float] = lambda one: 0.0) -> None:
+    def __init__(
+        self,
+        most: int,
+        tenant_part: float = 1.0,
+        tenant_of: Callable[[str], str] = lambda volume: "",
+        wanted: Callable[[Object], float] = lambda one: 0.0,
+    ) -> None:
         self.most, self.most_each = most, int(most * tenant_part)
         self.tenant_of, self.wanted = tenant_of, wanted
         self.held: OrderedDict[Place, Held] = OrderedDict()
         self.objects: OrderedDict[Object, Known] = OrderedDict()
         self.runs: dict[tuple[str, bytes], Object] = {}
         self.size = 0
-        self.sizes: dict[str, int] = {}         # by tenant
+        self.sizes: dict[str, int] = {}  # by tenant
         self.hits = self.misses = self.hit_bytes = 0
-        self.useful = self.useless = 0          # pieces fetched beforehand that were asked for, or went before that
-        self.tell: Callable[[Object, bool], None] = lambda one, useful: None   # of each of these
+        self.useful = self.useless = 0  # pieces fetched beforehand that were asked for, or went before that
+        self.tell: Callable[[Object, bool], None] = lambda one, useful: None  # of each of these
 
     # --- versions
 
@@ -124,7 +128,7 @@
         """Keep a piece that was read, if it is worth more than what would go for it; tells whether it is kept."""
         place, one = (volume, run.token, at), self.runs.get((volume, run.token))
         if one is None or place in self.held:
-            return place in self.held       # of an unknown or old version: nobody will name it
+            return place in self.held  # of an unknown or old version: nobody will name it
         known, size = self.objects[one], len(body) + OVERHEAD
         if size > self.most_each or size > self.most:
             return False
@@ -162,10 +166,16 @@
 
         Where nothing is known of demand, both count 0 and the one used longest ago goes.
         """
-        old = itertools.islice((place for place, held in self.held.items()
-                                if tenant is None or held.tenant == tenant), SAMPLE)
-        least, _, victim = min(((self.wanted(self.held[place].object) / (len(self.held[place].body) + OVERHEAD), at,
-                                 place) for at, place in enumerate(old)), key=lambda row: row[:2])
+        old = itertools.islice(
+            (place for place, held in self.held.items() if tenant is None or held.tenant == tenant), SAMPLE
+        )
+        least, _, victim = min(
+            (
+                (self.wanted(self.held[place].object) / (len(self.held[place].body) + OVERHEAD), at, place)
+                for at, place in enumerate(old)
+            ),
+            key=lambda row: row[:2],
+        )
         # An object that pushes out its own pieces would never be whole.
         if worth < least or (beforehand and worth <= MARGIN * least) or self.held[victim].object == one:
             return None
--- a/hophinge/objects/config.py
+++ b/hophinge/objects/config.py
@@ -37,7 +37,7 @@
 
     listen: str
     token_file: Path
-    calls_s: float = 20.0       # of each caller
+    calls_s: float = 20.0  # of each caller
 
     def __post_init__(self) -> None:
         """Check ranges."""
--- a/hophinge/objects/front.py
+++ b/hophinge/objects/front.py
@@ -17,14 +17,15 @@
 from hophinge.objects.store import ObjectError, Store
 from hophinge.objects.tenants import Admission
 
-BUSY_RETRY_S = 1        # advice when a head has as many object requests as it takes
+BUSY_RETRY_S = 1  # advice when a head has as many object requests as it takes
 
 
 class ObjectFront(ObjectRequests):
     """One handler for every connection."""
 
-    def __init__(self, store: Store, accounts: Admission, config: ObjectConfig, counters: Counters,
-                 log: Callable[[str], None]) -> None:
+    def __init__(
+        self, store: Store, accounts: Admission, config: ObjectConfig, counters: Counters, log: Callable[[str], None]
+    ) -> None:
         super().__init__(store, accounts, config, counters)
         self.log, self.gone = log, accounts.dropped
         self.active = 0
@@ -48,7 +49,7 @@
                     raise
                 task.uncancel()
                 response = failure(ObjectError(403, "AccessDenied", "The account is not served any more."))
-                response.force_close()      # its body is read by nobody
+                response.force_close()  # its body is read by nobody
             finally:
                 self.active -= 1
                 self.cut.discard(task)
--- a/hophinge/objects/pieces.py
+++ b/hophinge/objects/pieces.py
@@ -22,8 +22,8 @@
 
 # An absent object is an answer: its node did the work.
 OUTCOMES = {Verdict.SERVED: FULFILLED, Verdict.ABSENT: FULFILLED, Verdict.REFUSED: THROTTLED, Verdict.FAILED: FAULTED}
-BEFOREHAND = "beforehand"   # the volume that fetches beforehand count on: no tenant's use, reserve or limit is touched
-LEAST_WAIT_US = 50_000     # before a piece that was refused without advice is asked for again
+BEFOREHAND = "beforehand"  # the volume that fetches beforehand count on: no tenant's use, reserve or limit is touched
+LEAST_WAIT_US = 50_000  # before a piece that was refused without advice is asked for again
 
 
 class RefusedError(Exception):
@@ -74,23 +74,37 @@
             raise ValueError("the settings state no number of shards")
         self.read_class, self.write_class = classes[config.read_class], classes[config.write_class]
         # Fetches beforehand: the plan and the class of least worth, of classes that read.
-        reads = [at for at, klass in enumerate(settings.classes) if at == self.read_class or (
-            at != self.write_class and klass.effect is api.Effect.SAFE and not klass.in_order and not klass.stream)]
+        reads = [
+            at
+            for at, klass in enumerate(settings.classes)
+            if at == self.read_class
+            or (at != self.write_class and klass.effect is api.Effect.SAFE and not klass.in_order and not klass.stream)
+        ]
         self.least_class = min(reads, key=lambda at: settings.classes[at].worth * settings.classes[at].late_worth)
-        self.least_plan = min(self.plans.values(), key=lambda at: (
-            settings.plans[at].price, settings.plans[at].reserve, settings.plans[at].weight))
+        self.least_plan = min(
+            self.plans.values(),
+            key=lambda at: (settings.plans[at].price, settings.plans[at].reserve, settings.plans[at].weight),
+        )
         self.cache: Kept | None = None
         self.shards = settings.shards
         self.in_flight = asyncio.Semaphore(config.pieces_in_flight)
-        self.used: Callable[[str, float], None] = lambda volume, units: None     # told of what was served
+        self.used: Callable[[str, float], None] = lambda volume, units: None  # told of what was served
 
     def units(self, size: int) -> float:
         """Tell what a body counts: a brick's largest request is a full body."""
         most = self.exchange.settings.most_units
         return min(most, max(1.0, math.ceil(size / MOST_BODY * most)))
 
-    async def call(self, volume: Volume, key: str, shard: int, body: bytes | None, size: int, budget: Budget,
-                   beforehand: bool = False) -> Answer:
+    async def call(
+        self,
+        volume: Volume,
+        key: str,
+        shard: int,
+        body: bytes | None,
+        size: int,
+        budget: Budget,
+        beforehand: bool = False,
+    ) -> Answer:
         """Run one request on the core; raise what is neither served nor absent.
 
         One `beforehand` is nobody's: it comes as the least worth, as if its client had waited past the aim already.
@@ -108,10 +122,18 @@
                 left = min(deadline, max(aim + 1, deadline - aim))
             txn = secrets.token_hex(8)
             ask = api.Arrival(
-                request=txn, units=self.units(size), volume=BEFOREHAND if beforehand else volume.id, klass=klass,
-                shard=shard, gateways=settings.gateways, key=key,
-                time_left_us=deadline if left is None else min(deadline, left), write=body is not None,
-                plan=self.least_plan if beforehand else self.plans[volume.plan], spare=beforehand)
+                request=txn,
+                units=self.units(size),
+                volume=BEFOREHAND if beforehand else volume.id,
+                klass=klass,
+                shard=shard,
+                gateways=settings.gateways,
+                key=key,
+                time_left_us=deadline if left is None else min(deadline, left),
+                write=body is not None,
+                plan=self.least_plan if beforehand else self.plans[volume.plan],
+                spare=beforehand,
+            )
             target = f"/{settings.classes[klass].name}/{volume.id}/{key}"
             ticket = None if beforehand else self.exchange.figures.take(settings.classes[klass].name)
             done: asyncio.Future[Answer] = loop.create_future()
@@ -148,7 +170,7 @@
         finally:
             rest.close()
         if len(body) > MOST_BODY:
-            raise CoreFailedError       # longer than any piece
+            raise CoreFailedError  # longer than any piece
         return body
 
     # --- runs of pieces
@@ -191,14 +213,15 @@
             self.cache.put(volume.id, run, at, answer.body, beforehand)
         return answer.body
 
-    async def read_range(self, volume: Volume, runs: list[Run], first: int, last: int,
-                         budget: Budget) -> AsyncGenerator[bytes, None]:
+    async def read_range(
+        self, volume: Volume, runs: list[Run], first: int, last: int, budget: Budget
+    ) -> AsyncGenerator[bytes, None]:
         """Read bytes first to last in order, a window of pieces ahead.
 
         Before the first byte a refusal is raised: it can still be answered. After it nothing but the end of the
         body can be told, so a refused piece is asked for again when the core says to come back.
         """
-        wanted: list[tuple[Run, int, int]] = []     # the run, the piece's place and where it begins in the object
+        wanted: list[tuple[Run, int, int]] = []  # the run, the piece's place and where it begins in the object
         begin = 0
         for run in runs:
             for at, piece in enumerate(run.pieces):
@@ -230,7 +253,7 @@
                     started += 1
                 body = await ahead[0]
                 ahead.popleft()
-                yield body[max(0, first - begin):last + 1 - begin]
+                yield body[max(0, first - begin) : last + 1 - begin]
         finally:
             await end(ahead)
 
--- a/hophinge/objects/prefetch.py
+++ b/hophinge/objects/prefetch.py
@@ -16,7 +16,7 @@
 from hophinge.popularity.keys import Locator
 from hophinge.popularity.planner import Candidate, Facts, Planner, Why
 
-RECORD_BYTES = 4096     # taken from budgets for a manifest, whose size is not known before
+RECORD_BYTES = 4096  # taken from budgets for a manifest, whose size is not known before
 # These speak against one brick: other pieces may lie elsewhere.
 ELSEWHERE = (Why.REST, Why.DRAIN, Why.COLD, Why.UNITS, Why.UNKNOWN)
 
@@ -26,11 +26,12 @@
 
     def __init__(self, core: Core, cache: PieceCache, planner: Planner, facts: Callable[[], Facts]) -> None:
         self.core, self.cache, self.planner, self.facts = core, cache, planner, facts
-        self.out = 0            # reads of its own that are out: they are not others' requests
+        self.out = 0  # reads of its own that are out: they are not others' requests
         self.objects = self.bytes = self.refused = 0
 
-    async def fetch(self, one: Candidate, locator: Locator, volume: Volume,
-                    until_us: int) -> tuple[Manifest | None, bool]:
+    async def fetch(
+        self, one: Candidate, locator: Locator, volume: Volume, until_us: int
+    ) -> tuple[Manifest | None, bool]:
         """Fetch an object as far as budgets and bricks allow, and its pieces until a time of the exchange's clock.
 
         Tells its manifest, if it was read, and whether nothing is left to fetch. A piece that its brick has nothing to
@@ -45,7 +46,7 @@
             return None, True
         self.cache.seen(locator.volume, locator.manifest, manifest)
         if not manifest.etag:
-            return manifest, True       # deleted: there is nothing to fetch
+            return manifest, True  # deleted: there is nothing to fetch
         self.objects += 1
         whole = True
         for run in manifest.runs:
--- a/hophinge/objects/records.py
+++ b/hophinge/objects/records.py
@@ -31,9 +31,9 @@
 
     etag: str = ""
     size: int = 0
-    modified: int = 0       # Unix time, whole seconds
+    modified: int = 0  # Unix time, whole seconds
     content_type: str = ""
-    upload: str = ""        # the multipart upload that made it
+    upload: str = ""  # the multipart upload that made it
     runs: list[Run] = []
 
 
--- a/hophinge/objects/requests.py
+++ b/hophinge/objects/requests.py
@@ -23,7 +23,7 @@
 from hophinge.objects.store import ObjectError, Store
 from hophinge.objects.tenants import Admission, Guest, Volume
 
-MOST_NAME = 1024        # bytes of an object's name
+MOST_NAME = 1024  # bytes of an object's name
 LIST_DEFAULT = 100
 REMAINING = re.compile(r"[0-9]{1,9}", re.ASCII)
 GUEST = web.RequestKey("guest", Guest)
@@ -38,7 +38,7 @@
         self.store, self.accounts, self.config = store, accounts, config
         # By tenant, the requests whose answer has not begun; they end at once with their tenant.
         self.waiting: dict[str, set[asyncio.Task[Any]]] = {}
-        self.pace: Pace | None = None       # of bodies, both ways
+        self.pace: Pace | None = None  # of bodies, both ways
 
     def _begins(self, request: web.BaseRequest) -> None:
         """Note that a request waits no longer."""
@@ -80,10 +80,11 @@
                 self.accounts.closed(upload_of(query))
                 return web.Response(status=204)
             case "PUT", False, False:
-                manifest = await self.store.put(volume, name, type_of(request), self._chunks(request, volume),
-                                                md5_of(request), budget)
+                manifest = await self.store.put(
+                    volume, name, type_of(request), self._chunks(request, volume), md5_of(request), budget
+                )
                 return web.Response(headers={"ETag": f'"{manifest.etag}"'})
-            case ("GET" | "HEAD"), False, False:
+            case (("GET" | "HEAD"), False, False):
                 return await self._get(request, volume, name, budget)
             case "DELETE", False, False:
                 await self.store.delete(volume, name, budget)
@@ -94,8 +95,7 @@
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
         task = asyncio.current_task()
         assert task is not None
-        guest = self.accounts.admit(token.strip() if scheme.lower() == "bearer" else "", bucket, task,
-                                    request.protocol)
+        guest = self.accounts.admit(token.strip() if scheme.lower() == "bearer" else "", bucket, task, request.protocol)
         request[GUEST] = guest
         self.waiting.setdefault(guest.tenant, set()).add(task)
         return guest
@@ -142,8 +142,12 @@
     async def _get(self, request: web.BaseRequest, volume: Volume, name: str, budget: Budget) -> web.StreamResponse:
         manifest = await self.store.head(volume, name, budget)
         etag = f'"{manifest.etag}"'
-        headers = {"ETag": etag, "Accept-Ranges": "bytes", "Content-Type": manifest.content_type,
-                   "Last-Modified": formatdate(manifest.modified, usegmt=True)}
+        headers = {
+            "ETag": etag,
+            "Accept-Ranges": "bytes",
+            "Content-Type": manifest.content_type,
+            "Last-Modified": formatdate(manifest.modified, usegmt=True),
+        }
         if matches(request.headers.get("If-None-Match"), etag):
             return web.Response(status=304, headers={"ETag": etag})
         if "If-Match" in request.headers and not matches(request.headers["If-Match"], etag):
@@ -170,11 +174,18 @@
             return response
         return await self._stream(request, response, volume, manifest, (first, last), budget)
 
-    async def _stream(self, request: web.BaseRequest, response: web.StreamResponse, volume: Volume,
-                      manifest: Manifest, span: tuple[int, int], budget: Budget) -> web.StreamResponse:
+    async def _stream(
+        self,
+        request: web.BaseRequest,
+        response: web.StreamResponse,
+        volume: Volume,
+        manifest: Manifest,
+        span: tuple[int, int],
+        budget: Budget,
+    ) -> web.StreamResponse:
         chunks = self.store.read(volume, manifest, *span, budget)
         try:
-            async for chunk in chunks:      # the first one is there before the status goes out
+            async for chunk in chunks:  # the first one is there before the status goes out
                 if not response.prepared:
                     self._begins(request)
                     await response.prepare(request)
@@ -195,41 +206,63 @@
             await chunks.aclose()
         return response
 
-    async def _initiate(self, request: web.BaseRequest, guest: Guest, bucket: str, name: str,
-                        budget: Budget) -> web.Response:
+    async def _initiate(
+        self, request: web.BaseRequest, guest: Guest, bucket: str, name: str, budget: Budget
+    ) -> web.Response:
         await self.accounts.opens(guest, name)
         upload = await self.store.initiate(guest.volume, name, type_of(request), budget)
         self.accounts.opened(guest, name, upload)
         return document("InitiateMultipartUploadResult", [("Bucket", bucket), ("Key", name), ("UploadId", upload)])
 
-    async def _put_part(self, request: web.BaseRequest, volume: Volume, name: str, query: dict[str, list[str]],
-                        budget: Budget) -> web.Response:
+    async def _put_part(
+        self, request: web.BaseRequest, volume: Volume, name: str, query: dict[str, list[str]], budget: Budget
+    ) -> web.Response:
         upload, number = upload_of(query), number_of(query, "partNumber", 0)
-        part = await self.store.put_part(volume, name, upload, number, self._chunks(request, volume),
-                                         md5_of(request), budget)
+        part = await self.store.put_part(
+            volume, name, upload, number, self._chunks(request, volume), md5_of(request), budget
+        )
         return web.Response(headers={"ETag": f'"{part.etag}"'})
 
-    async def _list_parts(self, volume: Volume, bucket: str, name: str, query: dict[str, list[str]],
-                          budget: Budget) -> web.Response:
+    async def _list_parts(
+        self, volume: Volume, bucket: str, name: str, query: dict[str, list[str]], budget: Budget
+    ) -> web.Response:
         upload, after = upload_of(query), number_of(query, "part-number-marker", 0)
         most = max(1, number_of(query, "max-parts", LIST_DEFAULT))
         found, more = await self.store.list_parts(volume, name, upload, after, most, budget)
         rows: list[xml.Node] = [
-            ("Bucket", bucket), ("Key", name), ("UploadId", upload), ("PartNumberMarker", str(after)),
-            ("MaxParts", str(most)), ("IsTruncated", "false" if more is None else "true")]
+            ("Bucket", bucket),
+            ("Key", name),
+            ("UploadId", upload),
+            ("PartNumberMarker", str(after)),
+            ("MaxParts", str(most)),
+            ("IsTruncated", "false" if more is None else "true"),
+        ]
         if more is not None:
             rows.append(("NextPartNumberMarker", str(more)))
-        rows += [("Part", [("PartNumber", str(number)), ("LastModified", xml.date(part.modified)),
-                           ("ETag", f'"{part.etag}"'), ("Size", str(part.size))]) for number, part in found]
+        rows += [
+            (
+                "Part",
+                [
+                    ("PartNumber", str(number)),
+                    ("LastModified", xml.date(part.modified)),
+                    ("ETag", f'"{part.etag}"'),
+                    ("Size", str(part.size)),
+                ],
+            )
+            for number, part in found
+        ]
         return document("ListPartsResult", rows)
 
-    async def _complete(self, request: web.BaseRequest, volume: Volume, bucket: str, name: str, upload: str,
-                        budget: Budget) -> web.Response:
+    async def _complete(
+        self, request: web.BaseRequest, volume: Volume, bucket: str, name: str, upload: str, budget: Budget
+    ) -> web.Response:
         try:
             wanted = xml.parts(await self._body(request))
         except ValueError as error:
             raise ObjectError(400, "MalformedXML", f"The list of parts is malformed: {error}.") from error
         etag = await self.store.complete(volume, name, upload, wanted, budget)
         self.accounts.closed(upload)
-        return document("CompleteMultipartUploadResult",
-                    [("Location", f"/{bucket}/{name}"), ("Bucket", bucket), ("Key", name), ("ETag", f'"{etag}"')])
+        return document(
+            "CompleteMultipartUploadResult",
+            [("Location", f"/{bucket}/{name}"), ("Bucket", bucket), ("Key", name), ("ETag", f'"{etag}"')],
+        )
--- a/hophinge/objects/store.py
+++ b/hophinge/objects/store.py
@@ -27,7 +27,7 @@
 )
 from hophinge.objects.tenants import Volume
 
-LIST_PAGE = 100     # part numbers looked up for one page of a list
+LIST_PAGE = 100  # part numbers looked up for one page of a list
 
 Record = TypeVar("Record", Manifest, Part, Upload)
 
@@ -101,15 +101,17 @@
             raise no_such_key()
         return manifest
 
-    def read(self, volume: Volume, manifest: Manifest, first: int, last: int,
-             budget: Budget) -> AsyncGenerator[bytes, None]:
+    def read(
+        self, volume: Volume, manifest: Manifest, first: int, last: int, budget: Budget
+    ) -> AsyncGenerator[bytes, None]:
         """Read a range, ends included."""
         if self.watcher is not None:
             self.watcher.read(volume, manifest, first, last)
         return self.core.read_range(volume, manifest.runs, first, last, budget)
 
-    async def put(self, volume: Volume, name: str, content_type: str, chunks: AsyncIterator[bytes],
-                  md5: str, budget: Budget) -> Manifest:
+    async def put(
+        self, volume: Volume, name: str, content_type: str, chunks: AsyncIterator[bytes], md5: str, budget: Budget
+    ) -> Manifest:
         """Write an object: its pieces, then the manifest that makes it the one read from then on."""
         run, etag, size = await self._write(volume, chunks, md5, budget)
         manifest = Manifest(etag, size, int(self.clock()), content_type, "", [run])
@@ -120,8 +122,9 @@
         """Take an object's name away. Bricks know no removal: its pieces stay there, read by nobody."""
         await self._put(Manifest(modified=int(self.clock())), volume, name, manifest_id(name), budget)
 
-    async def _write(self, volume: Volume, chunks: AsyncIterator[bytes], md5: str,
-                     budget: Budget) -> tuple[Run, str, int]:
+    async def _write(
+        self, volume: Volume, chunks: AsyncIterator[bytes], md5: str, budget: Budget
+    ) -> tuple[Run, str, int]:
         whole, size = hashlib.md5(usedforsecurity=False), 0
 
         async def counted() -> AsyncIterator[bytes]:
@@ -157,8 +160,16 @@
             raise no_such_upload()
         return state
 
-    async def put_part(self, volume: Volume, name: str, upload: str, number: int, chunks: AsyncIterator[bytes],
-                       md5: str, budget: Budget) -> Part:
+    async def put_part(
+        self,
+        volume: Volume,
+        name: str,
+        upload: str,
+        number: int,
+        chunks: AsyncIterator[bytes],
+        md5: str,
+        budget: Budget,
+    ) -> Part:
         """Write a part; one written again replaces the earlier."""
         if not 1 <= number <= self.core.config.parts:
             raise ObjectError(400, "InvalidArgument", f"Part numbers go from 1 to {self.core.config.parts}.")
@@ -168,8 +179,9 @@
         await self._put(part, volume, name, part_id(name, upload, number), budget)
         return part
 
-    async def _parts(self, volume: Volume, name: str, upload: str, numbers: list[int],
-                     budget: Budget) -> list[Part | None]:
+    async def _parts(
+        self, volume: Volume, name: str, upload: str, numbers: list[int], budget: Budget
+    ) -> list[Part | None]:
         window = asyncio.Semaphore(self.core.config.window)
 
         async def get(number: int) -> Part | None:
@@ -182,8 +194,9 @@
         finally:
             await end(tasks)
 
-    async def list_parts(self, volume: Volume, name: str, upload: str, after: int, most: int,
-                         budget: Budget) -> tuple[list[tuple[int, Part]], int | None]:
+    async def list_parts(
+        self, volume: Volume, name: str, upload: str, after: int, most: int, budget: Budget
+    ) -> tuple[list[tuple[int, Part]], int | None]:
         """List parts after a number, and the number to go on after.
 
         A part's record is found by its number alone, so a page looks at a stretch of numbers and may hold fewer
@@ -195,8 +208,9 @@
         more = numbers[-1] if numbers and numbers[-1] < self.core.config.parts else None
         return [(number, part) for number, part in zip(numbers, found, strict=True) if part is not None], more
 
-    async def complete(self, volume: Volume, name: str, upload: str, wanted: list[tuple[int, str]],
-                       budget: Budget) -> str:
+    async def complete(
+        self, volume: Volume, name: str, upload: str, wanted: list[tuple[int, str]], budget: Budget
+    ) -> str:
         """Make the object of its parts.
 
         The manifest is written first and alone decides what is read; a repeat after a crash between it and the
--- a/hophinge/objects/tenants.py
+++ b/hophinge/objects/tenants.py
@@ -96,7 +96,9 @@
         if held.state in (State.ACTIVE, State.SUSPENDED):
             keys = [accounts.keys[key] for key in sorted(accounts.keys_of.get(name, ()))]
             found.tenants[name] = OldTenant(
-                name, held.state is State.SUSPENDED,
+                name,
+                held.state is State.SUSPENDED,
                 [OldKey(key.id, key.digest) for key in keys if not key.ends_ms and key.role.value == "data"],
-                {bucket: Volume(one.id, one.plan) for bucket, one in sorted(accounts.buckets.get(name, {}).items())})
+                {bucket: Volume(one.id, one.plan) for bucket, one in sorted(accounts.buckets.get(name, {}).items())},
+            )
     return msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n"
--- a/hophinge/peers/endpoint.py
+++ b/hophinge/peers/endpoint.py
@@ -22,12 +22,12 @@
 from hophinge.cluster.tuning import Limits, Tuning
 from hophinge.cluster.wire import MOST_BYTES, read_keys
 
-AT_ONCE = 32                # datagrams read in one turn of the loop
-TURN_S = 0.002              # or so much time spent on them
-PAUSE_S = 0.01              # after a full turn nothing is read for so long: a flood has at most a sixth of the loop
+AT_ONCE = 32  # datagrams read in one turn of the loop
+TURN_S = 0.002  # or so much time spent on them
+PAUSE_S = 0.01  # after a full turn nothing is read for so long: a flood has at most a sixth of the loop
 RECEIVE_BYTES = 512 * 1024  # in the kernel for datagrams that wait: some hundred of them
-RESOLVE_S = 30.0            # between looks for seeds' addresses: they may have moved
-RESOLVING_S = 5.0           # for one look
+RESOLVE_S = 30.0  # between looks for seeds' addresses: they may have moved
+RESOLVING_S = 5.0  # for one look
 
 
 def keys_of(path: Path) -> list[bytes]:
@@ -51,9 +51,21 @@
 class Endpoint:
     """One member on a UDP socket. Its machine is Sight and Board; hearers are told of changes as they come."""
 
-    def __init__(self, name: str, listen: str, seeds: Sequence[str], key_file: Path, *, advertise: str = "",
-                 zone: str = "", role: Role = Role.HEAD, build: str = "", limits: Limits | None = None,
-                 tuning: Tuning | None = None, say: Callable[[str], None] = print) -> None:
+    def __init__(
+        self,
+        name: str,
+        listen: str,
+        seeds: Sequence[str],
+        key_file: Path,
+        *,
+        advertise: str = "",
+        zone: str = "",
+        role: Role = Role.HEAD,
+        build: str = "",
+        limits: Limits | None = None,
+        tuning: Tuning | None = None,
+        say: Callable[[str], None] = print,
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.key_file, self.say, self.seeds = key_file, say, list(seeds)
         for seed in seeds:
@@ -72,9 +84,20 @@
             if own_host == "0.0.0.0":
                 raise ClusterUnusableError("advertise: is needed where listen is 0.0.0.0: peers answer there")
             own_host = socket.gethostbyname(own_host)
-            self.machine = Cluster(name, f"{own_host}:{own_port}", time.time_ns() // 100_000, [], keys,
-                                   random.Random(os.urandom(16)), self.now_us(), zone=zone, role=role, build=build,
-                                   limits=limits, tuning=tuning)
+            self.machine = Cluster(
+                name,
+                f"{own_host}:{own_port}",
+                time.time_ns() // 100_000,
+                [],
+                keys,
+                random.Random(os.urandom(16)),
+                self.now_us(),
+                zone=zone,
+                role=role,
+                build=build,
+                limits=limits,
+                tuning=tuning,
+            )
         except OSError as error:
             self.socket.close()
             raise ClusterUnusableError(f"advertise: {own_host} has no address: {error}") from error
@@ -82,8 +105,8 @@
             self.socket.close()
             raise
         self.hearers: list[Hearer] = []
-        self.failed: NameTakenError | None = None       # why it has stepped back
-        self.over = asyncio.Event()                     # it has left, or stepped back
+        self.failed: NameTakenError | None = None  # why it has stepped back
+        self.over = asyncio.Event()  # it has left, or stepped back
         self.timer: asyncio.TimerHandle | None = None
         self.unread: asyncio.TimerHandle | None = None
         self.resolving: asyncio.Task[None] | None = None
@@ -150,7 +173,7 @@
         for hearer in self.hearers:
             try:
                 getattr(hearer, of)(*what)
-            except Exception as error:      # one hearer's fault is neither the others' nor the membership's
+            except Exception as error:  # one hearer's fault is neither the others' nor the membership's
                 self.machine.core.count("hearers_failed")
                 self.say(f"a hearer of the cluster failed: {type(error).__name__}: {error}")
 
@@ -174,7 +197,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                self.machine.core.count("receives_failed")      # an answer by ICMP to an earlier datagram
+                self.machine.core.count("receives_failed")  # an answer by ICMP to an earlier datagram
                 continue
             self.act(self.machine.handle(self.now_us(), f"{source[0]}:{source[1]}", data))
             if self.over.is_set():
--- a/hophinge/popularity/interval.py
+++ b/hophinge/popularity/interval.py
@@ -11,12 +11,12 @@
 
 from msgspec import Struct
 
-MISSES = 0.1            # part of counts that may lie outside: half on each side, all above where the low bound is 0
-STEP = 0.02             # of spreads, for a miss; a hit steps back in proportion
-Z90 = 1.645             # spreads to begin with: those of a normal error
+MISSES = 0.1  # part of counts that may lie outside: half on each side, all above where the low bound is 0
+STEP = 0.02  # of spreads, for a miss; a hit steps back in proportion
+Z90 = 1.645  # spreads to begin with: those of a normal error
 MOST_Z = 4.0
-CLASSES = 6             # of means: below 1/4, 1, 4, 16, 64, and above
-YOUNG = 4               # spans of age below which an object is judged among the young
+CLASSES = 6  # of means: below 1/4, 1, 4, 16, 64, and above
+YOUNG = 4  # spans of age below which an object is judged among the young
 
 
 class Prediction(Struct, frozen=True):
@@ -43,7 +43,7 @@
         """Take what became of a prediction of a class."""
         allowed = MISSES if low <= 0.0 else MISSES / 2
         self.above[at] = _step(self.above[at], count > high, allowed)
-        if low > 0.0:       # at 0 none can miss: the bound is judged where it says something
+        if low > 0.0:  # at 0 none can miss: the bound is judged where it says something
             self.below[at] = _step(self.below[at], count < low, allowed)
 
     def interval(self, at: int, mean: float, variance: float) -> Prediction:
--- a/hophinge/popularity/keys.py
+++ b/hophinge/popularity/keys.py
@@ -13,9 +13,9 @@
 
 from msgspec import Struct
 
-KEY_BYTES = 8           # 64 bits: among a million objects two share a key once in 37 million installations
-SEALED_BYTES = 20       # volume and manifest, 8 each, and the shard
-LEAST_SECRET = 16       # bytes; shorter ones can be tried out
+KEY_BYTES = 8  # 64 bits: among a million objects two share a key once in 37 million installations
+SEALED_BYTES = 20  # volume and manifest, 8 each, and the shard
+LEAST_SECRET = 16  # bytes; shorter ones can be tried out
 HEX = frozenset("0123456789abcdef")
 
 
--- a/hophinge/popularity/planner.py
+++ b/hophinge/popularity/planner.py
@@ -17,30 +17,30 @@
 
 from hophinge.cluster.interface import Member, Role, Standing
 
-BURST_S = 10.0          # of budget that may be saved up: what a span left over serves the next, not a night's
-LEAST_CHANCE = 0.4      # that an object is asked for in the span; below, most fetches would be for nothing
-QUIET = 8               # requests unanswered at this head from which nothing is fetched: two objects' reads at once
-REST_US = 50_000        # after so many were seen
-PAUSE_US = 2_000_000    # after overload was seen; a queue that has just emptied fills again
+BURST_S = 10.0  # of budget that may be saved up: what a span left over serves the next, not a night's
+LEAST_CHANCE = 0.4  # that an object is asked for in the span; below, most fetches would be for nothing
+QUIET = 8  # requests unanswered at this head from which nothing is fetched: two objects' reads at once
+REST_US = 50_000  # after so many were seen
+PAUSE_US = 2_000_000  # after overload was seen; a queue that has just emptied fills again
 # Of what a shard's bricks have idle, for the fetches of all heads. A read takes its work over the idle part of its
 # brick, so one in so many times what the last one took adds at most this part to the mean wait of others there.
 IDLE_PART = 0.04
-LONGEST_REST_US = 30_000_000    # one read that hung says little about the next minute
-MOST_SHARDS = 4096      # whose rests are kept before those that are over are dropped
-MOST_REST_US = 1_000_000    # that a fetch waits for a shard; what rests longer is left to a later one
+LONGEST_REST_US = 30_000_000  # one read that hung says little about the next minute
+MOST_SHARDS = 4096  # whose rests are kept before those that are over are dropped
+MOST_REST_US = 1_000_000  # that a fetch waits for a shard; what rests longer is left to a later one
 
 
 class Why(Enum):
     """Why nothing may go to a brick's shard, or at all, now."""
 
-    BUSY = "busy"               # requests wait here, or did a moment ago
-    UNKNOWN = "unknown"         # no brick of the shard is known
-    REST = "rest"               # the last fetch from there was too short a while ago
+    BUSY = "busy"  # requests wait here, or did a moment ago
+    UNKNOWN = "unknown"  # no brick of the shard is known
+    REST = "rest"  # the last fetch from there was too short a while ago
     DRAIN = "drain"
     COLD = "cold"
     UNITS = "units"
-    SITE = "site"               # bytes
-    TENANT = "tenant"           # bytes
+    SITE = "site"  # bytes
+    TENANT = "tenant"  # bytes
 
 
 class Source(Struct, frozen=True):
@@ -48,9 +48,9 @@
 
     node: str
     shard: int
-    on: bool                # listed as taking requests
+    on: bool  # listed as taking requests
     warm: bool
-    spare_units: float      # that it can take from here without anything waiting for it
+    spare_units: float  # that it can take from here without anything waiting for it
     draining: bool = False  # some member says that it is in a drain
 
 
@@ -59,7 +59,7 @@
 
     unanswered: int
     overloaded: bool
-    sources: Mapping[int, Sequence[Source]]     # by shard
+    sources: Mapping[int, Sequence[Source]]  # by shard
 
 
 class Candidate(Struct, frozen=True):
@@ -67,10 +67,10 @@
 
     key: bytes
     tenant: str
-    shard: int              # of its manifest
-    size: int               # bytes, as far as is known
-    units: float            # that its reading costs bricks
-    expected: float         # requests in the next span at this site
+    shard: int  # of its manifest
+    size: int  # bytes, as far as is known
+    units: float  # that its reading costs bricks
+    expected: float  # requests in the next span at this site
 
 
 class Bytes:
@@ -93,8 +93,9 @@
 
     Members that come and go move only the keys that they win or had won.
     """
-    live = (one.name for one in members
-            if one.zone == zone and one.role is Role.HEAD and one.standing is Standing.ALIVE)
+    live = (
+        one.name for one in members if one.zone == zone and one.role is Role.HEAD and one.standing is Standing.ALIVE
+    )
     return max(live, key=lambda name: blake2b(key, digest_size=8, key=name.encode()[:64]).digest(), default="")
 
 
@@ -111,8 +112,8 @@
         self.bytes_s, self.tenant_part = bytes_s, tenant_part
         self.site = Bytes(bytes_s, now_us)
         self.tenants: dict[str, Bytes] = {}
-        self.heads = 1                          # that live, at all sites: all of them fetch from the same bricks
-        self.rests: dict[int, int] = {}         # by shard, until when
+        self.heads = 1  # that live, at all sites: all of them fetch from the same bricks
+        self.rests: dict[int, int] = {}  # by shard, until when
         self.paused_us = 0
         self.held_back: dict[Why, int] = dict.fromkeys(Why, 0)
 
@@ -200,8 +201,9 @@
         self.site.left -= size
         self._of(tenant, now_us).left -= size
 
-    def plan(self, now_us: int, members: Iterable[Member], facts: Facts, candidates: Iterable[Candidate],
-             most: int = 64) -> list[Candidate]:
+    def plan(
+        self, now_us: int, members: Iterable[Member], facts: Facts, candidates: Iterable[Candidate], most: int = 64
+    ) -> list[Candidate]:
         """Tell what to fetch, in order: what saves most work a byte first, as far as the budgets reach.
 
         Budgets are looked at and not taken here: `spend` does that for each read.
@@ -209,12 +211,20 @@
         if self.busy(now_us, facts):
             return []
         live = list(members)
-        ranked = heapq.nsmallest(most * 4, (
-            (-chance(one.expected) * one.units / max(1, one.size), one.key, one) for one in candidates
-            if chance(one.expected) >= LEAST_CHANCE), key=lambda row: row[:2])
+        ranked = heapq.nsmallest(
+            most * 4,
+            (
+                (-chance(one.expected) * one.units / max(1, one.size), one.key, one)
+                for one in candidates
+                if chance(one.expected) >= LEAST_CHANCE
+            ),
+            key=lambda row: row[:2],
+        )
         left, of_tenant = self.site.fill(now_us), dict[str, float]()
-        units = {shard: min((one.spare_units for one in bricks if one.on), default=0.0)
-                 for shard, bricks in facts.sources.items()}
+        units = {
+            shard: min((one.spare_units for one in bricks if one.on), default=0.0)
+            for shard, bricks in facts.sources.items()
+        }
         found: list[Candidate] = []
         for _, _, one in ranked:
             if len(found) >= most:
