--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -18,19 +18,19 @@
 
 LAST, STEADY, EXPONENTIAL, POWER, DAILY = range(5)
 COURSES = ("last", "steady", "exponential", "power", "daily")
-DISCOUNTS = (0.3, 0.9, 0.8, 0.8, 0.3)       # of what was known, each span; by trying out on the tuning seeds
-LEAST_SHAPE = 0.002     # of a belief that nothing comes: one that is surer would be a course that nothing refutes
-MOST_SHAPE = 60.0       # a belief is never surer than this: sources change faster than a filter would have it
-FORGET = 0.95           # of evidence for courses, each span: twenty spans say which course an object takes
-RATE_FORGET = 0.93      # of what an object's own decay was reckoned from
-PRIOR_RATIOS = 60.0     # of such evidence that the publisher's usual decay counts for
-PRIOR_FIRST = 1.0       # shape of what a publisher's new object is held for
-FIRST_OF_ALL = 0.5      # requests in its first span, where a publisher is not known at all
-LEAST_LIKELIHOOD = -30.0    # of one span, logarithmic: no course is ruled out for ever by one odd count
-YOUNG = 4               # spans of age up to which an object shows how its publisher's objects begin
-YOUNG_WORTH = 8.0       # spans' evidence that this counts for at first
-YOUNG_PART = 0.03       # of each such span's word in it
-IDLE_RATE = 0.02        # requests a span below which an object is not followed on
+DISCOUNTS = (0.3, 0.9, 0.8, 0.8, 0.3)  # of what was known, each span; by trying out on the tuning seeds
+LEAST_SHAPE = 0.002  # of a belief that nothing comes: one that is surer would be a course that nothing refutes
+MOST_SHAPE = 60.0  # a belief is never surer than this: sources change faster than a filter would have it
+FORGET = 0.95  # of evidence for courses, each span: twenty spans say which course an object takes
+RATE_FORGET = 0.93  # of what an object's own decay was reckoned from
+PRIOR_RATIOS = 60.0  # of such evidence that the publisher's usual decay counts for
+PRIOR_FIRST = 1.0  # shape of what a publisher's new object is held for
+FIRST_OF_ALL = 0.5  # requests in its first span, where a publisher is not known at all
+LEAST_LIKELIHOOD = -30.0  # of one span, logarithmic: no course is ruled out for ever by one odd count
+YOUNG = 4  # spans of age up to which an object shows how its publisher's objects begin
+YOUNG_WORTH = 8.0  # spans' evidence that this counts for at first
+YOUNG_PART = 0.03  # of each such span's word in it
+IDLE_RATE = 0.02  # requests a span below which an object is not followed on
 
 
 class Usual(Struct):
@@ -63,13 +63,18 @@
     exp_weight: float = 0.0
     pow_ratio: float = 0.0
     pow_weight: float = 0.0
-    day: list[float] | None = None      # by bucket, the rate when it was met last; below 0: not met yet
+    day: list[float] | None = None  # by bucket, the rate when it was met last; below 0: not met yet
 
 
 def _log_likelihood(count: float, shape: float, exposure: float) -> float:
     """Tell a negative binomial's log probability of a count."""
-    return (math.lgamma(count + shape) - math.lgamma(shape) - math.lgamma(count + 1.0)
-            + shape * math.log(exposure / (exposure + 1.0)) - count * math.log(exposure + 1.0))
+    return (
+        math.lgamma(count + shape)
+        - math.lgamma(shape)
+        - math.lgamma(count + 1.0)
+        + shape * math.log(exposure / (exposure + 1.0))
+        - count * math.log(exposure + 1.0)
+    )
 
 
 class Predictor:
@@ -77,8 +82,8 @@
 
     def __init__(self, spans_a_day: int) -> None:
         self.season = Season(spans_a_day)
-        self.growth = 1.0       # that the daily wave alone lets expect from the closed span to the next
-        self.grown = 1.0        # the same for the span that has closed
+        self.growth = 1.0  # that the daily wave alone lets expect from the closed span to the next
+        self.grown = 1.0  # the same for the span that has closed
         self.courses: dict[bytes, Course] = {}
         self.usual: dict[str, Usual] = {}
         self.here = self.then = 0
@@ -102,14 +107,13 @@
     def new(self, tenant: str) -> Prediction:
         """Tell the first span's requests for an object that its publisher has just made."""
         usual = self.usual.get(tenant, Usual())
-        return self.calibration.interval(place(usual.first, 0), usual.first,
-                                         usual.first + usual.first ** 2 / PRIOR_FIRST)
+        return self.calibration.interval(place(usual.first, 0), usual.first, usual.first + usual.first**2 / PRIOR_FIRST)
 
     def bound(self, most: int) -> None:
         """Follow at most so many objects, those with the largest means."""
         if len(self.courses) > most:
             least = sorted((course.mean, key) for key, course in self.courses.items())
-            for _, key in least[:len(least) - most]:
+            for _, key in least[: len(least) - most]:
                 del self.courses[key]
 
     def forget(self, key: bytes) -> None:
@@ -120,7 +124,7 @@
         """Take a key's requests in the span that has closed, and foretell its next."""
         course = self.courses.get(key)
         if course is None and count <= 0.0:
-            return Prediction(0.0, 0.0, 0.0)    # quiet, and not followed: nothing to learn from
+            return Prediction(0.0, 0.0, 0.0)  # quiet, and not followed: nothing to learn from
         usual = self.usual.get(tenant)
         if usual is None:
             usual = self.usual[tenant] = Usual()
@@ -142,8 +146,15 @@
         usual.seen = min(50.0, usual.seen + 1.0)
         usual.first += (count - usual.first) / usual.seen
         exposure = PRIOR_FIRST / max(usual.first, 0.01)
-        return Course(tenant, 0, count, [PRIOR_FIRST + count] * len(COURSES), [exposure + 1.0] * len(COURSES),
-                      [YOUNG_WORTH * one for one in usual.evidence], [0.0] * len(COURSES))
+        return Course(
+            tenant,
+            0,
+            count,
+            [PRIOR_FIRST + count] * len(COURSES),
+            [exposure + 1.0] * len(COURSES),
+            [YOUNG_WORTH * one for one in usual.evidence],
+            [0.0] * len(COURSES),
+        )
 
     def _weigh(self, course: Course, usual: Usual, count: float) -> None:
         """Weigh the courses by what each foretold, then take the count into their beliefs."""
@@ -172,14 +183,14 @@
         usual.exp_weight += weight
         usual.pow_ratio += weight * ratio * step
         usual.pow_weight += weight * step * step
-        if usual.exp_weight > 1e4:      # so that a publisher's ways may change
+        if usual.exp_weight > 1e4:  # so that a publisher's ways may change
             usual.exp_ratio, usual.exp_weight = usual.exp_ratio / 2, usual.exp_weight / 2
             usual.pow_ratio, usual.pow_weight = usual.pow_ratio / 2, usual.pow_weight / 2
 
     def _day(self, course: Course, count: float) -> None:
         if course.day is None:
             if course.age * PHASES < self.season.spans_a_day:
-                return          # most objects do not live for an hour: they keep no day
+                return  # most objects do not live for an hour: they keep no day
             course.day = [-1.0] * PHASES
         known = course.day[self.here]
         part = min(1.0, 2.0 * PHASES / self.season.spans_a_day)
@@ -187,13 +198,17 @@
 
     def _foretell(self, course: Course, usual: Usual) -> None:
         drawn = PRIOR_RATIOS
-        exp_rate = ((course.exp_ratio + drawn * usual.exp_ratio / usual.exp_weight) / (course.exp_weight + drawn))
+        exp_rate = (course.exp_ratio + drawn * usual.exp_ratio / usual.exp_weight) / (course.exp_weight + drawn)
         step = math.log((course.age + 2.0) / (course.age + 1.0))
         drawn_pow = drawn * step * step
-        power = ((course.pow_ratio + drawn_pow * usual.pow_ratio / usual.pow_weight)
-                 / (course.pow_weight + drawn_pow))
-        growths: Sequence[float] = (1.0, self.growth, math.exp(exp_rate) * self.growth,
-                                    math.exp(power * step) * self.growth, self.growth)
+        power = (course.pow_ratio + drawn_pow * usual.pow_ratio / usual.pow_weight) / (course.pow_weight + drawn_pow)
+        growths: Sequence[float] = (
+            1.0,
+            self.growth,
+            math.exp(exp_rate) * self.growth,
+            math.exp(power * step) * self.growth,
+            self.growth,
+        )
         for at, growth in enumerate(growths):
             growth = min(MOST_GROWTH, max(LEAST_GROWTH, growth))
             shape = DISCOUNTS[at] * course.shapes[at]
@@ -208,8 +223,10 @@
             course.means[at] = course.shapes[at] / course.exposures[at]
         weights = _weights(course.evidence)
         mean = sum(weight * one for weight, one in zip(weights, course.means, strict=True))
-        square = sum(weight * (one + one * one / shape + one * one) for weight, one, shape in zip(
-            weights, course.means, course.shapes, strict=True))
+        square = sum(
+            weight * (one + one * one / shape + one * one)
+            for weight, one, shape in zip(weights, course.means, course.shapes, strict=True)
+        )
         found = self.calibration.interval(place(mean, course.age), mean, max(mean, square - mean * mean))
         course.mean, course.low, course.high = found.mean, found.low, found.high
 
--- a/hophinge/popularity/rumour.py
+++ b/hophinge/popularity/rumour.py
@@ -15,14 +15,14 @@
 
 from hophinge.popularity.keys import KEY_BYTES, SEALED_BYTES
 
-FORMAT = 1              # of a page; others are ignored, not guessed at
-HEAD = struct.Struct(">BIHHf")      # format, span, this page's number, how many there are, all requests of the span
+FORMAT = 1  # of a page; others are ignored, not guessed at
+HEAD = struct.Struct(">BIHHf")  # format, span, this page's number, how many there are, all requests of the span
 ITEM = struct.Struct(f">{KEY_BYTES}s{SEALED_BYTES}sf")
-MOST_PAGE = 900         # bytes, as an entry bears
+MOST_PAGE = 900  # bytes, as an entry bears
 ITEMS_EACH = (MOST_PAGE - HEAD.size) // ITEM.size
-MOST_PAGES = 8          # of one owner: 216 keys, 7 KB a span
-CLAIM_FACTOR = 4.0      # an owner's claims count up to so many times the lower median of what owners served
-MOST_COUNT = 1e12       # requests of a span; more is a lie or a fault
+MOST_PAGES = 8  # of one owner: 216 keys, 7 KB a span
+CLAIM_FACTOR = 4.0  # an owner's claims count up to so many times the lower median of what owners served
+MOST_COUNT = 1e12  # requests of a span; more is a lie or a fault
 
 
 class Item(Struct, frozen=True):
@@ -45,11 +45,13 @@
 
 def pages(span: int, served: float, items: Sequence[Item]) -> list[bytes]:
     """Write a span's counts, those that come first first; what does not fit is left out."""
-    items = items[:ITEMS_EACH * MOST_PAGES]
-    parts = [items[at:at + ITEMS_EACH] for at in range(0, len(items), ITEMS_EACH)] or [()]
-    return [HEAD.pack(FORMAT, span & 0xFFFFFFFF, number, len(parts), served)
-            + b"".join(ITEM.pack(one.key, one.sealed or bytes(SEALED_BYTES), one.count) for one in part)
-            for number, part in enumerate(parts)]
+    items = items[: ITEMS_EACH * MOST_PAGES]
+    parts = [items[at : at + ITEMS_EACH] for at in range(0, len(items), ITEMS_EACH)] or [()]
+    return [
+        HEAD.pack(FORMAT, span & 0xFFFFFFFF, number, len(parts), served)
+        + b"".join(ITEM.pack(one.key, one.sealed or bytes(SEALED_BYTES), one.count) for one in part)
+        for number, part in enumerate(parts)
+    ]
 
 
 def read(data: bytes) -> Page | None:
@@ -59,7 +61,7 @@
     form, span, number, count, served = HEAD.unpack_from(data)
     if form != FORMAT or not number < count <= MOST_PAGES or not 0.0 <= served <= MOST_COUNT:
         return None
-    items = tuple(Item(*fields) for fields in ITEM.iter_unpack(data[HEAD.size:]))
+    items = tuple(Item(*fields) for fields in ITEM.iter_unpack(data[HEAD.size :]))
     if any(not 0.0 <= one.count <= MOST_COUNT for one in items) or len({one.key for one in items}) < len(items):
         return None
     return Page(span, number, count, served, items)
@@ -69,7 +71,7 @@
     """An owner's newest span: its pages so far, by number, each with its entry's version."""
 
     zone: str
-    epoch: tuple[int, int]      # its process's start, and its span
+    epoch: tuple[int, int]  # its process's start, and its span
     heard_us: int
     pages: dict[int, tuple[tuple[int, int], Page]]
 
@@ -119,8 +121,7 @@
         lower median of what all owners that served anything, this process among them, say. So a liar adds at most that
         to all keys together, and while liars are fewer than half of those, that median is at most an honest owner's.
         """
-        served = {owner: max((page.served for page in told.all()), default=0.0)
-                  for owner, told in self.owners.items()}
+        served = {owner: max((page.served for page in told.all()), default=0.0) for owner, told in self.owners.items()}
         figures = sorted(one for one in [*served.values(), own_served or 0.0] if one > 0.0)
         if not figures:
             return dict.fromkeys(served, 0.0)
@@ -132,8 +133,9 @@
             found[owner] = 1.0 if claimed <= allowed else allowed / claimed
         return found
 
-    def sums(self, own_served: float | None = None,
-             trust: Mapping[str, float] | None = None) -> dict[str, dict[bytes, float]]:
+    def sums(
+        self, own_served: float | None = None, trust: Mapping[str, float] | None = None
+    ) -> dict[str, dict[bytes, float]]:
         """Tell by zone each key's requests in the owners' last spans, as far as they count.
 
         An owner's word counts in part where `trust` says so.
@@ -151,11 +153,21 @@
     def sealed(self) -> dict[bytes, bytes]:
         """Tell the sealed locators that came with keys."""
         empty = bytes(SEALED_BYTES)
-        return {one.key: one.sealed for told in self.owners.values() for page in told.all()
-                for one in page.items if one.sealed != empty}
+        return {
+            one.key: one.sealed
+            for told in self.owners.values()
+            for page in told.all()
+            for one in page.items
+            if one.sealed != empty
+        }
 
     def claimants(self, key: bytes) -> list[str]:
         """Tell who told of a key, the one that claimed most first."""
-        found = [(-one.count, owner) for owner, told in self.owners.items()
-                 for page in told.all() for one in page.items if one.key == key]
+        found = [
+            (-one.count, owner)
+            for owner, told in self.owners.items()
+            for page in told.all()
+            for one in page.items
+            if one.key == key
+        ]
         return [owner for _, owner in sorted(found)]
--- a/hophinge/popularity/season.py
+++ b/hophinge/popularity/season.py
@@ -4,11 +4,11 @@
 
 import math
 
-PHASES = 24             # buckets of a day
-MOST_GROWTH, LEAST_GROWTH = 2.0, 0.3   # of a rate in one span: a fit to two odd counts must not run away
-SEASON_DAYS = 0.5       # a bucket's weight of yesterday when it is met again
-TRUST_DAYS = 2.0        # that experience with the wave reaches back
-FIRST_TRUST = 0.05      # of experience that a new wave is believed for: a quarter of what a gentle one's day weighs
+PHASES = 24  # buckets of a day
+MOST_GROWTH, LEAST_GROWTH = 2.0, 0.3  # of a rate in one span: a fit to two odd counts must not run away
+SEASON_DAYS = 0.5  # a bucket's weight of yesterday when it is met again
+TRUST_DAYS = 2.0  # that experience with the wave reaches back
+FIRST_TRUST = 0.05  # of experience that a new wave is believed for: a quarter of what a gentle one's day weighs
 
 
 class Season:
@@ -22,9 +22,9 @@
         self.spans_a_day = max(PHASES, spans_a_day)
         self.span = 0
         self.levels = [-1.0] * PHASES
-        self.open: list[float] = []         # totals of the bucket that is open
-        self.last = -1.0                    # the mean of the bucket before it; below 0: not known
-        self.told = 0.0                     # the logarithm of the growth that was foretold from that bucket to this
+        self.open: list[float] = []  # totals of the bucket that is open
+        self.last = -1.0  # the mean of the bucket before it; below 0: not known
+        self.told = 0.0  # the logarithm of the growth that was foretold from that bucket to this
         self.agreed = self.power = FIRST_TRUST
 
     def bucket(self, ahead: int = 0) -> int:
--- a/hophinge/popularity/site.py
+++ b/hophinge/popularity/site.py
@@ -12,16 +12,16 @@
 from hophinge.popularity.rumour import ITEMS_EACH, MOST_PAGES, Hearsay, Item, pages
 from hophinge.popularity.sketch import Sketch
 
-SPAN_US = 60_000_000        # of one prediction: long enough for some requests, short enough for a flash crowd
+SPAN_US = 60_000_000  # of one prediction: long enough for some requests, short enough for a flash crowd
 DAY_US = 86_400_000_000
-HALF_LIFE_SPANS = 10        # of counts: what was asked for an hour ago counts a sixtieth
-KEEP_SPANS = 3              # what a peer said counts so long without a new word
-BYTES_EACH = 2500           # of memory for a counter with its course and two known objects (measured)
-SERVED_MEMORY = 0.9         # a span: a quiet minute must not make peers' claims look large, or count without bound
-FIRST_TRUST = 0.5           # of another site's demand that is expected here, before experience
-TRUST_WEIGHT = 4.0          # fetches that this first guess counts for
-TRUST_MEMORY = 200.0        # fetches that experience with one owner reaches back
-UNKNOWN_BYTES = 64 * 1024   # taken for the size of an object that was never seen here
+HALF_LIFE_SPANS = 10  # of counts: what was asked for an hour ago counts a sixtieth
+KEEP_SPANS = 3  # what a peer said counts so long without a new word
+BYTES_EACH = 2500  # of memory for a counter with its course and two known objects (measured)
+SERVED_MEMORY = 0.9  # a span: a quiet minute must not make peers' claims look large, or count without bound
+FIRST_TRUST = 0.5  # of another site's demand that is expected here, before experience
+TRUST_WEIGHT = 4.0  # fetches that this first guess counts for
+TRUST_MEMORY = 200.0  # fetches that experience with one owner reaches back
+UNKNOWN_BYTES = 64 * 1024  # taken for the size of an object that was never seen here
 
 
 class Known(Struct):
@@ -30,27 +30,35 @@
     locator: Locator
     tenant: str
     size: int
-    span: int           # when it was last asked for or told of
+    span: int  # when it was last asked for or told of
 
 
 class Site:
     """One head's reckoning."""
 
-    def __init__(self, keys: Keys, count_bytes: int, tenant_part: float, me: str = "", zone: str = "",
-                 span_us: int = SPAN_US, day_us: int = DAY_US) -> None:
+    def __init__(
+        self,
+        keys: Keys,
+        count_bytes: int,
+        tenant_part: float,
+        me: str = "",
+        zone: str = "",
+        span_us: int = SPAN_US,
+        day_us: int = DAY_US,
+    ) -> None:
         self.keys, self.me, self.zone, self.span_us = keys, me, zone, span_us
         counters = max(16, count_bytes // BYTES_EACH)
         self.sketch = Sketch(counters, HALF_LIFE_SPANS * span_us, tenant_part)
         self.predictor = Predictor(max(1, day_us // span_us))
         self.hearsay = Hearsay(KEEP_SPANS * span_us)
         self.known: dict[bytes, Known] = {}
-        self.by_object: dict[tuple[str, str], bytes] = {}       # by volume and id of the manifest
-        self.by_manifest: dict[str, bytes] = {}     # two volumes may have one name: a hint, and never whose count it is
+        self.by_object: dict[tuple[str, str], bytes] = {}  # by volume and id of the manifest
+        self.by_manifest: dict[str, bytes] = {}  # two volumes may have one name: a hint, and never whose count it is
         self.span, self.served = 0, 0.0
-        self.usual_served = 0.0                             # requests a span of late, which peers' claims are held to
-        self.due: list[tuple[bytes, str, float]] = []       # counts of the closed span that are not looked at yet
-        self.elsewhere: dict[bytes, float] = {}             # a key's mean requests a span at other sites
-        self.trusts: dict[str, tuple[float, float]] = {}    # by owner: fetches on its word that were asked for, and all
+        self.usual_served = 0.0  # requests a span of late, which peers' claims are held to
+        self.due: list[tuple[bytes, str, float]] = []  # counts of the closed span that are not looked at yet
+        self.elsewhere: dict[bytes, float] = {}  # a key's mean requests a span at other sites
+        self.trusts: dict[str, tuple[float, float]] = {}  # by owner: fetches on its word that were asked for, and all
 
     # --- what comes in
 
@@ -95,8 +103,10 @@
 
     def tenant(self, now_us: int, tenant: str) -> dict[str, float]:
         """Tell one tenant's own figures: they hold nothing of others'."""
-        return {"requests": self.sketch.total(now_us, tenant),
-                "followed": sum(1 for one in self.predictor.courses.values() if one.tenant == tenant)}
+        return {
+            "requests": self.sketch.total(now_us, tenant),
+            "followed": sum(1 for one in self.predictor.courses.values() if one.tenant == tenant),
+        }
 
     # --- spans
 
@@ -106,8 +116,9 @@
         self.hearsay.lapse(now_us)
         own = self.sketch.close_span()
         self.usual_served = max(SERVED_MEMORY * self.usual_served, self.served)
-        trust = {owner: 1.0 if told.zone == self.zone else self.trusted(owner)
-                 for owner, told in self.hearsay.owners.items()}
+        trust = {
+            owner: 1.0 if told.zone == self.zone else self.trusted(owner) for owner, told in self.hearsay.owners.items()
+        }
         sums = self.hearsay.sums(self.usual_served, trust)
         here, others = sums.pop(self.zone, {}), sums
         self._learn(owner_of, self.hearsay.sealed())
@@ -124,10 +135,13 @@
                 counts.setdefault(key, (self.known[key].tenant, 0.0))
         self.due = [(key, tenant, count + here.get(key, 0.0)) for key, (tenant, count) in counts.items()]
         self.predictor.begin(self.served + sum(here.values()))
-        told = sorted(((count, key) for key, _, count in own if count > 0 and key in self.known),
-                      key=lambda row: (-row[0], row[1]))[:ITEMS_EACH * MOST_PAGES]
-        made = pages(self.span, self.served, [
-            Item(key, self.keys.seal(self.known[key].locator), count) for count, key in told])
+        told = sorted(
+            ((count, key) for key, _, count in own if count > 0 and key in self.known),
+            key=lambda row: (-row[0], row[1]),
+        )[: ITEMS_EACH * MOST_PAGES]
+        made = pages(
+            self.span, self.served, [Item(key, self.keys.seal(self.known[key].locator), count) for count, key in told]
+        )
         self.span += 1
         self.served = 0.0
         return made
@@ -162,9 +176,12 @@
 
     def _prune(self) -> None:
         """Forget what is neither counted nor followed, longest unheard of first, down to three quarters."""
-        loose = sorted((held.span, key) for key, held in self.known.items()
-                       if key not in self.sketch and key not in self.predictor.courses)
-        for _, key in loose[:max(1, self.sketch.most // 2)]:
+        loose = sorted(
+            (held.span, key)
+            for key, held in self.known.items()
+            if key not in self.sketch and key not in self.predictor.courses
+        )
+        for _, key in loose[: max(1, self.sketch.most // 2)]:
             self._forget(key)
 
     # --- what is asked
--- a/hophinge/popularity/sketch.py
+++ b/hophinge/popularity/sketch.py
@@ -10,9 +10,9 @@
 import math
 from msgspec import Struct
 
-MOST_POWER = 60.0       # half-lives after which weights are scaled down: 2 ** 60 keeps doubles exact enough
+MOST_POWER = 60.0  # half-lives after which weights are scaled down: 2 ** 60 keeps doubles exact enough
 
-LOOK_EACH = 64          # evictions; parts differ little after so few
+LOOK_EACH = 64  # evictions; parts differ little after so few
 
 
 class Counted(Struct, frozen=True):
@@ -38,8 +38,8 @@
 
     heap: list[tuple[float, bytes]]
     held: int = 0
-    floor: float = 0.0      # no key of the tenant that is not held was counted more
-    weight: float = 0.0     # of all its requests
+    floor: float = 0.0  # no key of the tenant that is not held was counted more
+    weight: float = 0.0  # of all its requests
 
 
 class Sketch:
@@ -55,7 +55,7 @@
         self.landmark = 0
         self.weight = 0.0
         self.largest: Part | None = None
-        self.look = 0           # evictions before the largest part is looked for again
+        self.look = 0  # evictions before the largest part is looked for again
 
     def __len__(self) -> int:
         return len(self.counters)
@@ -82,7 +82,7 @@
             part.weight *= scale
             part.heap = [(count * scale, key) for count, key in part.heap]
         for name in [name for name, part in self.parts.items() if not part.held and part.floor < 1e-9]:
-            del self.parts[name]    # a tenant that is gone for long
+            del self.parts[name]  # a tenant that is gone for long
 
     def add(self, now_us: int, key: bytes, tenant: str, requests: float = 1.0) -> None:
         """Count requests for a key."""
@@ -121,7 +121,7 @@
             count = self.counters[key].count
             if count <= noted:
                 break
-            heapq.heapreplace(heap, (count, key))       # it has grown since it was put there
+            heapq.heapreplace(heap, (count, key))  # it has grown since it was put there
         heapq.heappop(heap)
         del self.counters[key]
         part.held -= 1
@@ -148,10 +148,17 @@
     def top(self, now_us: int, most: int, tenant: str | None = None) -> list[Counted]:
         """Tell the keys that were counted most, one tenant's or all; ties by key, so that it is the same each time."""
         growth = self._growth(now_us)
-        found = ((-(one.count - one.error), key) for key, one in self.counters.items()
-                 if tenant is None or one.tenant == tenant)
-        return [Counted(key, self.counters[key].tenant, self.counters[key].count / growth,
-                        self.counters[key].error / growth) for _, key in heapq.nsmallest(most, found)]
+        found = (
+            (-(one.count - one.error), key)
+            for key, one in self.counters.items()
+            if tenant is None or one.tenant == tenant
+        )
+        return [
+            Counted(
+                key, self.counters[key].tenant, self.counters[key].count / growth, self.counters[key].error / growth
+            )
+            for _, key in heapq.nsmallest(most, found)
+        ]
 
     def total(self, now_us: int, tenant: str | None = None) -> float:
         """Tell the decayed sum of all requests, one tenant's or all."""
--- a/hophinge/routing/admitted.py
+++ b/hophinge/routing/admitted.py
@@ -14,11 +14,19 @@
 
     __slots__ = ("attempts", "budget", "name", "pool", "second_copy_us", "since", "states", "table", "ticket", "view")
 
-    def __init__(self, name: str, table: Table, view: View, pool: str, states: tuple[State, ...],
-                 budget: Budget | None, since: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        table: Table,
+        view: View,
+        pool: str,
+        states: tuple[State, ...],
+        budget: Budget | None,
+        since: int,
+    ) -> None:
         self.name, self.table, self.view, self.pool, self.states, self.budget = name, table, view, pool, states, budget
         self.since = since
-        self.ticket: Ticket | None = None       # of admission, where heads share what is spare
+        self.ticket: Ticket | None = None  # of admission, where heads share what is spare
         self.attempts = budget.rule.attempts if budget is not None else 0
         self.second_copy_us = budget.rule.second_copy_us if budget is not None else 0
 
--- a/hophinge/routing/bounds.py
+++ b/hophinge/routing/bounds.py
@@ -32,12 +32,12 @@
 class Maintenance(Struct, frozen=True, tag="maintenance"):
     """What may be out of service on purpose; heads are not told."""
 
-    heads: Most | None = None               # None: none may
+    heads: Most | None = None  # None: none may
     bricks: Most | None = None
-    served: int = 2                         # heads that a brick has to answer again, warm, before its place is free
-    capacity: float = 0.0                   # units/s of one brick, by which pools keep what reserves need; 0: unknown
-    retired: tuple[str, ...] = ()           # heads that are gone for good, by an operator's word
-    free: tuple[str, ...] = ()              # permits whose places are free by an operator's word
+    served: int = 2  # heads that a brick has to answer again, warm, before its place is free
+    capacity: float = 0.0  # units/s of one brick, by which pools keep what reserves need; 0: unknown
+    retired: tuple[str, ...] = ()  # heads that are gone for good, by an operator's word
+    free: tuple[str, ...] = ()  # permits whose places are free by an operator's word
 
     @property
     def key(self) -> str:
@@ -51,7 +51,7 @@
     name: str
     bricks: tuple[str, ...] = ()
     heads: tuple[str, ...] = ()
-    without: tuple[str, ...] = ()           # heads whose word is not waited for
+    without: tuple[str, ...] = ()  # heads whose word is not waited for
 
     @property
     def key(self) -> str:
@@ -64,13 +64,13 @@
 
     name: str
     build: str
-    heads: tuple[str, ...] = ()             # empty: all
-    waves: tuple[float, ...] = (1.0,)       # parts of the targets, rising; the first head of all goes alone
+    heads: tuple[str, ...] = ()  # empty: all
+    waves: tuple[float, ...] = (1.0,)  # parts of the targets, rising; the first head of all goes alone
     settle_us: int = 30_000_000
-    patience_us: int = 300_000_000          # from a head's begin until it is back
-    refused: float = 0.02                   # part of a wave's requests that fail beyond the others' part: it halts
-    word: str = "go"                        # or "halt", or "back"
-    again: int = 0                          # raised by whoever lets a halted one go on
+    patience_us: int = 300_000_000  # from a head's begin until it is back
+    refused: float = 0.02  # part of a wave's requests that fail beyond the others' part: it halts
+    word: str = "go"  # or "halt", or "back"
+    again: int = 0  # raised by whoever lets a halted one go on
 
     @property
     def key(self) -> str:
--- a/hophinge/routing/document.py
+++ b/hophinge/routing/document.py
@@ -12,9 +12,9 @@
 
 from lark import Lark, Token, Transformer
 
-MOST_BYTES = 32 * 1024 * 1024   # of one file: 100,000 forms are some 10 MB
-MOST_DEPTH = 8                  # of brackets; no form needs more than four
-MOST_MISTAKES = 100             # told of one file; who has more begins with these
+MOST_BYTES = 32 * 1024 * 1024  # of one file: 100,000 forms are some 10 MB
+MOST_DEPTH = 8  # of brackets; no form needs more than four
+MOST_MISTAKES = 100  # told of one file; who has more begins with these
 
 GRAMMAR = r"""
 start: node*
@@ -105,7 +105,7 @@
     try:
         return raw.decode("utf-8"), []
     except UnicodeDecodeError as error:
-        before = raw[:error.start].decode("utf-8")
+        before = raw[: error.start].decode("utf-8")
         line = before.count("\n") + 1
         column = len(before) - (before.rfind("\n") + 1) + 1
         return "", [Mistake(line, column, f"byte 0x{raw[error.start]:02x} is no UTF-8; save the file as UTF-8")]
@@ -122,7 +122,7 @@
         place = token.line or 1, token.column or 1
         if token.type == "BAD":
             what = "a text that does not end on its line" if str(token) == '"' else f"{str(token)!r} means nothing here"
-            mistakes.append(Mistake(*place, f"{what}; quote it as \"...\" or remove it"))
+            mistakes.append(Mistake(*place, f'{what}; quote it as "..." or remove it'))
             if len(mistakes) >= MOST_MISTAKES:
                 return [], mistakes
             continue
@@ -141,8 +141,13 @@
         steps.feed_token(token)
     if opened:
         first = opened[0]
-        mistakes.append(Mistake(first.line or 1, first.column or 1,
-                                f"the file ends within this form; close it with {')' * len(opened)!r}"))
+        mistakes.append(
+            Mistake(
+                first.line or 1,
+                first.column or 1,
+                f"the file ends within this form; close it with {')' * len(opened)!r}",
+            )
+        )
         for _ in opened:
             steps.feed_token(Token.new_borrow_pos("CLOSE", ")", last or first))
     nodes: list[Node] = steps.feed_eof(last)  # type: ignore[no-untyped-call]
--- a/hophinge/routing/eject.py
+++ b/hophinge/routing/eject.py
@@ -6,9 +6,9 @@
 
 from hophinge.routing.records import Eject
 
-SLOTS = 8               # of the window
-DOUBLINGS = 5           # of the rest, for a brick that fails again each time it is back
-CALM = 8                # rests without a new ejection after which a brick counts as sound again
+SLOTS = 8  # of the window
+DOUBLINGS = 5  # of the rest, for a brick that fails again each time it is back
+CALM = 8  # rests without a new ejection after which a brick counts as sound again
 
 
 class Window:
@@ -37,9 +37,9 @@
         self.rule: Eject | None = None
         self.live: frozenset[str] = frozenset()
         self.windows: dict[str, Window] = {}
-        self.out: dict[str, int] = {}               # until when
-        self.times: dict[str, tuple[int, int]] = {}    # how often in a row, and when last
-        self.due = 0                                # when the next one is back; 0: none is out
+        self.out: dict[str, int] = {}  # until when
+        self.times: dict[str, tuple[int, int]] = {}  # how often in a row, and when last
+        self.due = 0  # when the next one is back; 0: none is out
         self.ejected = self.spared = 0
 
     @property
@@ -50,7 +50,7 @@
     def change(self, rule: Eject | None, now_us: int) -> bool:
         """Take up a version's rule; tell whether other bricks rest now."""
         if rule != self.rule and (rule is None or self.rule is None or rule.over_us != self.rule.over_us):
-            self.windows = {}       # slots of another length cannot be read on
+            self.windows = {}  # slots of another length cannot be read on
         self.rule = rule
         return self._bound(now_us)
 
@@ -69,7 +69,7 @@
         """Let those back whose time is over, and who is soonest to be back while too many rest."""
         before = len(self.out)
         self.out = {node: until for node, until in self.out.items() if until > now_us}
-        for node, _ in sorted(self.out.items(), key=lambda row: (row[1], row[0]))[:max(0, len(self.out) - self.most)]:
+        for node, _ in sorted(self.out.items(), key=lambda row: (row[1], row[0]))[: max(0, len(self.out) - self.most)]:
             del self.out[node]
         self.due = min(self.out.values(), default=0)
         return len(self.out) != before
@@ -99,6 +99,6 @@
         self.times[node] = times + 1, now_us
         self.out[node] = now_us + rule.rest_us * 2 ** min(times, DOUBLINGS)
         self.due = min(self.out.values())
-        del self.windows[node]      # back again, it is judged by what it does then
+        del self.windows[node]  # back again, it is judged by what it does then
         self.ejected += 1
         return True
--- a/hophinge/routing/fields.py
+++ b/hophinge/routing/fields.py
@@ -11,7 +11,7 @@
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,62}", re.ASCII)
 VOLUME = re.compile(r"[0-9a-f]{16}|[a-z0-9][a-z0-9.-]{0,62}", re.ASCII)
-LONGEST_US = 3_600_000_000      # no wait or window is longer than an hour
+LONGEST_US = 3_600_000_000  # no wait or window is longer than an hour
 
 
 class Fields:
@@ -45,8 +45,10 @@
     def name(self, what: str) -> str:
         """Read the one name right after the form's word."""
         if len(self.heads) != 1:
-            self.wrong(self.heads[1] if len(self.heads) > 1 else self.form,
-                       f"({self.form.word} ...) takes one name: ({self.form.word} NAME ...)")
+            self.wrong(
+                self.heads[1] if len(self.heads) > 1 else self.form,
+                f"({self.form.word} ...) takes one name: ({self.form.word} NAME ...)",
+            )
             return ""
         return self._named(self.heads[0], what)
 
@@ -100,8 +102,9 @@
             self.wrong(atoms[0], f"({part} ...) is one of {', '.join(choices)}")
         return atoms[0].text if atoms and atoms[0].text in choices else choices[0]
 
-    def quantity(self, part: str, dimension: str, default: float, least: float = 0.0, most: float = 1e12,
-                 needed: bool = False) -> float:
+    def quantity(
+        self, part: str, dimension: str, default: float, least: float = 0.0, most: float = 1e12, needed: bool = False
+    ) -> float:
         """Read a quantity with its unit."""
         form, atoms = self._words(part)
         if form is None:
@@ -128,8 +131,10 @@
         text = atoms[0].text
         right = re.fullmatch(r"[0-9]{1,9}" if whole else r"[0-9]{1,9}(\.[0-9]{1,9})?", text, re.ASCII)
         if len(atoms) > 1 or right is None or not least <= float(text) <= most:
-            self.wrong(atoms[0], f"({part} ...) is one {'whole ' if whole else ''}number from {least:g} to {most:g}, "
-                                 "without unit")
+            self.wrong(
+                atoms[0],
+                f"({part} ...) is one {'whole ' if whole else ''}number from {least:g} to {most:g}, without unit",
+            )
             return default
         return float(text)
 
@@ -159,8 +164,8 @@
             return (1.0,)
         words = [item.text for item in form.items[1:] if isinstance(item, Atom)]
         try:
-            words = " ".join(words).replace("%", " % ").split()     # 10% and 10 % alike
-            shares = [quantity(words[at:at + 2], "share") for at in range(0, len(words), 2)]
+            words = " ".join(words).replace("%", " % ").split()  # 10% and 10 % alike
+            shares = [quantity(words[at : at + 2], "share") for at in range(0, len(words), 2)]
             if not shares or shares != sorted(set(shares)) or shares[-1] != 1.0 or shares[0] <= 0:
                 raise QuantityError(f"shares rise and end with 100 %, like ({part} 10 % 50 % 100 %)")
         except QuantityError as error:
--- a/hophinge/routing/limits.py
+++ b/hophinge/routing/limits.py
@@ -10,10 +10,10 @@
 
 from hophinge.routing.records import Limit, Scope
 
-LEAST_ADVICE_US = 10_000    # a refused client is told at least so long, or it would ask again at once
-FIRST_HELD_US = 100_000     # a request is open for about so long, until some have ended
-HELD_WEIGHT = 0.1           # of the newest in how long requests are open
-SPARE_STATES = 256          # of removed limits, before a look for them is worth it
+LEAST_ADVICE_US = 10_000  # a refused client is told at least so long, or it would ask again at once
+FIRST_HELD_US = 100_000  # a request is open for about so long, until some have ended
+HELD_WEIGHT = 0.1  # of the newest in how long requests are open
+SPARE_STATES = 256  # of removed limits, before a look for them is worth it
 
 
 class State:
@@ -108,7 +108,7 @@
         if len(self.states) > 2 * size + SPARE_STATES:
             self.states = {key: state for key, state in self.states.items() if known(state.limit.scope) is not None}
         if len(self.paces) > 2 * size + SPARE_STATES:
-            self.paces = {}         # a second's worth more for each at most
+            self.paces = {}  # a second's worth more for each at most
 
     def state(self, limit: Limit, now_us: int) -> State:
         """Tell a limit's state; it is made when first asked for, so that quiet tenants cost nothing.
--- a/hophinge/routing/quantities.py
+++ b/hophinge/routing/quantities.py
@@ -10,21 +10,46 @@
 
 # By unit: its dimension and what one of it is in the dimension's base.
 UNITS = {
-    "us": ("time", 1.0), "ms": ("time", 1e3), "s": ("time", 1e6), "min": ("time", 60e6),
+    "us": ("time", 1.0),
+    "ms": ("time", 1e3),
+    "s": ("time", 1e6),
+    "min": ("time", 60e6),
     "%": ("share", 0.01),
-    "units/s": ("rate", 1.0), "requests/s": ("request rate", 1.0),
-    "units": ("units", 1.0), "requests": ("requests", 1.0), "request": ("requests", 1.0),
-    "connections": ("connections", 1.0), "connection": ("connections", 1.0),
-    "bricks": ("bricks", 1.0), "brick": ("bricks", 1.0), "heads": ("heads", 1.0), "head": ("heads", 1.0),
-    "B/s": ("byte rate", 1.0), "KiB/s": ("byte rate", 1024.0),
-    "MiB/s": ("byte rate", 1024.0 ** 2), "GiB/s": ("byte rate", 1024.0 ** 3),
-    "B": ("size", 1.0), "KiB": ("size", 1024.0), "MiB": ("size", 1024.0 ** 2), "GiB": ("size", 1024.0 ** 3),
+    "units/s": ("rate", 1.0),
+    "requests/s": ("request rate", 1.0),
+    "units": ("units", 1.0),
+    "requests": ("requests", 1.0),
+    "request": ("requests", 1.0),
+    "connections": ("connections", 1.0),
+    "connection": ("connections", 1.0),
+    "bricks": ("bricks", 1.0),
+    "brick": ("bricks", 1.0),
+    "heads": ("heads", 1.0),
+    "head": ("heads", 1.0),
+    "B/s": ("byte rate", 1.0),
+    "KiB/s": ("byte rate", 1024.0),
+    "MiB/s": ("byte rate", 1024.0**2),
+    "GiB/s": ("byte rate", 1024.0**3),
+    "B": ("size", 1.0),
+    "KiB": ("size", 1024.0),
+    "MiB": ("size", 1024.0**2),
+    "GiB": ("size", 1024.0**3),
+}
+EXAMPLES = {
+    "time": "80 ms",
+    "share": "20 %",
+    "rate": "120 units/s",
+    "request rate": "50 requests/s",
+    "units": "8 units",
+    "requests": "64 requests",
+    "bricks": "2 bricks",
+    "heads": "1 heads",
+    "size": "64 KiB",
+    "byte rate": "4 MiB/s",
+    "connections": "64 connections",
 }
-EXAMPLES = {"time": "80 ms", "share": "20 %", "rate": "120 units/s", "request rate": "50 requests/s",
-            "units": "8 units", "requests": "64 requests", "bricks": "2 bricks", "heads": "1 heads", "size": "64 KiB",
-            "byte rate": "4 MiB/s", "connections": "64 connections"}
 WHOLE = frozenset({"requests", "connections", "bricks", "heads"})
-MOST = 1e12         # in base units; far beyond any use, far below what a float holds exactly
+MOST = 1e12  # in base units; far beyond any use, far below what a float holds exactly
 
 
 class QuantityError(ValueError):
--- a/hophinge/routing/record_reader.py
+++ b/hophinge/routing/record_reader.py
@@ -9,12 +9,21 @@
 from hophinge.routing.document import MOST_MISTAKES, Atom, Form, Mistake, Node, decode, parse
 from hophinge.routing.fields import VOLUME, Fields as Fields
 from hophinge.routing.records import (
-    Eject, Limit, Plan, Pool, Record, Retries, Rollout, Route, Spare, Tenant,
+    Eject,
+    Limit,
+    Plan,
+    Pool,
+    Record,
+    Retries,
+    Rollout,
+    Route,
+    Spare,
+    Tenant,
 )
 
-VERSION = "1"       # of the document's form: (hophinge 1)
+VERSION = "1"  # of the document's form: (hophinge 1)
 MOST_ATTEMPTS = 10
-LEAST_PACE = 64 * 1024      # bytes/s; fronts cut clients off that are slower than a quarter of it
+LEAST_PACE = 64 * 1024  # bytes/s; fronts cut clients off that are slower than a quarter of it
 
 
 @dataclass
@@ -35,18 +44,30 @@
 
 
 def _pool(part: Fields) -> Record:
-    pool = Pool(part.name("pool"), part.names("zones", "zone"), part.names("kinds", "machine kind"),
-                part.names("bricks", "brick"), int(part.quantity("at-least", "bricks", 1, 1, 1e6)),
-                int(part.quantity("open", "requests", 0, 1, 1e6)))
-    part.whole(bool(pool.zones or pool.kinds or pool.bricks),
-               "a pool needs (zones ...), (kinds ...) or (bricks ...) to tell which bricks are its own")
+    pool = Pool(
+        part.name("pool"),
+        part.names("zones", "zone"),
+        part.names("kinds", "machine kind"),
+        part.names("bricks", "brick"),
+        int(part.quantity("at-least", "bricks", 1, 1, 1e6)),
+        int(part.quantity("open", "requests", 0, 1, 1e6)),
+    )
+    part.whole(
+        bool(pool.zones or pool.kinds or pool.bricks),
+        "a pool needs (zones ...), (kinds ...) or (bricks ...) to tell which bricks are its own",
+    )
     return pool
 
 
 def _tenant(part: Fields) -> Record:
-    return Tenant(part.name("tenant"), part.names("volumes", "volume", VOLUME), part.quantity("reserve", "rate", 0.0),
-                  part.number("weight", 1.0, 0.001, 1e6), int(part.quantity("queue", "requests", 0, 1, 1e6)),
-                  int(part.quantity("connections", "connections", 0, 1, 1e6)))
+    return Tenant(
+        part.name("tenant"),
+        part.names("volumes", "volume", VOLUME),
+        part.quantity("reserve", "rate", 0.0),
+        part.number("weight", 1.0, 0.001, 1e6),
+        int(part.quantity("queue", "requests", 0, 1, 1e6)),
+        int(part.quantity("connections", "connections", 0, 1, 1e6)),
+    )
 
 
 def _route(part: Fields) -> Record:
@@ -58,48 +79,82 @@
 
 def _limit(part: Fields) -> Record:
     part.nameless()
-    limit = Limit(part.scope(), part.quantity("rate", "rate", 0.0, 0.001), part.time("burst"),
-                  int(part.quantity("open", "requests", 0, 1, 1e9)), part.quantity("in", "byte rate", 0.0, LEAST_PACE),
-                  part.quantity("out", "byte rate", 0.0, LEAST_PACE))
-    part.whole(bool(limit.rate or limit.open or limit.bytes_in or limit.bytes_out),
-               "a limit needs (rate 120 units/s), (open 64 requests), (in 4 MiB/s) or (out 4 MiB/s)")
-    part.whole(bool(limit.rate or not limit.burst_us),
-               "(burst ...) is saved up from a rate; add (rate 120 units/s) or remove it")
+    limit = Limit(
+        part.scope(),
+        part.quantity("rate", "rate", 0.0, 0.001),
+        part.time("burst"),
+        int(part.quantity("open", "requests", 0, 1, 1e9)),
+        part.quantity("in", "byte rate", 0.0, LEAST_PACE),
+        part.quantity("out", "byte rate", 0.0, LEAST_PACE),
+    )
+    part.whole(
+        bool(limit.rate or limit.open or limit.bytes_in or limit.bytes_out),
+        "a limit needs (rate 120 units/s), (open 64 requests), (in 4 MiB/s) or (out 4 MiB/s)",
+    )
+    part.whole(
+        bool(limit.rate or not limit.burst_us),
+        "(burst ...) is saved up from a rate; add (rate 120 units/s) or remove it",
+    )
     return limit
 
 
 def _retries(part: Fields) -> Record:
     part.nameless()
-    return Retries(part.one("class", "class"), int(part.number("attempts", 0, 1, MOST_ATTEMPTS, whole=True)),
-                   part.quantity("budget", "share", -1.0, most=1.0), int(part.quantity("free", "requests", 0, 0, 1e6)),
-                   part.time("second-copy"))
+    return Retries(
+        part.one("class", "class"),
+        int(part.number("attempts", 0, 1, MOST_ATTEMPTS, whole=True)),
+        part.quantity("budget", "share", -1.0, most=1.0),
+        int(part.quantity("free", "requests", 0, 0, 1e6)),
+        part.time("second-copy"),
+    )
 
 
 def _eject(part: Fields) -> Record:
     part.nameless()
-    return Eject(part.quantity("errors", "share", 0.5, 0.01, 1.0, needed=True),
-                 part.time("over", 2_000_000, 100_000, needed=True), part.time("rest", 1_000_000, 1000, needed=True),
-                 part.quantity("at-most", "share", 0.3, 0.0, 1.0, needed=True),
-                 int(part.quantity("least", "requests", 5, 1, 1e6)))
+    return Eject(
+        part.quantity("errors", "share", 0.5, 0.01, 1.0, needed=True),
+        part.time("over", 2_000_000, 100_000, needed=True),
+        part.time("rest", 1_000_000, 1000, needed=True),
+        part.quantity("at-most", "share", 0.3, 0.0, 1.0, needed=True),
+        int(part.quantity("least", "requests", 5, 1, 1e6)),
+    )
 
 
 def _spare(part: Fields) -> Record:
     part.nameless()
-    return Spare(part.quantity("depth", "units", 1.0, 1.0, 1e6, needed=True), part.time("wait", 50_000, 1000),
-                 int(part.quantity("queue", "requests", 256, 1, 1e6)), part.choice("leases", ("off", "on")) == "on",
-                 part.quantity("capacity", "rate", 0.0, 0.001))
+    return Spare(
+        part.quantity("depth", "units", 1.0, 1.0, 1e6, needed=True),
+        part.time("wait", 50_000, 1000),
+        int(part.quantity("queue", "requests", 256, 1, 1e6)),
+        part.choice("leases", ("off", "on")) == "on",
+        part.quantity("capacity", "rate", 0.0, 0.001),
+    )
 
 
 def _rollout(part: Fields) -> Record:
     part.nameless()
     heads, waves = part.names("first", "head"), part.shares("waves")
-    return Rollout(heads, waves, part.time("hold"), part.time("patience", 10_000_000, 1000),
-                   part.quantity("failures", "share", 1.0, most=1.0), part.choice("on-trouble", ("hold", "rollback")))
+    return Rollout(
+        heads,
+        waves,
+        part.time("hold"),
+        part.time("patience", 10_000_000, 1000),
+        part.quantity("failures", "share", 1.0, most=1.0),
+        part.choice("on-trouble", ("hold", "rollback")),
+    )
 
 
 READERS: dict[str, Callable[[Fields], Record]] = {
-    "plan": _plan, "pool": _pool, "tenant": _tenant, "route": _route, "limit": _limit, "retries": _retries,
-    "eject": _eject, "spare": _spare, "rollout": _rollout, **upkeep.READERS,
+    "plan": _plan,
+    "pool": _pool,
+    "tenant": _tenant,
+    "route": _route,
+    "limit": _limit,
+    "retries": _retries,
+    "eject": _eject,
+    "spare": _spare,
+    "rollout": _rollout,
+    **upkeep.READERS,
 }
 
 
@@ -132,8 +187,12 @@
             elif words != [VERSION]:
                 wrong(node, f"this program reads (hophinge {VERSION}), not {' '.join(words) or 'no version'}")
         elif node.word not in READERS:
-            wrong(node, f"{node.word!r} is no form; there are {', '.join(READERS)}" if node.word
-                  else "a form begins with its word, like (pool hall-a (zones hall-a))")
+            wrong(
+                node,
+                f"{node.word!r} is no form; there are {', '.join(READERS)}"
+                if node.word
+                else "a form begins with its word, like (pool hall-a (zones hall-a))",
+            )
         else:
             known = len(document.mistakes)
             part = Fields(node, wrong)
@@ -155,12 +214,19 @@
     owners: dict[str, str] = {}
     for record in looked_at:
         if isinstance(record, Route):
-            found += [(record.key, f"the pool {pool} is nowhere defined; add (pool {pool} ...) or name another")
-                      for pool in record.pools if f"pool/{pool}" not in records]
+            found += [
+                (record.key, f"the pool {pool} is nowhere defined; add (pool {pool} ...) or name another")
+                for pool in record.pools
+                if f"pool/{pool}" not in records
+            ]
         elif isinstance(record, Tenant):
             for volume in record.volumes:
                 if volume in owners:
-                    found.append((record.key, f"the volume {volume} belongs to {owners[volume]} already; "
-                                              "a volume has one tenant"))
+                    found.append(
+                        (
+                            record.key,
+                            f"the volume {volume} belongs to {owners[volume]} already; a volume has one tenant",
+                        )
+                    )
                 owners.setdefault(volume, record.name)
     return found + upkeep.faults(list(looked_at), records)
--- a/hophinge/routing/retries.py
+++ b/hophinge/routing/retries.py
@@ -4,7 +4,7 @@
 
 from hophinge.routing.records import Retries
 
-WINDOW = 10             # slots
+WINDOW = 10  # slots
 SLOT_US = 1_000_000
 
 
--- a/hophinge/routing/router.py
+++ b/hophinge/routing/router.py
@@ -23,10 +23,10 @@
 from hophinge.tenancy.admission import Admission, Ask, Shares, Spare, Verdict
 
 ERRORS = frozenset({Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET})
-JUDGED = ERRORS | {Result.OK}       # FULL, CANCELLED and MOOT tell nothing of a brick's soundness
-NO_BRICKS_US = 500_000              # advice where no brick of a request's pools is live
-ALL: tuple[str, ...] = ()           # the pools of a request without a route: every brick
-PATIENCE = 0.2                      # part of its time that a request waits for a turn at most; the module holds it too
+JUDGED = ERRORS | {Result.OK}  # FULL, CANCELLED and MOOT tell nothing of a brick's soundness
+NO_BRICKS_US = 500_000  # advice where no brick of a request's pools is live
+ALL: tuple[str, ...] = ()  # the pools of a request without a route: every brick
+PATIENCE = 0.2  # part of its time that a request waits for a turn at most; the module holds it too
 NO_SHARES = Shares()
 
 
@@ -37,16 +37,16 @@
         self.settings = settings
         self.classes = tuple(klass.name for klass in settings.classes)
         self.table = EMPTY
-        self.lowered = settings.plans       # the platform's plans with what the version in force lowers
-        self.owner: Callable[[str], str] = lambda volume: ""    # of a volume that no form gives to a tenant
-        self.account: Callable[[str], Account | None] = lambda tenant: None     # of a tenant that no form names
+        self.lowered = settings.plans  # the platform's plans with what the version in force lowers
+        self.owner: Callable[[str], str] = lambda volume: ""  # of a volume that no form gives to a tenant
+        self.account: Callable[[str], Account | None] = lambda tenant: None  # of a tenant that no form names
         self.limiter, self.budgets, self.ejector = Limiter(), Budgets(), Ejector()
         self.views = Views(settings, self.ejector)
-        self.open: dict[str, int] = {}              # requests by pool
-        self.versions: dict[tuple[int, int], int] = {}     # requests by version, this one's and those that drain
+        self.open: dict[str, int] = {}  # requests by pool
+        self.versions: dict[tuple[int, int], int] = {}  # requests by version, this one's and those that drain
         self.admission: Admission | None = None
-        self.passes: dict[int, Pass] = {}           # that wait, by their ticket
-        self.part: Callable[[str], float] = lambda tenant: 1 / settings.gateways     # of its reserve, at this head
+        self.passes: dict[int, Pass] = {}  # that wait, by their ticket
+        self.part: Callable[[str], float] = lambda tenant: 1 / settings.gateways  # of its reserve, at this head
         self.spilled = self.followed = self.refused_limit = self.refused_pools = self.refused_share = 0
 
     # --- versions
@@ -90,8 +90,11 @@
         for plan in self.settings.plans:
             own = self.table.plans.get(plan.name)
             if own is not None:
-                plan = replace(plan, reserve=min(plan.reserve, own.reserve) if own.reserve >= 0 else plan.reserve,
-                               weight=min(plan.weight, own.weight) if own.weight >= 0 else plan.weight)
+                plan = replace(
+                    plan,
+                    reserve=min(plan.reserve, own.reserve) if own.reserve >= 0 else plan.reserve,
+                    weight=min(plan.weight, own.weight) if own.weight >= 0 else plan.weight,
+                )
             made.append(plan)
         return tuple(made)
 
@@ -160,8 +163,15 @@
     def _ask(self, ask: Arrival, tenant: str, volume: str) -> Ask:
         plan, klass = self.lowered[ask.plan], self.settings.classes[ask.klass]
         heads = ask.gateways if ask.gateways > 0 else self.settings.gateways
-        return Ask(tenant, volume, ask.units, klass.worth * plan.price, plan.reserve / heads, plan.weight,
-                   int(PATIENCE * ask.time_left_us))
+        return Ask(
+            tenant,
+            volume,
+            ask.units,
+            klass.worth * plan.price,
+            plan.reserve / heads,
+            plan.weight,
+            int(PATIENCE * ask.time_left_us),
+        )
 
     def turn(self, now_us: int) -> list[tuple[str, int]]:
         """Tell which requests wait no longer: 0 where one is let in, else after how long it may come again."""
@@ -198,7 +208,7 @@
             if not bound or self.open.get(level.pool.name if level.pool else "", 0) < bound * len(level.view.nodes):
                 return level
         if usable:
-            return usable[0]        # all are full: the first one's queue is the module's to keep or to refuse
+            return usable[0]  # all are full: the first one's queue is the module's to keep or to refuse
         if route is None or route.otherwise == "any":
             return self.views.levels(table, ALL)[0]
         return None
@@ -223,22 +233,40 @@
         """Tell what the busiest tenants got at this head and which of their volumes owe; of the rest, the sum."""
         accounts = self.admission.accounts if self.admission is not None else {}
         rows = sorted(accounts.items(), key=lambda row: -(row[1].usage.reserved + row[1].usage.spare))
-        told = {name or "(none)": {
-            "reserve": round(self._shares(name).reserve, 3), "reserved_units": round(account.usage.reserved, 3),
-            "spare_units": round(account.usage.spare, 3), "lent_units": round(account.reserve.lent, 3),
-            "debts": {volume: round(units, 3) for volume, units in account.reserve.owed(now_us).items()},
-            "refused": account.usage.refused, "waiting": account.waiting, "waited_us": account.usage.waited_us,
-        } for name, account in rows[:most]}
+        told = {
+            name or "(none)": {
+                "reserve": round(self._shares(name).reserve, 3),
+                "reserved_units": round(account.usage.reserved, 3),
+                "spare_units": round(account.usage.spare, 3),
+                "lent_units": round(account.reserve.lent, 3),
+                "debts": {volume: round(units, 3) for volume, units in account.reserve.owed(now_us).items()},
+                "refused": account.usage.refused,
+                "waiting": account.waiting,
+                "waited_us": account.usage.waited_us,
+            }
+            for name, account in rows[:most]
+        }
         rest = rows[most:]
-        return {"tenants": told, "others": {
-            "tenants": len(rest), "units": round(sum(one.usage.reserved + one.usage.spare for _, one in rest), 3),
-            "refused": sum(one.usage.refused for _, one in rest)}}
+        return {
+            "tenants": told,
+            "others": {
+                "tenants": len(rest),
+                "units": round(sum(one.usage.reserved + one.usage.spare for _, one in rest), 3),
+                "refused": sum(one.usage.refused for _, one in rest),
+            },
+        }
 
     def figures(self) -> Mapping[str, Any]:
         """Tell what it has done, for staff."""
-        return {"spilled": self.spilled, "followed_their_data": self.followed, "refused_by_limit": self.refused_limit,
-                "refused_without_brick": self.refused_pools, "refused_beyond_share": self.refused_share,
-                "ejected": self.ejector.ejected,
-                "ejections_spared": self.ejector.spared, "resting": len(self.ejector.out),
-                "repeats_denied": sum(budget.denied for budget in self.budgets.budgets.values()),
-                "draining_versions": sum(version != self.table.version for version in self.versions)}
+        return {
+            "spilled": self.spilled,
+            "followed_their_data": self.followed,
+            "refused_by_limit": self.refused_limit,
+            "refused_without_brick": self.refused_pools,
+            "refused_beyond_share": self.refused_share,
+            "ejected": self.ejector.ejected,
+            "ejections_spared": self.ejector.spared,
+            "resting": len(self.ejector.out),
+            "repeats_denied": sum(budget.denied for budget in self.budgets.budgets.values()),
+            "draining_versions": sum(version != self.table.version for version in self.versions),
+        }
--- a/hophinge/routing/table.py
+++ b/hophinge/routing/table.py
@@ -22,17 +22,21 @@
     zones: frozenset[str]
     kinds: frozenset[str]
     classes: frozenset[str]
-    plans: Mapping[str, tuple[float, float]]    # reserve (units/s) and weight by name
-    attempts: int                               # 0: no bound
+    plans: Mapping[str, tuple[float, float]]  # reserve (units/s) and weight by name
+    attempts: int  # 0: no bound
     second_copies: bool
 
     @classmethod
     def of(cls, settings: Settings) -> Facts:
         """Tell the facts of a head's settings."""
-        return cls(frozenset(settings.zones), frozenset(settings.kinds),
-                   frozenset(klass.name for klass in settings.classes),
-                   {plan.name: (plan.reserve, plan.weight) for plan in settings.plans},
-                   settings.allowed.attempts, settings.allowed.second_copies)
+        return cls(
+            frozenset(settings.zones),
+            frozenset(settings.kinds),
+            frozenset(klass.name for klass in settings.classes),
+            {plan.name: (plan.reserve, plan.weight) for plan in settings.plans},
+            settings.allowed.attempts,
+            settings.allowed.second_copies,
+        )
 
 
 def turned_down(looked_at: Iterable[Record], facts: Facts) -> list[str]:
@@ -80,8 +84,9 @@
     spare: Spare | None = None
     tenants: Mapping[str, Tenant] = field(default_factory=dict)
 
-    def changed(self, version: tuple[int, int], changes: Mapping[str, Record | None],
-                before: Mapping[str, Record]) -> Table:
+    def changed(
+        self, version: tuple[int, int], changes: Mapping[str, Record | None], before: Mapping[str, Record]
+    ) -> Table:
         """Make the next version: records set anew or, with None, removed; `before` tells what a removed one was.
 
         Costs a copy of the maps that change and nothing for those that don't.
@@ -115,7 +120,7 @@
                 _set(plans, one.name, one if there else None)
         if tenants:
             owners, holders = dict(owners), dict(holders)
-            for tenant, there in sorted(tenants, key=lambda row: row[1]):     # removals first: a volume may move
+            for tenant, there in sorted(tenants, key=lambda row: row[1]):  # removals first: a volume may move
                 _set(holders, tenant.name, tenant if there else None)
                 for volume in tenant.volumes:
                     if there:
@@ -123,9 +128,17 @@
                     elif owners.get(volume) == tenant.name:
                         del owners[volume]
         return Table(
-            version, pools, self.routes.changed((one.scope, one if there else None) for one, there in routes),
+            version,
+            pools,
+            self.routes.changed((one.scope, one if there else None) for one, there in routes),
             self.limits.changed((one.scope, one if there else None) for one, there in limits),
-            retries, owners, plans, eject, spare, holders)
+            retries,
+            owners,
+            plans,
+            eject,
+            spare,
+            holders,
+        )
 
     def retries_of(self, klass: str) -> Retries | None:
         """Tell the form of a class, or the one for all."""
--- a/hophinge/routing/views.py
+++ b/hophinge/routing/views.py
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings, ejector: Ejector) -> None:
         self.settings, self.ejector = settings, ejector
         self.entries: dict[str, NodeEntry] = {}
-        self.tables: dict[tuple[int, int], Table] = {}      # versions in use: this one and those that drain
+        self.tables: dict[tuple[int, int], Table] = {}  # versions in use: this one and those that drain
         self.chains: dict[tuple[int, int], dict[tuple[str, ...], list[Level]]] = {}
         self.step = 0
 
@@ -62,14 +62,23 @@
     def _members(self, pool: Pool) -> set[str]:
         zones = {at for at, name in enumerate(self.settings.zones) if name in pool.zones}
         kinds = {at for at, name in enumerate(self.settings.kinds) if name in pool.kinds}
-        return {node for node, entry in self.entries.items() if entry.phase is Phase.ON
-                and (not pool.zones or entry.zone in zones) and (not pool.kinds or entry.kind in kinds)
-                and (not pool.bricks or node in pool.bricks)}
+        return {
+            node
+            for node, entry in self.entries.items()
+            if entry.phase is Phase.ON
+            and (not pool.zones or entry.zone in zones)
+            and (not pool.kinds or entry.kind in kinds)
+            and (not pool.bricks or node in pool.bricks)
+        }
 
     def _fill(self, table: Table, levels: list[Level]) -> None:
         out = self.ejector.out
-        live = [self._members(level.pool) if level.pool is not None
-                else {node for node, entry in self.entries.items() if entry.phase is Phase.ON} for level in levels]
+        live = [
+            self._members(level.pool)
+            if level.pool is not None
+            else {node for node, entry in self.entries.items() if entry.phase is Phase.ON}
+            for level in levels
+        ]
         for at, level in enumerate(levels):
             nodes: set[str] = set()
             least = level.pool.at_least if level.pool is not None else 1
--- a/hophinge/scoring/encoding.py
+++ b/hophinge/scoring/encoding.py
@@ -14,10 +14,10 @@
 from hophinge.cluster.interface import MOST_NAME, MOST_VALUE
 
 FORMAT = 1
-STEPS = 50                  # that a weight is told in: finer ones would send entries anew for nothing
-CHUNKS = 8                  # entries of one scorer; about 40 bricks with names of 20 characters each
-MAP_BYTES = 2               # that MessagePack's head of a map has beyond the one of an empty map
-MOST_SCORER = 64            # characters of a scorer's name: with its chunk it is an entry's key
+STEPS = 50  # that a weight is told in: finer ones would send entries anew for nothing
+CHUNKS = 8  # entries of one scorer; about 40 bricks with names of 20 characters each
+MAP_BYTES = 2  # that MessagePack's head of a map has beyond the one of an empty map
+MOST_SCORER = 64  # characters of a scorer's name: with its chunk it is an entry's key
 
 
 class Table(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -63,14 +63,15 @@
     for node, weight in sorted(weights.items(), key=lambda item: (-item[1], item[0])):
         if (steps := round(weight * STEPS)) and len(node) <= MOST_NAME:
             chunk = chunk_of(node)
-            room[chunk] -= len(ENCODER.encode(node)) + 1        # steps take one byte
+            room[chunk] -= len(ENCODER.encode(node)) + 1  # steps take one byte
             if room[chunk] >= 0:
                 parts.setdefault(chunk, {})[node] = steps
             else:
                 left_out += 1
     # The beat is entry 0's alone: the others need no sending when it changes.
-    return {chunk: ENCODER.encode(Table(FORMAT, version, 0 if chunk else beat, part))
-            for chunk, part in parts.items()}, left_out
+    return {
+        chunk: ENCODER.encode(Table(FORMAT, version, 0 if chunk else beat, part)) for chunk, part in parts.items()
+    }, left_out
 
 
 def decode(chunk: int, value: bytes) -> tuple[str, dict[str, float]]:
--- a/hophinge/scoring/engine.py
+++ b/hophinge/scoring/engine.py
@@ -31,15 +31,24 @@
 class Engine:
     """The module's `Scorers`, and whoever hears outcomes; it never raises to either."""
 
-    def __init__(self, scorers: Mapping[str, Scorer], versions: Mapping[str, str], most_us: float, budget_us: float,
-                 clock_ns: Callable[[], int], log: Callable[[str], None], surroundings: Surroundings,
-                 merge: Merge = hearsay, usage: Usage = lambda: (0, 0, 0)) -> None:
+    def __init__(
+        self,
+        scorers: Mapping[str, Scorer],
+        versions: Mapping[str, str],
+        most_us: float,
+        budget_us: float,
+        clock_ns: Callable[[], int],
+        log: Callable[[str], None],
+        surroundings: Surroundings,
+        merge: Merge = hearsay,
+        usage: Usage = lambda: (0, 0, 0),
+    ) -> None:
         self.guard = Guard(scorers, most_us, budget_us, clock_ns, log, usage)
         self.surroundings = surroundings
         self.shared = {name: Shared(version, merge) for name, version in versions.items() if version}
-        self.reader: Reader | None = None           # where there are peers
-        self.told: dict[str, bytes] = {}            # own entries as they were last set
-        self.left_out = 0                           # bricks that an own entry had no room for, lately
+        self.reader: Reader | None = None  # where there are peers
+        self.told: dict[str, bytes] = {}  # own entries as they were last set
+        self.left_out = 0  # bricks that an own entry had no room for, lately
 
     def share_as(self, me: str) -> None:
         """Share weights from now on, as this member."""
@@ -60,8 +69,9 @@
             pass
         return actions
 
-    def slices(self, now_us: int, nodes: Container[str], entries: Iterable[Entry],
-               actions: list[Put | Drop]) -> Iterator[None]:
+    def slices(
+        self, now_us: int, nodes: Container[str], entries: Iterable[Entry], actions: list[Put | Drop]
+    ) -> Iterator[None]:
         """Do the same in slices: whatever comes in between is served; `actions` are there at the end.
 
         `nodes` must not change meanwhile, and `entries` tells each owner's as they were at one moment. The next tick
@@ -78,7 +88,7 @@
         for name, shared in self.shared.items():
             own = self.guard.weights(now_us, name)
             if own is None:
-                continue        # who is left out says nothing, rather than that all is well
+                continue  # who is left out says nothing, rather than that all is well
             yield
             yield from shared.judge(now_us, own)
             found: dict[str, float] = {}
@@ -86,7 +96,8 @@
             self.guard.merged(now_us, name, found)
             yield
             values, more = encoding.encode(
-                shared.version, now_us // BEAT_US, {node: one.value for node, one in own.items() if node in nodes})
+                shared.version, now_us // BEAT_US, {node: one.value for node, one in own.items() if node in nodes}
+            )
             left_out += more
             wanted |= {encoding.key(name, chunk): value for chunk, value in values.items()}
             yield
--- a/hophinge/scoring/guard.py
+++ b/hophinge/scoring/guard.py
@@ -15,7 +15,7 @@
 from hophinge.scoring.pauses import Evidence, Pauses
 
 REASONS = ("raised", "form", "length", "not_a_number", "infinite", "negative", "slow", "hung")
-LEARNING_NS = 50_000_000    # that a tick, or taking or telling weights, may take, once a second and beside requests
+LEARNING_NS = 50_000_000  # that a tick, or taking or telling weights, may take, once a second and beside requests
 NUMBERS = frozenset({float, int})
 
 # CPU nanoseconds of this thread, times that it gave its core up of itself, and collections beyond the youngest objects.
@@ -64,21 +64,29 @@
 class Guard:
     """All scorers at work."""
 
-    def __init__(self, scorers: Mapping[str, Scorer], most_us: float, budget_us: float, clock_ns: Callable[[], int],
-                 log: Callable[[str], None], usage: Usage) -> None:
+    def __init__(
+        self,
+        scorers: Mapping[str, Scorer],
+        most_us: float,
+        budget_us: float,
+        clock_ns: Callable[[], int],
+        log: Callable[[str], None],
+        usage: Usage,
+    ) -> None:
         if not most_us > 0 or not budget_us > 0:
             raise ValueError("the clamp and the budget of scorers must be above 0")
         self.most_us, self.budget_ns = most_us, int(budget_us * 1000)
         self.clock_ns, self.log, self.usage = clock_ns, log, usage
         self.scorers = [Guarded(name, scorer) for name, scorer in scorers.items()]
-        self.since: int | None = None       # when the call that runs now began, which tells it from all others
-        self.hung = False                   # it was broken
+        self.since: int | None = None  # when the call that runs now began, which tells it from all others
+        self.hung = False  # it was broken
 
-    def added_us(self, now_us: int, ask: api.Arrival, nodes: Sequence[api.Seen],
-                 surroundings: Surroundings) -> dict[str, float]:
+    def added_us(
+        self, now_us: int, ask: api.Arrival, nodes: Sequence[api.Seen], surroundings: Surroundings
+    ) -> dict[str, float]:
         """Tell added microseconds by candidate, from 0 to the clamp, all scorers together."""
         view = View.of(now_us, ask, nodes, surroundings)
-        names = view.nodes      # the guard's own word for who is a candidate, whatever a scorer does to the view
+        names = view.nodes  # the guard's own word for who is a candidate, whatever a scorer does to the view
         most = self.most_us
         sums: Sequence[float] | None = None
         for one in self.scorers:
@@ -139,8 +147,8 @@
         try:
             values = checked(one.scorer.added_us(view), number)
             self.since = None
-        except BaseException as error:      # a plug-in that raises SystemExit must not end the head either
-            self.since = None               # first of all: from here on no signal raises
+        except BaseException as error:  # a plug-in that raises SystemExit must not end the head either
+            self.since = None  # first of all: from here on no signal raises
             self._wrong(one, now_us, error.reason if isinstance(error, MisbehaviourError) else "raised", error)
             return None
         if self.clock_ns() - since > self.budget_ns:
@@ -165,7 +173,7 @@
             return False
         if self.clock_ns() - since > budget_ns:
             self._slow(one, now_us, budget_ns, used)
-        return True     # what it did late is done all the same
+        return True  # what it did late is done all the same
 
     def _slow(self, one: Guarded, now_us: int, budget_ns: int, used: tuple[int, int, int] | None) -> None:
         if self.hung:
@@ -185,12 +193,12 @@
         one.pauses.went_wrong(now_us)
         try:
             what = f"{type(error).__name__}: {error}"[:200] if reason == "raised" else reason
-        except BaseException:               # an error whose text raises
+        except BaseException:  # an error whose text raises
             what = reason
         self._tell(one, now_us, what)
 
     def _broken(self, one: Guarded) -> None:
-        self.hung = False       # whatever the scorer made of the exception, it had to be broken
+        self.hung = False  # whatever the scorer made of the exception, it had to be broken
         one.counts["hung"] += 1
         one.pauses.off = True
         self.log(ScorerHungError(f"scorer {one.name} did not return, was interrupted, and is left out").told())
--- a/hophinge/scoring/interface.py
+++ b/hophinge/scoring/interface.py
@@ -14,8 +14,8 @@
 
 from hophinge.core import interface as api
 
-INTERFACE = 1                       # grows where a scorer written for the one before would no longer work
-GROUP = "hophinge.scorers"          # of entry points
+INTERFACE = 1  # grows where a scorer written for the one before would no longer work
+GROUP = "hophinge.scorers"  # of entry points
 PROJECT = "hophinge"
 
 scorer_spec = pluggy.HookspecMarker(PROJECT)
@@ -30,9 +30,9 @@
     """What a head knows besides its books; whoever composes the head sets it, and changes it as it learns."""
 
     def __init__(self, cold_us: int = 0) -> None:
-        self.cold_us = cold_us                                      # for which a started brick counts as cold
-        self.drains: Collection[str] = frozenset()                  # bricks that are being drained, or soon will be
-        self.demand: Callable[[str], float] = _no_demand            # predicted requests a second by key
+        self.cold_us = cold_us  # for which a started brick counts as cold
+        self.drains: Collection[str] = frozenset()  # bricks that are being drained, or soon will be
+        self.demand: Callable[[str], float] = _no_demand  # predicted requests a second by key
 
 
 class View(Struct, frozen=True):
@@ -41,8 +41,8 @@
     A property is made when it is first read and shared by all scorers of the choice; what none reads costs nothing.
     """
 
-    now_us: int                                     # on the head's one clock
-    nodes: tuple[str, ...]                          # the candidates' names
+    now_us: int  # on the head's one clock
+    nodes: tuple[str, ...]  # the candidates' names
     _ask: api.Arrival
     _seen: Sequence[api.Seen]
     _surroundings: Surroundings
@@ -168,18 +168,18 @@
 class Setting(Struct, frozen=True):
     """What a scorer is told when it is made, in microseconds."""
 
-    aim_us: int         # the tightest aim of the installation's classes
-    most_us: float      # the longest time that all scorers together may add
+    aim_us: int  # the tightest aim of the installation's classes
+    most_us: float  # the longest time that all scorers together may add
 
 
 class Kind(Struct, frozen=True):
     """How a package brings a scorer."""
 
-    name: str                                       # by which [scoring] names it
-    interface: int                                  # INTERFACE of the version that it was written for
-    parameters: type[Struct]                        # the form of [scoring.parameters.NAME]
-    make: Callable[[Any, Setting], Scorer]          # from the checked parameters
-    weights: str = ""                               # version of what its weights mean; empty: it shares none
+    name: str  # by which [scoring] names it
+    interface: int  # INTERFACE of the version that it was written for
+    parameters: type[Struct]  # the form of [scoring.parameters.NAME]
+    make: Callable[[Any, Setting], Scorer]  # from the checked parameters
+    weights: str = ""  # version of what its weights mean; empty: it shares none
 
 
 class Spec:
--- a/hophinge/scoring/latency.py
+++ b/hophinge/scoring/latency.py
@@ -11,16 +11,16 @@
 from hophinge.scoring.interface import INTERFACE, Kind, Scorer, Setting, View, Weight, scorer_impl
 from hophinge.scoring.sketch import Sketch
 
-LEAST_ANSWERS = 3.0     # below, a brick's quantile is its chance slowest answer
-TOLD = frozenset({api.Result.OK, api.Result.TIMEOUT})   # those that fail at once say nothing of how long work takes
+LEAST_ANSWERS = 3.0  # below, a brick's quantile is its chance slowest answer
+TOLD = frozenset({api.Result.OK, api.Result.TIMEOUT})  # those that fail at once say nothing of how long work takes
 
 
 class Parameters(Struct, forbid_unknown_fields=True):
     """`[scoring.parameters.latency]`."""
 
-    quantile: float = 0.9           # of a brick's answer times that is compared
-    half_life_s: float = 10.0       # in which an answer comes to count for half
-    tolerance: float = 1.5          # times the usual quantile that no brick is blamed for
+    quantile: float = 0.9  # of a brick's answer times that is compared
+    half_life_s: float = 10.0  # in which an answer comes to count for half
+    tolerance: float = 1.5  # times the usual quantile that no brick is blamed for
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -37,10 +37,10 @@
         self.parameters, self.setting = parameters, setting
         self.half_life_us = parameters.half_life_s * 1e6
         self.sketches: dict[str, Sketch] = {}
-        self.quantiles: dict[str, float] = {}   # they change with answers alone: decay counts all down alike
-        self.usual_us = 0.0                     # the median of the bricks' quantiles
+        self.quantiles: dict[str, float] = {}  # they change with answers alone: decay counts all down alike
+        self.usual_us = 0.0  # the median of the bricks' quantiles
         self.own: dict[str, Weight] = {}
-        self.times: dict[str, float] = {}       # that are added now
+        self.times: dict[str, float] = {}  # that are added now
 
     def added_us(self, view: View) -> list[float]:
         """Look up what the last tick found."""
@@ -81,8 +81,11 @@
     def merged(self, now_us: int, weights: Mapping[str, float]) -> None:
         """Take slowness as it is used: back into microseconds by what is usual here."""
         most, allowed = self.setting.most_us, self.usual_us * self.parameters.tolerance
-        self.times = {node: min(most, allowed * slow / (1.0 - slow)) if slow < 1.0 else most
-                      for node, slow in weights.items() if slow > 0.0}
+        self.times = {
+            node: min(most, allowed * slow / (1.0 - slow)) if slow < 1.0 else most
+            for node, slow in weights.items()
+            if slow > 0.0
+        }
 
 
 @scorer_impl
--- a/hophinge/scoring/merge.py
+++ b/hophinge/scoring/merge.py
@@ -14,16 +14,16 @@
 
 from hophinge.scoring.interface import Weight
 
-TRIM = 3                # of so many words one is taken off at either end
-LEAST_WORDS = 3         # fewer are filled up with neutral ones: one peer alone moves nothing
-HEARSAY = 3.0           # own answers that all peers' words together count as much as
-OWN_MOST = 8.0          # own answers that count at most: a brick may have failed since many good ones
-LEAST_ADDED = 0.05      # less than this peers add nothing: where bricks are idle the least time decides who is chosen
-NEUTRAL = 1.0           # answers that the neutral weight counts as: who knows nothing assumes nothing
-LEAST_TRUST = 0.1       # part of full trust that a peer keeps: its word may still be the one honest one
-FADE = 0.98             # part of former agreement that is left at each merge, once a second: half in 35 s
-APART = 0.25            # weights further apart than this disagree; a brick both hold for better than it tells nothing
-SURE = 5.0              # own answers from which one's own weight judges a peer's
+TRIM = 3  # of so many words one is taken off at either end
+LEAST_WORDS = 3  # fewer are filled up with neutral ones: one peer alone moves nothing
+HEARSAY = 3.0  # own answers that all peers' words together count as much as
+OWN_MOST = 8.0  # own answers that count at most: a brick may have failed since many good ones
+LEAST_ADDED = 0.05  # less than this peers add nothing: where bricks are idle the least time decides who is chosen
+NEUTRAL = 1.0  # answers that the neutral weight counts as: who knows nothing assumes nothing
+LEAST_TRUST = 0.1  # part of full trust that a peer keeps: its word may still be the one honest one
+FADE = 0.98  # part of former agreement that is left at each merge, once a second: half in 35 s
+APART = 0.25  # weights further apart than this disagree; a brick both hold for better than it tells nothing
+SURE = 5.0  # own answers from which one's own weight judges a peer's
 
 
 def trimmed(number: int) -> int:
@@ -37,7 +37,7 @@
     if len(words) < LEAST_WORDS:
         kept.sort()
     cut = trimmed(len(kept))
-    kept = kept[cut:len(kept) - cut]
+    kept = kept[cut : len(kept) - cut]
     total = sum(trust for _, trust in kept)
     return sum(value * trust for value, trust in kept) / total
 
@@ -79,8 +79,9 @@
         """Tell a peer's trust: one that nothing is known of has half of it."""
         return max(LEAST_TRUST, (self.agreed + 1.0) / (self.agreed + self.differed + 2.0))
 
-    def compare(self, sure: Mapping[str, float], accused: Collection[str], said: Mapping[str, float],
-                most: int = 1_000) -> None:
+    def compare(
+        self, sure: Mapping[str, float], accused: Collection[str], said: Mapping[str, float], most: int = 1_000
+    ) -> None:
         """Count where one of both accuses; bricks that are well to both would make any liar look honest.
 
         `sure` are own weights that rest on enough answers, `accused` those of them that are above APART; of a
--- a/hophinge/scoring/outlook.py
+++ b/hophinge/scoring/outlook.py
@@ -10,9 +10,9 @@
 class Parameters(Struct, forbid_unknown_fields=True):
     """`[scoring.parameters.outlook]`."""
 
-    drain_part: float = 1.0         # of the clamp that a brick in a drain gets
-    cold_part: float = 0.5          # of the clamp that a wholly cold brick gets for a key in full demand
-    demand_s: float = 10.0          # requests a second that count as full demand
+    drain_part: float = 1.0  # of the clamp that a brick in a drain gets
+    cold_part: float = 0.5  # of the clamp that a wholly cold brick gets for a key in full demand
+    demand_s: float = 10.0  # requests a second that count as full demand
 
     def __post_init__(self) -> None:
         """Check ranges."""
--- a/hophinge/scoring/pauses.py
+++ b/hophinge/scoring/pauses.py
@@ -9,20 +9,20 @@
 
 from msgspec import Struct
 
-FIRST_PAUSE_US = 1_000_000      # after the first mistake: long against a request, short against a repair
+FIRST_PAUSE_US = 1_000_000  # after the first mistake: long against a request, short against a repair
 LONGEST_PAUSE_US = 300_000_000  # so a scorer that is mended by itself is back within five minutes
-PROBATION = 200                 # calls in a row without a mistake after which former ones are forgotten
-OFF_AFTER_SLOW = 5              # pauses for slowness without a probation passed between them
-WATCHED = 1_000                 # calls that are measured from the start, and after each that took too long
-EXCUSED = 3                     # of these, that a collection excuses: one that makes it run each time is slow
+PROBATION = 200  # calls in a row without a mistake after which former ones are forgotten
+OFF_AFTER_SLOW = 5  # pauses for slowness without a probation passed between them
+WATCHED = 1_000  # calls that are measured from the start, and after each that took too long
+EXCUSED = 3  # of these, that a collection excuses: one that makes it run each time is slow
 
 
 class Evidence(Struct, frozen=True, gc=False):
     """What a call that took too long used itself."""
 
-    cpu_ns: int         # of its thread
-    waits: int          # times that it gave its core up of itself: sleep, a lock, a socket, a file
-    collected: bool     # whether the collector looked at more than the youngest objects meanwhile
+    cpu_ns: int  # of its thread
+    waits: int  # times that it gave its core up of itself: sleep, a lock, a socket, a file
+    collected: bool  # whether the collector looked at more than the youngest objects meanwhile
 
 
 class Pauses:
@@ -30,11 +30,11 @@
 
     def __init__(self) -> None:
         self.until_us = 0
-        self.mistakes = 0           # since the last probation that was passed
-        self.slow = 0               # of these, pauses for calls that took too long
-        self.good = 0               # calls in a row without a mistake
-        self.watched = WATCHED      # calls that are still to be measured
-        self.blamed = 0             # calls for which a first proof of slowness still counts
+        self.mistakes = 0  # since the last probation that was passed
+        self.slow = 0  # of these, pauses for calls that took too long
+        self.good = 0  # calls in a row without a mistake
+        self.watched = WATCHED  # calls that are still to be measured
+        self.blamed = 0  # calls for which a first proof of slowness still counts
         self.excused = 0
         self.off = False
 
--- a/hophinge/scoring/sharing.py
+++ b/hophinge/scoring/sharing.py
@@ -12,15 +12,15 @@
 from hophinge.scoring.interface import Weight
 from hophinge.scoring.merge import APART, LEAST_WORDS, SURE, Agreement, combined, hearsay, trimmed
 
-BEAT_US = 5_000_000         # between changes of entry 0, that show that a member still speaks
-FRESH_US = 15_000_000       # three beats, some of which may be lost, before a word begins to age
-HALF_LIFE_US = 5_000_000    # in which it then comes to count for half
-FORGOTTEN_US = 60_000_000   # it has counted for less than a hundredth for ten seconds
-MOST_WORDS = 20_000         # that are looked at for one purpose in one tick: some tens of milliseconds
-MOST_TAKEN = 500            # entries that are read in one tick; others that have changed are read in the next
-SLICE = 500                 # looks at entries or words in one go: under a millisecond
-TAKING = 10                 # looks that reading an entry counts as, beside one for each ten bytes of it
-MOST_OWNERS = 1_000         # whose words and mistakes are kept, the default bound on members
+BEAT_US = 5_000_000  # between changes of entry 0, that show that a member still speaks
+FRESH_US = 15_000_000  # three beats, some of which may be lost, before a word begins to age
+HALF_LIFE_US = 5_000_000  # in which it then comes to count for half
+FORGOTTEN_US = 60_000_000  # it has counted for less than a hundredth for ten seconds
+MOST_WORDS = 20_000  # that are looked at for one purpose in one tick: some tens of milliseconds
+MOST_TAKEN = 500  # entries that are read in one tick; others that have changed are read in the next
+SLICE = 500  # looks at entries or words in one go: under a millisecond
+TAKING = 10  # looks that reading an entry counts as, beside one for each ten bytes of it
+MOST_OWNERS = 1_000  # whose words and mistakes are kept, the default bound on members
 
 Merge = Callable[[Sequence[tuple[float, float]]], float]
 
@@ -31,9 +31,9 @@
     __slots__ = ("agreement", "chunks", "heard_us", "words")
 
     def __init__(self, now_us: int) -> None:
-        self.heard_us = now_us                      # when anything of it last changed, by the own clock
+        self.heard_us = now_us  # when anything of it last changed, by the own clock
         self.chunks: dict[int, dict[str, float]] = {}
-        self.words: dict[str, float] = {}           # all its weights
+        self.words: dict[str, float] = {}  # all its weights
         self.agreement = Agreement()
 
     def say(self, chunk: int, words: dict[str, float] | None) -> None:
@@ -105,8 +105,9 @@
                 if looks.enough(min(most, len(peer.words)) + len(accused)):
                     yield
 
-    def weights(self, now_us: int, own: Mapping[str, Weight], nodes: Container[str],
-                found: dict[str, float]) -> Iterator[None]:
+    def weights(
+        self, now_us: int, own: Mapping[str, Weight], nodes: Container[str], found: dict[str, float]
+    ) -> Iterator[None]:
         """Find the weights to use, in slices, of bricks in this head's own list; neutral ones are left out."""
         heard: list[tuple[dict[str, float], float, float]] = []
         named = {node: 0 for node, weight in own.items() if weight.value > 0.0 and node in nodes}
@@ -126,7 +127,7 @@
         # What too few say is cut off by the merge anyway; a flood of accusations must not keep this head from its work.
         few = trimmed(max(len(heard), LEAST_WORDS)) if self.merge is hearsay else 0
         told = [node for node, number in named.items() if number > few]
-        for node in sorted(told, key=lambda node: (-named[node], node))[:MOST_WORDS // max(1, len(heard))]:
+        for node in sorted(told, key=lambda node: (-named[node], node))[: MOST_WORDS // max(1, len(heard))]:
             words = [(said.get(node, 0.0) * part, trust) for said, part, trust in heard]
             if (weight := combined(own.get(node), self.merge(words), fresh / len(heard))) > 0.0:
                 found[node] = weight
@@ -147,10 +148,10 @@
     def __init__(self, me: str, shared: Mapping[str, Shared]) -> None:
         self.me, self.shared = me, shared
         self.versions: dict[tuple[str, str], Last] = {}
-        self.reading = 0                            # how often all entries were looked at
-        self.left: set[str] = set()                 # owners of which all entries are gone
-        self.bad: dict[str, int] = {}               # entries dropped, by owner
-        self.other_versions: dict[str, int] = {}    # entries of another version of a scorer, by owner
+        self.reading = 0  # how often all entries were looked at
+        self.left: set[str] = set()  # owners of which all entries are gone
+        self.bad: dict[str, int] = {}  # entries dropped, by owner
+        self.other_versions: dict[str, int] = {}  # entries of another version of a scorer, by owner
 
     def read(self, now_us: int, entries: Iterable[Entry]) -> Iterator[None]:
         """Take all entries that are held now, in slices; those that have not changed cost a look."""
@@ -196,10 +197,10 @@
             version, words = encoding.decode(chunk, entry.value)
         except encoding.UnusableError:
             self._count(self.bad, entry.owner)
-            return self._gone(entry.owner, entry.key)       # what it said before is not its word any more
+            return self._gone(entry.owner, entry.key)  # what it said before is not its word any more
         shared = self.shared.get(scorer)
         if shared is None:
-            return None                                     # a scorer that is not at work here
+            return None  # a scorer that is not at work here
         if version != shared.version:
             self._count(self.other_versions, entry.owner)
             return self._gone(entry.owner, entry.key)
--- a/hophinge/scoring/suspicion.py
+++ b/hophinge/scoring/suspicion.py
@@ -15,17 +15,17 @@
 from hophinge.scoring.interface import INTERFACE, Kind, Scorer, Setting, View, Weight, scorer_impl
 
 FAILED = frozenset({api.Result.ERROR, api.Result.RESET, api.Result.CONNECT_FAILED, api.Result.TIMEOUT})
-FULL_AT = 3.0               # failures from nought that make the most of it
-FORGOTTEN = 0.01            # evidence below which a brick is as unknown
+FULL_AT = 3.0  # failures from nought that make the most of it
+FORGOTTEN = 0.01  # evidence below which a brick is as unknown
 
 
 class Parameters(Struct, forbid_unknown_fields=True):
     """`[scoring.parameters.suspicion]`."""
 
-    usual: float = 0.01             # part of attempts that fail at a sound brick
-    failing: float = 0.3            # part that fail at one that should be left alone
-    half_life_s: float = 10.0       # in which suspicion fades by half while nothing is heard
-    most_part: float = 1.0          # of the clamp that full suspicion adds
+    usual: float = 0.01  # part of attempts that fail at a sound brick
+    failing: float = 0.3  # part that fail at one that should be left alone
+    half_life_s: float = 10.0  # in which suspicion fades by half while nothing is heard
+    most_part: float = 1.0  # of the clamp that full suspicion adds
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -54,8 +54,8 @@
         self.full = self.step * FULL_AT
         self.time_us = setting.most_us * parameters.most_part
         self.records: dict[str, Record] = {}
-        self.levels: dict[str, float] = {}      # that are used now, from 0 to 1, neutral ones left out
-        self.beyond: dict[str, float] = {}      # what peers' words add to own levels
+        self.levels: dict[str, float] = {}  # that are used now, from 0 to 1, neutral ones left out
+        self.beyond: dict[str, float] = {}  # what peers' words add to own levels
 
     def added_us(self, view: View) -> list[float]:
         """Look levels up; they change with each end that is heard."""
--- a/hophinge/scoring/testing.py
+++ b/hophinge/scoring/testing.py
@@ -19,7 +19,7 @@
     units_out: float = 0.0
     lag: float = 0.0
     failures: int = 0
-    warm: float = 1.0       # from 0 to 1
+    warm: float = 1.0  # from 0 to 1
 
     @property
     def entry(self) -> api.NodeEntry:
@@ -31,8 +31,14 @@
         return self.warm
 
 
-def view(candidates: Sequence[Candidate], now_us: int = 0, key: str = "key", units: float = 1.0,
-         drains: Collection[str] = (), demand: float = 0.0) -> View:
+def view(
+    candidates: Sequence[Candidate],
+    now_us: int = 0,
+    key: str = "key",
+    units: float = 1.0,
+    drains: Collection[str] = (),
+    demand: float = 0.0,
+) -> View:
     """Make a view of a choice among candidates."""
     around = Surroundings()
     around.drains, around.demand = drains, lambda asked: demand if asked == key else 0.0
--- a/hophinge/state/book.py
+++ b/hophinge/state/book.py
@@ -12,8 +12,8 @@
 from hophinge.state.errors import BusyError, FullError, LedgerError
 
 FORM = 1
-OPEN_S, AGAIN_S = 5.0, 0.005    # waited for another process that opens or makes it; nobody is served yet
-BUSY_S = 0.05           # waited for another process's change; the caller stands still meanwhile
+OPEN_S, AGAIN_S = 5.0, 0.005  # waited for another process that opens or makes it; nobody is served yet
+BUSY_S = 0.05  # waited for another process's change; the caller stands still meanwhile
 
 SCHEMA = """
 CREATE TABLE meta(form INTEGER NOT NULL, epoch INTEGER NOT NULL, floor INTEGER NOT NULL, seen_ms INTEGER NOT NULL,
--- a/hophinge/state/files.py
+++ b/hophinge/state/files.py
@@ -16,8 +16,8 @@
 
 HEADER = re.compile(rb"hophinge-state ([a-z-]{1,32}) ([0-9]{1,4}) ([0-9]{1,12}) ([0-9a-f]{64})\n", re.ASCII)
 LONGEST_HEADER = 160
-WRITING_S = 60.0        # no write of one file takes so long
-MOST_BYTES = 512 * 1024 * 1024      # a larger file is none of ours
+WRITING_S = 60.0  # no write of one file takes so long
+MOST_BYTES = 512 * 1024 * 1024  # a larger file is none of ours
 
 
 class UnusableError(ValueError):
@@ -33,7 +33,7 @@
         try:
             view = memoryview(data)
             while view:
-                view = view[os.write(handle, view):]
+                view = view[os.write(handle, view) :]
             os.fsync(handle)
         finally:
             os.close(handle)
@@ -97,7 +97,7 @@
         raise UnusableError(f"{path}: its beginning is not that of a state file")
     if header[1].decode() != kind:
         raise UnusableError(f"{path}: it holds {header[1].decode()}, not {kind}")
-    form, payload = int(header[2]), data[header.end():]
+    form, payload = int(header[2]), data[header.end() :]
     if form not in forms:
         raise UnusableError(f"{path}: form {form} is not read by this version, which reads {forms[0]} to {forms[-1]}")
     if len(payload) != int(header[3]) or _sum(kind, form, payload) != header[4].decode():
--- a/hophinge/state/ledger.py
+++ b/hophinge/state/ledger.py
@@ -23,8 +23,9 @@
 from hophinge.state.rows import Entry, Kept, Row
 from hophinge.state.tallies import Tallies
 
-GONE_KEPT = 100_000     # names of removed rows
-ANSWERS_MS = 24 * 3600 * 1000   # an answer to a repeated call is kept for a day
+GONE_KEPT = 100_000  # names of removed rows
+ANSWERS_MS = 24 * 3600 * 1000  # an answer to a repeated call is kept for a day
+
 
 class Ledger(Tallies):
     """One open file; `heard` is told rows that changed, whoever changed them, in their order."""
@@ -32,21 +33,26 @@
     def __init__(self, path: Path, heard: Callable[[Iterable[Row]], None] = lambda rows: None) -> None:
         super().__init__(path)
         self.heard = heard
-        self.seq = 0        # of a copy it may be less than it had: what it hears again changes nothing
+        self.seq = 0  # of a copy it may be less than it had: what it hears again changes nothing
         self.refresh()
 
     # --- rows
 
     def refresh(self) -> None:
         """Hear of what another process has changed."""
-        rows = [Row(*found) for found in self.db.execute(
-            "SELECT kind, name, body, seq FROM row WHERE seq > ? ORDER BY seq", (self.seq,))]
+        rows = [
+            Row(*found)
+            for found in self.db.execute(
+                "SELECT kind, name, body, seq FROM row WHERE seq > ? ORDER BY seq", (self.seq,)
+            )
+        ]
         if rows:
             self.seq = rows[-1].seq
             self.heard(rows)
 
-    def change(self, decide: Callable[[], tuple[list[Row], Entry, Kept | None]], caller: str = "",
-               key: str = "") -> int:
+    def change(
+        self, decide: Callable[[], tuple[list[Row], Entry, Kept | None]], caller: str = "", key: str = ""
+    ) -> int:
         """Change rows by what `decide` tells when all earlier changes are heard of; tells the change's number.
 
         What `decide` raises ends the change. `caller` and `key` name the call whose answer is kept.
@@ -56,17 +62,23 @@
             self.refresh()
             made, entry, kept = decide()
             seq, before = self.db.execute("SELECT seq, hash FROM audit ORDER BY seq DESC LIMIT 1").fetchone() or (
-                0, GENESIS)
+                0,
+                GENESIS,
+            )
             seq = max(seq, self.seq) + 1
             rows = [Row(row.kind, row.name, row.body, seq) for row in made]
-            self.db.executemany("INSERT INTO row VALUES (?,?,?,?) ON CONFLICT(kind, name) DO UPDATE SET "
-                                "body = excluded.body, seq = excluded.seq",
-                                [(row.kind, row.name, row.body, seq) for row in rows])
+            self.db.executemany(
+                "INSERT INTO row VALUES (?,?,?,?) ON CONFLICT(kind, name) DO UPDATE SET "
+                "body = excluded.body, seq = excluded.seq",
+                [(row.kind, row.name, row.body, seq) for row in rows],
+            )
             body = msgspec.json.encode(entry, order="deterministic")
             self.db.execute("INSERT INTO audit VALUES (?,?,?)", (seq, body, chained(before, seq, body)))
             if kept is not None:
-                self.db.execute("INSERT OR REPLACE INTO answer VALUES (?,?,?,?,?,?)", (
-                    caller, key, kept.asked, kept.status, kept.body, entry.at_ms))
+                self.db.execute(
+                    "INSERT OR REPLACE INTO answer VALUES (?,?,?,?,?,?)",
+                    (caller, key, kept.asked, kept.status, kept.body, entry.at_ms),
+                )
                 self.db.execute("DELETE FROM answer WHERE at_ms < ?", (entry.at_ms - ANSWERS_MS,))
             self.db.execute("UPDATE meta SET seen_ms = max(seen_ms, ?)", (entry.at_ms,))
             if any(row.body is None for row in rows):
@@ -80,8 +92,9 @@
         """Forget the oldest names of removed rows, once they are many."""
         gone = self.db.execute("SELECT count(*) FROM row WHERE body IS NULL").fetchone()[0]
         if gone > 2 * GONE_KEPT:
-            floor = self.db.execute("SELECT seq FROM row WHERE body IS NULL ORDER BY seq LIMIT 1 OFFSET ?",
-                                    (gone - GONE_KEPT,)).fetchone()[0]
+            floor = self.db.execute(
+                "SELECT seq FROM row WHERE body IS NULL ORDER BY seq LIMIT 1 OFFSET ?", (gone - GONE_KEPT,)
+            ).fetchone()[0]
             self.db.execute("DELETE FROM row WHERE body IS NULL AND seq < ?", (floor,))
             self.db.execute("UPDATE meta SET floor = ?", (floor,))
 
@@ -94,11 +107,22 @@
 
         A change is never cut: the last one may bring more rows than were asked for.
         """
-        until = self.db.execute("SELECT max(seq) FROM (SELECT seq FROM row WHERE seq > ? AND (body IS NOT NULL OR "
-                                "seq > ?) ORDER BY seq LIMIT ?)", (since, gone_after, most)).fetchone()[0] or since
-        return [Row(*found) for found in self.db.execute(
-            "SELECT kind, name, body, seq FROM row WHERE seq > ? AND seq <= ? AND (body IS NOT NULL OR seq > ?) "
-            "ORDER BY seq", (since, until, gone_after))]
+        until = (
+            self.db.execute(
+                "SELECT max(seq) FROM (SELECT seq FROM row WHERE seq > ? AND (body IS NOT NULL OR "
+                "seq > ?) ORDER BY seq LIMIT ?)",
+                (since, gone_after, most),
+            ).fetchone()[0]
+            or since
+        )
+        return [
+            Row(*found)
+            for found in self.db.execute(
+                "SELECT kind, name, body, seq FROM row WHERE seq > ? AND seq <= ? AND (body IS NOT NULL OR seq > ?) "
+                "ORDER BY seq",
+                (since, until, gone_after),
+            )
+        ]
 
     def rows(self) -> list[Row]:
         """Tell all rows that are there."""
@@ -110,14 +134,19 @@
         with self.write():
             if anew:
                 named = {(row.kind, row.name) for row in rows}
-                rows += [Row(kind, name, None, seq) for kind, name in self.db.execute(
-                    "SELECT kind, name FROM row WHERE body IS NOT NULL") if (kind, name) not in named]
+                rows += [
+                    Row(kind, name, None, seq)
+                    for kind, name in self.db.execute("SELECT kind, name FROM row WHERE body IS NOT NULL")
+                    if (kind, name) not in named
+                ]
                 self.db.execute("DELETE FROM row")
-                self.db.execute("DELETE FROM audit")    # of another ledger; this one's entries are kept there
+                self.db.execute("DELETE FROM audit")  # of another ledger; this one's entries are kept there
                 self.db.execute("UPDATE meta SET epoch = ?, floor = 0", (epoch,))
-            self.db.executemany("INSERT INTO row VALUES (?,?,?,?) ON CONFLICT(kind, name) DO UPDATE SET "
-                                "body = excluded.body, seq = excluded.seq",
-                                [(row.kind, row.name, row.body, row.seq) for row in rows])
+            self.db.executemany(
+                "INSERT INTO row VALUES (?,?,?,?) ON CONFLICT(kind, name) DO UPDATE SET "
+                "body = excluded.body, seq = excluded.seq",
+                [(row.kind, row.name, row.body, row.seq) for row in rows],
+            )
             self.db.execute("UPDATE meta SET seen_ms = max(seen_ms, ?)", (now_ms,))
         self.epoch, self.seq = epoch, seq
         self.heard(rows)
@@ -130,16 +159,22 @@
 
     def kept(self, caller: str, key: str, now_ms: int) -> Kept | None:
         """Tell the answer that a call with this key got before."""
-        found = self.db.execute("SELECT asked, status, body FROM answer WHERE caller = ? AND key = ? AND at_ms >= ?",
-                                (caller, key, now_ms - ANSWERS_MS)).fetchone()
+        found = self.db.execute(
+            "SELECT asked, status, body FROM answer WHERE caller = ? AND key = ? AND at_ms >= ?",
+            (caller, key, now_ms - ANSWERS_MS),
+        ).fetchone()
         return Kept(*found) if found else None
 
     # --- the audit
 
     def audit(self, after: int, most: int) -> list[tuple[int, Entry, str]]:
         """Tell entries after a number, the oldest first, each with its hash."""
-        return [(seq, msgspec.json.decode(entry, type=Entry), mark.hex()) for seq, entry, mark in self.db.execute(
-            "SELECT seq, entry, hash FROM audit WHERE seq > ? ORDER BY seq LIMIT ?", (after, most))]
+        return [
+            (seq, msgspec.json.decode(entry, type=Entry), mark.hex())
+            for seq, entry, mark in self.db.execute(
+                "SELECT seq, entry, hash FROM audit WHERE seq > ? ORDER BY seq LIMIT ?", (after, most)
+            )
+        ]
 
     def head(self) -> tuple[int, str]:
         """Tell the last entry's number and hash; kept elsewhere, it shows that entries were cut off."""
--- a/hophinge/state/rows.py
+++ b/hophinge/state/rows.py
@@ -30,7 +30,7 @@
 class Kept(msgspec.Struct, frozen=True):
     """An answer that was given, for the repetition of its call."""
 
-    asked: bytes        # digest of what was asked
+    asked: bytes  # digest of what was asked
     status: int
     body: bytes
 
--- a/hophinge/state/tallies.py
+++ b/hophinge/state/tallies.py
@@ -39,22 +39,27 @@
     def used(self, reporter: str, amounts: Mapping[tuple[str, str, str], float]) -> None:
         """Add amounts by tenant, volume and field, all or none."""
         with self.write():
-            self.db.executemany("INSERT INTO usage VALUES (?,?,?,?,?) ON CONFLICT(tenant, volume, field, reporter) "
-                                "DO UPDATE SET amount = amount + excluded.amount",
-                                [(reporter, *key, amount) for key, amount in amounts.items()])
+            self.db.executemany(
+                "INSERT INTO usage VALUES (?,?,?,?,?) ON CONFLICT(tenant, volume, field, reporter) "
+                "DO UPDATE SET amount = amount + excluded.amount",
+                [(reporter, *key, amount) for key, amount in amounts.items()],
+            )
 
     def told(self, reporter: str, totals: Mapping[tuple[str, str, str], float]) -> None:
         """Take totals as a reporter has them; they only grow, so late and doubled reports change nothing."""
         with self.write():
-            self.db.executemany("INSERT INTO usage VALUES (?,?,?,?,?) ON CONFLICT(tenant, volume, field, reporter) "
-                                "DO UPDATE SET amount = max(amount, excluded.amount)",
-                                [(reporter, *key, amount) for key, amount in totals.items()])
+            self.db.executemany(
+                "INSERT INTO usage VALUES (?,?,?,?,?) ON CONFLICT(tenant, volume, field, reporter) "
+                "DO UPDATE SET amount = max(amount, excluded.amount)",
+                [(reporter, *key, amount) for key, amount in totals.items()],
+            )
 
     def usage(self, tenant: str) -> dict[str, dict[str, float]]:
         """Tell a tenant's usage by volume and field, over all reporters."""
         found: dict[str, dict[str, float]] = {}
         for volume, field, amount in self.db.execute(
-                "SELECT volume, field, sum(amount) FROM usage WHERE tenant = ? GROUP BY volume, field", (tenant,)):
+            "SELECT volume, field, sum(amount) FROM usage WHERE tenant = ? GROUP BY volume, field", (tenant,)
+        ):
             found.setdefault(volume, {})[field] = amount
         return found
 
@@ -62,8 +67,10 @@
         """Tell a reporter's totals of some keys."""
         found = {}
         for key in keys:
-            row = self.db.execute("SELECT amount FROM usage WHERE tenant = ? AND volume = ? AND field = ? "
-                                  "AND reporter = ?", (*key, reporter)).fetchone()
+            row = self.db.execute(
+                "SELECT amount FROM usage WHERE tenant = ? AND volume = ? AND field = ? AND reporter = ?",
+                (*key, reporter),
+            ).fetchone()
             if row is not None:
                 found[key] = float(row[0])
         return found
--- a/hophinge/telemetry/remote_write.py
+++ b/hophinge/telemetry/remote_write.py
@@ -22,15 +22,21 @@
 FIRST_PAUSE_S = 0.25
 LONGEST_PAUSE_S = 30.0
 PREFIX = "hophinge_"
-HEADERS = {"Content-Type": "application/x-protobuf", "Content-Encoding": "snappy",
-           "X-Prometheus-Remote-Write-Version": "0.1.0", "User-Agent": "hophinge"}
+HEADERS = {
+    "Content-Type": "application/x-protobuf",
+    "Content-Encoding": "snappy",
+    "X-Prometheus-Remote-Write-Version": "0.1.0",
+    "User-Agent": "hophinge",
+}
 FIELD = descriptor_pb2.FieldDescriptorProto
 # The published messages: their names, and their fields' names, numbers, types and whether they repeat.
 MESSAGES: dict[str, list[tuple[str, int, int, bool, str]]] = {
     "Label": [("name", 1, FIELD.TYPE_STRING, False, ""), ("value", 2, FIELD.TYPE_STRING, False, "")],
     "Sample": [("value", 1, FIELD.TYPE_DOUBLE, False, ""), ("timestamp", 2, FIELD.TYPE_INT64, False, "")],
-    "TimeSeries": [("labels", 1, FIELD.TYPE_MESSAGE, True, "Label"),
-                   ("samples", 2, FIELD.TYPE_MESSAGE, True, "Sample")],
+    "TimeSeries": [
+        ("labels", 1, FIELD.TYPE_MESSAGE, True, "Label"),
+        ("samples", 2, FIELD.TYPE_MESSAGE, True, "Sample"),
+    ],
     "WriteRequest": [("timeseries", 1, FIELD.TYPE_MESSAGE, True, "TimeSeries")],
 }
 
@@ -41,8 +47,9 @@
         message = file.message_type.add(name=name)
         for field, number, kind, repeated, of in fields:
             label = FIELD.LABEL_REPEATED if repeated else FIELD.LABEL_OPTIONAL
-            message.field.add(name=field, number=number, type=kind, label=label,
-                              type_name=f".prometheus.{of}" if of else None)
+            message.field.add(
+                name=field, number=number, type=kind, label=label, type_name=f".prometheus.{of}" if of else None
+            )
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
     return message_factory.GetMessageClass(pool.FindMessageTypeByName("prometheus.WriteRequest"))
@@ -51,18 +58,24 @@
 WriteRequest = _write_request()
 
 
-Series = tuple[str, tuple[tuple[str, str], ...]]     # a metric's name and its own labels
+Series = tuple[str, tuple[tuple[str, str], ...]]  # a metric's name and its own labels
 
 
-def metrics(counters: Counters, gauges: Mapping[str, float], figures: Figures | None = None,
-            more: Mapping[Series, float] | None = None) -> dict[Series, float]:
+def metrics(
+    counters: Counters,
+    gauges: Mapping[str, float],
+    figures: Figures | None = None,
+    more: Mapping[Series, float] | None = None,
+) -> dict[Series, float]:
     """Name all that is exported: counters end in _total, gauges stand as they are; `more` has labels of its own."""
     found: dict[Series, float] = {(f"{PREFIX}{name}_total", ()): value for name, value in counters.counts.items()}
     found |= {(f"{PREFIX}{name}", ()): value for name, value in gauges.items()}
     if figures is not None:
         found[f"{PREFIX}relayed_total", ()] = figures.relayed
-        found |= {(f"{PREFIX}operations_total", (("class", klass), ("outcome", outcome))): value
-                  for (klass, outcome), value in figures.ended.items()}
+        found |= {
+            (f"{PREFIX}operations_total", (("class", klass), ("outcome", outcome))): value
+            for (klass, outcome), value in figures.ended.items()
+        }
     found |= {(f"{PREFIX}{name}", labels): value for (name, labels), value in (more or {}).items()}
     return found
 
@@ -81,10 +94,16 @@
 class RemoteWrite:
     """Takes samples and pushes them."""
 
-    def __init__(self, config: RemoteWriteConfig, instance: str, counters: Counters,
-                 gauges: Callable[[], Mapping[str, float]], now_us: Callable[[], int],
-                 figures: Figures | None = None,
-                 more: Callable[[], Mapping[Series, float]] = dict) -> None:
+    def __init__(
+        self,
+        config: RemoteWriteConfig,
+        instance: str,
+        counters: Counters,
+        gauges: Callable[[], Mapping[str, float]],
+        now_us: Callable[[], int],
+        figures: Figures | None = None,
+        more: Callable[[], Mapping[Series, float]] = dict,
+    ) -> None:
         self.more = more
         self.config, self.counters, self.gauges, self.now_us = config, counters, gauges, now_us
         self.figures = figures
@@ -92,8 +111,8 @@
         self.queue: deque[bytes] = deque()
         self.news = asyncio.Event()
         self.session = aiohttp.ClientSession(
-            trust_env=False, cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=config.timeout_s))
+            trust_env=False, cookie_jar=aiohttp.DummyCookieJar(), timeout=aiohttp.ClientTimeout(total=config.timeout_s)
+        )
 
     def sample(self) -> None:
         """Queue a sample of everything; when the queue is full the oldest goes."""
@@ -129,14 +148,15 @@
                 pause = min(2 * pause, LONGEST_PAUSE_S)
                 continue
             pause = FIRST_PAUSE_S
-            if self.queue and self.queue[0] is batch:     # it may have been dropped meanwhile
+            if self.queue and self.queue[0] is batch:  # it may have been dropped meanwhile
                 self.queue.popleft()
 
     async def _post(self, batch: bytes) -> tuple[bool, float]:
         """Send one batch; tell whether to send it again, and what the receiver advised to wait."""
         try:
-            async with self.session.post(self.config.url, data=batch, headers=HEADERS,
-                                         allow_redirects=False) as response:
+            async with self.session.post(
+                self.config.url, data=batch, headers=HEADERS, allow_redirects=False
+            ) as response:
                 await response.content.read(4096)
         except (aiohttp.ClientError, OSError, TimeoutError):
             return True, 0.0
--- a/hophinge/tenancy/accounts.py
+++ b/hophinge/tenancy/accounts.py
@@ -14,11 +14,24 @@
 
 from hophinge.state.rows import Row
 from hophinge.tenancy.records import (
-    BUCKET, KINDS, LONGEST_OVERLAP_S, TENANT, Account, AccountError, Bucket, Key, Quotas, Role, Shares, checked, digest,
+    BUCKET,
+    KINDS,
+    LONGEST_OVERLAP_S,
+    TENANT,
+    Account,
+    AccountError,
+    Bucket,
+    Key,
+    Quotas,
+    Role,
+    Shares,
+    checked,
+    digest,
     noted,
 )
 from hophinge.tenancy.life import State, Wish, step
 
+
 class Accounts:
     """All rows, as they are known here; `changed` is told of each tenant whose state is another one now."""
 
@@ -28,13 +41,13 @@
         self.buckets: dict[str, dict[str, Bucket]] = {}
         self.keys: dict[str, Key] = {}
         self.keys_of: dict[str, set[str]] = {}
-        self.volumes: dict[str, Bucket] = {}        # by the volume's id
+        self.volumes: dict[str, Bucket] = {}  # by the volume's id
         self.seqs: dict[tuple[str, str], int] = {}
 
     def take(self, rows: Iterable[Row]) -> None:
         """Take rows as they have become."""
         for one in rows:
-            if one.kind in KINDS:       # a newer program may keep others beside
+            if one.kind in KINDS:  # a newer program may keep others beside
                 self._take(one)
 
     def _take(self, one: Row) -> None:
@@ -127,8 +140,12 @@
     def change(self, name: str, quotas: Quotas | None, shares: Shares | None, note: str | None) -> Account:
         """Change what a tenant may have; what it has already stays."""
         held = self._open(name)
-        return replace(held, quotas=quotas or held.quotas, shares=shares or held.shares,
-                       note=held.note if note is None else noted(note))
+        return replace(
+            held,
+            quotas=quotas or held.quotas,
+            shares=shares or held.shares,
+            note=held.note if note is None else noted(note),
+        )
 
     def become(self, name: str, wish: Wish) -> Account:
         """Lead a tenant to another state."""
@@ -178,8 +195,9 @@
             raise AccountError("missing", f"no key {name}")
         return held
 
-    def rotate_key(self, tenant: str, name: str, key: str, secret: str, overlap_s: int,
-                   now_ms: int) -> tuple[Key, Key | None]:
+    def rotate_key(
+        self, tenant: str, name: str, key: str, secret: str, overlap_s: int, now_ms: int
+    ) -> tuple[Key, Key | None]:
         """Make the key that replaces one, with its role and end; the old one lives on for the overlap, or ends now."""
         self._open(tenant)
         old = self.key(tenant, name)
--- a/hophinge/tenancy/admission.py
+++ b/hophinge/tenancy/admission.py
@@ -16,26 +16,26 @@
 from hophinge.tenancy.reserve import Reserve
 
 LEAST_ADVICE_US = 10_000
-ENDED_US = 60_000_000   # advice to a tenant that is served no more; the front cuts it to what the settings allow
-BURST_S = 0.25          # of a reserve that may be saved up: all tenants may spend theirs at one moment
+ENDED_US = 60_000_000  # advice to a tenant that is served no more; the front cuts it to what the settings allow
+BURST_S = 0.25  # of a reserve that may be saved up: all tenants may spend theirs at one moment
 FORGET_US = 60_000_000  # a tenant unheard of for a minute starts anew, with a full reserve, which it then has anyway
-LOOK_EVERY = 256        # arrivals between looks for such tenants
+LOOK_EVERY = 256  # arrivals between looks for such tenants
 
 
 class Shares(Struct, frozen=True):
     """What one tenant may count on at this head."""
 
-    reserve: float = 0.0    # units/s
-    weight: float = 1.0     # in what is spare
-    queue: int = 0          # requests that may wait; 0: as many as the head's own bound
+    reserve: float = 0.0  # units/s
+    weight: float = 1.0  # in what is spare
+    queue: int = 0  # requests that may wait; 0: as many as the head's own bound
 
 
 class Spare(Struct, frozen=True):
     """How a head shares what no reserve takes."""
 
-    depth: float            # units at the module at once beyond which no spare one leaves
-    wait_us: int            # at most, for a turn
-    queue: int = 256        # requests of one tenant that may wait
+    depth: float  # units at the module at once beyond which no spare one leaves
+    wait_us: int  # at most, for a turn
+    queue: int = 256  # requests of one tenant that may wait
 
 
 class Verdict(Enum):
@@ -53,18 +53,18 @@
     tenant: str
     volume: str
     units: float
-    worth: float            # its class's, and its plan's price
-    reserve: float          # of its volume here, units/s
-    weight: float           # of its volume
-    patience_us: int        # that it may wait
+    worth: float  # its class's, and its plan's price
+    reserve: float  # of its volume here, units/s
+    weight: float  # of its volume
+    patience_us: int  # that it may wait
 
 
 class Usage(Struct):
     """What one tenant got at this head, since it was last heard of after a minute's silence."""
 
-    reserved: float = 0.0   # units
+    reserved: float = 0.0  # units
     spare: float = 0.0
-    refused: int = 0        # requests
+    refused: int = 0  # requests
     waited_us: int = 0
 
 
@@ -86,8 +86,8 @@
 
     def __init__(self, ask: Ask, account: Account, now_us: int) -> None:
         self.ask, self.account, self.since = ask, account, now_us
-        self.entry: Entry[Ticket] | None = None     # while it waits
-        self.inside = False                         # at the module
+        self.entry: Entry[Ticket] | None = None  # while it waits
+        self.inside = False  # at the module
         self.until = 0
 
 
@@ -98,11 +98,11 @@
         self.shares, self.spare, self.most_units = shares, spare, most_units
         self.accounts: dict[str, Account] = {}
         self.tree: Tree[Ticket] = Tree()
-        self.inside = 0.0                           # units at the module, reserved ones too
+        self.inside = 0.0  # units at the module, reserved ones too
         self.expiries: list[tuple[int, int, Ticket]] = []
         self.count = 0
         self.put_out: list[tuple[Ticket, int]] = []  # of tenants that have ended, until the next turn
-        self.asked: dict[str, float] = {}           # units by tenant, since `demand` was last told
+        self.asked: dict[str, float] = {}  # units by tenant, since `demand` was last told
 
     # --- what comes
 
@@ -144,7 +144,7 @@
             ticket.inside = False
             self.inside -= ticket.ask.units
             if self.inside < 1e-9:
-                self.inside = 0.0       # what rounding left
+                self.inside = 0.0  # what rounding left
                 self.tree.idle()
         else:
             self._unqueue(ticket)
@@ -170,7 +170,8 @@
             ticket = entry.item
             # Its tenant's reserve may have come meanwhile; then it is no matter of what is spare.
             reserved = ticket.account.reserve.take(
-                ticket.ask.volume, ticket.ask.reserve, self.most_units, ticket.ask.units, now_us)
+                ticket.ask.volume, ticket.ask.reserve, self.most_units, ticket.ask.units, now_us
+            )
             if not reserved and not self._room(ticket.ask.units):
                 break
             if reserved:
@@ -212,12 +213,13 @@
             name, account = next(iter(self.accounts.items()))
             del self.accounts[name]
             if account.waiting or now_us - account.seen < FORGET_US:
-                self.accounts[name] = account       # to the end: each look goes on where the last one ended
+                self.accounts[name] = account  # to the end: each look goes on where the last one ended
 
     def _queue(self, ticket: Ticket, shares: Shares) -> None:
         ask = ticket.ask
-        ticket.entry = self.tree.put(ticket, ask.units, ask.tenant, max(shares.weight, 1e-3), ask.volume,
-                                     max(ask.weight, 1e-3), ask.worth)
+        ticket.entry = self.tree.put(
+            ticket, ask.units, ask.tenant, max(shares.weight, 1e-3), ask.volume, max(ask.weight, 1e-3), ask.worth
+        )
 
     def _unqueue(self, ticket: Ticket) -> None:
         if ticket.entry is not None:
--- a/hophinge/tenancy/allotment.py
+++ b/hophinge/tenancy/allotment.py
@@ -9,18 +9,18 @@
 from hophinge.tenancy.leases import Issuer, Lease
 from hophinge.tenancy.planner import Demand, plan
 
-PLAN_US = 1_000_000     # between plans
+PLAN_US = 1_000_000  # between plans
 
 
 class LeaseAsk(Struct, frozen=True):
     """A head that asks for its shares."""
 
     head: str
-    heads: int                      # that it counts in its installation
+    heads: int  # that it counts in its installation
     process: int
     asked: int
     held: int
-    demand: Mapping[str, float]     # units a second by tenant, since its last ask
+    demand: Mapping[str, float]  # units a second by tenant, since its last ask
 
 
 class Allotment:
@@ -33,8 +33,9 @@
         self.planned: dict[str, dict[str, float]] = {}
         self.planned_at = 0
 
-    def answer(self, now_us: int, ask: LeaseAsk, reserves: Mapping[str, float], capacity: float,
-               here: Collection[str]) -> Lease | None:
+    def answer(
+        self, now_us: int, ask: LeaseAsk, reserves: Mapping[str, float], capacity: float, here: Collection[str]
+    ) -> Lease | None:
         """Answer an ask; `capacity` is one head's in units a second, 0: not known; `here` are the heads connected."""
         if ask.heads < 1 or ask.head not in here:
             return None
@@ -49,8 +50,9 @@
         wanted = {tenant: parts[ask.head] for tenant, parts in self.planned.items() if ask.head in parts}
         return self.issuer.grant(now_us, ask.head, ask.process, ask.asked, ask.held, wanted)
 
-    def _plan(self, reserves: Mapping[str, float], capacity: float, here: Collection[str],
-              heads: int) -> dict[str, dict[str, float]]:
+    def _plan(
+        self, reserves: Mapping[str, float], capacity: float, here: Collection[str], heads: int
+    ) -> dict[str, dict[str, float]]:
         """Plan over the heads that are here; a plan that fails leaves each its even part."""
         try:
             parts = plan(reserves, dict.fromkeys(here, capacity or sum(reserves.values()) or 1.0), self.demand.rates)
--- a/hophinge/tenancy/fair.py
+++ b/hophinge/tenancy/fair.py
@@ -12,7 +12,7 @@
 import itertools
 from typing import Generic, TypeVar
 
-SPARE = 16      # items that have gone, kept in a queue until their turn comes
+SPARE = 16  # items that have gone, kept in a queue until their turn comes
 
 Item = TypeVar("Item")
 
@@ -95,8 +95,16 @@
         self.order = itertools.count()
         self.waiting = 0
 
-    def put(self, item: Item, units: float, tenant: str, tenant_weight: float, volume: str, volume_weight: float,
-            worth: float) -> Entry[Item]:
+    def put(
+        self,
+        item: Item,
+        units: float,
+        tenant: str,
+        tenant_weight: float,
+        volume: str,
+        volume_weight: float,
+        worth: float,
+    ) -> Entry[Item]:
         """Let an item wait; weights and units are above 0."""
         outer = self.root.flow(tenant, tenant_weight, True)
         assert outer.node is not None
--- a/hophinge/tenancy/feed.py
+++ b/hophinge/tenancy/feed.py
@@ -11,17 +11,17 @@
 
 from hophinge.state.rows import Row
 
-PART = 500          # rows of one part, and what more its last change has
+PART = 500  # rows of one part, and what more its last change has
 
 
 class Part(Struct, frozen=True):
     """What is sent at once: rows of whole changes, up to a number."""
 
-    epoch: int      # of the ledger
+    epoch: int  # of the ledger
     seq: int
-    anew: bool      # in place of what the head has
+    anew: bool  # in place of what the head has
     first: bool
-    last: bool      # all is here
+    last: bool  # all is here
     rows: tuple[Row, ...]
 
 
@@ -33,7 +33,7 @@
         self.anew = self.first = False
         self.gone_after = -1
         self.on_way = 0
-        self.ends = True                # the part that went out last was the last one
+        self.ends = True  # the part that went out last was the last one
         self.waiting = False
         if held_epoch != epoch or not floor <= held_seq <= newest:
             self._begin(newest)
@@ -45,7 +45,7 @@
     def due(self, newest: int, floor: int) -> bool:
         """Tell whether a part is to be fetched: rows after `seq`, removed ones after `gone_after`."""
         if not self.waiting and (self.gone_after if self.anew else self.seq) < floor:
-            self._begin(newest)         # it was so slow that names which it lacks were forgotten
+            self._begin(newest)  # it was so slow that names which it lacks were forgotten
         return not self.waiting and (not self.ends or self.seq < newest)
 
     def part(self, rows: list[Row], newest: int) -> Part:
--- a/hophinge/tenancy/leases.py
+++ b/hophinge/tenancy/leases.py
@@ -21,20 +21,20 @@
 
 from msgspec import Struct
 
-LOW_US = 30_000_000         # what gives holds longer than what takes, or nothing could be renewed
+LOW_US = 30_000_000  # what gives holds longer than what takes, or nothing could be renewed
 HIGH_US = 10_000_000
-DRIFT = 0.01                # part by which two steady clocks may differ in speed
-HIGH_MOST_US = int(HIGH_US * (1 + DRIFT)) + 1       # of the other side's clock, by one's own
+DRIFT = 0.01  # part by which two steady clocks may differ in speed
+HIGH_MOST_US = int(HIGH_US * (1 + DRIFT)) + 1  # of the other side's clock, by one's own
 LOW_LEAST_US = int(LOW_US * (1 - DRIFT))
-MOST_ASKS = 16              # remembered by a head; an answer to an older one comes too late to be worth taking
+MOST_ASKS = 16  # remembered by a head; an answer to an older one comes too late to be worth taking
 
 
 class Lease(Struct, frozen=True):
     """What the issuer tells one head: its share by tenant, in parts of the reserve; left out is the even one."""
 
-    serial: int             # rises with each lease
-    process: int            # of the head, that asked
-    asked: int              # the ask that it answers
+    serial: int  # rises with each lease
+    process: int  # of the head, that asked
+    asked: int  # the ask that it answers
     shares: Mapping[str, float]
 
 
@@ -43,13 +43,13 @@
 
     def __init__(self, heads: int, process: int, now_us: int) -> None:
         self.even, self.process = 1.0 / heads, process
-        self.free_at = now_us + LOW_US + 1      # by then a promise of a process before this one has ended
-        self.asks: dict[int, int] = {}          # when each was sent
+        self.free_at = now_us + LOW_US + 1  # by then a promise of a process before this one has ended
+        self.asks: dict[int, int] = {}  # when each was sent
         self.ask_number = 0
         self.serial = 0
         self.shares: Mapping[str, float] = {}
         self.low_until = self.high_until = 0
-        self.late = 0                           # leases that came too late, twice or for another process
+        self.late = 0  # leases that came too late, twice or for another process
 
     def ask(self, now_us: int) -> tuple[int, int]:
         """Tell what to send: the number of this ask, and the serial of the lease that is held."""
@@ -91,14 +91,21 @@
 
     def __init__(self, heads: int, serial: int, now_us: int) -> None:
         self.heads, self.even, self.serial = heads, 1.0 / heads, serial
-        self.grants: dict[str, list[Grant]] = {}    # by head, the oldest first
+        self.grants: dict[str, list[Grant]] = {}  # by head, the oldest first
         self.acked: dict[str, int] = {}
         self.process: dict[str, int] = {}
-        self.ended: set[tuple[str, int]] = set()    # processes that were followed by another
+        self.ended: set[tuple[str, int]] = set()  # processes that were followed by another
         self.quiet_until = now_us + HIGH_MOST_US
 
-    def grant(self, now_us: int, head: str, process: int, asked: int, held: int, wanted: Mapping[str, float],
-              ) -> Lease | None:
+    def grant(
+        self,
+        now_us: int,
+        head: str,
+        process: int,
+        asked: int,
+        held: int,
+        wanted: Mapping[str, float],
+    ) -> Lease | None:
         """Answer an ask of a head that holds the lease `held` (0: none) with what is safe of the wanted shares.
 
         None: nothing can be told yet, or it is the ask of a process that has been followed by another.
@@ -114,7 +121,7 @@
             return None
         self._forget(now_us, head)
         others = [one for one in self.process if one != head]
-        unheard = max(0, self.heads - len(others) - 1) * self.even      # who never asked has its even part
+        unheard = max(0, self.heads - len(others) - 1) * self.even  # who never asked has its even part
         known = {name for grants in self.grants.values() for grant in grants for name in grant.shares}
         shares: dict[str, float] = {}
         for tenant in known | wanted.keys():
@@ -129,8 +136,11 @@
     def _forget(self, now_us: int, head: str) -> None:
         """Drop grants that the head has replaced, and those that hold nothing above the even part any more."""
         acked = self.acked.get(head, 0)
-        self.grants[head] = [grant for grant in self.grants.get(head, ()) if grant.serial == acked
-                             or (grant.serial > acked and now_us <= grant.sent_us + HIGH_MOST_US)]
+        self.grants[head] = [
+            grant
+            for grant in self.grants.get(head, ())
+            if grant.serial == acked or (grant.serial > acked and now_us <= grant.sent_us + HIGH_MOST_US)
+        ]
 
     def _worst(self, head: str, tenant: str, now_us: int) -> float:
         """Tell the largest share that a head may have at any moment while a grant made now can last."""
--- a/hophinge/tenancy/life.py
+++ b/hophinge/tenancy/life.py
@@ -10,16 +10,16 @@
 
 from msgspec import Struct
 
-BATCH = 500         # rows that one step removes
+BATCH = 500  # rows that one step removes
 
 
 class State(Enum):
     """Where a tenant stands."""
 
     ACTIVE = "active"
-    SUSPENDED = "suspended"     # nothing of it is served; all of it is kept
-    CLOSING = "closing"         # the same, and it is being removed: there is no way back
-    CLOSED = "closed"           # nothing is left; its name may be taken anew
+    SUSPENDED = "suspended"  # nothing of it is served; all of it is kept
+    CLOSING = "closing"  # the same, and it is being removed: there is no way back
+    CLOSED = "closed"  # nothing is left; its name may be taken anew
 
 
 class Wish(Enum):
@@ -28,7 +28,7 @@
     SUSPEND = "suspend"
     RESUME = "resume"
     CLOSE = "close"
-    PURGED = "purged"           # said by the purge alone, at its end
+    PURGED = "purged"  # said by the purge alone, at its end
 
 
 STEPS = {
--- a/hophinge/tenancy/planner.py
+++ b/hophinge/tenancy/planner.py
@@ -13,19 +13,21 @@
 import numpy as np
 from msgspec import Struct
 
-KEEP = 0.25             # part of a tenant's reserve that is spread evenly, for demand that moves before shares do
-MEMORY = 0.7            # weight kept by demand seen before, at each new report
+KEEP = 0.25  # part of a tenant's reserve that is spread evenly, for demand that moves before shares do
+MEMORY = 0.7  # weight kept by demand seen before, at each new report
 
 
 class Misfit(Struct, frozen=True):
     """A promise that cannot be kept, with its proof: all reserves together are more than all capacity."""
 
-    reserved: float         # units/s
+    reserved: float  # units/s
     capacity: float
 
     def __str__(self) -> str:
-        return (f"the tenants' reserves add up to {self.reserved:g} units/s; the heads do {self.capacity:g}: "
-                f"lower reserves by {self.reserved - self.capacity:g} units/s or add heads")
+        return (
+            f"the tenants' reserves add up to {self.reserved:g} units/s; the heads do {self.capacity:g}: "
+            f"lower reserves by {self.reserved - self.capacity:g} units/s or add heads"
+        )
 
 
 def fits(reserves: Mapping[str, float], capacities: Mapping[str, float]) -> Misfit | None:
@@ -60,8 +62,11 @@
             heads.pop(head, None)
 
 
-def plan(reserves: Mapping[str, float], capacities: Mapping[str, float], demand: Mapping[str, Mapping[str, float]],
-         ) -> dict[str, dict[str, float]]:
+def plan(
+    reserves: Mapping[str, float],
+    capacities: Mapping[str, float],
+    demand: Mapping[str, Mapping[str, float]],
+) -> dict[str, dict[str, float]]:
     """Plan parts of 1 by tenant and head; tenants without demand or reserve are left out and keep their even parts.
 
     Raises ValueError where the reserves do not fit; ask `fits` first, for the reason.
@@ -82,13 +87,16 @@
     room = np.array([capacities[head] - still for head in heads])
     # Where nothing is short the wanted parts are the optimum, by their cost of 0.
     chosen = wanted if (wanted.sum(axis=0) <= room + 1e-9).all() else _solve(wanted, room)
-    return {name: {head: float(chosen[row, at] / reserves[name]) for at, head in enumerate(heads)}
-            for row, name in enumerate(moved)}
+    return {
+        name: {head: float(chosen[row, at] / reserves[name]) for at, head in enumerate(heads)}
+        for row, name in enumerate(moved)
+    }
 
 
-def _solve(wanted: np.ndarray[tuple[int, int], np.dtype[np.float64]],
-           room: Sequence[float] | np.ndarray[tuple[int], np.dtype[np.float64]],
-           ) -> np.ndarray[tuple[int, int], np.dtype[np.float64]]:
+def _solve(
+    wanted: np.ndarray[tuple[int, int], np.dtype[np.float64]],
+    room: Sequence[float] | np.ndarray[tuple[int], np.dtype[np.float64]],
+) -> np.ndarray[tuple[int, int], np.dtype[np.float64]]:
     """Solve for shares nearest to the wanted ones: within the wanted part free, beyond it at a cost."""
     tenants, heads = wanted.shape
     count = tenants * heads
--- a/hophinge/tenancy/records.py
+++ b/hophinge/tenancy/records.py
@@ -15,10 +15,10 @@
 
 NAME = re.compile(r"[a-z0-9](?:[a-z0-9.-]{1,61})[a-z0-9]", re.ASCII)
 KEY = re.compile(r"hk[0-9a-f]{16}", re.ASCII)
-LONGEST_NOTE = 200          # characters
-MOST_KEYS, MOST_VOLUMES, MOST_UPLOADS = 50, 1000, 1000     # of a tenant, unless its quotas say otherwise
-LONGEST_OVERLAP_S = 7 * 24 * 3600       # that an old key may live on beside the one that replaces it
-TENANT, BUCKET, ACCESS = "tenant", "bucket", "key"          # kinds of rows
+LONGEST_NOTE = 200  # characters
+MOST_KEYS, MOST_VOLUMES, MOST_UPLOADS = 50, 1000, 1000  # of a tenant, unless its quotas say otherwise
+LONGEST_OVERLAP_S = 7 * 24 * 3600  # that an old key may live on beside the one that replaces it
+TENANT, BUCKET, ACCESS = "tenant", "bucket", "key"  # kinds of rows
 
 
 class AccountError(HophingeError):
@@ -35,9 +35,9 @@
 class Role(Enum):
     """What a key is for."""
 
-    DATA = "data"                       # objects
-    ADMINISTRATOR = "administrator"     # its tenant's buckets and keys
-    READER = "reader"                   # to see its tenant's buckets, keys and usage
+    DATA = "data"  # objects
+    ADMINISTRATOR = "administrator"  # its tenant's buckets and keys
+    READER = "reader"  # to see its tenant's buckets, keys and usage
 
 
 class Quotas(Struct, frozen=True, forbid_unknown_fields=True):
@@ -46,8 +46,8 @@
     volumes: int = MOST_VOLUMES
     keys: int = MOST_KEYS
     uploads: int = MOST_UPLOADS
-    connections: int = 0        # 0: no bound of its own
-    requests: int = 0           # object requests at once
+    connections: int = 0  # 0: no bound of its own
+    requests: int = 0  # object requests at once
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -58,8 +58,8 @@
 class Shares(Struct, frozen=True, forbid_unknown_fields=True):
     """What a tenant counts on of the installation, where heads share what is spare."""
 
-    reserve: float = 0.0        # units a second, over all heads
-    weight: float = 1.0         # in what is spare
+    reserve: float = 0.0  # units a second, over all heads
+    weight: float = 1.0  # in what is spare
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -83,7 +83,7 @@
 
     tenant: str
     name: str
-    id: str         # of the volume: random, and never given twice
+    id: str  # of the volume: random, and never given twice
     plan: str
     made_ms: int = 0
 
@@ -96,7 +96,7 @@
     digest: str
     role: Role = Role.DATA
     made_ms: int = 0
-    ends_ms: int = 0        # 0: never
+    ends_ms: int = 0  # 0: never
     note: str = ""
 
     def ended(self, now_ms: int) -> bool:
--- a/hophinge/tenancy/reserve.py
+++ b/hophinge/tenancy/reserve.py
@@ -50,8 +50,8 @@
         self.burst_s = burst_s
         self.total = Bucket(rate, max(rate * burst_s, least) if rate else 0.0, now_us)
         self.volumes: dict[str, Bucket] = {}
-        self.borrowed: dict[str, float] = {}    # units by volume, since it was first seen
-        self.debts: dict[str, float] = {}       # of that, what has not come back; the oldest first
+        self.borrowed: dict[str, float] = {}  # units by volume, since it was first seen
+        self.debts: dict[str, float] = {}  # of that, what has not come back; the oldest first
         self.lent = self.returned = 0.0
 
     def change(self, rate: float, least: float, now_us: int) -> None:
--- a/hophinge/tenancy/timekeeper.py
+++ b/hophinge/tenancy/timekeeper.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-SLEW = 0.1      # part by which time may run faster or slower than the steady clock
+SLEW = 0.1  # part by which time may run faster or slower than the steady clock
 
 
 class Timekeeper:
--- a/hophinge/tenancy/usage.py
+++ b/hophinge/tenancy/usage.py
@@ -8,13 +8,20 @@
 
 from collections.abc import Mapping
 
-Place = tuple[str, str, str]        # tenant, volume, field
+Place = tuple[str, str, str]  # tenant, volume, field
 UNITS, SERVED, REFUSED, FAILED, LEFT, IN, OUT = FIELDS = (
-    "units", "served", "refused", "failed", "left", "bytes_in", "bytes_out")
-MOST_VOLUMES = 50_000               # places of volumes held between two flushes; beyond, they count for their tenant
-MOST_LABELS = 50                    # tenants with a series of their own
+    "units",
+    "served",
+    "refused",
+    "failed",
+    "left",
+    "bytes_in",
+    "bytes_out",
+)
+MOST_VOLUMES = 50_000  # places of volumes held between two flushes; beyond, they count for their tenant
+MOST_LABELS = 50  # tenants with a series of their own
 OTHERS = "(others)"
-WHOLE = ""                          # the volume of what is counted for a tenant alone
+WHOLE = ""  # the volume of what is counted for a tenant alone
 
 
 class Usage:
@@ -22,7 +29,7 @@
 
     def __init__(self) -> None:
         self.amounts: dict[Place, float] = {}
-        self.out: dict[Place, float] | None = None      # handed out, and not known to be stored
+        self.out: dict[Place, float] | None = None  # handed out, and not known to be stored
 
     def add(self, tenant: str, volume: str, field: str, amount: float) -> None:
         """Count."""
@@ -55,7 +62,7 @@
     """
 
     def __init__(self) -> None:
-        self.due: dict[Place, None] = {}        # the oldest first
+        self.due: dict[Place, None] = {}  # the oldest first
         self.sent: dict[int, list[Place]] = {}
         self.number = 0
 
@@ -93,7 +100,7 @@
 
     def __init__(self, most: int = MOST_LABELS) -> None:
         self.most = most
-        self.counts: dict[tuple[str, str], float] = {}      # by label and field
+        self.counts: dict[tuple[str, str], float] = {}  # by label and field
         self.labels: set[str] = set()
 
     def add(self, tenant: str, field: str, amount: float) -> None:
--- a/tests/administrator.py
+++ b/tests/administrator.py
@@ -25,8 +25,9 @@
         self.admin, self.objects = made.url(service, 2), made.url(service, 1)
         self.tags: dict[str, str] = {}
 
-    async def call(self, method: str, path: str, body: Any = None, token: str = TOKEN, status: int = 0,
-                   **fields: str) -> Any:
+    async def call(
+        self, method: str, path: str, body: Any = None, token: str = TOKEN, status: int = 0, **fields: str
+    ) -> Any:
         data = None if body is None else msgspec.json.encode(body)
         sent = {"Authorization": f"Bearer {token}", **{name.replace("_", "-"): text for name, text in fields.items()}}
         async with self.made.client.request(method, f"{self.admin}{path}", data=data, headers=sent) as response:
@@ -46,8 +47,9 @@
         return str(made["key"])
 
     async def object(self, method: str, path: str, key: str, body: bytes | None = None) -> tuple[int, bytes]:
-        async with self.made.client.request(method, f"{self.objects}{path}", data=body,
-                                            headers={"Authorization": f"Bearer {key}"}) as response:
+        async with self.made.client.request(
+            method, f"{self.objects}{path}", data=body, headers={"Authorization": f"Bearer {key}"}
+        ) as response:
             return response.status, await response.read()
 
 
--- a/tests/agreement_model.py
+++ b/tests/agreement_model.py
@@ -113,7 +113,7 @@
 
 
 def _with(votes: tuple[VoteRecord, ...], voter: int, vote: VoteRecord) -> tuple[VoteRecord, ...]:
-    return (*votes[:voter], vote, *votes[voter + 1:])
+    return (*votes[:voter], vote, *votes[voter + 1 :])
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/books.py
+++ b/tests/books.py
@@ -18,13 +18,24 @@
     return ledger.change(lambda: (list(rows), Entry(next(NUMBERS), "tester", "operator", what, "", {}), None))
 
 
-def tenant(path: Path, name: str = "alba", buckets: Mapping[str, str] | None = None, role: Role = Role.DATA,
-           quotas: Quotas | None = None) -> str:
+def tenant(
+    path: Path,
+    name: str = "alba",
+    buckets: Mapping[str, str] | None = None,
+    role: Role = Role.DATA,
+    quotas: Quotas | None = None,
+) -> str:
     """Make a tenant with buckets by plan, or add to it, and a key; tells the key."""
     ledger = Ledger(path)
     secret, key = secrets.token_urlsafe(32), f"hk{secrets.token_hex(8)}"
-    write(ledger, row(Account(name, quotas=quotas or Quotas())), row(Key(name, key, digest(secret), role)),
-          *(row(Bucket(name, bucket, secrets.token_hex(8), plan)) for bucket, plan in (
-              {"receipts": "priority"} if buckets is None else buckets).items()))
+    write(
+        ledger,
+        row(Account(name, quotas=quotas or Quotas())),
+        row(Key(name, key, digest(secret), role)),
+        *(
+            row(Bucket(name, bucket, secrets.token_hex(8), plan))
+            for bucket, plan in ({"receipts": "priority"} if buckets is None else buckets).items()
+        ),
+    )
     ledger.close()
     return f"{key}.{secret}"
--- a/tests/chain_model.py
+++ b/tests/chain_model.py
@@ -31,9 +31,9 @@
 
 KEY = "k"
 LOSSES = 1
-READ = 100                  # a read's request number is this and the newest version acknowledged before it was asked
-REFUSED = -1                # what is told of a change: its version, or this times its version
-LATER = 1e9                 # a moment at which whatever waits to be sent again is due
+READ = 100  # a read's request number is this and the newest version acknowledged before it was asked
+REFUSED = -1  # what is told of a change: its version, or this times its version
+LATER = 1e9  # a moment at which whatever waits to be sent again is due
 Step = Callable[[Chain, Outputs], None]
 
 
@@ -42,7 +42,7 @@
     """What one replica holds: nothing of a chain outlives its process but this."""
 
     replica: Replica
-    view: int               # the number of the view it is in
+    view: int  # the number of the view it is in
     synced: int
     entries: tuple[Entry, ...]
 
@@ -53,8 +53,8 @@
 
     disks: tuple[Disk, ...]
     views: tuple[View, ...]
-    sent: frozenset[tuple[str, str, object]]        # from identity, to address
-    acknowledged: frozenset[int]                    # versions, and those refused with a sign before them
+    sent: frozenset[tuple[str, str, object]]  # from identity, to address
+    acknowledged: frozenset[int]  # versions, and those refused with a sign before them
     wipes: int
     reads: int
 
@@ -101,7 +101,7 @@
         versions = list(chain.registers.taken.get(KEY, {}).values())
         entries = tuple(Entry(number, self._change(version)) for number, version in enumerate(versions, 1))
         after = Disk(disk.replica, chain.view.number if chain.view else 0, chain.synced, entries)
-        disks = (*state.disks[:place], after, *state.disks[place + 1:])
+        disks = (*state.disks[:place], after, *state.disks[place + 1 :])
         told, sent = set(state.acknowledged), set(state.sent)
         for address, message in outputs.messages:
             if isinstance(message, Reply):
@@ -125,7 +125,7 @@
         origin = state.disks[place].replica
         for change in self.changes:
             if change.base and change.base not in state.acknowledged:
-                continue                # nobody builds on a version that nobody was told of
+                continue  # nobody builds on a version that nobody was told of
             submit = Submit(Origin(origin, change.version), KEY, change)
             yield self._changed(state, place, lambda chain, outputs, submit=submit: chain.submit(submit, outputs))  # type: ignore[misc]
         if state.reads < self.reads:
@@ -142,14 +142,24 @@
                 continue
             source = source or Replica(identity, f"at-{identity[0]}", "z")
             if isinstance(message, Sync):
-                yield self._changed(state, place, lambda chain, outputs, source=source, message=message:  # type: ignore[misc]
-                                    chain.sync(LATER, source, message, outputs))
+                yield self._changed(
+                    state,
+                    place,
+                    lambda chain, outputs, source=source, message=message: (  # type: ignore[misc]
+                        chain.sync(LATER, source, message, outputs)
+                    ),
+                )
             elif isinstance(message, Forward):
-                yield self._changed(state, place, lambda chain, outputs, source=source, message=message:  # type: ignore[misc]
-                                    chain.forwarded(source, message, outputs))
+                yield self._changed(
+                    state,
+                    place,
+                    lambda chain, outputs, source=source, message=message: (  # type: ignore[misc]
+                        chain.forwarded(source, message, outputs)
+                    ),
+                )
 
     def _adopt(self, state: ChainState, place: int) -> Iterator[ChainState]:
-        for view in state.views[state.disks[place].view:]:
+        for view in state.views[state.disks[place].view :]:
             yield self._changed(state, place, lambda chain, outputs, view=view: chain.enter(LATER, view, outputs))  # type: ignore[misc]
 
     def _send_again(self, state: ChainState, place: int) -> Iterator[ChainState]:
@@ -157,8 +167,13 @@
         for other in state.disks:
             if other.view == state.disks[place].view:
                 heard = self._heartbeat(other)
-                yield self._changed(state, place, lambda chain, outputs, other=other, heard=heard:  # type: ignore[misc]
-                                    chain.successor_heard(LATER, other.replica, heard, outputs))
+                yield self._changed(
+                    state,
+                    place,
+                    lambda chain, outputs, other=other, heard=heard: (  # type: ignore[misc]
+                        chain.successor_heard(LATER, other.replica, heard, outputs)
+                    ),
+                )
 
     def _heartbeat(self, disk: Disk) -> Heartbeat:
         registers = Registers()
@@ -176,7 +191,7 @@
         if state.wipes < self.wipes and caught_up:
             replica = state.disks[place].replica
             empty = Disk(Replica(replica.identity + "'", replica.address, "z"), 0, 0, ())
-            disks = (*state.disks[:place], empty, *state.disks[place + 1:])
+            disks = (*state.disks[:place], empty, *state.disks[place + 1 :])
             yield replace(state, disks=disks, wipes=state.wipes + 1)
 
     def _decide(self, state: ChainState) -> Iterator[ChainState]:
@@ -187,8 +202,12 @@
         able = [disk for disk in state.disks if disk.view == newest.number and newest.voter(disk.replica.identity)]
         for count in range(newest.majority, len(able) + 1):
             for some in combinations(able, count):
-                promises = {disk.replica.identity: Promise(newest.number + 1, Ballot(1, "a"), NO_BALLOT, None,
-                                                           disk.synced, len(disk.entries)) for disk in some}
+                promises = {
+                    disk.replica.identity: Promise(
+                        newest.number + 1, Ballot(1, "a"), NO_BALLOT, None, disk.synced, len(disk.entries)
+                    )
+                    for disk in some
+                }
                 candidates = tuple(disk.replica for disk in state.disks if newest.voter(disk.replica.identity) is None)
                 alive = set(promises) | {replica.identity for replica in candidates}
                 view = next_view(newest, Sight(alive, alive, set(), set(), candidates, 2 * LOSSES + 1), promises)
@@ -214,7 +233,7 @@
         order = {link.identity: place for place, link in enumerate(newest.chain)}
         serving.sort(key=lambda disk: order.get(disk.replica.identity, -1))
         for before, after in pairwise(serving):
-            assert before.entries[:len(after.entries)] == after.entries, "a successor holds what is not before it"
+            assert before.entries[: len(after.entries)] == after.entries, "a successor holds what is not before it"
 
 
 def search(model: ChainModel, most: int) -> int:
--- a/tests/cluster_cuts.py
+++ b/tests/cluster_cuts.py
@@ -12,8 +12,8 @@
 from tests.cluster_network import SECOND, Network, Node
 from tests.cluster_scenarios import Liar, held_dead, within_bounds
 
-ALONE_S, SPARE_S = 10.0, 6.0        # docs/design/cluster.md: silence that counts, and turns under way at its end
-HEAL_S = 60.0                       # after a cut that outlasted the list of the dead, by the same
+ALONE_S, SPARE_S = 10.0, 6.0  # docs/design/cluster.md: silence that counts, and turns under way at its end
+HEAL_S = 60.0  # after a cut that outlasted the list of the dead, by the same
 
 
 def suspects_all(node: Node) -> bool:
@@ -26,8 +26,11 @@
 
 def accused_by(node: Node, since_us: int) -> set[str]:
     """Tell whom a member held suspect or worse since a time."""
-    return {what.member.name for when, what in node.told if when > since_us and isinstance(what, Changed)
-            and what.member.standing is not Standing.ALIVE}
+    return {
+        what.member.name
+        for when, what in node.told
+        if when > since_us and isinstance(what, Changed) and what.member.standing is not Standing.ALIVE
+    }
 
 
 def survivor_finds_out(count: int, bytes_s: int = 20_000) -> None:
@@ -79,8 +82,12 @@
     net.go_on(stale)
     assert net.until(lambda: net.agreed(nodes[:5]), 30)
     net.run(30)
-    assert not {what.member.name for node in rest for when, what in node.told if when > began
-                and isinstance(what, Changed) and what.member.counts} - {stale.machine.me}
+    assert not {
+        what.member.name
+        for node in rest
+        for when, what in node.told
+        if when > began and isinstance(what, Changed) and what.member.counts
+    } - {stale.machine.me}
 
 
 def long_cut_heals(sides: Sequence[int], loss: float = 0.0, seed: int = 43) -> float:
@@ -89,7 +96,7 @@
     nodes = net.fleet(sum(sides), 120)
     for node in nodes:
         node.machine.joiner.seeds = []
-    inside = {node.address for node in nodes[:sides[0]]}
+    inside = {node.address for node in nodes[: sides[0]]}
     net.cut = lambda source, target: (source in inside) != (target in inside)
     known = {node.address: sides[0] if node.address in inside else sides[1] for node in nodes}
     assert net.until(lambda: all(len(node.machine.members()) == known[node.address] for node in nodes), 400, 1.0)
--- a/tests/cluster_member.py
+++ b/tests/cluster_member.py
@@ -28,8 +28,7 @@
     tuning = Tuning(**settings.pop("tuning", {}))
     settings["key_file"] = Path(settings["key_file"])
     try:
-        member = Member(ClusterConfig(**settings), "", lambda text: print(text, file=sys.stderr),
-                        tuning=tuning)
+        member = Member(ClusterConfig(**settings), "", lambda text: print(text, file=sys.stderr), tuning=tuning)
     except HophingeError as error:
         print(json.dumps({"error": error.told()}), flush=True)
         return
@@ -49,8 +48,12 @@
             member.board.put(Topic(word[1]), word[2], word[3].encode())
         elif word[0] == "leave":
             member.leave()
-        said = member.status() | {"cpu_s": time.process_time(), "entries": sorted(
-            [one.owner, one.key, one.value.decode()] for topic in Topic for one in member.board.entries(topic))}
+        said = member.status() | {
+            "cpu_s": time.process_time(),
+            "entries": sorted(
+                [one.owner, one.key, one.value.decode()] for topic in Topic for one in member.board.entries(topic)
+            ),
+        }
         print(json.dumps(said), flush=True)
 
 
@@ -63,8 +66,13 @@
             key_file.write_text(KEY + "\n")
         settings = {"name": name, "listen": listen, "seeds": seeds, "key_file": str(key_file), **more}
         self.name, self.key_file, self.stopped = name, key_file, False
-        self.process = subprocess.Popen([sys.executable, "-m", "tests.cluster_member", json.dumps(settings)], cwd=ROOT,
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "tests.cluster_member", json.dumps(settings)],
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+        )
         first = self.read()
         self.error, self.address = first.get("error", ""), first.get("address", "")
 
--- a/tests/cluster_network.py
+++ b/tests/cluster_network.py
@@ -25,7 +25,7 @@
         self.machine, self.address = machine, address
         self.alive, self.stopped = True, False
         self.waiting: list[tuple[str, bytes]] = []
-        self.sent: list[tuple[int, int]] = []           # when, bytes with headers
+        self.sent: list[tuple[int, int]] = []  # when, bytes with headers
         self.told: list[tuple[int, Action]] = []
         self.why = ""
         self.wake_us = -1
@@ -34,8 +34,15 @@
 class Network:
     """Nodes by address; `cut` tells whether a datagram from one address to another is lost for sure."""
 
-    def __init__(self, seed: int = 1, loss: float = 0.0, doubled: float = 0.0, latency_us: tuple[int, int] = LATENCY_US,
-                 keep: bool = True, **given: Any) -> None:
+    def __init__(
+        self,
+        seed: int = 1,
+        loss: float = 0.0,
+        doubled: float = 0.0,
+        latency_us: tuple[int, int] = LATENCY_US,
+        keep: bool = True,
+        **given: Any,
+    ) -> None:
         self.rng = random.Random(seed)
         self.loss, self.doubled, self.latency_us, self.keep, self.given = loss, doubled, latency_us, keep, given
         self.now_us = 1_000 * SECOND
@@ -50,8 +57,16 @@
         """Start a process; one under an address that was used takes it over."""
         address = address or f"{name}:7000"
         start = self.now_us // 100 if start is None else start
-        machine = Cluster(name, address, start, seeds, given.pop("keys", [KEY]), random.Random(self.rng.random()),
-                          self.now_us, **{**self.given, **given})
+        machine = Cluster(
+            name,
+            address,
+            start,
+            seeds,
+            given.pop("keys", [KEY]),
+            random.Random(self.rng.random()),
+            self.now_us,
+            **{**self.given, **given},
+        )
         node = self.nodes[address] = Node(machine, address)
         self._schedule(node)
         return node
@@ -106,8 +121,13 @@
     @staticmethod
     def board(node: Node) -> tuple[Any, ...]:
         """Tell all entries that a node shows."""
-        return tuple(sorted((one.owner, one.topic.value, one.key, one.value) for topic in Topic
-                            for one in node.machine.entries(topic)))
+        return tuple(
+            sorted(
+                (one.owner, one.topic.value, one.key, one.value)
+                for topic in Topic
+                for one in node.machine.entries(topic)
+            )
+        )
 
     def most_bytes(self, node: Node) -> int:
         """Tell the most bytes that a node sent in any second."""
--- a/tests/cluster_scenarios.py
+++ b/tests/cluster_scenarios.py
@@ -11,13 +11,17 @@
 from hophinge.cluster.wire import seal
 from tests.cluster_network import KEY, SECOND, Network, Node
 
-START = 10_000_000      # tenths of milliseconds: starts of nodes in the network are about that
+START = 10_000_000  # tenths of milliseconds: starts of nodes in the network are about that
 
 
 def held_dead(nodes: Sequence[Node], since_us: int = 0) -> set[str]:
     """Tell whom any of these has held dead, or gone, since a time."""
-    return {what.member.name for node in nodes for when, what in node.told
-            if when > since_us and isinstance(what, Changed) and not what.member.counts}
+    return {
+        what.member.name
+        for node in nodes
+        for when, what in node.told
+        if when > since_us and isinstance(what, Changed) and not what.member.counts
+    }
 
 
 def within_bounds(net: Network) -> None:
@@ -71,11 +75,11 @@
     assert net.until(lambda: net.agreed(nodes) and len(net.board(nodes[0])) == 1, 10)
     mine = nodes[2].machine.core
     liar = Liar(net)
-    for ahead in (0, 7):        # the same count with another value, and a higher one with one more entry
+    for ahead in (0, 7):  # the same count with another value, and a higher one with one more entry
         upto = mine.shelf.marks("n0002")[0][0] + ahead
         items = [Item(upto, "brick", b"out"), *([Item(upto - 1, "forged", b"x")] if ahead else [])]
         for node in nodes[:2]:
-            if not ahead:       # one that had not heard yet
+            if not ahead:  # one that had not heard yet
                 node.machine.core.shelf.forget("n0002")
             liar.say([node], Delta("n0002", 0, mine.start, 0, upto, items))
         net.run(0.01)
@@ -95,10 +99,14 @@
     for ahead in (1, 1 << 30):
         liar.say(nodes, Record(own.name, "liar:1", own.incarnation + ahead, ALIVE))
         net.run(10)
-        assert all(what.member.address == own.address for node in nodes for _, what in node.told
-                   if isinstance(what, Changed) and what.member.name == own.name)
+        assert all(
+            what.member.address == own.address
+            for node in nodes
+            for _, what in node.told
+            if isinstance(what, Changed) and what.member.name == own.name
+        )
     assert net.until(lambda: net.agreed(nodes), 30)
-    liar.say(nodes, Record("n0001", own.address, 2 ** 62, DEAD), Record("n0001", own.address, 2 ** 62, LEFT))
+    liar.say(nodes, Record("n0001", own.address, 2**62, DEAD), Record("n0001", own.address, 2**62, LEFT))
     net.run(10)
     assert net.agreed(nodes) and nodes[0].machine.core.counters["starts_too_far_ahead"]
 
@@ -119,10 +127,14 @@
     net.go_on(stale)
     assert net.until(lambda: net.agreed(nodes[:5]), 90)
     net.run(40)
-    risen = [what for node in rest for when, what in node.told
-             if when > began and isinstance(what, Changed) and what.member.name == "n0005" and what.member.counts]
+    risen = [
+        what
+        for node in rest
+        for when, what in node.told
+        if when > began and isinstance(what, Changed) and what.member.name == "n0005" and what.member.counts
+    ]
     assert not risen and net.agreed(nodes[:5])
-    again = net.start("n0005", ["n0000:7000"], start=3)         # its clock was set back: it counts above what was
+    again = net.start("n0005", ["n0000:7000"], start=3)  # its clock was set back: it counts above what was
     assert net.until(lambda: net.agreed([*nodes[:5], again]), 60)
 
 
@@ -138,8 +150,11 @@
         began = net.now_us - 1
         net.go_on(sleeper, turn > 1)
         net.run(30)
-        accused = {what.member.name for when, what in sleeper.told if when > began and isinstance(what, Changed)
-                   and what.member.standing is Standing.SUSPECT} - {"n0002"}
+        accused = {
+            what.member.name
+            for when, what in sleeper.told
+            if when > began and isinstance(what, Changed) and what.member.standing is Standing.SUSPECT
+        } - {"n0002"}
         assert not accused and not held_dead([sleeper]) and held_dead(nodes) <= {"n0002"}
         assert net.until(lambda: net.agreed(nodes), 30)
     # It had a suspicion of its own when it was stopped: the time that it slept is no time to refute.
@@ -170,7 +185,7 @@
     assert net.board(twin) == (("n0001", "drains", "k", b"v"),) and not twin.machine.core.out
     # A word to a namesake that was meant for another process is not obeyed.
     own = nodes[1].machine.core.roster.own
-    Liar(net).say([nodes[1]], Clash(Record("n0001", "x:1", 5), 2 ** 50, 12345))
+    Liar(net).say([nodes[1]], Clash(Record("n0001", "x:1", 5), 2**50, 12345))
     net.run(1)
     assert not nodes[1].why and own.name == "n0001"
 
@@ -205,11 +220,15 @@
     nodes[0].machine.drop(Topic.DRAINS, "a")
     net.run(60)
     began = net.now_us - 1
-    nodes[4].waiting.clear()        # its socket was full long before
+    nodes[4].waiting.clear()  # its socket was full long before
     net.go_on(nodes[4])
     assert net.until(lambda: net.agreed(nodes), 60) and len(net.board(nodes[4])) == 1
-    back = [what for node in nodes for when, what in node.told
-            if when > began and isinstance(what, Told) and not what.gone and what.entry.key == "a"]
+    back = [
+        what
+        for node in nodes
+        for when, what in node.told
+        if when > began and isinstance(what, Told) and not what.gone and what.entry.key == "a"
+    ]
     assert not back and not nodes[0].machine.core.counters["own_entries_overruled"]
 
 
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -14,18 +14,31 @@
 
 from hophinge.core.choice import Scheduler
 from hophinge.core.interface import (
-    Action, Arrival, Effect, Event, ListKind, NodeEntry, NodeList, Outcome, Phase, Result, Send, SetTimer, TimerDue,
+    Action,
+    Arrival,
+    Effect,
+    Event,
+    ListKind,
+    NodeEntry,
+    NodeList,
+    Outcome,
+    Phase,
+    Result,
+    Send,
+    SetTimer,
+    TimerDue,
 )
 from tests.test_choice import MS, SETTINGS, T0, klass
 
 SECOND = 1000 * MS
-RULES = replace(SETTINGS.rules, fall_multiple=2.5, fall_us=1500 * MS, cold_share=0.18, cold_us=17 * SECOND,
-                cold_units=30)
-POWER = 75.0            # units a second of a usual warm brick
-MEAN = 2.0              # units of a request of mean work
+RULES = replace(
+    SETTINGS.rules, fall_multiple=2.5, fall_us=1500 * MS, cold_share=0.18, cold_us=17 * SECOND, cold_units=30
+)
+POWER = 75.0  # units a second of a usual warm brick
+MEAN = 2.0  # units of a request of mean work
 UNITS = 1, 1, 1, 2, 2, 3, 4
-LEFT = 750 * MS         # how long a client waits
-TOLD_PART = 2 / 3       # of a fall's work from heads that had been told, beyond which the rule is broken
+LEFT = 750 * MS  # how long a client waits
+TOLD_PART = 2 / 3  # of a fall's work from heads that had been told, beyond which the rule is broken
 
 
 @dataclass(frozen=True)
@@ -33,25 +46,25 @@
     """One way of being; powers and loads in parts of a usual warm brick's power."""
 
     heads: int = 30
-    load: float = 1.0           # asked of each brick
-    fresh: float = 0.0          # part of the requests that are new objects
-    power: float = 1.0          # of the cold bricks, warm
+    load: float = 1.0  # asked of each brick
+    fresh: float = 0.0  # part of the requests that are new objects
+    power: float = 1.0  # of the cold bricks, warm
     cold: int = 1
     warm: int = 2
-    skew: float = 0.7           # heads' weights fall with their number to this power
-    hosts: int = 3              # heads of a volume
-    volumes: int = 6            # at each brick
-    burst: float = 1.0          # times the load, for two seconds from BURST_AT on
-    moves_s: float = 3.0        # a volume's busiest head changes so often
-    told_s: float = 0.0         # heads are told of the start within so long
-    returns: bool = False       # a brick of a lost zone: until told, heads take it for the warm one it was
-    share: float = RULES.cold_share     # capacity at the start; the rules tell the least
+    skew: float = 0.7  # heads' weights fall with their number to this power
+    hosts: int = 3  # heads of a volume
+    volumes: int = 6  # at each brick
+    burst: float = 1.0  # times the load, for two seconds from BURST_AT on
+    moves_s: float = 3.0  # a volume's busiest head changes so often
+    told_s: float = 0.0  # heads are told of the start within so long
+    returns: bool = False  # a brick of a lost zone: until told, heads take it for the warm one it was
+    share: float = RULES.cold_share  # capacity at the start; the rules tell the least
     warms_s: float = RULES.cold_us / SECOND
-    own: bool = False           # judged by its own capacity, not by the least that the rules tell
-    noise: float = 0.3          # deviation of a request's work from its units
-    within_s: float = 0.5       # the cold bricks start within so long
-    killed: float = 0.0         # part of the heads that forget all at KILLED_AT, but for their list
-    counted: int = 0            # heads that the settings tell of; 0: as many as there are
+    own: bool = False  # judged by its own capacity, not by the least that the rules tell
+    noise: float = 0.3  # deviation of a request's work from its units
+    within_s: float = 0.5  # the cold bricks start within so long
+    killed: float = 0.0  # part of the heads that forget all at KILLED_AT, but for their list
+    counted: int = 0  # heads that the settings tell of; 0: as many as there are
     span_s: float = 9.0
 
 
@@ -67,8 +80,8 @@
         self.free = 0.0
         self.window: deque[tuple[int, float, bool]] = deque()
         self.work = self.told = 0.0
-        self.most = 0.0         # largest part of what the rule bears, of windows that would break it
-        self.fell = ""          # "", "broken" or "untold"
+        self.most = 0.0  # largest part of what the rule bears, of windows that would break it
+        self.fell = ""  # "", "broken" or "untold"
         self.got = 0
 
     def capacity(self, now: float, share: float, warms_s: float) -> float:
@@ -95,7 +108,7 @@
             while self.window[0][0] <= now - RULES.fall_us:
                 _, gone, knew = self.window.popleft()
                 self.work, self.told = self.work - gone, self.told - gone * knew
-            number = self.allowed(max(self.started, now - RULES.fall_us))      # the least within the window
+            number = self.allowed(max(self.started, now - RULES.fall_us))  # the least within the window
             part = self.work / MEAN / (number + 2 * math.sqrt(number) + 2)
             broken = self.told > TOLD_PART * self.work
             self.most = max(self.most, part if broken else 0.0)
@@ -109,8 +122,14 @@
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.lots = fleet, random.Random(seed)
-        self.settings = replace(SETTINGS, gateways=fleet.counted or fleet.heads, rules=RULES,
-                                classes=(klass(Effect.SAFE),), mean_units=MEAN, most_units=8)
+        self.settings = replace(
+            SETTINGS,
+            gateways=fleet.counted or fleet.heads,
+            rules=RULES,
+            classes=(klass(Effect.SAFE),),
+            mean_units=MEAN,
+            most_units=8,
+        )
         self.heads = [Scheduler(self.settings, 1000 * seed + at) for at in range(fleet.heads)]
         self.weights = [1 / (1 + at) ** fleet.skew for at in range(fleet.heads)]
         self.lots.shuffle(self.weights)
@@ -124,7 +143,7 @@
         for head in range(fleet.heads):
             saved = tuple(self.entry(brick, 0) for brick in self.bricks if fleet.returns or not brick.started)
             self.push(T0 - SECOND, head, NodeList(ListKind.SAVED, saved))
-            for brick in self.bricks[:fleet.cold]:
+            for brick in self.bricks[: fleet.cold]:
                 at = brick.started + int(self.lots.uniform(0, fleet.told_s) * SECOND)
                 self.hears[head, brick.name] = at
                 self.push(at, head, NodeList(ListKind.CHANGES, (self.entry(brick, brick.started),)))
@@ -152,8 +171,11 @@
         first, hosts = self.leads[volume], min(fleet.hosts, fleet.heads)
         head = (first + (0 if lots.random() < 0.6 else lots.randrange(hosts))) % fleet.heads
         name, new = f"{self.asked:016x}", lots.random() < fleet.fresh
-        self.push(int(now), head, Arrival(
-            name, float(lots.choice(UNITS)), volume, 0, -1 if new else shard, hosts, name, LEFT, new, 0))
+        self.push(
+            int(now),
+            head,
+            Arrival(name, float(lots.choice(UNITS)), volume, 0, -1 if new else shard, hosts, name, LEFT, new, 0),
+        )
 
     def run(self) -> Day:
         fleet, now = self.fleet, float(T0 - SECOND)
@@ -166,16 +188,20 @@
             when, _, head, event = heapq.heappop(self.events)
             if event is None:
                 self.heads[head] = Scheduler(self.settings, self.number)
-                event = NodeList(ListKind.SAVED, tuple(
-                    self.entry(brick, brick.started if self.hears.get((head, brick.name), 0) <= when else 0)
-                    for brick in self.bricks))
+                event = NodeList(
+                    ListKind.SAVED,
+                    tuple(
+                        self.entry(brick, brick.started if self.hears.get((head, brick.name), 0) <= when else 0)
+                        for brick in self.bricks
+                    ),
+                )
             for action in self.heads[head].handle(when, [event]):
                 self.act(when, head, action)
         return self
 
     def noise(self) -> float:
         """Draw a request's work in parts of what its units stand for; its mean is 1."""
-        return self.lots.lognormvariate(-self.fleet.noise ** 2 / 2, self.fleet.noise)
+        return self.lots.lognormvariate(-(self.fleet.noise**2) / 2, self.fleet.noise)
 
     def act(self, when: int, head: int, action: Action) -> None:
         if isinstance(action, SetTimer):
--- a/tests/connection_wire.py
+++ b/tests/connection_wire.py
@@ -12,8 +12,10 @@
 
 FIRST = b"POST /first HTTP/1.1\r\nhost: a\r\ncontent-length: 5\r\n\r\nhello"
 CHUNKED = b"POST /chunked HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
-UPGRADE = (b"POST /upgrade HTTP/1.1\r\nhost: a\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\n"
-           b"HTTP2-Settings: AAMAAABk\r\ncontent-length: 4\r\n\r\nbody")
+UPGRADE = (
+    b"POST /upgrade HTTP/1.1\r\nhost: a\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\n"
+    b"HTTP2-Settings: AAMAAABk\r\ncontent-length: 4\r\n\r\nbody"
+)
 GARBAGE = b"\x00 no request at all\r\n\r\n"
 MOST_BODY = 1_000
 Play = Callable[["Wire", HttpServer], Awaitable[None]]
@@ -104,8 +106,9 @@
     def another(self, server: HttpServer) -> Pipe:
         """Open another connection to the same server."""
         pipe = Pipe()
-        ServerConnection(server.context, config=server.config, server_state=server.server_state,
-                         app_state={}).connection_made(pipe)
+        ServerConnection(
+            server.context, config=server.config, server_state=server.server_state, app_state={}
+        ).connection_made(pipe)
         return pipe
 
     def statuses(self) -> list[int]:
@@ -130,13 +133,15 @@
 
 def played(play: Play) -> None:
     """Play something on a connection."""
+
     async def run() -> None:
         wire = Wire()
         server = HttpServer(wire.app)
         server.bound(ConnectionBounds(rest_s=30.0, header_s=5.0, header_bytes=400))
         server.config.load()
         connection = wire.connection = ServerConnection(
-            server.context, config=server.config, server_state=server.server_state, app_state={})
+            server.context, config=server.config, server_state=server.server_state, app_state={}
+        )
         connection.connection_made(wire.pipe)
         await play(wire, server)
         connection.connection_lost(None)
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -19,17 +19,27 @@
 from hophinge.fleet.registry.instance import DRAINING, READY, Instance
 from hophinge.fleet.settings import Settings, parse_settings
 
-DRAIN_S, CONTACT_S = 2.0, 3.0       # the operators' bounds: drain-ms and contact-ms
+DRAIN_S, CONTACT_S = 2.0, 3.0  # the operators' bounds: drain-ms and contact-ms
 HEARTBEAT_S = 1.0
 SYNC_S = 0.001
 
 
 def _settings(ip: str, zone: str, votes: bool, bootstrap: bool) -> Settings:
-    return parse_settings({
-        "node-name": ip, "ip": ip, "zone": zone, "internal-port-range": [7660, 7675], "bootstrap": bootstrap,
-        "seed-nodes": [f"10.0.0.{number}:8146" for number in (1, 2, 3)], "heartbeat-ms": HEARTBEAT_S * 1_000,
-        "counts-for-quorum": votes, "data-dir": "/nowhere" if votes else None, "fault-tolerance": {"machines": 1},
-        "listen-addresses": {"control": f"{ip}:8146", "front": f"{ip}:80", "ready": f"{ip}:81"}})
+    return parse_settings(
+        {
+            "node-name": ip,
+            "ip": ip,
+            "zone": zone,
+            "internal-port-range": [7660, 7675],
+            "bootstrap": bootstrap,
+            "seed-nodes": [f"10.0.0.{number}:8146" for number in (1, 2, 3)],
+            "heartbeat-ms": HEARTBEAT_S * 1_000,
+            "counts-for-quorum": votes,
+            "data-dir": "/nowhere" if votes else None,
+            "fault-tolerance": {"machines": 1},
+            "listen-addresses": {"control": f"{ip}:8146", "front": f"{ip}:80", "ready": f"{ip}:81"},
+        }
+    )
 
 
 @dataclass
@@ -57,10 +67,10 @@
     def __init__(self, seed: int, voters: int = 3, others: int = 2, heads: int = 6) -> None:
         self.random, self.loop = Random(seed), asyncio.get_running_loop()
         self.blocked: set[tuple[str, str]] = set()
-        self.disturbed = self.loop.time()       # when a core machine or its links were last touched
+        self.disturbed = self.loop.time()  # when a core machine or its links were last touched
         self.members: dict[str, ControlMember] = {}
         self.heads: dict[str, Knowledge] = {}
-        self.known: dict[str, dict[str, Instance | None]] = {}      # by head and instance
+        self.known: dict[str, dict[str, Instance | None]] = {}  # by head and instance
         self.acknowledged: list[Acknowledged] = []
         for number in range(1, voters + others + 1):
             settings = _settings(f"10.0.0.{number}", f"z{number % 3}", number <= voters, number <= voters)
@@ -103,6 +113,7 @@
             if member.machine is machine:
                 action()
                 self.loop.call_later(period, again)
+
         self.loop.call_later(period * self.random.random(), again)
 
     def _handle(self, member: ControlMember, machine: ReplicaMachine, event: Received | Tick) -> None:
@@ -130,6 +141,7 @@
         def again() -> None:
             head.tick()
             self.loop.call_later(KNOWLEDGE_TICK_S, again)
+
         self.loop.call_later(self.random.random() * KNOWLEDGE_TICK_S, again)
 
     # --- network -------------------------------------------------------------------------------------------------
@@ -178,8 +190,11 @@
 
     def ready_at(self, name: str) -> list[str]:
         """Tell the heads that would send work to an instance."""
-        return [address for address, known in self.known.items()
-                if (instance := known.get(name)) is not None and instance.state == READY]
+        return [
+            address
+            for address, known in self.known.items()
+            if (instance := known.get(name)) is not None and instance.state == READY
+        ]
 
     def check(self) -> None:
         """No head in touch sends work to an instance whose leaving was acknowledged longer ago than the bound."""
@@ -190,5 +205,3 @@
         for one in self.acknowledged:
             late = set(self.ready_at(one.instance)) - cut_off if now - one.at > DRAIN_S else set()
             assert not late, f"{one.giver} acknowledged {one.instance} at {one.at:.2f}: {late} send there at {now:.2f}"
-
-
--- a/tests/coordination_histories.py
+++ b/tests/coordination_histories.py
@@ -12,7 +12,7 @@
 from tests.coordination_world import World, change
 from tests.linearizability import Call
 
-LEAST_TAKEN = 5             # changes that a history takes, however many faults it has
+LEAST_TAKEN = 5  # changes that a history takes, however many faults it has
 
 
 @dataclass
@@ -69,7 +69,7 @@
         world.kill(address)
         del world.members[address]
         number = 20 + len(down)
-        world.seeds = tuple(sorted(world.members)[:3])      # the platform names machines that are there
+        world.seeds = tuple(sorted(world.members)[:3])  # the platform names machines that are there
         world.at(seconds, lambda: world.add(f"10.0.1.{number}:7660"))
         down[f"10.0.1.{number}:7660"] = world.now + seconds + 4.0
     elif not lost:
@@ -82,8 +82,13 @@
     """Tell whether a disk may be lost beside faults beyond the tolerance: only where enough others hold the state."""
     views = [member.machine.view.number for member in world.members.values() if member.machine and member.machine.view]
     newest = max(views, default=0)
-    holding = sum(member.machine is not None and member.machine.chain.serving and member.machine.view is not None
-                  and member.machine.view.number == newest for member in world.members.values())
+    holding = sum(
+        member.machine is not None
+        and member.machine.chain.serving
+        and member.machine.view is not None
+        and member.machine.view.number == newest
+        for member in world.members.values()
+    )
     return len(world.members) - holding + 1 <= world.losses
 
 
@@ -174,8 +179,13 @@
     """Tell the calls of a history that were answered."""
     world = history.world
     answered = [(request, answer) for request, answer in world.answers.items() if answer.outcome is not None]
-    return [Call(world.asked[request][0], world.answered_at[request], world.asked[request][1], answer.outcome,
-                 answer.version) for request, answer in answered if answer.outcome is not None]
+    return [
+        Call(
+            world.asked[request][0], world.answered_at[request], world.asked[request][1], answer.outcome, answer.version
+        )
+        for request, answer in answered
+        if answer.outcome is not None
+    ]
 
 
 def sent(history: History) -> list[tuple[float, Change]]:
--- a/tests/coordination_world.py
+++ b/tests/coordination_world.py
@@ -39,7 +39,7 @@
     frozen_until: float = 0.0
     sync_s: float = SYNC_S
     disk_free_at: float = 0.0
-    unsynced: list[Record] = field(default_factory=list)     # written, and lost with the power or not
+    unsynced: list[Record] = field(default_factory=list)  # written, and lost with the power or not
     votes: bool = True
     link_free_at: float = 0.0
     sent_bytes: int = 0
@@ -59,7 +59,7 @@
         self.loss = 0.0
         self.lag_s = 0.0
         self.blocked: set[tuple[str, str]] = set()
-        self.link_bytes_s = float("inf")    # of each machine's own link, outwards
+        self.link_bytes_s = float("inf")  # of each machine's own link, outwards
         self.members: dict[str, Member] = {}
         self.answers: dict[int, Answer] = {}
         self.answered_at: dict[int, float] = {}
@@ -126,7 +126,7 @@
     def kill(self, address: str) -> None:
         """End a process; of what its disk was writing, the first part lasts, up to a place that is drawn."""
         member = self.members[address]
-        member.disk.records += member.unsynced[:self.random.randint(0, len(member.unsynced))]
+        member.disk.records += member.unsynced[: self.random.randint(0, len(member.unsynced))]
         member.unsynced = []
         member.machine = None
 
@@ -135,7 +135,6 @@
         member.sync_s = sync_s
         self.at(seconds, lambda: setattr(member, "sync_s", SYNC_S))
 
-
     def lag(self, most_s: float, seconds: float) -> None:
         """Have messages come up to so much later, so that later ones overtake them."""
         self.lag_s = most_s
@@ -189,7 +188,7 @@
                 self.at(member.frozen_until - self.now, let_out)
                 return
             member.disk.records += outputs.records
-            del member.unsynced[:len(outputs.records)]
+            del member.unsynced[: len(outputs.records)]
             for address, message in outputs.messages:
                 self._send(machine.me, address, encode(message))
             for answer in outputs.answers:
--- a/tests/fleet_client.py
+++ b/tests/fleet_client.py
@@ -8,16 +8,21 @@
 from tests.fleet_requests import BOUND_S, PROMPT
 from tests.soak_client import Answer, read_answer
 
-EVENTS = 8                  # of a stream
+EVENTS = 8  # of a stream
 DEADLINE_MS = 20_000
-LATE_S = 8.0                # by when each of the times has run out that a client is given, on a busy machine too
+LATE_S = 8.0  # by when each of the times has run out that a client is given, on a busy machine too
 
 
 def request(path: str, name: str, body: bytes = b"x", *fields: tuple[bytes, bytes]) -> bytes:
     """A request with a measured body."""
-    every = [(b"Host", HOST.encode()), (b"Hophinge-Request-Id", name.encode()),
-             (b"Hophinge-Deadline-Ms", b"%d" % DEADLINE_MS), (b"Content-Length", str(len(body)).encode()),
-             *PROMPT, *fields]
+    every = [
+        (b"Host", HOST.encode()),
+        (b"Hophinge-Request-Id", name.encode()),
+        (b"Hophinge-Deadline-Ms", b"%d" % DEADLINE_MS),
+        (b"Content-Length", str(len(body)).encode()),
+        *PROMPT,
+        *fields,
+    ]
     lines = b"".join(name + b": " + value + b"\r\n" for name, value in every)
     return b"POST %s HTTP/1.1\r\n%s\r\n%s" % (path.encode(), lines, body)
 
@@ -58,7 +63,7 @@
                 return True
 
 
-CLIENTS: list[Client] = []      # that are open
+CLIENTS: list[Client] = []  # that are open
 
 
 def is_stream(answer: Answer | None) -> bool:
--- a/tests/fleet_requests.py
+++ b/tests/fleet_requests.py
@@ -11,10 +11,19 @@
 BOUND_S = 30.0
 MACHINES = 3
 ROUTES = (("/m/", "streaming", "models"), ("/p/", "unsafe", "plain"))
-PROMPT = ((b"Hophinge-Model", b"m"), (b"Hophinge-Token-Usage", b"900,80"),
-          (b"Hophinge-Prompt-Prefix", b"aa:700,bb:200"))
-INSTANCES = (("p1", "models", "prefill"), ("p2", "models", "prefill"), ("d1", "models", "decode"),
-             ("d2", "models", "decode"), ("s1", "plain", ""), ("s2", "plain", ""))
+PROMPT = (
+    (b"Hophinge-Model", b"m"),
+    (b"Hophinge-Token-Usage", b"900,80"),
+    (b"Hophinge-Prompt-Prefix", b"aa:700,bb:200"),
+)
+INSTANCES = (
+    ("p1", "models", "prefill"),
+    ("p2", "models", "prefill"),
+    ("d1", "models", "decode"),
+    ("d2", "models", "decode"),
+    ("s1", "plain", ""),
+    ("s2", "plain", ""),
+)
 
 
 async def begin(fleet: LoopbackFleet) -> None:
@@ -46,6 +55,7 @@
 
 def counts_heads(fleet: LoopbackFleet, number: int) -> Condition:
     """A head has been there for long enough to know how many share the retry budget."""
+
     async def look() -> tuple[bool, str]:
         reply = await fleet.call(fleet.address(number, READY), "GET", "/v1/member", b"", [(b"Host", b"c")])
         heads = json.loads(reply.body)["heads-for-budgets"]
--- a/tests/head_of_format.py
+++ b/tests/head_of_format.py
@@ -15,7 +15,7 @@
 from hophinge.cluster import core, messages, reconcile, rumours, wire
 from hophinge.cluster.messages import Delta, Digest, Part, Record
 
-LAST = {Record: 1, Delta: 1, Digest: 2}         # elements at the end that an older build does not know
+LAST = {Record: 1, Delta: 1, Digest: 2}  # elements at the end that an older build does not know
 UNKNOWN = msgspec.msgpack.encode((77, ["nobody", "knows"]))
 
 
@@ -26,7 +26,7 @@
     if not isinstance(part, Part):
         return part
     rows = [elements(getattr(part, name), longer) for name in part.__struct_fields__]
-    return [*rows, "of a newer build"] if longer else rows[:len(rows) - LAST.get(type(part), 0)]
+    return [*rows, "of a newer build"] if longer else rows[: len(rows) - LAST.get(type(part), 0)]
 
 
 class Reader:
@@ -38,7 +38,7 @@
     def decode(self, raw: bytes) -> Part:
         rows = msgspec.msgpack.decode(raw)
         cut = LAST.get(self.kind, 0)
-        return msgspec.convert(rows[:len(self.kind.__struct_fields__) - cut], self.kind)
+        return msgspec.convert(rows[: len(self.kind.__struct_fields__) - cut], self.kind)
 
 
 def become(word: str) -> None:
@@ -51,16 +51,23 @@
     def sealed(key: bytes, name: str, start: int, count: int, parts: list[bytes]) -> bytes:
         extra = [UNKNOWN] if longer else []
         format_ = wire.FORMAT + 1 if longer else wire.FORMAT - 1
-        return seal(key, name, start, count, [*parts, *extra], format_,
-                    format_ if word == "unreadable" else min(format_, wire.NEEDS))
+        return seal(
+            key,
+            name,
+            start,
+            count,
+            [*parts, *extra],
+            format_,
+            format_ if word == "unreadable" else min(format_, wire.NEEDS),
+        )
 
     for module in (core, reconcile, rumours):
-        setattr(module, "packed", packed)                   # noqa: B010 - mypy knows them as functions
-    setattr(core, "seal", sealed)                           # noqa: B010
-    setattr(core, "FIXED", wire.FIXED + len(UNKNOWN))       # noqa: B010 - room for it in each datagram
+        setattr(module, "packed", packed)  # noqa: B010 - mypy knows them as functions
+    setattr(core, "seal", sealed)  # noqa: B010
+    setattr(core, "FIXED", wire.FIXED + len(UNKNOWN))  # noqa: B010 - room for it in each datagram
     if word == "older":
         for number, kind in messages.KINDS.items():
-            messages.DECODERS[number] = Reader(kind)        # type: ignore[assignment]
+            messages.DECODERS[number] = Reader(kind)  # type: ignore[assignment]
 
 
 if __name__ == "__main__":
--- a/tests/held_clock.py
+++ b/tests/held_clock.py
@@ -10,7 +10,7 @@
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock, self.stood_at = clock, clock()
-        self.behind: int | None = None      # microseconds behind the other clock, once it goes on
+        self.behind: int | None = None  # microseconds behind the other clock, once it goes on
 
     def go_on(self) -> None:
         """Let time pass again."""
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -28,11 +28,22 @@
 
     async def control(self, **options: Any) -> Any:
         (self.folder / "operator").write_text(TOKEN)
-        self.owner = Owner(self.folder / "accounts.db", "127.0.0.1:0", self.folder / "operator",
-                           frozenset({"basic", "priority"}), self.log.append, 1000.0)
+        self.owner = Owner(
+            self.folder / "accounts.db",
+            "127.0.0.1:0",
+            self.folder / "operator",
+            frozenset({"basic", "priority"}),
+            self.log.append,
+            1000.0,
+        )
         self.service = control_service.ControlService(
-            Store(self.folder / "versions.db", **options), frozenset({HEADS}),
-            {"a-token-of-staff-1": "tester"}, self.log.append, self.owner.ledger, self.owner.accounts)
+            Store(self.folder / "versions.db", **options),
+            frozenset({HEADS}),
+            {"a-token-of-staff-1": "tester"},
+            self.log.append,
+            self.owner.ledger,
+            self.owner.accounts,
+        )
         await self.service.start(f"127.0.0.1:{self.port}")
         self.port = self.service.port
         self.owner.start(self.service)
@@ -46,23 +57,29 @@
 
     async def hosted(self, name: str, settings: dict[str, Any] | None = None) -> Service:
         (self.folder / "token").write_text(HEADS)
-        stream = StreamConfig([f"127.0.0.1:{self.port}"], self.folder / "token", self.folder / f"state-{name}",
-                              accounts=True)
+        stream = StreamConfig(
+            [f"127.0.0.1:{self.port}"], self.folder / "token", self.folder / f"state-{name}", accounts=True
+        )
         objects = ObjectConfig("127.0.0.1:0", self.folder / f"{name}.json", "record-read", "transfer-write")
         return await self.made.head(OperatorConfig(objects=objects, stream=stream), settings or SETTINGS, name=name)
 
     async def call(self, method: str, path: str, body: Any = None) -> Any:
         assert self.owner is not None and self.owner.acceptor is not None
         host, port = self.owner.acceptor.sockets[0].getsockname()
-        async with self.made.client.request(method, f"http://{host}:{port}{path}", json=body, headers={
-                "Authorization": f"Bearer {TOKEN}", "If-Match": "*"}) as answer:
+        async with self.made.client.request(
+            method,
+            f"http://{host}:{port}{path}",
+            json=body,
+            headers={"Authorization": f"Bearer {TOKEN}", "If-Match": "*"},
+        ) as answer:
             text = await answer.read()
             assert answer.status < 300, (answer.status, text)
             return msgspec.json.decode(text) if text else None
 
     async def object(self, head: Service, method: str, path: str, key: str, body: bytes | None = None) -> int:
-        async with self.made.client.request(method, f"{self.made.url(head, 1)}{path}", data=body, headers={
-                "Authorization": f"Bearer {key}"}) as answer:
+        async with self.made.client.request(
+            method, f"{self.made.url(head, 1)}{path}", data=body, headers={"Authorization": f"Bearer {key}"}
+        ) as answer:
             await answer.read()
             return answer.status
 
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -37,14 +37,16 @@
         self.port = 0
 
     async def control(self, **options: Any) -> ControlService:
-        self.service = ControlService(Store(self.folder / "versions.db", **options), frozenset({HEADS}),
-                                      {STAFF: "tester"}, self.log.append)
+        self.service = ControlService(
+            Store(self.folder / "versions.db", **options), frozenset({HEADS}), {STAFF: "tester"}, self.log.append
+        )
         await self.service.start(f"127.0.0.1:{self.port}")
         self.port = self.service.port
         return self.service
 
-    async def head(self, name: str, settings: dict[str, Any] | None = None, token: str = HEADS,
-                   endpoints: list[str] | None = None) -> Service:
+    async def head(
+        self, name: str, settings: dict[str, Any] | None = None, token: str = HEADS, endpoints: list[str] | None = None
+    ) -> Service:
         (self.folder / "token").write_text(token)
         stream = StreamConfig(endpoints or [f"127.0.0.1:{self.port}"], self.folder / "token", self.folder / "state")
         return await self.made.head(OperatorConfig(stream=stream), settings or SETTINGS, name=name)
@@ -80,8 +82,9 @@
 
 async def write(here: Installation, head: Service, number: int) -> int:
     fields = headers(number, X_Placement="units=1,shard=-1,hosts=1")
-    async with here.made.client.put(here.made.url(head) + TARGET.format(number % 256), data=b"x",
-                                    headers=fields) as answer:
+    async with here.made.client.put(
+        here.made.url(head) + TARGET.format(number % 256), data=b"x", headers=fields
+    ) as answer:
         await answer.read()
         return answer.status
 
@@ -99,9 +102,20 @@
 def serving(tmp_path: Path, port: int = 0) -> tuple[subprocess.Popen[str], int]:
     (tmp_path / "heads").write_text(f"# of heads\nheads {HEADS}\n")
     (tmp_path / "staff").write_text(f"tester {STAFF}\n")
-    process = started(tmp_path, "control", "serve", "--store", str(tmp_path / "v.db"), "--heads",
-                      str(tmp_path / "heads"), "--staff", str(tmp_path / "staff"), "--listen", f"127.0.0.1:{port}",
-                      "--json")
+    process = started(
+        tmp_path,
+        "control",
+        "serve",
+        "--store",
+        str(tmp_path / "v.db"),
+        "--heads",
+        str(tmp_path / "heads"),
+        "--staff",
+        str(tmp_path / "staff"),
+        "--listen",
+        f"127.0.0.1:{port}",
+        "--json",
+    )
     assert process.stderr is not None
     for line in process.stderr:
         if "listens on" in line:
--- a/tests/linearizability.py
+++ b/tests/linearizability.py
@@ -13,7 +13,7 @@
 
 from hophinge.coordination.registers import Change, Outcome
 
-LAST = 1 << 30              # the place of an end that is open
+LAST = 1 << 30  # the place of an end that is open
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     told = call.change.version if call.change is not None and call.outcome is Outcome.TAKEN else call.version
     assert told in place, f"version {told} was told of and is in no row with the newest one"
     if call.outcome is Outcome.TAKEN:
-        return Bounds(call, place[told], LAST)      # sent again, it may be answered when others have followed it
+        return Bounds(call, place[told], LAST)  # sent again, it may be answered when others have followed it
     return Bounds(call, place[told], place[told])
 
 
