--- a/tests/test_popularity_processes.py
+++ b/tests/test_popularity_processes.py
@@ -32,8 +32,12 @@
         """Call until it is neither refused nor failed: machines are busy, and those calls may be repeated."""
         assert self.made.session is not None
         while True:
-            async with self.made.session.request(method, f"http://{self.front[name]}/{PATH}", data=body, headers={
-                    "Authorization": f"Bearer {self.token}"}) as answer:
+            async with self.made.session.request(
+                method,
+                f"http://{self.front[name]}/{PATH}",
+                data=body,
+                headers={"Authorization": f"Bearer {self.token}"},
+            ) as answer:
                 found = await answer.read()
                 if answer.status not in (500, 503):
                     return answer.status, found
@@ -58,10 +62,19 @@
             made.platform.port = agent.port
             for name in ("a", "b"):
                 built.front[name] = made.address()
-                await made.head(name, sections={
-                    "objects": {"listen": built.front[name], "tenants": str(folder / "tenants.json"),
-                                "read_class": "record-read", "write_class": "transfer-write", "piece_bytes": PIECE},
-                    "popularity": {"secret_file": str(folder / "key")}})
+                await made.head(
+                    name,
+                    sections={
+                        "objects": {
+                            "listen": built.front[name],
+                            "tenants": str(folder / "tenants.json"),
+                            "read_class": "record-read",
+                            "write_class": "transfer-write",
+                            "piece_bytes": PIECE,
+                        },
+                        "popularity": {"secret_file": str(folder / "key")},
+                    },
+                )
             await made.processes.start("a", "b")
             await until([made.ready("a"), made.ready("b")], BOUND_S)
             yield built
@@ -76,7 +89,7 @@
             assert (await built.call("a", "PUT", OLD))[0] == 200
             for _ in range(2):
                 assert [await built.call(name, "GET") for name in "ab"] == [(200, OLD)] * 2
-            assert await built.cached("b") == (3, 3)        # the second read's pieces came from what is kept
+            assert await built.cached("b") == (3, 3)  # the second read's pieces came from what is kept
             # A brick holds the new manifest: until it is there, both read the old one; a head killed now wrote nothing.
             gate, held = asyncio.Event(), asyncio.Event()
             manifest = next(where for brick in built.bricks for where, body in brick.objects.items() if len(body) < 600)
@@ -99,18 +112,19 @@
             gate.set()
             await built.made["a"].start()
             await until([built.made.ready("a")], BOUND_S)
-            assert await built.cached("a") == (0, 0)        # one that was killed starts empty
+            assert await built.cached("a") == (0, 0)  # one that was killed starts empty
             # The store has said that it is overwritten, then deleted: no head serves what it had kept, from then on.
             assert await built.call("a", "GET") in ((200, OLD), (200, NEW))
             reading = [asyncio.create_task(built.call("b", "GET")) for _ in range(8)]
             assert (await built.call("a", "PUT", NEW))[0] == 200
             assert {found for _, found in await asyncio.gather(*reading)} <= {OLD, NEW}
             assert [await built.call(name, "GET") for name in "abab"] == [(200, NEW)] * 4
-            assert (await built.cached("b"))[1] == 3        # of the old version nothing is kept
+            assert (await built.cached("b"))[1] == 3  # of the old version nothing is kept
             await built.made["b"].kill()
             assert (await built.call("a", "DELETE"))[0] == 204
             await built.made["b"].start()
             await until([built.made.ready("b")], BOUND_S)
             assert [(await built.call(name, "GET"))[0] for name in "ab"] == [404, 404]
             assert [(await built.cached(name))[1] for name in "ab"] == [0, 0]
+
     run(main())
--- a/tests/test_remote_write.py
+++ b/tests/test_remote_write.py
@@ -101,12 +101,14 @@
             assert receiver.headers["Content-Type"] == "application/x-protobuf"
             assert receiver.headers["X-Prometheus-Remote-Write-Version"] == "0.1.0"
         await receiver.close()
+
     run(main())
 
 
 @pytest.mark.parametrize(("status", "tries"), [(500, 2), (503, 2), (429, 2), (400, 1), (404, 1)])
 def test_what_may_pass_is_sent_again_and_what_may_not_is_dropped(
-        status: int, tries: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    status: int, tries: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("hophinge.telemetry.remote_write.FIRST_PAUSE_S", 0.01)
 
     async def main() -> None:
@@ -123,6 +125,7 @@
         task.cancel()
         await push.close()
         await receiver.close()
+
     run(main())
 
 
@@ -140,6 +143,7 @@
         assert counters.counts["remote_write_dropped"] == 2
         task.cancel()
         await push.close()
+
     run(main())
 
 
@@ -150,8 +154,12 @@
             stream = StreamConfig(["127.0.0.1:9"], tmp_path / "token", tmp_path)
             return (await made.head(OperatorConfig(stream=stream))).gauges()
 
-    exported = {name for name, _ in metrics(Counters(), run(gauges()), None, {
-        (f"tenant_{field}_total", (("tenant", "alba"),)): 0.0 for field in FIELDS})}
+    exported = {
+        name
+        for name, _ in metrics(
+            Counters(), run(gauges()), None, {(f"tenant_{field}_total", (("tenant", "alba"),)): 0.0 for field in FIELDS}
+        )
+    }
     rules = msgspec.yaml.decode((Path(__file__).parent.parent / "deploy" / "alerts.yml").read_bytes())
     alerts = [rule for group in rules["groups"] for rule in group["rules"]]
     assert len({rule["alert"] for rule in alerts}) == len(alerts) >= 8
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -18,7 +18,7 @@
 from tests.test_keys import WRITE
 from tests.test_net_connects import late
 
-WINDOW = 1000 * MS      # of the classes in tests/gateways.py
+WINDOW = 1000 * MS  # of the classes in tests/gateways.py
 ALL = replace(SETTINGS, classes=(*SETTINGS.classes[:1], replace(klass(Effect.KEYED), scope=DedupScope.ALL)))
 
 
@@ -35,16 +35,19 @@
 @pytest.mark.parametrize("group", ["cell", "all"])
 @pytest.mark.parametrize("ahead_ms", [0, 20_000])
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_written(
-        group: str, ahead_ms: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    group: str, ahead_ms: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The first attempt was reset and may have run; the second left in time, its connect came up too late."""
+
     async def main() -> None:
         async with world(Brick(0)) as made:
             settings = setup()
-            settings["RequestClasses"][1].update(Effect="token", Group=group, DedupWindowUs=20_000_000,
-                                                 DeadlineUs=60_000_000)
+            settings["RequestClasses"][1].update(
+                Effect="token", Group=group, DedupWindowUs=20_000_000, DeadlineUs=60_000_000
+            )
             service, gate, brick = await made.head(settings=settings), asyncio.Event(), made.bricks[0]
             clock = service.exchange.now_us = Shifted(service.exchange.now_us)
-            service.bricks.pool.limit_s = 60.0          # whatever else the machine does, no limit cuts the wait
+            service.bricks.pool.limit_s = 60.0  # whatever else the machine does, no limit cuts the wait
             service.bricks.pool.usual.credit = -1000.0  # no connects beside late ones
             begun = late(monkeypatch, service.bricks.connector, gate, {1})
 
@@ -56,18 +59,19 @@
             brick.behave = lost
             wire = await made.wire(service)
             wire.send(WRITE, headers(1, Idempotency_Key="a", X_Remaining_Ms="50000"), "PUT", b"x")
-            await until(lambda: len(begun) == 2)        # the repeat has left the module, and waits for its connection
+            await until(lambda: len(begun) == 2)  # the repeat has left the module, and waits for its connection
             clock.ahead = ahead_ms * MS
             gate.set()
             assert (await wire.receive())[0] == (502 if ahead_ms else 200)
             assert len(brick.seen) == (1 if ahead_ms else 2)
             assert service.counters.counts["attempts_moot"] == (1 if ahead_ms else 0)
+
     run(main())
 
 
 def test_a_first_attempt_is_bound_by_no_window() -> None:
     gate = Gateway()
-    first, = [one for one in gate.at(0, ask("a", kind=KEYED)) if isinstance(one, Send)]
+    (first,) = [one for one in gate.at(0, ask("a", kind=KEYED)) if isinstance(one, Send)]
     assert first.until_us == 0
 
 
@@ -87,7 +91,7 @@
     desk = Desk()
     desk.arrive("a")
     desk.loop.advance(0)
-    attempt, = desk.out
+    (attempt,) = desk.out
     attempt.until = desk.loop.now + 10 * MS
     desk.loop.advance(9 * MS)
     assert attempt.may_go()
@@ -96,15 +100,18 @@
     attempt.end(End(Result.MOOT))
 
 
-@pytest.mark.parametrize(("after_ms", "keyless", "refused"), [
-    (900, False, True), (1000, False, False), (1500, False, False), (900, True, False)])
+@pytest.mark.parametrize(
+    ("after_ms", "keyless", "refused"),
+    [(900, False, True), (1000, False, False), (1500, False, False), (900, True, False)],
+)
 @pytest.mark.parametrize("result", [Result.RESET, Result.TIMEOUT, Result.ERROR])
 def test_a_refusal_after_what_may_have_run_promises_no_more_than_the_window_does(
-        after_ms: int, keyless: bool, refused: bool, result: Result) -> None:
+    after_ms: int, keyless: bool, refused: bool, result: Result
+) -> None:
     """Bricks drop a repeat by its key and within the window alone: beyond, trying again is not harmless."""
     gate = Gateway(replace(ALL, allowed=replace(ALL.allowed, attempts=1)))
     gate.at(0, structs.replace(ask("a", kind=KEYED), keyless=keyless))
-    answer, = finals(gate.at(after_ms * MS, end("a", result)))
+    (answer,) = finals(gate.at(after_ms * MS, end("a", result)))
     assert isinstance(answer, Refuse if refused else Fail)
 
 
@@ -119,7 +126,7 @@
 
 def test_what_is_still_out_at_the_end_of_its_time_counts_from_its_sending() -> None:
     gate = Gateway(ALL)
-    gate.at(0, ask("a", kind=KEYED), ask("b", kind=KEYED, shard=1, time_left=500 * MS))    # the first is out for 2 s
+    gate.at(0, ask("a", kind=KEYED), ask("b", kind=KEYED, shard=1, time_left=500 * MS))  # the first is out for 2 s
     assert finals(gate.run(2100 * MS)) == [Refuse("b", 0), Fail("a")]
 
 
--- a/tests/test_restart_bodies.py
+++ b/tests/test_restart_bodies.py
@@ -32,4 +32,5 @@
             assert promised[0] <= last.until_us + 20_000
             await ending
             made.services.remove(service)
+
     run(main())
--- a/tests/test_restart_crossings.py
+++ b/tests/test_restart_crossings.py
@@ -10,7 +10,7 @@
 from tests.stand_in import Brick, Wire, World, headers, run, until, world
 from tests.test_net import READ
 
-HALF = (True, False)        # on a connection that was answered before, and on a new one
+HALF = (True, False)  # on a connection that was answered before, and on a new one
 REST = b"-Placement: units=2,shard=0,hosts=1\r\n\r\n"
 
 
@@ -37,7 +37,7 @@
             do()
         close_idle()
 
-    front.close_idle = look     # type: ignore[method-assign]
+    front.close_idle = look  # type: ignore[method-assign]
     return looks
 
 
@@ -51,10 +51,10 @@
 def test_what_arrives_as_resting_connections_are_shut_is_answered_whole_or_half() -> None:
     async def main() -> None:
         async with world(Brick(0)) as made:
-            service = await made.head(settings=lasting(1000))   # connections rest for no longer than it ends
+            service = await made.head(settings=lasting(1000))  # connections rest for no longer than it ends
             body, rests = await kept(made, True), await kept(made, True)
             ending = asyncio.create_task(service.finish())
-            await until(lambda: service.front.last is not None)     # from here on silent ones are accepted at once
+            await until(lambda: service.front.last is not None)  # from here on silent ones are accepted at once
             whole = [await kept(made, answered) for answered in (True, False)]
             half = [await kept(made, answered) for answered in HALF]
             await until(lambda: len(service.front.server.connections) == 4 + len(HALF))
@@ -66,13 +66,13 @@
                     now(one, request)
                 for one, request in zip(half, requests[2:], strict=True):
                     assert request.endswith(REST)
-                    now(one, request[:-len(REST)])
+                    now(one, request[: -len(REST)])
                 now(body, body.head(READ, fields, "PUT") + b"a")
 
             looks = at_the_shutdown(made, arrive)
-            assert await rests.ended()              # shut, with nothing owed
+            assert await rests.ended()  # shut, with nothing owed
             rests.send(READ, headers(next(NUMBERS)))
-            await until(lambda: len(looks) > 3)     # what is half is read by now, and looked at again
+            await until(lambda: len(looks) > 3)  # what is half is read by now, and looked at again
             for one in half:
                 one.writer.write(REST)
             body.writer.write(b"b")
@@ -82,4 +82,5 @@
             await ending
             made.services.remove(service)
             assert service.counters.counts["requests_taken"] == 3 + len(HALF) and not made.bricks[0].seen
+
     run(main())
--- a/tests/test_restart_descriptors.py
+++ b/tests/test_restart_descriptors.py
@@ -17,19 +17,29 @@
 from tests.stand_in import World, run, until, world
 from tests.test_service import ROOT, config
 
-GIVEN = 120         # descriptors, by the system
-HELD = 55           # of them are in use once the crowd holds its part, and all in a head that knows no bound
+GIVEN = 120  # descriptors, by the system
+HELD = 55  # of them are in use once the crowd holds its part, and all in a head that knows no bound
 STEADY_S = 0.5
 
 
 @asynccontextmanager
 async def bounded(made: World, folder: Path, sockets: int, **changes: Any) -> AsyncIterator[Ending]:
     """A head that is told of so many descriptors, in a process that gets fewer."""
-    environ = config(folder, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint, **changes,
-                     limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets})
+    environ = config(
+        folder,
+        listen=f"{HOST}:{PORT}",
+        discovery=made.agent.endpoint,
+        **changes,
+        limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+    )
     process = await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", f"ulimit -n {GIVEN}; exec .venv/bin/python -m hophinge", cwd=ROOT, env=environ,
-        stdout=asyncio.subprocess.PIPE)
+        "/bin/sh",
+        "-c",
+        f"ulimit -n {GIVEN}; exec .venv/bin/python -m hophinge",
+        cwd=ROOT,
+        env=environ,
+        stdout=asyncio.subprocess.PIPE,
+    )
     try:
         yield Ending(process, made)
     finally:
@@ -45,9 +55,11 @@
 
 @pytest.mark.parametrize(("sockets", "silent"), [(GIVEN, False), (1024, False), (1024, True)])
 def test_a_crowd_that_holds_the_descriptors_stops_neither_bricks_nor_lists_nor_the_end(
-        sockets: int, silent: bool, tmp_path: Path) -> None:
+    sockets: int, silent: bool, tmp_path: Path
+) -> None:
     async def main() -> None:
         async with world(Brick(0), Brick(1)) as made:
+
             async def once(_: Any, __: bytes) -> web.Response:
                 """Answer, and end the connection: the next request needs a new one."""
                 response = web.Response(status=404)
@@ -58,13 +70,18 @@
             brick.behave = other.behave = once
             made.agent.silent = silent
             made.agent.targets = {brick.name: brick.target()}
-            known = {"rev": 1, "all": True, "targets": [{"uid": brick.name, "endpoint": brick.endpoint,
-                                                         "state": "Ready", "pod_group": 0}]}
+            known = {
+                "rev": 1,
+                "all": True,
+                "targets": [{"uid": brick.name, "endpoint": brick.endpoint, "state": "Ready", "pod_group": 0}],
+            }
             async with bounded(made, tmp_path, sockets, known=known) as ending:
                 (await wire(made)).close()
                 over, tally = False, Tally()
-                one, late = callers = (Caller(tally, X_Remaining_Ms="3000"), Caller(
-                    Tally(), X_Remaining_Ms="3000", X_Placement="units=2,shard=1,hosts=1"))
+                one, late = callers = (
+                    Caller(tally, X_Remaining_Ms="3000"),
+                    Caller(Tally(), X_Remaining_Ms="3000", X_Placement="units=2,shard=1,hosts=1"),
+                )
                 await asks(one)
 
                 async def rests() -> None:
@@ -93,19 +110,20 @@
                     await asyncio.sleep(0.005)
                 for _ in range(10):
                     await asks(one)
-                if not silent:      # what discovery has to tell comes through
+                if not silent:  # what discovery has to tell comes through
                     await made.agent.tell(other.target())
                     await until_served(late)
                 ending.tell()
                 await ending.over()
                 over = True
-                await asyncio.gather(*crowd)        # nobody listens any more
+                await asyncio.gather(*crowd)  # nobody listens any more
                 for asked in callers:
                     if asked.wire is not None:
                         asked.wire.close()
                 assert tally["404"] == tally["answered"] == 11 and tally["lost"] == 0, tally
                 assert ending.counts["accepts_failed"] == ending.counts["attempts_connect_failed"] == 0
                 assert f"{GIVEN} sockets" in ending.text
+
     run(main())
 
 
--- a/tests/test_restart_hangups.py
+++ b/tests/test_restart_hangups.py
@@ -55,18 +55,19 @@
             for agent in (first, second, third):
                 config(tmp_path, discovery=agent.endpoint)
                 service.reload()
-                await until(lambda: len(agent.asked) > 0)       # noqa: B023
-            service.reload()                    # the same address again
-            for agent in (first, second):       # who was left, and answers now
+                await until(lambda: len(agent.asked) > 0)  # noqa: B023
+            service.reload()  # the same address again
+            for agent in (first, second):  # who was left, and answers now
                 agent.gate.set()
-            await until(lambda: first.connections == second.connections == 0)       # its calls are over
-            assert set(service.directory.endpoints) == {bricks[0].name}     # the saved list is in force
+            await until(lambda: first.connections == second.connections == 0)  # its calls are over
+            assert set(service.directory.endpoints) == {bricks[0].name}  # the saved list is in force
             third.gate.set()
             await until(lambda: set(service.directory.endpoints) == {bricks[2].name})
             one = await made.wire(service)
             one.send(READ, headers(next(NUMBERS), X_Placement="units=2,shard=2,hosts=1"))
             assert (await one.receive())[0] == 404
             assert service.counters.counts["reloads"] == 4 and not bricks[0].seen and not bricks[1].seen
+
     run(main())
 
 
@@ -76,18 +77,41 @@
         async with world(*bricks) as made, agents(bricks[1]) as (other,):
             service = await made.head()
             service.path = str(tmp_path / "config.json")
-            before = (service.settings, service.config.listen, service.front.most_connections, service.bricks.most,
-                      service.exchange.settings, service.discovery.pace.pushed)
-            config(tmp_path, discovery=other.endpoint, seed="1", name="another", control="127.0.0.1:9",
-                   limits={"cores": 9.0, "memory_mb": 999, "sockets": 99}, settings={"Discovery": "asked"},
-                   known={"rev": 9, "all": True, "targets": [{"uid": "s-9", "endpoint": "127.0.0.1:9",
-                                                              "state": "Ready", "pod_group": 2}]})
+            before = (
+                service.settings,
+                service.config.listen,
+                service.front.most_connections,
+                service.bricks.most,
+                service.exchange.settings,
+                service.discovery.pace.pushed,
+            )
+            config(
+                tmp_path,
+                discovery=other.endpoint,
+                seed="1",
+                name="another",
+                control="127.0.0.1:9",
+                limits={"cores": 9.0, "memory_mb": 999, "sockets": 99},
+                settings={"Discovery": "asked"},
+                known={
+                    "rev": 9,
+                    "all": True,
+                    "targets": [{"uid": "s-9", "endpoint": "127.0.0.1:9", "state": "Ready", "pod_group": 2}],
+                },
+            )
             service.reload()
             await until(lambda: len(other.asked) > 0)
             assert set(service.directory.endpoints) == {brick.name for brick in bricks}
             other.gate.set()
             await until(lambda: set(service.directory.endpoints) == {bricks[1].name})
             service.share(0)
-            assert before == (service.settings, service.config.listen, service.front.most_connections,
-                              service.bricks.most, service.exchange.settings, service.discovery.pace.pushed)
+            assert before == (
+                service.settings,
+                service.config.listen,
+                service.front.most_connections,
+                service.bricks.most,
+                service.exchange.settings,
+                service.discovery.pace.pushed,
+            )
+
     run(main())
--- a/tests/test_restart_margins.py
+++ b/tests/test_restart_margins.py
@@ -12,14 +12,17 @@
 
 def reported(path: Path, found: object) -> subprocess.CompletedProcess[str]:
     path.write_text(json.dumps(found))
-    return subprocess.run([sys.executable, "benchmarks/margins.py", str(path)], cwd=ROOT, capture_output=True,
-                          text=True, check=False)
+    return subprocess.run(
+        [sys.executable, "benchmarks/margins.py", str(path)], cwd=ROOT, capture_output=True, text=True, check=False
+    )
 
 
 def test_margins_are_found_at_any_depth_and_the_smallest_is_told(tmp_path: Path) -> None:
     one = {"name": "a day", "by_class": [["reads", 0.7, 0.4], ["writes", 0.5, 0.45]], "by_tenant": [["x", 0.2, None]]}
-    done = reported(tmp_path / "day.json", {"days": [{"row": one}, {"row": {**one, "name": "other", "by_class": [
-        ["reads", 0.3, 0.4]]}}]})
+    done = reported(
+        tmp_path / "day.json",
+        {"days": [{"row": one}, {"row": {**one, "name": "other", "by_class": [["reads", 0.3, 0.4]]}}]},
+    )
     assert done.returncode == 0 and "| a day | class writes | 0.500 | 0.450 | +0.050 |" in done.stdout
     assert "smallest of a class: -0.100 (other, reads)" in done.stdout and "tenant" not in done.stdout
 
--- a/tests/test_restart_queue.py
+++ b/tests/test_restart_queue.py
@@ -12,7 +12,7 @@
 from tests.stand_in import run, until
 
 CLOSES = 12
-MOST_S = 10.0       # where the kernel lets clients in all the while the queue is never empty, and this is used up
+MOST_S = 10.0  # where the kernel lets clients in all the while the queue is never empty, and this is used up
 # Connects, says one byte, waits for one, and again, until nobody listens: tells how many had an answer, how many none.
 CLIENT = """
 import socket, sys
@@ -40,7 +40,7 @@
         self.open = open_
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)     # the loop's own class, which is none of asyncio's
+        self.transport = cast(asyncio.Transport, transport)  # the loop's own class, which is none of asyncio's
         self.open.add(self)
 
     def data_received(self, data: bytes) -> None:
@@ -69,18 +69,21 @@
         lost = answered = 0
         for _ in range(CLOSES):
             taker = Taker()
-            acceptor = Acceptor("127.0.0.1", 0, taker)        # type: ignore[arg-type]
+            acceptor = Acceptor("127.0.0.1", 0, taker)  # type: ignore[arg-type]
             port = str(acceptor.socket.getsockname()[1])
-            clients = [await asyncio.create_subprocess_exec(sys.executable, "-S", "-c", CLIENT, port,
-                                                            stdout=subprocess.PIPE) for _ in range(3)]
+            clients = [
+                await asyncio.create_subprocess_exec(sys.executable, "-S", "-c", CLIENT, port, stdout=subprocess.PIPE)
+                for _ in range(3)
+            ]
             await asyncio.sleep(0.1)
             acceptor.last()
             begun = asyncio.get_running_loop().time()
             await acceptor.finish(MOST_S)
             assert asyncio.get_running_loop().time() - begun < MOST_S
-            await until(lambda: not taker.open and not acceptor.tasks)     # noqa: B023
+            await until(lambda: not taker.open and not acceptor.tasks)  # noqa: B023
             for client in clients:
                 told, _ = await client.communicate()
                 lost, answered = lost + int(told.split()[0]), answered + int(told.split()[1])
         assert lost == 0 < answered
+
     run(main())
--- a/tests/test_rig_cuts.py
+++ b/tests/test_rig_cuts.py
@@ -30,7 +30,8 @@
 
 
 def test_what_is_sent_into_a_cut_is_lost_and_the_connection_is_reset_after_it(
-        word: Path, cuts: Cuts, server: socket.socket) -> None:
+    word: Path, cuts: Cuts, server: socket.socket
+) -> None:
     with socket.create_connection(server.getsockname()) as sock:
         accepted, _ = server.accept()
         with accepted:
--- a/tests/test_rig_network.py
+++ b/tests/test_rig_network.py
@@ -32,7 +32,8 @@
 
 @given(st.integers(0, 1 << 30), st.lists(st.sampled_from([("a", "b"), ("b", "a"), ("a", "c")]), max_size=60))
 def test_a_link_s_nth_datagram_has_the_same_fate_whatever_other_links_carry(
-        seed: int, order: list[tuple[str, str]]) -> None:
+    seed: int, order: list[tuple[str, str]]
+) -> None:
     assert history(seed, order) == history(seed, sorted(order)) == history(seed, order)
 
 
@@ -56,7 +57,7 @@
 @pytest.mark.parametrize("wrong", [{"loss": 1.1}, {"twice": -0.1}, {"delay_us": -1}, {"spread_us": 10**9}])
 def test_a_rule_out_of_range_is_refused(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError, match="from 0 to"):
-        Rule(**wrong)       # type: ignore[arg-type]  # the wrong values are the point
+        Rule(**wrong)  # type: ignore[arg-type]  # the wrong values are the point
 
 
 @given(st.lists(st.sets(st.sampled_from(NAMES), min_size=1), min_size=2, max_size=3))
@@ -93,7 +94,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)     # uvloop's is no subclass of it
+        self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's is no subclass of it
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self.heard.append(data)
@@ -147,6 +148,7 @@
         for closed in (one, other, stranger, again):
             closed.close()
         await relay.close()
+
     run(main())
 
 
@@ -184,6 +186,7 @@
         writer.close()
         await relay.close()
         server.close()
+
     run(main())
 
 
@@ -200,8 +203,13 @@
         monkeypatch.setattr(Network, "fate", lambda self, *link: () if link in self.cuts else real(self, *link))
         assert fates_round_a_cut() != fates_without()
     else:
-        monkeypatch.setattr(Network, "cut", lambda self, one, other, both=True: self.cuts.update(
-            {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}))
+        monkeypatch.setattr(
+            Network,
+            "cut",
+            lambda self, one, other, both=True: self.cuts.update(
+                {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}
+            ),
+        )
         with pytest.raises(AssertionError):
             test_a_split_by_zone_and_a_cut_one_way()
 
--- a/tests/test_rig_processes.py
+++ b/tests/test_rig_processes.py
@@ -47,14 +47,17 @@
 def module(made: Processes, name: str, **environ: str) -> Process:
     (made.folder / "worker_of_rig.py").write_text(MODULE)
     (made.folder / name).mkdir()
-    return made.make(name, ["worker_of_rig", str(made.folder / name)],
-                     {"PYTHONPATH": f"{made.folder}:{ROOT}", **environ})
+    return made.make(
+        name, ["worker_of_rig", str(made.folder / name)], {"PYTHONPATH": f"{made.folder}:{ROOT}", **environ}
+    )
 
 
 def newer(process: Process, text: str, than: int) -> Condition:
     """A line that came after so many."""
+
     async def look() -> tuple[bool, str]:
         return any(text in line for line in list(process.lines)[than:]), ""
+
     return Condition(process, f"says {text!r} again", look)
 
 
@@ -67,15 +70,19 @@
             await until([said(one, "file written"), said(one, "ledger written")], BOUND_S)
             for word, text in (("full", "No space left"), ("failing", "Input/output error")):
                 one.disk(word)
-                await until([newer(one, text, len(one.lines)), newer(one, "ledger not written: FullError",
-                                                                    len(one.lines))], BOUND_S)
+                await until(
+                    [newer(one, text, len(one.lines)), newer(one, "ledger not written: FullError", len(one.lines))],
+                    BOUND_S,
+                )
                 one.disk("")
-                await until([newer(one, "file written", len(one.lines)),
-                             newer(one, "ledger written", len(one.lines))], BOUND_S)
+                await until(
+                    [newer(one, "file written", len(one.lines)), newer(one, "ledger written", len(one.lines))], BOUND_S
+                )
             (one.folder / "go").touch()
             await until([ended(one, 0)], BOUND_S)
         finally:
             assert await made.close() == []
+
     run(main())
 
 
@@ -86,11 +93,16 @@
         try:
             await made.start("right", "wrong")
             await until([said(right, "clock"), said(wrong, "clock")], BOUND_S)
-            found = [[float(text) for text in line.split()[1:]] for one in (right, wrong)
-                     for line in one.lines if line.startswith("clock")]
+            found = [
+                [float(text) for text in line.split()[1:]]
+                for one in (right, wrong)
+                for line in one.lines
+                if line.startswith("clock")
+            ]
             assert abs(found[0][0] - found[1][0] - 3600) < 120 and abs(found[0][1] - found[1][1]) < 120
         finally:
             assert await made.close() == []
+
     run(main())
 
 
@@ -106,22 +118,23 @@
             await until([said(one, "file written"), said(other, "file written")], BOUND_S)
             await one.stop()
             assert one.stopped and not other.stopped and one.running
-            await until([newer(other, "file written", len(other.lines))], BOUND_S)     # the pipes are empty now
+            await until([newer(other, "file written", len(other.lines))], BOUND_S)  # the pipes are empty now
             seen = len(one.lines)
             await until([newer(other, "file written", len(other.lines))], BOUND_S)
             assert len(one.lines) == seen
             one.wake()
             await until([newer(one, "file written", len(one.lines))], BOUND_S)
             await one.stop()
-            await one.kill()                        # one that stands still too
+            await one.kill()  # one that stands still too
             assert not one.running and other.running
             with pytest.raises(ProcessLookupError):
-                one.send(signal.SIGTERM)            # nobody else's id is ever taken
+                one.send(signal.SIGTERM)  # nobody else's id is ever taken
             await one.start()
             await until([said(one, "file written")], BOUND_S)
             assert one.starts == 2 and await other.end() == -signal.SIGTERM
         finally:
             assert await made.close() == []
+
     run(main())
 
 
@@ -144,18 +157,26 @@
                 await until([], 1.0)
         finally:
             assert await made.close() == []
+
     run(main())
 
 
 def test_a_test_that_is_killed_leaves_no_process_behind(tmp_path: Path) -> None:
     """The parent of a process of the rig is killed; the process ends with it."""
-    code = ("import os, subprocess, sys\n"
-            f"one = subprocess.Popen([sys.executable, '-m', {LAUNCH!r}, 'http.server', '0', '--bind', '127.0.0.1'],\n"
-            "    env={**os.environ, 'RIG_PARENT': str(os.getpid())}, stderr=subprocess.PIPE, stdout=subprocess.PIPE)\n"
-            "print(one.pid, flush=True)\n"
-            "assert one.stdout.readline() or True\nprint('serves', flush=True)\nsys.stdin.read()")
-    with subprocess.Popen([sys.executable, "-c", code], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE,
-                          env={**os.environ, "PYTHONUNBUFFERED": "1"}) as parent:
+    code = (
+        "import os, subprocess, sys\n"
+        f"one = subprocess.Popen([sys.executable, '-m', {LAUNCH!r}, 'http.server', '0', '--bind', '127.0.0.1'],\n"
+        "    env={**os.environ, 'RIG_PARENT': str(os.getpid())}, stderr=subprocess.PIPE, stdout=subprocess.PIPE)\n"
+        "print(one.pid, flush=True)\n"
+        "assert one.stdout.readline() or True\nprint('serves', flush=True)\nsys.stdin.read()"
+    )
+    with subprocess.Popen(
+        [sys.executable, "-c", code],
+        cwd=ROOT,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        env={**os.environ, "PYTHONUNBUFFERED": "1"},
+    ) as parent:
         assert parent.stdout is not None
         pid = int(parent.stdout.readline())
         assert parent.stdout.readline() == b"serves\n" and Path(f"/proc/{pid}").exists()
@@ -165,6 +186,7 @@
     async def main() -> None:
         while gone.exists() and gone.read_text().rpartition(")")[2].split()[0] != "Z":
             await asyncio.sleep(0.01)
+
     run(main())
     assert not gone.exists() or gone.read_text().rpartition(")")[2].split()[0] == "Z"
 
@@ -198,7 +220,7 @@
     kept = ctypes.CFUNCTYPE(None)(prepare)
     register = ctypes.CDLL(None).__register_atfork
     register(kept, None, None, None)
-    _KEPT.append(kept)          # the C library calls it for as long as this process lives
+    _KEPT.append(kept)  # the C library calls it for as long as this process lives
 
     async def main() -> None:
         one = child.start([sys.executable, "-c", "print('hello')"], ROOT, dict(os.environ))
--- a/tests/test_rig_run.py
+++ b/tests/test_rig_run.py
@@ -54,6 +54,7 @@
             assert await made.request("n0", 77) != 200 and await made.request("n1", 77) == 200
             made.network.heal()
             await until([made.serves("n0")], BOUND_S)
+
     run(main())
 
 
@@ -72,6 +73,7 @@
             made["c"].disk("")
             version = await push(made, "c")
             await until([configuration(made, "n0", running=version)], BOUND_S)
+
     run(main())
 
 
@@ -88,6 +90,7 @@
                 await made["n0"].stop()
                 await until([made.ready("n0")], 0.1)
         assert pids and not Path(f"/proc/{pids[0]}").exists()
+
     run(main())
 
 
@@ -95,10 +98,13 @@
     async def main() -> None:
         with pytest.raises(LeftoverError, match="123") as caught:
             async with Run(tmp_path) as made:
+
                 async def close() -> list[int]:
                     return [123]
-                made.processes.close = close    # type: ignore[method-assign]  # the end that goes wrong
+
+                made.processes.close = close  # type: ignore[method-assign]  # the end that goes wrong
         assert LeftoverError.remedy in told(caught.value)
+
     run(main())
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -62,11 +62,12 @@
 
 
 def test_a_full_pool_spills_over_in_the_route_s_order_and_fills_again_when_answered() -> None:
-    made = router("(pool a (zones hall-a) (open 1 requests)) (pool b (zones hall-b) (open 1 requests))"
-                  "(route (pools a b))")
+    made = router(
+        "(pool a (zones hall-a) (open 1 requests)) (pool b (zones hall-b) (open 1 requests))(route (pools a b))"
+    )
     held = [made.admit(T0, ask(f"r{at}")) for at in range(7)]
     pools = [one.pool for one in held if isinstance(one, Pass)]
-    assert pools == ["a"] * 3 + ["b"] * 3 + ["a"]       # all full: the first again, where the module decides
+    assert pools == ["a"] * 3 + ["b"] * 3 + ["a"]  # all full: the first again, where the module decides
     assert made.spilled == 3
     first = held[0]
     assert isinstance(first, Pass)
@@ -85,14 +86,15 @@
     assert within(old) == {"n0", "n1", "n2"} and within(new) == {"n3", "n4", "n5"}
     assert made.versions == {(1, 1): 1, (1, 2): 1} and made.figures()["draining_versions"] == 1
     made.nodes(T0, NodeList(ListKind.CHANGES, (brick(0, 0, Phase.GONE),)))
-    assert within(old) == {"n1", "n2"}          # an old version's bricks die as well
+    assert within(old) == {"n1", "n2"}  # an old version's bricks die as well
     assert isinstance(old, Pass)
     made.answered(T0, old)
     assert made.versions == {(1, 2): 1} and (1, 1) not in made.views.chains and (1, 1) not in made.views.tables
 
 
-SCOPES = st.builds(Scope, st.sampled_from(["", "t1", "t2"]), st.sampled_from(["", "v1", "v2"]),
-                   st.sampled_from(["", "k1", "k2"]))
+SCOPES = st.builds(
+    Scope, st.sampled_from(["", "t1", "t2"]), st.sampled_from(["", "v1", "v2"]), st.sampled_from(["", "k1", "k2"])
+)
 
 
 @given(st.dictionaries(SCOPES, st.integers(), max_size=20), st.dictionaries(SCOPES, st.none() | st.integers()))
@@ -101,18 +103,30 @@
     now = {scope: value for scope, value in {**rows, **changes}.items() if value is not None}
     assert index.size == len(now)
     for tenant, volume, klass in itertools.product(("t1", "t2", "x"), ("v1", "v2", "x"), ("k1", "k2", "x")):
-        fits = sorted((scope for scope in now if scope.tenant in ("", tenant) and scope.volume in ("", volume)
-                       and scope.klass in ("", klass)),
-                      key=lambda scope: (bool(scope.volume), bool(scope.tenant), bool(scope.klass)), reverse=True)
+        fits = sorted(
+            (
+                scope
+                for scope in now
+                if scope.tenant in ("", tenant) and scope.volume in ("", volume) and scope.klass in ("", klass)
+            ),
+            key=lambda scope: (bool(scope.volume), bool(scope.tenant), bool(scope.klass)),
+            reverse=True,
+        )
         assert list(index.all(tenant, volume, klass)) == [now[scope] for scope in fits]
         assert index.find(tenant, volume, klass) == (now[fits[0]] if fits else None)
 
 
 def test_a_table_changed_step_by_step_is_the_one_made_at_once() -> None:
-    first = read(("(hophinge 1)" + POOLS + "(tenant t (volumes 00000000000000aa 00000000000000bb))"
-                  "(route (tenant t) (pools a))(plan plan-0 (weight 1))").encode()).records
-    second = read(b"(hophinge 1)(pool b (zones hall-b))(tenant t (volumes 00000000000000bb))"
-                   b"(tenant u (volumes 00000000000000aa))(limit (open 3 requests))").records
+    first = read(
+        (
+            "(hophinge 1)" + POOLS + "(tenant t (volumes 00000000000000aa 00000000000000bb))"
+            "(route (tenant t) (pools a))(plan plan-0 (weight 1))"
+        ).encode()
+    ).records
+    second = read(
+        b"(hophinge 1)(pool b (zones hall-b))(tenant t (volumes 00000000000000bb))"
+        b"(tenant u (volumes 00000000000000aa))(limit (open 3 requests))"
+    ).records
     made = EMPTY.changed((1, 1), first, {})
     changes: dict[str, Record | None] = {**dict.fromkeys(first.keys() - second.keys()), **second}
     stepped, whole = made.changed((1, 2), changes, first), EMPTY.changed((1, 2), second, {})
@@ -120,14 +134,18 @@
     assert list(stepped.limits) == list(whole.limits) and not list(stepped.routes)
 
 
-@pytest.mark.parametrize(("text", "why"), [
-    ("(pool x (zones mars))", "pool/x: no zone mars here"),
-    ("(pool x (kinds odd))", "pool/x: no machine kind odd here"),
-    ("(pool b (zones hall-b))(route (class gone) (pools b))", "route/*/*/gone: no class gone here"),
-    ("(limit (class gone) (open 1 requests))", "no class gone here"),
-    ("(retries (attempts 9))", "retries/*: 9 attempts; the platform allows 3"),
-    ("(plan plan-0 (reserve 9999 units/s))", "plan/plan-0: reserves 9999 units/s"),
-    ("(plan unknown (weight 1))", "plan/unknown: no such plan here")])
+@pytest.mark.parametrize(
+    ("text", "why"),
+    [
+        ("(pool x (zones mars))", "pool/x: no zone mars here"),
+        ("(pool x (kinds odd))", "pool/x: no machine kind odd here"),
+        ("(pool b (zones hall-b))(route (class gone) (pools b))", "route/*/*/gone: no class gone here"),
+        ("(limit (class gone) (open 1 requests))", "no class gone here"),
+        ("(retries (attempts 9))", "retries/*: 9 attempts; the platform allows 3"),
+        ("(plan plan-0 (reserve 9999 units/s))", "plan/plan-0: reserves 9999 units/s"),
+        ("(plan unknown (weight 1))", "plan/unknown: no such plan here"),
+    ],
+)
 def test_a_head_turns_down_what_it_lacks_or_what_the_platform_forbids(text: str, why: str) -> None:
     found = read(("(hophinge 1)" + text).encode()).records
     assert any(why in reason for reason in check(found, found, FACTS))
--- a/tests/test_routing_bounds.py
+++ b/tests/test_routing_bounds.py
@@ -24,7 +24,7 @@
     alba = made.limiter.states["limit/alba/*/*"]
     level = alba.level
     assert isinstance(made.admit(T0, ask("both", "alba")), int)
-    assert alba.level == level                  # refused by the open ones: no unit of the rate is gone
+    assert alba.level == level  # refused by the open ones: no unit of the rate is gone
     for one in held:
         assert isinstance(one, Pass)
         made.answered(T0 + 50 * MS, one)
@@ -33,12 +33,14 @@
     assert isinstance(made.admit(T0 + 50 * MS + wait, ask("big", "alba", units=8.0)), Pass)
 
 
-@given(st.lists(st.tuples(st.integers(0, 400 * MS), st.floats(0.5, 8.0), st.sampled_from([5.0, 20.0, 80.0])),
-                max_size=60))
+@given(
+    st.lists(st.tuples(st.integers(0, 400 * MS), st.floats(0.5, 8.0), st.sampled_from([5.0, 20.0, 80.0])), max_size=60)
+)
 def test_units_through_a_limit_stay_within_its_rates_whatever_versions_come(
-        steps: list[tuple[int, float, float]]) -> None:
+    steps: list[tuple[int, float, float]],
+) -> None:
     limiter, now, rate = Limiter(), T0, 20.0
-    bound = rate + 8.0          # one second's burst, and one request more that a full bucket lets through
+    bound = rate + 8.0  # one second's burst, and one request more that a full bucket lets through
     taken = 0.0
     limiter.state(Limit(Scope(), rate, S), now)
     for span, units, new in steps:
@@ -58,7 +60,7 @@
     left = Index.of([(Scope("t7"), Limit(Scope("t7"), open=1))])
     limiter.forget(left.get, left.size)
     assert list(limiter.states) == ["limit/t7/*/*"]
-    assert limiter.admit([Limit(Scope("t7"), open=1)], 1.0, T0)[1] > 0      # and it is still full
+    assert limiter.admit([Limit(Scope("t7"), open=1)], 1.0, T0)[1] > 0  # and it is still full
 
 
 @given(st.lists(st.tuples(st.integers(0, 300 * MS), st.integers(1, 200_000)), max_size=60))
@@ -70,7 +72,7 @@
         now += limiter.pause_us([limit, Limit(Scope("t"), 5.0)], 0, size, now)
         # What has moved when the pause is over: a second's worth saved up, and the rate since.
         assert moved <= 100_000 + 100_000 * (now - T0) / S + 1
-    assert limiter.pause_us([limit], 1, 10 ** 9, now) == 0      # the other way has no bound
+    assert limiter.pause_us([limit], 1, 10**9, now) == 0  # the other way has no bound
 
 
 def test_a_clock_that_goes_back_gives_nothing_and_takes_nothing() -> None:
@@ -101,8 +103,9 @@
 RULE = Eject(0.5, 2 * S, S, 0.3)
 
 
-@given(st.lists(st.tuples(st.integers(0, 300 * MS), st.integers(0, 9), st.booleans(), st.integers(0, 30)),
-                max_size=200))
+@given(
+    st.lists(st.tuples(st.integers(0, 300 * MS), st.integers(0, 9), st.booleans(), st.integers(0, 30)), max_size=200)
+)
 def test_never_more_bricks_rest_than_the_stated_share(steps: list[tuple[int, int, bool, int]]) -> None:
     ejector, now = Ejector(), T0
     ejector.change(RULE, now)
@@ -143,5 +146,5 @@
     assert "n3" in within(made.admit(T0 + S, ask("r3")))
     full = router("(eject (errors 50 %) (over 2 s) (rest 1 s) (at-most 30 %))")
     for _ in range(20):
-        full.ended(T0, "n3", Result.FULL)       # busy is not broken
+        full.ended(T0, "n3", Result.FULL)  # busy is not broken
     assert not full.ejector.out
--- a/tests/test_routing_module.py
+++ b/tests/test_routing_module.py
@@ -8,7 +8,20 @@
 
 from hophinge.core.choice import Scheduler
 from hophinge.core.interface import (
-    Action, Arrival, Cancel, Event, Fail, ListKind, NodeEntry, NodeList, Outcome, Phase, Refuse, Result, Send, TimerDue,
+    Action,
+    Arrival,
+    Cancel,
+    Event,
+    Fail,
+    ListKind,
+    NodeEntry,
+    NodeList,
+    Outcome,
+    Phase,
+    Refuse,
+    Result,
+    Send,
+    TimerDue,
 )
 from hophinge.routing.admitted import Pass
 from tests.routes import NAMED, POOLS, ask, brick, router
@@ -49,7 +62,7 @@
     pair = Pair(POOLS + "(route (pools a))", brick(0, 0), brick(1, 0), brick(3, 1))
     for number in (0, 1):
         entry = brick(number, 0, Phase.DRAINING)
-        pair.at(0, NodeList(ListKind.CHANGES, (entry,)))    # the module hears of it before the router
+        pair.at(0, NodeList(ListKind.CHANGES, (entry,)))  # the module hears of it before the router
     assert sends(pair.arrive(ask("r1"))) == []
     back = NodeList(ListKind.CHANGES, (brick(1, 0),))
     pair.router.nodes(pair.now, back)
@@ -82,7 +95,7 @@
     assert sends(pair.run(75 * MS)) == []
     (second,) = sends(pair.run(30 * MS))
     assert second != first
-    assert sends(pair.run(300 * MS)) == []      # two copies, never three
+    assert sends(pair.run(300 * MS)) == []  # two copies, never three
     actions = pair.at(1, Outcome("r1", 1, second, Result.OK, 10 * MS, True, 0, 0.0, {}))
     assert [one for one in actions if isinstance(one, Cancel)] == [Cancel("r1", 0)]
     pair.at(1, Outcome("r1", 0, first, Result.CANCELLED, 10 * MS, True, 0, 0.0, {}))
--- a/tests/test_saved_list.py
+++ b/tests/test_saved_list.py
@@ -16,11 +16,15 @@
 GOOD: dict[str, Any] = {"uid": "s-9", "endpoint": "127.0.0.1:9", "state": "Ready", "pod_group": 9}
 
 
-@pytest.mark.parametrize("known", [
-    {"rev": 5, "all": True, "targets": [GOOD, {"uid": 7, "endpoint": "127.0.0.1:9", "state": "Ready"}]},
-    {"rev": 5, "all": True, "targets": [{"uid": "s-9"}]}, {"rev": 5, "targets": [3, None, {}]}])
-def test_a_head_whose_saved_list_is_malformed_starts_and_asks_for_a_whole_one(
-        known: object, tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    "known",
+    [
+        {"rev": 5, "all": True, "targets": [GOOD, {"uid": 7, "endpoint": "127.0.0.1:9", "state": "Ready"}]},
+        {"rev": 5, "all": True, "targets": [{"uid": "s-9"}]},
+        {"rev": 5, "targets": [3, None, {}]},
+    ],
+)
+def test_a_head_whose_saved_list_is_malformed_starts_and_asks_for_a_whole_one(known: object, tmp_path: Path) -> None:
     async def main() -> None:
         async with world(Brick(0)) as made:
             made.bricks[0].objects[READ.split("/", 2)[2]] = b"kept"
@@ -28,7 +32,7 @@
             async with program(environ) as process:
                 wire = await connected()
                 wire.send(READ, headers())
-                assert (await wire.receive())[2] == b"kept"     # of a brick that only a whole list names
+                assert (await wire.receive())[2] == b"kept"  # of a brick that only a whole list names
                 assert "since" not in made.agent.asked[0]
                 wire.close()
                 process.send_signal(signal.SIGTERM)
--- a/tests/test_scoring_choice.py
+++ b/tests/test_scoring_choice.py
@@ -11,7 +11,19 @@
 
 from hophinge.core.choice import Scheduler
 from hophinge.core.interface import (
-    Action, Arrival, Event, Fail, ListKind, NodeEntry, NodeList, Outcome, Phase, Refuse, Result, Seen, Send,
+    Action,
+    Arrival,
+    Event,
+    Fail,
+    ListKind,
+    NodeEntry,
+    NodeList,
+    Outcome,
+    Phase,
+    Refuse,
+    Result,
+    Seen,
+    Send,
 )
 from hophinge.scoring.interface import View
 from tests.scoring_parts import MOST_US, Says, engine
@@ -48,8 +60,18 @@
 
 def module(phases: Sequence[Phase] = (Phase.ON,) * 6) -> Scheduler:
     one = Scheduler(SETTINGS, 7)
-    one.handle(T0, [NodeList(ListKind.FULL, tuple(
-        NodeEntry(name, 0, at, phase, 1.0, 0) for at, (name, phase) in enumerate(zip(NAMES, phases, strict=True))))])
+    one.handle(
+        T0,
+        [
+            NodeList(
+                ListKind.FULL,
+                tuple(
+                    NodeEntry(name, 0, at, phase, 1.0, 0)
+                    for at, (name, phase) in enumerate(zip(NAMES, phases, strict=True))
+                ),
+            )
+        ],
+    )
     return one
 
 
@@ -73,6 +95,7 @@
     first = sent(one.handle(T0 + MS, [fresh("r0")]))[0]
     one.handle(T0 + 21 * MS, [Outcome("r0", 0, first, Result.OK, 20 * MS, True, 0, 0.0, {})])
     second = sent(one.handle(T0 + 21 * MS, [fresh("r1")]))[0]
+
     # The second's brick is busy for some 20 ms by the book: less than that, added to all others, moves nobody there.
     def but(time: float) -> Says:
         return Says(lambda view: [0.0 if node == second else time for node in view.nodes])
@@ -102,16 +125,24 @@
 
 TIME = st.one_of(st.floats(), st.floats(0, 1e5), st.none(), st.just("x"))
 WILD: st.SearchStrategy[Callable[[View], object]] = st.lists(TIME, min_size=6, max_size=6).map(
-    lambda times: lambda view: times[:len(view)])
+    lambda times: lambda view: times[: len(view)]
+)
 STEP = st.tuples(st.frozensets(st.sampled_from(NAMES)), st.sampled_from([Result.OK, Result.ERROR, Result.FULL]))
 
 
 @settings(max_examples=60)
-@given(st.lists(st.sampled_from([Phase.ON, Phase.DRAINING]), min_size=6, max_size=6), WILD, WILD,
-       st.lists(STEP, min_size=1, max_size=8))
+@given(
+    st.lists(st.sampled_from([Phase.ON, Phase.DRAINING]), min_size=6, max_size=6),
+    WILD,
+    WILD,
+    st.lists(STEP, min_size=1, max_size=8),
+)
 def test_whatever_scorers_say_only_bricks_that_may_be_taken_get_a_request(
-        phases: list[Phase], first: Callable[[View], object], second: Callable[[View], object],
-        steps: list[tuple[frozenset[str], Result]]) -> None:
+    phases: list[Phase],
+    first: Callable[[View], object],
+    second: Callable[[View], object],
+    steps: list[tuple[frozenset[str], Result]],
+) -> None:
     one, seen = module(phases), set[str]()
 
     def look(view: View) -> object:
--- a/tests/test_scoring_guard.py
+++ b/tests/test_scoring_guard.py
@@ -48,6 +48,7 @@
 def raising(error: BaseException) -> Callable[[View], object]:
     def say(view: View) -> object:
         raise error
+
     return say
 
 
@@ -63,15 +64,38 @@
 
 
 NUMBER = st.one_of(
-    st.floats(), st.integers(), st.booleans(), st.none(), st.text(max_size=3), st.just(10 ** 400),
-    st.just(EvilFloat(1.0)), st.floats(0, 1e6), st.complex_numbers())
+    st.floats(),
+    st.integers(),
+    st.booleans(),
+    st.none(),
+    st.text(max_size=3),
+    st.just(10**400),
+    st.just(EvilFloat(1.0)),
+    st.floats(0, 1e6),
+    st.complex_numbers(),
+)
 RETURNED = st.one_of(
-    st.lists(NUMBER, min_size=4, max_size=4), st.lists(NUMBER, max_size=9),
-    st.lists(st.floats(0), min_size=4, max_size=4), st.just(None), st.just("abcd"),
-    st.just(EvilList([1.0] * 4)), st.just({"a": 1.0}),
-    st.just(iter([1.0] * 4)), st.tuples(NUMBER, NUMBER, NUMBER, NUMBER)).map(lambda value: lambda view: value)
-RAISED = st.sampled_from([ValueError("no"), UntellableError(), SystemExit(1), KeyboardInterrupt(), GeneratorExit(),
-                          MemoryError(), StopIteration()]).map(raising)
+    st.lists(NUMBER, min_size=4, max_size=4),
+    st.lists(NUMBER, max_size=9),
+    st.lists(st.floats(0), min_size=4, max_size=4),
+    st.just(None),
+    st.just("abcd"),
+    st.just(EvilList([1.0] * 4)),
+    st.just({"a": 1.0}),
+    st.just(iter([1.0] * 4)),
+    st.tuples(NUMBER, NUMBER, NUMBER, NUMBER),
+).map(lambda value: lambda view: value)
+RAISED = st.sampled_from(
+    [
+        ValueError("no"),
+        UntellableError(),
+        SystemExit(1),
+        KeyboardInterrupt(),
+        GeneratorExit(),
+        MemoryError(),
+        StopIteration(),
+    ]
+).map(raising)
 BEHAVIOUR = st.one_of(RETURNED, RAISED, st.just(meddle), st.just(recurse))
 
 
@@ -93,11 +117,12 @@
 
 @given(st.lists(BEHAVIOUR, max_size=3))
 @example([raising(KeyboardInterrupt())])
-@example([lambda view: [10 ** 400, 1.0, 1.0, 1.0]])
+@example([lambda view: [10**400, 1.0, 1.0, 1.0]])
 @example([lambda view: [1e308, 1e308, 1e308, 1e308]])
 @example([lambda view: [MOST_US, MOST_US, MOST_US, MOST_US], lambda view: [MOST_US] * 4])
 def test_no_misbehaviour_raises_brings_a_brick_in_or_leaves_the_clamp(
-        behaviours: list[Callable[[View], object]]) -> None:
+    behaviours: list[Callable[[View], object]],
+) -> None:
     check(behaviours)
 
 
@@ -119,11 +144,19 @@
         check([lambda view: [math.nan] * 4, lambda view: [-1.0] * 9])
 
 
-@pytest.mark.parametrize(("reason", "say"), [
-    ("raised", raising(ValueError())), ("form", lambda view: None), ("form", lambda view: EvilList([0.0] * 4)),
-    ("length", lambda view: [0.0]), ("not_a_number", lambda view: [math.nan, 0.0, 0.0, 0.0]),
-    ("not_a_number", lambda view: [True, 0.0, 0.0, 0.0]), ("infinite", lambda view: [math.inf, 0.0, 0.0, 0.0]),
-    ("negative", lambda view: [0.0, 0.0, 5.0, -1.0])])
+@pytest.mark.parametrize(
+    ("reason", "say"),
+    [
+        ("raised", raising(ValueError())),
+        ("form", lambda view: None),
+        ("form", lambda view: EvilList([0.0] * 4)),
+        ("length", lambda view: [0.0]),
+        ("not_a_number", lambda view: [math.nan, 0.0, 0.0, 0.0]),
+        ("not_a_number", lambda view: [True, 0.0, 0.0, 0.0]),
+        ("infinite", lambda view: [math.inf, 0.0, 0.0, 0.0]),
+        ("negative", lambda view: [0.0, 0.0, 5.0, -1.0]),
+    ],
+)
 def test_mistakes_are_counted_by_reason_and_logged_once_a_pause(reason: str, say: Callable[[View], object]) -> None:
     log: list[str] = []
     head = engine({"odd": Says(say)}, log=log)
--- a/tests/test_scoring_hanging.py
+++ b/tests/test_scoring_hanging.py
@@ -19,7 +19,8 @@
     "loops": "while True: pass",
     "loops-on": "while True:\n    try: int('x')\n    except Exception: pass",
     "sleeps": "import time; time.sleep(3600)",
-    "waits": "import threading; lock = threading.Lock(); lock.acquire(); lock.acquire()"}
+    "waits": "import threading; lock = threading.Lock(); lock.acquire(); lock.acquire()",
+}
 PACKAGE = """
     from msgspec import Struct
     from hophinge.scoring.interface import Kind, Scorer, scorer_impl
@@ -41,8 +42,12 @@
     async def main() -> None:
         for name, body in HANGS.items():
             module = f"hanging_{name.replace('-', '_')}"
-            install(tmp_path / "site", module, {name: module}, textwrap.dedent(PACKAGE).format(
-                name=name, body=textwrap.indent(body, " " * 8)))
+            install(
+                tmp_path / "site",
+                module,
+                {name: module},
+                textwrap.dedent(PACKAGE).format(name=name, body=textwrap.indent(body, " " * 8)),
+            )
         async with Run(tmp_path, 31, LoadPlan(work_us=2_000, slots=8)) as made:
             head = await made.head("n0", sections={"scoring": {"scorers": [*HANGS, "latency"]}})
             await head.start(PYTHONPATH=str(tmp_path / "site"))
@@ -52,8 +57,17 @@
                 return await made.request("n0", number, -1, 1)
 
             first = [asyncio.create_task(place(number)) for number in range(1, 4)]
-            await until([made.tells("n0", "/ops/scorers", "all are broken", lambda text: all(
-                json.loads(text)["scorers"][name]["hung"] == 1 for name in HANGS))], BOUND_S)
+            await until(
+                [
+                    made.tells(
+                        "n0",
+                        "/ops/scorers",
+                        "all are broken",
+                        lambda text: all(json.loads(text)["scorers"][name]["hung"] == 1 for name in HANGS),
+                    )
+                ],
+                BOUND_S,
+            )
             await asyncio.gather(*first)
             for name in HANGS:
                 assert head.said(f"scorer {name} did not return") and head.said("[scorer-hung] Take the scorer out")
@@ -61,4 +75,5 @@
             assert all(told[name]["off_until_told"] and told[name]["asked"] == 1 for name in HANGS)
             assert told["latency"]["at_work"]
             assert [await place(number) for number in range(10, 20)] == [200] * 10
+
     run(main())
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -114,7 +114,7 @@
     _, _, scoring, log = composed()
     board = OneBoard()
     shelf = Shelf("peer", 1, Limits(), lambda what: None, lambda entry, gone: None, lambda owner: None)
-    board.entries = lambda topic: shelf.entries(TOPICS.index(topic), iter(["peer"]))    # type: ignore[method-assign]
+    board.entries = lambda topic: shelf.entries(TOPICS.index(topic), iter(["peer"]))  # type: ignore[method-assign]
     values = encoding.encode("suspicion-1", 1, {f"n{at}": 1.0 for at in range(4)})[0]
     for chunk, value in values.items():
         shelf.put(Topic.WEIGHTS, encoding.key("suspicion", chunk), value)
@@ -139,8 +139,10 @@
 def test_status_and_gauges_tell_what_is_left_out_and_who_says_what() -> None:
     _, _, scoring, _ = composed()
     board = OneBoard()
-    board.others = [Entry("peer", Topic.WEIGHTS, "suspicion/0", (1, 1), encoding.encode("suspicion-1", 1, {})[0][0]),
-                    Entry("odd", Topic.WEIGHTS, "suspicion/0", (1, 1), b"?")]
+    board.others = [
+        Entry("peer", Topic.WEIGHTS, "suspicion/0", (1, 1), encoding.encode("suspicion-1", 1, {})[0][0]),
+        Entry("odd", Topic.WEIGHTS, "suspicion/0", (1, 1), b"?"),
+    ]
     scoring.share("me", board)
     scoring.tick()
     one = scoring.engine.guard.named("latency")
@@ -168,8 +170,7 @@
 
 
 @pytest.mark.parametrize("say", [spin, nap])
-def test_one_that_works_or_waits_too_long_is_proved_slow_by_what_its_thread_used(
-        say: Callable[[View], object]) -> None:
+def test_one_that_works_or_waits_too_long_is_proved_slow_by_what_its_thread_used(say: Callable[[View], object]) -> None:
     log: list[str] = []
     slow = Engine({"slow": Says(say)}, {}, 1e6, 200.0, time.perf_counter_ns, log.append, Surroundings(), usage=usage)
     for _ in range(3):
--- a/tests/test_scoring_merge.py
+++ b/tests/test_scoring_merge.py
@@ -12,7 +12,15 @@
 from hophinge.scoring import merge
 from hophinge.scoring.interface import Weight
 from hophinge.scoring.merge import (
-    HEARSAY, LEAST_TRUST, NEUTRAL, OWN_MOST, Agreement, combined, hearsay, most_moved, trimmed,
+    HEARSAY,
+    LEAST_TRUST,
+    NEUTRAL,
+    OWN_MOST,
+    Agreement,
+    combined,
+    hearsay,
+    most_moved,
+    trimmed,
 )
 from hophinge.scoring.sharing import Shared
 
@@ -31,7 +39,8 @@
 
 @given(st.lists(WORD, max_size=20), st.lists(WORD, max_size=6))
 def test_up_to_a_third_of_liars_move_nothing_beyond_what_honest_peers_say(
-        honest: list[tuple[float, float]], lies: list[tuple[float, float]]) -> None:
+    honest: list[tuple[float, float]], lies: list[tuple[float, float]]
+) -> None:
     check_liars(honest, lies)
 
 
@@ -60,8 +69,8 @@
         bound = most_moved(liars, peers, evidence)
         for trust in (LEAST_TRUST, 0.3, 1.0):
             assert moved(liars, peers, evidence, trust) <= bound + LITTLE
-        assert moved(liars, peers, evidence, LEAST_TRUST) == pytest.approx(bound)      # and it is no looser than that
-        caught = most_moved(liars, peers, evidence, LEAST_TRUST, 0.5)       # liars that were found out
+        assert moved(liars, peers, evidence, LEAST_TRUST) == pytest.approx(bound)  # and it is no looser than that
+        caught = most_moved(liars, peers, evidence, LEAST_TRUST, 0.5)  # liars that were found out
         assert caught <= bound + LITTLE and (caught == 0.0 or liars > trimmed(max(peers, merge.LEAST_WORDS)))
         if liars <= trimmed(max(peers, merge.LEAST_WORDS)):
             assert bound == 0.0
@@ -79,7 +88,7 @@
     assert value <= weight <= max(value, heard) + LITTLE
     assert weight - value <= HEARSAY / (HEARSAY + NEUTRAL + min(evidence, OWN_MOST)) + LITTLE
     if evidence >= OWN_MOST:
-        assert weight - value <= (1.0 - value) / 2 + LITTLE      # the larger part is one's own
+        assert weight - value <= (1.0 - value) / 2 + LITTLE  # the larger part is one's own
 
 
 def test_the_check_catches_an_own_word_outweighed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -93,7 +102,7 @@
 def test_words_that_have_aged_weigh_less_until_they_weigh_nothing() -> None:
     weights = [combined(Weight(0.0, 2.0), 1.0 * part, part) for part in (1.0, 0.5, 0.1, 0.0)]
     assert weights == sorted(weights, reverse=True) and weights[0] == 0.5 and weights[-1] == 0.0
-    assert combined(Weight(0.7, 2.0), 0.0, 0.0) == 0.7      # alone, own weights are used as they are
+    assert combined(Weight(0.7, 2.0), 0.0, 0.0) == 0.7  # alone, own weights are used as they are
 
 
 def test_trust_follows_agreement_on_bricks_that_one_of_the_two_accuses() -> None:
--- a/tests/test_scoring_model.py
+++ b/tests/test_scoring_model.py
@@ -59,8 +59,11 @@
     def restart(self, head: int) -> None:
         self.start(f"h{head}")
 
-    @rule(who=st.frozensets(st.integers(0, LIARS - 1), min_size=1), version=st.sampled_from([VERSION, "suspicion-2"]),
-          words=st.dictionaries(st.sampled_from(BRICKS), st.sampled_from([0.0, 0.1, 1.0]), max_size=6))
+    @rule(
+        who=st.frozensets(st.integers(0, LIARS - 1), min_size=1),
+        version=st.sampled_from([VERSION, "suspicion-2"]),
+        words=st.dictionaries(st.sampled_from(BRICKS), st.sampled_from([0.0, 0.1, 1.0]), max_size=6),
+    )
     def lie(self, who: frozenset[int], version: str, words: dict[str, float]) -> None:
         self.beat += 1
         for liar in who:
@@ -77,8 +80,11 @@
 
     def check(self, head: Engine, scorer: Suspicion) -> None:
         """The promises on a sound brick's weight and on a failing one's, right after a merge."""
-        speak = [owner for owner, peer in head.shared["suspicion"].peers.items()
-                 if peer.chunks and peer.freshness(self.now) > 0.0]
+        speak = [
+            owner
+            for owner, peer in head.shared["suspicion"].peers.items()
+            if peer.chunks and peer.freshness(self.now) > 0.0
+        ]
         liars = sum(owner.startswith("l") for owner in speak)
         bound = most_moved(liars, len(speak), 0.0)
         if liars <= max(1, len(speak) // 3):
@@ -99,8 +105,12 @@
 
 
 def run(phases: Sequence[Phase] = tuple(Phase)) -> None:
-    run_state_machine_as_test(Fleet, settings=settings(
-        max_examples=100, stateful_step_count=30, derandomize=True, deadline=None, database=None, phases=phases))
+    run_state_machine_as_test(
+        Fleet,
+        settings=settings(
+            max_examples=100, stateful_step_count=30, derandomize=True, deadline=None, database=None, phases=phases
+        ),
+    )
 
 
 def test_weights_stay_inside_their_bounds_in_every_history() -> None:
@@ -117,17 +127,18 @@
 
 @pytest.mark.parametrize(("name", "mutant"), [("trim", untrimmed), ("own", outweighed)])
 def test_the_model_catches_a_merge_without_trim_and_an_own_word_outweighed(
-        name: str, mutant: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+    name: str, mutant: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     if name == "trim":
         real = sharing.Shared.__init__
         monkeypatch.setattr(sharing.Shared, "__init__", lambda self, version, merge: real(self, version, mutant))
     else:
         monkeypatch.setattr(sharing, "combined", mutant)
     with pytest.raises(AssertionError):
-        run([Phase.generate])       # nobody reads the smallest history of a mutant
+        run([Phase.generate])  # nobody reads the smallest history of a mutant
 
 
 def test_the_model_comes_to_histories_where_liars_are_too_many(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(globals(), "most_moved", lambda liars, peers, evidence: 0.0)
     with pytest.raises(AssertionError):
-        run([Phase.generate])       # nobody reads the smallest history of a mutant
+        run([Phase.generate])  # nobody reads the smallest history of a mutant
--- a/tests/test_scoring_pauses.py
+++ b/tests/test_scoring_pauses.py
@@ -7,7 +7,13 @@
 from hophinge.scoring.guard import HungError
 from hophinge.scoring.interface import View
 from hophinge.scoring.pauses import (
-    EXCUSED, FIRST_PAUSE_US, LONGEST_PAUSE_US, OFF_AFTER_SLOW, PROBATION, WATCHED, Pauses,
+    EXCUSED,
+    FIRST_PAUSE_US,
+    LONGEST_PAUSE_US,
+    OFF_AFTER_SLOW,
+    PROBATION,
+    WATCHED,
+    Pauses,
 )
 from tests.scoring_parts import ASK, Clock, Says, books, engine
 
@@ -19,6 +25,7 @@
 
 def late(used: list[tuple[int, int, int]], clock: Clock) -> Says:
     """Make a scorer whose next calls are all too late, by what they use; without any it is quick."""
+
     def say(view: View) -> object:
         if used:
             clock.ns += 79_000_000
@@ -26,15 +33,26 @@
             clock.cpu_ns, clock.waits = clock.cpu_ns + cpu_ns, clock.waits + waits
             clock.collections += collections
         return [5.0] * len(view)
+
     return Says(say)
 
 
-@pytest.mark.parametrize(("calls", "left_out"), [
-    ([PREEMPTED] * 40, False), ([COLLECTED] * EXCUSED, False), ([BUSY], False), ([BUSY] * 2, True),
-    ([SLEEPS] * 2, True), ([SLEEPS, PREEMPTED, BUSY], True), ([BUSY_AND_COLLECTED] * 2, True),
-    ([COLLECTED] * (EXCUSED + 2), True)])
+@pytest.mark.parametrize(
+    ("calls", "left_out"),
+    [
+        ([PREEMPTED] * 40, False),
+        ([COLLECTED] * EXCUSED, False),
+        ([BUSY], False),
+        ([BUSY] * 2, True),
+        ([SLEEPS] * 2, True),
+        ([SLEEPS, PREEMPTED, BUSY], True),
+        ([BUSY_AND_COLLECTED] * 2, True),
+        ([COLLECTED] * (EXCUSED + 2), True),
+    ],
+)
 def test_a_call_over_its_time_costs_that_choice_alone_unless_the_scorer_itself_was_slow_twice(
-        calls: list[tuple[int, int, int]], left_out: bool) -> None:
+    calls: list[tuple[int, int, int]], left_out: bool
+) -> None:
     clock = Clock()
     head = engine({"late": late(used := list(calls), clock)}, clock)
     one = head.guard.scorers[0]
@@ -51,7 +69,7 @@
     for wanted in ({}, *[{"a": 5.0}] * WATCHED):
         assert head.added_us(T0, ASK, books("a")) == wanted
     assert not pauses.watched
-    for _ in range(2):      # the first is not measured, and proves nothing; the second is the first proof again
+    for _ in range(2):  # the first is not measured, and proves nothing; the second is the first proof again
         used.append(BUSY)
         assert head.added_us(T0, ASK, books("a")) == {} and pauses.may(T0)
     used.append(BUSY)
@@ -97,7 +115,7 @@
     began = clock.ns
     for _ in range(3):
         assert head.added_us(T0, ASK, books("a")) == {"a": 7.0}
-        head.guard.interrupt(began)         # too late: another call, or none, runs now
+        head.guard.interrupt(began)  # too late: another call, or none, runs now
     one = head.guard.scorers[0]
     assert one.pauses.off and one.counts["hung"] == one.counts["asked"] == 1 and one.counts["slow"] == 0
     assert len(log) == 1 and "[scorer-hung]" in log[0]
--- a/tests/test_scoring_plugins.py
+++ b/tests/test_scoring_plugins.py
@@ -17,7 +17,10 @@
 from hophinge.head.scoring import find, make, parameters
 from hophinge.head.sections import ScoringConfig
 from hophinge.scoring.errors import (
-    ScorerInterfaceError, ScorerParametersError, ScorerUnknownError, ScorerUnusableError,
+    ScorerInterfaceError,
+    ScorerParametersError,
+    ScorerUnknownError,
+    ScorerUnusableError,
 )
 from hophinge.scoring.interface import GROUP
 from tests.scoring_parts import ASK, MOST_US, SETTING, books, engine, install
@@ -48,7 +51,8 @@
 
 
 def test_the_example_is_found_by_its_entry_point_and_passes_its_own_test(
-        site: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    site: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     project = tomllib.loads((EXAMPLE / "pyproject.toml").read_text())["project"]
     install(site, "hophinge_own_zone", project["entry-points"][GROUP])
     monkeypatch.syspath_prepend(str(EXAMPLE))
@@ -85,11 +89,17 @@
     assert engine(scorers).added_us(0, ASK, books("a")) == {}
 
 
-@pytest.mark.parametrize(("rows", "said"), [
-    ({"quantile": "high"}, "[scoring.parameters.latency] quantile: Expected `float`, got `str`"),
-    ({"quantil": 0.9}, "[scoring.parameters.latency] quantil: there is no such key; "
-                       "there are: quantile, half_life_s, tolerance"),
-    ({"quantile": 1.5}, "[scoring.parameters.latency] quantile must be between 0 and 1")])
+@pytest.mark.parametrize(
+    ("rows", "said"),
+    [
+        ({"quantile": "high"}, "[scoring.parameters.latency] quantile: Expected `float`, got `str`"),
+        (
+            {"quantil": 0.9},
+            "[scoring.parameters.latency] quantil: there is no such key; there are: quantile, half_life_s, tolerance",
+        ),
+        ({"quantile": 1.5}, "[scoring.parameters.latency] quantile must be between 0 and 1"),
+    ],
+)
 def test_a_mistake_in_parameters_names_section_and_key(rows: dict[str, Any], said: str) -> None:
     with pytest.raises(ScorerParametersError) as caught:
         parameters(find("latency"), rows)
@@ -100,8 +110,12 @@
     install(site, "brought_old", {"old": "brought_old"}, PLUGIN.format(name="old", interface=0, make="None"))
     install(site, "brought_other", {"other": "brought_other"}, PLUGIN.format(name="x", interface=1, make="None"))
     install(site, "brought_broken", {"broken": "brought_broken"}, "raise SystemError('boom')")
-    install(site, "brought_unmade", {"unmade": "brought_unmade"},
-            PLUGIN.format(name="unmade", interface=1, make="lambda parameters, setting: 1 // 0"))
+    install(
+        site,
+        "brought_unmade",
+        {"unmade": "brought_unmade"},
+        PLUGIN.format(name="unmade", interface=1, make="lambda parameters, setting: 1 // 0"),
+    )
     install(site, "brought_empty", {"empty": "brought_empty"}, "")
     install(site, "brought_twin", {"twin": "brought_twin"}, PLUGIN.format(name="twin", interface=1, make="None"))
     install(site, "brought_twin2", {"twin": "brought_twin2"}, PLUGIN.format(name="twin", interface=1, make="None"))
@@ -114,7 +128,8 @@
         (["empty"], {}, ScorerUnusableError, "has no hophinge_scorer"),
         (["twin"], {}, ScorerUnusableError, "brought by several: brought_twin, brought_twin2"),
         (["latency", "latency"], {}, ScorerParametersError, "'latency' is named twice"),
-        (["latency"], {"latancy": {}}, ScorerParametersError, "[scoring.parameters.latancy]")]
+        (["latency"], {"latancy": {}}, ScorerParametersError, "[scoring.parameters.latancy]"),
+    ]
     for names, rows, kind, said in cases:
         with pytest.raises(kind) as caught:
             make(ScoringConfig(names, parameters=rows), SETTING)
--- a/tests/test_scoring_scorers.py
+++ b/tests/test_scoring_scorers.py
@@ -27,7 +27,10 @@
 def test_the_sketch_tells_quantiles_to_a_tenth() -> None:
     rng = random.Random(3)
     draws: list[Callable[[], float]] = [
-        lambda: rng.expovariate(1 / 20_000), lambda: rng.lognormvariate(9, 1.5), lambda: 5_000 * rng.random()]
+        lambda: rng.expovariate(1 / 20_000),
+        lambda: rng.lognormvariate(9, 1.5),
+        lambda: 5_000 * rng.random(),
+    ]
     for draw in draws:
         sketch, values = Sketch(1e9, T0), [draw() for _ in range(3_000)]
         for value in values:
@@ -46,7 +49,7 @@
     for second in range(10):
         sketch.add(T0 + (10 + second) * S, 1_000)
     assert sketch.quantile_us(0.9) < 1_200
-    later = T0 + 10 ** 15
+    later = T0 + 10**15
     sketch.add(later, 2_000)
     assert sketch.evidence(later) == 1.0 and abs(sketch.quantile_us(0.5) - 2_000) < 200
 
@@ -60,7 +63,7 @@
     scorer.tick(T0, {*NAMES, "seldom"})
     times = scorer.added_us(view())
     assert [at for at, time in enumerate(times) if time] == [4]
-    assert times[4] == pytest.approx(45 * MS, rel=0.2)      # 60 ms less 1.5 times 10 ms
+    assert times[4] == pytest.approx(45 * MS, rel=0.2)  # 60 ms less 1.5 times 10 ms
     assert scorer.weights(T0)["n4"].value == pytest.approx(0.75, abs=0.05) and "seldom" not in scorer.weights(T0)
     scorer.tick(T0, set(NAMES) - {"n4"})
     assert "n4" not in scorer.sketches
@@ -114,7 +117,7 @@
     around.drains, around.demand = frozenset(), lambda key: 5.0 if key == ASK.key else 0.0
     cold = scorer.added_us(view(surroundings=around, started_us=T0 - 2 * S))
     assert cold == [pytest.approx(0.5 * 0.5 * 0.8 * MOST_US)] * 10
-    assert scorer.added_us(view(surroundings=around)) == [0.0] * 10      # all are warm
+    assert scorer.added_us(view(surroundings=around)) == [0.0] * 10  # all are warm
 
 
 def test_a_view_tells_what_the_books_hold_and_makes_each_column_once() -> None:
@@ -131,7 +134,15 @@
     around.demand = demand
     one = View.of(T0, ASK, seen, around)
     assert (one.nodes, one.zones, one.wait_us, one.lag_us, one.units_out, one.failures, one.warmth, one.draining) == (
-        ("a", "b"), (0, 1), (2_000.0, 0.0), (0.0, 7_000.0), (2.0, 0.0), (0, 3), (1.0, 1.0), (False, False))
+        ("a", "b"),
+        (0, 1),
+        (2_000.0, 0.0),
+        (0.0, 7_000.0),
+        (2.0, 0.0),
+        (0, 3),
+        (1.0, 1.0),
+        (False, False),
+    )
     assert (one.demand, one.demand, one.key, one.units, len(one)) == (4.0, 4.0, "key", 1.0, 2) and asked == ["key"]
     assert one.wait_us is one.wait_us
     with pytest.raises(AttributeError):
--- a/tests/test_scoring_sharing.py
+++ b/tests/test_scoring_sharing.py
@@ -84,7 +84,7 @@
         hear(head, T0, BAD, Result.CONNECT_FAILED, 5)
     alone = [added(head, T0, BAD) for head in honest.values()]
     now = run(honest, wall, T0, 1, liars=2, accused=GOOD)
-    faded = 2 ** -0.1
+    faded = 2**-0.1
     for before, head in zip(alone, honest.values(), strict=True):
         assert added(head, now, BAD) >= before * faded - 1e-6
 
@@ -154,19 +154,24 @@
     head, wall = heads(1)["h0"], Wall()
     good = encoding.encode(VERSION, 1, {})[0][0]
     table = encoding.Table
-    wrong = [b"", b"\xc1", good[:-1], b"x" * (MOST_VALUE + 1),
-             encoding.ENCODER.encode(table(1, VERSION, 0, {GOOD: 51})),
-             encoding.ENCODER.encode(table(1, VERSION, 0, {GOOD: -1})),
-             encoding.ENCODER.encode(table(2, VERSION, 0, {})),
-             encoding.ENCODER.encode([1, VERSION, 0, {GOOD: 1e300}]),
-             encoding.ENCODER.encode([1, VERSION, 0, {}, "more"])]
+    wrong = [
+        b"",
+        b"\xc1",
+        good[:-1],
+        b"x" * (MOST_VALUE + 1),
+        encoding.ENCODER.encode(table(1, VERSION, 0, {GOOD: 51})),
+        encoding.ENCODER.encode(table(1, VERSION, 0, {GOOD: -1})),
+        encoding.ENCODER.encode(table(2, VERSION, 0, {})),
+        encoding.ENCODER.encode([1, VERSION, 0, {GOOD: 1e300}]),
+        encoding.ENCODER.encode([1, VERSION, 0, {}, "more"]),
+    ]
     for at, value in enumerate(wrong):
         wall.put(f"odd{at}", encoding.key("suspicion", encoding.chunk_of(GOOD)), value)
     wall.put("key", "suspicion/99", good)
     wall.tick(T0, "h0", head, BRICKS)
     assert head.reader is not None
     assert head.reader.bad == {**{f"odd{at}": 1 for at in range(len(wrong))}, "key": 1}
-    wall.tick(T0 + S, "h0", head, BRICKS)       # what has not changed is not counted again
+    wall.tick(T0 + S, "h0", head, BRICKS)  # what has not changed is not counted again
     assert sum(head.reader.bad.values()) == len(wrong) + 1
 
 
@@ -189,12 +194,12 @@
     assert wall.count == 2
 
 
-@given(st.dictionaries(st.text(min_size=1, max_size=128), st.floats(0, 1), max_size=120), st.integers(0, 2 ** 40))
+@given(st.dictionaries(st.text(min_size=1, max_size=128), st.floats(0, 1), max_size=120), st.integers(0, 2**40))
 def test_entries_fit_come_back_as_they_were_and_keep_the_worst(weights: dict[str, float], beat: int) -> None:
     try:
         values, left_out = encoding.encode(VERSION, beat, weights)
     except UnicodeEncodeError:
-        return      # no name of a brick: the list's decoder takes no lone surrogates
+        return  # no name of a brick: the list's decoder takes no lone surrogates
     assert all(len(value) <= MOST_VALUE for value in values.values()) and 0 in values
     found: dict[str, float] = {}
     for chunk, value in values.items():
--- a/tests/test_scoring_slices.py
+++ b/tests/test_scoring_slices.py
@@ -24,7 +24,8 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(PEERS, OWN, st.sampled_from([1, 5, 40])), min_size=1, max_size=4), st.integers(1, 30))
 def test_slices_do_what_one_go_does_and_each_a_bounded_part(
-        ticks: list[tuple[dict[str, dict[str, float] | bytes], list[tuple[str, Result]], int]], size: int) -> None:
+    ticks: list[tuple[dict[str, dict[str, float] | bytes], list[tuple[str, Result]], int]], size: int
+) -> None:
     (one_go, _), (sliced, _), wall = sharer(), sharer(), Wall()
     now, looked = T0, 0
 
@@ -45,18 +46,19 @@
             else:
                 wall.say(owner, beat, words)
         entries = wall.entries()
-        with mock.patch.object(sharing, "SLICE", 10 ** 9):
+        with mock.patch.object(sharing, "SLICE", 10**9):
             wanted = one_go.tick(now, set(BRICKS), entries)
         actions: list[Put | Drop] = []
         with mock.patch.object(sharing, "SLICE", size):
             for _ in sliced.slices(now, set(BRICKS), counted(entries), actions):
                 assert looked <= size
                 looked = 0
-                sliced.added_us(now, ASK, books(*BRICKS))       # requests come in between
+                sliced.added_us(now, ASK, books(*BRICKS))  # requests come in between
         assert sorted(map(repr, actions)) == sorted(map(repr, wanted))
         for action in wanted:
             one_go.done(action)
             sliced.done(action)
         assert one_go.added_us(now, ASK, books(*BRICKS)) == sliced.added_us(now, ASK, books(*BRICKS))
         assert [(owner, peer.words, peer.agreement) for owner, peer in one_go.shared["suspicion"].peers.items()] == [
-            (owner, peer.words, peer.agreement) for owner, peer in sliced.shared["suspicion"].peers.items()]
+            (owner, peer.words, peer.agreement) for owner, peer in sliced.shared["suspicion"].peers.items()
+        ]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -27,9 +27,16 @@
 
 
 def config(folder: Path, **changes: Any) -> dict[str, str]:
-    made = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"rev": 1, "all": True, "targets": []}, "settings": setup(), **changes}
+    made = {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:9",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"rev": 1, "all": True, "targets": []},
+        "settings": setup(),
+        **changes,
+    }
     (folder / "config.json").write_text(json.dumps(made))
     return {**os.environ, "EDGE_CONFIG": str(folder / "config.json")}
 
@@ -40,10 +47,18 @@
     return done.returncode == 2 and done.stderr.count("\n") == 1 and done.stderr.startswith("hophinge: ")
 
 
-@pytest.mark.parametrize("changes", [
-    {"listen": "nowhere"}, {"seed": "odd"}, {"known": {"rev": "x", "targets": []}},
-    {"settings": {}}, {"settings": setup(RequestClasses=[{"Name": "a", "Effect": "odd"}])},
-    {"settings": setup(Grades="many")}, {"settings": 3}])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"listen": "nowhere"},
+        {"seed": "odd"},
+        {"known": {"rev": "x", "targets": []}},
+        {"settings": {}},
+        {"settings": setup(RequestClasses=[{"Name": "a", "Effect": "odd"}])},
+        {"settings": setup(Grades="many")},
+        {"settings": 3},
+    ],
+)
 def test_a_bad_configuration_is_one_line_and_exit_2(changes: dict[str, Any], tmp_path: Path) -> None:
     assert refused(config(tmp_path, **changes))
 
@@ -53,8 +68,16 @@
         assert refused(config(tmp_path, listen=f"127.0.0.1:{taken.getsockname()[1]}"))
 
 
-@pytest.mark.parametrize("text", [None, "[objects]\nlisten = 3", "[unknown]", "[admin]\nlisten='a:1'\ntoken_file='t'",
-                                  "[objects]\nlisten='127.0.0.1:0'\ntenants='t'\nread_class='no'\nwrite_class='no'"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        None,
+        "[objects]\nlisten = 3",
+        "[unknown]",
+        "[admin]\nlisten='a:1'\ntoken_file='t'",
+        "[objects]\nlisten='127.0.0.1:0'\ntenants='t'\nread_class='no'\nwrite_class='no'",
+    ],
+)
 def test_a_bad_operator_s_file_too(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     if text is not None:
@@ -81,12 +104,20 @@
 
 @pytest.mark.parametrize("operated", [False, True])
 def test_a_head_on_its_own_settings_reads_no_certificates(operated: bool) -> None:
-    code = ("import os\nfrom hophinge.head.lean import service\nservice()\nimport aiohttp.connector as c\n"
-            "print(c._SSL_CONTEXT_VERIFIED.cert_store_stats()['x509'], os.environ.get('SSL_CERT_DIR'),\n"
-            "      c.ssl.create_default_context().cert_store_stats()['x509'])")
+    code = (
+        "import os\nfrom hophinge.head.lean import service\nservice()\nimport aiohttp.connector as c\n"
+        "print(c._SSL_CONTEXT_VERIFIED.cert_store_stats()['x509'], os.environ.get('SSL_CERT_DIR'),\n"
+        "      c.ssl.create_default_context().cert_store_stats()['x509'])"
+    )
     environ = {name: text for name, text in os.environ.items() if name != "SSL_CERT_DIR"}
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, env={
-        **environ, **({"HOPHINGE_OPERATOR_FILE": "op.toml"} if operated else {})})
+    done = subprocess.run(
+        [sys.executable, "-c", code],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+        env={**environ, **({"HOPHINGE_OPERATOR_FILE": "op.toml"} if operated else {})},
+    )
     count, folder, there = done.stdout.split()
     assert folder == "None" and count == (there if operated else "0")
 
@@ -108,8 +139,9 @@
 @asynccontextmanager
 async def program(environ: dict[str, str], *fds: int) -> AsyncIterator[asyncio.subprocess.Process]:
     """The program in a process of its own, killed if the test leaves it."""
-    process = await asyncio.create_subprocess_exec(*COMMAND, cwd=ROOT, env=environ, stdout=asyncio.subprocess.PIPE,
-                                                   pass_fds=fds)
+    process = await asyncio.create_subprocess_exec(
+        *COMMAND, cwd=ROOT, env=environ, stdout=asyncio.subprocess.PIPE, pass_fds=fds
+    )
     try:
         yield process
     finally:
@@ -122,8 +154,11 @@
     async def main() -> None:
         async with world(Brick(0)) as made:
             brick = made.bricks[0]
-            known = {"rev": 1, "all": True, "targets": [
-                {"uid": brick.name, "endpoint": brick.endpoint, "state": "Ready", "pod_group": 0}]}
+            known = {
+                "rev": 1,
+                "all": True,
+                "targets": [{"uid": brick.name, "endpoint": brick.endpoint, "state": "Ready", "pod_group": 0}],
+            }
             environ = config(tmp_path, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint, known=known)
             async with program(environ) as process:
                 wire = await connected()
@@ -139,6 +174,7 @@
                 assert await process.wait() == 0
                 for text in (first, rest):
                     assert b"requests_served 1\n" in text and b"attempts_sent 1\n" in text
+
     run(main())
 
 
@@ -158,26 +194,27 @@
                 wire = await connected()
                 wire.send(READ, headers(1, X_Remaining_Ms="20000"))
                 await until(lambda: len(brick.seen) == 1)
-                (tmp_path / "config.json").write_text("{")          # half written: logged, and nothing changes
+                (tmp_path / "config.json").write_text("{")  # half written: logged, and nothing changes
                 process.send_signal(signal.SIGHUP)
                 await process.stdout.readuntil(b"kept as it was")
                 assert not agent.asked
                 agent.targets = {one.name: one.target() for one in made.bricks}
                 config(tmp_path, listen=f"{HOST}:{PORT}", discovery=agent.endpoint)
                 process.send_signal(signal.SIGHUP)
-                await until(lambda: len(agent.asked) == 2)          # a whole list, then a watch
+                await until(lambda: len(agent.asked) == 2)  # a whole list, then a watch
                 assert agent.asked[0] == "/v1/servers"
-                await until(lambda: made.agent.watching == 0)       # the old watch has ended
+                await until(lambda: made.agent.watching == 0)  # the old watch has ended
                 second = await connected()
                 second.send(READ, headers(2, X_Placement="units=2,shard=1,hosts=1"))
                 assert (await second.receive())[0] == 404 and len(other.seen) == 1
                 gate.set()
-                assert (await wire.receive())[0] == 404             # what was open lived on
+                assert (await wire.receive())[0] == 404  # what was open lived on
                 wire.close()
                 second.close()
                 process.send_signal(signal.SIGTERM)
                 assert b"reloads 1\n" in await process.stdout.read() and await process.wait() == 0
             await agent.close()
+
     run(main())
 
 
@@ -188,8 +225,13 @@
             async with program(environ) as process:
                 # Blocked signals are inherited by nobody here: the mask shows when the program has set its own.
                 status = Path(f"/proc/{process.pid}/status")
-                await until(lambda: not process.returncode and b"hophinge" in Path(
-                    f"/proc/{process.pid}/cmdline").read_bytes() and blocks(status.read_text()))
+                await until(
+                    lambda: (
+                        not process.returncode
+                        and b"hophinge" in Path(f"/proc/{process.pid}/cmdline").read_bytes()
+                        and blocks(status.read_text())
+                    )
+                )
                 process.send_signal(signal.SIGHUP)
                 wire = await connected()
                 wire.close()
@@ -200,4 +242,5 @@
     def blocks(status: str) -> bool:
         masks = {name: text for name, _, text in (line.partition(":\t") for line in status.splitlines())}
         return bool(int(masks["SigBlk"], 16) >> (signal.SIGHUP - 1) & 1)
+
     run(main())
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -18,12 +18,35 @@
 GRADE = {"Name": "priority", "BaseRate": 400, "Reserve": 400, "Proportion": 1, "Price": 1}
 
 
-@pytest.mark.parametrize("settings", [
-    shaped(Zones=None, Skus=None), shaped(Zones=[], Skus=[]), shaped(Report=None, Penalties=None),
-    shaped(Grades=[GRADE]), shaped(Grades=[{**GRADE, "Limit": 0}]), shaped(Balancers=1), shaped(Balancers=5),
-    shaped(Caps={"MaxAttempts": 3}), shaped(Caps={}), shaped(Discovery="on_request"), shaped(Discovery=None)],
-    ids=["no zones", "empty zones", "no reports", "one plan", "no limit", "one head", "five heads", "few caps",
-         "no caps", "lists asked for", "no word on lists"])
+@pytest.mark.parametrize(
+    "settings",
+    [
+        shaped(Zones=None, Skus=None),
+        shaped(Zones=[], Skus=[]),
+        shaped(Report=None, Penalties=None),
+        shaped(Grades=[GRADE]),
+        shaped(Grades=[{**GRADE, "Limit": 0}]),
+        shaped(Balancers=1),
+        shaped(Balancers=5),
+        shaped(Caps={"MaxAttempts": 3}),
+        shaped(Caps={}),
+        shaped(Discovery="on_request"),
+        shaped(Discovery=None),
+    ],
+    ids=[
+        "no zones",
+        "empty zones",
+        "no reports",
+        "one plan",
+        "no limit",
+        "one head",
+        "five heads",
+        "few caps",
+        "no caps",
+        "lists asked for",
+        "no word on lists",
+    ],
+)
 def test_what_a_deployment_lacks_is_off_and_a_head_serves_without_it(settings: dict[str, Any]) -> None:
     async def main() -> None:
         async with world(Brick(0), Brick(1)) as made:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -25,7 +25,7 @@
         self.now = 0
         self.names = [f"n{at}" for at in range(heads)]
         self.speed = {name: 1 + self.rng.uniform(-DRIFT, DRIFT) / 2.1 for name in self.names}
-        self.skew = {name: self.rng.randrange(10 ** 9) for name in self.names}
+        self.skew = {name: self.rng.randrange(10**9) for name in self.names}
         self.processes = itertools.count(1)
         self.holders = {name: self.born(name) for name in self.names}
         self.issuer = Issuer(heads, 0, 0)
@@ -72,8 +72,10 @@
                     self.holders[name].take(self.clock(name), rest[0])
             total = sum(holder.share("t", self.clock(name)) for name, holder in self.holders.items())
             self.most = max(self.most, total)
-            assert total <= 1 + 1e-9, (self.now, {name: holder.share("t", self.clock(name))
-                                                  for name, holder in self.holders.items()})
+            assert total <= 1 + 1e-9, (
+                self.now,
+                {name: holder.share("t", self.clock(name)) for name, holder in self.holders.items()},
+            )
 
 
 def test_shares_follow_demand_within_a_few_asks_and_fall_back_to_even_parts_when_cut_off() -> None:
@@ -88,19 +90,25 @@
     assert here.holders["n1"].share("t", here.clock("n1")) == pytest.approx(0.9)
     here.cut = {"n0", "n1"}
     here.run(HIGH_US + 5 * S)
-    assert here.holders["n1"].share("t", here.clock("n1")) == 0.5      # what it took has ended first
+    assert here.holders["n1"].share("t", here.clock("n1")) == 0.5  # what it took has ended first
     assert here.holders["n0"].share("t", here.clock("n0")) == pytest.approx(0.1)
     here.run(LOW_US)
     assert here.holders["n0"].share("t", here.clock("n0")) == 0.5
     assert here.most > 0.99
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(["run", "run", "want", "cut", "heal", "restart", "issuer"]),
-                           st.integers(0, 5), st.floats(0.0, 1.0)), max_size=25)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["run", "run", "want", "cut", "heal", "restart", "issuer"]),
+        st.integers(0, 5),
+        st.floats(0.0, 1.0),
+    ),
+    max_size=25,
+)
 
 
 @settings(max_examples=150)
-@given(st.integers(2, 4), st.integers(0, 2 ** 32), STEPS)
+@given(st.integers(2, 4), st.integers(0, 2**32), STEPS)
 def test_the_sum_never_passes_the_reserve(heads: int, seed: int, steps: list[tuple[str, int, float]]) -> None:
     here = Installation(heads, seed)
     for word, at, part in steps:
@@ -114,9 +122,9 @@
             here.cut.add(name)
         elif word == "heal":
             here.cut.discard(name)
-        elif word == "restart":     # a new process: no lease, no asks; its clock goes on
+        elif word == "restart":  # a new process: no lease, no asks; its clock goes on
             here.holders[name] = here.born(name)
-        else:                       # a new issuer, which knows nothing but the last serial
+        else:  # a new issuer, which knows nothing but the last serial
             here.issuer = Issuer(heads, here.issuer.serial, here.now)
     here.cut = set()
     here.run(60 * S)
@@ -128,7 +136,7 @@
     lease = Lease(3, 7, asked, {"t": 0.8})
     assert not holder.take(0, Lease(2, 6, asked, {"t": 0.8})) and holder.share("t", 0) == 0.5
     assert holder.take(HIGH_US - 1, lease) and holder.share("t", HIGH_US - 1) == 0.8
-    assert holder.share("t", HIGH_US) == 0.5            # counted from the ask, however late it came
+    assert holder.share("t", HIGH_US) == 0.5  # counted from the ask, however late it came
     assert not holder.take(HIGH_US, lease) and holder.late == 2
     for _ in range(20):
         holder.ask(HIGH_US)
@@ -143,10 +151,14 @@
 AMOUNTS = st.floats(0.5, 100.0)
 
 
-@given(st.dictionaries(st.sampled_from(["t1", "t2", "t3", "t4"]), AMOUNTS, min_size=1),
-       st.dictionaries(st.sampled_from(["h1", "h2", "h3"]), AMOUNTS, min_size=1), st.integers(0, 2 ** 32))
+@given(
+    st.dictionaries(st.sampled_from(["t1", "t2", "t3", "t4"]), AMOUNTS, min_size=1),
+    st.dictionaries(st.sampled_from(["h1", "h2", "h3"]), AMOUNTS, min_size=1),
+    st.integers(0, 2**32),
+)
 def test_a_plan_gives_each_its_reserve_within_each_head_s_capacity(
-        reserves: dict[str, float], capacities: dict[str, float], seed: int) -> None:
+    reserves: dict[str, float], capacities: dict[str, float], seed: int
+) -> None:
     rng = random.Random(seed)
     demand = {name: {head: rng.choice([0.0, 1.0, 30.0]) for head in capacities} for name in reserves}
     if (why := fits(reserves, capacities)) is not None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -15,7 +15,7 @@
 from tests.test_choice import MS, Gateway, ask, end, finals
 from tests.test_net import READ, WRITE
 
-TOLD_S = 6.0        # after which what a silent watch missed counts as told
+TOLD_S = 6.0  # after which what a silent watch missed counts as told
 
 
 class Deaf(DiscoveryAgent):
@@ -57,12 +57,17 @@
         async with world(Brick(0), Brick(1), Brick(0, "s-new")) as made:
             made.agent.silent = True
             service = await made.head(saved=[brick.target() for brick in made.bricks[:2]])
-            await until(lambda: len(made.agent.asked) > 2)      # calls go out beside the one that says nothing
+            await until(lambda: len(made.agent.asked) > 2)  # calls go out beside the one that says nothing
             made.agent.silent, since = False, asyncio.get_running_loop().time()
-            await made.agent.tell(made.bricks[0].target("Gone"), made.bricks[2].target(),
-                                  made.bricks[1].target("Terminating"))
-            await until(lambda: service.exchange.phases.get("s-1") is not None
-                        and service.exchange.phases["s-1"].value == "draining")
+            await made.agent.tell(
+                made.bricks[0].target("Gone"), made.bricks[2].target(), made.bricks[1].target("Terminating")
+            )
+            await until(
+                lambda: (
+                    service.exchange.phases.get("s-1") is not None
+                    and service.exchange.phases["s-1"].value == "draining"
+                )
+            )
             assert "s-0" not in service.exchange.phases and "s-new" in service.exchange.phases
             assert asyncio.get_running_loop().time() - since < TOLD_S / 2
 
@@ -70,16 +75,17 @@
 
 
 def test_waits_find_silence_in_time_and_a_fleet_s_calls_are_few_where_they_cost_discovery() -> None:
-    agent, few, fleet = (CallPace(heads, random.Random(1), pushed)
-                         for heads, pushed in ((200, True), (5, False), (200, False)))
+    agent, few, fleet = (
+        CallPace(heads, random.Random(1), pushed) for heads, pushed in ((200, True), (5, False), (200, False))
+    )
     for pace, most_s in ((agent, 1.5), (few, 4.0), (fleet, 22.0)):
         pace.answered()
         wait, limit = pace.waits(True, True)
         assert wait < limit < wait + 2.0 and limit <= most_s
-    assert 200 / fleet.waits(True, True)[0] <= 10.0         # calls a second of all heads
+    assert 200 / fleet.waits(True, True)[0] <= 10.0  # calls a second of all heads
     assert agent.failed() <= 0.15 and few.failed() <= 1.5
     assert agent.beside and not few.beside
-    assert all(agent.failed() <= 0.15 for _ in range(20))   # well under the least grace of drains
+    assert all(agent.failed() <= 0.15 for _ in range(20))  # well under the least grace of drains
     agent.answered()
     assert not agent.beside
 
@@ -105,7 +111,7 @@
                 wire.send(READ, headers(number))
                 status, fields, _ = await wire.receive()
                 assert status == 503 and "retry-after" not in fields
-            assert len(made.bricks[0].seen) == 5            # one attempt each
+            assert len(made.bricks[0].seen) == 5  # one attempt each
             assert service.exchange.scheduler.books["s-0"].failures == 0
             made.bricks[0].behave = None
             wire.send(WRITE, headers(9, X_Placement="units=2,shard=-1,hosts=1", X_Remaining_Ms="1200"), "PUT", b"x")
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -100,8 +100,13 @@
 
 def make(place: Path) -> subprocess.CompletedProcess[str]:
     """Run the program as `make sites` does, on the test's own base."""
-    return subprocess.run([sys.executable, "-m", "deploy.sites.variants", place / "kit" / "base.toml",
-                           place / "recipes", place / "made"], cwd=ROOT, capture_output=True, text=True, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "deploy.sites.variants", place / "kit" / "base.toml", place / "recipes", place / "made"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
 
 
 def files(folder: Path) -> dict[str, str]:
@@ -125,7 +130,7 @@
     expected["tier"][0] |= {"name": "pool", "conn": {"idle_s": 8}, "kind": [{"name": "one", "speed": [1, 2]}]}
     expected["fam"] = {"run": [[5, 6]], "plan": [{"size": 4}]}
     assert site(place) == expected
-    assert expected["trouble"] == [{"name": "burst", "size": [1.4, 2.5]}]       # a range that nobody named
+    assert expected["trouble"] == [{"name": "burst", "size": [1.4, 2.5]}]  # a range that nobody named
 
 
 def test_the_files_beside_the_base_are_copied_byte_for_byte(place: Path) -> None:
@@ -145,33 +150,37 @@
     assert site(place)["day"] == {"length_s": [40, 50], "in_step": False}
 
 
-@pytest.mark.parametrize(("recipe", "at", "code"), [
-    ("[class.reed]\nname = 'x'", "class.reed", "recipe-unknown-name"),
-    ("[class.read]\ndeadline = 5", "class.read.deadline", "recipe-unknown-name"),
-    ("[tenant.gold]\nname = 'x'", "tenant", "recipe-unknown-name"),
-    ("[trouble.drain]\nsize = [1, 2]", "trouble.drain", "recipe-unknown-name"),
-    ("[tier.store.kind.two]\nspeed = [1, 2]", "tier.store.kind.two", "recipe-unknown-name"),
-    ("[fam.plan.2]\nsize = 3", "fam.plan.2", "recipe-unknown-name"),
-    ("class.order = ['write', 'reed']", "class.order", "recipe-unknown-name"),
-    ("class.order = ['write', 'write']", "class.order", "recipe-other-form"),
-    ("class.order = []", "class.order", "recipe-other-form"),
-    ("[class.read]\nadd = { deadline_ms = 5 }", "class.read.add.deadline_ms", "recipe-known-name"),
-    ("[class.read]\nshare = 0.5", "class.read.share", "recipe-other-form"),
-    ("[class.read]\nshare = [0.5, 0.6, 0.7]", "class.read.share", "recipe-other-form"),
-    ("[class.read]\nshare = ['0.5', '0.6']", "class.read.share", "recipe-other-form"),
-    ("[class.read]\ndeadline_ms = [5, 6]", "class.read.deadline_ms", "recipe-other-form"),
-    ("day.in_step = 1", "day.in_step", "recipe-other-form"),
-    ("day = 5", "day", "recipe-other-form"),
-    ("class = ['read']", "class", "recipe-other-form"),
-    ("class.read = 5", "class.read", "recipe-other-form"),
-    ("name = '../up'", "name", "recipe-other-form"),
-    ("name = 'own-main'", "name", "recipe-other-form"),      # as the recipe before it
-])
+@pytest.mark.parametrize(
+    ("recipe", "at", "code"),
+    [
+        ("[class.reed]\nname = 'x'", "class.reed", "recipe-unknown-name"),
+        ("[class.read]\ndeadline = 5", "class.read.deadline", "recipe-unknown-name"),
+        ("[tenant.gold]\nname = 'x'", "tenant", "recipe-unknown-name"),
+        ("[trouble.drain]\nsize = [1, 2]", "trouble.drain", "recipe-unknown-name"),
+        ("[tier.store.kind.two]\nspeed = [1, 2]", "tier.store.kind.two", "recipe-unknown-name"),
+        ("[fam.plan.2]\nsize = 3", "fam.plan.2", "recipe-unknown-name"),
+        ("class.order = ['write', 'reed']", "class.order", "recipe-unknown-name"),
+        ("class.order = ['write', 'write']", "class.order", "recipe-other-form"),
+        ("class.order = []", "class.order", "recipe-other-form"),
+        ("[class.read]\nadd = { deadline_ms = 5 }", "class.read.add.deadline_ms", "recipe-known-name"),
+        ("[class.read]\nshare = 0.5", "class.read.share", "recipe-other-form"),
+        ("[class.read]\nshare = [0.5, 0.6, 0.7]", "class.read.share", "recipe-other-form"),
+        ("[class.read]\nshare = ['0.5', '0.6']", "class.read.share", "recipe-other-form"),
+        ("[class.read]\ndeadline_ms = [5, 6]", "class.read.deadline_ms", "recipe-other-form"),
+        ("day.in_step = 1", "day.in_step", "recipe-other-form"),
+        ("day = 5", "day", "recipe-other-form"),
+        ("class = ['read']", "class", "recipe-other-form"),
+        ("class.read = 5", "class.read", "recipe-other-form"),
+        ("name = '../up'", "name", "recipe-other-form"),
+        ("name = 'own-main'", "name", "recipe-other-form"),  # as the recipe before it
+    ],
+)
 def test_a_recipe_that_does_not_fit_is_refused_with_its_place_and_nothing_is_written(
-        place: Path, recipe: str, at: str, code: str) -> None:
+    place: Path, recipe: str, at: str, code: str
+) -> None:
     assert make(place).returncode == 0
     before = files(place / "made")
-    (place / "recipes" / "own.toml").write_text(RECIPE.replace("20, 30", "21, 31"))     # would change what is made
+    (place / "recipes" / "own.toml").write_text(RECIPE.replace("20, 30", "21, 31"))  # would change what is made
     unfit = place / "recipes" / "unfit.toml"
     unfit.write_text(recipe if recipe.startswith("name") else f"name = 'unfit-main'\n{recipe}")
     ran = make(place)
@@ -196,8 +205,9 @@
 
 
 def test_make_sites_ends_with_status_2_without_a_kit(tmp_path: Path) -> None:
-    ran = subprocess.run(["make", "-s", "sites", "-o", "tools", f"KIT={tmp_path}"], cwd=ROOT, capture_output=True,
-                         text=True, timeout=60)
+    ran = subprocess.run(
+        ["make", "-s", "sites", "-o", "tools", f"KIT={tmp_path}"], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
     assert ran.returncode == 2 and "the operators' kit is not there" in ran.stderr
 
 
@@ -205,6 +215,10 @@
     recipes = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
     names = {tomllib.loads(path.read_text())["name"] for path in recipes}
     assert len(names) == len(recipes) >= 2
-    ignored = subprocess.run(["git", "check-ignore", *(f"deploy/sites/made/{name}/{name}.toml" for name in names)],
-                             cwd=ROOT, capture_output=True, text=True)
+    ignored = subprocess.run(
+        ["git", "check-ignore", *(f"deploy/sites/made/{name}/{name}.toml" for name in names)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
     assert len(ignored.stdout.splitlines()) == len(names)
--- a/tests/test_steady.py
+++ b/tests/test_steady.py
@@ -20,7 +20,7 @@
     now += 5.0
     assert clock.seconds() == pytest.approx(100.01 + LONGEST_STEP_S)
     now += 0.3
-    clock.pass_by(0.25)         # a wait of a quarter of a second that ended late
+    clock.pass_by(0.25)  # a wait of a quarter of a second that ended late
     assert clock.nanoseconds() == pytest.approx((100.26 + LONGEST_STEP_S) * 1e9)
 
 
@@ -40,6 +40,7 @@
 
 def test_a_head_whose_process_stands_still_refuses_nothing_on_it() -> None:
     """By the machine's clock, five of twelve such runs failed: 503 for a request whose 750 ms were over."""
+
     async def main() -> list[int]:
         async with world(Brick(0)) as made:
             wire = await made.wire(await made.head())
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -31,8 +31,8 @@
 
 def test_responses_are_shared_by_versions_never_by_where_they_lay_in_memory() -> None:
     parts = Parts()
-    for number in range(1, 200):        # each snapshot is dropped at once, and the next one takes its place
-        frames = parts.step(None, snapshot((1, number), GOOD[:1 + number % 5]))
+    for number in range(1, 200):  # each snapshot is dropped at once, and the next one takes its place
+        frames = parts.step(None, snapshot((1, number), GOOD[: 1 + number % 5]))
         assert wire.read_version(wire.decode_response(frames[-1]).resources[0].body).order == (1, number)
     made = parts.made
     assert parts.step(None, snapshot((1, 199), GOOD[:5])) == frames and parts.made == made
@@ -62,7 +62,7 @@
         line.push(snapshot((1, 1), [BAD[0]]))
         line.wait(10 * S)
     assert line.publisher.sent == 1 and line.head.counts["turned_down"] == 1
-    line.cut()      # on a new stream it is offered once more, and turned down without another look
+    line.cut()  # on a new stream it is offered once more, and turned down without another look
     line.wait(20 * S)
     assert line.publisher.sent == 1 and line.head.counts["turned_down"] == 2
     assert sum("turned down" in text for text in line.log) == 1
--- a/tests/test_stream_kept.py
+++ b/tests/test_stream_kept.py
@@ -29,7 +29,7 @@
     line = Line(head)
     line.push(snapshot((1, 4), GOOD))
     assert [wire.decode_response(frame).kind for frame in line.down] == [Kind.RECORD, Kind.VERSION]
-    assert line.down[0] == BEAT     # the version alone
+    assert line.down[0] == BEAT  # the version alone
     line.deliver()
     assert line.events == [Subscribed("n0", (1, 4)), Acked((1, 4))] and line.applied == []
 
@@ -52,7 +52,7 @@
 
     def write(self, path: Path, data: bytes) -> None:
         if self.step == "write":
-            path.write_bytes(data[:self.bytes_left])
+            path.write_bytes(data[: self.bytes_left])
             raise SystemError("power cut")
         super().write(path, data)
 
@@ -64,13 +64,14 @@
             raise SystemError("power cut")
 
 
-def test_a_cut_at_every_byte_of_a_write_leaves_the_old_or_the_new_version(tmp_path: Path,
-                                                                          monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_cut_at_every_byte_of_a_write_leaves_the_old_or_the_new_version(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = tmp_path / "last-good.state"
     old, new = good((1, 1), GOOD[:2]), good((1, 2), GOOD)
     lastgood.save(path, old)
     size = path.stat().st_size * 4
-    monkeypatch.setattr(Path, "unlink", lambda *_, **__: None)      # who has no power does not tidy up
+    monkeypatch.setattr(Path, "unlink", lambda *_, **__: None)  # who has no power does not tidy up
     points = [Cutting("write", at) for at in range(size)] + [Cutting("before")]
     for disk in points:
         with pytest.raises(SystemError):
@@ -102,7 +103,7 @@
         path.write_bytes(whole[:at])
         with pytest.raises(files.UnusableError):
             lastgood.load(path)
-        path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1:])
+        path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
         with pytest.raises(files.UnusableError):
             lastgood.load(path)
     for data, why in ((b"\0" * 4096, "beginning"), (whole.replace(b"last-good 1", b"last-good 9", 1), "form 9")):
--- a/tests/test_stream_rollout.py
+++ b/tests/test_stream_rollout.py
@@ -111,7 +111,7 @@
     fleet.step()
     fleet.rollout.counted("n3", 100.0, 4.0, fleet.now)
     fleet.step()
-    assert not fleet.undone                                   # within the bound
+    assert not fleet.undone  # within the bound
     fleet.rollout.counted("n3", 200.0, 30.0, fleet.now)
     fleet.step()
     assert len(fleet.undone) == 1 and "30 of 200 requests failed" in fleet.undone[0]
@@ -127,7 +127,7 @@
     fleet.rollout.counted("n3", 1000.0, 300.0, fleet.now)
     fleet.push()
     fleet.step()
-    fleet.rollout.counted("n3", 1200.0, 360.0, fleet.now)       # 30 % as before
+    fleet.rollout.counted("n3", 1200.0, 360.0, fleet.now)  # 30 % as before
     fleet.step()
     assert not fleet.undone
     fleet.rollout.counted("n3", 1400.0, 460.0, fleet.now)
@@ -145,11 +145,11 @@
     fleet.run(1 * S)
     fleet.rollout.connected("n7", first, fleet.now)
     fleet.step()
-    assert fleet.rollout.aim("n7") == first             # its wave has not begun
+    assert fleet.rollout.aim("n7") == first  # its wave has not begun
     fleet.run(5 * S)
     assert fleet.runs["n7"] == second
     fleet.run(5 * S)
-    assert fleet.rollout.course.stage is Stage.IDLE     # who is away holds nobody up
+    assert fleet.rollout.course.stage is Stage.IDLE  # who is away holds nobody up
     fleet.rollout.connected("n8", first, fleet.now)
     fleet.step()
     assert fleet.runs["n8"] == second
@@ -160,7 +160,7 @@
     fleet.push()
     for _ in range(19):
         fleet.step(answer=False)
-        fleet.rollout.counted("n1", 0.0, 0.0, fleet.now)      # it beats, and says nothing of the version
+        fleet.rollout.counted("n1", 0.0, 0.0, fleet.now)  # it beats, and says nothing of the version
     assert not fleet.rollout.course.reason
     for _ in range(4):
         fleet.step(answer=False)
@@ -168,8 +168,12 @@
 
 
 @settings(max_examples=150)
-@given(st.integers(0, 2 ** 32), st.lists(st.sampled_from(
-    ["push", "step", "step", "leave", "join", "refuse", "fail", "resume", "new"]), max_size=60))
+@given(
+    st.integers(0, 2**32),
+    st.lists(
+        st.sampled_from(["push", "step", "step", "leave", "join", "refuse", "fail", "resume", "new"]), max_size=60
+    ),
+)
 def test_by_random_steps_heads_only_go_forward_and_end_on_one_version(seed: int, steps: list[str]) -> None:
     rng, fleet = random.Random(seed), Fleet(WAVES, 4)
     for word in steps:
--- a/tests/test_stream_store.py
+++ b/tests/test_stream_store.py
@@ -16,8 +16,15 @@
 
 
 def stored(store: Store, rows: Iterable[Record], undoes: bool = False) -> Snapshot:
-    return store.push(bodies(rows), Rule(hold_us=5), "tester", "why", b"(hophinge 1)", 7,
-                      lambda order: Course((0, 0), order, Stage.ROLLING, undoes=undoes))
+    return store.push(
+        bodies(rows),
+        Rule(hold_us=5),
+        "tester",
+        "why",
+        b"(hophinge 1)",
+        7,
+        lambda order: Course((0, 0), order, Stage.ROLLING, undoes=undoes),
+    )
 
 
 def test_a_store_gives_back_its_versions_course_and_audit_after_a_restart(tmp_path: Path) -> None:
@@ -29,7 +36,9 @@
     store.close()
     again = Store(tmp_path / "s.db")
     assert {order: dict(kept.rows) for order, kept in again.snapshots.items()} == {
-        one.order: dict(one.rows), two.order: dict(two.rows)}
+        one.order: dict(one.rows),
+        two.order: dict(two.rows),
+    }
     assert again.newest is not None and again.newest.version == two.version
     assert again.course().target == (1, 2) and again.course().stage is Stage.ROLLING
     assert again.rule((1, 2)) == Rule(hold_us=5) and again.heads() == [("n0", 5)]
--- a/tests/test_stream_ways.py
+++ b/tests/test_stream_ways.py
@@ -20,11 +20,11 @@
     line.push(snapshot((1, 1), GOOD))
     line.deliver()
     line.push(snapshot((1, 2), [*GOOD[:3], Limit(Scope("new"), 7.0)]))
-    line.down.popleft()             # its records are lost, the version comes
+    line.down.popleft()  # its records are lost, the version comes
     line.deliver()
     assert line.head.state is State.RECEIVED and line.head.running == "1.1"
     line.wait(COMPLETE_US + 2 * S)
-    assert line.head.running == "1.2" and line.head.counts["truncated"] == 1    # all was sent again
+    assert line.head.running == "1.2" and line.head.counts["truncated"] == 1  # all was sent again
     whole = snapshot((1, 3), GOOD)
     lying = Snapshot(Version(whole.order, len(whole.rows), whole.version.sum + 1), whole.rows)
     line.push(lying)
@@ -53,7 +53,7 @@
     line.deliver()
     line.push(two)
     line.deliver()
-    line.down.extend(first)         # old ones again, once another version is in force
+    line.down.extend(first)  # old ones again, once another version is in force
     line.deliver()
     line.wait(COMPLETE_US)
     assert line.applied == [(1, 1), (1, 2)] and line.head.running == "1.2"
@@ -97,7 +97,7 @@
     line.up, since = False, line.now
     line.wait(5 * S)
     assert line.head.connected
-    line.wait(2 * S)                # six seconds without a beat
+    line.wait(2 * S)  # six seconds without a beat
     assert not line.head.connected and any("silent for 6 s" in text for text in line.log)
     line.wait(120 * S)
     assert line.head.dial.at in (0, 1) and line.head.counts["failovers"] > 5
@@ -111,7 +111,7 @@
 
 
 def test_a_stream_that_ends_as_soon_as_it_is_open_is_asked_for_ever_more_slowly() -> None:
-    line = Line()       # another head of this name takes its place each time
+    line = Line()  # another head of this name takes its place each time
     for _ in range(100):
         line.deliver()
         line.cut()
@@ -130,10 +130,15 @@
 
 
 ROWS = st.lists(st.sampled_from([*GOOD, *BAD]), max_size=8, unique_by=lambda row: row.key)
-STEPS = st.lists(st.one_of(
-    st.tuples(st.just("push"), ROWS), st.tuples(st.just("deliver"), st.integers(1, 3)),
-    st.tuples(st.just("wait"), st.integers(1, 8 * S)),
-    st.tuples(st.sampled_from(["cut", "lose", "double", "swap"]), st.just(0))), max_size=40)
+STEPS = st.lists(
+    st.one_of(
+        st.tuples(st.just("push"), ROWS),
+        st.tuples(st.just("deliver"), st.integers(1, 3)),
+        st.tuples(st.just("wait"), st.integers(1, 8 * S)),
+        st.tuples(st.sampled_from(["cut", "lose", "double", "swap"]), st.just(0)),
+    ),
+    max_size=40,
+)
 
 
 @settings(max_examples=300)
@@ -158,7 +163,7 @@
             line.down.append(line.down[0])
         elif len(line.down) > 1:
             line.down.rotate(1)
-        assert line.applied == sorted(set(line.applied))        # forward only, each once
+        assert line.applied == sorted(set(line.applied))  # forward only, each once
         for order in line.applied:
             assert not check(pushed[order], pushed[order], FACTS)
         if line.applied:
@@ -167,7 +172,7 @@
             assert {*table.pools} == {row.name for row in rows.values() if isinstance(row, Pool)}
             assert {limit.key for limit in table.limits} == {key for key in rows if key.startswith("limit/")}
     line.cut()
-    line.wait(60 * S)       # the way is sound again: the head ends with the newest, or with its reason against it
+    line.wait(60 * S)  # the way is sound again: the head ends with the newest, or with its reason against it
     if newest is not None:
         rows = pushed[newest.order]
         if check(rows, rows, FACTS):
--- a/tests/test_stream_wire.py
+++ b/tests/test_stream_wire.py
@@ -11,9 +11,17 @@
 from hophinge.control.wire import Kind, Resource, Response
 
 
-@given(st.builds(Response, st.sampled_from(Kind), st.text(max_size=5), st.lists(st.builds(
-    Resource, st.text(max_size=5), st.text(max_size=5), st.binary(max_size=9)), max_size=3).map(tuple),
-    st.lists(st.text(max_size=5), max_size=3).map(tuple)))
+@given(
+    st.builds(
+        Response,
+        st.sampled_from(Kind),
+        st.text(max_size=5),
+        st.lists(st.builds(Resource, st.text(max_size=5), st.text(max_size=5), st.binary(max_size=9)), max_size=3).map(
+            tuple
+        ),
+        st.lists(st.text(max_size=5), max_size=3).map(tuple),
+    )
+)
 def test_responses_come_back_as_they_were(response: Response) -> None:
     assert wire.decode_response(wire.encode_response(response)) == response
 
--- a/tests/test_streamed.py
+++ b/tests/test_streamed.py
@@ -13,8 +13,16 @@
 
 from tests.held_clock import HeldClock
 from tests.installation import (
-    GOOD as GOOD, HEADS as HEADS, MOON, SETTINGS as SETTINGS, TARGET as TARGET, Installation as Installation,
-    follower as follower, installation as installation, status as status, write,
+    GOOD as GOOD,
+    HEADS as HEADS,
+    MOON,
+    SETTINGS as SETTINGS,
+    TARGET as TARGET,
+    Installation as Installation,
+    follower as follower,
+    installation as installation,
+    status as status,
+    write,
 )
 from tests.stand_in import headers, held_by, run, setup, until
 
@@ -27,11 +35,11 @@
             assert (await here.push(GOOD))["version"] == "1.1"
             await here.runs(one, "1.1")
             await here.runs(two, "1.1")
-            assert (await here.push(MOON))["version"] == "1.2"       # good for one of them
+            assert (await here.push(MOON))["version"] == "1.2"  # good for one of them
             await here.runs(two, "1.2")
             await until(lambda: follower(one).state.value == "turned down")
             told, rows = await here.staff("Status"), dict[str, Any]()
-            while rows.get("n1", {}).get("runs") != "1.2":      # a head runs a version before the service hears of it
+            while rows.get("n1", {}).get("runs") != "1.2":  # a head runs a version before the service hears of it
                 told = await here.staff("Status")
                 rows = {row["name"]: row for row in told["heads"]}
             assert (rows["n0"]["runs"], rows["n1"]["runs"]) == ("1.1", "1.2")
@@ -51,6 +59,7 @@
             history = await here.staff("History")
             assert [row["version"] for row in history["versions"]] == ["1.3", "1.2", "1.1"]
             assert {row["what"] for row in history["audit"]} >= {"push", "hold", "done"}
+
     run(main())
 
 
@@ -58,7 +67,8 @@
     async def main() -> None:
         async with installation(tmp_path) as here:
             assert (await here.push("(hophinge 1) (limit (rate 5))", name="x.sexp"))["mistakes"] == [
-                "x.sexp:1:27: (rate ...): 5 has no unit; write it like 120 units/s"]
+                "x.sexp:1:27: (rate ...): 5 has no unit; write it like 120 units/s"
+            ]
             with pytest.raises(ConnectionError, match="not one of staff"):
                 await here.staff("Push", token=HEADS, text=GOOD)
             with pytest.raises(ConnectionError, match=r"newest version is none, not 1\.7"):
@@ -71,7 +81,8 @@
                 await here.staff("Resume")
             stranger = await here.head("n0", token="a-token-of-strangers")
             await until(lambda: follower(stranger).counts["connects"] >= 2)
-            assert follower(stranger).running == "none" and stranger.ready()     # it serves without
+            assert follower(stranger).running == "none" and stranger.ready()  # it serves without
+
     run(main())
 
 
@@ -81,8 +92,12 @@
             gate = asyncio.Event()
             for brick in here.made.bricks:
                 brick.behave = held_by(gate)
-            settings = {**SETTINGS, "RequestClasses": [
-                {**row, "GoalTimeUs": 30_000_000, "DeadlineUs": 80_000_000} for row in SETTINGS["RequestClasses"]]}
+            settings = {
+                **SETTINGS,
+                "RequestClasses": [
+                    {**row, "GoalTimeUs": 30_000_000, "DeadlineUs": 80_000_000} for row in SETTINGS["RequestClasses"]
+                ],
+            }
             head = await here.head("n0", settings)
             await here.push(GOOD)
             await here.runs(head, "1.1")
@@ -93,8 +108,12 @@
             # The wait takes no time by the head's clock: a brick that took seconds for one request would teach it that
             # the others cannot be served in time, and they would be refused for that, with no change of versions.
             clock = head.exchange.now_us = HeldClock(head.exchange.now_us)
-            asked = [asyncio.create_task(status(client.put(
-                target.format(at % 256), data=b"x", headers=headers(at + 1, **fields)))) for at in range(500)]
+            asked = [
+                asyncio.create_task(
+                    status(client.put(target.format(at % 256), data=b"x", headers=headers(at + 1, **fields)))
+                )
+                for at in range(500)
+            ]
             await until(lambda: head.exchange.unanswered == 500)
             assert router.versions == {(1, 1): 500}
             # The pool that they came under goes, and so does every limit that they hold.
@@ -105,6 +124,7 @@
             gate.set()
             assert await asyncio.gather(*asked) == [200] * 500
             assert not router.versions.get((1, 1)) and (1, 1) not in router.views.tables and not router.open
+
     run(main())
 
 
@@ -112,20 +132,24 @@
     async def main() -> None:
         async with installation(tmp_path) as here:
             head = await here.head("n0")
-            await here.push("(hophinge 1) (pool one (bricks s-1)) (tenant alba (volumes 00000003b4d60021))"
-                            "(route (tenant alba) (class transfer-write) (pools one))"
-                            "(limit (tenant alba) (rate 1 units/s) (burst 3 s))")
+            await here.push(
+                "(hophinge 1) (pool one (bricks s-1)) (tenant alba (volumes 00000003b4d60021))"
+                "(route (tenant alba) (class transfer-write) (pools one))"
+                "(limit (tenant alba) (rate 1 units/s) (burst 3 s))"
+            )
             await here.runs(head, "1.1")
             codes = [await write(here, head, at) for at in range(1, 4)]
             assert codes == [200] * 3
             assert [len(brick.objects) for brick in here.made.bricks] == [0, 3, 0]
             since = time.monotonic()
             fields = headers(9, X_Placement="units=1,shard=-1,hosts=1")
-            async with here.made.client.put(here.made.url(head) + TARGET.format(9), data=b"x",
-                                            headers=fields) as answer:
+            async with here.made.client.put(
+                here.made.url(head) + TARGET.format(9), data=b"x", headers=fields
+            ) as answer:
                 assert answer.status == 503 and 0 < float(answer.headers["Retry-After"]) <= 1
-            assert time.monotonic() - since < 0.6       # half of what a write may take: nobody held it back
+            assert time.monotonic() - since < 0.6  # half of what a write may take: nobody held it back
             assert head.counters.counts["requests_turned_away"] == 1
+
     run(main())
 
 
@@ -140,6 +164,7 @@
             await until(lambda: follower(one).counts["connects"] >= 2)
             told = await here.staff("Status")
             assert [row["name"] for row in told["heads"]] == ["n0"]
+
     run(main())
 
 
@@ -150,4 +175,5 @@
             head = await here.head("n0", endpoints=["127.0.0.1:9", f"127.0.0.1:{here.port}"])
             await here.runs(head, "1.1")
             assert follower(head).counts["failovers"] >= 1
+
     run(main())
--- a/tests/test_streamed_commands.py
+++ b/tests/test_streamed_commands.py
@@ -16,8 +16,9 @@
 
 
 def command(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "hophinge", *words], cwd=ROOT, capture_output=True, text=True,
-                          timeout=30, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "hophinge", *words], cwd=ROOT, capture_output=True, text=True, timeout=30, check=False
+    )
 
 
 def test_the_command_line_tells_mistakes_by_line_and_status(tmp_path: Path) -> None:
@@ -27,15 +28,18 @@
     bad.write_text("(hophinge 1)\n(limit (rate 5))\n(odd)\n")
     done = command("check", str(bad))
     assert done.returncode == 2 and [line.split(": ")[0] for line in done.stderr.splitlines()] == [
-        f"{bad}:2:14", f"{bad}:3:1"]
+        f"{bad}:2:14",
+        f"{bad}:3:1",
+    ]
     assert command("check", str(tmp_path / "none")).returncode == 2
     token = tmp_path / "token"
     token.write_text(STAFF)
     away = command("control", "status", "--token-file", str(token), "--address", "127.0.0.1:9")
     assert away.returncode == 1 and away.stderr.count("\n") == 1 and "127.0.0.1:9" in away.stderr
     (tmp_path / "t").write_text("x short\n")
-    refused = command("control", "serve", "--store", str(tmp_path / "s.db"), "--heads", str(tmp_path / "t"),
-                      "--staff", str(token))
+    refused = command(
+        "control", "serve", "--store", str(tmp_path / "s.db"), "--heads", str(tmp_path / "t"), "--staff", str(token)
+    )
     assert refused.returncode == 2 and refused.stderr.startswith(f"hophinge: {tmp_path}/t:1: a line is NAME TOKEN")
 
 
@@ -79,9 +83,11 @@
 
 
 def test_the_platform_s_head_imports_none_of_it() -> None:
-    code = ("import sys\nimport hophinge.head.service\n"
-            "odd = [name for name in sys.modules if name.split('.')[0] in ('grpc', 'lark', 'envoy', 'typer', 'rich',"
-            " 'structlog', 'sqlite3') or name.startswith(('hophinge.control', 'hophinge.routing', 'hophinge.cli',"
-            " 'hophinge.state'))]\nprint(odd)")
+    code = (
+        "import sys\nimport hophinge.head.service\n"
+        "odd = [name for name in sys.modules if name.split('.')[0] in ('grpc', 'lark', 'envoy', 'typer', 'rich',"
+        " 'structlog', 'sqlite3') or name.startswith(('hophinge.control', 'hophinge.routing', 'hophinge.cli',"
+        " 'hophinge.state'))]\nprint(odd)"
+    )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout == "[]\n"
--- a/tests/test_streamed_failures.py
+++ b/tests/test_streamed_failures.py
@@ -25,7 +25,7 @@
             await here.push(GOOD)
             await here.runs(head, "1.1")
             assert here.service is not None
-            here.service._aim = lambda: None            # type: ignore[method-assign]   # killed before heads hear
+            here.service._aim = lambda: None  # type: ignore[method-assign]   # killed before heads hear
             await here.push(GOOD + "(limit (open 99 requests))")
             await here.service.stop()
             await until(lambda: not follower(head).connected)
@@ -33,6 +33,7 @@
             await here.control()
             await here.runs(head, "1.2")
             assert head.streamed is not None and [limit.open for limit in head.streamed.router.table.limits] == [99]
+
     run(main())
 
 
@@ -51,9 +52,10 @@
             assert follower(again).running == "1.1" and follower(again).held
             assert follower(again).status(0)["kept"] == "1.1"
             file = next((tmp_path / "state").glob("last-good-n0.state"))
-            file.write_bytes(file.read_bytes()[:-3])        # torn: not taken, and the head serves without
+            file.write_bytes(file.read_bytes()[:-3])  # torn: not taken, and the head serves without
             torn = await here.head("n0")
             assert follower(torn).running == "none" and await write(here, torn, 1) == 200
+
     run(main())
 
 
@@ -72,6 +74,7 @@
             assert follower(again).running == "1.1" and follower(again).status(0)["stale"]
             assert again.streamed is not None and again.streamed.gauges()["config_stale"]
             assert await write(here, again, 1) == 200
+
     run(main())
 
 
@@ -96,7 +99,8 @@
             await here.runs(heads[1], "1.3")
             assert await write(here, heads[0], 50) == 200
             assert any(re.search(r"rolled back: (\d+) of \1 requests failed", line) for line in here.log)
-            assert follower(heads[1]).counts["taken_up"] == 2       # 1.1 and 1.3: the other never had 1.2
+            assert follower(heads[1]).counts["taken_up"] == 2  # 1.1 and 1.3: the other never had 1.2
+
     run(main())
 
 
@@ -127,10 +131,11 @@
                     raise OSError("no room")
                 kept(*args)
 
-            store.set_course = set_course       # type: ignore[method-assign,assignment]
+            store.set_course = set_course  # type: ignore[method-assign,assignment]
             await here.push(big + "(rollout (first n0) (waves 100 %))")
             await here.runs(heads[1], "1.2")
             assert fails < 0 and any("stands still: no room" in line for line in here.log)
+
     run(main())
 
 
@@ -157,4 +162,5 @@
             kept = lastgood.load(tmp_path / "state" / "last-good-n0.state")
             assert kept is not None and kept.order == (1, 1)
             assert [row["runs"] for row in (await here.staff("Status"))["heads"]] == ["1.2"]
+
     run(main())
--- a/tests/test_streamed_kills.py
+++ b/tests/test_streamed_kills.py
@@ -55,14 +55,14 @@
             def killing(now_us: int, response: Any) -> Any:
                 nonlocal killed_at
                 actions = received(now_us, response)
-                if follower(head).held and not killed_at:       # some records are here, not all
+                if follower(head).held and not killed_at:  # some records are here, not all
                     killed_at = len(follower(head).held)
                     process.kill()
                 return actions
 
             follower(head).received = killing
             try:
-                with contextlib.suppress(ConnectionError):      # its answer may be lost with it
+                with contextlib.suppress(ConnectionError):  # its answer may be lost with it
                     await here.push(big)
                 await until(lambda: bool(killed_at))
                 process.wait()
@@ -77,20 +77,23 @@
                 process.wait()
                 assert process.stderr is not None
                 process.stderr.close()
+
     run(main())
 
 
 def test_a_head_killed_at_any_moment_of_a_storm_of_versions_starts_from_a_whole_one(tmp_path: Path) -> None:
     process, port = serving(tmp_path)
     (tmp_path / "token").write_text(HEADS)
-    (tmp_path / "op.toml").write_text(f'[stream]\nendpoints = ["127.0.0.1:{port}"]\ntoken_file = "token"\n'
-                                      'folder = "state"\n')
+    (tmp_path / "op.toml").write_text(
+        f'[stream]\nendpoints = ["127.0.0.1:{port}"]\ntoken_file = "token"\nfolder = "state"\n'
+    )
     environ = {**config(tmp_path, settings=SETTINGS), "HOPHINGE_OPERATOR_FILE": str(tmp_path / "op.toml")}
     path, seen = tmp_path / "state" / "last-good-n0.state", []
     try:
         for turn in range(5):
-            head = subprocess.Popen([sys.executable, "-m", "hophinge"], cwd=ROOT, env=environ, text=True,
-                                    stdout=subprocess.PIPE)
+            head = subprocess.Popen(
+                [sys.executable, "-m", "hophinge"], cwd=ROOT, env=environ, text=True, stdout=subprocess.PIPE
+            )
             try:
                 assert head.stdout is not None
                 for line in head.stdout:
@@ -101,15 +104,16 @@
                 # At least until a version of this turn is kept: a busy machine may take longer than the turn.
                 while time.monotonic() < until_s or not path.exists():
                     number += 1
-                    text = GOOD + "".join(f"(limit (tenant t{at}) (open {turn * 1000 + number} requests))"
-                                          for at in range(200))
+                    text = GOOD + "".join(
+                        f"(limit (tenant t{at}) (open {turn * 1000 + number} requests))" for at in range(200)
+                    )
                     run(call(f"127.0.0.1:{port}", STAFF, "Push", msgspec.json.encode({"text": text})))
             finally:
                 head.send_signal(signal.SIGKILL)
                 head.wait()
                 assert head.stdout is not None
                 head.stdout.close()
-            kept = lastgood.load(path)      # UnusableError would be a torn file
+            kept = lastgood.load(path)  # UnusableError would be a torn file
             if kept is not None:
                 seen.append(kept.order)
     finally:
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -16,7 +16,7 @@
         assert len(surge.times[name]) >= 0.98 * asked
         before, after = (sorted(head.times[name])[int(0.99 * len(head.times[name]))] for head in (calm, surge))
         assert after <= 1.2 * before
-    assert len(surge.times["c"]) > 1.8 * len(calm.times["c"])   # what is spare is used
+    assert len(surge.times["c"]) > 1.8 * len(calm.times["c"])  # what is spare is used
     assert surge.refused["c"] > 0
 
 
@@ -37,15 +37,15 @@
     assert 28 <= reserved(4) <= 33
     inside = head.admission.inside
     shares["c"] = Shares(60.0, 1.0, 64)
-    assert head.admission.inside == inside          # what was admitted stays
-    assert 57 <= reserved(4) <= 63                  # from now on, without a second's worth at once
+    assert head.admission.inside == inside  # what was admitted stays
+    assert 57 <= reserved(4) <= 63  # from now on, without a second's worth at once
     shares["c"] = Shares(5.0, 1.0, 64)
     assert 4 <= reserved(4) <= 8
     level = head.admission.accounts["c"].reserve.total.level
     assert level < 8.0
     shares["c"] = Shares(30.0, 1.0, 64)
     head.ask("c", 8.0)
-    assert head.admission.accounts["c"].reserve.total.level <= level + 0.5     # a raise gives nothing back
+    assert head.admission.accounts["c"].reserve.total.level <= level + 0.5  # a raise gives nothing back
 
 
 def test_spare_is_shared_by_weight() -> None:
@@ -69,7 +69,7 @@
     while head.admission.tree.waiting:
         head.until(head.now + MS)
         order += [ticket.ask.worth for _, ticket in head.out if ticket.ask.worth not in order]
-    assert order == [1.0, 3.0, 2.0, 1.0][:len(order)] or order[:3] == [1.0, 3.0, 2.0]
+    assert order == [1.0, 3.0, 2.0, 1.0][: len(order)] or order[:3] == [1.0, 3.0, 2.0]
 
 
 def test_a_refusal_says_when_the_tenant_s_own_reserve_is_there() -> None:
@@ -82,8 +82,14 @@
 
 
 @settings(max_examples=150)
-@given(st.lists(st.tuples(st.sampled_from(["ask", "ask", "end", "leave", "wait", "shares"]), st.integers(0, 3),
-                          st.floats(0.5, 8.0)), max_size=120))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["ask", "ask", "end", "leave", "wait", "shares"]), st.integers(0, 3), st.floats(0.5, 8.0)
+        ),
+        max_size=120,
+    )
+)
 def test_by_random_steps_each_request_ends_once_and_nothing_is_left(steps: list[tuple[str, int, float]]) -> None:
     shares = {f"t{at}": Shares(5.0 * at, 1.0 + at, 3) for at in range(4)}
     admission = Admission(lambda name: shares[name], Spare(10.0, 40 * MS), 8.0)
@@ -98,8 +104,9 @@
     for word, at, units in steps:
         if word == "ask":
             verdict, ticket, _ = admission.arrive(now, Ask(f"t{at}", "v", units, units, 2.0, 1.0, 30 * MS))
-            (inside if verdict in (Verdict.RESERVED, Verdict.SPARE) else
-             waits if verdict is Verdict.WAITS else []).append(ticket)
+            (
+                inside if verdict in (Verdict.RESERVED, Verdict.SPARE) else waits if verdict is Verdict.WAITS else []
+            ).append(ticket)
         elif word == "end" and inside:
             admission.left(now, inside.pop(at % len(inside)))
         elif word == "leave" and waits:
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -51,7 +51,7 @@
             await until(lambda: router.admission is not None and router.admission.tree.waiting == 8)
             tasks[11].cancel()
             await until(lambda: router.admission is not None and router.admission.tree.waiting == 7)
-            await until(lambda: sum(task.done() for task in tasks) == 8)    # seven are refused after 150 ms
+            await until(lambda: sum(task.done() for task in tasks) == 8)  # seven are refused after 150 ms
             gate.set()
             codes = Counter(await asyncio.gather(*tasks[:11]))
             assert codes == {200: 4, 503: 7} and not router.passes and not router.open
@@ -66,19 +66,24 @@
             await here.runs(head, "1.2")
             gate.set()
             assert set(await asyncio.gather(*tasks)) <= {200, 503} and not router.passes
+
     run(main())
 
 
 def test_shares_of_a_reserve_follow_demand_between_heads_and_promises_that_cannot_be_kept_are_told(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     async def main() -> None:
         async with installation(tmp_path) as here, ClientSession(connector=TCPConnector(limit=0)) as client:
             heads = [await here.head(f"n{at}", {**SETTINGS, "Balancers": 2}) for at in range(2)]
             spare = "(spare (depth 100 units) (leases on) (capacity 50 units/s))"
             tenant = "(tenant aa (volumes 00000000000000aa) (reserve {} units/s))"
             # No head may be connected yet: the push waits for one to tell how many there are, itself and another.
-            with pytest.raises(ConnectionError, match=r"with 2 heads the tenants' reserves add up to 120 units/s; the "
-                                                      r"heads do 100: lower reserves by 20"):
+            with pytest.raises(
+                ConnectionError,
+                match=r"with 2 heads the tenants' reserves add up to 120 units/s; the "
+                r"heads do 100: lower reserves by 20",
+            ):
                 await here.push(GOOD + spare + tenant.format(120))
             await here.push(GOOD + spare + tenant.format(40))
             for head in heads:
@@ -88,10 +93,10 @@
             def shares() -> list[float]:
                 return [holder.share("aa", heads[0].exchange.now_us()) for holder in holders]
 
-            assert shares() == [0.0, 0.0]       # they have just started, and nothing told them what is safe
+            assert shares() == [0.0, 0.0]  # they have just started, and nothing told them what is safe
             await until(lambda: here.service is not None and here.service.allotment.issuer is not None)
             assert here.service is not None and here.service.allotment.issuer is not None
-            here.service.allotment.issuer.quiet_until = 0     # nobody was ever granted anything here
+            here.service.allotment.issuer.quiet_until = 0  # nobody was ever granted anything here
             await until(lambda: min(shares()) > 0)
             since, number = asyncio.get_running_loop().time(), itertools.count(1)
 
@@ -105,22 +110,24 @@
             while shares()[0] < 0.8:
                 most = max(most, sum(shares()))
                 await asyncio.sleep(0.01)
-            assert most <= 1 + 1e-9 and asyncio.get_running_loop().time() - since < 30      # 6 s on a free machine
+            assert most <= 1 + 1e-9 and asyncio.get_running_loop().time() - since < 30  # 6 s on a free machine
             router = heads[0].streamed.router if heads[0].streamed is not None else None
             assert router is not None and router._shares("aa").reserve > 0.8 * 40
             asking.cancel()
             await asyncio.gather(asking, return_exceptions=True)
+
     run(main())
 
 
 def test_promises_are_judged_by_what_the_installation_is_not_by_who_is_connected(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(control_shares, "SIZE_S", 0.1)
     form = "(spare (depth 9 units) (capacity 50 units/s))(tenant aa (volumes 00000000000000aa) (reserve {} units/s))"
 
     async def main() -> None:
         async with installation(tmp_path) as here:
-            assert (await here.push(GOOD + form.format(50)))["version"] == "1.1"        # any one head keeps it
+            assert (await here.push(GOOD + form.format(50)))["version"] == "1.1"  # any one head keeps it
             with pytest.raises(ConnectionError, match="no head has told yet how many there are"):
                 await here.push(GOOD + form.format(90))
             head = await here.head("n0", {**SETTINGS, "Balancers": 2})
@@ -130,7 +137,7 @@
             await here.made.kill(head)
             assert here.service is not None
             await here.service.stop()
-            await here.control()                            # nobody is connected, and it is known all the same
+            await here.control()  # nobody is connected, and it is known all the same
             assert (await here.staff("Status"))["size"] == 2
             with pytest.raises(ConnectionError, match=r"with 2 heads .* lower reserves by 1 units/s"):
                 await here.push(GOOD + form.format(101))
@@ -138,6 +145,7 @@
             head = await here.head("n0", {**SETTINGS, "Balancers": 1})
             await until(lambda: any("with 1 heads" in line for line in here.log))
             assert follower(head).running == "1.2"
+
     run(main())
 
 
@@ -160,8 +168,9 @@
                 async with here.made.client.get(path, headers=headers(number)) as answer:
                     assert answer.status == 200 and await answer.read() == long
                 took[name] = asyncio.get_running_loop().time() - since
-            assert took["aa"] > 0.4     # 1 MiB was saved up, half of one is paced
+            assert took["aa"] > 0.4  # 1 MiB was saved up, half of one is paced
             assert head.streamed is not None and list(head.streamed.router.limiter.paces) == ["limit/aa/*/*"]
+
     run(main())
 
 
@@ -176,7 +185,7 @@
             for at, (wire, volume) in enumerate(zip(wires, ("aa", "aa", "aa", "bb"), strict=True)):
                 wire.send(f"/record-read/00000000000000{volume}/7f3a9c21e0b4d655", headers(at))
                 codes.append((await wire.receive())[0])
-            assert codes == [404, 404, 503, 404] and await wires[2].ended()     # it is told, and its connection ends
+            assert codes == [404, 404, 503, 404] and await wires[2].ended()  # it is told, and its connection ends
             wires[0].close()
             assert head.streamed is not None
             held = head.streamed.forms.held
@@ -185,12 +194,14 @@
             wires[3].send("/record-read/00000000000000aa/7f3a9c21e0b4d655", headers(9))
             assert (await wires[3].receive())[0] == 404 and held.held["aa"] == 2
             assert head.counters.counts["tenants_bounded"] == 1
+
     run(main())
 
 
 def test_a_surge_at_a_real_head_is_refused_to_its_own_tenant(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path) as here, ClientSession(connector=TCPConnector(limit=0)) as client:
+
             async def slow(request: web.BaseRequest, body: bytes) -> web.StreamResponse | None:
                 await asyncio.sleep(0.03)
                 return None
@@ -200,8 +211,14 @@
             # Time enough that the core refuses none as too late, however the machine is loaded: tenancy alone decides.
             classes = [{**row, "GoalTimeUs": 8_000_000, "DeadlineUs": 20_000_000} for row in SETTINGS["RequestClasses"]]
             head = await here.head("n0", {**SETTINGS, "RequestClasses": classes})
-            document = GOOD + "(spare (depth 6 units) (wait 30 ms) (queue 16 requests))" + "".join(
-                f"(tenant {name} (volumes 00000000000000{name}) (reserve 20 units/s))" for name in ("aa", "bb", "cc"))
+            document = (
+                GOOD
+                + "(spare (depth 6 units) (wait 30 ms) (queue 16 requests))"
+                + "".join(
+                    f"(tenant {name} (volumes 00000000000000{name}) (reserve 20 units/s))"
+                    for name in ("aa", "bb", "cc")
+                )
+            )
             await here.push(document)
             await here.runs(head, "1.1")
             assert follower(head).running == "1.1"
@@ -209,8 +226,9 @@
             for step in range(60):
                 for name, each in (("aa", 1), ("bb", 1), ("cc", 12)):
                     for _ in range(each if name == "cc" or step % 3 == 0 else 0):
-                        tasks.setdefault(name, []).append(asyncio.create_task(
-                            put(here, head, client, name, next(number), 20_000)))
+                        tasks.setdefault(name, []).append(
+                            asyncio.create_task(put(here, head, client, name, next(number), 20_000))
+                        )
                 await asyncio.sleep(0.02)
             codes = {name: Counter(await asyncio.gather(*rows)) for name, rows in tasks.items()}
             assert codes["aa"] == {200: 20} and codes["bb"] == {200: 20}
@@ -218,4 +236,5 @@
             told = await tenants_of(head, client)
             assert all((told[name]["refused"], told[name]["reserved_units"]) == (0, 20.0) for name in ("aa", "bb"))
             assert told["cc"]["refused"] == codes["cc"][503]
+
     run(main())
--- a/tests/test_tenancy_turns.py
+++ b/tests/test_tenancy_turns.py
@@ -15,7 +15,7 @@
 
 
 @settings(max_examples=60)
-@given(st.lists(st.floats(0.5, 8.0), min_size=2, max_size=6), st.integers(0, 2 ** 32))
+@given(st.lists(st.floats(0.5, 8.0), min_size=2, max_size=6), st.integers(0, 2**32))
 def test_what_waits_leaves_in_proportion_to_weights(weights: list[float], seed: int) -> None:
     rng, tree, got = random.Random(seed), Tree[str](), dict.fromkeys(map(str, range(len(weights))), 0.0)
 
@@ -48,8 +48,9 @@
     def waiting(self, key: str) -> bool:
         return any(queue and (name == key or name.startswith(key + "/")) for name, queue in self.queues.items())
 
-    def put(self, item: str, units: float, tenant: str, volume: str, worth: float,
-            weights: tuple[float, float]) -> None:
+    def put(
+        self, item: str, units: float, tenant: str, volume: str, worth: float, weights: tuple[float, float]
+    ) -> None:
         path = tenant, f"{tenant}/{volume}"
         awake = [self.waiting(key) for key in path]
         self.queues.setdefault(path[1], []).append((-worth, next(self.count), item, units))
@@ -81,11 +82,21 @@
 
 
 @settings(max_examples=200)
-@given(st.lists(st.one_of(
-    st.tuples(st.just("put"), st.integers(0, 2), st.integers(0, 2), st.sampled_from([1.0, 2.0, 3.0]),
-              st.sampled_from([1.0, 2.0, 5.0])),
-    st.tuples(st.sampled_from(["pop", "remove"]), st.integers(0, 9), st.just(0), st.just(1.0), st.just(1.0))),
-    max_size=60))
+@given(
+    st.lists(
+        st.one_of(
+            st.tuples(
+                st.just("put"),
+                st.integers(0, 2),
+                st.integers(0, 2),
+                st.sampled_from([1.0, 2.0, 3.0]),
+                st.sampled_from([1.0, 2.0, 5.0]),
+            ),
+            st.tuples(st.sampled_from(["pop", "remove"]), st.integers(0, 9), st.just(0), st.just(1.0), st.just(1.0)),
+        ),
+        max_size=60,
+    )
+)
 def test_the_tree_chooses_what_a_plain_scan_chooses(steps: list[tuple[str, int, int, float, float]]) -> None:
     tree, plain, entries = Tree[str](), Plain(), dict[str, Entry[str]]()
     for at, (word, one, two, worth, units) in enumerate(steps):
@@ -136,7 +147,8 @@
 
 @given(st.lists(st.tuples(st.integers(0, 200 * MS), st.integers(0, 3), st.floats(0.5, 8.0)), max_size=150))
 def test_a_volume_s_right_is_always_there_and_loans_stay_within_the_tenant_s(
-        steps: list[tuple[int, int, float]]) -> None:
+    steps: list[tuple[int, int, float]],
+) -> None:
     reserve, now, since = Reserve(40.0, 1.0, 8.0, 0), 0, 0
     rights = {"v0": 10.0, "v1": 10.0, "v2": 20.0, "v3": 0.0}
     taken = dict.fromkeys(rights, 0.0)
@@ -168,19 +180,19 @@
     assert reserve.owed(0) == {"busy": 20.0}
     assert borrowed == 20 and reserve.borrowed == {"busy": 20.0} and reserve.lent == 20.0
     rights = sum(reserve.take("quiet", 20.0, 4.0, 1.0, 0) for _ in range(40))
-    assert rights == 20 and reserve.total.level == -20.0        # its right, though all was lent
+    assert rights == 20 and reserve.total.level == -20.0  # its right, though all was lent
     assert reserve.owed(S // 2) == {"busy": 10.0}
-    assert not reserve.take("busy", 0.0, 4.0, 1.0, S)           # a second later it is only just even
+    assert not reserve.take("busy", 0.0, 4.0, 1.0, S)  # a second later it is only just even
     assert reserve.returned == 20 and not reserve.owed(S)
     assert reserve.take("busy", 0.0, 4.0, 1.0, S + 100 * MS) and reserve.owed(S + 100 * MS) == {"busy": 1.0}
-    assert not reserve.owed(9 * S)                              # a full bucket owes nothing
+    assert not reserve.owed(9 * S)  # a full bucket owes nothing
 
 
 def test_a_changed_rate_keeps_what_is_owed() -> None:
     reserve = Reserve(10.0, 1.0, 1.0, 0)
     assert all(reserve.take("v", 10.0, 1.0, 1.0, 0) for _ in range(10))
     reserve.change(100.0, 1.0, 0)
-    assert not reserve.take("v", 100.0, 1.0, 1.0, 0)            # a raise gives nothing at once
+    assert not reserve.take("v", 100.0, 1.0, 1.0, 0)  # a raise gives nothing at once
     assert reserve.take("v", 100.0, 1.0, 1.0, 20 * MS)
     reserve.change(1.0, 1.0, 100 * MS)
     taken = sum(reserve.take("v", 1.0, 1.0, 1.0, 100 * MS + at * 10 * MS) for at in range(100))
--- a/tests/test_time_told.py
+++ b/tests/test_time_told.py
@@ -25,7 +25,8 @@
 
 @pytest.mark.parametrize("body", ["none", "kept", "on its way"])
 def test_an_attempt_whose_connection_came_late_tells_what_is_left_by_then(
-        body: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    body: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Of a body on its way all may lie in the kernel by then, as nobody has taken what came before."""
     monkeypatch.setattr(server_module, "KEPT", 100_000)
 
@@ -34,8 +35,12 @@
         service.bricks.pool.limit_s = 30.0
         begun = late(monkeypatch, service.bricks.connector, gate, set(range(9)))
         sent = {"none": b"", "kept": LONG[:60_000], "on its way": LONG}[body]
-        wire.send(READ if body == "none" else WRITE, headers(X_Remaining_Ms=str(TIME_MS)),
-                  "GET" if body == "none" else "PUT", sent)
+        wire.send(
+            READ if body == "none" else WRITE,
+            headers(X_Remaining_Ms=str(TIME_MS)),
+            "GET" if body == "none" else "PUT",
+            sent,
+        )
         while not begun:
             await asyncio.sleep(0)
         moved(service, LATE_MS * 1000)
@@ -43,6 +48,7 @@
         assert (await wire.receive())[0] == (404 if body == "none" else 200)
         assert service.counters.counts["bodies_streamed"] == (body == "on its way")
         assert 0 < int(brick.headers[0]["X-Remaining-Ms"]) <= TIME_MS - LATE_MS
+
     with_head(test)
 
 
@@ -68,6 +74,7 @@
         gate.set()
         assert (await wire.receive())[0] == 200
         assert len(given) == 1 and 0 < given[0] <= (TIME_MS - LATE_MS) * 1000
+
     with_head(test)
 
 
@@ -75,7 +82,7 @@
     async def test(_: World, service: Service, wire: Wire, brick: Brick) -> None:
         async def die(request: object, __: bytes) -> None:
             moved(service, LATE_MS * 1000 * len(brick.seen))
-            request.transport.abort()       # type: ignore[attr-defined]
+            request.transport.abort()  # type: ignore[attr-defined]
 
         brick.behave = die
         wire.send(READ, headers(X_Remaining_Ms=str(TIME_MS)))
@@ -83,4 +90,5 @@
         told = [int(one["X-Remaining-Ms"]) for one in brick.headers]
         assert len(told) == 3
         assert all(0 < one <= TIME_MS - LATE_MS * at for at, one in enumerate(told))
+
     with_head(test)
--- a/tests/test_together_faults.py
+++ b/tests/test_together_faults.py
@@ -26,8 +26,12 @@
 
 
 def stands_back(made: Run, name: str) -> Condition:
-    return made.tells(name, "/ops/cluster", "it has stepped back", lambda text: "[member-name-taken]" in json.loads(
-        text)["stepped_back"])
+    return made.tells(
+        name,
+        "/ops/cluster",
+        "it has stepped back",
+        lambda text: "[member-name-taken]" in json.loads(text)["stepped_back"],
+    )
 
 
 def test_through_loss_and_reordering_one_stands_still_and_returns_under_a_new_incarnation(tmp_path: Path) -> None:
@@ -46,14 +50,16 @@
             found = until([*serving, *(holds(made, name, ["n2"], "dead") for name in awake)], 2 * BOUND_S)
             assert await always(living, found) > 0
             made["n2"].wake()
-            returned = [made.tells(name, "/ops/cluster", "n2 has returned", incarnation("n2", before["n2"]))
-                        for name in awake]
+            returned = [
+                made.tells(name, "/ops/cluster", "n2 has returned", incarnation("n2", before["n2"])) for name in awake
+            ]
             met = until([*returned, *all_see(made, names), *serving, made.serves("n2")], BOUND_S)
             assert await always(living, met) > 0
             assert await counted(made, "n2", "deaths") == 0 and await counted(made, "n2", "late") > 0
             figures = made.network.figures
             assert figures["lost"] > 30 and 0.2 < figures["lost"] / sum(made.network.ordinals.values()) < 0.4
             sent.within(BYTES_S)
+
     run(main())
 
 
@@ -66,8 +72,10 @@
             await heads(made, ["twin"], ["n0"], cluster={"name": "n1"})
             stepping = until([stands_back(made, "twin"), *map(made.serves, names)], BOUND_S)
             assert await always(none_dead(made, names), stepping) > 0
-            assert any("[member-name-taken]" in line and "Give this process a name of its own" in line
-                       for line in made["twin"].lines), "the log says what to do"
+            assert any(
+                "[member-name-taken]" in line and "Give this process a name of its own" in line
+                for line in made["twin"].lines
+            ), "the log says what to do"
             await until([made.serves("twin"), made.ready("twin"), *all_see(made, names)], BOUND_S)
             assert [row["name"] for row in (await told(made, "twin"))["members"]] == ["n1"]
             for name in names:
@@ -78,6 +86,7 @@
             operators.write_text(operators.read_text().replace('name = "n1"', 'name = "n3"'))
             await made["twin"].start()
             await until([holds(made, name, [*names, "n3"], "alive") for name in [*names, "twin"]], BOUND_S)
+
     run(main())
 
 
@@ -89,8 +98,8 @@
             await until(all_see(made, names), 2 * BOUND_S)
             before = await incarnations(made, names[-1])
             sent = Bytes(made, names)
-            dead, alive = names[:MANY * 7 // 10], names[MANY * 7 // 10:]
-            await made.processes.kill(*dead)        # the seeds among them, all within a moment
+            dead, alive = names[: MANY * 7 // 10], names[MANY * 7 // 10 :]
+            await made.processes.kill(*dead)  # the seeds among them, all within a moment
             serving, living = [*map(made.serves, alive)], none_dead(made, alive)
             await until(serving, BOUND_S)
             found = until([*serving, *(holds(made, name, dead, *LEFT) for name in alive)], ALONE_S)
@@ -99,10 +108,13 @@
             back = dead[2:]
             await made.processes.start(*back)
             running = back + alive
-            returned = [made.tells(alive[0], "/ops/cluster", f"{name} has returned", incarnation(name, before[name]))
-                        for name in back]
+            returned = [
+                made.tells(alive[0], "/ops/cluster", f"{name} has returned", incarnation(name, before[name]))
+                for name in back
+            ]
             met = until([*map(made.ready, back), *all_see(made, running), *returned], 2 * BOUND_S)
             assert await always(living, met) > 0
             await until([made.serves(name) for name in running], BOUND_S)
             sent.within(BYTES_S)
+
     run(main())
--- a/tests/test_together_formats.py
+++ b/tests/test_together_formats.py
@@ -18,9 +18,15 @@
 
 def hears(made: Run, name: str, owners: set[str]) -> Condition:
     """A head's scorers hold words of just these peers: entries of each have arrived."""
-    return made.tells(name, "/ops/scorers", f"words of {owners}", lambda text: all(
-        owners == {owner for owner, one in peers.items() if one["counts_for"] > 0}
-        for peers in json.loads(text)["peers"].values()))
+    return made.tells(
+        name,
+        "/ops/scorers",
+        f"words of {owners}",
+        lambda text: all(
+            owners == {owner for owner, one in peers.items() if one["counts_for"] > 0}
+            for peers in json.loads(text)["peers"].values()
+        ),
+    )
 
 
 def test_heads_of_an_older_and_a_newer_format_agree_and_one_beyond_reading_is_left_alone(tmp_path: Path) -> None:
@@ -34,16 +40,26 @@
             await made.processes.start(*everyone)
             await until([made.ready(name) for name in everyone], BOUND_S)
             sent = Bytes(made, everyone)
-            await until([*all_see(made, together), *(hears(made, name, set(together) - {name}) for name in together)],
-                        BOUND_S)
-            for name in together:       # what all formats have in common arrives whole, also by way of another format
+            await until(
+                [*all_see(made, together), *(hears(made, name, set(together) - {name}) for name in together)], BOUND_S
+            )
+            for name in together:  # what all formats have in common arrives whole, also by way of another format
                 rows = (await told(made, name))["members"]
                 assert {row["zone"] for row in rows} == {f"zone of {one}" for one in together}, rows
             # Parts that a reader does not know are passed over and counted; what none can read is dropped and counted.
             for name in ("n0", "n1", "older"):
                 assert await counted(made, name, "unknown_kinds") > 0
-            await until([made.tells("n0", "/ops/cluster", "dropped what it cannot read", lambda text: json.loads(text)[
-                "counters"].get("dropped_newer_format", 0) > 0)], BOUND_S)
+            await until(
+                [
+                    made.tells(
+                        "n0",
+                        "/ops/cluster",
+                        "dropped what it cannot read",
+                        lambda text: json.loads(text)["counters"].get("dropped_newer_format", 0) > 0,
+                    )
+                ],
+                BOUND_S,
+            )
             assert [row["name"] for row in (await told(made, "beyond"))["members"]] == ["beyond"]
             # A death and a return are found through all formats, and all serve all the while.
             before = {row["name"]: row["incarnation"] for row in (await told(made, "n0"))["members"]}
@@ -53,10 +69,20 @@
             found = until([*map(made.serves, [*rest, "beyond"]), *dead], BOUND_S)
             assert await always(none_dead(made, rest), found) > 0
             await made["older"].start()
-            await until([*all_see(made, together), *(made.tells(name, "/ops/cluster", "a new start", incarnation(
-                "older", before["older"])) for name in rest), made.serves("older")], BOUND_S)
+            await until(
+                [
+                    *all_see(made, together),
+                    *(
+                        made.tells(name, "/ops/cluster", "a new start", incarnation("older", before["older"]))
+                        for name in rest
+                    ),
+                    made.serves("older"),
+                ],
+                BOUND_S,
+            )
             for name in everyone:
                 assert await counted(made, name, "dropped_malformed") == 0
                 assert made[name].running and await counted(made, name, "hearers_failed") == 0
             sent.within(BYTES_S)
+
     run(main())
--- a/tests/test_together_heads.py
+++ b/tests/test_together_heads.py
@@ -17,8 +17,8 @@
 COUNT = 12 if SOAK else 4
 PLAN = LoadPlan(work_us=2_000, slots=8)
 REQUESTS = 2_000 if SOAK else 150
-TRIES = 6               # of one request, by a client that was refused: the machine may be busy
-AT_ONCE = 40            # datagrams of a flood in one go, and seconds between two goes
+TRIES = 6  # of one request, by a client that was refused: the machine may be busy
+AT_ONCE = 40  # datagrams of a flood in one go, and seconds between two goes
 BETWEEN_S = 0.004
 KINDS = ("dropped_unknown", "dropped_unauthentic", "dropped_too_long", "dropped_replayed")
 
@@ -46,7 +46,7 @@
             await until([made.serves(name) for name in names], BOUND_S)
             await made["n2"].stop()
             awake = [name for name in names if name != "n2"]
-            standing = ("dead",) if SOAK else ("suspect", "dead")       # members alone wait for death in CI too
+            standing = ("dead",) if SOAK else ("suspect", "dead")  # members alone wait for death in CI too
             found = until([holds(made, name, ["n2"], *standing) for name in awake], BOUND_S)
             serving = [*none_dead(made, awake), *map(made.serves, awake)]
             assert await always(serving, found) > 0
@@ -59,11 +59,13 @@
             # One that hears of nobody doubts itself first, so this takes longer the more there were.
             await until([holds(made, "n0", names[1:], "suspect", "dead")], (8 if SOAK else 2) * BOUND_S)
             await until([made.serves("n0"), made.ready("n0")], BOUND_S)
+
     run(main())
 
 
 def test_a_flood_from_an_unknown_sender_while_a_head_serves(tmp_path: Path) -> None:
     """Noise, cut-off datagrams of a member, and whole ones again: all are dropped and counted, requests are served."""
+
     async def main() -> None:
         async with Run(tmp_path, 22, PLAN) as made:
             names = await heads(made, 3, ["n0"])
@@ -75,10 +77,11 @@
                     heard.append(data)
                 carry(source, target, data)
 
-            made.relay.carry = tapped       # type: ignore[method-assign, assignment]  # listens to what is carried
+            made.relay.carry = tapped  # type: ignore[method-assign, assignment]  # listens to what is carried
 
             async def enough() -> tuple[bool, str]:
                 return len(heard) >= 5, f"{len(heard)} datagrams"
+
             await until([*all_see(made, names), Condition(made["n0"], "was sent five datagrams", enough)], BOUND_S)
             host, _, port = made.where["n0"].peers.rpartition(":")
             sent, flooding = 0, True
@@ -108,6 +111,7 @@
             assert sent > 1_000 and min(dropped.values()) > 10, dropped
             assert standings((await made.ask("n0", "/ops/cluster"))[1]).keys() == set(names)
             await until(all_see(made, names), BOUND_S)
+
     run(main())
 
 
@@ -130,4 +134,5 @@
             # Its memory is bounded, and it ends in order.
             assert made["n0"].resident_mb() < 4 * made["alone"].resident_mb()
             assert [await made[name].end() for name in ("alone", "n0")] == [0, 0]
+
     run(main())
--- a/tests/test_together_liars.py
+++ b/tests/test_together_liars.py
@@ -19,7 +19,7 @@
 
 BRICKS = 4
 REQUESTS = 1_500 if SOAK else 240
-TURNS = 4               # of the load, at most
+TURNS = 4  # of the load, at most
 # From the load's begin the brick of shard 0 fails all that it is asked.
 PLAN = LoadPlan(work_us=2_000, slots=8, bricks=BRICKS, faults=(Fault("fail", 0, 600_000_000, 1 / BRICKS, 1.0),))
 ACCUSED, FAILING = "load-1", "load-0"
@@ -30,14 +30,21 @@
     """It accuses a healthy brick, praises one that fails by naming it nowhere, and counts an object a million times."""
     weights = [encoding.encode("suspicion-1", beat, {ACCUSED: 1.0})[0] for beat in (1, 2)]
     pages = [rumour.pages(span, 1e6, [rumour.Item(b"k" * KEY_BYTES, bytes(SEALED_BYTES), 1e6)])[0] for span in (1, 2)]
-    return {"accuses": "n1", "entries": [
-        *(["weights", encoding.key("suspicion", chunk), [one[chunk].hex() for one in weights]] for chunk in weights[0]),
-        ["popularity", "0", [page.hex() for page in pages]]]}
+    return {
+        "accuses": "n1",
+        "entries": [
+            *(
+                ["weights", encoding.key("suspicion", chunk), [one[chunk].hex() for one in weights]]
+                for chunk in weights[0]
+            ),
+            ["popularity", "0", [page.hex() for page in pages]],
+        ],
+    }
 
 
 def kept(done: list[int]) -> bool:
     """The accused brick has its share among those that answer, as peers' trimmed mean has it."""
-    return done[1] >= sum(done[1:]) / (BRICKS - 1) / 4      # without the trim: 0 to 9 of 240
+    return done[1] >= sum(done[1:]) / (BRICKS - 1) / 4  # without the trim: 0 to 9 of 240
 
 
 def test_a_liar_with_the_key_moves_no_member_no_share_of_a_brick_and_no_fetch(tmp_path: Path) -> None:
@@ -46,11 +53,20 @@
             names = ["n0", "n1", "n2"]
             (tmp_path / "secret").write_text("0123456789abcdef")
             for name in names:
-                await made.head(name, seeds=["n0", "liar"], sections={
-                    "scoring": {"scorers": ["latency", "suspicion"]},
-                    "objects": {"listen": made.address(), "tenants": str(tmp_path / name / "tenants.json"),
-                                "read_class": "record-read", "write_class": "transfer-write"},
-                    "popularity": {"secret_file": str(tmp_path / "secret")}})
+                await made.head(
+                    name,
+                    seeds=["n0", "liar"],
+                    sections={
+                        "scoring": {"scorers": ["latency", "suspicion"]},
+                        "objects": {
+                            "listen": made.address(),
+                            "tenants": str(tmp_path / name / "tenants.json"),
+                            "read_class": "record-read",
+                            "write_class": "transfer-write",
+                        },
+                        "popularity": {"secret_file": str(tmp_path / "secret")},
+                    },
+                )
             member = await made.member("liar", ["n0"])
             where = Where("", made.address(), member["listen"])
             made.processes.make("liar", ["tests.member_lies", where.control, json.dumps(member), json.dumps(lies())])
@@ -59,10 +75,25 @@
             await until([made.ready(name) for name in names], BOUND_S)
             await until(all_see(made, names, [*names, "liar"]), BOUND_S)
             # All have heard the lies about the brick and the object.
-            await until([made.tells(name, "/ops/scorers", "the liar's word on a brick", lambda text: json.loads(text)[
-                "peers"]["suspicion"].get("liar", {}).get("bricks") == 1) for name in names], BOUND_S)
-            await until([made.tells(name, "/ops/popularity", "the liar's page", lambda text: json.loads(text)[
-                "peers"] >= 1) for name in names], BOUND_S)
+            await until(
+                [
+                    made.tells(
+                        name,
+                        "/ops/scorers",
+                        "the liar's word on a brick",
+                        lambda text: json.loads(text)["peers"]["suspicion"].get("liar", {}).get("bricks") == 1,
+                    )
+                    for name in names
+                ],
+                BOUND_S,
+            )
+            await until(
+                [
+                    made.tells(name, "/ops/popularity", "the liar's page", lambda text: json.loads(text)["peers"] >= 1)
+                    for name in names
+                ],
+                BOUND_S,
+            )
             made.platform.begin()
             sent = Bytes(made, names)
             statuses: Counter[int] = Counter()
@@ -70,6 +101,7 @@
             async def load(turn: int) -> None:
                 for number in range(turn * REQUESTS, (turn + 1) * REQUESTS):
                     statuses[await made.request(names[number % 3], 1 + number, -1, 6)] += 1
+
             shares = list[list[int]]()
             # A stall of the machine makes a brick look slow for a while, accused or not; a lie that moves shares stays.
             while len(shares) < TURNS and not (shares and kept(shares[-1])):
@@ -79,17 +111,28 @@
             assert statuses == {200: len(shares) * REQUESTS}, statuses
             assert kept(shares[-1]), shares
             # The member that is accused by ever another name is held dead by nobody, and refutes.
-            await until([made.tells("n1", "/ops/cluster", "it has refuted", lambda text: json.loads(text)[
-                "counters"].get("refuted", 0) > 2)], BOUND_S)
+            await until(
+                [
+                    made.tells(
+                        "n1",
+                        "/ops/cluster",
+                        "it has refuted",
+                        lambda text: json.loads(text)["counters"].get("refuted", 0) > 2,
+                    )
+                ],
+                BOUND_S,
+            )
             assert {await counted(made, name, "deaths") for name in names} == {0}
             popularity = json.loads((await made.ask("n0", "/ops/popularity"))[1])
             assert popularity["fetched_objects"] == 0 and popularity["kept_bytes"] == 0, popularity
             sent.within(BYTES_S)
+
     run(main())
 
 
 def test_a_flood_of_strangers_gets_no_answer_and_costs_no_byte_above_the_bound(tmp_path: Path) -> None:
     """Requests are served meanwhile, what was read is dropped and counted, and the stranger hears nothing."""
+
     async def main() -> None:
         async with Run(tmp_path, 32, LoadPlan(work_us=2_000, slots=8)) as made:
             names = ["n0", "n1", "n2"]
@@ -111,6 +154,7 @@
                 async def load() -> None:
                     for number in range(REQUESTS):
                         assert await made.request("n0", 1 + number, number % 3, 6) == 200
+
                 task = asyncio.create_task(flood())
                 try:
                     assert await always(none_dead(made, names), load()) > 0
@@ -127,4 +171,5 @@
             sent.within(BYTES_S)
             assert (await counted(made, "n0", "deaths"), made[names[0]].resident_mb() < 400) == (0, True)
             await until(all_see(made, names), BOUND_S)
+
     run(main())
--- a/tests/test_together_members.py
+++ b/tests/test_together_members.py
@@ -24,11 +24,12 @@
             names = await members(made, 4, ["m0", "gone"])
             await made["m0"].kill()
             rest = names[1:]
-            await until([holds(made, name, [name], "alive") for name in rest], BOUND_S)      # each serves, alone
+            await until([holds(made, name, [name], "alive") for name in rest], BOUND_S)  # each serves, alone
             for name in rest:
                 assert [row["name"] for row in (await told(made, name))["members"]] == [name]
             await made["m0"].start()
             await until(all_see(made, names), BOUND_S)
+
     run(main())
 
 
@@ -38,7 +39,7 @@
             names = await members(made, COUNT, ["m0", "m1"])
             await until([*all_see(made, names), *(has_entries(made, name, entries(names)) for name in names)], BOUND_S)
             before = {row["name"]: row["incarnation"] for row in (await told(made, names[-1]))["members"]}
-            dead, alive = names[:COUNT * 7 // 10], names[COUNT * 7 // 10:]      # the seeds are among the dead
+            dead, alive = names[: COUNT * 7 // 10], names[COUNT * 7 // 10 :]  # the seeds are among the dead
             await made.processes.kill(*dead)
             # Those that are left hold each other all the while, and find all seven.
             detect = until([holds(made, name, dead, "dead") for name in alive], 2 * BOUND_S)
@@ -47,7 +48,8 @@
             await made.processes.start(*dead)
             await until([*all_see(made, names), *(has_entries(made, name, entries(names)) for name in names)], BOUND_S)
             after = {row["name"]: row["incarnation"] for row in (await told(made, names[-1]))["members"]}
-            assert all(after[name] > before[name] for name in dead)     # returned under new incarnations
+            assert all(after[name] > before[name] for name in dead)  # returned under new incarnations
+
     run(main())
 
 
@@ -57,7 +59,7 @@
             made.network.set(ROUGH)
             names = await members(made, FEW, ["m0", "m1"])
             await until([*all_see(made, names), *(has_entries(made, name, entries(names)) for name in names)], BOUND_S)
-            for turn in range(TURNS):       # entries go on changing, and nobody is lost meanwhile
+            for turn in range(TURNS):  # entries go on changing, and nobody is lost meanwhile
                 for name in names:
                     await made.ask(name, f"/put/{turn}-{name}")
                 wanted = {name: f"{turn}-{name}" for name in names}
@@ -65,9 +67,10 @@
                 assert await always(none_dead(made, names), heard) > 0
             lost = made.network.figures["lost"]
             assert lost > 30 and 0.2 < lost / sum(made.network.ordinals.values()) < 0.4
-            if SOAK:        # a kill is found through the same loss
+            if SOAK:  # a kill is found through the same loss
                 await made[names[-1]].kill()
                 await until([holds(made, name, names[-1:], "dead") for name in names[:-1]], 4 * BOUND_S)
+
     run(main())
 
 
@@ -81,9 +84,10 @@
             made.network.split_zones(made.zones(), "z1")
             # The small side hears of so few that it doubts itself first.
             apart = [holds(made, name, large, "suspect", "dead") for name in small] + [
-                holds(made, name, small, "dead") for name in large]
+                holds(made, name, small, "dead") for name in large
+            ]
             within = none_dead(made, small) + none_dead(made, large)
-            assert await always(within, until(apart, BOUND_S)) > 0      # each side keeps its own
+            assert await always(within, until(apart, BOUND_S)) > 0  # each side keeps its own
             # What both sides change meanwhile is held by all after the healing, without any start anew.
             for name in (small[-1], large[-1]):
                 await made.ask(name, f"/put/changed-{name}")
@@ -91,11 +95,13 @@
             wanted = {**entries(names), **{name: f"changed-{name}" for name in (small[-1], large[-1])}}
             await until([*all_see(made, names), *(has_entries(made, name, wanted) for name in names)], BOUND_S)
             assert all(made[name].starts == 1 for name in names)
+
     run(main())
 
 
 def test_a_cut_one_way_costs_nobody_its_place(tmp_path: Path) -> None:
     """What m2 sends to m3 is lost; others carry its probes and what it tells."""
+
     async def main() -> None:
         async with Run(tmp_path, seed=15) as made:
             names = await members(made, 5, ["m0"])
@@ -109,8 +115,10 @@
 
             async def taken() -> tuple[bool, str]:
                 return made.network.figures["cut"] >= 5, f"{made.network.figures}"
+
             await until([Condition(made["m2"], "five of its datagrams were cut", taken)], BOUND_S)
             await until(all_see(made, names), BOUND_S)
+
     run(main())
 
 
@@ -126,6 +134,7 @@
             assert await always(none_dead(made, awake), found) > 0
             made["m3"].wake()
             back = until(all_see(made, names), BOUND_S)
-            assert await always(none_dead(made, awake), back) > 0       # nobody else is accused to death meanwhile
+            assert await always(none_dead(made, awake), back) > 0  # nobody else is accused to death meanwhile
             assert await counted(made, "m3", "deaths") == before and await counted(made, "m3", "late") > 0
+
     run(main())
--- a/tests/test_together_release.py
+++ b/tests/test_together_release.py
@@ -14,7 +14,7 @@
 
 BOUNDS = "(maintenance (heads (most {})) (served 1 heads)) "
 RELEASE = "(release {} (heads {}) (build {}) (waves 100%) (settle 3 s) (refused 5%) {}) "
-STORES = 40         # more than any release here takes
+STORES = 40  # more than any release here takes
 
 
 @pytest.mark.skipif(not SOAK, reason="long runs; the next test has two releases as well")
@@ -24,14 +24,18 @@
         count, most = 6, 3
         async with whole(tmp_path, count, 41, clustered=False) as here:
             first, second = here.names, here.names[2:]
-            await here.push(BOUNDS.format(most) + RELEASE.format("r", " ".join(first), "2", "")
-                            + RELEASE.format("s", " ".join(second), "3", ""))
+            await here.push(
+                BOUNDS.format(most)
+                + RELEASE.format("r", " ".join(first), "2", "")
+                + RELEASE.format("s", " ".join(second), "3", "")
+            )
             await until([here.stage("done", "r"), here.stage("done", "s")], 2 * BOUND_S)
             assert here.builds == {**dict.fromkeys(first, "2"), **dict.fromkeys(second, "3")}
             await here.check(most)
             rows = [row[2] for row in await here.audit() if row[3] == "begun"]
-            assert sorted(rows[:count]) == first and sorted(rows[count:]) == second     # the second waited
+            assert sorted(rows[:count]) == first and sorted(rows[count:]) == second  # the second waited
             assert here.most_out == most
+
     run(main())
 
 
@@ -40,15 +44,21 @@
         count, most = (6, 2) if SOAK else (3, 1)
         async with whole(tmp_path, count, 42, clustered=False) as here:
             order = ranked(here.names)
-            here.bad = {order[1]}           # the one that goes first, alone, is sound
+            here.bad = {order[1]}  # the one that goes first, alone, is sound
             here.tasks.append(asyncio.create_task(here.load()))
             other = RELEASE.format("s", order[-1], "3", "")
             words = BOUNDS.format(most) + RELEASE.replace("100%", "60% 100%").format("r", " ".join(order), "2", "{}")
             await here.push(words.format("") + other)
-            halted = here.tells("r halted for its failures, s waits", lambda told: [
-                row["stage"] for row in told["releases"] if row["name"] == "s"] == ["waiting"] and any(
-                row["stage"] == "halted" and "requests were refused or failed" in row["reason"]
-                for row in told["releases"]))
+            halted = here.tells(
+                "r halted for its failures, s waits",
+                lambda told: (
+                    [row["stage"] for row in told["releases"] if row["name"] == "s"] == ["waiting"]
+                    and any(
+                        row["stage"] == "halted" and "requests were refused or failed" in row["reason"]
+                        for row in told["releases"]
+                    )
+                ),
+            )
             await until([halted], 2 * BOUND_S)
             assert here.builds[order[1]] == "2" and "3" not in here.builds.values()
             await here.push(words.format("(word back)") + other)
@@ -58,6 +68,7 @@
                 await until([here.up(count), here.made.serves(order[1])], BOUND_S)
                 assert here.builds[order[-1]] == "3"
             await here.check(most)
+
     run(main())
 
 
@@ -94,12 +105,18 @@
             begun = [row[2] for row in await here.audit() if row[3] == "begun"]
             assert sorted(begun) == names.split()
             assert sorted(name for _, name, _ in here.goes) == names.split()
+
     run(main())
 
 
 def test_the_check_of_a_history_finds_what_it_is_for() -> None:
-    sound = [("1.1", "head", "n0", "granted"), ("1.1", "head", "n0", "begun"), ("1.2", "head", "n1", "granted"),
-             ("1.1", "head", "n0", "free"), ("1.3", "brick", "n0", "begun")]
+    sound = [
+        ("1.1", "head", "n0", "granted"),
+        ("1.1", "head", "n0", "begun"),
+        ("1.2", "head", "n1", "granted"),
+        ("1.1", "head", "n0", "free"),
+        ("1.3", "brick", "n0", "begun"),
+    ]
     assert places(sound, "head") == 2 and places(sound, "brick") == 1
     for bad in (("1.4", "head", "n1", "granted"), ("1.1", "head", "n0", "begun")):
         with pytest.raises(AssertionError):
--- a/tests/test_together_release_faults.py
+++ b/tests/test_together_release_faults.py
@@ -13,20 +13,24 @@
 BOUNDS = "(maintenance (heads (most {})) (bricks (most 1)) (served 1 heads)) "
 RELEASE = "(release r (build 2) (waves 100%) (settle 3 s) (refused 100%) {}) "
 OUTAGE = "(outage disks (bricks load-0)) "
-STOPPED_S = 20.0 if SOAK else 4.0       # the issue's time, and a fifth of it in CI
+STOPPED_S = 20.0 if SOAK else 4.0  # the issue's time, and a fifth of it in CI
 
 
 def stands(here: Whole, name: str) -> Condition:
     """A process stands still."""
+
     async def look() -> tuple[bool, str]:
         return here.made[name].stopped, "goes on"
+
     return Condition(here.made[name], "stands still", look)
 
 
 def went(here: Whole, count: int) -> Condition:
     """So many have been let go."""
+
     async def look() -> tuple[bool, str]:
         return len(here.goes) >= count, f"{here.goes}"
+
     return Condition(here.made["c"], f"has let {count} go", look)
 
 
@@ -42,23 +46,35 @@
             rack = f"(outage rack (heads {other})) "
             here.strike(first, STOP, "yes")
             await here.push(BOUNDS.format(3) + RELEASE.format(""))
-            await until([stands(here, first)], BOUND_S)         # told to go, and not gone
+            await until([stands(here, first)], BOUND_S)  # told to go, and not gone
             await here.lose(*lost)
             await until([here.tells("the three are missed", lambda told: told["heads_up"] <= 2)], BOUND_S)
             await here.push(BOUNDS.format(3) + RELEASE.format("") + rack)
-            waits = here.tells("the place is taken, the other waits for room", lambda told: [
-                row["name"] for row in told["permits"] if row["state"] in ("begun", "out")] == [first] and any(
-                row["name"] == other and "5 heads of 5 would be out, 3 may" in row["why"] for row in told["waiting"]))
+            waits = here.tells(
+                "the place is taken, the other waits for room",
+                lambda told: (
+                    [row["name"] for row in told["permits"] if row["state"] in ("begun", "out")] == [first]
+                    and any(
+                        row["name"] == other and "5 heads of 5 would be out, 3 may" in row["why"]
+                        for row in told["waiting"]
+                    )
+                ),
+            )
             await until([waits], BOUND_S)
             before = await granted(here)
             await always([waits, stands(here, first)], asyncio.sleep(STOPPED_S))
-            assert await granted(here) == before == 2           # one place, granted and begun
+            assert await granted(here) == before == 2  # one place, granted and begun
             here.strike(first, STOP, "")
             await here.push(BOUNDS.format(3) + RELEASE.format(""))
             here.made[first].wake()
             # It goes on, and comes back with the build; the next have no room before the lost are back.
-            back = here.tells("the next waits for room", lambda told: not told["permits"] and any(
-                "4 heads of 5 would be out, 3 may" in row["why"] for row in told["waiting"]))
+            back = here.tells(
+                "the next waits for room",
+                lambda told: (
+                    not told["permits"]
+                    and any("4 heads of 5 would be out, 3 may" in row["why"] for row in told["waiting"])
+                ),
+            )
             await until([back], BOUND_S)
             assert await granted(here) == before
             await here.find(*lost)
@@ -66,6 +82,7 @@
             assert set(here.builds.values()) == {"2"} or not SOAK
             assert [name for _, name, _ in here.goes].count(first) == 1
             await here.check(3)
+
     run(main())
 
 
@@ -92,6 +109,7 @@
             await until([here.stage("done"), here.up(3)] if SOAK else [went(here, 2)], 2 * BOUND_S)
             assert set(here.builds.values()) == {"2"} or not SOAK
             await here.check(2)
+
     run(main())
 
 
@@ -100,24 +118,32 @@
         async with whole(tmp_path, 3, 54) as here:
             made, brick = here.made, here.made.platform.bricks[0]
             await until([made.serves(name) for name in here.names], BOUND_S)
-            made.network.cut({"c"}, {"n1"}, both=False)         # n1 will not hear of the drain
+            made.network.cut({"c"}, {"n1"}, both=False)  # n1 will not hear of the drain
             await here.push(BOUNDS.format(1) + OUTAGE)
-            waits = here.tells("waits for n1 alone", lambda told: [
-                (row["state"], row["missing"]) for row in told["permits"]] == [("draining", ["n1"])])
+            waits = here.tells(
+                "waits for n1 alone",
+                lambda told: [(row["state"], row["missing"]) for row in told["permits"]] == [("draining", ["n1"])],
+            )
             await until([waits], BOUND_S)
             made.network.split({"c", "n0"}, {"n1", "n2"})
             done = brick.done
-            assert await made.request("n1", 7_000, 0, 6) == 200 and brick.done > done   # it does use the brick
+            assert await made.request("n1", 7_000, 0, 6) == 200 and brick.done > done  # it does use the brick
             done = brick.done
             apart = until([holds(made, "n0", ["n1", "n2"], "dead")], BOUND_S)
-            still = here.tells("is not drained", lambda told: [
-                (row["state"], "n1" in row["missing"]) for row in told["permits"]] == [("draining", True)])
+            still = here.tells(
+                "is not drained",
+                lambda told: (
+                    [(row["state"], "n1" in row["missing"]) for row in told["permits"]] == [("draining", True)]
+                ),
+            )
             await always([still], apart)
-            assert await made.request("n2", 7_001, 0) != 200 and brick.done == done     # it had heard, and keeps to it
+            assert await made.request("n2", 7_001, 0) != 200 and brick.done == done  # it had heard, and keeps to it
             made.network.heal()
-            await until([here.tells("drained", lambda told: [row["state"] for row in told["permits"]] == ["drained"])],
-                        BOUND_S)
+            await until(
+                [here.tells("drained", lambda told: [row["state"] for row in told["permits"]] == ["drained"])], BOUND_S
+            )
             done = brick.done
             assert [await made.request(name, 7_002, 0) for name in here.names].count(200) == 0 and brick.done == done
             await here.check(1)
+
     run(main())
--- a/tests/test_together_release_gone.py
+++ b/tests/test_together_release_gone.py
@@ -13,8 +13,10 @@
 
 
 def brick(here: Whole, state: str, *missing: str) -> Condition:
-    return here.tells(f"{state}, missing {missing}", lambda told: [
-        (row["state"], tuple(row["missing"])) for row in told["permits"]] == [(state, missing)])
+    return here.tells(
+        f"{state}, missing {missing}",
+        lambda told: [(row["state"], tuple(row["missing"])) for row in told["permits"]] == [(state, missing)],
+    )
 
 
 def test_a_head_named_as_gone_lets_a_drain_end_and_is_counted_again_when_it_is_back(tmp_path: Path) -> None:
@@ -24,8 +26,9 @@
             await until([made.serves(name) for name in here.names], BOUND_S)
             await here.lose("n2")
             await here.push(BOUNDS.format("") + OUTAGE)
-            await until([brick(here, "draining", "n2"), *(holds(made, name, ["n2"], "dead") for name in ("n0", "n1"))],
-                        BOUND_S)
+            await until(
+                [brick(here, "draining", "n2"), *(holds(made, name, ["n2"], "dead") for name in ("n0", "n1"))], BOUND_S
+            )
             told = (await here.staff("Status"))["maintenance"]
             assert [(row["name"], "(retired n2)" in row["word"]) for row in told["absent"]] == [("n2", True)]
             assert 0 < told["absent"][0]["since_ms"] <= told["now_ms"]
@@ -59,4 +62,5 @@
             await here.push(BOUNDS.format(" (retired n2)") + OUTAGE)
             await until([drained, here.tells("nobody is missed", lambda told: not told["absent"])], BOUND_S)
             await here.check(1)
+
     run(main())
--- a/tests/test_together_sections.py
+++ b/tests/test_together_sections.py
@@ -23,7 +23,8 @@
     (tmp_path / "keys").write_text(KEY + "\n")
     operator = OperatorConfig(
         cluster=ClusterConfig("127.0.0.1:0", ["127.0.0.1:9"], tmp_path / "keys", "n0"),
-        scoring=ScoringConfig(["latency", "suspicion"]))
+        scoring=ScoringConfig(["latency", "suspicion"]),
+    )
 
     async def main() -> None:
         async with world(Brick(0), Brick(1)) as made:
@@ -45,7 +46,8 @@
     (tmp_path / "secret").write_text(KEY)
     operator = OperatorConfig(
         objects=ObjectConfig("127.0.0.1:0", tmp_path / "tenants.json", "record-read", "transfer-write"),
-        popularity=PopularityConfig(tmp_path / "secret"))
+        popularity=PopularityConfig(tmp_path / "secret"),
+    )
 
     async def main() -> None:
         async with world(Brick(0)) as made:
@@ -61,11 +63,16 @@
     run(main())
 
 
-@pytest.mark.parametrize(("text", "place"), [
-    ("[maintenance]\nzone = 'a'\n", "[maintenance] needs [stream]"),
-    ("[popularity]\nsecret_file = 's'\n", "[popularity] needs [objects]"),
-    ("[cluster]\nlisten = 'x'\nseeds = []\nkey_file = 'k'\n", "host:port"),
-    ("[scoring]\nscorers = []\nmost_part = 2.0\n", "most_part"), ("[clutser]\n", "clutser")])
+@pytest.mark.parametrize(
+    ("text", "place"),
+    [
+        ("[maintenance]\nzone = 'a'\n", "[maintenance] needs [stream]"),
+        ("[popularity]\nsecret_file = 's'\n", "[popularity] needs [objects]"),
+        ("[cluster]\nlisten = 'x'\nseeds = []\nkey_file = 'k'\n", "host:port"),
+        ("[scoring]\nscorers = []\nmost_part = 2.0\n", "most_part"),
+        ("[clutser]\n", "clutser"),
+    ],
+)
 def test_a_mistake_in_a_section_is_told_with_its_place(tmp_path: Path, text: str, place: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
--- a/tests/test_together_upkeep.py
+++ b/tests/test_together_upkeep.py
@@ -22,16 +22,19 @@
 
 
 async def staff(made: Run, method: str, **body: Any) -> dict[str, Any]:
-    found: dict[str, Any] = json.loads(await call(made.where["c"].listen, made.tokens["staff"], method,
-                                                  json.dumps(body).encode(), 2.0))
+    found: dict[str, Any] = json.loads(
+        await call(made.where["c"].listen, made.tokens["staff"], method, json.dumps(body).encode(), 2.0)
+    )
     return found
 
 
 def upkeep(made: Run, what: str, good: Callable[[dict[str, Any]], bool]) -> Condition:
     """The control service's status of maintenance is good."""
+
     async def look() -> tuple[bool, str]:
         told = (await staff(made, "Status"))["maintenance"]
         return good(told), json.dumps(told)
+
     return Condition(made["c"], what, look)
 
 
@@ -45,9 +48,11 @@
 
 def serves_beside(made: Run, name: str) -> Condition:
     """A head serves what lies on the bricks that stay."""
+
     async def look() -> tuple[bool, str]:
         found = [await made.request(name, 7_000 + shard, shard, 6) for shard in (1, 2)]
         return found == [200, 200], f"{found}"
+
     return Condition(made[name], "serves from the bricks that stay", look)
 
 
@@ -64,8 +69,13 @@
             made.control("c")
             names = ["n0", "n1", "n2", "n3"]
             for name in names:
-                await made.head(name, ["n0"], stream="c", sections={"maintenance": {"build": "b1"}},
-                                settings={"Balancers": 4, "Rules": {**rules, "ColdUs": 100_000}})
+                await made.head(
+                    name,
+                    ["n0"],
+                    stream="c",
+                    sections={"maintenance": {"build": "b1"}},
+                    settings={"Balancers": 4, "Rules": {**rules, "ColdUs": 100_000}},
+                )
             await made.processes.start("c", *names)
             await until([made.ready(name) for name in names], BOUND_S)
             await until(all_see(made, names), BOUND_S)
@@ -75,15 +85,22 @@
             await made["n3"].stop()
             awake = names[:3]
             await push(made, BOUNDS + OUTAGE)
-            waits = upkeep(made, "waits for n3 alone", lambda told: bool(told["permits"])
-                           and state(told) == "draining" and told["permits"][0]["missing"] == ["n3"])
+            waits = upkeep(
+                made,
+                "waits for n3 alone",
+                lambda told: (
+                    bool(told["permits"]) and state(told) == "draining" and told["permits"][0]["missing"] == ["n3"]
+                ),
+            )
             await until([waits], BOUND_S)
             # Silence is no yes, however long, also for a coordinator that was killed and started again.
             await made["c"].kill()
             await made["c"].start()
             await until([waits], BOUND_S)
-            still = [upkeep(made, "is not drained", lambda told: state(told) == "draining"),
-                     *(serves_beside(made, name) for name in awake)]
+            still = [
+                upkeep(made, "is not drained", lambda told: state(told) == "draining"),
+                *(serves_beside(made, name) for name in awake),
+            ]
             # Not even once all others hold it for dead: it was stopped, and wakes with what it had out there.
             dead = until([holds(made, name, ["n3"], "dead") for name in awake], BOUND_S)
             assert await always(still, dead) > 0
@@ -99,8 +116,10 @@
             await until([serves_beside(made, name) for name in names], BOUND_S)
             assert made.platform.bricks[0].done == done
             made.network.heal()
-            await until([upkeep(made, "drained, all up", lambda told: state(told) == "drained"
-                                and told["heads_up"] == 4)], BOUND_S)
+            await until(
+                [upkeep(made, "drained, all up", lambda told: state(told) == "drained" and told["heads_up"] == 4)],
+                BOUND_S,
+            )
             # Back by word, its place is free once all four have had answers of it.
             await push(made, BOUNDS)
             await until([upkeep(made, "cold", lambda told: state(told) in ("back, cold", "free"))], BOUND_S)
@@ -111,4 +130,5 @@
                 asking.cancel()
                 await asyncio.gather(asking, return_exceptions=True)
             assert made.platform.bricks[0].done > done
+
     run(main())
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -24,15 +24,19 @@
 
 async def indented(writer: asyncio.StreamWriter, body: bytes) -> None:
     listing = json.loads(body)
-    listing = {"extra": [[]], "targets": [dict(reversed(one.items())) for one in listing["targets"]],
-               "all": listing["all"], "rev": listing["rev"]}
+    listing = {
+        "extra": [[]],
+        "targets": [dict(reversed(one.items())) for one in listing["targets"]],
+        "all": listing["all"],
+        "rev": listing["rev"],
+    }
     await plain(writer, json.dumps(listing, indent=4).replace("\n", "\r\n").encode())
 
 
 async def chunked(writer: asyncio.StreamWriter, body: bytes) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\ntransfer-ENCODING: chunked\r\nTrailer: X-A\r\n\r\n")
     for at in range(0, len(body), 7):
-        writer.write(b"%x;name=value\r\n%b\r\n" % (len(body[at:at + 7]), body[at:at + 7]))
+        writer.write(b"%x;name=value\r\n%b\r\n" % (len(body[at : at + 7]), body[at : at + 7]))
     writer.write(b"0\r\nX-A: 1\r\n\r\n")
 
 
@@ -48,7 +52,7 @@
 
 async def closed_unsaid(writer: asyncio.StreamWriter, body: bytes) -> None:
     await plain(writer, body)
-    writer.close()              # crosses the next call
+    writer.close()  # crosses the next call
 
 
 # --- spoilt ones: the answer that bears the change never comes whole
@@ -90,16 +94,32 @@
     reset(writer)
 
 
-@pytest.mark.parametrize("send", [
-    in_pieces, indented, chunked, closing, without_length, closed_unsaid, half_and_reset, half_and_silent,
-    chunks_without_end, garbage, not_json, nested, refused, reset_at_once])
+@pytest.mark.parametrize(
+    "send",
+    [
+        in_pieces,
+        indented,
+        chunked,
+        closing,
+        without_length,
+        closed_unsaid,
+        half_and_reset,
+        half_and_silent,
+        chunks_without_end,
+        garbage,
+        not_json,
+        nested,
+        refused,
+        reset_at_once,
+    ],
+)
 def test_a_change_is_heard_in_time_in_whatever_form_and_after_whatever_became_of_its_answer(send: Send) -> None:
     async def main() -> None:
         async with told_by() as (made, agent, service):
             agent.sends = [send]
             await drained(made, agent, service)
             assert agent.sends == []
-            await agent.tell(made.bricks[1].target("Terminating"))      # and the watch goes on
+            await agent.tell(made.bricks[1].target("Terminating"))  # and the watch goes on
             await until(lambda: service.exchange.phases["s-1"].value == "draining")
 
     run(main())
@@ -117,7 +137,7 @@
                 await gate.wait()
                 await plain(writer, await agent._body("/v1/servers?since=1&timeout_ms=0"))
 
-            agent.sends = [half_and_silent, *[held] * 8]    # the watch falls silent, then calls go out beside
+            agent.sends = [half_and_silent, *[held] * 8]  # the watch falls silent, then calls go out beside
             await agent.tell()
             await until(lambda: len(agent.sends) <= 6)
             agent.refuse()
@@ -136,7 +156,7 @@
     async def main() -> None:
         async with told_by() as (made, agent, before):
             await drained(made, agent, before)
-            agent.sends = [reset_at_once] * 3       # one of them the first head's
+            agent.sends = [reset_at_once] * 3  # one of them the first head's
             service = await made.head(saved=[brick.target() for brick in made.bricks])
             assert service.exchange.phases["s-0"].value == "draining"
 
