--- a/tests/test_told_faults.py
+++ b/tests/test_told_faults.py
@@ -14,9 +14,17 @@
 from tests.test_told import refused, reset_at_once
 
 
-@pytest.mark.parametrize("fault", [
-    KeyError("a"), RecursionError(), UnicodeDecodeError("utf-8", b"\xff", 0, 1, "bad"), asyncio.CancelledError(),
-    asyncio.InvalidStateError(), BrokenPipeError()])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        KeyError("a"),
+        RecursionError(),
+        UnicodeDecodeError("utf-8", b"\xff", 0, 1, "bad"),
+        asyncio.CancelledError(),
+        asyncio.InvalidStateError(),
+        BrokenPipeError(),
+    ],
+)
 def test_a_list_that_could_not_be_told_ends_no_watch_and_is_asked_for_again(fault: BaseException) -> None:
     async def main() -> None:
         async with told_by() as (made, agent, service):
@@ -31,7 +39,7 @@
             before, asked = service.counters.counts["discovery_errors"], len(agent.asked)
             await drained(made, agent, service)
             assert service.counters.counts["discovery_errors"] > before
-            assert "/v1/servers" in agent.asked[asked:]     # whole: its version had been answered already
+            assert "/v1/servers" in agent.asked[asked:]  # whole: its version had been answered already
 
     run(main())
 
@@ -76,13 +84,25 @@
     run(main())
 
 
-@pytest.mark.parametrize("absurd", [
-    {"boot_ms": int("9" * 400)}, {"boot_ms": -int("9" * 400)}, {"boot_ms": 1.5}, {"boot_ms": "now"},
-    {"pod_group": "x"}, {"capacity_hint": "NaN"}, {"endpoint": "nowhere"}, {"endpoint": None}, {"az": 7}])
+@pytest.mark.parametrize(
+    "absurd",
+    [
+        {"boot_ms": int("9" * 400)},
+        {"boot_ms": -int("9" * 400)},
+        {"boot_ms": 1.5},
+        {"boot_ms": "now"},
+        {"pod_group": "x"},
+        {"capacity_hint": "NaN"},
+        {"endpoint": "nowhere"},
+        {"endpoint": None},
+        {"az": 7},
+    ],
+)
 @pytest.mark.parametrize("state", ["Ready", "Terminating"])
 def test_absurd_values_of_one_brick_harm_no_request_and_hide_no_drain(absurd: dict[str, Any], state: str) -> None:
     async def main() -> None:
         async with told_by() as (made, agent, service):
+
             async def send(writer: asyncio.StreamWriter, body: bytes) -> None:
                 await plain(writer, changed(body, **absurd))
 
--- a/tests/test_unsent.py
+++ b/tests/test_unsent.py
@@ -14,7 +14,7 @@
 from tests.stand_in import OBJECT, VOLUME, Wire, World, headers, run, until, world
 from tests.test_net import READ, WRITE
 
-LONG = bytes(range(256)) * 3600     # 0.9 MB, kept whole by a head; the kernels hold a small part of it
+LONG = bytes(range(256)) * 3600  # 0.9 MB, kept whole by a head; the kernels hold a small part of it
 SMALL = 16 * 1024
 
 
@@ -25,7 +25,7 @@
         super().__init__(0)
         self.gate, self.ended, self.early = asyncio.Event(), asyncio.Event(), early
         self.came = list[asyncio.BaseTransport | None]()
-        self.whole = list[int]()        # bytes of each body that came whole
+        self.whole = list[int]()  # bytes of each body that came whole
 
     async def open(self) -> None:
         await super().open()
@@ -63,8 +63,9 @@
     async def main() -> None:
         async with world(brick := Stopped(early)) as made:
             service = await made.head()
-            await test(made, service, await made.wire(service), brick)      # type: ignore[operator]
+            await test(made, service, await made.wire(service), brick)  # type: ignore[operator]
             await until(lambda: not service.exchange.open and not service.budget.held)
+
     run(main())
 
 
@@ -85,6 +86,7 @@
         brick.gate.set()
         await brick.ended.wait()
         assert not brick.whole
+
     with_stopped(b"", test)
 
 
@@ -103,6 +105,7 @@
         brick.gate.set()
         await brick.ended.wait()
         assert brick.came[0] not in brick.came[1:] and brick.whole == [len(LONG), 0]
+
     with_stopped(TURNED_AWAY, test)
 
 
@@ -115,4 +118,5 @@
         brick.gate.set()
         await brick.ended.wait()
         assert brick.whole == [len(LONG)]
+
     with_stopped(ANOTHERS, test)
--- a/tests/test_upload_ends.py
+++ b/tests/test_upload_ends.py
@@ -57,6 +57,7 @@
             await made.agent.tell(brick.target())
             assert (await wire.receive())[0] == 503
             assert brick.bodies == [LONG] and service.counters.counts["attempts_sent"] == 1
+
     run(main())
 
 
@@ -91,4 +92,5 @@
         assert len(brick.seen) == 1 and counts["attempts_connect_failed"] == 0
         assert counts["attempts_reset" if way == "reset" else "attempts_ok"] == 1
         assert way == "reset" or brick.objects[f"{VOLUME}/{OBJECT}"] == LONG
+
     with_head(test)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -89,8 +89,10 @@
         for at in range(turn, 10):
             exported.add(f"t{at}", "served", 1)
     assert exported.counts == {("t0", "served"): 1, ("t1", "served"): 2, ("t2", "served"): 3, (OTHERS, "served"): 21}
-    name, found = "hophinge_tenant_served_total", metrics(Counters(), {}, None, {
-        ("tenant_served_total", (("tenant", "t0"),)): 1.0})
+    name, found = (
+        "hophinge_tenant_served_total",
+        metrics(Counters(), {}, None, {("tenant_served_total", (("tenant", "t0"),)): 1.0}),
+    )
     assert found[name, (("tenant", "t0"),)] == 1.0
 
 
@@ -107,7 +109,7 @@
     three, again = reports.take(9)
     reports.acknowledged(three)
     assert set(again) == set(first) and not reports.due and not reports.sent
-    for total in (5.0, 3.0, 5.0, 7.0):      # late and doubled reports change nothing
+    for total in (5.0, 3.0, 5.0, 7.0):  # late and doubled reports change nothing
         ledger.told("n0", {("t", "v", "served"): total})
     ledger.told("n1", {("t", "v", "served"): 2.0})
     assert ledger.usage("t") == {"v": {"served": 9.0}}
--- a/tests/test_vanish.py
+++ b/tests/test_vanish.py
@@ -8,7 +8,7 @@
 from tests.gateways import MS, SETTINGS, T0, Gateway, ask, end, finals, node
 from hophinge.core.interface import Action, Send
 
-READS = 13          # that a program sends in a row for what lies together
+READS = 13  # that a program sends in a row for what lies together
 
 
 def sent(actions: list[Action]) -> list[Send]:
@@ -20,7 +20,7 @@
     names = [f"r{number}" for number in range(READS)]
     actions = gate.at(0, *(ask(name, units=1, key="near") for name in names))
     out = [one.request for one in sent(actions)]
-    assert 1 <= len(out) < READS                    # the rest is held, as what is out fills its bound
+    assert 1 <= len(out) < READS  # the rest is held, as what is out fills its bound
     for _ in range(220):
         actions += gate.at(10 * MS)
     # A brick that alone says nothing gets a trial now and then, two of the tightest aims after the last.
--- a/tests/test_worst_days_catching_up.py
+++ b/tests/test_worst_days_catching_up.py
@@ -17,7 +17,7 @@
 A, B, C, D = (f"10.0.0.{number}:7660" for number in range(1, 5))
 CATCH_UP_S = 4.0
 MEGABIT = 125_000
-DOCUMENT = 4 << 20          # bytes of the largest configuration
+DOCUMENT = 4 << 20  # bytes of the largest configuration
 
 
 def _formed(seed: int) -> World:
@@ -44,8 +44,11 @@
     while world.now - begin < most_s:
         world.run(0.05)
         chain = world.machine(address).chain
-        newest = max(world.machine(one).chain.registers.sequence for one in world.members
-                     if world.members[one].machine is not None)
+        newest = max(
+            world.machine(one).chain.registers.sequence
+            for one in world.members
+            if world.members[one].machine is not None
+        )
         if chain.serving and chain.registers.sequence == newest:
             return world.now - begin
     raise AssertionError(f"{address} has not caught up after {most_s} s")
@@ -54,7 +57,8 @@
 @pytest.mark.parametrize("place", [A, B, C])
 @pytest.mark.parametrize("missed", [10, 300, 3_000])
 def test_a_member_that_missed_changes_catches_up_with_bytes_that_do_not_grow_with_their_number(
-        missed: int, place: str) -> None:
+    missed: int, place: str
+) -> None:
     world = _formed(81)
     _take(world, B, change(0, 1, "first"))
     world.kill(place)
--- a/tests/test_worst_days_connections.py
+++ b/tests/test_worst_days_connections.py
@@ -14,7 +14,7 @@
 from tests.scripted_instance import Asked, Connection, Script
 from tests.test_worst_days_requests import BOUND_S, ROUTES, UNSAFE, Play, _playing
 
-GONE_S = 0.5                # after which no work of a client that has left goes on
+GONE_S = 0.5  # after which no work of a client that has left goes on
 KINDS = tuple(ROUTES)
 
 
@@ -66,6 +66,7 @@
 
 def test_an_instance_that_drops_resting_connections_silently_is_learned() -> None:
     """The first request that meets it is lost; from then on connections rest for half as long at most."""
+
     async def run() -> None:
         async with _playing(False) as play:
             instance = play.instances[0]
--- a/tests/test_worst_days_cuts.py
+++ b/tests/test_worst_days_cuts.py
@@ -12,7 +12,7 @@
 from tests.worst_days import CONTACT_S, A, B, C, D, cut, formed, taken
 
 CUT_S = 20.0
-FLAPS = 1                   # changes of view that a heal may bring: the member comes back in
+FLAPS = 1  # changes of view that a heal may bring: the member comes back in
 
 
 def _newest_view(world: World) -> int:
@@ -77,7 +77,7 @@
     while world.machine(D).view is None:
         world.run(0.01)
     if around_s < 0:
-        world.run(0.6)                      # the view that takes D in is some 0.6 s to 1 s off
+        world.run(0.6)  # the view that takes D in is some 0.6 s to 1 s off
     world.run(0.4 + around_s)
     cut(world, {cut_off})
     others = [address for address in (A, B, C, D) if address != cut_off]
--- a/tests/test_worst_days_losses.py
+++ b/tests/test_worst_days_losses.py
@@ -12,8 +12,8 @@
 from tests.worst_days import A, B, C, D, formed_with_a_change, still_works
 
 E = "10.0.0.5:7660"
-CATCH_UP_S = 4.0            # after its start a new machine counts as whole
-HELD_UP_S = 0.45            # that a change may take while a member leaves: it may be sent once more
+CATCH_UP_S = 4.0  # after its start a new machine counts as whole
+HELD_UP_S = 0.45  # that a change may take while a member leaves: it may be sent once more
 
 
 def _holders(world: World, sequence: int = 1) -> int:
@@ -33,9 +33,11 @@
 def _on_disk(world: World, address: str) -> bool:
     """Tell whether a disk holds the first change: by itself, or in a state that was taken over."""
     records = world.members[address].disk.records
-    return any(isinstance(record, EntryRecord) or (
-        isinstance(record, SyncedRecord) and record.snapshot is not None and record.snapshot.sequence >= 1)
-        for record in records)
+    return any(
+        isinstance(record, EntryRecord)
+        or (isinstance(record, SyncedRecord) and record.snapshot is not None and record.snapshot.sequence >= 1)
+        for record in records
+    )
 
 
 def _remove(world: World, address: str) -> None:
@@ -48,7 +50,8 @@
 @pytest.mark.parametrize("gone", [A, B, C])
 @pytest.mark.parametrize("kind", ["gone", "wiped"])
 def test_a_second_loss_right_after_a_planned_replacement_leaves_a_majority(
-        gone: str, next_after_s: float, kind: str) -> None:
+    gone: str, next_after_s: float, kind: str
+) -> None:
     """The new machine has had its time to catch up; then the old one is told to end, and another is lost."""
     world = formed_with_a_change(41)
     world.add(D)
@@ -73,7 +76,8 @@
 @pytest.mark.parametrize("kind", ["gone", "wiped", "killed"])
 @pytest.mark.parametrize("place", range(3))
 def test_a_second_loss_right_after_an_unplanned_replacement_leaves_a_majority(
-        place: int, kind: str, next_after_s: float) -> None:
+    place: int, kind: str, next_after_s: float
+) -> None:
     world = formed_with_a_change(42)
     lost = (A, B, C)[place]
     _remove(world, lost)
@@ -81,7 +85,7 @@
     world.add(D)
     world.run(CATCH_UP_S + next_after_s)
     victims = [D, *(address for address in (A, B, C) if address != lost)]
-    for victim in victims:              # the newest disk, then the oldest: one after the other has had its time
+    for victim in victims:  # the newest disk, then the oldest: one after the other has had its time
         if kind == "gone":
             _remove(world, victim)
             still_works(world)
@@ -106,7 +110,7 @@
     world.run(2.0)
     world.wipe(B)
     assert _holders(world) == 2
-    world.slow_disk(B, 0.5, 3.0)        # taking over the state takes a while
+    world.slow_disk(B, 0.5, 3.0)  # taking over the state takes a while
     world.start(B)
     world.run(0.3)
     world.end(A, most_s=30.0)
--- a/tests/test_worst_days_operators.py
+++ b/tests/test_worst_days_operators.py
@@ -22,8 +22,10 @@
         world.run(CONTACT_S)
         again = world.ask(left, change(1, 2, "left")), world.ask(right, change(1, 2, "right"))
         world.run(2.6)
-        outcomes = {"left": [world.answers[number].outcome for number in (one, again[0])],
-                    "right": [world.answers[number].outcome for number in (two, again[1])]}
+        outcomes = {
+            "left": [world.answers[number].outcome for number in (one, again[0])],
+            "right": [world.answers[number].outcome for number in (two, again[1])],
+        }
         told_yes = [name for name, found in outcomes.items() if Outcome.TAKEN in found]
         assert len(told_yes) == 1, (left, right, outcomes)
         assert Outcome.CONFLICT not in outcomes[told_yes[0]], "what was taken is never refused"
@@ -57,7 +59,7 @@
         world.run(3.0)
     elif between in ("power", "restart"):
         for address in (A, B, C):
-            if between == "restart":        # from a snapshot: all that a slot holds, and no log
+            if between == "restart":  # from a snapshot: all that a slot holds, and no log
                 world.members[address].disk.records = [world.machine(address).state()]
             world.kill(address)
         world.run(0.5)
--- a/tests/test_worst_days_requests.py
+++ b/tests/test_worst_days_requests.py
@@ -27,10 +27,13 @@
 
 UNSAFE = Route("r", "h", "/", "unsafe", 4.0, 0.5, 0.0, 1, 2, False, ("s",), (1.0,))
 ROUTES = {
-    "unsafe": UNSAFE, "safe": replace(UNSAFE, kind="safe"),
-    "stream": replace(UNSAFE, kind="streaming"), "stream-resumable": replace(UNSAFE, kind="streaming", resumable=True)}
+    "unsafe": UNSAFE,
+    "safe": replace(UNSAFE, kind="safe"),
+    "stream": replace(UNSAFE, kind="streaming"),
+    "stream-resumable": replace(UNSAFE, kind="streaming", resumable=True),
+}
 PROMISES = (408, 421, 429, 503)
-TOKENS = 40_000             # of a prompt: so long that it is read apart
+TOKENS = 40_000  # of a prompt: so long that it is read apart
 DEADLINE_S, SHORT_S = 5.0, 0.5
 BOUND_S = 20.0
 
@@ -43,7 +46,7 @@
     fields: Fields = field(default_factory=list)
     body: bytes = b""
     whole: bool = False
-    broken: bool = False        # the head closed the connection in the middle
+    broken: bool = False  # the head closed the connection in the middle
 
     async def send(self, message: dict[str, Any]) -> None:
         """Take a message of the application."""
@@ -63,8 +66,7 @@
         self.script, self.instances, self.upstream = script, instances, Upstream()
         self.placement = Placement("z", lambda identity: None, Random(1))
         for one in instances:
-            self.placement.instance(one.name, Instance(
-                one.name, "s", one.address, "z", "v", 8, READY, one.stage, ()))
+            self.placement.instance(one.name, Instance(one.name, "s", one.address, "z", "v", 8, READY, one.stage, ()))
         self.placement.configured({"s": 100_000})
         self.staged = any(one.stage for one in instances)
         self.budget = RetryBudget(0.2, 100.0, 10.0, -10.0)
@@ -76,8 +78,19 @@
         inbound = Inbound(b"POST", b"/x", [(b"host", b"h"), (b"hophinge-request-id", name.encode())], body, name)
         now = loop.time()
         prompt = Prompt(TOKENS, 80, ((f"{name}-{next(self.numbers)}", TOKENS),)) if self.staged else None
-        life = Life(name, route, "s", prompt, self.staged, now + 0.5, now + left_s, self.placement, self.budget, 1,
-                    RequestTrace("r", now, 0.5))
+        life = Life(
+            name,
+            route,
+            "s",
+            prompt,
+            self.staged,
+            now + 0.5,
+            now + left_s,
+            self.placement,
+            self.budget,
+            1,
+            RequestTrace("r", now, 0.5),
+        )
         try:
             await Exchange(inbound, life, self.upstream, client.send, False).run()
         except BrokenOffError:
@@ -143,9 +156,12 @@
         return client, play.script
 
 
-CASES = [pytest.param(kind, ending, stage, kept, id=f"{kind}-{ending.__name__}-{stage or 'plain'}-{kept}")
-         for kind, ending, stage, kept in itertools.product(
-             ROUTES, (*NOT_RUN, *RUN, *SERVED), ("", "prefill", "decode"), (False, True))]
+CASES = [
+    pytest.param(kind, ending, stage, kept, id=f"{kind}-{ending.__name__}-{stage or 'plain'}-{kept}")
+    for kind, ending, stage, kept in itertools.product(
+        ROUTES, (*NOT_RUN, *RUN, *SERVED), ("", "prefill", "decode"), (False, True)
+    )
+]
 
 
 @pytest.mark.parametrize(("kind", "ending", "stage", "kept"), CASES)
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -80,7 +80,7 @@
     desk.out[-1].end(AWAY)
     desk.loop.advance(0)
     assert [one.node for one in desk.out] == ["n1", "n0", "n1"] and not desk.answers["r"]
-    assert len(desk.exchange.open["r"].attempts) == 1       # one at a time
+    assert len(desk.exchange.open["r"].attempts) == 1  # one at a time
     desk.out[-1].end(End(api.Result.OK, b"body"))
     assert verdicts(desk) == [Verdict.SERVED] and desk.counts["reads_moved"] == 1
 
@@ -118,12 +118,13 @@
 
 def test_a_read_that_is_sent_on_keeps_within_its_attempts() -> None:
     desk = Desk()
-    for number, shard in enumerate((0, 1, 0)):      # overwritten elsewhere each time that it is turned away
+    for number, shard in enumerate((0, 1, 0)):  # overwritten elsewhere each time that it is turned away
         write(desk, f"w{number}", 1 - shard)
         if number == 0:
             read(desk, shard)
-        attempt = next(one for one in desk.out if one.request.ask.request == "r" and one in
-                       one.request.attempts.values())
+        attempt = next(
+            one for one in desk.out if one.request.ask.request == "r" and one in one.request.attempts.values()
+        )
         assert attempt.node == f"n{shard}"
         attempt.end(AWAY)
         desk.loop.advance(0)
--- a/tests/together.py
+++ b/tests/together.py
@@ -15,15 +15,17 @@
 from hophinge.load.rig.run import Run, Where
 from hophinge.load.rig.waiting import Condition, until
 
-BOUND_S = 60.0          # of one wait; far more than any takes on a busy machine
+BOUND_S = 60.0  # of one wait; far more than any takes on a busy machine
 SOAK = os.environ.get("HOPHINGE_SOAK") == "1"
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
     """Run a test's coroutine; one that hangs fails, after longer than all its waits take together."""
+
     async def limited() -> None:
         async with asyncio.timeout(600 if SOAK else 180):
             await main
+
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(limited())
 
@@ -56,6 +58,7 @@
     def good(text: str) -> bool:
         found = standings(text)
         return all(found.get(other) in standing for other in wanted)
+
     return made.tells(name, "/ops/cluster", f"{wanted} {' or '.join(standing)}", good)
 
 
@@ -93,9 +96,13 @@
 
 def incarnation(name: str, above: int) -> Callable[[str], bool]:
     """A head's word on a member is of a later incarnation, and it is alive."""
+
     def good(text: str) -> bool:
-        return any(row["name"] == name and row["incarnation"] > above and row["standing"] == "alive"
-                   for row in json.loads(text)["members"])
+        return any(
+            row["name"] == name and row["incarnation"] > above and row["standing"] == "alive"
+            for row in json.loads(text)["members"]
+        )
+
     return good
 
 
--- a/tests/worst_days.py
+++ b/tests/worst_days.py
@@ -7,7 +7,7 @@
 
 A, B, C, D = (f"10.0.0.{number}:7660" for number in range(1, 5))
 CONTACT_S = 3.0
-BACK_S = 3.0                # for changes to be taken again after a loss
+BACK_S = 3.0  # for changes to be taken again after a loss
 
 
 def formed(seed: int, count: int = 3, others: int = 0) -> World:
