--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 	$(PYTHON) -m pytest -q -n 6 --dist loadfile $$(sed -n 's/^\([^ ]*\) |.*/--deselect \1/p' KNOWN-RED.txt)
 
 lint: tools
+	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
 	.venv/bin/mypy
 	.venv/bin/lint-imports --no-cache
