--- /dev/null
+++ b/tests/test_outer_forms.py
@@ -0,0 +1,426 @@
+"""What other processes, disks, operators and clients see stays the same: recorded bytes, tables, settings and names.
+
+The fixtures were written by the program before its names were changed. `python -m tests.test_outer_forms` writes them
+anew; a change of one is a change of the wire, of stored data or of an interface, and belongs to a commit that says so.
+"""
+
+from __future__ import annotations
+
+import ast
+import importlib
+import json
+import pkgutil
+import tomllib
+import warnings
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+import hophinge
+from hophinge.admin import shapes
+from hophinge.cluster import messages as cluster_messages
+from hophinge.control import lastgood, rollout
+from hophinge.control.store import Store as ControlStore
+from hophinge.coordination import codec
+from hophinge.coordination.messages import Record, StateRecord
+from hophinge.coordination.storage.store import Store
+from hophinge.core.rotation import Mark
+from hophinge.fleet.configuration.document import check
+from hophinge.fleet.controlplane.forms import Heartbeat
+from hophinge.fleet.forwarding.trace import RequestTrace
+from hophinge.fleet.placement.policy import Policy
+from hophinge.fleet.settings import parse_settings
+from hophinge.head import accounts, config, handover, operator
+from hophinge.head.environment import CONFIG_FILE
+from hophinge.maintenance import drains, messages, permits, releases
+from hophinge.net import discovery
+from hophinge.objects import records as object_records
+from hophinge.objects import tenants
+from hophinge.routing import bounds, records
+from hophinge.scoring import encoding, latency, outlook, suspicion
+from hophinge.state import rows
+from hophinge.state.files import load, save
+from hophinge.state.ledger import Ledger
+from hophinge.tenancy import leases
+from hophinge.tenancy import records as tenancy_records
+from tests.outer_forms import sample
+
+ROOT = Path(__file__).parent.parent
+FIXTURES = Path(__file__).parent / "fixtures" / "outer_forms"
+Encode = Callable[[object], bytes]
+json_bytes: Encode = msgspec.json.encode
+msgpack_bytes: Encode = msgspec.msgpack.encode
+
+# By a label that no rename touches: the class, and how it is written.
+STRUCTS: dict[str, tuple[Any, Encode]] = {
+    "admin: new tenant": (shapes.NewTenant, json_bytes),
+    "admin: tenant change": (shapes.TenantChange, json_bytes),
+    "admin: volume body": (shapes.VolumeBody, json_bytes),
+    "admin: new key": (shapes.NewKey, json_bytes),
+    "admin: rotation": (shapes.Rotation, json_bytes),
+    "admin: tenant": (shapes.TenantShown, json_bytes),
+    "admin: volume": (shapes.VolumeShown, json_bytes),
+    "admin: key": (shapes.KeyShown, json_bytes),
+    "admin: made key": (shapes.KeyMade, json_bytes),
+    "admin: page of tenants": (shapes.TenantPage, json_bytes),
+    "admin: page of volumes": (shapes.VolumePage, json_bytes),
+    "admin: page of keys": (shapes.KeyPage, json_bytes),
+    "admin: plans": (shapes.Plans, json_bytes),
+    "admin: usage": (shapes.UsageShown, json_bytes),
+    "admin: audit row": (shapes.AuditRow, json_bytes),
+    "admin: audit page": (shapes.AuditPage, json_bytes),
+    "discovery: target": (discovery.Target, json_bytes),
+    "discovery: list": (discovery.Listing, json_bytes),
+    "discovery: what leaves": (discovery.Leaving, json_bytes),
+    "discovery: list of raw entries": (discovery.Told, json_bytes),
+    "document: plan": (records.Plan, json_bytes),
+    "document: pool": (records.Pool, json_bytes),
+    "document: tenant": (records.Tenant, json_bytes),
+    "document: route": (records.Route, json_bytes),
+    "document: limit": (records.Limit, json_bytes),
+    "document: retries": (records.Retries, json_bytes),
+    "document: spare": (records.Spare, json_bytes),
+    "document: eject": (records.Eject, json_bytes),
+    "document: rollout": (records.Rollout, json_bytes),
+    "document: maintenance": (bounds.Maintenance, json_bytes),
+    "document: outage": (bounds.Outage, json_bytes),
+    "document: release": (bounds.Release, json_bytes),
+    "control store: course of a version": (rollout.Course, json_bytes),
+    "control store: permit": (permits.Permit, json_bytes),
+    "control store: course of a release": (releases.Course, json_bytes),
+    "control stream: report": (messages.Report, json_bytes),
+    "control stream: word": (messages.Word, json_bytes),
+    "control stream: lease": (leases.Lease, json_bytes),
+    "head file: last good": (lastgood.LastGood, msgpack_bytes),
+    "head file: marks": (handover.Marks, json_bytes),
+    "head file: mark": (Mark, json_bytes),
+    "ledger: audit entry": (rows.Entry, json_bytes),
+    "ledger: open upload": (accounts.Upload, json_bytes),
+    "ledger: account": (tenancy_records.Account, json_bytes),
+    "ledger: bucket": (tenancy_records.Bucket, json_bytes),
+    "ledger: key": (tenancy_records.Key, json_bytes),
+    "board: drain statement": (drains.Statement, msgpack_bytes),
+    "board: scorer's table": (encoding.Table, msgpack_bytes),
+    "object: manifest": (object_records.Manifest, msgpack_bytes),
+    "object: part": (object_records.Part, msgpack_bytes),
+    "object: upload": (object_records.Upload, msgpack_bytes),
+    "accounts' old file": (tenants.OldFile, json_bytes),
+    **{f"cluster: part {number}": (kind, msgpack_bytes) for number, kind in cluster_messages.KINDS.items()},
+}
+CONFIGURATIONS: dict[str, Any] = {
+    "operator's file": operator.OperatorConfig,
+    "head's configuration": config.Config,
+    "scorer outlook": outlook.Parameters,
+    "scorer latency": latency.Parameters,
+    "scorer suspicion": suspicion.Parameters,
+}
+DEPLOYED = (
+    "deploy/balancer.toml",
+    "deploy/cluster.toml",
+    "deploy/objects.toml",
+    "deploy/stream.toml",
+    "deploy/system.toml",
+    "deploy/together.toml",
+    "examples/config.json",
+    "examples/operator.toml",
+)
+SETTINGS = {
+    "node-name": "edge-1",
+    "ip": "127.0.0.1",
+    "zone": "a",
+    "region": "r",
+    "zones": {"a": "r", "b": "r"},
+    "listen-addresses": {"front": "127.0.0.1:1", "ready": "127.0.0.1:2", "control": "127.0.0.1:3"},
+    "internal-port-range": [7000, 7001],
+    "seed-nodes": ["127.0.0.1:3"],
+    "bootstrap": True,
+    "counts-for-quorum": True,
+    "data-dir": "/nowhere",
+    "heartbeat-ms": 250,
+    "fault-tolerance": {"machines": 1},
+    "bounds": {
+        "config-apply-ms": 1,
+        "drain-ms": 2,
+        "grace-s": 3,
+        "retry-budget-ratio": 0.4,
+        "retry-budget-slack": 5,
+        "budget-window-s": 6,
+        "transit-ms": 7,
+        "lease-ms": 8,
+    },
+}
+DOCUMENT = {
+    "version": 3,
+    "routes": [
+        {
+            "name": "chat",
+            "host": "h",
+            "path-prefix": "/",
+            "route-type": "safe",
+            "timeout-ms": 900,
+            "target-latency-ms": 300,
+            "priority": 2,
+            "traffic-split": [{"service": "s", "weight": 2}],
+            "max-attempts": 2,
+        }
+    ],
+    "services": [{"name": "s", "health-check-path": "/h", "max-connections": 9}],
+    "limits": {"max-header-bytes": 1024, "max-body-bytes": 4096, "header-timeout-ms": 5, "idle-timeout-ms": 6},
+}
+HEARTBEAT = {
+    "service": "s",
+    "address": "127.0.0.1:9",
+    "zone": "a",
+    "version": "1",
+    "slots": 2,
+    "state": "draining",
+    "stage": "decode",
+    "models": [{"name": "m", "version": 4}],
+    "sequence": 8,
+}
+
+
+class MemoryVolume:
+    """A folder of files in memory."""
+
+    def __init__(self, files: dict[str, bytes]) -> None:
+        self.files = {name: bytearray(data) for name, data in files.items()}
+
+    def read(self, name: str) -> bytes:
+        return bytes(self.files.get(name, b""))
+
+    def write(self, name: str, offset: int, data: bytes) -> None:
+        file = self.files.setdefault(name, bytearray())
+        file[offset : offset + len(data)] = data
+
+    def sync(self, name: str) -> None:
+        assert name in self.files
+
+    def close(self) -> None:
+        """Nothing is open."""
+
+
+def import_everything() -> None:
+    """Import all modules, so that all messages are registered."""
+    with warnings.catch_warnings():
+        warnings.simplefilter("ignore")
+        for module in pkgutil.walk_packages(hophinge.__path__, "hophinge."):
+            if not module.name.endswith("__main__"):
+                importlib.import_module(module.name)
+
+
+def coordination_messages() -> dict[str, str]:
+    """The bytes of each message of the control group and of the fleet's links, by its number."""
+    import_everything()
+    return {str(tag - codec.TAG_BASE): codec.encode(sample(kind)).hex() for tag, kind in sorted(codec._by_tag.items())}
+
+
+def structs() -> dict[str, str]:
+    """The bytes of each form that is written as JSON or MessagePack, by its label."""
+    return {label: encode(sample(kind)).hex() for label, (kind, encode) in STRUCTS.items()}
+
+
+def replica_volume() -> dict[str, str]:
+    """The files of a replica's disk."""
+    volume = MemoryVolume({})
+    store = Store(volume)
+    state, record = sample(StateRecord), sample(Record)
+    assert isinstance(state, StateRecord)
+    store.save(state)
+    store.append([record, record])  # type: ignore[list-item]
+    return {name: bytes(data).hex() for name, data in volume.files.items()}
+
+
+def tables(folder: Path) -> dict[str, list[str]]:
+    """The tables of both SQLite files, as SQLite keeps their text."""
+    ledger, store = Ledger(folder / "ledger.db"), ControlStore(folder / "control.db")
+    query = "SELECT sql FROM sqlite_master WHERE sql IS NOT NULL ORDER BY name"
+    try:
+        return {
+            "ledger": [row[0] for row in ledger.db.execute(query)],
+            "control store": [row[0] for row in store.db.execute(query)],
+        }
+    finally:
+        ledger.close()
+        store.close()
+
+
+def file_header(folder: Path) -> str:
+    """A file that must last, written by `state.files`."""
+    path = folder / "file"
+    save(path, "drains", 1, b'{"p":"b"}')
+    return path.read_bytes().hex()
+
+
+def class_fields(kind: Any) -> dict[str, Any]:
+    """The outer names of a settings class and of those inside it."""
+    found: dict[str, Any] = {}
+    for field in msgspec.structs.fields(kind):
+        inner = next(
+            (one for one in getattr(field.type, "__args__", (field.type,)) if hasattr(one, "__struct_fields__")), None
+        )
+        found[field.encode_name] = class_fields(inner) if inner is not None else None
+    return found
+
+
+def trial_names() -> dict[str, list[str]]:
+    """The names of a trial's policy file and of a line of the request log."""
+    return {
+        "policy": sorted(Policy.__dataclass_fields__),
+        "request": sorted(RequestTrace.__dataclass_fields__),
+    }
+
+
+def key_strings() -> list[str]:
+    """The strings by which the program writes or reads mappings: names of statuses, figures, headers and fields."""
+    found: set[str] = set()
+    for path in (ROOT / "hophinge").rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            keys = node.keys if isinstance(node, ast.Dict) else [node.slice] if isinstance(node, ast.Subscript) else []
+            found |= {key.value for key in keys if isinstance(key, ast.Constant) and isinstance(key.value, str)}
+    return sorted(found)
+
+
+def all_names() -> set[str]:
+    """All strings of the program and all fields of its classes, by which an outer name can be written."""
+    found: set[str] = set()
+    for path in (ROOT / "hophinge").rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.Constant) and isinstance(node.value, str):
+                found.add(node.value)
+            elif isinstance(node, ast.AnnAssign) and isinstance(node.target, ast.Name):
+                found.add(node.target.id)
+    return found
+
+
+def deployed() -> dict[str, str]:
+    """The deploy files and examples of the day, whole: what an operator has, a newer version reads."""
+    return {name: (ROOT / name).read_text() for name in DEPLOYED}
+
+
+def recorded(name: str) -> Any:
+    """A fixture."""
+    return json.loads((FIXTURES / f"{name}.json").read_text())
+
+
+def test_messages_between_processes_of_the_fleet_have_the_recorded_bytes() -> None:
+    assert coordination_messages() == recorded("coordination_messages")
+
+
+def test_recorded_messages_are_read_as_the_values_that_they_were_made_of() -> None:
+    import_everything()
+    for number, data in recorded("coordination_messages").items():
+        assert codec.decode(bytes.fromhex(data)) == sample(codec._by_tag[codec.TAG_BASE + int(number)])
+
+
+@pytest.mark.parametrize("label", STRUCTS)
+def test_a_form_has_the_recorded_bytes_and_is_read_from_them(label: str) -> None:
+    kind, encode = STRUCTS[label]
+    data = bytes.fromhex(recorded("structs")[label])
+    assert encode(sample(kind)) == data
+    decode = msgspec.json.decode if encode is json_bytes else msgspec.msgpack.decode
+    assert encode(decode(data, type=kind)) == data
+
+
+def test_no_recorded_form_is_left_out() -> None:
+    assert recorded("structs").keys() == STRUCTS.keys()
+
+
+def test_a_replicas_disk_is_written_as_recorded_and_read_back() -> None:
+    assert replica_volume() == recorded("replica_volume")
+    store = Store(MemoryVolume({name: bytes.fromhex(data) for name, data in recorded("replica_volume").items()}))
+    found = store.recover()
+    assert found.state == sample(StateRecord) and found.records == (sample(Record), sample(Record))
+
+
+def test_tables_of_both_stores_are_those_recorded(tmp_path: Path) -> None:
+    assert tables(tmp_path) == recorded("tables")
+
+
+def test_a_lasting_file_is_written_as_recorded_and_read_back(tmp_path: Path) -> None:
+    assert file_header(tmp_path) == recorded("file")
+    path = tmp_path / "old"
+    path.write_bytes(bytes.fromhex(recorded("file")))
+    assert load(path, "drains", range(1, 2)) == (1, b'{"p":"b"}')
+
+
+def test_settings_files_and_documents_are_read_by_their_recorded_names() -> None:
+    settings = parse_settings(recorded("settings"))
+    seen = repr(settings)
+    for value in ("edge-1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:7000", "0.001", "0.4", "0.008"):
+        assert value in seen
+    document = check(json.dumps(recorded("document")).encode()).default_value(None)
+    assert document is not None
+    dumped = document.model_dump(by_alias=True, exclude_none=True)
+    for name, value in recorded("document")["routes"][0].items():
+        assert dumped["routes"][0][name] == value
+    for name, value in recorded("document")["services"][0].items():
+        assert dumped["services"][0][name] == value
+    assert dumped["limits"] == recorded("document")["limits"]
+    heartbeat = Heartbeat.model_validate(recorded("heartbeat")).model_dump(by_alias=True)
+    assert heartbeat == recorded("heartbeat")
+
+
+def test_operators_files_have_the_recorded_settings() -> None:
+    assert {label: class_fields(kind) for label, kind in CONFIGURATIONS.items()} == recorded("configurations")
+
+
+def test_a_trials_names_are_those_recorded() -> None:
+    assert trial_names() == recorded("trials")
+
+
+def test_every_recorded_key_still_stands_in_the_program() -> None:
+    assert not set(recorded("keys")) - all_names()
+
+
+@pytest.mark.parametrize("name", DEPLOYED)
+def test_recorded_deploy_files_are_read_and_keep_their_form(name: str, tmp_path: Path) -> None:
+    text = recorded("deployed")[name]
+    if name == "examples/config.json":
+        path = tmp_path / "config.json"
+        path.write_text(text)
+        assert config.load({CONFIG_FILE: str(path)})[0].listen == json.loads(text)["listen"]
+        return
+    parsed = tomllib.loads(text)
+    today = tomllib.loads((ROOT / name).read_text())
+    if name in ("deploy/balancer.toml", "deploy/system.toml"):
+        # Paths of the policy follow files that move; everything else is the platform's.
+        for moving in ("policy", "node"):
+            parsed.pop(moving, None)
+            for path in today.pop(moving, []):
+                assert (ROOT / path).exists(), f"{name} names {path}"
+        assert parsed == today
+    else:
+        path = tmp_path / "operator.toml"
+        path.write_text(text)
+        assert msgspec.to_builtins(operator.load(str(path)), enc_hook=str).keys() >= parsed.keys()
+
+
+def write_fixtures(folder: Path) -> None:
+    """Write all fixtures; `folder` is one for temporary files."""
+    FIXTURES.mkdir(parents=True, exist_ok=True)
+    for name, value in {
+        "coordination_messages": coordination_messages(),
+        "structs": structs(),
+        "replica_volume": replica_volume(),
+        "tables": tables(folder),
+        "file": file_header(folder),
+        "settings": SETTINGS,
+        "document": DOCUMENT,
+        "heartbeat": HEARTBEAT,
+        "configurations": {label: class_fields(kind) for label, kind in CONFIGURATIONS.items()},
+        "trials": trial_names(),
+        "keys": key_strings(),
+        "deployed": deployed(),
+    }.items():
+        (FIXTURES / f"{name}.json").write_text(json.dumps(value, indent=1, ensure_ascii=False) + "\n")
+
+
+if __name__ == "__main__":
+    import tempfile
+
+    with tempfile.TemporaryDirectory() as made:
+        write_fixtures(Path(made))
