--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -24,7 +24,7 @@
 from tests.cluster_member import Started, until  # noqa: E402
 from tests.cluster_network import SECOND, Network, Node  # noqa: E402
 
-CALM_S, CUT_S, MOST_S = 20.0, 20.0, 300.0
+CALM_S, CUT_S, MAX_S = 20.0, 20.0, 300.0
 SIZES, LOSSES = (10, 100, 1000), (0.0, 0.3)
 HEAD = {
     "members": (
@@ -127,7 +127,7 @@
     for node in dead:
         net.kill(node)
     gone = {node.machine.me for node in dead}
-    net.until(lambda: all(not gone & node.machine.core.roster.live.keys() for node in rest), MOST_S, 0.5)
+    net.until(lambda: all(not gone & node.machine.core.roster.live.keys() for node in rest), MAX_S, 0.5)
     found = [(when - killed) / SECOND for when, _ in news(rest, killed, Standing.DEAD, gone)]
     false = len(news(rest, began, Standing.DEAD, {node.machine.me for node in rest}))
     complete = "" if len(found) >= len(rest) * len(gone) else f" ({len(found)} of {len(rest) * len(gone)} views)"
@@ -158,13 +158,13 @@
     net.run(CUT_S)
     net.cut = lambda source, target: False
     healed = net.now_us
-    done = net.until(lambda: agreed(nodes), MOST_S, 0.25)
+    done = net.until(lambda: agreed(nodes), MAX_S, 0.25)
     took = (net.now_us - healed) / SECOND
     return [
         count,
         f"{loss:.0%}",
         f"{entries} of 100 bytes",
-        f"{took:.1f}" if done else f"not within {MOST_S:.0f}",
+        f"{took:.1f}" if done else f"not within {MAX_S:.0f}",
         f"{sent(nodes, healed, net.now_us):.0f}",
         max(map(net.most_bytes, nodes)),
         nodes[0].machine.core.limits.bytes_s,
--- a/benchmarks/cluster_cuts.py
+++ b/benchmarks/cluster_cuts.py
@@ -17,7 +17,7 @@
 from tests.cluster_network import SECOND, Network, Node  # noqa: E402
 
 SEEDS = range(1, 6)
-MOST_S = 1_800.0
+MAX_S = 1_800.0
 CUTS_S = (20.0, 60.0)
 LONG_S = 900.0  # half as long again as the dead are listed
 
@@ -47,9 +47,9 @@
         def others(one: Node = one) -> list[Standing]:
             return [member.standing for member in one.machine.members() if member.name != one.machine.me]
 
-        assert net.until(lambda: Standing.ALIVE not in others(), MOST_S, 0.25)
+        assert net.until(lambda: Standing.ALIVE not in others(), MAX_S, 0.25)
         suspected.append((net.now_us - began) / SECOND)
-        assert net.until(lambda: not {Standing.ALIVE, Standing.SUSPECT} & set(others()), MOST_S, 0.25)
+        assert net.until(lambda: not {Standing.ALIVE, Standing.SUSPECT} & set(others()), MAX_S, 0.25)
         dead.append((net.now_us - began) / SECOND)
         sent.append(bytes_s([one], began, net.now_us))
         most = max(most, net.most_bytes(one))
--- a/benchmarks/fleet_soak.py
+++ b/benchmarks/fleet_soak.py
@@ -22,7 +22,7 @@
 from tests.soak_fleet import Course, Soak
 
 ROOT = Path(__file__).parent.parent
-MOST_SHOWN = 300  # characters of a finding; the report has it whole
+MAX_SHOWN = 300  # characters of a finding; the report has it whole
 LONG: cappa.Arg[Any] = cappa.Arg(long=True)
 
 
@@ -81,7 +81,7 @@
     except (ValueError, IndexError):
         report = {"seed": seed, "found": [f"its process ended with {process.returncode} and no report"]}
     found = cast(list[str], report["found"])
-    shown = [f"    {one[:MOST_SHOWN]}" for one in found]
+    shown = [f"    {one[:MAX_SHOWN]}" for one in found]
     print(json.dumps({**report, "found": len(found)}), *shown, sep="\n", flush=True)
     return report
 
--- a/benchmarks/popularity_replay.py
+++ b/benchmarks/popularity_replay.py
@@ -15,7 +15,7 @@
 from hophinge.objects.records import Manifest, Piece, Run  # noqa: E402
 from hophinge.popularity.keys import Keys, Locator  # noqa: E402
 from hophinge.popularity.planner import Facts, Planner, Source  # noqa: E402
-from hophinge.popularity.rumour import ITEMS_EACH, MOST_PAGES, Item, pages  # noqa: E402
+from hophinge.popularity.rumour import ITEMS_EACH, MAX_PAGES, Item, pages  # noqa: E402
 from hophinge.popularity.site import Site  # noqa: E402
 from popularity_traces import SHAPES, SPANS_A_DAY, Trace  # noqa: E402
 
@@ -133,7 +133,7 @@
         keys = self.site.keys
         for site in range(1, self.trace.counts.shape[0]):
             counts = self.trace.counts[site, span]
-            top = [int(at) for at in np.argsort(-counts)[: ITEMS_EACH * MOST_PAGES] if counts[at] > 0]
+            top = [int(at) for at in np.argsort(-counts)[: ITEMS_EACH * MAX_PAGES] if counts[at] > 0]
             items = [Item(self.keys[at], keys.seal(self.locators[at]), float(counts[at])) for at in top]
             for number, page in enumerate(pages(span, float(counts.sum()), items)):
                 self.site.hearsay.take(now, f"peer-{site}", f"site-{site}", (1, span * 10 + number), page)
--- a/benchmarks/scoring_model.py
+++ b/benchmarks/scoring_model.py
@@ -30,7 +30,7 @@
 HEARD_LATE_US = 500 * MS  # what an entry takes to all heads
 NAMES = [f"brick-{number:02d}" for number in range(BRICKS)]
 FAILING, ACCUSED = NAMES[3], NAMES[11]
-MOST_PART = 0.25
+MAX_PART = 0.25
 AIM_US = 300 * MS
 KLASS = api.RequestClass(
     aim_us=AIM_US,
@@ -85,7 +85,7 @@
 
 def scorers() -> dict[str, Scorer]:
     """Make the three at work."""
-    setting = Setting(AIM_US, AIM_US * MOST_PART)
+    setting = Setting(AIM_US, AIM_US * MAX_PART)
     return {
         "latency": latency.Latency(latency.Parameters(), setting),
         "suspicion": suspicion.Suspicion(suspicion.Parameters(), setting),
@@ -105,7 +105,7 @@
             self.engine = Engine(
                 scorers(),
                 VERSIONS,
-                AIM_US * MOST_PART,
+                AIM_US * MAX_PART,
                 1e6,
                 lambda: 0,
                 lambda text: None,
--- a/hophinge/admin/api.py
+++ b/hophinge/admin/api.py
@@ -38,7 +38,7 @@
 
 __all__ = [
     "LONGEST_PAGE",
-    "MOST_BODY",
+    "MAX_BODY",
     "OPERATIONS",
     "PAGE",
     "TITLES",
@@ -52,10 +52,10 @@
     "too_large",
 ]
 
-MOST_BODY = 16 * 1024
+MAX_BODY = 16 * 1024
 CALLS_S, CALLS_BURST = 20.0, 40.0  # of one caller
 GUESSES_S, GUESSES_BURST = 1.0, 20.0  # wrong tokens from one place
-AGAIN_S = 1  # after a busy ledger
+RETRY_INTERVAL_S = 1  # after a busy ledger
 REPEAT = re.compile(r"[\x21-\x7e]{1,128}", re.ASCII)
 STATUS = {"exists": 409, "missing": 404, "invalid": 400, "state": 409, "quota": 409, "stale": 412}
 
@@ -96,7 +96,9 @@
         except BusyError:
             return _problem(
                 ProblemError(
-                    503, "another process changes the accounts; nothing was changed here", wait_us=AGAIN_S * 1_000_000
+                    503,
+                    "another process changes the accounts; nothing was changed here",
+                    wait_us=RETRY_INTERVAL_S * 1_000_000,
                 )
             )
         except FullError:
@@ -114,7 +116,7 @@
             raise AccountError("missing", f"no tenant {tenant}")  # as where there is none
         if caller.role not in operation.roles:
             raise ProblemError(403, f"a {caller.role}'s key may not {operation.name.replace('_', ' ')}")
-        if len(call.body) > MOST_BODY:
+        if len(call.body) > MAX_BODY:
             raise ProblemError(413)
         body = msgspec.json.decode(call.body or b"{}", type=operation.body) if operation.body else None
         if operation.method == "GET":
--- a/hophinge/admin/front.py
+++ b/hophinge/admin/front.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from hophinge.admin.api import MOST_BODY, Api, Call, Reply, fault, too_large
+from hophinge.admin.api import MAX_BODY, Api, Call, Reply, fault, too_large
 from hophinge.core.counters import Counters
 from hophinge.net.listener import Listener
 from hophinge.state.ledger import Ledger, LedgerError
@@ -21,17 +21,17 @@
 from hophinge.tenancy.life import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge
 
 CONNECTIONS, IDLE_S = 16, 30.0
-LEAST_TOKEN = 16  # characters; a shorter one is a mistake
+MIN_TOKEN = 16  # characters; a shorter one is a mistake
 PURGE_LOOK_S = 0.2  # between looks for tenants that are closing
-PURGE_AGAIN_S = 2.0  # after a step that failed
+PURGE_RETRY_INTERVAL_S = 2.0  # after a step that failed
 SINGLE = ("authorization", "idempotency-key", "if-match")  # headers that may come once
 
 
 def read_token(path: Path) -> str:
     """Read the API's token."""
     token = path.read_text().strip()
-    if len(token) < LEAST_TOKEN:
-        raise ValueError(f"the token in {path.name} has under {LEAST_TOKEN} characters")
+    if len(token) < MIN_TOKEN:
+        raise ValueError(f"the token in {path.name} has under {MIN_TOKEN} characters")
     return token
 
 
@@ -63,12 +63,12 @@
                 {"Content-Type": "application/problem+json"},
             )
         try:
-            if (request.content_length or 0) > MOST_BODY:
+            if (request.content_length or 0) > MAX_BODY:
                 return too_large()
             body = bytearray()
             async for chunk in request.content.iter_any():
                 body += chunk
-                if len(body) > MOST_BODY:
+                if len(body) > MAX_BODY:
                     return too_large()
             headers = {name.lower(): text for name, text in request.headers.items()}
             peer = request.transport.get_extra_info("peername") if request.transport is not None else None
@@ -120,7 +120,7 @@
                     if str(error) != self.failing:
                         self.failing = str(error)
                         self.log(f"the purge of tenant {name} stands still: {error!r}")
-                    wait = PURGE_AGAIN_S
+                    wait = PURGE_RETRY_INTERVAL_S
             await asyncio.sleep(wait)
 
     async def step(self, name: str) -> bool:
--- a/hophinge/cluster/budget.py
+++ b/hophinge/cluster/budget.py
@@ -4,7 +4,7 @@
 
 HEADERS = 28  # bytes of IPv4 and UDP that each datagram has besides
 BURST_PART = 0.25  # of a second's bytes may go at once; the rest flows in over the second
-LEAST_BURST = 1_300  # bytes: one datagram with its headers
+MIN_BURST = 1_300  # bytes: one datagram with its headers
 PROBES, NEWS, FIRST_TOPIC = 0, 1, 2  # ranks: probes and answers, words about members, then topics in their order
 PUSH_PART = 0.75  # of the bucket: below, entries of later topics go only to those that lack them
 RESERVE_PART = 0.16  # of the bucket that each rank leaves to those before it
@@ -14,7 +14,7 @@
     """At most `bytes_s` in any second: what the bucket holds and what flows in within a second are that together."""
 
     def __init__(self, bytes_s: int, now_us: int) -> None:
-        self.most = max(LEAST_BURST, int(bytes_s * BURST_PART))
+        self.most = max(MIN_BURST, int(bytes_s * BURST_PART))
         self.flow = max(0, bytes_s - self.most)
         self.level, self.at_us = float(self.most), now_us
 
--- a/hophinge/cluster/copies.py
+++ b/hophinge/cluster/copies.py
@@ -8,7 +8,7 @@
 from hophinge.cluster.entries import DELTA_BYTES, Shelf, Stream, size
 from hophinge.cluster.wire import ROOM
 
-MOST_ITEMS = 100  # of one delta; a reader takes 128
+MAX_ITEMS = 100  # of one delta; a reader takes 128
 
 
 def _delta(owner: str, topic: int, held: Stream, after: int, upto: int, items: list[Item]) -> Delta:
@@ -24,7 +24,7 @@
     room = ROOM - DELTA_BYTES - len(owner.encode())
     items: list[Item] = []
     for item in sorted((one for one in held.items.values() if one.count > after), key=lambda one: one.count):
-        if items and (room < size(item) or len(items) >= MOST_ITEMS):
+        if items and (room < size(item) or len(items) >= MAX_ITEMS):
             yield _delta(owner, topic, held, after, items[-1].count, items)
             after, items, room = items[-1].count, [], ROOM - DELTA_BYTES - len(owner.encode())
         items.append(item)
@@ -41,7 +41,7 @@
     if after:
         after = max(after, held.floor)
     items = [item for item in held.items.values() if item.count > after]
-    if len(items) > MOST_ITEMS or DELTA_BYTES + len(owner.encode()) + sum(map(size, items)) > room:
+    if len(items) > MAX_ITEMS or DELTA_BYTES + len(owner.encode()) + sum(map(size, items)) > room:
         return None
     return _delta(owner, topic, held, after, held.high, sorted(items, key=lambda item: item.count))
 
--- a/hophinge/cluster/core.py
+++ b/hophinge/cluster/core.py
@@ -14,7 +14,7 @@
 from hophinge.cluster.rumours import Rumours
 from hophinge.cluster.entries import Shelf
 from hophinge.cluster.tuning import Limits, Tuning
-from hophinge.cluster.wire import FIXED, MOST_BYTES, seal
+from hophinge.cluster.wire import FIXED, MAX_BYTES, seal
 
 RANKS = ("probes", "members", *(topic.value for topic in TOPICS))
 PIGGYBACK = 500  # bytes of a probe's datagram: news beyond that goes with rounds of news
@@ -98,11 +98,11 @@
         self.budget.now(self.now_us)
         data = [packed(part) for part in parts]
         used = FIXED + len(self.roster.me.encode()) + 3 + sum(map(len, data))
-        if used > self.budget.room(rank) or used > MOST_BYTES:
+        if used > self.budget.room(rank) or used > MAX_BYTES:
             self.count(f"unsent_{RANKS[rank]}")
             return False
         if fill:
-            room = (PIGGYBACK if parts else MOST_BYTES) - used
+            room = (PIGGYBACK if parts else MAX_BYTES) - used
             count = len(self.roster.live)
             for level in range(max(rank, NEWS), len(RANKS)):
                 room = min(room, self.budget.push(level) - used)
--- a/hophinge/cluster/entries.py
+++ b/hophinge/cluster/entries.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from hophinge.cluster.errors import EntryRefusedError
-from hophinge.cluster.interface import MOST_NAME, MOST_VALUE, Entry, Topic
+from hophinge.cluster.interface import MAX_NAME, MAX_VALUE, Entry, Topic
 from hophinge.cluster.messages import NAME_BYTES, TOPICS, Item, mark
 from hophinge.cluster.tuning import Limits
 from hophinge.cluster.wire import ROOM
@@ -88,10 +88,10 @@
 
     def put(self, topic: Topic, key: str, value: bytes) -> None:
         """Set an own entry."""
-        if not 0 < len(key) <= MOST_NAME or len(value) > MOST_VALUE:
+        if not 0 < len(key) <= MAX_NAME or len(value) > MAX_VALUE:
             raise EntryRefusedError(
                 f"{topic.value}: a key of {len(key)} characters, a value of {len(value)} bytes; "
-                f"a key has 1 to {MOST_NAME}, a value at most {MOST_VALUE}"
+                f"a key has 1 to {MAX_NAME}, a value at most {MAX_VALUE}"
             )
         item = Item(0, key, value)
         if size(item) + DELTA_BYTES + NAME_BYTES > ROOM:
--- a/hophinge/cluster/interface.py
+++ b/hophinge/cluster/interface.py
@@ -11,8 +11,8 @@
 
 from msgspec import Struct
 
-MOST_NAME = 128  # characters of a member's name, an entry's key and a zone
-MOST_VALUE = 900  # bytes of one entry's value: it travels whole in one datagram
+MAX_NAME = 128  # characters of a member's name, an entry's key and a zone
+MAX_VALUE = 900  # bytes of one entry's value: it travels whole in one datagram
 
 
 class Standing(Enum):
--- a/hophinge/cluster/membership.py
+++ b/hophinge/cluster/membership.py
@@ -13,7 +13,7 @@
 # room to overrule it. Its own word may go further, so that it always can.
 HEARSAY_AHEAD, OWN_AHEAD = YEAR, 2 * YEAR
 CLASH_US = 500_000  # between two words to a namesake
-MOST_ACCUSERS = 8  # remembered: more shorten no suspicion
+MAX_ACCUSERS = 8  # remembered: more shorten no suspicion
 
 
 class Membership:
@@ -165,7 +165,7 @@
 
     def _confirmed(self, record: Record) -> None:
         held = self.core.roster.held[record.name]
-        if record.by not in held.accusers and len(held.accusers) < MOST_ACCUSERS:
+        if record.by not in held.accusers and len(held.accusers) < MAX_ACCUSERS:
             held.accusers |= {record.by}
             self.core.rumours.member(record)
             self._watch(record.name, record.incarnation, held.since_us)
--- a/hophinge/cluster/messages.py
+++ b/hophinge/cluster/messages.py
@@ -11,10 +11,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from hophinge.cluster.interface import MOST_VALUE, Member, Role, Standing, Topic
+from hophinge.cluster.interface import MAX_VALUE, Member, Role, Standing, Topic
 
 START_BITS = 18  # of an incarnation lie below its process's start: refutations
-MOST_INCARNATION = 2**63 - 1
+MAX_INCARNATION = 2**63 - 1
 NAME_BYTES = 64  # of a member's name in UTF-8: what a datagram has room for beside an entry
 STANDINGS = (Standing.ALIVE, Standing.SUSPECT, Standing.DEAD, Standing.LEFT)
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
@@ -24,10 +24,10 @@
 Name: TypeAlias = Annotated[str, Meta(min_length=1, max_length=NAME_BYTES)]
 Label: TypeAlias = Annotated[str, Meta(max_length=128)]
 Address: TypeAlias = Annotated[str, Meta(max_length=64, pattern=r"^[^\s:]{1,57}:[0-9]{1,5}$")]
-Count: TypeAlias = Annotated[int, Meta(ge=0, le=MOST_INCARNATION)]
+Count: TypeAlias = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
 Index: TypeAlias = Annotated[int, Meta(ge=0, le=255)]
 Mark: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
-Value: TypeAlias = Annotated[bytes, Meta(max_length=MOST_VALUE)]
+Value: TypeAlias = Annotated[bytes, Meta(max_length=MAX_VALUE)]
 
 
 class Part(Struct, frozen=True, array_like=True):
--- a/hophinge/cluster/reconcile.py
+++ b/hophinge/cluster/reconcile.py
@@ -17,8 +17,8 @@
 from hophinge.cluster.wire import ROOM
 
 BUCKETS_AT_ONCE = 4  # whose rows are sent for one summary
-MOST_DATAGRAMS = 12  # sent in answer to one digest: the next comparison goes on from there
-MOST_ROWS = 60  # of one digest; a reader takes 64
+MAX_DATAGRAMS = 12  # sent in answer to one digest: the next comparison goes on from there
+MAX_ROWS = 60  # of one digest; a reader takes 64
 DIGEST_BYTES = 150  # of a digest without its rows, two names among it
 HIGHEST_COUNT = 2**48  # of a stream: beyond it only a liar counts, and a new start counts from 0
 
@@ -102,7 +102,7 @@
                     records.append(record)
                     lacking.append((record, Row(record.name, 0)))
             if wanted:
-                core.say(source, [Digest(digest.bucket, wanted[: MOST_ROWS // 2], False)], NEWS, fill=False)
+                core.say(source, [Digest(digest.bucket, wanted[: MAX_ROWS // 2], False)], NEWS, fill=False)
         for record, row in lacking:
             if record.name == core.roster.me and self._same_start(row, record):
                 for topic, (high, mark) in enumerate(zip(row.highs[: len(TOPICS)], row.marks, strict=False)):
@@ -171,7 +171,7 @@
         for record in self.core.roster.of_bucket(number):
             row = self._row(record)
             more = len(encoded(row))
-            if rows and (size + more > ROOM - DIGEST_BYTES or len(rows) == MOST_ROWS):
+            if rows and (size + more > ROOM - DIGEST_BYTES or len(rows) == MAX_ROWS):
                 yield Digest(number, rows, True, first, row.name)
                 rows, first, size = [], row.name, 0
             rows.append(row)
@@ -188,7 +188,7 @@
             own = FIRST_TOPIC + part.topic if isinstance(part, Delta) else NEWS
             if batch and (size + more > ROOM or own != rank):
                 sent += 1
-                if not self.core.say(source, batch, rank, fill=False) or sent == MOST_DATAGRAMS:
+                if not self.core.say(source, batch, rank, fill=False) or sent == MAX_DATAGRAMS:
                     return True
                 batch, size = [], 0
             rank = own
--- a/hophinge/cluster/rumours.py
+++ b/hophinge/cluster/rumours.py
@@ -13,10 +13,10 @@
 from hophinge.cluster.entries import Shelf
 from hophinge.cluster.wire import ROOM
 
-MOST_AT_ONCE = 16  # records in one datagram
+MAX_AT_ONCE = 16  # records in one datagram
 HARDLY_TOLD = 4  # times that news was sent
-MOST_TIMES = 64  # more than any number of members asks for
-LEAST_ROOM = 120  # bytes: hardly a record or an entry is shorter
+MAX_TIMES = 64  # more than any number of members asks for
+MIN_ROOM = 120  # bytes: hardly a record or an entry is shorter
 
 
 class News(Struct):
@@ -52,7 +52,7 @@
     def first(self) -> list[tuple[str, News]]:
         """Tell what comes first, as much as one datagram may have."""
         names: Iterator[str] = itertools.chain.from_iterable(self.told)
-        return [(name, self.by_name[name]) for name in itertools.islice(names, MOST_AT_ONCE)]
+        return [(name, self.by_name[name]) for name in itertools.islice(names, MAX_AT_ONCE)]
 
     def sent(self, name: str, most: int) -> None:
         """Count that it was told; after so often it is news no more."""
@@ -92,7 +92,7 @@
     def known(self, owner: str, topic: int) -> None:
         """Somebody has told what is held here already: it need not go out so often any more."""
         if owner in self.streams[topic].by_name:
-            self.streams[topic].sent(owner, MOST_TIMES)
+            self.streams[topic].sent(owner, MAX_TIMES)
 
     def forget(self, name: str) -> None:
         """Spread nothing more of a member."""
@@ -121,13 +121,13 @@
         """Take what is to be told under a topic."""
         streams = self.streams[topic]
         parts = []
-        for owner, news in streams.first() if room >= LEAST_ROOM else []:
-            if room < LEAST_ROOM:
+        for owner, news in streams.first() if room >= MIN_ROOM else []:
+            if room < MIN_ROOM:
                 break
             delta = newest(self.shelf, owner, topic, news.base, room)
             data = packed(delta) if delta is not None else b""
             if not data or len(data) > room:
-                if room > ROOM - LEAST_ROOM:
+                if room > ROOM - MIN_ROOM:
                     streams.drop(owner)  # too much for any datagram, or gone: comparisons bring it
                 continue
             room -= len(data)
--- a/hophinge/cluster/wire.py
+++ b/hophinge/cluster/wire.py
@@ -23,13 +23,13 @@
 MAGIC = b"hh"
 FORMAT = 1  # spoken here
 NEEDS = 1  # the least that a reader of what is sent here must speak
-MOST_BYTES = 1_200  # of a datagram: passes every path that IPv6 allows (1,280) with its headers
+MAX_BYTES = 1_200  # of a datagram: passes every path that IPv6 allows (1,280) with its headers
 SEAL = 16  # bytes: 2**64 forgeries for an even chance
 HEAD = struct.Struct(">BBQQB")
 FIXED = len(MAGIC) + SEAL + HEAD.size
-ROOM = MOST_BYTES - FIXED - NAME_BYTES - 3  # for parts, whatever the sender's name
+ROOM = MAX_BYTES - FIXED - NAME_BYTES - 3  # for parts, whatever the sender's name
 WINDOW = 256  # datagrams of one sender that may overtake each other
-LEAST_KEY, MOST_KEY, MOST_KEYS = 16, 64, 2  # bytes, and keys valid at a time
+MIN_KEY, MAX_KEY, MAX_KEYS = 16, 64, 2  # bytes, and keys valid at a time
 
 _body = msgspec.msgpack.Decoder(list[tuple[int, msgspec.Raw]])
 
@@ -45,11 +45,11 @@
 def read_keys(text: str) -> list[bytes]:
     """Read keys, one a line, the newest first; raises KeysUnusableError."""
     keys = [line.strip().encode() for line in text.splitlines() if line.strip()]
-    if not 1 <= len(keys) <= MOST_KEYS:
-        raise KeysUnusableError(f"{len(keys)} keys where 1 or {MOST_KEYS} are expected")
+    if not 1 <= len(keys) <= MAX_KEYS:
+        raise KeysUnusableError(f"{len(keys)} keys where 1 or {MAX_KEYS} are expected")
     for number, key in enumerate(keys, 1):
-        if not LEAST_KEY <= len(key) <= MOST_KEY:
-            raise KeysUnusableError(f"key {number} has {len(key)} bytes, not {LEAST_KEY} to {MOST_KEY}")
+        if not MIN_KEY <= len(key) <= MAX_KEY:
+            raise KeysUnusableError(f"key {number} has {len(key)} bytes, not {MIN_KEY} to {MAX_KEY}")
     return keys
 
 
@@ -85,8 +85,8 @@
 
     def _open(self, data: bytes) -> Opened | str:
         """Open a datagram, or tell the reason against it."""
-        if not FIXED < len(data) <= MOST_BYTES:
-            return "too_long" if len(data) > MOST_BYTES else "too_short"
+        if not FIXED < len(data) <= MAX_BYTES:
+            return "too_long" if len(data) > MAX_BYTES else "too_short"
         if data[:2] != MAGIC:
             return "unknown"
         seal_, rest = data[2 : 2 + SEAL], memoryview(data)[2 + SEAL :]
--- a/hophinge/control/client.py
+++ b/hophinge/control/client.py
@@ -18,14 +18,14 @@
 from hophinge.state.files import DISK, Disk, UnusableError, tidy
 
 OPTIONS = (
-    ("grpc.max_receive_message_length", wire.MOST_MESSAGE),
+    ("grpc.max_receive_message_length", wire.MAX_MESSAGE),
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", 5_000),
     ("grpc.enable_retries", 0),
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.enable_http_proxy", 0),
 )
-LEAST_SLEEP_S = 0.005
+MIN_SLEEP_S = 0.005
 AIO: Any = grpc.aio  # its published stubs lack a part of it
 
 
@@ -83,7 +83,7 @@
         self._do(self.follower.start(self.now_us()))
         while True:
             self.news.clear()
-            wait_s = max(LEAST_SLEEP_S, (self.follower.due_us - self.now_us()) / 1e6)
+            wait_s = max(MIN_SLEEP_S, (self.follower.due_us - self.now_us()) / 1e6)
             try:
                 async with asyncio.timeout(wait_s):
                     await self.news.wait()
--- a/hophinge/control/follower.py
+++ b/hophinge/control/follower.py
@@ -37,7 +37,7 @@
 CONNECT_US = 3_000_000  # for a stream to give its first response
 SOUND_US = 5_000_000  # a stream that ends sooner was none: pauses go on growing
 COMPLETE_US = 1_000_000  # for records that come behind their version
-MOST_REFUSED = 64  # versions that were turned down and are remembered
+MAX_REFUSED = 64  # versions that were turned down and are remembered
 
 
 class Follower:
@@ -211,7 +211,7 @@
     def _turn_down(self, version: Version, reason: str) -> list[Action]:
         self.wanted = None
         known = (version.order, version.sum) in self.refused
-        while len(self.refused) >= MOST_REFUSED:
+        while len(self.refused) >= MAX_REFUSED:
             del self.refused[next(iter(self.refused))]
         self.refused[version.order, version.sum] = reason
         self.state, self.reason = State.TURNED_DOWN, reason
--- a/hophinge/control/publisher.py
+++ b/hophinge/control/publisher.py
@@ -31,7 +31,7 @@
 from hophinge.routing import records
 
 PART = 500  # records in one response: some 100 KB; a head reads one in one turn of its loop
-MOST_CACHED = 16  # differences kept; heads in step share them
+MAX_CACHED = 16  # differences kept; heads in step share them
 
 
 @dataclass(frozen=True, eq=False)
@@ -106,7 +106,7 @@
             held = {name: row[0] for name, row in before.rows.items()} if before is not None else {}
             parts = self.write(after, *after.difference(held))
             self.cached[key] = parts
-            while len(self.cached) > MOST_CACHED:
+            while len(self.cached) > MAX_CACHED:
                 self.cached.popitem(last=False)
         return parts
 
--- a/hophinge/control/rollout.py
+++ b/hophinge/control/rollout.py
@@ -15,7 +15,7 @@
 from hophinge.control.wire import Order
 from hophinge.routing.records import Rollout as Rule
 
-LEAST_TAKEN = 20  # requests of a wave before its failures tell anything
+MIN_TAKEN = 20  # requests of a wave before its failures tell anything
 FORGET_US = 7 * 24 * 3600 * 1_000_000  # a head unheard of for a week counts no more in a wave's share
 
 
@@ -128,7 +128,7 @@
         """Note what a head has in force."""
         head = self.heads[name]
         head.runs, head.seen_us, head.reason = order, now_us, ""
-        head.usual = head.failed / head.taken if head.taken >= LEAST_TAKEN else 0.0
+        head.usual = head.failed / head.taken if head.taken >= MIN_TAKEN else 0.0
         head.since_taken, head.since_failed = head.taken, head.failed
 
     def counted(self, name: str, taken: float, failed: float, now_us: int) -> None:
@@ -201,7 +201,7 @@
         taken = sum(head.taken - head.since_taken for head in there)
         failed = sum(head.failed - head.since_failed for head in there)
         usual = sum(head.usual * (head.taken - head.since_taken) for head in there)
-        if taken >= LEAST_TAKEN and failed > usual + self.rule.failures * taken:
+        if taken >= MIN_TAKEN and failed > usual + self.rule.failures * taken:
             return (
                 f"{failed:g} of {taken:g} requests failed where it runs, {usual:.0f} by what was usual there; "
                 f"over the stated {100 * self.rule.failures:g} % more"
--- a/hophinge/control/service.py
+++ b/hophinge/control/service.py
@@ -16,7 +16,7 @@
 from hophinge.control.shares import Shares
 from hophinge.control.staff import NO_BYTES, Staff
 from hophinge.control.store import Store
-from hophinge.control.streams import MOST_STREAMS, Stream as Stream, Streams
+from hophinge.control.streams import MAX_STREAMS, Stream as Stream, Streams
 from hophinge.control.tokens import read_tokens as read_tokens
 from hophinge.control.wire import Order
 from hophinge.routing import records
@@ -24,10 +24,10 @@
 from hophinge.tenancy.accounts import Accounts
 
 LOOK_S = 0.05  # between looks at the rollout; a wave's end is seen within this time
-AGAIN_S = 0.5  # after the store failed
+RETRY_INTERVAL_S = 0.5  # after the store failed
 OPTIONS = (
-    ("grpc.max_receive_message_length", wire.MOST_MESSAGE),
-    ("grpc.max_send_message_length", wire.MOST_MESSAGE),
+    ("grpc.max_receive_message_length", wire.MAX_MESSAGE),
+    ("grpc.max_send_message_length", wire.MAX_MESSAGE),
     ("grpc.so_reuseport", 0),
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", 5_000),
@@ -82,7 +82,7 @@
 
     async def start(self, address: str) -> None:
         """Listen."""
-        self.server = grpc.aio.server(options=OPTIONS, maximum_concurrent_rpcs=MOST_STREAMS + 64)
+        self.server = grpc.aio.server(options=OPTIONS, maximum_concurrent_rpcs=MAX_STREAMS + 64)
         stream = grpc.stream_stream_rpc_method_handler(self.heads.stream)
         calls = {
             name: grpc.unary_unary_rpc_method_handler(self.calls.answered(call))
@@ -124,7 +124,7 @@
         while True:
             self._decided(self.rollout.tick(self.now_us()))
             self.upkeep.tick()
-            await asyncio.sleep(AGAIN_S if self.owed != Decision() else LOOK_S)
+            await asyncio.sleep(RETRY_INTERVAL_S if self.owed != Decision() else LOOK_S)
 
     def _decided(self, decision: Decision) -> None:
         """Store a decision, then let heads hear of it; one that could not be stored is owed until it is."""
--- a/hophinge/control/staff.py
+++ b/hophinge/control/staff.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from hophinge.control.service import ControlService
 
-MOST_HISTORY = 1000
+MAX_HISTORY = 1000
 NO_BYTES = b""
 
 
@@ -139,5 +139,5 @@
 
     def history(self, who: str, call: dict[str, Any]) -> dict[str, Any]:
         """Tell the newest versions and what was done."""
-        most = max(1, min(MOST_HISTORY, int(call.get("most", 20))))
+        most = max(1, min(MAX_HISTORY, int(call.get("most", 20))))
         return {"versions": self.service.store.history(most), "audit": self.service.store.audit(most)}
--- a/hophinge/control/streams.py
+++ b/hophinge/control/streams.py
@@ -21,7 +21,7 @@
     from hophinge.control.service import ControlService
 
 BEAT_S = 2.0  # an empty response to a head that got nothing else; heads take longer silence for an end
-MOST_STREAMS = 2000
+MAX_STREAMS = 2000
 HEAD = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.:-]{0,127}", re.ASCII)
 BEAT = wire.encode_response(Response(Kind.RECORD, wire.BEAT))
 
@@ -52,8 +52,8 @@
         token = bearer(context)
         if not any(hmac.compare_digest(token, one) for one in self.service.head_tokens):
             await context.abort(grpc.StatusCode.UNAUTHENTICATED, "the token is not one of heads")
-        if len(self.service.streams) >= MOST_STREAMS:
-            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, f"more than {MOST_STREAMS} heads")
+        if len(self.service.streams) >= MAX_STREAMS:
+            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, f"more than {MAX_STREAMS} heads")
         stream = Stream(self.service.parts)
         writing = asyncio.create_task(self._write(stream, context))
         reading = asyncio.create_task(self._read(stream, requests))
--- a/hophinge/coordination/chain.py
+++ b/hophinge/coordination/chain.py
@@ -25,9 +25,9 @@
 from hophinge.coordination.registers import Entry, Outcome, Register, Registers
 from hophinge.coordination.view import Replica, View
 
-SYNC_AGAIN_S = 0.3  # a successor that lags is sent the whole state again after so long at least
+SYNC_RETRY_INTERVAL_S = 0.3  # a successor that lags is sent the whole state again after so long at least
 SYNC_BYTES_S = 4 << 20  # and later by the time that its bytes take at this rate, the first time
-MOST_DOUBLINGS = 5  # of that wait, each time that the successor still lags: so any link has time for a copy
+MAX_DOUBLINGS = 5  # of that wait, each time that the successor still lags: so any link has time for a copy
 
 
 class Chain:
@@ -140,8 +140,8 @@
 
         A copy that is sent anew before the last one has arrived puts a slow link further behind with each.
         """
-        once = SYNC_AGAIN_S + self.registers.size / SYNC_BYTES_S
-        return once * float(2 ** min(max(0, self.syncs - 1), MOST_DOUBLINGS))
+        once = SYNC_RETRY_INTERVAL_S + self.registers.size / SYNC_BYTES_S
+        return once * float(2 ** min(max(0, self.syncs - 1), MAX_DOUBLINGS))
 
     # --- changes and reads ---------------------------------------------------------------------------------------
 
--- a/hophinge/coordination/codec.py
+++ b/hophinge/coordination/codec.py
@@ -9,7 +9,7 @@
 import cbor2
 
 TAG_BASE = 60_000  # CBOR tags of this protocol: in the range that is given to who comes first
-MOST_DEPTH = 32  # nesting of a message; a deeper one is refused before it is built
+MAX_DEPTH = 32  # nesting of a message; a deeper one is refused before it is built
 
 MessageClass = TypeVar("MessageClass", bound=type)
 
@@ -58,7 +58,7 @@
 def decode(data: bytes) -> object:
     """Decode one message; raises CodecError for anything else."""
     try:
-        message: object = cbor2.loads(data, tag_hook=_decode_tag, max_depth=MOST_DEPTH, immutable=True)
+        message: object = cbor2.loads(data, tag_hook=_decode_tag, max_depth=MAX_DEPTH, immutable=True)
     except CodecError:
         raise
     except (cbor2.CBORError, TypeError, ValueError) as error:
--- a/hophinge/coordination/elections.py
+++ b/hophinge/coordination/elections.py
@@ -17,7 +17,7 @@
 
 RANK_S = 0.3  # what each replica waits longer than the one before it, so that ballots do not collide
 GATHER_S = 0.2  # waited for promises beyond a majority: who does not promise in time leaves the chain
-ASK_AGAIN_S = 0.2  # after which voters who have not answered are asked again
+ASK_RETRY_INTERVAL_S = 0.2  # after which voters who have not answered are asked again
 ATTEMPT_S = 1.0  # after which a ballot is given up
 BACKOFF_S = 0.4  # at most, after a ballot that lost
 FORMING_S = 1.5  # waited for all seeds at the first start
@@ -82,7 +82,7 @@
     def _ask_again(self, now: float, view: View, outputs: Outputs) -> None:
         """Ask voters who have not answered: a message may be lost with its connection."""
         attempt = self.attempt
-        if attempt is None or now - attempt.asked < ASK_AGAIN_S:
+        if attempt is None or now - attempt.asked < ASK_RETRY_INTERVAL_S:
             return
         attempt.asked = now
         proposal = attempt.proposal
--- a/hophinge/coordination/quorum_hold.py
+++ b/hophinge/coordination/quorum_hold.py
@@ -16,7 +16,7 @@
 from hophinge.coordination.view import Replica
 
 HOLD_S = 0.6  # in seconds, for the others to hold a record; an instance waits a second for its answer
-HOLD_AGAIN_S = 0.2  # in seconds, after which those that have not answered are told again
+HOLD_RETRY_INTERVAL_S = 0.2  # in seconds, after which those that have not answered are told again
 
 
 @wire(73)
@@ -96,7 +96,7 @@
         """Tell again who has not answered, and give up what took too long."""
         step = HoldStep()
         for token, holding in list(self.under_way.items()):
-            if now - holding.told >= HOLD_AGAIN_S:
+            if now - holding.told >= HOLD_RETRY_INTERVAL_S:
                 holding.told = now
                 self._tell(core, token, step)
             self._settle(now, core, token, step)
--- a/hophinge/coordination/registers.py
+++ b/hophinge/coordination/registers.py
@@ -11,7 +11,7 @@
 
 from hophinge.coordination.codec import encode, wire
 
-MOST_TAKEN = 4_096  # changes remembered for each register: more than any day of an operator holds
+MAX_TAKEN = 4_096  # changes remembered for each register: more than any day of an operator holds
 MARK_BYTES = 8
 TAKEN_BYTES = 24  # of a snapshot, for each change remembered
 
@@ -109,7 +109,7 @@
         self.values = {**self.values, change.key: Register(change.version, change.digest, change.payload)}
         taken = self.taken.setdefault(change.key, {})
         taken[change.digest] = change.version
-        while len(taken) > MOST_TAKEN:
+        while len(taken) > MAX_TAKEN:
             del taken[next(iter(taken))]
 
     def snapshot(self) -> Snapshot:
--- a/hophinge/coordination/requests.py
+++ b/hophinge/coordination/requests.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from hophinge.coordination.replica import ReplicaMachine
 
-AGAIN_S = 0.3  # after which a request without a reply is passed to the head again
+RETRY_INTERVAL_S = 0.3  # after which a request without a reply is passed to the head again
 
 
 @dataclass
@@ -63,7 +63,7 @@
             if now >= pending.until:
                 del self.pending[request]
                 outputs.answers.append(Answer(request, None))
-            elif now - pending.sent >= AGAIN_S:
+            elif now - pending.sent >= RETRY_INTERVAL_S:
                 pending.sent = now
                 self._send(pending, outputs)
 
--- a/hophinge/fleet/analysis/losses.py
+++ b/hophinge/fleet/analysis/losses.py
@@ -14,7 +14,7 @@
 from hophinge.fleet.analysis.traces import AttemptRow, Request
 
 LARGEST, BENEATH = 0.1, 0.3  # parts of a kind, by size, that the operators count on their own
-LEAST_WORTH, SIZED_WORTH, MOST_WORTH = 0.3, 0.7, 4.0  # of a generation, against the mean of its kind
+MIN_WORTH, SIZED_WORTH, MAX_WORTH = 0.3, 0.7, 4.0  # of a generation, against the mean of its kind
 OUT_TOKEN = 10  # tokens read that one token made counts as
 READ_WAIT = "prefill"
 
@@ -90,7 +90,7 @@
 
 def _sized(request: Request, mean: float) -> float:
     size = request.tokens_in + OUT_TOKEN * request.tokens_out
-    return min(MOST_WORTH, LEAST_WORTH + SIZED_WORTH * size / mean) if mean else 1.0
+    return min(MAX_WORTH, MIN_WORTH + SIZED_WORTH * size / mean) if mean else 1.0
 
 
 def losses(requests: Sequence[Request], kinds: Sequence[Kind]) -> list[Loss]:
--- a/hophinge/fleet/configuration/document.py
+++ b/hophinge/fleet/configuration/document.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok, Result
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-MOST_FINDINGS = 50  # told of one document
+MAX_FINDINGS = 50  # told of one document
 
 
 def _alias(name: str) -> str:
@@ -100,9 +100,9 @@
         document = DocumentModel.model_validate(raw)
     except ValidationError as error:
         found = [Finding(".".join(map(str, one["loc"])) or "document", one["msg"]) for one in error.errors()]
-        return Error(tuple(found[:MOST_FINDINGS]))
+        return Error(tuple(found[:MAX_FINDINGS]))
     findings = tuple(_contradictions(document))
-    return Error(findings[:MOST_FINDINGS]) if findings else Ok(document)
+    return Error(findings[:MAX_FINDINGS]) if findings else Ok(document)
 
 
 def _contradictions(document: DocumentModel) -> Iterator[Finding]:
--- a/hophinge/fleet/configuration/routes.py
+++ b/hophinge/fleet/configuration/routes.py
@@ -13,7 +13,7 @@
 
 RECORD_KEY = "configuration"  # the record under which members know the configuration in force
 COMPRESSION = 1  # zlib's level: documents repeat themselves, and time counts more than bytes
-LEAST_PATIENCE_S = 2.0  # silence after which a client gives a stream up, at least
+MIN_TIMEOUT_S = 2.0  # silence after which a client gives a stream up, at least
 PATIENT_AIMS = 4.0  # and so many times the route's objective
 PATIENT_GAPS = 8.0  # and its longest pause
 
@@ -61,7 +61,7 @@
     @property
     def patience_s(self) -> float:
         """Tell how long a client waits for the first event of a stream, by the protocol."""
-        return max(LEAST_PATIENCE_S, PATIENT_AIMS * self.target_s, PATIENT_GAPS * self.gap_s)
+        return max(MIN_TIMEOUT_S, PATIENT_AIMS * self.target_s, PATIENT_GAPS * self.gap_s)
 
     def service(self, draw: float) -> str:
         """Choose a service by weight; `draw` is from 0 to 1."""
--- a/hophinge/fleet/controlplane/api.py
+++ b/hophinge/fleet/controlplane/api.py
@@ -23,10 +23,10 @@
 CONFIGURATION_PATH = "/v1/config"
 INSTANCES_PATH = "/v1/instances/"
 MEMBER_PATH = "/v1/member"  # for operators: how this member stands
-MOST_BODY = 8 << 20  # above the operator's bound on a configuration
-MOST_HEARTBEAT = 64 << 10
-PATIENCE_S = 2.5  # for a change to come to its end, within the operator's bound on an acknowledgement
-READ_PATIENCE_S = 2.0
+MAX_BODY = 8 << 20  # above the operator's bound on a configuration
+MAX_HEARTBEAT = 64 << 10
+TIMEOUT_S = 2.5  # for a change to come to its end, within the operator's bound on an acknowledgement
+READ_TIMEOUT_S = 2.0
 JSON_TYPE = (b"content-type", b"application/json")
 AGAIN = (b"retry-after", b"0.2")
 
@@ -75,7 +75,7 @@
     # --- instances -----------------------------------------------------------------------------------------------
 
     async def _beat(self, identity: str, receive: Receive, send: Send) -> None:
-        body = await read_body(receive, MOST_HEARTBEAT)
+        body = await read_body(receive, MAX_HEARTBEAT)
         try:
             form = Heartbeat.model_validate_json(body)
         except ValidationError as error:
@@ -98,7 +98,7 @@
     # --- configuration -------------------------------------------------------------------------------------------
 
     async def _put(self, scope: Scope, receive: Receive, send: Send) -> None:
-        body = await read_body(receive, MOST_BODY)
+        body = await read_body(receive, MAX_BODY)
         base = _if_match(scope)
         checked = check(body)
         if checked.is_error():
@@ -109,7 +109,7 @@
             return
         digest = blake2b(str(base).encode() + b"\0" + body, digest_size=16).digest()
         change = Change(RECORD_KEY, base, checked.ok.version, digest, body)
-        result = await self.host.request(RECORD_KEY, change, PATIENCE_S)
+        result = await self.host.request(RECORD_KEY, change, TIMEOUT_S)
         match result.outcome:
             case Outcome.TAKEN:
                 await answer(send, 200, _body(version=change.version), (JSON_TYPE,))
@@ -124,7 +124,7 @@
                 await answer(send, 503, _body(error=text), (JSON_TYPE, AGAIN))
 
     async def _get(self, send: Send) -> None:
-        result = await self.host.request(RECORD_KEY, None, READ_PATIENCE_S)
+        result = await self.host.request(RECORD_KEY, None, READ_TIMEOUT_S)
         if result.outcome is not Outcome.VALUE:
             await answer(send, 503, _body(error="the newest version is not known here now"), (JSON_TYPE, AGAIN))
         elif not result.version:
--- a/hophinge/fleet/controlplane/directory.py
+++ b/hophinge/fleet/controlplane/directory.py
@@ -28,8 +28,8 @@
 DIRECTORY_TICK_S = 0.25
 SHARE_S = 0.75  # between two words to the other control members about liveness and leases
 COMPARE_S = 1.0  # between two comparisons of digests with one of them
-MOST_DIRECT = 32  # data planes that get news from here whole; the others get it from these
-MOST_NEIGHBOURS = 8  # of which a data plane is told
+MAX_DIRECT = 32  # data planes that get news from here whole; the others get it from these
+MAX_NEIGHBOURS = 8  # of which a data plane is told
 
 
 class Directory:
@@ -83,7 +83,7 @@
     def _direct(self) -> list[str]:
         """Tell the data planes that get news from here."""
         addresses = self._heads()
-        return addresses if len(addresses) <= MOST_DIRECT else self.random.sample(addresses, MOST_DIRECT)
+        return addresses if len(addresses) <= MAX_DIRECT else self.random.sample(addresses, MAX_DIRECT)
 
     def _outside_chain(self) -> list[str]:
         """Tell the control members that learn of the configuration from others."""
@@ -135,7 +135,7 @@
         others = [one for one in holders if one.identity != renew.holder.identity]
         near = [one.address for one in others if one.zone == renew.holder.zone]
         far = [one.address for one in others if one.zone != renew.holder.zone]
-        chosen = self.random.sample(near, min(MOST_NEIGHBOURS - 2, len(near)))
+        chosen = self.random.sample(near, min(MAX_NEIGHBOURS - 2, len(near)))
         chosen += self.random.sample(far, min(2, len(far)))
         self.send(
             source,
--- a/hophinge/fleet/controlplane/forms.py
+++ b/hophinge/fleet/controlplane/forms.py
@@ -6,7 +6,7 @@
 
 from pydantic import BaseModel, Field, field_validator
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class ModelForm(BaseModel):
@@ -33,6 +33,6 @@
     @classmethod
     def _port_exists(cls, address: str) -> str:
         """Turn down a port that nobody can connect to: each call there would fail in an unforeseen way."""
-        if not 0 < int(address.rsplit(":", 1)[1]) <= MOST_PORT:
+        if not 0 < int(address.rsplit(":", 1)[1]) <= MAX_PORT:
             raise ValueError("the port is not one from 1 to 65535")
         return address
--- a/hophinge/fleet/controlplane/host.py
+++ b/hophinge/fleet/controlplane/host.py
@@ -21,7 +21,7 @@
 from hophinge.fleet.settings import Settings
 
 REPLICA_TICK_S = 0.05  # between ticks of the state machine
-DISK_AGAIN_S = 0.25  # between attempts on a disk that takes no writes
+DISK_RETRY_INTERVAL_S = 0.25  # between attempts on a disk that takes no writes
 SCRUB_S = 60.0  # between readings of all that counts on the disk
 SLOW_S = 0.4  # a write that takes longer: the disk is told of as one that takes no writes
 
@@ -111,7 +111,7 @@
     def tick(self) -> None:
         """Let time pass, and watch the disk."""
         now = self.loop.time()
-        if self.failed_at is not None and now - self.failed_at >= DISK_AGAIN_S and self.writing_since is None:
+        if self.failed_at is not None and now - self.failed_at >= DISK_RETRY_INTERVAL_S and self.writing_since is None:
             self._catch_up()
         if self.writer is not None and now - self.scrubbed >= SCRUB_S and self._idle():
             self.scrubbed = now
--- a/hophinge/fleet/controlplane/keeper.py
+++ b/hophinge/fleet/controlplane/keeper.py
@@ -21,8 +21,8 @@
 
 TICK_S = 0.5
 STEADY_S = 1.2  # for which a change is wanted before it is ordered: instances come and go in between
-AGAIN_S = 2.5  # between two orders: the effect of the last one has to show
-URGENT_AGAIN_S = 1.0  # where nobody is left of a stage, and an order was lost or refused
+RETRY_INTERVAL_S = 2.5  # between two orders: the effect of the last one has to show
+URGENT_RETRY_INTERVAL_S = 1.0  # where nobody is left of a stage, and an order was lost or refused
 CONFIRM_S = 0.3  # for the chain to confirm the ownership, right before an order
 ORDER_S = 0.5  # for an instance to answer an order
 TAKEN = (200, 202)
@@ -83,8 +83,8 @@
     def _due(self, now: float, urgent: bool) -> bool:
         """Tell whether to order now: what is urgent waits for nothing but the answers to the order before."""
         if urgent:
-            return now - self.ordered_at >= URGENT_AGAIN_S
-        return now - self.wanted_since >= STEADY_S and now - self.ordered_at >= AGAIN_S
+            return now - self.ordered_at >= URGENT_RETRY_INTERVAL_S
+        return now - self.wanted_since >= STEADY_S and now - self.ordered_at >= RETRY_INTERVAL_S
 
     async def _order(self, switches: tuple[Switch, ...]) -> None:
         """Confirm the ownership through the chain, then order at once."""
--- a/hophinge/fleet/controlplane/reports.py
+++ b/hophinge/fleet/controlplane/reports.py
@@ -21,7 +21,7 @@
 PERIOD_S = 0.8  # between two questions to one instance
 ANSWER_S = 0.4
 RESTING_S = 20.0
-MOST_CONNECTIONS = 1_000  # one to each instance that falls to this member
+MAX_CONNECTIONS = 1_000  # one to each instance that falls to this member
 FAILURES = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, ValueError, KeyError, TypeError)
 
 
@@ -37,7 +37,7 @@
     def __init__(self, directory: Directory, alive: Callable[[], set[str]], me: str) -> None:
         self.directory, self.alive, self.me = directory, alive, me
         self.pool = httpcore.AsyncConnectionPool(
-            max_connections=MOST_CONNECTIONS, max_keepalive_connections=MOST_CONNECTIONS, keepalive_expiry=RESTING_S
+            max_connections=MAX_CONNECTIONS, max_keepalive_connections=MAX_CONNECTIONS, keepalive_expiry=RESTING_S
         )
 
     def asked(self) -> list[Instance]:
--- a/hophinge/fleet/dataplane/connections.py
+++ b/hophinge/fleet/dataplane/connections.py
@@ -11,8 +11,8 @@
 from hophinge.fleet.forwarding.claims import Claims
 from hophinge.fleet.forwarding.headers import Fields, resting_time
 
-MOST_CONNECTIONS = 48  # of one data plane to one instance
-MOST_RESTING = 16
+MAX_CONNECTIONS = 48  # of one data plane to one instance
+MAX_RESTING = 16
 RESTING_S = 8.0  # until an instance tells how long it keeps resting connections, in seconds
 RESTING_PART = 0.8  # of that time after which a connection is not used again: the close may be on its way
 FORGOTTEN_PART = 0.5  # of the rest after which a connection turned out to be dead: so long may others rest then
@@ -146,7 +146,7 @@
     """The connections to one instance, which calls claim as a whole."""
 
     def __init__(self) -> None:
-        super().__init__(max_connections=MOST_CONNECTIONS, max_keepalive_connections=MOST_RESTING, retries=0)
+        super().__init__(max_connections=MAX_CONNECTIONS, max_keepalive_connections=MAX_RESTING, retries=0)
         self.resting_s = RESTING_S
         self.longest_s = float("inf")  # learned from connections that had died at rest
         self.claims = Claims()
--- a/hophinge/fleet/dataplane/front.py
+++ b/hophinge/fleet/dataplane/front.py
@@ -54,7 +54,7 @@
 MARGIN_S = 0.03  # an answer leaves so long before the deadline
 COME_BACK = (b"retry-after", b"0.6")  # from a head without routes: it has just started, and soon has them
 CLOSE = (b"connection", b"close")
-MOST_BODIES = 64 << 20  # bytes of the bodies of all requests under way: a fifth of the memory of a machine
+MAX_BODIES = 64 << 20  # bytes of the bodies of all requests under way: a fifth of the memory of a machine
 
 
 class Front:
@@ -67,7 +67,7 @@
         self.random = Random()
         self.split = SplitDraws(self.random)
         self.budgets: dict[str, RetryBudget] = {}
-        self.bodies = BodyMemory(MOST_BODIES)
+        self.bodies = BodyMemory(MAX_BODIES)
         self.figures = RequestFigures()
         self.cuts = CutLog(knowledge, placement, upstream)
         self.ready_port = int(settings.ready.rsplit(":", 1)[1]) if settings.ready else 0
--- a/hophinge/fleet/emulation/fleet.py
+++ b/hophinge/fleet/emulation/fleet.py
@@ -17,7 +17,7 @@
 from hophinge.fleet.emulation.engine import Engine
 from hophinge.fleet.emulation.stand_in import FAILURES, StandIn
 from hophinge.fleet.forwarding.headers import Fields
-from hophinge.load.rig.processes import USUAL_MOST, Process, Processes
+from hophinge.load.rig.processes import USUAL_MAX, Process, Processes
 from hophinge.load.rig.waiting import Condition, until
 
 FRONT, READY, CONTROL, INTERNAL = 0, 1, 2, 3  # ports of a machine, from the fleet's first
@@ -70,7 +70,7 @@
 
     def __init__(self, folder: Path, machines: int, losses: int = 1, grace_s: float = 3.0) -> None:
         self.folder, self.losses, self.grace_s = folder, losses, grace_s
-        self.processes = Processes(folder, max(USUAL_MOST, PROGRAMS * machines))
+        self.processes = Processes(folder, max(USUAL_MAX, PROGRAMS * machines))
         net = secrets.randbelow(200) + 20
         self.ips = [f"127.{net}.{secrets.randbelow(250) + 1}.{number + 1}" for number in range(machines)]
         self.port = secrets.choice(PORTS)
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -36,7 +36,7 @@
 from hophinge.fleet.transport.frames import LENGTH
 
 FRAME_BYTES = LENGTH.size + 52  # a frame's length and TCP/IP headers, where it goes alone
-LEAST_S = 0.03  # a time is taken over repetitions that last so long at least
+MIN_S = 0.03  # a time is taken over repetitions that last so long at least
 Measure = Callable[[int], float]
 
 
@@ -74,7 +74,7 @@
         for _ in range(count):
             work()
         spent = time.process_time() - begun
-        if spent >= LEAST_S:
+        if spent >= MIN_S:
             return spent / count * 1e6
         count *= 4
 
--- a/hophinge/fleet/emulation/stand_in.py
+++ b/hophinge/fleet/emulation/stand_in.py
@@ -17,7 +17,7 @@
 HEARTBEAT_S = 0.4
 CALL_S = 1.0
 CHANGE_S = 0.8  # that a change of stage takes
-MOST_HEAD = 65_536
+MAX_HEAD = 65_536
 EVENT_END = b"\n\n"
 FAILURES = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
 
@@ -75,7 +75,7 @@
 
     async def start(self) -> None:
         """Listen on a free port."""
-        self.server = await asyncio.start_server(self._serve, self.ip, 0, limit=MOST_HEAD)
+        self.server = await asyncio.start_server(self._serve, self.ip, 0, limit=MAX_HEAD)
         port = self.server.sockets[0].getsockname()[1]
         self.address = f"{self.ip}:{port}"
         self.holders[self.address] = self.engine
--- a/hophinge/fleet/emulation/virtual_fleet.py
+++ b/hophinge/fleet/emulation/virtual_fleet.py
@@ -33,10 +33,10 @@
 LOST_S = 4.8  # after a crash until all heads know of it
 STAGE_LOOK_S = 0.5
 STAGE_STEADY_S = 1.2
-STAGE_AGAIN_S = 2.5
+STAGE_RETRY_INTERVAL_S = 2.5
 BUDGET_RATIO, BUDGET_SLACK, BUDGET_WINDOW_S = 0.2, 60.0, 10.0
 LONGEST_PAUSE_S = 0.3  # between the events of an answer that is in time
-MOST_ATTEMPTS = 2
+MAX_ATTEMPTS = 2
 RETRIES = 1  # of a client that was refused
 
 
@@ -152,7 +152,7 @@
             return
         if self.switch_wanted is None or self.switch_wanted[0] != switches[0].stage:
             self.switch_wanted = switches[0].stage, now
-        steady = now - self.switch_wanted[1] >= STAGE_STEADY_S and now - self.switched_at >= STAGE_AGAIN_S
+        steady = now - self.switch_wanted[1] >= STAGE_STEADY_S and now - self.switched_at >= STAGE_RETRY_INTERVAL_S
         if not steady and not switches[0].urgent:
             return
         self.switched_at = now
@@ -198,7 +198,7 @@
             kind.aim_s,
             LONGEST_PAUSE_S,
             0,
-            MOST_ATTEMPTS,
+            MAX_ATTEMPTS,
             False,
             (SERVICE,),
             (1.0,),
--- a/hophinge/fleet/forwarding/life.py
+++ b/hophinge/fleet/forwarding/life.py
@@ -19,10 +19,10 @@
 from hophinge.fleet.placement.timing import DECODE, PLAIN, PREFILL
 from hophinge.fleet.placement.prompt import Prompt
 
-LEAST_LEFT_S = 0.02  # no attempt begins with less time than this
+MIN_LEFT_S = 0.02  # no attempt begins with less time than this
 FIRST_PAUSE_S = 0.02  # behind the first round of instances that all refused; each later pause is twice as long
 LONGEST_PAUSE_S = 0.32
-MOST_READS = 4  # prompts read for one request
+MAX_READS = 4  # prompts read for one request
 UNAVAILABLE, BAD_GATEWAY, GATEWAY_TIMEOUT = 503, 502, 504
 
 
@@ -93,7 +93,7 @@
 
     def next(self, now: float) -> Step:
         """Tell what to do now."""
-        if self.deadline - now < LEAST_LEFT_S:
+        if self.deadline - now < MIN_LEFT_S:
             return self._give_up(GATEWAY_TIMEOUT, "no time left")
         if self.possible_runs and not self._may_run_again():
             return self._give_up(BAD_GATEWAY, "may not run again")
@@ -113,7 +113,7 @@
     def _next_round(self, now: float) -> Step:
         """Have all instances asked once more after a pause: an instance that has just refused would do so again."""
         pause_s = min(FIRST_PAUSE_S * 2**self.rounds, LONGEST_PAUSE_S)
-        if self.deadline - now < pause_s + LEAST_LEFT_S:
+        if self.deadline - now < pause_s + MIN_LEFT_S:
             return self._give_up(BAD_GATEWAY, "no instance")
         self.avoid.clear()
         self.rounds += 1
@@ -132,7 +132,7 @@
         )
         if self.prompt is None:
             return self.placement.plain(wish, DECODE if self.staged else PLAIN)
-        if self.handle is None and self.reads < MOST_READS:
+        if self.handle is None and self.reads < MAX_READS:
             return self.placement.generation(wish, self.prompt)
         return self.placement.decode(wish, self.prompt, self.handle.instance if self.handle is not None else "")
 
--- a/hophinge/fleet/placement/placement.py
+++ b/hophinge/fleet/placement/placement.py
@@ -29,7 +29,7 @@
 SPREAD_S = 1.0  # over which such clients are spread, at most
 RELAYED_S = 0.03  # that a word takes from one head to another on average
 JOB_BITS = 40  # of a job's number: two alike in one queue are next to impossible
-LEAST_TOKENS = 64  # charged for a request with nothing to read
+MIN_TOKENS = 64  # charged for a request with nothing to read
 SILENT_S = 0.6  # without an answer, before a failed attempt speaks against an instance that answered
 
 
@@ -117,7 +117,7 @@
 
     def _expect(self, node: Node, parts: tuple[tuple[str, int], ...], units: int, job: int) -> None:
         """Parts are at an instance soon: at once where next to nothing is read, as they are moved there."""
-        if units > LEAST_TOKENS and self.policy.drops_told:
+        if units > MIN_TOKENS and self.policy.drops_told:
             node.cache.expect(parts, job)
         else:
             node.cache.remember(parts)
@@ -127,7 +127,7 @@
         if placed.name not in placed.node.book.slots:
             return
         answered(now, placed, streaming)
-        if placed.pool.timing.reads_in_turn and placed.units > LEAST_TOKENS:
+        if placed.pool.timing.reads_in_turn and placed.units > MIN_TOKENS:
             placed.pool.finished(now, placed.node, placed.job, now)
             placed.node.cache.confirm(placed.job.number)
             self.pending_reads.append(FinishedRead(placed.node.instance.identity, placed.job.number, now))
@@ -137,7 +137,7 @@
         """Nothing of an attempt is out any more; where its prompt was not read, the other heads are told."""
         unread = placed.name in placed.node.book.slots
         ended(now, placed)
-        if unread and placed.units > LEAST_TOKENS and self.policy.drops_told:
+        if unread and placed.units > MIN_TOKENS and self.policy.drops_told:
             placed.node.drop(placed.job.number)
             self.pending_drops.append(Dropped(placed.node.instance.identity, placed.job.number))
             self.pending()
@@ -184,7 +184,7 @@
     def plain(self, wish: Wish, stage: str) -> Plan | None:
         """Place a request without a prompt: each counts one unit."""
         pool = self.pool(wish.service, stage)
-        units = 1.0 if stage == PLAIN else float(LEAST_TOKENS)
+        units = 1.0 if stage == PLAIN else float(MIN_TOKENS)
 
         def choose(late: bool) -> Choice | None:
             offers = self._offers(pool, wish, wish.name[0], lambda node: units, late)
@@ -199,7 +199,7 @@
         weighing = Weighing(prompt, self.zone, prefill, decode, self.policy)
 
         def units(node: Node) -> float:
-            return float(max(LEAST_TOKENS, prompt.tokens_in - node.cache.cached(prompt)))
+            return float(max(MIN_TOKENS, prompt.tokens_in - node.cache.cached(prompt)))
 
         def choose(late: bool) -> Choice | None:
             reading = self._offers(prefill, wish, prompt.key, units, late)
@@ -221,7 +221,7 @@
         weighing = Weighing(prompt, self.zone, self.pool(wish.service, PREFILL), decode, self.policy)
 
         def choose(late: bool) -> Choice | None:
-            offers = self._offers(decode, wish, prompt.key, lambda node: float(LEAST_TOKENS), late)
+            offers = self._offers(decode, wish, prompt.key, lambda node: float(MIN_TOKENS), late)
             return weighing.choose_maker(self.nodes.get(reader), offers)
 
         return self._placed(wish, choose, prompt)
--- a/hophinge/fleet/placement/queue.py
+++ b/hophinge/fleet/placement/queue.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 REMEMBERED = 32  # jobs taken to be begun that are kept, to put back those that were not
-LEAST_SAMPLE_US = 1_000.0  # a job takes at least that: less is an error of clocks
+MIN_SAMPLE_US = 1_000.0  # a job takes at least that: less is an error of clocks
 FRESH_US = 500_000.0  # a report is so old at most: what was placed since may not be in it
 PHANTOM_PRIORITY = 9  # of work that an engine reports and nobody told of
 
@@ -75,7 +75,7 @@
 
     def spent_us(self, job: Job, ended_us: float) -> float:
         """Tell the time that the instance spent on a job that has just ended: since the one before it ended."""
-        return max(LEAST_SAMPLE_US, ended_us - max(self.done_us, job.arrived_us))
+        return max(MIN_SAMPLE_US, ended_us - max(self.done_us, job.arrived_us))
 
     def finish(self, now_us: float, job: Job, ended_us: float) -> None:
         """Correct the queue by the end of a job.
--- a/hophinge/fleet/placement/stages.py
+++ b/hophinge/fleet/placement/stages.py
@@ -21,7 +21,7 @@
 OTHER_STAGE = {PREFILL: DECODE, DECODE: PREFILL}
 NEWEST = 0.4  # weight of the newest report in an instance's means
 QUEUED = 0.25  # of an instance's time that each request that waits there adds to the work there is
-MOST_QUEUED = 4  # requests that wait at one instance and are counted
+MAX_QUEUED = 4  # requests that wait at one instance and are counted
 LEAST = 2  # instances of a stage, where there are twice as many in all: one more may be lost
 AT_ONCE = 0.17  # part of a service's instances that change their part together, at most
 
@@ -44,7 +44,7 @@
 
     def take(self, report: Report, slots: int) -> None:
         """Take a report."""
-        queued = QUEUED * min(MOST_QUEUED, report.waiting)
+        queued = QUEUED * min(MAX_QUEUED, report.waiting)
         reading = (1.0 if report.running or report.waiting else 0.0) + queued
         memory = report.used / report.total if report.total > 0 else 0.0
         making = max((report.running + report.waiting) / max(1, slots), memory)
--- a/hophinge/fleet/placement/timing.py
+++ b/hophinge/fleet/placement/timing.py
@@ -17,7 +17,7 @@
 UNIT_STEP = 0.1  # part by which one answer moves the time per unit at most
 FIXED_STEP_US = 4_000.0  # by which one answer moves it at most
 FAR_OFF = 2.0  # times the time per unit: a sample beyond it is mostly something else
-LEAST_TAUGHT = {PREFILL: 1_500.0, DECODE: 1_500.0, PLAIN: 0.0}  # units of a request that teaches the time per unit
+MIN_TAUGHT = {PREFILL: 1_500.0, DECODE: 1_500.0, PLAIN: 0.0}  # units of a request that teaches the time per unit
 
 
 class StageTiming:
@@ -44,7 +44,7 @@
 
     def answer_took(self, node: Node, units: float, took_us: float) -> None:
         """Learn from an answer's time. What lies above the lower part of such times is waiting behind others' work."""
-        if units < LEAST_TAUGHT[self.stage]:
+        if units < MIN_TAUGHT[self.stage]:
             return
         if self.reads_in_turn:
             self._learn_fixed(node, units, took_us)
@@ -61,7 +61,7 @@
 
     def job_ended(self, node: Node, units: float, spent_us: float) -> None:
         """Learn from the time that an instance spent on one job; a word of another head may name one of no size."""
-        if units <= 0 or units < LEAST_TAUGHT[self.stage]:
+        if units <= 0 or units < MIN_TAUGHT[self.stage]:
             return
         sample = spent_us / units
         node.unit_us = _follow(self.unit_us(node), sample, NODE_STEP)
--- a/hophinge/fleet/program.py
+++ b/hophinge/fleet/program.py
@@ -13,7 +13,7 @@
 from hophinge.fleet.settings import Settings, SettingsError, read_settings
 
 FAILED = 1  # exit status where settings cannot be used
-MOST_FAILURES = 20  # in a row, of a periodic step, before the process ends to be started anew
+MAX_FAILURES = 20  # in a row, of a periodic step, before the process ends to be started anew
 REREAD_S = 3.0  # between looks at the settings file: it may change without a signal
 
 
@@ -75,7 +75,7 @@
             task.cancel()
 
 
-async def repeat(period_s: float, work: Callable[[], Awaitable[None]], most_failures: int = MOST_FAILURES) -> None:
+async def repeat(period_s: float, work: Callable[[], Awaitable[None]], most_failures: int = MAX_FAILURES) -> None:
     """Do a round of work for ever, with a pause after each.
 
     A round that fails is told of, and the next one comes all the same: the process has answers under way that have no
@@ -95,7 +95,7 @@
         await asyncio.sleep(period_s)
 
 
-async def every(period_s: float, action: Callable[[], None], most_failures: int = MOST_FAILURES) -> None:
+async def every(period_s: float, action: Callable[[], None], most_failures: int = MAX_FAILURES) -> None:
     """Call something for ever, as `repeat` does."""
 
     async def call() -> None:
--- a/hophinge/fleet/settings.py
+++ b/hophinge/fleet/settings.py
@@ -11,7 +11,7 @@
 
 VARIABLE = "HOPHINGE_CONFIG"
 DEFAULT_PATH = "/etc/hophinge/local.json"
-MOST_NUMBER = 1e12  # that a setting may be
+MAX_NUMBER = 1e12  # that a setting may be
 CONTROL_PORT, DATA_PORT = 0, 1  # places in the internal port range
 
 
@@ -67,7 +67,7 @@
 
 def _is_number(value: Any) -> bool:
     """Tell whether a value is a number that can be counted with; not a number that is none, nor one without an end."""
-    return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MOST_NUMBER
+    return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MAX_NUMBER
 
 
 class Reader:
--- a/hophinge/fleet/transport/frames.py
+++ b/hophinge/fleet/transport/frames.py
@@ -9,7 +9,7 @@
 from hophinge.coordination.view import Replica
 
 LENGTH = struct.Struct(">I")
-MOST_BYTES = 16 << 20  # of one frame: above the largest configuration with all that is remembered of older ones
+MAX_BYTES = 16 << 20  # of one frame: above the largest configuration with all that is remembered of older ones
 
 
 @wire(40)
@@ -40,7 +40,7 @@
         begin = 0
         while len(self.buffer) - begin >= LENGTH.size:
             (length,) = LENGTH.unpack_from(self.buffer, begin)
-            if length > MOST_BYTES:
+            if length > MAX_BYTES:
                 raise CodecError(f"a frame of {length} bytes")
             end = begin + LENGTH.size + length
             if len(self.buffer) < end:
--- a/hophinge/fleet/transport/links.py
+++ b/hophinge/fleet/transport/links.py
@@ -19,7 +19,7 @@
 USER_TIMEOUT_MS = 1_500  # unacknowledged bytes for so long end a connection
 CONNECT_S = 1.5  # for a connection to come up
 RETRY_S = 0.15  # between attempts to connect to one address
-MOST_QUEUED = 32 << 20  # bytes that wait for one peer; more, and the connection is ended
+MAX_QUEUED = 32 << 20  # bytes that wait for one peer; more, and the connection is ended
 IDLE_CLOSE_S = 60.0  # an outgoing connection not used for so long is closed
 
 Handler = Callable[[Hello, object], None]
@@ -99,7 +99,7 @@
         self.used = loop.time()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
-            if self.transport.get_write_buffer_size() > MOST_QUEUED:
+            if self.transport.get_write_buffer_size() > MAX_QUEUED:
                 self.transport.abort()
             return
         if self.connecting is None and loop.time() >= self.not_before:
--- a/hophinge/fleet/transport/server_connection.py
+++ b/hophinge/fleet/transport/server_connection.py
@@ -22,7 +22,7 @@
 )
 from hophinge.fleet.transport.upgrade import without_upgrade
 
-MOST_WAITING = 8  # requests behind the one that is answered, from which on the client is not read
+MAX_WAITING = 8  # requests behind the one that is answered, from which on the client is not read
 BY_CLIENT = (Ending.CLIENT_CLOSED, Ending.CLIENT_RESET)
 
 
@@ -131,7 +131,7 @@
         if self.pipeline and self.pipeline[0][0] is self.cycle:
             if not served:
                 self.pipeline[0] = (self.cycle, service_unavailable)
-            if len(self.pipeline) < MOST_WAITING:
+            if len(self.pipeline) < MAX_WAITING:
                 self.flow.resume_reading()  # its client's leaving has to be seen
 
     def on_message_complete(self) -> None:
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -25,8 +25,8 @@
 from hophinge.tenancy.life import State
 
 FLUSH_S = 1.0  # of usage; a killed head loses what came since
-MOST_SWEPT = 50  # uploads whose state is looked up when a tenant has its most
-AGAIN_S = 1.0  # advice to who has as many connections or requests as it may
+MAX_SWEPT = 50  # uploads whose state is looked up when a tenant has its most
+RETRY_INTERVAL_S = 1.0  # advice to who has as many connections or requests as it may
 GUESSES_S, GUESSES_BURST = 50.0, 200.0  # wrong keys from one address; beyond, none from there is looked at
 
 
@@ -111,7 +111,9 @@
         ):
             self.count(key.tenant, held.id, used.REFUSED, 1)
             self.counters.add("tenants_bounded")
-            raise ObjectError(503, "SlowDown", "The account has as many connections or requests as it may.", AGAIN_S)
+            raise ObjectError(
+                503, "SlowDown", "The account has as many connections or requests as it may.", RETRY_INTERVAL_S
+            )
         return Guest(key.tenant, bucket, Volume(held.id, held.plan))
 
     def dropped(self, holder: object) -> None:
@@ -133,7 +135,7 @@
 
     async def _sweep(self, tenant: str) -> None:
         assert self.store is not None
-        for upload, body in self.ledger.uploads(tenant, MOST_SWEPT):
+        for upload, body in self.ledger.uploads(tenant, MAX_SWEPT):
             one = msgspec.json.decode(body, type=Upload)
             if await self.store.ended(Volume(one.volume, one.plan), one.name, upload, self._budget()):
                 self.ledger.upload_ended(upload)
@@ -157,7 +159,7 @@
     async def abort(self, tenant: str) -> None:
         """Abort what uploads of a tenant are open here; one at a time, each noted before the next."""
         assert self.store is not None
-        for upload, body in self.ledger.uploads(tenant, MOST_SWEPT):
+        for upload, body in self.ledger.uploads(tenant, MAX_SWEPT):
             one = msgspec.json.decode(body, type=Upload)
             with contextlib.suppress(ObjectError):  # it has ended already
                 await self.store.abort(Volume(one.volume, one.plan), one.name, upload, self._budget())
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -40,7 +40,7 @@
 
 KIND, FORM = "drains", 1
 LOOK_S = 0.1  # between looks at what is out there
-SAVE_AGAIN_S = 1.0  # after the disk failed; until then nothing is said to be drained
+SAVE_RETRY_INTERVAL_S = 1.0  # after the disk failed; until then nothing is said to be drained
 
 
 class Answers:
@@ -145,7 +145,7 @@
                 self.look()
             except OSError as error:
                 self.log(f"maintenance: what is out cannot be kept, so no brick is said to be drained: {error}")
-                await asyncio.sleep(SAVE_AGAIN_S)
+                await asyncio.sleep(SAVE_RETRY_INTERVAL_S)
 
     # --- the stream
 
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -28,7 +28,7 @@
 # and beyond each reserve and fair part, by the settings' usual worths (0.75 sqrt(0.1 x 0.2)).
 SPARE_WAIT = 0.1
 WAIT_FADES = 4.0  # tightest aims after which a wait that was seen says nothing
-MOST_SECRET = 4096  # bytes of the file
+MAX_SECRET = 4096  # bytes of the file
 
 
 class SecretUnusableError(HophingeError):
@@ -45,7 +45,7 @@
     """Read the installation's secret."""
     try:
         with path.open("rb") as file:
-            secret = file.read(MOST_SECRET).strip()
+            secret = file.read(MAX_SECRET).strip()
         Keys(secret)
     except (OSError, ValueError) as error:
         raise SecretUnusableError(f"[popularity] secret_file {str(path)!r}: {error}") from error
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -23,7 +23,7 @@
 from hophinge.head.sections import ScoringConfig
 from hophinge.popularity.interface import Demand
 from hophinge.scoring import latency, outlook, suspicion
-from hophinge.scoring.encoding import MOST_SCORER
+from hophinge.scoring.encoding import MAX_SCORER
 from hophinge.scoring.engine import Drop, Engine, Put
 from hophinge.scoring.errors import (
     ScorerInterfaceError,
@@ -66,7 +66,7 @@
     if len(kinds) != 1 or not isinstance(kinds[0], Kind):
         raise ScorerUnusableError(f"the package of scorer {name!r} has no hophinge_scorer, or it tells no Kind")
     kind: Kind = kinds[0]
-    if kind.name != name or not 0 < len(name) <= MOST_SCORER or not isinstance(kind.parameters, type):
+    if kind.name != name or not 0 < len(name) <= MAX_SCORER or not isinstance(kind.parameters, type):
         raise ScorerUnusableError(f"the plug-in of scorer {name!r} brings {kind.name!r}, or states no parameters")
     if kind.interface != INTERFACE:
         raise ScorerInterfaceError(
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -26,9 +26,9 @@
 if TYPE_CHECKING:
     from hophinge.head.accounts import HeadAccounts
 
-LEAST_TOKEN = 16  # characters
-MOST_SHOWN = 100  # tenants in what staff are told; the rest is summed
-MOST_TOLD = 500  # tenants whose demand one ask tells
+MIN_TOKEN = 16  # characters
+MAX_SHOWN = 100  # tenants in what staff are told; the rest is summed
+MAX_TOLD = 500  # tenants whose demand one ask tells
 
 
 class Streamed:
@@ -44,8 +44,8 @@
         accounts: HeadAccounts | None,
     ) -> None:
         token = config.token_file.read_text().strip()
-        if len(token) < LEAST_TOKEN or not token.isascii():
-            raise ValueError(f"{config.token_file}: a token has {LEAST_TOKEN} ASCII characters or more")
+        if len(token) < MIN_TOKEN or not token.isascii():
+            raise ValueError(f"{config.token_file}: a token has {MIN_TOKEN} ASCII characters or more")
         self.exchange = exchange
         self.router = Router(exchange.settings)
         self.forms = Forms(self.router, exchange.counters)
@@ -110,7 +110,7 @@
         asked, held = self.holder.ask(now)
         span_s, self.demand_since = max(0.1, (now - self.demand_since) / 1e6), now
         # The largest are told; for the others the even part will do.
-        largest = sorted(self.router.admission.demand().items(), key=lambda row: -row[1])[:MOST_TOLD]
+        largest = sorted(self.router.admission.demand().items(), key=lambda row: -row[1])[:MAX_TOLD]
         return {
             "heads": self.exchange.settings.gateways,
             "process": self.holder.process,
@@ -158,7 +158,7 @@
         rows = {
             "leases": self._leases(),
             "serial": self.holder.serial,
-            **self.router.usage(MOST_SHOWN, self.exchange.now_us()),
+            **self.router.usage(MAX_SHOWN, self.exchange.now_us()),
         }
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
@@ -233,7 +233,7 @@
             self.ack.append(wire.Request(wire.Kind.ACCOUNT, f"{part.epoch}.{part.seq}", head=self.name))
         said, self.ack = self.ack, []
         if beat and self.accounts.reports.due:
-            number, totals = self.accounts.report(MOST_TOLD)
+            number, totals = self.accounts.report(MAX_TOLD)
             said.append(
                 wire.Request(
                     wire.Kind.USAGE,
--- a/hophinge/load/plan.py
+++ b/hophinge/load/plan.py
@@ -11,7 +11,7 @@
 
 VERSION = "1"
 FAULTS = ("fail", "hang", "slow", "cold", "vanish")
-MOST_RATE = 20_000.0  # requests a second of all clients together
+MAX_RATE = 20_000.0  # requests a second of all clients together
 LONGEST_S = 600.0
 VOLUMES = 0x10_0000  # a client's volumes count from its place, times this
 
@@ -215,8 +215,8 @@
         if not clients:
             wrong(nodes[0], "a plan needs a (client NAME ...)")
         most = sum(one.rate for one in clients.values()) * max([1.0, *(one.times for one in surges)])
-        if most > MOST_RATE:
-            wrong(nodes[0], f"all clients together ask up to {most:g} times a second; at most {MOST_RATE:g}")
+        if most > MAX_RATE:
+            wrong(nodes[0], f"all clients together ask up to {most:g} times a second; at most {MAX_RATE:g}")
     return plan, mistakes
 
 
@@ -239,7 +239,7 @@
         name,
         part.one("class", "class"),
         part.one("plan", "plan"),
-        part.quantity("rate", "request rate", 1.0, 0.0, MOST_RATE, needed=True),
+        part.quantity("rate", "request rate", 1.0, 0.0, MAX_RATE, needed=True),
         part.quantity("units", "units", 1.0, 0.01, 1e6),
         int(part.number("volumes", 1, 1, VOLUMES - 1, whole=True)),
         way == "write",
--- a/hophinge/load/rig/processes.py
+++ b/hophinge/load/rig/processes.py
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).parent.parent.parent.parent
 LAUNCH = "hophinge.load.rig.launch"
-USUAL_MOST = 48  # processes of one run, ended ones not counted
+USUAL_MAX = 48  # processes of one run, ended ones not counted
 MOST = 200  # that a run may ask for
 MEMORY_MB = 1024  # of one process: several times what any takes
 LINES, LONGEST_LINE = 2_000, 4_000  # of a process's log, the newest, and bytes of one
@@ -184,7 +184,7 @@
 class Processes:
     """All processes of one run, at most so many at once."""
 
-    def __init__(self, folder: Path, most: int = USUAL_MOST) -> None:
+    def __init__(self, folder: Path, most: int = USUAL_MAX) -> None:
         self.folder, self.most = folder, min(most, MOST)
         self.by_name: dict[str, Process] = {}
 
--- a/hophinge/load/rig/relay.py
+++ b/hophinge/load/rig/relay.py
@@ -16,7 +16,7 @@
 from hophinge.load.rig.datagrams import STRANGER, Network
 from hophinge.net.address import split
 
-MOST_WAITING = 50_000  # datagrams under way; what comes beyond is lost, and counted
+MAX_WAITING = 50_000  # datagrams under way; what comes beyond is lost, and counted
 CHUNK = 16_384  # bytes of a stream that travel together
 Address = tuple[str, int]
 
@@ -90,7 +90,7 @@
         for after_us in self.network.fate(source, target):
             if not after_us:
                 self._put(source, target, data)
-            elif self.waiting >= MOST_WAITING:
+            elif self.waiting >= MAX_WAITING:
                 self.network.figures["too many"] += 1
             else:
                 self.waiting += 1
--- a/hophinge/load/rig/run.py
+++ b/hophinge/load/rig/run.py
@@ -21,7 +21,7 @@
 from hophinge.load.plan import LoadPlan
 from hophinge.load.rig.datagrams import Network
 from hophinge.load.rig.launch import CLOCK
-from hophinge.load.rig.processes import USUAL_MOST, ROOT, Process, Processes
+from hophinge.load.rig.processes import USUAL_MAX, ROOT, Process, Processes
 from hophinge.load.rig.relay import Relay
 from hophinge.load.rig.view import View
 from hophinge.load.rig.waiting import Condition
@@ -75,7 +75,7 @@
 class Run:
     """The processes of one run by name, its network and its stand-ins; all of it ends with the block that it is in."""
 
-    def __init__(self, folder: Path, seed: int = 1, plan: LoadPlan | None = None, most: int = USUAL_MOST) -> None:
+    def __init__(self, folder: Path, seed: int = 1, plan: LoadPlan | None = None, most: int = USUAL_MAX) -> None:
         self.folder, self.host = folder, own_host()
         self.network = Network(seed)
         self.relay = Relay(self.network, self.host)
--- a/hophinge/load/rig/waiting.py
+++ b/hophinge/load/rig/waiting.py
@@ -16,7 +16,7 @@
 ASK_S = 2.0  # for one answer of a process that may stand still
 TAIL = 12  # lines of a log that a failure shows
 SLOW = f"no answer within {ASK_S:g} s"
-MOST_TEXT = 600  # characters of what was seen last
+MAX_TEXT = 600  # characters of what was seen last
 
 # Looks once; tells whether the state is there, and what was seen.
 Look = Callable[[], Awaitable[tuple[bool, str]]]
@@ -63,7 +63,7 @@
         state = "stopped" if one.stopped else "running" if one.running else "ended"
         if one.child is not None and one.child.returncode is not None:
             state += f" with {one.child.returncode}"
-        parts.append(f"\n{one.name} ({state}): {condition.what}; last seen: {seen[:MOST_TEXT] or 'nothing'}")
+        parts.append(f"\n{one.name} ({state}): {condition.what}; last seen: {seen[:MAX_TEXT] or 'nothing'}")
         parts += [f"\n    {line}" for line in list(one.lines)[-TAIL:]]
     return "".join(parts)
 
--- a/hophinge/maintenance/shown.py
+++ b/hophinge/maintenance/shown.py
@@ -10,7 +10,7 @@
 from hophinge.maintenance.permits import Kind, Permit, State
 from hophinge.maintenance.releases import ENDED, Course, Stage
 
-MOST_NAMED = 20  # heads whose word is missing, named for one brick, and heads that are away
+MAX_NAMED = 20  # heads whose word is missing, named for one brick, and heads that are away
 
 
 def shown(one: Coordinator, since_ms: Callable[[str], int] = lambda name: 0) -> dict[str, Any]:
@@ -19,7 +19,7 @@
     return {
         "heads_up": len(heads.up),
         "heads": max(heads.total, len(heads.up) + len(heads.down)),
-        "absent": absent(one.observations.heads, one.observations.connected(), one.rule.retired, since_ms, MOST_NAMED),
+        "absent": absent(one.observations.heads, one.observations.connected(), one.rule.retired, since_ms, MAX_NAMED),
         "permits": [_permit(one, permit) for kind in Kind for permit in one.permits.all(kind)],
         "waiting": [
             {"kind": kind.value, "name": name, "why": why}
@@ -67,7 +67,7 @@
         "by": permit.by,
         "state": state,
         "build": permit.build,
-        "missing": list(missing[:MOST_NAMED]),
+        "missing": list(missing[:MAX_NAMED]),
         "missing_count": len(missing),
         "served": one.drains.served(permit.id) if permit.state is State.BACK else 0,
     }
--- a/hophinge/maintenance/watch.py
+++ b/hophinge/maintenance/watch.py
@@ -10,7 +10,7 @@
 from hophinge.maintenance.permits import Permit, State
 from hophinge.routing.bounds import Release
 
-LEAST_TAKEN = 50  # requests before a share of failures tells anything
+MIN_TAKEN = 50  # requests before a share of failures tells anything
 AWAY_US = 10_000_000  # without a stream before a head is lost: a service that starts has all back within five seconds
 SURE = 3.0  # standard errors by which a share has to be over what is allowed
 
@@ -74,7 +74,7 @@
         ]:
             taken, failed = self.counted((name, there[name]) for name in names)
             error = math.sqrt(max(allowed * (1 - allowed), 1e-4) / taken) if taken else 0.0
-            if taken >= LEAST_TAKEN and failed / taken > allowed + SURE * error:
+            if taken >= MIN_TAKEN and failed / taken > allowed + SURE * error:
                 return (
                     f"{told}: {failed:g} of {taken:g} requests were refused or failed; "
                     f"{100 * allowed:.1f} % may, {100 * form.refused:g} % more than elsewhere"
--- a/hophinge/net/answer.py
+++ b/hophinge/net/answer.py
@@ -15,10 +15,10 @@
 from hophinge.core.exchange import End
 from hophinge.core.interface import Result
 from hophinge.net.brick import BrickConnection, SpoiltError
-from hophinge.net.payload import HOLD, MOST_LONG
+from hophinge.net.payload import HOLD, MAX_LONG
 
 HOLD_S = 0.02  # for which an answer of unknown length is held
-MOST_FIGURE = 1e9  # of use, units or load; above it a figure is noise
+MAX_FIGURE = 1e9  # of use, units or load; above it a figure is noise
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
             chunk = await self.stream.readany()
             self.protocol.weigh()
             self.taken += len(chunk)
-            if self.taken > MOST_LONG:
+            if self.taken > MAX_LONG:
                 raise SpoiltError("a body that is too long")  # in chunks that never end
         except (aiohttp.ClientError, HttpProcessingError, OSError) as error:
             self.end(Result.RESET)
@@ -91,7 +91,7 @@
         value = float(text) if text and len(text) < 32 else math.nan
     except ValueError:
         return None
-    return value if 0.0 <= value <= MOST_FIGURE else None  # inf and nan are floats too
+    return value if 0.0 <= value <= MAX_FIGURE else None  # inf and nan are floats too
 
 
 def read_report(text: str | None) -> dict[str, float]:
--- a/hophinge/net/brick.py
+++ b/hophinge/net/brick.py
@@ -15,14 +15,14 @@
 from aiohttp.client_proto import ResponseHandler
 
 from hophinge.net.budget import Budget
-from hophinge.net.payload import MOST_LONG
+from hophinge.net.payload import MAX_LONG
 from hophinge.net.roll import Roll
 
-MOST_HEAD = 16 * 1024  # of an answer, the 1xx heads in front of it among it
+MAX_HEAD = 16 * 1024  # of an answer, the 1xx heads in front of it among it
 STALL_S = 0.5  # an answer that has begun comes on: a brick works before it answers, not within
 STREAM_STALL_S = 5.0  # the same once it is passed on: nothing else could be done with its request
 HIGH = 128 * 1024  # held of one answer; the rest waits in the kernel, and then at the brick
-MOST_FRAMING = 512 * 1024  # of a chunked body beyond as much as the body itself: 64 KiB byte by byte are 384 KiB
+MAX_FRAMING = 512 * 1024  # of a chunked body beyond as much as the body itself: 64 KiB byte by byte are 384 KiB
 START = b"HTTP/1."
 HEAD = re.compile(
     rb"HTTP/1\.[01] ([1-5][0-9]{2})(?: [^\r\n\0]*)?\r\n"
@@ -43,7 +43,7 @@
     lengths, codings = LENGTH.findall(head[2]), CODING.findall(head[2])
     if codings:
         return CHUNKED if [one.lower() for one in codings] == [b"chunked"] and not lengths else None
-    if len(lengths) == 1 and lengths[0].isdigit() and len(lengths[0]) < 10 and int(lengths[0]) <= MOST_LONG:
+    if len(lengths) == 1 and lengths[0].isdigit() and len(lengths[0]) < 10 and int(lengths[0]) <= MAX_LONG:
         return int(lengths[0])
     if not lengths and head[1] == b"200" and (CLOSE.search(head[2]) or head[0].startswith(b"HTTP/1.0")):
         return UNTIL_CLOSE  # announced; a head that merely lost its length does not say so
@@ -118,7 +118,7 @@
         while self.state == "head" and self.head:
             end = self.head.find(b"\r\n\r\n") + 4
             whole = HEAD.fullmatch(self.head, 0, end) if end > 3 else None
-            if self.passed + max(len(self.head) if end < 4 else end, 0) > MOST_HEAD:
+            if self.passed + max(len(self.head) if end < 4 else end, 0) > MAX_HEAD:
                 return self._spoil("a head that is too long")
             if end < 4:
                 if not START.startswith(self.head[: len(START)]):
@@ -157,7 +157,7 @@
                 self._spoil("malformed chunks")  # aiohttp tells the connection, not the body that is being read
             elif body is None or body.is_eof():
                 self.state = "idle"
-            elif self.passed > MOST_FRAMING + 2 * body.total_bytes:
+            elif self.passed > MAX_FRAMING + 2 * body.total_bytes:
                 self._spoil("more framing than body")  # endless extensions, or a flood of the smallest chunks
             return
         own, rest = data[: self.left], data[self.left :]
--- a/hophinge/net/client.py
+++ b/hophinge/net/client.py
@@ -21,7 +21,7 @@
 from hophinge.net.brick import STREAM_STALL_S, BrickConnection, SpoiltError
 from hophinge.net.clock import now_us
 from hophinge.net.budget import Budget
-from hophinge.net.payload import MOST_LONG, Payload
+from hophinge.net.payload import MAX_LONG, Payload
 from hophinge.net.pool import Pool
 from hophinge.net.roll import Roll
 from hophinge.net.upload import Upload, UploadError
@@ -182,7 +182,7 @@
                 self.pool.put_back(protocol)  # nothing was written: it serves the next request
                 raise
             # The stream's own bound is out of reach: what is held is weighed over all connections.
-            protocol.set_response_params(read_until_eof=True, auto_decompress=False, read_bufsize=2 * MOST_LONG)
+            protocol.set_response_params(read_until_eof=True, auto_decompress=False, read_bufsize=2 * MAX_LONG)
             transport.write(request)
             if attempt is not None:
                 payload: Payload = attempt.request.payload
--- a/hophinge/net/connection.py
+++ b/hophinge/net/connection.py
@@ -18,7 +18,7 @@
 LINGER_S = 1.0  # for an error to be read by a client that goes on sending
 PART_S = 0.3  # for a client to take note of the end of its connection, and to end it too
 DISCARD_S = 0.02  # between reads of what it goes on sending
-MOST_HEAD = 16 * 1024
+MAX_HEAD = 16 * 1024
 
 
 class Owner(Protocol):
@@ -86,7 +86,7 @@
             if not self.head:
                 self._begins()
             self.head += len(data)
-            if self.head > MOST_HEAD and not self.lingering:
+            if self.head > MAX_HEAD and not self.lingering:
                 self.head = 0
                 self.drop_behind()
                 super()._parse(b"\0")  # no head holds this: the parser ends it, as any malformed one
--- a/hophinge/net/connects.py
+++ b/hophinge/net/connects.py
@@ -8,10 +8,10 @@
 from __future__ import annotations
 
 LATE_TIMES = 4.0  # usual connects' time after which one is late
-LEAST_LATE_S = 0.01  # a busy machine's turns, which are no lateness
+MIN_LATE_S = 0.01  # a busy machine's turns, which are no lateness
 LATE_PART = 1 / 3  # of the connect limit: what is late is found within it, with time for another
 STEP = 0.1  # part by which one connect moves the usual time
-MOST_BESIDE = 3  # connects to one brick beyond those that wait for one
+MAX_BESIDE = 3  # connects to one brick beyond those that wait for one
 SPARE_SHARE = 0.5  # connects beside late ones for each other: up to a third late, and a third of those
 SPARE_BURST = 8.0  # of them at once, when many come late together
 
@@ -26,12 +26,12 @@
     @property
     def late_s(self) -> float:
         """Tell the time after which a connect is late."""
-        return min(LATE_PART * self.limit_s, max(LEAST_LATE_S, LATE_TIMES * self.usual_s))
+        return min(LATE_PART * self.limit_s, max(MIN_LATE_S, LATE_TIMES * self.usual_s))
 
     def came(self, took_s: float) -> None:
         """Learn from a connect that came up: half of them take less than the usual time."""
         if not self.usual_s:
-            self.usual_s = min(took_s, LEAST_LATE_S)
+            self.usual_s = min(took_s, MIN_LATE_S)
         self.usual_s *= 1 + (STEP if took_s > self.usual_s else -STEP)
 
     def opened(self) -> None:
@@ -62,7 +62,7 @@
             begun.append((self._begin(now), False))
         while (
             len(self.since) - late < waiting
-            and len(self.since) < waiting + MOST_BESIDE
+            and len(self.since) < waiting + MAX_BESIDE
             and held + len(self.since) < most
             and self.usual.credit >= 1
         ):
--- a/hophinge/net/discovery.py
+++ b/hophinge/net/discovery.py
@@ -14,9 +14,9 @@
 from hophinge.core import interface as api
 from hophinge.core.counters import Counters
 from hophinge.net.address import split
-from hophinge.net.pace import BESIDE_S, MOST_BESIDE, CallPace
+from hophinge.net.pace import BESIDE_S, MAX_BESIDE, CallPace
 
-MOST_BOOT_MS = 2**53  # of a start that is told; one beyond it is no time that anything can be reckoned with
+MAX_BOOT_MS = 2**53  # of a start that is told; one beyond it is no time that anything can be reckoned with
 PHASES = {"Ready": api.Phase.ON, "Terminating": api.Phase.DRAINING, "Gone": api.Phase.GONE}
 
 
@@ -118,7 +118,7 @@
             target.pod_group,
             PHASES.get(target.state, api.Phase.DRAINING),
             target.capacity_hint,
-            max(0, min(MOST_BOOT_MS, target.boot_ms)) * 1000,
+            max(0, min(MAX_BOOT_MS, target.boot_ms)) * 1000,
             self.kinds.setdefault(target.model, len(self.kinds)),
         )
 
@@ -225,7 +225,7 @@
         pause_s = 0.0  # before another call, after one that failed; those that are open go on meanwhile
         try:
             while True:
-                if not pause_s and len(calls) < MOST_BESIDE:
+                if not pause_s and len(calls) < MAX_BESIDE:
                     calls.add(asyncio.get_running_loop().create_task(self._ask(url)))
                 done, calls = await asyncio.wait(
                     calls, timeout=pause_s or BESIDE_S, return_when=asyncio.FIRST_COMPLETED
--- a/hophinge/net/listener.py
+++ b/hophinge/net/listener.py
@@ -14,7 +14,7 @@
 from hophinge.core.counters import Counters
 from hophinge.net.acceptor import BATCH, Acceptor
 from hophinge.net.budget import Budget
-from hophinge.net.connection import MOST_HEAD, YIELD_S, ClientConnection
+from hophinge.net.connection import MAX_HEAD, YIELD_S, ClientConnection
 
 __all__ = ["IN", "OUT", "Acceptor", "ClientConnection", "Listener", "Pace", "Server", "origin_form"]
 
@@ -22,7 +22,7 @@
 FIRST_S = 1.2  # the same for a first head: the kernel has held a silent connection for a second already
 HEAD_S = 2.5  # for a head, from its first byte
 SILENT_S = 0.3  # a connection that has said nothing yet, when connections run out
-MOST_BEHIND = 8 * 1024 * 1024  # bytes that all clients together may have sent behind requests that are open
+MAX_BEHIND = 8 * 1024 * 1024  # bytes that all clients together may have sent behind requests that are open
 IN, OUT = 0, 1  # ways of bytes, as seen from a head
 
 
@@ -52,8 +52,8 @@
             lingering_time=0.0,
             keepalive_timeout=self.first_s,
             auto_decompress=False,
-            max_line_size=MOST_HEAD // 2,
-            max_field_size=MOST_HEAD // 2,
+            max_line_size=MAX_HEAD // 2,
+            max_field_size=MAX_HEAD // 2,
         )
 
 
@@ -67,7 +67,7 @@
         self.counters, self.most_connections, self.idle_s = counters, most, idle_s
         self.most_resting = most
         self.head_s = max(first_s, HEAD_S)
-        self.behind = Budget(MOST_BEHIND)
+        self.behind = Budget(MAX_BEHIND)
         self.closing = False
         self.gone: Callable[[Any], None] | None = None  # told of connections that have ended
         self.busy: set[Any] = set()
--- a/hophinge/net/pace.py
+++ b/hophinge/net/pace.py
@@ -33,7 +33,7 @@
 PUSHED_WATCH_S, PUSHED_SPARE_S, PUSHED_LIST_S = 1.0, 0.3, 1.0  # of an agent beside, which has no queue
 PUSHED_PAUSE_S = 0.1  # the longest after errors of such an agent: under every drain's grace
 BESIDE_S = 0.1  # after which another call goes out beside those that say nothing
-MOST_BESIDE = 10  # such calls at once; each waits `PUSHED_LIST_S`
+MAX_BESIDE = 10  # such calls at once; each waits `PUSHED_LIST_S`
 
 
 class CallPace:
--- a/hophinge/net/payload.py
+++ b/hophinge/net/payload.py
@@ -6,8 +6,8 @@
 
 from hophinge.net.upload import Upload
 
-MOST_BODY = 64 * 1024
-MOST_LONG = 33 * 1024 * 1024  # of a long body or answer
+MAX_BODY = 64 * 1024
+MAX_LONG = 33 * 1024 * 1024  # of a long body or answer
 KEY = "Idempotency-Key"
 HOLD = 64 * 1024  # an answer up to here is passed on only once it is whole
 
--- a/hophinge/net/server.py
+++ b/hophinge/net/server.py
@@ -15,7 +15,7 @@
 from hophinge.core.figures import FAULTED, FULFILLED, THROTTLED, Ticket
 from hophinge.net.budget import Budget
 from hophinge.net.listener import IN, OUT, ClientConnection, Listener, Pace, origin_form
-from hophinge.net.payload import MOST_BODY, MOST_LONG, Payload
+from hophinge.net.payload import MAX_BODY, MAX_LONG, Payload
 from hophinge.net.pipeline import READ_S
 from hophinge.net.reader import MalformedError, Reader, read_key
 from hophinge.net.upload import Upload
@@ -184,7 +184,7 @@
         """Read a body; False where it goes on beyond what may be kept."""
         if not request.can_read_body:
             return True
-        if (request.content_length or 0) > MOST_LONG:
+        if (request.content_length or 0) > MAX_LONG:
             raise MalformedError(413, "the body is too large")
         self.invite(request)
         held = 0
@@ -195,7 +195,7 @@
                 self.budget.held += len(chunk)
                 if request.method == "GET":
                     raise MalformedError(400, "a read has no body")
-                if held > MOST_BODY and (held > KEPT or self.budget.full):
+                if held > MAX_BODY and (held > KEPT or self.budget.full):
                     return False
         finally:
             self.budget.held -= held
@@ -212,7 +212,7 @@
                 if not chunk:
                     return
                 size += len(chunk)
-                if begun + size > MOST_LONG:
+                if begun + size > MAX_LONG:
                     raise MalformedError(413, "the body is too large")
                 yield chunk
                 # While nobody takes what has come, the client is not to blame.
--- a/hophinge/objects/cache.py
+++ b/hophinge/objects/cache.py
@@ -19,7 +19,7 @@
 MARGIN = 4.0  # times a victim's demand a byte that what nobody asked for must promise: what is chosen for its
 #                         prediction is overrated, and what is given up for its own underrated
 OVERHEAD = 200  # bytes that a kept piece takes beside its body
-MOST_OBJECTS = 50_000  # whose runs are known; beyond, those seen longest ago are forgotten with their pieces
+MAX_OBJECTS = 50_000  # whose runs are known; beyond, those seen longest ago are forgotten with their pieces
 
 Place = tuple[str, bytes, int]  # volume, run, place in the run
 Object = tuple[str, str]  # volume, id of the manifest
@@ -90,7 +90,7 @@
         self.objects.move_to_end(one)
         for token in runs:
             self.runs[one[0], token] = one
-        while len(self.objects) > MOST_OBJECTS:
+        while len(self.objects) > MAX_OBJECTS:
             self.version(next(iter(self.objects)), ())
 
     def holds(self, one: Object) -> bool:
--- a/hophinge/objects/pieces.py
+++ b/hophinge/objects/pieces.py
@@ -15,7 +15,7 @@
 from hophinge.core import interface as api
 from hophinge.core.exchange import Answer, Exchange, Rest, Verdict, giver
 from hophinge.core.figures import FAULTED, FULFILLED, THROTTLED
-from hophinge.net.payload import MOST_BODY, Payload, key_line
+from hophinge.net.payload import MAX_BODY, Payload, key_line
 from hophinge.objects.config import ObjectConfig
 from hophinge.objects.records import Piece, Run, piece_id
 from hophinge.objects.tenants import Volume
@@ -23,7 +23,7 @@
 # An absent object is an answer: its node did the work.
 OUTCOMES = {Verdict.SERVED: FULFILLED, Verdict.ABSENT: FULFILLED, Verdict.REFUSED: THROTTLED, Verdict.FAILED: FAULTED}
 BEFOREHAND = "beforehand"  # the volume that fetches beforehand count on: no tenant's use, reserve or limit is touched
-LEAST_WAIT_US = 50_000  # before a piece that was refused without advice is asked for again
+MIN_WAIT_US = 50_000  # before a piece that was refused without advice is asked for again
 
 
 class RefusedError(Exception):
@@ -93,7 +93,7 @@
     def units(self, size: int) -> float:
         """Tell what a body counts: a brick's largest request is a full body."""
         most = self.exchange.settings.most_units
-        return min(most, max(1.0, math.ceil(size / MOST_BODY * most)))
+        return min(most, max(1.0, math.ceil(size / MAX_BODY * most)))
 
     async def call(
         self,
@@ -163,13 +163,13 @@
     async def _whole(self, body: bytes, rest: Rest) -> bytes:
         """Read on in an answer whose length its brick did not say."""
         try:
-            while len(body) <= MOST_BODY and (chunk := await rest.read()):
+            while len(body) <= MAX_BODY and (chunk := await rest.read()):
                 body += chunk
         except ConnectionError as error:
             raise CoreFailedError from error
         finally:
             rest.close()
-        if len(body) > MOST_BODY:
+        if len(body) > MAX_BODY:
             raise CoreFailedError  # longer than any piece
         return body
 
@@ -238,7 +238,7 @@
                     return await self.read_piece(volume, run, at, budget)
                 except RefusedError as refused:
                     now = self.exchange.now_us()
-                    wait = max(refused.retry_after_us, LEAST_WAIT_US)
+                    wait = max(refused.retry_after_us, MIN_WAIT_US)
                     left = budget.left_us(now)
                     if not place or now + wait > until or (left is not None and left <= wait):
                         raise
--- a/hophinge/objects/requests.py
+++ b/hophinge/objects/requests.py
@@ -13,7 +13,7 @@
 
 from hophinge.core.counters import Counters
 from hophinge.net.listener import IN, OUT, Listener, Pace
-from hophinge.net.payload import MOST_BODY
+from hophinge.net.payload import MAX_BODY
 from hophinge.objects import xml
 from hophinge.objects.parameters import document, failure, matches, md5_of, number_of, type_of, upload_of
 from hophinge.objects.config import ObjectConfig
@@ -23,7 +23,7 @@
 from hophinge.objects.store import ObjectError, Store
 from hophinge.objects.tenants import Admission, Guest, Volume
 
-MOST_NAME = 1024  # bytes of an object's name
+MAX_NAME = 1024  # bytes of an object's name
 LIST_DEFAULT = 100
 REMAINING = re.compile(r"[0-9]{1,9}", re.ASCII)
 GUEST = web.RequestKey("guest", Guest)
@@ -63,8 +63,8 @@
         volume = guest.volume
         if not name:
             raise ObjectError(501, "NotImplemented", "Buckets are made by the administration API and not listed.")
-        if len(name.encode()) > MOST_NAME:
-            raise ObjectError(400, "KeyTooLongError", f"An object's name has at most {MOST_NAME} bytes.")
+        if len(name.encode()) > MAX_NAME:
+            raise ObjectError(400, "KeyTooLongError", f"An object's name has at most {MAX_NAME} bytes.")
         budget = self._budget(request)
         match request.method, "uploads" in query, "uploadId" in query:
             case "POST", True, False:
@@ -133,7 +133,7 @@
         body = bytearray()
         async for chunk in self._chunks(request):
             body += chunk
-            if len(body) > MOST_BODY:
+            if len(body) > MAX_BODY:
                 raise ObjectError(413, "EntityTooLarge", "The list is too long.")
         return bytes(body)
 
--- a/hophinge/peers/endpoint.py
+++ b/hophinge/peers/endpoint.py
@@ -20,7 +20,7 @@
 from hophinge.cluster.interface import Hearer, Role
 from hophinge.cluster.machine import Cluster
 from hophinge.cluster.tuning import Limits, Tuning
-from hophinge.cluster.wire import MOST_BYTES, read_keys
+from hophinge.cluster.wire import MAX_BYTES, read_keys
 
 AT_ONCE = 32  # datagrams read in one turn of the loop
 TURN_S = 0.002  # or so much time spent on them
@@ -193,7 +193,7 @@
         until = self.loop.time() + TURN_S
         for _ in range(AT_ONCE):
             try:
-                data, source = self.socket.recvfrom(MOST_BYTES + 1)
+                data, source = self.socket.recvfrom(MAX_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
--- a/hophinge/popularity/interval.py
+++ b/hophinge/popularity/interval.py
@@ -14,7 +14,7 @@
 MISSES = 0.1  # part of counts that may lie outside: half on each side, all above where the low bound is 0
 STEP = 0.02  # of spreads, for a miss; a hit steps back in proportion
 Z90 = 1.645  # spreads to begin with: those of a normal error
-MOST_Z = 4.0
+MAX_Z = 4.0
 CLASSES = 6  # of means: below 1/4, 1, 4, 16, 64, and above
 YOUNG = 4  # spans of age below which an object is judged among the young
 
@@ -57,4 +57,4 @@
 
 
 def _step(spreads: float, missed: bool, allowed: float) -> float:
-    return min(MOST_Z, max(0.0, spreads + STEP * ((1.0 if missed else 0.0) - allowed)))
+    return min(MAX_Z, max(0.0, spreads + STEP * ((1.0 if missed else 0.0) - allowed)))
--- a/hophinge/popularity/keys.py
+++ b/hophinge/popularity/keys.py
@@ -15,7 +15,7 @@
 
 KEY_BYTES = 8  # 64 bits: among a million objects two share a key once in 37 million installations
 SEALED_BYTES = 20  # volume and manifest, 8 each, and the shard
-LEAST_SECRET = 16  # bytes; shorter ones can be tried out
+MIN_SECRET = 16  # bytes; shorter ones can be tried out
 HEX = frozenset("0123456789abcdef")
 
 
@@ -35,8 +35,8 @@
     """Keys and seals under one secret, 16 to 64 bytes."""
 
     def __init__(self, secret: bytes) -> None:
-        if len(secret) < LEAST_SECRET:
-            raise ValueError(f"a secret has at least {LEAST_SECRET} bytes")
+        if len(secret) < MIN_SECRET:
+            raise ValueError(f"a secret has at least {MIN_SECRET} bytes")
         self.secret = blake2b(secret, digest_size=32).digest()
 
     def of(self, locator: Locator) -> bytes:
--- a/hophinge/popularity/planner.py
+++ b/hophinge/popularity/planner.py
@@ -18,7 +18,7 @@
 from hophinge.cluster.interface import Member, Role, Standing
 
 BURST_S = 10.0  # of budget that may be saved up: what a span left over serves the next, not a night's
-LEAST_CHANCE = 0.4  # that an object is asked for in the span; below, most fetches would be for nothing
+MIN_CHANCE = 0.4  # that an object is asked for in the span; below, most fetches would be for nothing
 QUIET = 8  # requests unanswered at this head from which nothing is fetched: two objects' reads at once
 REST_US = 50_000  # after so many were seen
 PAUSE_US = 2_000_000  # after overload was seen; a queue that has just emptied fills again
@@ -26,8 +26,8 @@
 # brick, so one in so many times what the last one took adds at most this part to the mean wait of others there.
 IDLE_PART = 0.04
 LONGEST_REST_US = 30_000_000  # one read that hung says little about the next minute
-MOST_SHARDS = 4096  # whose rests are kept before those that are over are dropped
-MOST_REST_US = 1_000_000  # that a fetch waits for a shard; what rests longer is left to a later one
+MAX_SHARDS = 4096  # whose rests are kept before those that are over are dropped
+MAX_REST_US = 1_000_000  # that a fetch waits for a shard; what rests longer is left to a later one
 
 
 class Why(Enum):
@@ -154,14 +154,14 @@
 
     def took(self, now_us: int, shard: int, took_us: int) -> None:
         """Let a shard rest after a read that took so long."""
-        if len(self.rests) >= MOST_SHARDS:
+        if len(self.rests) >= MAX_SHARDS:
             self.rests = {one: until for one, until in self.rests.items() if until > now_us}
         self.rests[shard] = now_us + min(LONGEST_REST_US, int(max(0, took_us) * self.heads / IDLE_PART))
 
     def rest_us(self, now_us: int, shard: int) -> int:
         """Tell how long to wait before a read from a shard; 0 also where that is too long to wait for."""
         left = self.rests.get(shard, 0) - now_us
-        return left if 0 < left <= MOST_REST_US else 0
+        return left if 0 < left <= MAX_REST_US else 0
 
     def source(self, shard: int, units: float, facts: Facts) -> Why | None:
         """Tell what speaks against a read from a shard now.
@@ -216,7 +216,7 @@
             (
                 (-chance(one.expected) * one.units / max(1, one.size), one.key, one)
                 for one in candidates
-                if chance(one.expected) >= LEAST_CHANCE
+                if chance(one.expected) >= MIN_CHANCE
             ),
             key=lambda row: row[:2],
         )
--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -14,19 +14,19 @@
 from msgspec import Struct, field
 
 from hophinge.popularity.interval import Calibration, Prediction, place
-from hophinge.popularity.season import LEAST_GROWTH, MOST_GROWTH, PHASES, Season
+from hophinge.popularity.season import MIN_GROWTH, MAX_GROWTH, PHASES, Season
 
 LAST, STEADY, EXPONENTIAL, POWER, DAILY = range(5)
 COURSES = ("last", "steady", "exponential", "power", "daily")
 DISCOUNTS = (0.3, 0.9, 0.8, 0.8, 0.3)  # of what was known, each span; by trying out on the tuning seeds
-LEAST_SHAPE = 0.002  # of a belief that nothing comes: one that is surer would be a course that nothing refutes
-MOST_SHAPE = 60.0  # a belief is never surer than this: sources change faster than a filter would have it
+MIN_SHAPE = 0.002  # of a belief that nothing comes: one that is surer would be a course that nothing refutes
+MAX_SHAPE = 60.0  # a belief is never surer than this: sources change faster than a filter would have it
 FORGET = 0.95  # of evidence for courses, each span: twenty spans say which course an object takes
 RATE_FORGET = 0.93  # of what an object's own decay was reckoned from
 PRIOR_RATIOS = 60.0  # of such evidence that the publisher's usual decay counts for
 PRIOR_FIRST = 1.0  # shape of what a publisher's new object is held for
 FIRST_OF_ALL = 0.5  # requests in its first span, where a publisher is not known at all
-LEAST_LIKELIHOOD = -30.0  # of one span, logarithmic: no course is ruled out for ever by one odd count
+MIN_LIKELIHOOD = -30.0  # of one span, logarithmic: no course is ruled out for ever by one odd count
 YOUNG = 4  # spans of age up to which an object shows how its publisher's objects begin
 YOUNG_WORTH = 8.0  # spans' evidence that this counts for at first
 YOUNG_PART = 0.03  # of each such span's word in it
@@ -160,7 +160,7 @@
         """Weigh the courses by what each foretold, then take the count into their beliefs."""
         for at in range(len(COURSES)):
             shape, exposure = course.shapes[at], course.exposures[at]
-            likelihood = max(LEAST_LIKELIHOOD, _log_likelihood(count, shape, exposure))
+            likelihood = max(MIN_LIKELIHOOD, _log_likelihood(count, shape, exposure))
             course.evidence[at] = FORGET * course.evidence[at] + likelihood
             if course.age < YOUNG:
                 usual.evidence[at] += YOUNG_PART * (likelihood - usual.evidence[at])
@@ -210,15 +210,15 @@
             self.growth,
         )
         for at, growth in enumerate(growths):
-            growth = min(MOST_GROWTH, max(LEAST_GROWTH, growth))
+            growth = min(MAX_GROWTH, max(MIN_GROWTH, growth))
             shape = DISCOUNTS[at] * course.shapes[at]
             exposure = DISCOUNTS[at] * course.exposures[at]
             if at == DAILY and course.day is not None and course.day[self.then] >= 0.0:
                 shape = 5.0
                 exposure = shape / max(0.05, course.day[self.then])
                 growth = 1.0
-            most = min(1.0, MOST_SHAPE / max(shape, 1e-9))
-            course.shapes[at] = max(LEAST_SHAPE, shape * most)
+            most = min(1.0, MAX_SHAPE / max(shape, 1e-9))
+            course.shapes[at] = max(MIN_SHAPE, shape * most)
             course.exposures[at] = max(1e-6, exposure * most / growth)
             course.means[at] = course.shapes[at] / course.exposures[at]
         weights = _weights(course.evidence)
--- a/hophinge/popularity/rumour.py
+++ b/hophinge/popularity/rumour.py
@@ -18,11 +18,11 @@
 FORMAT = 1  # of a page; others are ignored, not guessed at
 HEAD = struct.Struct(">BIHHf")  # format, span, this page's number, how many there are, all requests of the span
 ITEM = struct.Struct(f">{KEY_BYTES}s{SEALED_BYTES}sf")
-MOST_PAGE = 900  # bytes, as an entry bears
-ITEMS_EACH = (MOST_PAGE - HEAD.size) // ITEM.size
-MOST_PAGES = 8  # of one owner: 216 keys, 7 KB a span
+MAX_PAGE = 900  # bytes, as an entry bears
+ITEMS_EACH = (MAX_PAGE - HEAD.size) // ITEM.size
+MAX_PAGES = 8  # of one owner: 216 keys, 7 KB a span
 CLAIM_FACTOR = 4.0  # an owner's claims count up to so many times the lower median of what owners served
-MOST_COUNT = 1e12  # requests of a span; more is a lie or a fault
+MAX_COUNT = 1e12  # requests of a span; more is a lie or a fault
 
 
 class Item(Struct, frozen=True):
@@ -45,7 +45,7 @@
 
 def pages(span: int, served: float, items: Sequence[Item]) -> list[bytes]:
     """Write a span's counts, those that come first first; what does not fit is left out."""
-    items = items[: ITEMS_EACH * MOST_PAGES]
+    items = items[: ITEMS_EACH * MAX_PAGES]
     parts = [items[at : at + ITEMS_EACH] for at in range(0, len(items), ITEMS_EACH)] or [()]
     return [
         HEAD.pack(FORMAT, span & 0xFFFFFFFF, number, len(parts), served)
@@ -56,13 +56,13 @@
 
 def read(data: bytes) -> Page | None:
     """Read a page; nothing where it is malformed, of another format, or says what cannot be."""
-    if not HEAD.size <= len(data) <= MOST_PAGE or (len(data) - HEAD.size) % ITEM.size:
+    if not HEAD.size <= len(data) <= MAX_PAGE or (len(data) - HEAD.size) % ITEM.size:
         return None
     form, span, number, count, served = HEAD.unpack_from(data)
-    if form != FORMAT or not number < count <= MOST_PAGES or not 0.0 <= served <= MOST_COUNT:
+    if form != FORMAT or not number < count <= MAX_PAGES or not 0.0 <= served <= MAX_COUNT:
         return None
     items = tuple(Item(*fields) for fields in ITEM.iter_unpack(data[HEAD.size :]))
-    if any(not 0.0 <= one.count <= MOST_COUNT for one in items) or len({one.key for one in items}) < len(items):
+    if any(not 0.0 <= one.count <= MAX_COUNT for one in items) or len({one.key for one in items}) < len(items):
         return None
     return Page(span, number, count, served, items)
 
--- a/hophinge/popularity/season.py
+++ b/hophinge/popularity/season.py
@@ -5,7 +5,7 @@
 import math
 
 PHASES = 24  # buckets of a day
-MOST_GROWTH, LEAST_GROWTH = 2.0, 0.3  # of a rate in one span: a fit to two odd counts must not run away
+MAX_GROWTH, MIN_GROWTH = 2.0, 0.3  # of a rate in one span: a fit to two odd counts must not run away
 SEASON_DAYS = 0.5  # a bucket's weight of yesterday when it is met again
 TRUST_DAYS = 2.0  # that experience with the wave reaches back
 FIRST_TRUST = 0.05  # of experience that a new wave is believed for: a quarter of what a gentle one's day weighs
@@ -42,7 +42,7 @@
             self._judge()
             # Only what a whole day showed counts: before that a rise may be anything.
             if self.levels[then] >= 0.0 and known >= 0.0 and self.span > self.spans_a_day:
-                growth = min(MOST_GROWTH, max(LEAST_GROWTH, (self.levels[then] + 1.0) / (known + 1.0)))
+                growth = min(MAX_GROWTH, max(MIN_GROWTH, (self.levels[then] + 1.0) / (known + 1.0)))
             self.told = math.log(growth)
         self.levels[here] = total if known < 0.0 else known + part * (total - known)
         return math.pow(growth, min(1.0, max(0.0, self.agreed / self.power)))
--- a/hophinge/popularity/site.py
+++ b/hophinge/popularity/site.py
@@ -9,7 +9,7 @@
 from hophinge.popularity.keys import Keys, Locator
 from hophinge.popularity.planner import Candidate
 from hophinge.popularity.predict import Predictor
-from hophinge.popularity.rumour import ITEMS_EACH, MOST_PAGES, Hearsay, Item, pages
+from hophinge.popularity.rumour import ITEMS_EACH, MAX_PAGES, Hearsay, Item, pages
 from hophinge.popularity.sketch import Sketch
 
 SPAN_US = 60_000_000  # of one prediction: long enough for some requests, short enough for a flash crowd
@@ -138,7 +138,7 @@
         told = sorted(
             ((count, key) for key, _, count in own if count > 0 and key in self.known),
             key=lambda row: (-row[0], row[1]),
-        )[: ITEMS_EACH * MOST_PAGES]
+        )[: ITEMS_EACH * MAX_PAGES]
         made = pages(
             self.span, self.served, [Item(key, self.keys.seal(self.known[key].locator), count) for count, key in told]
         )
--- a/hophinge/popularity/sketch.py
+++ b/hophinge/popularity/sketch.py
@@ -10,7 +10,7 @@
 import math
 from msgspec import Struct
 
-MOST_POWER = 60.0  # half-lives after which weights are scaled down: 2 ** 60 keeps doubles exact enough
+MAX_POWER = 60.0  # half-lives after which weights are scaled down: 2 ** 60 keeps doubles exact enough
 
 LOOK_EACH = 64  # evictions; parts differ little after so few
 
@@ -66,7 +66,7 @@
     def _growth(self, now_us: int) -> float:
         """Tell the weight of a request now; a clock that goes back counts as standing."""
         power = (now_us - self.landmark) / self.half_life_us
-        if power > MOST_POWER:
+        if power > MAX_POWER:
             self._rescale(now_us, power)
             power = 0.0
         return math.exp2(power) if power > 0.0 else 1.0
--- a/hophinge/routing/document.py
+++ b/hophinge/routing/document.py
@@ -12,9 +12,9 @@
 
 from lark import Lark, Token, Transformer
 
-MOST_BYTES = 32 * 1024 * 1024  # of one file: 100,000 forms are some 10 MB
-MOST_DEPTH = 8  # of brackets; no form needs more than four
-MOST_MISTAKES = 100  # told of one file; who has more begins with these
+MAX_BYTES = 32 * 1024 * 1024  # of one file: 100,000 forms are some 10 MB
+MAX_DEPTH = 8  # of brackets; no form needs more than four
+MAX_MISTAKES = 100  # told of one file; who has more begins with these
 
 GRAMMAR = r"""
 start: node*
@@ -100,8 +100,8 @@
 
 def decode(raw: bytes) -> tuple[str, list[Mistake]]:
     """Turn a file's bytes into text; what is no UTF-8 is told by its place."""
-    if len(raw) > MOST_BYTES:
-        return "", [Mistake(1, 1, f"the file has {len(raw)} bytes; at most {MOST_BYTES} are read: split it")]
+    if len(raw) > MAX_BYTES:
+        return "", [Mistake(1, 1, f"the file has {len(raw)} bytes; at most {MAX_BYTES} are read: split it")]
     try:
         return raw.decode("utf-8"), []
     except UnicodeDecodeError as error:
@@ -123,19 +123,19 @@
         if token.type == "BAD":
             what = "a text that does not end on its line" if str(token) == '"' else f"{str(token)!r} means nothing here"
             mistakes.append(Mistake(*place, f'{what}; quote it as "..." or remove it'))
-            if len(mistakes) >= MOST_MISTAKES:
+            if len(mistakes) >= MAX_MISTAKES:
                 return [], mistakes
             continue
         if token.type == "CLOSE":
             if not opened:
                 mistakes.append(Mistake(*place, "')' closes nothing; remove it or open its form with '('"))
-                if len(mistakes) >= MOST_MISTAKES:
+                if len(mistakes) >= MAX_MISTAKES:
                     return [], mistakes
                 continue
             opened.pop()
         elif token.type == "OPEN":
-            if len(opened) >= MOST_DEPTH:
-                mistakes.append(Mistake(*place, f"brackets are nested deeper than {MOST_DEPTH}; close some with ')'"))
+            if len(opened) >= MAX_DEPTH:
+                mistakes.append(Mistake(*place, f"brackets are nested deeper than {MAX_DEPTH}; close some with ')'"))
                 return [], mistakes
             opened.append(token)
         steps.feed_token(token)
--- a/hophinge/routing/limits.py
+++ b/hophinge/routing/limits.py
@@ -10,7 +10,7 @@
 
 from hophinge.routing.records import Limit, Scope
 
-LEAST_ADVICE_US = 10_000  # a refused client is told at least so long, or it would ask again at once
+MIN_ADVICE_US = 10_000  # a refused client is told at least so long, or it would ask again at once
 FIRST_HELD_US = 100_000  # a request is open for about so long, until some have ended
 HELD_WEIGHT = 0.1  # of the newest in how long requests are open
 SPARE_STATES = 256  # of removed limits, before a look for them is worth it
@@ -55,7 +55,7 @@
         if self.limit.open and self.open >= self.limit.open:
             # By Little's law one of them ends about every so often.
             wait = max(wait, self.held_us / self.limit.open)
-        return max(LEAST_ADVICE_US, int(wait) + 1) if wait > 0 else 0
+        return max(MIN_ADVICE_US, int(wait) + 1) if wait > 0 else 0
 
     def take(self, units: float) -> None:
         """Count a request in."""
--- a/hophinge/routing/record_reader.py
+++ b/hophinge/routing/record_reader.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from hophinge.routing import upkeep
-from hophinge.routing.document import MOST_MISTAKES, Atom, Form, Mistake, Node, decode, parse
+from hophinge.routing.document import MAX_MISTAKES, Atom, Form, Mistake, Node, decode, parse
 from hophinge.routing.fields import VOLUME, Fields as Fields
 from hophinge.routing.records import (
     Eject,
@@ -22,8 +22,8 @@
 )
 
 VERSION = "1"  # of the document's form: (hophinge 1)
-MOST_ATTEMPTS = 10
-LEAST_PACE = 64 * 1024  # bytes/s; fronts cut clients off that are slower than a quarter of it
+MAX_ATTEMPTS = 10
+MIN_PACE = 64 * 1024  # bytes/s; fronts cut clients off that are slower than a quarter of it
 
 
 @dataclass
@@ -36,7 +36,7 @@
 
     def lines(self, name: str) -> list[str]:
         """Tell the mistakes as lines of a file of this name, in its order."""
-        return [mistake.at(name) for mistake in sorted(set(self.mistakes))[:MOST_MISTAKES]]
+        return [mistake.at(name) for mistake in sorted(set(self.mistakes))[:MAX_MISTAKES]]
 
 
 def _plan(part: Fields) -> Record:
@@ -84,8 +84,8 @@
         part.quantity("rate", "rate", 0.0, 0.001),
         part.time("burst"),
         int(part.quantity("open", "requests", 0, 1, 1e9)),
-        part.quantity("in", "byte rate", 0.0, LEAST_PACE),
-        part.quantity("out", "byte rate", 0.0, LEAST_PACE),
+        part.quantity("in", "byte rate", 0.0, MIN_PACE),
+        part.quantity("out", "byte rate", 0.0, MIN_PACE),
     )
     part.whole(
         bool(limit.rate or limit.open or limit.bytes_in or limit.bytes_out),
@@ -102,7 +102,7 @@
     part.nameless()
     return Retries(
         part.one("class", "class"),
-        int(part.number("attempts", 0, 1, MOST_ATTEMPTS, whole=True)),
+        int(part.number("attempts", 0, 1, MAX_ATTEMPTS, whole=True)),
         part.quantity("budget", "share", -1.0, most=1.0),
         int(part.quantity("free", "requests", 0, 0, 1e6)),
         part.time("second-copy"),
@@ -172,7 +172,7 @@
 
 def _forms(nodes: list[Node], document: Document) -> None:
     def wrong(node: Node, text: str) -> None:
-        if len(document.mistakes) < 10 * MOST_MISTAKES:
+        if len(document.mistakes) < 10 * MAX_MISTAKES:
             document.mistakes.append(Mistake(node.line, node.column, text))
 
     if not nodes or not isinstance(nodes[0], Form) or nodes[0].word != "hophinge":
--- a/hophinge/routing/upkeep.py
+++ b/hophinge/routing/upkeep.py
@@ -10,7 +10,7 @@
 from hophinge.routing.records import Record
 
 BUILD = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.+-]{0,63}", re.ASCII)
-LEAST_SETTLE_US = 3_000_000  # heads tell their counts every two seconds: sooner nothing is known of a wave
+MIN_SETTLE_US = 3_000_000  # heads tell their counts every two seconds: sooner nothing is known of a wave
 WORDS = ("go", "halt", "back")
 
 
@@ -57,7 +57,7 @@
         part.one("build", "build", BUILD),
         part.names("heads", "head"),
         part.shares("waves"),
-        part.time("settle", 30_000_000, LEAST_SETTLE_US),
+        part.time("settle", 30_000_000, MIN_SETTLE_US),
         part.time("patience", 300_000_000, 1000),
         part.quantity("refused", "share", 0.02, most=1.0),
         part.choice("word", WORDS),
--- a/hophinge/scoring/latency.py
+++ b/hophinge/scoring/latency.py
@@ -11,7 +11,7 @@
 from hophinge.scoring.interface import INTERFACE, Kind, Scorer, Setting, View, Weight, scorer_impl
 from hophinge.scoring.sketch import Sketch
 
-LEAST_ANSWERS = 3.0  # below, a brick's quantile is its chance slowest answer
+MIN_ANSWERS = 3.0  # below, a brick's quantile is its chance slowest answer
 TOLD = frozenset({api.Result.OK, api.Result.TIMEOUT})  # those that fail at once say nothing of how long work takes
 
 
@@ -64,7 +64,7 @@
         found = {}
         for node, sketch in self.sketches.items():
             evidence = sketch.evidence(now_us)
-            if evidence >= LEAST_ANSWERS:
+            if evidence >= MIN_ANSWERS:
                 at = self.quantiles.get(node)
                 if at is None:
                     at = self.quantiles[node] = sketch.quantile_us(self.parameters.quantile)
--- a/hophinge/scoring/merge.py
+++ b/hophinge/scoring/merge.py
@@ -15,12 +15,12 @@
 from hophinge.scoring.interface import Weight
 
 TRIM = 3  # of so many words one is taken off at either end
-LEAST_WORDS = 3  # fewer are filled up with neutral ones: one peer alone moves nothing
+MIN_WORDS = 3  # fewer are filled up with neutral ones: one peer alone moves nothing
 HEARSAY = 3.0  # own answers that all peers' words together count as much as
-OWN_MOST = 8.0  # own answers that count at most: a brick may have failed since many good ones
-LEAST_ADDED = 0.05  # less than this peers add nothing: where bricks are idle the least time decides who is chosen
+OWN_MAX = 8.0  # own answers that count at most: a brick may have failed since many good ones
+MIN_ADDED = 0.05  # less than this peers add nothing: where bricks are idle the least time decides who is chosen
 NEUTRAL = 1.0  # answers that the neutral weight counts as: who knows nothing assumes nothing
-LEAST_TRUST = 0.1  # part of full trust that a peer keeps: its word may still be the one honest one
+MIN_TRUST = 0.1  # part of full trust that a peer keeps: its word may still be the one honest one
 FADE = 0.98  # part of former agreement that is left at each merge, once a second: half in 35 s
 APART = 0.25  # weights further apart than this disagree; a brick both hold for better than it tells nothing
 SURE = 5.0  # own answers from which one's own weight judges a peer's
@@ -33,8 +33,8 @@
 
 def hearsay(words: Sequence[tuple[float, float]]) -> float:
     """Tell what peers say together, from (weight, trust) of each."""
-    kept = sorted(words) + [(0.0, 1.0)] * (LEAST_WORDS - len(words))
-    if len(words) < LEAST_WORDS:
+    kept = sorted(words) + [(0.0, 1.0)] * (MIN_WORDS - len(words))
+    if len(words) < MIN_WORDS:
         kept.sort()
     cut = trimmed(len(kept))
     kept = kept[cut : len(kept) - cut]
@@ -48,24 +48,24 @@
     Peers can accuse, as far as one's own answers leave it open; they cannot praise: what a head has seen fail itself
     needs no one's leave, and without peers its own weights are used as they are.
     """
-    evidence = min(own.evidence, OWN_MOST) if own is not None else 0.0
+    evidence = min(own.evidence, OWN_MAX) if own is not None else 0.0
     value = own.value if own is not None else 0.0
     told = HEARSAY * peers_part
     weight = (evidence * value + told * heard) / (evidence + told + NEUTRAL)
-    return weight if weight - value >= LEAST_ADDED else value
+    return weight if weight - value >= MIN_ADDED else value
 
 
-def most_moved(liars: int, peers: int, evidence: float, liars_trust: float = 1.0, others: float = LEAST_TRUST) -> float:
+def most_moved(liars: int, peers: int, evidence: float, liars_trust: float = 1.0, others: float = MIN_TRUST) -> float:
     """Tell by how much so many liars among so many peers raise the weight of a brick that is neutral to all others.
 
     Without trusts given it is the worst: liars trusted in full, all others hardly.
     """
-    words = max(peers, LEAST_WORDS)
+    words = max(peers, MIN_WORDS)
     cut = trimmed(words)
-    part = HEARSAY / (min(evidence, OWN_MOST) + HEARSAY + NEUTRAL)
+    part = HEARSAY / (min(evidence, OWN_MAX) + HEARSAY + NEUTRAL)
     lies, honest = max(0, liars - cut), words - liars - cut
     most = part * lies * liars_trust / (lies * liars_trust + max(0, honest) * others) if lies else 0.0
-    return most if most >= LEAST_ADDED else 0.0
+    return most if most >= MIN_ADDED else 0.0
 
 
 class Agreement(Struct):
@@ -77,7 +77,7 @@
     @property
     def trust(self) -> float:
         """Tell a peer's trust: one that nothing is known of has half of it."""
-        return max(LEAST_TRUST, (self.agreed + 1.0) / (self.agreed + self.differed + 2.0))
+        return max(MIN_TRUST, (self.agreed + 1.0) / (self.agreed + self.differed + 2.0))
 
     def compare(
         self, sure: Mapping[str, float], accused: Collection[str], said: Mapping[str, float], most: int = 1_000
--- a/hophinge/scoring/sharing.py
+++ b/hophinge/scoring/sharing.py
@@ -10,17 +10,17 @@
 from hophinge.cluster.interface import Entry, Topic
 from hophinge.scoring import encoding
 from hophinge.scoring.interface import Weight
-from hophinge.scoring.merge import APART, LEAST_WORDS, SURE, Agreement, combined, hearsay, trimmed
+from hophinge.scoring.merge import APART, MIN_WORDS, SURE, Agreement, combined, hearsay, trimmed
 
 BEAT_US = 5_000_000  # between changes of entry 0, that show that a member still speaks
 FRESH_US = 15_000_000  # three beats, some of which may be lost, before a word begins to age
 HALF_LIFE_US = 5_000_000  # in which it then comes to count for half
 FORGOTTEN_US = 60_000_000  # it has counted for less than a hundredth for ten seconds
-MOST_WORDS = 20_000  # that are looked at for one purpose in one tick: some tens of milliseconds
-MOST_TAKEN = 500  # entries that are read in one tick; others that have changed are read in the next
+MAX_WORDS = 20_000  # that are looked at for one purpose in one tick: some tens of milliseconds
+MAX_TAKEN = 500  # entries that are read in one tick; others that have changed are read in the next
 SLICE = 500  # looks at entries or words in one go: under a millisecond
 TAKING = 10  # looks that reading an entry counts as, beside one for each ten bytes of it
-MOST_OWNERS = 1_000  # whose words and mistakes are kept, the default bound on members
+MAX_OWNERS = 1_000  # whose words and mistakes are kept, the default bound on members
 
 Merge = Callable[[Sequence[tuple[float, float]]], float]
 
@@ -74,7 +74,7 @@
 
     def take(self, now_us: int, owner: str, chunk: int, version: str, words: dict[str, float]) -> None:
         """Take a peer's entry as it now is."""
-        if owner not in self.peers and len(self.peers) >= MOST_OWNERS:
+        if owner not in self.peers and len(self.peers) >= MAX_OWNERS:
             return
         peer = self.peers.setdefault(owner, Peer(now_us))
         peer.heard_us = now_us
@@ -94,7 +94,7 @@
     def judge(self, now_us: int, own: Mapping[str, Weight]) -> Iterator[None]:
         """Compare fresh words with one's own answers, in slices; forget who has long been silent."""
         sure = {node: weight.value for node, weight in own.items() if weight.evidence >= SURE}
-        most = MOST_WORDS // max(1, len(self.peers))
+        most = MAX_WORDS // max(1, len(self.peers))
         accused = [node for node, value in sure.items() if value > APART][:most]
         looks = Looks()
         for owner, peer in list(self.peers.items()):
@@ -111,7 +111,7 @@
         """Find the weights to use, in slices, of bricks in this head's own list; neutral ones are left out."""
         heard: list[tuple[dict[str, float], float, float]] = []
         named = {node: 0 for node, weight in own.items() if weight.value > 0.0 and node in nodes}
-        fresh, most = 0.0, MOST_WORDS // max(1, len(self.peers))
+        fresh, most = 0.0, MAX_WORDS // max(1, len(self.peers))
         looks = Looks()
         for peer in self.peers.values():
             part = peer.freshness(now_us)
@@ -125,9 +125,9 @@
                     yield
         found |= {node: own[node].value for node in named if node in own and own[node].value > 0.0}
         # What too few say is cut off by the merge anyway; a flood of accusations must not keep this head from its work.
-        few = trimmed(max(len(heard), LEAST_WORDS)) if self.merge is hearsay else 0
+        few = trimmed(max(len(heard), MIN_WORDS)) if self.merge is hearsay else 0
         told = [node for node, number in named.items() if number > few]
-        for node in sorted(told, key=lambda node: (-named[node], node))[: MOST_WORDS // max(1, len(heard))]:
+        for node in sorted(told, key=lambda node: (-named[node], node))[: MAX_WORDS // max(1, len(heard))]:
             words = [(said.get(node, 0.0) * part, trust) for said, part, trust in heard]
             if (weight := combined(own.get(node), self.merge(words), fresh / len(heard))) > 0.0:
                 found[node] = weight
@@ -166,7 +166,7 @@
             speak.add(entry.owner)
             if (last := self.versions.get(at)) is not None:
                 last.held = self.reading
-            if (last is None or last.version != entry.version) and taken < MOST_TAKEN:
+            if (last is None or last.version != entry.version) and taken < MAX_TAKEN:
                 taken += 1
                 self.versions[at] = Last(entry.version, self.reading)
                 self._take(now_us, entry)
@@ -215,5 +215,5 @@
             shared.gone(owner, chunk)
 
     def _count(self, counts: dict[str, int], owner: str) -> None:
-        if owner in counts or len(counts) < MOST_OWNERS:
+        if owner in counts or len(counts) < MAX_OWNERS:
             counts[owner] = counts.get(owner, 0) + 1
--- a/hophinge/scoring/sketch.py
+++ b/hophinge/scoring/sketch.py
@@ -9,7 +9,7 @@
 import math
 
 RATIO = 1.2  # between a step's ends: its middle is at most a tenth from any answer in it
-LEAST_US = 100.0  # answers below are one step
+MIN_US = 100.0  # answers below are one step
 STEPS = 80  # up to 100 us * 1.2 ** 79, three minutes; no request lives so long
 LOG_RATIO = math.log(RATIO)
 LARGEST_POWER = 60.0  # half-lives after which counts are brought down, far from where floats end
@@ -33,7 +33,7 @@
             self.counts = [count * factor for count in self.counts]
             self.total = math.fsum(self.counts)
             self.start_us, power = now_us, 0.0
-        step = int(math.log(took_us / LEAST_US) / LOG_RATIO) + 1 if took_us > LEAST_US else 0
+        step = int(math.log(took_us / MIN_US) / LOG_RATIO) + 1 if took_us > MIN_US else 0
         weight = 2.0**power
         self.counts[min(step, STEPS - 1)] += weight
         self.total += weight
@@ -50,5 +50,5 @@
         for step, count in enumerate(self.counts):
             left -= count
             if left <= 0.0 and count:
-                return LEAST_US * RATIO ** (step - 0.5) if step else LEAST_US
-        return LEAST_US * RATIO ** (STEPS - 1)
+                return MIN_US * RATIO ** (step - 0.5) if step else MIN_US
+        return MIN_US * RATIO ** (STEPS - 1)
--- a/hophinge/state/book.py
+++ b/hophinge/state/book.py
@@ -12,7 +12,7 @@
 from hophinge.state.errors import BusyError, FullError, LedgerError
 
 FORM = 1
-OPEN_S, AGAIN_S = 5.0, 0.005  # waited for another process that opens or makes it; nobody is served yet
+OPEN_S, RETRY_INTERVAL_S = 5.0, 0.005  # waited for another process that opens or makes it; nobody is served yet
 BUSY_S = 0.05  # waited for another process's change; the caller stands still meanwhile
 
 SCHEMA = """
@@ -67,7 +67,7 @@
             except sqlite3.OperationalError as error:
                 if "locked" not in str(error) or time.monotonic() > until:
                     raise
-                time.sleep(AGAIN_S)
+                time.sleep(RETRY_INTERVAL_S)
 
     @contextlib.contextmanager
     def write(self) -> Iterator[None]:
--- a/hophinge/state/files.py
+++ b/hophinge/state/files.py
@@ -17,7 +17,7 @@
 HEADER = re.compile(rb"hophinge-state ([a-z-]{1,32}) ([0-9]{1,4}) ([0-9]{1,12}) ([0-9a-f]{64})\n", re.ASCII)
 LONGEST_HEADER = 160
 WRITING_S = 60.0  # no write of one file takes so long
-MOST_BYTES = 512 * 1024 * 1024  # a larger file is none of ours
+MAX_BYTES = 512 * 1024 * 1024  # a larger file is none of ours
 
 
 class UnusableError(ValueError):
@@ -85,7 +85,7 @@
     """Read a file's form and payload; None where there is none, UnusableError where it cannot be trusted."""
     try:
         size = path.stat().st_size
-        if size > MOST_BYTES:
+        if size > MAX_BYTES:
             raise UnusableError(f"{path}: {size} bytes are more than any file of this kind has")
         data = path.read_bytes()
     except FileNotFoundError:
--- a/hophinge/tenancy/admission.py
+++ b/hophinge/tenancy/admission.py
@@ -15,7 +15,7 @@
 from hophinge.tenancy.fair import Entry, Tree
 from hophinge.tenancy.reserve import Reserve
 
-LEAST_ADVICE_US = 10_000
+MIN_ADVICE_US = 10_000
 ENDED_US = 60_000_000  # advice to a tenant that is served no more; the front cuts it to what the settings allow
 BURST_S = 0.25  # of a reserve that may be saved up: all tenants may spend theirs at one moment
 FORGET_US = 60_000_000  # a tenant unheard of for a minute starts anew, with a full reserve, which it then has anyway
@@ -238,4 +238,4 @@
         """Tell when the tenant's own reserve will hold the units; without one, when a turn may have come."""
         ticket.account.reserve.fill(now_us)
         wait = ticket.account.reserve.total.wait_us(ticket.ask.units)
-        return max(LEAST_ADVICE_US, wait if wait >= 0 else 2 * self.spare.wait_us)
+        return max(MIN_ADVICE_US, wait if wait >= 0 else 2 * self.spare.wait_us)
--- a/hophinge/tenancy/attempts.py
+++ b/hophinge/tenancy/attempts.py
@@ -10,13 +10,13 @@
 
 from hophinge.tenancy.reserve import Bucket
 
-MOST_CALLERS = 4096
+MAX_CALLERS = 4096
 
 
 class Callers:
     """A bucket of calls for each caller; the oldest are forgotten, and then begin with a full one."""
 
-    def __init__(self, rate: float, burst: float, most: int = MOST_CALLERS) -> None:
+    def __init__(self, rate: float, burst: float, most: int = MAX_CALLERS) -> None:
         self.rate, self.burst, self.most = rate, burst, most
         self.buckets: OrderedDict[str, Bucket] = OrderedDict()
 
--- a/hophinge/tenancy/leases.py
+++ b/hophinge/tenancy/leases.py
@@ -24,9 +24,9 @@
 LOW_US = 30_000_000  # what gives holds longer than what takes, or nothing could be renewed
 HIGH_US = 10_000_000
 DRIFT = 0.01  # part by which two steady clocks may differ in speed
-HIGH_MOST_US = int(HIGH_US * (1 + DRIFT)) + 1  # of the other side's clock, by one's own
-LOW_LEAST_US = int(LOW_US * (1 - DRIFT))
-MOST_ASKS = 16  # remembered by a head; an answer to an older one comes too late to be worth taking
+HIGH_MAX_US = int(HIGH_US * (1 + DRIFT)) + 1  # of the other side's clock, by one's own
+LOW_MIN_US = int(LOW_US * (1 - DRIFT))
+MAX_ASKS = 16  # remembered by a head; an answer to an older one comes too late to be worth taking
 
 
 class Lease(Struct, frozen=True):
@@ -55,7 +55,7 @@
         """Tell what to send: the number of this ask, and the serial of the lease that is held."""
         self.ask_number += 1
         self.asks[self.ask_number] = now_us
-        while len(self.asks) > MOST_ASKS:
+        while len(self.asks) > MAX_ASKS:
             del self.asks[next(iter(self.asks))]
         return self.ask_number, self.serial
 
@@ -95,7 +95,7 @@
         self.acked: dict[str, int] = {}
         self.process: dict[str, int] = {}
         self.ended: set[tuple[str, int]] = set()  # processes that were followed by another
-        self.quiet_until = now_us + HIGH_MOST_US
+        self.quiet_until = now_us + HIGH_MAX_US
 
     def grant(
         self,
@@ -139,7 +139,7 @@
         self.grants[head] = [
             grant
             for grant in self.grants.get(head, ())
-            if grant.serial == acked or (grant.serial > acked and now_us <= grant.sent_us + HIGH_MOST_US)
+            if grant.serial == acked or (grant.serial > acked and now_us <= grant.sent_us + HIGH_MAX_US)
         ]
 
     def _worst(self, head: str, tenant: str, now_us: int) -> float:
@@ -149,9 +149,9 @@
             share = grant.shares.get(tenant, self.even)
             if share < self.even:
                 # Once it is acknowledged the head has this or a later one until it ends.
-                bound |= grant.serial == self.acked.get(head) and grant.sent_us + LOW_LEAST_US >= now_us + HIGH_MOST_US
+                bound |= grant.serial == self.acked.get(head) and grant.sent_us + LOW_MIN_US >= now_us + HIGH_MAX_US
                 worst = max(worst, share)
-            elif share == self.even or now_us <= grant.sent_us + HIGH_MOST_US:
+            elif share == self.even or now_us <= grant.sent_us + HIGH_MAX_US:
                 worst = max(worst, share)
         return worst if bound else max(worst, self.even)
 
--- a/hophinge/tenancy/records.py
+++ b/hophinge/tenancy/records.py
@@ -16,7 +16,7 @@
 NAME = re.compile(r"[a-z0-9](?:[a-z0-9.-]{1,61})[a-z0-9]", re.ASCII)
 KEY = re.compile(r"hk[0-9a-f]{16}", re.ASCII)
 LONGEST_NOTE = 200  # characters
-MOST_KEYS, MOST_VOLUMES, MOST_UPLOADS = 50, 1000, 1000  # of a tenant, unless its quotas say otherwise
+MAX_KEYS, MAX_VOLUMES, MAX_UPLOADS = 50, 1000, 1000  # of a tenant, unless its quotas say otherwise
 LONGEST_OVERLAP_S = 7 * 24 * 3600  # that an old key may live on beside the one that replaces it
 TENANT, BUCKET, ACCESS = "tenant", "bucket", "key"  # kinds of rows
 
@@ -43,9 +43,9 @@
 class Quotas(Struct, frozen=True, forbid_unknown_fields=True):
     """What a tenant may have; of uploads and connections at each head."""
 
-    volumes: int = MOST_VOLUMES
-    keys: int = MOST_KEYS
-    uploads: int = MOST_UPLOADS
+    volumes: int = MAX_VOLUMES
+    keys: int = MAX_KEYS
+    uploads: int = MAX_UPLOADS
     connections: int = 0  # 0: no bound of its own
     requests: int = 0  # object requests at once
 
--- a/hophinge/tenancy/usage.py
+++ b/hophinge/tenancy/usage.py
@@ -18,8 +18,8 @@
     "bytes_in",
     "bytes_out",
 )
-MOST_VOLUMES = 50_000  # places of volumes held between two flushes; beyond, they count for their tenant
-MOST_LABELS = 50  # tenants with a series of their own
+MAX_VOLUMES = 50_000  # places of volumes held between two flushes; beyond, they count for their tenant
+MAX_LABELS = 50  # tenants with a series of their own
 OTHERS = "(others)"
 WHOLE = ""  # the volume of what is counted for a tenant alone
 
@@ -34,7 +34,7 @@
     def add(self, tenant: str, volume: str, field: str, amount: float) -> None:
         """Count."""
         place = tenant, volume, field
-        if place not in self.amounts and len(self.amounts) >= MOST_VOLUMES * len(FIELDS):
+        if place not in self.amounts and len(self.amounts) >= MAX_VOLUMES * len(FIELDS):
             place = tenant, WHOLE, field
         self.amounts[place] = self.amounts.get(place, 0.0) + amount
 
@@ -98,7 +98,7 @@
     A tenant keeps the label that it got first, or its counter would fall when another grew past it.
     """
 
-    def __init__(self, most: int = MOST_LABELS) -> None:
+    def __init__(self, most: int = MAX_LABELS) -> None:
         self.most = most
         self.counts: dict[tuple[str, str], float] = {}  # by label and field
         self.labels: set[str] = set()
--- a/tests/connection_wire.py
+++ b/tests/connection_wire.py
@@ -17,7 +17,7 @@
     b"HTTP2-Settings: AAMAAABk\r\ncontent-length: 4\r\n\r\nbody"
 )
 GARBAGE = b"\x00 no request at all\r\n\r\n"
-MOST_BODY = 1_000
+MAX_BODY = 1_000
 Play = Callable[["Wire", HttpServer], Awaitable[None]]
 
 
@@ -74,7 +74,7 @@
             await self._answer(path, send)
             return
         try:
-            body = await read_body(receive, MOST_BODY)
+            body = await read_body(receive, MAX_BODY)
         except ClientGoneError:
             self.gone.append(path)
             return
--- a/tests/coordination_histories.py
+++ b/tests/coordination_histories.py
@@ -12,7 +12,7 @@
 from tests.coordination_world import World, change
 from tests.linearizability import Call
 
-LEAST_TAKEN = 5  # changes that a history takes, however many faults it has
+MIN_TAKEN = 5  # changes that a history takes, however many faults it has
 
 
 @dataclass
@@ -208,7 +208,7 @@
         answer = world.read(address)
         assert answer is not None, f"{address} does not answer reads after the last fault"
         assert answer.version >= newest, "an acknowledged change is lost"
-    assert len(acknowledged) >= LEAST_TAKEN, "hardly anything was taken"
+    assert len(acknowledged) >= MIN_TAKEN, "hardly anything was taken"
     linearizability.check(calls(history), sent(history))
 
 
--- a/tests/scoring_parts.py
+++ b/tests/scoring_parts.py
@@ -14,9 +14,9 @@
 from hophinge.scoring.interface import GROUP, Scorer, Setting, Surroundings, View
 from hophinge.scoring.suspicion import Parameters, Suspicion
 
-MOST_US = 75_000.0
+MAX_US = 75_000.0
 VERSION = "suspicion-1"
-SETTING = Setting(300_000, MOST_US)
+SETTING = Setting(300_000, MAX_US)
 ASK = Arrival("r", 1.0, "v", 0, -1, 1, "key", 1_000_000, True, 0)
 
 
@@ -58,7 +58,7 @@
     return Engine(
         scorers,
         versions or {},
-        MOST_US,
+        MAX_US,
         200.0,
         clock,
         ([] if log is None else log).append,
--- a/tests/test_cache.py
+++ b/tests/test_cache.py
@@ -115,7 +115,7 @@
 
 
 def test_known_objects_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(cache_module, "MOST_OBJECTS", 3)
+    monkeypatch.setattr(cache_module, "MAX_OBJECTS", 3)
     cache = PieceCache(100 * EACH)
     for at in range(6):
         cache.seen(VOLUME, str(at), manifest(a_run(at)))
--- a/tests/test_coordination_quorum_hold.py
+++ b/tests/test_coordination_quorum_hold.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hophinge.coordination.dissemination import Record
-from hophinge.coordination.quorum_hold import HOLD_AGAIN_S, HOLD_S, Core, Held, Hold, QuorumHolds
+from hophinge.coordination.quorum_hold import HOLD_RETRY_INTERVAL_S, HOLD_S, Core, Held, Hold, QuorumHolds
 from hophinge.coordination.view import Replica
 
 A, B, C, D, E = (Replica(name, f"10.0.0.{number}:1", "z") for number, name in enumerate("abcde", 1))
@@ -52,7 +52,7 @@
     step = holds.begin(0.0, _core("abc"), TOKEN, RECORD)
     assert step.messages == [(B.address, Hold(TOKEN, RECORD)), (C.address, Hold(TOKEN, RECORD))]
     assert holds.held(0.1, _core("abc"), "b", Held(TOKEN, 3)).settled == []
-    assert holds.tick(HOLD_AGAIN_S, _core("abc")).messages == [(C.address, Hold(TOKEN, RECORD))]
+    assert holds.tick(HOLD_RETRY_INTERVAL_S, _core("abc")).messages == [(C.address, Hold(TOKEN, RECORD))]
     assert holds.held(0.3, _core("abc"), "c", Held(TOKEN, 3)).settled == [(TOKEN, True)]
     assert holds.held(0.3, _core("abc"), "c", Held(TOKEN, 3)).settled == []
     assert holds.tick(HOLD_S, _core("abc")).settled == []
@@ -70,7 +70,7 @@
     holds.begin(0.0, _core("ab"), TOKEN, RECORD)
     assert holds.held(0.1, _core("ab"), "b", Held(TOKEN, 4)).settled == []
     changed = _core("ab", view=4)
-    assert holds.tick(HOLD_AGAIN_S, changed).settled == [(TOKEN, True)], "a newer view is in force here by now"
+    assert holds.tick(HOLD_RETRY_INTERVAL_S, changed).settled == [(TOKEN, True)], "a newer view is in force here by now"
 
 
 def test_a_member_without_a_vote_needs_a_majority_of_the_others() -> None:
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parent.parent
 FEATURES = ROOT / "tests" / "features"
 PAGES = (ROOT / "hophinge" / "coordination" / "README.md",)
-LEAST_SCENARIOS = 4
+MIN_SCENARIOS = 4
 
 
 def test_all_scenarios_pass() -> None:
@@ -27,7 +27,7 @@
     )
     assert done.returncode == 0, done.stdout + done.stderr
     told = sum(text.read_text().count("Scenario:") for text in FEATURES.glob("*.feature"))
-    assert told >= LEAST_SCENARIOS
+    assert told >= MIN_SCENARIOS
     assert f"{told} scenarios passed, 0 failed" in done.stdout
 
 
--- a/tests/test_fleet_queue.py
+++ b/tests/test_fleet_queue.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from hophinge.fleet.placement.queue import FRESH_US, LEAST_SAMPLE_US, WorkQueue
+from hophinge.fleet.placement.queue import FRESH_US, MIN_SAMPLE_US, WorkQueue
 
 
 def test_jobs_are_worked_on_in_turn() -> None:
@@ -45,7 +45,7 @@
     queue.add(0.0, 0, 1_000.0)
     job = queue.add(0.0, 0, 1_000.0)
     queue.add(0.0, 0, 500.0)
-    assert queue.spent_us(job, 300.0) == LEAST_SAMPLE_US
+    assert queue.spent_us(job, 300.0) == MIN_SAMPLE_US
     queue.finish(300.0, job, 300.0)
     assert queue.begin(300.0, 0) == 800.0
 
--- a/tests/test_fleet_server_connection.py
+++ b/tests/test_fleet_server_connection.py
@@ -9,7 +9,7 @@
 from hophinge.fleet.transport.asgi import BodyMemory, NoRoomError
 from hophinge.fleet.transport.connection_state import Ending
 from hophinge.fleet.transport.server import HttpServer
-from hophinge.fleet.transport.server_connection import MOST_WAITING
+from hophinge.fleet.transport.server_connection import MAX_WAITING
 from tests.connection_wire import CHUNKED, FIRST, GARBAGE, UPGRADE, Wire, cuts, played, settle
 
 
@@ -161,14 +161,14 @@
     async def play(wire: Wire, server: HttpServer) -> None:
         wire.held = True
         await wire.feed(FIRST)
-        for number in range(MOST_WAITING):
+        for number in range(MAX_WAITING):
             assert not wire.pipe.paused, number
             await wire.feed(CHUNKED)
         assert wire.pipe.paused
         wire.held = False
         wire.go_on["/first"].set()
         await settle()
-        assert not wire.pipe.paused and wire.statuses() == [200] * (1 + MOST_WAITING)
+        assert not wire.pipe.paused and wire.statuses() == [200] * (1 + MAX_WAITING)
 
     played(play)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from hophinge.core.interface import Action, Event, Refuse, Send
-from hophinge.net.payload import MOST_LONG
+from hophinge.net.payload import MAX_LONG
 from hophinge.head.service import Service
 from tests.stand_in import OBJECT, VOLUME, Brick, Wire, World, headers, held_by, run_in_real_time as run, until, world
 
@@ -89,7 +89,7 @@
         self.counts["requests_malformed"] += 1
 
     async def oversize(self, wire: Wire, sent: dict[str, str]) -> None:
-        wire.writer.write(wire.head(WRITE, {**sent, "Content-Length": str(MOST_LONG + 1)}, "PUT") + bytes(1000))
+        wire.writer.write(wire.head(WRITE, {**sent, "Content-Length": str(MAX_LONG + 1)}, "PUT") + bytes(1000))
         status, fields, _ = await wire.receive()
         assert status == 413 and fields["connection"] == "close" and await wire.ended()
         self.counts["requests_malformed"] += 1
--- a/tests/test_net_connects.py
+++ b/tests/test_net_connects.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hophinge.net.connects import MOST_BESIDE, SPARE_BURST, Connects, Usual
+from hophinge.net.connects import MAX_BESIDE, SPARE_BURST, Connects, Usual
 from tests.servers import Brick, held_by
 from tests.stand_in import headers, run_in_real_time as run, until, world
 from tests.test_net import READ
@@ -122,7 +122,7 @@
         own, beside = own + sum(not one for _, one in begun), beside + sum(one for _, one in begun)
         assert len(connects.since) >= waiting and beside <= SPARE_BURST + own / 2
         if any(one for _, one in begun):
-            assert len(connects.since) <= waiting + MOST_BESIDE and held + len(connects.since) <= 6
+            assert len(connects.since) <= waiting + MAX_BESIDE and held + len(connects.since) <= 6
         assert waiting or len(connects.since) == before  # nothing goes out for nobody
         assert 0.01 <= usual.late_s <= 0.25 / 3
         due = connects.look_at(now)
--- a/tests/test_popularity.py
+++ b/tests/test_popularity.py
@@ -11,7 +11,7 @@
 
 from hophinge.popularity import rumour
 from hophinge.popularity.keys import Keys, Locator
-from hophinge.popularity.rumour import CLAIM_FACTOR, ITEMS_EACH, MOST_PAGE, Hearsay, Item, pages, read
+from hophinge.popularity.rumour import CLAIM_FACTOR, ITEMS_EACH, MAX_PAGE, Hearsay, Item, pages, read
 from hophinge.popularity.sketch import Part, Sketch
 
 HALF = 1_000_000
@@ -146,7 +146,7 @@
     hearsay = Hearsay(HALF)
     early = pages(1, 900.0, [item(at, 2.0) for at in range(ITEMS_EACH + 5)])
     late = pages(2, 900.0, [item(at, 3.0) for at in range(ITEMS_EACH + 4, -1, -1)])
-    assert len(early) == len(late) == 2 and all(len(page) <= MOST_PAGE for page in early + late)
+    assert len(early) == len(late) == 2 and all(len(page) <= MAX_PAGE for page in early + late)
     for number, page in enumerate(early):
         assert hearsay.take(0, "a", ZONE, (1, number), page)
     assert hearsay.take(0, "a", ZONE, (1, 2), late[0])  # its other page is on its way
--- a/tests/test_restart_queue.py
+++ b/tests/test_restart_queue.py
@@ -12,7 +12,7 @@
 from tests.stand_in import run, until
 
 CLOSES = 12
-MOST_S = 10.0  # where the kernel lets clients in all the while the queue is never empty, and this is used up
+MAX_S = 10.0  # where the kernel lets clients in all the while the queue is never empty, and this is used up
 # Connects, says one byte, waits for one, and again, until nobody listens: tells how many had an answer, how many none.
 CLIENT = """
 import socket, sys
@@ -78,8 +78,8 @@
             await asyncio.sleep(0.1)
             acceptor.last()
             begun = asyncio.get_running_loop().time()
-            await acceptor.finish(MOST_S)
-            assert asyncio.get_running_loop().time() - begun < MOST_S
+            await acceptor.finish(MAX_S)
+            assert asyncio.get_running_loop().time() - begun < MAX_S
             await until(lambda: not taker.open and not acceptor.tasks)  # noqa: B023
             for client in clients:
                 told, _ = await client.communicate()
--- a/tests/test_scoring_choice.py
+++ b/tests/test_scoring_choice.py
@@ -26,7 +26,7 @@
     Send,
 )
 from hophinge.scoring.interface import View
-from tests.scoring_parts import MOST_US, Says, engine
+from tests.scoring_parts import MAX_US, Says, engine
 from tests.test_choice import MS, SETTINGS, T0, ask
 
 NAMES = [f"n{at}" for at in range(6)]
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("wanted", NAMES)
 def test_the_brick_without_added_time_is_chosen(wanted: str) -> None:
     one = module()
-    one.scorers = engine({"but": Says(lambda view: [0.0 if node == wanted else MOST_US for node in view.nodes])})
+    one.scorers = engine({"but": Says(lambda view: [0.0 if node == wanted else MAX_US for node in view.nodes])})
     assert sent(one.handle(T0 + MS, [fresh("r")])) == [wanted]
 
 
--- a/tests/test_scoring_guard.py
+++ b/tests/test_scoring_guard.py
@@ -15,7 +15,7 @@
 from hophinge.scoring import guard
 from hophinge.scoring.interface import Scorer, View, Weight
 from hophinge.scoring.pauses import FIRST_PAUSE_US
-from tests.scoring_parts import ASK, MOST_US, Says, books, engine
+from tests.scoring_parts import ASK, MAX_US, Says, books, engine
 
 T0 = 50_000_000
 NAMES = ("a", "b", "c", "d")
@@ -107,7 +107,7 @@
     for step in range(3):
         added = head.added_us(T0 + step, ASK, books(*NAMES))
         assert added.keys() <= set(NAMES)
-        assert all(isinstance(time, float) and 0.0 < time <= MOST_US for time in added.values())
+        assert all(isinstance(time, float) and 0.0 < time <= MAX_US for time in added.values())
         assert added["a"] >= 10.0 and added["c"] >= 20.0
     wrong = [one for one in head.guard.scorers if one.pauses.mistakes]
     assert not any(one.name == "good" for one in wrong)
@@ -119,7 +119,7 @@
 @example([raising(KeyboardInterrupt())])
 @example([lambda view: [10**400, 1.0, 1.0, 1.0]])
 @example([lambda view: [1e308, 1e308, 1e308, 1e308]])
-@example([lambda view: [MOST_US, MOST_US, MOST_US, MOST_US], lambda view: [MOST_US] * 4])
+@example([lambda view: [MAX_US, MAX_US, MAX_US, MAX_US], lambda view: [MAX_US] * 4])
 def test_no_misbehaviour_raises_brings_a_brick_in_or_leaves_the_clamp(
     behaviours: list[Callable[[View], object]],
 ) -> None:
@@ -135,7 +135,7 @@
 
     monkeypatch.setattr(guard.Guard, "__init__", unclamped)
     with pytest.raises(AssertionError):
-        check([lambda view: [MOST_US * 2] * 4])
+        check([lambda view: [MAX_US * 2] * 4])
 
 
 def test_the_check_catches_a_guard_that_looks_at_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_scoring_merge.py
+++ b/tests/test_scoring_merge.py
@@ -13,9 +13,9 @@
 from hophinge.scoring.interface import Weight
 from hophinge.scoring.merge import (
     HEARSAY,
-    LEAST_TRUST,
+    MIN_TRUST,
     NEUTRAL,
-    OWN_MOST,
+    OWN_MAX,
     Agreement,
     combined,
     hearsay,
@@ -24,16 +24,16 @@
 )
 from hophinge.scoring.sharing import Shared
 
-WORD = st.tuples(st.floats(0, 1), st.floats(LEAST_TRUST, 1))
+WORD = st.tuples(st.floats(0, 1), st.floats(MIN_TRUST, 1))
 LITTLE = 1e-9
 
 
 def check_liars(honest: list[tuple[float, float]], lies: list[tuple[float, float]]) -> None:
     """The promise: with f <= g what is heard lies between honest words (and neutral ones that fill up)."""
     words = honest + lies
-    fill = [0.0] * (merge.LEAST_WORDS - len(words))
+    fill = [0.0] * (merge.MIN_WORDS - len(words))
     values = [value for value, _ in honest] + fill
-    if values and len(lies) <= trimmed(max(len(words), merge.LEAST_WORDS)):
+    if values and len(lies) <= trimmed(max(len(words), merge.MIN_WORDS)):
         assert min(values) - LITTLE <= hearsay(words) <= max(values) + LITTLE
 
 
@@ -67,14 +67,14 @@
 def test_the_stated_bound_holds_for_each_number_of_liars(peers: int, evidence: float) -> None:
     for liars in range(peers + 1):
         bound = most_moved(liars, peers, evidence)
-        for trust in (LEAST_TRUST, 0.3, 1.0):
+        for trust in (MIN_TRUST, 0.3, 1.0):
             assert moved(liars, peers, evidence, trust) <= bound + LITTLE
-        assert moved(liars, peers, evidence, LEAST_TRUST) == pytest.approx(bound)  # and it is no looser than that
-        caught = most_moved(liars, peers, evidence, LEAST_TRUST, 0.5)  # liars that were found out
-        assert caught <= bound + LITTLE and (caught == 0.0 or liars > trimmed(max(peers, merge.LEAST_WORDS)))
-        if liars <= trimmed(max(peers, merge.LEAST_WORDS)):
+        assert moved(liars, peers, evidence, MIN_TRUST) == pytest.approx(bound)  # and it is no looser than that
+        caught = most_moved(liars, peers, evidence, MIN_TRUST, 0.5)  # liars that were found out
+        assert caught <= bound + LITTLE and (caught == 0.0 or liars > trimmed(max(peers, merge.MIN_WORDS)))
+        if liars <= trimmed(max(peers, merge.MIN_WORDS)):
             assert bound == 0.0
-        assert bound <= HEARSAY / (HEARSAY + NEUTRAL + min(evidence, OWN_MOST)) + LITTLE
+        assert bound <= HEARSAY / (HEARSAY + NEUTRAL + min(evidence, OWN_MAX)) + LITTLE
 
 
 @given(st.floats(0, 1), st.floats(0, 1e6), st.floats(0, 1), st.floats(0, 1))
@@ -86,8 +86,8 @@
     """The promise: peers never praise, and accuse by no more than their part against own answers."""
     weight = combined(Weight(value, evidence), heard, part)
     assert value <= weight <= max(value, heard) + LITTLE
-    assert weight - value <= HEARSAY / (HEARSAY + NEUTRAL + min(evidence, OWN_MOST)) + LITTLE
-    if evidence >= OWN_MOST:
+    assert weight - value <= HEARSAY / (HEARSAY + NEUTRAL + min(evidence, OWN_MAX)) + LITTLE
+    if evidence >= OWN_MAX:
         assert weight - value <= (1.0 - value) / 2 + LITTLE  # the larger part is one's own
 
 
@@ -113,7 +113,7 @@
         friend.compare(own, ["n3"], {"n3": 0.8 + 0.1 * rng.random()})
         liar.compare(own, ["n3"], {"n7": 1.0})
         idle.compare(dict.fromkeys(own, 0.0), [], {"n5": merge.APART / 2})
-    assert friend.trust > 0.9 and liar.trust == LEAST_TRUST and idle.trust == 0.5
+    assert friend.trust > 0.9 and liar.trust == MIN_TRUST and idle.trust == 0.5
 
 
 def test_a_brick_of_which_little_is_known_here_judges_nobody() -> None:
@@ -127,6 +127,6 @@
 
 
 def test_trust_weighs_among_the_words_that_are_left() -> None:
-    words = [(0.0, 1.0)] * 4 + [(1.0, LEAST_TRUST)] * 4
-    believed = [(0.0, LEAST_TRUST)] * 4 + [(1.0, 1.0)] * 4
+    words = [(0.0, 1.0)] * 4 + [(1.0, MIN_TRUST)] * 4
+    believed = [(0.0, MIN_TRUST)] * 4 + [(1.0, 1.0)] * 4
     assert hearsay(words) < 0.15 and hearsay(believed) > 0.85
--- a/tests/test_scoring_model.py
+++ b/tests/test_scoring_model.py
@@ -15,7 +15,7 @@
 from hophinge.scoring.engine import Engine
 from hophinge.scoring.merge import most_moved
 from hophinge.scoring.suspicion import Suspicion
-from tests.scoring_parts import ASK, MOST_US, VERSION, Wall, books, sharer
+from tests.scoring_parts import ASK, MAX_US, VERSION, Wall, books, sharer
 
 T0, S = 50_000_000, 1_000_000
 BRICKS = [f"brick-{number}" for number in range(6)]
@@ -100,7 +100,7 @@
     def clamped(self) -> None:
         for head, _ in self.heads.values():
             added = head.added_us(self.now, ASK, books(*BRICKS))
-            assert all(0.0 < time <= MOST_US for time in added.values())
+            assert all(0.0 < time <= MAX_US for time in added.values())
             assert not any(one.pauses.mistakes for one in head.guard.scorers)
 
 
--- a/tests/test_scoring_plugins.py
+++ b/tests/test_scoring_plugins.py
@@ -23,7 +23,7 @@
     ScorerUnusableError,
 )
 from hophinge.scoring.interface import GROUP
-from tests.scoring_parts import ASK, MOST_US, SETTING, books, engine, install
+from tests.scoring_parts import ASK, MAX_US, SETTING, books, engine, install
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "scorer"
 PLUGIN = """
@@ -144,4 +144,4 @@
     install(site, "brought_evil", {"latency": "brought_evil"}, PLUGIN.format(name="latency", interface=1, make="None"))
     scorers, _ = make(ScoringConfig(["latency"]), SETTING)
     assert type(scorers["latency"]).__module__ == "hophinge.scoring.latency" and "brought_evil" not in sys.modules
-    assert engine(scorers).guard.most_us == MOST_US
+    assert engine(scorers).guard.most_us == MAX_US
--- a/tests/test_scoring_scorers.py
+++ b/tests/test_scoring_scorers.py
@@ -12,7 +12,7 @@
 from hophinge.scoring import latency, outlook, suspicion
 from hophinge.scoring.interface import Surroundings, View
 from hophinge.scoring.sketch import Sketch
-from tests.scoring_parts import ASK, MOST_US, SETTING, books
+from tests.scoring_parts import ASK, MAX_US, SETTING, books
 
 T0 = 50_000_000
 S = 1_000_000
@@ -68,7 +68,7 @@
     scorer.tick(T0, set(NAMES) - {"n4"})
     assert "n4" not in scorer.sketches
     scorer.merged(T0, {"n1": 1.0})
-    assert scorer.added_us(view())[1] == MOST_US
+    assert scorer.added_us(view())[1] == MAX_US
 
 
 def test_latency_counts_what_was_given_up_and_not_what_failed_at_once() -> None:
@@ -91,7 +91,7 @@
             failed = rng.random() < part or (node == "n2" and turn == 100)
             scorer.heard(T0 + turn * 10 * MS, node, Result.ERROR if failed else Result.OK, MS)
     times = scorer.added_us(view())
-    assert times[0] > 0.5 * MOST_US and times[1] < 0.1 * MOST_US and times[2] == 0.0
+    assert times[0] > 0.5 * MAX_US and times[1] < 0.1 * MAX_US and times[2] == 0.0
     scorer.heard(T0 + 2 * S, "n2", Result.CANCELLED, MS)
     scorer.heard(T0 + 2 * S, "n2", Result.MOOT, MS)
     assert scorer.added_us(view())[2] == 0.0
@@ -101,7 +101,7 @@
     scorer = suspicion.Suspicion(suspicion.Parameters(half_life_s=10.0), SETTING)
     scorer.heard(T0, "n0", Result.RESET, MS)
     first = scorer.added_us(view())[0]
-    assert first == pytest.approx(MOST_US / suspicion.FULL_AT)
+    assert first == pytest.approx(MAX_US / suspicion.FULL_AT)
     scorer.tick(T0 + 10 * S, set(NAMES))
     assert scorer.added_us(view())[0] == pytest.approx(first / 2)
     scorer.tick(T0 + 1000 * S, set(NAMES))
@@ -113,10 +113,10 @@
     around = Surroundings(10 * S)
     assert scorer.added_us(view(surroundings=around)) == [0.0] * 10
     around.drains = frozenset({"n3"})
-    assert scorer.added_us(view(surroundings=around)) == [0.0] * 3 + [0.8 * MOST_US] + [0.0] * 6
+    assert scorer.added_us(view(surroundings=around)) == [0.0] * 3 + [0.8 * MAX_US] + [0.0] * 6
     around.drains, around.demand = frozenset(), lambda key: 5.0 if key == ASK.key else 0.0
     cold = scorer.added_us(view(surroundings=around, started_us=T0 - 2 * S))
-    assert cold == [pytest.approx(0.5 * 0.5 * 0.8 * MOST_US)] * 10
+    assert cold == [pytest.approx(0.5 * 0.5 * 0.8 * MAX_US)] * 10
     assert scorer.added_us(view(surroundings=around)) == [0.0] * 10  # all are warm
 
 
--- a/tests/test_scoring_sharing.py
+++ b/tests/test_scoring_sharing.py
@@ -6,14 +6,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hophinge.cluster.interface import MOST_VALUE, Entry, Topic
+from hophinge.cluster.interface import MAX_VALUE, Entry, Topic
 from hophinge.core.interface import Result
 from hophinge.scoring import encoding
 from hophinge.scoring.engine import Engine
-from hophinge.scoring.merge import HEARSAY, NEUTRAL, OWN_MOST, most_moved
+from hophinge.scoring.merge import HEARSAY, NEUTRAL, OWN_MAX, most_moved
 from hophinge.scoring.sharing import BEAT_US, FORGOTTEN_US, FRESH_US, HALF_LIFE_US
 from hophinge.scoring.suspicion import Parameters, Suspicion
-from tests.scoring_parts import ASK, MOST_US, SETTING, VERSION, Wall, books, engine, sharer
+from tests.scoring_parts import ASK, MAX_US, SETTING, VERSION, Wall, books, engine, sharer
 
 T0 = 50_000_000
 S = 1_000_000
@@ -52,8 +52,8 @@
         hear(head, T0, BAD, Result.ERROR, 4)
     now = run(fleet, wall, T0, 2)
     rest = [added(head, now, BAD) for head in list(fleet.values())[7:]]
-    assert min(rest) > 0.2 * MOST_US and max(added(head, now, GOOD) for head in fleet.values()) == 0.0
-    assert min(added(head, now, BAD) for head in asked) > 0.8 * MOST_US
+    assert min(rest) > 0.2 * MAX_US and max(added(head, now, GOOD) for head in fleet.values()) == 0.0
+    assert min(added(head, now, BAD) for head in asked) > 0.8 * MAX_US
 
 
 def check_liars(liars: int, peers: int) -> None:
@@ -67,8 +67,8 @@
                 hear(head, now, GOOD, Result.OK, 10)
         now = run(fleet, wall, now, 1, liars)
     small = 1e-6
-    assert added(knows_not, now, GOOD) <= most_moved(liars, peers, 0.0) * MOST_US + small
-    assert added(knows, now, GOOD) <= most_moved(liars, peers, OWN_MOST) * MOST_US + small
+    assert added(knows_not, now, GOOD) <= most_moved(liars, peers, 0.0) * MAX_US + small
+    assert added(knows, now, GOOD) <= most_moved(liars, peers, OWN_MAX) * MAX_US + small
     trust = knows.shared["suspicion"].peers
     assert all(trust[f"liar{at}"].agreement.trust <= 0.1 for at in range(liars))
 
@@ -106,7 +106,7 @@
     for _ in range(FORGOTTEN_US // S + 5):
         now = run({"h9": quiet}, wall, now, 1)
         seen.append(added(quiet, now, BAD))
-    assert first > 0.5 * MOST_US and seen[FRESH_US // S - 2] == first
+    assert first > 0.5 * MAX_US and seen[FRESH_US // S - 2] == first
     assert seen == sorted(seen, reverse=True) and seen[-1] == 0.0
     assert seen[(FRESH_US + 2 * HALF_LIFE_US) // S] < first / 2
     assert quiet.reader is not None and not quiet.reader.left and not quiet.shared["suspicion"].peers
@@ -143,7 +143,7 @@
     for at in range(9):
         wall.say(f"new{at}", 2, {GOOD: 1.0})
     wall.tick(T0 + S, "h0", head, BRICKS)
-    assert added(head, T0 + S, GOOD) > 0.5 * MOST_US
+    assert added(head, T0 + S, GOOD) > 0.5 * MAX_US
     for at in range(9):
         wall.say(f"new{at}", 3, {GOOD: 1.0}, "suspicion-2")
     wall.tick(T0 + 2 * S, "h0", head, BRICKS)
@@ -158,7 +158,7 @@
         b"",
         b"\xc1",
         good[:-1],
-        b"x" * (MOST_VALUE + 1),
+        b"x" * (MAX_VALUE + 1),
         encoding.ENCODER.encode(table(1, VERSION, 0, {GOOD: 51})),
         encoding.ENCODER.encode(table(1, VERSION, 0, {GOOD: -1})),
         encoding.ENCODER.encode(table(2, VERSION, 0, {})),
@@ -200,7 +200,7 @@
         values, left_out = encoding.encode(VERSION, beat, weights)
     except UnicodeEncodeError:
         return  # no name of a brick: the list's decoder takes no lone surrogates
-    assert all(len(value) <= MOST_VALUE for value in values.values()) and 0 in values
+    assert all(len(value) <= MAX_VALUE for value in values.values()) and 0 in values
     found: dict[str, float] = {}
     for chunk, value in values.items():
         version, part = encoding.decode(chunk, value)
@@ -215,7 +215,7 @@
             assert all(at >= weight - 0.5 / encoding.STEPS - 1e-9 for at in kept)
 
 
-@given(st.binary(max_size=MOST_VALUE + 10), st.text(max_size=12))
+@given(st.binary(max_size=MAX_VALUE + 10), st.text(max_size=12))
 def test_no_bytes_of_a_peer_raise(value: bytes, key: str) -> None:
     head = heads(1)["h0"]
     for at, name in enumerate((key, "suspicion/0")):
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -16,7 +16,7 @@
 from hophinge.tenancy.attempts import Callers, Holdings
 from hophinge.tenancy.records import Account, Key, Role, digest, row
 from hophinge.tenancy.timekeeper import Timekeeper
-from hophinge.tenancy.usage import FIELDS, MOST_VOLUMES, OTHERS, WHOLE, Exported, Reports, Usage
+from hophinge.tenancy.usage import FIELDS, MAX_VOLUMES, OTHERS, WHOLE, Exported, Reports, Usage
 
 HOUR_MS = 3_600_000
 
@@ -78,7 +78,7 @@
 
 def test_usage_of_more_volumes_than_are_held_counts_for_their_tenant() -> None:
     usage = Usage()
-    for at in range(MOST_VOLUMES * len(FIELDS) + 10):
+    for at in range(MAX_VOLUMES * len(FIELDS) + 10):
         usage.add("t", f"v{at}", "served", 1)
     assert usage.amounts["t", WHOLE, "served"] == 10
 
--- a/tests/test_worst_days_catching_up.py
+++ b/tests/test_worst_days_catching_up.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hophinge.coordination.chain import MOST_DOUBLINGS, SYNC_AGAIN_S, SYNC_BYTES_S, Chain
+from hophinge.coordination.chain import MAX_DOUBLINGS, SYNC_RETRY_INTERVAL_S, SYNC_BYTES_S, Chain
 from hophinge.coordination.codec import encode
 from hophinge.coordination.messages import Heartbeat
 from hophinge.coordination.outputs import Outputs
@@ -159,7 +159,7 @@
 def test_a_copy_is_sent_again_only_after_the_time_it_may_take_and_twice_that_each_further_time() -> None:
     chain, successor = _pair()
     chain.registers.apply(_entry(DOCUMENT))
-    wait = SYNC_AGAIN_S + (DOCUMENT + TAKEN_BYTES) / SYNC_BYTES_S
+    wait = SYNC_RETRY_INTERVAL_S + (DOCUMENT + TAKEN_BYTES) / SYNC_BYTES_S
     moments = [0.0]
     for step in range(4_000):
         outputs = Outputs()
@@ -167,9 +167,9 @@
         if outputs.messages:
             moments.append(step * 0.05)
     pauses = [after - before for before, after in pairwise(moments)]
-    assert len(pauses) > MOST_DOUBLINGS
+    assert len(pauses) > MAX_DOUBLINGS
     for number, pause in enumerate(pauses):
-        assert pause == pytest.approx(wait * 2 ** min(number, MOST_DOUBLINGS), abs=0.11)
+        assert pause == pytest.approx(wait * 2 ** min(number, MAX_DOUBLINGS), abs=0.11)
 
 
 def test_a_successor_that_has_caught_up_is_sent_the_next_copy_without_the_doubled_wait() -> None:
--- a/tests/test_worst_days_operators.py
+++ b/tests/test_worst_days_operators.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hophinge.coordination.registers import MOST_TAKEN, Change, Entry, Outcome, Registers
+from hophinge.coordination.registers import MAX_TAKEN, Change, Entry, Outcome, Registers
 from tests.coordination_world import change
 from tests.worst_days import CONTACT_S, A, B, C, cut, formed, taken
 
@@ -98,7 +98,7 @@
 
 def test_the_bound_on_changes_that_are_remembered() -> None:
     """The newest 4,096 are known again; one that is older is refused like any that builds on an old version."""
-    registers, count = Registers(), MOST_TAKEN + 1
+    registers, count = Registers(), MAX_TAKEN + 1
     changes = [Change("k", number, number + 1, b"%d" % number, b"") for number in range(count)]
     for number, one in enumerate(changes, 1):
         assert registers.judge(one) is None
@@ -108,4 +108,4 @@
     again = Registers()
     again.restore(registers.snapshot())
     assert {again.judge(one) for one in changes[1:]} == {Outcome.TAKEN}
-    assert len(registers.taken["k"]) == MOST_TAKEN
+    assert len(registers.taken["k"]) == MAX_TAKEN
--- a/tests/worst_days_mutants.py
+++ b/tests/worst_days_mutants.py
@@ -125,14 +125,14 @@
     Mutant(
         "a copy is sent anew before the last may have come",
         "coordination/chain",
-        "        return once * float(2 ** min(max(0, self.syncs - 1), MOST_DOUBLINGS))",
-        "        return SYNC_AGAIN_S",
+        "        return once * float(2 ** min(max(0, self.syncs - 1), MAX_DOUBLINGS))",
+        "        return SYNC_RETRY_INTERVAL_S",
         CATCHING_UP + "test_the_largest_document_is_taken_over_a_slow_link_once",
     ),
     Mutant(
         "copies are sent at one pace for ever",
         "coordination/chain",
-        "        return once * float(2 ** min(max(0, self.syncs - 1), MOST_DOUBLINGS))",
+        "        return once * float(2 ** min(max(0, self.syncs - 1), MAX_DOUBLINGS))",
         "        return once",
         CATCHING_UP + "test_a_copy_is_sent_again_only_after_the_time_it_may_take_and_twice_that_each_further_time",
     ),
