--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -136,7 +136,7 @@
     import toy_server
 
     discovery, control_port = free_port(), free_port()
-    platform = await toy_server.serve([toy_server.Brick(at, free_port()) for at in range(3)], discovery)
+    platform = await toy_server.serve([toy_server.Backend(at, free_port()) for at in range(3)], discovery)
     control = control_process(folder, control_port)
     (folder / "token").write_text(TOKEN)
     heads, ports, seconds = [], [free_port(), free_port()], [free_port(), free_port()]
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -39,7 +39,9 @@
     history(world, 25)
     rows = world.store.permits.values()
     done = Counter({f"permits for {kind.value}s": sum(row.kind is kind for row in rows) for kind in Kind})
-    done["begun"] = sum(row.state is not State.GRANTED and bool(row.process or row.kind is Kind.BRICK) for row in rows)
+    done["begun"] = sum(
+        row.state is not State.GRANTED and bool(row.process or row.kind is Kind.BACKEND) for row in rows
+    )
     done["drained by all heads' word"] = world.verdicts
     return len(world.wrong), world.struck, done
 
--- a/benchmarks/maintenance_reports.py
+++ b/benchmarks/maintenance_reports.py
@@ -33,10 +33,10 @@
     )
 
 
-def beats(heads: int, bricks: int, changes: int, drains: int) -> tuple[int, float, int]:
+def beats(heads: int, backends: int, changes: int, drains: int) -> tuple[int, float, int]:
     """Play beats; tells the bytes of a whole report, of one of changes on average, and of the first."""
     lots, teller = random.Random(1), Teller()
-    rows = {f"brick-{at:04d}": Listed(f"hall-{'abc'[at % 3]}", "std-1c", True) for at in range(bricks)}
+    rows = {f"brick-{at:04d}": Listed(f"hall-{'abc'[at % 3]}", "std-1c", True) for at in range(backends)}
     names = tuple(f"n{at:04d}" for at in range(heads))
     own = tuple(Statement(f"1000001.{at}", f"brick-{at:04d}", DRAINED) for at in range(drains))
     heard = {name: list(own) for name in names[1:]} if own else {}
@@ -51,7 +51,7 @@
             True,
             statements=own,
             heard=heard,
-            bricks=dict(rows),
+            backends=dict(rows),
             live=names,
             clustered=True,
             taken=1e6 + 40 * beat,
@@ -75,11 +75,11 @@
         "into the service, whole | as changes | times less |",
         "| --- " * 10 + "|",
     ]
-    for heads, bricks in SIZES:
+    for heads, backends in SIZES:
         for changes, drains in [*((one, 0) for one in CHANGES), (1, DRAINS)]:
-            before, after, first = beats(heads, bricks, changes, drains)
+            before, after, first = beats(heads, backends, changes, drains)
             lines.append(
-                f"| {heads} | {bricks} | {changes} | {drains} | {before:,} | {after:,.0f} | {first:,} | "
+                f"| {heads} | {backends} | {changes} | {drains} | {before:,} | {after:,.0f} | {first:,} | "
                 f"{heads * before / BEAT_S / 1e3:,.1f} kB/s | {heads * after / BEAT_S / 1e3:,.1f} kB/s | "
                 f"{before / after:.0f} |"
             )
--- a/benchmarks/popularity_latency.py
+++ b/benchmarks/popularity_latency.py
@@ -82,8 +82,8 @@
             while popular.site.step(100):
                 pass
             popular.store.core.cache = None  # others' reads go to bricks whether or not a piece is kept
-            for brick in built.world.bricks:
-                brick.behave = work
+            for backend in built.world.backends:
+                backend.behave = work
             await load(built, paths, 2.0, 1)
             found: dict[bool, list[list[float]]] = {True: [], False: []}
             ratios, fetched, lost = [], 0, {True: 0, False: 0}
--- a/benchmarks/popularity_model.py
+++ b/benchmarks/popularity_model.py
@@ -86,7 +86,7 @@
         self.loop.call_soon(callback)
 
 
-class ModelBrick:
+class ModelBackend:
     """One disk: requests in turn, each an exponential time a unit, and others' work between them."""
 
     def __init__(self, model: Model, shard: int, work_us: float) -> None:
@@ -126,20 +126,20 @@
         seed: int,
         folder: Path,
         settings: dict[str, Any],
-        bricks: int = 3,
+        backends: int = 3,
         work_us: float = 2000.0,
         fetch_bytes_s: float = 1e5,
         cache_bytes: int = 50_000_000,
     ) -> None:
         self.loop, self.seed, self.timers = loop, seed, Timers(loop)
         self.lots = random.Random(seed)
-        self.bricks = [ModelBrick(self, shard, work_us) for shard in range(bricks)]
+        self.backends = [ModelBackend(self, shard, work_us) for shard in range(backends)]
         self.exchange = Exchange(read_settings(json.dumps(settings)), seed, self.timers, Counters(), lambda text: None)
-        self.exchange.start = lambda attempt: self.bricks[attempt.shard].start(attempt)
+        self.exchange.start = lambda attempt: self.backends[attempt.shard].start(attempt)
         self.exchange.nodes(
             api.NodeList(
                 api.ListKind.FULL,
-                tuple(api.NodeEntry(f"b{shard}", 0, shard, api.Phase.ON, 0.0, 0) for shard in range(bricks)),
+                tuple(api.NodeEntry(f"b{shard}", 0, shard, api.Phase.ON, 0.0, 0) for shard in range(backends)),
             )
         )
         self.store = Store(
@@ -190,13 +190,15 @@
 
     async def others(self, utilisation: float) -> None:
         """Put other heads' work on each brick, until cancelled."""
-        queue = [(0.0, brick.shard) for brick in self.bricks]
+        queue = [(0.0, backend.shard) for backend in self.backends]
         while True:
             due, shard = heapq.heappop(queue)
             await asyncio.sleep(max(0.0, due - self.loop.time()))
-            brick = self.bricks[shard]
-            brick.work(1.0, brick.lots)
-            heapq.heappush(queue, (max(due, T0_S) + brick.lots.expovariate(utilisation * 1e6 / brick.work_us), shard))
+            backend = self.backends[shard]
+            backend.work(1.0, backend.lots)
+            heapq.heappush(
+                queue, (max(due, T0_S) + backend.lots.expovariate(utilisation * 1e6 / backend.work_us), shard)
+            )
 
     async def fetching(self) -> None:
         """Fetch objects again and again; their pieces are dropped, so that there is always something to fetch."""
--- a/benchmarks/scoring.py
+++ b/benchmarks/scoring.py
@@ -70,7 +70,7 @@
     """Go through one; tells who met the failing brick, who was not served, shares, p99 in ms, bytes told."""
     seed, words, merge = job
     one = model.Model(seed, merge=MERGES[merge], **words).run()
-    placed = sum(one.placed.values()) / model.BRICKS
+    placed = sum(one.placed.values()) / model.BACKENDS
     return (
         len(one.met),
         one.unserved,
@@ -101,7 +101,7 @@
 def back(job: tuple[int, dict[str, Any]]) -> list[float]:
     """Tell the share of a brick that works again, by spans of 10 s."""
     one = model.Model(job[0], **job[1]).run()
-    return [one.by_span[span] * model.BRICKS / max(1, one.all_by_span[span]) for span in range(SPANS)]
+    return [one.by_span[span] * model.BACKENDS / max(1, one.all_by_span[span]) for span in range(SPANS)]
 
 
 def recovery(pool: ProcessPoolExecutor) -> list[str]:
@@ -174,7 +174,7 @@
             f"""
 ## Requests that meet a failing brick
 
-Ten heads with their real modules in virtual time, {model.BRICKS} bricks that work {model.WORK_US // 1000} ms for a
+Ten heads with their real modules in virtual time, {model.BACKENDS} bricks that work {model.WORK_US // 1000} ms for a
 request on the mean; one fails requests within 2 ms from the eighth second on. Entries are heard 0.5 s late, ticks are
 1 s apart. A liar is one of the ten heads, accuses one healthy brick with all that it has, and leaves out the failing
 one. A new object that failed at a brick is tried again there alone, as it may be there: at one that fails all it is not
--- a/benchmarks/scoring_costs.py
+++ b/benchmarks/scoring_costs.py
@@ -153,10 +153,10 @@
 def ticks() -> list[str]:
     """Time the tick of once a second: all peers' entries read, judged and merged, own ones made."""
     rows = []
-    for peers, bricks in ((10, 24), (40, 100), (1000, 1000)):
-        names = [f"brick-{number:04d}" for number in range(bricks)]
+    for peers, backends in ((10, 24), (40, 100), (1000, 1000)):
+        names = [f"brick-{number:04d}" for number in range(backends)]
         rng, count = random.Random(2), 0
-        for label, told in (("one brick in fifty", max(1, bricks // 50)), ("each brick", bricks)):
+        for label, told in (("one brick in fifty", max(1, backends // 50)), ("each brick", backends)):
             head = engine(3, names)
             assert head is not None
             head.share_as("me")
@@ -174,7 +174,7 @@
                 slices(head, since, names, entries)
             again = [slices(head, since + at * 1_000_000, names, entries) for at in range(1, 12)]
             rows.append(
-                f"| {peers} | {bricks} | {label} | {len(entries)} | {sum(first):.1f} | "
+                f"| {peers} | {backends} | {label} | {len(entries)} | {sum(first):.1f} | "
                 f"{statistics.median(map(sum, again)):.1f} | {max(first):.1f} | "
                 f"{spread(list(map(max, again)))} |"
             )
--- a/benchmarks/scoring_model.py
+++ b/benchmarks/scoring_model.py
@@ -23,12 +23,12 @@
 from hophinge.scoring.sharing import BEAT_US, Merge
 
 S, MS = 1_000_000, 1_000
-HEADS, BRICKS = 10, 24
+HEADS, BACKENDS = 10, 24
 WORK_US, FAIL_US = 12 * MS, 2 * MS  # of a brick for a request, mean of exponential times; until it fails one
 FAIL_FROM = 8 * S
 RESTART_EVERY_US = 4 * S
 HEARD_LATE_US = 500 * MS  # what an entry takes to all heads
-NAMES = [f"brick-{number:02d}" for number in range(BRICKS)]
+NAMES = [f"brick-{number:02d}" for number in range(BACKENDS)]
 FAILING, ACCUSED = NAMES[3], NAMES[11]
 MAX_PART = 0.25
 AIM_US = 300 * MS
--- a/benchmarks/stream_costs.py
+++ b/benchmarks/stream_costs.py
@@ -77,7 +77,7 @@
     rows = []
     example = json.loads((ROOT / "examples" / "config.json").read_text())
     settings = read_settings(msgspec.json.encode(example["settings"]))
-    bricks = tuple(NodeEntry(f"b{at}", at % 3, at, Phase.ON, 1.0, 0) for at in range(60))
+    backends = tuple(NodeEntry(f"b{at}", at % 3, at, Phase.ON, 1.0, 0) for at in range(60))
     for tenants in (10, 1000, 10_000):
         text = "(hophinge 1)(pool a (zones hall-a))(pool b (zones hall-b))" + "".join(
             f"(tenant t{at} (volumes {at:016x}))(route (tenant t{at}) (pools a b))"
@@ -88,7 +88,7 @@
         if found.mistakes:
             raise AssertionError(found.lines("the document"))
         router = Router(settings)
-        router.nodes(1, NodeList(ListKind.FULL, bricks))
+        router.nodes(1, NodeList(ListKind.FULL, backends))
         since = time.perf_counter()
         router.take_up(EMPTY.changed((1, 1), found.records, {}), 1)
         taken_up = time.perf_counter() - since
--- a/benchmarks/stream_processes.py
+++ b/benchmarks/stream_processes.py
@@ -87,8 +87,8 @@
         import toy_server
 
         discovery = free_port()
-        bricks = [toy_server.Brick(at, free_port()) for at in range(3)]
-        self.platform = await toy_server.serve(bricks, discovery)
+        backends = [toy_server.Backend(at, free_port()) for at in range(3)]
+        self.platform = await toy_server.serve(backends, discovery)
         (self.folder / "token").write_text(TOKEN)
         (self.folder / "op.toml").write_text(
             f'[stream]\nendpoints = ["127.0.0.1:{self.endpoint}"]\ntoken_file = "token"\nfolder = "state"\n'
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -41,7 +41,7 @@
 TENANTS = ("aa", "bb", "cc")
 
 
-class Brick(toy_server.Brick):
+class Backend(toy_server.Backend):
     """A disk box with two slots: what comes beyond waits its turn there."""
 
     def __init__(self, shard: int) -> None:
@@ -93,9 +93,9 @@
     return found
 
 
-async def serve_bricks(discovery: int) -> None:
+async def serve_backends(discovery: int) -> None:
     """Be the bricks and discovery, in a process of their own: what a load costs must not be taken for work."""
-    await toy_server.serve([Brick(at) for at in range(3)], discovery)
+    await toy_server.serve([Backend(at) for at in range(3)], discovery)
     quiet()
     print("ready", flush=True)
     await asyncio.sleep(LONGEST_S)
@@ -128,9 +128,9 @@
     """Measure one head, calm and then with a surge."""
     folder.mkdir()
     port, second, discovery, control_port = (free_port() for _ in range(4))
-    bricks = subprocess.Popen([sys.executable, __file__, "bricks", str(discovery)], stdout=subprocess.PIPE)
-    assert bricks.stdout is not None
-    bricks.stdout.readline()
+    backends = subprocess.Popen([sys.executable, __file__, "bricks", str(discovery)], stdout=subprocess.PIPE)
+    assert backends.stdout is not None
+    backends.stdout.readline()
     control = control_process(folder, control_port)
     (folder / "token").write_text(TOKEN)
     (folder / "op.toml").write_text(
@@ -182,7 +182,7 @@
                 await asyncio.sleep(1.0)
     finally:
         gc.enable()
-        for process in (head, control, bricks):
+        for process in (head, control, backends):
             process.terminate()
             process.wait()
     return rows
@@ -220,6 +220,6 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["bricks"]:
-        uvloop.run(serve_bricks(int(sys.argv[2])))
+        uvloop.run(serve_backends(int(sys.argv[2])))
     else:
         main()
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -102,7 +102,7 @@
                     task.add_done_callback(tasks.discard)
 
     async def _ask(self, name: str, number: int) -> None:
-        status = await self.made.request(name, number, number % len(self.made.platform.bricks))
+        status = await self.made.request(name, number, number % len(self.made.platform.backends))
         if name not in self.out:  # what was on its way to one that was killed is nobody's to answer
             self.asked += 1
             self.served += status == 200
--- a/examples/scorer/test_own_zone.py
+++ b/examples/scorer/test_own_zone.py
@@ -7,7 +7,7 @@
 from hophinge_own_zone import OwnZone, Parameters, hophinge_scorer
 
 
-def test_bricks_elsewhere_get_the_way_added() -> None:
+def test_backends_elsewhere_get_the_way_added() -> None:
     """The way is added for those of other zones alone."""
     scorer = OwnZone(Parameters(zone=1, beyond_us=3_000.0), Setting(300_000, 75_000.0))
     choice = view([Candidate("a", zone=0), Candidate("b", zone=1), Candidate("c", zone=2), Candidate("d", zone=1)])
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -14,10 +14,10 @@
 import msgspec
 from aiohttp import web
 
-HOST, DISCOVERY, BRICKS = "127.0.0.1", 8500, (8101, 8102, 8103)
+HOST, DISCOVERY, BACKENDS = "127.0.0.1", 8500, (8101, 8102, 8103)
 
 
-class Brick:
+class Backend:
     """A disk box that holds one shard."""
 
     def __init__(self, shard: int, port: int) -> None:
@@ -52,14 +52,14 @@
 class Discovery:
     """The list of bricks and its watches."""
 
-    def __init__(self, bricks: list[Brick]) -> None:
-        self.bricks, self.rev = bricks, 1
+    def __init__(self, backends: list[Backend]) -> None:
+        self.backends, self.rev = backends, 1
         self.news = asyncio.Event()
 
     def drain(self) -> None:
         """Let the first brick drain, or come back."""
-        self.bricks[0].state = "Terminating" if self.bricks[0].state == "Ready" else "Ready"
-        print(f"{self.bricks[0].target()['uid']} is {self.bricks[0].state}", flush=True)
+        self.backends[0].state = "Terminating" if self.backends[0].state == "Ready" else "Ready"
+        print(f"{self.backends[0].target()['uid']} is {self.backends[0].state}", flush=True)
         self.rev += 1
         self.news.set()
         self.news = asyncio.Event()
@@ -72,7 +72,7 @@
                     await self.news.wait()
             except TimeoutError:
                 pass
-        listing = {"rev": self.rev, "all": True, "targets": [brick.target() for brick in self.bricks]}
+        listing = {"rev": self.rev, "all": True, "targets": [backend.target() for backend in self.backends]}
         return web.Response(body=msgspec.json.encode(listing), content_type="application/json")
 
 
@@ -88,11 +88,11 @@
             server.close()
 
 
-async def serve(bricks: list[Brick], port: int) -> Platform:
+async def serve(backends: list[Backend], port: int) -> Platform:
     """Start bricks, and discovery on a port."""
     loop = asyncio.get_running_loop()
-    discovery = Discovery(bricks)
-    handlers = [(discovery.handle, port), *((brick.handle, brick.port) for brick in bricks)]
+    discovery = Discovery(backends)
+    handlers = [(discovery.handle, port), *((backend.handle, backend.port) for backend in backends)]
     return Platform(
         discovery, [await loop.create_server(web.Server(handle), HOST, where) for handle, where in handlers]
     )
@@ -101,12 +101,12 @@
 async def main() -> None:
     """Serve until interrupted."""
     loop = asyncio.get_running_loop()
-    discovery = (await serve([Brick(shard, port) for shard, port in enumerate(BRICKS)], DISCOVERY)).discovery
+    discovery = (await serve([Backend(shard, port) for shard, port in enumerate(BACKENDS)], DISCOVERY)).discovery
     loop.add_signal_handler(signal.SIGUSR1, discovery.drain)
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stop.set)
-    print(f"discovery on {HOST}:{DISCOVERY}, bricks on ports {', '.join(map(str, BRICKS))}", flush=True)
+    print(f"discovery on {HOST}:{DISCOVERY}, bricks on ports {', '.join(map(str, BACKENDS))}", flush=True)
     await stop.wait()
 
 
--- a/hophinge/cli/demo.py
+++ b/hophinge/cli/demo.py
@@ -66,8 +66,8 @@
             )
         )
 
-    bricks = [toy.Brick(at, ports[name]) for at, name in enumerate("abc")]
-    platform = await toy.serve(bricks, ports["discovery"])
+    backends = [toy.Backend(at, ports[name]) for at, name in enumerate("abc")]
+    platform = await toy.serve(backends, ports["discovery"])
     out.print("1. three bricks and discovery serve")
     head_token, staff_token = secrets.token_hex(16), secrets.token_hex(16)
     (folder / "heads").write_text(f"heads {head_token}\n")
@@ -114,7 +114,7 @@
             ) as answer:
                 out.print(f"3. an object is written: {answer.status}")
                 written = answer.status
-            shard = next(brick.shard for brick in bricks if brick.objects)
+            shard = next(backend.shard for backend in backends if backend.objects)
             async with session.get(
                 f"{base}/record-read/{VOLUME}/{OBJECT}",
                 headers={**headers, "X-Txn": f"{2:016x}", "X-Placement": f"units=1,shard={shard},hosts=1"},
--- a/hophinge/cli/load.py
+++ b/hophinge/cli/load.py
@@ -41,12 +41,12 @@
     return plan
 
 
-@load.command()
-def bricks(plan: PlanFile, times: Annotated[float, typer.Option(help="of what the bricks do")] = 0.0) -> None:
+@load.command("bricks")
+def backends(plan: PlanFile, times: Annotated[float, typer.Option(help="of what the bricks do")] = 0.0) -> None:
     """Be the bricks and discovery of a plan until ended; tells discovery's address on standard output."""
     import uvloop
 
-    from hophinge.load.bricks import HOST, Platform
+    from hophinge.load.backends import HOST, Platform
 
     made = read_plan(plan)
 
@@ -101,7 +101,7 @@
             body: dict[str, Any] = json_.loads(config.read_text())
             body.update(listen=f"127.0.0.1:{port}", discovery=discovery, known={"rev": 0, "all": True, "targets": []})
             body.pop("control", None)
-            body["settings"]["Domain"]["NShards"] = plan.bricks
+            body["settings"]["Domain"]["NShards"] = plan.backends
             (Path(folder) / "config.json").write_text(json_.dumps(body))
             environ = {**os.environ, "EDGE_CONFIG": str(Path(folder) / "config.json")}
             if operator is not None:
--- a/hophinge/head/limits.py
+++ b/hophinge/head/limits.py
@@ -9,10 +9,10 @@
 
 MIN_SOCKETS = 16  # for bricks and for clients each, however many another process holds
 SPARE_SOCKETS = 40  # of the limit, for files, discovery and what is just being closed
-BRICKS_PART = 0.4  # of the rest, for connections to bricks
+BACKENDS_PART = 0.4  # of the rest, for connections to bricks
 CLIENTS_PART = 3  # of the limit, what clients hold for requests
 RESTING_PART = 5  # of the limit may rest: clients may hold a third of it for requests
-AT_BRICK = 24  # connections to one brick, of all heads together, beyond which none are kept idle
+AT_BACKEND = 24  # connections to one brick, of all heads together, beyond which none are kept idle
 FEW_HEADS = 8  # whose requests never filled a brick's table: opening anew costs more than what stays idle
 BASE_MB = 36  # of memory, whatever is on its way
 BODIES_PART = 0.4  # of the rest, for bodies on their way; as much again is copies, and what the allocator keeps
@@ -23,7 +23,7 @@
     """What one process may use."""
 
     bodies: int  # bytes on their way
-    to_bricks: int  # connections to all bricks
+    to_backends: int  # connections to all bricks
     idle_each: int  # connections kept idle to one brick
     clients: int  # connections of clients
     resting: int  # of those, without a request
@@ -38,15 +38,15 @@
     room = (limits.memory_mb - processes * BASE_MB) * BODIES_PART / processes
     left = limits.sockets - elsewhere
     sockets = left - SPARE_SOCKETS - (CALLERS if control else 0)
-    to_bricks = max(MIN_SOCKETS, int(sockets * BRICKS_PART))
+    to_backends = max(MIN_SOCKETS, int(sockets * BACKENDS_PART))
     heads = gateways * processes
     # Clients' connections move from one process to the other: those that the other still counts are on their way,
     # and a bound below what clients hold would close them and let new ones wait just then.
     moving = min(left - SPARE_SOCKETS, limits.sockets // CLIENTS_PART + MIN_SOCKETS)
     return Shares(
         bodies=int(max(MIN_BODIES_MB, room) * 1024 * 1024),
-        to_bricks=to_bricks,
-        idle_each=max(1, AT_BRICK // heads) if heads > FEW_HEADS else to_bricks,
-        clients=max(MIN_SOCKETS, sockets - to_bricks, moving if elsewhere else 0),
+        to_backends=to_backends,
+        idle_each=max(1, AT_BACKEND // heads) if heads > FEW_HEADS else to_backends,
+        clients=max(MIN_SOCKETS, sockets - to_backends, moving if elsewhere else 0),
         resting=max(8, limits.sockets // RESTING_PART),
     )
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -192,7 +192,7 @@
         now, listed = self.exchange.now_us(), self.rotation.listed
         settings, counts = self.exchange.settings, self.exchange.counters.counts
         avoided = set(self.exchange.scheduler.avoided(now))
-        bricks = {
+        backends = {
             name: Listed(
                 settings.zones[one.zone] if one.zone < len(settings.zones) else "",
                 settings.kinds[one.kind] if one.kind < len(settings.kinds) else "",
@@ -208,12 +208,12 @@
             self.holder.process,
             self.holder.build,
             self.zone,
-            self.ready() and bool(bricks),
+            self.ready() and bool(backends),
             self.holder.asks(now),
             self.holder.begins(now, halts(entries)),
             tuple(self.drains.statements()),
             said,
-            bricks,
+            backends,
             tuple(live),
             tuple(gone),
             self.sight is not None,
@@ -229,7 +229,7 @@
             open_there = Counter(
                 attempt.node for request in self.exchange.open.values() for attempt in request.attempts.values()
             )
-            out = [one.brick for one in self.drains.own.values() if self.rotation.out(one.brick)]
+            out = [one.backend for one in self.drains.own.values() if self.rotation.out(one.backend)]
             # Another process of this head, before or after it, may still have something there.
             self._do(self.drains.look(open_there, out if self.alone() else (), self._warm()))
         for request in self._due(False):
@@ -239,32 +239,34 @@
         """Tell which bricks have answered since they are back, for longer than they count as cold."""
         now, cold = self.exchange.now_us(), self.rotation.cold_us
         since = {
-            one.brick: self.up_at.get(one.brick, self.born_us)
+            one.backend: self.up_at.get(one.backend, self.born_us)
             for one in self.drains.own.values()
             if one.phase is DrainPhase.BACK
         }
-        return [brick for brick, at in since.items() if self.answers.good.get(brick, -1) > at and now - at >= cold]
+        return [
+            backend for backend, at in since.items() if self.answers.good.get(backend, -1) > at and now - at >= cold
+        ]
 
     def _do(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case TakeOut(brick=brick):
+                case TakeOut(backend=backend):
                     # Set also where no list names it yet: it must not come into use when one does.
-                    self._mark(brick, True)
-                    self.log(f"maintenance: {brick} is taken out")
-                case TakeUp(brick=brick):
-                    self._mark(brick, False)
-                    self.up_at[brick] = self.exchange.now_us()
-                    self.log(f"maintenance: {brick} is taken up again, cold")
+                    self._mark(backend, True)
+                    self.log(f"maintenance: {backend} is taken out")
+                case TakeUp(backend=backend):
+                    self._mark(backend, False)
+                    self.up_at[backend] = self.exchange.now_us()
+                    self.log(f"maintenance: {backend} is taken up again, cold")
                 case Say(statement=statement):
                     self._put(statement.key, value(statement))
                 case Unsay(statement=statement):
                     if self.board is not None:
                         self.board.drop(Topic.DRAINS, statement.key)
 
-    def _mark(self, brick: str, out: bool) -> None:
-        last = self.rotation.marks.get(brick)
-        self.rotation.merge({brick: Mark(max(self.exchange.now_us(), last.at_us + 1 if last else 0), out)})
+    def _mark(self, backend: str, out: bool) -> None:
+        last = self.rotation.marks.get(backend)
+        self.rotation.merge({backend: Mark(max(self.exchange.now_us(), last.at_us + 1 if last else 0), out)})
         self.rotation.marked()
 
     def _tell_halts(self, keys: set[str]) -> None:
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -56,7 +56,7 @@
     """Tell the bricks that some member's statement names; one that is back counts until its permit is free."""
     if board is None:
         return frozenset()
-    return frozenset(one.brick for rows in heard(board.entries(Topic.DRAINS)).values() for one in rows)
+    return frozenset(one.backend for rows in heard(board.entries(Topic.DRAINS)).values() for one in rows)
 
 
 class HeadPopularity:
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -12,7 +12,7 @@
 from hophinge.core.errors import told
 from hophinge.core.exchange import Exchange
 from hophinge.net.budget import Budget
-from hophinge.net.client import Bricks
+from hophinge.net.client import Backends
 from hophinge.net.clock import LoopClock
 from hophinge.net.control import Control
 from hophinge.head import compose, ending, limits
@@ -44,8 +44,8 @@
         # What the configuration can still be refused for lies above; sessions are opened from here on.
         self.directory = Directory(settings)
         self.budget = Budget(0)
-        self.bricks = Bricks(settings, self.directory.endpoint, self.counters, say, self.budget)
-        self.exchange.start, self.exchange.probe = self.bricks.start, self.bricks.probe
+        self.backends = Backends(settings, self.directory.endpoint, self.counters, say, self.budget)
+        self.exchange.start, self.exchange.probe = self.backends.start, self.backends.probe
         self.front = Front(self.exchange, self.counters, self.budget)
         self.handover: Handover | None = None
         self.share(0)
@@ -61,7 +61,7 @@
             settings.discovery is api.Discovery.PUSHED,
         )
         self.figures = self.exchange.figures
-        self.figures.now = self.bricks_now
+        self.figures.now = self.backends_now
         self.control = Control(self.counters, self.figures, self.rotation, self.ready) if config.control else None
         parts.join(self.front, self.control)
         self.remote_write = compose.remote_write(
@@ -122,13 +122,13 @@
         """Take a list of bricks, or what changed in it."""
         self.exchange.nodes(event)
         # Connections to a brick that is out by hand go: it is about to be restarted.
-        self.bricks.keep(where for node, where in self.directory.endpoints.items() if not self.rotation.out(node))
+        self.backends.keep(where for node, where in self.directory.endpoints.items() if not self.rotation.out(node))
 
     def ready(self) -> bool:
         """Tell whether this process serves."""
         return self.front.ready and not self.stopping.is_set()
 
-    def bricks_now(self) -> dict[str, int]:
+    def backends_now(self) -> dict[str, int]:
         """Tell how many bricks are listed, and how many of them get nothing now, by hand, list or choice."""
         listed = self.rotation.listed
         avoided = {node for node in listed if self.exchange.phases.get(node) is not api.Phase.ON}
@@ -169,8 +169,8 @@
             self.config.limits, processes, elsewhere, self.settings.gateways, bool(self.config.control)
         )
         self.budget.most = shares.bodies
-        self.bricks.most = self.bricks.roll.most = shares.to_bricks
-        self.bricks.roll.each = shares.idle_each
+        self.backends.most = self.backends.roll.most = shares.to_backends
+        self.backends.roll.each = shares.idle_each
         self.front.most = self.front.most_connections = shares.clients
         self.front.most_resting = shares.resting
 
@@ -252,7 +252,7 @@
         if self.handover is not None:
             self.handover.close()
         follower = self.streamed.client if self.streamed is not None else None
-        for part in (self.discovery, self.bricks, self.remote_write, follower):
+        for part in (self.discovery, self.backends, self.remote_write, follower):
             if part is not None:
                 await part.close()
         for held in (self.together, self.accounts):
@@ -265,7 +265,7 @@
         return {
             **self.figures.gauges(),
             "requests_open": self.exchange.unanswered,
-            "attempts_out": len(self.bricks.tasks),
+            "attempts_out": len(self.backends.tasks),
             "bricks_ready": ready,
             "object_requests_open": self.objects.active if self.objects else 0,
             **(self.streamed.gauges() if self.streamed is not None else {}),
--- a/hophinge/load/bricks.py
+++ b/hophinge/load/backends.py
@@ -18,7 +18,7 @@
 LONGEST_S = 3600.0
 
 
-class Brick:
+class Backend:
     """One disk box of one shard; `now_us` runs from the load's beginning."""
 
     def __init__(self, shard: int, plan: LoadPlan, now_us: Callable[[], int]) -> None:
@@ -37,7 +37,7 @@
                 for one in self.plan.faults
                 if one.kind == kind
                 and one.at_us <= now < one.at_us + one.for_us
-                and self.shard < round(one.part * self.plan.bricks)
+                and self.shard < round(one.part * self.plan.backends)
             ),
             None,
         )
@@ -52,7 +52,7 @@
                 one.at_us + (one.for_us if one.kind == "vanish" else 0)
                 for one in self.plan.faults
                 if one.kind in ("cold", "vanish")
-                and self.shard < round(one.part * self.plan.bricks)
+                and self.shard < round(one.part * self.plan.backends)
                 and one.at_us <= self.now_us()
             ],
             default=-COLD_US,
@@ -99,7 +99,7 @@
 
     def __init__(self, plan: LoadPlan) -> None:
         self.plan, self.begun_us = plan, 0
-        self.bricks = [Brick(shard, plan, self.now_us) for shard in range(plan.bricks)]
+        self.backends = [Backend(shard, plan, self.now_us) for shard in range(plan.backends)]
         self.servers: list[asyncio.Server] = []
         self.port = 0
 
@@ -114,9 +114,9 @@
     async def start(self) -> None:
         """Listen."""
         loop = asyncio.get_running_loop()
-        for brick in self.bricks:
-            server = await loop.create_server(web.Server(brick.handle, access_log=None), HOST, 0, backlog=1024)
-            brick.port = server.sockets[0].getsockname()[1]
+        for backend in self.backends:
+            server = await loop.create_server(web.Server(backend.handle, access_log=None), HOST, 0, backlog=1024)
+            backend.port = server.sockets[0].getsockname()[1]
             self.servers.append(server)
         discovery = await loop.create_server(web.Server(self.discover, access_log=None), HOST, 0)
         self.port = discovery.sockets[0].getsockname()[1]
@@ -129,14 +129,14 @@
             return web.Response(body=b"begun\n")
         if request.raw_path.startswith("/end"):
             rows = {
-                brick.shard: {"done": brick.done, "turned_away": brick.turned_away, "failed": brick.failed}
-                for brick in self.bricks
+                backend.shard: {"done": backend.done, "turned_away": backend.turned_away, "failed": backend.failed}
+                for backend in self.backends
             }
             return web.Response(body=msgspec.json.encode(rows))
         if "since" in request.query:
             await asyncio.sleep(int(request.query.get("timeout_ms", "0")) / 1000)
             return web.Response(body=msgspec.json.encode({"rev": 1, "all": False, "targets": []}))
-        rows_ = [brick.target() for brick in self.bricks]
+        rows_ = [backend.target() for backend in self.backends]
         return web.Response(body=msgspec.json.encode({"rev": 1, "all": True, "targets": rows_}))
 
     def close(self) -> None:
--- a/hophinge/load/clients.py
+++ b/hophinge/load/clients.py
@@ -54,7 +54,7 @@
     plan: LoadPlan
     sorts: list[Sort]
     slices: dict[int, dict[str, float]] = field(default_factory=dict)
-    bricks: dict[str, dict[str, int]] = field(default_factory=dict)
+    backends: dict[str, dict[str, int]] = field(default_factory=dict)
 
     @property
     def goodput(self) -> float:
@@ -146,7 +146,7 @@
     async def _try(self, session: aiohttp.ClientSession, client: Client, ask: Ask, attempt: int) -> tuple[str, float]:
         self.count += 1
         work = ask.units * (client.heavy if ask.heavy else 1.0)
-        shard = -1 if client.write else ask.key % self.plan.bricks
+        shard = -1 if client.write else ask.key % self.plan.backends
         fields = {
             "X-Qos-Policy": client.plan,
             "X-Remaining-Ms": str(client.remaining_us // 1000),
--- a/hophinge/load/plan.py
+++ b/hophinge/load/plan.py
@@ -66,7 +66,7 @@
     seed: int = 1
     for_us: int = 10_000_000
     settle_us: int = 2_000_000  # at the beginning, not counted
-    bricks: int = 3
+    backends: int = 3
     slots: int = 2  # of a brick
     work_us: int = 20_000  # for a unit in a slot
     queue: int = 64  # requests that wait at a brick; beyond, it turns away
@@ -77,7 +77,7 @@
     @property
     def capacity(self) -> float:
         """Tell the units a second that the bricks do."""
-        return self.bricks * self.slots / (self.work_us / 1e6)
+        return self.backends * self.slots / (self.work_us / 1e6)
 
     @property
     def offered(self) -> float:
--- a/hophinge/load/rig/run.py
+++ b/hophinge/load/rig/run.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from hophinge.core.errors import HophingeError
-from hophinge.load.bricks import HOST, Platform
+from hophinge.load.backends import HOST, Platform
 from hophinge.load.plan import LoadPlan
 from hophinge.load.rig.datagrams import Network
 from hophinge.load.rig.launch import CLOCK
@@ -184,7 +184,7 @@
             discovery = await view.start()
         example = json.loads((ROOT / "examples" / "config.json").read_text())
         ruled = {**example["settings"], **(settings or {})}
-        ruled["Domain"] = {**ruled["Domain"], "NShards": len(self.platform.bricks)}
+        ruled["Domain"] = {**ruled["Domain"], "NShards": len(self.platform.backends)}
         (folder / "config.json").write_text(
             json.dumps(
                 {
@@ -295,7 +295,7 @@
 
         async def look() -> tuple[bool, str]:
             number = next(numbers)
-            status = await self.request(name, number, number % len(self.platform.bricks), TRIES)
+            status = await self.request(name, number, number % len(self.platform.backends), TRIES)
             return status == 200, f"status {status}"
 
         return Condition(self[name], "a request is served", look)
--- a/hophinge/load/rig/view.py
+++ b/hophinge/load/rig/view.py
@@ -7,7 +7,7 @@
 import msgspec
 from aiohttp import web
 
-from hophinge.load.bricks import HOST, Platform
+from hophinge.load.backends import HOST, Platform
 from hophinge.load.rig.relay import Relay
 
 
@@ -22,8 +22,8 @@
 
     async def start(self) -> str:
         """Listen; tells where."""
-        for brick in self.platform.bricks:
-            row = brick.target()
+        for backend in self.platform.backends:
+            row = backend.target()
             self.rows.append({**row, "endpoint": await self.relay.stream(self.name, row["uid"], row["endpoint"])})
         self.listener = await asyncio.get_running_loop().create_server(self.server, HOST, 0)
         return f"{HOST}:{self.listener.sockets[0].getsockname()[1]}"
--- a/hophinge/maintenance/coordinator.py
+++ b/hophinge/maintenance/coordinator.py
@@ -16,7 +16,7 @@
 from hophinge.maintenance.listing import Listener
 from hophinge.maintenance.permits import Answer, Ask, Floor, Kind, Permit, Permits, Sighting, State
 from hophinge.maintenance.releases import Course, Outcome, Releases, Stage
-from hophinge.maintenance.observations import Head, Observations, brick_floors, head_floor
+from hophinge.maintenance.observations import Head, Observations, backend_floors, head_floor
 from hophinge.maintenance.watch import AWAY_US, HeadView
 from hophinge.maintenance.messages import Report, Word
 from hophinge.routing.bounds import Maintenance, Outage, Release
@@ -50,7 +50,7 @@
         self.reasons: dict[tuple[Kind, str], str] = {}  # why who wants to go out has to wait
         self.told: dict[str, Word] = {}
         self.number = 0  # of the last word
-        self.bricks: Sighting | None = None  # until something is heard, or time goes on
+        self.backends: Sighting | None = None  # until something is heard, or time goes on
 
     # --- what comes in
 
@@ -65,7 +65,7 @@
     def connected(self, name: str, speaks: bool, size: int) -> None:
         """Note a head's stream; `size` is how many heads the installation counts, 0: nobody has told."""
         head = self.observations.heads.setdefault(name, Head())
-        head.connected, head.heard, head.speaks, head.report, self.bricks = True, True, speaks, None, None
+        head.connected, head.heard, head.speaks, head.report, self.backends = True, True, speaks, None, None
         head.listener = Listener()
         self.observations.size = size
         self.told.pop(name, None)
@@ -73,7 +73,7 @@
     def gone(self, name: str) -> None:
         """Note the end of a head's stream."""
         if (head := self.observations.heads.get(name)) is not None:
-            head.connected, head.report, self.bricks = False, None, None
+            head.connected, head.report, self.backends = False, None, None
 
     def report(self, name: str, report: Report) -> None:
         """Take what a head says; what it says replaces what it said, and lists follow what has changed."""
@@ -84,7 +84,7 @@
         if report.zone and report.zone != head.zone:
             self.keeper.zone(name, report.zone)
             head.zone = report.zone
-        head.report, self.bricks = report, None
+        head.report, self.backends = report, None
         self.drains.take(name, report.statements, True, self.permits.held)
         for other, statements in report.heard.items():
             # A head that has a line to here speaks for itself: what others have heard of it may be of a former process.
@@ -95,7 +95,7 @@
 
     def tick(self, now_us: int) -> None:
         """Do all that follows from what is known; raises what the keeper raises, and is then to be called again."""
-        self.bricks = None
+        self.backends = None
         self._keep(now_us, self.permits.lapsed(now_us))
         for permit in self.rule.free:
             if permit in self.permits.held:
@@ -115,7 +115,7 @@
 
     def _evidence(self, now_us: int) -> None:
         for one in list(self.permits.held.values()):
-            state = self._of_head(one, now_us) if one.kind is Kind.HEAD else self._of_brick(one)
+            state = self._of_head(one, now_us) if one.kind is Kind.HEAD else self._of_backend(one)
             if state is not None:
                 self._keep(now_us, self.permits.step(one.id, state))
 
@@ -138,7 +138,7 @@
         wanted = report is None or not one.build or report.build == one.build
         return State.FREE if head.up and wanted and not (one.by.startswith(OUTAGE) and standing) else None
 
-    def _of_brick(self, one: Permit) -> State | None:
+    def _of_backend(self, one: Permit) -> State | None:
         """Tell what the heads' statements make of a brick's permit."""
         if one.state is State.BACK:
             heads = self.observations.of_heads(self.rule.retired).total
@@ -152,7 +152,7 @@
         if not one.by.startswith(OUTAGE):
             return True
         form = self.outages.get(one.by.removeprefix(OUTAGE))
-        return form is not None and one.name in (form.heads if one.kind is Kind.HEAD else form.bricks)
+        return form is not None and one.name in (form.heads if one.kind is Kind.HEAD else form.backends)
 
     def verdict(self, one: Permit) -> Verdict:
         """Tell whose word that a brick is drained is missing."""
@@ -178,14 +178,14 @@
         if kind is Kind.HEAD:
             return [head_floor(self.records, self.reserves)]
         listed = {name: one for name, (one, _) in self.observations.seen.items()}
-        return brick_floors(self.records, listed, self.rule.capacity, self.reserves)
+        return backend_floors(self.records, listed, self.rule.capacity, self.reserves)
 
     def _ask(self, now_us: int, ask: Ask) -> None:
         if ask.kind is Kind.HEAD:
             sight, most = self.observations.of_heads(self.rule.retired), self.rule.heads
         else:
-            self.bricks = self.bricks or self.observations.of_bricks(now_us)
-            sight, most = self.bricks, self.rule.bricks
+            self.backends = self.backends or self.observations.of_backends(now_us)
+            sight, most = self.backends, self.rule.backends
         self._answered(now_us, ask.kind, ask.name, self.permits.ask(now_us, ask, sight, most, self._floors(ask.kind)))
 
     def _answered(self, now_us: int, kind: Kind, name: str, answer: Answer) -> None:
@@ -195,7 +195,7 @@
 
     def _outages(self, now_us: int) -> None:
         for form in self.outages.values():
-            for kind, names in ((Kind.BRICK, form.bricks), (Kind.HEAD, form.heads)):
+            for kind, names in ((Kind.BACKEND, form.backends), (Kind.HEAD, form.heads)):
                 for name in names:
                     held = self.permits.of(kind, name)
                     if held is None or held.by != OUTAGE + form.name:
@@ -274,14 +274,14 @@
 
     def word(self, name: str) -> Word | None:
         """Tell what is new for a head since it was last told, or nothing."""
-        bricks = self.permits.all(Kind.BRICK)
+        backends = self.permits.all(Kind.BACKEND)
         before = self.told.get(name)
         word = Word(
             self.issuer,
             self.fence,
             before.number if before is not None else 0,
-            {one.id: one.name for one in bricks if one.state in (State.BEGUN, State.OUT)},
-            {one.id: one.name for one in bricks if one.state is State.BACK},
+            {one.id: one.name for one in backends if one.state in (State.BEGUN, State.OUT)},
+            {one.id: one.name for one in backends if one.state is State.BACK},
             self.permits.of(Kind.HEAD, name),
             self.reasons.get((Kind.HEAD, name), ""),
             tuple(f"{one.name}/{one.again}" for one in self.releases.courses.values() if one.stage is Stage.HALTED),
--- a/hophinge/maintenance/drains.py
+++ b/hophinge/maintenance/drains.py
@@ -23,13 +23,13 @@
     """What one head says of a brick under one permit."""
 
     permit: str
-    brick: str
+    backend: str = msgspec.field(name="brick")
     said: str
 
     @property
     def key(self) -> str:
         """Tell the key of its entry on the board."""
-        return f"{self.permit}/{self.brick}"
+        return f"{self.permit}/{self.backend}"
 
 
 def value(statement: Statement) -> bytes:
@@ -128,13 +128,13 @@
 class TakeOut(Struct, frozen=True):
     """Send the brick nothing new."""
 
-    brick: str
+    backend: str
 
 
 class TakeUp(Struct, frozen=True):
     """Take the brick back, cold."""
 
-    brick: str
+    backend: str
 
 
 class Say(Struct, frozen=True):
@@ -156,7 +156,7 @@
     """One drain at one head."""
 
     permit: str
-    brick: str
+    backend: str
     phase: Phase
 
 
@@ -165,21 +165,21 @@
 
     def __init__(self, kept: Iterable[tuple[str, str]] = ()) -> None:
         # A head that starts takes out what was out when it ended, before it serves and before anybody can tell it.
-        self.own = {permit: Own(permit, brick, Phase.OUT) for permit, brick in kept}
+        self.own = {permit: Own(permit, backend, Phase.OUT) for permit, backend in kept}
 
     def begin(self) -> list[Action]:
         """Tell what a head that has just started does about what it kept."""
-        return [TakeOut(one.brick) for one in self.own.values()]
+        return [TakeOut(one.backend) for one in self.own.values()]
 
     def told(self, out: Mapping[str, str], back: Mapping[str, str]) -> list[Action]:
         """Take all drains (permit to brick) that are in force, and the permits whose bricks are to be taken up."""
         actions: list[Action] = []
-        for permit, brick in out.items():
+        for permit, backend in out.items():
             if (one := self.own.get(permit)) is None or one.phase in (Phase.BACK, Phase.WARM):
-                self.own[permit] = Own(permit, brick, Phase.OUT)
-                actions.append(TakeOut(brick))
-        for permit, brick in back.items():
-            one = self.own.setdefault(permit, Own(permit, brick, Phase.BACK))
+                self.own[permit] = Own(permit, backend, Phase.OUT)
+                actions.append(TakeOut(backend))
+        for permit, backend in back.items():
+            one = self.own.setdefault(permit, Own(permit, backend, Phase.BACK))
             if one.phase in (Phase.OUT, Phase.QUIET):
                 actions += self._up(one)
                 one.phase = Phase.BACK
@@ -188,37 +188,37 @@
             if one.phase in (Phase.OUT, Phase.QUIET):
                 actions += self._up(one)
             elif one.phase is Phase.WARM:
-                actions.append(Unsay(Statement(permit, one.brick, SERVED)))
+                actions.append(Unsay(Statement(permit, one.backend, SERVED)))
         return actions
 
     def _up(self, one: Own) -> list[Action]:
-        said: list[Action] = [Unsay(Statement(one.permit, one.brick, DRAINED))] if one.phase is Phase.QUIET else []
-        return [*said, TakeUp(one.brick)]
+        said: list[Action] = [Unsay(Statement(one.permit, one.backend, DRAINED))] if one.phase is Phase.QUIET else []
+        return [*said, TakeUp(one.backend)]
 
     def look(self, out_there: Mapping[str, int], taken_out: Collection[str], warm: Collection[str]) -> list[Action]:
         """See how many attempts are at which brick, which are out of rotation, which answer and are warm again."""
         actions: list[Action] = []
         for one in self.own.values():
-            quiet = one.brick in taken_out and not out_there.get(one.brick)
-            drained = Statement(one.permit, one.brick, DRAINED)
+            quiet = one.backend in taken_out and not out_there.get(one.backend)
+            drained = Statement(one.permit, one.backend, DRAINED)
             if one.phase is Phase.OUT and quiet:
                 one.phase = Phase.QUIET
                 actions.append(Say(drained))
             elif one.phase is Phase.QUIET and not quiet:
                 one.phase = Phase.OUT  # somebody took it up by hand: what was said is no longer so
                 actions.append(Unsay(drained))
-                if one.brick not in taken_out:
-                    actions.append(TakeOut(one.brick))
-            elif one.phase is Phase.BACK and one.brick in warm:
+                if one.backend not in taken_out:
+                    actions.append(TakeOut(one.backend))
+            elif one.phase is Phase.BACK and one.backend in warm:
                 one.phase = Phase.WARM
-                actions.append(Say(Statement(one.permit, one.brick, SERVED)))
+                actions.append(Say(Statement(one.permit, one.backend, SERVED)))
         return actions
 
     def statements(self) -> list[Statement]:
         """Tell all that this head says now."""
         says = {Phase.QUIET: DRAINED, Phase.WARM: SERVED}
-        return [Statement(one.permit, one.brick, says[one.phase]) for one in self.own.values() if one.phase in says]
+        return [Statement(one.permit, one.backend, says[one.phase]) for one in self.own.values() if one.phase in says]
 
     def keeps(self) -> dict[str, str]:
         """Tell what a restart must find: permits and bricks that are out here."""
-        return {one.permit: one.brick for one in self.own.values() if one.phase in (Phase.OUT, Phase.QUIET)}
+        return {one.permit: one.backend for one in self.own.values() if one.phase in (Phase.OUT, Phase.QUIET)}
--- a/hophinge/maintenance/listing.py
+++ b/hophinge/maintenance/listing.py
@@ -72,7 +72,7 @@
 
     def __init__(self) -> None:
         self.number = 0
-        self.bricks: Sender[Listed] = Sender()
+        self.backends: Sender[Listed] = Sender()
         self.members: Sender[bool] = Sender()
         self.heard: Sender[list[Statement]] = Sender()
         self.answered = -1  # the first report is whole
@@ -91,11 +91,11 @@
         members = {**dict.fromkeys(report.gone, False), **dict.fromkeys(report.live, True)}
         parts = Parts(
             self.number,
-            self.bricks.part(report.bricks, whole),
+            self.backends.part(report.backends, whole),
             self.members.part(members, whole),
             self.heard.part(report.heard, whole),
         )
-        return msgspec.structs.replace(report, parts=parts, bricks={}, live=(), gone=(), heard={})
+        return msgspec.structs.replace(report, parts=parts, backends={}, live=(), gone=(), heard={})
 
 
 class Listener:
@@ -103,7 +103,7 @@
 
     def __init__(self) -> None:
         self.number = 0
-        self.bricks: Receiver[Listed] = Receiver()
+        self.backends: Receiver[Listed] = Receiver()
         self.members: Receiver[bool] = Receiver()
         self.heard: Receiver[list[Statement]] = Receiver()
         self.asks = 0
@@ -111,7 +111,7 @@
     @property
     def sure(self) -> bool:
         """Tell whether all lists are as the head has them."""
-        return self.bricks.sure and self.members.sure and self.heard.sure
+        return self.backends.sure and self.members.sure and self.heard.sure
 
     def take(self, report: Report) -> Report | None:
         """Make a whole report of one that tells changes; None: a later one has come already."""
@@ -121,7 +121,7 @@
         if parts.number <= self.number:
             return None
         self.number = parts.number
-        self.bricks.take(parts.bricks)
+        self.backends.take(parts.backends)
         self.members.take(parts.members)
         self.heard.take(parts.heard)
         if not self.sure:
@@ -130,9 +130,9 @@
         # A witness that is not sure lets nobody off, and passes nobody's yes on.
         return msgspec.structs.replace(
             report,
-            bricks=self.bricks.rows,
+            backends=self.backends.rows,
             live=tuple(name for name, live in members.items() if live),
             gone=tuple(name for name, live in members.items() if not live) if self.members.sure else (),
             heard=self.heard.rows if self.heard.sure else {},
-            unsure=not self.bricks.sure,
+            unsure=not self.backends.sure,
         )
--- a/hophinge/maintenance/messages.py
+++ b/hophinge/maintenance/messages.py
@@ -8,6 +8,7 @@
 
 from typing import Generic, TypeVar
 
+import msgspec
 from msgspec import Struct
 
 from hophinge.maintenance.drains import Statement
@@ -38,7 +39,7 @@
     """A report's lists as changes; `number` grows with each report of one stream."""
 
     number: int
-    bricks: Part[Listed]
+    backends: Part[Listed]
     members: Part[bool]  # True: its word is wanted; False: held for dead or gone
     heard: Part[list[Statement]]
 
@@ -54,7 +55,7 @@
     begin: str = ""  # the permit that it wants to begin
     statements: tuple[Statement, ...] = ()  # all of its own
     heard: dict[str, list[Statement]] = {}  # of heads that may have no line to here
-    bricks: dict[str, Listed] = {}
+    backends: dict[str, Listed] = msgspec.field(default_factory=dict, name="bricks")
     live: tuple[str, ...] = ()  # heads whose word is wanted, by its sight of the cluster
     gone: tuple[str, ...] = ()  # heads held for dead or gone
     clustered: bool = False  # it has such a sight at all
--- a/hophinge/maintenance/observations.py
+++ b/hophinge/maintenance/observations.py
@@ -48,13 +48,13 @@
         down = {name: one.zone for name, one in known.items() if not one.up}
         return Sighting(max(self.size, len(known)), up, down)
 
-    def of_bricks(self, now_us: int) -> Sighting:
+    def of_backends(self, now_us: int) -> Sighting:
         """Tell the bricks: up is what no connected head holds for anything else, all heads' lists being sure."""
         up: dict[str, str] = {}
         down: dict[str, str] = {}
         sure = not any(one.report.unsure for one in self.heads.values() if one.connected and one.report is not None)
         for one in self.heads.values():
-            for name, listed in one.report.bricks.items() if one.connected and one.report is not None else ():
+            for name, listed in one.report.backends.items() if one.connected and one.report is not None else ():
                 self.seen[name] = listed, now_us
                 (up if listed.up and sure else down)[name] = listed.zone
         for name, (listed, at_us) in list(self.seen.items()):
@@ -87,8 +87,8 @@
     return count
 
 
-def brick_floors(
-    records: Iterable[Record], bricks: Mapping[str, Listed], capacity: float, accounts: Mapping[str, float]
+def backend_floors(
+    records: Iterable[Record], backends: Mapping[str, Listed], capacity: float, accounts: Mapping[str, float]
 ) -> list[Floor]:
     """Tell how many bricks each pool needs: its `at-least`, and the reserves of tenants whose first choice it is."""
     rows = list(records)
@@ -103,7 +103,7 @@
     floors = [
         Floor(
             f"the pool {name}",
-            frozenset(brick for brick, listed in bricks.items() if _belongs(pool, brick, listed)),
+            frozenset(backend for backend, listed in backends.items() if _belongs(pool, backend, listed)),
             need(by_pool[name], capacity, pool.at_least),
         )
         for name, pool in pools.items()
@@ -120,9 +120,9 @@
     return Floor("the installation", (), need(reserves, capacity, 0))
 
 
-def _belongs(pool: Pool, brick: str, listed: Listed) -> bool:
+def _belongs(pool: Pool, backend: str, listed: Listed) -> bool:
     return (
         (not pool.zones or listed.zone in pool.zones)
         and (not pool.kinds or listed.kind in pool.kinds)
-        and (not pool.bricks or brick in pool.bricks)
+        and (not pool.backends or backend in pool.backends)
     )
--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -37,7 +37,7 @@
     """What may be out."""
 
     HEAD = "head"
-    BRICK = "brick"
+    BACKEND = "brick"
 
 
 class State(Enum):
--- a/hophinge/maintenance/shown.py
+++ b/hophinge/maintenance/shown.py
@@ -52,10 +52,10 @@
 
 def _permit(one: Coordinator, permit: Permit) -> dict[str, Any]:
     missing: tuple[str, ...] = ()
-    if permit.kind is Kind.BRICK and permit.state in (State.BEGUN, State.OUT):
+    if permit.kind is Kind.BACKEND and permit.state in (State.BEGUN, State.OUT):
         missing = one.verdict(permit).missing
     state = permit.state.value
-    if permit.kind is Kind.BRICK:
+    if permit.kind is Kind.BACKEND:
         state = {State.BEGUN: "draining", State.OUT: "drained", State.BACK: "back, cold"}.get(permit.state, state)
         if permit.state is State.OUT and missing:
             state = "draining again"  # a head is here that had not heard of it, or somebody took the brick up
--- a/hophinge/net/answer.py
+++ b/hophinge/net/answer.py
@@ -14,7 +14,7 @@
 from hophinge.core.counters import Counters
 from hophinge.core.exchange import End
 from hophinge.core.interface import Result
-from hophinge.net.brick import BrickConnection, SpoiltError
+from hophinge.net.backend_connection import BackendConnection, SpoiltError
 from hophinge.net.payload import HOLD, MAX_LONG
 
 HOLD_S = 0.02  # for which an answer of unknown length is held
@@ -34,7 +34,7 @@
 class Following:
     """What follows the first part of a long answer. It is read once; how it ended decides over its connection."""
 
-    def __init__(self, protocol: BrickConnection, stream: StreamReader, first: int, length: int | None) -> None:
+    def __init__(self, protocol: BackendConnection, stream: StreamReader, first: int, length: int | None) -> None:
         self.protocol, self.stream, self.taken, self.length = protocol, stream, first, length
         self.done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
         protocol.stream()
@@ -66,7 +66,7 @@
                 self.stream.set_exception(SpoiltError("nobody reads on"))
 
 
-async def first(stream: StreamReader, protocol: BrickConnection, length: int | None) -> tuple[bytes, bool]:
+async def first(stream: StreamReader, protocol: BackendConnection, length: int | None) -> tuple[bytes, bool]:
     """Read a body, or what of a long one may be held; tell whether it is whole.
 
     Bricks may take seconds over a long one, and its client waits for the first bytes. One of unknown length that still
--- a/hophinge/net/brick.py
+++ b/hophinge/net/backend_connection.py
@@ -50,7 +50,7 @@
     return 0 if not lengths and head[1] != b"200" else None  # a refusal needs no body; its connection ends
 
 
-class BrickConnection(ResponseHandler):
+class BackendConnection(ResponseHandler):
     """States: new, idle (nobody uses it), taken (a request is to go), head, body; `left`: what the body still lacks."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, roll: Roll, budget: Budget) -> None:
--- a/hophinge/net/client.py
+++ b/hophinge/net/client.py
@@ -18,7 +18,7 @@
 from hophinge.core.exchange import Attempt, End
 from hophinge.core.interface import ProbeResult, Result, Settings
 from hophinge.net.answer import Answered, Following, first, read_end, read_report
-from hophinge.net.brick import STREAM_STALL_S, BrickConnection, SpoiltError
+from hophinge.net.backend_connection import STREAM_STALL_S, BackendConnection, SpoiltError
 from hophinge.net.clock import now_us
 from hophinge.net.budget import Budget
 from hophinge.net.payload import MAX_LONG, Payload
@@ -42,7 +42,7 @@
     def __init__(self, roll: Roll, budget: Budget, **params: Any) -> None:
         super().__init__(**params)
         # aiohttp has no public place for a protocol of one's own.
-        make = functools.partial(BrickConnection, self._loop, roll, budget)
+        make = functools.partial(BackendConnection, self._loop, roll, budget)
         self._factory = cast(functools.partial[ResponseHandler], make)
 
 
@@ -61,7 +61,7 @@
             self.tell()
 
 
-class Bricks:
+class Backends:
     """The client side towards all bricks. Each attempt is a task; giving it up closes its connection.
 
     It stands on aiohttp's connector, connections and parser, not on its session: that costs more for a request than
@@ -96,14 +96,14 @@
         self.pool.keep(kept)
         self.routes = {endpoint: route for endpoint, route in self.routes.items() if endpoint in kept}
 
-    async def _dial(self, endpoint: str) -> BrickConnection:
+    async def _dial(self, endpoint: str) -> BackendConnection:
         """Open a connection."""
         route = self.routes.get(endpoint)
         if route is None:
             route = self.routes[endpoint] = ClientRequest(
                 "GET", URL(f"http://{endpoint}"), loop=asyncio.get_running_loop()
             )
-        return cast(BrickConnection, await self.connector._create_connection(route, [], ClientTimeout(total=None)))
+        return cast(BackendConnection, await self.connector._create_connection(route, [], ClientTimeout(total=None)))
 
     def start(self, attempt: Attempt) -> Callable[[], None]:
         """Send an attempt; the callable returned gives it up."""
@@ -216,7 +216,7 @@
         self.pool.put_back(protocol)
         return answer
 
-    async def _pass_on(self, upload: Upload, protocol: BrickConnection, transport: asyncio.Transport) -> None:
+    async def _pass_on(self, upload: Upload, protocol: BackendConnection, transport: asyncio.Transport) -> None:
         """Write a body as it comes."""
         left = upload.length
         while left != 0 and (data := await upload.read()):
--- a/hophinge/net/control.py
+++ b/hophinge/net/control.py
@@ -16,7 +16,7 @@
 CALLERS = 16  # connections at once; clients' load has no part in them
 FIRST_S = 0.8  # for a head to come
 BODY_S = 0.6  # for a body to come; an answer is due within a second
-BRICK = re.compile(r"[!-~]{1,256}", re.ASCII)
+BACKEND = re.compile(r"[!-~]{1,256}", re.ASCII)
 CALLS = {"/ops/readiness": "GET", "/ops/stats": "GET", "/ops/bricks/down": "POST", "/ops/bricks/up": "POST"}
 
 
@@ -71,4 +71,4 @@
             if len(body) > 1024:
                 return None
         text = body.decode("latin-1").strip()
-        return text if BRICK.fullmatch(text) else None
+        return text if BACKEND.fullmatch(text) else None
--- a/hophinge/net/pool.py
+++ b/hophinge/net/pool.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from hophinge.core.counters import Counters
-from hophinge.net.brick import BrickConnection
+from hophinge.net.backend_connection import BackendConnection
 from hophinge.net.connects import Connects, Usual
 from hophinge.net.roll import Roll
 
@@ -22,7 +22,7 @@
 TURNS = 5  # of the loop before a connect is held for late: a head that stood still has not read of its end yet
 TURN_S = 0.001  # at least, of each
 
-Dial = Callable[[str], Awaitable[BrickConnection]]
+Dial = Callable[[str], Awaitable[BackendConnection]]
 
 
 class Line:
@@ -32,12 +32,12 @@
 
     def __init__(self, usual: Usual) -> None:
         self.connects = Connects(usual)
-        self.idle: deque[tuple[BrickConnection, float]] = deque()  # with the time since when
-        self.waiting: deque[asyncio.Future[BrickConnection]] = deque()
+        self.idle: deque[tuple[BackendConnection, float]] = deque()  # with the time since when
+        self.waiting: deque[asyncio.Future[BackendConnection]] = deque()
         self.dials: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
 
-    def next(self) -> asyncio.Future[BrickConnection] | None:
+    def next(self) -> asyncio.Future[BackendConnection] | None:
         """Take the first of those that wait."""
         while self.waiting:
             if not (future := self.waiting.popleft()).done():
@@ -55,7 +55,7 @@
         self.lines: dict[str, Line] = {}
         self.sweep: asyncio.TimerHandle | None = None
 
-    async def take(self, endpoint: str) -> BrickConnection:
+    async def take(self, endpoint: str) -> BackendConnection:
         """Take a connection to a brick.
 
         Raises `TimeoutError` where none is ready within the connect limit, else what the connect ended with.
@@ -76,8 +76,8 @@
                     return connection
                 connection.close()  # ended between its coming up and this turn
 
-    async def _wait(self, endpoint: str, line: Line) -> BrickConnection:
-        future: asyncio.Future[BrickConnection] = self.loop.create_future()
+    async def _wait(self, endpoint: str, line: Line) -> BackendConnection:
+        future: asyncio.Future[BackendConnection] = self.loop.create_future()
         line.waiting.append(future)
         self._look(endpoint, line)
         try:
@@ -89,7 +89,7 @@
                 line.waiting.remove(future)
             raise
 
-    def put_back(self, connection: BrickConnection) -> None:
+    def put_back(self, connection: BackendConnection) -> None:
         """Take back a connection on which no answer is awaited."""
         line = self.lines.get(connection.endpoint)
         if line is None or not sound(connection):
@@ -97,7 +97,7 @@
         else:
             self._ready(line, connection)
 
-    def _ready(self, line: Line, connection: BrickConnection) -> None:
+    def _ready(self, line: Line, connection: BackendConnection) -> None:
         if (future := line.next()) is not None:
             connection.state = "taken"
             future.set_result(connection)
@@ -113,7 +113,7 @@
         self.sweep = None
         rest, then = False, self.loop.time() - self.idle_s
         for line in self.lines.values():
-            kept = deque[tuple[BrickConnection, float]]()
+            kept = deque[tuple[BackendConnection, float]]()
             for connection, since in line.idle:
                 if since > then and connection.is_connected():
                     kept.append((connection, since))
@@ -148,7 +148,7 @@
             self._look(endpoint, line)
 
     async def _dial(self, endpoint: str, line: Line, number: int) -> None:
-        connection: BrickConnection | None = None
+        connection: BackendConnection | None = None
         trouble: Exception | None = None
         try:
             async with asyncio.timeout(LONGEST * self.limit_s):
@@ -191,7 +191,7 @@
         await asyncio.gather(*dials, return_exceptions=True)
 
 
-def sound(connection: BrickConnection) -> bool:
+def sound(connection: BackendConnection) -> bool:
     """Tell whether a request may be written: it is up, has sent what was written, and got only what was asked for.
 
     Bytes that the loop has not read yet count too: a late second answer would be taken for the next request's.
--- a/hophinge/net/roll.py
+++ b/hophinge/net/roll.py
@@ -8,7 +8,7 @@
 from hophinge.core.counters import Counters
 
 if TYPE_CHECKING:
-    from hophinge.net.brick import BrickConnection
+    from hophinge.net.backend_connection import BackendConnection
 
 
 class Roll:
@@ -19,11 +19,11 @@
 
     def __init__(self, most: int, counters: Counters) -> None:
         self.most, self.counters = most, counters
-        self.open: dict[BrickConnection, None] = {}
+        self.open: dict[BackendConnection, None] = {}
         self.kept: set[str] | None = None  # endpoints whose connections may be idle; None: any
         self.each = most  # connections to one of them, beyond which idle ones go
 
-    def add(self, connection: BrickConnection) -> None:
+    def add(self, connection: BackendConnection) -> None:
         """Note a new connection, or one that has just become idle."""
         self.open.pop(connection, None)
         self.open[connection] = None
@@ -52,7 +52,7 @@
         for one in [one for one in self.open if one.idle and one.endpoint not in kept]:
             self._end(one)
 
-    def _end(self, connection: BrickConnection) -> None:
+    def _end(self, connection: BackendConnection) -> None:
         self.counters.add("brick_connections_yielded")
         del self.open[connection]
         connection.force_close()
--- a/hophinge/popularity/planner.py
+++ b/hophinge/popularity/planner.py
@@ -168,14 +168,14 @@
 
         The module chooses among a shard's bricks, so each that it might choose must be fit for it.
         """
-        bricks = [one for one in facts.sources.get(shard, ()) if one.on]
+        backends = [one for one in facts.sources.get(shard, ()) if one.on]
         if any(one.draining for one in facts.sources.get(shard, ())):
             return Why.DRAIN
-        if not bricks:
+        if not backends:
             return Why.UNKNOWN
-        if not all(one.warm for one in bricks):
+        if not all(one.warm for one in backends):
             return Why.COLD
-        if any(one.spare_units < units for one in bricks):
+        if any(one.spare_units < units for one in backends):
             return Why.UNITS
         return None
 
@@ -222,8 +222,8 @@
         )
         left, of_tenant = self.site.fill(now_us), dict[str, float]()
         units = {
-            shard: min((one.spare_units for one in bricks if one.on), default=0.0)
-            for shard, bricks in facts.sources.items()
+            shard: min((one.spare_units for one in backends if one.on), default=0.0)
+            for shard, backends in facts.sources.items()
         }
         found: list[Candidate] = []
         for _, _, one in ranked:
--- a/hophinge/routing/bounds.py
+++ b/hophinge/routing/bounds.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import msgspec
 from msgspec import Struct
 
 
@@ -33,7 +34,7 @@
     """What may be out of service on purpose; heads are not told."""
 
     heads: Most | None = None  # None: none may
-    bricks: Most | None = None
+    backends: Most | None = msgspec.field(default=None, name="bricks")
     served: int = 2  # heads that a brick has to answer again, warm, before its place is free
     capacity: float = 0.0  # units/s of one brick, by which pools keep what reserves need; 0: unknown
     retired: tuple[str, ...] = ()  # heads that are gone for good, by an operator's word
@@ -49,7 +50,7 @@
     """Bricks and heads that are to be out for as long as the form stands; heads are not told of the form."""
 
     name: str
-    bricks: tuple[str, ...] = ()
+    backends: tuple[str, ...] = msgspec.field(default=(), name="bricks")
     heads: tuple[str, ...] = ()
     without: tuple[str, ...] = ()  # heads whose word is not waited for
 
--- a/hophinge/routing/record_reader.py
+++ b/hophinge/routing/record_reader.py
@@ -53,7 +53,7 @@
         int(part.quantity("open", "requests", 0, 1, 1e6)),
     )
     part.whole(
-        bool(pool.zones or pool.kinds or pool.bricks),
+        bool(pool.zones or pool.kinds or pool.backends),
         "a pool needs (zones ...), (kinds ...) or (bricks ...) to tell which bricks are its own",
     )
     return pool
--- a/hophinge/routing/records.py
+++ b/hophinge/routing/records.py
@@ -35,7 +35,7 @@
     name: str
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    bricks: tuple[str, ...] = ()
+    backends: tuple[str, ...] = msgspec.field(default=(), name="bricks")
     at_least: int = 1  # live bricks; with fewer, those of the next pool join
     open: int = 0  # requests for each live brick, beyond which new ones spill over; 0: no bound
 
--- a/hophinge/routing/router.py
+++ b/hophinge/routing/router.py
@@ -24,7 +24,7 @@
 
 ERRORS = frozenset({Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET})
 JUDGED = ERRORS | {Result.OK}  # FULL, CANCELLED and MOOT tell nothing of a brick's soundness
-NO_BRICKS_US = 500_000  # advice where no brick of a request's pools is live
+NO_BACKENDS_US = 500_000  # advice where no brick of a request's pools is live
 ALL: tuple[str, ...] = ()  # the pools of a request without a route: every brick
 PATIENCE = 0.2  # part of its time that a request waits for a turn at most; the module holds it too
 NO_SHARES = Shares()
@@ -127,7 +127,7 @@
         level = self._level(table, route, ask.shard)
         if level is None:
             self.refused_pools += 1
-            return NO_BRICKS_US
+            return NO_BACKENDS_US
         # What it takes is given back by `answered`, or here where the next step refuses.
         states, wait_us = self.limiter.admit(table.limits.all(tenant, volume, klass), ask.units, now_us)
         if wait_us:
--- a/hophinge/routing/upkeep.py
+++ b/hophinge/routing/upkeep.py
@@ -47,7 +47,7 @@
     outage = Outage(
         part.name("outage"), part.names("bricks", "brick"), part.names("heads", "head"), part.names("without", "head")
     )
-    part.whole(bool(outage.bricks or outage.heads), "an outage needs (bricks NAME ...) or (heads NAME ...)")
+    part.whole(bool(outage.backends or outage.heads), "an outage needs (bricks NAME ...) or (heads NAME ...)")
     return outage
 
 
@@ -83,11 +83,11 @@
     for record in looked_at:
         wanted: list[tuple[str, str]] = []
         if isinstance(record, Outage):
-            wanted = [*(("brick", one) for one in record.bricks), *(("head", one) for one in record.heads)]
+            wanted = [*(("brick", one) for one in record.backends), *(("head", one) for one in record.heads)]
         elif isinstance(record, Release):
             wanted = [("head", one) for one in record.heads] or [("head", "")]
         for kind in sorted({kind for kind, _ in wanted}):
-            if (bounds.heads if kind == "head" else bounds.bricks) is None:
+            if (bounds.heads if kind == "head" else bounds.backends) is None:
                 found.append((record.key, f"no {kind} may be out: add (maintenance ({kind}s (most 1)))"))
         if isinstance(record, Outage):
             for place in wanted:
--- a/hophinge/routing/views.py
+++ b/hophinge/routing/views.py
@@ -68,7 +68,7 @@
             if entry.phase is Phase.ON
             and (not pool.zones or entry.zone in zones)
             and (not pool.kinds or entry.kind in kinds)
-            and (not pool.bricks or node in pool.bricks)
+            and (not pool.backends or node in pool.backends)
         }
 
     def _fill(self, table: Table, levels: list[Level]) -> None:
--- a/tests/administrator.py
+++ b/tests/administrator.py
@@ -12,7 +12,7 @@
 from hophinge.head.operator import OperatorConfig
 from hophinge.head.service import Service
 from hophinge.objects.config import AdminConfig, ObjectConfig
-from tests.stand_in import Brick, World, world
+from tests.stand_in import Backend, World, world
 
 TOKEN = "a-token-of-the-operator"
 
@@ -61,5 +61,5 @@
 
 @asynccontextmanager
 async def caller(folder: Path) -> AsyncIterator[Caller]:
-    async with world(Brick(0), Brick(1), Brick(2)) as made:
+    async with world(Backend(0), Backend(1), Backend(2)) as made:
         yield Caller(made, await made.head(operator(folder)))
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -72,7 +72,7 @@
 KILLED_AT = 4.0
 
 
-class Brick:
+class Backend:
     """It serves in turn, and counts what reaches it while it is cold."""
 
     def __init__(self, name: str, shard: int, power: float, started: int, fleet: Fleet) -> None:
@@ -136,24 +136,26 @@
         self.events: list[tuple[int, int, int, Event | None]] = []
         self.number = self.asked = self.served = 0
         starts = [T0 + int(self.lots.uniform(0, fleet.within_s) * SECOND) + 1 for _ in range(fleet.cold)]
-        self.bricks = [Brick(f"cold-{at}", at, fleet.power * POWER, start, fleet) for at, start in enumerate(starts)]
-        self.bricks += [Brick(f"warm-{at}", fleet.cold + at, POWER, 0, fleet) for at in range(fleet.warm)]
-        self.by_name = {brick.name: brick for brick in self.bricks}
+        self.backends = [
+            Backend(f"cold-{at}", at, fleet.power * POWER, start, fleet) for at, start in enumerate(starts)
+        ]
+        self.backends += [Backend(f"warm-{at}", fleet.cold + at, POWER, 0, fleet) for at in range(fleet.warm)]
+        self.by_name = {backend.name: backend for backend in self.backends}
         self.hears: dict[tuple[int, str], int] = {}
         for head in range(fleet.heads):
-            saved = tuple(self.entry(brick, 0) for brick in self.bricks if fleet.returns or not brick.started)
+            saved = tuple(self.entry(backend, 0) for backend in self.backends if fleet.returns or not backend.started)
             self.push(T0 - SECOND, head, NodeList(ListKind.SAVED, saved))
-            for brick in self.bricks[: fleet.cold]:
-                at = brick.started + int(self.lots.uniform(0, fleet.told_s) * SECOND)
-                self.hears[head, brick.name] = at
-                self.push(at, head, NodeList(ListKind.CHANGES, (self.entry(brick, brick.started),)))
+            for backend in self.backends[: fleet.cold]:
+                at = backend.started + int(self.lots.uniform(0, fleet.told_s) * SECOND)
+                self.hears[head, backend.name] = at
+                self.push(at, head, NodeList(ListKind.CHANGES, (self.entry(backend, backend.started),)))
         for head in self.lots.sample(range(fleet.heads), int(fleet.killed * fleet.heads)):
             self.push(T0 + int(KILLED_AT * SECOND), head, None)
         self.moves: dict[str, float] = {}
         self.leads: dict[str, int] = {}
 
-    def entry(self, brick: Brick, started: int) -> NodeEntry:
-        return NodeEntry(brick.name, 0, brick.shard, Phase.ON, brick.power / POWER, started)
+    def entry(self, backend: Backend, started: int) -> NodeEntry:
+        return NodeEntry(backend.name, 0, backend.shard, Phase.ON, backend.power / POWER, started)
 
     def push(self, when: int, head: int, event: Event | None) -> None:
         self.number += 1
@@ -163,7 +165,7 @@
         """Bring a client's request to a head of its volume's."""
         lots, fleet = self.lots, self.fleet
         self.asked += 1
-        shard = lots.randrange(len(self.bricks))
+        shard = lots.randrange(len(self.backends))
         volume = f"v{shard}-{lots.randrange(fleet.volumes)}"
         if now >= self.moves.get(volume, 0.0):
             self.moves[volume] = now + lots.expovariate(1 / fleet.moves_s) * SECOND
@@ -181,7 +183,7 @@
         fleet, now = self.fleet, float(T0 - SECOND)
         while now < T0 + fleet.span_s * SECOND:
             burst = fleet.burst if BURST_AT <= (now - T0) / SECOND < BURST_AT + BURST_S else 1.0
-            rate = fleet.load * burst * POWER / MEAN * len(self.bricks)
+            rate = fleet.load * burst * POWER / MEAN * len(self.backends)
             now += self.lots.expovariate(rate) * SECOND
             self.ask(now)
         while self.events:
@@ -191,8 +193,8 @@
                 event = NodeList(
                     ListKind.SAVED,
                     tuple(
-                        self.entry(brick, brick.started if self.hears.get((head, brick.name), 0) <= when else 0)
-                        for brick in self.bricks
+                        self.entry(backend, backend.started if self.hears.get((head, backend.name), 0) <= when else 0)
+                        for backend in self.backends
                     ),
                 )
             for action in self.heads[head].handle(when, [event]):
@@ -207,22 +209,22 @@
         if isinstance(action, SetTimer):
             self.push(when + action.delay_us, head, TimerDue(action.token))
         if isinstance(action, Send):
-            brick, request = self.by_name[action.node], self.heads[head].requests[action.request]
+            backend, request = self.by_name[action.node], self.heads[head].requests[action.request]
             work, attempt = request.ask.units * self.noise(), request.attempts - 1
-            told = when >= self.hears.get((head, brick.name), 0)
-            free = brick.take(when, work, told)
+            told = when >= self.hears.get((head, backend.name), 0)
+            free = backend.take(when, work, told)
             ok = free < request.deadline
             self.served += ok
             ends = int(free) if ok else request.deadline
             result = Result.OK if ok else Result.TIMEOUT
-            self.push(ends, head, Outcome(action.request, attempt, brick.name, result, ends - when, True, 0, 0.0, {}))
+            self.push(ends, head, Outcome(action.request, attempt, backend.name, result, ends - when, True, 0, 0.0, {}))
 
     @property
     def broken(self) -> int:
         """Count the bricks at which the rule is broken."""
-        return sum(brick.fell == "broken" for brick in self.bricks)
+        return sum(backend.fell == "broken" for backend in self.backends)
 
     @property
     def most(self) -> float:
         """Tell the largest part of what the rule bears, over all cold bricks and windows."""
-        return max(brick.most for brick in self.bricks)
+        return max(backend.most for backend in self.backends)
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -16,7 +16,7 @@
 from hophinge.head.service import Service
 from hophinge.objects.config import ObjectConfig
 from tests.installation import HEADS, SETTINGS, Installation
-from tests.stand_in import Brick, world
+from tests.stand_in import Backend, world
 
 TOKEN = "a-token-of-the-operator"
 
@@ -91,7 +91,7 @@
 
 @asynccontextmanager
 async def hosted(folder: Path) -> AsyncIterator[Hosted]:
-    async with world(*(Brick(at) for at in range(3))) as made:
+    async with world(*(Backend(at) for at in range(3))) as made:
         here = Hosted(folder, made)
         await here.control()
         try:
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -17,7 +17,7 @@
 from hophinge.control.store import Store
 from hophinge.head.operator import OperatorConfig, StreamConfig
 from hophinge.head.service import Service
-from tests.stand_in import Brick, World, headers, setup, until, world
+from tests.stand_in import Backend, World, headers, setup, until, world
 from tests.test_service import ROOT
 
 HEADS, STAFF = "a-token-of-heads-1", "a-token-of-staff-1"
@@ -68,8 +68,8 @@
 
 
 @asynccontextmanager
-async def installation(folder: Path, bricks: int = 3) -> AsyncIterator[Installation]:
-    async with world(*(Brick(at) for at in range(bricks))) as made:
+async def installation(folder: Path, backends: int = 3) -> AsyncIterator[Installation]:
+    async with world(*(Backend(at) for at in range(backends))) as made:
         here = Installation(folder, made)
         await here.control()
         try:
--- a/tests/maintenance_faults.py
+++ b/tests/maintenance_faults.py
@@ -59,11 +59,11 @@
         world.stop_issuer()
 
 
-def lose_brick(world: World) -> None:
+def lose_backend(world: World) -> None:
     """Have a brick fail by itself."""
-    if name := _lot(world, sorted(set(world.brick_zones) - world.bricks_down)):
+    if name := _lot(world, sorted(set(world.backend_zones) - world.backends_down)):
         world.struck["brick lost"] += 1
-        world.bricks_down.add(name)
+        world.backends_down.add(name)
 
 
 def weather(world: World) -> None:
@@ -76,8 +76,8 @@
     world.cut = set()
     if world.issuer is None:
         world.begin()
-    if name := _lot(world, sorted(world.bricks_down)):
-        world.bricks_down.discard(name)
+    if name := _lot(world, sorted(world.backends_down)):
+        world.backends_down.discard(name)
     for head in world.heads.values():
         if head.frozen and world.random.random() < 0.7:
             head.frozen = False
@@ -91,15 +91,15 @@
     if name in world.outages:
         del world.outages[name]
     else:
-        taken = {one for form in world.outages.values() for one in (*form.bricks, *form.heads)}
-        bricks = [one for one in world.brick_zones if one not in taken]
+        taken = {one for form in world.outages.values() for one in (*form.backends, *form.heads)}
+        backends = [one for one in world.backend_zones if one not in taken]
         heads = [one for one in world.zones if one not in taken]
         form = Outage(
             name,
-            tuple(world.random.sample(bricks, min(2, len(bricks)))),
+            tuple(world.random.sample(backends, min(2, len(backends)))),
             (world.random.choice(heads),) if heads and world.random.random() < 0.2 else (),
         )
-        if form.bricks or form.heads:
+        if form.backends or form.heads:
             world.outages[name] = form
     world.document()
 
@@ -159,7 +159,7 @@
         stop_head,
         kill_issuer,
         end_issuer,
-        lose_brick,
+        lose_backend,
         weather,
         mend,
         outage,
@@ -187,10 +187,10 @@
     world.store.kill = None
     world.failing.clear()
     world.never_ready.clear()
-    world.bricks_down.clear()
+    world.backends_down.clear()
     for _ in range(10):
         mend(world)
-        world.bricks_down.clear()
+        world.backends_down.clear()
     for head in world.heads.values():
         head.frozen = False
     for _ in range(turns):
--- a/tests/maintenance_head.py
+++ b/tests/maintenance_head.py
@@ -35,7 +35,7 @@
         self.born_us = self.world.now
         self.holder = Holder(self.process, self.build)
         self.drains = HeadDrains(self.disk.items())
-        self.out = {one.brick for one in self.drains.begin() if isinstance(one, TakeOut)}
+        self.out = {one.backend for one in self.drains.begin() if isinstance(one, TakeOut)}
         self.open: Counter[str] = Counter()
         self.taken = self.failed = 0.0
         self.ask = ""
@@ -63,8 +63,8 @@
             tuple(self.drains.statements()),
             {},
             {
-                name: Listed(zone, "", name not in self.world.bricks_down)
-                for name, zone in self.world.brick_zones.items()
+                name: Listed(zone, "", name not in self.world.backends_down)
+                for name, zone in self.world.backend_zones.items()
             },
             tuple(one.name for one in self.world.heads.values() if one.alive) if self.world.clustered else (),
             dead,
@@ -85,23 +85,23 @@
     def work(self) -> None:
         """Serve for a moment."""
         lots = self.world.random
-        for brick in self.world.brick_zones:
-            if brick not in self.out and lots.random() < 0.3:
-                self.open[brick] += 1
-            elif self.open[brick] and lots.random() < 0.6:
-                self.open[brick] -= 1
+        for backend in self.world.backend_zones:
+            if backend not in self.out and lots.random() < 0.3:
+                self.open[backend] += 1
+            elif self.open[backend] and lots.random() < 0.6:
+                self.open[backend] -= 1
         bad = self.world.failing.get(self.build, 0.0) if int(self.name[1:]) % 3 == 0 else 0.0
         self.taken += 20
         self.failed += 20 * bad
-        warm = [one for one in self.world.brick_zones if one not in self.out and one not in self.world.bricks_down]
+        warm = [one for one in self.world.backend_zones if one not in self.out and one not in self.world.backends_down]
         self.act(self.drains.look(self.open, self.out, warm))
 
     def act(self, actions: Sequence[object]) -> None:
         for one in actions:
             if isinstance(one, TakeOut):
-                self.out.add(one.brick)
+                self.out.add(one.backend)
             elif isinstance(one, TakeUp):
-                self.out.discard(one.brick)
+                self.out.discard(one.backend)
             elif isinstance(one, Say) and one.statement.said == DRAINED:
                 self.world.said.add((self.name, one.statement.permit))
         self.disk = self.drains.keeps()
--- a/tests/maintenance_process.py
+++ b/tests/maintenance_process.py
@@ -22,7 +22,7 @@
 from tests.stand_in import setup
 
 TOKEN = "a-token-of-heads-1"
-BRICKS = ("s-0", "s-1", "s-2")
+BACKENDS = ("s-0", "s-1", "s-2")
 
 
 class Head:
@@ -68,7 +68,7 @@
             self.upkeep.begin()
             self.tasks.append(asyncio.create_task(self.upkeep.run()))
         self.rotation.take(
-            NodeList(ListKind.FULL, tuple(NodeEntry(name, 0, at, Phase.ON, 1.0, 0) for at, name in enumerate(BRICKS)))
+            NodeList(ListKind.FULL, tuple(NodeEntry(name, 0, at, Phase.ON, 1.0, 0) for at, name in enumerate(BACKENDS)))
         )
         self.streamed.client.restore()
         self.tasks += [asyncio.create_task(self.streamed.client.run()), asyncio.create_task(self._work())]
@@ -80,9 +80,9 @@
             counts = self.exchange.counters.counts
             counts["requests_taken"] += 100
             counts["requests_failed"] += int(100 * self.fails)
-            for brick in BRICKS if self.upkeep is not None else ():
-                if not self.rotation.out(brick):
-                    self.upkeep.answers.ended(self.exchange.now_us(), brick, Result.OK)  # type: ignore[union-attr]
+            for backend in BACKENDS if self.upkeep is not None else ():
+                if not self.rotation.out(backend):
+                    self.upkeep.answers.ended(self.exchange.now_us(), backend, Result.OK)  # type: ignore[union-attr]
 
     async def end(self) -> None:
         tasks, self.tasks = self.tasks, []
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -64,16 +64,16 @@
         before = self.permits.get(row.id)
         if before is not None and row.state is State.FREE and before.state in LEAVES and row.id not in world.rule.free:
             wrong.append(f"{row.id} of {row.name} was {before.state.value} and freed by nothing")
-        if row.kind is Kind.BRICK and row.state is State.OUT and (before is None or before.state is not State.OUT):
+        if row.kind is Kind.BACKEND and row.state is State.OUT and (before is None or before.state is not State.OUT):
             world.drained(row)
         if row.state not in (State.GRANTED, State.BEGUN) or (before is not None and before.state is row.state):
             return
         held = self.held(row.kind)
         if row.name in held and held[row.name].id != row.id:
             wrong.append(f"{row.name} has two permits, {row.id} and {held[row.name].id}")
-        zones = world.zones if row.kind is Kind.HEAD else world.brick_zones
+        zones = world.zones if row.kind is Kind.HEAD else world.backend_zones
         out = {*held, row.name, *world.known_out(row.kind)}
-        most = world.rule.heads if row.kind is Kind.HEAD else world.rule.bricks
+        most = world.rule.heads if row.kind is Kind.HEAD else world.rule.backends
         assert most is not None
         here = [one for one in out if zones[one] == zones[row.name]]
         limit = min([most.most] + ([int(most.part * len(zones) + 1e-9)] if most.part >= 0 else []))
@@ -84,12 +84,12 @@
 class World:
     """The fleet; `wrong` holds every breach."""
 
-    def __init__(self, seed: int, heads: int, bricks: int, rule: Maintenance, zones: int = 4) -> None:
+    def __init__(self, seed: int, heads: int, backends: int, rule: Maintenance, zones: int = 4) -> None:
         self.random, self.rule, self.now = random.Random(seed), rule, 1000 * S
         self.clustered = True
         self.zones = {f"n{at}": f"z{at % zones}" for at in range(heads)}
-        self.brick_zones = {f"b{at}": f"z{at % zones}" for at in range(bricks)}
-        self.bricks_down: set[str] = set()
+        self.backend_zones = {f"b{at}": f"z{at % zones}" for at in range(backends)}
+        self.backends_down: set[str] = set()
         self.failing: dict[str, float] = {}  # builds that fail so much at every third head
         self.never_ready: set[str] = set()
         self.outages: dict[str, Outage] = {}
@@ -137,8 +137,8 @@
 
     def known_out(self, kind: Kind) -> set[str]:
         """Tell what the issuer can see to be out unplanned, or cannot see at all."""
-        if kind is Kind.BRICK:
-            return set(self.bricks_down)
+        if kind is Kind.BACKEND:
+            return set(self.backends_down)
         return {name for name, head in self.heads.items() if not head.linked}
 
     def drained(self, row: Permit) -> None:
--- a/tests/objects_client.py
+++ b/tests/objects_client.py
@@ -14,7 +14,7 @@
 from hophinge.head.operator import OperatorConfig
 from hophinge.objects.config import ObjectConfig
 from tests import books
-from tests.stand_in import Brick, World, world
+from tests.stand_in import Backend, World, world
 
 PIECE = 1000
 
@@ -78,6 +78,6 @@
 async def store(folder: Path, requests: int = 64) -> AsyncIterator[tuple[World, Service, Client]]:
     """Three bricks, a head with an object front, and a client of the bucket `receipts` on plan priority."""
     token = books.tenant(folder / "tenants.db")
-    async with world(Brick(0), Brick(1), Brick(2)) as made:
+    async with world(Backend(0), Backend(1), Backend(2)) as made:
         service = await made.head(operator(folder, requests))
         yield made, service, Client(made, service, token)
--- a/tests/popular.py
+++ b/tests/popular.py
@@ -13,7 +13,7 @@
 from hophinge.head.popularity import HeadPopularity
 from hophinge.head.sections import PopularityConfig
 from tests import books
-from tests.stand_in import Brick, World, world
+from tests.stand_in import Backend, World, world
 from tests.test_objects import PIECE, Client, operator
 
 SECRET = b"the installation's secret"
@@ -118,9 +118,9 @@
     def beforehand(self) -> list[tuple[str, str]]:
         """Tell by brick what was fetched beforehand: those reads bear the class of least worth."""
         return [
-            (brick.name, target)
-            for brick in self.world.bricks
-            for _, target in brick.seen
+            (backend.name, target)
+            for backend in self.world.backends
+            for _, target in backend.seen
             if target.startswith("/statement-export/")
         ]
 
@@ -146,7 +146,7 @@
     secret.write_bytes(SECRET)
     config = PopularityConfig(secret, cache_bytes=cache_bytes, tenant_part=tenant_part, fetch_bytes_s=fetch_bytes_s)
     token = books.tenant(folder / "tenants.db")
-    async with world(Brick(0), Brick(1), Brick(2)) as made:
+    async with world(Backend(0), Backend(1), Backend(2)) as made:
         built = Installation(made, folder, Peers(zones))
         for name in zones:
             if not name.startswith("liar"):
--- a/tests/raw_agent.py
+++ b/tests/raw_agent.py
@@ -12,7 +12,7 @@
 
 from hophinge.head.service import Service
 from hophinge.net.discovery import Listing, Target
-from tests.stand_in import Brick, World, until, world
+from tests.stand_in import Backend, World, until, world
 
 TOLD_S = 6.0  # after which a change counts as told, whatever became of the calls before
 Send = Callable[[asyncio.StreamWriter, bytes], Awaitable[None]]  # writes an answer with this body, or what it likes
@@ -106,10 +106,10 @@
 @asynccontextmanager
 async def told_by() -> AsyncIterator[tuple[World, RawAgent, Service]]:
     """Start a head of two bricks beside such an agent, and have its watch open."""
-    async with world(Brick(0), Brick(1)) as made:
+    async with world(Backend(0), Backend(1)) as made:
         await made.agent.close()
         made.agent = agent = RawAgent()  # type: ignore[assignment]
-        agent.targets = {brick.name: brick.target() for brick in made.bricks}
+        agent.targets = {backend.name: backend.target() for backend in made.backends}
         await agent.open()
         service = await made.head()
         await until(lambda: agent.watching == 1)
@@ -119,6 +119,6 @@
 async def drained(made: World, agent: RawAgent, service: Service) -> None:
     """Have discovery drain a brick; the head must hear of it in time."""
     since = asyncio.get_running_loop().time()
-    await agent.tell(made.bricks[0].target("Terminating"))
+    await agent.tell(made.backends[0].target("Terminating"))
     await until(lambda: service.exchange.phases["s-0"].value == "draining")
     assert asyncio.get_running_loop().time() - since < TOLD_S
--- a/tests/restarting.py
+++ b/tests/restarting.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.servers import Brick
+from tests.servers import Backend
 from tests.stand_in import Wire, World, headers, setup, world
 from tests.test_net import READ
 from tests.test_service import config, program
@@ -136,9 +136,9 @@
 
 
 @asynccontextmanager
-async def head(folder: Path, *bricks: Brick, **changes: Any) -> AsyncIterator[Ending]:
+async def head(folder: Path, *backends: Backend, **changes: Any) -> AsyncIterator[Ending]:
     """Start a head that is ready, beside bricks and discovery."""
-    async with world(*bricks) as made:
+    async with world(*backends) as made:
         environ = config(folder, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint, **changes)
         async with program({**environ, "TMPDIR": str(folder)}) as process:
             (await wire(made)).close()
--- a/tests/routes.py
+++ b/tests/routes.py
@@ -23,7 +23,7 @@
 FACTS = Facts.of(NAMED)
 
 
-def brick(number: int, zone: int, phase: Phase = Phase.ON, shard: int | None = None) -> NodeEntry:
+def backend(number: int, zone: int, phase: Phase = Phase.ON, shard: int | None = None) -> NodeEntry:
     return NodeEntry(f"n{number}", zone, number if shard is None else shard, phase, 1.0, 0)
 
 
@@ -51,7 +51,7 @@
 def router(text: str, *entries: NodeEntry) -> Router:
     made = Router(NAMED)
     made.owner = lambda volume: volume if volume in ("alba", "other") else ""
-    made.nodes(T0, NodeList(ListKind.FULL, entries or tuple(brick(at, at // 3) for at in range(6))))
+    made.nodes(T0, NodeList(ListKind.FULL, entries or tuple(backend(at, at // 3) for at in range(6))))
     made.take_up(table(text), T0)
     return made
 
--- a/tests/servers.py
+++ b/tests/servers.py
@@ -52,7 +52,7 @@
     return hold
 
 
-class Brick(Server):
+class Backend(Server):
     """A disk box: it holds one shard, keeps what is put and tells what it has not got with 404."""
 
     def __init__(self, shard: int, name: str = "") -> None:
--- a/tests/stand_in.py
+++ b/tests/stand_in.py
@@ -18,14 +18,14 @@
 from hophinge.head.service import Service
 from hophinge.head.operator import OperatorConfig
 from hophinge.core.settings import read_settings
-from tests.servers import Behaviour, Brick, DiscoveryAgent, Server, held_by
+from tests.servers import Behaviour, Backend, DiscoveryAgent, Server, held_by
 from tests.steady import LIMIT_S, run_steadily
 
 __all__ = [
     "OBJECT",
     "VOLUME",
     "Behaviour",
-    "Brick",
+    "Backend",
     "DiscoveryAgent",
     "Server",
     "Wire",
@@ -121,8 +121,8 @@
 class World:
     """Bricks, discovery and heads."""
 
-    def __init__(self, bricks: list[Brick]) -> None:
-        self.bricks, self.agent = bricks, DiscoveryAgent()
+    def __init__(self, backends: list[Backend]) -> None:
+        self.backends, self.agent = backends, DiscoveryAgent()
         self.services: list[Service] = []
         self.client = ClientSession()
         self.wires: list[Wire] = []
@@ -178,21 +178,21 @@
 
 
 @asynccontextmanager
-async def world(*bricks: Brick) -> AsyncIterator[World]:
+async def world(*backends: Backend) -> AsyncIterator[World]:
     """Start bricks and discovery; end them and all heads."""
-    made = World(list(bricks))
+    made = World(list(backends))
     try:
-        for brick in bricks:
-            await brick.open()
+        for backend in backends:
+            await backend.open()
         await made.agent.open()
-        made.agent.targets = {brick.name: brick.target() for brick in bricks}
+        made.agent.targets = {backend.name: backend.target() for backend in backends}
         yield made
     finally:
         await made.client.close()
         for wire in made.wires:
             wire.close()
         await made.kill_all()
-        for server in (*bricks, made.agent):
+        for server in (*backends, made.agent):
             await server.close()
 
 
--- a/tests/test_admin_bounds.py
+++ b/tests/test_admin_bounds.py
@@ -9,7 +9,7 @@
 
 from tests.administrator import Caller, caller, operator
 from tests.objects_client import field
-from tests.stand_in import Brick, Wire, headers, held_by, run, until, world
+from tests.stand_in import Backend, Wire, headers, held_by, run, until, world
 
 
 def test_bounds_of_a_tenant_on_connections_requests_and_uploads(tmp_path: Path) -> None:
@@ -52,8 +52,8 @@
             assert (await to.object("POST", "/receipts/u4?uploads", key))[0] == 200
             gate = asyncio.Event()
 
-            for brick in to.made.bricks:
-                brick.behave = held_by(gate)
+            for backend in to.made.backends:
+                backend.behave = held_by(gate)
             tasks = [asyncio.create_task(to.object("GET", "/receipts/x", key)) for _ in range(2)]
             await until(lambda: accounts.requests.held.get("alba") == 2)
             assert (await to.object("GET", "/receipts/x", key))[0] == 503
@@ -66,7 +66,7 @@
 
 def test_usage_is_exact_over_restarts_and_told_to_its_tenant_alone(tmp_path: Path) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1), Brick(2)) as made:
+        async with world(Backend(0), Backend(1), Backend(2)) as made:
             to = Caller(made, await made.head(operator(tmp_path)))
             keys, sizes = {}, {"alba": 7000, "beith": 10}
             for name in sizes:
--- a/tests/test_admin_ends.py
+++ b/tests/test_admin_ends.py
@@ -11,7 +11,7 @@
 
 from tests.administrator import Caller, caller, operator
 from tests.objects_client import content, field
-from tests.stand_in import Brick, run, until, world
+from tests.stand_in import Backend, run, until, world
 
 
 def test_a_tenant_deleted_while_its_requests_wait_stream_and_upload(tmp_path: Path) -> None:
@@ -36,8 +36,8 @@
                     await gate.wait()
                 return None
 
-            for brick in to.made.bricks:
-                brick.behave = hold
+            for backend in to.made.backends:
+                backend.behave = hold
             waiting = [asyncio.create_task(to.object("GET", "/receipts/big", key)) for _ in range(5)]
             coming = asyncio.Event()
 
@@ -66,7 +66,7 @@
             assert begun + await streaming.read() == big  # what had begun went on to its end
             await until(lambda: accounts.accounts.tenants["alba"].state.value == "closed")
             assert not accounts.ledger.uploads_open("alba") and not front.active
-            records = [body for brick in to.made.bricks for body in brick.objects.values()]
+            records = [body for backend in to.made.backends for body in backend.objects.values()]
             assert sum(body[1:9] == b"\xa7aborted" for body in records) == 3
             assert await to.call("PUT", "/v1/tenants/alba") == 201
 
@@ -81,7 +81,7 @@
 
 def test_a_purge_that_was_cut_off_goes_on_after_a_restart(tmp_path: Path) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1), Brick(2)) as made:
+        async with world(Backend(0), Backend(1), Backend(2)) as made:
             to = Caller(made, await made.head(operator(tmp_path)))
             await to.call("PUT", "/v1/tenants/alba", status=201)
             await to.call("PUT", "/v1/tenants/alba/volumes/receipts", {"plan": "priority"}, status=200)
@@ -92,16 +92,16 @@
             async def refuse(request: web.BaseRequest, body: bytes) -> web.StreamResponse | None:
                 return web.Response(status=503, headers={"X-Turned-Away": "1"})
 
-            for brick in made.bricks:  # the uploads cannot be aborted: the purge stands still there
-                brick.behave = refuse
+            for backend in made.backends:  # the uploads cannot be aborted: the purge stands still there
+                backend.behave = refuse
             await to.call("DELETE", "/v1/tenants/alba", status=202, If_Match="*")
             assert to.service.accounts is not None
             accounts = to.service.accounts
             await until(lambda: not accounts.accounts.keys)
             assert accounts.ledger.uploads_open("alba") == 3 and accounts.accounts.volumes
             await made.kill(to.service)
-            for brick in made.bricks:
-                brick.behave = None
+            for backend in made.backends:
+                backend.behave = None
             again = await made.head(operator(tmp_path))
             assert again.accounts is not None
             rows = again.accounts.accounts
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -11,7 +11,7 @@
 import pytest
 
 from hophinge.head.service import Service
-from tests.servers import Brick
+from tests.servers import Backend
 from tests.stand_in import Wire, headers, run, until, world
 from tests.test_net import READ
 from tests.test_streams import LONG, body_of
@@ -20,7 +20,7 @@
 Test = Callable[[Service, Wire, "Bare"], Awaitable[None]]
 
 
-class Bare(Brick):
+class Bare(Backend):
     """A brick of plain sockets: what it writes and how it ends is in the kernel before the head's next turn."""
 
     def __init__(self) -> None:
@@ -55,9 +55,9 @@
 
 def with_bare(test: Test) -> None:
     async def main() -> None:
-        async with world(brick := Bare()) as made:
+        async with world(backend := Bare()) as made:
             service = await made.head()
-            await test(service, await made.wire(service), brick)
+            await test(service, await made.wire(service), backend)
             await until(lambda: not service.exchange.open and not service.budget.held)
 
     run(main())
@@ -66,13 +66,13 @@
 @pytest.mark.parametrize("clean", [True, False])
 @pytest.mark.parametrize("size", [4, 50_000])
 def test_an_end_that_is_read_in_one_turn_with_the_last_bytes_is_told_from_a_reset(clean: bool, size: int) -> None:
-    async def test(service: Service, wire: Wire, brick: Bare) -> None:
+    async def test(service: Service, wire: Wire, backend: Bare) -> None:
         wire.send(READ, headers())
-        taken = await brick.asked()
+        taken = await backend.asked()
         taken.send(HEAD + LONG[:size])
         end(taken, clean)
         if not clean:
-            taken = await brick.asked()
+            taken = await backend.asked()
             taken.send(HEAD + b"true")
             end(taken, True)
         assert (await wire.receive())[::2] == (200, LONG[:size] if clean else b"true")
@@ -91,14 +91,14 @@
 @pytest.mark.parametrize("clean", [True, False])
 @pytest.mark.parametrize("whole", WHOLE)
 def test_an_answer_cut_anywhere_by_its_connection_s_end_is_no_answer(whole: bytes, clean: bool) -> None:
-    async def test(service: Service, wire: Wire, brick: Bare) -> None:
+    async def test(service: Service, wire: Wire, backend: Bare) -> None:
         for number, cut in enumerate(itertools.chain(range(0, len(whole), 3), [len(whole) - 1]), 1):
             wire.send(READ, headers(number, X_Remaining_Ms="20000"))
-            taken = await brick.asked()
+            taken = await backend.asked()
             if cut:
                 taken.send(whole[:cut])
             end(taken, clean)
-            taken = await brick.asked()
+            taken = await backend.asked()
             taken.send(SOUND)
             end(taken, True)
             assert (await wire.receive())[::2] == (200, b"true")
@@ -109,11 +109,11 @@
 
 @pytest.mark.parametrize("clean", [True, False])
 def test_a_reset_while_nobody_reads_on_is_seen_once_somebody_does(clean: bool) -> None:
-    async def test(service: Service, wire: Wire, brick: Bare) -> None:
+    async def test(service: Service, wire: Wire, backend: Bare) -> None:
         loop, body = asyncio.get_running_loop(), LONG * 100
         wire.reader._limit = 1 << 10  # type: ignore[attr-defined]    # its client takes next to nothing
         wire.send(READ, headers())
-        taken = await brick.asked()
+        taken = await backend.asked()
         sent = 0
 
         async def write() -> None:
@@ -123,12 +123,12 @@
                 try:
                     sent += taken.send(body[sent : sent + 65_536])
                 except BlockingIOError:
-                    if any(one.waits for one in service.bricks.roll.open):
+                    if any(one.waits for one in service.backends.roll.open):
                         return
                 await asyncio.sleep(0)
 
         await write()
-        assert any(one.waits for one in service.bricks.roll.open)
+        assert any(one.waits for one in service.backends.roll.open)
         end(taken, clean)
         await wire.reader.readuntil(b"\r\n\r\n")
         if clean:
@@ -158,10 +158,10 @@
 def test_an_answer_of_endless_framing_is_broken_off_soon(first: bytes, more: bytes) -> None:
     """Whether it is passed on by then or not: what it sends beside a body is bounded."""
 
-    async def test(service: Service, wire: Wire, brick: Bare) -> None:
+    async def test(service: Service, wire: Wire, backend: Bare) -> None:
         loop, sent, data = asyncio.get_running_loop(), 0, more * (16_384 // len(more))
         wire.send(READ, headers(X_Remaining_Ms="20000"))
-        taken = await brick.asked()
+        taken = await backend.asked()
         with pytest.raises(ConnectionError):
             await loop.sock_sendall(taken, first)
             while sent < 64 << 20:
@@ -176,10 +176,10 @@
 
 
 def test_a_body_that_comes_byte_by_byte_in_chunks_is_served() -> None:
-    async def test(_: Service, wire: Wire, brick: Bare) -> None:
+    async def test(_: Service, wire: Wire, backend: Bare) -> None:
         body = LONG[:65_536]
         wire.send(READ, headers(X_Remaining_Ms="20000"))
-        taken = await brick.asked()
+        taken = await backend.asked()
         data = CHUNKED + b"".join(b"1\r\n%c\r\n" % one for one in body) + b"0\r\n\r\n"
         await asyncio.get_running_loop().sock_sendall(taken, data)
         head = await wire.reader.readuntil(b"\r\n\r\n")
--- a/tests/test_cache.py
+++ b/tests/test_cache.py
@@ -181,15 +181,15 @@
         run(main())
 
 
-def test_a_second_read_asks_bricks_for_the_manifest_alone(tmp_path: Path) -> None:
+def test_a_second_read_asks_backends_for_the_manifest_alone(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path, {"a": ""}, alone=True) as built:
             client, body, seen = built.clients["a"], b"x" * (5 * PIECE), []
             assert await client.status("PUT", "/receipts/a", body) == 200
             for _ in range(3):
-                before = sum(len(brick.seen) for brick in built.world.bricks)
+                before = sum(len(backend.seen) for backend in built.world.backends)
                 assert (await client.call("GET", "/receipts/a"))[1] == body
-                seen.append(sum(len(brick.seen) for brick in built.world.bricks) - before)
+                seen.append(sum(len(backend.seen) for backend in built.world.backends) - before)
             assert seen == [6, 1, 1] and built.popular["a"].cache.hits == 10
             assert (await client.call("GET", "/receipts/a", Range="bytes=10-1999"))[1] == body[10:2000]
 
--- a/tests/test_choice_waits.py
+++ b/tests/test_choice_waits.py
@@ -119,7 +119,7 @@
     assert not [one for one in gate.run(3000 * MS)[3:] if isinstance(one, SetTimer)]
 
 
-def test_a_client_whose_brick_cannot_be_reached_has_its_answer_before_half_of_its_time() -> None:
+def test_a_client_whose_backend_cannot_be_reached_has_its_answer_before_half_of_its_time() -> None:
     """Connections that never came up took 250 ms each, and 750 ms were over with nothing written (zone+vast)."""
     gate = Gateway(nodes=(node(0),))
     gate.at(0, ask("slow", time_left=750 * MS))
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -16,7 +16,7 @@
     """Play a fleet under some seeds; tell of each cold brick the largest part of what the rule bears."""
     days = [Day(fleet, seed).run() for seed in range(seeds)]
     assert all(day.served > 0 for day in days)
-    return [brick.most for day in days for brick in day.bricks if brick.started]
+    return [backend.most for day in days for backend in day.backends if backend.started]
 
 
 def tail(parts: list[float]) -> float:
@@ -52,14 +52,14 @@
     ],
     ids=named,
 )
-def test_a_fleet_sends_a_cold_brick_no_more_than_the_rule_bears(fleet: Fleet, seeds: int) -> None:
+def test_a_fleet_sends_a_cold_backend_no_more_than_the_rule_bears(fleet: Fleet, seeds: int) -> None:
     """Of 20 and more heads the even part of each is under one request, so nothing but the sum tells."""
     parts = largest(fleet, seeds)
     assert max(parts) < 1 and tail(parts) < 1, parts
     assert statistics.mean(parts) > 0.2, "it gets work at all"
 
 
-def test_two_hundred_heads_that_have_not_heard_from_a_weak_brick_do_not_make_it_fall() -> None:
+def test_two_hundred_heads_that_have_not_heard_from_a_weak_backend_do_not_make_it_fall() -> None:
     """Each let one read through by its lot, and hardly any heard back before the next: 3 of these 16 bricks fell."""
     parts = largest(Fleet(heads=200, power=0.4, volumes=28, hosts=2), 16)
     assert max(parts) < 1, parts  # its tail is not within four deviations: docs/design/fleet.md
@@ -81,4 +81,4 @@
     """Nor does what comes to a brick that has fallen."""
     monkeypatch.setattr(Scheduler, "_bears", lambda *_: True)
     day = Day(Fleet(heads=200, load=2.5, volumes=60, returns=True, told_s=60), 0).run()
-    assert [brick.fell for brick in day.bricks if brick.started] == ["untold"] and day.broken == 0
+    assert [backend.fell for backend in day.backends if backend.started] == ["untold"] and day.broken == 0
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -13,7 +13,7 @@
 from hophinge.net.control import CALLERS
 from hophinge.head.service import Service
 from hophinge.core.rotation import Mark, Rotation
-from tests.stand_in import OBJECT, VOLUME, Brick, Wire, World, headers, held_by, run, until, world
+from tests.stand_in import OBJECT, VOLUME, Backend, Wire, World, headers, held_by, run, until, world
 from tests.test_net import READ
 
 COLD_US = 17_000_000
@@ -32,11 +32,11 @@
         self.made.wires.append(wire)
         return wire
 
-    async def call(self, path: str, brick: str = "", method: str = "") -> tuple[int, str]:
+    async def call(self, path: str, backend: str = "", method: str = "") -> tuple[int, str]:
         wire = await self.wire()
         method = method or ("POST" if "bricks" in path else "GET")
-        fields = {"Content-Length": str(len(brick))} if method == "POST" else {}
-        wire.writer.write(wire.head(path, fields, method) + brick.encode())
+        fields = {"Content-Length": str(len(backend))} if method == "POST" else {}
+        wire.writer.write(wire.head(path, fields, method) + backend.encode())
         status, _, body = await wire.receive()
         assert await wire.ended()  # one call a connection
         return status, body.decode()
@@ -49,10 +49,10 @@
 
 def test_figures_count_each_request_once_by_what_its_client_got() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             desk = Desk(made, service := await made.head())
-            brick, gate = made.bricks[0], asyncio.Event()
-            brick.objects[f"{VOLUME}/{OBJECT}"] = b"kept"
+            backend, gate = made.backends[0], asyncio.Event()
+            backend.objects[f"{VOLUME}/{OBJECT}"] = b"kept"
             wire = await made.wire(service)
             wire.send(READ, headers(1))
             assert (await wire.receive())[0] == 200
@@ -60,15 +60,15 @@
             async def fail(_: web.BaseRequest, __: bytes) -> web.Response:
                 return web.Response(status=500)
 
-            brick.behave = fail
+            backend.behave = fail
             wire.send(READ, headers(2))
             assert (await wire.receive())[0] == 503  # after three attempts
-            brick.behave = None
+            backend.behave = None
             wire.send(f"/statement-export/{VOLUME}/0000000000000001", headers(3))
             assert (await wire.receive())[0] == 404  # neither served nor refused
-            brick.behave = held_by(gate)
+            backend.behave = held_by(gate)
             wire.send(READ, headers(4))
-            await until(lambda: len(brick.seen) == 6)
+            await until(lambda: len(backend.seen) == 6)
             found = await desk.figures()
             assert {name.removeprefix("edge."): value for name, value in found.items() if value} == {
                 "operations.record-read.fulfilled": 1,
@@ -91,10 +91,10 @@
 
 def test_a_request_whose_client_leaves_is_no_longer_open() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             desk, gate = Desk(made, service := await made.head()), asyncio.Event()
 
-            made.bricks[0].behave = held_by(gate)
+            made.backends[0].behave = held_by(gate)
             wire = await made.wire(service)
             wire.send(READ, headers())
             await until(lambda: service.figures.open == 1)
@@ -106,34 +106,34 @@
     run(main())
 
 
-def test_a_brick_out_by_hand_gets_nothing_whatever_discovery_lists_until_one_call_puts_it_back() -> None:
+def test_a_backend_out_by_hand_gets_nothing_whatever_discovery_lists_until_one_call_puts_it_back() -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
-            desk, brick = Desk(made, service := await made.head()), made.bricks[0]
+        async with world(Backend(0), Backend(1)) as made:
+            desk, backend = Desk(made, service := await made.head()), made.backends[0]
             wire = await made.wire(service)
             wire.send(READ, headers(1))
-            assert (await wire.receive())[0] == 404 and brick.connections == 1
+            assert (await wire.receive())[0] == 404 and backend.connections == 1
             for _ in range(2):
                 assert (await desk.call("/ops/bricks/down", "s-0"))[0] == 200
-            await until(lambda: brick.connections == 0)  # what waits in the pool goes with it
-            told = brick.target()
+            await until(lambda: backend.connections == 0)  # what waits in the pool goes with it
+            told = backend.target()
             told.boot_ms = service.exchange.now_us() // 1000
             await made.agent.tell(told)
             await until(lambda: service.rotation.listed["s-0"].started_us > 0)
             assert (await desk.figures())["edge.out_of_rotation"] == 1
             wire.send(READ, headers(2, X_Remaining_Ms="200"))
-            assert (await wire.receive())[0] == 503 and len(brick.seen) == 1
+            assert (await wire.receive())[0] == 503 and len(backend.seen) == 1
             assert (await desk.call("/ops/bricks/up", "s-0\n"))[0] == 200
             assert (await desk.figures())["edge.out_of_rotation"] == 0
             wire.send(READ, headers(3))
-            assert (await wire.receive())[0] == 404 and len(brick.seen) == 2
+            assert (await wire.receive())[0] == 404 and len(backend.seen) == 2
 
     run(main())
 
 
-def test_an_attempt_under_way_to_a_brick_that_goes_out_is_not_written() -> None:
+def test_an_attempt_under_way_to_a_backend_that_goes_out_is_not_written() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             start = service.exchange.start
@@ -145,7 +145,7 @@
 
             service.exchange.start = late
             wire.send(READ, headers(1, X_Remaining_Ms="200"))
-            assert (await wire.receive())[0] == 503 and not made.bricks[0].seen
+            assert (await wire.receive())[0] == 503 and not made.backends[0].seen
 
     run(main())
 
@@ -165,18 +165,18 @@
         ("/ops/bricks/up", "s" * 2000, "POST", 400),
     ],
 )
-def test_a_call_is_a_yes_or_a_no(path: str, brick: str, method: str, status: int) -> None:
+def test_a_call_is_a_yes_or_a_no(path: str, backend: str, method: str, status: int) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             desk = Desk(made, await made.head())
-            assert (await desk.call(path, brick, method))[0] == status
+            assert (await desk.call(path, backend, method))[0] == status
 
     run(main())
 
 
 def test_callers_that_say_nothing_or_half_a_call_keep_nobody_out() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             desk = Desk(made, service := await made.head())
             halves = [b"", b"GET /ops/st", b"POST /ops/bricks/down HTTP/1.1\r\nContent-Length: 3\r\n\r\ns"]
             wires = []
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -116,8 +116,8 @@
             await here.runs(head, "1.1")
             await until(lambda: accounts_of(head).accounts.active("alba"))
             volume = accounts_of(head).accounts.buckets["alba"]["receipts"].id
-            for brick in here.made.bricks:
-                brick.behave = held_by(gate)
+            for backend in here.made.backends:
+                backend.behave = held_by(gate)
             assert head.streamed is not None
             router = head.streamed.router
 
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from tests import restarting
-from tests.stand_in import OBJECT, VOLUME, Brick, DiscoveryAgent, Wire, held_by, headers, run, setup, until, world
+from tests.stand_in import OBJECT, VOLUME, Backend, DiscoveryAgent, Wire, held_by, headers, run, setup, until, world
 from tests.test_net import READ, WRITE
 
 OTHER = "00000003b4d60022"
@@ -46,8 +46,8 @@
     names = ["get-many", "get", "get-and-set", "get-m"]
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            made.bricks[0].objects[f"{VOLUME}/{OBJECT}"] = b"kept"
+        async with world(Backend(0)) as made:
+            made.backends[0].objects[f"{VOLUME}/{OBJECT}"] = b"kept"
             settings = classes(*({"Name": name} for name in names))
             settings["Grades"] = [{**settings["Grades"][0], "Name": name} for name in ("t2", "t", "t-2")]
             service = await made.head(settings=settings)
@@ -72,14 +72,14 @@
     """What comes late earns nothing here, so whatever counts as late is not sent where its node has others' work."""
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            brick, number = made.bricks[0], 0
+        async with world(Backend(0)) as made:
+            backend, number = made.backends[0], 0
 
             async def slowly(_: web.BaseRequest, __: bytes) -> None:
                 await asyncio.sleep(0.03 * (number % 2))  # some answers tell of others' work
 
-            brick.behave = slowly
-            brick.objects[f"{VOLUME}/{OBJECT}"] = b"kept"
+            backend.behave = slowly
+            backend.objects[f"{VOLUME}/{OBJECT}"] = b"kept"
             service = await made.head(settings=classes({"Name": "record-read", "LateWorth": 0.0}))
             wire = await made.wire(service)
             for number in range(1, 9):
@@ -94,8 +94,8 @@
 
 def test_the_heads_that_one_request_names_take_no_other_requests_part_of_a_limit() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            made.bricks[0].objects[f"{VOLUME}/{OBJECT}"] = b"kept"
+        async with world(Backend(0)) as made:
+            made.backends[0].objects[f"{VOLUME}/{OBJECT}"] = b"kept"
             limited = {"Name": "priority", "Limit": 400, "CapDepth": 800, "LimitSlack": 80}
             wire = await made.wire(await made.head(settings=plans(limited)))
             assert await asked(wire, READ, 1, X_Placement="units=1,shard=0,hosts=1") in (200, 503)
@@ -108,8 +108,8 @@
 
 def test_a_volume_under_another_plan_has_that_plans_limit() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            made.bricks[0].objects[f"{VOLUME}/{OBJECT}"] = b"kept"
+        async with world(Backend(0)) as made:
+            made.backends[0].objects[f"{VOLUME}/{OBJECT}"] = b"kept"
             tight = {"Name": "basic", "Limit": 0.1, "CapDepth": 0.1}
             wire = await made.wire(await made.head(settings=plans(tight, {"Name": "priority"})))
             assert await asked(wire, READ, 1, X_Qos_Policy="basic") == 503
@@ -120,22 +120,22 @@
 
 def test_requests_in_order_wait_for_their_own_volumes_object_alone() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            gate, brick = asyncio.Event(), made.bricks[0]
+        async with world(Backend(0)) as made:
+            gate, backend = asyncio.Event(), made.backends[0]
 
             async def hold(request: web.BaseRequest, _: bytes) -> None:
                 if VOLUME in request.raw_path:
                     await gate.wait()
 
-            brick.behave = hold
+            backend.behave = hold
             service = await made.head(settings=classes({"Name": "transfer-write", "Sequential": True}))
             first, second, third = [await made.wire(service) for _ in range(3)]
             first.send(WRITE, headers(1), "PUT", b"x")
-            await until(lambda: len(brick.seen) == 1)
+            await until(lambda: len(backend.seen) == 1)
             third.send(WRITE, headers(3), "PUT", b"x")  # the same object's: it waits
             try:
                 assert await asked(second, f"/transfer-write/{OTHER}/{OBJECT}", 2, "PUT") == 200
-                assert len(brick.seen) == 2
+                assert len(backend.seen) == 2
             finally:
                 gate.set()
             assert [(await wire.receive())[0] for wire in (first, third)] == [200, 200]
@@ -146,14 +146,14 @@
 @pytest.mark.parametrize("zones", [["hall-a"], ["hall-b"], ["x"], []])
 def test_a_repeat_stays_in_its_zone_where_the_settings_name_not_all_zones(zones: list[str]) -> None:
     async def main() -> None:
-        async with world(Brick(0, "s-a"), Brick(0, "s-b")) as made:
+        async with world(Backend(0, "s-a"), Backend(0, "s-b")) as made:
 
             async def lost(request: web.BaseRequest, _: bytes) -> None:
                 if request.transport is not None:
                     request.transport.abort()
 
-            for brick in made.bricks:
-                brick.behave = lost
+            for backend in made.backends:
+                backend.behave = lost
             made.agent.targets["s-b"].az = "hall-b"  # the other's is hall-a
             settings = classes(
                 {"Name": "transfer-write", "Effect": "token", "Group": "zone", "DedupWindowUs": 5_000_000}
@@ -170,7 +170,7 @@
                     X_Placement="units=1,shard=-1,hosts=1",
                 )
                 await until(lambda: not service.exchange.open)
-            seen = [{fields["X-Txn"] for fields in brick.headers} for brick in made.bricks]
+            seen = [{fields["X-Txn"] for fields in backend.headers} for backend in made.backends]
             assert all(seen) and not set.intersection(*seen)
 
     run(main())
@@ -183,7 +183,7 @@
     caps: dict[str, Any], most: float
 ) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head(settings=setup(Caps=caps))
             service.front.most = 0
             wire = await made.wire(service)
@@ -197,7 +197,7 @@
 
 def test_refusals_at_one_address_of_discovery_put_off_no_call_at_another() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             elsewhere = DiscoveryAgent()
             await elsewhere.open()
             try:
@@ -210,7 +210,7 @@
                 refused = len(elsewhere.asked)
                 discovery.follow(elsewhere.endpoint)
                 await until(lambda: len(elsewhere.asked) > refused)
-                elsewhere.away, elsewhere.targets = "", {"s-new": made.bricks[0].target()}
+                elsewhere.away, elsewhere.targets = "", {"s-new": made.backends[0].target()}
                 since = asyncio.get_running_loop().time()
                 await until(lambda: len(elsewhere.asked) > refused + 1)
                 assert asyncio.get_running_loop().time() - since < 0.4
@@ -231,11 +231,11 @@
 
     async def main() -> None:
         gate = asyncio.Event()
-        async with restarting.head(tmp_path, Brick(0), settings=settings) as ending:
-            ending.made.bricks[0].behave = held_by(gate)
+        async with restarting.head(tmp_path, Backend(0), settings=settings) as ending:
+            ending.made.backends[0].behave = held_by(gate)
             wire = await ending.wire()
             wire.send(f"/scan/{VOLUME}/{OBJECT}", headers(1, X_Remaining_Ms=str(deadline_ms)))
-            await until(lambda: bool(ending.made.bricks[0].seen))
+            await until(lambda: bool(ending.made.backends[0].seen))
             ending.tell()
             killing = asyncio.get_running_loop().call_later(3.7, ending.process.send_signal, signal.SIGKILL)
             try:
@@ -255,18 +255,18 @@
     """All bricks drop repeats of this class for a while, by a key that not every client sends."""
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
 
             async def lost(request: web.BaseRequest, _: bytes) -> None:
                 await asyncio.sleep(0.05)  # longer than the shorter window
                 if request.transport is not None:
                     request.transport.abort()
 
-            made.bricks[0].behave = lost
+            made.backends[0].behave = lost
             settings = classes({"Name": "transfer-write", "Effect": "token", "DedupWindowUs": window_ms * 1000})
             wire = await made.wire(await made.head(settings=settings))
             fields = {"Idempotency_Key": key} if key else {}
             assert await asked(wire, WRITE, 1, "PUT", **fields) == status
-            assert made.bricks[0].seen
+            assert made.backends[0].seen
 
     run(main())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.stand_in import Brick, headers, run, until, world
+from tests.stand_in import Backend, headers, run, until, world
 from tests.test_net import READ
 from tests.test_service import HOST, PORT, ROOT, config, connected
 
@@ -74,8 +74,8 @@
     (tmp_path / "sitecustomize.py").write_text(WATCH)
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            made.bricks[0].objects[READ.split("/", 2)[2]] = b"kept"
+        async with world(Backend(0)) as made:
+            made.backends[0].objects[READ.split("/", 2)[2]] = b"kept"
             changes = {"listen": f"{HOST}:{PORT}", "discovery": made.agent.endpoint}
             environ = config(tmp_path, **changes) | {
                 "PYTHONPATH": str(tmp_path),
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -9,16 +9,16 @@
 import pytest
 
 from hophinge.net import pipeline
-from tests.stand_in import OBJECT, VOLUME, Brick, held_by, run, until, world
+from tests.stand_in import OBJECT, VOLUME, Backend, held_by, run, until, world
 from tests.test_pipelined import connections, many
 
 
 def test_who_floods_the_head_ends_and_others_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick, gate = await made.head(), made.bricks[0], asyncio.Event()
+        async with world(Backend(0)) as made:
+            service, backend, gate = await made.head(), made.backends[0], asyncio.Event()
             service.front.behind.most = 300_000
-            brick.behave = held_by(gate)
+            backend.behave = held_by(gate)
             floods, fair = [await made.wire(service) for _ in range(6)], await made.wire(service)
             fair.writer.write(many(fair, 1, 3))
             for at, wire in enumerate(floods, 1):
@@ -35,9 +35,9 @@
     monkeypatch.setattr(pipeline, "READ_S", 0.2)
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick = await made.head(), made.bricks[0]
-            brick.objects[f"{VOLUME}/{OBJECT}"] = bytes(60_000)
+        async with world(Backend(0)) as made:
+            service, backend = await made.head(), made.backends[0]
+            backend.objects[f"{VOLUME}/{OBJECT}"] = bytes(60_000)
             wire = await made.wire(service)
             cast(asyncio.Transport, wire.writer.transport).pause_reading()
             for first in range(1, 2000, 100):
@@ -51,7 +51,7 @@
 
 def test_answers_are_not_held_back_by_the_kernel() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.writer.write(many(wire, 1, 1))
@@ -70,7 +70,7 @@
     monkeypatch.setattr(pipeline, "READ_RATE", 1e9)
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.writer.write(many(wire, 1, 1))
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.stand_in import OBJECT, VOLUME, Brick, headers, run, until, world
+from tests.stand_in import OBJECT, VOLUME, Backend, headers, run, until, world
 from tests.test_net import READ, WRITE
 from tests.test_pipelined import connections
 
@@ -35,8 +35,8 @@
 @pytest.mark.parametrize("form", FORMS)
 def test_each_legal_form_is_served_in_pieces_of_any_size(form: str, step: int) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick = await made.head(), made.bricks[0]
+        async with world(Backend(0)) as made:
+            service, backend = await made.head(), made.backends[0]
             wire = await made.wire(service)
             wire.writer.write(b"GET /healthz HTTP/1.1\r\n" + HOST + b"\r\n")
             assert (await wire.receive())[0] == 200
@@ -47,7 +47,7 @@
                 client.data_received(sent[at : at + step])  # the pieces as the system gives them
             got = [(await wire.receive())[::2] for _ in range(4)]
             assert got == [(200, b"ok"), (200, b"body")] * 2
-            assert brick.objects == {f"{VOLUME}/{OBJECT}": b"body"} and len(brick.seen) == 4
+            assert backend.objects == {f"{VOLUME}/{OBJECT}": b"body"} and len(backend.seen) == 4
             await until(lambda: client in service.front.resting and client.taken == client.answered == 5)
 
     run(main())
@@ -55,7 +55,7 @@
 
 def test_a_body_that_waits_to_be_asked_for_behind_another_request_is_asked_for() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             wire.writer.write(GET + PUT + b"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
             assert [(await wire.receive())[0] for _ in range(2)] == [404, 100]
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -11,7 +11,7 @@
 
 from hophinge.core import interface as api
 from hophinge.head.service import Service
-from tests.stand_in import Brick, Wire, World, headers, held_by, run, setup, until, world
+from tests.stand_in import Backend, Wire, World, headers, held_by, run, setup, until, world
 from tests.test_net import READ, WRITE
 from tests.test_net_connects import late
 from tests.test_pipelined import connections
@@ -37,14 +37,14 @@
 async def connecting(made: World, service: Service, wire: Wire, monkeypatch: pytest.MonkeyPatch) -> Free:
     """Its connection to the brick comes up late."""
     gate = asyncio.Event()
-    service.bricks.pool.limit_s, service.bricks.pool.usual.credit = 30.0, -1000.0
-    begun = late(monkeypatch, service.bricks.connector, gate, {0})
+    service.backends.pool.limit_s, service.backends.pool.usual.credit = 30.0, -1000.0
+    begun = late(monkeypatch, service.backends.connector, gate, {0})
     wire.send(READ, patient())
     await until(lambda: len(begun) == 1)
 
     async def free() -> None:
         gate.set()
-        await until(lambda: made.bricks[0].connections == 1)
+        await until(lambda: made.backends[0].connections == 1)
 
     return free
 
@@ -52,9 +52,9 @@
 async def long_body(made: World, service: Service, wire: Wire, monkeypatch: pytest.MonkeyPatch) -> Free:
     """So does that of a long body, of which no more is read meanwhile."""
     gate = asyncio.Event()
-    service.bricks.pool.limit_s, service.bricks.pool.usual.credit = 30.0, -1000.0
+    service.backends.pool.limit_s, service.backends.pool.usual.credit = 30.0, -1000.0
     service.budget.most = 1
-    begun = late(monkeypatch, service.bricks.connector, gate, {0})
+    begun = late(monkeypatch, service.backends.connector, gate, {0})
     wire.writer.write(wire.head(WRITE, {**patient(), "Content-Length": "20000000"}, "PUT"))
     while not any(one._reading_paused for one in connections(service)):
         wire.writer.write(bytes(50_000))
@@ -63,7 +63,7 @@
 
     async def free() -> None:
         gate.set()
-        await until(lambda: made.bricks[0].connections == 1)
+        await until(lambda: made.backends[0].connections == 1)
 
     return free
 
@@ -81,11 +81,11 @@
 
 async def queueing(made: World, service: Service, wire: Wire, _: pytest.MonkeyPatch) -> Free:
     """It waits for its turn at the only brick."""
-    brick, gate = made.bricks[0], asyncio.Event()
-    brick.behave = held_by(gate)
+    backend, gate = made.backends[0], asyncio.Event()
+    backend.behave = held_by(gate)
     other = await made.wire(service)
     other.send(READ, patient(90))
-    await until(lambda: len(brick.seen) == 1)
+    await until(lambda: len(backend.seen) == 1)
     wire.send(READ, patient())
     await until(lambda: service.exchange.unanswered == 2)
     assert not service.exchange.open[f"{1:016x}"].attempts
@@ -93,7 +93,7 @@
     async def free() -> None:
         gate.set()
         assert (await other.receive())[0] == 404
-        brick.seen.pop()
+        backend.seen.pop()
 
     return free
 
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("state", [connecting, long_body, half_body, queueing, at_the_gate])
 def test_nothing_is_sent_on_for_a_client_that_has_gone(state: State, way: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head(settings=setup(Balancers=1000 if state is queueing else 1))
             wire = await made.wire(service)
             free = await state(made, service, wire, monkeypatch)
@@ -172,6 +172,6 @@
             staying = await made.wire(service)
             staying.send(READ, patient(99))
             assert (await staying.receive())[0] == 404
-            assert made.bricks[0].seen == [("GET", READ)] and not service.exchange.open
+            assert made.backends[0].seen == [("GET", READ)] and not service.exchange.open
 
     run(main())
--- a/tests/test_gone_attempts.py
+++ b/tests/test_gone_attempts.py
@@ -11,8 +11,8 @@
 from hophinge.core.exchange import End
 from hophinge.head.service import Service
 from hophinge.net import server as server_module
-from hophinge.net.brick import BrickConnection
-from tests.servers import Brick, held_by
+from hophinge.net.backend_connection import BackendConnection
+from tests.servers import Backend, held_by
 from tests.stand_in import Wire, World, headers, until
 from tests.test_exchange import Desk
 from tests.test_net import READ, WRITE
@@ -33,10 +33,10 @@
 def test_one_whose_connection_comes_up_after_its_client_has_gone(body: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "KEPT", 100_000)
 
-    async def test(made: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(made: World, service: Service, wire: Wire, backend: Backend) -> None:
         gate = asyncio.Event()
-        service.bricks.pool.limit_s = 30.0
-        begun = late(monkeypatch, service.bricks.connector, gate, set(range(9)))
+        service.backends.pool.limit_s = 30.0
+        begun = late(monkeypatch, service.backends.connector, gate, set(range(9)))
         sent = {"none": b"", "kept": LONG[:60_000], "on its way": LONG[:-1]}[body]
         if body == "none":
             wire.send(READ, headers(X_Remaining_Ms=LONG_MS))
@@ -47,10 +47,10 @@
         await goes(service, wire)
         gate.set()
         await until(lambda: service.counters.counts["attempts_moot"] == 1)
-        assert not brick.seen and service.figures.relayed == 0 and service.counters.counts["attempts_sent"] == 1
+        assert not backend.seen and service.figures.relayed == 0 and service.counters.counts["attempts_sent"] == 1
         wire = await made.wire(service)
         wire.send(READ, headers(2))  # its connection serves the next one
-        assert (await wire.receive())[0] == 404 and brick.connections == len(begun)
+        assert (await wire.receive())[0] == 404 and backend.connections == len(begun)
 
     with_head(test)
 
@@ -58,35 +58,35 @@
 def test_one_that_gets_its_connection_in_the_very_turn_in_which_its_client_goes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def test(made: World, service: Service, wire: Wire, brick: Brick) -> None:
-        take, gone = service.bricks.pool.take, headers(X_Remaining_Ms=LONG_MS)
+    async def test(made: World, service: Service, wire: Wire, backend: Backend) -> None:
+        take, gone = service.backends.pool.take, headers(X_Remaining_Ms=LONG_MS)
 
-        async def just_then(endpoint: str) -> BrickConnection:
+        async def just_then(endpoint: str) -> BackendConnection:
             connection = await take(endpoint)
             service.exchange.depart(gone["X-Txn"])
             return connection
 
-        monkeypatch.setattr(service.bricks.pool, "take", just_then)
+        monkeypatch.setattr(service.backends.pool, "take", just_then)
         wire.send(READ, gone)
         await until(lambda: service.counters.counts["attempts_moot"] == 1)
         wire = await made.wire(service)
         wire.send(READ, headers(2))
         assert (await wire.receive())[0] == 404
-        assert len(brick.seen) == 1 == brick.connections
+        assert len(backend.seen) == 1 == backend.connections
 
     with_head(test)
 
 
 def test_one_in_line_before_another_leaves_that_one_the_connection() -> None:
-    async def test(made: World, service: Service, wire: Wire, brick: Brick) -> None:
-        pool, gate = service.bricks.pool, asyncio.Event()
+    async def test(made: World, service: Service, wire: Wire, backend: Backend) -> None:
+        pool, gate = service.backends.pool, asyncio.Event()
         pool.limit_s = 30.0
-        brick.behave = held_by(gate)
+        backend.behave = held_by(gate)
         wire.send(READ, headers(1, X_Remaining_Ms=LONG_MS))
-        await until(lambda: len(brick.seen) == 1)
-        line, dial = pool.lines[brick.endpoint], asyncio.Event()
+        await until(lambda: len(backend.seen) == 1)
+        line, dial = pool.lines[backend.endpoint], asyncio.Event()
 
-        async def never(_: str) -> BrickConnection:
+        async def never(_: str) -> BackendConnection:
             await dial.wait()
             raise OSError
 
@@ -96,10 +96,10 @@
             one.send(READ, headers(number, X_Remaining_Ms=LONG_MS))
             await until(lambda number=number: len(line.waiting) == number - 1)  # type: ignore[misc]
         await goes(service, second)
-        brick.behave = None
+        backend.behave = None
         gate.set()
         assert [(await one.receive())[0] for one in (wire, third)] == [404, 404]
-        assert [one["X-Txn"] for one in brick.headers] == [headers(at)["X-Txn"] for at in (1, 3)]
+        assert [one["X-Txn"] for one in backend.headers] == [headers(at)["X-Txn"] for at in (1, 3)]
         await until(lambda: service.counters.counts["attempts_moot"] == 1)
         dial.set()
 
@@ -107,7 +107,7 @@
 
 
 def test_one_that_fails_after_its_client_has_gone_is_not_tried_again() -> None:
-    async def test(_: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(_: World, service: Service, wire: Wire, backend: Backend) -> None:
         gate = asyncio.Event()
 
         async def die(request: web.BaseRequest, __: bytes) -> None:
@@ -115,13 +115,13 @@
             assert request.transport is not None
             request.transport.abort()
 
-        brick.behave = die
+        backend.behave = die
         wire.send(READ, headers(X_Remaining_Ms=LONG_MS))
-        await until(lambda: len(brick.seen) == 1)
+        await until(lambda: len(backend.seen) == 1)
         await goes(service, wire)
         gate.set()
         await until(lambda: not service.exchange.open and not service.exchange.scheduler.requests)
-        assert service.counters.counts["attempts_sent"] == 1 == len(brick.seen)
+        assert service.counters.counts["attempts_sent"] == 1 == len(backend.seen)
 
     with_head(test)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from hophinge.core.interface import ListKind, NodeEntry, NodeList, Phase, Send
 from hophinge.head.handover import LIVE, MARKS, VERSION, Handover, Marks
 from hophinge.core.rotation import Mark, Rotation
-from tests.stand_in import OBJECT, VOLUME, Brick, Wire, headers, held_by, run, until, world
+from tests.stand_in import OBJECT, VOLUME, Backend, Wire, headers, held_by, run, until, world
 from tests.test_choice import SETTINGS, T0, ask
 from tests.test_service import HOST, config, program
 
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("processes", [1, 2])
-def test_two_processes_give_a_cold_brick_and_a_warm_one_no_more_than_one_does(processes: int) -> None:
+def test_two_processes_give_a_cold_backend_and_a_warm_one_no_more_than_one_does(processes: int) -> None:
     rules = dataclasses.replace(SETTINGS.rules, cold_units=16.0, cold_us=17_000_000, fall_us=REST_US)
     settings = dataclasses.replace(SETTINGS, rules=rules)
     sent = dict.fromkeys(("cold", "warm"), 0.0)
@@ -110,7 +110,7 @@
     assert 0 < sent["cold"] <= 16.0 / settings.gateways + 1 and 0 < sent["warm"] <= CEILING
 
 
-async def call(port: int, path: str, brick: str = "") -> tuple[int, str]:
+async def call(port: int, path: str, backend: str = "") -> tuple[int, str]:
     """Call a process's second address once it listens."""
     while True:
         try:
@@ -118,8 +118,8 @@
             break
         except OSError:
             await asyncio.sleep(0.02)
-    method = "POST" if brick else "GET"
-    wire.writer.write(wire.head(path, {"Content-Length": str(len(brick))}, method) + brick.encode())
+    method = "POST" if backend else "GET"
+    wire.writer.write(wire.head(path, {"Content-Length": str(len(backend))}, method) + backend.encode())
     status, _, body = await wire.receive()
     wire.close()
     return status, body.decode()
@@ -130,12 +130,12 @@
         return int(one.getsockname()[1])
 
 
-def test_an_upgrade_under_load_meets_no_broken_connection_and_keeps_bricks_out(tmp_path: Path) -> None:
+def test_an_upgrade_under_load_meets_no_broken_connection_and_keeps_backends_out(tmp_path: Path) -> None:
     async def main() -> None:
         listening = socket.create_server((HOST, 0))
         port, fd = listening.getsockname()[1], listening.fileno()
-        async with world(Brick(0), Brick(1)) as made:
-            brick, gate = made.bricks[0], asyncio.Event()
+        async with world(Backend(0), Backend(1)) as made:
+            backend, gate = made.backends[0], asyncio.Event()
             old_port, new_port = free_port(), free_port()
             environ = config(tmp_path, listen=f"{HOST}:{port}", discovery=made.agent.endpoint)
             environ |= {"TMPDIR": str(tmp_path), "EDGE_ACCEPT_FD": str(fd)}
@@ -157,9 +157,9 @@
                 kept, busy = await open_wire(), await open_wire()
                 assert (await ask_on(kept))[0] == 404
 
-                brick.behave = held_by(gate)
+                backend.behave = held_by(gate)
                 busy.send(TARGET, headers(next(numbers), X_Remaining_Ms="3000"))
-                await until(lambda: len(brick.seen) == 1)
+                await until(lambda: len(backend.seen) == 1)
                 async with program({**environ, "EDGE_CONTROL": f"{HOST}:{new_port}"}, fd) as new:
                     # Its client asks on: who rests for two seconds is closed on, and a start may take longer.
                     coming = asyncio.create_task(ready(new_port))
@@ -183,10 +183,10 @@
                     _, text = await call(new_port, "/ops/stats")
                     assert "edge.operations.record-read.faulted=1\n" in text and "edge.out_of_rotation=1\n" in text
                     assert (await call(new_port, "/ops/bricks/up", "s-0"))[0] == 200
-                    brick.behave = None
+                    backend.behave = None
                     last = await open_wire()  # the other one has rested while the old process ended
                     last.send(TARGET, headers(next(numbers)))
-                    assert (await last.receive())[0] == 404 and len(brick.seen) == 2
+                    assert (await last.receive())[0] == 404 and len(backend.seen) == 2
                     for wire in (kept, busy, other, last):
                         wire.close()
                     new.send_signal(signal.SIGTERM)
@@ -216,7 +216,7 @@
             f'[objects]\nlisten = "{HOST}:{objects}"\ntenants = "tenants.json"\nread_class = "record-read"\n'
             f'write_class = "transfer-write"\n[admin]\nlisten = "{HOST}:{admin}"\ntoken_file = "token"\n'
         )
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             environ = config(tmp_path, discovery=made.agent.endpoint) | {
                 "TMPDIR": str(tmp_path),
                 "EDGE_ACCEPT_FD": str(listening.fileno()),
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -17,9 +17,9 @@
 
 from hophinge.head.service import Service
 from hophinge.net import pace as pace_module
-from hophinge.net.brick import BrickConnection
+from hophinge.net.backend_connection import BackendConnection
 from hophinge.net.pace import CallPace
-from tests.servers import Brick, DiscoveryAgent, held_by
+from tests.servers import Backend, DiscoveryAgent, held_by
 from tests.stand_in import OBJECT, VOLUME, Wire, World, headers, run, setup, until, world
 from tests.test_net import READ, WRITE
 from tests.test_net_answers import SOUND, raw
@@ -45,30 +45,30 @@
 def test_a_late_second_answer_goes_to_nobody(unread: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """It comes after the first was taken: read by then, or still in the kernel as the next request is due."""
 
-    async def test(made: World, service: Service, wire: Wire, brick: Brick) -> None:
-        late, once, take = list[int](), raw(brick, SOUND), service.bricks.pool.take
-        brick.objects[f"{VOLUME}/{OBJECT}"] = b"true"
+    async def test(made: World, service: Service, wire: Wire, backend: Backend) -> None:
+        late, once, take = list[int](), raw(backend, SOUND), service.backends.pool.take
+        backend.objects[f"{VOLUME}/{OBJECT}"] = b"true"
 
         async def twice(request: web.BaseRequest, body: bytes) -> web.StreamResponse | None:
             late.append(cast(asyncio.Transport, request.transport).get_extra_info("socket").fileno())
             return await once(request, body)
 
-        async def just_then(endpoint: str) -> BrickConnection:
+        async def just_then(endpoint: str) -> BackendConnection:
             if late:
                 os.write(late.pop(), ANOTHERS)
             return await take(endpoint)
 
-        brick.behave = twice
+        backend.behave = twice
         wire.send(READ, headers(1))
         assert (await wire.receive())[2] == b"kept"
-        monkeypatch.setattr(service.bricks.pool, "take", just_then)
+        monkeypatch.setattr(service.backends.pool, "take", just_then)
         if not unread:
             os.write(late.pop(), ANOTHERS)
-            await until(lambda: not service.bricks.roll.open)
+            await until(lambda: not service.backends.roll.open)
         for number, client in ((2, await made.wire(service)), (3, wire)):
             client.send(READ, headers(number))
             assert (await client.receive())[::2] == (200, b"true")
-        assert not late and len(brick.seen) == 3 and service.counters.counts["attempts_reset"] == 0
+        assert not late and len(backend.seen) == 3 and service.counters.counts["attempts_reset"] == 0
 
     with_head(test)
 
@@ -78,14 +78,14 @@
 AT_ONE, TRIALS = 256 // HEADS, LEFT_MS // (2 * AIM_MS)  # a head's part; one more in two aims, until it is given up
 
 
-def test_a_hung_brick_in_twenty_holds_no_more_than_its_own_and_few_connections() -> None:
+def test_a_hung_backend_in_twenty_holds_no_more_than_its_own_and_few_connections() -> None:
     async def main() -> None:
-        async with world(*(Brick(shard) for shard in range(20))) as made:
+        async with world(*(Backend(shard) for shard in range(20))) as made:
             settings = shards(20, Balancers=HEADS)
             for one in settings["RequestClasses"]:
                 one["GoalTimeUs"], one["DeadlineUs"] = AIM_MS * 1000, LEFT_MS * 1000
-            service, hung = await made.head(settings=settings), made.bricks[HUNG]
-            hung.behave, roll, taken, lost, most = held_by(asyncio.Event()), service.bricks.roll, 0, 0, 0
+            service, hung = await made.head(settings=settings), made.backends[HUNG]
+            hung.behave, roll, taken, lost, most = held_by(asyncio.Event()), service.backends.roll, 0, 0, 0
 
             async def client(first: int) -> None:
                 nonlocal taken, lost, most
@@ -115,7 +115,7 @@
         monkeypatch.setattr(pace_module, name, getattr(pace_module, name) / SCALE)
 
     async def main() -> None:
-        old, new = [Brick(shard % 4, f"{'ab'[shard // 4]}{shard % 4}") for shard in range(8)], Brick(2, "c2")
+        old, new = [Backend(shard % 4, f"{'ab'[shard // 4]}{shard % 4}") for shard in range(8)], Backend(2, "c2")
         async with world(*old, new) as made:
             agent, told_as = made.agent, made.agent._list  # each call is answered with the whole list
             monkeypatch.setattr(agent, "_list", lambda *_: told_as(True, list(agent.targets.values())))
@@ -153,7 +153,7 @@
             stop = True
             await asyncio.gather(*clients)
             assert set(phases) == {"a0", "a1", "a2", "a3", "b0", "b1", "c2"} and phases["b1"].value == "draining"
-            assert all(max(int(one["X-Txn"], 16) for one in brick.headers) <= told for brick in old[4:])
+            assert all(max(int(one["X-Txn"], 16) for one in backend.headers) <= told for backend in old[4:])
 
     run(main())
 
@@ -167,8 +167,8 @@
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 def test_a_hangup_that_moves_discovery_from_a_silent_one_counts_at_once(mode: str, tmp_path: Path) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(0, "s-new")) as made:
-            (first, second), agent, there = made.bricks, made.agent, DiscoveryAgent()
+        async with world(Backend(0), Backend(0, "s-new")) as made:
+            (first, second), agent, there = made.backends, made.agent, DiscoveryAgent()
             await there.open()
             del agent.targets["s-new"]
             there.targets = {first.name: first.target("Terminating"), second.name: second.target()}
@@ -192,7 +192,7 @@
 
 
 def test_a_long_answer_without_a_length_that_is_reset_has_no_end() -> None:
-    async def test(_: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(_: World, service: Service, wire: Wire, backend: Backend) -> None:
         begun = asyncio.Event()
 
         async def reset(request: web.BaseRequest, _: bytes) -> web.StreamResponse:
@@ -203,12 +203,12 @@
             transport.close()
             raise ConnectionResetError
 
-        brick.behave = reset
+        backend.behave = reset
         wire.send(READ, headers())
         assert b"chunked" in await wire.reader.readuntil(b"\r\n\r\n")  # it is passed on
         begun.set()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await body_of(wire)
-        assert len(brick.seen) == 1 and service.counters.counts["answers_broken_off"] == 1
+        assert len(backend.seen) == 1 and service.counters.counts["answers_broken_off"] == 1
 
     with_head(test)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,7 +10,7 @@
 
 from hophinge.core.interface import Fail, Result, Send
 from hophinge.net.payload import MAX_BODY
-from tests.stand_in import OBJECT, VOLUME, Brick, headers, run, setup, until, world
+from tests.stand_in import OBJECT, VOLUME, Backend, headers, run, setup, until, world
 from tests.test_choice import KEYED, MS, Gateway, ask, end
 
 WRITE = f"/transfer-write/{VOLUME}/{OBJECT}"
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("body", [b"whole", LONG])
 def test_a_key_goes_on_with_each_attempt_as_it_came(key: bytes | None, body: bytes) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             lines: list[list[bytes]] = []
 
             async def once_full(request: web.BaseRequest, _: bytes) -> web.Response | None:
@@ -51,7 +51,7 @@
                 whole = len(lines) > 1 or len(body) > MAX_BODY  # a long body has one attempt
                 return None if whole else web.Response(status=503, headers={"X-Turned-Away": "1"})
 
-            made.bricks[0].behave = once_full
+            made.backends[0].behave = once_full
             wire = await made.wire(await made.head(settings=keyed()))
             head = wire.head(WRITE, headers(1, Content_Length=str(len(body)), X_Remaining_Ms="1200"), "PUT")
             if key is not None:
@@ -60,7 +60,7 @@
             assert (await wire.receive())[0] == 200
             expected = [] if key is None else [key]
             assert lines == [expected] * (1 if len(body) > MAX_BODY else 2)
-            assert made.bricks[0].objects[f"{VOLUME}/{OBJECT}"] == body
+            assert made.backends[0].objects[f"{VOLUME}/{OBJECT}"] == body
 
     run(main())
 
@@ -80,7 +80,7 @@
 )
 def test_a_key_that_is_doubled_over_long_or_smuggles_a_line_is_told_so(lines: bytes) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head(settings=keyed())
             wire = await made.wire(service)
             wire.writer.write(wire.head(WRITE, headers(1, Content_Length="2"), "PUT")[:-2] + lines + b"\r\nok")
@@ -88,7 +88,7 @@
             wire = await made.wire(service)
             wire.send(WRITE, headers(2), "PUT", b"next")
             assert (await wire.receive())[0] == 200
-            assert len(made.bricks[0].seen) == 1
+            assert len(made.backends[0].seen) == 1
 
     run(main())
 
@@ -106,20 +106,20 @@
 
 def test_each_further_attempt_of_a_write_bears_its_key() -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(0, "s-other")) as made:
+        async with world(Backend(0), Backend(0, "s-other")) as made:
 
             async def lost(request: web.BaseRequest, _: bytes) -> None:
                 if request.transport is not None:
                     request.transport.abort()
 
-            for brick in made.bricks:
-                brick.behave = lost
+            for backend in made.backends:
+                backend.behave = lost
             service = await made.head(settings=keyed())
             wire = await made.wire(service)
             wire.send(WRITE, headers(1, Idempotency_Key="a", X_Placement="units=1,shard=0,hosts=1"), "PUT", b"x")
             assert (await wire.receive())[0] == 502
             await until(lambda: not service.exchange.open)
-            keys = [seen["Idempotency-Key"] for brick in made.bricks for seen in brick.headers]
+            keys = [seen["Idempotency-Key"] for backend in made.backends for seen in backend.headers]
             assert keys == ["a"] * len(keys)
             assert 2 <= len(keys) <= 3
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from hophinge.load.bricks import COLD_SHARE, COLD_US, Platform
+from hophinge.load.backends import COLD_SHARE, COLD_US, Platform
 from hophinge.load.clients import Load, Result
 from hophinge.load.plan import Client, Fault, LoadPlan, Surge, arrivals, read
 from hophinge.load.report import by_second, chart, table
@@ -72,10 +72,10 @@
         await platform.start()
         made.agent.targets = {
             name: Target(name, f"127.0.0.1:{one.port}", "Ready", "hall-a", "std-1c", one.shard)
-            for one in platform.bricks
+            for one in platform.backends
             for name in [f"load-{one.shard}"]
         }
-        head = await made.head(settings=settings or setup(Domain={**setup()["Domain"], "NShards": plan.bricks}))
+        head = await made.head(settings=settings or setup(Domain={**setup()["Domain"], "NShards": plan.backends}))
         begin = f"http://127.0.0.1:{platform.port}/begin"
         result = await Load(plan, made.url(head).removeprefix("http://")).run(begin)
         counts = dict(head.counters.counts)
@@ -91,7 +91,7 @@
             one.at_us >= 500_000 for one in arrivals(plan) if plan.clients[one.client] is sort.client
         )
         assert sort.ends["aim"] >= 0.9 * sort.asked and sort.served.get_value_at_percentile(50) >= plan.work_us
-    assert sum(brick.done for brick in platform.bricks) == counts["requests_served"] == len(arrivals(plan))
+    assert sum(backend.done for backend in platform.backends) == counts["requests_served"] == len(arrivals(plan))
     text = table("a title", {"1": result})
     assert text.startswith("# a title") and "| 1 | reads |" in text and f"| {result.due:.0f} |" in text
     rows = [line for line in text.splitlines() if line.startswith("|")]
@@ -116,7 +116,7 @@
         4,
         2_500_000,
         0,
-        bricks=2,
+        backends=2,
         clients=(patient,),
         faults=(hang, Fault("fail", 1_500_000, 300_000, 1.0), Fault("slow", 2_000_000, 200_000, 1.0, times=4.0)),
     )
@@ -124,23 +124,23 @@
     sort = result.sorts[0]
     assert sort.asked == len(arrivals(plan)) and sort.ends["broken"] == 0
     assert sort.ends["late"] + sort.ends["timed out"] + sort.ends["failed"] + sort.ends["refused"] > 5
-    assert sum(brick.failed for brick in platform.bricks) > 0
+    assert sum(backend.failed for backend in platform.backends) > 0
     # Whoever waits for its turn to send would have missed these.
     assert sort.behind.get_value_at_percentile(50) < 100_000
     slices = {at: row["earned"] / row["due"] for at, row in result.slices.items()}
     assert slices[0] < 1.0 or slices[1] < 1.0
 
 
-def test_a_brick_that_comes_back_is_cold_and_gets_warm() -> None:
-    plan = LoadPlan(bricks=2, faults=(Fault("vanish", 1_000_000, 2_000_000, 0.5),))
+def test_a_backend_that_comes_back_is_cold_and_gets_warm() -> None:
+    plan = LoadPlan(backends=2, faults=(Fault("vanish", 1_000_000, 2_000_000, 0.5),))
     now = 0
     platform = Platform(plan)
-    brick, other = platform.bricks
-    brick.now_us = other.now_us = lambda: now
+    backend, other = platform.backends
+    backend.now_us = other.now_us = lambda: now
     speeds = []
     for at in (0, 3_000_000, 3_000_000 + COLD_US // 2, 3_000_000 + COLD_US):
         now = at
-        speeds.append(brick.speed())
+        speeds.append(backend.speed())
         assert other.speed() == 1.0
     assert speeds == [1.0, COLD_SHARE, pytest.approx((1 + COLD_SHARE) / 2), 1.0]
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -29,7 +29,7 @@
     Sighting,
     State,
 )
-from hophinge.maintenance.observations import brick_floors, need
+from hophinge.maintenance.observations import backend_floors, need
 from hophinge.maintenance.messages import Listed, Word
 from hophinge.routing.bounds import Most
 from hophinge.routing.records import Pool, Route, Scope, Tenant
@@ -108,7 +108,7 @@
 
 
 def test_floors_keep_what_reserves_need() -> None:
-    floors = brick_floors(
+    floors = backend_floors(
         [Pool("a", ("z0",), at_least=2), Pool("b", ("z1",)), Route(Scope("t"), ("a",)), Tenant("t", reserve=70.0)],
         {f"b{at}": Listed(f"z{at % 2}", "", True) for at in range(10)},
         25.0,
--- a/tests/test_maintenance_listing.py
+++ b/tests/test_maintenance_listing.py
@@ -27,7 +27,7 @@
     """A head and an issuer with a line between them that loses, doubles and mixes up; each end starts anew at will."""
 
     def __init__(self) -> None:
-        self.now, self.bricks, self.live, self.gone = 0, dict[str, Listed](), set[str](), set[str]()
+        self.now, self.backends, self.live, self.gone = 0, dict[str, Listed](), set[str](), set[str]()
         self.heard: dict[str, list[Statement]] = {}
         self.whole_at: list[int] = []
         self.connect()
@@ -43,11 +43,11 @@
     def report(self) -> None:
         self.now += BEAT_US // 4
         meant = Report(
-            1, bricks=dict(self.bricks), live=tuple(self.live), gone=tuple(self.gone), heard=dict(self.heard)
+            1, backends=dict(self.backends), live=tuple(self.live), gone=tuple(self.gone), heard=dict(self.heard)
         )
         made = self.teller.made(self.now, meant, self.asked)
-        assert made.parts is not None and not made.bricks and not made.live and not made.heard
-        if made.parts.bricks.whole:
+        assert made.parts is not None and not made.backends and not made.live and not made.heard
+        if made.parts.backends.whole:
             self.whole_at.append(self.now)
         self.told[made.parts.number] = meant
         self.way.append(msgspec.json.decode(msgspec.json.encode(made), type=Report))
@@ -66,7 +66,7 @@
             return
         meant = self.told[self.newest]
         if not one.unsure:
-            assert one.bricks == meant.bricks
+            assert one.backends == meant.backends
         assert set(one.gone) <= set(meant.gone)  # nobody is let off whom the head does not hold for gone
         assert all(rows == meant.heard.get(name) for name, rows in one.heard.items())
         if self.listener.sure:
@@ -80,11 +80,11 @@
 
     @rule(name=NAMES, up=st.booleans(), zone=st.sampled_from(["", "z"]))
     def lists(self, name: str, up: bool, zone: str) -> None:
-        self.line.bricks[name] = Listed(zone, "", up)
+        self.line.backends[name] = Listed(zone, "", up)
 
     @rule(name=NAMES)
     def forgets(self, name: str) -> None:
-        self.line.bricks.pop(name, None)
+        self.line.backends.pop(name, None)
 
     @rule(name=NAMES, what=st.sampled_from(["live", "gone", "unknown"]))
     def sees(self, name: str, what: str) -> None:
@@ -131,7 +131,7 @@
             line.arrive(0, False)
             line.asked = line.listener.asks
         line.check()
-        assert line.listener.sure and line.taken is not None and line.taken.bricks == line.bricks
+        assert line.listener.sure and line.taken is not None and line.taken.backends == line.backends
 
 
 def test_what_the_issuer_is_sure_of_is_what_the_head_told() -> None:
@@ -212,7 +212,7 @@
 def test_whole_lists_are_seldom_however_often_they_are_asked_for() -> None:
     line, lots = Line(), random.Random(1)
     for at in range(400):
-        line.bricks[f"b-{at % 5}"] = Listed("", "", lots.random() < 0.5)
+        line.backends[f"b-{at % 5}"] = Listed("", "", lots.random() < 0.5)
         line.report()
         line.arrive(0, False) if lots.random() < 0.5 else line.way.clear()
         line.asked = line.listener.asks
@@ -230,12 +230,12 @@
     rows = {name: Listed("", "", True) for name in ("b0", "b1", "b2")}
     for name in tellers:
         issuer.connected(name, True, 2)
-        issuer.report(name, tellers[name].made(0, Report(1, bricks=rows, ready=True), 0))
-    tellers["n1"].made(BEAT_US, Report(1, bricks={**rows, "b1": Listed("", "", False)}), 0)  # lost
-    issuer.report("n1", tellers["n1"].made(2 * BEAT_US, Report(1, bricks={**rows, "b1": Listed("", "", False)}), 0))
+        issuer.report(name, tellers[name].made(0, Report(1, backends=rows, ready=True), 0))
+    tellers["n1"].made(BEAT_US, Report(1, backends={**rows, "b1": Listed("", "", False)}), 0)  # lost
+    issuer.report("n1", tellers["n1"].made(2 * BEAT_US, Report(1, backends={**rows, "b1": Listed("", "", False)}), 0))
     issuer.tick(world.now)
     word = issuer.word("n1")
     assert not issuer.permits.held and word is not None and word.whole == 1
-    issuer.report("n1", tellers["n1"].made(3 * BEAT_US, Report(1, bricks=rows, ready=True), word.whole))
+    issuer.report("n1", tellers["n1"].made(3 * BEAT_US, Report(1, backends=rows, ready=True), word.whole))
     issuer.tick(world.now)
     assert [one.name for one in issuer.permits.held.values()] == ["b0"]
--- a/tests/test_maintenance_naming.py
+++ b/tests/test_maintenance_naming.py
@@ -24,13 +24,13 @@
 
 RULE = Maintenance(None, Most(1, -1.0, -1))
 OUTAGE = Outage("o", ("b0",))
-BRICKS = {"b0": Listed("", "", True), "b1": Listed("", "", True)}
+BACKENDS = {"b0": Listed("", "", True), "b1": Listed("", "", True)}
 
 
 def said(issuer: Coordinator) -> Report:
-    permit = issuer.permits.of(Kind.BRICK, "b0")
+    permit = issuer.permits.of(Kind.BACKEND, "b0")
     assert permit is not None
-    return Report(1, statements=(Statement(permit.id, "b0", DRAINED),), bricks=BRICKS)
+    return Report(1, statements=(Statement(permit.id, "b0", DRAINED),), backends=BACKENDS)
 
 
 def test_a_head_named_as_gone_lets_a_drain_end_and_its_return_holds_it_up_again() -> None:
@@ -39,10 +39,12 @@
     forms: list[Record] = [RULE, OUTAGE]
     issuer.document(forms, (), {})
     issuer.connected("n0", True, 2)
-    issuer.report("n0", Report(1, bricks=BRICKS))
+    issuer.report("n0", Report(1, backends=BACKENDS))
     issuer.tick(world.now)
     # n0's cluster still knows n1, and holds it for dead, which is no yes.
-    issuer.report("n0", Report(1, statements=said(issuer).statements, bricks=BRICKS, live=("n0", "n1"), clustered=True))
+    issuer.report(
+        "n0", Report(1, statements=said(issuer).statements, backends=BACKENDS, live=("n0", "n1"), clustered=True)
+    )
     issuer.tick(world.now + S)
     told = shown(issuer, lambda name: 7)
     assert (told["permits"][0]["state"], told["permits"][0]["missing"]) == ("draining", ["n1"])
@@ -50,7 +52,7 @@
     forms = [Maintenance(None, Most(1, -1.0, -1), retired=("n1",)), OUTAGE]
     issuer.document(forms, (), {})
     issuer.tick(world.now + 2 * S)
-    assert issuer.permits.all(Kind.BRICK)[0].state is State.OUT and shown(issuer)["absent"] == []
+    assert issuer.permits.all(Kind.BACKEND)[0].state is State.OUT and shown(issuer)["absent"] == []
     forms = taken_back(forms, "n1")
     assert forms == [RULE, OUTAGE] and taken_back(forms, "n0") == forms
     issuer.document(forms, (), {})
@@ -88,12 +90,12 @@
         upkeep.rotation.take(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
         assert upkeep._due(True) == []  # no word yet
         older = told(Word("s", 1, 1))
-        assert list(older.bricks) == ["s-0"] and older.parts is None
+        assert list(older.backends) == ["s-0"] and older.parts is None
         first = told(Word("s", 2, 1, parts=True))  # the service was replaced by a newer one
-        assert not first.bricks and first.parts is not None and first.parts.bricks.whole
+        assert not first.backends and first.parts is not None and first.parts.backends.whole
         second = told(Word("s", 2, 2, parts=True)).parts
-        assert second is not None and (second.number, second.bricks.whole, second.bricks.rows) == (2, False, {})
+        assert second is not None and (second.number, second.backends.whole, second.backends.rows) == (2, False, {})
         upkeep._greet([])
-        assert told(Word("s", 3, 1)).bricks.keys() == {"s-0"}  # and by an older one again
+        assert told(Word("s", 3, 1)).backends.keys() == {"s-0"}  # and by an older one again
 
     run(main())
--- a/tests/test_maintenance_releases.py
+++ b/tests/test_maintenance_releases.py
@@ -211,15 +211,15 @@
     world.document()
     world.until(lambda: world.verdicts == 2)
     assert world.verdicts == 2 and world.issuer is not None
-    world.bricks_down = {"b0", "b1"}
+    world.backends_down = {"b0", "b1"}
     del world.outages["o"]
     world.document()
     for _ in range(50):
         world.turn()
-    assert {one.state for one in world.store.held(Kind.BRICK).values()} == {State.BACK}  # no answer yet
-    world.bricks_down = set()
-    world.until(lambda: not world.store.held(Kind.BRICK))
-    assert not world.store.held(Kind.BRICK) and world.wrong == []
+    assert {one.state for one in world.store.held(Kind.BACKEND).values()} == {State.BACK}  # no answer yet
+    world.backends_down = set()
+    world.until(lambda: not world.store.held(Kind.BACKEND))
+    assert not world.store.held(Kind.BACKEND) and world.wrong == []
 
 
 def test_an_operators_word_frees_a_place_whose_head_is_gone_for_good() -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,7 +14,7 @@
 from hophinge.core.interface import Action, Event, Refuse, Send
 from hophinge.net.payload import MAX_LONG
 from hophinge.head.service import Service
-from tests.stand_in import OBJECT, VOLUME, Brick, Wire, World, headers, held_by, run_in_real_time as run, until, world
+from tests.stand_in import OBJECT, VOLUME, Backend, Wire, World, headers, held_by, run_in_real_time as run, until, world
 
 READ = f"/record-read/{VOLUME}/{OBJECT}"
 WRITE = f"/transfer-write/{VOLUME}/{OBJECT}"
@@ -25,7 +25,7 @@
     """The model of one client connection: open or closed, what the head must have counted, and its steps."""
 
     def __init__(self, made: World, service: Service) -> None:
-        self.world, self.service, self.brick = made, service, made.bricks[0]
+        self.world, self.service, self.backend = made, service, made.backends[0]
         self.wire: Wire | None = None
         self.number = 0
         self.counts: Counter[str] = Counter()
@@ -41,7 +41,7 @@
         await until(lambda: not self.service.exchange.open)
 
     async def _served(self, wire: Wire, sent: dict[str, str], body: bytes = b"kept") -> None:
-        self.brick.objects[f"{VOLUME}/{OBJECT}"] = body
+        self.backend.objects[f"{VOLUME}/{OBJECT}"] = body
         wire.send(READ, sent)
         status, _, got = await wire.receive()
         assert (status, got) == (200, body)
@@ -53,19 +53,19 @@
     async def write(self, wire: Wire, sent: dict[str, str]) -> None:
         wire.send(WRITE, sent, "PUT", bytes(range(256)) * 256)
         assert (await wire.receive())[0] == 200
-        assert self.brick.objects[f"{VOLUME}/{OBJECT}"] == bytes(range(256)) * 256
+        assert self.backend.objects[f"{VOLUME}/{OBJECT}"] == bytes(range(256)) * 256
         self.counts.update(["requests_taken", "requests_served", "attempts_sent", "attempts_ok"])
 
     async def _once(self, wire: Wire, sent: dict[str, str], result: str, answer: web.Response | None) -> None:
         """The brick's first answer is this one, or a broken connection; the module's next attempt is served."""
 
         async def behave(request: web.BaseRequest, _: bytes) -> web.Response | None:
-            self.brick.behave = None
+            self.backend.behave = None
             if answer is None and request.transport is not None:
                 request.transport.abort()
             return answer
 
-        self.brick.behave = behave
+        self.backend.behave = behave
         await self._served(wire, sent)
         self.counts.update(["attempts_sent", f"attempts_{result}"])
 
@@ -83,9 +83,9 @@
         assert (await wire.receive())[0] == 200
 
     async def malformed(self, wire: Wire, sent: dict[str, str]) -> None:
-        seen = len(self.brick.seen)
+        seen = len(self.backend.seen)
         wire.send(READ, {**sent, "X-Txn": "odd"})
-        assert (await wire.receive())[0] == 400 and len(self.brick.seen) == seen
+        assert (await wire.receive())[0] == 400 and len(self.backend.seen) == seen
         self.counts["requests_malformed"] += 1
 
     async def oversize(self, wire: Wire, sent: dict[str, str]) -> None:
@@ -98,12 +98,12 @@
     async def leave(self, wire: Wire, sent: dict[str, str]) -> None:
         gate = asyncio.Event()
 
-        self.brick.behave, seen = held_by(gate), len(self.brick.seen)
+        self.backend.behave, seen = held_by(gate), len(self.backend.seen)
         wire.send(READ, sent)
-        await until(lambda: len(self.brick.seen) > seen)
+        await until(lambda: len(self.backend.seen) > seen)
         wire.close()
         await until(lambda: self.service.counters.counts["requests_departed"] > self.counts["requests_departed"])
-        self.brick.behave = None
+        self.backend.behave = None
         gate.set()
         self.counts.update(["requests_taken", "requests_departed", "attempts_sent", "attempts_ok"])
         self.wire = None
@@ -116,7 +116,7 @@
 @given(st.lists(st.sampled_from(STEPS), min_size=1, max_size=8))
 def test_a_connection_under_random_steps(steps: list[str]) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             connection = Connection(made, await made.head())
             for name in steps:
                 await connection.step(name)
@@ -126,14 +126,14 @@
 
 def test_what_goes_on_is_the_bytes_that_came() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             target = f"{WRITE}?a=%7e%2F..&b=c+d%20e&&=;x"
             wire.send(target, headers(X_Txn="9B1F03AA5c7e2d41"), "PUT", b"\r\n\0\xff")
             assert (await wire.receive())[0] == 200
-            (brick,) = made.bricks
-            assert brick.seen == [("PUT", target)] and b"\r\n\0\xff" in brick.objects.values()
-            sent = brick.headers[0]
+            (backend,) = made.backends
+            assert backend.seen == [("PUT", target)] and b"\r\n\0\xff" in backend.objects.values()
+            sent = backend.headers[0]
             assert sent["X-Txn"] == "9B1F03AA5c7e2d41" and 600 < int(sent["X-Remaining-Ms"]) <= 750
             assert not sent.keys() & {"Cookie", "User-Agent", "Accept-Encoding", "X-Qos-Policy"}
 
@@ -160,11 +160,11 @@
         (f"{READ}#part", {}, 400),
     ],
 )
-def test_malformed_requests_reach_no_brick(
+def test_malformed_requests_reach_no_backend(
     target: str, changes: dict[str, str], status: int, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.send(target, {**headers(), **changes})
@@ -172,7 +172,7 @@
             wire.writer.write(b"not http at all\r\n\r\n")
             assert (await wire.receive())[0] == 400
             wire.close()
-            assert not made.bricks[0].seen and service.counters.counts["requests_malformed"] == 1
+            assert not made.backends[0].seen and service.counters.counts["requests_malformed"] == 1
 
     run(main())
     assert "Traceback" not in "".join(capsys.readouterr())
@@ -180,7 +180,7 @@
 
 def test_more_clients_than_sockets_allow_are_told_to_come_back() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             service.front.most = 0
             wire = await made.wire(service)
@@ -189,20 +189,20 @@
             wire.send(READ, headers())
             status, fields, _ = await wire.receive()
             assert status == 503 and fields["retry-after"] == "1" and await wire.ended()
-            assert service.counters.counts["requests_too_many"] == 1 and not made.bricks[0].seen
+            assert service.counters.counts["requests_too_many"] == 1 and not made.backends[0].seen
 
     run(main())
 
 
 def test_a_body_that_waits_to_be_asked_for_is_asked_for_and_a_malformed_request_s_is_not() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.writer.write(wire.head(WRITE, {**headers(), "Expect": "100-continue", "Content-Length": "4"}, "PUT"))
             assert (await wire.receive())[0] == 100
             wire.writer.write(b"body")
-            assert (await wire.receive())[0] == 200 and b"body" in made.bricks[0].objects.values()
+            assert (await wire.receive())[0] == 200 and b"body" in made.backends[0].objects.values()
             odd = {**headers(2, X_Txn="odd"), "Expect": "100-continue", "Content-Length": "4"}
             wire.writer.write(wire.head(WRITE, odd, "PUT"))
             assert (await wire.receive())[0] == 400 and await wire.ended()
@@ -214,13 +214,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
             service, gate = await made.head(), asyncio.Event()
 
-            made.bricks[0].behave = held_by(gate)
+            made.backends[0].behave = held_by(gate)
             leaving, staying = await made.wire(service), await made.wire(service)
             leaving.send(READ, headers(1, X_Remaining_Ms="20000"))
-            await until(lambda: len(made.bricks[0].seen) == 1)
+            await until(lambda: len(made.backends[0].seen) == 1)
             handler = next(iter(service.front.busy))._current_request.task
             exchange, usual = service.exchange, service.exchange.scheduler.handle
 
--- a/tests/test_net_answers.py
+++ b/tests/test_net_answers.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from hophinge.core.counters import Counters
-from hophinge.net import brick as brick_module
-from hophinge.net.brick import BrickConnection
+from hophinge.net import backend_connection
+from hophinge.net.backend_connection import BackendConnection
 from hophinge.net.budget import Budget
 from hophinge.net.roll import Roll
-from tests.stand_in import OBJECT, VOLUME, Behaviour, Brick, headers, run_in_real_time as run, setup, until, world
+from tests.stand_in import OBJECT, VOLUME, Behaviour, Backend, headers, run_in_real_time as run, setup, until, world
 from tests.test_net import READ
 
 SOUND = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nkept"
@@ -57,9 +57,9 @@
 ]
 
 
-def test_a_brick_s_endless_body_is_broken_off() -> None:
+def test_a_backend_s_endless_body_is_broken_off() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service, ended = await made.head(), asyncio.Event()
 
             async def endless(request: web.BaseRequest, _: bytes) -> web.StreamResponse:
@@ -71,7 +71,7 @@
                 finally:
                     ended.set()
 
-            made.bricks[0].behave = endless
+            made.backends[0].behave = endless
             wire = await made.wire(service)
             wire.send(READ, headers())
             assert (await wire.receive())[0] == 200  # it began like any long one
@@ -85,10 +85,10 @@
 
 
 def test_a_large_answer_that_comes_in_pieces_is_served_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(brick_module, "STALL_S", 0.5)  # the pieces take longer together, none of them alone
+    monkeypatch.setattr(backend_connection, "STALL_S", 0.5)  # the pieces take longer together, none of them alone
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             body = bytes(range(256)) * 1600
 
             async def slowly(request: web.BaseRequest, _: bytes) -> web.StreamResponse:
@@ -99,21 +99,21 @@
                     await asyncio.sleep(0.06)
                 return response
 
-            made.bricks[0].behave = slowly
+            made.backends[0].behave = slowly
             service = await made.head()
             wire = await made.wire(service)
             wire.send(READ, headers())
             assert (await wire.receive())[::2] == (200, body)
-            assert service.counters.counts["attempts_sent"] == 1 and made.bricks[0].connections == 1
+            assert service.counters.counts["attempts_sent"] == 1 and made.backends[0].connections == 1
 
     run(main())
 
 
-def raw(brick: Brick, answer: bytes, stays: bool = True) -> Behaviour:
+def raw(backend: Backend, answer: bytes, stays: bool = True) -> Behaviour:
     """A brick's first answer is these bytes, after which its connection is of no further use, open or not."""
 
     async def behave(request: web.BaseRequest, _: bytes) -> web.StreamResponse | None:
-        brick.behave = None
+        backend.behave = None
         assert request.transport is not None
         request.transport.write(answer)
         if not stays:
@@ -127,16 +127,16 @@
 @pytest.mark.parametrize("answer", SPOILT)
 def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(answer: bytes) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick = await made.head(), made.bricks[0]
-            brick.objects[f"{VOLUME}/{OBJECT}"] = b"true"
-            brick.behave = raw(brick, answer)
+        async with world(Backend(0)) as made:
+            service, backend = await made.head(), made.backends[0]
+            backend.objects[f"{VOLUME}/{OBJECT}"] = b"true"
+            backend.behave = raw(backend, answer)
             wire = await made.wire(service)
             wire.send(READ, headers())
             assert (await wire.receive())[::2] == (200, b"true")
             counts = service.counters.counts
             assert (counts["attempts_reset"], counts["attempts_ok"], counts["client_faults"]) == (1, 1, 0)
-            await until(lambda: brick.connections == 1)  # the spoilt one's connection is closed, not reused
+            await until(lambda: backend.connections == 1)  # the spoilt one's connection is closed, not reused
 
     run(main())
 
@@ -144,11 +144,11 @@
 @pytest.mark.parametrize("answer", GOOD)
 def test_a_good_answer_is_served_whatever_comes_with_it(answer: bytes) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             told = setup(Report={"Fields": ["q"], "Source": "answers"})
-            service, brick = await made.head(settings=told), made.bricks[0]
-            brick.objects[f"{VOLUME}/{OBJECT}"] = b"true"
-            brick.behave = raw(brick, answer, stays=GOOD.index(answer) in (1, 2))
+            service, backend = await made.head(settings=told), made.backends[0]
+            backend.objects[f"{VOLUME}/{OBJECT}"] = b"true"
+            backend.behave = raw(backend, answer, stays=GOOD.index(answer) in (1, 2))
             wire = await made.wire(service)
             for number, body in ((1, b"kept"), (2, b"true"), (3, b"true")):
                 wire.send(READ, headers(number))
@@ -160,14 +160,14 @@
 
 @given(data=st.data())
 @settings(max_examples=60, deadline=None, derandomize=True)
-def test_a_brick_s_connection_under_random_bytes_and_cuts(data: st.DataObject) -> None:
+def test_a_backend_s_connection_under_random_bytes_and_cuts(data: st.DataObject) -> None:
     """The model: the first answer's own bytes are handed on if it is sound, nothing of what follows ever is."""
     sound = data.draw(st.booleans())
     answer = data.draw(st.sampled_from(GOOD[:4] if sound else SPOILT[:8]))
     cuts = sorted(data.draw(st.lists(st.integers(0, len(answer)), max_size=4)))
 
     async def main() -> None:
-        connection = BrickConnection(asyncio.get_running_loop(), Roll(1, Counters()), Budget(1 << 30))
+        connection = BackendConnection(asyncio.get_running_loop(), Roll(1, Counters()), Budget(1 << 30))
         connection.connection_made(Mock(is_closing=lambda: False, get_extra_info={"peername": ("127.0.0.1", 1)}.get))
         connection.set_response_params(read_until_eof=True, auto_decompress=False)
         for begin, end in itertools.pairwise([0, *cuts, len(answer)]):
