--- a/tests/test_net_attempts.py
+++ b/tests/test_net_attempts.py
@@ -9,15 +9,15 @@
 from aiohttp import web
 
 from hophinge.core.interface import Action, Event, Outcome, Probe, ProbeResult, Result
-from tests.stand_in import VOLUME, Brick, headers, held_by, run_in_real_time as run, setup, until, world
+from tests.stand_in import VOLUME, Backend, headers, held_by, run_in_real_time as run, setup, until, world
 from tests.test_net import READ, WRITE
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT"])
 def test_a_kept_connection_that_turns_out_dead_costs_no_hidden_attempt(method: str) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick = await made.head(), made.bricks[0]
+        async with world(Backend(0)) as made:
+            service, backend = await made.head(), made.backends[0]
             wire = await made.wire(service)
             target = READ if method == "GET" else WRITE
             wire.send(target, headers(1), method)
@@ -27,38 +27,38 @@
                 assert request.transport is not None
                 request.transport.abort()
 
-            brick.behave = die
+            backend.behave = die
             wire.send(target, headers(2), method)
             assert (await wire.receive())[0] == 503
             counts = service.counters.counts
-            assert len(brick.seen) == 1 + 3 == counts["attempts_sent"] and counts["attempts_reset"] == 3
+            assert len(backend.seen) == 1 + 3 == counts["attempts_sent"] and counts["attempts_reset"] == 3
 
     run(main())
 
 
 def test_redirects_and_encodings_are_not_followed_and_cookies_not_kept() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick = await made.head(), made.bricks[0]
+        async with world(Backend(0)) as made:
+            service, backend = await made.head(), made.backends[0]
             wire = await made.wire(service)
 
             async def odd(_: web.BaseRequest, __: bytes) -> web.Response:
                 return web.Response(body=b"not gzip", headers={"Content-Encoding": "gzip", "Set-Cookie": "a=b"})
 
-            brick.behave = odd
+            backend.behave = odd
             for number in (1, 2):
                 wire.send(READ, headers(number))
                 status, _, body = await wire.receive()
                 assert (status, body) == (200, b"not gzip")
-            assert "Cookie" not in brick.headers[1]
+            assert "Cookie" not in backend.headers[1]
 
             async def move(_: web.BaseRequest, __: bytes) -> web.Response:
                 return web.Response(status=302, headers={"Location": "/healthz"})
 
-            brick.behave = move
+            backend.behave = move
             wire.send(READ, headers(3))
             assert (await wire.receive())[0] == 503
-            assert {target for _, target in brick.seen} == {READ}
+            assert {target for _, target in backend.seen} == {READ}
             assert service.counters.counts["bricks_answered_oddly"] == 3
 
     run(main())
@@ -66,13 +66,13 @@
 
 def test_meter_and_other_units_reach_the_module() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
 
             async def told(_: web.BaseRequest, __: bytes) -> web.Response:
                 return web.Response(headers={"X-Iops-Used": "150", "X-Rho": "3.5"})
 
-            made.bricks[0].behave = told
+            made.backends[0].behave = told
             wire = await made.wire(service)
             wire.send(READ, headers())
             await wire.receive()
@@ -84,7 +84,7 @@
 
 def test_a_given_up_attempt_closes_its_connection_and_the_request_is_answered_in_time() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service, closed = await made.head(), asyncio.Event()
 
             async def hang(_: web.BaseRequest, __: bytes) -> None:
@@ -93,21 +93,21 @@
                 finally:
                     closed.set()
 
-            made.bricks[0].behave = hang
+            made.backends[0].behave = hang
             wire = await made.wire(service)
             wire.send(READ, headers(X_Remaining_Ms="100"))
             assert (await wire.receive())[0] == 503
             await closed.wait()
-            assert service.counters.counts["attempts_timeout"] == 1 and not service.bricks.roll.open
+            assert service.counters.counts["attempts_timeout"] == 1 and not service.backends.roll.open
 
     run(main())
 
 
 def test_a_refused_connection_is_a_failed_connect() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
-            await made.bricks[0].close()
+            await made.backends[0].close()
             wire = await made.wire(service)
             wire.send(READ, headers())
             assert (await wire.receive())[0] == 503
@@ -120,9 +120,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
             service, gate, waiting = await made.head(), asyncio.Event(), asyncio.Event()
-            connector = service.bricks.connector
+            connector = service.backends.connector
             create = connector._create_connection
 
             async def slow(*parts: object) -> object:
@@ -134,24 +134,24 @@
             wire = await made.wire(service)
             wire.send(READ, headers())
             await waiting.wait()
-            await made.agent.tell(made.bricks[0].target("Terminating"))
+            await made.agent.tell(made.backends[0].target("Terminating"))
             await until(lambda: service.exchange.phases["s-0"].value == "draining")
             gate.set()
             assert (await wire.receive())[0] == 503
-            assert not made.bricks[0].seen and service.counters.counts["attempts_moot"] == 1
+            assert not made.backends[0].seen and service.counters.counts["attempts_moot"] == 1
 
     run(main())
 
 
-def test_connections_to_bricks_are_bounded_without_a_queue() -> None:
+def test_connections_to_backends_are_bounded_without_a_queue() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
-            assert service.bricks.connector.limit == 0
-            service.bricks.most = 0
+            assert service.backends.connector.limit == 0
+            service.backends.most = 0
             wire = await made.wire(service)
             wire.send(READ, headers())
-            assert (await wire.receive())[0] == 503 and not made.bricks[0].seen
+            assert (await wire.receive())[0] == 503 and not made.backends[0].seen
             assert service.counters.counts["attempts_without_socket"] == 3
 
     run(main())
@@ -159,17 +159,17 @@
 
 def test_load_reports_come_by_probes_and_in_answers_where_the_settings_say_so(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             told = setup(Report={"Fields": ["q"], "Source": "answers"})
             service, events = await made.head(settings=told), list[Event]()
-            scheduler, brick = service.exchange.scheduler, made.bricks[0]
+            scheduler, backend = service.exchange.scheduler, made.backends[0]
 
             async def loaded(request: web.BaseRequest, _: bytes) -> web.Response:
                 if request.raw_path == "/load":
                     return web.Response(text="TEXT inflight=2, queue=4, odd=x")
                 return web.Response(headers={"X-Pressure": "TEXT queue=3, util=0.61"})
 
-            brick.behave = loaded
+            backend.behave = loaded
             usual = scheduler.handle
 
             def handle(now_us: int, batch: Iterable[Event]) -> list[Action]:
@@ -198,36 +198,38 @@
     run(main())
 
 
-def test_connections_to_bricks_that_are_gone_or_too_many_are_closed() -> None:
+def test_connections_to_backends_that_are_gone_or_too_many_are_closed() -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1), Brick(2)) as made:
+        async with world(Backend(0), Backend(1), Backend(2)) as made:
             service = await made.head()
             wire = await made.wire(service)
             for number in range(3):
                 wire.send(READ, headers(number, X_Placement=f"units=2,shard={number},hosts=1"))
                 assert (await wire.receive())[0] == 404
-            await made.agent.tell(made.bricks[0].target("Gone"))
-            await until(lambda: [brick.connections for brick in made.bricks] == [0, 1, 1])
-            service.bricks.roll.most = 1
+            await made.agent.tell(made.backends[0].target("Gone"))
+            await until(lambda: [backend.connections for backend in made.backends] == [0, 1, 1])
+            service.backends.roll.most = 1
             wire.send(READ, headers(4, X_Placement="units=2,shard=2,hosts=1"))
             assert (await wire.receive())[0] == 404
-            await until(lambda: [brick.connections for brick in made.bricks] == [0, 0, 1])
+            await until(lambda: [backend.connections for backend in made.backends] == [0, 0, 1])
 
     run(main())
 
 
-def test_a_request_under_way_at_a_brick_that_leaves_the_list_is_answered_and_its_connection_closes_behind_it() -> None:
+def test_a_request_under_way_at_a_backend_that_leaves_the_list_is_answered_and_its_connection_closes_behind_it() -> (
+    None
+):
     async def main() -> None:
         gate = asyncio.Event()
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
             service = await made.head()
-            leaving = made.bricks[0]
+            leaving = made.backends[0]
             wire = await made.wire(service)
             wire.send(READ, headers(1, X_Placement="units=2,shard=0,hosts=1"))
             assert (await wire.receive())[0] == 404
             leaving.behave = held_by(gate)
             wire.send(READ, headers(2, X_Placement="units=2,shard=0,hosts=1"))
-            await until(lambda: any(not one.idle for one in service.bricks.roll.open))
+            await until(lambda: any(not one.idle for one in service.backends.roll.open))
             await made.agent.tell(leaving.target("Gone"))
             await until(lambda: leaving.name not in service.exchange.phases)
             assert leaving.connections == 1
@@ -241,7 +243,7 @@
 def test_settings_of_the_pool() -> None:
     async def main() -> None:
         async with world() as made:
-            bricks = (await made.head(settings=setup())).bricks
-            assert 0 < bricks.pool.idle_s <= 15 and bricks.connector.limit == 0
+            backends = (await made.head(settings=setup())).backends
+            assert 0 < backends.pool.idle_s <= 15 and backends.connector.limit == 0
 
     run(main())
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.stand_in import Brick, headers, run_in_real_time as run, until, world
+from tests.stand_in import Backend, headers, run_in_real_time as run, until, world
 from tests.test_net import READ, WRITE
 
 HEADER = "".join(f"{name}: {text}\r\n" for name, text in headers().items()).encode()
@@ -44,13 +44,13 @@
 @pytest.mark.parametrize("sent", RUDE)
 def test_what_cannot_be_served_gets_an_error_or_a_close_and_nothing_is_passed_on(sent: bytes) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.writer.write(sent)
             async with asyncio.timeout(10):
                 status, _, _ = await wire.receive()
-            assert 400 <= status < 500 and not made.bricks[0].seen
+            assert 400 <= status < 500 and not made.backends[0].seen
             assert not service.counters.counts["requests_taken"] and not service.exchange.open
             wire.close()
             await until(lambda: not service.front.server.connections)
@@ -61,12 +61,12 @@
 @pytest.mark.parametrize("sent", [b"", b"GET /rec", PUT + HOSTED + b"Content-Length: 9\r\n\r\nhalf", GET + HOSTED])
 def test_who_says_nothing_or_half_is_told_or_closed(sent: bytes) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             wire.writer.write(sent)
             async with asyncio.timeout(10):  # the kernel holds a silent one for a second before it is accepted
                 got = await wire.reader.read()
-            assert (not got or got.startswith(b"HTTP/1.1 408")) and not made.bricks[0].seen
+            assert (not got or got.startswith(b"HTTP/1.1 408")) and not made.backends[0].seen
 
     run(main())
 
@@ -78,7 +78,7 @@
     """The error is read by a client that sends on for a while: no reset may overtake it."""
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.writer.write(head)
@@ -87,14 +87,14 @@
                 await asyncio.sleep(0)
             async with asyncio.timeout(10):
                 assert 400 <= (await wire.receive())[0] < 500 and await wire.ended()
-            assert not made.bricks[0].seen
+            assert not made.backends[0].seen
 
     run(main())
 
 
 def test_the_one_that_rests_longest_yields_and_a_first_request_is_never_closed_on() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             service.front.most_connections, served = 3, []
             for number in range(6):
@@ -113,7 +113,7 @@
 
 def test_a_connection_at_rest_is_not_closed_on_the_request_that_waits_unread_in_the_kernel() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.send(READ, headers(1))
@@ -137,7 +137,7 @@
 
 def test_a_connection_is_not_closed_on_a_request_whose_handler_does_not_run_yet() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.send(READ, headers(1))
@@ -155,7 +155,7 @@
 
 def test_who_asks_again_and_again_keeps_its_connection_when_many_rest() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service, number = await made.head(), itertools.count(1)
             service.front.most_resting = 1
             wires = [await made.wire(service) for _ in range(3)]
@@ -172,7 +172,7 @@
 
 def test_who_asked_once_and_stays_yields_while_others_ask_on() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             service.front.most_resting, often, number = 3, await made.wire(service), 0
             stay = []
--- a/tests/test_net_connects.py
+++ b/tests/test_net_connects.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from hophinge.net.connects import MAX_BESIDE, SPARE_BURST, Connects, Usual
-from tests.servers import Brick, held_by
+from tests.servers import Backend, held_by
 from tests.stand_in import headers, run_in_real_time as run, until, world
 from tests.test_net import READ
 
@@ -34,46 +34,46 @@
 
 def test_another_connect_goes_beside_a_late_one_which_stays_as_a_spare(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, gate, brick = await made.head(), asyncio.Event(), made.bricks[0]
-            service.bricks.pool.limit_s = 30.0  # whatever else the machine does, no limit cuts the wait
-            begun = late(monkeypatch, service.bricks.connector, gate, {0})
+        async with world(Backend(0)) as made:
+            service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
+            service.backends.pool.limit_s = 30.0  # whatever else the machine does, no limit cuts the wait
+            begun = late(monkeypatch, service.backends.connector, gate, {0})
             wire = await made.wire(service)
             wire.send(READ, headers(X_Remaining_Ms="20000"))
             assert (await wire.receive())[0] == 404 and len(begun) >= 2
             gate.set()
             opened = len(begun)
-            await until(lambda: brick.connections == opened)
+            await until(lambda: backend.connections == opened)
             both = held_by(stop := asyncio.Event())
-            brick.behave = both
+            backend.behave = both
             second = await made.wire(service)
             wire.send(READ, headers(1, X_Remaining_Ms="20000"))
             second.send(READ, headers(2, X_Remaining_Ms="20000"))
-            await until(lambda: len(brick.seen) == 3)
+            await until(lambda: len(backend.seen) == 3)
             assert len(begun) == opened  # the late one serves the second
             stop.set()
             assert [(await one.receive())[0] for one in (wire, second)] == [404, 404]
-            assert len(brick.seen) == 3 and service.counters.counts["attempts_connect_failed"] == 0
+            assert len(backend.seen) == 3 and service.counters.counts["attempts_connect_failed"] == 0
 
     run(main())
 
 
 def test_who_waits_for_a_late_connect_gets_the_connection_that_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, gate, brick = await made.head(), asyncio.Event(), made.bricks[0]
-            service.bricks.pool.limit_s = 30.0
-            service.bricks.pool.usual.credit = -1000.0  # none beside
-            begun = late(monkeypatch, service.bricks.connector, gate, {1})
-            brick.behave = held_by(answers := asyncio.Event())
+        async with world(Backend(0)) as made:
+            service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
+            service.backends.pool.limit_s = 30.0
+            service.backends.pool.usual.credit = -1000.0  # none beside
+            begun = late(monkeypatch, service.backends.connector, gate, {1})
+            backend.behave = held_by(answers := asyncio.Event())
             first, second = await made.wire(service), await made.wire(service)
             first.send(READ, headers(1, X_Remaining_Ms="20000"))
-            await until(lambda: len(brick.seen) == 1)
+            await until(lambda: len(backend.seen) == 1)
             second.send(READ, headers(2, X_Remaining_Ms="20000"))
             await until(lambda: len(begun) == 2)
             answers.set()
             assert [(await one.receive())[0] for one in (first, second)] == [404, 404]
-            assert len(begun) == 2 and not gate.is_set() and brick.connections == 1
+            assert len(begun) == 2 and not gate.is_set() and backend.connections == 1
             gate.set()
 
     run(main())
@@ -81,21 +81,21 @@
 
 def test_what_a_client_that_left_had_opened_serves_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, gate, brick = await made.head(), asyncio.Event(), made.bricks[0]
-            service.bricks.pool.limit_s = 30.0
-            service.bricks.pool.usual.credit = -1000.0
-            begun = late(monkeypatch, service.bricks.connector, gate, {0})
+        async with world(Backend(0)) as made:
+            service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
+            service.backends.pool.limit_s = 30.0
+            service.backends.pool.usual.credit = -1000.0
+            begun = late(monkeypatch, service.backends.connector, gate, {0})
             leaving, staying = await made.wire(service), await made.wire(service)
             leaving.send(READ, headers(1, X_Remaining_Ms="20000"))
             await until(lambda: len(begun) == 1)
             leaving.close()
             await until(lambda: service.counters.counts["requests_departed"] == 1)
             gate.set()
-            await until(lambda: brick.connections == 1)
+            await until(lambda: backend.connections == 1)
             staying.send(READ, headers(2, X_Remaining_Ms="20000"))
             assert (await staying.receive())[0] == 404
-            assert len(begun) == 1 and len(brick.seen) == 1
+            assert len(begun) == 1 and len(backend.seen) == 1
 
     run(main())
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -6,22 +6,22 @@
 
 from hophinge.core.interface import ListKind
 from hophinge.net.discovery import Listing, Target
-from tests.stand_in import Brick, headers, run_in_real_time as run, until, world
+from tests.stand_in import Backend, headers, run_in_real_time as run, until, world
 from tests.test_net import READ
 
 
 def test_the_watch_is_chained_and_outlives_errors_and_restarts() -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
             service, agent = await made.head(), made.agent
             phases = service.exchange.phases
             assert agent.asked[0] == "/v1/servers"
-            await agent.tell(made.bricks[0].target("Terminating"))
+            await agent.tell(made.backends[0].target("Terminating"))
             await until(lambda: phases["s-0"].value == "draining")
             await until(lambda: agent.asked[-1] == "/v1/servers?since=2&timeout_ms=1000")
-            await agent.tell(made.bricks[0].target("Gone"))
+            await agent.tell(made.backends[0].target("Gone"))
             await until(lambda: "s-0" not in phases and "s-0" not in service.directory.endpoints)
-            moved = made.bricks[1].target()
+            moved = made.backends[1].target()
             await agent.tell(Target("s-0", moved.endpoint, "Ready", "hall-a", "std-1c", 0, 1.0, 1_700_000_000_000))
             await until(lambda: service.directory.endpoints.get("s-0") == moved.endpoint and "s-0" in phases)
             assert service.exchange.scheduler.books["s-0"].entry.started_us == 1_700_000_000_000_000
@@ -29,7 +29,7 @@
             await until(lambda: service.counters.counts["discovery_errors"] > 0)
             assert phases["s-0"].value == "on"
             await agent.open()
-            await agent.tell(made.bricks[1].target("Terminating"))
+            await agent.tell(made.backends[1].target("Terminating"))
             await until(lambda: phases["s-1"].value == "draining")
 
     run(main())
@@ -41,11 +41,11 @@
     monkeypatch.setattr("hophinge.net.pace.PUSHED_WATCH_S", 0.1)
 
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
-            agent, saved = made.agent, [made.bricks[0].target()]
+        async with world(Backend(0), Backend(1)) as made:
+            agent, saved = made.agent, [made.backends[0].target()]
             service = await made.head(saved=saved)
             assert agent.asked[0] == "/v1/servers?since=0&timeout_ms=100"
-            await agent.tell(made.bricks[1].target())
+            await agent.tell(made.backends[1].target())
             await until(lambda: "s-1" in service.exchange.phases)
             assert not any(path == "/v1/servers" for path in agent.asked)
             agent.rev, agent.changes = 0, []  # another agent, whose count is lower
@@ -58,16 +58,16 @@
 
 def test_a_trouble_of_discovery_is_logged_once_and_its_list_stays_in_force(capsys: pytest.CaptureFixture[str]) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             agent, counts = made.agent, (service := await made.head()).counters.counts
             await until(lambda: agent.watching == 1)
             agent.away = "0"
-            await agent.tell(made.bricks[0].target())  # ends the watch; the next ones are turned away
+            await agent.tell(made.backends[0].target())  # ends the watch; the next ones are turned away
             await until(lambda: counts["discovery_errors"] >= 3)
             assert service.exchange.phases["s-0"].value == "on"
             agent.away, answers = "", counts["discovery_answers"]
             await until(lambda: agent.watching == 1)
-            await agent.tell(made.bricks[0].target())
+            await agent.tell(made.backends[0].target())
             await until(lambda: counts["discovery_answers"] > answers and agent.watching == 1)
             agent.targets = {"s-9": Target("s-9", "nowhere", "Ready")}  # a whole list of nothing sound
             service.discovery.rev = None
@@ -86,13 +86,13 @@
 
 def test_a_head_starts_from_its_saved_list_while_discovery_is_silent() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             made.agent.silent = True
             service = await made.head()
             assert service.front.ready and service.counters.counts["discovery_answers"] == 0
-            service.exchange.nodes(service.directory.take(Listing(0, [made.bricks[0].target()]), ListKind.SAVED))
+            service.exchange.nodes(service.directory.take(Listing(0, [made.backends[0].target()]), ListKind.SAVED))
             wire = await made.wire(service)
             wire.send(READ, headers())
-            assert (await wire.receive())[0] == 404 and made.bricks[0].seen
+            assert (await wire.receive())[0] == 404 and made.backends[0].seen
 
     run(main())
--- a/tests/test_net_end.py
+++ b/tests/test_net_end.py
@@ -4,22 +4,22 @@
 
 import asyncio
 
-from tests.stand_in import Brick, headers, held_by, run_in_real_time as run, until, world
+from tests.stand_in import Backend, headers, held_by, run_in_real_time as run, until, world
 from tests.test_net import READ
 
 
 def test_after_the_signal_new_connections_are_still_taken_and_kept_ones_served_until_little_time_is_left() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, gate, brick = await made.head(), asyncio.Event(), made.bricks[0]
+        async with world(Backend(0)) as made:
+            service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
 
-            brick.behave = held_by(gate)
+            backend.behave = held_by(gate)
             wire, kept = await made.wire(service), await made.wire(service)
             wire.send(READ, headers(1, X_Remaining_Ms="3000"))
-            await until(lambda: len(brick.seen) == 1)
+            await until(lambda: len(backend.seen) == 1)
             ending = asyncio.create_task(service.finish())
             await until(lambda: service.front.last is not None)
-            brick.behave = None
+            backend.behave = None
             late = await made.wire(service)
             for number, one in ((2, kept), (3, late)):
                 one.send(READ, headers(number))
@@ -30,7 +30,7 @@
             await until(lambda: service.listeners[0].socket.fileno() < 0)
             kept.send(READ, headers(4, X_Remaining_Ms="30000"))
             assert (await kept.receive())[0] == 404  # after the listener has closed, and in the time that is left
-            assert int(brick.headers[-1]["X-Remaining-Ms"]) < 3700
+            assert int(backend.headers[-1]["X-Remaining-Ms"]) < 3700
             await until(lambda: service.front.closing)
             assert await kept.ended() and await late.ended() and await wire.ended()
             await ending
@@ -42,15 +42,15 @@
 
 def test_a_kept_connection_closes_while_an_earlier_request_is_still_served() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service, gate = await made.head(), asyncio.Event()
             wire, idle = await made.wire(service), await made.wire(service)
             idle.send("/healthz", {})
             assert (await idle.receive())[0] == 200
 
-            made.bricks[0].behave = held_by(gate)
+            made.backends[0].behave = held_by(gate)
             wire.send(READ, headers(1, X_Remaining_Ms="20000"))
-            await until(lambda: len(made.bricks[0].seen) == 1)
+            await until(lambda: len(made.backends[0].seen) == 1)
             ending = asyncio.create_task(service.finish())
             assert await idle.ended() and service.exchange.unanswered == 1  # long before it is answered
             gate.set()
@@ -63,7 +63,7 @@
 
 def test_at_an_upgrade_s_end_connections_close_one_by_one_the_least_used_first() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wires = [await made.wire(service) for _ in range(3)]
             for number, wire in enumerate([*wires, wires[0]]):
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -61,8 +61,8 @@
             response, got = await client.call("GET", "/receipts/empty")
             assert (response.status, got) == (200, b"")
             # No bypass: whatever reached a brick was a request of the core, in the class of its kind.
-            reads = [target for brick in made.bricks for method, target in brick.seen if method == "GET"]
-            writes = [target for brick in made.bricks for method, target in brick.seen if method == "PUT"]
+            reads = [target for backend in made.backends for method, target in backend.seen if method == "GET"]
+            writes = [target for backend in made.backends for method, target in backend.seen if method == "PUT"]
             assert {target.split("/")[1] for target in reads} == {"record-read"}
             assert {target.split("/")[1] for target in writes} == {"transfer-write"}
             counts = service.counters.counts
@@ -72,7 +72,7 @@
     run(main())
 
 
-def test_what_a_client_does_wrong_is_told_and_reaches_no_brick(tmp_path: Path) -> None:
+def test_what_a_client_does_wrong_is_told_and_reaches_no_backend(tmp_path: Path) -> None:
     async def main() -> None:
         async with store(tmp_path) as (made, _, client):
             stranger = books.tenant(tmp_path / "tenants.db", "beith", {})
@@ -88,7 +88,7 @@
             assert await client.status("PUT", "/receipts/a", b"x", Content_MD5="short") == 400
             assert await client.status("GET", "/receipts/a", X_Remaining_Ms="soon") == 400
             assert await client.status("PUT", "/receipts/a?partNumber=1&uploadId=odd", b"x") == 404
-            assert not any(brick.seen for brick in made.bricks)
+            assert not any(backend.seen for backend in made.backends)
             response, body = await client.call("GET", "/receipts/a")
             assert response.status == 404 and field(body, "Code") == "NoSuchKey"
             wrong = base64.b64encode(bytes(16)).decode()
@@ -103,8 +103,8 @@
     async def main() -> None:
         async with store(tmp_path) as (made, _, client):
             assert await client.status("PUT", "/receipts/a", content(PIECE)) == 200
-            for brick in made.bricks:
-                await made.agent.tell(brick.target("Terminating"))
+            for backend in made.backends:
+                await made.agent.tell(backend.target("Terminating"))
             await until(lambda: all(phase.value == "draining" for phase in made.services[0].exchange.phases.values()))
             for method, body in (("GET", None), ("PUT", b"x")):
                 response, text = await client.call(method, "/receipts/a", body)
@@ -114,7 +114,7 @@
     run(main())
 
 
-def test_a_failing_brick_is_an_error_and_the_old_object_stays(tmp_path: Path) -> None:
+def test_a_failing_backend_is_an_error_and_the_old_object_stays(tmp_path: Path) -> None:
     async def main() -> None:
         async with store(tmp_path) as (made, _, client):
             assert await client.status("PUT", "/receipts/a", b"old") == 200
@@ -122,8 +122,8 @@
             async def fail_writes(request: web.BaseRequest, _: bytes) -> web.Response | None:
                 return web.Response(status=500) if request.method == "PUT" else None
 
-            for brick in made.bricks:
-                brick.behave = fail_writes
+            for backend in made.backends:
+                backend.behave = fail_writes
             assert await client.status("PUT", "/receipts/a", b"new") in (500, 503)
             assert (await client.call("GET", "/receipts/a"))[1] == b"old"
 
@@ -134,9 +134,9 @@
     async def main() -> None:
         async with store(tmp_path) as (made, _, client):
             assert await client.status("PUT", "/receipts/a", content(3 * PIECE)) == 200
-            for brick in made.bricks:
-                brick.objects.update(
-                    {where: b"x" * PIECE for where, body in brick.objects.items() if len(body) == PIECE}
+            for backend in made.backends:
+                backend.objects.update(
+                    {where: b"x" * PIECE for where, body in backend.objects.items() if len(body) == PIECE}
                 )
             response, body = await client.call("GET", "/receipts/a")
             assert response.status == 500 and field(body, "Code") == "InternalError"
@@ -150,8 +150,8 @@
             assert service.objects is not None
             gate = asyncio.Event()
 
-            for brick in made.bricks:
-                brick.behave = held_by(gate)
+            for backend in made.backends:
+                backend.behave = held_by(gate)
             first = asyncio.create_task(client.status("GET", "/receipts/a"))
             await until(lambda: service.objects is not None and service.objects.active == 1)
             response, _ = await client.call("GET", "/receipts/a")
@@ -167,10 +167,10 @@
         async with store(tmp_path) as (made, service, client):
             gate = asyncio.Event()
 
-            for brick in made.bricks:
-                brick.behave = held_by(gate)
+            for backend in made.backends:
+                backend.behave = held_by(gate)
             task = asyncio.create_task(client.status("GET", "/receipts/a"))
-            await until(lambda: any(brick.seen for brick in made.bricks))
+            await until(lambda: any(backend.seen for backend in made.backends))
             task.cancel()
             await until(lambda: service.counters.counts["requests_departed"] == 1)
             assert service.exchange.unanswered == 0
@@ -218,8 +218,8 @@
                 and ask.key
                 in {
                     where.partition("/")[2]
-                    for brick in made.bricks
-                    for where, held in brick.objects.items()
+                    for backend in made.backends
+                    for where, held in backend.objects.items()
                     if len(held) == PIECE
                 }
             )
--- a/tests/test_objects_drain.py
+++ b/tests/test_objects_drain.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from tests.objects_client import PIECE, content, store
-from tests.stand_in import Brick, run, until
+from tests.stand_in import Backend, run, until
 
 
 async def _drain_halfway(folder: Path, replaced: bool) -> tuple[bytes | None, bytes, dict[str, int]]:
@@ -19,7 +19,7 @@
         body = content(12 * PIECE)
         assert await client.status("PUT", "/receipts/a", body) == 200
         volume = next(iter(service.exchange.scheduler.volumes))
-        pieces = {where for brick in made.bricks for where, held in brick.objects.items() if len(held) == PIECE}
+        pieces = {where for backend in made.backends for where, held in backend.objects.items() if len(held) == PIECE}
         assert len(pieces) == 12 and all(where.startswith(volume) for where in pieces)
         reads, asked, told = 0, set[str](), asyncio.Event()
 
@@ -32,20 +32,20 @@
                     await told.wait()  # what was out when the drain began is finished
             return None
 
-        for brick in made.bricks:
-            brick.behave = slow
+        for backend in made.backends:
+            backend.behave = slow
         task = asyncio.create_task(client.call("GET", "/receipts/a", Range="bytes=500-11499"))
         await until(lambda: reads > 4)
         # The one with most of what is still to be read: where the pieces lie is drawn anew in each run.
-        drained = max(made.bricks, key=lambda brick: len((pieces - asked) & brick.objects.keys()))
+        drained = max(made.backends, key=lambda backend: len((pieces - asked) & backend.objects.keys()))
         await made.agent.tell(drained.target("Terminating"))
         await until(lambda: service.exchange.phases[drained.name].value == "draining")
         before = len(drained.seen)
         told.set()
         if replaced:
-            spare = Brick(drained.shard, "s-new")
+            spare = Backend(drained.shard, "s-new")
             spare.objects = drained.objects
-            made.bricks.append(spare)
+            made.backends.append(spare)
             await spare.open()
             try:
                 await made.agent.tell(spare.target())
@@ -61,7 +61,7 @@
         return got, body[500:11500], service.counters.counts
 
 
-def test_a_ranged_read_goes_on_at_the_brick_that_replaces_a_draining_one(tmp_path: Path) -> None:
+def test_a_ranged_read_goes_on_at_the_backend_that_replaces_a_draining_one(tmp_path: Path) -> None:
     got, wanted, counts = run(_drain_halfway(tmp_path, True))
     assert got == wanted and counts["object_truncated"] == 0
 
--- a/tests/test_objects_uploads.py
+++ b/tests/test_objects_uploads.py
@@ -90,12 +90,12 @@
                 if request.method == "PUT":
                     await gate.wait()
 
-            for brick in made.bricks:
-                brick.behave = hold
+            for backend in made.backends:
+                backend.behave = hold
             broken = asyncio.create_task(put(2))
             await until(
                 lambda: (
-                    sum(brick.seen[-1:] != [] and brick.seen[-1][0] == "PUT" for brick in made.bricks) > 0
+                    sum(backend.seen[-1:] != [] and backend.seen[-1][0] == "PUT" for backend in made.backends) > 0
                     and first.exchange.unanswered > 0
                 )
             )
@@ -103,8 +103,8 @@
             with pytest.raises(aiohttp.ClientError):
                 await broken
             gate.set()
-            for brick in made.bricks:
-                brick.behave = None
+            for backend in made.backends:
+                backend.behave = None
             returned = await made.head(operator(tmp_path))  # from nothing
             client.at(returned)
             body = (await client.call("GET", f"{path}?uploadId={upload}"))[1]
@@ -145,13 +145,13 @@
                 writes["seen"] += 1
                 return web.Response(status=500) if writes["seen"] > 1 else None
 
-            for brick in made.bricks:
-                brick.behave = second_write_fails
+            for backend in made.backends:
+                backend.behave = second_write_fails
             done = f"/receipts/file?uploadId={upload}"
             assert await client.status("POST", done, named) in (500, 503)
             assert (await client.call("GET", "/receipts/file"))[1] == b"body"  # new, not half
-            for brick in made.bricks:
-                brick.behave = None
+            for backend in made.backends:
+                backend.behave = None
             assert await client.status("POST", done, named) == 200
             assert await client.status("PUT", f"/receipts/file?partNumber=1&uploadId={upload}", b"x") == 404
 
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -18,9 +18,11 @@
 
 import msgspec
 import pytest
+import typer
 
 import hophinge
 from hophinge.admin import shapes
+from hophinge.cli import main
 from hophinge.cluster import messages as cluster_messages
 from hophinge.control import lastgood, rollout
 from hophinge.control.store import Store as ControlStore
@@ -301,6 +303,18 @@
     return {name: (ROOT / name).read_text() for name in DEPLOYED}
 
 
+def commands(command: Any) -> dict[str, Any]:
+    """The words of a command line: options and arguments of a command, and its commands."""
+    found: dict[str, Any] = {"options": sorted(name for one in command.params for name in one.opts if name != "--help")}
+    inner = getattr(command, "commands", {})
+    return {**found, **{name: commands(one) for name, one in sorted(inner.items())}}
+
+
+def command_lines() -> dict[str, Any]:
+    """The words of the command line of what is in service."""
+    return commands(typer.main.get_command(main.app))
+
+
 def recorded(name: str) -> Any:
     """A fixture."""
     return json.loads((FIXTURES / f"{name}.json").read_text())
@@ -372,6 +386,10 @@
     assert trial_names() == recorded("trials")
 
 
+def test_command_lines_have_the_recorded_words() -> None:
+    assert command_lines() == recorded("commands")
+
+
 def test_every_recorded_key_still_stands_in_the_program() -> None:
     assert not set(recorded("keys")) - all_names()
 
@@ -414,6 +432,7 @@
         "configurations": {label: class_fields(kind) for label, kind in CONFIGURATIONS.items()},
         "trials": trial_names(),
         "keys": key_strings(),
+        "commands": command_lines(),
         "deployed": deployed(),
     }.items():
         (FIXTURES / f"{name}.json").write_text(json.dumps(value, indent=1, ensure_ascii=False) + "\n")
--- a/tests/test_pipelined.py
+++ b/tests/test_pipelined.py
@@ -12,7 +12,7 @@
 from hophinge.head.service import Service
 from hophinge.net import pipeline
 from hophinge.net.connection import ClientConnection
-from tests.stand_in import OBJECT, VOLUME, Brick, Wire, headers, held_by, run, until, world
+from tests.stand_in import OBJECT, VOLUME, Backend, Wire, headers, held_by, run, until, world
 from tests.test_net import READ, WRITE
 
 LONG = {"X_Remaining_Ms": "20000"}
@@ -32,7 +32,7 @@
     """The first read ends inside the end of the first head, or with it."""
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             sent = many(wire, 1, 1)
@@ -41,7 +41,7 @@
             wire.writer.write(sent[len(sent) - cut :] + many(wire, 2, between) + b"\0 noise\r\n\r\n")
             got = [(await wire.receive())[0] for _ in range(between + 2)]
             assert got == [404] * (between + 1) + [400] and await wire.ended()
-            assert len(made.bricks[0].seen) == between + 1
+            assert len(made.backends[0].seen) == between + 1
 
     run(main())
 
@@ -56,12 +56,12 @@
     monkeypatch.setattr(pipeline, "HELD", held)
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick, gate = await made.head(), made.bricks[0], asyncio.Event()
-            brick.behave = held_by(gate)
+        async with world(Backend(0)) as made:
+            service, backend, gate = await made.head(), made.backends[0], asyncio.Event()
+            backend.behave = held_by(gate)
             wire = await made.wire(service)
             wire.writer.write(many(wire, 1, number))
-            await until(lambda: len(brick.seen) == 1)
+            await until(lambda: len(backend.seen) == 1)
             (client,) = connections(service)
             await until(lambda: len(client.behind) > held or client.behind.count(b"X-Txn") == number - 1)
             assert client.held_back == (held == 999)
@@ -70,22 +70,22 @@
             await until(lambda: service.counters.counts["requests_departed"] == 1)
             gate.set()
             await until(lambda: not service.front.server.connections and not service.exchange.open)
-            assert len(brick.seen) == 1
+            assert len(backend.seen) == 1
 
     run(main())
 
 
 def test_all_that_came_at_once_is_answered_in_order_also_beyond_what_is_held() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick = await made.head(), made.bricks[0]
+        async with world(Backend(0)) as made:
+            service, backend = await made.head(), made.backends[0]
             wire = await made.wire(service)
             bodies = [bytes([65 + at]) * 50_000 for at in range(8)]
             for at, body in enumerate(bodies):
                 wire.send(WRITE, headers(2 * at, **LONG), "PUT", body)
                 wire.send(WRITE.replace("transfer-write", "record-read"), headers(2 * at + 1, **LONG))
             got = [(await wire.receive())[::2] for _ in range(16)]
-            assert got == [one for body in bodies for one in ((200, b"ok"), (200, body))] and len(brick.seen) == 16
+            assert got == [one for body in bodies for one in ((200, b"ok"), (200, body))] and len(backend.seen) == 16
             await until(lambda: not service.front.behind.held)
 
     run(main())
@@ -93,7 +93,7 @@
 
 def test_requests_behind_one_that_there_is_no_room_for_are_told_so_too() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             service.front.most = 0
             wire = await made.wire(service)
@@ -107,7 +107,7 @@
 
 def test_requests_behind_a_malformed_one_whose_body_is_here_are_answered() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             odd = headers(1, X_Txn="odd")
             wire.writer.write(wire.head(WRITE, {**odd, "Content-Length": "4"}, "PUT") + b"body" + many(wire, 2, 1))
@@ -118,9 +118,9 @@
 
 def test_requests_behind_a_long_answer_are_answered_at_the_end() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick = await made.head(), made.bricks[0]
-            brick.objects[f"{VOLUME}/{OBJECT}"] = bytes(300_000)
+        async with world(Backend(0)) as made:
+            service, backend = await made.head(), made.backends[0]
+            backend.objects[f"{VOLUME}/{OBJECT}"] = bytes(300_000)
             wire = await made.wire(service)
             service.front.closing = True
             wire.writer.write(many(wire, 1, 2))
@@ -133,12 +133,12 @@
 
 def test_a_body_is_passed_on_as_it_came_whatever_it_is_said_to_be() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             for number, coding in enumerate(("gzip", "deflate", "br", "zstd")):
                 wire.send(WRITE, {**headers(number), "Content-Encoding": coding}, "PUT", b"not packed at all")
                 assert (await wire.receive())[0] == 200
-                assert made.bricks[0].objects.popitem()[1] == b"not packed at all"
+                assert made.backends[0].objects.popitem()[1] == b"not packed at all"
 
     run(main())
 
@@ -147,15 +147,15 @@
     """Whether a client closes or ends its sending looks the same, and the protocol knows only the close."""
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick, gate = await made.head(), made.bricks[0], asyncio.Event()
+        async with world(Backend(0)) as made:
+            service, backend, gate = await made.head(), made.backends[0], asyncio.Event()
             wire = await made.wire(service)
             wire.writer.write(many(wire, 1, 1))
             assert (await wire.receive())[0] == 404
             client = next(iter(service.front.resting))
-            brick.behave = held_by(gate)
+            backend.behave = held_by(gate)
             wire.writer.write(many(wire, 2, 1))
-            await until(lambda: len(brick.seen) == 2)
+            await until(lambda: len(backend.seen) == 2)
             # What was answered before lies unread: the transport ends only once it is written out.
             cast(asyncio.Transport, wire.writer.transport).pause_reading()
             while client.transport.get_write_buffer_size() == 0:
@@ -169,7 +169,7 @@
 
 def test_a_head_whose_rest_waits_in_the_kernel_is_not_cut_off_by_its_timer() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.writer.write(many(wire, 1, 1))
@@ -187,7 +187,7 @@
 
 def test_an_empty_line_is_no_request_and_its_connection_rests_on() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.writer.write(many(wire, 1, 1) + b"\r\n")
@@ -204,31 +204,31 @@
 @pytest.mark.parametrize(("ago_s", "status"), [(0.3, 404), (1.0, 503)])
 def test_the_wait_behind_others_is_gone_from_a_request_s_time(ago_s: float, status: int) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            service, brick, gate = await made.head(), made.bricks[0], asyncio.Event()
-            brick.behave = held_by(gate)
+        async with world(Backend(0)) as made:
+            service, backend, gate = await made.head(), made.backends[0], asyncio.Event()
+            backend.behave = held_by(gate)
             wire = await made.wire(service)
             wire.writer.write(many(wire, 1, 1))
-            await until(lambda: len(brick.seen) == 1)
+            await until(lambda: len(backend.seen) == 1)
             wire.send(READ, headers(2))
             (client,) = connections(service)
             await until(lambda: bool(client.reads))
             client.reads = deque((size, when - ago_s) for size, when in client.reads)
             gate.set()
             assert [(await wire.receive())[0] for _ in range(2)] == [404, status]
-            assert len(brick.seen) == 1 + (status == 404)
-            assert status == 503 or int(brick.headers[1]["X-Remaining-Ms"]) <= 450
+            assert len(backend.seen) == 1 + (status == 404)
+            assert status == 503 or int(backend.headers[1]["X-Remaining-Ms"]) <= 450
 
     run(main())
 
 
 def test_a_body_that_cannot_be_read_is_told_so_at_once() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             head = wire.head(WRITE, {**headers(), "Transfer-Encoding": "chunked"}, "PUT")
             wire.writer.write(head + b"4\r\nbody\r\nzz\r\n")
             assert (await wire.receive())[0] == 400 and await wire.ended()  # 408 where its rest is waited for
-            assert not made.bricks[0].seen
+            assert not made.backends[0].seen
 
     run(main())
--- a/tests/test_popularity_drains.py
+++ b/tests/test_popularity_drains.py
@@ -15,20 +15,20 @@
 from hophinge.objects.tenants import Volume
 from hophinge.popularity.planner import Why
 from tests.popular import Installation, Peers, View, installation, put
-from tests.stand_in import Brick, run
+from tests.stand_in import Backend, run
 
 
-def drain(built: Installation, brick: Brick) -> None:
-    one = Statement("permit-1", brick.name, DRAINED)
+def drain(built: Installation, backend: Backend) -> None:
+    one = Statement("permit-1", backend.name, DRAINED)
     View(built.peers, "control").put(Topic.DRAINS, one.key, value(one))
 
 
-def drain_was_met(built: Installation, head: HeadPopularity, brick: Brick) -> bool:
+def drain_was_met(built: Installation, head: HeadPopularity, backend: Backend) -> bool:
     """Tell whether fetching beforehand has asked a brick in a drain, or stands back from it for its drain."""
-    if any(name == brick.name for name, _ in built.beforehand()):
+    if any(name == backend.name for name, _ in built.beforehand()):
         return True
     now_us = head.exchange.now_us()
-    return head.planner.may(now_us, "alba", brick.shard, 0, 1.0, head.facts()) is Why.DRAIN
+    return head.planner.may(now_us, "alba", backend.shard, 0, 1.0, head.facts()) is Why.DRAIN
 
 
 async def flash_crowd_in_a_drain(folder: Path) -> tuple[list[tuple[str, str]], str]:
@@ -37,7 +37,7 @@
         paths = await put(built.clients["a"], *map(str, range(6)))
         await built.crowd("a", paths, 3)
         built.close_spans()
-        drained = built.world.bricks[0]
+        drained = built.world.backends[0]
         drain(built, drained)
         west, fit = built.popular["b"], 0
         assert any(target.startswith("/transfer-write/") for _, target in drained.seen)
@@ -73,7 +73,7 @@
     assert fetched and all(name != drained for name, _ in fetched)
 
 
-def test_a_brick_whose_name_is_within_another_s_is_not_in_that_one_s_drain() -> None:
+def test_a_backend_whose_name_is_within_another_s_is_not_in_that_one_s_drain() -> None:
     view = View(Peers({"a": ""}), "a")
     for key, said in (
         ("permit-1/b11", value(Statement("permit-1", "b11", DRAINED))),
--- a/tests/test_popularity_head.py
+++ b/tests/test_popularity_head.py
@@ -51,11 +51,11 @@
                 assert ask.volume == BEFOREHAND and settings.plans[ask.plan].price == 1
                 klass = settings.classes[ask.klass]
                 assert klass.worth == 1 and klass.aim_us < ask.time_left_us <= klass.deadline_us - klass.aim_us
-            before = sum(len(brick.seen) for brick in built.world.bricks)
+            before = sum(len(backend.seen) for backend in built.world.backends)
             for path in paths:
                 _, body = await built.clients["b"].call("GET", path)
                 assert body == path.encode() * (3 * PIECE // len(path))
-            assert sum(len(brick.seen) for brick in built.world.bricks) - before == 2  # its manifests alone
+            assert sum(len(backend.seen) for backend in built.world.backends) - before == 2  # its manifests alone
             assert west.cache.useful == 6 and west.site.trusted("a") > 0.5
             assert west.wanted(manifest_id("one")) > 0 and west.wanted("f" * 16) == 0.0
             count = len(asks)
--- a/tests/test_popularity_planner.py
+++ b/tests/test_popularity_planner.py
@@ -34,13 +34,13 @@
     return Member(name, "", 1, standing, zone, role)
 
 
-def brick(shard: int, on: bool = True, warm: bool = True, spare: float = 8.0, draining: bool = False) -> Source:
+def backend(shard: int, on: bool = True, warm: bool = True, spare: float = 8.0, draining: bool = False) -> Source:
     return Source(f"s-{shard}", shard, on, warm, spare, draining)
 
 
-def facts(*bricks: Source, unanswered: int = 0, overloaded: bool = False) -> Facts:
+def facts(*backends: Source, unanswered: int = 0, overloaded: bool = False) -> Facts:
     sources: dict[int, list[Source]] = {}
-    for one in bricks:
+    for one in backends:
         sources.setdefault(one.shard, []).append(one)
     return Facts(unanswered, overloaded, sources)
 
@@ -60,7 +60,7 @@
     fewer = {at: owner(at.to_bytes(8, "big"), members[1:], "z") for at in range(500)}
     assert all(fewer[at] == owners[at] for at in owners if owners[at] != "h0")
     planners = [Planner(f"h{at}", "z", 1e6, 1.0, 0) for at in range(5)]
-    plans = [planner.plan(0, members, facts(brick(0, spare=1e9)), map(candidate, range(40))) for planner in planners]
+    plans = [planner.plan(0, members, facts(backend(0, spare=1e9)), map(candidate, range(40))) for planner in planners]
     found = [one.key for plan in plans for one in plan]
     assert len(found) == len(set(found)) == 40
 
@@ -73,7 +73,7 @@
         now += lots.randrange(0, 2_000_000)
         seen = facts(
             *(
-                brick(
+                backend(
                     shard, lots.random() < 0.9, lots.random() < 0.8, lots.choice((0.0, 2.0, 8.0)), lots.random() < 0.3
                 )
                 for shard in range(3)
@@ -99,7 +99,7 @@
 
 @given(st.integers(0, 1 << 32))
 @settings(max_examples=60, deadline=None)
-def test_no_plan_goes_over_a_budget_or_to_an_unfit_brick(seed: int) -> None:
+def test_no_plan_goes_over_a_budget_or_to_an_unfit_backend(seed: int) -> None:
     check_budgets(random.Random(seed))
 
 
@@ -127,17 +127,17 @@
 
 
 @pytest.mark.parametrize("mutant", [Spendthrift, Drainer, Warmer])
-def test_a_budget_drain_or_cold_brick_that_is_ignored_is_caught(mutant: type[Planner]) -> None:
+def test_a_budget_drain_or_cold_backend_that_is_ignored_is_caught(mutant: type[Planner]) -> None:
     with pytest.raises(AssertionError):
         for seed in range(30):
             check_budgets(random.Random(seed), mutant)
 
 
 def test_fetches_stop_first_under_overload_and_rest_after_it() -> None:
-    planner, quiet = Planner("me", "", 1e6, 1.0, 0), facts(brick(0))
+    planner, quiet = Planner("me", "", 1e6, 1.0, 0), facts(backend(0))
     assert planner.plan(0, [], quiet, [candidate(1)])
     now = 0
-    for bad, rest in ((facts(brick(0), unanswered=QUIET), REST_US), (facts(brick(0), overloaded=True), PAUSE_US)):
+    for bad, rest in ((facts(backend(0), unanswered=QUIET), REST_US), (facts(backend(0), overloaded=True), PAUSE_US)):
         assert not planner.plan(now, [], bad, [candidate(1)])
         assert planner.may(now + rest - 1, "t", 0, 1, 1.0, quiet) is Why.BUSY
         now += rest
@@ -169,7 +169,7 @@
 
 
 def test_a_shard_rests_after_a_fetch_as_long_as_all_heads_fetches_want_it() -> None:
-    planner, quiet = Planner("me", "", 1e6, 1.0, 0), facts(brick(0), brick(1))
+    planner, quiet = Planner("me", "", 1e6, 1.0, 0), facts(backend(0), backend(1))
     planner.share(0, 1, 4)
     planner.took(0, 0, 2000)
     rest = int(2000 * 4 / IDLE_PART)
@@ -187,7 +187,7 @@
     plan = planner.plan(
         0,
         [],
-        facts(brick(0, spare=1e9)),
+        facts(backend(0, spare=1e9)),
         [
             *loud,
             candidate(100, "calm", size=100, expected=0.6),
@@ -202,7 +202,7 @@
 
 def test_heads_of_a_site_share_its_bytes() -> None:
     planner = Planner("me", "z", 1000.0, 0.5, 0)
-    assert planner.may(0, "t", 0, 5000, 1.0, facts(brick(0))) is None
+    assert planner.may(0, "t", 0, 5000, 1.0, facts(backend(0))) is None
     planner.share(0, 4)
-    assert planner.may(0, "t", 0, 1251, 1.0, facts(brick(0))) is Why.TENANT
-    assert planner.may(0, "t", 0, 2501, 1.0, facts(brick(0))) is Why.SITE
+    assert planner.may(0, "t", 0, 1251, 1.0, facts(backend(0))) is Why.TENANT
+    assert planner.may(0, "t", 0, 2501, 1.0, facts(backend(0))) is Why.SITE
--- a/tests/test_popularity_processes.py
+++ b/tests/test_popularity_processes.py
@@ -15,7 +15,7 @@
 from hophinge.load.rig.waiting import until
 from tests import books
 from tests.popular import SECRET
-from tests.stand_in import Brick, DiscoveryAgent
+from tests.stand_in import Backend, DiscoveryAgent
 from tests.together import BOUND_S, run
 
 OLD, NEW, PIECE = b"old" * 1000, b"new" * 1000, 1000
@@ -25,8 +25,8 @@
 class Heads:
     """Two heads as processes on stand-in bricks that keep what is put."""
 
-    def __init__(self, made: Run, bricks: list[Brick], token: str) -> None:
-        self.made, self.bricks, self.token, self.front = made, bricks, token, dict[str, str]()
+    def __init__(self, made: Run, backends: list[Backend], token: str) -> None:
+        self.made, self.backends, self.token, self.front = made, backends, token, dict[str, str]()
 
     async def call(self, name: str, method: str, body: bytes | None = None) -> tuple[int, bytes]:
         """Call until it is neither refused nor failed: machines are busy, and those calls may be repeated."""
@@ -51,14 +51,14 @@
 
 @asynccontextmanager
 async def heads(folder: Path) -> AsyncIterator[Heads]:
-    token, agent, bricks = books.tenant(folder / "tenants.db"), DiscoveryAgent(), [Brick(at) for at in range(3)]
+    token, agent, backends = books.tenant(folder / "tenants.db"), DiscoveryAgent(), [Backend(at) for at in range(3)]
     (folder / "key").write_bytes(SECRET)
-    async with Run(folder / "run", 41, LoadPlan(bricks=3)) as made:
-        built = Heads(made, bricks, token)
+    async with Run(folder / "run", 41, LoadPlan(backends=3)) as made:
+        built = Heads(made, backends, token)
         try:
-            for server in (*bricks, agent):
+            for server in (*backends, agent):
                 await server.open()
-            agent.targets = {brick.name: brick.target() for brick in bricks}
+            agent.targets = {backend.name: backend.target() for backend in backends}
             made.platform.port = agent.port
             for name in ("a", "b"):
                 built.front[name] = made.address()
@@ -79,7 +79,7 @@
             await until([made.ready("a"), made.ready("b")], BOUND_S)
             yield built
         finally:
-            for server in (*bricks, agent):
+            for server in (*backends, agent):
                 await server.close()
 
 
@@ -92,23 +92,25 @@
             assert await built.cached("b") == (3, 3)  # the second read's pieces came from what is kept
             # A brick holds the new manifest: until it is there, both read the old one; a head killed now wrote nothing.
             gate, held = asyncio.Event(), asyncio.Event()
-            manifest = next(where for brick in built.bricks for where, body in brick.objects.items() if len(body) < 600)
+            manifest = next(
+                where for backend in built.backends for where, body in backend.objects.items() if len(body) < 600
+            )
 
             async def hold(request: web.BaseRequest, _: bytes) -> None:
                 if request.method == "PUT" and request.raw_path.endswith(manifest):
                     held.set()
                     await gate.wait()
 
-            for brick in built.bricks:
-                brick.behave = hold
+            for backend in built.backends:
+                backend.behave = hold
             writing = asyncio.create_task(built.call("a", "PUT", NEW))
             await held.wait()
             assert await built.call("b", "GET") == (200, OLD)
             await built.made["a"].kill()
             assert isinstance((await asyncio.gather(writing, return_exceptions=True))[0], ClientError | OSError)
             assert await built.call("b", "GET") == (200, OLD)
-            for brick in built.bricks:
-                brick.behave = None
+            for backend in built.backends:
+                backend.behave = None
             gate.set()
             await built.made["a"].start()
             await until([built.made.ready("a")], BOUND_S)
--- a/tests/test_remote_write.py
+++ b/tests/test_remote_write.py
@@ -17,7 +17,7 @@
 from hophinge.tenancy.usage import FIELDS
 from hophinge.telemetry.config import RemoteWriteConfig
 from hophinge.telemetry.remote_write import PREFIX, RemoteWrite, WriteRequest, metrics
-from tests.stand_in import Brick, Server, headers, run, until, world
+from tests.stand_in import Backend, Server, headers, run, until, world
 from tests.test_net import READ
 
 
@@ -86,7 +86,7 @@
     async def main() -> None:
         receiver = Receiver()
         await receiver.open()
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             config = RemoteWriteConfig(f"http://{receiver.endpoint}/api/v1/write", interval_s=0.05)
             service = await made.head(OperatorConfig(remote_write=config))
             wire = await made.wire(service)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -12,7 +12,7 @@
 
 from hophinge.core.exchange import End
 from hophinge.core.interface import DedupScope, Effect, Fail, Refuse, Result, Send, StreamStarted
-from tests.stand_in import Brick, headers, run, setup, until, world
+from tests.stand_in import Backend, headers, run, setup, until, world
 from tests.test_choice import KEYED, MS, SETTINGS, T0, Gateway, ask, end, finals, klass
 from tests.test_exchange import Desk
 from tests.test_keys import WRITE
@@ -40,30 +40,30 @@
     """The first attempt was reset and may have run; the second left in time, its connect came up too late."""
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             settings = setup()
             settings["RequestClasses"][1].update(
                 Effect="token", Group=group, DedupWindowUs=20_000_000, DeadlineUs=60_000_000
             )
-            service, gate, brick = await made.head(settings=settings), asyncio.Event(), made.bricks[0]
+            service, gate, backend = await made.head(settings=settings), asyncio.Event(), made.backends[0]
             clock = service.exchange.now_us = Shifted(service.exchange.now_us)
-            service.bricks.pool.limit_s = 60.0  # whatever else the machine does, no limit cuts the wait
-            service.bricks.pool.usual.credit = -1000.0  # no connects beside late ones
-            begun = late(monkeypatch, service.bricks.connector, gate, {1})
+            service.backends.pool.limit_s = 60.0  # whatever else the machine does, no limit cuts the wait
+            service.backends.pool.usual.credit = -1000.0  # no connects beside late ones
+            begun = late(monkeypatch, service.backends.connector, gate, {1})
 
             async def lost(request: web.BaseRequest, _: bytes) -> web.Response | None:
-                if len(brick.seen) == 1 and request.transport is not None:
+                if len(backend.seen) == 1 and request.transport is not None:
                     request.transport.abort()
                 return None
 
-            brick.behave = lost
+            backend.behave = lost
             wire = await made.wire(service)
             wire.send(WRITE, headers(1, Idempotency_Key="a", X_Remaining_Ms="50000"), "PUT", b"x")
             await until(lambda: len(begun) == 2)  # the repeat has left the module, and waits for its connection
             clock.ahead = ahead_ms * MS
             gate.set()
             assert (await wire.receive())[0] == (502 if ahead_ms else 200)
-            assert len(brick.seen) == (1 if ahead_ms else 2)
+            assert len(backend.seen) == (1 if ahead_ms else 2)
             assert service.counters.counts["attempts_moot"] == (1 if ahead_ms else 0)
 
     run(main())
--- a/tests/test_restart_bodies.py
+++ b/tests/test_restart_bodies.py
@@ -6,19 +6,19 @@
 from typing import Any
 
 from tests.restarting import NUMBERS
-from tests.stand_in import Brick, headers, run, until, world
+from tests.stand_in import Backend, headers, run, until, world
 from tests.test_net import READ
 
 
 def test_a_request_whose_body_came_slowly_is_given_no_longer_than_the_head_has() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service, promised = await made.head(), list[int]()
 
             async def note(request: Any, _: bytes) -> None:
                 promised.append(service.exchange.now_us() + int(request.headers["X-Remaining-Ms"]) * 1000)
 
-            made.bricks[0].behave = note
+            made.backends[0].behave = note
             one = await made.wire(service)
             ending = asyncio.create_task(service.finish())
             await until(lambda: service.front.last is not None)
--- a/tests/test_restart_crossings.py
+++ b/tests/test_restart_crossings.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from tests.restarting import NUMBERS, lasting
-from tests.stand_in import Brick, Wire, World, headers, run, until, world
+from tests.stand_in import Backend, Wire, World, headers, run, until, world
 from tests.test_net import READ
 
 HALF = (True, False)  # on a connection that was answered before, and on a new one
@@ -50,7 +50,7 @@
 
 def test_what_arrives_as_resting_connections_are_shut_is_answered_whole_or_half() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head(settings=lasting(1000))  # connections rest for no longer than it ends
             body, rests = await kept(made, True), await kept(made, True)
             ending = asyncio.create_task(service.finish())
@@ -81,6 +81,6 @@
                 assert status == 503 and told["connection"] == "close" and await one.ended()
             await ending
             made.services.remove(service)
-            assert service.counters.counts["requests_taken"] == 3 + len(HALF) and not made.bricks[0].seen
+            assert service.counters.counts["requests_taken"] == 3 + len(HALF) and not made.backends[0].seen
 
     run(main())
--- a/tests/test_restart_descriptors.py
+++ b/tests/test_restart_descriptors.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from tests.restarting import HOST, PORT, Caller, Ending, Tally, wire
-from tests.servers import Brick
+from tests.servers import Backend
 from tests.stand_in import World, run, until, world
 from tests.test_service import ROOT, config
 
@@ -54,11 +54,11 @@
 
 
 @pytest.mark.parametrize(("sockets", "silent"), [(GIVEN, False), (1024, False), (1024, True)])
-def test_a_crowd_that_holds_the_descriptors_stops_neither_bricks_nor_lists_nor_the_end(
+def test_a_crowd_that_holds_the_descriptors_stops_neither_backends_nor_lists_nor_the_end(
     sockets: int, silent: bool, tmp_path: Path
 ) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
 
             async def once(_: Any, __: bytes) -> web.Response:
                 """Answer, and end the connection: the next request needs a new one."""
@@ -66,14 +66,14 @@
                 response.force_close()
                 return response
 
-            brick, other = made.bricks
-            brick.behave = other.behave = once
+            backend, other = made.backends
+            backend.behave = other.behave = once
             made.agent.silent = silent
-            made.agent.targets = {brick.name: brick.target()}
+            made.agent.targets = {backend.name: backend.target()}
             known = {
                 "rev": 1,
                 "all": True,
-                "targets": [{"uid": brick.name, "endpoint": brick.endpoint, "state": "Ready", "pod_group": 0}],
+                "targets": [{"uid": backend.name, "endpoint": backend.endpoint, "state": "Ready", "pod_group": 0}],
             }
             async with bounded(made, tmp_path, sockets, known=known) as ending:
                 (await wire(made)).close()
--- a/tests/test_restart_ends.py
+++ b/tests/test_restart_ends.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from tests.restarting import HOST, NUMBERS, PORT, Caller, Ending, Tally, head, lasting
-from tests.servers import Brick, held_by
+from tests.servers import Backend, held_by
 from tests.stand_in import Wire, headers, run, until, world
 from tests.test_net import READ, WRITE
 from tests.test_service import config, program
@@ -21,7 +21,7 @@
 ENDS_S = 20.0  # by itself, on a busy machine too; when it takes what is held in virtual time
 
 
-class Large(Brick):
+class Large(Backend):
     """A brick that takes bodies beyond the bound of its server."""
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -53,8 +53,8 @@
     """
 
     async def main() -> None:
-        async with head(tmp_path, Brick(0)) as ending:
-            ending.made.bricks[0].behave = slowly
+        async with head(tmp_path, Backend(0)) as ending:
+            ending.made.backends[0].behave = slowly
             tally = Tally()
             callers = [
                 asyncio.create_task(Caller(tally, pause_s=at / 1000, X_Remaining_Ms="3000").run()) for at in range(16)
@@ -75,7 +75,7 @@
 
 def test_half_a_line_and_a_request_after_the_shutdown_meet_a_clean_end_and_go_nowhere(tmp_path: Path) -> None:
     async def main() -> None:
-        async with head(tmp_path, Brick(0)) as ending:
+        async with head(tmp_path, Backend(0)) as ending:
             half, whole, busy = await ending.wire(), await ending.wire(), await ending.wire()
             busy.send(READ, headers(next(NUMBERS)))
             assert (await busy.receive())[0] == 404
@@ -92,7 +92,7 @@
                 one.close()
             assert await half.ended()
             await ending.over()
-            assert ending.counts["requests_taken"] == len(ending.made.bricks[0].seen) == 1
+            assert ending.counts["requests_taken"] == len(ending.made.backends[0].seen) == 1
 
     run(main())
 
@@ -101,13 +101,13 @@
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with head(tmp_path, Brick(0), settings=lasting(3000)) as ending:  # closes 1.5 s before its last answer
-            gate, brick, one = asyncio.Event(), ending.made.bricks[0], await ending.wire()
-            brick.behave = held_by(gate)
+        async with head(tmp_path, Backend(0), settings=lasting(3000)) as ending:  # closes 1.5 s before its last answer
+            gate, backend, one = asyncio.Event(), ending.made.backends[0], await ending.wire()
+            backend.behave = held_by(gate)
             fields = {"X_Remaining_Ms": "9000"}  # past the head's last answer, also after a wait before the signal
             first, second = (one.head(READ, headers(next(NUMBERS), **fields)) for _ in range(2))
             one.writer.write(first + second)
-            await until(lambda: len(brick.seen) == 1)
+            await until(lambda: len(backend.seen) == 1)
             ending.tell()
             other = Caller(Tally(), pause_s=0.01)
             assert await other.open()
@@ -128,7 +128,7 @@
 def test_streams_in_and_out_go_through_to_their_end(tmp_path: Path) -> None:
     async def main() -> None:
         async with head(tmp_path, Large(0)) as ending:
-            brick, piece = ending.made.bricks[0], b"x" * 100_000
+            backend, piece = ending.made.backends[0], b"x" * 100_000
 
             async def long(request: web.BaseRequest, body: bytes) -> web.StreamResponse:
                 if request.method == "PUT":
@@ -141,12 +141,12 @@
                     await asyncio.sleep(0.1)
                 return response
 
-            brick.behave = long
+            backend.behave = long
             up, down = await ending.wire(), await ending.wire()
             down.send(READ, headers(next(NUMBERS), X_Remaining_Ms="3000"))
             fields = headers(next(NUMBERS), X_Remaining_Ms="3000") | {"Content-Length": str(20 * len(piece))}
             up.writer.write(up.head(WRITE, fields, "PUT") + piece)
-            await until(lambda: len(brick.seen) == 1)
+            await until(lambda: len(backend.seen) == 1)
             ending.tell()
 
             async def send() -> None:
@@ -164,7 +164,7 @@
 
 def test_a_hangup_between_the_signal_and_the_end_is_taken_and_ends_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        async with head(tmp_path, Brick(0)) as ending:
+        async with head(tmp_path, Backend(0)) as ending:
             one = await ending.wire()
             ending.tell()
             for number in range(3):
@@ -180,12 +180,12 @@
 
 def test_a_signal_before_a_head_is_ready_ends_it_in_time_with_answers_to_what_it_took(tmp_path: Path) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             made.agent.silent = True  # ready only once it has waited for a first list
             known = {
                 "rev": 1,
                 "all": True,
-                "targets": [{"uid": "s-0", "endpoint": made.bricks[0].endpoint, "state": "Ready", "pod_group": 0}],
+                "targets": [{"uid": "s-0", "endpoint": made.backends[0].endpoint, "state": "Ready", "pod_group": 0}],
             }
             environ = config(tmp_path, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint, known=known)
             async with program(environ) as process:
@@ -211,8 +211,8 @@
 ) -> None:
     async def main() -> None:
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 120}  # of these 48 for clients
-        async with head(tmp_path, Brick(0), limits=limits) as ending:
-            ending.made.bricks[0].behave = slowly
+        async with head(tmp_path, Backend(0), limits=limits) as ending:
+            ending.made.backends[0].behave = slowly
             tally, over = Tally(), False
 
             async def comes() -> None:
--- a/tests/test_restart_hangups.py
+++ b/tests/test_restart_hangups.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from tests.restarting import NUMBERS
-from tests.stand_in import Brick, DiscoveryAgent, headers, run, until, world
+from tests.stand_in import Backend, DiscoveryAgent, headers, run, until, world
 from tests.test_net import READ
 from tests.test_service import config
 
@@ -31,11 +31,11 @@
 
 
 @asynccontextmanager
-async def agents(*bricks: Brick) -> AsyncIterator[list[Held]]:
+async def agents(*backends: Backend) -> AsyncIterator[list[Held]]:
     """One agent for each of these bricks, which it alone lists."""
-    made = [Held() for _ in bricks]
-    for agent, brick in zip(made, bricks, strict=True):
-        agent.targets = {brick.name: brick.target()}
+    made = [Held() for _ in backends]
+    for agent, backend in zip(made, backends, strict=True):
+        agent.targets = {backend.name: backend.target()}
         await agent.open()
     try:
         yield made
@@ -47,10 +47,10 @@
 def test_two_hangups_while_nothing_is_answered_leave_the_last_address_alone(tmp_path: Path) -> None:
     async def main() -> None:
         # The first brick holds the first agent's shard, and so on: what is served tells whose list is in force.
-        bricks = [Brick(shard) for shard in range(3)]
-        async with world(*bricks) as made, agents(*bricks) as (first, second, third):
+        backends = [Backend(shard) for shard in range(3)]
+        async with world(*backends) as made, agents(*backends) as (first, second, third):
             made.agent.silent = True
-            service = await made.head(saved=[bricks[0].target()])
+            service = await made.head(saved=[backends[0].target()])
             service.path = str(tmp_path / "config.json")
             for agent in (first, second, third):
                 config(tmp_path, discovery=agent.endpoint)
@@ -60,28 +60,28 @@
             for agent in (first, second):  # who was left, and answers now
                 agent.gate.set()
             await until(lambda: first.connections == second.connections == 0)  # its calls are over
-            assert set(service.directory.endpoints) == {bricks[0].name}  # the saved list is in force
+            assert set(service.directory.endpoints) == {backends[0].name}  # the saved list is in force
             third.gate.set()
-            await until(lambda: set(service.directory.endpoints) == {bricks[2].name})
+            await until(lambda: set(service.directory.endpoints) == {backends[2].name})
             one = await made.wire(service)
             one.send(READ, headers(next(NUMBERS), X_Placement="units=2,shard=2,hosts=1"))
             assert (await one.receive())[0] == 404
-            assert service.counters.counts["reloads"] == 4 and not bricks[0].seen and not bricks[1].seen
+            assert service.counters.counts["reloads"] == 4 and not backends[0].seen and not backends[1].seen
 
     run(main())
 
 
 def test_a_new_configuration_changes_nothing_but_the_address_of_discovery(tmp_path: Path) -> None:
     async def main() -> None:
-        bricks = [Brick(0), Brick(1)]
-        async with world(*bricks) as made, agents(bricks[1]) as (other,):
+        backends = [Backend(0), Backend(1)]
+        async with world(*backends) as made, agents(backends[1]) as (other,):
             service = await made.head()
             service.path = str(tmp_path / "config.json")
             before = (
                 service.settings,
                 service.config.listen,
                 service.front.most_connections,
-                service.bricks.most,
+                service.backends.most,
                 service.exchange.settings,
                 service.discovery.pace.pushed,
             )
@@ -101,15 +101,15 @@
             )
             service.reload()
             await until(lambda: len(other.asked) > 0)
-            assert set(service.directory.endpoints) == {brick.name for brick in bricks}
+            assert set(service.directory.endpoints) == {backend.name for backend in backends}
             other.gate.set()
-            await until(lambda: set(service.directory.endpoints) == {bricks[1].name})
+            await until(lambda: set(service.directory.endpoints) == {backends[1].name})
             service.share(0)
             assert before == (
                 service.settings,
                 service.config.listen,
                 service.front.most_connections,
-                service.bricks.most,
+                service.backends.most,
                 service.exchange.settings,
                 service.discovery.pace.pushed,
             )
--- a/tests/test_restart_herds.py
+++ b/tests/test_restart_herds.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tests.restarting import Caller, Tally, head
-from tests.servers import Brick
+from tests.servers import Backend
 from tests.stand_in import run
 
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 120}  # of these 48 for clients
@@ -15,7 +15,7 @@
 
 def test_a_herd_that_connects_at_once_and_stays_has_an_answer_each_at_a_full_table(tmp_path: Path) -> None:
     async def main() -> None:
-        async with head(tmp_path, Brick(0), limits=LIMITS) as ending:
+        async with head(tmp_path, Backend(0), limits=LIMITS) as ending:
             tally = Tally()
             herd = [Caller(tally, X_Remaining_Ms="3000") for _ in range(300)]
 
@@ -38,7 +38,7 @@
 
 def test_a_herd_that_waits_unaccepted_as_the_head_is_told_to_end_is_taken(tmp_path: Path) -> None:
     async def main() -> None:
-        async with head(tmp_path, Brick(0), limits=LIMITS) as ending:
+        async with head(tmp_path, Backend(0), limits=LIMITS) as ending:
             tally = Tally()
             herd = [Caller(tally, X_Remaining_Ms="3000") for _ in range(200)]
             ending.process.send_signal(signal.SIGSTOP)  # the kernel goes on taking connections for it
--- a/tests/test_restart_moments.py
+++ b/tests/test_restart_moments.py
@@ -23,7 +23,7 @@
 from hophinge.telemetry.config import RemoteWriteConfig
 from hophinge.telemetry.remote_write import RemoteWrite
 from tests.restarting import HOST, NUMBERS, PORT, head, lasting, wire
-from tests.stand_in import Brick, Wire, headers, held_by, run, until, world
+from tests.stand_in import Backend, Wire, headers, held_by, run, until, world
 from tests.test_net import READ, WRITE
 from tests.test_service import COMMAND, ROOT, config, program
 
@@ -40,7 +40,7 @@
         await take(self, *args)
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head(settings=lasting(100))  # closes sooner than new connections stop coming
             service.front.most_connections = 0  # all wait in the listening socket's queue up to its last moment
             wires = [await made.wire(service) for _ in range(5)]
@@ -57,15 +57,15 @@
 
 def test_a_client_that_reads_no_answer_keeps_no_head_from_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             monkeypatch.setattr(ending_module, "UNREAD_S", 0.2)
             monkeypatch.setattr(service_module, "SHUTDOWN_S", 0.2)
-            service, brick, large = await made.head(settings=lasting(300)), made.bricks[0], b"x" * 60_000
+            service, backend, large = await made.head(settings=lasting(300)), made.backends[0], b"x" * 60_000
 
             async def answers(_: Any, __: bytes) -> web.Response:
                 return web.Response(body=large)
 
-            brick.behave = answers
+            backend.behave = answers
             one = await made.wire(service)
             one.writer.transport.pause_reading()  # type: ignore[attr-defined]
             small = one.writer.get_extra_info("socket")
@@ -83,7 +83,7 @@
             while not await stuck():
                 one.send(READ, headers(next(NUMBERS), X_Remaining_Ms="300"))
                 asked += 1
-                await until(lambda: len(brick.seen) == asked)  # noqa: B023
+                await until(lambda: len(backend.seen) == asked)  # noqa: B023
             async with asyncio.timeout(20.0):
                 await service.finish()
             made.services.remove(service)
@@ -93,7 +93,7 @@
 
 def test_the_time_that_is_left_counts_from_the_signal_and_not_from_when_the_head_comes_to_it() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             told_us = service.exchange.now_us()
             service.stop()
@@ -110,10 +110,10 @@
 
 def test_a_signal_in_the_wait_for_the_first_list_ends_that_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             monkeypatch.setattr(service_module, "FIRST_LIST_S", 60.0)
             made.agent.silent = True
-            starting = asyncio.create_task(made.head(saved=[made.bricks[0].target()]))
+            starting = asyncio.create_task(made.head(saved=[made.backends[0].target()]))
             await until(lambda: len(made.agent.asked) > 0)
             made.services[0].stop()
             async with asyncio.timeout(30.0):
@@ -130,8 +130,8 @@
         settings, gate = lasting(30_000), asyncio.Event()
         for one in settings["RequestClasses"]:
             one["Effect"] = "side_effect"
-        async with world(Brick(0)) as made:
-            made.bricks[0].behave = held_by(gate)
+        async with world(Backend(0)) as made:
+            made.backends[0].behave = held_by(gate)
             service = await made.head(settings=settings)
             wire = await made.wire(service)
             wire.send(
@@ -139,7 +139,7 @@
                 headers(next(NUMBERS), X_Remaining_Ms="30000", X_Placement=f"units=1,shard={shard},hosts=1"),
                 "PUT",
             )
-            await until(lambda: service.exchange.unanswered == 1 and len(made.bricks[0].seen) == 1 - shard)
+            await until(lambda: service.exchange.unanswered == 1 and len(made.backends[0].seen) == 1 - shard)
             service.exchange.cut_off()
             assert (await wire.receive())[0] == status
             gate.set()
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize("text", [b"[" * 100_000, b"\xff\xfe", b'{"listen":1}', None])
 def test_a_hangup_with_any_spoilt_file_changes_nothing(text: bytes | None, tmp_path: Path) -> None:
     async def main() -> None:
-        async with head(tmp_path, Brick(0)) as ending:
+        async with head(tmp_path, Backend(0)) as ending:
             path, one = tmp_path / "config.json", await ending.wire()
             path.unlink()
             path.mkdir() if text is None else path.write_bytes(text)
@@ -169,7 +169,7 @@
 @asynccontextmanager
 async def logging_to(writes: int, folder: Path) -> AsyncIterator[tuple[asyncio.subprocess.Process, Wire]]:
     """A head whose log goes to a descriptor, closed here, and a connection to it once it serves."""
-    async with world(Brick(0)) as made:
+    async with world(Backend(0)) as made:
         process = await asyncio.create_subprocess_exec(
             *COMMAND,
             cwd=ROOT,
@@ -226,7 +226,7 @@
 def test_an_end_that_does_not_close_cleanly_changes_no_exit_status(tmp_path: Path) -> None:
     async def main() -> None:
         with socket.create_server((HOST, PORT)) as listening:
-            async with world(Brick(0)) as made:
+            async with world(Backend(0)) as made:
                 environ = config(tmp_path, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint) | {
                     "TMPDIR": str(tmp_path),
                     "EDGE_ACCEPT_FD": str(listening.fileno()),
@@ -251,7 +251,7 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             operator = OperatorConfig(remote_write=RemoteWriteConfig("http://127.0.0.1:9/write"))
             monkeypatch.setattr(RemoteWrite, "sample", lambda _: [][1])
             service = await made.head(operator)
--- a/tests/test_rig_run.py
+++ b/tests/test_rig_run.py
@@ -27,7 +27,7 @@
     return made.tells(name, "/ops/config", f"{wanted}", lambda text: json.loads(text).items() >= wanted.items())
 
 
-def test_a_head_behind_the_relay_is_cut_from_its_control_service_and_bricks_and_comes_back(tmp_path: Path) -> None:
+def test_a_head_behind_the_relay_is_cut_from_its_control_service_and_backends_and_comes_back(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path) as made:
             made.control("c")
@@ -49,8 +49,8 @@
             made.network.heal()
             await until([configuration(made, "n0", running=second)], BOUND_S)
             # Its bricks are cut off as well: nothing is served there, and all is once they are back.
-            bricks = {str(brick.target()["uid"]) for brick in made.platform.bricks}
-            made.network.cut({"n0"}, bricks)
+            backends = {str(backend.target()["uid"]) for backend in made.platform.backends}
+            made.network.cut({"n0"}, backends)
             assert await made.request("n0", 77) != 200 and await made.request("n1", 77) == 200
             made.network.heal()
             await until([made.serves("n0")], BOUND_S)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -16,7 +16,7 @@
 from hophinge.routing.admitted import Pass
 from hophinge.routing.records import Plan, Record, Scope
 from hophinge.routing.table import EMPTY, check
-from tests.routes import FACTS, NAMED, POOLS, ask, brick, router, table, within
+from tests.routes import FACTS, NAMED, POOLS, ask, backend, router, table, within
 from tests.test_choice import T0
 
 
@@ -31,19 +31,19 @@
     assert within(made.admit(T0, ask("r1", volume="00000000000000AA"))) == {"n3", "n4", "n5"}
 
 
-def test_a_pool_with_too_few_live_bricks_is_filled_up_by_the_next_and_gets_its_own_back() -> None:
+def test_a_pool_with_too_few_live_backends_is_filled_up_by_the_next_and_gets_its_own_back() -> None:
     made = router(POOLS + "(route (pools a b))")
     held = made.admit(T0, ask("r1"))
-    made.nodes(T0, NodeList(ListKind.CHANGES, (brick(0, 0, Phase.DRAINING),)))
+    made.nodes(T0, NodeList(ListKind.CHANGES, (backend(0, 0, Phase.DRAINING),)))
     assert within(held) == {"n1", "n2"}
-    made.nodes(T0, NodeList(ListKind.CHANGES, (brick(1, 0, Phase.GONE),)))
+    made.nodes(T0, NodeList(ListKind.CHANGES, (backend(1, 0, Phase.GONE),)))
     assert within(held) == {"n2", "n3", "n4", "n5"}
-    made.nodes(T0, NodeList(ListKind.CHANGES, (brick(0, 0), brick(1, 0))))
+    made.nodes(T0, NodeList(ListKind.CHANGES, (backend(0, 0), backend(1, 0))))
     assert within(held) == {"n0", "n1", "n2"}
 
 
-def test_no_live_brick_in_any_pool_refuses_with_advice_or_goes_anywhere_as_the_route_says() -> None:
-    gone = NodeList(ListKind.CHANGES, tuple(brick(at, 0, Phase.DRAINING) for at in range(3)))
+def test_no_live_backend_in_any_pool_refuses_with_advice_or_goes_anywhere_as_the_route_says() -> None:
+    gone = NodeList(ListKind.CHANGES, tuple(backend(at, 0, Phase.DRAINING) for at in range(3)))
     strict, open_ = router(POOLS + "(route (pools a))"), router(POOLS + "(route (pools a) (else any))")
     for made in (strict, open_):
         made.nodes(T0, gone)
@@ -85,7 +85,7 @@
     new = made.admit(T0, ask("new"))
     assert within(old) == {"n0", "n1", "n2"} and within(new) == {"n3", "n4", "n5"}
     assert made.versions == {(1, 1): 1, (1, 2): 1} and made.figures()["draining_versions"] == 1
-    made.nodes(T0, NodeList(ListKind.CHANGES, (brick(0, 0, Phase.GONE),)))
+    made.nodes(T0, NodeList(ListKind.CHANGES, (backend(0, 0, Phase.GONE),)))
     assert within(old) == {"n1", "n2"}  # an old version's bricks die as well
     assert isinstance(old, Pass)
     made.answered(T0, old)
@@ -159,6 +159,6 @@
     assert plans[0].reserve == min(1.0, NAMED.plans[0].reserve) and plans[0].weight == 0.5
     assert made.table.plans["plan-0"] == Plan("plan-0", 1.0, 0.5)
     module = Scheduler(NAMED, 7)
-    module.handle(T0, [NodeList(ListKind.SAVED, (brick(0, 0),)), ask("r1")])
+    module.handle(T0, [NodeList(ListKind.SAVED, (backend(0, 0),)), ask("r1")])
     module.replan(plans)
     assert next(iter(module.volumes.values())).plan.reserve == plans[0].reserve
--- a/tests/test_routing_bounds.py
+++ b/tests/test_routing_bounds.py
@@ -106,7 +106,7 @@
 @given(
     st.lists(st.tuples(st.integers(0, 300 * MS), st.integers(0, 9), st.booleans(), st.integers(0, 30)), max_size=200)
 )
-def test_never_more_bricks_rest_than_the_stated_share(steps: list[tuple[int, int, bool, int]]) -> None:
+def test_never_more_backends_rest_than_the_stated_share(steps: list[tuple[int, int, bool, int]]) -> None:
     ejector, now = Ejector(), T0
     ejector.change(RULE, now)
     ejector.list([f"n{at}" for at in range(10)], now)
@@ -137,7 +137,7 @@
     assert ejector.change(None, now) is False and not ejector.ended("n4", True, now)
 
 
-def test_an_ejected_brick_gets_nothing_unless_it_alone_holds_the_data() -> None:
+def test_an_ejected_backend_gets_nothing_unless_it_alone_holds_the_data() -> None:
     made = router("(eject (errors 50 %) (over 2 s) (rest 1 s) (at-most 30 %))")
     for _ in range(5):
         made.ended(T0, "n3", Result.ERROR)
--- a/tests/test_routing_module.py
+++ b/tests/test_routing_module.py
@@ -24,7 +24,7 @@
     TimerDue,
 )
 from hophinge.routing.admitted import Pass
-from tests.routes import NAMED, POOLS, ask, brick, router
+from tests.routes import NAMED, POOLS, ask, backend, router
 from tests.test_choice import MS, T0
 
 
@@ -53,18 +53,18 @@
 
 
 def test_the_module_sends_new_objects_to_their_pool_alone() -> None:
-    pair = Pair(POOLS + "(route (pools b))", *(brick(at, at // 10) for at in range(20)))
+    pair = Pair(POOLS + "(route (pools b))", *(backend(at, at // 10) for at in range(20)))
     chosen = [node for at in range(40) for node in sends(pair.arrive(ask(f"r{at}", units=0.1)))]
     assert len(chosen) >= 8 and all(int(node[1:]) >= 10 for node in chosen)
 
 
 def test_a_pool_that_a_list_brings_back_takes_what_waits() -> None:
-    pair = Pair(POOLS + "(route (pools a))", brick(0, 0), brick(1, 0), brick(3, 1))
+    pair = Pair(POOLS + "(route (pools a))", backend(0, 0), backend(1, 0), backend(3, 1))
     for number in (0, 1):
-        entry = brick(number, 0, Phase.DRAINING)
+        entry = backend(number, 0, Phase.DRAINING)
         pair.at(0, NodeList(ListKind.CHANGES, (entry,)))  # the module hears of it before the router
     assert sends(pair.arrive(ask("r1"))) == []
-    back = NodeList(ListKind.CHANGES, (brick(1, 0),))
+    back = NodeList(ListKind.CHANGES, (backend(1, 0),))
     pair.router.nodes(pair.now, back)
     assert sends(pair.at(0, back)) == ["n1"]
 
@@ -102,10 +102,10 @@
     assert not pair.module.requests and not pair.module.busy
 
 
-def test_a_second_copy_needs_another_brick_with_the_data_and_its_budget() -> None:
+def test_a_second_copy_needs_another_backend_with_the_data_and_its_budget() -> None:
     alone = Pair("(retries (second-copy 80 ms))")
     assert len(sends(alone.arrive(ask("r1", shard=1)))) == 1 and sends(alone.run(300 * MS)) == []
-    two = Pair("(retries (second-copy 80 ms))", brick(0, 0, shard=1), brick(1, 0, shard=1))
+    two = Pair("(retries (second-copy 80 ms))", backend(0, 0, shard=1), backend(1, 0, shard=1))
     assert len(sends(two.arrive(ask("r1", shard=1)))) == 1 and len(sends(two.run(200 * MS))) == 1
     dry = Pair("(retries (second-copy 80 ms) (budget 10 %))")
     assert len(sends(dry.arrive(ask("r1")))) == 1 and sends(dry.run(300 * MS)) == []
--- a/tests/test_saved_list.py
+++ b/tests/test_saved_list.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hophinge.head.config import read_config
-from tests.stand_in import Brick, headers, run, world
+from tests.stand_in import Backend, headers, run, world
 from tests.test_net import READ
 from tests.test_service import HOST, PORT, config, connected, program
 
@@ -26,8 +26,8 @@
 )
 def test_a_head_whose_saved_list_is_malformed_starts_and_asks_for_a_whole_one(known: object, tmp_path: Path) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            made.bricks[0].objects[READ.split("/", 2)[2]] = b"kept"
+        async with world(Backend(0)) as made:
+            made.backends[0].objects[READ.split("/", 2)[2]] = b"kept"
             environ = config(tmp_path, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint, known=known)
             async with program(environ) as process:
                 wire = await connected()
--- a/tests/test_scoring_choice.py
+++ b/tests/test_scoring_choice.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("wanted", NAMES)
-def test_the_brick_without_added_time_is_chosen(wanted: str) -> None:
+def test_the_backend_without_added_time_is_chosen(wanted: str) -> None:
     one = module()
     one.scorers = engine({"but": Says(lambda view: [0.0 if node == wanted else MAX_US for node in view.nodes])})
     assert sent(one.handle(T0 + MS, [fresh("r")])) == [wanted]
@@ -106,7 +106,7 @@
     assert sent(one.handle(T0 + 21 * MS, [fresh("r3")])) == [second]
 
 
-def test_a_request_whose_brick_is_given_asks_no_scorer() -> None:
+def test_a_request_whose_backend_is_given_asks_no_scorer() -> None:
     one, asked = module(), []
 
     def say(view: View) -> object:
@@ -137,7 +137,7 @@
     WILD,
     st.lists(STEP, min_size=1, max_size=8),
 )
-def test_whatever_scorers_say_only_bricks_that_may_be_taken_get_a_request(
+def test_whatever_scorers_say_only_backends_that_may_be_taken_get_a_request(
     phases: list[Phase],
     first: Callable[[View], object],
     second: Callable[[View], object],
--- a/tests/test_scoring_guard.py
+++ b/tests/test_scoring_guard.py
@@ -120,7 +120,7 @@
 @example([lambda view: [10**400, 1.0, 1.0, 1.0]])
 @example([lambda view: [1e308, 1e308, 1e308, 1e308]])
 @example([lambda view: [MAX_US, MAX_US, MAX_US, MAX_US], lambda view: [MAX_US] * 4])
-def test_no_misbehaviour_raises_brings_a_brick_in_or_leaves_the_clamp(
+def test_no_misbehaviour_raises_brings_a_backend_in_or_leaves_the_clamp(
     behaviours: list[Callable[[View], object]],
 ) -> None:
     check(behaviours)
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -69,7 +69,7 @@
         scoring.heard(where, Result.ERROR, MS)
 
 
-def test_a_request_is_served_round_a_brick_that_failed_before_and_its_end_is_heard() -> None:
+def test_a_request_is_served_round_a_backend_that_failed_before_and_its_end_is_heard() -> None:
     loop, exchange, scoring, _ = composed()
     for where in ("n0", "n1", "n3"):
         fail(scoring, where, 3)
--- a/tests/test_scoring_merge.py
+++ b/tests/test_scoring_merge.py
@@ -105,7 +105,7 @@
     assert combined(Weight(0.7, 2.0), 0.0, 0.0) == 0.7  # alone, own weights are used as they are
 
 
-def test_trust_follows_agreement_on_bricks_that_one_of_the_two_accuses() -> None:
+def test_trust_follows_agreement_on_backends_that_one_of_the_two_accuses() -> None:
     rng = random.Random(5)
     friend, liar, idle = Agreement(), Agreement(), Agreement()
     own = {f"n{at}": 0.9 if at == 3 else 0.0 for at in range(50)}
@@ -116,7 +116,7 @@
     assert friend.trust > 0.9 and liar.trust == MIN_TRUST and idle.trust == 0.5
 
 
-def test_a_brick_of_which_little_is_known_here_judges_nobody() -> None:
+def test_a_backend_of_which_little_is_known_here_judges_nobody() -> None:
     shared = Shared("1")
     for owner in ("a", "b"):
         shared.take(0, owner, 0, "1", {"n": 1.0})
--- a/tests/test_scoring_model.py
+++ b/tests/test_scoring_model.py
@@ -18,8 +18,8 @@
 from tests.scoring_parts import ASK, MAX_US, VERSION, Wall, books, sharer
 
 T0, S = 50_000_000, 1_000_000
-BRICKS = [f"brick-{number}" for number in range(6)]
-SOUND, FAILING = BRICKS[:4], BRICKS[4:]
+BACKENDS = [f"brick-{number}" for number in range(6)]
+SOUND, FAILING = BACKENDS[:4], BACKENDS[4:]
 HEADS, LIARS = 6, 4
 LITTLE = 1e-9
 SOME_HEADS = st.frozensets(st.integers(0, HEADS - 1), min_size=1)
@@ -38,12 +38,12 @@
     def start(self, name: str) -> None:
         self.heads[name] = sharer(name)
 
-    @rule(who=SOME_HEADS, brick=st.sampled_from(BRICKS), times=st.integers(1, 12))
-    def end(self, who: frozenset[int], brick: str, times: int) -> None:
-        result = Result.ERROR if brick in FAILING else Result.OK
+    @rule(who=SOME_HEADS, backend=st.sampled_from(BACKENDS), times=st.integers(1, 12))
+    def end(self, who: frozenset[int], backend: str, times: int) -> None:
+        result = Result.ERROR if backend in FAILING else Result.OK
         for at in who:
             for _ in range(times):
-                self.heads[f"h{at}"][0].heard(self.now, brick, result, 5_000)
+                self.heads[f"h{at}"][0].heard(self.now, backend, result, 5_000)
 
     @rule(seconds=st.sampled_from([0, 1, 1, 1, 5, 20, 70]), who=SOME_HEADS)
     def tick(self, seconds: int, who: frozenset[int]) -> None:
@@ -52,7 +52,7 @@
         for at in sorted(who):
             name = f"h{at}"
             head, scorer = self.heads[name]
-            self.wall.tick(self.now, name, head, BRICKS)
+            self.wall.tick(self.now, name, head, BACKENDS)
             self.check(head, scorer)
 
     @rule(head=st.integers(0, HEADS - 1))
@@ -62,7 +62,7 @@
     @rule(
         who=st.frozensets(st.integers(0, LIARS - 1), min_size=1),
         version=st.sampled_from([VERSION, "suspicion-2"]),
-        words=st.dictionaries(st.sampled_from(BRICKS), st.sampled_from([0.0, 0.1, 1.0]), max_size=6),
+        words=st.dictionaries(st.sampled_from(BACKENDS), st.sampled_from([0.0, 0.1, 1.0]), max_size=6),
     )
     def lie(self, who: frozenset[int], version: str, words: dict[str, float]) -> None:
         self.beat += 1
@@ -89,17 +89,17 @@
         bound = most_moved(liars, len(speak), 0.0)
         if liars <= max(1, len(speak) // 3):
             assert bound == 0.0
-        for brick in SOUND:
-            assert scorer.levels.get(brick, 0.0) <= bound + LITTLE
+        for backend in SOUND:
+            assert scorer.levels.get(backend, 0.0) <= bound + LITTLE
         own = head.guard.weights(self.now, "suspicion") or {}
-        for brick in FAILING:
-            if brick in own:
-                assert scorer.levels.get(brick, 0.0) >= own[brick].value - LITTLE
+        for backend in FAILING:
+            if backend in own:
+                assert scorer.levels.get(backend, 0.0) >= own[backend].value - LITTLE
 
     @invariant()
     def clamped(self) -> None:
         for head, _ in self.heads.values():
-            added = head.added_us(self.now, ASK, books(*BRICKS))
+            added = head.added_us(self.now, ASK, books(*BACKENDS))
             assert all(0.0 < time <= MAX_US for time in added.values())
             assert not any(one.pauses.mistakes for one in head.guard.scorers)
 
--- a/tests/test_scoring_scorers.py
+++ b/tests/test_scoring_scorers.py
@@ -54,7 +54,7 @@
     assert sketch.evidence(later) == 1.0 and abs(sketch.quantile_us(0.5) - 2_000) < 200
 
 
-def test_latency_adds_what_a_slow_brick_takes_beyond_what_is_usual() -> None:
+def test_latency_adds_what_a_slow_backend_takes_beyond_what_is_usual() -> None:
     scorer = latency.Latency(latency.Parameters(), SETTING)
     for at, node in enumerate(NAMES):
         for _ in range(20):
@@ -108,7 +108,7 @@
     assert scorer.added_us(view())[0] == 0.0 and not scorer.records
 
 
-def test_outlook_keeps_off_drains_and_wanted_objects_off_cold_bricks() -> None:
+def test_outlook_keeps_off_drains_and_wanted_objects_off_cold_backends() -> None:
     scorer = outlook.Outlook(outlook.Parameters(drain_part=0.8, cold_part=0.5, demand_s=10.0), SETTING)
     around = Surroundings(10 * S)
     assert scorer.added_us(view(surroundings=around)) == [0.0] * 10
--- a/tests/test_scoring_sharing.py
+++ b/tests/test_scoring_sharing.py
@@ -17,8 +17,8 @@
 
 T0 = 50_000_000
 S = 1_000_000
-BRICKS = [f"brick-{number}" for number in range(12)]
-BAD, GOOD = BRICKS[0], BRICKS[1]
+BACKENDS = [f"brick-{number}" for number in range(12)]
+BAD, GOOD = BACKENDS[0], BACKENDS[1]
 
 
 def heads(number: int) -> dict[str, Engine]:
@@ -26,7 +26,7 @@
 
 
 def added(head: Engine, now: int, node: str) -> float:
-    return head.added_us(now, ASK, books(*BRICKS)).get(node, 0.0)
+    return head.added_us(now, ASK, books(*BACKENDS)).get(node, 0.0)
 
 
 def hear(head: Engine, now: int, node: str, result: Result, times: int) -> None:
@@ -41,11 +41,11 @@
         for at in range(liars):
             wall.say(f"liar{at}", now // BEAT_US, {accused: 1.0})
         for name, head in fleet.items():
-            wall.tick(now, name, head, BRICKS)
+            wall.tick(now, name, head, BACKENDS)
     return now
 
 
-def test_a_head_learns_of_a_failing_brick_that_it_has_never_asked() -> None:
+def test_a_head_learns_of_a_failing_backend_that_it_has_never_asked() -> None:
     fleet, wall = heads(10), Wall()
     asked = list(fleet.values())[:7]
     for head in asked:
@@ -73,12 +73,12 @@
     assert all(trust[f"liar{at}"].agreement.trust <= 0.1 for at in range(liars))
 
 
-def test_liars_move_a_healthy_brick_by_no_more_than_the_bound() -> None:
+def test_liars_move_a_healthy_backend_by_no_more_than_the_bound() -> None:
     for liars in (1, 2, 3, 5, 8):
         check_liars(liars, 9)
 
 
-def test_a_liar_that_praises_a_dead_brick_moves_nothing() -> None:
+def test_a_liar_that_praises_a_dead_backend_moves_nothing() -> None:
     honest, wall = heads(6), Wall()
     for head in honest.values():
         hear(head, T0, BAD, Result.CONNECT_FAILED, 5)
@@ -127,8 +127,8 @@
     for head in (shared, alone):
         hear(head, T0, BAD, Result.ERROR, 2)
     wall = Wall()
-    wall.tick(T0 + S, "h0", shared, BRICKS)
-    alone.tick(T0 + S, set(BRICKS))
+    wall.tick(T0 + S, "h0", shared, BACKENDS)
+    alone.tick(T0 + S, set(BACKENDS))
     assert added(shared, T0 + S, BAD) == added(alone, T0 + S, BAD) > 0.0
 
 
@@ -136,17 +136,17 @@
     head, wall = heads(1)["h0"], Wall()
     for at in range(9):
         wall.say(f"new{at}", 1, {GOOD: 1.0}, "suspicion-2")
-    wall.tick(T0, "h0", head, BRICKS)
+    wall.tick(T0, "h0", head, BACKENDS)
     assert added(head, T0, GOOD) == 0.0 and not head.shared["suspicion"].peers
     assert head.reader is not None and len(head.reader.other_versions) == 9 and not head.reader.bad
     # One that is upgraded while it runs takes back what it said under the old version.
     for at in range(9):
         wall.say(f"new{at}", 2, {GOOD: 1.0})
-    wall.tick(T0 + S, "h0", head, BRICKS)
+    wall.tick(T0 + S, "h0", head, BACKENDS)
     assert added(head, T0 + S, GOOD) > 0.5 * MAX_US
     for at in range(9):
         wall.say(f"new{at}", 3, {GOOD: 1.0}, "suspicion-2")
-    wall.tick(T0 + 2 * S, "h0", head, BRICKS)
+    wall.tick(T0 + 2 * S, "h0", head, BACKENDS)
     assert added(head, T0 + 2 * S, GOOD) == 0.0
 
 
@@ -168,29 +168,29 @@
     for at, value in enumerate(wrong):
         wall.put(f"odd{at}", encoding.key("suspicion", encoding.chunk_of(GOOD)), value)
     wall.put("key", "suspicion/99", good)
-    wall.tick(T0, "h0", head, BRICKS)
+    wall.tick(T0, "h0", head, BACKENDS)
     assert head.reader is not None
     assert head.reader.bad == {**{f"odd{at}": 1 for at in range(len(wrong))}, "key": 1}
-    wall.tick(T0 + S, "h0", head, BRICKS)  # what has not changed is not counted again
+    wall.tick(T0 + S, "h0", head, BACKENDS)  # what has not changed is not counted again
     assert sum(head.reader.bad.values()) == len(wrong) + 1
 
 
-def test_bricks_that_this_head_does_not_list_are_not_taken_up_from_hearsay() -> None:
+def test_backends_that_this_head_does_not_list_are_not_taken_up_from_hearsay() -> None:
     head, wall = heads(1)["h0"], Wall()
     for at in range(9):
         wall.say(f"p{at}", 1, {"elsewhere": 1.0, GOOD: 1.0})
-    wall.tick(T0, "h0", head, BRICKS)
+    wall.tick(T0, "h0", head, BACKENDS)
     levels = head.guard.named("suspicion").scorer.levels  # type: ignore[attr-defined]   # of Suspicion
     assert levels.keys() == {GOOD} and levels[GOOD] <= HEARSAY / (HEARSAY + NEUTRAL)
 
 
-def test_an_entry_changes_only_with_its_bricks_and_the_beat_only_entry_0() -> None:
+def test_an_entry_changes_only_with_its_backends_and_the_beat_only_entry_0() -> None:
     head, wall = heads(1)["h0"], Wall()
-    wall.tick(T0, "h0", head, BRICKS)
+    wall.tick(T0, "h0", head, BACKENDS)
     hear(head, T0, BAD, Result.ERROR, 1)
-    wall.tick(T0, "h0", head, BRICKS)
+    wall.tick(T0, "h0", head, BACKENDS)
     assert wall.count == 2 and len(wall.held) == 1 + (encoding.chunk_of(BAD) != 0)
-    wall.tick(T0, "h0", head, BRICKS)
+    wall.tick(T0, "h0", head, BACKENDS)
     assert wall.count == 2
 
 
@@ -219,5 +219,5 @@
 def test_no_bytes_of_a_peer_raise(value: bytes, key: str) -> None:
     head = heads(1)["h0"]
     for at, name in enumerate((key, "suspicion/0")):
-        head.tick(T0 + at, set(BRICKS), [Entry("peer", Topic.WEIGHTS, name, (1, at), value)])
+        head.tick(T0 + at, set(BACKENDS), [Entry("peer", Topic.WEIGHTS, name, (1, at), value)])
     assert head.reader is not None and head.reader.bad.get("peer", 0) + len(head.shared["suspicion"].peers) >= 1
--- a/tests/test_scoring_slices.py
+++ b/tests/test_scoring_slices.py
@@ -15,10 +15,10 @@
 from tests.scoring_parts import ASK, Wall, books, sharer
 
 T0, S = 50_000_000, 1_000_000
-BRICKS = [f"brick-{number}" for number in range(5)]
-WORDS = st.dictionaries(st.sampled_from([*BRICKS, "elsewhere"]), st.sampled_from([0.1, 0.6, 1.0]))
+BACKENDS = [f"brick-{number}" for number in range(5)]
+WORDS = st.dictionaries(st.sampled_from([*BACKENDS, "elsewhere"]), st.sampled_from([0.1, 0.6, 1.0]))
 PEERS = st.dictionaries(st.sampled_from([f"p{at}" for at in range(9)]), st.one_of(WORDS, st.binary(max_size=9)))
-OWN = st.lists(st.tuples(st.sampled_from(BRICKS), st.sampled_from([Result.OK, Result.ERROR])), max_size=12)
+OWN = st.lists(st.tuples(st.sampled_from(BACKENDS), st.sampled_from([Result.OK, Result.ERROR])), max_size=12)
 
 
 @settings(max_examples=60, deadline=None)
@@ -47,18 +47,18 @@
                 wall.say(owner, beat, words)
         entries = wall.entries()
         with mock.patch.object(sharing, "SLICE", 10**9):
-            wanted = one_go.tick(now, set(BRICKS), entries)
+            wanted = one_go.tick(now, set(BACKENDS), entries)
         actions: list[Put | Drop] = []
         with mock.patch.object(sharing, "SLICE", size):
-            for _ in sliced.slices(now, set(BRICKS), counted(entries), actions):
+            for _ in sliced.slices(now, set(BACKENDS), counted(entries), actions):
                 assert looked <= size
                 looked = 0
-                sliced.added_us(now, ASK, books(*BRICKS))  # requests come in between
+                sliced.added_us(now, ASK, books(*BACKENDS))  # requests come in between
         assert sorted(map(repr, actions)) == sorted(map(repr, wanted))
         for action in wanted:
             one_go.done(action)
             sliced.done(action)
-        assert one_go.added_us(now, ASK, books(*BRICKS)) == sliced.added_us(now, ASK, books(*BRICKS))
+        assert one_go.added_us(now, ASK, books(*BACKENDS)) == sliced.added_us(now, ASK, books(*BACKENDS))
         assert [(owner, peer.words, peer.agreement) for owner, peer in one_go.shared["suspicion"].peers.items()] == [
             (owner, peer.words, peer.agreement) for owner, peer in sliced.shared["suspicion"].peers.items()
         ]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,7 +17,7 @@
 import pytest
 
 from hophinge.head.operator import load
-from tests.stand_in import Brick, DiscoveryAgent, Wire, headers, held_by, run, setup, until, world
+from tests.stand_in import Backend, DiscoveryAgent, Wire, headers, held_by, run, setup, until, world
 from tests.test_net import READ
 
 ROOT = Path(__file__).parent.parent
@@ -152,17 +152,17 @@
 
 def test_the_program_serves_prints_its_counters_and_ends_by_a_signal(tmp_path: Path) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
-            brick = made.bricks[0]
+        async with world(Backend(0)) as made:
+            backend = made.backends[0]
             known = {
                 "rev": 1,
                 "all": True,
-                "targets": [{"uid": brick.name, "endpoint": brick.endpoint, "state": "Ready", "pod_group": 0}],
+                "targets": [{"uid": backend.name, "endpoint": backend.endpoint, "state": "Ready", "pod_group": 0}],
             }
             environ = config(tmp_path, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint, known=known)
             async with program(environ) as process:
                 wire = await connected()
-                brick.objects[READ.split("/", 2)[2]] = b"kept"
+                backend.objects[READ.split("/", 2)[2]] = b"kept"
                 wire.send(READ, headers())
                 assert (await wire.receive())[2] == b"kept"
                 wire.close()
@@ -180,25 +180,25 @@
 
 def test_a_hangup_moves_discovery_at_once_and_keeps_all_else(tmp_path: Path) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
-            brick, other, gate = *made.bricks, asyncio.Event()
+        async with world(Backend(0), Backend(1)) as made:
+            backend, other, gate = *made.backends, asyncio.Event()
             agent = DiscoveryAgent()
             await agent.open()
             environ = config(tmp_path, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint)
             environ["EDGE_DISCOVERY"] = made.agent.endpoint
-            made.agent.targets = {brick.name: brick.target()}
+            made.agent.targets = {backend.name: backend.target()}
 
-            brick.behave = held_by(gate)
+            backend.behave = held_by(gate)
             async with program(environ) as process:
                 assert process.stdout is not None
                 wire = await connected()
                 wire.send(READ, headers(1, X_Remaining_Ms="20000"))
-                await until(lambda: len(brick.seen) == 1)
+                await until(lambda: len(backend.seen) == 1)
                 (tmp_path / "config.json").write_text("{")  # half written: logged, and nothing changes
                 process.send_signal(signal.SIGHUP)
                 await process.stdout.readuntil(b"kept as it was")
                 assert not agent.asked
-                agent.targets = {one.name: one.target() for one in made.bricks}
+                agent.targets = {one.name: one.target() for one in made.backends}
                 config(tmp_path, listen=f"{HOST}:{PORT}", discovery=agent.endpoint)
                 process.send_signal(signal.SIGHUP)
                 await until(lambda: len(agent.asked) == 2)  # a whole list, then a watch
@@ -220,7 +220,7 @@
 
 def test_a_hangup_before_the_service_runs_does_not_end_the_program(tmp_path: Path) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             environ = config(tmp_path, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint)
             async with program(environ) as process:
                 # Blocked signals are inherited by nobody here: the mask shows when the program has set its own.
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.stand_in import Brick, headers, run, setup, world
+from tests.stand_in import Backend, headers, run, setup, world
 from tests.test_net import READ, WRITE
 
 
@@ -49,7 +49,7 @@
 )
 def test_what_a_deployment_lacks_is_off_and_a_head_serves_without_it(settings: dict[str, Any]) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
             service = await made.head(settings=settings)
             wire = await made.wire(service)
             wire.send(WRITE, headers(1), "PUT", b"kept")
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -11,7 +11,7 @@
 from hophinge.core.interface import Result
 from hophinge.net.pace import CallPace
 from tests.servers import DiscoveryAgent
-from tests.stand_in import Brick, Wire, headers, run, setup, until, world
+from tests.stand_in import Backend, Wire, headers, run, setup, until, world
 from tests.test_choice import MS, Gateway, ask, end, finals
 from tests.test_net import READ, WRITE
 
@@ -36,16 +36,16 @@
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 def test_a_watch_that_falls_silent_is_asked_again_before_what_it_missed_counts_as_told(mode: str) -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
             await made.agent.close()
             made.agent = agent = Deaf()
             await agent.open()
-            agent.targets = {brick.name: brick.target() for brick in made.bricks}
+            agent.targets = {backend.name: backend.target() for backend in made.backends}
             service = await made.head(settings=setup(Discovery=mode))
             await until(lambda: agent.watching == 1 and not agent.asked[-1].endswith("timeout_ms=100"))
             agent.round += 1
             since = asyncio.get_running_loop().time()
-            await agent.tell(made.bricks[0].target("Terminating"))
+            await agent.tell(made.backends[0].target("Terminating"))
             await until(lambda: service.exchange.phases["s-0"].value == "draining")
             assert asyncio.get_running_loop().time() - since < TOLD_S
 
@@ -54,13 +54,13 @@
 
 def test_an_agent_silent_from_the_start_is_heard_as_soon_as_it_is_back_with_half_of_its_list_changed() -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1), Brick(0, "s-new")) as made:
+        async with world(Backend(0), Backend(1), Backend(0, "s-new")) as made:
             made.agent.silent = True
-            service = await made.head(saved=[brick.target() for brick in made.bricks[:2]])
+            service = await made.head(saved=[backend.target() for backend in made.backends[:2]])
             await until(lambda: len(made.agent.asked) > 2)  # calls go out beside the one that says nothing
             made.agent.silent, since = False, asyncio.get_running_loop().time()
             await made.agent.tell(
-                made.bricks[0].target("Gone"), made.bricks[2].target(), made.bricks[1].target("Terminating")
+                made.backends[0].target("Gone"), made.backends[2].target(), made.backends[1].target("Terminating")
             )
             await until(
                 lambda: (
@@ -97,42 +97,42 @@
     return web.Response(status=status, headers={"X-Turned-Away": "1"})
 
 
-def test_a_read_whose_data_lies_elsewhere_is_refused_at_once_and_its_brick_goes_on() -> None:
+def test_a_read_whose_data_lies_elsewhere_is_refused_at_once_and_its_backend_goes_on() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head()
             wire: Wire = await made.wire(service)
 
             async def elsewhere(_: web.BaseRequest, __: bytes) -> web.Response:
                 return away(504)
 
-            made.bricks[0].behave = elsewhere
+            made.backends[0].behave = elsewhere
             for number in range(1, 6):
                 wire.send(READ, headers(number))
                 status, fields, _ = await wire.receive()
                 assert status == 503 and "retry-after" not in fields
-            assert len(made.bricks[0].seen) == 5  # one attempt each
+            assert len(made.backends[0].seen) == 5  # one attempt each
             assert service.exchange.scheduler.books["s-0"].failures == 0
-            made.bricks[0].behave = None
+            made.backends[0].behave = None
             wire.send(WRITE, headers(9, X_Placement="units=2,shard=-1,hosts=1", X_Remaining_Ms="1200"), "PUT", b"x")
             assert (await wire.receive())[0] == 200
 
     run(main())
 
 
-def test_a_brick_without_room_rests_and_a_new_object_tries_again() -> None:
+def test_a_backend_without_room_rests_and_a_new_object_tries_again() -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             wire = await made.wire(service := await made.head())
             answers = [away(504), away(503)]
 
             async def full(_: web.BaseRequest, __: bytes) -> web.Response | None:
                 return answers.pop(0) if answers else None
 
-            made.bricks[0].behave = full
+            made.backends[0].behave = full
             wire.send(WRITE, headers(1, X_Placement="units=2,shard=-1,hosts=1", X_Remaining_Ms="1200"), "PUT", b"x")
             assert (await wire.receive())[0] == 200
-            assert len(made.bricks[0].seen) == 3
+            assert len(made.backends[0].seen) == 3
             assert service.counters.counts["attempts_full"] == 2
 
     run(main())
--- a/tests/test_stall.py
+++ b/tests/test_stall.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.servers import Brick, held_by
+from tests.servers import Backend, held_by
 from tests.stand_in import OBJECT, VOLUME, Wire, headers, run, until, world
 from tests.test_crossing import classes
 
@@ -36,16 +36,16 @@
             {"Name": "scan", "GoalTimeUs": 3_000_000, "DeadlineUs": 5_000_000},
             {"Name": "record-read", "GoalTimeUs": 20_000, "DeadlineUs": 300_000},
         )
-        async with world(Brick(0)) as made:
-            made.bricks[0].behave = held_by(gate)
+        async with world(Backend(0)) as made:
+            made.backends[0].behave = held_by(gate)
             service = await made.head(settings=settings)
             wire = await made.wire(service)
             wire.send(SCAN, headers(1, X_Remaining_Ms="5000"))
-            await until(lambda: len(made.bricks[0].seen) == 1)
+            await until(lambda: len(made.backends[0].seen) == 1)
             asyncio.get_running_loop().call_later(1.2, gate.set)
             assert (await wire.receive())[0] == 404
             wire.send(READ, headers(2, X_Remaining_Ms="300", X_Placement=f"units=2,shard={shard},hosts=1"))
-            assert (await wire.receive())[0] == 503 and len(made.bricks[0].seen) == 1  # learned, and held to
-            assert await served_again(wire, 300) and len(made.bricks[0].seen) > 1
+            assert (await wire.receive())[0] == 503 and len(made.backends[0].seen) == 1  # learned, and held to
+            assert await served_again(wire, 300) and len(made.backends[0].seen) > 1
 
     run(main())
--- a/tests/test_steady.py
+++ b/tests/test_steady.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.stand_in import Brick, headers, run, world
+from tests.stand_in import Backend, headers, run, world
 from tests.steady import LONGEST_STEP_S, SteadyClock, run_steadily
 from tests.test_net import READ
 
@@ -42,7 +42,7 @@
     """By the machine's clock, five of twelve such runs failed: 503 for a request whose 750 ms were over."""
 
     async def main() -> list[int]:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             statuses = []
             for number in range(12):
--- a/tests/test_streamed.py
+++ b/tests/test_streamed.py
@@ -90,8 +90,8 @@
     async def main() -> None:
         async with installation(tmp_path) as here, ClientSession(connector=TCPConnector(limit=0)) as client:
             gate = asyncio.Event()
-            for brick in here.made.bricks:
-                brick.behave = held_by(gate)
+            for backend in here.made.backends:
+                backend.behave = held_by(gate)
             settings = {
                 **SETTINGS,
                 "RequestClasses": [
@@ -140,7 +140,7 @@
             await here.runs(head, "1.1")
             codes = [await write(here, head, at) for at in range(1, 4)]
             assert codes == [200] * 3
-            assert [len(brick.objects) for brick in here.made.bricks] == [0, 3, 0]
+            assert [len(backend.objects) for backend in here.made.backends] == [0, 3, 0]
             since = time.monotonic()
             fields = headers(9, X_Placement="units=1,shard=-1,hosts=1")
             async with here.made.client.put(
--- a/tests/test_streamed_kills.py
+++ b/tests/test_streamed_kills.py
@@ -16,7 +16,7 @@
 from hophinge.control.client import call
 from hophinge.control.store import Store
 from tests.installation import GOOD, HEADS, SETTINGS, STAFF, Installation, follower, serving
-from tests.stand_in import Brick, run, until, world
+from tests.stand_in import Backend, run, until, world
 from tests.test_service import ROOT, config
 
 
@@ -45,7 +45,7 @@
     big = GOOD + "".join(f"(limit (tenant t{at}) (open 9 requests))" for at in range(count))
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             here = Installation(tmp_path, made)
             process, here.port = serving(tmp_path)
             head = await here.head("n0")
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -12,18 +12,18 @@
 
 from hophinge.net import server as server_module
 from hophinge.head.service import Service
-from tests.stand_in import OBJECT, VOLUME, Behaviour, Brick, Wire, World, headers, run, until, world
+from tests.stand_in import OBJECT, VOLUME, Behaviour, Backend, Wire, World, headers, run, until, world
 from tests.test_net import READ, WRITE
 
 LONG = bytes(range(256)) * 1024  # 256 KiB
-Test = Callable[[World, Service, Wire, Brick], Awaitable[None]]
+Test = Callable[[World, Service, Wire, Backend], Awaitable[None]]
 
 
 def with_head(test: Test) -> None:
     async def main() -> None:
-        async with world(Brick(0)) as made_world:
+        async with world(Backend(0)) as made_world:
             service = await made_world.head()
-            await test(made_world, service, await made_world.wire(service), made_world.bricks[0])
+            await test(made_world, service, await made_world.wire(service), made_world.backends[0])
             await until(lambda: not service.exchange.open and not service.budget.held)
 
     run(main())
@@ -57,9 +57,9 @@
 
 
 def test_a_long_answer_is_passed_on_as_it_comes_and_no_deadline_cuts_it() -> None:
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         gate = asyncio.Event()
-        brick.behave = parts(gate, 1000)
+        backend.behave = parts(gate, 1000)
         wire.send(READ, headers(X_Remaining_Ms="600"))
         head = await wire.reader.readuntil(b"\r\n\r\n")
         assert b" 200 " in head and await wire.reader.readexactly(1000) == LONG[:1000]
@@ -69,15 +69,15 @@
         assert await wire.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
         await until(lambda: service.figures.ended["record-read", "fulfilled"] == 1)
         wire.send(READ, headers(2))  # the connections on both sides go on
-        assert (await wire.receive())[2] == LONG and brick.connections == 1
+        assert (await wire.receive())[2] == LONG and backend.connections == 1
 
     with_head(test)
 
 
 def test_one_of_unknown_length_is_passed_on_in_chunks() -> None:
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         gate = asyncio.Event()
-        brick.behave = parts(gate, 70_000, stated=False)
+        backend.behave = parts(gate, 70_000, stated=False)
         wire.send(READ, headers())
         assert b"chunked" in await wire.reader.readuntil(b"\r\n\r\n")
         gate.set()
@@ -87,7 +87,7 @@
 
 
 def test_one_that_breaks_off_ends_so_that_its_client_can_tell_and_is_not_tried_again() -> None:
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         async def break_off(request: web.BaseRequest, body: bytes) -> web.StreamResponse:
             response = web.StreamResponse(headers={"Content-Length": str(len(LONG))})
             await response.prepare(request)
@@ -97,18 +97,18 @@
             request.transport.abort()
             return response
 
-        brick.behave = break_off
+        backend.behave = break_off
         wire.send(READ, headers())
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await wire.receive()
-        assert len(brick.seen) == 1
+        assert len(backend.seen) == 1
         await until(lambda: service.figures.ended["record-read", "faulted"] == 1)
 
     with_head(test)
 
 
-def test_a_client_that_does_not_read_holds_its_brick_and_little_memory() -> None:
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+def test_a_client_that_does_not_read_holds_its_backend_and_little_memory() -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         wire.reader._limit = 1 << 10  # type: ignore[attr-defined]    # its client takes next to nothing
         size, written = 30 << 20, 0
 
@@ -121,7 +121,7 @@
                 written += 1 << 16
             return response
 
-        brick.behave = much
+        backend.behave = much
         wire.send(READ, headers())
         await until(lambda: written > 0)
         last = -1
@@ -135,10 +135,10 @@
     with_head(test)
 
 
-def test_a_client_that_leaves_frees_the_brick() -> None:
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+def test_a_client_that_leaves_frees_the_backend() -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         ended = asyncio.Event()
-        brick.behave = parts(asyncio.Event(), 1000, ended=ended)
+        backend.behave = parts(asyncio.Event(), 1000, ended=ended)
         wire.send(READ, headers())
         await wire.reader.readuntil(b"\r\n\r\n")
         wire.close()
@@ -152,7 +152,7 @@
 def test_an_answer_without_a_length_is_whole_if_its_close_was_announced_and_clean(
     announced: bool, clean: bool, status: int
 ) -> None:
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         async def close(request: web.BaseRequest, body: bytes) -> web.StreamResponse:
             transport = request.transport
             assert transport is not None
@@ -165,11 +165,11 @@
             transport.close()
             raise ConnectionResetError
 
-        brick.behave = close
+        backend.behave = close
         wire.send(READ, headers())
         found, _, body = await wire.receive()
         assert found == status and (body == b"kept") is (status == 200)
-        assert len(brick.seen) == (1 if status == 200 else 3)
+        assert len(backend.seen) == (1 if status == 200 else 3)
 
     with_head(test)
 
@@ -180,7 +180,7 @@
 ) -> None:
     monkeypatch.setattr(server_module, "KEPT", 100_000)
 
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         fields = headers(X_Remaining_Ms="500")
         fields |= {"Transfer-Encoding": "chunked"} if chunked else {"Content-Length": str(len(LONG))}
         wire.writer.write(wire.head(WRITE, fields, "PUT"))
@@ -191,7 +191,7 @@
         if chunked:
             wire.writer.write(b"0\r\n\r\n")
         assert (await wire.receive())[0] == 200
-        assert brick.objects[f"{VOLUME}/{OBJECT}"] == LONG
+        assert backend.objects[f"{VOLUME}/{OBJECT}"] == LONG
         assert service.counters.counts["bodies_streamed"] == 1 and service.figures.relayed == 1
         assert not any(book.silent for book in service.exchange.scheduler.books.values())
 
@@ -201,12 +201,12 @@
 def test_a_long_request_body_that_never_becomes_whole_runs_nowhere(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "KEPT", 100_000)
 
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         wire.writer.write(wire.head(WRITE, {**headers(), "Content-Length": str(len(LONG))}, "PUT") + LONG[:200_000])
         await until(lambda: service.counters.counts["attempts_sent"] == 1)
         wire.close()
         await until(lambda: not service.exchange.open and service.figures.open == 0)
-        assert not brick.seen and service.figures.relayed == 0
+        assert not backend.seen and service.figures.relayed == 0
 
     with_head(test)
 
@@ -238,8 +238,8 @@
 def test_every_form_of_a_request_is_understood_however_it_is_cut(
     request_bytes: bytes, body: bytes | None, size: int
 ) -> None:
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
-        brick.objects[f"{VOLUME}/{OBJECT}"] = b"kept"
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
+        backend.objects[f"{VOLUME}/{OBJECT}"] = b"kept"
         for at in range(0, len(request_bytes), size):
             wire.writer.write(request_bytes[at : at + size])
             await wire.writer.drain()
@@ -247,14 +247,14 @@
                 await asyncio.sleep(0)
         status, _, got = await wire.receive()
         assert (status, got) == (200, b"kept" if body is None else b"ok")
-        assert body is None or brick.objects[f"{VOLUME}/{OBJECT}"] == body
-        assert brick.seen[0][1] == (READ if body is None else WRITE)
+        assert body is None or backend.objects[f"{VOLUME}/{OBJECT}"] == body
+        assert backend.seen[0][1] == (READ if body is None else WRITE)
 
     with_head(test)
 
 
 def test_a_head_may_take_longer_than_a_connection_may_rest() -> None:
-    async def test(made_world: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(made_world: World, service: Service, wire: Wire, backend: Backend) -> None:
         service.front.idle_s = 0.15
         wire = await made_world.wire(service)
         for number in (1, 2):
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -37,8 +37,8 @@
         async with installation(tmp_path) as here, ClientSession(connector=TCPConnector(limit=0)) as client:
             gate = asyncio.Event()
 
-            for brick in here.made.bricks:
-                brick.behave = held_by(gate)
+            for backend in here.made.backends:
+                backend.behave = held_by(gate)
             classes = [{**row, "GoalTimeUs": 2_000_000, "DeadlineUs": 8_000_000} for row in SETTINGS["RequestClasses"]]
             head = await here.head("n0", setup(RequestClasses=classes))
             spare = "(spare (depth 4 units) (wait 150 ms))"
@@ -157,7 +157,7 @@
             async def give(request: web.BaseRequest, body: bytes) -> web.StreamResponse | None:
                 return web.Response(body=io.BytesIO(long), headers={"Content-Length": str(len(long))})
 
-            here.made.bricks[0].behave = give
+            here.made.backends[0].behave = give
             head = await here.head("n0")
             await here.push(GOOD + "(tenant aa (volumes 00000000000000aa)) (limit (tenant aa) (out 1 MiB/s))")
             await here.runs(head, "1.1")
@@ -206,8 +206,8 @@
                 await asyncio.sleep(0.03)
                 return None
 
-            for brick in here.made.bricks:
-                brick.behave = slow
+            for backend in here.made.backends:
+                backend.behave = slow
             # Time enough that the core refuses none as too late, however the machine is loaded: tenancy alone decides.
             classes = [{**row, "GoalTimeUs": 8_000_000, "DeadlineUs": 20_000_000} for row in SETTINGS["RequestClasses"]]
             head = await here.head("n0", {**SETTINGS, "RequestClasses": classes})
--- a/tests/test_time_told.py
+++ b/tests/test_time_told.py
@@ -9,7 +9,7 @@
 from hophinge.head.service import Service
 from hophinge.net import server as server_module
 from hophinge.net.clock import now_us
-from tests.servers import Brick
+from tests.servers import Backend
 from tests.stand_in import Wire, World, headers
 from tests.test_net import READ, WRITE
 from tests.test_net_connects import late
@@ -30,10 +30,10 @@
     """Of a body on its way all may lie in the kernel by then, as nobody has taken what came before."""
     monkeypatch.setattr(server_module, "KEPT", 100_000)
 
-    async def test(_: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(_: World, service: Service, wire: Wire, backend: Backend) -> None:
         gate = asyncio.Event()
-        service.bricks.pool.limit_s = 30.0
-        begun = late(monkeypatch, service.bricks.connector, gate, set(range(9)))
+        service.backends.pool.limit_s = 30.0
+        begun = late(monkeypatch, service.backends.connector, gate, set(range(9)))
         sent = {"none": b"", "kept": LONG[:60_000], "on its way": LONG}[body]
         wire.send(
             READ if body == "none" else WRITE,
@@ -47,7 +47,7 @@
         gate.set()
         assert (await wire.receive())[0] == (404 if body == "none" else 200)
         assert service.counters.counts["bodies_streamed"] == (body == "on its way")
-        assert 0 < int(brick.headers[0]["X-Remaining-Ms"]) <= TIME_MS - LATE_MS
+        assert 0 < int(backend.headers[0]["X-Remaining-Ms"]) <= TIME_MS - LATE_MS
 
     with_head(test)
 
@@ -55,10 +55,10 @@
 def test_a_body_taken_late_leaves_its_attempt_no_more_time_than_it_was_told(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "KEPT", 100_000)
 
-    async def test(_: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(_: World, service: Service, wire: Wire, backend: Backend) -> None:
         gate = asyncio.Event()
-        service.bricks.pool.limit_s = 30.0
-        begun = late(monkeypatch, service.bricks.connector, gate, set(range(9)))
+        service.backends.pool.limit_s = 30.0
+        begun = late(monkeypatch, service.backends.connector, gate, set(range(9)))
         given = list[int]()
         whole = service.exchange.whole
 
@@ -79,15 +79,15 @@
 
 
 def test_a_further_attempt_tells_what_is_left_by_then() -> None:
-    async def test(_: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(_: World, service: Service, wire: Wire, backend: Backend) -> None:
         async def die(request: object, __: bytes) -> None:
-            moved(service, LATE_MS * 1000 * len(brick.seen))
+            moved(service, LATE_MS * 1000 * len(backend.seen))
             request.transport.abort()  # type: ignore[attr-defined]
 
-        brick.behave = die
+        backend.behave = die
         wire.send(READ, headers(X_Remaining_Ms=str(TIME_MS)))
         assert (await wire.receive())[0] == 503
-        told = [int(one["X-Remaining-Ms"]) for one in brick.headers]
+        told = [int(one["X-Remaining-Ms"]) for one in backend.headers]
         assert len(told) == 3
         assert all(0 < one <= TIME_MS - LATE_MS * at for at, one in enumerate(told))
 
--- a/tests/test_together_heads.py
+++ b/tests/test_together_heads.py
@@ -34,8 +34,8 @@
 
 async def served(made: Run, name: str, first: int, count: int) -> int:
     """How many of some requests a head answered with what a brick gave, each after the one before."""
-    bricks = len(made.platform.bricks)
-    return [await made.request(name, first + at, at % bricks, TRIES) for at in range(count)].count(200)
+    backends = len(made.platform.backends)
+    return [await made.request(name, first + at, at % backends, TRIES) for at in range(count)].count(200)
 
 
 def test_heads_see_each_other_one_stands_still_and_others_are_killed_and_all_that_run_serve(tmp_path: Path) -> None:
--- a/tests/test_together_liars.py
+++ b/tests/test_together_liars.py
@@ -17,11 +17,11 @@
 from hophinge.scoring import encoding
 from tests.together import BOUND_S, SOAK, Bytes, all_see, counted, heads, none_dead, run
 
-BRICKS = 4
+BACKENDS = 4
 REQUESTS = 1_500 if SOAK else 240
 TURNS = 4  # of the load, at most
 # From the load's begin the brick of shard 0 fails all that it is asked.
-PLAN = LoadPlan(work_us=2_000, slots=8, bricks=BRICKS, faults=(Fault("fail", 0, 600_000_000, 1 / BRICKS, 1.0),))
+PLAN = LoadPlan(work_us=2_000, slots=8, backends=BACKENDS, faults=(Fault("fail", 0, 600_000_000, 1 / BACKENDS, 1.0),))
 ACCUSED, FAILING = "load-1", "load-0"
 BYTES_S = 20_000
 
@@ -44,10 +44,10 @@
 
 def kept(done: list[int]) -> bool:
     """The accused brick has its share among those that answer, as peers' trimmed mean has it."""
-    return done[1] >= sum(done[1:]) / (BRICKS - 1) / 4  # without the trim: 0 to 9 of 240
+    return done[1] >= sum(done[1:]) / (BACKENDS - 1) / 4  # without the trim: 0 to 9 of 240
 
 
-def test_a_liar_with_the_key_moves_no_member_no_share_of_a_brick_and_no_fetch(tmp_path: Path) -> None:
+def test_a_liar_with_the_key_moves_no_member_no_share_of_a_backend_and_no_fetch(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 31, PLAN) as made:
             names = ["n0", "n1", "n2"]
@@ -105,9 +105,9 @@
             shares = list[list[int]]()
             # A stall of the machine makes a brick look slow for a while, accused or not; a lie that moves shares stays.
             while len(shares) < TURNS and not (shares and kept(shares[-1])):
-                before = [brick.done for brick in made.platform.bricks]
+                before = [backend.done for backend in made.platform.backends]
                 assert await always(none_dead(made, names), load(len(shares))) > 0
-                shares.append([brick.done - was for brick, was in zip(made.platform.bricks, before, strict=True)])
+                shares.append([backend.done - was for backend, was in zip(made.platform.backends, before, strict=True)])
             assert statuses == {200: len(shares) * REQUESTS}, statuses
             assert kept(shares[-1]), shares
             # The member that is accused by ever another name is held dead by nobody, and refutes.
--- a/tests/test_together_release_faults.py
+++ b/tests/test_together_release_faults.py
@@ -116,7 +116,7 @@
 def test_a_split_in_a_drain_with_the_service_on_the_smaller_side_ends_it_only_once_healed(tmp_path: Path) -> None:
     async def main() -> None:
         async with whole(tmp_path, 3, 54) as here:
-            made, brick = here.made, here.made.platform.bricks[0]
+            made, backend = here.made, here.made.platform.backends[0]
             await until([made.serves(name) for name in here.names], BOUND_S)
             made.network.cut({"c"}, {"n1"}, both=False)  # n1 will not hear of the drain
             await here.push(BOUNDS.format(1) + OUTAGE)
@@ -126,9 +126,9 @@
             )
             await until([waits], BOUND_S)
             made.network.split({"c", "n0"}, {"n1", "n2"})
-            done = brick.done
-            assert await made.request("n1", 7_000, 0, 6) == 200 and brick.done > done  # it does use the brick
-            done = brick.done
+            done = backend.done
+            assert await made.request("n1", 7_000, 0, 6) == 200 and backend.done > done  # it does use the brick
+            done = backend.done
             apart = until([holds(made, "n0", ["n1", "n2"], "dead")], BOUND_S)
             still = here.tells(
                 "is not drained",
@@ -137,13 +137,13 @@
                 ),
             )
             await always([still], apart)
-            assert await made.request("n2", 7_001, 0) != 200 and brick.done == done  # it had heard, and keeps to it
+            assert await made.request("n2", 7_001, 0) != 200 and backend.done == done  # it had heard, and keeps to it
             made.network.heal()
             await until(
                 [here.tells("drained", lambda told: [row["state"] for row in told["permits"]] == ["drained"])], BOUND_S
             )
-            done = brick.done
-            assert [await made.request(name, 7_002, 0) for name in here.names].count(200) == 0 and brick.done == done
+            done = backend.done
+            assert [await made.request(name, 7_002, 0) for name in here.names].count(200) == 0 and backend.done == done
             await here.check(1)
 
     run(main())
--- a/tests/test_together_release_gone.py
+++ b/tests/test_together_release_gone.py
@@ -12,7 +12,7 @@
 OUTAGE = "(outage disks (bricks load-0)) "
 
 
-def brick(here: Whole, state: str, *missing: str) -> Condition:
+def backend(here: Whole, state: str, *missing: str) -> Condition:
     return here.tells(
         f"{state}, missing {missing}",
         lambda told: [(row["state"], tuple(row["missing"])) for row in told["permits"]] == [(state, missing)],
@@ -27,7 +27,8 @@
             await here.lose("n2")
             await here.push(BOUNDS.format("") + OUTAGE)
             await until(
-                [brick(here, "draining", "n2"), *(holds(made, name, ["n2"], "dead") for name in ("n0", "n1"))], BOUND_S
+                [backend(here, "draining", "n2"), *(holds(made, name, ["n2"], "dead") for name in ("n0", "n1"))],
+                BOUND_S,
             )
             told = (await here.staff("Status"))["maintenance"]
             assert [(row["name"], "(retired n2)" in row["word"]) for row in told["absent"]] == [("n2", True)]
@@ -36,9 +37,9 @@
             refused = await here.staff("Push", text=POOL + BOUNDS.format(" (retired n1)"))
             column = (POOL + BOUNDS.format(" (retired n1)")).index("n1)") + 1
             assert [line.startswith(f"the document:1:{column}: n1 ") for line in refused["mistakes"]] == [True], refused
-            await until([brick(here, "draining", "n2")], BOUND_S)
+            await until([backend(here, "draining", "n2")], BOUND_S)
             await here.push(BOUNDS.format(" (retired n2)") + OUTAGE)
-            drained = brick(here, "drained")
+            drained = backend(here, "drained")
             await until([drained], BOUND_S)
             # The word is in the store: a service that was killed goes by it as well.
             await made["c"].kill()
@@ -47,9 +48,9 @@
             # It was not gone: it counts again, hears of the drain with its stream, and only its word ends that anew.
             await here.find("n2")
             await until([drained, here.up(3)], BOUND_S)
-            done = made.platform.bricks[0].done
+            done = made.platform.backends[0].done
             assert [await made.request(name, 7_000, 0) for name in here.names].count(200) == 0
-            assert made.platform.bricks[0].done == done
+            assert made.platform.backends[0].done == done
             rows = (await here.staff("History", most=50))["audit"]
             assert any("n2 is back" in row["detail"] for row in rows)
             # Gone once more, the same words still in the document: it is missed, and has to be named anew.
--- a/tests/test_together_sections.py
+++ b/tests/test_together_sections.py
@@ -12,7 +12,7 @@
 from hophinge.head.operator import OperatorConfig, load
 from hophinge.head.sections import ClusterConfig, PopularityConfig, ScoringConfig
 from hophinge.objects.config import ObjectConfig
-from tests.stand_in import Brick, headers, run, world
+from tests.stand_in import Backend, headers, run, world
 from tests.test_net import WRITE
 
 ROOT = Path(__file__).parent.parent
@@ -27,7 +27,7 @@
     )
 
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
             service = await made.head(operator)
             wire = await made.wire(service)
             for number in range(1, 9):
@@ -50,7 +50,7 @@
     )
 
     async def main() -> None:
-        async with world(Brick(0)) as made:
+        async with world(Backend(0)) as made:
             service = await made.head(operator)
             assert service.accounts is not None and service.together is not None
             popularity = service.together.popularity
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -119,7 +119,7 @@
             agent.sends = [send]
             await drained(made, agent, service)
             assert agent.sends == []
-            await agent.tell(made.bricks[1].target("Terminating"))  # and the watch goes on
+            await agent.tell(made.backends[1].target("Terminating"))  # and the watch goes on
             await until(lambda: service.exchange.phases["s-1"].value == "draining")
 
     run(main())
@@ -143,7 +143,7 @@
             agent.refuse()
             errors = service.counters.counts["discovery_errors"]
             await until(lambda: service.counters.counts["discovery_errors"] >= errors + 2)
-            await agent.tell(made.bricks[0].target("Terminating"))
+            await agent.tell(made.backends[0].target("Terminating"))
             gate.set()
             await until(lambda: service.exchange.phases["s-0"].value == "draining")
 
@@ -157,7 +157,7 @@
         async with told_by() as (made, agent, before):
             await drained(made, agent, before)
             agent.sends = [reset_at_once] * 3  # one of them the first head's
-            service = await made.head(saved=[brick.target() for brick in made.bricks])
+            service = await made.head(saved=[backend.target() for backend in made.backends])
             assert service.exchange.phases["s-0"].value == "draining"
 
     run(main())
@@ -172,7 +172,7 @@
                 # Those of the listener and of what is open stay; nothing new comes up.
                 resource.setrlimit(resource.RLIMIT_NOFILE, (min(map(int, os.listdir("/proc/self/fd"))), hard))
                 agent.sends = [reset_at_once]
-                await agent.tell(made.bricks[0].target("Terminating"))
+                await agent.tell(made.backends[0].target("Terminating"))
                 await until(lambda: service.counters.counts["discovery_errors"] >= errors + 4)
                 assert service.exchange.phases["s-0"].value == "on"
             finally:
--- a/tests/test_told_faults.py
+++ b/tests/test_told_faults.py
@@ -99,7 +99,7 @@
     ],
 )
 @pytest.mark.parametrize("state", ["Ready", "Terminating"])
-def test_absurd_values_of_one_brick_harm_no_request_and_hide_no_drain(absurd: dict[str, Any], state: str) -> None:
+def test_absurd_values_of_one_backend_harm_no_request_and_hide_no_drain(absurd: dict[str, Any], state: str) -> None:
     async def main() -> None:
         async with told_by() as (made, agent, service):
 
@@ -107,7 +107,7 @@
                 await plain(writer, changed(body, **absurd))
 
             agent.sends = [send]
-            await agent.tell(made.bricks[1].target(state))
+            await agent.tell(made.backends[1].target(state))
             await until(lambda: agent.asked[-1].startswith("/v1/servers?since=2&"))
             if state == "Terminating":
                 await until(lambda: service.exchange.phases["s-1"].value == "draining")
@@ -117,6 +117,6 @@
             wire.send(WRITE, headers(2, X_Placement="units=2,shard=-1,hosts=1"), "PUT", b"x")
             assert (await wire.receive())[0] == 200
             assert service.counters.counts["module_faults"] == 0
-            assert service.directory.endpoints["s-1"] == made.bricks[1].endpoint
+            assert service.directory.endpoints["s-1"] == made.backends[1].endpoint
 
     run(main())
--- a/tests/test_upload_ends.py
+++ b/tests/test_upload_ends.py
@@ -8,15 +8,15 @@
 
 from hophinge.head.service import Service
 from hophinge.net import server as server_module
-from hophinge.net.brick import BrickConnection
+from hophinge.net.backend_connection import BackendConnection
 from hophinge.net.upload import Upload
-from tests.servers import Brick
+from tests.servers import Backend
 from tests.stand_in import OBJECT, VOLUME, Wire, World, headers, run, until, world
 from tests.test_net import WRITE
 from tests.test_streams import LONG, with_head
 
 
-class Counting(Brick):
+class Counting(Backend):
     """A brick that notes each body as far as it came."""
 
     def __init__(self) -> None:
@@ -36,8 +36,8 @@
     monkeypatch.setattr(server_module, "KEPT", len(LONG) - 1)
 
     async def main() -> None:
-        async with world(brick := Counting()) as made:
-            del made.agent.targets[brick.name]
+        async with world(backend := Counting()) as made:
+            del made.agent.targets[backend.name]
             service = await made.head()
             wire = await made.wire(service)
 
@@ -45,7 +45,7 @@
                 assert request.transport is not None
                 request.transport.abort()
 
-            brick.behave = die
+            backend.behave = die
             fields = headers(X_Remaining_Ms="20000")
             if chunked:
                 fields |= {"Transfer-Encoding": "chunked"}
@@ -53,28 +53,28 @@
             else:
                 wire.send(WRITE, fields, "PUT", LONG)
             await until(lambda: any(one.whole for one in service.exchange.open.values()))
-            assert not brick.bodies and service.counters.counts["bodies_streamed"] == 1
-            await made.agent.tell(brick.target())
+            assert not backend.bodies and service.counters.counts["bodies_streamed"] == 1
+            await made.agent.tell(backend.target())
             assert (await wire.receive())[0] == 503
-            assert brick.bodies == [LONG] and service.counters.counts["attempts_sent"] == 1
+            assert backend.bodies == [LONG] and service.counters.counts["attempts_sent"] == 1
 
     run(main())
 
 
 @pytest.mark.parametrize("way", ["answer", "reset"])
-def test_what_a_brick_does_at_once_with_a_whole_body_counts(way: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_what_a_backend_does_at_once_with_a_whole_body_counts(way: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The last piece had to wait for the kernel, and the brick was quicker than the head's next turn."""
     monkeypatch.setattr(server_module, "KEPT", 100_000)
-    taken, read, drain = 0, Upload.read, BrickConnection._drain_helper
+    taken, read, drain = 0, Upload.read, BackendConnection._drain_helper
 
-    async def test(_: World, service: Service, wire: Wire, brick: Brick) -> None:
+    async def test(_: World, service: Service, wire: Wire, backend: Backend) -> None:
         async def counted(self: Upload) -> bytes:
             nonlocal taken
             data = await read(self)
             taken += len(data)
             return data
 
-        async def slow(self: BrickConnection) -> None:
+        async def slow(self: BackendConnection) -> None:
             await drain(self)
             if taken == len(LONG):
                 await until(lambda: bool(self._buffer) or not self.is_connected())
@@ -84,13 +84,13 @@
             request.transport.abort()
 
         monkeypatch.setattr(Upload, "read", counted)
-        monkeypatch.setattr(BrickConnection, "_drain_helper", slow)
-        brick.behave = die if way == "reset" else None
+        monkeypatch.setattr(BackendConnection, "_drain_helper", slow)
+        backend.behave = die if way == "reset" else None
         wire.send(WRITE, headers(X_Remaining_Ms="20000"), "PUT", LONG)
         assert (await wire.receive())[0] == (503 if way == "reset" else 200)
         counts = service.counters.counts
-        assert len(brick.seen) == 1 and counts["attempts_connect_failed"] == 0
+        assert len(backend.seen) == 1 and counts["attempts_connect_failed"] == 0
         assert counts["attempts_reset" if way == "reset" else "attempts_ok"] == 1
-        assert way == "reset" or brick.objects[f"{VOLUME}/{OBJECT}"] == LONG
+        assert way == "reset" or backend.objects[f"{VOLUME}/{OBJECT}"] == LONG
 
     with_head(test)
--- a/tests/test_vanish.py
+++ b/tests/test_vanish.py
@@ -15,7 +15,7 @@
     return [one for one in actions if isinstance(one, Send)]
 
 
-def test_reads_of_a_brick_that_vanishes_have_their_one_answer_and_its_return_is_felt_out() -> None:
+def test_reads_of_a_backend_that_vanishes_have_their_one_answer_and_its_return_is_felt_out() -> None:
     gate = Gateway()
     names = [f"r{number}" for number in range(READS)]
     actions = gate.at(0, *(ask(name, units=1, key="near") for name in names))
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -11,7 +11,7 @@
 from hophinge.core.exchange import End, Verdict
 from hophinge.core.written import AGE_US, MOST, Written
 from tests.gateways import KEYED, ask, node
-from tests.stand_in import Brick, headers, run, world
+from tests.stand_in import Backend, headers, run, world
 from tests.test_exchange import Desk
 from tests.test_net import READ, WRITE
 from tests.test_silence import away
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("phase", [api.Phase.GONE, api.Phase.DRAINING])
-def test_where_no_brick_holds_that_shard_any_more_the_read_is_refused_at_once(phase: api.Phase) -> None:
+def test_where_no_backend_holds_that_shard_any_more_the_read_is_refused_at_once(phase: api.Phase) -> None:
     desk = Desk()
     write(desk, "w", 1)
     desk.exchange.nodes(api.NodeList(api.ListKind.CHANGES, (node(1, phase),)))
@@ -133,7 +133,7 @@
 
 def test_through_sockets_the_second_attempt_finds_it() -> None:
     async def main() -> None:
-        async with world(Brick(0), Brick(1)) as made:
+        async with world(Backend(0), Backend(1)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.send(WRITE, headers(1, X_Placement="units=2,shard=1,hosts=1", X_Remaining_Ms="1200"), "PUT", b"x")
@@ -142,11 +142,11 @@
             async def elsewhere(_: web.BaseRequest, __: bytes) -> web.Response:
                 return away(504)
 
-            made.bricks[0].behave = elsewhere
+            made.backends[0].behave = elsewhere
             wire.send(READ, headers(2))
             status, _, body = await wire.receive()
             assert (status, body) == (200, b"x")
-            assert len(made.bricks[0].seen) == 1 and len(made.bricks[1].seen) == 2
-            assert made.bricks[1].headers[1]["X-Txn"] == f"{2:016x}"
+            assert len(made.backends[0].seen) == 1 and len(made.backends[1].seen) == 2
+            assert made.backends[1].headers[1]["X-Txn"] == f"{2:016x}"
 
     run(main())
