--- a/hophinge/coordination/chain.py
+++ b/hophinge/coordination/chain.py
@@ -21,7 +21,7 @@
     Sync,
     SyncedRecord,
 )
-from hophinge.coordination.outputs import Outputs, Published
+from hophinge.coordination.events import Outputs, Published
 from hophinge.coordination.registers import Entry, Outcome, Register, Registers
 from hophinge.coordination.view import Replica, View
 
--- a/hophinge/coordination/requests.py
+++ b/hophinge/coordination/client_requests.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from hophinge.coordination.messages import Origin, Reply, Submit
-from hophinge.coordination.outputs import Answer, Outputs, Requested
+from hophinge.coordination.events import Answer, Outputs, Requested
 from hophinge.coordination.registers import Outcome
 from hophinge.coordination.view import Replica
 
--- a/hophinge/coordination/elections.py
+++ b/hophinge/coordination/elections.py
@@ -7,8 +7,8 @@
 
 from hophinge.coordination.agreement import Attempt
 from hophinge.coordination.messages import Accept, Accepted, Ballot, Decided, Prepare, Promise, Rejection
-from hophinge.coordination.outputs import Outputs
-from hophinge.coordination.planning import first_view, needs_change, next_view
+from hophinge.coordination.events import Outputs
+from hophinge.coordination.view_planning import first_view, needs_change, next_view
 from hophinge.coordination.view import Replica, View
 from hophinge.coordination.voting import voter_name
 
--- a/hophinge/coordination/peers.py
+++ b/hophinge/coordination/peers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from hophinge.coordination.messages import Heartbeat
-from hophinge.coordination.planning import Sight
+from hophinge.coordination.view_planning import Sight
 from hophinge.coordination.view import Replica, View
 
 SUSPECT_S = 1.0  # silence after which a member is taken to be gone for now
--- a/hophinge/coordination/replica.py
+++ b/hophinge/coordination/replica.py
@@ -12,7 +12,7 @@
 from hophinge.coordination.agreement import Acceptor
 from hophinge.coordination.chain import Chain
 from hophinge.coordination.elections import Elections
-from hophinge.coordination.durable import apply_record
+from hophinge.coordination.recovery import apply_record
 from hophinge.coordination.messages import (
     NO_BALLOT,
     Accept,
@@ -32,10 +32,10 @@
     ViewRecord,
     VoteRecord,
 )
-from hophinge.coordination.outputs import DiskState, Input, Outputs, Received, Requested, Tick
+from hophinge.coordination.events import DiskState, Input, Outputs, Received, Requested, Tick
 from hophinge.coordination.peers import SUSPECT_S, Peers
-from hophinge.coordination.quorum_hold import Core
-from hophinge.coordination.requests import Requests
+from hophinge.coordination.quorum_acknowledgements import Core
+from hophinge.coordination.client_requests import Requests
 from hophinge.coordination.view import Replica, View, seed_view
 from hophinge.coordination.voting import Voting, voter_name
 
--- a/hophinge/coordination/voting.py
+++ b/hophinge/coordination/voting.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from hophinge.coordination.messages import Accept, Accepted, Decided, Prepare, Promise
-from hophinge.coordination.outputs import Outputs
+from hophinge.coordination.events import Outputs
 from hophinge.coordination.view import Replica, View
 
 if TYPE_CHECKING:
--- a/hophinge/fleet/controlplane/directory.py
+++ b/hophinge/fleet/controlplane/directory.py
@@ -14,7 +14,7 @@
 from hophinge.coordination.dissemination import Digest, Dissemination, Push, Record, Rows, Want
 from hophinge.coordination.leases import LEASE_S, Grant, Leases, LeaseTable, Renew
 from hophinge.coordination.peers import SUSPECT_S
-from hophinge.coordination.quorum_hold import Held, Hold
+from hophinge.coordination.quorum_acknowledgements import Held, Hold
 from hophinge.coordination.replica import ReplicaMachine
 from hophinge.coordination.view import Replica
 from hophinge.fleet.controlplane.relay import Relay
--- a/hophinge/fleet/controlplane/host.py
+++ b/hophinge/fleet/controlplane/host.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from hophinge.coordination.messages import Record, StateRecord
-from hophinge.coordination.outputs import Answer, DiskState, Input, Outputs, Published, Received, Requested, Tick
+from hophinge.coordination.events import Answer, DiskState, Input, Outputs, Published, Received, Requested, Tick
 from hophinge.coordination.registers import Change
 from hophinge.coordination.replica import Membership, ReplicaMachine
 from hophinge.coordination.storage.store import Damage, Store
--- a/hophinge/fleet/controlplane/keeper.py
+++ b/hophinge/fleet/controlplane/keeper.py
@@ -8,7 +8,7 @@
 
 import httpcore
 
-from hophinge.coordination.outputs import Answer
+from hophinge.coordination.events import Answer
 from hophinge.coordination.ownership import Role
 from hophinge.coordination.peers import SUSPECT_S
 from hophinge.coordination.registers import Change, Outcome, Register
--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -6,7 +6,7 @@
 
 from hophinge.fleet.transport import lean  # isort: skip  # noqa: F401 - before the HTTP libraries
 
-from hophinge.coordination.outputs import Published
+from hophinge.coordination.events import Published
 from hophinge.fleet import log
 from hophinge.fleet.configuration.routes import RECORD_KEY, configuration_record
 from hophinge.fleet.controlplane.api import ControlApi
--- a/hophinge/fleet/registry/service.py
+++ b/hophinge/fleet/registry/service.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from hophinge.coordination.dissemination import Dissemination, Message, Push, Record, Spread
-from hophinge.coordination.quorum_hold import Core, Held, Hold, HoldStep, QuorumHolds
+from hophinge.coordination.quorum_acknowledgements import Core, Held, Hold, HoldStep, QuorumHolds
 from hophinge.coordination.view import Replica
 from hophinge.fleet.registry.instance import DRAINING, INSTANCE_PREFIX, READY, Instance, instance_of
 from hophinge.fleet.registry.registry import Liveness, Registry
--- a/tests/chain_model.py
+++ b/tests/chain_model.py
@@ -24,8 +24,8 @@
     Submit,
     Sync,
 )
-from hophinge.coordination.outputs import Outputs
-from hophinge.coordination.planning import Sight, next_view
+from hophinge.coordination.events import Outputs
+from hophinge.coordination.view_planning import Sight, next_view
 from hophinge.coordination.registers import Change, Entry, Outcome, Registers
 from hophinge.coordination.view import Link, Replica, View
 
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -9,7 +9,7 @@
 
 from hophinge.coordination.codec import decode, encode
 from hophinge.coordination.messages import Record
-from hophinge.coordination.outputs import Outputs, Received, Tick
+from hophinge.coordination.events import Outputs, Received, Tick
 from hophinge.coordination.replica import Membership, ReplicaMachine
 from hophinge.coordination.view import Replica
 from hophinge.fleet.controlplane.directory import DIRECTORY_TICK_S, Directory
--- a/tests/coordination_mutants.py
+++ b/tests/coordination_mutants.py
@@ -18,7 +18,7 @@
     ),
     Mutant(
         "a replica without the history heads a view",
-        "coordination/planning",
+        "coordination/view_planning",
         "        and promises[link.identity].synced >= link.joined\n",
         "",
         RULES + "test_a_replica_that_did_not_take_over_the_history_heads_no_view",
--- a/tests/coordination_world.py
+++ b/tests/coordination_world.py
@@ -10,7 +10,7 @@
 
 from hophinge.coordination.codec import decode, encode
 from hophinge.coordination.messages import Record, StateRecord
-from hophinge.coordination.outputs import Answer, Outputs, Published, Received, Requested, Tick
+from hophinge.coordination.events import Answer, Outputs, Published, Received, Requested, Tick
 from hophinge.coordination.registers import Change, Outcome
 from hophinge.coordination.replica import Membership, ReplicaMachine
 from hophinge.coordination.view import Replica
--- a/tests/test_coordination_quorum_hold.py
+++ b/tests/test_coordination_quorum_acknowledgements.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hophinge.coordination.dissemination import Record
-from hophinge.coordination.quorum_hold import HOLD_RETRY_INTERVAL_S, HOLD_S, Core, Held, Hold, QuorumHolds
+from hophinge.coordination.quorum_acknowledgements import HOLD_RETRY_INTERVAL_S, HOLD_S, Core, Held, Hold, QuorumHolds
 from hophinge.coordination.view import Replica
 
 A, B, C, D, E = (Replica(name, f"10.0.0.{number}:1", "z") for number, name in enumerate("abcde", 1))
--- a/tests/test_coordination_rules.py
+++ b/tests/test_coordination_rules.py
@@ -24,8 +24,8 @@
     SyncedRecord,
     VoteRecord,
 )
-from hophinge.coordination.outputs import DiskState, Outputs, Received, Tick
-from hophinge.coordination.planning import Sight, next_view
+from hophinge.coordination.events import DiskState, Outputs, Received, Tick
+from hophinge.coordination.view_planning import Sight, next_view
 from hophinge.coordination.registers import Entry, Outcome, Snapshot
 from hophinge.coordination.replica import Membership, ReplicaMachine
 from hophinge.coordination.view import Link, Replica, View
--- a/tests/test_fleet_instance_service.py
+++ b/tests/test_fleet_instance_service.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from hophinge.coordination.dissemination import Dissemination, Push, Record
-from hophinge.coordination.quorum_hold import HOLD_S, Core, Held, Hold
+from hophinge.coordination.quorum_acknowledgements import HOLD_S, Core, Held, Hold
 from hophinge.coordination.view import Replica
 from hophinge.fleet.registry.instance import DRAINING, READY, Instance, record_of
 from hophinge.fleet.registry.registry import Registry
--- a/tests/test_worst_days_catching_up.py
+++ b/tests/test_worst_days_catching_up.py
@@ -9,7 +9,7 @@
 from hophinge.coordination.chain import MAX_DOUBLINGS, SYNC_RETRY_INTERVAL_S, SYNC_BYTES_S, Chain
 from hophinge.coordination.codec import encode
 from hophinge.coordination.messages import Heartbeat
-from hophinge.coordination.outputs import Outputs
+from hophinge.coordination.events import Outputs
 from hophinge.coordination.registers import TAKEN_BYTES, Change, Entry, Outcome
 from hophinge.coordination.view import Link, Replica, View
 from tests.coordination_world import KEY, World, change
--- a/tests/worst_days_mutants.py
+++ b/tests/worst_days_mutants.py
@@ -8,7 +8,7 @@
 OPERATORS = "tests/test_worst_days_operators.py::"
 LOSSES = "tests/test_worst_days_losses.py::"
 CATCHING_UP = "tests/test_worst_days_catching_up.py::"
-HOLD = "tests/test_coordination_quorum_hold.py::"
+HOLD = "tests/test_coordination_quorum_acknowledgements.py::"
 SERVICE = "tests/test_fleet_instance_service.py::"
 DRAINS = "tests/test_control_drains.py::"
 MODEL = "tests/test_coordination_chain_model.py::"
@@ -19,21 +19,21 @@
 WORST_DAYS = (
     Mutant(
         "two that reach each other are a quorum",
-        "coordination/quorum_hold",
+        "coordination/quorum_acknowledgements",
         "len(voters & holders) >= self.majority",
         "len(holders) >= 2",
         DRAINS + "test_two_of_five_voters_that_are_cut_off_together_acknowledge_nothing",
     ),
     Mutant(
         "a voter that is heard need not hold",
-        "coordination/quorum_hold",
+        "coordination/quorum_acknowledgements",
         " and voters & self.heard <= holders",
         "",
         HOLD + "test_a_majority_and_every_voter_that_is_heard_hold_the_record",
     ),
     Mutant(
         "an answer out of an older view is a vote",
-        "coordination/quorum_hold",
+        "coordination/quorum_acknowledgements",
         "{name for name, view in holding.holders.items() if view == core.view}",
         "set(holding.holders)",
         HOLD + "test_an_answer_out_of_another_view_is_no_vote_in_this_one",
@@ -68,14 +68,14 @@
     ),
     Mutant(
         "who leaves is kept until it has ended",
-        "coordination/planning",
+        "coordination/view_planning",
         "    return sight.leaving if len(staying) >= sight.least_chain else frozenset()",
         "    return frozenset()",
         LOSSES + "test_a_second_loss_right_after_a_planned_replacement_leaves_a_majority",
     ),
     Mutant(
         "who leaves is dropped though the chain gets too short",
-        "coordination/planning",
+        "coordination/view_planning",
         "    return sight.leaving if len(staying) >= sight.least_chain else frozenset()",
         "    return sight.leaving",
         LOSSES + "test_a_member_that_leaves_goes_when_the_others_hold_what_it_holds_and_not_before",
@@ -110,7 +110,7 @@
     ),
     Mutant(
         "a member out of contact lets its callers wait",
-        "coordination/requests",
+        "coordination/client_requests",
         "        if self.machine.out_of_contact(now):",
         "        if False:",
         CUTS + "test_a_member_that_is_cut_off_says_so_at_once",
