--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -30,7 +30,7 @@
 from hophinge.cli.demo import free_port  # noqa: E402
 from hophinge.control import wire  # noqa: E402
 from hophinge.state.ledger import Ledger, verify  # noqa: E402
-from hophinge.state.rows import Entry, Row  # noqa: E402
+from hophinge.state.rows import AuditEntry, LedgerChange, Row  # noqa: E402
 from hophinge.tenancy.accounts import Accounts  # noqa: E402
 from hophinge.tenancy.records import Account, Bucket, Key, digest, row  # noqa: E402
 from hophinge.tenancy.feed import PART, Feed, Taker  # noqa: E402
@@ -51,20 +51,20 @@
             rows += [
                 row(Bucket(name, f"bucket-{n}", f"{at * BUCKETS_EACH + n:016x}", "basic")) for n in range(BUCKETS_EACH)
             ]
-        ledger.change(lambda rows=rows: (rows, Entry(1, "bench", "operator", "fill", "", {}), None))  # type: ignore[misc]
+        ledger.change(lambda rows=rows: LedgerChange(rows, AuditEntry(1, "bench", "operator", "fill", "", {})))  # type: ignore[misc]
 
 
 def copied(ledger: Ledger, copy: Ledger, taker: Taker) -> tuple[int, int]:
     """Bring a copy up to a ledger over the wire's form; tells bytes and parts."""
-    feed = Feed(ledger.epoch, ledger.seq, ledger.floor(), taker.epoch, taker.seq)
+    feed = Feed(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
     size = parts = 0
-    while feed.due(ledger.seq, ledger.floor()):
+    while feed.due(ledger.seq, ledger.tombstone_floor()):
         sent = wire.account_part(feed.part(ledger.page(feed.seq, PART, feed.gone_after), ledger.seq))
         got = wire.read_account_part(wire.decode_response(sent))
         size, parts = size + len(sent), parts + 1
         rows = taker.take(got)
         if rows is not None:
-            copy.copy(got.epoch, rows[0], got.seq, rows[1], 0)
+            copy.replicate(got.epoch, rows[0], got.seq, rows[1], 0)
             taker.written(got)
         feed.acked(got.seq)
     return size, parts
@@ -88,10 +88,9 @@
         for at in range(CHANGES):
             since = time.perf_counter()
             ledger.change(
-                lambda at=at: (  # type: ignore[misc]
+                lambda at=at: LedgerChange(  # type: ignore[misc]
                     [row(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", f"plan{at}"))],
-                    Entry(2, "bench", "operator", "change", "", {}),
-                    None,
+                    AuditEntry(2, "bench", "operator", "change", "", {}),
                 )
             )
             took.append((time.perf_counter() - since) * 1e3)
@@ -103,10 +102,9 @@
         whole_s = time.perf_counter() - since
         assert copy_accounts.volumes == accounts.volumes
         ledger.change(
-            lambda: (
+            lambda: LedgerChange(
                 [row(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", "last"))],
-                Entry(2, "bench", "operator", "change", "", {}),
-                None,
+                AuditEntry(2, "bench", "operator", "change", "", {}),
             )
         )
         one, _ = copied(ledger, copy, taker)
--- a/hophinge/admin/api.py
+++ b/hophinge/admin/api.py
@@ -31,7 +31,7 @@
     Reply,
 )
 from hophinge.state.ledger import BusyError, FullError, Ledger
-from hophinge.state.rows import Entry, Kept, Row
+from hophinge.state.rows import AuditEntry, IdempotentResponse, LedgerChange
 from hophinge.tenancy.accounts import Accounts
 from hophinge.tenancy.records import AccountError, Role, digest
 from hophinge.tenancy.attempts import Callers
@@ -163,20 +163,21 @@
             raise ProblemError(400, "Idempotency-Key has 1 to 128 visible ASCII characters")
         asked = hashlib.blake2b(f"{call.method} {call.path}\n".encode() + call.body, digest_size=32).digest()
         now_ms = self.now_ms()
-        if repeat and (before := self.ledger.kept(caller.name, repeat, now_ms)) is not None:
-            if before.asked != asked:
+        if repeat and (before := self.ledger.stored_response(caller.name, repeat, now_ms)) is not None:
+            if before.request_digest != asked:
                 raise ProblemError(422, "this Idempotency-Key came with another call")
             return Reply(before.status, before.body, {"Idempotency-Replayed": "true"})
         made: list[Made] = []
 
-        def decide() -> tuple[list[Row], Entry, Kept | None]:
+        def decide() -> LedgerChange:
             one: Made = getattr(self, f"_{operation.name}")(caller, call, names, body, now_ms)
             made.append(one)
             kept = None
             if repeat:
                 again = one.answer if one.kept is UNSET else one.kept
-                kept = Kept(asked, operation.status, b"" if again is None else msgspec.json.encode(again))
-            return one.rows, Entry(now_ms, caller.name, caller.role, operation.name, one.target, one.detail), kept
+                kept = IdempotentResponse(asked, operation.status, b"" if again is None else msgspec.json.encode(again))
+            entry = AuditEntry(now_ms, caller.name, caller.role, operation.name, one.target, one.detail)
+            return LedgerChange(one.rows, entry, kept)
 
         seq = self.ledger.change(decide, caller.name, repeat)
         answer = made[-1].answer
--- a/hophinge/admin/calls.py
+++ b/hophinge/admin/calls.py
@@ -187,7 +187,7 @@
     def _show_usage(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
         held = self.accounts.tenant(names["tenant"])
         volumes, removed, total = dict[str, dict[str, float]](), dict[str, float](), dict[str, float]()
-        for volume, fields in self.ledger.usage(held.name).items():
+        for volume, fields in self.ledger.usage_by_volume(held.name).items():
             bucket: Bucket | None = self.accounts.volumes.get(volume)
             place = volumes.setdefault(bucket.name, {}) if bucket is not None else removed
             for field, amount in fields.items():
@@ -203,10 +203,14 @@
         if after and not after.isdecimal():
             raise ProblemError(400, "after is the number of an entry")
         rows = [
-            shapes.AuditRow(seq, entry.at_ms, entry.who, entry.role, entry.what, entry.target, dict(entry.detail), mark)
-            for seq, entry, mark in self.ledger.audit(int(after or 0), limit)
+            shapes.AuditRow(
+                seq, entry.at_ms, entry.actor, entry.role, entry.action, entry.target, dict(entry.detail), mark
+            )
+            for seq, entry, mark in self.ledger.audit_entries(int(after or 0), limit)
         ]
-        return _told(shapes.AuditPage(rows, rows[-1].seq if len(rows) == limit else None, self.ledger.head()[1]))
+        return _told(
+            shapes.AuditPage(rows, rows[-1].seq if len(rows) == limit else None, self.ledger.audit_head().hash)
+        )
 
     def _describe(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
         return Reply(200, self.describe_text())
--- a/hophinge/admin/front.py
+++ b/hophinge/admin/front.py
@@ -15,7 +15,7 @@
 from hophinge.core.counters import Counters
 from hophinge.net.listener import Listener
 from hophinge.state.ledger import Ledger, LedgerError
-from hophinge.state.rows import Entry, Kept, Row
+from hophinge.state.rows import AuditEntry, LedgerChange, Row
 from hophinge.tenancy.accounts import Accounts
 from hophinge.tenancy.records import ACCESS, BUCKET, row
 from hophinge.tenancy.life import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge
@@ -129,7 +129,7 @@
         held = self.accounts.tenants.get(name)
         if held is None or held.state is not State.CLOSING:
             return False
-        uploads = self.ledger.uploads_open(name) if self.abort is not None else 0
+        uploads = self.ledger.count_uploads(name) if self.abort is not None else 0
         match purge(list(self.accounts.keys_of.get(name, ())), uploads, list(self.accounts.buckets.get(name, {}))):
             case EndKeys(keys=keys):
                 self._change(name, "purge_keys", [Row(ACCESS, key, None) for key in keys])
@@ -145,13 +145,13 @@
         return True
 
     def _change(self, name: str, what: str, rows: list[Row]) -> None:
-        entry = Entry(self.now_ms(), "hophinge", "service", what, name, {"rows": len(rows)})
+        entry = AuditEntry(self.now_ms(), "hophinge", "service", what, name, {"rows": len(rows)})
 
-        def decide() -> tuple[list[Row], Entry, Kept | None]:
+        def decide() -> LedgerChange:
             held = self.accounts.tenants.get(name)
             if held is None or held.state is not State.CLOSING:
                 raise LedgerError(f"tenant {name} is not closing any more")  # another process has ended it
-            return rows, entry, None
+            return LedgerChange(rows, entry)
 
         self.ledger.change(decide)
 
--- a/hophinge/cli/service.py
+++ b/hophinge/cli/service.py
@@ -40,7 +40,7 @@
     def __post_init__(self) -> None:
         """Open the ledger; raises LedgerError, OSError and ValueError where that or the token cannot be used."""
         self.ledger = Ledger(self.path, self._take)
-        self.time = Timekeeper(wall_ms(), steady_us(), self.ledger.seen_ms())
+        self.time = Timekeeper(wall_ms(), steady_us(), self.ledger.last_change_ms())
         self.token = read_token(self.token_file)
         self.acceptor: Acceptor | None = None
         self.front: AdminFront | None = None
--- a/hophinge/cli/tenants.py
+++ b/hophinge/cli/tenants.py
@@ -226,5 +226,5 @@
     except LedgerError as error:
         raise fail(str(error)) from error
     if touched is not None:
-        raise fail(f"{store}: entry {touched.seq} was touched: {touched.why}", 3)
+        raise fail(f"{store}: entry {touched.seq} was touched: {touched.reason}", 3)
     print(f"{store}: {count} entries, all as they were written; the last one's hash is {last}")
--- a/hophinge/control/client.py
+++ b/hophinge/control/client.py
@@ -15,7 +15,7 @@
 from hophinge.control import lastgood, wire
 from hophinge.control.follower import Action, Apply, Close, Connect, Follower, Keep, Log, Tell
 from hophinge.routing.table import Table
-from hophinge.state.files import DISK, Disk, UnusableError, tidy
+from hophinge.state.files import DISK, Disk, StateFileError, remove_leftovers
 
 OPTIONS = (
     ("grpc.max_receive_message_length", wire.MAX_MESSAGE),
@@ -65,9 +65,9 @@
             return
         try:
             self.path.parent.mkdir(parents=True, exist_ok=True)
-            tidy(self.path)
+            remove_leftovers(self.path)
             good = lastgood.load(self.path)
-        except (UnusableError, OSError) as error:
+        except (StateFileError, OSError) as error:
             self.log(f"no last good version: {error}")
             return
         if good is not None:
--- a/hophinge/control/lastgood.py
+++ b/hophinge/control/lastgood.py
@@ -44,15 +44,15 @@
 
 
 def load(path: Path) -> LastGood | None:
-    """Read the last good version; None where there is none, UnusableError where it cannot be trusted."""
+    """Read the last good version; None where there is none, StateFileError where it cannot be trusted."""
     found = files.load(path, KIND, range(1, FORM + 1))
     if found is None:
         return None
     try:
-        good = msgspec.msgpack.decode(found[1], type=LastGood)
+        good = msgspec.msgpack.decode(found.payload, type=LastGood)
     except msgspec.MsgspecError as error:
-        raise files.UnusableError(f"{path}: {error}") from error
+        raise files.StateFileError(f"{path}: {error}") from error
     total = sum(records.fingerprint(name, body) for name, _, body in good.rows) % records.SUM
     if total != good.version.sum:
-        raise files.UnusableError(f"{path}: its records are not those of its version")
+        raise files.StateFileError(f"{path}: its records are not those of its version")
     return good
--- a/hophinge/control/streams.py
+++ b/hophinge/control/streams.py
@@ -109,7 +109,7 @@
                 reporter = f"{stream.publisher.head}/{file}"
             try:
                 if totals:
-                    ledger.told(reporter, totals)
+                    ledger.merge_usage_totals(reporter, totals)
             except LedgerError as error:
                 self.service.log(f"a report of usage is not stored: {error}")  # it comes again on the next stream
                 return
@@ -117,7 +117,11 @@
         elif request.subscribe:
             figures = request.figures
             stream.feed = Feed(
-                ledger.epoch, ledger.seq, ledger.floor(), int(figures.get("epoch", 0)), int(figures.get("seq", 0))
+                ledger.epoch,
+                ledger.seq,
+                ledger.tombstone_floor(),
+                int(figures.get("epoch", 0)),
+                int(figures.get("seq", 0)),
             )
             self.feed(stream)
         elif stream.feed is not None and request.nonce.count(".") == 1:
@@ -127,7 +131,7 @@
     def feed(self, stream: Stream) -> None:
         """Send a head what it lacks of the accounts."""
         feed, ledger = stream.feed, self.service.ledger
-        if feed is not None and ledger is not None and feed.due(ledger.seq, ledger.floor()):
+        if feed is not None and ledger is not None and feed.due(ledger.seq, ledger.tombstone_floor()):
             rows = ledger.page(feed.seq, PART, feed.gone_after)
             stream.send([wire.account_part(feed.part(rows, ledger.seq))])
 
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -19,7 +19,7 @@
 from hophinge.objects.store import ObjectError, Store
 from hophinge.objects.tenants import Guest, Volume, take_over
 from hophinge.state.ledger import LedgerError
-from hophinge.state.rows import Entry, Kept, Row
+from hophinge.state.rows import AuditEntry, LedgerChange
 from hophinge.tenancy import usage as used
 from hophinge.tenancy.attempts import Callers, Holdings
 from hophinge.tenancy.life import State
@@ -71,10 +71,10 @@
 
     def _take_over(self, old: Path) -> None:
         rows = take_over(old, self.now_ms())
-        entry = Entry(self.now_ms(), "hophinge", "service", "take_over", str(old), {"rows": len(rows)})
+        entry = AuditEntry(self.now_ms(), "hophinge", "service", "take_over", str(old), {"rows": len(rows)})
 
-        def decide() -> tuple[list[Row], Entry, Kept | None]:
-            return ([] if self.ledger.seq else rows), entry, None  # another process may have done it just now
+        def decide() -> LedgerChange:
+            return LedgerChange([] if self.ledger.seq else rows, entry)  # another process may have done it just now
 
         self.ledger.change(decide)
         self.log(f"{len(rows)} rows of {old} are taken over into {self.ledger.path}; the file is not read again")
@@ -128,27 +128,27 @@
         held = self.accounts.tenants.get(guest.tenant)
         if held is None or not held.quotas.uploads:
             return
-        if self.ledger.uploads_open(guest.tenant) >= held.quotas.uploads:
+        if self.ledger.count_uploads(guest.tenant) >= held.quotas.uploads:
             await self._sweep(guest.tenant)
-        if self.ledger.uploads_open(guest.tenant) >= held.quotas.uploads:
+        if self.ledger.count_uploads(guest.tenant) >= held.quotas.uploads:
             raise ObjectError(409, "TooManyUploads", "The account has as many open uploads as it may; end one first.")
 
     async def _sweep(self, tenant: str) -> None:
         assert self.store is not None
-        for upload, body in self.ledger.uploads(tenant, MAX_SWEPT):
+        for upload, body in self.ledger.list_uploads(tenant, MAX_SWEPT):
             one = msgspec.json.decode(body, type=Upload)
             if await self.store.ended(Volume(one.volume, one.plan), one.name, upload, self._budget()):
-                self.ledger.upload_ended(upload)
+                self.ledger.remove_upload(upload)
 
     def opened(self, guest: Guest, name: str, upload: str) -> None:
         """Note an open upload."""
         one = Upload(guest.bucket, guest.volume.id, guest.volume.plan, name)
-        self.ledger.upload_opened(upload, guest.tenant, msgspec.json.encode(one))
+        self.ledger.add_upload(upload, guest.tenant, msgspec.json.encode(one))
 
     def closed(self, upload: str) -> None:
         """Note that an upload was completed or aborted."""
         try:
-            self.ledger.upload_ended(upload)
+            self.ledger.remove_upload(upload)
         except LedgerError:  # busy or full: what its client asked for is done all the same
             self.log(f"the end of upload {upload} is noted later")  # a sweep finds it
 
@@ -159,11 +159,11 @@
     async def abort(self, tenant: str) -> None:
         """Abort what uploads of a tenant are open here; one at a time, each noted before the next."""
         assert self.store is not None
-        for upload, body in self.ledger.uploads(tenant, MAX_SWEPT):
+        for upload, body in self.ledger.list_uploads(tenant, MAX_SWEPT):
             one = msgspec.json.decode(body, type=Upload)
             with contextlib.suppress(ObjectError):  # it has ended already
                 await self.store.abort(Volume(one.volume, one.plan), one.name, upload, self._budget())
-            self.ledger.upload_ended(upload)
+            self.ledger.remove_upload(upload)
 
     # --- the platform's front
 
@@ -213,7 +213,7 @@
         """At a copy: abort uploads of tenants that are closing or gone, which nobody can go on with."""
         while True:
             await asyncio.sleep(FLUSH_S)
-            for tenant in self.ledger.uploaders():
+            for tenant in self.ledger.tenants_with_uploads():
                 held = self.accounts.tenants.get(tenant)
                 if held is None or held.state in (State.CLOSING, State.CLOSED):
                     try:
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -125,8 +125,8 @@
     def _kept(self) -> Iterable[tuple[str, str]]:
         try:
             found = files.load(self.path, KIND, range(1, FORM + 1))
-            return msgspec.json.decode(found[1], type=dict[str, str]).items() if found is not None else ()
-        except (files.UnusableError, OSError, msgspec.MsgspecError) as error:
+            return msgspec.json.decode(found.payload, type=dict[str, str]).items() if found is not None else ()
+        except (files.StateFileError, OSError, msgspec.MsgspecError) as error:
             self.log(f"maintenance: which bricks were out is not known here any more: {error}")
             return ()
 
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -35,7 +35,7 @@
         self.counters, self.log, self.copy = counters, log, copy
         self.accounts = Accounts(became)
         self.ledger = Ledger(path, self.accounts.take)
-        self.time, self.clock_told = Timekeeper(wall_ms(), steady_us(), self.ledger.seen_ms()), False
+        self.time, self.clock_told = Timekeeper(wall_ms(), steady_us(), self.ledger.last_change_ms()), False
         self.usage, self.reports, self.exported = used.Usage(), used.Reports(), used.Exported()
 
     def now_ms(self) -> int:
@@ -83,7 +83,7 @@
         amounts = self.usage.flush()
         try:
             if amounts:
-                self.ledger.used(HERE, amounts)
+                self.ledger.add_usage(HERE, amounts)
             self.usage.stored()
             if self.copy:
                 self.reports.changed(amounts)
@@ -98,7 +98,7 @@
         rows = taker.take(part)
         if rows is not None:
             try:
-                self.ledger.copy(part.epoch, rows[0], part.seq, rows[1], self.now_ms())
+                self.ledger.replicate(part.epoch, rows[0], part.seq, rows[1], self.now_ms())
             except LedgerError as error:
                 self.log(f"accounts are not written yet: {error}")
                 return False
@@ -108,4 +108,4 @@
     def report(self, most: int) -> tuple[int, Mapping[used.Place, float]]:
         """Tell totals that the control service does not know yet, under a number."""
         number, places = self.reports.take(most)
-        return number, self.ledger.usage_of(HERE, places)
+        return number, self.ledger.reporter_totals(HERE, places)
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -239,7 +239,9 @@
                     wire.Kind.USAGE,
                     str(number),
                     head=self.name,
-                    figures={f"{self.accounts.ledger.id}/{'/'.join(place)}": total for place, total in totals.items()},
+                    figures={
+                        f"{self.accounts.ledger.store_id}/{'/'.join(place)}": total for place, total in totals.items()
+                    },
                 )
             )
         return said
--- a/hophinge/state/__init__.py
+++ b/hophinge/state/__init__.py
@@ -1,1 +1,1 @@
-"""The one way to write a file that must last."""
+"""Durable local state: files that are replaced atomically, and a SQLite ledger with a hash-chained audit log."""
--- a/hophinge/state/audit.py
+++ b/hophinge/state/audit.py
@@ -1,4 +1,8 @@
-"""The audit's chain: each entry's hash covers the entry and the hash before it, so a change shows in all after it."""
+"""Hash chain of a ledger's audit log.
+
+Each entry's hash covers the entry and the previous hash, so that changing, removing or inserting an entry changes every
+hash after it.
+"""
 
 from __future__ import annotations
 
@@ -7,33 +11,46 @@
 from pathlib import Path
 
 from hophinge.state.errors import LedgerError
-from hophinge.state.rows import Touched
+from hophinge.state.rows import AuditVerification, ModifiedEntry
+
+GENESIS_HASH = b"hophinge-audit-1"
+
 
-GENESIS = b"hophinge-audit-1"
+def entry_hash(previous_hash: bytes, seq: int, entry: bytes) -> bytes:
+    """Return the hash of an entry from the previous hash, its sequence number and its stored bytes."""
+    return hashlib.blake2b(previous_hash + seq.to_bytes(8, "big") + entry, digest_size=32).digest()
 
 
-def chained(before: bytes, seq: int, entry: bytes) -> bytes:
-    """Tell an entry's hash: of the one before it, its number and its bytes."""
-    return hashlib.blake2b(before + seq.to_bytes(8, "big") + entry, digest_size=32).digest()
+def verify(path: Path, expected_hash: str = "") -> AuditVerification:
+    """Check the audit log of a ledger file, which is opened for reading only.
 
+    Args:
+        path: The ledger's SQLite file.
+        expected_hash: A hash (hexadecimal) published earlier; it has to occur in the chain. Empty: not checked.
 
-def verify(path: Path, head: str = "") -> tuple[int, str, Touched | None]:
-    """Read a ledger's audit; tell the number of entries, the last hash and the first entry that was touched.
+    Raises:
+        LedgerError: The file cannot be read as a ledger.
 
-    `head`: a hash told earlier, which has to be one of the chain. Raises LedgerError where the file is none.
     """
     try:
         db = sqlite3.connect(f"file:{path}?mode=ro", uri=True)
         rows = db.execute("SELECT seq, entry, hash FROM audit ORDER BY seq")
-        before, count, met = GENESIS, 0, not head or head == GENESIS.hex()
+        previous_hash, count = GENESIS_HASH, 0
+        has_expected = not expected_hash or expected_hash == GENESIS_HASH.hex()
         try:
-            for seq, entry, mark in rows:
-                # Whoever wrote there by hand may have left text where bytes were.
-                if not isinstance(entry, bytes) or mark != chained(before, seq, entry):
-                    return count, before.hex(), Touched(seq, "its hash is not that of it and the one before")
-                before, count, met = mark, count + 1, met or mark.hex() == head
+            for seq, entry, stored_hash in rows:
+                # A manual edit may have left text where bytes were.
+                if not isinstance(entry, bytes) or stored_hash != entry_hash(previous_hash, seq, entry):
+                    modified = ModifiedEntry(seq, "its hash is not that of it and the one before")
+                    return AuditVerification(count, previous_hash.hex(), modified)
+                previous_hash = stored_hash
+                count += 1
+                has_expected = has_expected or stored_hash.hex() == expected_hash
         finally:
             db.close()
     except sqlite3.DatabaseError as error:
         raise LedgerError(f"{path}: {error}") from error
-    return count, before.hex(), None if met else Touched(count + 1, "entries were cut off: the given hash is not there")
+    if has_expected:
+        return AuditVerification(count, previous_hash.hex(), None)
+    truncated = ModifiedEntry(count + 1, "entries were cut off: the given hash is not there")
+    return AuditVerification(count, previous_hash.hex(), truncated)
--- a/hophinge/state/errors.py
+++ b/hophinge/state/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a file of rows that last."""
+"""Errors of a ledger file; the codes are listed in docs/operate/errors.md."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class LedgerError(HophingeError):
-    """A ledger that cannot be used; the text says why."""
+    """A ledger file that cannot be used; the text says why."""
 
     code = "ledger-unusable"
     remedy = "Look at what is said of the file; put a copy that `hophinge audit verify` finds whole in its place."
 
 
 class BusyError(LedgerError):
-    """Another process changes it at this moment; it is safe to come again."""
+    """Another process holds the write lock; the change may be retried."""
 
     code = "ledger-busy"
     remedy = "Ask again; if it stays so, look which other process holds the ledger's file."
 
 
 class FullError(LedgerError):
-    """There is no room; nothing was changed."""
+    """The disk is full or read-only; nothing was changed."""
 
     code = "ledger-full"
     remedy = "Make room on the ledger's disk, or make it writable, and ask again; nothing was changed."
--- a/hophinge/state/files.py
+++ b/hophinge/state/files.py
@@ -1,8 +1,8 @@
-"""Whole files that last: what is read back is what was once written whole, the one before it, or an error.
+"""Files that are replaced atomically: a reader gets what was written completely, the version before it, or an error.
 
-The promise, sentence by sentence: a file is replaced, never changed in place. Its bytes are synced before its name is,
-and the folder after it. A header tells kind, form, length and checksum; what does not fit them is not loaded. What
-cannot be written leaves the file as it was.
+A file is never changed in place. Its bytes are synced to disk before it is renamed, and the directory after that. A
+header gives kind, format version, length and checksum; a file that does not match its header is not loaded. A failed
+write leaves the previous file as it was.
 """
 
 from __future__ import annotations
@@ -13,22 +13,30 @@
 import re
 import time
 from pathlib import Path
+from typing import NamedTuple
 
 HEADER = re.compile(rb"hophinge-state ([a-z-]{1,32}) ([0-9]{1,4}) ([0-9]{1,12}) ([0-9a-f]{64})\n", re.ASCII)
-LONGEST_HEADER = 160
-WRITING_S = 60.0  # no write of one file takes so long
-MAX_BYTES = 512 * 1024 * 1024  # a larger file is none of ours
+MAX_HEADER_BYTES = 160
+MAX_WRITE_S = 60.0  # a temporary file that is older than this was left by a killed process
+MAX_BYTES = 512 * 1024 * 1024  # a larger file is not one of this program's
 
 
-class UnusableError(ValueError):
-    """A file that is torn, foreign, or of a form that this program does not read."""
+class StateFileError(ValueError):
+    """A file that is corrupt, of another program, or of a format version that this program does not read."""
+
+
+class StateFile(NamedTuple):
+    """The verified content of a file."""
+
+    format_version: int
+    payload: bytes
 
 
 class Disk:
-    """The calls that a write consists of; tests fail, cut and reorder them."""
+    """The system calls of a write, replaceable so that tests can fail, truncate and reorder them."""
 
     def write(self, path: Path, data: bytes) -> None:
-        """Write a new file and sync it."""
+        """Write a new file and sync its bytes to disk."""
         handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
             view = memoryview(data)
@@ -39,12 +47,12 @@
             os.close(handle)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Put a file in the place of another."""
+        """Replace `new` by `old` atomically."""
         os.replace(old, new)
 
-    def sync_folder(self, folder: Path) -> None:
-        """Make names that were set in a folder last."""
-        handle = os.open(folder, os.O_RDONLY)
+    def sync_directory(self, directory: Path) -> None:
+        """Sync a directory, so that renames in it survive a power failure."""
+        handle = os.open(directory, os.O_RDONLY)
         try:
             os.fsync(handle)
         finally:
@@ -54,52 +62,72 @@
 DISK = Disk()
 
 
-def _sum(kind: str, form: int, payload: bytes) -> str:
-    return hashlib.blake2b(payload, digest_size=32, person=f"{kind[:10]}{form}".encode()).hexdigest()
+def _checksum(kind: str, format_version: int, payload: bytes) -> str:
+    return hashlib.blake2b(payload, digest_size=32, person=f"{kind[:10]}{format_version}".encode()).hexdigest()
 
 
-def save(path: Path, kind: str, form: int, payload: bytes, disk: Disk = DISK) -> None:
-    """Replace a file; raises OSError, and then the file is as it was."""
-    header = f"hophinge-state {kind} {form} {len(payload)} {_sum(kind, form, payload)}\n".encode()
-    # Two processes of one head may write at once during an upgrade: each beside, under a name of its own.
-    beside = path.with_name(f".{path.name}.{os.getpid()}.new")
+def save(path: Path, kind: str, format_version: int, payload: bytes, disk: Disk = DISK) -> None:
+    """Replace a file atomically.
+
+    Raises:
+        OSError: The write failed; the previous file is unchanged.
+
+    """
+    checksum = _checksum(kind, format_version, payload)
+    header = f"hophinge-state {kind} {format_version} {len(payload)} {checksum}\n".encode()
+    # During an upgrade two processes of one head may write at once, so temporary files bear the process id.
+    temporary = path.with_name(f".{path.name}.{os.getpid()}.new")
     try:
-        disk.write(beside, header + payload)
-        disk.rename(beside, path)
+        disk.write(temporary, header + payload)
+        disk.rename(temporary, path)
     except BaseException:
         with contextlib.suppress(OSError):
-            beside.unlink(missing_ok=True)
+            temporary.unlink(missing_ok=True)
         raise
-    disk.sync_folder(path.parent)
+    disk.sync_directory(path.parent)
 
 
-def tidy(path: Path) -> None:
-    """Remove what killed processes left beside a file; what was touched in the last minute may still be written."""
-    for left in path.parent.glob(f".{path.name}.*.new"):
+def remove_leftovers(path: Path) -> None:
+    """Remove temporary files that killed processes left beside a file; recent ones may still be in use and stay."""
+    for leftover in path.parent.glob(f".{path.name}.*.new"):
         with contextlib.suppress(OSError):
-            if time.time() - left.stat().st_mtime > WRITING_S:
-                left.unlink()
+            if time.time() - leftover.stat().st_mtime > MAX_WRITE_S:
+                leftover.unlink()
+
 
+def load(path: Path, kind: str, supported_versions: range) -> StateFile | None:
+    """Read and verify a file; None where it does not exist.
 
-def load(path: Path, kind: str, forms: range) -> tuple[int, bytes] | None:
-    """Read a file's form and payload; None where there is none, UnusableError where it cannot be trusted."""
+    Raises:
+        StateFileError: The file cannot be read, does not match its header, or has an unsupported format version.
+
+    """
+    data = _read(path)
+    if data is None:
+        return None
+    header = HEADER.match(data[:MAX_HEADER_BYTES])
+    if header is None:
+        raise StateFileError(f"{path}: its beginning is not that of a state file")
+    if header[1].decode() != kind:
+        raise StateFileError(f"{path}: it holds {header[1].decode()}, not {kind}")
+    format_version, payload = int(header[2]), data[header.end() :]
+    if format_version not in supported_versions:
+        raise StateFileError(
+            f"{path}: form {format_version} is not read by this version, "
+            f"which reads {supported_versions[0]} to {supported_versions[-1]}"
+        )
+    if len(payload) != int(header[3]) or _checksum(kind, format_version, payload) != header[4].decode():
+        raise StateFileError(f"{path}: it is torn: length or checksum differ")
+    return StateFile(format_version, payload)
+
+
+def _read(path: Path) -> bytes | None:
     try:
         size = path.stat().st_size
         if size > MAX_BYTES:
-            raise UnusableError(f"{path}: {size} bytes are more than any file of this kind has")
-        data = path.read_bytes()
+            raise StateFileError(f"{path}: {size} bytes are more than any file of this kind has")
+        return path.read_bytes()
     except FileNotFoundError:
         return None
     except OSError as error:
-        raise UnusableError(f"{path}: {error.strerror}") from error
-    header = HEADER.match(data[:LONGEST_HEADER])
-    if header is None:
-        raise UnusableError(f"{path}: its beginning is not that of a state file")
-    if header[1].decode() != kind:
-        raise UnusableError(f"{path}: it holds {header[1].decode()}, not {kind}")
-    form, payload = int(header[2]), data[header.end() :]
-    if form not in forms:
-        raise UnusableError(f"{path}: form {form} is not read by this version, which reads {forms[0]} to {forms[-1]}")
-    if len(payload) != int(header[3]) or _sum(kind, form, payload) != header[4].decode():
-        raise UnusableError(f"{path}: it is torn: length or checksum differ")
-    return form, payload
+        raise StateFileError(f"{path}: {error.strerror}") from error
--- a/hophinge/state/ledger.py
+++ b/hophinge/state/ledger.py
@@ -1,138 +1,160 @@
-"""Rows that last, each change with its place in an audit chained by hash, in SQLite; one file for an installation.
-
-The promise, sentence by sentence. A change is one transaction: its rows, its audit entry and the answer kept for its
-repetition are there together or not at all. What `change` has returned from is on the disk (synchronous FULL). Each row
-knows the number of the change that it had last, and removed rows leave their names, so whoever has all changes up to a
-number gets the later ones alone, until names were forgotten: then it gets everything. Two processes may use one file,
-as during an upgrade: each change sees all that were committed before. An entry's hash covers the entry and the hash
-before it, so whoever changes, removes or inserts one changes all hashes after it.
+"""Ledger: rows that are changed in transactions, each with an entry in a hash-chained audit log, in one SQLite file.
+
+Guarantees:
+
+* A change is one transaction: its rows, its audit entry and the response stored for its retry are written together or
+  not at all.
+* When `change` has returned, the change is on disk (`synchronous=FULL`).
+* Each row bears the number of the change that wrote it last, and removed rows leave tombstones. A replica that has all
+  changes up to a number therefore needs only the later ones, until tombstones above its number were dropped: then it
+  needs a full copy.
+* Several processes may use one file, as during an upgrade: each change sees all that were committed before it.
+* An entry's hash covers the entry and the previous hash (see `hophinge.state.audit`).
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from pathlib import Path
 
 import msgspec
 
-from hophinge.state.audit import GENESIS, chained
+from hophinge.state.audit import GENESIS_HASH, entry_hash
 from hophinge.state.audit import verify as verify
+from hophinge.state.counters import Counters
 from hophinge.state.errors import BusyError as BusyError
 from hophinge.state.errors import FullError as FullError
 from hophinge.state.errors import LedgerError as LedgerError
-from hophinge.state.rows import Entry, Kept, Row
-from hophinge.state.tallies import Tallies
+from hophinge.state.rows import AuditEntry, AuditHead, IdempotentResponse, LedgerChange, Row, StoredAuditEntry
 
-GONE_KEPT = 100_000  # names of removed rows
-ANSWERS_MS = 24 * 3600 * 1000  # an answer to a repeated call is kept for a day
+MAX_TOMBSTONES = 100_000  # names of removed rows that are always kept; up to twice as many are
+RESPONSE_RETENTION_MS = 24 * 3600 * 1000  # how long a response is stored for retries of its call
 
 
-class Ledger(Tallies):
-    """One open file; `heard` is told rows that changed, whoever changed them, in their order."""
+class Ledger(Counters):
+    """One open ledger file; `on_rows_changed` gets committed rows in order, whichever process wrote them."""
 
-    def __init__(self, path: Path, heard: Callable[[Iterable[Row]], None] = lambda rows: None) -> None:
+    def __init__(self, path: Path, on_rows_changed: Callable[[Iterable[Row]], None] = lambda rows: None) -> None:
         super().__init__(path)
-        self.heard = heard
-        self.seq = 0  # of a copy it may be less than it had: what it hears again changes nothing
+        self.on_rows_changed = on_rows_changed
+        self.seq = 0  # number of the last change that was observed; a replica may start below its stored one
         self.refresh()
 
     # --- rows
 
     def refresh(self) -> None:
-        """Hear of what another process has changed."""
+        """Observe changes that other processes have committed."""
         rows = [
-            Row(*found)
-            for found in self.db.execute(
+            Row(*columns)
+            for columns in self.db.execute(
                 "SELECT kind, name, body, seq FROM row WHERE seq > ? ORDER BY seq", (self.seq,)
             )
         ]
         if rows:
             self.seq = rows[-1].seq
-            self.heard(rows)
+            self.on_rows_changed(rows)
 
-    def change(
-        self, decide: Callable[[], tuple[list[Row], Entry, Kept | None]], caller: str = "", key: str = ""
-    ) -> int:
-        """Change rows by what `decide` tells when all earlier changes are heard of; tells the change's number.
+    def change(self, decide: Callable[[], LedgerChange], caller: str = "", key: str = "") -> int:
+        """Commit the change that `decide` returns.
+
+        Args:
+            decide: Called within the transaction, after all earlier changes were observed; what it raises rolls back.
+            caller: Who made the call, for its stored response.
+            key: Idempotency key of the call.
+
+        Returns:
+            The sequence number of the change.
 
-        What `decide` raises ends the change. `caller` and `key` name the call whose answer is kept.
         """
-        rows: list[Row] = []
-        with self.write():
+        with self.transaction():
             self.refresh()
-            made, entry, kept = decide()
-            seq, before = self.db.execute("SELECT seq, hash FROM audit ORDER BY seq DESC LIMIT 1").fetchone() or (
-                0,
-                GENESIS,
-            )
-            seq = max(seq, self.seq) + 1
-            rows = [Row(row.kind, row.name, row.body, seq) for row in made]
-            self.db.executemany(
-                "INSERT INTO row VALUES (?,?,?,?) ON CONFLICT(kind, name) DO UPDATE SET "
-                "body = excluded.body, seq = excluded.seq",
-                [(row.kind, row.name, row.body, seq) for row in rows],
-            )
-            body = msgspec.json.encode(entry, order="deterministic")
-            self.db.execute("INSERT INTO audit VALUES (?,?,?)", (seq, body, chained(before, seq, body)))
-            if kept is not None:
-                self.db.execute(
-                    "INSERT OR REPLACE INTO answer VALUES (?,?,?,?,?,?)",
-                    (caller, key, kept.asked, kept.status, kept.body, entry.at_ms),
-                )
-                self.db.execute("DELETE FROM answer WHERE at_ms < ?", (entry.at_ms - ANSWERS_MS,))
-            self.db.execute("UPDATE meta SET seen_ms = max(seen_ms, ?)", (entry.at_ms,))
+            change = decide()
+            previous = self._last_audit_row()
+            seq = max(previous[0], self.seq) + 1
+            rows = [Row(row.kind, row.name, row.body, seq) for row in change.rows]
+            self._write_rows(rows)
+            body = msgspec.json.encode(change.entry, order="deterministic")
+            self.db.execute("INSERT INTO audit VALUES (?,?,?)", (seq, body, entry_hash(previous[1], seq, body)))
+            at_ms = change.entry.at_ms
+            if change.response is not None:
+                self._store_response(caller, key, change.response, at_ms)
+            self.db.execute("UPDATE meta SET seen_ms = max(seen_ms, ?)", (at_ms,))
             if any(row.body is None for row in rows):
-                self._forget()
-        # Heard only now: what could not be committed is nowhere.
+                self._drop_old_tombstones()
+        # Only after the commit: a change that could not be committed must not be observed anywhere.
         self.seq = seq
-        self.heard(rows)
+        self.on_rows_changed(rows)
         return seq
 
-    def _forget(self) -> None:
-        """Forget the oldest names of removed rows, once they are many."""
-        gone = self.db.execute("SELECT count(*) FROM row WHERE body IS NULL").fetchone()[0]
-        if gone > 2 * GONE_KEPT:
-            floor = self.db.execute(
-                "SELECT seq FROM row WHERE body IS NULL ORDER BY seq LIMIT 1 OFFSET ?", (gone - GONE_KEPT,)
-            ).fetchone()[0]
-            self.db.execute("DELETE FROM row WHERE body IS NULL AND seq < ?", (floor,))
-            self.db.execute("UPDATE meta SET floor = ?", (floor,))
+    def _last_audit_row(self) -> tuple[int, bytes]:
+        row = self.db.execute("SELECT seq, hash FROM audit ORDER BY seq DESC LIMIT 1").fetchone()
+        return (row[0], row[1]) if row else (0, GENESIS_HASH)
+
+    def _write_rows(self, rows: Sequence[Row]) -> None:
+        self.db.executemany(
+            "INSERT INTO row VALUES (?,?,?,?) ON CONFLICT(kind, name) DO UPDATE SET "
+            "body = excluded.body, seq = excluded.seq",
+            [(row.kind, row.name, row.body, row.seq) for row in rows],
+        )
 
-    def floor(self) -> int:
-        """Tell the number below which names of removed rows were forgotten."""
+    def _drop_old_tombstones(self) -> None:
+        tombstones = self.db.execute("SELECT count(*) FROM row WHERE body IS NULL").fetchone()[0]
+        if tombstones <= 2 * MAX_TOMBSTONES:
+            return
+        floor = self.db.execute(
+            "SELECT seq FROM row WHERE body IS NULL ORDER BY seq LIMIT 1 OFFSET ?", (tombstones - MAX_TOMBSTONES,)
+        ).fetchone()[0]
+        self.db.execute("DELETE FROM row WHERE body IS NULL AND seq < ?", (floor,))
+        self.db.execute("UPDATE meta SET floor = ?", (floor,))
+
+    def tombstone_floor(self) -> int:
+        """Return the change number below which tombstones were dropped."""
         return int(self.db.execute("SELECT floor FROM meta").fetchone()[0])
 
-    def page(self, since: int, most: int, gone_after: int = -1) -> list[Row]:
-        """Tell rows after a change's number in order, about `most`, removed ones only after `gone_after`.
+    def page(self, since: int, limit: int, tombstones_after: int = -1) -> list[Row]:
+        """Return rows that were written after a change, in order of their numbers.
+
+        Args:
+            since: Number of the change after which rows are returned.
+            limit: About how many; a change is never split, so its last one may bring more rows.
+            tombstones_after: Tombstones are included only above this number.
 
-        A change is never cut: the last one may bring more rows than were asked for.
         """
-        until = (
+        last_seq = (
             self.db.execute(
                 "SELECT max(seq) FROM (SELECT seq FROM row WHERE seq > ? AND (body IS NOT NULL OR "
                 "seq > ?) ORDER BY seq LIMIT ?)",
-                (since, gone_after, most),
+                (since, tombstones_after, limit),
             ).fetchone()[0]
             or since
         )
         return [
-            Row(*found)
-            for found in self.db.execute(
+            Row(*columns)
+            for columns in self.db.execute(
                 "SELECT kind, name, body, seq FROM row WHERE seq > ? AND seq <= ? AND (body IS NOT NULL OR seq > ?) "
                 "ORDER BY seq",
-                (since, until, gone_after),
+                (since, last_seq, tombstones_after),
             )
         ]
 
     def rows(self) -> list[Row]:
-        """Tell all rows that are there."""
+        """Return all rows but tombstones."""
         return self.page(0, 1 << 40, 1 << 60)
 
-    def copy(self, epoch: int, rows: Iterable[Row], seq: int, anew: bool, now_ms: int) -> None:
-        """Take rows of another ledger, whose replica this is; `anew`: what they do not name is gone."""
+    def replicate(self, epoch: int, rows: Iterable[Row], seq: int, replace_all: bool, now_ms: int) -> None:
+        """Write rows of the ledger that this one is a replica of.
+
+        Args:
+            epoch: Epoch of the other ledger.
+            rows: Its changed rows.
+            seq: Number of its last change among them.
+            replace_all: The rows are a full copy: rows that it does not name are removed.
+            now_ms: Milliseconds since 1970.
+
+        """
         rows = list(rows)
-        with self.write():
-            if anew:
+        with self.transaction():
+            if replace_all:
                 named = {(row.kind, row.name) for row in rows}
                 rows += [
                     Row(kind, name, None, seq)
@@ -140,43 +162,47 @@
                     if (kind, name) not in named
                 ]
                 self.db.execute("DELETE FROM row")
-                self.db.execute("DELETE FROM audit")  # of another ledger; this one's entries are kept there
+                self.db.execute("DELETE FROM audit")  # those entries are of another ledger, which keeps them
                 self.db.execute("UPDATE meta SET epoch = ?, floor = 0", (epoch,))
-            self.db.executemany(
-                "INSERT INTO row VALUES (?,?,?,?) ON CONFLICT(kind, name) DO UPDATE SET "
-                "body = excluded.body, seq = excluded.seq",
-                [(row.kind, row.name, row.body, row.seq) for row in rows],
-            )
+            self._write_rows(rows)
             self.db.execute("UPDATE meta SET seen_ms = max(seen_ms, ?)", (now_ms,))
-        self.epoch, self.seq = epoch, seq
-        self.heard(rows)
+        self.epoch = epoch
+        self.seq = seq
+        self.on_rows_changed(rows)
 
-    def seen_ms(self) -> int:
-        """Tell the latest time that any change was made at."""
+    def last_change_ms(self) -> int:
+        """Return the latest time of any change, in milliseconds since 1970."""
         return int(self.db.execute("SELECT seen_ms FROM meta").fetchone()[0])
 
-    # --- answers to repeated calls
+    # --- responses to idempotent calls
 
-    def kept(self, caller: str, key: str, now_ms: int) -> Kept | None:
-        """Tell the answer that a call with this key got before."""
-        found = self.db.execute(
+    def stored_response(self, caller: str, key: str, now_ms: int) -> IdempotentResponse | None:
+        """Return the response that an earlier call with this idempotency key got."""
+        columns = self.db.execute(
             "SELECT asked, status, body FROM answer WHERE caller = ? AND key = ? AND at_ms >= ?",
-            (caller, key, now_ms - ANSWERS_MS),
+            (caller, key, now_ms - RESPONSE_RETENTION_MS),
         ).fetchone()
-        return Kept(*found) if found else None
+        return IdempotentResponse(*columns) if columns else None
+
+    def _store_response(self, caller: str, key: str, response: IdempotentResponse, at_ms: int) -> None:
+        self.db.execute(
+            "INSERT OR REPLACE INTO answer VALUES (?,?,?,?,?,?)",
+            (caller, key, response.request_digest, response.status, response.body, at_ms),
+        )
+        self.db.execute("DELETE FROM answer WHERE at_ms < ?", (at_ms - RESPONSE_RETENTION_MS,))
 
     # --- the audit
 
-    def audit(self, after: int, most: int) -> list[tuple[int, Entry, str]]:
-        """Tell entries after a number, the oldest first, each with its hash."""
+    def audit_entries(self, after: int, limit: int) -> list[StoredAuditEntry]:
+        """Return audit entries after a sequence number, the oldest first."""
         return [
-            (seq, msgspec.json.decode(entry, type=Entry), mark.hex())
-            for seq, entry, mark in self.db.execute(
-                "SELECT seq, entry, hash FROM audit WHERE seq > ? ORDER BY seq LIMIT ?", (after, most)
+            StoredAuditEntry(seq, msgspec.json.decode(entry, type=AuditEntry), stored_hash.hex())
+            for seq, entry, stored_hash in self.db.execute(
+                "SELECT seq, entry, hash FROM audit WHERE seq > ? ORDER BY seq LIMIT ?", (after, limit)
             )
         ]
 
-    def head(self) -> tuple[int, str]:
-        """Tell the last entry's number and hash; kept elsewhere, it shows that entries were cut off."""
-        seq, mark = self.db.execute("SELECT seq, hash FROM audit ORDER BY seq DESC LIMIT 1").fetchone() or (0, GENESIS)
-        return seq, mark.hex()
+    def audit_head(self) -> AuditHead:
+        """Return the newest audit entry's number and hash; stored elsewhere, it reveals that entries were cut off."""
+        seq, stored_hash = self._last_audit_row()
+        return AuditHead(seq, stored_hash.hex())
--- a/hophinge/state/rows.py
+++ b/hophinge/state/rows.py
@@ -1,42 +1,77 @@
-"""What a ledger holds, for whoever decides on it without a disk: rows, entries of the audit, answers that are kept."""
+"""Data types of a ledger, free of I/O: rows, audit entries and stored responses to idempotent calls."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from typing import NamedTuple
 
 import msgspec
 
+UsageKey = tuple[str, str, str]
+"""Tenant, volume and metered field that an amount of usage is counted under."""
+
 
 class Row(msgspec.Struct, frozen=True):
-    """One row; without a body it has been removed."""
+    """One row; a row without a body is the tombstone of a removed one."""
 
     kind: str
     name: str
     body: bytes | None
-    seq: int = 0
+    seq: int = 0  # number of the change that wrote it last
 
 
-class Entry(msgspec.Struct, frozen=True):
-    """One change, for the audit; detail names what changed, never a secret."""
+class AuditEntry(msgspec.Struct, frozen=True):
+    """One change as the audit records it; `detail` names what changed and never holds a secret."""
 
     at_ms: int
-    who: str
+    actor: str = msgspec.field(name="who")
     role: str
-    what: str
+    action: str = msgspec.field(name="what")
     target: str
     detail: Mapping[str, object] = {}
 
 
-class Kept(msgspec.Struct, frozen=True):
-    """An answer that was given, for the repetition of its call."""
+class IdempotentResponse(msgspec.Struct, frozen=True):
+    """The response to a call with an idempotency key, stored so that a retry gets the same one."""
 
-    asked: bytes  # digest of what was asked
+    request_digest: bytes
     status: int
     body: bytes
 
 
-class Touched(msgspec.Struct, frozen=True):
-    """The first entry of an audit that is not as it was written."""
+class LedgerChange(NamedTuple):
+    """Everything that one transaction of a ledger writes."""
+
+    rows: list[Row]
+    entry: AuditEntry
+    response: IdempotentResponse | None = None
+
+
+class StoredAuditEntry(NamedTuple):
+    """An audit entry with its sequence number and its hash in hexadecimal."""
+
+    seq: int
+    entry: AuditEntry
+    hash: str
+
+
+class AuditHead(NamedTuple):
+    """Sequence number and hash (hexadecimal) of the newest audit entry."""
 
     seq: int
-    why: str
+    hash: str
+
+
+class ModifiedEntry(msgspec.Struct, frozen=True):
+    """The first audit entry that differs from what was written."""
+
+    seq: int
+    reason: str
+
+
+class AuditVerification(NamedTuple):
+    """Result of checking a hash chain: entries that are intact, the last intact hash, the first modified entry."""
+
+    intact_entries: int
+    last_hash: str
+    modified: ModifiedEntry | None
--- a/tests/books.py
+++ b/tests/books.py
@@ -8,14 +8,16 @@
 from pathlib import Path
 
 from hophinge.state.ledger import Ledger
-from hophinge.state.rows import Entry, Row
+from hophinge.state.rows import AuditEntry, LedgerChange, Row
 from hophinge.tenancy.records import Account, Bucket, Key, Quotas, Role, digest, row
 
 NUMBERS = itertools.count(1)
 
 
 def write(ledger: Ledger, *rows: Row, what: str = "test") -> int:
-    return ledger.change(lambda: (list(rows), Entry(next(NUMBERS), "tester", "operator", what, "", {}), None))
+    return ledger.change(
+        lambda: LedgerChange(list(rows), AuditEntry(next(NUMBERS), "tester", "operator", what, "", {}))
+    )
 
 
 def tenant(
--- a/tests/test_admin_bounds.py
+++ b/tests/test_admin_bounds.py
@@ -43,12 +43,12 @@
             assert (await to.object("DELETE", f"/receipts/u0?uploadId={first}", key))[0] == 204
             assert (await to.object("POST", "/receipts/u3?uploads", key))[0] == 200
             # Ended through another head, which this one does not know: found out before the next is refused.
-            accounts.ledger.upload_opened(
+            accounts.ledger.add_upload(
                 "f" * 32,
                 "alba",
                 msgspec.json.encode({"bucket": "receipts", "volume": "0" * 16, "plan": "basic", "name": "gone"}),
             )
-            accounts.ledger.upload_ended(field(uploads[1][1], "UploadId"))
+            accounts.ledger.remove_upload(field(uploads[1][1], "UploadId"))
             assert (await to.object("POST", "/receipts/u4?uploads", key))[0] == 200
             gate = asyncio.Event()
 
--- a/tests/test_admin_ends.py
+++ b/tests/test_admin_ends.py
@@ -65,7 +65,7 @@
             coming.set()
             assert begun + await streaming.read() == big  # what had begun went on to its end
             await until(lambda: accounts.accounts.tenants["alba"].state.value == "closed")
-            assert not accounts.ledger.uploads_open("alba") and not front.active
+            assert not accounts.ledger.count_uploads("alba") and not front.active
             records = [body for backend in to.made.backends for body in backend.objects.values()]
             assert sum(body[1:9] == b"\xa7aborted" for body in records) == 3
             assert await to.call("PUT", "/v1/tenants/alba") == 201
@@ -98,7 +98,7 @@
             assert to.service.accounts is not None
             accounts = to.service.accounts
             await until(lambda: not accounts.accounts.keys)
-            assert accounts.ledger.uploads_open("alba") == 3 and accounts.accounts.volumes
+            assert accounts.ledger.count_uploads("alba") == 3 and accounts.accounts.volumes
             await made.kill(to.service)
             for backend in made.backends:
                 backend.behave = None
@@ -107,6 +107,6 @@
             rows = again.accounts.accounts
             assert rows.tenants["alba"].state.value == "closing" and not rows.authenticate(key, 0)
             await until(lambda: rows.tenants["alba"].state.value == "closed")
-            assert not again.accounts.ledger.uploads_open("alba") and not rows.volumes
+            assert not again.accounts.ledger.count_uploads("alba") and not rows.volumes
 
     run(main())
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -34,7 +34,7 @@
             # Used at both heads, told by one; a report that came twice would not count twice.
             assert here.owner is not None
             ledger = here.owner.ledger
-            await until(lambda: sum(one.get("served", 0) for one in ledger.usage("alba").values()) == 2)
+            await until(lambda: sum(one.get("served", 0) for one in ledger.usage_by_volume("alba").values()) == 2)
             told = await here.call("GET", "/v1/tenants/alba/usage")
             assert told["volumes"]["receipts"]["bytes_in"] == 100 and told["total"]["bytes_out"] == 100
             await here.end_control()
@@ -53,7 +53,9 @@
                 await until(lambda head=head: not accounts_of(head).accounts.volumes)  # type: ignore[misc]
             told = await here.call("GET", "/v1/tenants/alba")
             assert told["state"] in ("closing", "closed")
-            await until(lambda: sum(one.get("served", 0) for one in ledger_of(here).usage("alba").values()) == 4)
+            await until(
+                lambda: sum(one.get("served", 0) for one in ledger_of(here).usage_by_volume("alba").values()) == 4
+            )
 
     run(main())
 
--- a/tests/test_copies_feed.py
+++ b/tests/test_copies_feed.py
@@ -50,8 +50,8 @@
                         copy = Ledger(Path(folder) / "b.db")
                         taker = Taker(copy.epoch, copy.seq)
                     taker.begin()
-                    feed = Feed(ledger.epoch, ledger.seq, ledger.floor(), taker.epoch, taker.seq)
-                while feed.due(ledger.seq, ledger.floor()) and rng.random() < 0.8:
+                    feed = Feed(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
+                while feed.due(ledger.seq, ledger.tombstone_floor()) and rng.random() < 0.8:
                     sent = wire.account_part(feed.part(ledger.page(feed.seq, 4, feed.gone_after), ledger.seq))
                     got = wire.read_account_part(wire.decode_response(sent))
                     if rng.random() < 0.1:
@@ -59,19 +59,19 @@
                         break
                     rows = taker.take(got)
                     if rows is not None:
-                        copy.copy(got.epoch, rows[0], got.seq, rows[1], 0)
+                        copy.replicate(got.epoch, rows[0], got.seq, rows[1], 0)
                         taker.written(got)
                         assert state(copy) in past  # never half a change
                     feed.acked(got.seq)
-            feed = feed or Feed(ledger.epoch, ledger.seq, ledger.floor(), taker.epoch, taker.seq)
+            feed = feed or Feed(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
             if feed.waiting:
                 taker.begin()
-                feed = Feed(ledger.epoch, ledger.seq, ledger.floor(), taker.epoch, taker.seq)
-            while feed.due(ledger.seq, ledger.floor()):
+                feed = Feed(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
+            while feed.due(ledger.seq, ledger.tombstone_floor()):
                 got = feed.part(ledger.page(feed.seq, 4, feed.gone_after), ledger.seq)
                 rows = taker.take(got)
                 if rows is not None:
-                    copy.copy(got.epoch, rows[0], got.seq, rows[1], 0)
+                    copy.replicate(got.epoch, rows[0], got.seq, rows[1], 0)
                     taker.written(got)
                 feed.acked(got.seq)
             assert state(copy) == state(ledger) and copy.epoch == ledger.epoch
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -99,7 +99,7 @@
     "head file: last good": (lastgood.LastGood, msgpack_bytes),
     "head file: marks": (handover.Marks, json_bytes),
     "head file: mark": (Mark, json_bytes),
-    "ledger: audit entry": (rows.Entry, json_bytes),
+    "ledger: audit entry": (rows.AuditEntry, json_bytes),
     "ledger: open upload": (accounts.Upload, json_bytes),
     "ledger: account": (tenancy_records.Account, json_bytes),
     "ledger: bucket": (tenancy_records.Bucket, json_bytes),
--- a/tests/test_rig_processes.py
+++ b/tests/test_rig_processes.py
@@ -25,14 +25,14 @@
 from pathlib import Path
 from hophinge.state.files import load, save
 from hophinge.state.ledger import Ledger, LedgerError
-from hophinge.state.rows import Entry, Row
+from hophinge.state.rows import AuditEntry, LedgerChange, Row
 folder = Path(sys.argv[1])
 ledger = Ledger(folder / "accounts.db")
 print("clock", time.time(), time.monotonic(), flush=True)
 at = 0
 while not (folder / "go").exists():
     at += 1
-    changed = [Row("k", "n", b"1")], Entry(0, "", "", "", ""), None
+    changed = LedgerChange([Row("k", "n", b"1")], AuditEntry(0, "", "", "", ""))
     for name, act in (("file", lambda: save(folder / "kept", "try", 1, b"%d" % at)),
                       ("ledger", lambda: ledger.change(lambda: changed))):
         try:
--- a/tests/test_stream_kept.py
+++ b/tests/test_stream_kept.py
@@ -89,7 +89,7 @@
         left.write_bytes(b"half")
     os.utime(old, (0, 0))
     lastgood.save(path, good((1, 1), GOOD))
-    files.tidy(path)
+    files.remove_leftovers(path)
     assert young.read_bytes() == b"half" and not old.exists()
     assert lastgood.load(path) == good((1, 1), GOOD)
 
@@ -101,15 +101,15 @@
     whole = path.read_bytes()
     for at in range(0, len(whole)):
         path.write_bytes(whole[:at])
-        with pytest.raises(files.UnusableError):
+        with pytest.raises(files.StateFileError):
             lastgood.load(path)
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
-        with pytest.raises(files.UnusableError):
+        with pytest.raises(files.StateFileError):
             lastgood.load(path)
     for data, why in ((b"\0" * 4096, "beginning"), (whole.replace(b"last-good 1", b"last-good 9", 1), "form 9")):
         path.write_bytes(data)
-        with pytest.raises(files.UnusableError, match=why):
+        with pytest.raises(files.StateFileError, match=why):
             lastgood.load(path)
     files.save(path, "other", 1, b"x")
-    with pytest.raises(files.UnusableError, match="holds other"):
+    with pytest.raises(files.StateFileError, match="holds other"):
         lastgood.load(path)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -110,7 +110,7 @@
     reports.acknowledged(three)
     assert set(again) == set(first) and not reports.due and not reports.sent
     for total in (5.0, 3.0, 5.0, 7.0):  # late and doubled reports change nothing
-        ledger.told("n0", {("t", "v", "served"): total})
-    ledger.told("n1", {("t", "v", "served"): 2.0})
-    assert ledger.usage("t") == {"v": {"served": 9.0}}
+        ledger.merge_usage_totals("n0", {("t", "v", "served"): total})
+    ledger.merge_usage_totals("n1", {("t", "v", "served"): 2.0})
+    assert ledger.usage_by_volume("t") == {"v": {"served": 9.0}}
     ledger.close()
