--- a/hophinge/coordination/agreement.py
+++ b/hophinge/coordination/agreement.py
@@ -27,7 +27,7 @@
     def __init__(self, vote: VoteRecord) -> None:
         self.vote = vote
 
-    def begin(self, target: int) -> None:
+    def begin_instance(self, target: int) -> None:
         """Vote on another view number; votes on the one before are done with."""
         if self.vote.target != target:
             self.vote = VoteRecord(target, NO_BALLOT, NO_BALLOT, None)
@@ -50,29 +50,29 @@
 
 
 @dataclass
-class Attempt:
+class BallotAttempt:
     """One ballot of this replica's own."""
 
     target: int
     ballot: Ballot
-    began: float
+    started_at: float
     promises: dict[str, Promise] = field(default_factory=dict)
-    accepted: set[str] = field(default_factory=set)
+    accepted_by: set[str] = field(default_factory=set)
     proposal: View | None = None
-    asked: float = 0.0  # when voters were last asked
-    majority_at: float | None = None  # when more than half of them had promised
+    last_sent_at: float = 0.0  # when voters were last asked
+    majority_promised_at: float | None = None  # when more than half of them had promised
 
-    def promised(self, voter: str, promise: Promise) -> None:
+    def record_promise(self, voter: str, promise: Promise) -> None:
         """Count a promise for this ballot."""
         if promise.target == self.target and promise.ballot == self.ballot:
             self.promises[voter] = promise
 
-    def bound(self) -> View | None:
+    def inherited_proposal(self) -> View | None:
         """Tell the proposal that earlier ballots may have decided: it has to be proposed again."""
-        known = [promise for promise in self.promises.values() if promise.proposal is not None]
-        return max(known, key=lambda promise: promise.accepted).proposal if known else None
+        earlier_acceptances = [promise for promise in self.promises.values() if promise.proposal is not None]
+        return max(earlier_acceptances, key=lambda promise: promise.accepted).proposal if earlier_acceptances else None
 
-    def count(self, voter: str, accepted: Accepted) -> None:
+    def record_acceptance(self, voter: str, accepted: Accepted) -> None:
         """Count an acceptance of this ballot."""
         if accepted.target == self.target and accepted.ballot == self.ballot:
-            self.accepted.add(voter)
+            self.accepted_by.add(voter)
--- a/hophinge/coordination/chain.py
+++ b/hophinge/coordination/chain.py
@@ -15,48 +15,48 @@
     EntryRecord,
     Forward,
     Heartbeat,
-    Origin,
+    RequestOrigin,
     Reply,
     Submit,
     Sync,
     SyncedRecord,
 )
-from hophinge.coordination.events import Outputs, Published
-from hophinge.coordination.registers import Entry, Outcome, Register, Registers
+from hophinge.coordination.events import Outputs, CommittedValue
+from hophinge.coordination.registers import HistoryEntry, Outcome, Register, Registers
 from hophinge.coordination.view import Replica, View
 
 SYNC_RETRY_INTERVAL_S = 0.3  # a successor that lags is sent the whole state again after so long at least
-SYNC_BYTES_S = 4 << 20  # and later by the time that its bytes take at this rate, the first time
-MAX_DOUBLINGS = 5  # of that wait, each time that the successor still lags: so any link has time for a copy
+SYNC_BYTES_PER_S = 4 << 20  # and later by the time that its bytes take at this rate, the first time
+MAX_SYNC_BACKOFF_DOUBLINGS = 5  # of that wait, each time that the successor still lags: so any link has time for a copy
 
 
-class Chain:
+class ChainReplica:
     """The replicated history at one replica, and its place in the view's chain."""
 
     def __init__(self, me: Replica, required: int) -> None:
-        self.me, self.required = me, required
+        self.me, self.min_chain_length = me, required
         self.registers = Registers()
-        self.synced = 0
+        self.synced_view = 0
         self.view: View | None = None
-        self.committed = 0  # known for the view in force, and for this replica's own history
+        self.committed_sequence = 0  # known for the view in force, and for this replica's own history
         self.published_sequence = 0
-        self.published: dict[str, Register] = {}
-        self.history: list[tuple[int, dict[str, Register]]] = []  # states not yet known to be committed
-        self.sync_sent = float("-inf")
-        self.syncs = 0  # times that the successor was sent the state since it last lagged not
+        self.published_registers: dict[str, Register] = {}
+        self.unpublished_history: list[tuple[int, dict[str, Register]]] = []  # states not yet known to be committed
+        self.sync_sent_at = float("-inf")
+        self.consecutive_syncs = 0  # times that the successor was sent the state since it last lagged not
 
     # --- place ---------------------------------------------------------------------------------------------------
 
     @property
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Tell whether this replica holds its predecessor's history in the view in force."""
         view = self.view
-        return view is not None and view.position(self.me.identity) >= 0 and self.synced == view.number
+        return view is not None and view.position(self.me.identity) >= 0 and self.synced_view == view.number
 
     @property
-    def heads(self) -> bool:
+    def is_head(self) -> bool:
         """Tell whether writes enter here."""
-        return self.serving and self.view is not None and self.view.position(self.me.identity) == 0
+        return self.is_serving and self.view is not None and self.view.position(self.me.identity) == 0
 
     def _successor(self) -> Replica | None:
         return self.view.neighbour(self.me.identity, 1) if self.view is not None else None
@@ -64,104 +64,110 @@
     def _predecessor(self) -> Replica | None:
         return self.view.neighbour(self.me.identity, -1) if self.view is not None else None
 
-    def _lasting(self) -> bool:
+    def _tolerates_losses(self) -> bool:
         """Tell whether the chain is long enough that what the tail holds outlives the losses to be borne."""
-        return self.view is not None and len(self.view.chain) >= self.required
+        return self.view is not None and len(self.view.chain) >= self.min_chain_length
 
     # --- changes of view -----------------------------------------------------------------------------------------
 
-    def enter(self, now: float, view: View, outputs: Outputs) -> None:
+    def enter_view(self, now: float, view: View, outputs: Outputs) -> None:
         """Go on in a new view."""
         self.view = view
-        self.committed = self.syncs = 0
-        place = view.position(self.me.identity)
-        if place < 0:
+        self.committed_sequence = self.consecutive_syncs = 0
+        position = view.position(self.me.identity)
+        if position < 0:
             return
-        complete = view.number == 1 or self.synced >= view.chain[place].joined
-        if (place == 0 and complete) or view.number == 1:
-            self._mark_synced(view.number, None, outputs)
-        if self.serving:
-            self._pass_on(now, outputs)
+        complete = view.number == 1 or self.synced_view >= view.chain[position].joined_view
+        if (position == 0 and complete) or view.number == 1:
+            self._record_sync(view.number, None, outputs)
+        if self.is_serving:
+            self._sync_successor(now, outputs)
 
     def resume(self, view: View | None) -> None:
         """Go on after a restart with what the disk held."""
         self.view = view
-        self._remember()
+        self._record_history()
 
-    def restarted(self, outputs: Outputs) -> None:
+    def commit_after_restart(self, outputs: Outputs) -> None:
         """As the tail after a restart: what it holds has passed the whole chain, whatever view is in force by now."""
-        if self.serving and self._successor() is None:
+        if self.is_serving and self._successor() is None:
             self._commit(self.registers.sequence, outputs)
 
-    def _mark_synced(self, number: int, sync: Sync | None, outputs: Outputs) -> None:
-        self.synced = number
+    def _record_sync(self, number: int, sync: Sync | None, outputs: Outputs) -> None:
+        self.synced_view = number
         outputs.records.append(SyncedRecord(number, sync.snapshot if sync is not None else None))
-        self.history = []
-        self._remember()
+        self.unpublished_history = []
+        self._record_history()
 
-    def _pass_on(self, now: float, outputs: Outputs) -> None:
+    def _sync_successor(self, now: float, outputs: Outputs) -> None:
         """Give the successor the whole history; the tail has nobody left to give it to, so it is committed."""
         successor = self._successor()
         if successor is not None:
-            self.sync_sent = now
-            self.syncs += 1
-            outputs.messages.append((successor.address, Sync(self.synced, self.registers.snapshot())))
+            self.sync_sent_at = now
+            self.consecutive_syncs += 1
+            outputs.messages.append((successor.address, Sync(self.synced_view, self.registers.snapshot())))
         else:
             self._commit(self.registers.sequence, outputs)
 
-    def sync(self, now: float, source: Replica, sync: Sync, outputs: Outputs) -> None:
+    def handle_sync(self, now: float, source: Replica, sync: Sync, outputs: Outputs) -> None:
         """Take over the predecessor's history."""
         view, predecessor = self.view, self._predecessor()
         if view is None or sync.view != view.number or predecessor is None or predecessor.identity != source.identity:
             return
-        held = self.registers
-        known = sync.snapshot.sequence < held.sequence or sync.snapshot.mark == held.mark
-        if self.synced == view.number and sync.snapshot.sequence <= held.sequence and known:
+        registers = self.registers
+        is_same_history = (
+            sync.snapshot.sequence < registers.sequence or sync.snapshot.history_digest == registers.history_digest
+        )
+        if self.synced_view == view.number and sync.snapshot.sequence <= registers.sequence and is_same_history:
             return
         self.registers.restore(sync.snapshot)
-        self._mark_synced(view.number, sync, outputs)
-        self._pass_on(now, outputs)
+        self._record_sync(view.number, sync, outputs)
+        self._sync_successor(now, outputs)
 
-    def successor_heard(self, now: float, source: Replica, heard: Heartbeat, outputs: Outputs) -> None:
+    def handle_successor_heartbeat(self, now: float, source: Replica, heartbeat: Heartbeat, outputs: Outputs) -> None:
         """Send the history again to a successor that lags or differs: messages are lost, and copies may go bad."""
         successor = self._successor()
-        if not self.serving or successor is None or successor.identity != source.identity:
+        if not self.is_serving or successor is None or successor.identity != source.identity:
             return
-        differs = heard.sequence == self.registers.sequence and heard.mark != self.registers.mark
-        if heard.synced >= self.synced and heard.sequence >= self.registers.sequence and not differs:
-            self.syncs = 0
-        elif now - self.sync_sent >= self._sync_wait():
+        differs = (
+            heartbeat.sequence == self.registers.sequence and heartbeat.history_digest != self.registers.history_digest
+        )
+        if heartbeat.synced_view >= self.synced_view and heartbeat.sequence >= self.registers.sequence and not differs:
+            self.consecutive_syncs = 0
+        elif now - self.sync_sent_at >= self._sync_retry_interval_s():
             if differs:
-                outputs.notes.append(f"scrub: {source.address} holds another history of {heard.sequence} changes")
-            self._pass_on(now, outputs)
+                outputs.log_lines.append(
+                    f"scrub: {source.address} holds another history of {heartbeat.sequence} changes"
+                )
+            self._sync_successor(now, outputs)
 
-    def _sync_wait(self) -> float:
+    def _sync_retry_interval_s(self) -> float:
         """Tell how long a copy of the state may be under way before it is sent again, in seconds.
 
         A copy that is sent anew before the last one has arrived puts a slow link further behind with each.
         """
-        once = SYNC_RETRY_INTERVAL_S + self.registers.size / SYNC_BYTES_S
-        return once * float(2 ** min(max(0, self.syncs - 1), MAX_DOUBLINGS))
+        base_interval_s = SYNC_RETRY_INTERVAL_S + self.registers.estimated_bytes / SYNC_BYTES_PER_S
+        return base_interval_s * float(2 ** min(max(0, self.consecutive_syncs - 1), MAX_SYNC_BACKOFF_DOUBLINGS))
 
     # --- changes and reads ---------------------------------------------------------------------------------------
 
-    def submit(self, submit: Submit, outputs: Outputs) -> None:
+    def handle_submit(self, submit: Submit, outputs: Outputs) -> None:
         """Judge a change at the head. What is refused goes down the chain as well: an old head may be out of date."""
-        if not self.heads or not self._lasting():
+        if not self.is_head or not self._tolerates_losses():
             return
         change = submit.change
-        outcome = Outcome.VALUE if change is None else self.registers.judge(change)
+        outcome = Outcome.VALUE if change is None else self.registers.evaluate(change)
         if change is not None and outcome is None:
-            entry = Entry(self.registers.sequence + 1, change)
+            entry = HistoryEntry(self.registers.sequence + 1, change)
             self._apply(entry, outputs)
-            self._forward(submit.origin, submit.key, Outcome.TAKEN, entry, outputs)
+            self._forward_to_successor(submit.origin, submit.key, Outcome.APPLIED, entry, outputs)
         elif outcome is not None:
-            self._forward(submit.origin, submit.key, outcome, None, outputs)
+            self._forward_to_successor(submit.origin, submit.key, outcome, None, outputs)
 
-    def forwarded(self, source: Replica, forward: Forward, outputs: Outputs) -> None:
+    def handle_forward(self, source: Replica, forward: Forward, outputs: Outputs) -> None:
         """Take what the predecessor sends, in its order."""
         predecessor = self._predecessor()
-        if not self.serving or forward.view != self.synced or predecessor is None:
+        if not self.is_serving or forward.view != self.synced_view or predecessor is None:
             return
         if predecessor.identity != source.identity:
             return
@@ -169,59 +175,61 @@
         if entry is not None and entry.sequence == self.registers.sequence + 1:
             self._apply(entry, outputs)
         if forward.sequence <= self.registers.sequence:
-            self._forward(forward.origin, forward.key, Outcome(forward.outcome), entry, outputs)
+            self._forward_to_successor(forward.origin, forward.key, Outcome(forward.outcome), entry, outputs)
 
-    def _apply(self, entry: Entry, outputs: Outputs) -> None:
+    def _apply(self, entry: HistoryEntry, outputs: Outputs) -> None:
         self.registers.apply(entry)
         outputs.records.append(EntryRecord(entry))
-        self._remember()
+        self._record_history()
 
-    def _forward(self, origin: Origin, key: str, outcome: Outcome, entry: Entry | None, outputs: Outputs) -> None:
+    def _forward_to_successor(
+        self, origin: RequestOrigin, key: str, outcome: Outcome, entry: HistoryEntry | None, outputs: Outputs
+    ) -> None:
         """Pass on to the successor; the tail replies to the member that was asked."""
         successor = self._successor()
         if successor is not None:
             sequence = entry.sequence if entry is not None else self.registers.sequence
-            forward = Forward(self.synced, sequence, origin, key, int(outcome), entry)
+            forward = Forward(self.synced_view, sequence, origin, key, int(outcome), entry)
             outputs.messages.append((successor.address, forward))
-        elif self._lasting():
+        elif self._tolerates_losses():
             self._commit(self.registers.sequence, outputs)
             register = self.registers.current(key)
             payload = register.payload if outcome is Outcome.VALUE else b""
-            reply = Reply(origin.request, int(outcome), register.version, payload)
+            reply = Reply(origin.request_id, int(outcome), register.version, payload)
             outputs.messages.append((origin.replica.address, reply))
 
     # --- commitment ----------------------------------------------------------------------------------------------
 
     def _commit(self, sequence: int, outputs: Outputs) -> None:
         """As the tail: everything held is committed."""
-        if not self._lasting() or self.view is None or sequence <= self.committed:
+        if not self._tolerates_losses() or self.view is None or sequence <= self.committed_sequence:
             return
-        news = Committed(self.view.number, sequence)
+        committed = Committed(self.view.number, sequence)
         others = [voter for voter in self.view.voters if voter.identity != self.me.identity]
-        outputs.messages += [(voter.address, news) for voter in others]
-        self.learn(self.view.number, sequence, outputs)
+        outputs.messages += [(voter.address, committed) for voter in others]
+        self.learn_committed(self.view.number, sequence, outputs)
 
-    def learn(self, view: int, sequence: int, outputs: Outputs) -> None:
+    def learn_committed(self, view: int, sequence: int, outputs: Outputs) -> None:
         """Take note of what is committed; it is published where this replica's history is the chain's."""
-        if not self.serving or view != self.synced or sequence <= self.committed:
+        if not self.is_serving or view != self.synced_view or sequence <= self.committed_sequence:
             return
-        self.committed = sequence
+        self.committed_sequence = sequence
         self._publish(outputs)
 
-    def _remember(self) -> None:
-        self.history.append((self.registers.sequence, self.registers.values))
+    def _record_history(self) -> None:
+        self.unpublished_history.append((self.registers.sequence, self.registers.values))
 
     def _publish(self, outputs: Outputs) -> None:
         """Publish the newest state that is committed; never one older than before."""
-        covered = [state for state in self.history if state[0] <= self.committed]
+        covered = [state for state in self.unpublished_history if state[0] <= self.committed_sequence]
         if not covered:
             return
         sequence, values = covered[-1]
-        self.history = [state for state in self.history if state[0] >= sequence]
+        self.unpublished_history = [state for state in self.unpublished_history if state[0] >= sequence]
         if sequence <= self.published_sequence:
             return
         self.published_sequence = sequence
         for key, register in values.items():
-            if self.published.get(key) != register:
-                outputs.published.append(Published(key, sequence, register))
-        self.published = values
+            if self.published_registers.get(key) != register:
+                outputs.committed_values.append(CommittedValue(key, sequence, register))
+        self.published_registers = values
--- a/hophinge/coordination/codec.py
+++ b/hophinge/coordination/codec.py
@@ -13,8 +13,8 @@
 
 MessageClass = TypeVar("MessageClass", bound=type)
 
-_by_tag: dict[int, type] = {}
-_fields: dict[type, tuple[int, tuple[str, ...]]] = {}
+_class_by_tag: dict[int, type] = {}
+_layout_by_class: dict[type, tuple[int, tuple[str, ...]]] = {}
 
 
 class CodecError(ValueError):
@@ -26,28 +26,28 @@
 
     def register(message: MessageClass) -> MessageClass:
         tag = TAG_BASE + number
-        if tag in _by_tag:
-            raise ValueError(f"message number {number} is taken by {_by_tag[tag].__name__}")
-        _by_tag[tag] = message
-        _fields[message] = tag, tuple(field.name for field in dataclasses.fields(message))
+        if tag in _class_by_tag:
+            raise ValueError(f"message number {number} is taken by {_class_by_tag[tag].__name__}")
+        _class_by_tag[tag] = message
+        _layout_by_class[message] = tag, tuple(field.name for field in dataclasses.fields(message))
         return message
 
     return register
 
 
 def _encode_value(encoder: Any, value: object) -> None:
-    known = _fields.get(type(value))
-    if known is None:
+    layout = _layout_by_class.get(type(value))
+    if layout is None:
         raise CodecError(f"{type(value).__name__} is not a registered message")
-    tag, names = known
+    tag, names = layout
     encoder.encode(cbor2.CBORTag(tag, [getattr(value, name) for name in names]))
 
 
 def _decode_tag(tag: Any, _immutable: bool) -> object:
-    message = _by_tag.get(tag.tag)
-    if message is None:
+    message_class = _class_by_tag.get(tag.tag)
+    if message_class is None:
         raise CodecError(f"message number {tag.tag - TAG_BASE} is not known")
-    return message(*tag.value)
+    return message_class(*tag.value)
 
 
 def encode(message: object) -> bytes:
@@ -63,6 +63,6 @@
         raise
     except (cbor2.CBORError, TypeError, ValueError) as error:
         raise CodecError(f"malformed message: {error}") from error
-    if type(message) not in _fields:
+    if type(message) not in _layout_by_class:
         raise CodecError("the bytes hold no message")
     return message
--- a/hophinge/coordination/dissemination.py
+++ b/hophinge/coordination/dissemination.py
@@ -16,22 +16,22 @@
 
 from hophinge.coordination.codec import wire
 
-BUCKETS = 16
-MARK_BYTES = 8
+BUCKET_COUNT = 16
+FINGERPRINT_BYTES = 8
 LARGE_BYTES = 2_048  # a larger value is announced by its row to a neighbour, which asks for it if it lacks it
 TOMBSTONE_S = 60.0  # how long a record that is gone counts in digests: longer than any member is cut off
-FANOUT = 2  # neighbours that news is passed on to
+PUSH_FANOUT = 2  # neighbours that news is passed on to
 
 
 @wire(50)
 @dataclass(frozen=True, slots=True)
-class Record:
+class GossipRecord:
     """A key's value under a stamp. `gone` marks the end of the key."""
 
     key: str
     stamp: tuple[int, int]
     value: bytes
-    gone: bool = False
+    is_deleted: bool = False
 
 
 @wire(51)
@@ -39,16 +39,16 @@
 class Digest:
     """The marks of all buckets."""
 
-    marks: tuple[int, ...]
+    fingerprints: tuple[int, ...]
 
 
 @wire(52)
 @dataclass(frozen=True, slots=True)
-class Rows:
+class DigestEntries:
     """Keys with their stamps; with a bucket's number, all that the sender holds in it."""
 
     bucket: int | None
-    rows: tuple[tuple[str, tuple[int, int]], ...]
+    entries: tuple[tuple[str, tuple[int, int]], ...]
 
 
 @wire(53)
@@ -56,94 +56,98 @@
 class Push:
     """Records."""
 
-    records: tuple[Record, ...]
+    records: tuple[GossipRecord, ...]
 
 
 @wire(54)
 @dataclass(frozen=True, slots=True)
-class Want:
+class PullRequest:
     """Ask for records."""
 
     keys: tuple[str, ...]
 
 
-Message = Digest | Rows | Push | Want
+GossipMessage = Digest | DigestEntries | Push | PullRequest
 
 
 def bucket_of(key: str) -> int:
     """Tell a key's bucket."""
-    return blake2b(key.encode(), digest_size=1).digest()[0] % BUCKETS
+    return blake2b(key.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
 
-def _mark(key: str, stamp: tuple[int, int]) -> int:
+def _fingerprint(key: str, stamp: tuple[int, int]) -> int:
     text = f"{key}\0{stamp[0]}\0{stamp[1]}".encode()
-    return int.from_bytes(blake2b(text, digest_size=MARK_BYTES).digest(), "big")
+    return int.from_bytes(blake2b(text, digest_size=FINGERPRINT_BYTES).digest(), "big")
 
 
 @dataclass(slots=True)
-class Held:
+class StoredRecord:
     """A record, and when it came."""
 
-    record: Record
-    at: float
-    mark: int
+    record: GossipRecord
+    received_at: float
+    fingerprint: int
 
 
-class Replicas:
+class GossipStore:
     """The records held by one member, and the marks of their buckets."""
 
     def __init__(self) -> None:
-        self.held: dict[str, Held] = {}
-        self.buckets: list[dict[str, Held]] = [{} for _ in range(BUCKETS)]
+        self.records: dict[str, StoredRecord] = {}
+        self.buckets: list[dict[str, StoredRecord]] = [{} for _ in range(BUCKET_COUNT)]
 
-    def offer(self, now: float, record: Record) -> bool:
+    def store_if_newer(self, now: float, record: GossipRecord) -> bool:
         """Take a record if it is newer than what is held; tells whether it was."""
-        known = self.held.get(record.key)
-        if known is not None and known.record.stamp >= record.stamp:
+        current = self.records.get(record.key)
+        if current is not None and current.record.stamp >= record.stamp:
             return False
-        held = Held(record, now, _mark(record.key, record.stamp))
-        self.held[record.key] = held
-        self.buckets[bucket_of(record.key)][record.key] = held
+        stored = StoredRecord(record, now, _fingerprint(record.key, record.stamp))
+        self.records[record.key] = stored
+        self.buckets[bucket_of(record.key)][record.key] = stored
         return True
 
-    def get(self, key: str) -> Record | None:
+    def get(self, key: str) -> GossipRecord | None:
         """Tell a key's record."""
-        held = self.held.get(key)
-        return held.record if held is not None else None
+        stored = self.records.get(key)
+        return stored.record if stored is not None else None
 
-    def _counts(self, now: float, held: Held) -> bool:
-        return not held.record.gone or now - held.at < TOMBSTONE_S
+    def _is_in_digest(self, now: float, stored: StoredRecord) -> bool:
+        return not stored.record.is_deleted or now - stored.received_at < TOMBSTONE_S
 
-    def marks(self, now: float) -> tuple[int, ...]:
+    def fingerprints(self, now: float) -> tuple[int, ...]:
         """Tell the marks of all buckets."""
-        result = []
+        fingerprints = []
         for bucket in self.buckets:
-            mark = 0
-            for held in bucket.values():
-                if self._counts(now, held):
-                    mark ^= held.mark
-            result.append(mark)
-        return tuple(result)
-
-    def rows(self, now: float, bucket: int) -> Rows:
+            fingerprint = 0
+            for stored in bucket.values():
+                if self._is_in_digest(now, stored):
+                    fingerprint ^= stored.fingerprint
+            fingerprints.append(fingerprint)
+        return tuple(fingerprints)
+
+    def entries(self, now: float, bucket: int) -> DigestEntries:
         """Tell all keys of a bucket with their stamps."""
-        held = [one for one in self.buckets[bucket].values() if self._counts(now, one)]
-        return Rows(bucket, tuple((one.record.key, one.record.stamp) for one in held))
+        stored_records = [one for one in self.buckets[bucket].values() if self._is_in_digest(now, one)]
+        return DigestEntries(bucket, tuple((one.record.key, one.record.stamp) for one in stored_records))
 
-    def tidy(self, now: float) -> None:
+    def remove_expired_tombstones(self, now: float) -> None:
         """Forget tombstones that no digest counts any more, after as long again."""
-        old = [key for key, one in self.held.items() if one.record.gone and now - one.at > 2 * TOMBSTONE_S]
-        for key in old:
-            del self.held[key]
+        expired_keys = [
+            key
+            for key, one in self.records.items()
+            if one.record.is_deleted and now - one.received_at > 2 * TOMBSTONE_S
+        ]
+        for key in expired_keys:
+            del self.records[key]
             del self.buckets[bucket_of(key)][key]
 
 
 @dataclass
-class Spread:
+class DisseminationStep:
     """What a step of dissemination sends, and the records that were new to this member."""
 
-    messages: list[tuple[str, Message]]
-    news: list[Record]
+    messages: list[tuple[str, GossipMessage]]
+    updates: list[GossipRecord]
 
 
 class Dissemination:
@@ -151,69 +155,73 @@
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.replicas = Replicas()
+        self.store = GossipStore()
         self.neighbours: tuple[str, ...] = ()  # to whom news is passed on
 
-    def publish(self, now: float, records: Iterable[Record], direct: Iterable[str] = ()) -> Spread:
+    def publish(
+        self, now: float, records: Iterable[GossipRecord], direct_recipients: Iterable[str] = ()
+    ) -> DisseminationStep:
         """Take own records; `direct` members get them whole."""
-        news = [record for record in records if self.replicas.offer(now, record)]
-        if not news:
-            return Spread([], [])
-        push = Push(tuple(news))
-        messages: list[tuple[str, Message]] = [(address, push) for address in direct]
-        return Spread(messages + self._pass_on(news, set(direct)), news)
-
-    def _pass_on(self, news: list[Record], told: set[str]) -> list[tuple[str, Message]]:
+        updates = [record for record in records if self.store.store_if_newer(now, record)]
+        if not updates:
+            return DisseminationStep([], [])
+        push = Push(tuple(updates))
+        messages: list[tuple[str, GossipMessage]] = [(address, push) for address in direct_recipients]
+        return DisseminationStep(messages + self._forward_updates(updates, set(direct_recipients)), updates)
+
+    def _forward_updates(self, updates: list[GossipRecord], already_sent: set[str]) -> list[tuple[str, GossipMessage]]:
         """Pass news on to some neighbours: small records whole, large ones by name."""
-        others = [address for address in self.neighbours if address not in told]
-        chosen = self.random.sample(others, min(FANOUT, len(others)))
-        small = tuple(record for record in news if len(record.value) <= LARGE_BYTES)
-        large = tuple((record.key, record.stamp) for record in news if len(record.value) > LARGE_BYTES)
-        messages: list[tuple[str, Message]] = []
-        for address in chosen:
+        candidates = [address for address in self.neighbours if address not in already_sent]
+        recipients = self.random.sample(candidates, min(PUSH_FANOUT, len(candidates)))
+        small = tuple(record for record in updates if len(record.value) <= LARGE_BYTES)
+        large = tuple((record.key, record.stamp) for record in updates if len(record.value) > LARGE_BYTES)
+        messages: list[tuple[str, GossipMessage]] = []
+        for address in recipients:
             messages += [(address, Push(small))] if small else []
-            messages += [(address, Rows(None, large))] if large else []
+            messages += [(address, DigestEntries(None, large))] if large else []
         return messages
 
     def digest(self, now: float) -> Digest:
         """Tell what to compare."""
-        return Digest(self.replicas.marks(now))
+        return Digest(self.store.fingerprints(now))
 
-    def handle(self, now: float, source: str, message: Message, direct: Iterable[str] = ()) -> Spread:
+    def handle(
+        self, now: float, source: str, message: GossipMessage, direct_recipients: Iterable[str] = ()
+    ) -> DisseminationStep:
         """Take a message of another member; `direct` members get news whole."""
         match message:
-            case Digest(marks=marks):
-                mine = self.replicas.marks(now)
+            case Digest(fingerprints=marks):
+                mine = self.store.fingerprints(now)
                 differ = [number for number in range(min(len(mine), len(marks))) if mine[number] != marks[number]]
-                return Spread([(source, self.replicas.rows(now, number)) for number in differ], [])
-            case Rows():
-                return Spread(self._compare(now, source, message), [])
-            case Want(keys=keys):
-                found = [record for key in keys if (record := self.replicas.get(key)) is not None]
-                return Spread([(source, Push(tuple(found)))] if found else [], [])
+                return DisseminationStep([(source, self.store.entries(now, number)) for number in differ], [])
+            case DigestEntries():
+                return DisseminationStep(self._compare_entries(now, source, message), [])
+            case PullRequest(keys=keys):
+                found = [record for key in keys if (record := self.store.get(key)) is not None]
+                return DisseminationStep([(source, Push(tuple(found)))] if found else [], [])
             case Push(records=records):
-                news = [record for record in records if self.replicas.offer(now, record)]
+                news = [record for record in records if self.store.store_if_newer(now, record)]
                 if not news:
-                    return Spread([], [])
+                    return DisseminationStep([], [])
                 push = Push(tuple(news))
-                told = [address for address in direct if address != source]
-                messages: list[tuple[str, Message]] = [(address, push) for address in told]
-                return Spread(messages + self._pass_on(news, {source, *told}), news)
+                told = [address for address in direct_recipients if address != source]
+                messages: list[tuple[str, GossipMessage]] = [(address, push) for address in told]
+                return DisseminationStep(messages + self._forward_updates(news, {source, *told}), news)
 
-    def _compare(self, now: float, source: str, rows: Rows) -> list[tuple[str, Message]]:
+    def _compare_entries(self, now: float, source: str, message: DigestEntries) -> list[tuple[str, GossipMessage]]:
         """Ask for what is newer there, and send what is newer here."""
-        theirs = dict(rows.rows)
-        wanted: list[str] = []
-        newer: list[Record] = []
-        for key, stamp in theirs.items():
-            held = self.replicas.held.get(key)
-            if held is None or held.record.stamp < stamp:
-                wanted.append(key)
-            elif held.record.stamp > stamp:
-                newer.append(held.record)
-        if rows.bucket is not None and 0 <= rows.bucket < BUCKETS:
-            mine = dict(self.replicas.rows(now, rows.bucket).rows)
-            newer += [self.replicas.held[key].record for key in mine if key not in theirs]
-        messages: list[tuple[str, Message]] = [(source, Want(tuple(wanted)))] if wanted else []
-        messages += [(source, Push(tuple(newer)))] if newer else []
+        remote_stamps = dict(message.entries)
+        missing_keys: list[str] = []
+        newer_records: list[GossipRecord] = []
+        for key, stamp in remote_stamps.items():
+            stored = self.store.records.get(key)
+            if stored is None or stored.record.stamp < stamp:
+                missing_keys.append(key)
+            elif stored.record.stamp > stamp:
+                newer_records.append(stored.record)
+        if message.bucket is not None and 0 <= message.bucket < BUCKET_COUNT:
+            local_stamps = dict(self.store.entries(now, message.bucket).entries)
+            newer_records += [self.store.records[key].record for key in local_stamps if key not in remote_stamps]
+        messages: list[tuple[str, GossipMessage]] = [(source, PullRequest(tuple(missing_keys)))] if missing_keys else []
+        messages += [(source, Push(tuple(newer_records)))] if newer_records else []
         return messages
--- a/hophinge/coordination/events.py
+++ b/hophinge/coordination/events.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass, field
 
-from hophinge.coordination.messages import Record
+from hophinge.coordination.messages import LogRecord
 from hophinge.coordination.registers import Change, Outcome, Register
 from hophinge.coordination.view import Replica
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class MessageReceived:
     """A message from another member."""
 
     source: Replica
@@ -18,13 +18,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Requested:
+class ClientRequest:
     """A caller's change of a register; a read of `key` where there is no change."""
 
-    request: int
+    request_id: int
     key: str
     change: Change | None
-    patience: float  # seconds until the caller is told that it is unknown
+    timeout_s: float  # seconds until the caller is told that it is unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,27 +33,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DiskState:
+class DiskStatus:
     """Whether this replica's disk takes writes."""
 
-    writable: bool
+    is_writable: bool
 
 
-Input = Received | Requested | Tick | DiskState
+Input = MessageReceived | ClientRequest | Tick | DiskStatus
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ClientResponse:
     """The outcome of a caller's request; None where it is not known."""
 
-    request: int
+    request_id: int
     outcome: Outcome | None
     version: int = 0
     payload: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class CommittedValue:
     """A committed value of a register, newer than any published before."""
 
     key: str
@@ -65,8 +65,8 @@
 class Outputs:
     """Records to sync first, in order; only then the rest may be let out."""
 
-    records: list[Record] = field(default_factory=list)
+    records: list[LogRecord] = field(default_factory=list)
     messages: list[tuple[str, object]] = field(default_factory=list)  # address, message
-    answers: list[Answer] = field(default_factory=list)
-    published: list[Published] = field(default_factory=list)
-    notes: list[str] = field(default_factory=list)  # for the operator's log
+    responses: list[ClientResponse] = field(default_factory=list)
+    committed_values: list[CommittedValue] = field(default_factory=list)
+    log_lines: list[str] = field(default_factory=list)  # for the operator's log
--- a/hophinge/coordination/messages.py
+++ b/hophinge/coordination/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from hophinge.coordination.codec import wire
-from hophinge.coordination.registers import Change, Entry, Snapshot
+from hophinge.coordination.registers import Change, HistoryEntry, Snapshot
 from hophinge.coordination.view import Replica, View
 
 
@@ -14,7 +14,7 @@
 class Ballot:
     """An attempt to decide a view; ordered by round, then by who proposes."""
 
-    round: int
+    round_number: int
     proposer: str
 
 
@@ -39,7 +39,7 @@
     ballot: Ballot
     accepted: Ballot
     proposal: View | None
-    synced: int
+    synced_view: int
     sequence: int
 
 
@@ -84,22 +84,22 @@
     """A sign of life: view, history held, history known to be committed, and whether the disk takes writes."""
 
     view: int
-    synced: int
+    synced_view: int
     sequence: int
-    committed: int
-    writable: bool
-    votes: bool  # this replica has a disk that counts
-    leaving: bool  # it was told to end: the next view is to do without it
-    mark: bytes  # of the history up to `sequence`
+    committed_sequence: int
+    is_writable: bool
+    can_vote: bool  # this replica has a disk that counts
+    is_draining: bool  # it was told to end: the next view is to do without it
+    history_digest: bytes  # of the history up to `sequence`
 
 
 @wire(18)
 @dataclass(frozen=True, slots=True)
-class Origin:
+class RequestOrigin:
     """The member that a caller asked, and its name for the request."""
 
     replica: Replica
-    request: int
+    request_id: int
 
 
 @wire(19)
@@ -107,7 +107,7 @@
 class Submit:
     """A member passes a change (or a read of `key`, where there is no change) to the head of the chain."""
 
-    origin: Origin
+    origin: RequestOrigin
     key: str
     change: Change | None
 
@@ -119,10 +119,10 @@
 
     view: int
     sequence: int
-    origin: Origin
+    origin: RequestOrigin
     key: str
     outcome: int
-    entry: Entry | None
+    entry: HistoryEntry | None
 
 
 @wire(21)
@@ -139,7 +139,7 @@
 class Reply:
     """The tail's answer to the member that was asked."""
 
-    request: int
+    request_id: int
     outcome: int
     version: int
     payload: bytes
@@ -178,7 +178,7 @@
 class EntryRecord:
     """An entry was applied."""
 
-    entry: Entry
+    entry: HistoryEntry
 
 
 @wire(34)
@@ -198,8 +198,8 @@
     identity: str
     view: View | None
     vote: VoteRecord
-    synced: int
+    synced_view: int
     snapshot: Snapshot
 
 
-Record = ViewRecord | VoteRecord | EntryRecord | SyncedRecord
+LogRecord = ViewRecord | VoteRecord | EntryRecord | SyncedRecord
--- a/hophinge/coordination/ownership.py
+++ b/hophinge/coordination/ownership.py
@@ -16,12 +16,12 @@
 from hophinge.coordination.registers import Change, Register
 
 ROLE_PREFIX = "role/"
-MARGIN_S = 0.5  # waited beyond the lease by a new owner
+TAKEOVER_MARGIN_S = 0.5  # waited beyond the lease by a new owner
 
 
 @wire(65)
 @dataclass(frozen=True, slots=True)
-class Owner:
+class RoleOwner:
     """Who owns a role."""
 
     identity: str
@@ -41,39 +41,39 @@
         self.owner: str | None = None
         self.token = 0
         self.owned_since: float | None = None
-        self.refused_token = 0  # a token that an instance refused: it is not used again
+        self.rejected_token = 0  # a token that an instance refused: it is not used again
 
-    def published(self, now: float, register: Register) -> None:
+    def handle_committed_owner(self, now: float, register: Register) -> None:
         """Take the committed owner."""
         try:
-            value = decode(register.payload)
+            owner = decode(register.payload)
         except CodecError:
             return
-        if not isinstance(value, Owner) or register.version <= self.token:
+        if not isinstance(owner, RoleOwner) or register.version <= self.token:
             return
-        self.owner, self.token = value.identity, register.version
+        self.owner, self.token = owner.identity, register.version
         self.owned_since = now if self.owner == self.me else None
 
-    def claim(self, alive: Set[str]) -> Change | None:
+    def claim(self, live_replicas: Set[str]) -> Change | None:
         """Tell the change by which this replica would take the role, where it falls to it now."""
-        outdated = self.owner == self.me and self.refused_token == self.token
-        if not outdated and (self.owner in alive or rendezvous(self.key, alive) != self.me):
+        is_token_rejected = self.owner == self.me and self.rejected_token == self.token
+        if not is_token_rejected and (self.owner in live_replicas or rendezvous(self.key, live_replicas) != self.me):
             return None
-        payload = encode(Owner(self.me))
+        payload = encode(RoleOwner(self.me))
         version = self.token + 1
         digest = blake2b(payload + str(version).encode(), digest_size=16).digest()
         return Change(self.key, self.token, version, digest, payload)
 
     def may_act(self, now: float) -> bool:
         """Tell whether this replica owns the role for long enough; it still has to confirm that it does."""
-        if self.owned_since is None or self.refused_token == self.token:
+        if self.owned_since is None or self.rejected_token == self.token:
             return False
-        return now - self.owned_since >= self.lease_s + MARGIN_S
+        return now - self.owned_since >= self.lease_s + TAKEOVER_MARGIN_S
 
-    def refused(self, token: int) -> None:
+    def reject_token(self, token: int) -> None:
         """An instance has seen a higher token: this one is done with, and the next claim takes one above it."""
-        self.refused_token = max(self.refused_token, token)
+        self.rejected_token = max(self.rejected_token, token)
 
-    def confirmed(self, version: int) -> bool:
+    def is_confirmed(self, version: int) -> bool:
         """Tell whether a read through the chain confirms the ownership."""
         return self.owned_since is not None and version == self.token
--- a/hophinge/coordination/recovery.py
+++ b/hophinge/coordination/recovery.py
@@ -5,8 +5,8 @@
 from typing import Protocol
 
 from hophinge.coordination.agreement import Acceptor
-from hophinge.coordination.chain import Chain
-from hophinge.coordination.messages import EntryRecord, Record, StateRecord, SyncedRecord, ViewRecord, VoteRecord
+from hophinge.coordination.chain import ChainReplica
+from hophinge.coordination.messages import EntryRecord, LogRecord, StateRecord, SyncedRecord, ViewRecord, VoteRecord
 from hophinge.coordination.view import View
 
 
@@ -15,16 +15,16 @@
 
     view: View | None
     acceptor: Acceptor
-    chain: Chain
+    chain: ChainReplica
 
 
-def apply_record(replica: Durable, record: Record | StateRecord) -> None:
+def apply_record(replica: Durable, record: LogRecord | StateRecord) -> None:
     """Apply one record, in the order in which it was written."""
     registers = replica.chain.registers
     match record:
         case StateRecord():
             replica.view, replica.acceptor.vote = record.view, record.vote
-            replica.chain.synced = record.synced
+            replica.chain.synced_view = record.synced_view
             registers.restore(record.snapshot)
         case ViewRecord(view):
             replica.view = view
@@ -33,6 +33,6 @@
         case EntryRecord(entry):
             registers.apply(entry)
         case SyncedRecord(view=number, snapshot=snapshot):
-            replica.chain.synced = number
+            replica.chain.synced_view = number
             if snapshot is not None:
                 registers.restore(snapshot)
--- a/hophinge/coordination/storage/volume.py
+++ b/hophinge/coordination/storage/volume.py
@@ -10,7 +10,7 @@
 FILE_MODE = 0o600
 
 
-class Volume(Protocol):
+class StorageVolume(Protocol):
     """A folder of files."""
 
     def read(self, name: str) -> bytes:
@@ -31,15 +31,15 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.handles: dict[str, int] = {}
+        self.file_descriptors: dict[str, int] = {}
         folder.mkdir(parents=True, exist_ok=True)
 
-    def _handle(self, name: str) -> int:
-        handle = self.handles.get(name)
-        if handle is None:
-            handle = os.open(self.folder / name, os.O_RDWR | os.O_CREAT, FILE_MODE)
-            self.handles[name] = handle
-        return handle
+    def _descriptor(self, name: str) -> int:
+        descriptor = self.file_descriptors.get(name)
+        if descriptor is None:
+            descriptor = os.open(self.folder / name, os.O_RDWR | os.O_CREAT, FILE_MODE)
+            self.file_descriptors[name] = descriptor
+        return descriptor
 
     def read(self, name: str) -> bytes:
         """Read a whole file; one that is not there is empty."""
@@ -49,18 +49,18 @@
 
     def write(self, name: str, offset: int, data: bytes) -> None:
         """Write at a place, without syncing it."""
-        handle, view = self._handle(name), memoryview(data)
+        descriptor, view = self._descriptor(name), memoryview(data)
         while view:
-            written = os.pwrite(handle, view, offset)
+            written = os.pwrite(descriptor, view, offset)
             offset += written
             view = view[written:]
 
     def sync(self, name: str) -> None:
         """Make what was written to a file last, and its name in the folder."""
-        os.fsync(self._handle(name))
+        os.fsync(self._descriptor(name))
 
     def close(self) -> None:
         """Let go of the files."""
-        for handle in self.handles.values():
+        for handle in self.file_descriptors.values():
             os.close(handle)
-        self.handles.clear()
+        self.file_descriptors.clear()
--- a/hophinge/coordination/view.py
+++ b/hophinge/coordination/view.py
@@ -22,11 +22,11 @@
 
 @wire(2)
 @dataclass(frozen=True, slots=True)
-class Link:
+class ChainLink:
     """A replica's place in a chain, and the number of the view in which it came to that place without a gap since."""
 
     identity: str
-    joined: int
+    joined_view: int
 
 
 @wire(3)
@@ -36,7 +36,7 @@
 
     number: int
     voters: tuple[Replica, ...]
-    chain: tuple[Link, ...]
+    chain: tuple[ChainLink, ...]
 
     @property
     def majority(self) -> int:
@@ -59,12 +59,12 @@
         """Tell who replies."""
         return self.voter(self.chain[-1].identity) if self.chain else None
 
-    def neighbour(self, identity: str, step: int) -> Replica | None:
+    def neighbour(self, identity: str, offset: int) -> Replica | None:
         """Tell the replica a number of places further down the chain (up, where negative)."""
-        place = self.position(identity)
-        if place < 0 or not 0 <= place + step < len(self.chain):
+        position = self.position(identity)
+        if position < 0 or not 0 <= position + offset < len(self.chain):
             return None
-        return self.voter(self.chain[place + step].identity)
+        return self.voter(self.chain[position + offset].identity)
 
 
 def seed_view(addresses: tuple[str, ...]) -> View:
--- a/hophinge/coordination/view_planning.py
+++ b/hophinge/coordination/view_planning.py
@@ -6,98 +6,106 @@
 from dataclasses import dataclass
 
 from hophinge.coordination.messages import Promise
-from hophinge.coordination.view import Link, Replica, View
+from hophinge.coordination.view import ChainLink, Replica, View
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class MembershipObservation:
     """The group as one replica sees it at one moment."""
 
-    alive: Set[str]  # identities heard lately whose disks take writes, this replica among them
-    steady: Set[str]  # of these, heard without a gap for long enough to be taken (back) in
-    gone: Set[str]  # voters that were not heard for long
-    leaving: Set[str]  # replicas that were told to end: they are heard, and take no new place
+    live_replicas: Set[str]  # identities heard lately whose disks take writes, this replica among them
+    steady_replicas: Set[str]  # of these, heard without a gap for long enough to be taken (back) in
+    failed_voters: Set[str]  # voters that were not heard for long
+    draining_replicas: Set[str]  # replicas that were told to end: they are heard, and take no new place
     candidates: tuple[Replica, ...]  # replicas with a disk that counts, outside the view
-    least_voters: int  # fewer would not bear the losses that are to be borne
+    min_voters: int  # fewer would not bear the losses that are to be borne
 
     @property
-    def least_chain(self) -> int:
+    def min_chain_length(self) -> int:
         """Tell the length of a chain whose changes outlive the losses to be borne."""
-        return self.least_voters // 2 + 1
+        return self.min_voters // 2 + 1
 
 
-def needs_change(view: View, sight: Sight) -> bool:
+def needs_change(view: View, observation: MembershipObservation) -> bool:
     """Tell whether the view in force should be replaced."""
     members = {link.identity for link in view.chain}
     voters = {voter.identity for voter in view.voters}
-    if members - sight.alive - sight.leaving or members & _dispensable(view, sight):
+    if members - observation.live_replicas - observation.draining_replicas or members & _removable_replicas(
+        view, observation
+    ):
         return True
-    if (voters - members) & sight.steady:
+    if (voters - members) & observation.steady_replicas:
         return True
-    if any(candidate.identity in sight.steady for candidate in sight.candidates):
+    if any(candidate.identity in observation.steady_replicas for candidate in observation.candidates):
         return True
-    return bool(_superfluous(view, sight))
+    return bool(_voters_to_remove(view, observation))
 
 
-def _dispensable(view: View, sight: Sight) -> Set[str]:
+def _removable_replicas(view: View, observation: MembershipObservation) -> Set[str]:
     """Tell the leaving replicas that the chain can do without now; others are kept in it until they have ended."""
-    staying = {link.identity for link in view.chain} & sight.alive
-    return sight.leaving if len(staying) >= sight.least_chain else frozenset()
+    remaining = {link.identity for link in view.chain} & observation.live_replicas
+    return observation.draining_replicas if len(remaining) >= observation.min_chain_length else frozenset()
 
 
-def _superfluous(view: View, sight: Sight) -> list[Replica]:
+def _voters_to_remove(view: View, observation: MembershipObservation) -> list[Replica]:
     """Tell the voters to do without: gone or leaving ones, as many as lower the majority."""
-    unneeded = sight.gone | _dispensable(view, sight)
-    gone = sorted((voter for voter in view.voters if voter.identity in unneeded), key=lambda voter: voter.identity)
+    removable = observation.failed_voters | _removable_replicas(view, observation)
+    removable_voters = sorted(
+        (voter for voter in view.voters if voter.identity in removable), key=lambda voter: voter.identity
+    )
     count = len(view.voters)
-    dropped = 1 if count % 2 == 0 else 2
-    return gone[:dropped] if len(gone) >= dropped and count - dropped >= sight.least_voters else []
+    removed_count = 1 if count % 2 == 0 else 2
+    return (
+        removable_voters[:removed_count]
+        if len(removable_voters) >= removed_count and count - removed_count >= observation.min_voters
+        else []
+    )
 
 
-def next_view(view: View, sight: Sight, promises: Mapping[str, Promise]) -> View | None:
+def next_view(view: View, observation: MembershipObservation, promises: Mapping[str, Promise]) -> View | None:
     """Plan the next view from those who promised; None where none of them may head it."""
     number = view.number + 1
-    dispensable = _dispensable(view, sight)
-    voters = _next_voters(view, sight)
+    removable_replicas = _removable_replicas(view, observation)
+    voters = _next_voters(view, observation)
     identities = {voter.identity for voter in voters}
     chain = [
         link
         for link in view.chain
         if link.identity in promises
         and link.identity in identities
-        and link.identity not in dispensable
-        and promises[link.identity].synced >= link.joined
+        and link.identity not in removable_replicas
+        and promises[link.identity].synced_view >= link.joined_view
     ]
     if not chain:
         return None
-    placed = {link.identity for link in chain}
-    joining = [voter.identity for voter in voters if voter.identity not in placed]
+    chain_identities = {link.identity for link in chain}
+    joining = [voter.identity for voter in voters if voter.identity not in chain_identities]
     chain += [
-        Link(identity, number)
+        ChainLink(identity, number)
         for identity in sorted(joining)
-        if identity in sight.steady or (identity in promises and identity in sight.alive)
+        if identity in observation.steady_replicas or (identity in promises and identity in observation.live_replicas)
     ]
     return View(number, tuple(voters), tuple(chain))
 
 
-def first_view(known: tuple[Replica, ...]) -> View:
+def first_view(replicas: tuple[Replica, ...]) -> View:
     """Form the first view of a system whose disks are all empty."""
-    voters = tuple(sorted(known, key=lambda replica: replica.address))
-    return View(1, voters, tuple(Link(replica.identity, 1) for replica in voters))
+    voters = tuple(sorted(replicas, key=lambda replica: replica.address))
+    return View(1, voters, tuple(ChainLink(replica.identity, 1) for replica in voters))
 
 
-def _next_voters(view: View, sight: Sight) -> list[Replica]:
-    superfluous = _superfluous(view, sight)
-    voters = [voter for voter in view.voters if voter not in superfluous]
-    for candidate in sight.candidates:
-        if candidate.identity in sight.steady:
-            voters = _with(voters, candidate, sight)
+def _next_voters(view: View, observation: MembershipObservation) -> list[Replica]:
+    removed = _voters_to_remove(view, observation)
+    voters = [voter for voter in view.voters if voter not in removed]
+    for candidate in observation.candidates:
+        if candidate.identity in observation.steady_replicas:
+            voters = _add_voter(voters, candidate, observation)
     return voters
 
 
-def _with(voters: list[Replica], candidate: Replica, sight: Sight) -> list[Replica]:
+def _add_voter(voters: list[Replica], candidate: Replica, observation: MembershipObservation) -> list[Replica]:
     """Take in a replica: in place of the one whose address it has, else of one that is not heard, else beside them."""
     replaced = next((voter for voter in voters if voter.address == candidate.address), None)
     if replaced is None:
-        replaced = next((voter for voter in voters if voter.identity not in sight.alive), None)
+        replaced = next((voter for voter in voters if voter.identity not in observation.live_replicas), None)
     return [voter for voter in voters if voter is not replaced] + [candidate]
--- a/hophinge/fleet/configuration/routes.py
+++ b/hophinge/fleet/configuration/routes.py
@@ -9,7 +9,7 @@
 from itertools import accumulate
 from typing import Any
 
-from hophinge.coordination.dissemination import Record
+from hophinge.coordination.dissemination import GossipRecord
 
 RECORD_KEY = "configuration"  # the record under which members know the configuration in force
 COMPRESSION = 1  # zlib's level: documents repeat themselves, and time counts more than bytes
@@ -145,11 +145,11 @@
     )
 
 
-def configuration_record(sequence: int, document: bytes) -> Record:
+def configuration_record(sequence: int, document: bytes) -> GossipRecord:
     """Put a committed document into a record; its stamp is its place in the chain's history."""
-    return Record(RECORD_KEY, (sequence, 0), zlib.compress(document, COMPRESSION))
+    return GossipRecord(RECORD_KEY, (sequence, 0), zlib.compress(document, COMPRESSION))
 
 
-def table_of(record: Record) -> RouteTable:
+def table_of(record: GossipRecord) -> RouteTable:
     """Read a configuration's record."""
     return parse(zlib.decompress(record.value))
--- a/hophinge/fleet/controlplane/api.py
+++ b/hophinge/fleet/controlplane/api.py
@@ -111,7 +111,7 @@
         change = Change(RECORD_KEY, base, checked.ok.version, digest, body)
         result = await self.host.request(RECORD_KEY, change, TIMEOUT_S)
         match result.outcome:
-            case Outcome.TAKEN:
+            case Outcome.APPLIED:
                 await answer(send, 200, _body(version=change.version), (JSON_TYPE,))
             case Outcome.CONFLICT:
                 text = f"version {result.version} is in place"
--- a/hophinge/fleet/controlplane/directory.py
+++ b/hophinge/fleet/controlplane/directory.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from random import Random
 
-from hophinge.coordination.dissemination import Digest, Dissemination, Push, Record, Rows, Want
-from hophinge.coordination.leases import LEASE_S, Grant, Leases, LeaseTable, Renew
-from hophinge.coordination.peers import SUSPECT_S
-from hophinge.coordination.quorum_acknowledgements import Held, Hold
-from hophinge.coordination.replica import ReplicaMachine
+from hophinge.coordination.dissemination import Digest, Dissemination, Push, GossipRecord, DigestEntries, PullRequest
+from hophinge.coordination.leases import LEASE_DURATION_S, LeaseGrant, GrantedLeases, LeaseTable, RenewLease
+from hophinge.coordination.peers import SUSPECT_TIMEOUT_S
+from hophinge.coordination.quorum_acknowledgements import RecordReplicated, ReplicateRecord
+from hophinge.coordination.replica import ReplicaStateMachine
 from hophinge.coordination.view import Replica
 from hophinge.fleet.controlplane.relay import Relay
 from hophinge.fleet.placement.hints import Hints, Reports, Suspects
@@ -36,7 +36,7 @@
     """The soft state of one control member, and its words to others."""
 
     def __init__(
-        self, settings: Settings, machine: ReplicaMachine, send: Callable[[str, object], None], relay: Relay
+        self, settings: Settings, machine: ReplicaStateMachine, send: Callable[[str, object], None], relay: Relay
     ) -> None:
         self.machine, self.send, self.relay = machine, send, relay
         self.loop = asyncio.get_running_loop()
@@ -61,24 +61,28 @@
         return sorted(found - {self.machine.me.address})
 
     def _around(self) -> Surroundings:
-        core = self.machine.core(self.loop.time())
+        core = self.machine.quorum_view(self.loop.time())
         return Surroundings(core, tuple(self._direct()), tuple(self.controls()))
 
     def _granters(self, now: float) -> tuple[Replica, ...]:
         """Tell the core's replicas heard lately, which grant leases; without any, this member does."""
         peers = self.machine.peers.known.values()
-        granters = [peer.replica for peer in peers if now - peer.heard <= SUSPECT_S and peer.heartbeat.votes]
-        if self.machine.votes or not granters:
+        granters = [
+            peer.replica
+            for peer in peers
+            if now - peer.last_heartbeat_at <= SUSPECT_TIMEOUT_S and peer.heartbeat.can_vote
+        ]
+        if self.machine.can_vote or not granters:
             granters.insert(0, self.machine.me)
         return tuple(granters)
 
     def _relays(self) -> list[str]:
         """Tell the other control members that pass words on to heads: the core's, as they grant the leases."""
-        voting = {peer.replica.address for peer in self.machine.peers.known.values() if peer.heartbeat.votes}
+        voting = {peer.replica.address for peer in self.machine.peers.known.values() if peer.heartbeat.can_vote}
         return sorted(voting - {self.machine.me.address})
 
     def _heads(self) -> list[str]:
-        return [holder.address for holder in self.leases.own()]
+        return [holder.address for holder in self.leases.local_holders()]
 
     def _direct(self) -> list[str]:
         """Tell the data planes that get news from here."""
@@ -102,7 +106,7 @@
 
     # --- what comes in -------------------------------------------------------------------------------------------
 
-    def publish_configuration(self, record: Record) -> None:
+    def publish_configuration(self, record: GossipRecord) -> None:
         """A newer configuration is in force."""
         targets = [*self._direct(), *self._outside_chain()]
         for address, message in self.dissemination.publish(self.loop.time(), [record], targets).messages:
@@ -112,26 +116,26 @@
         """Take another member's message."""
         now, address = self.loop.time(), source.address
         match message:
-            case Renew():
+            case RenewLease():
                 self._renew(now, address, message)
-            case Digest() | Rows() | Want() | Push():
+            case Digest() | DigestEntries() | PullRequest() | Push():
                 step = ServiceStep()
                 self.service.receive(now, address, message, self._direct(), step)
                 self._let_go(step)
-            case Hold():
+            case ReplicateRecord():
                 self._let_go(self.service.hold(now, self._around(), address, message))
-            case Held():
+            case RecordReplicated():
                 self._let_go(self.service.held(now, self._around(), source.identity, message))
-            case Leases(holders=holders):
+            case GrantedLeases(holders=holders):
                 self.leases.merge(now, holders)
             case Hints() | Reports() | Suspects():
                 self._relayed(address, message)
             case Liveness():
                 self.service.heard_elsewhere(now, message)
 
-    def _renew(self, now: float, source: str, renew: Renew) -> None:
+    def _renew(self, now: float, source: str, renew: RenewLease) -> None:
         self.leases.renew(now, renew.holder)
-        holders = self.leases.all()
+        holders = self.leases.holders()
         others = [one for one in holders if one.identity != renew.holder.identity]
         near = [one.address for one in others if one.zone == renew.holder.zone]
         far = [one.address for one in others if one.zone != renew.holder.zone]
@@ -139,10 +143,17 @@
         chosen += self.random.sample(far, min(2, len(far)))
         self.send(
             source,
-            Grant(LEASE_S, len(holders), tuple(chosen), self._granters(now), self.machine.connected(now), renew.asked),
+            LeaseGrant(
+                LEASE_DURATION_S,
+                len(holders),
+                tuple(chosen),
+                self._granters(now),
+                self.machine.is_connected(now),
+                renew.requested_at,
+            ),
         )
         step = ServiceStep()
-        self.service.receive(now, source, Digest(renew.marks), (), step)
+        self.service.receive(now, source, Digest(renew.fingerprints), (), step)
         self._let_go(step)
 
     # --- hints ---------------------------------------------------------------------------------------------------
@@ -222,7 +233,7 @@
         now = self.loop.time()
         self.leases.expire(now)
         around = self._around()
-        listening = self.machine.votes and self.machine.connected(now)
+        listening = self.machine.can_vote and self.machine.is_connected(now)
         self._let_go(self.service.tick(now, around, listening))
         if now - self.shared >= SHARE_S:
             self.shared = now
@@ -235,7 +246,7 @@
     def _share(self, around: Surroundings) -> None:
         """Tell the other control members whom leases were granted to, and which instances were heard."""
         liveness = self.registry.liveness()
-        words: list[object] = [Leases(tuple(self.leases.own()))]
+        words: list[object] = [GrantedLeases(tuple(self.leases.local_holders()))]
         words += [liveness] if liveness is not None else []
         for address in around.controls:
             for word in words:
--- a/hophinge/fleet/controlplane/host.py
+++ b/hophinge/fleet/controlplane/host.py
@@ -11,11 +11,20 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from hophinge.coordination.messages import Record, StateRecord
-from hophinge.coordination.events import Answer, DiskState, Input, Outputs, Published, Received, Requested, Tick
+from hophinge.coordination.messages import LogRecord, StateRecord
+from hophinge.coordination.events import (
+    ClientResponse,
+    DiskStatus,
+    Input,
+    Outputs,
+    CommittedValue,
+    MessageReceived,
+    ClientRequest,
+    Tick,
+)
 from hophinge.coordination.registers import Change
-from hophinge.coordination.replica import Membership, ReplicaMachine
-from hophinge.coordination.storage.store import Damage, Store
+from hophinge.coordination.replica import ReplicaConfig, ReplicaStateMachine
+from hophinge.coordination.storage.store import Damage, DurableStore
 from hophinge.coordination.storage.volume import FileVolume
 from hophinge.coordination.view import Replica
 from hophinge.fleet.settings import Settings
@@ -33,7 +42,7 @@
     """Where a replica's outputs go."""
 
     send: Callable[[str, object], None]
-    publish: Callable[[list[Published]], None]
+    publish: Callable[[list[CommittedValue]], None]
     note: Callable[[str], None]
 
 
@@ -41,7 +50,7 @@
 class Batch:
     """Records to write, and what may be let out then; a whole state where the disk has to be caught up."""
 
-    records: list[Record]
+    records: list[LogRecord]
     state: StateRecord | None
     outputs: list[Outputs]
     scrub: bool = False  # nothing to write: what is there is read back
@@ -51,7 +60,7 @@
 class DiskWriter(threading.Thread):
     """The one thread that writes: a disk that hangs stops nothing else."""
 
-    def __init__(self, store: Store, done: Callable[[Batch, Exception | None], None]) -> None:
+    def __init__(self, store: DurableStore, done: Callable[[Batch, Exception | None], None]) -> None:
         super().__init__(daemon=True, name="disk")
         self.store, self.done = store, done
         self.batches: queue.SimpleQueue[Batch] = queue.SimpleQueue()
@@ -79,22 +88,26 @@
     def __init__(self, settings: Settings, effects: Effects) -> None:
         self.loop = asyncio.get_running_loop()
         self.effects = effects
-        self.store = Store(FileVolume(settings.data_dir)) if settings.votes and settings.data_dir else None
+        self.store = DurableStore(FileVolume(settings.data_dir)) if settings.votes and settings.data_dir else None
         recovered = self.store.recover() if self.store is not None else None
-        if recovered is not None and recovered.damaged:
+        if recovered is not None and recovered.is_damaged:
             effects.note("the newer state on the disk cannot be read: it counts as a new disk")
         identity = recovered.state.identity if recovered and recovered.state else secrets.token_hex(8)
         self.me = Replica(identity, settings.control_internal, settings.zone)
-        membership = Membership(self.me, settings.seed_members(), settings.bootstrap, settings.votes, settings.losses)
-        self.machine = ReplicaMachine(membership, Random(), self.loop.time())
+        membership = ReplicaConfig(
+            self.me, settings.seed_members(), settings.bootstrap, settings.votes, settings.losses
+        )
+        self.machine = ReplicaStateMachine(membership, Random(), self.loop.time())
         if recovered is not None and recovered.state is not None:
             self.machine.restore([recovered.state, *recovered.records])
         elif self.store is not None:
-            self.store.save(self.machine.state())  # with view 0, where this is a seed: promises bind it for ever
+            self.store.save(
+                self.machine.durable_state()
+            )  # with view 0, where this is a seed: promises bind it for ever
         self.waiting: list[Outputs] = []  # outputs that came while a batch is being written
         self.writing_since: float | None = None
         self.failed_at: float | None = None
-        self.callers: dict[int, asyncio.Future[Answer]] = {}
+        self.callers: dict[int, asyncio.Future[ClientResponse]] = {}
         self.requests = itertools.count(secrets.randbits(40))
         self.scrubbed = self.loop.time()
         self.writer: DiskWriter | None = None
@@ -106,7 +119,7 @@
 
     def received(self, source: Replica, message: object) -> None:
         """Take a message of another member."""
-        self.handle(Received(source, message))
+        self.handle(MessageReceived(source, message))
 
     def tick(self) -> None:
         """Let time pass, and watch the disk."""
@@ -118,24 +131,24 @@
             self._write(Batch([], None, [], scrub=True))
         hung = self.writing_since is not None and now - self.writing_since > SLOW_S
         if self.writer is not None:
-            self.handle(DiskState(not hung and self.failed_at is None))
+            self.handle(DiskStatus(not hung and self.failed_at is None))
         self.handle(Tick())
 
     def _idle(self) -> bool:
         """Tell whether nothing is being written, and nothing waits for it."""
         return self.writing_since is None and self.failed_at is None and not self.waiting
 
-    async def request(self, key: str, change: Change | None, patience: float) -> Answer:
+    async def request(self, key: str, change: Change | None, patience: float) -> ClientResponse:
         """Change or read a register."""
         number = next(self.requests)
-        future: asyncio.Future[Answer] = self.loop.create_future()
+        future: asyncio.Future[ClientResponse] = self.loop.create_future()
         self.callers[number] = future
-        self.handle(Requested(number, key, change, patience))
+        self.handle(ClientRequest(number, key, change, patience))
         try:
             async with asyncio.timeout(patience + 2 * REPLICA_TICK_S):
                 return await future
         except TimeoutError:
-            return Answer(number, None)
+            return ClientResponse(number, None)
         finally:
             del self.callers[number]
 
@@ -143,14 +156,14 @@
         """Answer all who wait that it is not known whether their requests were carried out."""
         for number, future in self.callers.items():
             if not future.done():
-                future.set_result(Answer(number, None))
+                future.set_result(ClientResponse(number, None))
 
     def handle(self, event: Input) -> None:
         """Give the machine one input; what it returns waits for its records and for all outputs before it."""
         outputs = self.machine.handle(self.loop.time(), event)
-        for note in outputs.notes:
+        for note in outputs.log_lines:
             self.effects.note(note)
-        if not (outputs.records or outputs.messages or outputs.answers or outputs.published):
+        if not (outputs.records or outputs.messages or outputs.responses or outputs.committed_values):
             return
         self.waiting.append(outputs)
         if self.writing_since is None and self.failed_at is None:
@@ -164,16 +177,16 @@
         records = [record for one in outputs for record in one.records]
         if not records or self.writer is None or self.store is None:
             self._let_out(outputs)
-        elif self.store.full:
-            self._write(Batch([], self.machine.state(), outputs))
+        elif self.store.is_log_full:
+            self._write(Batch([], self.machine.durable_state(), outputs))
         else:
             self._write(Batch(records, None, outputs))
 
     def _catch_up(self) -> None:
         """Write the whole state, which covers all records so far; messages held back are about a time that is over."""
-        kept = [Outputs(answers=one.answers, published=one.published) for one in self.waiting]
+        kept = [Outputs(responses=one.responses, committed_values=one.committed_values) for one in self.waiting]
         self.waiting = []
-        self._write(Batch([], self.machine.state(), kept))
+        self._write(Batch([], self.machine.durable_state(), kept))
 
     def _write(self, batch: Batch) -> None:
         assert self.writer is not None
@@ -207,14 +220,14 @@
 
     def _let_out(self, batches: list[Outputs]) -> None:
         for outputs in batches:
-            if outputs.published:
-                self.effects.publish(outputs.published)
+            if outputs.committed_values:
+                self.effects.publish(outputs.committed_values)
             for address, message in outputs.messages:
                 if address == self.me.address:
                     self.loop.call_soon(self.received, self.me, message)
                 else:
                     self.effects.send(address, message)
-            for answer in outputs.answers:
-                future = self.callers.get(answer.request)
+            for answer in outputs.responses:
+                future = self.callers.get(answer.request_id)
                 if future is not None and not future.done():
                     future.set_result(answer)
--- a/hophinge/fleet/controlplane/keeper.py
+++ b/hophinge/fleet/controlplane/keeper.py
@@ -8,11 +8,11 @@
 
 import httpcore
 
-from hophinge.coordination.events import Answer
+from hophinge.coordination.events import ClientResponse
 from hophinge.coordination.ownership import Role
-from hophinge.coordination.peers import SUSPECT_S
+from hophinge.coordination.peers import SUSPECT_TIMEOUT_S
 from hophinge.coordination.registers import Change, Outcome, Register
-from hophinge.coordination.replica import ReplicaMachine
+from hophinge.coordination.replica import ReplicaStateMachine
 from hophinge.fleet import log
 from hophinge.fleet.controlplane.directory import Directory
 from hophinge.fleet.placement.policy import Policy
@@ -28,14 +28,14 @@
 TAKEN = (200, 202)
 OUTDATED_TOKEN = 412  # an instance's answer where it has seen a higher token
 
-Request = Callable[[str, Change | None, float], Awaitable[Answer]]
+Request = Callable[[str, Change | None, float], Awaitable[ClientResponse]]
 
 
 class StageKeeper:
     """One control member's part in the role."""
 
     def __init__(
-        self, machine: ReplicaMachine, directory: Directory, request: Request, lease_s: float, policy: Policy
+        self, machine: ReplicaStateMachine, directory: Directory, request: Request, lease_s: float, policy: Policy
     ) -> None:
         self.machine, self.directory, self.request, self.policy = machine, directory, request, policy
         self.loop = asyncio.get_running_loop()
@@ -47,14 +47,18 @@
 
     def published(self, register: Register) -> None:
         """Take the committed owner of the role."""
-        self.role.published(self.loop.time(), register)
+        self.role.handle_committed_owner(self.loop.time(), register)
 
     def alive(self) -> set[str]:
         """Tell the replicas of the chain that were heard lately, this one among them."""
         now, view = self.loop.time(), self.machine.view
         if view is None:
             return set()
-        heard = {name for name, peer in self.machine.peers.known.items() if now - peer.heard <= 2 * SUSPECT_S}
+        heard = {
+            name
+            for name, peer in self.machine.peers.known.items()
+            if now - peer.last_heartbeat_at <= 2 * SUSPECT_TIMEOUT_S
+        }
         return {link.identity for link in view.chain} & (heard | {self.machine.me.identity})
 
     async def run(self) -> None:
@@ -63,12 +67,12 @@
 
     async def _look(self) -> None:
         now = self.loop.time()
-        if not self.machine.connected(now):
+        if not self.machine.is_connected(now):
             return
         claim = self.role.claim(self.alive())
         if claim is not None:
             answer = await self.request(self.role.key, claim, 1.0)
-            if answer.outcome is Outcome.TAKEN:
+            if answer.outcome is Outcome.APPLIED:
                 log.note(f"owner of the stages, token {claim.version}")
             return
         instances = self.directory.registry.instances
@@ -93,7 +97,7 @@
                 answer = await self.request(self.role.key, None, CONFIRM_S)
         except TimeoutError:
             return
-        if answer.outcome is not Outcome.VALUE or not self.role.confirmed(answer.version):
+        if answer.outcome is not Outcome.VALUE or not self.role.is_confirmed(answer.version):
             return
         self.ordered_at, token = self.loop.time(), self.role.token
         await asyncio.gather(*(self._order_one(switch, token) for switch in switches))
@@ -102,7 +106,7 @@
         status = await _post_order(switch, self.role.me, token)
         log.note(f"instance {switch.instance.identity} is to be {switch.stage}: answered {status}")
         if status == OUTDATED_TOKEN:
-            self.role.refused(token)
+            self.role.reject_token(token)
         if status in TAKEN:
             self.loads.switched(switch.instance.identity)
             self.directory.switching(switch.instance)
--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -6,7 +6,7 @@
 
 from hophinge.fleet.transport import lean  # isort: skip  # noqa: F401 - before the HTTP libraries
 
-from hophinge.coordination.events import Published
+from hophinge.coordination.events import CommittedValue
 from hophinge.fleet import log
 from hophinge.fleet.configuration.routes import RECORD_KEY, configuration_record
 from hophinge.fleet.controlplane.api import ControlApi
@@ -48,7 +48,7 @@
     def _send(self, address: str, message: object) -> None:
         self.links.send(address, message)
 
-    def _publish(self, published: list[Published]) -> None:
+    def _publish(self, published: list[CommittedValue]) -> None:
         for one in published:
             if one.key == self.keeper.role.key:
                 self.keeper.published(one.register)
@@ -115,8 +115,8 @@
         """Serve on until the others have a view without this member: it may hold what nobody else holds."""
         machine, loop = self.host.machine, asyncio.get_running_loop()
         until = loop.time() + self.settings.bounds.grace_s - RESERVE_S
-        machine.leave()
-        while machine.needed() and loop.time() < until:
+        machine.begin_drain()
+        while machine.is_required() and loop.time() < until:
             await asyncio.sleep(REPLICA_TICK_S)
 
 
--- a/hophinge/fleet/controlplane/status.py
+++ b/hophinge/fleet/controlplane/status.py
@@ -4,44 +4,44 @@
 
 from typing import Any
 
-from hophinge.coordination.replica import ReplicaMachine
+from hophinge.coordination.replica import ReplicaStateMachine
 from hophinge.fleet.configuration.routes import RECORD_KEY
 from hophinge.fleet.controlplane.directory import Directory
 
 
-def member_status(machine: ReplicaMachine, directory: Directory, now: float) -> dict[str, Any]:
+def member_status(machine: ReplicaStateMachine, directory: Directory, now: float) -> dict[str, Any]:
     """Tell how this member stands."""
     view, chain = machine.view, machine.chain
     peers = machine.peers.known.values()
-    record = directory.dissemination.replicas.get(RECORD_KEY)
+    record = directory.dissemination.store.get(RECORD_KEY)
     return {
         "program": "control-plane",
         "identity": machine.me.identity,
         "address": machine.me.address,
-        "votes": machine.votes,
-        "disk-writable": machine.writable,
-        "connected": machine.connected(now),
+        "votes": machine.can_vote,
+        "disk-writable": machine.is_writable,
+        "connected": machine.is_connected(now),
         "view": view.number if view is not None else None,
         "voters": [voter.address for voter in view.voters] if view is not None else [],
         "chain": [link.identity for link in view.chain] if view is not None else [],
-        "serving": chain.serving,
+        "serving": chain.is_serving,
         "sequence": chain.registers.sequence,
-        "committed": chain.committed,
+        "committed": chain.committed_sequence,
         "peers": [
             {
                 "address": peer.replica.address,
-                "heard-s-ago": round(now - peer.heard, 2),
+                "heard-s-ago": round(now - peer.last_heartbeat_at, 2),
                 "lag": chain.registers.sequence - peer.heartbeat.sequence,
             }
             for peer in peers
         ],
         "configuration": chain.registers.current(RECORD_KEY).version,
         "configuration-record": list(record.stamp) if record is not None else None,
-        "leases": len(directory.leases.all()),
-        "leases-here": len(directory.leases.own()),
+        "leases": len(directory.leases.holders()),
+        "leases-here": len(directory.leases.local_holders()),
         "instances": {
             identity: f"{instance.service} {instance.stage} {instance.state}".replace("  ", " ")
             for identity, instance in sorted(directory.registry.instances.items())
         },
-        "digest": [f"{mark:016x}" for mark in directory.dissemination.replicas.marks(now)],
+        "digest": [f"{mark:016x}" for mark in directory.dissemination.store.fingerprints(now)],
     }
--- a/hophinge/fleet/dataplane/front.py
+++ b/hophinge/fleet/dataplane/front.py
@@ -113,9 +113,9 @@
             "ready": knowledge.informed and not self.ending,
             "ending": self.ending,
             "configuration": table.version if table is not None else None,
-            "lease-holds": renewal.holds(now),
-            "granter": renewal.home,
-            "heads": renewal.holders,
+            "lease-holds": renewal.holds_lease(now),
+            "granter": renewal.granter,
+            "heads": renewal.holder_count,
             "heads-for-budgets": knowledge.heads(now),
             "instances": {
                 identity: {
@@ -130,7 +130,7 @@
             "requests": self.figures.told(),
             "cuts": dict(sorted(self.cuts.counts.items())),
             "connection-ends": dict(sorted(self.connection_ends.items())),
-            "digest": [f"{mark:016x}" for mark in knowledge.dissemination.replicas.marks(now)],
+            "digest": [f"{mark:016x}" for mark in knowledge.dissemination.store.fingerprints(now)],
         }
 
     def budget(self, service: str) -> RetryBudget:
--- a/hophinge/fleet/dataplane/knowledge.py
+++ b/hophinge/fleet/dataplane/knowledge.py
@@ -7,8 +7,16 @@
 from collections.abc import Callable
 from random import Random
 
-from hophinge.coordination.dissemination import Digest, Dissemination, Push, Record, Rows, Spread, Want
-from hophinge.coordination.leases import LEASE_S, Grant, Holder, Renew, Renewal
+from hophinge.coordination.dissemination import (
+    Digest,
+    Dissemination,
+    Push,
+    GossipRecord,
+    DigestEntries,
+    DisseminationStep,
+    PullRequest,
+)
+from hophinge.coordination.leases import LEASE_DURATION_S, LeaseGrant, LeaseHolder, RenewLease, LeaseRenewal
 from hophinge.coordination.view import Replica
 from hophinge.fleet import log
 from hophinge.fleet.configuration.routes import RECORD_KEY, RouteTable, table_of
@@ -37,10 +45,10 @@
         self.first_granted = first_granted
         identity = secrets.token_hex(8)
         self.me = Replica(identity, settings.data_internal, settings.zone)
-        self.holder = Holder(identity, settings.name, settings.data_internal, settings.zone)
+        self.holder = LeaseHolder(identity, settings.name, settings.data_internal, settings.zone)
         self.random = Random()
         self.dissemination = Dissemination(self.random)
-        self.renewal = Renewal(settings.zone, settings.seed_members(), self.random)
+        self.renewal = LeaseRenewal(settings.zone, settings.seed_members(), self.random)
         self.table: RouteTable | None = None
         self.table_since = self.loop.time()
         self.first_grant: float | None = None
@@ -54,32 +62,32 @@
 
     def heads(self, now: float) -> int:
         """Tell how many heads have been known at once; 0 while those that started with this one are still coming."""
-        known = self.first_grant is not None and now - self.first_grant >= LEASE_S
-        return self.renewal.most_holders if known else 0
+        known = self.first_grant is not None and now - self.first_grant >= LEASE_DURATION_S
+        return self.renewal.max_holder_count if known else 0
 
     def received(self, source: str, message: object) -> None:
         """Take another member's message."""
         now = self.loop.time()
         match message:
-            case Grant():
+            case LeaseGrant():
                 self._granted(now, source, message)
-            case Digest() | Rows() | Want() | Push():
+            case Digest() | DigestEntries() | PullRequest() | Push():
                 self._let_go(self.dissemination.handle(now, source, message))
 
-    def _granted(self, now: float, source: str, grant: Grant) -> None:
-        self.renewal.granted(now, source, grant)
+    def _granted(self, now: float, source: str, grant: LeaseGrant) -> None:
+        self.renewal.handle_grant(now, source, grant)
         self.dissemination.neighbours = grant.neighbours
         if self.first_grant is None:
             self.first_grant = now
             self.first_granted()
 
-    def _let_go(self, spread: Spread) -> None:
-        for record in spread.news:
+    def _let_go(self, spread: DisseminationStep) -> None:
+        for record in spread.updates:
             self._learn(record)
         for address, message in spread.messages:
             self.send(address, message)
 
-    def _learn(self, record: Record) -> None:
+    def _learn(self, record: GossipRecord) -> None:
         if record.key == RECORD_KEY:
             self.table, self.table_since = table_of(record), self.loop.time()
             self.configured(self.table)
@@ -90,11 +98,11 @@
     def tick(self) -> None:
         """Renew the lease, and compare with another data plane now and then."""
         now = self.loop.time()
-        granter = self.renewal.due(now)
+        granter = self.renewal.granter_to_contact(now)
         if granter is not None:
-            self.send(granter, Renew(self.holder, self.dissemination.replicas.marks(now), now))
+            self.send(granter, RenewLease(self.holder, self.dissemination.store.fingerprints(now), now))
         neighbours = self.dissemination.neighbours
         if now - self.compared >= COMPARE_S and neighbours:
             self.compared = now
             self.send(self.random.choice(neighbours), self.dissemination.digest(now))
-            self.dissemination.replicas.tidy(now)
+            self.dissemination.store.remove_expired_tombstones(now)
--- a/hophinge/fleet/dataplane/program.py
+++ b/hophinge/fleet/dataplane/program.py
@@ -95,7 +95,7 @@
     def _send_hints(self) -> None:
         """Tell what was placed here, in small batches, to the control member at which the lease is held."""
         self.hints_due = False
-        granter = self.knowledge.renewal.home
+        granter = self.knowledge.renewal.granter
         now = asyncio.get_running_loop().time()
         for message in (self.placement.outgoing_hints(now), self.placement.outgoing_suspects()):
             if message is not None and granter is not None:
--- a/hophinge/fleet/emulation/sizes.py
+++ b/hophinge/fleet/emulation/sizes.py
@@ -6,8 +6,8 @@
 
 from random import Random
 
-from hophinge.coordination.dissemination import Replicas
-from hophinge.coordination.leases import Holder
+from hophinge.coordination.dissemination import GossipStore
+from hophinge.coordination.leases import LeaseHolder
 from hophinge.fleet.placement.hints import Hint
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.registry.instance import READY, Instance, Model, record_of
@@ -29,11 +29,11 @@
     )
 
 
-def replicas(count: int) -> Replicas:
+def replicas(count: int) -> GossipStore:
     """Hold the records of instances."""
-    held = Replicas()
+    held = GossipStore()
     for number in range(count):
-        held.offer(0.0, record_of(instance(number), 1))
+        held.store_if_newer(0.0, record_of(instance(number), 1))
     return held
 
 
@@ -67,10 +67,10 @@
     return json.dumps({"version": 7, "routes": rows, "services": services}).encode()
 
 
-def holder(number: int) -> Holder:
+def holder(number: int) -> LeaseHolder:
     """Make a lease's holder."""
     address = f"10.1.{number // 250}.{number % 250}:7661"
-    return Holder(f"{number:016x}", f"edge-zone-{number % 19}-{number}", address, f"zone-{number % 19}")
+    return LeaseHolder(f"{number:016x}", f"edge-zone-{number % 19}-{number}", address, f"zone-{number % 19}")
 
 
 JOB_NUMBER = 1 << 39  # of the size that most drawn numbers have
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -19,10 +19,10 @@
 from hophinge.fleet.emulation.sizes import JOB_NUMBER, document, hint, holder, instance, placement, replicas
 
 from hophinge.coordination.codec import decode, encode
-from hophinge.coordination.dissemination import BUCKETS, Digest, Dissemination, Push, Replicas, Rows
-from hophinge.coordination.leases import Grant, Leases, LeaseTable, Renew
+from hophinge.coordination.dissemination import BUCKET_COUNT, Digest, Dissemination, Push, GossipStore, DigestEntries
+from hophinge.coordination.leases import LeaseGrant, GrantedLeases, LeaseTable, RenewLease
 from hophinge.coordination.messages import Heartbeat, Sync
-from hophinge.coordination.registers import Change, Entry, Registers
+from hophinge.coordination.registers import Change, HistoryEntry, Registers
 from hophinge.coordination.view import Replica
 from hophinge.fleet.configuration.document import check
 from hophinge.fleet.configuration.routes import COMPRESSION, configuration_record, parse, table_of
@@ -37,6 +37,8 @@
 
 FRAME_BYTES = LENGTH.size + 52  # a frame's length and TCP/IP headers, where it goes alone
 MIN_S = 0.03  # a time is taken over repetitions that last so long at least
+FEW = (10, 30, 100)  # sizes at which messages about a few units are measured
+MANY = (100, 300, 1000)  # the same for units of which a fleet has many
 Measure = Callable[[int], float]
 
 
@@ -123,15 +125,15 @@
     payload = document(100)
     for number in range(count):
         change = Change("configuration", number, number + 1, number.to_bytes(16, "big"), payload)
-        registers.apply(Entry(number + 1, change))
+        registers.apply(HistoryEntry(number + 1, change))
     return registers
 
 
 def _missed(count: int) -> float:
     """Tell the bytes by which two members that differ in one record of many agree again."""
     one, other = Dissemination(Random(1)), Dissemination(Random(2))
-    one.replicas, other.replicas = replicas(count), replicas(count)
-    other.replicas.offer(0.0, record_of(instance(count), 1))
+    one.store, other.store = replicas(count), replicas(count)
+    other.store.store_if_newer(0.0, record_of(instance(count), 1))
     digest = one.digest(0.0)
     total = sent(digest)
     waiting = [("b", message) for _, message in other.handle(0.0, "a", digest).messages]
@@ -143,103 +145,147 @@
     return total
 
 
-def slopes() -> list[Slope]:
-    """Measure all."""
-    few, many = (10, 30, 100), (100, 300, 1000)
-    marks = tuple(range(1 << 60, (1 << 60) + BUCKETS))
-    me = Replica("0" * 16, "10.1.0.35:7660", "zone-1")
-    random = Random(1)
+def _dissemination_slopes() -> list[Slope]:
+    """Measure the bytes that dissemination and its comparisons send."""
+    fingerprints = tuple(range(1 << 60, (1 << 60) + BUCKET_COUNT))
     return [
         fit(
             "record of an instance, pushed",
             "B by records",
             lambda n: sent(Push(tuple(record_of(instance(one), 1) for one in range(n)))),
-            few,
+            FEW,
         ),
         fit(
             "rows of a comparison, one bucket in 16",
             "B by instances",
-            lambda n: sent(Rows(1, tuple((f"instance/i-{one:010x}", (1, 0)) for one in range(n // BUCKETS)))),
-            many,
+            lambda n: sent(
+                DigestEntries(1, tuple((f"instance/i-{one:010x}", (1, 0)) for one in range(n // BUCKET_COUNT)))
+            ),
+            MANY,
         ),
-        fit("two members that differ in one record", "B by instances", lambda n: _missed(n), many),
-        fit("digest", "B by instances", lambda n: sent(Digest(marks)), many),
-        fit("renewal of a lease", "B by instances", lambda n: sent(Renew(holder(1), marks, 1.5)), many),
+        fit("two members that differ in one record", "B by instances", lambda n: _missed(n), MANY),
+        fit("digest", "B by instances", lambda n: sent(Digest(fingerprints)), MANY),
+    ]
+
+
+def _membership_slopes() -> list[Slope]:
+    """Measure the bytes of leases and of heartbeats."""
+    fingerprints = tuple(range(1 << 60, (1 << 60) + BUCKET_COUNT))
+    me = Replica("0" * 16, "10.1.0.35:7660", "zone-1")
+    return [
+        fit("renewal of a lease", "B by instances", lambda n: sent(RenewLease(holder(1), fingerprints, 1.5)), MANY),
         fit(
             "grant of a lease",
             "B by core members",
-            lambda n: sent(Grant(3.0, 340, ("10.1.0.35:7661",) * 8, (me,) * n, True, 1.5)),
+            lambda n: sent(LeaseGrant(3.0, 340, ("10.1.0.35:7661",) * 8, (me,) * n, True, 1.5)),
             (3, 5, 8),
         ),
         fit(
             "leases told to another core member",
             "B by leases",
-            lambda n: sent(Leases(tuple(holder(one) for one in range(n)))),
-            few,
+            lambda n: sent(GrantedLeases(tuple(holder(one) for one in range(n)))),
+            FEW,
         ),
         fit(
             "heartbeats told to another core member",
             "B by instances",
             lambda n: sent(Liveness(tuple((f"i-{one:010x}", 41) for one in range(n)))),
-            many,
+            MANY,
         ),
         fit(
             "heartbeat of a replica",
             "B by instances",
             lambda n: sent(Heartbeat(12, 12, 345, 345, True, True, False, bytes(8))),
-            many,
+            MANY,
         ),
-        fit("hints", "B by placements", lambda n: sent(Hints(tuple(hint(one) for one in range(n)))), few),
+    ]
+
+
+def _load_report_slopes() -> list[Slope]:
+    """Measure the bytes of what heads and engines report of their load."""
+    return [
+        fit("hints", "B by placements", lambda n: sent(Hints(tuple(hint(one) for one in range(n)))), FEW),
         fit(
             "ends of reads",
             "B by ends",
             lambda n: sent(Hints((), tuple(Done(f"i-{one:010x}", JOB_NUMBER + one, 12) for one in range(n)))),
-            few,
+            FEW,
         ),
         fit(
             "reports",
             "B by engines",
             lambda n: sent(Reports(tuple(Report(f"i-{one:010x}", 1, 12, 41_000, 441_937) for one in range(n)))),
-            few,
+            FEW,
         ),
-        fit("configuration as the operator sends it", "KB by routes", lambda n: len(document(n)) / 1024, many),
+    ]
+
+
+def _configuration_slopes() -> list[Slope]:
+    """Measure the bytes of a configuration and the time to check and apply it."""
+    return [
+        fit("configuration as the operator sends it", "KB by routes", lambda n: len(document(n)) / 1024, MANY),
         fit(
             "configuration as it is spread, compressed",
             "KB by routes",
             lambda n: len(zlib.compress(document(n), COMPRESSION)) / 1024,
-            many,
+            MANY,
         ),
         fit(
             "state of a chain member, sent whole",
             "KB by changes remembered",
             lambda n: sent(Sync(1, _registers(n).snapshot())) / 1024,
-            many,
+            MANY,
         ),
-        fit("checking a configuration", "us by routes", lambda n: _timed(check, document(n)), many),
+        fit("checking a configuration", "us by routes", lambda n: _timed(check, document(n)), MANY),
         fit(
             "putting a configuration in force",
             "us by routes",
             lambda n: _timed(table_of, configuration_record(1, document(n))),
-            many,
+            MANY,
         ),
+    ]
+
+
+def _computation_slopes() -> list[Slope]:
+    """Measure the time of what is computed for each message or generation."""
+    random = Random(1)
+    return [
         fit("marks of all buckets", "us by instances", lambda n: _marks(replicas(n)), (300, 1000, 3000)),
         fit(
             "encoding and decoding hints",
             "us by placements",
             lambda n: _codec(Hints(tuple(hint(one) for one in range(n)))),
-            few,
+            FEW,
         ),
         fit(
             "placing a generation",
             "us by instances of its service",
             lambda n: micros(_choose(placement(n), random)),
-            few,
+            FEW,
         ),
-        fit("prompt parts believed to be kept", "KB by parts", lambda n: kilobytes(lambda: _cache(n)), many),
-        fit("records of instances", "KB by instances", lambda n: kilobytes(lambda: replicas(n)), many),
-        fit("books of instances", "KB by instances", lambda n: kilobytes(lambda: placement(n)), many),
-        fit("routes in force", "KB by routes", lambda n: _table_memory(document(n)), many),
-        fit("leases", "KB by leases", _lease_memory, many),
+    ]
+
+
+def _memory_slopes() -> list[Slope]:
+    """Measure the memory of what each member stores."""
+    return [
+        fit("prompt parts believed to be kept", "KB by parts", lambda n: kilobytes(lambda: _cache(n)), MANY),
+        fit("records of instances", "KB by instances", lambda n: kilobytes(lambda: replicas(n)), MANY),
+        fit("books of instances", "KB by instances", lambda n: kilobytes(lambda: placement(n)), MANY),
+        fit("routes in force", "KB by routes", lambda n: _table_memory(document(n)), MANY),
+        fit("leases", "KB by leases", _lease_memory, MANY),
+    ]
+
+
+def slopes() -> list[Slope]:
+    """Measure all slopes, in the order of the report."""
+    return [
+        *_dissemination_slopes(),
+        *_membership_slopes(),
+        *_load_report_slopes(),
+        *_configuration_slopes(),
+        *_computation_slopes(),
+        *_memory_slopes(),
     ]
 
 
@@ -253,8 +299,8 @@
     return micros(lambda: work(argument))
 
 
-def _marks(held: Replicas) -> float:
-    return micros(lambda: held.marks(1.0))
+def _marks(held: GossipStore) -> float:
+    return micros(lambda: held.fingerprints(1.0))
 
 
 def _codec(message: object) -> float:
--- a/hophinge/fleet/registry/instance.py
+++ b/hophinge/fleet/registry/instance.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from hophinge.coordination.codec import decode, encode, wire
-from hophinge.coordination.dissemination import Record
+from hophinge.coordination.dissemination import GossipRecord
 
 INSTANCE_PREFIX = "instance/"
 READY, DRAINING, LOST, SWITCHING = "ready", "draining", "lost", "switching"
@@ -36,14 +36,14 @@
     models: tuple[Model, ...]
 
 
-def record_of(instance: Instance, sequence: int, minor: int = 0) -> Record:
+def record_of(instance: Instance, sequence: int, minor: int = 0) -> GossipRecord:
     """Put an instance into a record; `minor` tells what the registry concluded after the heartbeat `sequence`."""
-    return Record(INSTANCE_PREFIX + instance.identity, (sequence, minor), encode(instance))
+    return GossipRecord(INSTANCE_PREFIX + instance.identity, (sequence, minor), encode(instance))
 
 
-def instance_of(record: Record) -> Instance | None:
+def instance_of(record: GossipRecord) -> Instance | None:
     """Read a record back; None where it is gone, or holds something else."""
-    if record.gone or not record.key.startswith(INSTANCE_PREFIX):
+    if record.is_deleted or not record.key.startswith(INSTANCE_PREFIX):
         return None
     value = decode(record.value)
     return value if isinstance(value, Instance) else None
--- a/hophinge/fleet/registry/registry.py
+++ b/hophinge/fleet/registry/registry.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 
 from hophinge.coordination.codec import wire
-from hophinge.coordination.dissemination import Record
+from hophinge.coordination.dissemination import GossipRecord
 from hophinge.fleet.registry.instance import (
     DRAINING,
     INSTANCE_PREFIX,
@@ -66,7 +66,7 @@
         self.ticked = now
         self.changes: dict[str, StageChange] = {}  # by instance
 
-    def heartbeat(self, now: float, instance: Instance, sequence: int) -> Record | None:
+    def heartbeat(self, now: float, instance: Instance, sequence: int) -> GossipRecord | None:
         """Take a heartbeat; tells the record where it changes what is known."""
         identity = instance.identity
         if identity in self.ended:
@@ -97,7 +97,7 @@
             return False
         return change is not None and now < change.until
 
-    def switching(self, now: float, identity: str) -> Record | None:
+    def switching(self, now: float, identity: str) -> GossipRecord | None:
         """An instance was ordered to change its stage."""
         instance = self.instances.get(identity)
         if instance is None or instance.state != READY:
@@ -105,16 +105,16 @@
         self.changes[identity] = StageChange(instance.stage, now + SWITCH_S)
         return self._change(replace(instance, state=SWITCHING), self._stamp_after(identity))
 
-    def _change(self, instance: Instance, stamp: tuple[int, int]) -> Record:
+    def _change(self, instance: Instance, stamp: tuple[int, int]) -> GossipRecord:
         self.instances[instance.identity] = instance
         self.stamps[instance.identity] = stamp
         return record_of(instance, *stamp)
 
-    def unregister(self, now: float, identity: str) -> Record:
+    def unregister(self, now: float, identity: str) -> GossipRecord:
         """An instance ends by its own word; it never comes back under this identity."""
         self.ended[identity] = now
         self._drop(identity)
-        return Record(INSTANCE_PREFIX + identity, (ENDED, 0), b"", True)
+        return GossipRecord(INSTANCE_PREFIX + identity, (ENDED, 0), b"", True)
 
     def _drop(self, identity: str) -> None:
         self.instances.pop(identity, None)
@@ -123,7 +123,7 @@
         self.unsent_beats.pop(identity, None)
         self.changes.pop(identity, None)
 
-    def learn(self, now: float, record: Record) -> None:
+    def learn(self, now: float, record: GossipRecord) -> None:
         """Take a record that another member told."""
         identity = record.key.removeprefix(INSTANCE_PREFIX)
         instance = instance_of(record)
@@ -163,14 +163,14 @@
         rows, self.unsent_beats = tuple(self.unsent_beats.items()), {}
         return Liveness(rows) if rows else None
 
-    def expire(self, now: float, listening: bool) -> list[Record]:
+    def expire(self, now: float, listening: bool) -> list[GossipRecord]:
         """Tell the instances that have fallen silent; while this member hears little itself, none is accused."""
         stalled = now - self.ticked > self.heartbeat_s
         self.ticked = now
         if stalled or not listening:
             for beat in self.beats.values():
                 beat.heard = max(beat.heard, now - self.heartbeat_s)
-        lost: list[Record] = []
+        lost: list[GossipRecord] = []
         for identity, beat in self.beats.items():
             instance = self.instances.get(identity)
             silent = now - beat.heard > MISSED * self.heartbeat_s
@@ -186,9 +186,9 @@
         sequence, minor = self.stamps.get(identity, (0, 0))
         return sequence, minor + 1
 
-    def seen(self, now: float, identities: Iterable[str]) -> list[Record]:
+    def seen(self, now: float, identities: Iterable[str]) -> list[GossipRecord]:
         """Instances answered a question: they live, though their heartbeats may not arrive; tells those found again."""
-        found: list[Record] = []
+        found: list[GossipRecord] = []
         for identity in identities:
             instance, beat = self.instances.get(identity), self.beats.get(identity)
             if instance is None or beat is None:
@@ -198,12 +198,12 @@
                 found.append(self._change(replace(instance, state=READY), self._stamp_after(identity)))
         return found
 
-    def forget(self, now: float) -> list[Record]:
+    def forget(self, now: float) -> list[GossipRecord]:
         """Drop lost instances that have been silent for long, and ends that nobody asks about any more."""
         self.ended = {identity: at for identity, at in self.ended.items() if now - at < REMEMBER_S}
         leaving = {identity for identity, instance in self.instances.items() if instance.state in (LOST, DRAINING)}
         old = [identity for identity, beat in self.beats.items() if identity in leaving and now - beat.heard > FORGET_S]
-        records = [Record(INSTANCE_PREFIX + identity, self._stamp_after(identity), b"", True) for identity in old]
+        records = [GossipRecord(INSTANCE_PREFIX + identity, self._stamp_after(identity), b"", True) for identity in old]
         for identity in old:
             self._drop(identity)
         return records
--- a/hophinge/fleet/registry/service.py
+++ b/hophinge/fleet/registry/service.py
@@ -8,8 +8,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from hophinge.coordination.dissemination import Dissemination, Message, Push, Record, Spread
-from hophinge.coordination.quorum_acknowledgements import Core, Held, Hold, HoldStep, QuorumHolds
+from hophinge.coordination.dissemination import Dissemination, GossipMessage, Push, GossipRecord, DisseminationStep
+from hophinge.coordination.quorum_acknowledgements import (
+    QuorumView,
+    RecordReplicated,
+    ReplicateRecord,
+    AcknowledgementStep,
+    QuorumAcknowledgements,
+)
 from hophinge.coordination.view import Replica
 from hophinge.fleet.registry.instance import DRAINING, INSTANCE_PREFIX, READY, Instance, instance_of
 from hophinge.fleet.registry.registry import Liveness, Registry
@@ -19,7 +25,7 @@
 class Surroundings:
     """Whom a member knows of at one moment."""
 
-    core: Core
+    core: QuorumView
     heads: tuple[str, ...]  # addresses of data planes that get news from this member whole
     controls: tuple[str, ...]  # addresses of the other control members
 
@@ -32,7 +38,7 @@
     settled: list[tuple[int, bool]] = field(default_factory=list)
 
 
-def is_leaving(record: Record) -> bool:
+def is_leaving(record: GossipRecord) -> bool:
     """Tell whether a record says that its instance is leaving, or has left."""
     instance = instance_of(record)
     return instance is None or instance.state == DRAINING
@@ -44,7 +50,7 @@
     def __init__(self, me: Replica, dissemination: Dissemination, registry: Registry) -> None:
         self.dissemination, self.registry = dissemination, registry
         self.me = me
-        self.holds = QuorumHolds(me)
+        self.holds = QuorumAcknowledgements(me)
         self.holding: dict[int, str] = {}  # requests that wait for a quorum, and the instance each is about
         self.safe: set[str] = set()  # instances whose leaving a quorum holds
 
@@ -59,10 +65,10 @@
                 self.safe.discard(instance.identity)
                 self.tell(now, around, record, step)
             voters = {voter.identity for voter in around.core.voters}
-            in_contact = around.core.view >= 1 and len(voters & around.core.heard) >= around.core.majority
+            in_contact = around.core.view >= 1 and len(voters & around.core.live_replicas) >= around.core.majority
             step.settled.append((request, in_contact))
             return step
-        known = record or self.dissemination.replicas.get(INSTANCE_PREFIX + instance.identity)
+        known = record or self.dissemination.store.get(INSTANCE_PREFIX + instance.identity)
         self._acknowledge_leaving(now, around, request, instance.identity, known, step)
         return step
 
@@ -76,7 +82,13 @@
         return step
 
     def _acknowledge_leaving(
-        self, now: float, around: Surroundings, request: int, identity: str, record: Record | None, step: ServiceStep
+        self,
+        now: float,
+        around: Surroundings,
+        request: int,
+        identity: str,
+        record: GossipRecord | None,
+        step: ServiceStep,
     ) -> None:
         """Acknowledge a leaving once a quorum holds it: from then on no data plane in touch may send work there."""
         if identity in self.safe:
@@ -88,9 +100,9 @@
             self.holding[request] = identity
             self._take(self.holds.begin(now, around.core, request, record), step)
 
-    def _take(self, taken: HoldStep, step: ServiceStep) -> None:
+    def _take(self, taken: AcknowledgementStep, step: ServiceStep) -> None:
         step.messages += taken.messages
-        for request, bound in taken.settled:
+        for request, bound in taken.resolved:
             identity = self.holding.pop(request)
             if bound:
                 self.safe.add(identity)
@@ -98,22 +110,22 @@
 
     # --- other members -------------------------------------------------------------------------------------------
 
-    def hold(self, now: float, around: Surroundings, source: str, hold: Hold) -> ServiceStep:
+    def hold(self, now: float, around: Surroundings, source: str, hold: ReplicateRecord) -> ServiceStep:
         """Hold a record for another member, and pass it on: its sender may be lost the moment after."""
         step = ServiceStep()
         voters = [voter.address for voter in around.core.voters if voter.identity != self.me.identity]
         told = [*around.heads, *voters]
         self.receive(now, source, Push((hold.record,)), told, step)
-        step.messages.append((source, Held(hold.token, around.core.view)))
+        step.messages.append((source, RecordReplicated(hold.token, around.core.view)))
         return step
 
-    def held(self, now: float, around: Surroundings, source: str, held: Held) -> ServiceStep:
+    def held(self, now: float, around: Surroundings, source: str, held: RecordReplicated) -> ServiceStep:
         """Take the word of the member with the identity `source` that it holds a record."""
         step = ServiceStep()
-        self._take(self.holds.held(now, around.core, source, held), step)
+        self._take(self.holds.handle_replicated(now, around.core, source, held), step)
         return step
 
-    def receive(self, now: float, source: str, message: Message, told: Iterable[str], step: ServiceStep) -> None:
+    def receive(self, now: float, source: str, message: GossipMessage, told: Iterable[str], step: ServiceStep) -> None:
         """Take a message of the dissemination; `told` members get what is new."""
         self._let_go(now, self.dissemination.handle(now, source, message, told), step)
 
@@ -138,13 +150,13 @@
 
     # --- telling -------------------------------------------------------------------------------------------------
 
-    def tell(self, now: float, around: Surroundings, record: Record, step: ServiceStep) -> None:
+    def tell(self, now: float, around: Surroundings, record: GossipRecord, step: ServiceStep) -> None:
         """Tell the data planes and the other control members."""
         self._let_go(now, self.dissemination.publish(now, [record], [*around.heads, *around.controls]), step)
 
-    def _let_go(self, now: float, spread: Spread, step: ServiceStep) -> None:
+    def _let_go(self, now: float, spread: DisseminationStep, step: ServiceStep) -> None:
         step.messages += spread.messages
-        for record in spread.news:
+        for record in spread.updates:
             if record.key.startswith(INSTANCE_PREFIX):
                 self.registry.learn(now, record)
 
@@ -161,7 +173,7 @@
     def tidy(self, now: float, around: Surroundings) -> ServiceStep:
         """Forget what nobody asks about any more."""
         step = ServiceStep()
-        self.dissemination.replicas.tidy(now)
+        self.dissemination.store.remove_expired_tombstones(now)
         for record in self.registry.forget(now):
             self.tell(now, around, record, step)
         self.safe &= self.registry.ended.keys() | self.registry.instances.keys()
--- a/tests/agreement_model.py
+++ b/tests/agreement_model.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from hophinge.coordination.agreement import Acceptor, Attempt
+from hophinge.coordination.agreement import Acceptor, BallotAttempt
 from hophinge.coordination.messages import NO_BALLOT, Accept, Accepted, Ballot, Prepare, Promise, VoteRecord
-from hophinge.coordination.view import Link, Replica, View
+from hophinge.coordination.view import ChainLink, Replica, View
 
 TARGET = 2
 
@@ -38,11 +38,11 @@
     def view(self) -> View:
         """Tell the view whose voters decide."""
         replicas = tuple(Replica(f"v{number}", f"v{number}", "z") for number in range(self.voters))
-        return View(TARGET - 1, replicas, tuple(Link(replica.identity, 1) for replica in replicas))
+        return View(TARGET - 1, replicas, tuple(ChainLink(replica.identity, 1) for replica in replicas))
 
     def proposal(self, ballot: Ballot) -> View:
         """Tell the view that a ballot would propose of itself: another for each."""
-        return View(TARGET, self.view().voters, (Link(f"chosen by {ballot.round}", TARGET),))
+        return View(TARGET, self.view().voters, (ChainLink(f"chosen by {ballot.round_number}", TARGET),))
 
     def first(self) -> ModelState:
         """Tell the state before anything has happened."""
@@ -85,10 +85,10 @@
                     yield ModelState(state.votes, state.begun, state.promises, proposals, state.accepted)
 
     def _chosen(self, ballot: Ballot, promises: tuple[tuple[int, Promise], ...]) -> View:
-        attempt = Attempt(TARGET, ballot, 0.0)
+        attempt = BallotAttempt(TARGET, ballot, 0.0)
         for voter, promise in promises:
-            attempt.promised(f"v{voter}", promise)
-        return attempt.bound() or self.proposal(ballot)
+            attempt.record_promise(f"v{voter}", promise)
+        return attempt.inherited_proposal() or self.proposal(ballot)
 
     def _accept(self, state: ModelState) -> Iterator[ModelState]:
         for voter, vote in enumerate(state.votes):
@@ -104,10 +104,10 @@
         """Tell the views that some proposer would take to be decided."""
         found = set()
         for ballot, proposal in state.proposals:
-            attempt = Attempt(TARGET, ballot, 0.0, proposal=proposal)
+            attempt = BallotAttempt(TARGET, ballot, 0.0, proposal=proposal)
             for voter, accepted in state.accepted:
-                attempt.count(f"v{voter}", Accepted(TARGET, accepted))
-            if len(attempt.accepted) >= self.view().majority:
+                attempt.record_acceptance(f"v{voter}", Accepted(TARGET, accepted))
+            if len(attempt.accepted_by) >= self.view().majority:
                 found.add(proposal)
         return found
 
--- a/tests/chain_model.py
+++ b/tests/chain_model.py
@@ -11,30 +11,30 @@
 from dataclasses import dataclass, replace
 from itertools import combinations, pairwise
 
-from hophinge.coordination.chain import Chain
+from hophinge.coordination.chain import ChainReplica
 from hophinge.coordination.messages import (
     NO_BALLOT,
     Ballot,
     Committed,
     Forward,
     Heartbeat,
-    Origin,
+    RequestOrigin,
     Promise,
     Reply,
     Submit,
     Sync,
 )
 from hophinge.coordination.events import Outputs
-from hophinge.coordination.view_planning import Sight, next_view
-from hophinge.coordination.registers import Change, Entry, Outcome, Registers
-from hophinge.coordination.view import Link, Replica, View
+from hophinge.coordination.view_planning import MembershipObservation, next_view
+from hophinge.coordination.registers import Change, HistoryEntry, Outcome, Registers
+from hophinge.coordination.view import ChainLink, Replica, View
 
 KEY = "k"
 LOSSES = 1
 READ = 100  # a read's request number is this and the newest version acknowledged before it was asked
 REFUSED = -1  # what is told of a change: its version, or this times its version
 LATER = 1e9  # a moment at which whatever waits to be sent again is due
-Step = Callable[[Chain, Outputs], None]
+Step = Callable[[ChainReplica, Outputs], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     replica: Replica
     view: int  # the number of the view it is in
     synced: int
-    entries: tuple[Entry, ...]
+    entries: tuple[HistoryEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     def first(self) -> ChainState:
         """Tell the state in which view 1 has just been formed."""
         replicas = tuple(Replica(name, f"at-{name}", "z") for name in "abc")
-        view = View(1, replicas, tuple(Link(replica.identity, 1) for replica in replicas))
+        view = View(1, replicas, tuple(ChainLink(replica.identity, 1) for replica in replicas))
         disks = tuple(Disk(replica, 1, 1, ()) for replica in replicas)
         return ChainState(disks, (view,), frozenset(), frozenset(), 0, 0)
 
@@ -81,7 +81,7 @@
             yield from self._submit(state, place)
             yield from self._deliver(state, place)
             yield from self._adopt(state, place)
-            yield self._changed(state, place, lambda chain, outputs: chain.restarted(outputs))
+            yield self._changed(state, place, lambda chain, outputs: chain.commit_after_restart(outputs))
             yield from self._send_again(state, place)
             yield from self._wipe(state, place)
         yield from self._decide(state)
@@ -91,16 +91,16 @@
     def _changed(self, state: ChainState, place: int, step: Step) -> ChainState:
         """Have one replica take a step, from what its disk holds; what it sends and tells is added."""
         disk = state.disks[place]
-        chain, outputs = Chain(disk.replica, LOSSES + 1), Outputs()
-        chain.synced = disk.synced
+        chain, outputs = ChainReplica(disk.replica, LOSSES + 1), Outputs()
+        chain.synced_view = disk.synced
         for entry in disk.entries:
             chain.registers.apply(entry)
         chain.resume(state.views[disk.view - 1] if disk.view else None)
         step(chain, outputs)
         assert chain.view is None or chain.view in state.views
-        versions = list(chain.registers.taken.get(KEY, {}).values())
-        entries = tuple(Entry(number, self._change(version)) for number, version in enumerate(versions, 1))
-        after = Disk(disk.replica, chain.view.number if chain.view else 0, chain.synced, entries)
+        versions = list(chain.registers.applied_digests.get(KEY, {}).values())
+        entries = tuple(HistoryEntry(number, self._change(version)) for number, version in enumerate(versions, 1))
+        after = Disk(disk.replica, chain.view.number if chain.view else 0, chain.synced_view, entries)
         disks = (*state.disks[:place], after, *state.disks[place + 1 :])
         told, sent = set(state.acknowledged), set(state.sent)
         for address, message in outputs.messages:
@@ -115,24 +115,32 @@
 
     def _told(self, reply: Reply, told: set[int]) -> None:
         """A caller hears; raises AssertionError where that is wrong."""
-        if reply.request >= READ:
-            assert reply.version >= reply.request - READ, f"a read told of {reply.version}, after more was acknowledged"
+        if reply.request_id >= READ:
+            assert reply.version >= reply.request_id - READ, (
+                f"a read told of {reply.version}, after more was acknowledged"
+            )
         else:
-            told.add(reply.request if reply.outcome == Outcome.TAKEN else REFUSED * reply.request)
-            assert not {reply.request, REFUSED * reply.request} <= told, f"{reply.request} was both taken and refused"
+            told.add(reply.request_id if reply.outcome == Outcome.APPLIED else REFUSED * reply.request_id)
+            assert not {reply.request_id, REFUSED * reply.request_id} <= told, (
+                f"{reply.request_id} was both taken and refused"
+            )
 
     def _submit(self, state: ChainState, place: int) -> Iterator[ChainState]:
         origin = state.disks[place].replica
         for change in self.changes:
             if change.base and change.base not in state.acknowledged:
                 continue  # nobody builds on a version that nobody was told of
-            submit = Submit(Origin(origin, change.version), KEY, change)
-            yield self._changed(state, place, lambda chain, outputs, submit=submit: chain.submit(submit, outputs))  # type: ignore[misc]
+            submit = Submit(RequestOrigin(origin, change.version), KEY, change)
+            yield self._changed(
+                state,
+                place,
+                lambda chain, outputs, submit=submit: chain.handle_submit(submit, outputs),  # type: ignore[misc]
+            )
         if state.reads < self.reads:
             number = READ + max(0, *state.acknowledged) if state.acknowledged else READ
-            read = Submit(Origin(origin, number), KEY, None)
+            read = Submit(RequestOrigin(origin, number), KEY, None)
             asked = replace(state, reads=state.reads + 1)
-            yield self._changed(asked, place, lambda chain, outputs: chain.submit(read, outputs))
+            yield self._changed(asked, place, lambda chain, outputs: chain.handle_submit(read, outputs))
 
     def _deliver(self, state: ChainState, place: int) -> Iterator[ChainState]:
         replicas = {disk.replica.identity: disk.replica for disk in state.disks}
@@ -146,7 +154,7 @@
                     state,
                     place,
                     lambda chain, outputs, source=source, message=message: (  # type: ignore[misc]
-                        chain.sync(LATER, source, message, outputs)
+                        chain.handle_sync(LATER, source, message, outputs)
                     ),
                 )
             elif isinstance(message, Forward):
@@ -154,13 +162,13 @@
                     state,
                     place,
                     lambda chain, outputs, source=source, message=message: (  # type: ignore[misc]
-                        chain.forwarded(source, message, outputs)
+                        chain.handle_forward(source, message, outputs)
                     ),
                 )
 
     def _adopt(self, state: ChainState, place: int) -> Iterator[ChainState]:
         for view in state.views[state.disks[place].view :]:
-            yield self._changed(state, place, lambda chain, outputs, view=view: chain.enter(LATER, view, outputs))  # type: ignore[misc]
+            yield self._changed(state, place, lambda chain, outputs, view=view: chain.enter_view(LATER, view, outputs))  # type: ignore[misc]
 
     def _send_again(self, state: ChainState, place: int) -> Iterator[ChainState]:
         """Hear the successor's sign of life, which tells how much it holds now."""
@@ -171,7 +179,7 @@
                     state,
                     place,
                     lambda chain, outputs, other=other, heard=heard: (  # type: ignore[misc]
-                        chain.successor_heard(LATER, other.replica, heard, outputs)
+                        chain.handle_successor_heartbeat(LATER, other.replica, heard, outputs)
                     ),
                 )
 
@@ -179,7 +187,7 @@
         registers = Registers()
         for entry in disk.entries:
             registers.apply(entry)
-        return Heartbeat(disk.view, disk.synced, len(disk.entries), 0, True, True, False, registers.mark)
+        return Heartbeat(disk.view, disk.synced, len(disk.entries), 0, True, True, False, registers.history_digest)
 
     # --- what happens to the group -------------------------------------------------------------------------------
 
@@ -210,7 +218,9 @@
                 }
                 candidates = tuple(disk.replica for disk in state.disks if newest.voter(disk.replica.identity) is None)
                 alive = set(promises) | {replica.identity for replica in candidates}
-                view = next_view(newest, Sight(alive, alive, set(), set(), candidates, 2 * LOSSES + 1), promises)
+                view = next_view(
+                    newest, MembershipObservation(alive, alive, set(), set(), candidates, 2 * LOSSES + 1), promises
+                )
                 if view is not None:
                     yield replace(state, views=(*state.views, view))
 
@@ -228,7 +238,7 @@
             assert all(disk in holders for disk in serving), f"a replica of the newest view lacks {version}"
             for link in newest.chain:
                 disk = next((one for one in state.disks if one.replica.identity == link.identity), None)
-                complete = disk is not None and disk.synced >= link.joined
+                complete = disk is not None and disk.synced >= link.joined_view
                 assert not complete or disk in holders, f"a replica that may head the next view lacks {version}"
         order = {link.identity: place for place, link in enumerate(newest.chain)}
         serving.sort(key=lambda disk: order.get(disk.replica.identity, -1))
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -8,9 +8,9 @@
 from random import Random
 
 from hophinge.coordination.codec import decode, encode
-from hophinge.coordination.messages import Record
-from hophinge.coordination.events import Outputs, Received, Tick
-from hophinge.coordination.replica import Membership, ReplicaMachine
+from hophinge.coordination.messages import LogRecord
+from hophinge.coordination.events import Outputs, MessageReceived, Tick
+from hophinge.coordination.replica import ReplicaConfig, ReplicaStateMachine
 from hophinge.coordination.view import Replica
 from hophinge.fleet.controlplane.directory import DIRECTORY_TICK_S, Directory
 from hophinge.fleet.controlplane.host import REPLICA_TICK_S
@@ -47,8 +47,8 @@
     """One control member: what its disk holds, and its process where one runs."""
 
     settings: Settings
-    records: list[Record] = field(default_factory=list)
-    machine: ReplicaMachine | None = None
+    records: list[LogRecord] = field(default_factory=list)
+    machine: ReplicaStateMachine | None = None
     directory: Directory | None = None
 
 
@@ -87,8 +87,8 @@
         settings = member.settings
         me = Replica(f"disk-{address}" if settings.votes else f"soft-{self.random.random()}", address, settings.zone)
         bootstrap = settings.bootstrap and not member.records
-        membership = Membership(me, settings.seed_members(), bootstrap, settings.votes, settings.losses)
-        machine = ReplicaMachine(membership, Random(self.random.random()), self.loop.time())
+        membership = ReplicaConfig(me, settings.seed_members(), bootstrap, settings.votes, settings.losses)
+        machine = ReplicaStateMachine(membership, Random(self.random.random()), self.loop.time())
         machine.restore(list(member.records))
         member.machine = machine
 
@@ -108,7 +108,9 @@
         self.members[address].machine = self.members[address].directory = None
         self.disturbed = self.loop.time()
 
-    def _every(self, period: float, action: Callable[[], None], machine: ReplicaMachine, member: ControlMember) -> None:
+    def _every(
+        self, period: float, action: Callable[[], None], machine: ReplicaStateMachine, member: ControlMember
+    ) -> None:
         def again() -> None:
             if member.machine is machine:
                 action()
@@ -116,11 +118,11 @@
 
         self.loop.call_later(period * self.random.random(), again)
 
-    def _handle(self, member: ControlMember, machine: ReplicaMachine, event: Received | Tick) -> None:
+    def _handle(self, member: ControlMember, machine: ReplicaStateMachine, event: MessageReceived | Tick) -> None:
         outputs = machine.handle(self.loop.time(), event)
         self.loop.call_later(SYNC_S if outputs.records else 0.0, self._let_out, member, machine, outputs)
 
-    def _let_out(self, member: ControlMember, machine: ReplicaMachine, outputs: Outputs) -> None:
+    def _let_out(self, member: ControlMember, machine: ReplicaStateMachine, outputs: Outputs) -> None:
         if member.machine is machine:
             member.records += outputs.records
             for address, message in outputs.messages:
@@ -159,7 +161,7 @@
         if member is None or member.machine is None or member.directory is None:
             return
         if type(message) in member.machine.handlers:
-            self._handle(member, member.machine, Received(source, message))
+            self._handle(member, member.machine, MessageReceived(source, message))
         else:
             member.directory.received(source, message)
 
--- a/tests/coordination_histories.py
+++ b/tests/coordination_histories.py
@@ -84,7 +84,7 @@
     newest = max(views, default=0)
     holding = sum(
         member.machine is not None
-        and member.machine.chain.serving
+        and member.machine.chain.is_serving
         and member.machine.view is not None
         and member.machine.view.number == newest
         for member in world.members.values()
@@ -123,7 +123,7 @@
     for request, answer in world.answers.items():
         if answer.outcome is Outcome.VALUE:
             newest = max(newest, answer.version)
-        elif answer.outcome is Outcome.TAKEN and request in requests:
+        elif answer.outcome is Outcome.APPLIED and request in requests:
             newest = max(newest, requests[request].change.version)
     return newest
 
@@ -165,7 +165,7 @@
             answer = world.answers.get(request)
             if answer is None or answer.outcome is None:
                 continue
-            if answer.outcome is Outcome.TAKEN and attempt.acknowledged_at is None:
+            if answer.outcome is Outcome.APPLIED and attempt.acknowledged_at is None:
                 attempt.acknowledged_at = world.answered_at[request]
                 known = max(known, attempt.change.version)
             attempt.refused |= answer.outcome in (Outcome.CONFLICT, Outcome.OUTDATED)
--- a/tests/coordination_mutants.py
+++ b/tests/coordination_mutants.py
@@ -12,29 +12,29 @@
     Mutant(
         "a chain of one acknowledges",
         "coordination/chain",
-        "        return self.view is not None and len(self.view.chain) >= self.required",
+        "        return self.view is not None and len(self.view.chain) >= self.min_chain_length",
         "        return self.view is not None",
         RULES + "test_a_chain_too_short_to_bear_a_loss_neither_takes_nor_commits",
     ),
     Mutant(
         "a replica without the history heads a view",
         "coordination/view_planning",
-        "        and promises[link.identity].synced >= link.joined\n",
+        "        and promises[link.identity].synced_view >= link.joined_view\n",
         "",
         RULES + "test_a_replica_that_did_not_take_over_the_history_heads_no_view",
     ),
     Mutant(
         "a replica without the history takes itself for the head",
         "coordination/chain",
-        "        if (place == 0 and complete) or view.number == 1:",
-        "        if place == 0 or view.number == 1:",
+        "        if (position == 0 and complete) or view.number == 1:",
+        "        if position == 0 or view.number == 1:",
         RULES + "test_a_replica_that_did_not_take_over_the_history_heads_no_view",
     ),
     Mutant(
         "what belongs to another view is taken",
         "coordination/chain",
-        "        if not self.serving or forward.view != self.synced or predecessor is None:",
-        "        if not self.serving or predecessor is None:",
+        "        if not self.is_serving or forward.view != self.synced_view or predecessor is None:",
+        "        if not self.is_serving or predecessor is None:",
         RULES + "test_what_belongs_to_another_view_or_comes_from_elsewhere_is_not_taken",
     ),
     Mutant(
@@ -56,15 +56,15 @@
     Mutant(
         "what an earlier ballot may have decided is forgotten",
         "coordination/elections",
-        "        proposal = attempt.bound() or self._plan(now, view, attempt)",
-        "        proposal = self._plan(now, view, attempt)",
+        "        proposal = attempt.inherited_proposal() or self._plan_view(now, view, attempt)",
+        "        proposal = self._plan_view(now, view, attempt)",
         RULES + "test_a_proposal_that_may_be_decided_is_proposed_again",
     ),
     Mutant(
         "the oldest of the earlier ballots binds",
         "coordination/agreement",
-        "return max(known, key=",
-        "return min(known, key=",
+        "return max(earlier_acceptances, key=",
+        "return min(earlier_acceptances, key=",
         RULES + "test_the_newest_proposal_that_may_be_decided_binds",
     ),
     Mutant(
@@ -105,7 +105,7 @@
     Mutant(
         "a change sent again is judged anew",
         "coordination/registers",
-        "        if change.digest in self.taken.get(change.key, {}):\n            return Outcome.TAKEN\n",
+        "        if change.digest in self.applied_digests.get(change.key, {}):\n            return Outcome.APPLIED\n",
         "",
         HISTORIES + "test_harsher_histories_keep_what_was_told",
     ),
@@ -133,27 +133,29 @@
     Mutant(
         "what is not committed is put in force",
         "coordination/chain",
-        "        covered = [state for state in self.history if state[0] <= self.committed]",
-        "        covered = list(self.history)",
+        "        covered = [state for state in self.unpublished_history if state[0] <= self.committed_sequence]",
+        "        covered = list(self.unpublished_history)",
         RULES + "test_only_what_the_tail_holds_is_put_in_force",
     ),
     Mutant(
         "a successor that lags is sent nothing",
         "coordination/chain",
-        "        elif now - self.sync_sent >= self._sync_wait():",
+        "        elif now - self.sync_sent_at >= self._sync_retry_interval_s():",
         "        elif False:",
         HISTORIES + "test_harsher_histories_keep_what_was_told",
     ),
     Mutant(
         "a head that left answers reads",
         "coordination/chain",
-        "        if not self.heads or not self._lasting():\n            return\n        change = submit.change\n"
-        "        outcome = Outcome.VALUE if change is None else self.registers.judge(change)\n",
-        "        if not self.heads or not self._lasting():\n            return\n        change = submit.change\n"
-        "        outcome = Outcome.VALUE if change is None else self.registers.judge(change)\n"
+        "        if not self.is_head or not self._tolerates_losses():\n            return\n"
+        "        change = submit.change\n"
+        "        outcome = Outcome.VALUE if change is None else self.registers.evaluate(change)\n",
+        "        if not self.is_head or not self._tolerates_losses():\n            return\n"
+        "        change = submit.change\n"
+        "        outcome = Outcome.VALUE if change is None else self.registers.evaluate(change)\n"
         "        if outcome is Outcome.VALUE:\n"
         "            register = self.registers.current(submit.key)\n"
-        "            reply = Reply(submit.origin.request, int(outcome), register.version, register.payload)\n"
+        "            reply = Reply(submit.origin.request_id, int(outcome), register.version, register.payload)\n"
         "            outputs.messages.append((submit.origin.replica.address, reply))\n",
         RULES + "test_a_read_goes_down_the_chain_and_only_its_tail_replies",
     ),
--- a/tests/coordination_world.py
+++ b/tests/coordination_world.py
@@ -9,10 +9,10 @@
 from random import Random
 
 from hophinge.coordination.codec import decode, encode
-from hophinge.coordination.messages import Record, StateRecord
-from hophinge.coordination.events import Answer, Outputs, Published, Received, Requested, Tick
+from hophinge.coordination.messages import LogRecord, StateRecord
+from hophinge.coordination.events import ClientResponse, Outputs, CommittedValue, MessageReceived, ClientRequest, Tick
 from hophinge.coordination.registers import Change, Outcome
-from hophinge.coordination.replica import Membership, ReplicaMachine
+from hophinge.coordination.replica import ReplicaConfig, ReplicaStateMachine
 from hophinge.coordination.view import Replica
 
 TICK_S = 0.05
@@ -25,7 +25,7 @@
     """Records that last, and the disk's identity."""
 
     identity: str
-    records: list[Record | StateRecord] = field(default_factory=list)
+    records: list[LogRecord | StateRecord] = field(default_factory=list)
 
 
 @dataclass
@@ -34,16 +34,16 @@
 
     address: str
     disk: Disk
-    machine: ReplicaMachine | None = None
+    machine: ReplicaStateMachine | None = None
     life: int = 0
     frozen_until: float = 0.0
     sync_s: float = SYNC_S
     disk_free_at: float = 0.0
-    unsynced: list[Record] = field(default_factory=list)  # written, and lost with the power or not
+    unsynced: list[LogRecord] = field(default_factory=list)  # written, and lost with the power or not
     votes: bool = True
     link_free_at: float = 0.0
     sent_bytes: int = 0
-    published: list[Published] = field(default_factory=list)
+    published: list[CommittedValue] = field(default_factory=list)
 
 
 class World:
@@ -61,7 +61,7 @@
         self.blocked: set[tuple[str, str]] = set()
         self.link_bytes_s = float("inf")  # of each machine's own link, outwards
         self.members: dict[str, Member] = {}
-        self.answers: dict[int, Answer] = {}
+        self.answers: dict[int, ClientResponse] = {}
         self.answered_at: dict[int, float] = {}
         self.asked: dict[int, tuple[float, Change | None]] = {}
         self.requests = itertools.count(1)
@@ -88,7 +88,7 @@
         self.members[address] = Member(address, Disk(f"disk-{next(self.names)}"), votes=votes)
         self.start(address, bootstrap)
 
-    def machine(self, address: str) -> ReplicaMachine:
+    def machine(self, address: str) -> ReplicaStateMachine:
         """Tell the machine of a member that runs."""
         machine = self.members[address].machine
         assert machine is not None, f"{address} does not run"
@@ -97,12 +97,12 @@
     def end(self, address: str, most_s: float = 6.5) -> None:
         """Tell a process to end, as its platform does: it goes on until the others do without it, or for so long."""
         machine, until = self.machine(address), self.now + most_s
-        machine.leave()
+        machine.begin_drain()
 
         def look() -> None:
             if self.members[address].machine is not machine:
                 return
-            if machine.needed() and self.now < until:
+            if machine.is_required() and self.now < until:
                 self.at(TICK_S, look)
             else:
                 self.kill(address)
@@ -114,8 +114,8 @@
         if member.machine is not None:
             return
         me = Replica(member.disk.identity, address, "zone")
-        membership = Membership(me, self.seeds, bootstrap, member.votes, self.losses)
-        member.machine = ReplicaMachine(membership, Random(self.random.random()), self.now)
+        membership = ReplicaConfig(me, self.seeds, bootstrap, member.votes, self.losses)
+        member.machine = ReplicaStateMachine(membership, Random(self.random.random()), self.now)
         member.machine.restore(list(member.disk.records))
         member.life += 1
         member.published = []
@@ -169,7 +169,7 @@
         if member.frozen_until > self.now:
             self.at(member.frozen_until - self.now, lambda: self._deliver(source, address, data))
             return
-        self._settle(member, member.machine.handle(self.now, Received(source, decode(data))))
+        self._settle(member, member.machine.handle(self.now, MessageReceived(source, decode(data))))
 
     def _settle(self, member: Member, outputs: Outputs) -> None:
         """Sync records, then let the rest out, in order."""
@@ -178,7 +178,7 @@
         done = begin + (member.sync_s if outputs.records else 0.0)
         member.disk_free_at = done
         member.unsynced += outputs.records
-        if not (outputs.records or outputs.messages or outputs.answers or outputs.published):
+        if not (outputs.records or outputs.messages or outputs.responses or outputs.committed_values):
             return
 
         def let_out() -> None:
@@ -191,10 +191,10 @@
             del member.unsynced[: len(outputs.records)]
             for address, message in outputs.messages:
                 self._send(machine.me, address, encode(message))
-            for answer in outputs.answers:
-                self.answers[answer.request] = answer
-                self.answered_at[answer.request] = self.now
-            for published in outputs.published:
+            for answer in outputs.responses:
+                self.answers[answer.request_id] = answer
+                self.answered_at[answer.request_id] = self.now
+            for published in outputs.committed_values:
                 self._seen(member, published)
 
         self.at(done - self.now, let_out)
@@ -212,7 +212,7 @@
         if self.loss and self.random.random() < self.loss:
             self.at(delay * 3, lambda: self._deliver(source, address, data))
 
-    def _seen(self, member: Member, published: Published) -> None:
+    def _seen(self, member: Member, published: CommittedValue) -> None:
         """A member puts a value in force: never an older one in one life, never two values under one version."""
         version, payload = published.register.version, published.register.payload
         assert not member.published or member.published[-1].register.version < version, "went back within one life"
@@ -226,11 +226,11 @@
         member = self.members[address]
         self.asked[request] = self.now, change
         if member.machine is not None and member.frozen_until <= self.now:
-            requested = Requested(request, KEY, change, patience)
+            requested = ClientRequest(request, KEY, change, patience)
             self._settle(member, member.machine.handle(self.now, requested))
         return request
 
-    def read(self, address: str) -> Answer | None:
+    def read(self, address: str) -> ClientResponse | None:
         request = self.ask(address, None)
         self.run(3.0)
         answer = self.answers.get(request)
--- a/tests/features/steps/group.py
+++ b/tests/features/steps/group.py
@@ -69,13 +69,13 @@
 
 @step(then("it is acknowledged"))
 def acknowledged(context: Any) -> None:
-    assert context.world.answers[context.requests[-1]].outcome is Outcome.TAKEN
+    assert context.world.answers[context.requests[-1]].outcome is Outcome.APPLIED
 
 
 @step(then("one is acknowledged and the other refused"))
 def one_wins(context: Any) -> None:
     outcomes = sorted(context.world.answers[request].outcome for request in context.requests)
-    assert outcomes == [Outcome.TAKEN, Outcome.CONFLICT]
+    assert outcomes == [Outcome.APPLIED, Outcome.CONFLICT]
 
 
 @step(then("nobody knows what became of it"))
--- a/tests/linearizability.py
+++ b/tests/linearizability.py
@@ -51,9 +51,9 @@
 
 
 def _bounds(call: Call, place: dict[int, int]) -> Bounds:
-    told = call.change.version if call.change is not None and call.outcome is Outcome.TAKEN else call.version
+    told = call.change.version if call.change is not None and call.outcome is Outcome.APPLIED else call.version
     assert told in place, f"version {told} was told of and is in no row with the newest one"
-    if call.outcome is Outcome.TAKEN:
+    if call.outcome is Outcome.APPLIED:
         return Bounds(call, place[told], LAST)  # sent again, it may be answered when others have followed it
     return Bounds(call, place[told], place[told])
 
@@ -68,8 +68,8 @@
     for asked, change in sorted(sent, key=lambda one: one[0]):
         changes.append(change)
         first_sent.setdefault(change.version, asked)
-    taken = [call.change.version for call in answered if call.change is not None and call.outcome is Outcome.TAKEN]
-    place = states(changes, [*taken, *(call.version for call in answered if call.outcome is not Outcome.TAKEN)])
+    taken = [call.change.version for call in answered if call.change is not None and call.outcome is Outcome.APPLIED]
+    place = states(changes, [*taken, *(call.version for call in answered if call.outcome is not Outcome.APPLIED)])
     rows = [_bounds(call, place) for call in answered]
     begins = {place[version]: asked for version, asked in first_sent.items() if version in place}
     for row in rows:
--- a/tests/test_coordination_chain.py
+++ b/tests/test_coordination_chain.py
@@ -22,7 +22,7 @@
     assert len(view.chain) == 3
     request = world.ask("10.0.0.2:7660", change(0, 5, "a"))
     world.run(0.2)
-    assert world.answers[request].outcome is Outcome.TAKEN
+    assert world.answers[request].outcome is Outcome.APPLIED
     assert all(member.published[-1].register.payload == b"5:a" for member in world.members.values())
 
 
@@ -32,11 +32,11 @@
     first = world.ask("10.0.0.1:7660", change(0, 3, "a"))
     other = world.ask("10.0.0.3:7660", change(0, 4, "b"))
     world.run(0.5)
-    assert sorted(world.answers[one].outcome or 0 for one in (first, other)) == [Outcome.TAKEN, Outcome.CONFLICT]
-    winner = change(0, 3, "a") if world.answers[first].outcome is Outcome.TAKEN else change(0, 4, "b")
+    assert sorted(world.answers[one].outcome or 0 for one in (first, other)) == [Outcome.APPLIED, Outcome.CONFLICT]
+    winner = change(0, 3, "a") if world.answers[first].outcome is Outcome.APPLIED else change(0, 4, "b")
     again = world.ask("10.0.0.2:7660", winner)
     world.run(0.5)
-    assert world.answers[again].outcome is Outcome.TAKEN
+    assert world.answers[again].outcome is Outcome.APPLIED
 
 
 @pytest.mark.parametrize("place", range(3))
@@ -49,7 +49,7 @@
     alive = next(one for one in sorted(world.members) if one != address)
     request = world.ask(alive, change(0, 1, "a"))
     world.run(0.3)
-    assert world.answers[request].outcome is Outcome.TAKEN
+    assert world.answers[request].outcome is Outcome.APPLIED
 
 
 def test_a_wiped_disk_is_a_new_replica_and_holds_the_state_within_the_catch_up_time() -> None:
@@ -66,7 +66,7 @@
     assert answer is not None
     assert answer.payload == b"1:a"
     machines = [member.machine for member in world.members.values() if member.machine]
-    assert all(machine.chain.serving and machine.chain.registers.sequence == 1 for machine in machines)
+    assert all(machine.chain.is_serving and machine.chain.registers.sequence == 1 for machine in machines)
 
 
 def test_a_machine_replaced_at_another_address_takes_the_place_of_the_lost_one() -> None:
@@ -96,7 +96,7 @@
     taken = world.ask("10.0.0.2:7660", change(0, 1, "a"))
     lost = world.ask("10.0.0.1:7660", change(0, 2, "b"))
     world.run(3.0)
-    assert world.answers[taken].outcome is Outcome.TAKEN
+    assert world.answers[taken].outcome is Outcome.APPLIED
     assert world.answers[lost].outcome is None
 
 
--- a/tests/test_coordination_roles.py
+++ b/tests/test_coordination_roles.py
@@ -4,13 +4,21 @@
 
 from random import Random
 
-from hophinge.coordination.leases import ANSWER_S, FIRST_S, LEASE_S, Grant, Holder, LeaseTable, Renewal
-from hophinge.coordination.ownership import MARGIN_S, Role, rendezvous
+from hophinge.coordination.leases import (
+    RENEWAL_TIMEOUT_S,
+    ACQUIRE_RETRY_INTERVAL_S,
+    LEASE_DURATION_S,
+    LeaseGrant,
+    LeaseHolder,
+    LeaseTable,
+    LeaseRenewal,
+)
+from hophinge.coordination.ownership import TAKEOVER_MARGIN_S, Role, rendezvous
 from hophinge.coordination.registers import Change, Outcome, Register, Registers
-from hophinge.coordination.registers import Entry
+from hophinge.coordination.registers import HistoryEntry
 from hophinge.coordination.view import Replica
 
-A, B = Holder("a", "edge-1", "10.0.0.1:1", "x"), Holder("b", "edge-2", "10.0.0.2:1", "x")
+A, B = LeaseHolder("a", "edge-1", "10.0.0.1:1", "x"), LeaseHolder("b", "edge-2", "10.0.0.2:1", "x")
 NEAR, FAR = Replica("n", "10.0.0.9:1", "x"), Replica("f", "10.0.0.8:1", "y")
 
 
@@ -18,79 +26,83 @@
     table = LeaseTable()
     table.renew(0.0, A)
     table.renew(2.0, B)
-    assert table.expire(LEASE_S) == [A]
-    assert table.all() == [B]
+    assert table.expire(LEASE_DURATION_S) == [A]
+    assert table.holders() == [B]
 
 
 def test_a_new_process_at_an_address_ends_the_lease_of_the_one_before() -> None:
     table = LeaseTable()
     table.renew(0.0, A)
-    table.renew(0.5, Holder("a2", "edge-1", "10.0.0.1:1", "x"))
-    assert [holder.identity for holder in table.all()] == ["a2"]
+    table.renew(0.5, LeaseHolder("a2", "edge-1", "10.0.0.1:1", "x"))
+    assert [holder.identity for holder in table.holders()] == ["a2"]
 
 
 def test_leases_granted_elsewhere_count_but_are_not_passed_on() -> None:
     table = LeaseTable()
     table.renew(0.0, A)
     table.merge(0.0, [A, B])
-    assert len(table.all()) == 2
-    assert table.own() == [A]
+    assert len(table.holders()) == 2
+    assert table.local_holders() == [A]
 
 
 def test_a_holder_counts_its_lease_from_before_it_asked() -> None:
-    renewal = Renewal("x", ("10.0.0.9:1",), Random(1))
-    assert renewal.due(1.0) == "10.0.0.9:1"
-    renewal.granted(2.0, "10.0.0.9:1", Grant(LEASE_S, 5, (), (NEAR, FAR), True, 1.0))
-    assert renewal.holds(1.0 + LEASE_S - 0.01)
-    assert not renewal.holds(1.0 + LEASE_S)
-    assert renewal.most_holders == 5
+    renewal = LeaseRenewal("x", ("10.0.0.9:1",), Random(1))
+    assert renewal.granter_to_contact(1.0) == "10.0.0.9:1"
+    renewal.handle_grant(2.0, "10.0.0.9:1", LeaseGrant(LEASE_DURATION_S, 5, (), (NEAR, FAR), True, 1.0))
+    assert renewal.holds_lease(1.0 + LEASE_DURATION_S - 0.01)
+    assert not renewal.holds_lease(1.0 + LEASE_DURATION_S)
+    assert renewal.max_holder_count == 5
 
 
 def test_a_late_answer_gives_a_lease_from_when_it_was_asked_for_not_from_the_latest_asking() -> None:
-    renewal = Renewal("x", ("10.0.0.9:1",), Random(1))
-    assert renewal.due(0.0) == "10.0.0.9:1"
-    assert renewal.due(FIRST_S) == "10.0.0.9:1"
-    renewal.granted(0.3, "10.0.0.9:1", Grant(LEASE_S, 1, (), (NEAR,), True, 0.0))
-    assert not renewal.holds(LEASE_S), "the granter counted it from before the second asking came"
-    renewal.granted(0.4, "10.0.0.9:1", Grant(LEASE_S, 1, (), (NEAR,), True, FIRST_S))
-    assert renewal.holds(LEASE_S)
-    renewal.granted(0.5, "10.0.0.9:1", Grant(LEASE_S, 1, (), (NEAR,), True, 0.0))
-    assert renewal.holds(LEASE_S), "an answer that comes after a newer one takes nothing away"
-    renewal.granted(0.6, "10.0.0.9:1", Grant(LEASE_S, 1, (), (NEAR,), True, 99.0))
-    assert not renewal.holds(0.6 + LEASE_S), "no grant is for longer than from now"
+    renewal = LeaseRenewal("x", ("10.0.0.9:1",), Random(1))
+    assert renewal.granter_to_contact(0.0) == "10.0.0.9:1"
+    assert renewal.granter_to_contact(ACQUIRE_RETRY_INTERVAL_S) == "10.0.0.9:1"
+    renewal.handle_grant(0.3, "10.0.0.9:1", LeaseGrant(LEASE_DURATION_S, 1, (), (NEAR,), True, 0.0))
+    assert not renewal.holds_lease(LEASE_DURATION_S), "the granter counted it from before the second asking came"
+    renewal.handle_grant(
+        0.4, "10.0.0.9:1", LeaseGrant(LEASE_DURATION_S, 1, (), (NEAR,), True, ACQUIRE_RETRY_INTERVAL_S)
+    )
+    assert renewal.holds_lease(LEASE_DURATION_S)
+    renewal.handle_grant(0.5, "10.0.0.9:1", LeaseGrant(LEASE_DURATION_S, 1, (), (NEAR,), True, 0.0))
+    assert renewal.holds_lease(LEASE_DURATION_S), "an answer that comes after a newer one takes nothing away"
+    renewal.handle_grant(0.6, "10.0.0.9:1", LeaseGrant(LEASE_DURATION_S, 1, (), (NEAR,), True, 99.0))
+    assert not renewal.holds_lease(0.6 + LEASE_DURATION_S), "no grant is for longer than from now"
 
 
 def test_a_granter_that_is_silent_or_cut_off_is_left_for_another() -> None:
-    renewal = Renewal("x", ("10.0.0.9:1",), Random(1))
-    renewal.due(0.0)
-    renewal.granted(0.1, "10.0.0.9:1", Grant(LEASE_S, 1, (), (NEAR, FAR), False, 0.0))
-    assert renewal.due(0.2) == FAR.address
-    assert renewal.due(0.3 + ANSWER_S) != FAR.address
+    renewal = LeaseRenewal("x", ("10.0.0.9:1",), Random(1))
+    renewal.granter_to_contact(0.0)
+    renewal.handle_grant(0.1, "10.0.0.9:1", LeaseGrant(LEASE_DURATION_S, 1, (), (NEAR, FAR), False, 0.0))
+    assert renewal.granter_to_contact(0.2) == FAR.address
+    assert renewal.granter_to_contact(0.3 + RENEWAL_TIMEOUT_S) != FAR.address
 
 
 def test_a_member_without_a_lease_soon_asks_another_granter_and_takes_whichever_answers() -> None:
-    renewal = Renewal("x", ("10.0.0.8:1", "10.0.0.9:1"), Random(1))
-    first = renewal.due(0.0)
-    second = renewal.due(FIRST_S)
+    renewal = LeaseRenewal("x", ("10.0.0.8:1", "10.0.0.9:1"), Random(1))
+    first = renewal.granter_to_contact(0.0)
+    second = renewal.granter_to_contact(ACQUIRE_RETRY_INTERVAL_S)
     assert {first, second} == {"10.0.0.8:1", "10.0.0.9:1"}
-    assert renewal.due(FIRST_S + 0.01) is None
-    renewal.granted(0.4, first or "", Grant(LEASE_S, 2, (), (NEAR, FAR), True, 0.0))
-    assert renewal.holds(LEASE_S - 0.01)
-    assert not renewal.holds(LEASE_S), "the lease counts from when that granter was asked"
-    renewal.granted(0.5, second or "", Grant(LEASE_S, 9, (), (NEAR, FAR), True, FIRST_S))
-    assert renewal.most_holders == 2, "with a lease, only the granter in use counts"
+    assert renewal.granter_to_contact(ACQUIRE_RETRY_INTERVAL_S + 0.01) is None
+    renewal.handle_grant(0.4, first or "", LeaseGrant(LEASE_DURATION_S, 2, (), (NEAR, FAR), True, 0.0))
+    assert renewal.holds_lease(LEASE_DURATION_S - 0.01)
+    assert not renewal.holds_lease(LEASE_DURATION_S), "the lease counts from when that granter was asked"
+    renewal.handle_grant(
+        0.5, second or "", LeaseGrant(LEASE_DURATION_S, 9, (), (NEAR, FAR), True, ACQUIRE_RETRY_INTERVAL_S)
+    )
+    assert renewal.max_holder_count == 2, "with a lease, only the granter in use counts"
 
 
 def test_a_holder_goes_back_to_a_granter_of_its_own_zone() -> None:
-    renewal = Renewal("x", ("10.0.0.8:1",), Random(1))
-    renewal.due(0.0)
-    renewal.granted(0.1, "10.0.0.8:1", Grant(LEASE_S, 1, (), (NEAR, FAR), True, 0.0))
-    assert renewal.due(0.2) == NEAR.address
+    renewal = LeaseRenewal("x", ("10.0.0.8:1",), Random(1))
+    renewal.granter_to_contact(0.0)
+    renewal.handle_grant(0.1, "10.0.0.8:1", LeaseGrant(LEASE_DURATION_S, 1, (), (NEAR, FAR), True, 0.0))
+    assert renewal.granter_to_contact(0.2) == NEAR.address
 
 
 def _published(registers: Registers, role: Role, change: Change) -> Register:
-    assert registers.judge(change) is None
-    registers.apply(Entry(registers.sequence + 1, change))
+    assert registers.evaluate(change) is None
+    registers.apply(HistoryEntry(registers.sequence + 1, change))
     return registers.current(role.key)
 
 
@@ -105,7 +117,7 @@
     assert claim is not None
     register = _published(registers, roles[first], claim)
     for role in roles.values():
-        role.published(10.0, register)
+        role.handle_committed_owner(10.0, register)
         assert role.claim(alive) is None
     alive.remove(first)
     second = rendezvous("role/stages", alive)
@@ -113,7 +125,7 @@
     again = roles[second].claim(alive)
     assert again is not None
     assert again.version == register.version + 1
-    assert registers.judge(claim) is Outcome.TAKEN
+    assert registers.evaluate(claim) is Outcome.APPLIED
 
 
 def test_a_token_that_was_refused_is_not_used_again_and_the_next_one_is_above_it() -> None:
@@ -121,16 +133,16 @@
     claim = role.claim({"a"})
     assert claim is not None
     register = _published(registers, role, claim)
-    role.published(10.0, register)
+    role.handle_committed_owner(10.0, register)
     assert role.may_act(20.0)
-    role.refused(register.version)
+    role.reject_token(register.version)
     assert not role.may_act(20.0)
     again = role.claim({"a"})
     assert again is not None
     assert again.version == register.version + 1
-    role.published(21.0, _published(registers, role, again))
+    role.handle_committed_owner(21.0, _published(registers, role, again))
     assert role.claim({"a"}) is None
-    assert role.may_act(21.0 + 3.0 + MARGIN_S)
+    assert role.may_act(21.0 + 3.0 + TAKEOVER_MARGIN_S)
 
 
 def test_a_new_owner_waits_until_the_old_ones_time_is_over() -> None:
@@ -139,8 +151,8 @@
     assert claim is not None
     register = _published(registers, role, claim)
     assert not role.may_act(0.0)
-    role.published(10.0, register)
+    role.handle_committed_owner(10.0, register)
     assert not role.may_act(10.0 + 3.0)
-    assert role.may_act(10.0 + 3.0 + MARGIN_S)
-    assert role.confirmed(register.version)
-    assert not role.confirmed(register.version + 1)  # another owns it by now
+    assert role.may_act(10.0 + 3.0 + TAKEOVER_MARGIN_S)
+    assert role.is_confirmed(register.version)
+    assert not role.is_confirmed(register.version + 1)  # another owns it by now
--- a/tests/test_coordination_rules.py
+++ b/tests/test_coordination_rules.py
@@ -4,9 +4,9 @@
 
 from random import Random
 
-from hophinge.coordination.agreement import Acceptor, Attempt
-from hophinge.coordination.chain import Chain
-from hophinge.coordination.elections import GATHER_S
+from hophinge.coordination.agreement import Acceptor, BallotAttempt
+from hophinge.coordination.chain import ChainReplica
+from hophinge.coordination.elections import PROMISE_GATHER_S
 from hophinge.coordination.messages import (
     NO_BALLOT,
     Accept,
@@ -14,7 +14,7 @@
     Ballot,
     Committed,
     Forward,
-    Origin,
+    RequestOrigin,
     Prepare,
     Promise,
     Rejection,
@@ -24,87 +24,92 @@
     SyncedRecord,
     VoteRecord,
 )
-from hophinge.coordination.events import DiskState, Outputs, Received, Tick
-from hophinge.coordination.view_planning import Sight, next_view
-from hophinge.coordination.registers import Entry, Outcome, Snapshot
-from hophinge.coordination.replica import Membership, ReplicaMachine
-from hophinge.coordination.view import Link, Replica, View
+from hophinge.coordination.events import DiskStatus, Outputs, MessageReceived, Tick
+from hophinge.coordination.view_planning import MembershipObservation, next_view
+from hophinge.coordination.registers import HistoryEntry, Outcome, Snapshot
+from hophinge.coordination.replica import ReplicaConfig, ReplicaStateMachine
+from hophinge.coordination.view import ChainLink, Replica, View
 from tests.coordination_world import KEY, change
 
 A, B, C = (Replica(name, f"10.0.0.{number}:1", "z") for number, name in enumerate("abc"))
-ORIGIN = Origin(C, 7)
+ORIGIN = RequestOrigin(C, 7)
 
 
 def _view(number: int, *chain: tuple[Replica, int]) -> View:
-    return View(number, (A, B, C), tuple(Link(replica.identity, joined) for replica, joined in chain))
+    return View(number, (A, B, C), tuple(ChainLink(replica.identity, joined) for replica, joined in chain))
 
 
-def _chain(me: Replica, view: View, sequence: int = 0) -> Chain:
+def _chain(me: Replica, view: View, sequence: int = 0) -> ChainReplica:
     """A replica that holds so many changes in a view."""
-    chain = Chain(me, 2)
-    chain.synced = view.number
+    chain = ChainReplica(me, 2)
+    chain.synced_view = view.number
     chain.resume(view)
     for number in range(1, sequence + 1):
-        chain.registers.apply(Entry(number, change(number - 1, number, "old")))
+        chain.registers.apply(HistoryEntry(number, change(number - 1, number, "old")))
     return chain
 
 
 def test_a_chain_too_short_to_bear_a_loss_neither_takes_nor_commits() -> None:
     alone, outputs = _chain(A, _view(3, (A, 1))), Outputs()
-    alone.submit(Submit(ORIGIN, KEY, change(0, 1, "a")), outputs)
+    alone.handle_submit(Submit(ORIGIN, KEY, change(0, 1, "a")), outputs)
     assert not outputs.messages
     tail = _chain(B, _view(3, (B, 1)), 1)
-    tail.restarted(outputs)
-    assert tail.committed == 0
-    assert not outputs.published
+    tail.commit_after_restart(outputs)
+    assert tail.committed_sequence == 0
+    assert not outputs.committed_values
 
 
 def test_a_replica_that_did_not_take_over_the_history_heads_no_view() -> None:
     behind = _chain(B, _view(1, (A, 1), (B, 1)))
     outputs = Outputs()
-    behind.enter(0.0, View(4, (A, B, C), (Link("b", 3), Link("c", 4))), outputs)
-    assert not behind.serving
+    behind.enter_view(0.0, View(4, (A, B, C), (ChainLink("b", 3), ChainLink("c", 4))), outputs)
+    assert not behind.is_serving
     assert not outputs.messages
     promises = {name: Promise(4, Ballot(1, "b"), NO_BALLOT, None, synced, 0) for name, synced in (("b", 1), ("c", 1))}
-    sight = Sight({"b", "c"}, {"b", "c"}, set(), set(), (), 3)
-    assert next_view(View(3, (A, B, C), (Link("a", 1), Link("b", 3), Link("c", 3))), sight, promises) is None
+    sight = MembershipObservation({"b", "c"}, {"b", "c"}, set(), set(), (), 3)
+    assert (
+        next_view(View(3, (A, B, C), (ChainLink("a", 1), ChainLink("b", 3), ChainLink("c", 3))), sight, promises)
+        is None
+    )
 
 
 def test_a_read_goes_down_the_chain_and_only_its_tail_replies() -> None:
     view = _view(2, (A, 1), (B, 1), (C, 1))
     marker = Forward(2, 1, ORIGIN, KEY, int(Outcome.VALUE), None)
     head, outputs = _chain(A, view, 1), Outputs()
-    head.submit(Submit(ORIGIN, KEY, None), outputs)
+    head.handle_submit(Submit(ORIGIN, KEY, None), outputs)
     assert outputs.messages == [(B.address, marker)]
     middle, outputs = _chain(B, view, 1), Outputs()
-    middle.forwarded(A, marker, outputs)
+    middle.handle_forward(A, marker, outputs)
     assert outputs.messages == [(C.address, marker)]
     tail, outputs = _chain(C, view, 1), Outputs()
-    tail.forwarded(B, marker, outputs)
+    tail.handle_forward(B, marker, outputs)
     replies = [(address, message) for address, message in outputs.messages if isinstance(message, Reply)]
     assert replies == [(C.address, Reply(7, int(Outcome.VALUE), 1, b"1:old"))]
 
 
 def test_what_belongs_to_another_view_or_comes_from_elsewhere_is_not_taken() -> None:
     view = _view(2, (A, 1), (B, 1), (C, 1))
-    entry = Entry(1, change(0, 1, "a"))
+    entry = HistoryEntry(1, change(0, 1, "a"))
     for source, number in ((A, 1), (A, 3), (C, 2)):
         chain, outputs = _chain(B, view), Outputs()
-        chain.forwarded(source, Forward(number, 1, ORIGIN, KEY, int(Outcome.TAKEN), entry), outputs)
+        chain.handle_forward(source, Forward(number, 1, ORIGIN, KEY, int(Outcome.APPLIED), entry), outputs)
         assert chain.registers.sequence == 0, (source, number)
         assert not outputs.messages
-        chain.sync(0.0, source, Sync(number, Snapshot(5)), outputs)
+        chain.handle_sync(0.0, source, Sync(number, Snapshot(5)), outputs)
         assert chain.registers.sequence == 0, (source, number)
 
 
 def test_changes_are_taken_in_their_order_and_none_is_passed_on_after_a_gap() -> None:
     chain, outputs = _chain(B, _view(2, (A, 1), (B, 1), (C, 1))), Outputs()
-    second = Entry(2, change(1, 2, "b"))
-    chain.forwarded(A, Forward(2, 2, ORIGIN, KEY, int(Outcome.TAKEN), second), outputs)
+    second = HistoryEntry(2, change(1, 2, "b"))
+    chain.handle_forward(A, Forward(2, 2, ORIGIN, KEY, int(Outcome.APPLIED), second), outputs)
     assert chain.registers.sequence == 0
     assert not outputs.messages, "the tail would tell of a change that is not held here"
-    chain.forwarded(A, Forward(2, 1, ORIGIN, KEY, int(Outcome.TAKEN), Entry(1, change(0, 1, "a"))), outputs)
-    chain.forwarded(A, Forward(2, 2, ORIGIN, KEY, int(Outcome.TAKEN), second), outputs)
+    chain.handle_forward(
+        A, Forward(2, 1, ORIGIN, KEY, int(Outcome.APPLIED), HistoryEntry(1, change(0, 1, "a"))), outputs
+    )
+    chain.handle_forward(A, Forward(2, 2, ORIGIN, KEY, int(Outcome.APPLIED), second), outputs)
     assert chain.registers.sequence == 2
     assert len(outputs.messages) == 2
     assert len(outputs.records) == 2
@@ -112,21 +117,21 @@
 
 def test_only_what_the_tail_holds_is_put_in_force() -> None:
     head, outputs = _chain(A, _view(1, (A, 1), (B, 1))), Outputs()
-    head.submit(Submit(ORIGIN, KEY, change(0, 1, "a")), outputs)
-    assert not outputs.published
+    head.handle_submit(Submit(ORIGIN, KEY, change(0, 1, "a")), outputs)
+    assert not outputs.committed_values
     assert not any(isinstance(message, Reply) for _, message in outputs.messages)
-    head.learn(2, 1, outputs)
-    assert not outputs.published, "another view's tail says nothing of this one"
-    head.submit(Submit(ORIGIN, KEY, change(1, 2, "b")), outputs)
-    head.learn(1, 1, outputs)
-    assert [one.register.version for one in outputs.published] == [1]
+    head.learn_committed(2, 1, outputs)
+    assert not outputs.committed_values, "another view's tail says nothing of this one"
+    head.handle_submit(Submit(ORIGIN, KEY, change(1, 2, "b")), outputs)
+    head.learn_committed(1, 1, outputs)
+    assert [one.register.version for one in outputs.committed_values] == [1]
 
 
 def test_a_history_taken_over_is_written_with_the_view_it_is_for() -> None:
     chain, outputs = _chain(B, _view(1, (A, 1), (B, 1))), Outputs()
-    chain.enter(0.0, _view(2, (A, 1), (B, 2)), outputs)
+    chain.enter_view(0.0, _view(2, (A, 1), (B, 2)), outputs)
     snapshot = _chain(A, _view(2, (A, 1)), 3).registers.snapshot()
-    chain.sync(0.0, A, Sync(2, snapshot), outputs)
+    chain.handle_sync(0.0, A, Sync(2, snapshot), outputs)
     assert outputs.records == [SyncedRecord(2, snapshot)]
     assert chain.registers.sequence == 3
     assert (A.address, Committed(2, 3)) in outputs.messages
@@ -144,45 +149,45 @@
 
 
 def test_the_newest_proposal_that_may_be_decided_binds() -> None:
-    attempt = Attempt(2, Ballot(9, "a"), 0.0)
-    older, newer = (View(2, (A, B, C), (Link(name, 2),)) for name in ("a", "b"))
+    attempt = BallotAttempt(2, Ballot(9, "a"), 0.0)
+    older, newer = (View(2, (A, B, C), (ChainLink(name, 2),)) for name in ("a", "b"))
     for name, promise in (
         ("a", Promise(2, Ballot(9, "a"), Ballot(1, "a"), older, 1, 0)),
         ("b", Promise(2, Ballot(9, "a"), Ballot(2, "b"), newer, 1, 0)),
         ("c", Promise(2, Ballot(8, "a"), Ballot(3, "b"), older, 1, 0)),
     ):
-        attempt.promised(name, promise)
-    assert attempt.bound() == newer
+        attempt.record_promise(name, promise)
+    assert attempt.inherited_proposal() == newer
 
 
 def test_a_proposal_that_may_be_decided_is_proposed_again() -> None:
     machine, proposal = _machine(_view(1, (A, 1), (B, 1), (C, 1))), _view(2, (C, 1), (A, 1))
     ballot = Ballot(3, B.identity)
-    machine.elections.attempt = Attempt(2, ballot, 0.0)
-    machine.handle(1.0, Received(A, Promise(2, ballot, Ballot(1, "a"), proposal, 1, 0)))
-    third = Received(C, Promise(2, ballot, NO_BALLOT, None, 1, 0))
+    machine.elections.attempt = BallotAttempt(2, ballot, 0.0)
+    machine.handle(1.0, MessageReceived(A, Promise(2, ballot, Ballot(1, "a"), proposal, 1, 0)))
+    third = MessageReceived(C, Promise(2, ballot, NO_BALLOT, None, 1, 0))
     assert not machine.handle(1.0, third).messages, "this replica's own promise has a moment to come"
-    sent = machine.handle(1.01 + GATHER_S, third)
+    sent = machine.handle(1.01 + PROMISE_GATHER_S, third)
     assert {message.proposal for _, message in sent.messages if isinstance(message, Accept)} == {proposal}
 
 
-def _machine(view: View) -> ReplicaMachine:
-    machine = ReplicaMachine(Membership(B, (A.address,), False, True, 1), Random(1), 0.0)
+def _machine(view: View) -> ReplicaStateMachine:
+    machine = ReplicaStateMachine(ReplicaConfig(B, (A.address,), False, True, 1), Random(1), 0.0)
     machine.handle(0.0, Tick())
-    machine.adopt(0.0, view, Outputs())
+    machine.adopt_view(0.0, view, Outputs())
     return machine
 
 
 def test_votes_are_written_before_they_are_told_and_a_disk_without_room_casts_none() -> None:
     machine, ballot = _machine(_view(1, (A, 1), (B, 1), (C, 1))), Ballot(4, "a")
-    promised = machine.handle(0.1, Received(A, Prepare(2, ballot)))
+    promised = machine.handle(0.1, MessageReceived(A, Prepare(2, ballot)))
     assert promised.records == [VoteRecord(2, ballot, NO_BALLOT, None)]
     assert [type(message) for _, message in promised.messages] == [Promise]
     proposal = _view(2, (A, 1), (B, 1))
-    accepted = machine.handle(0.2, Received(A, Accept(ballot, proposal)))
+    accepted = machine.handle(0.2, MessageReceived(A, Accept(ballot, proposal)))
     assert accepted.records == [VoteRecord(2, ballot, ballot, proposal)]
     assert accepted.messages == [(A.address, Accepted(2, ballot))]
-    machine.handle(0.3, DiskState(False))
-    silent = machine.handle(0.4, Received(A, Prepare(2, Ballot(5, "a"))))
+    machine.handle(0.3, DiskStatus(False))
+    silent = machine.handle(0.4, MessageReceived(A, Prepare(2, Ballot(5, "a"))))
     assert not silent.records
     assert not silent.messages
--- a/tests/test_coordination_storage.py
+++ b/tests/test_coordination_storage.py
@@ -7,8 +7,8 @@
 import pytest
 
 from hophinge.coordination.messages import NO_BALLOT, EntryRecord, StateRecord, SyncedRecord, VoteRecord
-from hophinge.coordination.registers import Change, Entry, Snapshot
-from hophinge.coordination.storage.store import LOG, LOG_LIMIT, SLOTS, Recovered, Store
+from hophinge.coordination.registers import Change, HistoryEntry, Snapshot
+from hophinge.coordination.storage.store import LOG, MAX_LOG_BYTES, SLOTS, RecoveredState, DurableStore
 
 
 class TornVolume:
@@ -54,34 +54,36 @@
 
 
 def _entry(number: int, size: int = 10) -> EntryRecord:
-    return EntryRecord(Entry(number, Change("configuration", number - 1, number, b"d", bytes([number % 256]) * size)))
+    return EntryRecord(
+        HistoryEntry(number, Change("configuration", number - 1, number, b"d", bytes([number % 256]) * size))
+    )
 
 
 def _state(sequence: int) -> StateRecord:
     return StateRecord("disk", None, VoteRecord(1, NO_BALLOT, NO_BALLOT, None), 1, Snapshot(sequence))
 
 
-def _entries(recovered: Recovered) -> list[int]:
+def _entries(recovered: RecoveredState) -> list[int]:
     first = recovered.state.snapshot.sequence if recovered.state else 0
     found = [record.entry.sequence for record in recovered.records if isinstance(record, EntryRecord)]
     return list(range(1, first + 1)) + found
 
 
 def test_an_empty_disk_holds_nothing() -> None:
-    assert Store(TornVolume()).recover() == Recovered(None, ())
+    assert DurableStore(TornVolume()).recover() == RecoveredState(None, ())
 
 
 def test_records_come_back_in_order_after_the_newer_slot() -> None:
     volume = TornVolume()
-    store = Store(volume)
+    store = DurableStore(volume)
     store.save(_state(0))
     store.append([_entry(1), SyncedRecord(1, None)])
     store.append([_entry(2)])
-    again = Store(volume).recover()
+    again = DurableStore(volume).recover()
     assert again.records == (_entry(1), SyncedRecord(1, None), _entry(2))
     store.save(_state(2))
     store.append([_entry(3)])
-    again = Store(volume).recover()
+    again = DurableStore(volume).recover()
     assert again.state == _state(2)
     assert again.records == (_entry(3),)
 
@@ -89,7 +91,7 @@
 @pytest.mark.parametrize("seed", range(200))
 def test_what_was_synced_survives_a_loss_of_power_at_any_write(seed: int) -> None:
     random, volume = Random(seed), TornVolume()
-    store = Store(volume)
+    store = DurableStore(volume)
     store.save(_state(0))
     done = 0
     for _ in range(4):
@@ -108,9 +110,9 @@
             store.save(_state(done))
         volume.sync = sync  # type: ignore[method-assign]
         volume.lose_power(random)
-        store = Store(volume)
+        store = DurableStore(volume)
         recovered = store.recover()
-        assert not recovered.damaged, "a loss of power is no damage"
+        assert not recovered.is_damaged, "a loss of power is no damage"
         assert store.scrub() == []
         found = _entries(recovered)
         assert found in (list(range(1, done + 1)), list(range(1, done + 2)) if under_way else found)
@@ -120,29 +122,29 @@
 
 def test_a_flipped_byte_in_the_newer_slot_is_noticed() -> None:
     volume = TornVolume()
-    store = Store(volume)
+    store = DurableStore(volume)
     store.save(_state(1))
     store.save(_state(2))
-    name = SLOTS[store.slot]
+    name = SLOTS[store.current_slot]
     volume.files[name][-1] ^= 1
-    again = Store(volume)
+    again = DurableStore(volume)
     assert again.recover().state == _state(1)
-    assert again.unreadable == 1
+    assert again.unreadable_slots == 1
 
 
 def test_a_flipped_byte_in_the_log_ends_it_there() -> None:
     volume = TornVolume()
-    store = Store(volume)
+    store = DurableStore(volume)
     store.save(_state(0))
     for number in range(1, 4):
         store.append([_entry(number)])
     volume.files[LOG][len(volume.files[LOG]) // 2] ^= 1
-    assert Store(volume).recover().records == (_entry(1),)
+    assert DurableStore(volume).recover().records == (_entry(1),)
 
 
 def test_a_full_disk_is_told_and_a_whole_state_makes_good_for_it() -> None:
     volume = TornVolume()
-    store = Store(volume)
+    store = DurableStore(volume)
     store.save(_state(0))
     volume.free = 0
     with pytest.raises(OSError, match="no space"):
@@ -150,22 +152,22 @@
     volume.free = 1 << 30
     store.save(_state(1))
     store.append([_entry(2)])
-    assert _entries(Store(volume).recover()) == [1, 2]
+    assert _entries(DurableStore(volume).recover()) == [1, 2]
 
 
 def test_the_log_asks_for_a_slot_once_it_has_grown() -> None:
-    store = Store(TornVolume())
+    store = DurableStore(TornVolume())
     store.save(_state(0))
-    assert not store.full
-    store.append([_entry(1, LOG_LIMIT)])
-    assert store.full
+    assert not store.is_log_full
+    store.append([_entry(1, MAX_LOG_BYTES)])
+    assert store.is_log_full
     store.save(_state(1))
-    assert not store.full
+    assert not store.is_log_full
 
 
-def _written() -> tuple[TornVolume, Store]:
+def _written() -> tuple[TornVolume, DurableStore]:
     volume = TornVolume()
-    store = Store(volume)
+    store = DurableStore(volume)
     store.save(_state(0))
     store.save(_state(1))
     for number in range(2, 5):
@@ -175,24 +177,24 @@
 
 def test_a_state_that_was_built_on_and_cannot_be_read_any_more_makes_the_disk_a_new_one() -> None:
     volume, store = _written()
-    volume.files[SLOTS[store.slot]][-1] ^= 1
-    again = Store(volume)
-    assert again.recover() == Recovered(None, (), damaged=True)
+    volume.files[SLOTS[store.current_slot]][-1] ^= 1
+    again = DurableStore(volume)
+    assert again.recover() == RecoveredState(None, (), is_damaged=True)
     again.save(_state(9))
-    assert Store(volume).recover().state == _state(9), "what was there before never counts again"
+    assert DurableStore(volume).recover().state == _state(9), "what was there before never counts again"
 
 
 @pytest.mark.parametrize("name", ["slot", LOG])
 def test_the_scrub_finds_any_flipped_byte_that_counts_and_a_whole_state_repairs_it(name: str) -> None:
     volume, store = _written()
-    file = volume.files[SLOTS[store.slot] if name == "slot" else LOG]
+    file = volume.files[SLOTS[store.current_slot] if name == "slot" else LOG]
     assert store.scrub() == []
     for place in range(len(file)):
         file[place] ^= 1
         found = store.scrub()
-        assert [damage.file for damage in found] == [SLOTS[store.slot] if name == "slot" else LOG], place
+        assert [damage.file for damage in found] == [SLOTS[store.current_slot] if name == "slot" else LOG], place
         file[place] ^= 1
     file[len(file) // 2] ^= 1
     store.save(_state(4))
     assert store.scrub() == []
-    assert _entries(Store(volume).recover()) == [1, 2, 3, 4]
+    assert _entries(DurableStore(volume).recover()) == [1, 2, 3, 4]
--- a/tests/test_fleet_failing_steps.py
+++ b/tests/test_fleet_failing_steps.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from hophinge.coordination.dissemination import Push, Record
+from hophinge.coordination.dissemination import Push, GossipRecord
 from hophinge.coordination.view import Replica
 from hophinge.fleet import program
 from hophinge.fleet.configuration.routes import RECORD_KEY, configuration_record
@@ -99,7 +99,7 @@
     me = Replica("me", "127.0.0.1:1", "z")
     links = Links(me, "data", handler, lambda text: None)
     incoming = Incoming(links)
-    other = Push((Record("key", (1, 0), b""),))
+    other = Push((GossipRecord("key", (1, 0), b""),))
     incoming.data_received(frame(Hello(me, "data")) + frame(other) + frame(Push(())) + frame(other))
     assert taken == [other, other]
 
--- a/tests/test_fleet_failing_work.py
+++ b/tests/test_fleet_failing_work.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from hophinge.coordination.storage.store import Store
+from hophinge.coordination.storage.store import DurableStore
 from hophinge.fleet.controlplane.host import Batch, DiskWriter
 from hophinge.fleet.settings import SettingsError, read_settings
 
@@ -60,7 +60,7 @@
 # --- the disk -------------------------------------------------------------------------------------------------------
 
 
-class Broken(Store):
+class Broken(DurableStore):
     """A store whose writes fail for a reason that is no disk's."""
 
     def __init__(self) -> None:
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -43,7 +43,7 @@
             written.put_nowait(host.writing_since is None)
 
         host._written = watched  # type: ignore[method-assign]
-        slot = tmp_path / SLOTS[host.store.slot]
+        slot = tmp_path / SLOTS[host.store.current_slot]
         data = bytearray(slot.read_bytes())
         data[-1] ^= 1
         slot.write_bytes(bytes(data))
--- a/tests/test_fleet_instance_service.py
+++ b/tests/test_fleet_instance_service.py
@@ -4,8 +4,13 @@
 
 from random import Random
 
-from hophinge.coordination.dissemination import Dissemination, Push, Record
-from hophinge.coordination.quorum_acknowledgements import HOLD_S, Core, Held, Hold
+from hophinge.coordination.dissemination import Dissemination, Push, GossipRecord
+from hophinge.coordination.quorum_acknowledgements import (
+    ACKNOWLEDGEMENT_TIMEOUT_S,
+    QuorumView,
+    RecordReplicated,
+    ReplicateRecord,
+)
 from hophinge.coordination.view import Replica
 from hophinge.fleet.registry.instance import DRAINING, READY, Instance, record_of
 from hophinge.fleet.registry.registry import Registry
@@ -13,8 +18,8 @@
 
 A, B, C = (Replica(name, f"10.0.0.{number}:1", "z") for number, name in enumerate("abc", 1))
 HEAD = "10.0.1.1:2"
-CALM = Surroundings(Core(1, (A, B, C), 2, frozenset("abc")), (HEAD,), (B.address, C.address))
-ALONE = Surroundings(Core(1, (A, B, C), 2, frozenset("a")), (HEAD,), (B.address, C.address))
+CALM = Surroundings(QuorumView(1, (A, B, C), 2, frozenset("abc")), (HEAD,), (B.address, C.address))
+ALONE = Surroundings(QuorumView(1, (A, B, C), 2, frozenset("a")), (HEAD,), (B.address, C.address))
 
 
 def _service() -> InstanceService:
@@ -39,28 +44,31 @@
     step = service.beat(1.0, CALM, 2, _instance(DRAINING), 2)
     assert step.settled == []
     assert [address for address, message in step.messages if isinstance(message, Push)] == [HEAD]
-    assert [address for address, message in step.messages if isinstance(message, Hold)] == [B.address, C.address]
-    assert service.held(1.1, CALM, "b", Held(2, 1)).settled == []
-    assert service.held(1.1, CALM, "c", Held(2, 1)).settled == [(2, True)]
+    assert [address for address, message in step.messages if isinstance(message, ReplicateRecord)] == [
+        B.address,
+        C.address,
+    ]
+    assert service.held(1.1, CALM, "b", RecordReplicated(2, 1)).settled == []
+    assert service.held(1.1, CALM, "c", RecordReplicated(2, 1)).settled == [(2, True)]
     assert service.beat(2.0, ALONE, 3, _instance(DRAINING), 3).settled == [(3, True)], "it is held once and for all"
 
 
 def test_one_that_is_ready_again_leaves_anew() -> None:
     service = _service()
     service.beat(1.0, CALM, 1, _instance(DRAINING), 2)
-    service.held(1.1, CALM, "b", Held(1, 1))
-    service.held(1.1, CALM, "c", Held(1, 1))
+    service.held(1.1, CALM, "b", RecordReplicated(1, 1))
+    service.held(1.1, CALM, "c", RecordReplicated(1, 1))
     service.beat(2.0, CALM, 2, _instance(READY), 3)
     assert service.beat(3.0, ALONE, 3, _instance(DRAINING), 4).settled == []
-    assert service.tick(3.0 + HOLD_S, ALONE, True).settled == [(3, False)]
+    assert service.tick(3.0 + ACKNOWLEDGEMENT_TIMEOUT_S, ALONE, True).settled == [(3, False)]
 
 
 def test_an_end_is_acknowledged_by_the_same_rule_and_an_older_heartbeat_brings_nothing_back() -> None:
     service = _service()
     service.beat(0.0, CALM, 1, _instance(READY), 1)
     assert service.leave(1.0, CALM, 2, "i").settled == []
-    service.held(1.1, CALM, "b", Held(2, 1))
-    assert service.held(1.1, CALM, "c", Held(2, 1)).settled == [(2, True)]
+    service.held(1.1, CALM, "b", RecordReplicated(2, 1))
+    assert service.held(1.1, CALM, "c", RecordReplicated(2, 1)).settled == [(2, True)]
     late = service.beat(2.0, CALM, 3, _instance(READY), 9)
     assert not late.messages
     assert "i" not in service.registry.instances
@@ -70,21 +78,21 @@
 def test_an_end_after_an_acknowledged_leaving_needs_a_quorum_of_its_own() -> None:
     service = _service()
     service.beat(1.0, CALM, 1, _instance(DRAINING), 2)
-    service.held(1.1, CALM, "b", Held(1, 1))
-    service.held(1.1, CALM, "c", Held(1, 1))
+    service.held(1.1, CALM, "b", RecordReplicated(1, 1))
+    service.held(1.1, CALM, "c", RecordReplicated(1, 1))
     assert service.leave(2.0, ALONE, 2, "i").settled == []
-    assert service.tick(2.0 + HOLD_S, ALONE, True).settled == [(2, False)]
+    assert service.tick(2.0 + ACKNOWLEDGEMENT_TIMEOUT_S, ALONE, True).settled == [(2, False)]
 
 
 def test_who_holds_a_record_for_another_passes_it_on_before_it_says_so() -> None:
     service = _service()
     record = record_of(_instance(DRAINING), 5)
-    step = service.hold(0.0, CALM, B.address, Hold(9, record))
+    step = service.hold(0.0, CALM, B.address, ReplicateRecord(9, record))
     assert [address for address, message in step.messages if isinstance(message, Push)] == [HEAD, C.address]
-    assert step.messages[-1] == (B.address, Held(9, 1))
+    assert step.messages[-1] == (B.address, RecordReplicated(9, 1))
     assert service.registry.instances["i"].state == DRAINING
-    again = service.hold(0.1, CALM, B.address, Hold(9, record))
-    assert again.messages == [(B.address, Held(9, 1))]
+    again = service.hold(0.1, CALM, B.address, ReplicateRecord(9, record))
+    assert again.messages == [(B.address, RecordReplicated(9, 1))]
 
 
 def test_an_older_word_than_what_is_known_is_not_acknowledged() -> None:
@@ -93,6 +101,6 @@
     step = service.beat(0.1, CALM, 2, _instance(DRAINING), 5)
     assert step.settled == [(2, False)]
     assert not step.messages
-    gone = Record("instance/other", (3, 0), b"", True)
-    service.hold(0.2, CALM, B.address, Hold(1, gone))
+    gone = GossipRecord("instance/other", (3, 0), b"", True)
+    service.hold(0.2, CALM, B.address, ReplicateRecord(1, gone))
     assert "other" not in service.registry.instances
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -47,13 +47,13 @@
 def test_an_instance_that_unregistered_never_comes_back_under_its_identity() -> None:
     registry = _registry()
     registry.heartbeat(0.0, ONE, 1)
-    assert registry.unregister(1.0, "i-1").gone
+    assert registry.unregister(1.0, "i-1").is_deleted
     assert registry.heartbeat(2.0, ONE, 9) is None
     assert "i-1" not in registry.instances
 
 
 def test_unregistering_what_is_not_known_is_told_as_well() -> None:
-    assert _registry().unregister(0.0, "i-9").gone
+    assert _registry().unregister(0.0, "i-9").is_deleted
 
 
 def test_a_silent_instance_is_lost_and_found_again() -> None:
--- a/tests/test_fleet_stage_changes.py
+++ b/tests/test_fleet_stage_changes.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from hophinge.coordination.dissemination import Record
+from hophinge.coordination.dissemination import GossipRecord
 from hophinge.fleet.registry.instance import READY, SWITCHING, Instance, Model
 from hophinge.fleet.registry.registry import SWITCH_S, Registry
 
@@ -32,7 +32,7 @@
         self.all = [Registry(PERIOD_S, 0.0) for _ in range(count)]
         self.sequence = 0
 
-    def _tell(self, now: float, source: Registry, record: Record | None) -> None:
+    def _tell(self, now: float, source: Registry, record: GossipRecord | None) -> None:
         for member in self.all:
             if record is not None and member is not source:
                 member.learn(now, record)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -17,8 +17,8 @@
     return Call(asked, answered, one, outcome, version)
 
 
-TOOK_ONE = _call(0.0, 1.0, ONE, Outcome.TAKEN, 1)
-TOOK_TWO = _call(2.0, 3.0, TWO, Outcome.TAKEN, 2)
+TOOK_ONE = _call(0.0, 1.0, ONE, Outcome.APPLIED, 1)
+TOOK_TWO = _call(2.0, 3.0, TWO, Outcome.APPLIED, 2)
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
         _call(2.5, 5.0, None, Outcome.VALUE, 1),
         _call(1.5, 2.5, None, Outcome.VALUE, 2),
         _call(0.5, 1.5, None, Outcome.VALUE, 0),
-        _call(4.0, 5.0, ONE, Outcome.TAKEN, 2),
+        _call(4.0, 5.0, ONE, Outcome.APPLIED, 2),
         _call(4.0, 5.0, RIVAL, Outcome.CONFLICT, 2),
     ],
 )
@@ -43,7 +43,7 @@
         _call(4.0, 5.0, RIVAL, Outcome.CONFLICT, 1),
         _call(4.0, 5.0, None, Outcome.VALUE, 0),
         _call(0.0, 0.5, None, Outcome.VALUE, 3),
-        _call(0.0, 1.0, RIVAL, Outcome.TAKEN, 3),
+        _call(0.0, 1.0, RIVAL, Outcome.APPLIED, 3),
         _call(0.0, 1.5, None, Outcome.VALUE, 2),
     ],
 )
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -27,8 +27,8 @@
 from hophinge.control import lastgood, rollout
 from hophinge.control.store import Store as ControlStore
 from hophinge.coordination import codec
-from hophinge.coordination.messages import Record, StateRecord
-from hophinge.coordination.storage.store import Store
+from hophinge.coordination.messages import LogRecord, StateRecord
+from hophinge.coordination.storage.store import DurableStore
 from hophinge.core.rotation import Mark
 from hophinge.fleet.configuration.document import check
 from hophinge.fleet.controlplane.forms import Heartbeat
@@ -217,7 +217,9 @@
 def coordination_messages() -> dict[str, str]:
     """The bytes of each message of the control group and of the fleet's links, by its number."""
     import_everything()
-    return {str(tag - codec.TAG_BASE): codec.encode(sample(kind)).hex() for tag, kind in sorted(codec._by_tag.items())}
+    return {
+        str(tag - codec.TAG_BASE): codec.encode(sample(kind)).hex() for tag, kind in sorted(codec._class_by_tag.items())
+    }
 
 
 def structs() -> dict[str, str]:
@@ -228,8 +230,8 @@
 def replica_volume() -> dict[str, str]:
     """The files of a replica's disk."""
     volume = MemoryVolume({})
-    store = Store(volume)
-    state, record = sample(StateRecord), sample(Record)
+    store = DurableStore(volume)
+    state, record = sample(StateRecord), sample(LogRecord)
     assert isinstance(state, StateRecord)
     store.save(state)
     store.append([record, record])  # type: ignore[list-item]
@@ -327,7 +329,7 @@
 def test_recorded_messages_are_read_as_the_values_that_they_were_made_of() -> None:
     import_everything()
     for number, data in recorded("coordination_messages").items():
-        assert codec.decode(bytes.fromhex(data)) == sample(codec._by_tag[codec.TAG_BASE + int(number)])
+        assert codec.decode(bytes.fromhex(data)) == sample(codec._class_by_tag[codec.TAG_BASE + int(number)])
 
 
 @pytest.mark.parametrize("label", STRUCTS)
@@ -345,9 +347,9 @@
 
 def test_a_replicas_disk_is_written_as_recorded_and_read_back() -> None:
     assert replica_volume() == recorded("replica_volume")
-    store = Store(MemoryVolume({name: bytes.fromhex(data) for name, data in recorded("replica_volume").items()}))
+    store = DurableStore(MemoryVolume({name: bytes.fromhex(data) for name, data in recorded("replica_volume").items()}))
     found = store.recover()
-    assert found.state == sample(StateRecord) and found.records == (sample(Record), sample(Record))
+    assert found.state == sample(StateRecord) and found.records == (sample(LogRecord), sample(LogRecord))
 
 
 def test_tables_of_both_stores_are_those_recorded(tmp_path: Path) -> None:
--- a/tests/test_worst_days_catching_up.py
+++ b/tests/test_worst_days_catching_up.py
@@ -6,12 +6,17 @@
 
 import pytest
 
-from hophinge.coordination.chain import MAX_DOUBLINGS, SYNC_RETRY_INTERVAL_S, SYNC_BYTES_S, Chain
+from hophinge.coordination.chain import (
+    MAX_SYNC_BACKOFF_DOUBLINGS,
+    SYNC_RETRY_INTERVAL_S,
+    SYNC_BYTES_PER_S,
+    ChainReplica,
+)
 from hophinge.coordination.codec import encode
 from hophinge.coordination.messages import Heartbeat
 from hophinge.coordination.events import Outputs
-from hophinge.coordination.registers import TAKEN_BYTES, Change, Entry, Outcome
-from hophinge.coordination.view import Link, Replica, View
+from hophinge.coordination.registers import APPLIED_DIGEST_BYTES, Change, HistoryEntry, Outcome
+from hophinge.coordination.view import ChainLink, Replica, View
 from tests.coordination_world import KEY, World, change
 
 A, B, C, D = (f"10.0.0.{number}:7660" for number in range(1, 5))
@@ -35,7 +40,7 @@
     until = world.now + 2.6
     while request not in world.answers and world.now < until:
         world.run(0.01)
-    assert world.answers[request].outcome is Outcome.TAKEN
+    assert world.answers[request].outcome is Outcome.APPLIED
 
 
 def _caught_up_after(world: World, address: str, most_s: float) -> float:
@@ -49,7 +54,7 @@
             for one in world.members
             if world.members[one].machine is not None
         )
-        if chain.serving and chain.registers.sequence == newest:
+        if chain.is_serving and chain.registers.sequence == newest:
             return world.now - begin
     raise AssertionError(f"{address} has not caught up after {most_s} s")
 
@@ -71,7 +76,7 @@
     took = _caught_up_after(world, place, CATCH_UP_S)
     sent = sum(member.sent_bytes for member in world.members.values()) - before
     snapshot = len(encode(world.machine(place).chain.registers.snapshot()))
-    assert snapshot <= 2 * TAKEN_BYTES * (missed + 1) + 200
+    assert snapshot <= 2 * APPLIED_DIGEST_BYTES * (missed + 1) + 200
     assert took <= 2.0
     assert sent <= 3 * snapshot + 60_000, "a copy for each successor; the rest is signs of life"
     answer = world.read(place)
@@ -102,7 +107,7 @@
         world.run(0.01)
         machine = world.machine(address)
         sender = machine.view.neighbour(machine.me.identity, -1) if machine.view is not None else None
-        if sender is not None and machine.chain.synced < machine.view.number:  # type: ignore[union-attr]
+        if sender is not None and machine.chain.synced_view < machine.view.number:  # type: ignore[union-attr]
             return sender
 
 
@@ -117,7 +122,7 @@
     world.start(D)
     sender = _sender_to(world, D)
     world.run(0.1)
-    assert not world.machine(D).chain.serving, "the copy is on its way"
+    assert not world.machine(D).chain.is_serving, "the copy is on its way"
     world.kill(sender.address)
     alive = next(one for one in (A, B, C) if one != sender.address)
     world.run(1.6)
@@ -142,46 +147,46 @@
     for _ in range(30):
         request = world.ask(A, change(version, version + 1, "more"))
         world.run(0.15)
-        version += request in world.answers and world.answers[request].outcome is Outcome.TAKEN
+        version += request in world.answers and world.answers[request].outcome is Outcome.APPLIED
     _caught_up_after(world, C, CATCH_UP_S)
     assert version > 10
 
 
-def _pair() -> tuple[Chain, Replica]:
+def _pair() -> tuple[ChainReplica, Replica]:
     """A head with one successor, in a view that it has just entered."""
     head, successor = Replica("a", A, "z"), Replica("b", B, "z")
-    chain = Chain(head, 2)
-    chain.synced = 1
-    chain.enter(0.0, View(1, (head, successor), (Link("a", 1), Link("b", 1))), Outputs())
+    chain = ChainReplica(head, 2)
+    chain.synced_view = 1
+    chain.enter_view(0.0, View(1, (head, successor), (ChainLink("a", 1), ChainLink("b", 1))), Outputs())
     return chain, successor
 
 
 def test_a_copy_is_sent_again_only_after_the_time_it_may_take_and_twice_that_each_further_time() -> None:
     chain, successor = _pair()
     chain.registers.apply(_entry(DOCUMENT))
-    wait = SYNC_RETRY_INTERVAL_S + (DOCUMENT + TAKEN_BYTES) / SYNC_BYTES_S
+    wait = SYNC_RETRY_INTERVAL_S + (DOCUMENT + APPLIED_DIGEST_BYTES) / SYNC_BYTES_PER_S
     moments = [0.0]
     for step in range(4_000):
         outputs = Outputs()
-        chain.successor_heard(step * 0.05, successor, _heard(0), outputs)
+        chain.handle_successor_heartbeat(step * 0.05, successor, _heard(0), outputs)
         if outputs.messages:
             moments.append(step * 0.05)
     pauses = [after - before for before, after in pairwise(moments)]
-    assert len(pauses) > MAX_DOUBLINGS
+    assert len(pauses) > MAX_SYNC_BACKOFF_DOUBLINGS
     for number, pause in enumerate(pauses):
-        assert pause == pytest.approx(wait * 2 ** min(number, MAX_DOUBLINGS), abs=0.11)
+        assert pause == pytest.approx(wait * 2 ** min(number, MAX_SYNC_BACKOFF_DOUBLINGS), abs=0.11)
 
 
 def test_a_successor_that_has_caught_up_is_sent_the_next_copy_without_the_doubled_wait() -> None:
     chain, successor = _pair()
     chain.registers.apply(_entry(10))
     for moment in (0.4, 1.2):
-        chain.successor_heard(moment, successor, _heard(0), Outputs())
-    assert chain.syncs == 3
-    chain.successor_heard(1.3, successor, _heard(1, chain.registers.mark), Outputs())
+        chain.handle_successor_heartbeat(moment, successor, _heard(0), Outputs())
+    assert chain.consecutive_syncs == 3
+    chain.handle_successor_heartbeat(1.3, successor, _heard(1, chain.registers.history_digest), Outputs())
     chain.registers.apply(_entry(10, 2))
     again = Outputs()
-    chain.successor_heard(1.7, successor, _heard(1), again)
+    chain.handle_successor_heartbeat(1.7, successor, _heard(1), again)
     assert again.messages
 
 
@@ -194,11 +199,11 @@
     before = sum(member.sent_bytes for member in world.members.values())
     world.run(2.0)
     resting = sum(member.sent_bytes for member in world.members.values()) - before
-    bad.apply(Entry(1, change(0, 1, "other")))
+    bad.apply(HistoryEntry(1, change(0, 1, "other")))
     assert bad.current(KEY).payload == b"1:other"
     world.run(2.0)
     assert bad.current(KEY).payload == b"1:first"
-    assert bad.mark == world.machine(A).chain.registers.mark
+    assert bad.history_digest == world.machine(A).chain.registers.history_digest
     before = sum(member.sent_bytes for member in world.members.values())
     world.run(2.0)
     sent = sum(member.sent_bytes for member in world.members.values()) - before
@@ -209,5 +214,5 @@
     return Heartbeat(1, 1, sequence, 0, True, True, False, mark)
 
 
-def _entry(size: int, sequence: int = 1) -> Entry:
-    return Entry(sequence, _large(sequence - 1, sequence, size))
+def _entry(size: int, sequence: int = 1) -> HistoryEntry:
+    return HistoryEntry(sequence, _large(sequence - 1, sequence, size))
