--- a/tests/test_worst_days_cuts.py
+++ b/tests/test_worst_days_cuts.py
@@ -32,7 +32,7 @@
             asked.append(world.ask(address, None))
             asked.append(world.ask(address, change(1, 1_000 + number, "lost")))
         world.run(1.0)
-        taken = [sent[one] for one in sent if one in world.answers and world.answers[one].outcome is Outcome.TAKEN]
+        taken = [sent[one] for one in sent if one in world.answers and world.answers[one].outcome is Outcome.APPLIED]
         newest = max([newest, *taken])
     world.run(2.6)
     return asked
@@ -62,7 +62,7 @@
     assert _newest_view(world) - before <= FLAPS
     view = world.machine(outside).view
     assert view is not None
-    kept = {link.identity for link in view.chain if link.joined == 1}
+    kept = {link.identity for link in view.chain if link.joined_view == 1}
     expected = {world.machine(address).me.identity for address in (A, B, C) if address not in cut_off}
     assert kept == expected, "a member that was in touch lost its place"
 
@@ -85,15 +85,15 @@
     outside = world.ask(others[0], change(1, 3, "outside"))
     world.run(CUT_S)
     both = [world.answers[one].outcome for one in (inside, outside)]
-    assert both.count(Outcome.TAKEN) <= 1
+    assert both.count(Outcome.APPLIED) <= 1
     world.blocked.clear()
     world.run(CONTACT_S)
     answers = [world.read(address) for address in (A, B, C, D)]
     payloads = {answer.payload for answer in answers if answer is not None}
     assert None not in answers
     assert len(payloads) == 1
-    if Outcome.TAKEN in both:
-        assert payloads == {(b"2:inside", b"3:outside")[both.index(Outcome.TAKEN)]}
+    if Outcome.APPLIED in both:
+        assert payloads == {(b"2:inside", b"3:outside")[both.index(Outcome.APPLIED)]}
 
 
 def test_a_member_that_is_cut_off_begins_no_ballot() -> None:
@@ -132,6 +132,6 @@
             world.run(0.002)
         request = world.ask(B, change(version, version + 1, "more"))
         world.run(2.0)
-        version += world.answers[request].outcome is Outcome.TAKEN
+        version += world.answers[request].outcome is Outcome.APPLIED
     assert _newest_view(world) == before
     assert version == 20, "each change is taken in time"
--- a/tests/test_worst_days_losses.py
+++ b/tests/test_worst_days_losses.py
@@ -136,7 +136,7 @@
             request = world.ask(asked, change(version, version + 1, "more"))
             world.run(HELD_UP_S)
             assert world.answers.get(request) is not None, f"a planned end of {address} held a change up"
-            assert world.answers[request].outcome is Outcome.TAKEN
+            assert world.answers[request].outcome is Outcome.APPLIED
             version += 1
         assert world.members[address].machine is None
         world.start(address)
--- a/tests/test_worst_days_operators.py
+++ b/tests/test_worst_days_operators.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hophinge.coordination.registers import MAX_TAKEN, Change, Entry, Outcome, Registers
+from hophinge.coordination.registers import MAX_APPLIED_DIGESTS, Change, HistoryEntry, Outcome, Registers
 from tests.coordination_world import change
 from tests.worst_days import CONTACT_S, A, B, C, cut, formed, taken
 
@@ -26,7 +26,7 @@
             "left": [world.answers[number].outcome for number in (one, again[0])],
             "right": [world.answers[number].outcome for number in (two, again[1])],
         }
-        told_yes = [name for name, found in outcomes.items() if Outcome.TAKEN in found]
+        told_yes = [name for name, found in outcomes.items() if Outcome.APPLIED in found]
         assert len(told_yes) == 1, (left, right, outcomes)
         assert Outcome.CONFLICT not in outcomes[told_yes[0]], "what was taken is never refused"
         answer = world.read(A)
@@ -38,7 +38,7 @@
     world = formed(30)
     requests = [world.ask(address, change(0, 1, "same")) for address in (A, B, C)]
     world.run(0.5)
-    assert [world.answers[one].outcome for one in requests] == [Outcome.TAKEN] * 3
+    assert [world.answers[one].outcome for one in requests] == [Outcome.APPLIED] * 3
     assert world.machine(A).chain.registers.sequence == 1
 
 
@@ -51,7 +51,7 @@
         request = world.ask(B, change(number, number + 1, "more"))
         while request not in world.answers:
             world.run(0.01)
-        assert world.answers[request].outcome is Outcome.TAKEN
+        assert world.answers[request].outcome is Outcome.APPLIED
     if between == "view":
         world.kill(A)
         world.run(3.0)
@@ -60,7 +60,7 @@
     elif between in ("power", "restart"):
         for address in (A, B, C):
             if between == "restart":  # from a snapshot: all that a slot holds, and no log
-                world.members[address].disk.records = [world.machine(address).state()]
+                world.members[address].disk.records = [world.machine(address).durable_state()]
             world.kill(address)
         world.run(0.5)
         for address in (A, B, C):
@@ -88,8 +88,8 @@
     world.run(2.0)
     second = world.ask(others[0], change(0, 1, "x"))
     world.run(2.6)
-    assert world.answers[second].outcome is Outcome.TAKEN
-    assert world.answers[first].outcome in (None, Outcome.TAKEN)
+    assert world.answers[second].outcome is Outcome.APPLIED
+    assert world.answers[first].outcome in (None, Outcome.APPLIED)
     world.blocked.clear()
     world.run(CONTACT_S)
     assert all(world.machine(address).chain.registers.sequence == 1 for address in (A, B, C))
@@ -98,14 +98,14 @@
 
 def test_the_bound_on_changes_that_are_remembered() -> None:
     """The newest 4,096 are known again; one that is older is refused like any that builds on an old version."""
-    registers, count = Registers(), MAX_TAKEN + 1
+    registers, count = Registers(), MAX_APPLIED_DIGESTS + 1
     changes = [Change("k", number, number + 1, b"%d" % number, b"") for number in range(count)]
     for number, one in enumerate(changes, 1):
-        assert registers.judge(one) is None
-        registers.apply(Entry(number, one))
-    assert registers.judge(changes[0]) is Outcome.CONFLICT
-    assert {registers.judge(one) for one in changes[1:]} == {Outcome.TAKEN}
+        assert registers.evaluate(one) is None
+        registers.apply(HistoryEntry(number, one))
+    assert registers.evaluate(changes[0]) is Outcome.CONFLICT
+    assert {registers.evaluate(one) for one in changes[1:]} == {Outcome.APPLIED}
     again = Registers()
     again.restore(registers.snapshot())
-    assert {again.judge(one) for one in changes[1:]} == {Outcome.TAKEN}
-    assert len(registers.taken["k"]) == MAX_TAKEN
+    assert {again.evaluate(one) for one in changes[1:]} == {Outcome.APPLIED}
+    assert len(registers.applied_digests["k"]) == MAX_APPLIED_DIGESTS
--- a/tests/test_worst_days_overlaps.py
+++ b/tests/test_worst_days_overlaps.py
@@ -43,7 +43,7 @@
     world.run(cut_s)
     world.blocked.clear()
     world.run(RECOVERY_S)
-    taken = [one for one in requests if world.answers[one].outcome is Outcome.TAKEN]
+    taken = [one for one in requests if world.answers[one].outcome is Outcome.APPLIED]
     assert len(taken) <= 1
     still_works(world)
 
--- a/tests/worst_days.py
+++ b/tests/worst_days.py
@@ -21,7 +21,7 @@
 def taken(world: World, address: str, one: Change) -> bool:
     request = world.ask(address, one)
     world.run(2.6)
-    return world.answers[request].outcome is Outcome.TAKEN
+    return world.answers[request].outcome is Outcome.APPLIED
 
 
 def cut(world: World, inside: set[str], one_way: bool = False) -> None:
@@ -36,7 +36,7 @@
     world.run(2.0)
     request = world.ask(B, change(0, 1, "first"))
     world.run(0.3)
-    assert world.answers[request].outcome is Outcome.TAKEN
+    assert world.answers[request].outcome is Outcome.APPLIED
     return world
 
 
@@ -50,4 +50,4 @@
     assert newest >= 1
     request = world.ask(running[-1], change(newest, newest + 1, "later"))
     world.run(2.6)
-    assert world.answers[request].outcome is Outcome.TAKEN
+    assert world.answers[request].outcome is Outcome.APPLIED
