--- a/hophinge/coordination/chain.py
+++ b/hophinge/coordination/chain.py
@@ -165,7 +165,7 @@
             self._forward_to_successor(submit.origin, submit.key, outcome, None, outputs)
 
     def handle_forward(self, source: Replica, forward: Forward, outputs: Outputs) -> None:
-        """Take what the predecessor sends, in its order."""
+        """Apply an entry forwarded by the predecessor, in the order of the history, and forward it to the successor."""
         predecessor = self._predecessor()
         if not self.is_serving or forward.view != self.synced_view or predecessor is None:
             return
