--- a/hophinge/coordination/__init__.py
+++ b/hophinge/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts to embed in a service: agreed views, chain replication, leases, dissemination, durable state."""
+"""A library to embed in a service: agreed views, chain replication, leases, dissemination and durable state."""
--- a/hophinge/coordination/chain.py
+++ b/hophinge/coordination/chain.py
@@ -1,61 +1,72 @@
-"""One replica's part of the chain: writes come from the predecessor, go to the successor, the tail replies.
-
-What the parts of a view rest on:
- - `synced` is the newest view in which this replica took over its predecessor's history. The predecessors of a replica
-   synced in a view are synced in it, and each holds at least what its successor holds.
- - An entry is committed once the tail holds it, and the tail counts only in a chain of `required` replicas or more.
- - A replica may head the next view if it is *complete*: synced in a view since it came to its place without a gap.
-   What was acknowledged since has passed it, as it is in every chain since.
+"""One replica's side of chain replication: writes come from the predecessor, go to the successor, and the tail replies.
+
+After R. van Renesse and F. Schneider, "Chain Replication for Supporting High Throughput and Availability" (OSDI 2004).
+What the code relies on:
+ - `synced_view` is the newest view in which this replica took over its predecessor's history. The predecessors of a
+   replica synced in a view are synced in it, and the history of each contains that of its successor.
+ - An entry is committed once the tail has it, and the tail counts only in a chain of `min_chain_length` or more.
+ - A replica may head the next view if it is *complete*: synced in a view since it joined the chain without a gap.
+   What was acknowledged since then has passed it, as it has passed every chain since.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
+from hophinge.coordination.events import CommittedValue, Outputs
 from hophinge.coordination.messages import (
     Committed,
     EntryRecord,
     Forward,
     Heartbeat,
-    RequestOrigin,
     Reply,
+    RequestOrigin,
     Submit,
     Sync,
     SyncedRecord,
 )
-from hophinge.coordination.events import Outputs, CommittedValue
 from hophinge.coordination.registers import HistoryEntry, Outcome, Register, Registers
 from hophinge.coordination.view import Replica, View
 
-SYNC_RETRY_INTERVAL_S = 0.3  # a successor that lags is sent the whole state again after so long at least
-SYNC_BYTES_PER_S = 4 << 20  # and later by the time that its bytes take at this rate, the first time
-MAX_SYNC_BACKOFF_DOUBLINGS = 5  # of that wait, each time that the successor still lags: so any link has time for a copy
+SYNC_RETRY_INTERVAL_S = 0.3  # the shortest time after which a lagging successor is sent the complete state again
+SYNC_BYTES_PER_S = 4 << 20  # that time grows by what the state takes at this rate
+MAX_SYNC_BACKOFF_DOUBLINGS = 5  # of that time, once for each further try: so any link has time for a copy
+
+
+class HistoryPoint(NamedTuple):
+    """The registers after the entry `sequence` of the history."""
+
+    sequence: int
+    registers: dict[str, Register]
 
 
 class ChainReplica:
-    """The replicated history at one replica, and its place in the view's chain."""
+    """The replicated history at one replica, and its position in the chain of the view."""
 
-    def __init__(self, me: Replica, required: int) -> None:
-        self.me, self.min_chain_length = me, required
+    def __init__(self, me: Replica, min_chain_length: int) -> None:
+        self.me = me
+        self.min_chain_length = min_chain_length
         self.registers = Registers()
         self.synced_view = 0
         self.view: View | None = None
-        self.committed_sequence = 0  # known for the view in force, and for this replica's own history
+        self.committed_sequence = 0  # in the view in force, and of this replica's own history
         self.published_sequence = 0
         self.published_registers: dict[str, Register] = {}
-        self.unpublished_history: list[tuple[int, dict[str, Register]]] = []  # states not yet known to be committed
+        self.unpublished_history: list[HistoryPoint] = []
         self.sync_sent_at = float("-inf")
-        self.consecutive_syncs = 0  # times that the successor was sent the state since it last lagged not
+        self.consecutive_syncs = 0  # sent to the successor since it last had the complete history
 
-    # --- place ---------------------------------------------------------------------------------------------------
+    # --- position in the chain -----------------------------------------------------------------------------------
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether this replica holds its predecessor's history in the view in force."""
+        """Whether this replica has its predecessor's history in the view in force."""
         view = self.view
         return view is not None and view.position(self.me.identity) >= 0 and self.synced_view == view.number
 
     @property
     def is_head(self) -> bool:
-        """Tell whether writes enter here."""
+        """Whether writes enter the chain here."""
         return self.is_serving and self.view is not None and self.view.position(self.me.identity) == 0
 
     def _successor(self) -> Replica | None:
@@ -65,15 +76,16 @@
         return self.view.neighbour(self.me.identity, -1) if self.view is not None else None
 
     def _tolerates_losses(self) -> bool:
-        """Tell whether the chain is long enough that what the tail holds outlives the losses to be borne."""
+        """Return whether the chain is so long that what its tail has survives the tolerated losses."""
         return self.view is not None and len(self.view.chain) >= self.min_chain_length
 
     # --- changes of view -----------------------------------------------------------------------------------------
 
     def enter_view(self, now: float, view: View, outputs: Outputs) -> None:
-        """Go on in a new view."""
+        """Take the position that this replica has in a new view."""
         self.view = view
-        self.committed_sequence = self.consecutive_syncs = 0
+        self.committed_sequence = 0
+        self.consecutive_syncs = 0
         position = view.position(self.me.identity)
         if position < 0:
             return
@@ -84,54 +96,59 @@
             self._sync_successor(now, outputs)
 
     def resume(self, view: View | None) -> None:
-        """Go on after a restart with what the disk held."""
+        """Resume after a restart, with the registers that were restored from the disk."""
         self.view = view
         self._record_history()
 
     def commit_after_restart(self, outputs: Outputs) -> None:
-        """As the tail after a restart: what it holds has passed the whole chain, whatever view is in force by now."""
+        """Commit the history of a restarted tail: it has passed the whole chain, whichever view is in force by now."""
         if self.is_serving and self._successor() is None:
             self._commit(self.registers.sequence, outputs)
 
-    def _record_sync(self, number: int, sync: Sync | None, outputs: Outputs) -> None:
-        self.synced_view = number
-        outputs.records.append(SyncedRecord(number, sync.snapshot if sync is not None else None))
+    def _record_sync(self, view_number: int, sync: Sync | None, outputs: Outputs) -> None:
+        self.synced_view = view_number
+        outputs.records.append(SyncedRecord(view_number, sync.snapshot if sync is not None else None))
         self.unpublished_history = []
         self._record_history()
 
     def _sync_successor(self, now: float, outputs: Outputs) -> None:
-        """Give the successor the whole history; the tail has nobody left to give it to, so it is committed."""
+        """Send the complete history to the successor; the tail has none, so its history is committed."""
         successor = self._successor()
         if successor is not None:
             self.sync_sent_at = now
             self.consecutive_syncs += 1
-            outputs.messages.append((successor.address, Sync(self.synced_view, self.registers.snapshot())))
+            outputs.send(successor.address, Sync(self.synced_view, self.registers.snapshot()))
         else:
             self._commit(self.registers.sequence, outputs)
 
     def handle_sync(self, now: float, source: Replica, sync: Sync, outputs: Outputs) -> None:
-        """Take over the predecessor's history."""
-        view, predecessor = self.view, self._predecessor()
-        if view is None or sync.view != view.number or predecessor is None or predecessor.identity != source.identity:
+        """Take over the predecessor's history, unless this replica has it already."""
+        view = self.view
+        predecessor = self._predecessor()
+        if view is None or sync.view_number != view.number:
+            return
+        if predecessor is None or predecessor.identity != source.identity:
             return
-        registers = self.registers
-        is_same_history = (
-            sync.snapshot.sequence < registers.sequence or sync.snapshot.history_digest == registers.history_digest
-        )
-        if self.synced_view == view.number and sync.snapshot.sequence <= registers.sequence and is_same_history:
+        if self.synced_view == view.number and self._contains(sync):
             return
         self.registers.restore(sync.snapshot)
         self._record_sync(view.number, sync, outputs)
         self._sync_successor(now, outputs)
 
+    def _contains(self, sync: Sync) -> bool:
+        """Return whether this replica's history contains that of a snapshot."""
+        sequence = sync.snapshot.sequence
+        if sequence == self.registers.sequence:
+            return sync.snapshot.history_digest == self.registers.history_digest
+        return sequence < self.registers.sequence
+
     def handle_successor_heartbeat(self, now: float, source: Replica, heartbeat: Heartbeat, outputs: Outputs) -> None:
-        """Send the history again to a successor that lags or differs: messages are lost, and copies may go bad."""
+        """Sync a successor that lags or differs: messages are lost, and the bytes of a copy may decay."""
         successor = self._successor()
         if not self.is_serving or successor is None or successor.identity != source.identity:
             return
-        differs = (
-            heartbeat.sequence == self.registers.sequence and heartbeat.history_digest != self.registers.history_digest
-        )
+        is_same_length = heartbeat.sequence == self.registers.sequence
+        differs = is_same_length and heartbeat.history_digest != self.registers.history_digest
         if heartbeat.synced_view >= self.synced_view and heartbeat.sequence >= self.registers.sequence and not differs:
             self.consecutive_syncs = 0
         elif now - self.sync_sent_at >= self._sync_retry_interval_s():
@@ -142,9 +159,9 @@
             self._sync_successor(now, outputs)
 
     def _sync_retry_interval_s(self) -> float:
-        """Tell how long a copy of the state may be under way before it is sent again, in seconds.
+        """Return how long a copy of the state may be in flight before it is sent again.
 
-        A copy that is sent anew before the last one has arrived puts a slow link further behind with each.
+        A copy that is sent again before the last one has arrived puts a slow link further behind with each.
         """
         base_interval_s = SYNC_RETRY_INTERVAL_S + self.registers.estimated_bytes / SYNC_BYTES_PER_S
         return base_interval_s * float(2 ** min(max(0, self.consecutive_syncs - 1), MAX_SYNC_BACKOFF_DOUBLINGS))
@@ -152,7 +169,10 @@
     # --- changes and reads ---------------------------------------------------------------------------------------
 
     def handle_submit(self, submit: Submit, outputs: Outputs) -> None:
-        """Judge a change at the head. What is refused goes down the chain as well: an old head may be out of date."""
+        """Evaluate a change or a read at the head.
+
+        A rejection goes down the chain as well: the head of an old view may be out of date.
+        """
         if not self.is_head or not self._tolerates_losses():
             return
         change = submit.change
@@ -165,9 +185,9 @@
             self._forward_to_successor(submit.origin, submit.key, outcome, None, outputs)
 
     def handle_forward(self, source: Replica, forward: Forward, outputs: Outputs) -> None:
-        """Apply an entry forwarded by the predecessor, in the order of the history, and forward it to the successor."""
+        """Apply an entry forwarded by the predecessor, in the order of the history, and forward it in turn."""
         predecessor = self._predecessor()
-        if not self.is_serving or forward.view != self.synced_view or predecessor is None:
+        if not self.is_serving or forward.view_number != self.synced_view or predecessor is None:
             return
         if predecessor.identity != source.identity:
             return
@@ -185,51 +205,51 @@
     def _forward_to_successor(
         self, origin: RequestOrigin, key: str, outcome: Outcome, entry: HistoryEntry | None, outputs: Outputs
     ) -> None:
-        """Pass on to the successor; the tail replies to the member that was asked."""
+        """Forward an outcome to the successor; the tail replies to the replica that received the request."""
         successor = self._successor()
         if successor is not None:
             sequence = entry.sequence if entry is not None else self.registers.sequence
             forward = Forward(self.synced_view, sequence, origin, key, int(outcome), entry)
-            outputs.messages.append((successor.address, forward))
+            outputs.send(successor.address, forward)
         elif self._tolerates_losses():
             self._commit(self.registers.sequence, outputs)
             register = self.registers.current(key)
             payload = register.payload if outcome is Outcome.VALUE else b""
-            reply = Reply(origin.request_id, int(outcome), register.version, payload)
-            outputs.messages.append((origin.replica.address, reply))
+            outputs.send(origin.replica.address, Reply(origin.request_id, int(outcome), register.version, payload))
 
     # --- commitment ----------------------------------------------------------------------------------------------
 
     def _commit(self, sequence: int, outputs: Outputs) -> None:
-        """As the tail: everything held is committed."""
+        """Commit the history of the tail up to a sequence, and notify the other voters."""
         if not self._tolerates_losses() or self.view is None or sequence <= self.committed_sequence:
             return
         committed = Committed(self.view.number, sequence)
-        others = [voter for voter in self.view.voters if voter.identity != self.me.identity]
-        outputs.messages += [(voter.address, committed) for voter in others]
+        for voter in self.view.voters:
+            if voter.identity != self.me.identity:
+                outputs.send(voter.address, committed)
         self.learn_committed(self.view.number, sequence, outputs)
 
-    def learn_committed(self, view: int, sequence: int, outputs: Outputs) -> None:
-        """Take note of what is committed; it is published where this replica's history is the chain's."""
-        if not self.is_serving or view != self.synced_view or sequence <= self.committed_sequence:
+    def learn_committed(self, view_number: int, sequence: int, outputs: Outputs) -> None:
+        """Record what is committed, and publish it where this replica's history is the chain's."""
+        if not self.is_serving or view_number != self.synced_view or sequence <= self.committed_sequence:
             return
         self.committed_sequence = sequence
         self._publish(outputs)
 
     def _record_history(self) -> None:
-        self.unpublished_history.append((self.registers.sequence, self.registers.values))
+        self.unpublished_history.append(HistoryPoint(self.registers.sequence, self.registers.values))
 
     def _publish(self, outputs: Outputs) -> None:
-        """Publish the newest state that is committed; never one older than before."""
-        covered = [state for state in self.unpublished_history if state[0] <= self.committed_sequence]
-        if not covered:
+        """Publish the newest committed registers; never older ones than before."""
+        committed = [point for point in self.unpublished_history if point.sequence <= self.committed_sequence]
+        if not committed:
             return
-        sequence, values = covered[-1]
-        self.unpublished_history = [state for state in self.unpublished_history if state[0] >= sequence]
-        if sequence <= self.published_sequence:
+        newest = committed[-1]
+        self.unpublished_history = [point for point in self.unpublished_history if point.sequence >= newest.sequence]
+        if newest.sequence <= self.published_sequence:
             return
-        self.published_sequence = sequence
-        for key, register in values.items():
+        self.published_sequence = newest.sequence
+        for key, register in newest.registers.items():
             if self.published_registers.get(key) != register:
-                outputs.committed_values.append(CommittedValue(key, sequence, register))
-        self.published_registers = values
+                outputs.committed_values.append(CommittedValue(key, newest.sequence, register))
+        self.published_registers = newest.registers
--- a/hophinge/coordination/client_requests.py
+++ b/hophinge/coordination/client_requests.py
@@ -1,24 +1,21 @@
-"""Callers' requests at the member that was asked: passed to the head again and again until the tail replies."""
+"""Client requests at the replica that received them: sent to the head of the chain until the tail replies."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
-from hophinge.coordination.messages import RequestOrigin, Reply, Submit
-from hophinge.coordination.events import ClientResponse, Outputs, ClientRequest
+from hophinge.coordination.events import ClientRequest, ClientResponse, Outputs
+from hophinge.coordination.messages import Reply, RequestOrigin, Submit
 from hophinge.coordination.registers import Outcome
+from hophinge.coordination.replica_state import ReplicaState
 from hophinge.coordination.view import Replica
 
-if TYPE_CHECKING:
-    from hophinge.coordination.replica import ReplicaStateMachine
-
-RETRY_INTERVAL_S = 0.3  # after which a request without a reply is passed to the head again
+RETRY_INTERVAL_S = 0.3  # after which a request without a reply is sent to the head again
 
 
 @dataclass
 class PendingRequest:
-    """One request without a reply."""
+    """A request without a reply; times are of the replica's clock."""
 
     request: ClientRequest
     expires_at: float
@@ -26,15 +23,15 @@
 
 
 class ClientRequests:
-    """The requests that wait here."""
+    """The pending requests of this replica's clients."""
 
-    def __init__(self, machine: ReplicaStateMachine) -> None:
-        self.machine = machine
+    def __init__(self, state: ReplicaState) -> None:
+        self.state = state
         self.pending: dict[int, PendingRequest] = {}
 
     def begin(self, now: float, request: ClientRequest, outputs: Outputs) -> None:
-        """Begin with a caller's request."""
-        if self.machine.is_isolated(now):
+        """Send a new request to the head; at a replica that is isolated, its outcome is unknown at once."""
+        if self.state.is_isolated(now):
             outputs.responses.append(ClientResponse(request.request_id, None))
             return
         pending = PendingRequest(request, now + request.timeout_s, now)
@@ -42,23 +39,24 @@
         self._send(pending, outputs)
 
     def _send(self, pending: PendingRequest, outputs: Outputs) -> None:
-        machine, requested = self.machine, pending.request
-        head = machine.view.head() if machine.view is not None else None
+        state = self.state
+        request = pending.request
+        head = state.view.head() if state.view is not None else None
         if head is None:
             return
-        submit = Submit(RequestOrigin(machine.me, requested.request_id), requested.key, requested.change)
-        if head.address != machine.me.address:
-            outputs.messages.append((head.address, submit))
+        submit = Submit(RequestOrigin(state.me, request.request_id), request.key, request.change)
+        if head.address != state.me.address:
+            outputs.send(head.address, submit)
         else:
-            machine.chain.handle_submit(submit, outputs)
+            state.chain.handle_submit(submit, outputs)
 
     def retry_all(self) -> None:
-        """Pass all on with the next tick: another head may be in place, and what went to the last one may be lost."""
+        """Send all requests again with the next tick: the head may be another, and messages to the last one lost."""
         for pending in self.pending.values():
             pending.last_sent_at = float("-inf")
 
     def tick(self, now: float, outputs: Outputs) -> None:
-        """Pass on again, or give up."""
+        """Send again the requests without a reply, and answer those that have expired with an unknown outcome."""
         for request_id, pending in list(self.pending.items()):
             if now >= pending.expires_at:
                 del self.pending[request_id]
@@ -67,9 +65,8 @@
                 pending.last_sent_at = now
                 self._send(pending, outputs)
 
-    def handle_reply(self, now: float, source: Replica, message: object, outputs: Outputs) -> None:
-        """Take the tail's reply."""
-        assert isinstance(message, Reply)
-        if self.pending.pop(message.request_id, None) is not None:
-            outcome = Outcome(message.outcome)
-            outputs.responses.append(ClientResponse(message.request_id, outcome, message.version, message.payload))
+    def handle_reply(self, now: float, source: Replica, reply: Reply, outputs: Outputs) -> None:
+        """Answer the client with the tail's reply; a second reply to one request is ignored."""
+        if self.pending.pop(reply.request_id, None) is not None:
+            outcome = Outcome(reply.outcome)
+            outputs.responses.append(ClientResponse(reply.request_id, outcome, reply.version, reply.payload))
--- a/hophinge/coordination/codec.py
+++ b/hophinge/coordination/codec.py
@@ -4,43 +4,61 @@
 
 import dataclasses
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 import cbor2
 
-TAG_BASE = 60_000  # CBOR tags of this protocol: in the range that is given to who comes first
-MAX_DEPTH = 32  # nesting of a message; a deeper one is refused before it is built
+TAG_BASE = 60_000  # CBOR tags of this protocol: in the first-come-first-served range (RFC 8949, section 9.2)
+MAX_DEPTH = 32  # nesting of a message; a deeper one is rejected before it is built
 
 MessageClass = TypeVar("MessageClass", bound=type)
 
 _class_by_tag: dict[int, type] = {}
-_layout_by_class: dict[type, tuple[int, tuple[str, ...]]] = {}
+
+
+class MessageLayout(NamedTuple):
+    """The tag of a message class, and its fields in the order in which they are encoded."""
+
+    tag: int
+    field_names: tuple[str, ...]
+
+
+_layout_by_class: dict[type, MessageLayout] = {}
 
 
 class CodecError(ValueError):
-    """Bytes that are no message of this protocol."""
+    """The bytes are no message of this protocol, or the object is no registered message."""
 
 
 def wire(number: int) -> Callable[[MessageClass], MessageClass]:
-    """Register a dataclass under a number that is never reused for another class."""
+    """Register a dataclass as a message, under a number that is never reused for another class.
+
+    Fields are encoded in their order, without names: they may be renamed, but neither moved nor added.
+
+    Raises:
+        ValueError: the number is in use.
+
+    """
 
     def register(message: MessageClass) -> MessageClass:
         tag = TAG_BASE + number
         if tag in _class_by_tag:
             raise ValueError(f"message number {number} is taken by {_class_by_tag[tag].__name__}")
         _class_by_tag[tag] = message
-        _layout_by_class[message] = tag, tuple(field.name for field in dataclasses.fields(message))
+        field_names = tuple(field.name for field in dataclasses.fields(message))
+        _layout_by_class[message] = MessageLayout(tag, field_names)
         return message
 
     return register
 
 
+# Any: cbor2 gives its hooks an encoder and tags of types that it does not export.
 def _encode_value(encoder: Any, value: object) -> None:
     layout = _layout_by_class.get(type(value))
     if layout is None:
         raise CodecError(f"{type(value).__name__} is not a registered message")
-    tag, names = layout
-    encoder.encode(cbor2.CBORTag(tag, [getattr(value, name) for name in names]))
+    values = [getattr(value, name) for name in layout.field_names]
+    encoder.encode(cbor2.CBORTag(layout.tag, values))
 
 
 def _decode_tag(tag: Any, _immutable: bool) -> object:
@@ -51,12 +69,22 @@
 
 
 def encode(message: object) -> bytes:
-    """Encode one registered message, with the registered messages inside it."""
+    """Encode one registered message, with the registered messages inside it.
+
+    Raises:
+        CodecError: the object, or one inside it, is no registered message.
+
+    """
     return cbor2.dumps(message, default=_encode_value)
 
 
 def decode(data: bytes) -> object:
-    """Decode one message; raises CodecError for anything else."""
+    """Decode one registered message.
+
+    Raises:
+        CodecError: the bytes are malformed, or hold something else.
+
+    """
     try:
         message: object = cbor2.loads(data, tag_hook=_decode_tag, max_depth=MAX_DEPTH, immutable=True)
     except CodecError:
--- a/hophinge/coordination/dissemination.py
+++ b/hophinge/coordination/dissemination.py
@@ -1,10 +1,11 @@
-"""Epidemic dissemination of small records: the newest stamp of a key wins, digests find what was missed.
+"""Epidemic dissemination of small records: the newest stamp of a key wins, anti-entropy finds what was missed.
 
-News goes at once to some neighbours, each of which passes on what was new to it. What is lost on the way is found when
-two members compare digests: marks of buckets first, rows of the buckets that differ, then only the records that lack.
+Updates are pushed at once to some neighbours, each of which pushes on what was new to it. What is lost on the way is
+found when two members compare digests: fingerprints of buckets first, then keys and stamps of the buckets that differ,
+then only the missing records.
 
-`hophinge.cluster` keeps one stream of entries for each owner; here a key moves between owners (an instance beats at
-whichever control member answers), so records are compared key by key.
+`hophinge.cluster` keeps one stream of entries for each owner; here a key moves between owners (an instance sends its
+heartbeats to whichever control member answers), so records are compared key by key.
 """
 
 from __future__ import annotations
@@ -14,22 +15,25 @@
 from hashlib import blake2b
 from random import Random
 
+from hophinge.coordination.addressed import AddressedMessage
 from hophinge.coordination.codec import wire
 
 BUCKET_COUNT = 16
 FINGERPRINT_BYTES = 8
-LARGE_BYTES = 2_048  # a larger value is announced by its row to a neighbour, which asks for it if it lacks it
-TOMBSTONE_S = 60.0  # how long a record that is gone counts in digests: longer than any member is cut off
-PUSH_FANOUT = 2  # neighbours that news is passed on to
+LARGE_BYTES = 2_048  # a larger value is announced to a neighbour by its stamp, and pulled where it is missing
+TOMBSTONE_S = 60.0  # how long a deleted record counts in digests: longer than any member is cut off
+PUSH_FANOUT = 2  # neighbours that an update is pushed to
+
+Stamp = tuple[int, int]  # orders the values of one key; compared as a tuple, e.g. (incarnation, sequence)
 
 
 @wire(50)
 @dataclass(frozen=True, slots=True)
 class GossipRecord:
-    """A key's value under a stamp. `gone` marks the end of the key."""
+    """A key's value under a stamp; a deleted record is a tombstone."""
 
     key: str
-    stamp: tuple[int, int]
+    stamp: Stamp
     value: bytes
     is_deleted: bool = False
 
@@ -37,7 +41,7 @@
 @wire(51)
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """The marks of all buckets."""
+    """The fingerprints of all buckets."""
 
     fingerprints: tuple[int, ...]
 
@@ -45,16 +49,16 @@
 @wire(52)
 @dataclass(frozen=True, slots=True)
 class DigestEntries:
-    """Keys with their stamps; with a bucket's number, all that the sender holds in it."""
+    """Keys with their stamps: all that the sender stores in a bucket, or some where `bucket` is None."""
 
     bucket: int | None
-    entries: tuple[tuple[str, tuple[int, int]], ...]
+    entries: tuple[tuple[str, Stamp], ...]
 
 
 @wire(53)
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Records."""
+    """Records that may be new to the receiver."""
 
     records: tuple[GossipRecord, ...]
 
@@ -62,7 +66,7 @@
 @wire(54)
 @dataclass(frozen=True, slots=True)
 class PullRequest:
-    """Ask for records."""
+    """Ask for the records of some keys."""
 
     keys: tuple[str, ...]
 
@@ -71,18 +75,18 @@
 
 
 def bucket_of(key: str) -> int:
-    """Tell a key's bucket."""
+    """Return the index of a key's bucket."""
     return blake2b(key.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
 
-def _fingerprint(key: str, stamp: tuple[int, int]) -> int:
+def _fingerprint(key: str, stamp: Stamp) -> int:
     text = f"{key}\0{stamp[0]}\0{stamp[1]}".encode()
     return int.from_bytes(blake2b(text, digest_size=FINGERPRINT_BYTES).digest(), "big")
 
 
 @dataclass(slots=True)
 class StoredRecord:
-    """A record, and when it came."""
+    """A record, when it was received, and its contribution to the fingerprint of its bucket."""
 
     record: GossipRecord
     received_at: float
@@ -90,14 +94,14 @@
 
 
 class GossipStore:
-    """The records held by one member, and the marks of their buckets."""
+    """The records of one member, in buckets that are compared by fingerprint."""
 
     def __init__(self) -> None:
         self.records: dict[str, StoredRecord] = {}
         self.buckets: list[dict[str, StoredRecord]] = [{} for _ in range(BUCKET_COUNT)]
 
     def store_if_newer(self, now: float, record: GossipRecord) -> bool:
-        """Take a record if it is newer than what is held; tells whether it was."""
+        """Store a record if its stamp is above the stored one; return whether it was."""
         current = self.records.get(record.key)
         if current is not None and current.record.stamp >= record.stamp:
             return False
@@ -107,7 +111,7 @@
         return True
 
     def get(self, key: str) -> GossipRecord | None:
-        """Tell a key's record."""
+        """Return a key's record, which may be a tombstone."""
         stored = self.records.get(key)
         return stored.record if stored is not None else None
 
@@ -115,7 +119,7 @@
         return not stored.record.is_deleted or now - stored.received_at < TOMBSTONE_S
 
     def fingerprints(self, now: float) -> tuple[int, ...]:
-        """Tell the marks of all buckets."""
+        """Return the fingerprints of all buckets: the XOR of those of their records."""
         fingerprints = []
         for bucket in self.buckets:
             fingerprint = 0
@@ -126,16 +130,16 @@
         return tuple(fingerprints)
 
     def entries(self, now: float, bucket: int) -> DigestEntries:
-        """Tell all keys of a bucket with their stamps."""
-        stored_records = [one for one in self.buckets[bucket].values() if self._is_in_digest(now, one)]
-        return DigestEntries(bucket, tuple((one.record.key, one.record.stamp) for one in stored_records))
+        """Return all keys of a bucket with their stamps."""
+        counted = [stored for stored in self.buckets[bucket].values() if self._is_in_digest(now, stored)]
+        return DigestEntries(bucket, tuple((stored.record.key, stored.record.stamp) for stored in counted))
 
     def remove_expired_tombstones(self, now: float) -> None:
-        """Forget tombstones that no digest counts any more, after as long again."""
+        """Remove tombstones that have been out of all digests for as long as they were in them."""
         expired_keys = [
             key
-            for key, one in self.records.items()
-            if one.record.is_deleted and now - one.received_at > 2 * TOMBSTONE_S
+            for key, stored in self.records.items()
+            if stored.record.is_deleted and now - stored.received_at > 2 * TOMBSTONE_S
         ]
         for key in expired_keys:
             del self.records[key]
@@ -144,72 +148,85 @@
 
 @dataclass
 class DisseminationStep:
-    """What a step of dissemination sends, and the records that were new to this member."""
+    """The outputs of one step: messages to send, and the records that were new to this member."""
 
-    messages: list[tuple[str, GossipMessage]]
+    messages: list[AddressedMessage[GossipMessage]]
     updates: list[GossipRecord]
 
 
 class Dissemination:
-    """One member's part of the epidemic."""
+    """One member's part in the dissemination."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
         self.store = GossipStore()
-        self.neighbours: tuple[str, ...] = ()  # to whom news is passed on
+        self.neighbours: tuple[str, ...] = ()  # addresses that updates are pushed to
 
     def publish(
         self, now: float, records: Iterable[GossipRecord], direct_recipients: Iterable[str] = ()
     ) -> DisseminationStep:
-        """Take own records; `direct` members get them whole."""
+        """Store and push records of this member; direct recipients are sent also large ones at once."""
         updates = [record for record in records if self.store.store_if_newer(now, record)]
         if not updates:
             return DisseminationStep([], [])
-        push = Push(tuple(updates))
-        messages: list[tuple[str, GossipMessage]] = [(address, push) for address in direct_recipients]
-        return DisseminationStep(messages + self._forward_updates(updates, set(direct_recipients)), updates)
+        return DisseminationStep(self._push_updates(updates, list(direct_recipients), set()), updates)
 
-    def _forward_updates(self, updates: list[GossipRecord], already_sent: set[str]) -> list[tuple[str, GossipMessage]]:
-        """Pass news on to some neighbours: small records whole, large ones by name."""
-        candidates = [address for address in self.neighbours if address not in already_sent]
+    def _push_updates(
+        self, updates: list[GossipRecord], direct_recipients: list[str], already_sent: set[str]
+    ) -> list[AddressedMessage[GossipMessage]]:
+        """Push updates to the direct recipients in full, and to some neighbours: of large ones only the stamp."""
+        push = Push(tuple(updates))
+        messages: list[AddressedMessage[GossipMessage]] = [
+            AddressedMessage(address, push) for address in direct_recipients
+        ]
+        informed = already_sent.union(direct_recipients)
+        candidates = [address for address in self.neighbours if address not in informed]
         recipients = self.random.sample(candidates, min(PUSH_FANOUT, len(candidates)))
         small = tuple(record for record in updates if len(record.value) <= LARGE_BYTES)
         large = tuple((record.key, record.stamp) for record in updates if len(record.value) > LARGE_BYTES)
-        messages: list[tuple[str, GossipMessage]] = []
         for address in recipients:
-            messages += [(address, Push(small))] if small else []
-            messages += [(address, DigestEntries(None, large))] if large else []
+            if small:
+                messages.append(AddressedMessage(address, Push(small)))
+            if large:
+                messages.append(AddressedMessage(address, DigestEntries(None, large)))
         return messages
 
     def digest(self, now: float) -> Digest:
-        """Tell what to compare."""
+        """Return the digest that another member compares with its own."""
         return Digest(self.store.fingerprints(now))
 
     def handle(
         self, now: float, source: str, message: GossipMessage, direct_recipients: Iterable[str] = ()
     ) -> DisseminationStep:
-        """Take a message of another member; `direct` members get news whole."""
+        """Handle a message of another member; direct recipients are sent also large updates at once."""
         match message:
-            case Digest(fingerprints=marks):
-                mine = self.store.fingerprints(now)
-                differ = [number for number in range(min(len(mine), len(marks))) if mine[number] != marks[number]]
-                return DisseminationStep([(source, self.store.entries(now, number)) for number in differ], [])
+            case Digest(fingerprints=fingerprints):
+                return DisseminationStep(self._compare_digest(now, source, fingerprints), [])
             case DigestEntries():
                 return DisseminationStep(self._compare_entries(now, source, message), [])
             case PullRequest(keys=keys):
-                found = [record for key in keys if (record := self.store.get(key)) is not None]
-                return DisseminationStep([(source, Push(tuple(found)))] if found else [], [])
-            case Push(records=records):
-                news = [record for record in records if self.store.store_if_newer(now, record)]
-                if not news:
+                records = [record for key in keys if (record := self.store.get(key)) is not None]
+                reply = [AddressedMessage[GossipMessage](source, Push(tuple(records)))] if records else []
+                return DisseminationStep(reply, [])
+            case Push(records=pushed):
+                updates = [record for record in pushed if self.store.store_if_newer(now, record)]
+                if not updates:
                     return DisseminationStep([], [])
-                push = Push(tuple(news))
-                told = [address for address in direct_recipients if address != source]
-                messages: list[tuple[str, GossipMessage]] = [(address, push) for address in told]
-                return DisseminationStep(messages + self._forward_updates(news, {source, *told}), news)
-
-    def _compare_entries(self, now: float, source: str, message: DigestEntries) -> list[tuple[str, GossipMessage]]:
-        """Ask for what is newer there, and send what is newer here."""
+                others = [address for address in direct_recipients if address != source]
+                return DisseminationStep(self._push_updates(updates, others, {source}), updates)
+
+    def _compare_digest(
+        self, now: float, source: str, remote: tuple[int, ...]
+    ) -> list[AddressedMessage[GossipMessage]]:
+        """Answer with the entries of the buckets whose fingerprints differ."""
+        local = self.store.fingerprints(now)
+        differing = [bucket for bucket in range(min(len(local), len(remote))) if local[bucket] != remote[bucket]]
+        return [AddressedMessage(source, self.store.entries(now, bucket)) for bucket in differing]
+
+    def _compare_entries(
+        self, now: float, source: str, message: DigestEntries
+    ) -> list[AddressedMessage[GossipMessage]]:
+        """Request the records that are newer at the source, and push those that are newer here."""
         remote_stamps = dict(message.entries)
         missing_keys: list[str] = []
         newer_records: list[GossipRecord] = []
@@ -222,6 +239,9 @@
         if message.bucket is not None and 0 <= message.bucket < BUCKET_COUNT:
             local_stamps = dict(self.store.entries(now, message.bucket).entries)
             newer_records += [self.store.records[key].record for key in local_stamps if key not in remote_stamps]
-        messages: list[tuple[str, GossipMessage]] = [(source, PullRequest(tuple(missing_keys)))] if missing_keys else []
-        messages += [(source, Push(tuple(newer_records)))] if newer_records else []
+        messages: list[AddressedMessage[GossipMessage]] = []
+        if missing_keys:
+            messages.append(AddressedMessage(source, PullRequest(tuple(missing_keys))))
+        if newer_records:
+            messages.append(AddressedMessage(source, Push(tuple(newer_records))))
         return messages
--- a/hophinge/coordination/events.py
+++ b/hophinge/coordination/events.py
@@ -1,20 +1,21 @@
-"""What goes into a replica's state machine, and what comes out of it."""
+"""Inputs of a replica's state machine, and the outputs of each of its steps."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from hophinge.coordination.messages import LogRecord
+from hophinge.coordination.addressed import AddressedMessage
+from hophinge.coordination.messages import LogRecord, ReplicaMessage
 from hophinge.coordination.registers import Change, Outcome, Register
 from hophinge.coordination.view import Replica
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message from another member."""
+    """A message from another replica; one whose type has no handler is ignored."""
 
     source: Replica
-    message: object
+    message: object  # as decoded: any registered message
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +25,7 @@
     request_id: int
     key: str
     change: Change | None
-    timeout_s: float  # seconds until the caller is told that it is unknown
+    timeout_s: float  # after which the outcome is reported as unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,10 +64,17 @@
 
 @dataclass
 class Outputs:
-    """Records to sync first, in order; only then the rest may be let out."""
+    """The outputs of one step.
+
+    The host syncs the records first, in order; only then it may send, answer or publish the rest.
+    """
 
     records: list[LogRecord] = field(default_factory=list)
-    messages: list[tuple[str, object]] = field(default_factory=list)  # address, message
+    messages: list[AddressedMessage[ReplicaMessage]] = field(default_factory=list)
     responses: list[ClientResponse] = field(default_factory=list)
     committed_values: list[CommittedValue] = field(default_factory=list)
-    log_lines: list[str] = field(default_factory=list)  # for the operator's log
+    log_lines: list[str] = field(default_factory=list)
+
+    def send(self, address: str, message: ReplicaMessage) -> None:
+        """Have a message sent to an address."""
+        self.messages.append(AddressedMessage(address, message))
--- a/hophinge/coordination/messages.py
+++ b/hophinge/coordination/messages.py
@@ -1,4 +1,7 @@
-"""What replicas say to each other, and what they write to disk."""
+"""Messages between replicas, and the records that a replica writes to its disk.
+
+The codec writes fields in their order and without names: a field may be renamed, never moved.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 @wire(10)
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """An attempt to decide a view; ordered by round, then by who proposes."""
+    """The number of an attempt to decide a view; ordered by round, then by proposer."""
 
     round_number: int
     proposer: str
@@ -24,18 +27,21 @@
 @wire(11)
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Ask voters to promise a ballot for the view with the number `target`."""
+    """Ask voters to promise a ballot for the view with this number."""
 
-    target: int
+    view_number: int
     ballot: Ballot
 
 
 @wire(12)
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Promise a ballot; tells the proposal accepted before, if any, and how much of the history is held."""
+    """Promise a ballot.
+
+    Carries the proposal accepted before, if any, with its ballot, and how much of the history the voter has.
+    """
 
-    target: int
+    view_number: int
     ballot: Ballot
     accepted: Ballot
     proposal: View | None
@@ -46,9 +52,9 @@
 @wire(13)
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A higher ballot was promised."""
+    """Reject a ballot, as a higher one was promised."""
 
-    target: int
+    view_number: int
     promised: Ballot
 
 
@@ -66,7 +72,7 @@
 class Accepted:
     """A voter has accepted the view that a ballot proposed."""
 
-    target: int
+    view_number: int
     ballot: Ballot
 
 
@@ -81,22 +87,22 @@
 @wire(17)
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A sign of life: view, history held, history known to be committed, and whether the disk takes writes."""
+    """Sent at a fixed interval: the view, the history that is stored and committed, and the state of the disk."""
 
-    view: int
+    view_number: int
     synced_view: int
     sequence: int
     committed_sequence: int
     is_writable: bool
-    can_vote: bool  # this replica has a disk that counts
-    is_draining: bool  # it was told to end: the next view is to do without it
-    history_digest: bytes  # of the history up to `sequence`
+    can_vote: bool  # the replica has a disk that counts
+    is_draining: bool  # it is about to end: the next view is to do without it
+    history_digest: bytes  # over the history up to `sequence`
 
 
 @wire(18)
 @dataclass(frozen=True, slots=True)
 class RequestOrigin:
-    """The member that a caller asked, and its name for the request."""
+    """The replica that received a client's request, and its identifier of the request."""
 
     replica: Replica
     request_id: int
@@ -105,7 +111,7 @@
 @wire(19)
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """A member passes a change (or a read of `key`, where there is no change) to the head of the chain."""
+    """Ask the head of the chain for a change, or for a read of `key` where there is no change."""
 
     origin: RequestOrigin
     key: str
@@ -115,9 +121,9 @@
 @wire(20)
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """The head's decision goes down the chain: a new entry, or an outcome that needs none."""
+    """Pass the head's decision down the chain: a new entry, or an outcome that needs none."""
 
-    view: int
+    view_number: int
     sequence: int
     origin: RequestOrigin
     key: str
@@ -128,16 +134,16 @@
 @wire(21)
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """The whole state of a replica's predecessor."""
+    """The complete state of a replica's predecessor."""
 
-    view: int
+    view_number: int
     snapshot: Snapshot
 
 
 @wire(22)
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The tail's answer to the member that was asked."""
+    """The tail's answer to the replica that received the request."""
 
     request_id: int
     outcome: int
@@ -148,16 +154,32 @@
 @wire(23)
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """All of the history up to `sequence` is on every replica of the chain of `view`."""
+    """All of the history up to `sequence` is on every replica of the chain of this view."""
 
-    view: int
+    view_number: int
     sequence: int
 
 
+ReplicaMessage = (
+    Prepare
+    | Promise
+    | Rejection
+    | Accept
+    | Accepted
+    | Decided
+    | Heartbeat
+    | Submit
+    | Forward
+    | Sync
+    | Reply
+    | Committed
+)
+
+
 @wire(31)
 @dataclass(frozen=True, slots=True)
 class ViewRecord:
-    """A decided view was adopted."""
+    """A decided view is in force at this replica."""
 
     view: View
 
@@ -165,9 +187,9 @@
 @wire(32)
 @dataclass(frozen=True, slots=True)
 class VoteRecord:
-    """What this replica promised and accepted for the view after its own."""
+    """The ballot that this replica promised, and the one it accepted, for the view after its own."""
 
-    target: int
+    view_number: int
     promised: Ballot
     accepted: Ballot
     proposal: View | None
@@ -184,16 +206,16 @@
 @wire(34)
 @dataclass(frozen=True, slots=True)
 class SyncedRecord:
-    """The history is complete for a view; a snapshot replaces what was held, where there is one."""
+    """The history is complete for a view; a snapshot, where there is one, replaces the state before it."""
 
-    view: int
+    view_number: int
     snapshot: Snapshot | None
 
 
 @wire(35)
 @dataclass(frozen=True, slots=True)
 class StateRecord:
-    """All that a replica holds: the content of a slot."""
+    """The complete durable state of a replica: the content of a slot."""
 
     identity: str
     view: View | None
--- a/hophinge/coordination/registers.py
+++ b/hophinge/coordination/registers.py
@@ -1,6 +1,6 @@
-"""The replicated state: named registers that change by compare-and-set, and which changes each of them has taken.
+"""The replicated state: named registers that change by compare-and-set, and the changes applied to each of them.
 
-A change is known by its digest for as long as it is remembered, so that one sent again is recognised as taken.
+The digests of the latest changes are stored, so that a change which is sent again is recognized as applied.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 from hophinge.coordination.codec import encode, wire
 
-MAX_APPLIED_DIGESTS = 4_096  # changes remembered for each register: more than any day of an operator holds
+MAX_APPLIED_DIGESTS = 4_096  # stored for each register: more changes than operators make in a day
 HISTORY_DIGEST_BYTES = 8
-APPLIED_DIGEST_BYTES = 24  # of a snapshot, for each change remembered
+APPLIED_DIGEST_BYTES = 24  # that a snapshot takes for each of them
 
 
 class Outcome(IntEnum):
-    """What became of a change or a read."""
+    """The outcome of a change or a read."""
 
     APPLIED = 1  # the change is in force, or was and has been replaced since
-    CONFLICT = 2  # another version is current than the one that the change builds on
+    CONFLICT = 2  # the change builds on another version than the current one
     OUTDATED = 3  # the change's version is not above the current one
     VALUE = 4  # the register's value, for a read
 
@@ -50,7 +50,7 @@
 @wire(6)
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """One change at its place in the chain's history."""
+    """One change at its position in the chain's history."""
 
     sequence: int
     change: Change
@@ -59,12 +59,12 @@
 @wire(7)
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The whole state after the change `sequence`."""
+    """The complete state after the entry `sequence` of the history."""
 
     sequence: int
     registers: tuple[tuple[str, Register], ...] = ()
     applied_digests: tuple[tuple[str, tuple[tuple[bytes, int], ...]], ...] = ()
-    history_digest: bytes = b""  # of the history that led there
+    history_digest: bytes = b""  # over the history up to there
 
 
 EMPTY_REGISTER = Register(0, b"", b"")
@@ -77,20 +77,21 @@
     sequence: int = 0
     values: dict[str, Register] = field(default_factory=dict)
     applied_digests: dict[str, dict[bytes, int]] = field(default_factory=dict)
-    history_digest: bytes = b""  # of all changes so far in their order: two replicas with one mark hold one history
+    history_digest: bytes = b""  # over all changes in their order: replicas with equal digests have equal histories
 
     @property
     def estimated_bytes(self) -> int:
-        """Tell about how many bytes a snapshot takes."""
-        digests = sum(len(taken) for taken in self.applied_digests.values())
-        return sum(len(register.payload) for register in self.values.values()) + digests * APPLIED_DIGEST_BYTES
+        """The estimated size of a snapshot."""
+        digest_count = sum(len(digests) for digests in self.applied_digests.values())
+        payload_bytes = sum(len(register.payload) for register in self.values.values())
+        return payload_bytes + digest_count * APPLIED_DIGEST_BYTES
 
     def current(self, key: str) -> Register:
-        """Tell a register's value; one never written has version 0."""
+        """Return a register; one that was never written has version 0."""
         return self.values.get(key, EMPTY_REGISTER)
 
     def evaluate(self, change: Change) -> Outcome | None:
-        """Tell why a change is not to be applied now, or None where it is."""
+        """Return the outcome of a change that is not to be applied now, or None where it is to be applied."""
         if change.digest in self.applied_digests.get(change.key, {}):
             return Outcome.APPLIED
         current = self.current(change.key)
@@ -107,7 +108,7 @@
         self.history_digest = blake2b(
             self.history_digest + encode(replace(change, payload=b"")), digest_size=HISTORY_DIGEST_BYTES
         ).digest()
-        # A new mapping each time: views of older states, held by whoever publishes, stay as they were.
+        # A new mapping each time: the history that is not yet published refers to the older ones.
         self.values = {**self.values, change.key: Register(change.version, change.digest, change.payload)}
         digests = self.applied_digests.setdefault(change.key, {})
         digests[change.digest] = change.version
@@ -115,17 +116,18 @@
             del digests[next(iter(digests))]
 
     def snapshot(self) -> Snapshot:
-        """Tell the whole state."""
-        taken = tuple((key, tuple(digests.items())) for key, digests in self.applied_digests.items())
-        return Snapshot(self.sequence, tuple(self.values.items()), taken, self.history_digest)
+        """Return the complete state."""
+        applied_digests = tuple((key, tuple(digests.items())) for key, digests in self.applied_digests.items())
+        return Snapshot(self.sequence, tuple(self.values.items()), applied_digests, self.history_digest)
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Take a whole state in place of one's own."""
-        self.sequence, self.history_digest = snapshot.sequence, snapshot.history_digest
+        """Replace the state by a snapshot."""
+        self.sequence = snapshot.sequence
+        self.history_digest = snapshot.history_digest
         self.values = dict(snapshot.registers)
         self.applied_digests = {key: dict(digests) for key, digests in snapshot.applied_digests}
 
 
 def rebase(change: Change, base: int) -> Change:
-    """Rebase a change: only for owners of a register that count its versions themselves."""
+    """Return a change that builds on another version: only for owners that count a register's versions themselves."""
     return replace(change, base=base, version=base + 1)
--- a/hophinge/coordination/storage/__init__.py
+++ b/hophinge/coordination/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of one replica: two slots that are written in turn, and a short log between."""
+"""Durable state of one replica: two slots that are written in turn, and a log of what came after the newer one."""
--- a/hophinge/coordination/storage/store.py
+++ b/hophinge/coordination/storage/store.py
@@ -1,8 +1,8 @@
-"""Two slots and a log: what is read back is what was synced, or more of what was written, never something else.
+"""Two slots and a log: what is recovered is what was synced, or more of what was written, never anything else.
 
-The promise, sentence by sentence. A slot holds a whole state under a generation; of two slots the newer readable one
-counts. The log holds what came after that slot, each record with the slot's generation, its place and a checksum; it
-ends at the first record that does not fit. A new slot is written over the older one, and is synced before the log
+A slot holds a complete state under a generation; of two slots the newer readable one counts. The log holds what came
+after that slot, each record with the slot's generation, its index and a checksum; it ends at the first record whose
+checksum fails. A new slot is written over the older one, and is synced before the log
 begins anew at its start. So a write that is lost or torn at any point leaves the newer slot and its log readable.
 """
 
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from hashlib import blake2b
-from typing import cast
+from typing import NamedTuple, cast
 
 from hophinge.coordination.codec import CodecError, decode, encode
 from hophinge.coordination.messages import LogRecord, StateRecord
@@ -20,7 +20,7 @@
 
 SLOTS = ("slot-a", "slot-b")
 LOG = "log"
-MAX_LOG_BYTES = 1 << 20  # bytes of log after which a slot is written; the log exceeds it by one record at most
+MAX_LOG_BYTES = 1 << 20  # after which a slot is written; the log exceeds it by one record at most
 CHECKSUM_BYTES = 16
 SLOT_HEADER = struct.Struct(f">8sQQ{CHECKSUM_BYTES}s")  # magic, generation, length, checksum
 LOG_HEADER = struct.Struct(f">QQI{CHECKSUM_BYTES}s")  # generation, index, length, checksum
@@ -29,9 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredState:
-    """What a disk held: a state, where there is one, and the records after it.
+    """The content of a disk: a state, where there is one, and the records after it.
 
-    A disk whose newer state cannot be read any more counts as empty: what it promised since is not known.
+    A disk whose newer state cannot be read any more counts as empty, and as damaged: what the replica promised since
+    is not known.
     """
 
     state: StateRecord | None
@@ -50,12 +51,20 @@
         return f"{self.file}: {self.description}"
 
 
+class SlotContent(NamedTuple):
+    """A state and its generation."""
+
+    generation: int
+    state: StateRecord
+
+
 def _checksum(generation: int, index: int, payload: bytes) -> bytes:
     position = struct.pack(">QQ", generation, index)
     return blake2b(position + payload, digest_size=CHECKSUM_BYTES).digest()
 
 
-def _read_slot(data: bytes) -> tuple[int, StateRecord] | None:
+def _read_slot(data: bytes) -> SlotContent | None:
+    """Return the content of a slot, or None where it is empty or fails its checksum."""
     if len(data) < SLOT_HEADER.size:
         return None
     magic, generation, length, checksum = SLOT_HEADER.unpack_from(data)
@@ -66,11 +75,11 @@
         state = decode(payload)
     except CodecError:
         return None
-    return (generation, state) if isinstance(state, StateRecord) else None
+    return SlotContent(generation, state) if isinstance(state, StateRecord) else None
 
 
 def _log_generation(data: bytes) -> int:
-    """Tell the generation of a log's first record, which was synced after that generation's slot; 0 where none fits."""
+    """Return the generation of a log's first record, which was synced after that generation's slot; 0 without one."""
     if len(data) < LOG_HEADER.size:
         return 0
     generation, index, length, checksum = LOG_HEADER.unpack_from(data)
@@ -87,38 +96,48 @@
         self.generation = 0
         self.index = 0
         self.offset = 0
-        self.current_slot = 1  # the slot that holds the newer state; the other is written next
-        self.unreadable_slots = 0  # slots whose bytes were there and did not fit their checksum
+        self.current_slot = 1  # the index of the slot with the newer state; the other one is written next
+        self.unreadable_slots = 0  # slots that are not empty and failed their checksum
 
     def recover(self) -> RecoveredState:
-        """Read what was synced; raises OSError where the disk does not answer."""
-        newest: tuple[int, StateRecord] | None = None
+        """Read what was synced.
+
+        Raises:
+            OSError: the disk does not answer.
+
+        """
+        newest: SlotContent | None = None
         for number, name in enumerate(SLOTS):
             data = self.volume.read(name)
             slot = _read_slot(data)
             if slot is None:
                 self.unreadable_slots += bool(data)
-            elif newest is None or slot[0] > newest[0]:
-                newest, self.current_slot = slot, number
+            elif newest is None or slot.generation > newest.generation:
+                newest = slot
+                self.current_slot = number
         log = self.volume.read(LOG)
         log_generation = _log_generation(log)
-        if log_generation > (newest[0] if newest is not None else 0):
-            self.generation = log_generation  # what is written from now on counts before all that is there
+        if log_generation > (newest.generation if newest is not None else 0):
+            self.generation = log_generation  # what is written from now on is newer than all that is there
             return RecoveredState(None, (), is_damaged=True)
         if newest is None:
             return RecoveredState(None, ())
-        self.generation = newest[0]
-        return RecoveredState(newest[1], tuple(self._read_log(log)))
+        self.generation = newest.generation
+        return RecoveredState(newest.state, tuple(self._read_log(log)))
 
     def scrub(self) -> list[Damage]:
-        """Read back what counts, and tell what does not fit its checksum; raises OSError as recovery does."""
+        """Read back the current slot and the log, and return what fails its checksum.
+
+        Raises:
+            OSError: the disk does not answer.
+
+        """
         damages: list[Damage] = []
         if self.generation:
             slot = _read_slot(self.volume.read(SLOTS[self.current_slot]))
-            if slot is None or slot[0] != self.generation:
-                damages.append(
-                    Damage(SLOTS[self.current_slot], f"the state of generation {self.generation} cannot be read")
-                )
+            if slot is None or slot.generation != self.generation:
+                description = f"the state of generation {self.generation} cannot be read"
+                damages.append(Damage(SLOTS[self.current_slot], description))
         reader = DurableStore(self.volume)
         reader.generation = self.generation
         readable_records = sum(1 for _ in reader._read_log(self.volume.read(LOG)))
@@ -127,7 +146,7 @@
         return damages
 
     def _read_log(self, data: bytes) -> Iterator[LogRecord]:
-        """Read records of this generation in their order, up to the first that does not fit."""
+        """Read the records of this generation in their order, up to the first that fails its checksum."""
         while self.offset + LOG_HEADER.size <= len(data):
             generation, index, length, checksum = LOG_HEADER.unpack_from(data, self.offset)
             begin = self.offset + LOG_HEADER.size
@@ -136,16 +155,22 @@
                 return
             if _checksum(generation, index, payload) != checksum:
                 return
-            self.offset, self.index = begin + length, index + 1
-            yield cast("LogRecord", decode(payload))
+            self.offset = begin + length
+            self.index = index + 1
+            yield cast("LogRecord", decode(payload))  # the checksum says that `append` wrote it
 
     @property
     def is_log_full(self) -> bool:
-        """Tell whether the log has grown enough for a slot to be written."""
+        """Whether the log is so long that a slot should be written."""
         return self.offset >= MAX_LOG_BYTES
 
     def append(self, records: list[LogRecord]) -> None:
-        """Append records and sync them; after an OSError the caller saves a whole state before it goes on."""
+        """Append records to the log and sync it.
+
+        Raises:
+            OSError: the disk failed; the caller has to save a complete state before it appends again.
+
+        """
         chunks: list[bytes] = []
         index = self.index
         for record in records:
@@ -156,14 +181,23 @@
         data = b"".join(chunks)
         self.volume.write(LOG, self.offset, data)
         self.volume.sync(LOG)
-        self.index, self.offset = index, self.offset + len(data)
+        self.index = index
+        self.offset += len(data)
 
     def save(self, state: StateRecord) -> None:
-        """Write a whole state to the older slot; the log begins anew."""
-        generation, slot = self.generation + 1, 1 - self.current_slot
+        """Write a complete state to the older slot and sync it; the log begins anew.
+
+        Raises:
+            OSError: the disk failed.
+
+        """
+        generation = self.generation + 1
+        slot = 1 - self.current_slot
         payload = encode(state)
         header = SLOT_HEADER.pack(MAGIC, generation, len(payload), _checksum(generation, 0, payload))
         self.volume.write(SLOTS[slot], 0, header + payload)
         self.volume.sync(SLOTS[slot])
-        self.generation, self.current_slot = generation, slot
-        self.index = self.offset = 0
+        self.generation = generation
+        self.current_slot = slot
+        self.index = 0
+        self.offset = 0
--- a/hophinge/coordination/view.py
+++ b/hophinge/coordination/view.py
@@ -23,7 +23,10 @@
 @wire(2)
 @dataclass(frozen=True, slots=True)
 class ChainLink:
-    """A replica's place in a chain, and the number of the view in which it came to that place without a gap since."""
+    """A replica's position in a chain.
+
+    `joined_view` is the number of the view since which the replica has been in the chain without a gap.
+    """
 
     identity: str
     joined_view: int
@@ -40,27 +43,35 @@
 
     @property
     def majority(self) -> int:
-        """Tell how many voters decide."""
+        """The number of voters that decide."""
         return len(self.voters) // 2 + 1
 
     def voter(self, identity: str) -> Replica | None:
-        """Find a voter by its identity."""
+        """Return the voter with an identity."""
         return next((voter for voter in self.voters if voter.identity == identity), None)
 
+    def voting_name(self, replica: Replica) -> str | None:
+        """Return the name under which a replica votes, or None where it has no vote.
+
+        The voters of view 0 vote under their addresses, as nobody knows an identity yet.
+        """
+        name = replica.address if self.number == 0 else replica.identity
+        return name if self.voter(name) is not None else None
+
     def position(self, identity: str) -> int:
-        """Tell a replica's place in the chain from 0, or -1."""
-        return next((place for place, link in enumerate(self.chain) if link.identity == identity), -1)
+        """Return a replica's index in the chain, from 0, or -1."""
+        return next((position for position, link in enumerate(self.chain) if link.identity == identity), -1)
 
     def head(self) -> Replica | None:
-        """Tell where writes enter."""
+        """Return the replica at which writes enter the chain."""
         return self.voter(self.chain[0].identity) if self.chain else None
 
     def tail(self) -> Replica | None:
-        """Tell who replies."""
+        """Return the replica that replies."""
         return self.voter(self.chain[-1].identity) if self.chain else None
 
     def neighbour(self, identity: str, offset: int) -> Replica | None:
-        """Tell the replica a number of places further down the chain (up, where negative)."""
+        """Return the replica at an offset from another one: further down the chain where positive, up where not."""
         position = self.position(identity)
         if position < 0 or not 0 <= position + offset < len(self.chain):
             return None
@@ -68,5 +79,5 @@
 
 
 def seed_view(addresses: tuple[str, ...]) -> View:
-    """View 0 of a first start: the seeds vote under their addresses, as nobody knows an identity yet."""
+    """Return view 0 of a first start, in which the seeds vote under their addresses."""
     return View(0, tuple(Replica(address, address, "") for address in sorted(addresses)), ())
--- a/hophinge/fleet/controlplane/host.py
+++ b/hophinge/fleet/controlplane/host.py
@@ -23,7 +23,8 @@
     Tick,
 )
 from hophinge.coordination.registers import Change
-from hophinge.coordination.replica import ReplicaConfig, ReplicaStateMachine
+from hophinge.coordination.replica import ReplicaStateMachine
+from hophinge.coordination.replica_state import ReplicaConfig
 from hophinge.coordination.storage.store import Damage, DurableStore
 from hophinge.coordination.storage.volume import FileVolume
 from hophinge.coordination.view import Replica
--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -57,7 +57,7 @@
                 self.directory.publish_configuration(configuration_record(one.sequence, one.register.payload))
 
     def _received(self, hello: Hello, message: object) -> None:
-        if type(message) in self.host.machine.handlers:
+        if self.host.machine.router.has_handler(message):
             self._replica_received(hello, message)
         else:
             self.directory.received(hello.sender, message)
--- a/hophinge/fleet/registry/service.py
+++ b/hophinge/fleet/registry/service.py
@@ -65,7 +65,9 @@
                 self.safe.discard(instance.identity)
                 self.tell(now, around, record, step)
             voters = {voter.identity for voter in around.core.voters}
-            in_contact = around.core.view >= 1 and len(voters & around.core.live_replicas) >= around.core.majority
+            in_contact = (
+                around.core.view_number >= 1 and len(voters & around.core.live_replicas) >= around.core.majority
+            )
             step.settled.append((request, in_contact))
             return step
         known = record or self.dissemination.store.get(INSTANCE_PREFIX + instance.identity)
@@ -116,7 +118,7 @@
         voters = [voter.address for voter in around.core.voters if voter.identity != self.me.identity]
         told = [*around.heads, *voters]
         self.receive(now, source, Push((hold.record,)), told, step)
-        step.messages.append((source, RecordReplicated(hold.token, around.core.view)))
+        step.messages.append((source, RecordReplicated(hold.token, around.core.view_number)))
         return step
 
     def held(self, now: float, around: Surroundings, source: str, held: RecordReplicated) -> ServiceStep:
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -10,7 +10,8 @@
 from hophinge.coordination.codec import decode, encode
 from hophinge.coordination.messages import LogRecord
 from hophinge.coordination.events import Outputs, MessageReceived, Tick
-from hophinge.coordination.replica import ReplicaConfig, ReplicaStateMachine
+from hophinge.coordination.replica import ReplicaStateMachine
+from hophinge.coordination.replica_state import ReplicaConfig
 from hophinge.coordination.view import Replica
 from hophinge.fleet.controlplane.directory import DIRECTORY_TICK_S, Directory
 from hophinge.fleet.controlplane.host import REPLICA_TICK_S
@@ -160,7 +161,7 @@
         member = self.members.get(target)
         if member is None or member.machine is None or member.directory is None:
             return
-        if type(message) in member.machine.handlers:
+        if member.machine.router.has_handler(message):
             self._handle(member, member.machine, MessageReceived(source, message))
         else:
             member.directory.received(source, message)
--- a/tests/coordination_mutants.py
+++ b/tests/coordination_mutants.py
@@ -33,24 +33,24 @@
     Mutant(
         "what belongs to another view is taken",
         "coordination/chain",
-        "        if not self.is_serving or forward.view != self.synced_view or predecessor is None:",
+        "        if not self.is_serving or forward.view_number != self.synced_view or predecessor is None:",
         "        if not self.is_serving or predecessor is None:",
         RULES + "test_what_belongs_to_another_view_or_comes_from_elsewhere_is_not_taken",
     ),
     Mutant(
         "a lower ballot is promised",
         "coordination/agreement",
-        "        if request.ballot < vote.promised:\n            return Rejection(vote.target, vote.promised)\n"
-        "        self.vote = VoteRecord(vote.target, request.ballot, vote.accepted, vote.proposal)",
-        "        self.vote = VoteRecord(vote.target, request.ballot, vote.accepted, vote.proposal)",
+        "        if request.ballot < vote.promised:\n            return Rejection(vote.view_number, vote.promised)\n"
+        "        self.vote = VoteRecord(vote.view_number, request.ballot, vote.accepted, vote.proposal)",
+        "        self.vote = VoteRecord(vote.view_number, request.ballot, vote.accepted, vote.proposal)",
         RULES + "test_a_voter_keeps_its_promise",
     ),
     Mutant(
         "a lower ballot is accepted",
         "coordination/agreement",
-        "        if request.ballot < vote.promised:\n            return Rejection(vote.target, vote.promised)\n"
-        "        self.vote = VoteRecord(vote.target, request.ballot, request.ballot, request.proposal)",
-        "        self.vote = VoteRecord(vote.target, request.ballot, request.ballot, request.proposal)",
+        "        if request.ballot < vote.promised:\n            return Rejection(vote.view_number, vote.promised)\n"
+        "        self.vote = VoteRecord(vote.view_number, request.ballot, request.ballot, request.proposal)",
+        "        self.vote = VoteRecord(vote.view_number, request.ballot, request.ballot, request.proposal)",
         RULES + "test_a_voter_keeps_its_promise",
     ),
     Mutant(
@@ -77,7 +77,7 @@
     Mutant(
         "an acceptance is not written",
         "coordination/voting",
-        "        if isinstance(answer, Accepted):\n            outputs.records.append(machine.acceptor.vote)\n",
+        "        if isinstance(answer, Accepted):\n            outputs.records.append(state.acceptor.vote)\n",
         "",
         RULES + "test_votes_are_written_before_they_are_told_and_a_disk_without_room_casts_none",
     ),
@@ -98,8 +98,8 @@
     Mutant(
         "a history taken over is not written",
         "coordination/chain",
-        "SyncedRecord(number, sync.snapshot if sync is not None else None)",
-        "SyncedRecord(number, None)",
+        "SyncedRecord(view_number, sync.snapshot if sync is not None else None)",
+        "SyncedRecord(view_number, None)",
         RULES + "test_a_history_taken_over_is_written_with_the_view_it_is_for",
     ),
     Mutant(
@@ -133,8 +133,8 @@
     Mutant(
         "what is not committed is put in force",
         "coordination/chain",
-        "        covered = [state for state in self.unpublished_history if state[0] <= self.committed_sequence]",
-        "        covered = list(self.unpublished_history)",
+        "[point for point in self.unpublished_history if point.sequence <= self.committed_sequence]",
+        "list(self.unpublished_history)",
         RULES + "test_only_what_the_tail_holds_is_put_in_force",
     ),
     Mutant(
--- a/tests/coordination_world.py
+++ b/tests/coordination_world.py
@@ -12,7 +12,8 @@
 from hophinge.coordination.messages import LogRecord, StateRecord
 from hophinge.coordination.events import ClientResponse, Outputs, CommittedValue, MessageReceived, ClientRequest, Tick
 from hophinge.coordination.registers import Change, Outcome
-from hophinge.coordination.replica import ReplicaConfig, ReplicaStateMachine
+from hophinge.coordination.replica import ReplicaStateMachine
+from hophinge.coordination.replica_state import ReplicaConfig
 from hophinge.coordination.view import Replica
 
 TICK_S = 0.05
--- a/tests/test_coordination_dissemination.py
+++ b/tests/test_coordination_dissemination.py
@@ -4,6 +4,7 @@
 
 from random import Random
 
+from hophinge.coordination.addressed import AddressedMessage
 from hophinge.coordination.codec import decode, encode
 from hophinge.coordination.dissemination import (
     LARGE_BYTES,
@@ -42,7 +43,7 @@
     def compare(self, now: float) -> None:
         for name, member in self.members.items():
             other = self.random.choice([one for one in self.members if one != name])
-            self.settle(now, name, DisseminationStep([(other, member.digest(now))], []))
+            self.settle(now, name, DisseminationStep([AddressedMessage(other, member.digest(now))], []))
 
     def holders(self, key: str) -> int:
         return sum(member.store.get(key) is not None for member in self.members.values())
@@ -100,5 +101,5 @@
     for number in range(50):
         crowd.members["m0"].store.store_if_newer(0.0, GossipRecord(f"instance/{number}", (number, 0), b"v"))
     crowd.members["m1"].store.store_if_newer(0.0, GossipRecord("instance/own", (1, 0), b"v"))
-    crowd.settle(1.0, "m1", DisseminationStep([("m0", crowd.members["m1"].digest(1.0))], []))
+    crowd.settle(1.0, "m1", DisseminationStep([AddressedMessage("m0", crowd.members["m1"].digest(1.0))], []))
     assert all(len(member.store.records) == 51 for member in crowd.members.values())
--- a/tests/test_coordination_rules.py
+++ b/tests/test_coordination_rules.py
@@ -27,7 +27,8 @@
 from hophinge.coordination.events import DiskStatus, Outputs, MessageReceived, Tick
 from hophinge.coordination.view_planning import MembershipObservation, next_view
 from hophinge.coordination.registers import HistoryEntry, Outcome, Snapshot
-from hophinge.coordination.replica import ReplicaConfig, ReplicaStateMachine
+from hophinge.coordination.replica import ReplicaStateMachine
+from hophinge.coordination.replica_state import ReplicaConfig
 from hophinge.coordination.view import ChainLink, Replica, View
 from tests.coordination_world import KEY, change
 
--- a/tests/worst_days_mutants.py
+++ b/tests/worst_days_mutants.py
@@ -34,8 +34,8 @@
     Mutant(
         "an answer out of an older view is a vote",
         "coordination/quorum_acknowledgements",
-        "{name for name, view in acknowledgement.acknowledged_views.items() if view == quorum_view.view}",
-        "set(acknowledgement.acknowledged_views)",
+        "{name for name, number in acknowledged_views.items() if number == quorum_view.view_number}",
+        "set(acknowledged_views)",
         HOLD + "test_an_answer_out_of_another_view_is_no_vote_in_this_one",
     ),
     Mutant(
@@ -82,8 +82,8 @@
     ),
     Mutant(
         "who leaves does not wait",
-        "coordination/replica",
-        "        return holding < min(len(view.voters), self.tolerated_losses + 1)",
+        "coordination/replica_state",
+        "        return synced_count < min(len(view.voters), self.tolerated_losses + 1)",
         "        return False",
         LOSSES + "test_a_member_that_leaves_goes_when_the_others_hold_what_it_holds_and_not_before",
     ),
@@ -111,7 +111,7 @@
     Mutant(
         "a member out of contact lets its callers wait",
         "coordination/client_requests",
-        "        if self.machine.is_isolated(now):",
+        "        if self.state.is_isolated(now):",
         "        if False:",
         CUTS + "test_a_member_that_is_cut_off_says_so_at_once",
     ),
@@ -141,16 +141,16 @@
     Mutant(
         "copies that differ are not compared",
         "coordination/chain",
-        "heartbeat.sequence == self.registers.sequence and heartbeat.history_digest != self.registers.history_digest",
-        "False",
+        "        differs = is_same_length and heartbeat.history_digest != self.registers.history_digest",
+        "        differs = False",
         CATCHING_UP + "test_copies_that_differ_are_found_and_mended",
     ),
     Mutant(
         "an old member takes from whoever sends",
         "coordination/chain",
-        "        if view is None or sync.view != view.number or predecessor is None"
-        " or predecessor.identity != source.identity:",
-        "        if view is None or predecessor is None:",
+        "        if view is None or sync.view_number != view.number:\n            return\n"
+        "        if predecessor is None or predecessor.identity != source.identity:\n",
+        "        if view is None or predecessor is None:\n",
         MODEL + "test_one_change_a_change_of_view_and_a_lost_disk_in_all_orders",
     ),
     Mutant(
