--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -19,8 +19,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from hophinge.cluster.actions import Changed  # noqa: E402 - the checkout's own
-from hophinge.cluster.interface import Standing, Topic  # noqa: E402
+from hophinge.cluster.actions import MemberChanged  # noqa: E402 - the checkout's own
+from hophinge.cluster.interface import MemberState, Topic  # noqa: E402
 from tests.cluster_member import Started, until  # noqa: E402
 from tests.cluster_network import SECOND, Network, Node  # noqa: E402
 
@@ -71,31 +71,31 @@
     net = Network(seed, loss=loss)
     names = [f"n{number:04}" for number in range(count)]
     nodes = [net.start(name, [f"{one}:7000" for one in names[:2]]) for name in names]
-    records = [node.machine.core.roster.own for node in nodes]
+    records = [node.machine.core.members.own_record for node in nodes]
     for node in nodes:
         for record in records:
-            if record.name != node.machine.me:
-                node.machine.core.roster.put(record, net.now_us)
+            if record.name != node.machine.own_name:
+                node.machine.core.members.update(record, net.now_us)
     net.run(2)
     return net, nodes
 
 
 def agreed(nodes: list[Node]) -> bool:
     """Tell whether all hold the same of all of them."""
-    rosters = [node.machine.core.roster for node in nodes]
+    rosters = [node.machine.core.members for node in nodes]
     return all(len(one.live) == len(nodes) and one.buckets == rosters[0].buckets for one in rosters)
 
 
-def news(nodes: list[Node], since_us: int, standing: Standing, names: set[str]) -> list[tuple[int, str]]:
+def news(nodes: list[Node], since_us: int, standing: MemberState, names: set[str]) -> list[tuple[int, str]]:
     """Tell when members first heard that one of these names stands so."""
     found = []
     for node in nodes:
         seen = set()
         for when, what in node.told:
             if (
-                isinstance(what, Changed)
+                isinstance(what, MemberChanged)
                 and when > since_us
-                and what.member.standing is standing
+                and what.member.state is standing
                 and what.member.name in names
                 and what.member.name not in seen
             ):
@@ -118,7 +118,7 @@
     net.run(calm_s)
     # As one member sees all others: each suspicion of a living one that reached it.
     suspected = sum(
-        isinstance(what, Changed) and what.member.standing is Standing.SUSPECT and when > began
+        isinstance(what, MemberChanged) and what.member.state is MemberState.SUSPECT and when > began
         for when, what in nodes[0].told
     )
     calm = sent(nodes, began, net.now_us)
@@ -126,10 +126,10 @@
     killed = net.now_us
     for node in dead:
         net.kill(node)
-    gone = {node.machine.me for node in dead}
-    net.until(lambda: all(not gone & node.machine.core.roster.live.keys() for node in rest), MAX_S, 0.5)
-    found = [(when - killed) / SECOND for when, _ in news(rest, killed, Standing.DEAD, gone)]
-    false = len(news(rest, began, Standing.DEAD, {node.machine.me for node in rest}))
+    gone = {node.machine.own_name for node in dead}
+    net.until(lambda: all(not gone & node.machine.core.members.live.keys() for node in rest), MAX_S, 0.5)
+    found = [(when - killed) / SECOND for when, _ in news(rest, killed, MemberState.DEAD, gone)]
+    false = len(news(rest, began, MemberState.DEAD, {node.machine.own_name for node in rest}))
     complete = "" if len(found) >= len(rest) * len(gone) else f" ({len(found)} of {len(rest) * len(gone)} views)"
     return [
         count,
--- a/benchmarks/cluster_cuts.py
+++ b/benchmarks/cluster_cuts.py
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from hophinge.cluster.interface import Standing  # noqa: E402 - the checkout's own
+from hophinge.cluster.interface import MemberState  # noqa: E402 - the checkout's own
 from tests.cluster_network import SECOND, Network, Node  # noqa: E402
 
 SEEDS = range(1, 6)
@@ -44,12 +44,12 @@
         for node in nodes[1:]:
             net.kill(node)
 
-        def others(one: Node = one) -> list[Standing]:
-            return [member.standing for member in one.machine.members() if member.name != one.machine.me]
+        def others(one: Node = one) -> list[MemberState]:
+            return [member.state for member in one.machine.members() if member.name != one.machine.own_name]
 
-        assert net.until(lambda: Standing.ALIVE not in others(), MAX_S, 0.25)
+        assert net.until(lambda: MemberState.ALIVE not in others(), MAX_S, 0.25)
         suspected.append((net.now_us - began) / SECOND)
-        assert net.until(lambda: not {Standing.ALIVE, Standing.SUSPECT} & set(others()), MAX_S, 0.25)
+        assert net.until(lambda: not {MemberState.ALIVE, MemberState.SUSPECT} & set(others()), MAX_S, 0.25)
         dead.append((net.now_us - began) / SECOND)
         sent.append(bytes_s([one], began, net.now_us))
         most = max(most, net.most_bytes(one))
@@ -91,10 +91,14 @@
         net.run(cut_s)
         net.cut = lambda source, target: False
         began = net.now_us
-        before = {node.machine.me: node.machine.core.roster.own.incarnation for node in rest}
+        before = {node.machine.own_name: node.machine.core.members.own_record.incarnation for node in rest}
         assert net.until(lambda: net.agreed(nodes), 240, 0.25)  # noqa: B023
         took.append((net.now_us - began) / SECOND)
-        refuted.append(float(sum(node.machine.core.roster.own.incarnation > before[node.machine.me] for node in rest)))
+        refuted.append(
+            float(
+                sum(node.machine.core.members.own_record.incarnation > before[node.machine.own_name] for node in rest)
+            )
+        )
         sent.append(bytes_s(nodes, began, max(net.now_us, began + SECOND)))
     return [str(count), f"{cut_s:g}", spread(took), spread(refuted), f"{statistics.mean(sent):.0f}"]
 
--- a/benchmarks/scoring_costs.py
+++ b/benchmarks/scoring_costs.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 import scoring_model as model
-from hophinge.cluster.interface import Entry, Topic
+from hophinge.cluster.interface import Entry, EntryVersion, Topic
 from hophinge.core import interface as api
 from hophinge.core.choice import Scheduler
 from hophinge.core.choice.books import Book
@@ -167,7 +167,7 @@
                     for chunk, value in encoding.encode(model.VERSIONS[scorer], 1, words)[0].items():
                         count += 1
                         key = encoding.key(scorer, chunk)
-                        entries.append(Entry(f"p{number}", Topic.WEIGHTS, key, (1, count), value))
+                        entries.append(Entry(f"p{number}", Topic.WEIGHTS, key, EntryVersion(1, count), value))
             since = T0 + 1_000_000
             first = slices(head, since, names, entries)
             while head.reader is not None and len(head.reader.versions) < len(entries):  # some are read later
--- a/benchmarks/scoring_model.py
+++ b/benchmarks/scoring_model.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from hophinge.cluster.interface import Entry, Topic
+from hophinge.cluster.interface import Entry, EntryVersion, Topic
 from hophinge.core import interface as api
 from hophinge.core.choice import Scheduler
 from hophinge.scoring import encoding, latency, outlook, suspicion
@@ -257,5 +257,5 @@
     def put(self, head: Head, key: str, value: bytes) -> None:
         """Set an entry, heard by all a while later."""
         self.told_bytes += len(value)
-        entry = Entry(head.name, Topic.WEIGHTS, key, (1, next(self.versions)), value)
+        entry = Entry(head.name, Topic.WEIGHTS, key, EntryVersion(1, next(self.versions)), value)
         self.board[head.name, key] = self.now + HEARD_LATE_US, entry
--- a/hophinge/cluster/actions.py
+++ b/hophinge/cluster/actions.py
@@ -1,9 +1,7 @@
-"""What the machine asks of those around it, and the agenda of what it does next."""
+"""The actions that the state machine of a member asks its driver to perform."""
 
 from __future__ import annotations
 
-import heapq
-from collections.abc import Callable
 from typing import TypeAlias
 
 from msgspec import Struct
@@ -11,54 +9,30 @@
 from hophinge.cluster.interface import Entry, Member
 
 
-class Send(Struct, frozen=True):
+class SendDatagram(Struct, frozen=True):
     """Send a datagram; `address` is host:port."""
 
     address: str
     data: bytes
 
 
-class Changed(Struct, frozen=True):
-    """Tell hearers of a member that came, or whose standing has changed."""
+class MemberChanged(Struct, frozen=True):
+    """Notify subscribers of a member that joined, or whose record has changed."""
 
     member: Member
 
 
-class Told(Struct, frozen=True):
-    """Tell hearers of an entry."""
+class EntryChanged(Struct, frozen=True):
+    """Notify subscribers of an entry that was published or deleted."""
 
     entry: Entry
-    gone: bool
+    is_deleted: bool
 
 
-class SteppedBack(Struct, frozen=True):
-    """The process shares its name with an older one and says nothing any more."""
+class SteppedDown(Struct, frozen=True):
+    """An older process uses the same name: this member sends nothing any more."""
 
-    why: str
+    reason: str
 
 
-Action: TypeAlias = Send | Changed | Told | SteppedBack
-
-
-class Agenda:
-    """What is due when; whoever drives the machine calls it at `next_us`."""
-
-    def __init__(self) -> None:
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.number = 0
-
-    def at(self, when_us: int, what: Callable[[], None]) -> None:
-        """Do something at a time."""
-        self.number += 1
-        heapq.heappush(self.heap, (when_us, self.number, what))
-
-    @property
-    def next_us(self) -> int | None:
-        """Tell when something is due next."""
-        return self.heap[0][0] if self.heap else None
-
-    def due(self, now_us: int) -> Callable[[], None] | None:
-        """Take what is due."""
-        if self.heap and self.heap[0][0] <= now_us:
-            return heapq.heappop(self.heap)[2]
-        return None
+Action: TypeAlias = SendDatagram | MemberChanged | EntryChanged | SteppedDown
--- a/hophinge/cluster/core.py
+++ b/hophinge/cluster/core.py
@@ -1,4 +1,4 @@
-"""What the parts of a member share: time, lots, books, the agenda, and the one way out for datagrams."""
+"""The state that the components of a member share: time, timers, tables and counters, and sending of datagrams."""
 
 from __future__ import annotations
 
@@ -6,153 +6,197 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from hophinge.cluster.actions import Action, Agenda, Changed, Send, Told
-from hophinge.cluster.budget import FIRST_TOPIC, HEADERS, NEWS, PROBES, Budget
+from hophinge.cluster.actions import Action, EntryChanged, MemberChanged, SendDatagram
+from hophinge.cluster.datagram import FRAME_BYTES, MAX_DATAGRAM_BYTES, seal_datagram
+from hophinge.cluster.entry_store import EntryStore
+from hophinge.cluster.gossip import GossipQueue
 from hophinge.cluster.interface import Entry
-from hophinge.cluster.messages import SUSPECT, TOPICS, Part, Record, packed
-from hophinge.cluster.roster import Roster
-from hophinge.cluster.rumours import Rumours
-from hophinge.cluster.entries import Shelf
+from hophinge.cluster.member_table import MemberTable
+from hophinge.cluster.messages import SUSPECT, TOPICS, MemberRecord, Message, encode_message
+from hophinge.cluster.send_budget import FIRST_TOPIC_RANK, HEADER_BYTES, MEMBER_RANK, PROBE_RANK, SendBudget
+from hophinge.cluster.timers import TimerQueue
 from hophinge.cluster.tuning import Limits, Tuning
-from hophinge.cluster.wire import FIXED, MAX_BYTES, seal
 
-RANKS = ("probes", "members", *(topic.value for topic in TOPICS))
-PIGGYBACK = 500  # bytes of a probe's datagram: news beyond that goes with rounds of news
+RANK_NAMES = ("probes", "members", *(topic.value for topic in TOPICS))
+PIGGYBACK_BYTES = 500  # of a probe's datagram: further updates are left to the gossip rounds
+MESSAGE_LIST_BYTES = 3  # the header of the list of messages
 
 
 class Core:
-    """One member's books and its mouth."""
+    """The shared state of one member. Times are in microseconds of the driver's monotonic clock.
+
+    Attributes:
+        health: The local health score of Lifeguard: 0 is healthy, a higher one slows failure detection down.
+        own_generations: All generations of this process; it counts above what others remember of its name.
+        reference_generation: The highest plausible generation so far; others are compared with it.
+        is_silent: The member has left or stepped down and sends nothing any more.
+
+    """
 
     def __init__(
-        self, me: Record, limits: Limits, tuning: Tuning, rng: random.Random, now_us: int, keys: Sequence[bytes]
+        self,
+        own_record: MemberRecord,
+        limits: Limits,
+        tuning: Tuning,
+        rng: random.Random,
+        now_us: int,
+        keys: Sequence[bytes],
     ) -> None:
-        self.limits, self.tuning, self.rng, self.keys = limits, tuning, rng, list(keys)
-        self.now_us = self.begun_us = now_us
-        self.start = me.start
-        self.reference = me.start  # what others' starts are held against
-        self.starts = {me.start}  # of this process: it may have to count above what others remember
-        self.sent = 0
-        self.agenda = Agenda()
-        self.out: list[Action] = []
+        self.limits = limits
+        self.tuning = tuning
+        self.rng = rng
+        self.keys = list(keys)
+        self.now_us = now_us
+        self.started_us = now_us
+        self.generation = own_record.generation
+        self.reference_generation = own_record.generation
+        self.own_generations = {own_record.generation}
+        self.sent_datagrams = 0
+        self.timers = TimerQueue()
+        self.actions: list[Action] = []
         self.counters: Counter[str] = Counter()
-        self.budget = Budget(limits.bytes_s, now_us)
-        self.shelf = Shelf(me.name, me.start, limits, self.count, self._told, self._marked)
-        self.roster = Roster(me, limits.members, now_us, self._marks, self.count)
-        self.rumours = Rumours(self.shelf)
-        self.health = 0  # how much this process doubts itself
-        self.heard_us = now_us  # when anybody else was last heard
-        self.woken_us = now_us  # when it last found itself late: no verdict of before counts
-        self.slept_us = 0  # for how long it stood still in all
-        self.silent = False
+        self.budget = SendBudget(limits.bytes_s, now_us)
+        self.store = EntryStore(
+            own_record.name, own_record.generation, limits, self.count, self._entry_changed, self._owner_changed
+        )
+        self.members = MemberTable(own_record, limits.members, now_us, self._encoded_digests, self.count)
+        self.gossip = GossipQueue(self.store)
+        self.health = 0
+        self.last_received_us = now_us  # from any other member
+        self.last_stall_us = now_us  # when this process last found itself late: earlier timeouts prove nothing
+        self.stalled_us = 0  # for how long it has stalled in all
+        self.is_silent = False
 
     def count(self, name: str) -> None:
-        """Count something."""
+        """Increment a counter."""
         self.counters[name] += 1
 
-    def doubt(self, by: int) -> None:
-        """Doubt oneself more, or less."""
-        self.health = min(self.tuning.health, max(0, self.health + by))
+    def adjust_health(self, delta: int) -> None:
+        """Add to the local health score, within its bounds."""
+        self.health = min(self.tuning.max_health_score, max(0, self.health + delta))
 
-    def scaled(self, time_us: float) -> int:
-        """Tell a time as long as this process's health asks for; one that is alone has waited long enough."""
-        return int(time_us if self.alone else time_us * (1 + self.health))
+    def scale_by_health(self, time_us: float) -> int:
+        """Return a timeout extended by the health score; an isolated member has waited long enough already."""
+        return int(time_us if self.is_isolated else time_us * (1 + self.health))
 
     @property
-    def alone(self) -> bool:
-        """Tell whether nobody was heard for longer than any doubt of oneself explains: cut off, or the last one."""
-        return self.now_us - max(self.heard_us, self.woken_us) >= self.tuning.alone_us and len(self.roster.live) > 1
+    def is_isolated(self) -> bool:
+        """Whether nothing was received for longer than ill health explains: cut off, or the only survivor."""
+        silent_us = self.now_us - max(self.last_received_us, self.last_stall_us)
+        return silent_us >= self.tuning.isolation_timeout_us and len(self.members.live) > 1
 
     def jitter(self, time_us: int) -> int:
-        """Tell a time drawn round another."""
+        """Return a random time within 20 % of the given one."""
         return int(time_us * self.rng.uniform(0.8, 1.2))
 
-    def later(self, time_us: int, what: Callable[[], None]) -> None:
-        """Do something after a time."""
-        self.agenda.at(self.now_us + time_us, what)
-
-    def put(self, record: Record) -> bool:
-        """Hold a newer record, tell hearers where the standing is another, and spread it."""
-        before, quiet = self.roster.record(record.name), self.alone and record.name != self.roster.me
-        if before is not None and before.start != record.start and record.name != self.roster.me:
-            self.shelf.forget(record.name)
-        if not self.roster.put(record, self.now_us):
+    def call_later(self, time_us: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a time."""
+        self.timers.schedule(self.now_us + time_us, callback)
+
+    def update_member(self, record: MemberRecord) -> bool:
+        """Store a newer record, notify subscribers if it differs, and gossip it; returns False beyond the limit."""
+        previous = self.members.record(record.name)
+        is_quiet = self.is_isolated and record.name != self.members.own_name
+        if previous is not None and previous.generation != record.generation and record.name != self.members.own_name:
+            self.store.forget(record.name)
+        if not self.members.update(record, self.now_us):
             return False
-        if (before is None or before != record) and not quiet:
-            self.rumours.member(record)  # who hears nobody may still be heard: it keeps its verdicts to itself
-        if before is None or before.member() != record.member():
-            self.out.append(Changed(record.member()))
+        if (previous is None or previous != record) and not is_quiet:
+            # An isolated member may still be received by others, so it keeps its verdicts to itself.
+            self.gossip.add_member(record)
+        if previous is None or previous.to_member() != record.to_member():
+            self.actions.append(MemberChanged(record.to_member()))
         return True
 
-    def lose_others(self) -> None:
-        """Hold nothing of others any more, and remember none of them."""
-        for name in [name for name in self.roster.held if name != self.roster.me]:
-            self.roster.forget(name, self.now_us)
-            self.shelf.forget(name)
-            self.rumours.forget(name)
-        self.roster.graves.clear()
-
-    def say(self, address: str, parts: Sequence[Part], rank: int = PROBES, fill: bool = True) -> bool:
-        """Send parts, and news where there is room; False where the bound of bytes leaves none."""
-        if self.silent:
+    def forget_others(self) -> None:
+        """Drop all records and entries of other members, and what is remembered of forgotten ones."""
+        for name in [name for name in self.members.tracked if name != self.members.own_name]:
+            self.members.forget(name, self.now_us)
+            self.store.forget(name)
+            self.gossip.forget(name)
+        self.members.forgotten.clear()
+
+    def send(self, address: str, messages: Sequence[Message], rank: int = PROBE_RANK, piggyback: bool = True) -> bool:
+        """Send a datagram, unless the send budget of its rank is used up.
+
+        Args:
+            address: The receiver as host:port.
+            messages: What is sent; may be empty if updates are to be sent alone.
+            rank: The rank that the datagram is charged to.
+            piggyback: Whether gossiped updates fill the rest of the datagram.
+
+        Returns:
+            Whether a datagram was sent.
+
+        """
+        if self.is_silent:
             return False
-        self.budget.now(self.now_us)
-        data = [packed(part) for part in parts]
-        used = FIXED + len(self.roster.me.encode()) + 3 + sum(map(len, data))
-        if used > self.budget.room(rank) or used > MAX_BYTES:
-            self.count(f"unsent_{RANKS[rank]}")
+        self.budget.refill(self.now_us)
+        encoded = [encode_message(message) for message in messages]
+        used = FRAME_BYTES + len(self.members.own_name.encode()) + MESSAGE_LIST_BYTES + sum(map(len, encoded))
+        if used > self.budget.available_bytes(rank) or used > MAX_DATAGRAM_BYTES:
+            self.count(f"unsent_{RANK_NAMES[rank]}")
             return False
-        if fill:
-            room = (PIGGYBACK if parts else MAX_BYTES) - used
-            count = len(self.roster.live)
-            for level in range(max(rank, NEWS), len(RANKS)):
-                room = min(room, self.budget.push(level) - used)
-                more = (
-                    self.rumours.of_members(room, self.tuning.sends(count))
-                    if level == NEWS
-                    else self.rumours.of_topic(level - FIRST_TOPIC, room, count.bit_length() + 1)
-                )
-                data += more
-                room -= sum(map(len, more))
-                used += sum(map(len, more))
-        if not data:
+        if piggyback:
+            encoded += self._take_updates(used, PIGGYBACK_BYTES if messages else MAX_DATAGRAM_BYTES, rank)
+        if not encoded:
             return False
-        self.sent += 1
-        datagram = seal(self.keys[0], self.roster.me, self.start, self.sent, data)
-        self.budget.spend(len(datagram))
-        self.counters["bytes_sent"] += len(datagram) + HEADERS
+        self.sent_datagrams += 1
+        datagram = seal_datagram(self.keys[0], self.members.own_name, self.generation, self.sent_datagrams, encoded)
+        self.budget.consume(len(datagram))
+        self.counters["bytes_sent"] += len(datagram) + HEADER_BYTES
         self.counters["datagrams_sent"] += 1
-        self.out.append(Send(address, datagram))
+        self.actions.append(SendDatagram(address, datagram))
         return True
 
+    def _take_updates(self, used: int, max_bytes: int, rank: int) -> list[bytes]:
+        """Take the updates that fit into a datagram beside the `used` bytes, of all ranks from the given one on."""
+        updates: list[bytes] = []
+        capacity = max_bytes - used
+        live_count = len(self.members.live)
+        for update_rank in range(max(rank, MEMBER_RANK), len(RANK_NAMES)):
+            capacity = min(capacity, self.budget.available_gossip_bytes(update_rank) - used)
+            if update_rank == MEMBER_RANK:
+                taken = self.gossip.take_members(capacity, self.tuning.max_sends(live_count))
+            else:
+                topic = update_rank - FIRST_TOPIC_RANK
+                taken = self.gossip.take_topic(topic, capacity, live_count.bit_length() + 1)
+            updates += taken
+            taken_bytes = sum(map(len, taken))
+            capacity -= taken_bytes
+            used += taken_bytes
+        return updates
+
     @property
-    def spare(self) -> bool:
-        """Tell whether there are bytes to spare for what matters least."""
-        self.budget.now(self.now_us)
-        return self.budget.room(len(RANKS) - 1) > 0
+    def has_headroom(self) -> bool:
+        """Whether the send budget has bytes left for the least important rank."""
+        self.budget.refill(self.now_us)
+        return self.budget.available_bytes(len(RANK_NAMES) - 1) > 0
 
     def suspicion_us(self, confirmations: int) -> int:
-        """Tell how long a suspicion lasts among those that count now."""
-        return self.tuning.suspicion_us(len(self.roster.live), confirmations)
-
-    def standing(self, name: str, standing: int, by: str) -> None:
-        """Hold the same incarnation of a member under another standing."""
-        record = self.roster.held[name].record
-        self.put(Record(name, record.address, record.incarnation, standing, record.zone, record.role, record.build, by))
-
-    def suspected(self, name: str) -> bool:
-        """Tell whether a member is under suspicion."""
-        record = self.roster.record(name)
-        return record is not None and record.standing == SUSPECT
-
-    def _told(self, entry: Entry, gone: bool) -> None:
-        if self.silent:
-            return  # nobody fetches it any more
-        self.out.append(Told(entry, gone))
-        if entry.owner in self.shelf.streams:
-            self.rumours.stream(entry.owner, TOPICS.index(entry.topic), entry.version[1] - 1)
-
-    def _marks(self, owner: str) -> bytes:
-        return repr(self.shelf.marks(owner)).encode()
-
-    def _marked(self, owner: str) -> None:
-        self.roster.touch(owner)
+        """Return the suspicion timeout for the present number of live members."""
+        return self.tuning.suspicion_us(len(self.members.live), confirmations)
+
+    def set_state(self, name: str, state: int, accuser: str) -> None:
+        """Store the record of a member in another state, with the same incarnation."""
+        self.update_member(self.members.tracked[name].record.with_state(state, accuser))
+
+    def is_suspected(self, name: str) -> bool:
+        """Whether a member is suspected."""
+        record = self.members.record(name)
+        return record is not None and record.state == SUSPECT
+
+    def _entry_changed(self, entry: Entry, is_deleted: bool) -> None:
+        if self.is_silent:
+            return  # the driver does not collect actions any more
+        self.actions.append(EntryChanged(entry, is_deleted))
+        if entry.owner in self.store.streams:
+            self.gossip.add_stream(entry.owner, TOPICS.index(entry.topic), entry.version.sequence - 1)
+
+    def _encoded_digests(self, owner: str) -> bytes:
+        # Members compare fingerprints of these bytes, so they must never change: the text of a pair of lists.
+        digests = self.store.digests(owner)
+        return repr((digests.high_sequences, digests.fingerprints)).encode()
+
+    def _owner_changed(self, owner: str) -> None:
+        self.members.refresh_fingerprint(owner)
--- a/hophinge/cluster/errors.py
+++ b/hophinge/cluster/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a member, its keys and its entries."""
+"""Errors of the cluster's configuration, its keys and its entries."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class NameTakenError(HophingeError):
-    """Another process that has run for longer bears this one's name; this one has stepped back."""
+    """An older process uses the same member name; this process has stepped down."""
 
     code: ClassVar[str] = "member-name-taken"
     remedy: ClassVar[str] = "Give this process a name of its own in [cluster], or end the other, and start it again."
 
 
 class EntryRefusedError(HophingeError):
-    """An own entry that is too large, or one too many; nothing was changed."""
+    """An entry of this member is too large or exceeds the limit on entries; nothing was changed."""
 
     code: ClassVar[str] = "entry-refused"
     remedy: ClassVar[str] = "Raise entries or entry_bytes of [cluster] on all members, or publish less."
 
 
 class KeysUnusableError(HophingeError):
-    """A key file that cannot be read or holds no usable keys."""
+    """The key file cannot be read or holds no valid keys."""
 
     code: ClassVar[str] = "cluster-keys-unusable"
     remedy: ClassVar[str] = "Write one key a line to the key file, the newest first, at most two, 16 to 64 bytes each."
 
 
 class ClusterUnusableError(HophingeError):
-    """A `[cluster]` section that cannot be carried out here."""
+    """A setting of the `[cluster]` section is invalid or cannot be applied on this machine."""
 
     code: ClassVar[str] = "cluster-unusable"
     remedy: ClassVar[str] = "Mend the setting of [cluster] that is named and start the process again."
--- a/hophinge/cluster/interface.py
+++ b/hophinge/cluster/interface.py
@@ -1,22 +1,23 @@
-"""What other parts may rest on of a cluster: who its members are, and entries that each of them owns.
+"""What other packages may use of a cluster: its members, and the replicated entries that each member owns.
 
-All of it is hearsay that may be old, doubled, lost or a lie. Nothing whose breach hurts may rest on it alone.
+All of it is eventually consistent: it may be stale, duplicated, missing or, from a faulty member, wrong. No invariant
+whose violation does harm may depend on it alone.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from enum import Enum
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from msgspec import Struct
 
-MAX_NAME = 128  # characters of a member's name, an entry's key and a zone
-MAX_VALUE = 900  # bytes of one entry's value: it travels whole in one datagram
+MAX_NAME_CHARS = 128  # of a member's name, an entry's key and a zone
+MAX_VALUE_BYTES = 900  # of one entry's value: an entry is never split over datagrams
 
 
-class Standing(Enum):
-    """What a member is held for. Unknown counts as the worse of both: who is suspect still owes its word."""
+class MemberState(Enum):
+    """The state of a member as the failure detector (SWIM) sees it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -25,14 +26,14 @@
 
 
 class Role(Enum):
-    """What a member does."""
+    """The kind of process that a member is."""
 
     HEAD = "head"
     CONTROL = "control"
 
 
 class Topic(Enum):
-    """What an entry is about; those that stand first go out first where there is no room for all."""
+    """The subject of an entry, in order of priority: the first topics are sent first under the byte limit."""
 
     DRAINS = "drains"
     WEIGHTS = "weights"
@@ -40,61 +41,73 @@
 
 
 class Member(Struct, frozen=True):
-    """One process, by the newest word about it. `incarnation` grows with each refutation and each start."""
+    """One process as of the newest record about it. `incarnation` grows with each refutation and each start."""
 
     name: str
     address: str
     incarnation: int
-    standing: Standing
+    state: MemberState
     zone: str = ""
     role: Role = Role.HEAD
     build: str = ""
 
     @property
-    def counts(self) -> bool:
-        """Tell whether its word is still wanted where all must agree: it is not known to be dead or to have left."""
-        return self.standing in (Standing.ALIVE, Standing.SUSPECT)
+    def is_live(self) -> bool:
+        """Whether the member is alive or suspect: where all have to agree, its agreement is still required."""
+        return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
+
+
+class EntryVersion(NamedTuple):
+    """The version of an entry; the larger one is newer."""
+
+    generation: int  # of the owner's process
+    sequence: int  # of the change within that generation
 
 
 class Entry(Struct, frozen=True):
-    """What one member says under a topic and key; `version` is (its process's start, a count): the larger counts."""
+    """The value that one member has published under a topic and key."""
 
     owner: str
     topic: Topic
     key: str
-    version: tuple[int, int]
+    version: EntryVersion
     value: bytes
 
 
-class Sight(Protocol):
-    """Who the members are, this one among them."""
+class MembershipView(Protocol):
+    """The members of the cluster, this process among them."""
 
     @property
-    def me(self) -> str:
-        """Tell this member's name."""
+    def own_name(self) -> str:
+        """The name of this member."""
 
     def members(self) -> tuple[Member, ...]:
-        """Tell all members that are not forgotten, by name."""
+        """Return all members that have not been forgotten, sorted by name."""
 
 
-class Board(Protocol):
-    """Entries: one's own to set, everybody's to read."""
+class ReplicatedEntries(Protocol):
+    """The entries of all members; each member writes only its own."""
 
     def put(self, topic: Topic, key: str, value: bytes) -> None:
-        """Set an own entry; raises a HophingeError where it is too large or there are too many, and changes nothing."""
+        """Publish an entry of this member.
+
+        Raises:
+            HophingeError: The entry is too large or there are too many; nothing was changed.
+
+        """
 
-    def drop(self, topic: Topic, key: str) -> None:
-        """Take an own entry back; one that is not there is no error."""
+    def delete(self, topic: Topic, key: str) -> None:
+        """Delete an entry of this member; a missing one is not an error."""
 
     def entries(self, topic: Topic) -> Iterable[Entry]:
-        """Tell what is held under a topic, of members that count, one's own among them; it may change meanwhile."""
+        """Return the entries of live members under a topic, this member's included; they may change meanwhile."""
 
 
-class Hearer(Protocol):
-    """Who wants to be told of changes."""
+class Subscriber(Protocol):
+    """Receives the changes of members and entries."""
 
-    def member(self, now_us: int, member: Member) -> None:
-        """Take a member that came, or whose standing has changed."""
+    def member_changed(self, now_us: int, member: Member) -> None:
+        """Handle a member that joined, or whose record has changed."""
 
-    def entry(self, now_us: int, entry: Entry, gone: bool) -> None:
-        """Take an entry that was set, or is gone: taken back, or its owner forgotten."""
+    def entry_changed(self, now_us: int, entry: Entry, is_deleted: bool) -> None:
+        """Handle an entry that was published, or deleted by its owner or because its owner was forgotten."""
--- a/hophinge/cluster/joining.py
+++ b/hophinge/cluster/joining.py
@@ -1,6 +1,7 @@
-"""Reaching others: by seeds at the start and for as long as nobody is there, then now and then those that were lost.
+"""Contacting other members: through seeds while this one is alone, later members that were lost.
 
-Of those that died and are forgotten one is hailed each turn, by lot: a fixed rate however many they are.
+Of the members that died and are forgotten one is contacted each round, chosen at random: a fixed rate however many
+there are.
 """
 
 from __future__ import annotations
@@ -8,69 +9,69 @@
 from collections.abc import Callable, Collection, Sequence
 
 from hophinge.cluster.core import Core
-from hophinge.cluster.messages import LEFT, Part, Ping, Record
+from hophinge.cluster.messages import LEFT, Message, Ping
 
-SEEDS_AT_ONCE = 3  # of those that are tried in one turn
-GROWTH = 1.6  # of the pause with each turn in vain
-FAREWELLS = 8  # members that are told of a leave
+SEEDS_PER_ATTEMPT = 3  # contacted in one round
+BACKOFF_FACTOR = 1.6  # growth of the backoff with each failed round
+LEAVE_FANOUT = 8  # members that are notified of a leave
 
 
 class Joiner:
-    """Tries seeds, with growing pauses while nobody is there."""
+    """Contacts seeds, with increasing backoff while no other member is known."""
 
-    def __init__(self, core: Core, seeds: Sequence[str], greeting: Callable[[], Part]) -> None:
-        self.core, self.greeting = core, greeting
+    def __init__(self, core: Core, seeds: Sequence[str], make_summary: Callable[[], Message]) -> None:
+        self.core = core
+        self.make_summary = make_summary
         self.seeds = list(seeds)
-        self.pause_us = core.tuning.first_pause_us
+        self.backoff_us = core.tuning.initial_backoff_us
 
-    def begin(self) -> None:
-        """Try at once, and go on."""
-        self.core.later(0, self.turn)
+    def start(self) -> None:
+        """Schedule the first round at once."""
+        self.core.call_later(0, self.run_round)
 
-    def turn(self) -> None:
-        """Try some seeds; with others there, one seed that is not among them or one of the dead."""
+    def run_round(self) -> None:
+        """Contact some seeds if no other member is known, else a missing seed or a dead member."""
         core = self.core
-        others = {record.address for record in core.roster.others()}
-        self.knock(others)
+        others = {record.address for record in core.members.others()}
+        self.contact_forgotten(others)
         if not others:
-            self.try_seeds()
-            core.later(core.jitter(self.pause_us), self.turn)
-            self.pause_us = min(core.tuning.longest_pause_us, int(self.pause_us * GROWTH))
+            self.contact_seeds()
+            core.call_later(core.jitter(self.backoff_us), self.run_round)
+            self.backoff_us = min(core.tuning.max_backoff_us, int(self.backoff_us * BACKOFF_FACTOR))
             return
-        self.pause_us = core.tuning.first_pause_us
-        lost = [seed for seed in self.seeds if seed not in others and seed != core.roster.own.address]
+        self.backoff_us = core.tuning.initial_backoff_us
+        lost = [seed for seed in self.seeds if seed not in others and seed != core.members.own_record.address]
         lost += [
-            held.record.address
-            for held in core.roster.held.values()
-            if not held.record.counts and held.record.standing != LEFT
+            tracked.record.address
+            for tracked in core.members.tracked.values()
+            if not tracked.record.is_live and tracked.record.state != LEFT
         ]
         if lost:
-            self.hail(core.rng.choice(lost))
-        core.later(core.jitter(core.tuning.rejoin_us), self.turn)
+            self.contact(core.rng.choice(lost))
+        core.call_later(core.jitter(core.tuning.rejoin_interval_us), self.run_round)
 
-    def knock(self, others: Collection[str]) -> None:
-        """Hail one of those that died and are forgotten: a cut may have outlasted the memory of its other side."""
-        lost = [address for address in self.core.roster.lost() if address not in others]
+    def contact_forgotten(self, live_addresses: Collection[str]) -> None:
+        """Contact one member that died and is forgotten: a partition may last longer than the memory of either side."""
+        lost = [address for address in self.core.members.lost_addresses() if address not in live_addresses]
         if lost:
-            self.hail(self.core.rng.choice(lost))
+            self.contact(self.core.rng.choice(lost))
 
-    def try_seeds(self) -> None:
-        """Hail some seeds."""
-        seeds = [seed for seed in self.seeds if seed != self.core.roster.own.address]
-        for seed in self.core.rng.sample(seeds, min(SEEDS_AT_ONCE, len(seeds))):
-            self.hail(seed)
+    def contact_seeds(self) -> None:
+        """Contact some seeds, chosen at random."""
+        seeds = [seed for seed in self.seeds if seed != self.core.members.own_record.address]
+        for seed in self.core.rng.sample(seeds, min(SEEDS_PER_ATTEMPT, len(seeds))):
+            self.contact(seed)
 
-    def hail(self, address: str) -> None:
-        """Ask whoever is at an address to answer, and to compare."""
-        ping = Ping(self.core.rng.randrange(2**32), "", self.core.roster.own)
-        self.core.say(address, [ping, self.greeting()], fill=False)
+    def contact(self, address: str) -> None:
+        """Ping any member at an address, with a summary for it to compare."""
+        ping = Ping(self.core.rng.randrange(2**32), "", self.core.members.own_record)
+        self.core.send(address, [ping, self.make_summary()], piggyback=False)
 
-    def leave(self) -> None:
-        """Tell some members that this one leaves; they tell the rest."""
+    def announce_leave(self) -> None:
+        """Notify some members that this one leaves; they gossip it to the others."""
         core = self.core
-        own = core.roster.own
-        gone = Record(own.name, own.address, own.incarnation, LEFT, own.zone, own.role, own.build)
-        others = core.roster.others()
-        for record in core.rng.sample(others, min(FAREWELLS, len(others))):
-            core.say(record.address, [gone], fill=False)
-        core.silent = True
+        left = core.members.own_record.with_state(LEFT)
+        others = core.members.others()
+        for record in core.rng.sample(others, min(LEAVE_FANOUT, len(others))):
+            core.send(record.address, [left], piggyback=False)
+        core.is_silent = True
--- a/hophinge/cluster/membership.py
+++ b/hophinge/cluster/membership.py
@@ -1,252 +1,265 @@
-"""Which word about a member is believed: suspicion, refutation, death after one's own look, and rivals for a name."""
+"""Which records of members are accepted: suspicion and refutation as in SWIM, verified deaths, identity conflicts."""
 
 from __future__ import annotations
 
-from hophinge.cluster.budget import NEWS
 from hophinge.cluster.core import Core
-from hophinge.cluster.messages import ALIVE, DEAD, START_BITS, SUSPECT, Clash, Record
+from hophinge.cluster.member_table import TrackedMember
+from hophinge.cluster.messages import ALIVE, DEAD, REFUTATION_BITS, SUSPECT, IdentityConflict, MemberRecord
 from hophinge.cluster.prober import Prober
-from hophinge.cluster.roster import Held
+from hophinge.cluster.send_budget import MEMBER_RANK
 
-YEAR = 366 * 24 * 3600 * 10_000  # in the unit of starts
-# Starts come from somebody's wall clock: one that is further ahead is a slip or a lie, and would leave its owner no
-# room to overrule it. Its own word may go further, so that it always can.
-HEARSAY_AHEAD, OWN_AHEAD = YEAR, 2 * YEAR
-CLASH_US = 500_000  # between two words to a namesake
-MAX_ACCUSERS = 8  # remembered: more shorten no suspicion
+GENERATIONS_PER_YEAR = 366 * 24 * 3600 * 10_000  # generations are tenths of milliseconds
+# Generations come from wall clocks of other machines: one that is further ahead is an error or a lie, and would leave
+# its owner no room to supersede it. A member's own record may be further ahead, so that it always can.
+MAX_GOSSIP_AHEAD = GENERATIONS_PER_YEAR
+MAX_DIRECT_AHEAD = 2 * GENERATIONS_PER_YEAR
+CONFLICT_INTERVAL_US = 500_000  # between two messages to a process with the same name
+MAX_ACCUSERS = 8  # remembered: more do not shorten a suspicion
 
 
 class Membership:
-    """Takes words about members, and gives verdicts of its own."""
+    """Applies records of members that were received, and the verdicts of this member's own failure detector."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
-        self.prober = Prober(core, self.failed)
-        self.clashed_us = -CLASH_US
-        self.leaving = False
+        self.prober = Prober(core, self.probe_failed)
+        self.last_conflict_us = -CONFLICT_INTERVAL_US
+        self.is_leaving = False
 
-    def word(self, record: Record, sender: str, source: str) -> None:
-        """Take a word about a member."""
+    def apply_record(self, record: MemberRecord, sender: str, source: str) -> None:
+        """Apply a record that was received.
+
+        Args:
+            record: The record.
+            sender: The name of the member that sent it.
+            source: That member's address.
+
+        """
         core = self.core
-        if record.name == core.roster.me:
-            return self.about_me(record)
-        direct = sender == record.name
-        if direct and len(core.roster.live) == 1:
-            # The first that is met: this process's own clock may never have been set.
-            core.reference = max(core.reference, record.start)
-        if record.start > core.reference + (OWN_AHEAD if direct else HEARSAY_AHEAD):
+        if record.name == core.members.own_name:
+            return self.refute(record)
+        is_direct = sender == record.name
+        if is_direct and len(core.members.live) == 1:
+            # The first member to be met: this process's own clock may never have been set.
+            core.reference_generation = max(core.reference_generation, record.generation)
+        if record.generation > core.reference_generation + (MAX_DIRECT_AHEAD if is_direct else MAX_GOSSIP_AHEAD):
             return core.count("starts_too_far_ahead")
-        held = core.roster.held.get(record.name)
-        if held is None:
-            return self._unknown(record, source)
-        known = held.record
+        known = core.members.record(record.name)
+        if known is None:
+            return self._apply_unknown(record, source)
         if record.incarnation > known.incarnation:
-            if record.address != known.address and known.counts:
-                self._rival(record, source if direct else "")
-            elif record.standing == SUSPECT:
-                self._suspect(record, record.by)
-            elif record.counts:
-                self._take(record)
-            else:
-                self._verify(record, source)
+            self._apply_newer(record, known, source, is_direct)
         elif record.incarnation == known.incarnation:
-            if record.standing > known.standing:
-                if record.standing == SUSPECT:
-                    self._suspect(record, record.by)
-                elif known.counts:
-                    self._verify(record, source)
-            elif record.standing == known.standing == SUSPECT:
-                self._confirmed(record)
-            elif not known.counts and record.counts:
-                core.say(source, [known], NEWS, fill=False)
-        elif direct or not known.counts:
-            core.say(source, [known], NEWS, fill=False)  # it has missed something: let it count above, or learn
-
-    def about_me(self, record: Record) -> None:
-        """Refute what others hold of this process, and speak to a namesake."""
+            self._apply_same(record, known, source)
+        elif is_direct or not known.is_live:
+            # The sender has missed something: the newer record lets it refute, or learn.
+            core.send(source, [known], MEMBER_RANK, piggyback=False)
+        return None
+
+    def _apply_newer(self, record: MemberRecord, known: MemberRecord, source: str, is_direct: bool) -> None:
+        """Apply a record of a higher incarnation."""
+        if record.address != known.address and known.is_live:
+            self._track_rival(record, source if is_direct else "")
+        elif record.state == SUSPECT:
+            self._suspect(record, record.accuser)
+        elif record.is_live:
+            self._accept(record)
+        else:
+            self._verify(record, source)
+
+    def _apply_same(self, record: MemberRecord, known: MemberRecord, source: str) -> None:
+        """Apply a record of the same incarnation: the worse state wins."""
+        if record.state > known.state:
+            if record.state == SUSPECT:
+                self._suspect(record, record.accuser)
+            elif known.is_live:
+                self._verify(record, source)
+        elif record.state == known.state == SUSPECT:
+            self._confirm_suspicion(record)
+        elif not known.is_live and record.is_live:
+            self.core.send(source, [known], MEMBER_RANK, piggyback=False)
+
+    def refute(self, record: MemberRecord) -> None:
+        """Refute a record of this member that is wrong, and contact a process that uses the same name."""
         core = self.core
-        own = core.roster.own
-        namesake = record.address != own.address and record.start not in core.starts and record.counts
-        if namesake and core.now_us - self.clashed_us >= CLASH_US:
-            self.clashed_us = core.now_us
+        own = core.members.own_record
+        is_conflict = record.address != own.address and record.generation not in core.own_generations and record.is_live
+        if is_conflict and core.now_us - self.last_conflict_us >= CONFLICT_INTERVAL_US:
+            self.last_conflict_us = core.now_us
             core.count("namesakes_met")
-            core.say(record.address, [Clash(own, core.now_us - core.begun_us, record.start)], fill=False)
-        if self.leaving or record.start >= core.reference + OWN_AHEAD:
+            conflict = IdentityConflict(own, core.now_us - core.started_us, record.generation)
+            core.send(record.address, [conflict], piggyback=False)
+        if self.is_leaving or record.generation >= core.reference_generation + MAX_DIRECT_AHEAD:
             return
-        if record.incarnation > own.incarnation or (record.incarnation == own.incarnation and record.standing):
-            if record.standing:
+        if record.incarnation > own.incarnation or (record.incarnation == own.incarnation and record.state):
+            if record.state:
                 core.count("refuted")
-                core.doubt(1)
-            # Another start is another process's, or was: above it lies the first that is this one's alone.
-            self.raise_to(record.incarnation + 1 if record.start == core.start else record.start + 1 << START_BITS)
+                core.adjust_health(1)
+            if record.generation == core.generation:
+                self.raise_incarnation(record.incarnation + 1)
+            else:
+                # Another generation is, or was, another process's: the next one is the first that is this process's.
+                self.raise_incarnation(record.generation + 1 << REFUTATION_BITS)
 
-    def raise_to(self, incarnation: int) -> None:
-        """Count above what others hold of this process; a new start takes its entries along."""
+    def raise_incarnation(self, incarnation: int) -> None:
+        """Raise this member's incarnation; in a new generation its entries are published anew."""
         core = self.core
-        own = core.roster.own
-        core.put(Record(own.name, own.address, incarnation, ALIVE, own.zone, own.role, own.build))
-        if incarnation >> START_BITS != core.start:
-            core.start = incarnation >> START_BITS
-            core.starts.add(core.start)
-            core.shelf.restart(core.start)
-
-    def failed(self, name: str, incarnation: int) -> None:
-        """Suspect a member that has not answered; one with a rival gives way to it."""
+        core.update_member(core.members.own_record.with_incarnation(incarnation))
+        generation = incarnation >> REFUTATION_BITS
+        if generation != core.generation:
+            core.generation = generation
+            core.own_generations.add(generation)
+            core.store.republish(generation)
+
+    def probe_failed(self, name: str, incarnation: int) -> None:
+        """Suspect a member that has not acknowledged a probe; one with a rival is replaced by it."""
         core = self.core
-        held = core.roster.held.get(name)
-        if held is None or held.record.incarnation != incarnation or not held.record.counts:
+        tracked = core.members.tracked.get(name)
+        if tracked is None or tracked.record.incarnation != incarnation or not tracked.record.is_live:
             return
-        if held.rival is not None:
-            return self._take(held.rival)
-        if held.record.standing == SUSPECT:
-            return self._confirmed(self._accusation(held.record, core.roster.me))
-        self._suspect(held.record, core.roster.me)
-
-    def company(self) -> None:
-        """Somebody is heard again after nobody was: suspicions that rest on that silence alone are void."""
+        if tracked.rival is not None:
+            return self._accept(tracked.rival)
+        if tracked.record.state == SUSPECT:
+            return self._confirm_suspicion(tracked.record.with_state(SUSPECT, core.members.own_name))
+        self._suspect(tracked.record, core.members.own_name)
+
+    def end_isolation(self) -> None:
+        """Withdraw suspicions that rest on the silence while this member was isolated, as it receives again."""
         core = self.core
-        for name, held in list(core.roster.held.items()):
-            if held.record.standing == SUSPECT and held.since_us > core.heard_us and held.accusers <= {core.roster.me}:
-                core.standing(name, ALIVE, "")
+        for name, tracked in list(core.members.tracked.items()):
+            if (
+                tracked.record.state == SUSPECT
+                and tracked.state_changed_us > core.last_received_us
+                and tracked.accusers <= {core.members.own_name}
+            ):
+                core.set_state(name, ALIVE, "")
 
-    def clash(self, clash: Clash) -> str:
-        """Answer a namesake; tells why this process has to step back where it is the younger."""
+    def resolve_conflict(self, conflict: IdentityConflict) -> str:
+        """Respond to a process with the same name; returns why this one must step down if it is the younger."""
         core = self.core
-        own = core.roster.own
-        if clash.to not in core.starts or clash.record.name != own.name or clash.record.address == own.address:
+        own = core.members.own_record
+        other = conflict.record
+        is_for_me = conflict.target_generation in core.own_generations and other.name == own.name
+        if not is_for_me or other.address == own.address:
             return ""
-        age_us = core.now_us - core.begun_us
-        if (age_us, own.address) < (clash.age_us, clash.record.address):
+        uptime_us = core.now_us - core.started_us
+        if (uptime_us, own.address) < (conflict.uptime_us, other.address):
             return (
-                f"{own.name} at {own.address} runs for {age_us // 1_000_000} s, another of that name at "
-                f"{clash.record.address} for {clash.age_us // 1_000_000} s; the younger steps back"
+                f"{own.name} at {own.address} runs for {uptime_us // 1_000_000} s, another of that name at "
+                f"{other.address} for {conflict.uptime_us // 1_000_000} s; the younger steps back"
             )
-        core.say(clash.record.address, [Clash(own, age_us, clash.record.start)], fill=False)
+        core.send(other.address, [IdentityConflict(own, uptime_us, other.generation)], piggyback=False)
         return ""
 
-    def _unknown(self, record: Record, source: str) -> None:
+    def _apply_unknown(self, record: MemberRecord, source: str) -> None:
+        """Apply a record of a member that is not tracked."""
         core = self.core
-        grave = core.roster.grave(record.name)
-        if record.incarnation <= grave:
-            if record.counts:
-                # A stale word about somebody forgotten: whoever it is has to count above it to come back.
-                core.say(source, [Record(record.name, record.address, grave, DEAD)], NEWS, fill=False)
-        elif record.standing == SUSPECT:
-            if core.put(
-                Record(record.name, record.address, record.incarnation, ALIVE, record.zone, record.role, record.build)
-            ):
-                self._suspect(record, record.by)
-        elif record.counts:
-            core.put(record)
+        forgotten_incarnation = core.members.forgotten_incarnation(record.name)
+        if record.incarnation <= forgotten_incarnation:
+            if record.is_live:
+                # A stale record of a forgotten member: it has to raise its incarnation to rejoin.
+                dead = MemberRecord(record.name, record.address, forgotten_incarnation, DEAD)
+                core.send(source, [dead], MEMBER_RANK, piggyback=False)
+        elif record.state == SUSPECT:
+            if core.update_member(record.with_state(ALIVE)):
+                self._suspect(record, record.accuser)
+        elif record.is_live:
+            core.update_member(record)
 
-    def _take(self, record: Record) -> None:
-        if self.core.put(record) and not record.counts:
-            self.core.later(self.core.tuning.dead_us, lambda: self._forget(record))
+    def _accept(self, record: MemberRecord) -> None:
+        if self.core.update_member(record) and not record.is_live:
+            self.core.call_later(self.core.tuning.dead_retention_us, lambda: self._forget(record))
 
-    def _forget(self, record: Record) -> None:
-        if self.core.roster.record(record.name) == record:
-            self.core.roster.forget(record.name, self.core.now_us)
-            self.core.shelf.forget(record.name)
-            self.core.rumours.forget(record.name)
+    def _forget(self, record: MemberRecord) -> None:
+        if self.core.members.record(record.name) == record:
+            self.core.members.forget(record.name, self.core.now_us)
+            self.core.store.forget(record.name)
+            self.core.gossip.forget(record.name)
 
-    def _suspect(self, record: Record, by: str) -> None:
+    def _suspect(self, record: MemberRecord, accuser: str) -> None:
         core = self.core
-        core.put(self._accusation(record, by))
-        core.count("suspicions" if by == core.roster.me else "suspicions_heard")
-        held = core.roster.held[record.name]
-        held.accusers, held.slept_us = frozenset({by}), core.slept_us
-        self._watch(record.name, record.incarnation, held.since_us)
-
-    @staticmethod
-    def _accusation(record: Record, by: str) -> Record:
-        return Record(
-            record.name, record.address, record.incarnation, SUSPECT, record.zone, record.role, record.build, by
-        )
-
-    def _confirmed(self, record: Record) -> None:
-        held = self.core.roster.held[record.name]
-        if record.by not in held.accusers and len(held.accusers) < MAX_ACCUSERS:
-            held.accusers |= {record.by}
-            self.core.rumours.member(record)
-            self._watch(record.name, record.incarnation, held.since_us)
-
-    def _watch(self, name: str, incarnation: int, since_us: int) -> None:
-        """Look again when the suspicion's time is over, as it stands with the confirmations so far."""
+        core.update_member(record.with_state(SUSPECT, accuser))
+        core.count("suspicions" if accuser == core.members.own_name else "suspicions_heard")
+        tracked = core.members.tracked[record.name]
+        tracked.accusers = frozenset({accuser})
+        tracked.stalled_us = core.stalled_us
+        self._schedule_verdict(record.name, record.incarnation, tracked.state_changed_us)
+
+    def _confirm_suspicion(self, record: MemberRecord) -> None:
+        """Add an independent accuser, which shortens the suspicion."""
+        tracked = self.core.members.tracked[record.name]
+        if record.accuser not in tracked.accusers and len(tracked.accusers) < MAX_ACCUSERS:
+            tracked.accusers |= {record.accuser}
+            self.core.gossip.add_member(record)
+            self._schedule_verdict(record.name, record.incarnation, tracked.state_changed_us)
+
+    def _schedule_verdict(self, name: str, incarnation: int, suspected_us: int) -> None:
+        """Decide on a suspicion when its timeout expires, which depends on the confirmations so far."""
         core = self.core
 
-        def due() -> None:
-            held = core.roster.held.get(name)
+        def decide() -> None:
+            tracked = core.members.tracked.get(name)
             if (
-                held is None
-                or held.record.incarnation != incarnation
-                or held.since_us != since_us
-                or held.record.standing != SUSPECT
+                tracked is None
+                or tracked.record.incarnation != incarnation
+                or tracked.state_changed_us != suspected_us
+                or tracked.record.state != SUSPECT
             ):
                 return
-            left = self._deadline_us(held) - core.now_us
-            if left > 0:
-                return core.later(left, due)
-            if held.heard_us > since_us:
-                # One's own look outweighs hearsay; the accused learns of it with each ping and refutes.
+            remaining_us = self._deadline_us(tracked) - core.now_us
+            if remaining_us > 0:
+                return core.call_later(remaining_us, decide)
+            if tracked.last_ack_us > suspected_us:
+                # An acknowledgement received here outweighs gossip; pings tell the suspect, which refutes.
                 core.count("suspicions_outweighed")
-                return core.standing(name, ALIVE, "")
-            self._dead(name)
+                return core.set_state(name, ALIVE, "")
+            self._declare_dead(name)
 
-        core.later(max(0, self._deadline_us(core.roster.held[name]) - core.now_us), due)
+        core.call_later(max(0, self._deadline_us(core.members.tracked[name]) - core.now_us), decide)
 
-    def _deadline_us(self, held: Held) -> int:
-        """Tell when a suspicion is over; time for which this process stood still gave nobody a chance to refute."""
-        slept_us = self.core.slept_us - held.slept_us
-        return held.since_us + slept_us + self.core.suspicion_us(len(held.accusers) - 1)
+    def _deadline_us(self, tracked: TrackedMember) -> int:
+        """Return when a suspicion expires; while this process stalled, no refutation could be received."""
+        stalled_us = self.core.stalled_us - tracked.stalled_us
+        return tracked.state_changed_us + stalled_us + self.core.suspicion_us(len(tracked.accusers) - 1)
 
-    def _dead(self, name: str) -> None:
-        record = self.core.roster.held[name].record
+    def _declare_dead(self, name: str) -> None:
+        record = self.core.members.tracked[name].record
         self.core.count("deaths")
-        self._take(
-            Record(
-                name,
-                record.address,
-                record.incarnation,
-                DEAD,
-                record.zone,
-                record.role,
-                record.build,
-                self.core.roster.me,
-            )
-        )
+        self._accept(record.with_state(DEAD, self.core.members.own_name))
 
-    def _verify(self, record: Record, source: str) -> None:
-        """Look for oneself before a word that a member is dead or has left is believed."""
+    def _verify(self, record: MemberRecord, source: str) -> None:
+        """Probe a member before accepting a record that it is dead or has left."""
         core = self.core
-        held = core.roster.held[record.name]
-        if held.verifying or not held.record.counts:
-            if not held.record.counts:
-                self._take(record)
-            return
-        held.verifying = True
+        tracked = core.members.tracked[record.name]
+        if not tracked.record.is_live:
+            return self._accept(record)
+        if tracked.is_verifying:
+            return None
+        tracked.is_verifying = True
 
-        def done(answered: bool) -> None:
-            now = core.roster.held.get(record.name)
-            if now is None or not now.verifying:
+        def on_result(is_acknowledged: bool) -> None:
+            current = core.members.tracked.get(record.name)
+            if current is None or not current.is_verifying:
                 return
-            now.verifying = False
-            if now.record.incarnation > record.incarnation or not now.record.counts:
+            current.is_verifying = False
+            if current.record.incarnation > record.incarnation or not current.record.is_live:
                 return
-            if not answered:
-                return self._take(record)
+            if not is_acknowledged:
+                return self._accept(record)
             core.count("deaths_doubted")
-            core.say(now.record.address, [record], NEWS, fill=False)
+            core.send(current.record.address, [record], MEMBER_RANK, piggyback=False)
 
-        self.prober.verify(record.name, done)
+        self.prober.verify(record.name, on_result)
+        return None
 
-    def _rival(self, record: Record, source: str) -> None:
-        """Keep another process under a living one's name waiting, and tell it of that one: they settle it."""
+    def _track_rival(self, record: MemberRecord, source: str) -> None:
+        """Remember another process with a live member's name, and refer it to that one: they resolve the conflict."""
         core = self.core
-        held = core.roster.held[record.name]
-        if record.counts:
-            if held.rival is None or held.rival.incarnation < record.incarnation:
-                held.rival = record
+        tracked = core.members.tracked[record.name]
+        if record.is_live:
+            if tracked.rival is None or tracked.rival.incarnation < record.incarnation:
+                tracked.rival = record
             if record.name not in self.prober.urgent:
                 self.prober.urgent.append(record.name)
             if source:
-                core.say(source, [held.record], NEWS, fill=False)
+                core.send(source, [tracked.record], MEMBER_RANK, piggyback=False)
--- a/hophinge/cluster/messages.py
+++ b/hophinge/cluster/messages.py
@@ -1,6 +1,7 @@
-"""What members say to each other: the parts of a datagram, each a MessagePack array that may grow at its end.
+"""The messages that members exchange: each is a MessagePack array, a datagram carries several.
 
-A reader passes over elements beyond those it knows, and over parts of a kind that it does not know.
+Fields may be appended to a message, never moved or removed: a reader ignores elements beyond those that it knows, and
+messages of an unknown type.
 """
 
 from __future__ import annotations
@@ -11,176 +12,187 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from hophinge.cluster.interface import MAX_VALUE, Member, Role, Standing, Topic
+from hophinge.cluster.interface import MAX_VALUE_BYTES, Member, Role, MemberState, Topic
 
-START_BITS = 18  # of an incarnation lie below its process's start: refutations
+REFUTATION_BITS = 18  # low bits of an incarnation that count refutations; the high bits are the generation
 MAX_INCARNATION = 2**63 - 1
-NAME_BYTES = 64  # of a member's name in UTF-8: what a datagram has room for beside an entry
-STANDINGS = (Standing.ALIVE, Standing.SUSPECT, Standing.DEAD, Standing.LEFT)
+MAX_NAME_BYTES = 64  # of a member's name in UTF-8: fits into a datagram beside the largest entry
+MEMBER_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 TOPICS = tuple(Topic)
-ROLES = {role.value: role for role in Role}
+ROLES_BY_VALUE = {role.value: role for role in Role}
 
-Name: TypeAlias = Annotated[str, Meta(min_length=1, max_length=NAME_BYTES)]
+Name: TypeAlias = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
 Label: TypeAlias = Annotated[str, Meta(max_length=128)]
 Address: TypeAlias = Annotated[str, Meta(max_length=64, pattern=r"^[^\s:]{1,57}:[0-9]{1,5}$")]
-Count: TypeAlias = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
+Unsigned: TypeAlias = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
 Index: TypeAlias = Annotated[int, Meta(ge=0, le=255)]
-Mark: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
-Value: TypeAlias = Annotated[bytes, Meta(max_length=MAX_VALUE)]
+Fingerprint: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
+Value: TypeAlias = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
 
 
-class Part(Struct, frozen=True, array_like=True):
-    """Base of all parts."""
+class Message(Struct, frozen=True, array_like=True):
+    """Base of all messages."""
 
 
-class Record(Part, frozen=True):
-    """A word about a member; `by` tells who accuses it."""
+class MemberRecord(Message, frozen=True):
+    """The state of a member, as gossiped; `accuser` is the member that suspects it or declared it dead."""
 
     name: Name
     address: Address
-    incarnation: Count
-    standing: Annotated[int, Meta(ge=ALIVE, le=LEFT)] = ALIVE
+    incarnation: Unsigned
+    state: Annotated[int, Meta(ge=ALIVE, le=LEFT)] = ALIVE
     zone: Label = ""
     role: Label = Role.HEAD.value
     build: Label = ""
-    by: Label = ""
+    accuser: Label = ""
 
     @property
-    def start(self) -> int:
-        """Tell the process's start, which each new process under the name exceeds."""
-        return self.incarnation >> START_BITS
+    def generation(self) -> int:
+        """The generation of the process: each new process under the same name has a larger one."""
+        return self.incarnation >> REFUTATION_BITS
 
     @property
-    def counts(self) -> bool:
-        """Tell whether it is neither dead nor gone by its will."""
-        return self.standing <= SUSPECT
+    def is_live(self) -> bool:
+        """Whether the member is alive or suspect."""
+        return self.state <= SUSPECT
 
-    def member(self) -> Member:
-        """Tell it as other parts see it; a role of a newer version counts as a head."""
+    def with_state(self, state: int, accuser: str = "") -> MemberRecord:
+        """Return the record of the same incarnation in another state."""
+        return MemberRecord(self.name, self.address, self.incarnation, state, self.zone, self.role, self.build, accuser)
+
+    def with_incarnation(self, incarnation: int) -> MemberRecord:
+        """Return the record as alive under another incarnation."""
+        return MemberRecord(self.name, self.address, incarnation, ALIVE, self.zone, self.role, self.build)
+
+    def to_member(self) -> Member:
+        """Return the record as a member for other packages; an unknown role of a newer version is treated as a head."""
         return Member(
             self.name,
             self.address,
             self.incarnation,
-            STANDINGS[self.standing],
+            MEMBER_STATES[self.state],
             self.zone,
-            ROLES.get(self.role, Role.HEAD),
+            ROLES_BY_VALUE.get(self.role, Role.HEAD),
             self.build,
         )
 
 
-class Ping(Part, frozen=True):
-    """Asks whoever bears `target` (anybody where it is empty) to answer; `record` is the asker's own."""
+class Ping(Message, frozen=True):
+    """Probe of the member named `target` (of any member if empty); `record` is the sender's own."""
 
-    seq: Count
-    target: Annotated[str, Meta(max_length=NAME_BYTES)]
-    record: Record
+    request_id: Unsigned
+    target: Annotated[str, Meta(max_length=MAX_NAME_BYTES)]
+    record: MemberRecord
 
 
-class Ack(Part, frozen=True):
-    """Answers a ping: who lives, under which incarnation; passed on by a helper for another."""
+class Ack(Message, frozen=True):
+    """Acknowledgement of a ping with the target's incarnation; also relayed by the member that probed indirectly."""
 
-    seq: Count
+    request_id: Unsigned
     name: Name
-    incarnation: Count
+    incarnation: Unsigned
 
 
-class PingRequest(Part, frozen=True):
-    """Asks a helper to probe a member."""
+class PingRequest(Message, frozen=True):
+    """Request to another member to probe a target on the sender's behalf (indirect probe)."""
 
-    seq: Count
+    request_id: Unsigned
     target: Name
     address: Address
 
 
-class Nack(Part, frozen=True):
-    """A helper's word that the target has not answered: the asker itself is well connected."""
+class Nack(Message, frozen=True):
+    """Report of an indirect probe that the target has not answered: the requester itself is well connected."""
 
-    seq: Count
+    request_id: Unsigned
 
 
-class Summary(Part, frozen=True):
-    """One mark for each bucket of members, over all that is held of them."""
+class Summary(Message, frozen=True):
+    """One fingerprint for each bucket of members, over their records and entries."""
 
-    marks: Annotated[list[Mark], Meta(max_length=64)]
+    fingerprints: Annotated[list[Fingerprint], Meta(max_length=64)]
 
 
-class Row(Part, frozen=True):
-    """What is held of one member: its incarnation, and for each topic up to which count, and the mark of it."""
+class MemberDigest(Message, frozen=True):
+    """What the sender stores of one member: the incarnation, and the high sequence and fingerprint of each topic."""
 
     name: Name
-    incarnation: Count
-    highs: Annotated[list[Count], Meta(max_length=16)] = []
-    marks: Annotated[list[Mark], Meta(max_length=16)] = []
+    incarnation: Unsigned
+    high_sequences: Annotated[list[Unsigned], Meta(max_length=16)] = []
+    fingerprints: Annotated[list[Fingerprint], Meta(max_length=16)] = []
 
 
-class Digest(Part, frozen=True):
-    """Rows of a bucket, from a name on to another; where `whole`, all that counts there is listed."""
+class BucketDigest(Message, frozen=True):
+    """Digests of the members of one bucket within a range of names.
+
+    If `is_complete`, every live member in that range is listed, so a missing one is unknown to the sender.
+    """
 
     bucket: Index
-    rows: Annotated[list[Row], Meta(max_length=64)]
-    whole: bool
-    first: Label = ""
-    last: Label = ""  # the first name that is not covered; empty: to the end
+    members: Annotated[list[MemberDigest], Meta(max_length=64)]
+    is_complete: bool
+    first_name: Label = ""
+    end_name: Label = ""  # the first name beyond the range; empty: to the end
 
 
-class Item(Part, frozen=True):
-    """One entry, or where there is no value one taken back."""
+class StreamItem(Message, frozen=True):
+    """One change of an entry stream: an entry, or its tombstone if there is no value."""
 
-    count: Count
+    sequence: Unsigned
     key: Label
     value: Value | None
 
 
-class Delta(Part, frozen=True):
-    """All that one owner holds under a topic above `after` up to `upto`."""
+class StreamDelta(Message, frozen=True):
+    """The changes of one owner's entry stream under a topic, after one sequence number up to another."""
 
     owner: Name
     topic: Index
-    start: Count
-    after: Count
-    upto: Count
-    items: Annotated[list[Item], Meta(max_length=128)]
-    floor: Count = 0  # tombstones up to here may be missing
+    generation: Unsigned
+    after_sequence: Unsigned
+    up_to_sequence: Unsigned
+    items: Annotated[list[StreamItem], Meta(max_length=128)]
+    tombstone_floor: Unsigned = 0  # tombstones up to this sequence may have been discarded
 
 
-class Clash(Part, frozen=True):
-    """To another process under one's own name, by its start: who speaks, and for how long it has run."""
+class IdentityConflict(Message, frozen=True):
+    """Sent to another process that uses the sender's name; the one with the shorter uptime steps down."""
 
-    record: Record
-    age_us: Count
-    to: Count
+    record: MemberRecord
+    uptime_us: Unsigned
+    target_generation: Unsigned
 
 
-KINDS: dict[int, type[Part]] = {
+MESSAGE_TYPES: dict[int, type[Message]] = {
     1: Ping,
     2: Ack,
     3: PingRequest,
     4: Nack,
-    5: Record,
-    6: Delta,
+    5: MemberRecord,
+    6: StreamDelta,
     7: Summary,
-    8: Digest,
-    9: Clash,
+    8: BucketDigest,
+    9: IdentityConflict,
 }
-NUMBERS = {kind: number for number, kind in KINDS.items()}
-DECODERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in KINDS.items()}
+MESSAGE_NUMBERS = {kind: number for number, kind in MESSAGE_TYPES.items()}
+DECODERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in MESSAGE_TYPES.items()}
 _encoder = msgspec.msgpack.Encoder()
 
 
-def packed(part: Part) -> bytes:
-    """Encode a part with its kind."""
-    return _encoder.encode((NUMBERS[type(part)], part))
+def encode_message(message: Message) -> bytes:
+    """Encode a message with the number of its type."""
+    return _encoder.encode((MESSAGE_NUMBERS[type(message)], message))
 
 
-def encoded(part: Part) -> bytes:
-    """Encode a part as it stands within another."""
-    return _encoder.encode(part)
+def encode_fields(message: Message) -> bytes:
+    """Encode a message as it is nested within another, without its type."""
+    return _encoder.encode(message)
 
 
-def mark(data: bytes) -> int:
-    """Tell a mark of 32 bits, many of which are compared by their sum without carry.
+def fingerprint(data: bytes) -> int:
+    """Return a fingerprint of 32 bits; those of several records are combined by XOR.
 
-    No checksum such as CRC-32, which is linear: of two that changed by the same step the differences would cancel out.
+    A linear checksum such as CRC-32 would not do: equal changes of two records would cancel each other out.
     """
     return int.from_bytes(hashlib.blake2b(data, digest_size=4).digest(), "big")
--- a/hophinge/head/cluster.py
+++ b/hophinge/head/cluster.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from hophinge.cluster.interface import Board, Hearer, Role, Sight
+from hophinge.cluster.interface import ReplicatedEntries, Subscriber, Role, MembershipView
 from hophinge.cluster.tuning import Limits, Tuning
 from hophinge.core.errors import HophingeError, told
 from hophinge.head.sections import ClusterConfig
-from hophinge.peers.endpoint import Endpoint
+from hophinge.peers.endpoint import MemberEndpoint
 
 
 def build_of_program() -> str:
@@ -36,7 +36,7 @@
     ) -> None:
         """Take the socket and read the keys; raises a HophingeError that names the setting. Needs a running loop."""
         self.say = say
-        self.endpoint = Endpoint(
+        self.endpoint = MemberEndpoint(
             config.name or name,
             config.listen,
             config.seeds,
@@ -46,28 +46,28 @@
             role=role,
             build=build or build_of_program(),
             tuning=tuning,
-            say=say,
+            log=say,
             limits=Limits(config.bytes_s, config.members, config.entries, config.entry_bytes),
         )
 
     @property
-    def sight(self) -> Sight:
+    def sight(self) -> MembershipView:
         """Tell who the members are."""
         return self.endpoint.machine
 
     @property
-    def board(self) -> Board:
+    def board(self) -> ReplicatedEntries:
         """Tell the entries."""
         return self.endpoint.machine
 
-    def hear(self, hearer: Hearer) -> None:
+    def hear(self, hearer: Subscriber) -> None:
         """Tell a hearer of all changes from now on."""
-        self.endpoint.hearers.append(hearer)
+        self.endpoint.subscribers.append(hearer)
 
     def start(self) -> None:
         """Begin to reach others; without any, this process goes on alone."""
         self.endpoint.start()
-        self.say(f"{self.sight.me} is a member at {self.endpoint.address}")
+        self.say(f"{self.sight.own_name} is a member at {self.endpoint.address}")
 
     def reload(self) -> None:
         """Read the keys again, at SIGHUP; an unusable file leaves them as they were and is told."""
@@ -83,9 +83,9 @@
     def status(self) -> dict[str, Any]:
         """Tell members and counters, for `/ops/cluster`."""
         core = self.endpoint.machine.core
-        failed = self.endpoint.failed
+        failed = self.endpoint.conflict
         return {
-            "name": self.sight.me,
+            "name": self.sight.own_name,
             "address": self.endpoint.address,
             "health": core.health,
             "stepped_back": failed.told() if failed is not None else "",
@@ -93,7 +93,7 @@
                 {
                     "name": one.name,
                     "address": one.address,
-                    "standing": one.standing.value,
+                    "standing": one.state.value,
                     "incarnation": one.incarnation,
                     "zone": one.zone,
                     "role": one.role.value,
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from hophinge.cluster.interface import Board, Sight, Topic
+from hophinge.cluster.interface import ReplicatedEntries, MembershipView, Topic
 from hophinge.control import wire
 from hophinge.control.client import Client
 from hophinge.control.permits import SPEAKS, read_word, report_request
@@ -95,8 +95,8 @@
         ready: Callable[[], bool],
         go: Callable[[Go], None] | None = None,
         alone: Callable[[], bool] = lambda: True,
-        board: Board | None = None,
-        sight: Sight | None = None,
+        board: ReplicatedEntries | None = None,
+        sight: MembershipView | None = None,
         disk: files.Disk = files.DISK,
     ) -> None:
         self.client, self.rotation, self.exchange, self.holder = client, rotation, exchange, holder
@@ -202,7 +202,7 @@
         }
         live, gone = standing(self.sight.members()) if self.sight is not None else ([], [])
         entries = list(self.board.entries(Topic.DRAINS)) if self.board is not None else []
-        me = self.sight.me if self.sight is not None else self.client.follower.head
+        me = self.sight.own_name if self.sight is not None else self.client.follower.head
         said = {owner: rows for owner, rows in heard(entries).items() if owner != me}
         return Report(
             self.holder.process,
@@ -262,7 +262,7 @@
                     self._put(statement.key, value(statement))
                 case Unsay(statement=statement):
                     if self.board is not None:
-                        self.board.drop(Topic.DRAINS, statement.key)
+                        self.board.delete(Topic.DRAINS, statement.key)
 
     def _mark(self, backend: str, out: bool) -> None:
         last = self.rotation.marks.get(backend)
@@ -271,7 +271,7 @@
 
     def _tell_halts(self, keys: set[str]) -> None:
         for key in self.halted - keys if self.board is not None else ():
-            self.board.drop(Topic.DRAINS, key)  # type: ignore[union-attr]   # there, by the line before
+            self.board.delete(Topic.DRAINS, key)  # type: ignore[union-attr]   # there, by the line before
         for key in keys - self.halted:
             self._put(key, b"")
         self.halted = keys
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from hophinge.cluster.interface import Board, Role, Sight, Standing, Topic
+from hophinge.cluster.interface import ReplicatedEntries, Role, MembershipView, MemberState, Topic, EntryVersion
 from hophinge.core import interface as api
 from hophinge.core.errors import HophingeError, told
 from hophinge.head.sections import PopularityConfig
@@ -52,7 +52,7 @@
     return secret
 
 
-def drained(board: Board | None) -> frozenset[str]:
+def drained(board: ReplicatedEntries | None) -> frozenset[str]:
     """Tell the bricks that some member's statement names; one that is back counts until its permit is free."""
     if board is None:
         return frozenset()
@@ -68,8 +68,8 @@
         store: Store,
         owner_of: Callable[[str], tuple[str, str] | None],
         log: Callable[[str], None],
-        sight: Sight | None = None,
-        board: Board | None = None,
+        sight: MembershipView | None = None,
+        board: ReplicatedEntries | None = None,
         span_us: int = SPAN_US,
         day_us: int = DAY_US,
     ) -> None:
@@ -78,7 +78,7 @@
         self.faults = self.untold = 0  # of this part, and pages that the board had no room for
         self.sight, self.board = sight, board
         self.exchange = store.core.exchange
-        me = sight.me if sight is not None else ""
+        me = sight.own_name if sight is not None else ""
         zone = next((one.zone for one in sight.members() if one.name == me), "") if sight is not None else ""
         self.site = Site(
             Keys(read_secret(config.secret_file)), config.count_bytes, config.tenant_part, me, zone, span_us, day_us
@@ -96,7 +96,7 @@
         store.watcher, store.core.cache = self, self.cache
         self.closes_us = now_us + span_us
         self.words: dict[Object, str] = {}  # of what was fetched on a peer's word: whose
-        self.taken: dict[tuple[str, str], tuple[int, int]] = {}  # versions of pages that were looked at
+        self.taken: dict[tuple[str, str], EntryVersion] = {}  # versions of pages that were looked at
         self.told = 0  # pages that are on the board
         self.tried: dict[bytes, int] = {}  # in which span a fetch was tried
         self.unfinished: set[bytes] = set()  # whose fetch broke off
@@ -182,8 +182,8 @@
         if self.board is None or self.sight is None:
             return
         members = self.sight.members()
-        zones = {one.name: one.zone for one in members if one.counts}
-        live = [one.zone for one in members if one.role is Role.HEAD and one.standing is Standing.ALIVE]
+        zones = {one.name: one.zone for one in members if one.is_live}
+        live = [one.zone for one in members if one.role is Role.HEAD and one.state is MemberState.ALIVE]
         self.planner.share(now_us, live.count(self.site.zone), len(live))
         seen = {}
         for entry in self.board.entries(Topic.POPULARITY):
@@ -204,7 +204,7 @@
             for number, page in enumerate(made):
                 self.board.put(Topic.POPULARITY, str(number), page)
             for number in range(len(made), self.told):
-                self.board.drop(Topic.POPULARITY, str(number))
+                self.board.delete(Topic.POPULARITY, str(number))
             self.told = len(made)
         except HophingeError as error:
             # Peers then go by what they have; it is only a hint.
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -15,7 +15,7 @@
 import msgspec
 import pluggy
 
-from hophinge.cluster.interface import Board, Topic
+from hophinge.cluster.interface import ReplicatedEntries, Topic
 from hophinge.core import interface as api
 from hophinge.core.errors import HophingeError
 from hophinge.core.exchange import Exchange
@@ -130,12 +130,12 @@
         self.engine = Engine(
             scorers, versions, setting.most_us, config.budget_us, clock_ns, log, self.surroundings, usage=usage
         )
-        self.board: Board | None = None
+        self.board: ReplicatedEntries | None = None
         self.refused = ""  # why the board took no entry, as it was last logged
         exchange.scheduler.scorers = self.engine
         exchange.heard = self.heard
 
-    def share(self, me: str, board: Board) -> None:
+    def share(self, me: str, board: ReplicatedEntries) -> None:
         """Share weights with peers as the member `me`, where the configuration says so."""
         if self.config.share:
             self.board = board
@@ -185,7 +185,7 @@
                 if isinstance(action, Put):
                     self.board.put(Topic.WEIGHTS, action.key, action.value)
                 else:
-                    self.board.drop(Topic.WEIGHTS, action.key)
+                    self.board.delete(Topic.WEIGHTS, action.key)
             except HophingeError as error:
                 self._refused(error.told())  # tried again with the next tick
                 continue
--- a/hophinge/head/together.py
+++ b/hophinge/head/together.py
@@ -45,7 +45,7 @@
 
             self.member = Member(operator.cluster, config.name or config.listen, log)
             if self.scoring is not None:
-                self.scoring.share(self.member.sight.me, self.member.board)
+                self.scoring.share(self.member.sight.own_name, self.member.board)
         if operator.popularity is not None:
             assert store is not None and accounts is not None, "the operator's file is checked"
             from hophinge.head.popularity import HeadPopularity
--- a/hophinge/maintenance/drains.py
+++ b/hophinge/maintenance/drains.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-from hophinge.cluster.interface import Entry, Member, Role, Standing, Topic
+from hophinge.cluster.interface import Entry, Member, Role, MemberState, Topic
 
 DRAINED, SERVED = "drained", "served"  # nothing of one's own is there; it answers again, and is warm
 
@@ -112,7 +112,7 @@
 def standing(members: Iterable[Member]) -> tuple[list[str], list[str]]:
     """Tell the heads whose word is wanted, the dead among them, and those that have left, by one member's sight."""
     heads = [one for one in members if one.role is Role.HEAD]
-    left = [one.name for one in heads if one.standing is Standing.LEFT]
+    left = [one.name for one in heads if one.state is MemberState.LEFT]
     return [one.name for one in heads if one.name not in left], left
 
 
--- a/hophinge/peers/endpoint.py
+++ b/hophinge/peers/endpoint.py
@@ -1,6 +1,6 @@
-"""The datagram endpoint of a member: the machine's sends and timers carried out on the event loop, keys read.
+"""The UDP endpoint of a member: performs the actions of its state machine on the event loop, and loads its keys.
 
-A flood costs a bounded share of the loop: so many datagrams and so much time a turn; the kernel drops the rest.
+A flood of datagrams takes a bounded share of the loop: a limited number and time each turn; the kernel drops the rest.
 """
 
 from __future__ import annotations
@@ -11,27 +11,31 @@
 import random
 import socket
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
-from typing import Any
 
-from hophinge.cluster.actions import Action, Changed, Send, SteppedBack, Told
+from hophinge.cluster.actions import Action, MemberChanged, SendDatagram, SteppedDown, EntryChanged
 from hophinge.cluster.errors import ClusterUnusableError, KeysUnusableError, NameTakenError
-from hophinge.cluster.interface import Hearer, Role
-from hophinge.cluster.machine import Cluster
+from hophinge.cluster.interface import Subscriber, Role
+from hophinge.cluster.state_machine import MemberStateMachine
 from hophinge.cluster.tuning import Limits, Tuning
-from hophinge.cluster.wire import MAX_BYTES, read_keys
+from hophinge.cluster.datagram import MAX_DATAGRAM_BYTES, read_keys
 
-AT_ONCE = 32  # datagrams read in one turn of the loop
-TURN_S = 0.002  # or so much time spent on them
-PAUSE_S = 0.01  # after a full turn nothing is read for so long: a flood has at most a sixth of the loop
-RECEIVE_BYTES = 512 * 1024  # in the kernel for datagrams that wait: some hundred of them
-RESOLVE_S = 30.0  # between looks for seeds' addresses: they may have moved
-RESOLVING_S = 5.0  # for one look
+DATAGRAMS_PER_TURN = 32  # read at most in one turn of the loop
+READ_TURN_S = 0.002  # spent at most on reading in one turn
+READ_BACKOFF_S = 0.01  # after a full turn nothing is read for this long: a flood has at most a sixth of the loop
+RECEIVE_BUFFER_BYTES = 512 * 1024  # of the socket: some hundred datagrams may wait
+RESOLVE_INTERVAL_S = 30.0  # between resolutions of the seeds' names: their addresses may change
+RESOLVE_TIMEOUT_S = 5.0  # of one resolution
 
 
-def keys_of(path: Path) -> list[bytes]:
-    """Read the key file; raises KeysUnusableError."""
+def load_keys(path: Path) -> list[bytes]:
+    """Load the key file.
+
+    Raises:
+        KeysUnusableError: The file cannot be read or holds no valid keys.
+
+    """
     try:
         return read_keys(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
@@ -40,16 +44,79 @@
         raise KeysUnusableError(f"{path}: {error}") from error
 
 
-def split(where: str, setting: str) -> tuple[str, int]:
-    """Split host:port; raises ClusterUnusableError with the setting's name."""
-    host, _, port = where.rpartition(":")
+def split_address(address: str, setting: str) -> tuple[str, int]:
+    """Split host:port.
+
+    Raises:
+        ClusterUnusableError: The address is invalid; the error names the setting.
+
+    """
+    host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or not int(port) < 65536:
-        raise ClusterUnusableError(f"{setting}: {where!r} is not host:port")
+        raise ClusterUnusableError(f"{setting}: {address!r} is not host:port")
     return host, int(port)
 
 
-class Endpoint:
-    """One member on a UDP socket. Its machine is Sight and Board; hearers are told of changes as they come."""
+def _bind(listen: str) -> socket.socket:
+    """Return a socket bound to a local address; raises ClusterUnusableError."""
+    host, port = split_address(listen, "listen")
+    bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+    try:
+        bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        bound.bind((host, port))
+    except OSError as error:
+        bound.close()
+        raise ClusterUnusableError(f"listen: cannot take {listen}: {error.strerror or error}") from error
+    return bound
+
+
+@contextlib.contextmanager
+def _closed_on_error(bound: socket.socket) -> Iterator[None]:
+    """Close a socket if the block fails."""
+    try:
+        yield
+    except BaseException:
+        bound.close()
+        raise
+
+
+def _advertised_address(advertise: str, bound: socket.socket) -> str:
+    """Return where other members reach this one, with the host resolved; raises ClusterUnusableError."""
+    host, port = split_address(advertise, "advertise") if advertise else bound.getsockname()[:2]
+    if host == "0.0.0.0":
+        raise ClusterUnusableError("advertise: is needed where listen is 0.0.0.0: peers answer there")
+    try:
+        return f"{socket.gethostbyname(host)}:{port}"
+    except OSError as error:
+        raise ClusterUnusableError(f"advertise: {host} has no address: {error}") from error
+
+
+class MemberEndpoint:
+    """One member on a UDP socket; subscribers are notified of changes as they arrive.
+
+    Args:
+        name: The name of the member, unique in the cluster.
+        listen: The local address, as host:port.
+        seeds: Addresses of members to contact first; names are resolved repeatedly.
+        key_file: The file with the keys of datagrams.
+        advertise: Where other members reach this one, as host:port; empty: the local address.
+        zone: The zone of this process.
+        role: The kind of this process.
+        build: The build of this process.
+        limits: Limits of memory and bandwidth.
+        tuning: Parameters of the protocol.
+        log: Logs a line.
+
+    Raises:
+        KeysUnusableError: The key file cannot be read or holds no valid keys.
+        ClusterUnusableError: A setting is invalid or cannot be applied; the error names it.
+
+    """
+
+    conflict: NameTakenError | None = None  # set once this member has stepped down
+    timer: asyncio.TimerHandle | None = None
+    read_timer: asyncio.TimerHandle | None = None
+    resolver: asyncio.Task[None] | None = None
 
     def __init__(
         self,
@@ -64,29 +131,20 @@
         build: str = "",
         limits: Limits | None = None,
         tuning: Tuning | None = None,
-        say: Callable[[str], None] = print,
+        log: Callable[[str], None] = print,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.key_file, self.say, self.seeds = key_file, say, list(seeds)
+        self.key_file = key_file
+        self.log = log
+        self.seeds = list(seeds)
         for seed in seeds:
-            split(seed, "seeds")
-        keys = keys_of(key_file)
-        host, port = split(listen, "listen")
-        self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
-        try:
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
-            self.socket.bind((host, port))
-        except OSError as error:
-            self.socket.close()
-            raise ClusterUnusableError(f"listen: cannot take {listen}: {error.strerror or error}") from error
-        try:
-            own_host, own_port = split(advertise, "advertise") if advertise else self.socket.getsockname()[:2]
-            if own_host == "0.0.0.0":
-                raise ClusterUnusableError("advertise: is needed where listen is 0.0.0.0: peers answer there")
-            own_host = socket.gethostbyname(own_host)
-            self.machine = Cluster(
+            split_address(seed, "seeds")
+        keys = load_keys(key_file)
+        self.socket = _bind(listen)
+        with _closed_on_error(self.socket):
+            self.machine = MemberStateMachine(
                 name,
-                f"{own_host}:{own_port}",
+                _advertised_address(advertise, self.socket),
                 time.time_ns() // 100_000,
                 [],
                 keys,
@@ -98,130 +156,122 @@
                 limits=limits,
                 tuning=tuning,
             )
-        except OSError as error:
-            self.socket.close()
-            raise ClusterUnusableError(f"advertise: {own_host} has no address: {error}") from error
-        except ClusterUnusableError:
-            self.socket.close()
-            raise
-        self.hearers: list[Hearer] = []
-        self.failed: NameTakenError | None = None  # why it has stepped back
-        self.over = asyncio.Event()  # it has left, or stepped back
-        self.timer: asyncio.TimerHandle | None = None
-        self.unread: asyncio.TimerHandle | None = None
-        self.resolving: asyncio.Task[None] | None = None
+        self.subscribers: list[Subscriber] = []
+        self.closed = asyncio.Event()
 
     @staticmethod
     def now_us() -> int:
-        """Tell the time by a clock that nobody sets, and that goes on while this process is stopped."""
+        """Return the time of a clock that is never set, and that runs on while this process is stopped."""
         return time.monotonic_ns() // 1000
 
     @property
     def address(self) -> str:
-        """Tell where peers reach this member."""
-        return self.machine.core.roster.own.address
+        """Where other members reach this one, as host:port."""
+        return self.machine.core.members.own_record.address
 
     def start(self) -> None:
-        """Begin; the first datagrams leave in the loop's next turns."""
+        """Start reading, timers and the resolution of seeds; the first datagrams are sent in the next turns."""
         self.loop.add_reader(self.socket.fileno(), self._readable)
-        self.resolving = self.loop.create_task(self._resolve())
-        self.act([])
+        self.resolver = self.loop.create_task(self._resolve())
+        self.perform([])
 
     def reload(self) -> None:
-        """Read the key file again; raises KeysUnusableError, and then the keys are as they were."""
-        self.machine.rekey(keys_of(self.key_file))
+        """Load the key file again; raises KeysUnusableError, and then the keys are unchanged."""
+        self.machine.replace_keys(load_keys(self.key_file))
 
     def leave(self) -> None:
-        """Tell others that this member leaves, and close."""
-        if not self.over.is_set():
-            self.act(self.machine.leave(self.now_us()))
+        """Notify other members that this one leaves, and close."""
+        if not self.closed.is_set():
+            self.perform(self.machine.leave(self.now_us()))
             self.close()
 
     def close(self) -> None:
-        """Close without a word, as a kill does."""
-        if self.over.is_set():
+        """Close without notifying other members, as a kill does."""
+        if self.closed.is_set():
             return
-        self.over.set()
+        self.closed.set()
         self.loop.remove_reader(self.socket.fileno())
-        for handle in (self.timer, self.unread, self.resolving):
+        for handle in (self.timer, self.read_timer, self.resolver):
             if handle is not None:
                 handle.cancel()
         self.socket.close()
 
-    def act(self, actions: Sequence[Action]) -> None:
-        """Carry out what the machine asks for, and set the next timer."""
+    def perform(self, actions: Sequence[Action]) -> None:
+        """Perform actions of the state machine, and set the next timer."""
         now_us = self.now_us()
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendDatagram):
                 self._send(action)
-            elif isinstance(action, Changed):
-                self._tell("member", now_us, action.member)
-            elif isinstance(action, Told):
-                self._tell("entry", now_us, action.entry, action.gone)
-            elif isinstance(action, SteppedBack):
-                self.failed = NameTakenError(action.why)
-                self.say(self.failed.told())
-        if self.failed is not None:
+            elif isinstance(action, (MemberChanged, EntryChanged)):
+                self._notify(action, now_us)
+            elif isinstance(action, SteppedDown):
+                self.conflict = NameTakenError(action.reason)
+                self.log(self.conflict.told())
+        if self.conflict is not None:
             return self.close()
         if self.timer is not None:
             self.timer.cancel()
         next_us = self.machine.next_us
         if next_us is not None:
-            self.timer = self.loop.call_later(max(0, next_us - self.now_us()) / 1e6, self._due)
+            self.timer = self.loop.call_later(max(0, next_us - self.now_us()) / 1e6, self._timer_expired)
 
-    def _tell(self, of: str, *what: Any) -> None:
-        for hearer in self.hearers:
+    def _notify(self, action: MemberChanged | EntryChanged, now_us: int) -> None:
+        """Pass a change on to each subscriber."""
+        for subscriber in self.subscribers:
             try:
-                getattr(hearer, of)(*what)
-            except Exception as error:  # one hearer's fault is neither the others' nor the membership's
+                if isinstance(action, MemberChanged):
+                    subscriber.member_changed(now_us, action.member)
+                else:
+                    subscriber.entry_changed(now_us, action.entry, action.is_deleted)
+            except Exception as error:  # a subscriber's fault must stop neither the others nor the membership protocol
                 self.machine.core.count("hearers_failed")
-                self.say(f"a hearer of the cluster failed: {type(error).__name__}: {error}")
+                self.log(f"a subscriber of the cluster failed: {type(error).__name__}: {error}")
 
-    def _due(self) -> None:
-        if not self.over.is_set():
-            self.act(self.machine.handle(self.now_us()))
+    def _timer_expired(self) -> None:
+        if not self.closed.is_set():
+            self.perform(self.machine.handle(self.now_us()))
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendDatagram) -> None:
         host, _, port = action.address.rpartition(":")
         try:
             self.socket.sendto(action.data, (host, int(port)))
         except (OSError, OverflowError):
-            # A full buffer, no route, an address that is none: as good as lost on the way, which all allows for.
+            # A full buffer, no route, an invalid address: the same as a lost datagram, which the protocol tolerates.
             self.machine.core.count("sends_failed")
 
     def _readable(self) -> None:
-        until = self.loop.time() + TURN_S
-        for _ in range(AT_ONCE):
+        until = self.loop.time() + READ_TURN_S
+        for _ in range(DATAGRAMS_PER_TURN):
             try:
-                data, source = self.socket.recvfrom(MAX_BYTES + 1)
+                data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
-                self.machine.core.count("receives_failed")  # an answer by ICMP to an earlier datagram
+                self.machine.core.count("receives_failed")  # reported by ICMP for an earlier datagram
                 continue
-            self.act(self.machine.handle(self.now_us(), f"{source[0]}:{source[1]}", data))
-            if self.over.is_set():
+            self.perform(self.machine.handle(self.now_us(), f"{source[0]}:{source[1]}", data))
+            if self.closed.is_set():
                 return
             if self.loop.time() >= until:
                 break
-        # More waits than one turn is for. The loop's other work comes first.
+        # More datagrams wait than one turn may read: the loop's other work comes first.
         self.loop.remove_reader(self.socket.fileno())
-        self.unread = self.loop.call_later(PAUSE_S, self._read_on)
+        self.read_timer = self.loop.call_later(READ_BACKOFF_S, self._resume_reading)
 
-    def _read_on(self) -> None:
-        if not self.over.is_set():
+    def _resume_reading(self) -> None:
+        if not self.closed.is_set():
             self.loop.add_reader(self.socket.fileno(), self._readable)
 
     async def _resolve(self) -> None:
-        """Keep seeds' addresses; a name that has none now is tried again."""
+        """Resolve the seeds at intervals; one that fails is retried in the next interval."""
         while True:
-            found: list[str] = []
+            addresses: list[str] = []
             for seed in self.seeds:
-                host, port = split(seed, "seeds")
+                host, port = split_address(seed, "seeds")
                 with contextlib.suppress(OSError, TimeoutError):
-                    async with asyncio.timeout(RESOLVING_S):
-                        rows = await self.loop.getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_DGRAM)
-                    found += [f"{row[4][0]}:{port}" for row in rows[:1]]
-            if found:
-                self.act(self.machine.seek(self.now_us(), found))
-            await asyncio.sleep(RESOLVE_S)
+                    async with asyncio.timeout(RESOLVE_TIMEOUT_S):
+                        results = await self.loop.getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_DGRAM)
+                    addresses += [f"{result[4][0]}:{port}" for result in results[:1]]
+            if addresses:
+                self.perform(self.machine.update_seeds(self.now_us(), addresses))
+            await asyncio.sleep(RESOLVE_INTERVAL_S)
--- a/hophinge/popularity/planner.py
+++ b/hophinge/popularity/planner.py
@@ -15,7 +15,7 @@
 
 from msgspec import Struct
 
-from hophinge.cluster.interface import Member, Role, Standing
+from hophinge.cluster.interface import Member, Role, MemberState
 
 BURST_S = 10.0  # of budget that may be saved up: what a span left over serves the next, not a night's
 MIN_CHANCE = 0.4  # that an object is asked for in the span; below, most fetches would be for nothing
@@ -94,7 +94,7 @@
     Members that come and go move only the keys that they win or had won.
     """
     live = (
-        one.name for one in members if one.zone == zone and one.role is Role.HEAD and one.standing is Standing.ALIVE
+        one.name for one in members if one.zone == zone and one.role is Role.HEAD and one.state is MemberState.ALIVE
     )
     return max(live, key=lambda name: blake2b(key, digest_size=8, key=name.encode()[:64]).digest(), default="")
 
--- a/hophinge/scoring/encoding.py
+++ b/hophinge/scoring/encoding.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from hophinge.cluster.interface import MAX_NAME, MAX_VALUE
+from hophinge.cluster.interface import MAX_NAME_CHARS, MAX_VALUE_BYTES
 
 FORMAT = 1
 STEPS = 50  # that a weight is told in: finer ones would send entries anew for nothing
@@ -58,10 +58,12 @@
 def encode(version: str, beat: int, weights: Mapping[str, float]) -> tuple[dict[int, bytes], int]:
     """Make entries by chunk, the worst bricks first while there is room; tells besides how many were left out."""
     parts: dict[int, dict[str, int]] = {0: {}}
-    room = dict.fromkeys(range(CHUNKS), MAX_VALUE - len(ENCODER.encode(Table(FORMAT, version, beat, {}))) - MAP_BYTES)
+    room = dict.fromkeys(
+        range(CHUNKS), MAX_VALUE_BYTES - len(ENCODER.encode(Table(FORMAT, version, beat, {}))) - MAP_BYTES
+    )
     left_out = 0
     for node, weight in sorted(weights.items(), key=lambda item: (-item[1], item[0])):
-        if (steps := round(weight * STEPS)) and len(node) <= MAX_NAME:
+        if (steps := round(weight * STEPS)) and len(node) <= MAX_NAME_CHARS:
             chunk = chunk_of(node)
             room[chunk] -= len(ENCODER.encode(node)) + 1  # steps take one byte
             if room[chunk] >= 0:
@@ -76,7 +78,7 @@
 
 def decode(chunk: int, value: bytes) -> tuple[str, dict[str, float]]:
     """Read a peer's entry: its version and weights from 0 to 1; raises UnusableError, whatever it holds."""
-    if len(value) > MAX_VALUE:
+    if len(value) > MAX_VALUE_BYTES:
         raise UnusableError("too long")
     try:
         table = DECODER.decode(value)
@@ -86,6 +88,6 @@
         raise UnusableError("another format")
     for node, steps in table.steps.items():
         # A brick in another entry than its own could be told twice, with two weights.
-        if not 0 < steps <= STEPS or not 0 < len(node) <= MAX_NAME or chunk_of(node) != chunk:
+        if not 0 < steps <= STEPS or not 0 < len(node) <= MAX_NAME_CHARS or chunk_of(node) != chunk:
             raise UnusableError("a weight out of range or out of place")
     return table.version, {node: steps / STEPS for node, steps in table.steps.items()}
--- a/tests/cluster_cuts.py
+++ b/tests/cluster_cuts.py
@@ -5,9 +5,9 @@
 import math
 from collections.abc import Sequence
 
-from hophinge.cluster.actions import Changed
-from hophinge.cluster.interface import Standing
-from hophinge.cluster.messages import ALIVE, Record
+from hophinge.cluster.actions import MemberChanged
+from hophinge.cluster.interface import MemberState
+from hophinge.cluster.messages import ALIVE, MemberRecord
 from hophinge.cluster.tuning import Limits, Tuning
 from tests.cluster_network import SECOND, Network, Node
 from tests.cluster_scenarios import Liar, held_dead, within_bounds
@@ -17,11 +17,13 @@
 
 
 def suspects_all(node: Node) -> bool:
-    return all(one.standing is not Standing.ALIVE for one in node.machine.members() if one.name != node.machine.me)
+    return all(
+        one.state is not MemberState.ALIVE for one in node.machine.members() if one.name != node.machine.own_name
+    )
 
 
 def holds_all_dead(node: Node) -> bool:
-    return all(not one.counts for one in node.machine.members() if one.name != node.machine.me)
+    return all(not one.is_live for one in node.machine.members() if one.name != node.machine.own_name)
 
 
 def accused_by(node: Node, since_us: int) -> set[str]:
@@ -29,7 +31,7 @@
     return {
         what.member.name
         for when, what in node.told
-        if when > since_us and isinstance(what, Changed) and what.member.standing is not Standing.ALIVE
+        if when > since_us and isinstance(what, MemberChanged) and what.member.state is not MemberState.ALIVE
     }
 
 
@@ -39,7 +41,7 @@
     nodes = net.fleet(count, 60)
     for node in nodes[1:]:
         net.kill(node)
-    turns = math.ceil(count / nodes[0].machine.core.tuning.sweep)
+    turns = math.ceil(count / nodes[0].machine.core.tuning.isolated_probes)
     assert net.until(lambda: suspects_all(nodes[0]), ALONE_S + SPARE_S + 2 * turns)
     assert net.until(lambda: holds_all_dead(nodes[0]), 16 * math.log10(max(count, 10)) + 5)
     within_bounds(net)
@@ -59,13 +61,13 @@
     suspected = accused_by(lonely, cut_us)
     assert len(suspected) == len(rest), "it has swept all"
     # Of what it accused before it counted as alone, one a second at most, nothing more is added.
-    told = {node.address: accused_by(node, cut_us) - {lonely.machine.me} for node in rest}
+    told = {node.address: accused_by(node, cut_us) - {lonely.machine.own_name} for node in rest}
     assert max(map(len, told.values())) <= (4 if one_way else 0), told
     net.cut = lambda source, target: False
     healed_us = net.now_us
     assert net.until(lambda: net.agreed(nodes), 30)
     net.run(40)
-    assert held_dead(rest, healed_us) <= {lonely.machine.me} and net.agreed(nodes)
+    assert held_dead(rest, healed_us) <= {lonely.machine.own_name} and net.agreed(nodes)
     assert not held_dead([lonely], healed_us + SECOND), "it had heard somebody by then"
     within_bounds(net)
 
@@ -86,13 +88,13 @@
         what.member.name
         for node in rest
         for when, what in node.told
-        if when > began and isinstance(what, Changed) and what.member.counts
-    } - {stale.machine.me}
+        if when > began and isinstance(what, MemberChanged) and what.member.is_live
+    } - {stale.machine.own_name}
 
 
 def long_cut_heals(sides: Sequence[int], loss: float = 0.0, seed: int = 43) -> float:
     """A cut outlasts the list of the dead, and nobody knows a seed of the other side; tells the seconds to agree."""
-    net = Network(seed, loss=loss, tuning=Tuning(dead_us=60 * SECOND))
+    net = Network(seed, loss=loss, tuning=Tuning(dead_retention_us=60 * SECOND))
     nodes = net.fleet(sum(sides), 120)
     for node in nodes:
         node.machine.joiner.seeds = []
@@ -110,7 +112,7 @@
 
 def knocks_are_few() -> None:
     """However many are remembered, one is hailed a turn; who left of its own will is let be."""
-    net = Network(44, tuning=Tuning(dead_us=10 * SECOND))
+    net = Network(44, tuning=Tuning(dead_retention_us=10 * SECOND))
     nodes = net.fleet(20, 60)
     for node in nodes[4:12]:
         net.kill(node)
@@ -139,9 +141,9 @@
     liar = Liar(net)
     highest: dict[tuple[str, str], int] = {}
     for turn in range(20):
-        own = nodes[turn % 6].machine.core.roster.own
+        own = nodes[turn % 6].machine.core.members.own_record
         for lower in (1, 1 << 18):
-            liar.say(nodes, Record(own.name, own.address, own.incarnation - lower, ALIVE), name=own.name)
+            liar.say(nodes, MemberRecord(own.name, own.address, own.incarnation - lower, ALIVE), name=own.name)
         net.run(0.5)
         for node in nodes:
             for one in node.machine.members():
--- a/tests/cluster_network.py
+++ b/tests/cluster_network.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from hophinge.cluster.actions import Action, Changed, Send, SteppedBack, Told
-from hophinge.cluster.budget import HEADERS
-from hophinge.cluster.interface import Standing, Topic
-from hophinge.cluster.machine import Cluster
+from hophinge.cluster.actions import Action, MemberChanged, SendDatagram, SteppedDown, EntryChanged
+from hophinge.cluster.send_budget import HEADER_BYTES
+from hophinge.cluster.interface import MemberState, Topic
+from hophinge.cluster.state_machine import MemberStateMachine
 
 SECOND = 1_000_000
 KEY = b"a key for tests only"
@@ -21,7 +21,7 @@
 class Node:
     """A process: it may be killed, or stopped and go on with what has come meanwhile."""
 
-    def __init__(self, machine: Cluster, address: str) -> None:
+    def __init__(self, machine: MemberStateMachine, address: str) -> None:
         self.machine, self.address = machine, address
         self.alive, self.stopped = True, False
         self.waiting: list[tuple[str, bytes]] = []
@@ -57,7 +57,7 @@
         """Start a process; one under an address that was used takes it over."""
         address = address or f"{name}:7000"
         start = self.now_us // 100 if start is None else start
-        machine = Cluster(
+        machine = MemberStateMachine(
             name,
             address,
             start,
@@ -110,11 +110,11 @@
 
     def agreed(self, nodes: list[Node], entries: bool = True) -> bool:
         """Tell whether all of these hold exactly each other alive, and the same entries."""
-        names = {node.machine.me for node in nodes}
-        views = {tuple((one.name, one.incarnation) for one in node.machine.members() if one.counts) for node in nodes}
+        names = {node.machine.own_name for node in nodes}
+        views = {tuple((one.name, one.incarnation) for one in node.machine.members() if one.is_live) for node in nodes}
         if len(views) != 1 or {name for name, _ in next(iter(views))} != names:
             return False
-        if any(one.standing is Standing.SUSPECT for node in nodes for one in node.machine.members()):
+        if any(one.state is MemberState.SUSPECT for node in nodes for one in node.machine.members()):
             return False
         return not entries or len({self.board(node) for node in nodes}) == 1
 
@@ -169,15 +169,15 @@
     def act(self, node: Node, actions: list[Action]) -> None:
         """Carry out what a machine asks for."""
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendDatagram):
                 assert len(action.data) <= 1200
                 if self.keep:
-                    node.sent.append((self.now_us, len(action.data) + HEADERS))
+                    node.sent.append((self.now_us, len(action.data) + HEADER_BYTES))
                 self.send(node.address, action.address, action.data)
-            elif isinstance(action, SteppedBack):
-                node.why = action.why
+            elif isinstance(action, SteppedDown):
+                node.why = action.reason
                 node.alive = False
-            elif isinstance(action, Changed | Told) and self.keep:
+            elif isinstance(action, MemberChanged | EntryChanged) and self.keep:
                 node.told.append((self.now_us, action))
         self._schedule(node)
 
--- a/tests/cluster_scenarios.py
+++ b/tests/cluster_scenarios.py
@@ -4,11 +4,22 @@
 
 from collections.abc import Sequence
 
-from hophinge.cluster.actions import Changed, Told
-from hophinge.cluster.interface import Standing, Topic
-from hophinge.cluster.messages import ALIVE, DEAD, LEFT, SUSPECT, Clash, Delta, Item, Part, Record, packed
+from hophinge.cluster.actions import MemberChanged, EntryChanged
+from hophinge.cluster.interface import MemberState, Topic
+from hophinge.cluster.messages import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    SUSPECT,
+    IdentityConflict,
+    StreamDelta,
+    StreamItem,
+    Message,
+    MemberRecord,
+    encode_message,
+)
 from hophinge.cluster.tuning import Limits, Tuning
-from hophinge.cluster.wire import seal
+from hophinge.cluster.datagram import seal_datagram
 from tests.cluster_network import KEY, SECOND, Network, Node
 
 START = 10_000_000  # tenths of milliseconds: starts of nodes in the network are about that
@@ -20,7 +31,7 @@
         what.member.name
         for node in nodes
         for when, what in node.told
-        if when > since_us and isinstance(what, Changed) and not what.member.counts
+        if when > since_us and isinstance(what, MemberChanged) and not what.member.is_live
     }
 
 
@@ -36,10 +47,12 @@
     def __init__(self, net: Network) -> None:
         self.net, self.count = net, 0
 
-    def say(self, nodes: Sequence[Node], *parts: Part, name: str = "liar", source: str = "liar:1") -> None:
+    def say(self, nodes: Sequence[Node], *parts: Message, name: str = "liar", source: str = "liar:1") -> None:
         for node in nodes:
             self.count += 1
-            self.net.send(source, node.address, seal(KEY, name, 9 * START, self.count, list(map(packed, parts))))
+            self.net.send(
+                source, node.address, seal_datagram(KEY, name, 9 * START, self.count, list(map(encode_message, parts)))
+            )
 
 
 def death_is_found(count: int, most_s: float, loss: float = 0.0) -> None:
@@ -49,7 +62,7 @@
     began = net.now_us
     net.kill(nodes[-1])
     assert net.until(lambda: net.agreed(rest), most_s)
-    assert held_dead(rest, began) == {nodes[-1].machine.me}
+    assert held_dead(rest, began) == {nodes[-1].machine.own_name}
     within_bounds(net)
 
 
@@ -60,9 +73,9 @@
     victim, liar, began = nodes[3], Liar(net), net.now_us
     others = [node for node in nodes if node is not victim]
     for turn in range(12):
-        own = victim.machine.core.roster.own
+        own = victim.machine.core.members.own_record
         for accuser in ("liar", "x", "y", "z"):
-            liar.say(others, Record(own.name, own.address, own.incarnation + ahead, standing, by=accuser))
+            liar.say(others, MemberRecord(own.name, own.address, own.incarnation + ahead, standing, accuser=accuser))
         net.run(1 if turn < 8 else 6)
     assert not held_dead(nodes, began)
     assert net.until(lambda: net.agreed(nodes), 30) and victim.machine.core.counters["refuted"]
@@ -76,12 +89,12 @@
     mine = nodes[2].machine.core
     liar = Liar(net)
     for ahead in (0, 7):  # the same count with another value, and a higher one with one more entry
-        upto = mine.shelf.marks("n0002")[0][0] + ahead
-        items = [Item(upto, "brick", b"out"), *([Item(upto - 1, "forged", b"x")] if ahead else [])]
+        upto = mine.store.digests("n0002")[0][0] + ahead
+        items = [StreamItem(upto, "brick", b"out"), *([StreamItem(upto - 1, "forged", b"x")] if ahead else [])]
         for node in nodes[:2]:
             if not ahead:  # one that had not heard yet
-                node.machine.core.shelf.forget("n0002")
-            liar.say([node], Delta("n0002", 0, mine.start, 0, upto, items))
+                node.machine.core.store.forget("n0002")
+            liar.say([node], StreamDelta("n0002", 0, mine.generation, 0, upto, items))
         net.run(0.01)
         assert net.board(nodes[0]) != net.board(nodes[2])
         assert net.until(lambda: net.agreed(nodes), 40)
@@ -95,25 +108,25 @@
     net = Network(6)
     nodes = net.fleet(6)
     liar = Liar(net)
-    own = nodes[1].machine.core.roster.own
+    own = nodes[1].machine.core.members.own_record
     for ahead in (1, 1 << 30):
-        liar.say(nodes, Record(own.name, "liar:1", own.incarnation + ahead, ALIVE))
+        liar.say(nodes, MemberRecord(own.name, "liar:1", own.incarnation + ahead, ALIVE))
         net.run(10)
         assert all(
             what.member.address == own.address
             for node in nodes
             for _, what in node.told
-            if isinstance(what, Changed) and what.member.name == own.name
+            if isinstance(what, MemberChanged) and what.member.name == own.name
         )
     assert net.until(lambda: net.agreed(nodes), 30)
-    liar.say(nodes, Record("n0001", own.address, 2**62, DEAD), Record("n0001", own.address, 2**62, LEFT))
+    liar.say(nodes, MemberRecord("n0001", own.address, 2**62, DEAD), MemberRecord("n0001", own.address, 2**62, LEFT))
     net.run(10)
     assert net.agreed(nodes) and nodes[0].machine.core.counters["starts_too_far_ahead"]
 
 
 def nobody_rises() -> None:
     """One that slept through a death, and through its being forgotten, cannot bring the dead back."""
-    net = Network(7, tuning=Tuning(dead_us=20 * SECOND))
+    net = Network(7, tuning=Tuning(dead_retention_us=20 * SECOND))
     nodes = net.fleet(6)
     dead, stale, rest = nodes[5], nodes[4], nodes[:4]
     dead.machine.put(Topic.DRAINS, "k", b"v")
@@ -131,7 +144,7 @@
         what
         for node in rest
         for when, what in node.told
-        if when > began and isinstance(what, Changed) and what.member.name == "n0005" and what.member.counts
+        if when > began and isinstance(what, MemberChanged) and what.member.name == "n0005" and what.member.is_live
     ]
     assert not risen and net.agreed(nodes[:5])
     again = net.start("n0005", ["n0000:7000"], start=3)  # its clock was set back: it counts above what was
@@ -144,7 +157,7 @@
     sleeper = nodes[2]
     probes = sleeper.machine.prober.probes
     for turn, length in enumerate((3.0, 20.0, 60.0, 3.0, 20.0)):
-        assert net.until(lambda: any(not one.answered for one in probes.values()), 5, 0.0002)
+        assert net.until(lambda: any(not one.is_acknowledged for one in probes.values()), 5, 0.0002)
         sleeper.stopped = True
         net.run(length)
         began = net.now_us - 1
@@ -153,14 +166,14 @@
         accused = {
             what.member.name
             for when, what in sleeper.told
-            if when > began and isinstance(what, Changed) and what.member.standing is Standing.SUSPECT
+            if when > began and isinstance(what, MemberChanged) and what.member.state is MemberState.SUSPECT
         } - {"n0002"}
         assert not accused and not held_dead([sleeper]) and held_dead(nodes) <= {"n0002"}
         assert net.until(lambda: net.agreed(nodes), 30)
     # It had a suspicion of its own when it was stopped: the time that it slept is no time to refute.
     victim = nodes[5]
     net.cut = lambda source, target: victim.address in (source, target)
-    assert net.until(lambda: sleeper.machine.core.suspected("n0005"), 30)
+    assert net.until(lambda: sleeper.machine.core.is_suspected("n0005"), 30)
     sleeper.stopped = True
     net.run(1)
     net.cut = lambda source, target: False
@@ -182,10 +195,10 @@
     # What it held of others is gone, and its own parts may go on putting.
     assert [one.name for one in twin.machine.members()] == ["n0001"] and twin.machine.next_us is None
     twin.machine.put(Topic.DRAINS, "k", b"v")
-    assert net.board(twin) == (("n0001", "drains", "k", b"v"),) and not twin.machine.core.out
+    assert net.board(twin) == (("n0001", "drains", "k", b"v"),) and not twin.machine.core.actions
     # A word to a namesake that was meant for another process is not obeyed.
-    own = nodes[1].machine.core.roster.own
-    Liar(net).say([nodes[1]], Clash(Record("n0001", "x:1", 5), 2**50, 12345))
+    own = nodes[1].machine.core.members.own_record
+    Liar(net).say([nodes[1]], IdentityConflict(MemberRecord("n0001", "x:1", 5), 2**50, 12345))
     net.run(1)
     assert not nodes[1].why and own.name == "n0001"
 
@@ -200,7 +213,7 @@
         for turn in range(40):
             for node in nodes:
                 node.machine.put(Topic.POPULARITY, f"k{turn % 7}", bytes([turn]) * 500)
-            liar.say(nodes, *[Record(f"m{number}", "m:1", 5) for number in range(8)])
+            liar.say(nodes, *[MemberRecord(f"m{number}", "m:1", 5) for number in range(8)])
             net.run(0.5)
             if turn == 20:
                 net.cut = lambda source, target: False
@@ -211,13 +224,13 @@
 
 def taken_back_stays() -> None:
     """An entry that was taken back, whose tombstone is forgotten, does not come back by one that slept meanwhile."""
-    net = Network(11, tuning=Tuning(tombstone_us=15 * SECOND))
+    net = Network(11, tuning=Tuning(tombstone_retention_us=15 * SECOND))
     nodes = net.fleet(5)
     for key in ("a", "b"):
         nodes[0].machine.put(Topic.DRAINS, key, b"v")
     assert net.until(lambda: all(len(net.board(node)) == 2 for node in nodes), 20)
     nodes[4].stopped = True
-    nodes[0].machine.drop(Topic.DRAINS, "a")
+    nodes[0].machine.delete(Topic.DRAINS, "a")
     net.run(60)
     began = net.now_us - 1
     nodes[4].waiting.clear()  # its socket was full long before
@@ -227,7 +240,7 @@
         what
         for node in nodes
         for when, what in node.told
-        if when > began and isinstance(what, Told) and not what.gone and what.entry.key == "a"
+        if when > began and isinstance(what, EntryChanged) and not what.is_deleted and what.entry.key == "a"
     ]
     assert not back and not nodes[0].machine.core.counters["own_entries_overruled"]
 
--- a/tests/head_of_format.py
+++ b/tests/head_of_format.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from hophinge.cluster import core, messages, reconcile, rumours, wire
-from hophinge.cluster.messages import Delta, Digest, Part, Record
+from hophinge.cluster import anti_entropy, core, datagram, gossip, messages
+from hophinge.cluster.messages import StreamDelta, BucketDigest, Message, MemberRecord
 
-LAST = {Record: 1, Delta: 1, Digest: 2}  # elements at the end that an older build does not know
+LAST = {MemberRecord: 1, StreamDelta: 1, BucketDigest: 2}  # elements at the end that an older build does not know
 UNKNOWN = msgspec.msgpack.encode((77, ["nobody", "knows"]))
 
 
@@ -23,7 +23,7 @@
     """Write a part, and those within it, with an element more or without its last ones."""
     if isinstance(part, list):
         return [elements(one, longer) for one in part]
-    if not isinstance(part, Part):
+    if not isinstance(part, Message):
         return part
     rows = [elements(getattr(part, name), longer) for name in part.__struct_fields__]
     return [*rows, "of a newer build"] if longer else rows[: len(rows) - LAST.get(type(part), 0)]
@@ -32,10 +32,10 @@
 class Reader:
     """Reads a part as a build does that passes over its last elements."""
 
-    def __init__(self, kind: type[Part]) -> None:
+    def __init__(self, kind: type[Message]) -> None:
         self.kind = kind
 
-    def decode(self, raw: bytes) -> Part:
+    def decode(self, raw: bytes) -> Message:
         rows = msgspec.msgpack.decode(raw)
         cut = LAST.get(self.kind, 0)
         return msgspec.convert(rows[: len(self.kind.__struct_fields__) - cut], self.kind)
@@ -43,14 +43,14 @@
 
 def become(word: str) -> None:
     """Speak that format from now on."""
-    seal, longer = wire.seal, word != "older"
+    seal, longer = datagram.seal_datagram, word != "older"
 
-    def packed(part: Part) -> bytes:
-        return msgspec.msgpack.encode((messages.NUMBERS[type(part)], elements(part, longer)))
+    def packed(part: Message) -> bytes:
+        return msgspec.msgpack.encode((messages.MESSAGE_NUMBERS[type(part)], elements(part, longer)))
 
     def sealed(key: bytes, name: str, start: int, count: int, parts: list[bytes]) -> bytes:
         extra = [UNKNOWN] if longer else []
-        format_ = wire.FORMAT + 1 if longer else wire.FORMAT - 1
+        format_ = datagram.FORMAT_VERSION + 1 if longer else datagram.FORMAT_VERSION - 1
         return seal(
             key,
             name,
@@ -58,15 +58,15 @@
             count,
             [*parts, *extra],
             format_,
-            format_ if word == "unreadable" else min(format_, wire.NEEDS),
+            format_ if word == "unreadable" else min(format_, datagram.MIN_READER_FORMAT),
         )
 
-    for module in (core, reconcile, rumours):
-        setattr(module, "packed", packed)  # noqa: B010 - mypy knows them as functions
-    setattr(core, "seal", sealed)  # noqa: B010
-    setattr(core, "FIXED", wire.FIXED + len(UNKNOWN))  # noqa: B010 - room for it in each datagram
+    for module in (core, anti_entropy, gossip):
+        setattr(module, "encode_message", packed)  # noqa: B010 - mypy knows them as functions
+    setattr(core, "seal_datagram", sealed)  # noqa: B010
+    setattr(core, "FRAME_BYTES", datagram.FRAME_BYTES + len(UNKNOWN))  # noqa: B010 - room for it in each datagram
     if word == "older":
-        for number, kind in messages.KINDS.items():
+        for number, kind in messages.MESSAGE_TYPES.items():
             messages.DECODERS[number] = Reader(kind)  # type: ignore[assignment]
 
 
--- a/tests/member_lies.py
+++ b/tests/member_lies.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from hophinge.cluster.interface import Topic
-from hophinge.cluster.messages import DEAD, SUSPECT, Record, packed
-from hophinge.cluster.wire import seal
+from hophinge.cluster.messages import DEAD, SUSPECT, MemberRecord, encode_message
+from hophinge.cluster.datagram import seal_datagram
 from hophinge.head.cluster import Member
 from hophinge.head.sections import ClusterConfig
 
@@ -24,14 +24,17 @@
 def accuse(member: Member, victim: str, number: int) -> None:
     """Tell everybody that a member is suspect, and that it is dead, by one accuser and another."""
     machine, socket = member.endpoint.machine, member.endpoint.socket
-    own = machine.core.roster.record(victim)
+    own = machine.core.members.record(victim)
     if own is None:
         return
     words = [
-        Record(own.name, own.address, own.incarnation, standing, by=f"accuser-{number}") for standing in (SUSPECT, DEAD)
+        MemberRecord(own.name, own.address, own.incarnation, standing, accuser=f"accuser-{number}")
+        for standing in (SUSPECT, DEAD)
     ]
-    data = seal(machine.core.keys[0], "ghost", machine.core.start, number, [packed(word) for word in words])
-    for other in machine.core.roster.others():
+    data = seal_datagram(
+        machine.core.keys[0], "ghost", machine.core.generation, number, [encode_message(word) for word in words]
+    )
+    for other in machine.core.members.others():
         host, _, port = other.address.rpartition(":")
         socket.sendto(data, (host, int(port)))
 
--- a/tests/popular.py
+++ b/tests/popular.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 
-from hophinge.cluster.interface import Entry, Member, Standing, Topic
+from hophinge.cluster.interface import Entry, EntryVersion, Member, MemberState, Topic
 from hophinge.core.errors import HophingeError
 from hophinge.head.popularity import HeadPopularity
 from hophinge.head.sections import PopularityConfig
@@ -37,20 +37,22 @@
     """One member's sight and board."""
 
     def __init__(self, peers: Peers, me: str) -> None:
-        self.peers, self.me = peers, me
+        self.peers, self.own_name = peers, me
 
     def members(self) -> tuple[Member, ...]:
-        return tuple(Member(name, "", 1, Standing.ALIVE, zone) for name, zone in sorted(self.peers.zones.items()))
+        return tuple(Member(name, "", 1, MemberState.ALIVE, zone) for name, zone in sorted(self.peers.zones.items()))
 
     def put(self, topic: Topic, key: str, value: bytes) -> None:
         if self.peers.full:
             raise FullError("no room")
         assert len(value) <= 900
         self.peers.count += 1
-        self.peers.held[self.me, topic, key] = Entry(self.me, topic, key, (1, self.peers.count), value)
+        self.peers.held[self.own_name, topic, key] = Entry(
+            self.own_name, topic, key, EntryVersion(1, self.peers.count), value
+        )
 
-    def drop(self, topic: Topic, key: str) -> None:
-        self.peers.held.pop((self.me, topic, key), None)
+    def delete(self, topic: Topic, key: str) -> None:
+        self.peers.held.pop((self.own_name, topic, key), None)
 
     def entries(self, topic: Topic) -> Iterable[Entry]:
         return [entry for entry in self.peers.held.values() if entry.topic is topic]
--- a/tests/scoring_parts.py
+++ b/tests/scoring_parts.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from pathlib import Path
 
-from hophinge.cluster.interface import Entry, Topic
+from hophinge.cluster.interface import Entry, EntryVersion, Topic
 from hophinge.core.choice.books import Book
 from hophinge.core.interface import Arrival, NodeEntry, Phase
 from hophinge.scoring import encoding
@@ -96,7 +96,7 @@
 
     def put(self, owner: str, key: str, value: bytes) -> None:
         self.count += 1
-        self.held[owner, key] = Entry(owner, Topic.WEIGHTS, key, (1, self.count), value)
+        self.held[owner, key] = Entry(owner, Topic.WEIGHTS, key, EntryVersion(1, self.count), value)
 
     def say(self, owner: str, beat: int, words: Mapping[str, float], version: str = VERSION) -> None:
         """Put a member's words of suspicion, whatever they are worth."""
--- a/tests/test_cluster_cuts.py
+++ b/tests/test_cluster_cuts.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from hophinge.cluster.messages import Item, Record
-from hophinge.cluster.roster import Roster, bucket
-from hophinge.cluster.entries import Shelf, Stream
+from hophinge.cluster.messages import StreamItem, MemberRecord
+from hophinge.cluster.member_table import MemberTable, bucket_of
+from hophinge.cluster.entry_store import EntryStore, EntryStream
 from hophinge.cluster.tuning import Limits
 from tests import cluster_cuts as cuts
 
@@ -45,16 +45,16 @@
 
 def test_two_that_changed_alike_do_not_cancel_out_in_what_is_compared() -> None:
     """Members of one bucket whose incarnations, and entries whose values, went on by the same step."""
-    names = [name for name in (f"n{number:04}" for number in range(400)) if bucket(name) == 3][:2]
+    names = [name for name in (f"n{number:04}" for number in range(400)) if bucket_of(name) == 3][:2]
 
     def marks(refuted: int, value: bytes) -> tuple[list[int], int]:
-        held = Roster(Record("me", "me:1", 7), 10, 0, lambda name: b"", lambda name: None)
-        shelf = Shelf("me", 7, Limits(), lambda name: None, lambda entry, gone: None, lambda name: None)
+        held = MemberTable(MemberRecord("me", "me:1", 7), 10, 0, lambda name: b"", lambda name: None)
+        shelf = EntryStore("me", 7, Limits(), lambda name: None, lambda entry, gone: None, lambda name: None)
         for at, name in enumerate(names):
-            held.put(Record(name, f"{name}:1", (10_000_000 << 18) + refuted), 0)
-            shelf.streams.setdefault("o", {0: Stream(7)})
-            shelf.place("o", shelf.streams["o"][0], Item(at + 1, name, value), 0)
-        return held.buckets, shelf.streams["o"][0].mark
+            held.update(MemberRecord(name, f"{name}:1", (10_000_000 << 18) + refuted), 0)
+            shelf.streams.setdefault("o", {0: EntryStream(7)})
+            shelf.store("o", shelf.streams["o"][0], StreamItem(at + 1, name, value), 0)
+        return held.buckets, shelf.streams["o"][0].fingerprint
 
     before, after = marks(0, b"0"), marks(1, b"1")
     assert len(names) == 2 and before[0] != after[0] and before[1] != after[1]
--- a/tests/test_cluster_entries.py
+++ b/tests/test_cluster_entries.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from hophinge.cluster import copies
+from hophinge.cluster import replication
 from hophinge.cluster.errors import EntryRefusedError
 from hophinge.cluster.interface import Entry, Topic
-from hophinge.cluster.messages import Delta, Item
-from hophinge.cluster.entries import Shelf
+from hophinge.cluster.messages import StreamDelta, StreamItem
+from hophinge.cluster.entry_store import EntryStore
 from hophinge.cluster.tuning import Limits
 
 LIMITS = Limits(entries=12, entry_bytes=4_000)
@@ -23,7 +23,7 @@
     def __init__(self, me: str, limits: Limits = LIMITS) -> None:
         self.counts: Counter[str] = Counter()
         self.seen: dict[tuple[str, Topic, str], bytes] = {}
-        self.shelf = Shelf(me, 1, limits, lambda name: self.counts.update([name]), self.told, lambda owner: None)
+        self.shelf = EntryStore(me, 1, limits, lambda name: self.counts.update([name]), self.told, lambda owner: None)
 
     def told(self, entry: Entry, gone: bool) -> None:
         if gone:
@@ -36,17 +36,17 @@
 
     def high(self) -> int:
         held = self.shelf.stream("o", 0)
-        return held.high if held else 0
+        return held.high_sequence if held else 0
 
 
 def sync(giver: Holder, taker: Holder, keep: float = 1.0, rng: random.Random | None = None) -> None:
     rng = rng or random.Random(0)
-    sent = list(copies.deltas(giver.shelf, "o", 0, 1, taker.high()))
+    sent = list(replication.missing_deltas(giver.shelf, "o", 0, 1, taker.high()))
     if keep < 1.0:
         rng.shuffle(sent)
     for delta in sent:
         if rng.random() < keep:
-            copies.take(taker.shelf, delta)
+            replication.apply_delta(taker.shelf, delta)
 
 
 class Streams(RuleBasedStateMachine):
@@ -71,7 +71,7 @@
 
     @rule(key=st.sampled_from(KEYS))
     def drop(self, key: str) -> None:
-        self.owner.shelf.drop(Topic.DRAINS, key)
+        self.owner.shelf.delete(Topic.DRAINS, key)
         if self.owner.high() not in self.log:
             self.note(key, None)
 
@@ -83,7 +83,7 @@
 
     @rule(ago=st.integers(0, 6))
     def tidy(self, ago: int) -> None:
-        self.any().shelf.tidy(self.clock - ago)
+        self.any().shelf.expire_tombstones(self.clock - ago)
 
     @rule(keep=st.sampled_from([1.0, 0.6]))
     def copy(self, keep: float) -> None:
@@ -91,8 +91,10 @@
 
     @rule(room=st.sampled_from([200, 500, 1_000]), back=st.integers(1, 4))
     def push(self, room: int, back: int) -> None:
-        if (delta := copies.newest((giver := self.any()).shelf, "o", 0, max(0, giver.high() - back), room)) is not None:
-            copies.take(self.rng.choice(self.others).shelf, delta)
+        if (
+            delta := replication.gossip_delta((giver := self.any()).shelf, "o", 0, max(0, giver.high() - back), room)
+        ) is not None:
+            replication.apply_delta(self.rng.choice(self.others).shelf, delta)
 
     @invariant()
     def a_last_word_at_or_below_its_high_is_what_a_copy_shows(self) -> None:
@@ -103,10 +105,10 @@
             if held is None or now is None:
                 continue
             for key, item in held.items.items():
-                assert self.log[item.count] == (key, item.value)
+                assert self.log[item.sequence] == (key, item.value)
             last = {key: (count, value) for count, (key, value) in sorted(self.log.items())}
             for key, (count, value) in last.items():
-                if count <= held.high:
+                if count <= held.high_sequence:
                     assert one.shown().get(key) == value
 
     def teardown(self) -> None:
@@ -114,7 +116,11 @@
             sync(self.owner, one)
             assert one.shown() == self.owner.shown()
             mine, theirs = self.owner.shelf.stream("o", 0), one.shelf.stream("o", 0)
-            assert mine is None or theirs is None or (mine.mark, mine.size) == (theirs.mark, theirs.size)
+            assert (
+                mine is None
+                or theirs is None
+                or (mine.fingerprint, mine.size_bytes) == (theirs.fingerprint, theirs.size_bytes)
+            )
 
 
 Streams.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
@@ -141,25 +147,25 @@
         one.shelf.put(Topic.DRAINS, "d5", b"x" * 890)
     one.shelf.put(Topic.DRAINS, "d3", b"y" * 890)
     assert one.shown()["d3"] == b"y" * 890 and len(one.shown()) == 4
-    one.shelf.drop(Topic.DRAINS, "never there")
+    one.shelf.delete(Topic.DRAINS, "never there")
 
 
 def test_a_peer_that_says_more_than_the_bounds_fills_nothing() -> None:
     one = Holder("h")
     for start in range(0, 1_000, 50):
-        items = [Item(count, f"k{count}", b"x" * 10) for count in range(start + 1, start + 51)]
-        assert copies.take(one.shelf, Delta("liar", 0, 1, start, start + 50, items))
+        items = [StreamItem(count, f"k{count}", b"x" * 10) for count in range(start + 1, start + 51)]
+        assert replication.apply_delta(one.shelf, StreamDelta("liar", 0, 1, start, start + 50, items))
     assert len(one.shown("liar")) == LIMITS.entries and one.counts["entries_over_bound"] == 1_000 - LIMITS.entries
     for start in range(0, 1_000, 50):
-        copies.take(
+        replication.apply_delta(
             one.shelf,
-            Delta(
+            StreamDelta(
                 "liar",
                 0,
                 1,
                 1_000 + start,
                 1_050 + start,
-                [Item(1_001 + start + number, f"gone{start + number}", None) for number in range(50)],
+                [StreamItem(1_001 + start + number, f"gone{start + number}", None) for number in range(50)],
             ),
         )
     held = one.shelf.stream("liar", 0)
@@ -170,8 +176,10 @@
     owner, other = Holder("o"), Holder("h")
     owner.shelf.put(Topic.DRAINS, "true", b"1")
     sync(owner, other)
-    assert copies.take(other.shelf, Delta("o", 0, 1, 1, 9, [Item(9, "forged", b"x"), Item(8, "true", b"0")]))
+    assert replication.apply_delta(
+        other.shelf, StreamDelta("o", 0, 1, 1, 9, [StreamItem(9, "forged", b"x"), StreamItem(8, "true", b"0")])
+    )
     assert other.shown() == {"forged": b"x", "true": b"0"}
-    owner.shelf.overrule(0, 9)
+    owner.shelf.supersede(0, 9)
     sync(owner, other)
     assert other.shown() == {"true": b"1"} == owner.shown()
--- a/tests/test_cluster_members.py
+++ b/tests/test_cluster_members.py
@@ -98,7 +98,7 @@
     for node in nodes[:14]:
         net.kill(node)
     assert net.until(lambda: net.agreed(nodes[14:]), 60)
-    back = [net.start(node.machine.me, ["n0000:7000"], address=node.address) for node in nodes[:14]]
+    back = [net.start(node.machine.own_name, ["n0000:7000"], address=node.address) for node in nodes[:14]]
     assert net.until(lambda: net.agreed([*back, *nodes[14:]]), 60)
 
 
@@ -147,5 +147,5 @@
     net.act(nodes[1], nodes[1].machine.leave(net.now_us))
     rest = [node for node in nodes if node is not nodes[1]]
     assert net.until(lambda: net.agreed(rest), 5) and not net.board(nodes[0])
-    assert {one.standing.value for node in rest for one in node.machine.members() if one.name == "n0001"} == {"left"}
+    assert {one.state.value for node in rest for one in node.machine.members() if one.name == "n0001"} == {"left"}
     assert nodes[1].machine.next_us is None
--- a/tests/test_cluster_random.py
+++ b/tests/test_cluster_random.py
@@ -81,16 +81,16 @@
         machine = self.node(name).machine
         with contextlib.suppress(EntryRefusedError):
             if drop:
-                machine.drop(topic, key)
+                machine.delete(topic, key)
             else:
                 machine.put(topic, key, self.net.rng.randbytes(200))
 
     @rule(name=st.sampled_from(NAMES), standing=st.integers(0, 3), ahead=st.integers(0, 2))
     def lie(self, name: str, standing: int, ahead: int) -> None:
-        own = self.node(name).machine.core.roster.own
+        own = self.node(name).machine.core.members.own_record
         self.liar.say(
             list(self.net.nodes.values()),
-            own.__class__(name, own.address, own.incarnation + ahead, standing, by="liar"),
+            own.__class__(name, own.address, own.incarnation + ahead, standing, accuser="liar"),
         )
 
     @rule(length=st.sampled_from([0.3, 2.0, 10.0, 30.0]))
@@ -109,7 +109,7 @@
         live = [self.node(name) for name in NAMES if self.node(name).alive]
         assert not any(node.why for node in live)
         assert self.net.until(lambda: self.net.agreed(live), AGREE_S, 0.5), {
-            node.machine.me: [(one.name, one.standing.value, one.incarnation) for one in node.machine.members()]
+            node.machine.own_name: [(one.name, one.state.value, one.incarnation) for one in node.machine.members()]
             for node in live
         }
         for node in live:  # its own entries are what it said, whoever else spoke of them
@@ -117,12 +117,12 @@
                 (one.topic, one.key, one.value)
                 for topic in Topic
                 for one in node.machine.entries(topic)
-                if one.owner == node.machine.me
+                if one.owner == node.machine.own_name
             }
             assert mine == {
                 (Topic(topic), key, value)
                 for owner, topic, key, value in self.net.board(live[0])
-                if owner == node.machine.me
+                if owner == node.machine.own_name
             }
         within_bounds(self.net)
 
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -8,34 +8,34 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hophinge.cluster import wire
+from hophinge.cluster import datagram
 from hophinge.cluster.errors import KeysUnusableError
-from hophinge.cluster.messages import Nack, Ping, Record, Row, Summary, packed
+from hophinge.cluster.messages import Nack, Ping, MemberRecord, MemberDigest, Summary, encode_message
 
 OLD, NEW = b"an old key, long enough", b"a new key, long enough"
-PARTS = [packed(Ping(7, "b", Record("a", "a:1", 5, zone="z"))), packed(Summary([1, 2]))]
+PARTS = [encode_message(Ping(7, "b", MemberRecord("a", "a:1", 5, zone="z"))), encode_message(Summary([1, 2]))]
 
 
 class Reader:
     def __init__(self, *keys: bytes, senders: int = 10) -> None:
         self.counts: Counter[str] = Counter()
-        self.opener = wire.Opener(keys or [NEW], senders, self.count)
+        self.opener = datagram.DatagramOpener(keys or [NEW], senders, self.count)
 
     def count(self, name: str) -> None:
         self.counts[name] += 1
 
-    def open(self, data: bytes) -> wire.Opened | None:
+    def open(self, data: bytes) -> datagram.Datagram | None:
         return self.opener.open(data)
 
 
 def sealed(count: int = 1, key: bytes = NEW, start: int = 3, **more: Any) -> bytes:
-    return wire.seal(key, "a", start, count, more.pop("parts", PARTS), **more)
+    return datagram.seal_datagram(key, "a", start, count, more.pop("parts", PARTS), **more)
 
 
 def test_what_was_sealed_is_opened() -> None:
     opened = Reader().open(sealed())
-    assert opened is not None and (opened.name, opened.start) == ("a", 3)
-    assert opened.parts == [Ping(7, "b", Record("a", "a:1", 5, zone="z")), Summary([1, 2])]
+    assert opened is not None and (opened.sender, opened.generation) == ("a", 3)
+    assert opened.messages == [Ping(7, "b", MemberRecord("a", "a:1", 5, zone="z")), Summary([1, 2])]
 
 
 @given(st.data())
@@ -65,27 +65,27 @@
 
 
 LIES = [
-    Record("a", "no address", 1),
-    Record("", "a:1", 1),
-    Record("a", "a:1", 2**63),
-    Record("a", "a:1", -1),
-    Record("a", "a:1", 1, standing=9),
-    Record("a" * 65, "a:1", 1),
+    MemberRecord("a", "no address", 1),
+    MemberRecord("", "a:1", 1),
+    MemberRecord("a", "a:1", 2**63),
+    MemberRecord("a", "a:1", -1),
+    MemberRecord("a", "a:1", 1, state=9),
+    MemberRecord("a" * 65, "a:1", 1),
     Summary([0] * 65),
     Summary([2**32]),
-    Ping(1, "b", Record("a", "a:b", 1)),
+    Ping(1, "b", MemberRecord("a", "a:b", 1)),
 ]
 
 
 @pytest.mark.parametrize("part", LIES, ids=repr)
 def test_values_out_of_range_are_malformed(part: Any) -> None:
     reader = Reader()
-    assert reader.open(sealed(parts=[packed(part)])) is None and reader.counts == {"dropped_malformed": 1}
+    assert reader.open(sealed(parts=[encode_message(part)])) is None and reader.counts == {"dropped_malformed": 1}
 
 
 def test_too_long_is_dropped_though_authentic() -> None:
     reader = Reader()
-    assert reader.open(sealed(parts=[packed(Summary([2**31] * 64))] * 4)) is None
+    assert reader.open(sealed(parts=[encode_message(Summary([2**31] * 64))] * 4)) is None
     assert reader.counts == {"dropped_too_long": 1}
 
 
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("text", ["", "short\n", "x" * 65, "\n".join([OLD.decode()] * 3)])
 def test_unusable_keys_are_told(text: str) -> None:
     with pytest.raises(KeysUnusableError):
-        wire.read_keys(text)
+        datagram.read_keys(text)
 
 
 @given(st.lists(st.integers(0, 700), min_size=1, max_size=200))
@@ -111,7 +111,7 @@
             assert count not in taken
             taken.add(count)
         else:
-            assert count in taken or count <= max(taken) - wire.WINDOW, "new, and within the window"
+            assert count in taken or count <= max(taken) - datagram.REPLAY_WINDOW, "new, and within the window"
 
 
 def test_a_new_start_has_a_window_of_its_own_and_windows_are_bounded() -> None:
@@ -128,17 +128,19 @@
     longer = msgspec.msgpack.encode((4, [17, "something new"]))
     unknown = msgspec.msgpack.encode((77, {"any": "thing"}))
     opened = reader.open(sealed(parts=[longer, unknown, PARTS[1]], format_=9))
-    assert opened is not None and opened.parts == [Nack(17), Summary([1, 2])]
+    assert opened is not None and opened.messages == [Nack(17), Summary([1, 2])]
     assert reader.counts == {"unknown_kinds": 1}
     # An older peer: elements that came later are missing at the end.
     older = msgspec.msgpack.encode((5, ["a", "a:1", 5]))
     opened = reader.open(sealed(2, parts=[older]))
-    assert opened is not None and opened.parts == [Record("a", "a:1", 5)]
+    assert opened is not None and opened.messages == [MemberRecord("a", "a:1", 5)]
     # One that nobody can read who speaks this format alone.
-    assert reader.open(sealed(3, format_=9, needs=wire.FORMAT + 1)) is None
+    assert reader.open(sealed(3, format_=9, min_reader_format=datagram.FORMAT_VERSION + 1)) is None
     assert reader.counts["dropped_newer_format"] == 1
 
 
 def test_a_role_of_a_newer_version_is_a_head_and_rows_may_have_more_topics() -> None:
-    assert Record("a", "a:1", 5, role="witness").member().role.value == "head"
-    assert Reader().open(sealed(parts=[msgspec.msgpack.encode((8, [1, [Row("a", 1, [1] * 5, [2] * 5)], True]))]))
+    assert MemberRecord("a", "a:1", 5, role="witness").to_member().role.value == "head"
+    assert Reader().open(
+        sealed(parts=[msgspec.msgpack.encode((8, [1, [MemberDigest("a", 1, [1] * 5, [2] * 5)], True]))])
+    )
--- a/tests/test_maintenance_parts.py
+++ b/tests/test_maintenance_parts.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from hophinge.cluster.interface import Entry, Member, Role, Standing, Topic
+from hophinge.cluster.interface import Entry, EntryVersion, Member, Role, MemberState, Topic
 from hophinge.control.permits import body_of, encode_word, read_word
 from hophinge.control.promises import Promises
 from hophinge.control.store import Store, StoreError
@@ -108,11 +108,11 @@
     assert decode_request(
         encode_request(Request(decode_response(encode_word(word)).kind, initial={"report": "{}"}))
     ).initial == {"report": "{}"}
-    entry = Entry("n0", Topic.DRAINS, "1.1/b0", (1, 1), value(Statement("1.1", "b0", DRAINED)))
+    entry = Entry("n0", Topic.DRAINS, "1.1/b0", EntryVersion(1, 1), value(Statement("1.1", "b0", DRAINED)))
     rubbish = [
-        Entry("n1", Topic.DRAINS, "x", (1, 1), b"\xff"),
-        Entry("n2", Topic.DRAINS, "1.2/b0", (1, 1), entry.value),  # a statement under another's key
-        Entry("n3", Topic.WEIGHTS, "1.1/b0", (1, 1), entry.value),
+        Entry("n1", Topic.DRAINS, "x", EntryVersion(1, 1), b"\xff"),
+        Entry("n2", Topic.DRAINS, "1.2/b0", EntryVersion(1, 1), entry.value),  # a statement under another's key
+        Entry("n3", Topic.WEIGHTS, "1.1/b0", EntryVersion(1, 1), entry.value),
     ]
     assert heard([entry, *rubbish]) == {"n0": [Statement("1.1", "b0", DRAINED)]}
 
@@ -120,7 +120,7 @@
 class Peers:
     """A board and a sight in memory."""
 
-    me = "n0"
+    own_name = "n0"
 
     def __init__(self) -> None:
         self.own: dict[str, bytes] = {}
@@ -129,11 +129,11 @@
 
     def members(self) -> tuple[Member, ...]:
         return (
-            Member("n0", "", 1, Standing.ALIVE),
-            Member("n1", "", 1, Standing.SUSPECT),
-            Member("n2", "", 1, Standing.DEAD),
-            Member("n3", "", 1, Standing.LEFT),
-            Member("c", "", 1, Standing.ALIVE, role=Role.CONTROL),
+            Member("n0", "", 1, MemberState.ALIVE),
+            Member("n1", "", 1, MemberState.SUSPECT),
+            Member("n2", "", 1, MemberState.DEAD),
+            Member("n3", "", 1, MemberState.LEFT),
+            Member("c", "", 1, MemberState.ALIVE, role=Role.CONTROL),
         )
 
     def put(self, topic: Topic, key: str, body: bytes) -> None:
@@ -141,11 +141,11 @@
             raise HophingeError("too many entries")
         self.own[key] = body
 
-    def drop(self, topic: Topic, key: str) -> None:
+    def delete(self, topic: Topic, key: str) -> None:
         self.own.pop(key, None)
 
     def entries(self, topic: Topic) -> Iterable[Entry]:
-        return [*(Entry("n0", topic, key, (1, 1), body) for key, body in self.own.items()), *self.others]
+        return [*(Entry("n0", topic, key, EntryVersion(1, 1), body) for key, body in self.own.items()), *self.others]
 
 
 class FullDisk(Disk):
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -110,7 +110,7 @@
     "object: part": (object_records.Part, msgpack_bytes),
     "object: upload": (object_records.Upload, msgpack_bytes),
     "accounts' old file": (tenants.OldFile, json_bytes),
-    **{f"cluster: part {number}": (kind, msgpack_bytes) for number, kind in cluster_messages.KINDS.items()},
+    **{f"cluster: part {number}": (kind, msgpack_bytes) for number, kind in cluster_messages.MESSAGE_TYPES.items()},
 }
 CONFIGURATIONS: dict[str, Any] = {
     "operator's file": operator.OperatorConfig,
--- a/tests/test_peers_endpoint.py
+++ b/tests/test_peers_endpoint.py
@@ -10,31 +10,31 @@
 
 from hophinge.cluster.errors import ClusterUnusableError, KeysUnusableError
 from hophinge.cluster.interface import Entry, Member, Topic
-from hophinge.cluster.messages import Ack, Part, Ping, Record, packed
-from hophinge.cluster.wire import Opener, seal
+from hophinge.cluster.messages import Ack, Message, Ping, MemberRecord, encode_message
+from hophinge.cluster.datagram import DatagramOpener, seal_datagram
 from hophinge.head import operator
 from hophinge.head.sections import ClusterConfig
 from hophinge.peers import endpoint
-from hophinge.peers.endpoint import Endpoint
+from hophinge.peers.endpoint import MemberEndpoint
 from tests.cluster_member import KEY
 
-Make = Callable[..., Endpoint]
+Make = Callable[..., MemberEndpoint]
 
 
-class Heard:
+class RecordingSubscriber:
     def __init__(self) -> None:
         self.members: list[str] = []
         self.entries: list[tuple[str, bool]] = []
 
-    def member(self, now_us: int, member: Member) -> None:
-        self.members.append(f"{member.name} {member.standing.value}")
+    def member_changed(self, now_us: int, member: Member) -> None:
+        self.members.append(f"{member.name} {member.state.value}")
 
-    def entry(self, now_us: int, entry: Entry, gone: bool) -> None:
-        self.entries.append((entry.key, gone))
+    def entry_changed(self, now_us: int, entry: Entry, is_deleted: bool) -> None:
+        self.entries.append((entry.key, is_deleted))
 
 
-class Broken(Heard):
-    def member(self, now_us: int, member: Member) -> None:
+class FailingSubscriber(RecordingSubscriber):
+    def member_changed(self, now_us: int, member: Member) -> None:
         raise RuntimeError("broken")
 
 
@@ -54,16 +54,16 @@
 def test_two_endpoints_meet_by_name_of_a_seed_and_a_broken_hearer_harms_nobody(key_file: Path) -> None:
     async def main() -> None:
         said: list[str] = []
-        one = Endpoint("one", "127.0.0.1:0", [], key_file, say=said.append)
-        other = Endpoint(
+        one = MemberEndpoint("one", "127.0.0.1:0", [], key_file, log=said.append)
+        other = MemberEndpoint(
             "other",
             "127.0.0.1:0",
             [one.address.replace("127.0.0.1", "localhost"), "no.such.host.:1"],
             key_file,
             zone="z2",
         )
-        heard = Heard()
-        one.hearers += [Broken(), heard]
+        heard = RecordingSubscriber()
+        one.subscribers += [FailingSubscriber(), heard]
         for member in (one, other):
             member.start()
         await until(lambda: "other alive" in heard.members)
@@ -83,11 +83,11 @@
     """Counted in turns, not in time: after each full turn the socket is left alone until its pause is over."""
 
     async def main() -> None:
-        one = Endpoint("one", "127.0.0.1:0", [], key_file)
+        one = MemberEndpoint("one", "127.0.0.1:0", [], key_file)
         one.start()
         flood = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         host, port = one.address.split(":")
-        monkeypatch.setattr(endpoint, "PAUSE_S", 60.0)
+        monkeypatch.setattr(endpoint, "READ_BACKOFF_S", 60.0)
         for number in range(64):
             flood.sendto(bytes([number]) * (1 + number * 24), (host, int(port)))
         counters = one.machine.core.counters
@@ -96,21 +96,23 @@
             return sum(count for name, count in counters.items() if name.startswith("dropped_"))
 
         await until(lambda: dropped() > 0)
-        assert dropped() <= endpoint.AT_ONCE
+        assert dropped() <= endpoint.DATAGRAMS_PER_TURN
         for _ in range(20):  # turns of the loop, none of which reads on
             await asyncio.sleep(0)
-        assert dropped() <= endpoint.AT_ONCE
-        monkeypatch.setattr(endpoint, "PAUSE_S", 0.0)
-        one._read_on()
+        assert dropped() <= endpoint.DATAGRAMS_PER_TURN
+        monkeypatch.setattr(endpoint, "READ_BACKOFF_S", 0.0)
+        one._resume_reading()
         await until(lambda: dropped() == 64)
         assert counters["dropped_too_long"] and counters["dropped_unknown"] and counters["dropped_too_short"]
         assert len(one.machine.members()) == 1 and not counters["bytes_received"]
         # One with the key is answered though the flood goes on.
-        record = Record("peer", f"127.0.0.1:{flood.getsockname()[1]}", 1 << 40)
-        flood.sendto(seal(KEY.encode(), "peer", 1 << 22, 1, [packed(Ping(7, "one", record))]), (host, int(port)))
+        record = MemberRecord("peer", f"127.0.0.1:{flood.getsockname()[1]}", 1 << 40)
+        flood.sendto(
+            seal_datagram(KEY.encode(), "peer", 1 << 22, 1, [encode_message(Ping(7, "one", record))]), (host, int(port))
+        )
         flood.setblocking(False)
-        opener = Opener([KEY.encode()], 5, lambda name: None)
-        answers: list[Part] = []
+        opener = DatagramOpener([KEY.encode()], 5, lambda name: None)
+        answers: list[Message] = []
 
         def answered() -> bool:
             flood.sendto(b"x" * 500, (host, int(port)))
@@ -118,8 +120,8 @@
                 try:
                     opened = opener.open(flood.recv(2000))
                 except BlockingIOError:
-                    return any(isinstance(part, Ack) and part.seq == 7 for part in answers)
-                answers.extend(opened.parts if opened else [])
+                    return any(isinstance(part, Ack) and part.request_id == 7 for part in answers)
+                answers.extend(opened.messages if opened else [])
 
         await until(answered)
         flood.close()
@@ -148,14 +150,14 @@
     async def main() -> None:
         settings: dict[str, Any] = {"name": "one", "listen": "127.0.0.1:0", "seeds": [], "key_file": key_file} | given
         with pytest.raises(error, match=place):
-            Endpoint(**settings)
+            MemberEndpoint(**settings)
 
     asyncio.run(main())
 
 
 def test_an_unusable_key_file_leaves_the_keys_as_they_were(key_file: Path) -> None:
     async def main() -> None:
-        one = Endpoint("one", "127.0.0.1:0", [], key_file)
+        one = MemberEndpoint("one", "127.0.0.1:0", [], key_file)
         before = list(one.machine.opener.keys)
         for text in (b"short", b"\xff\xfe" * 20, b""):
             key_file.write_bytes(text)
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -18,7 +18,7 @@
 
     def one(name: str, seeds: list[str], **more: Any) -> Started:
         # Half of the usual time to refute, for the tests' own.
-        started.append(Started(tmp_path, name, seeds, tuning={"suspicion": 2.0}, **more))
+        started.append(Started(tmp_path, name, seeds, tuning={"suspicion_multiplier": 2.0}, **more))
         return started[-1]
 
     yield one
--- a/tests/test_popularity_planner.py
+++ b/tests/test_popularity_planner.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings, strategies as st
 from msgspec import structs
 
-from hophinge.cluster.interface import Member, Role, Standing
+from hophinge.cluster.interface import Member, Role, MemberState
 from hophinge.core.choice.volumes import Bucket
 from hophinge.core.interface import Result
 from hophinge.popularity.planner import (
@@ -30,7 +30,7 @@
 from tests.gateways import MS, SETTINGS, Gateway, ask, end
 
 
-def member(name: str, standing: Standing = Standing.ALIVE, zone: str = "z", role: Role = Role.HEAD) -> Member:
+def member(name: str, standing: MemberState = MemberState.ALIVE, zone: str = "z", role: Role = Role.HEAD) -> Member:
     return Member(name, "", 1, standing, zone, role)
 
 
@@ -53,7 +53,7 @@
     members = [member(f"h{at}") for at in range(5)] + [
         member("other", zone="y"),
         member("control", role=Role.CONTROL),
-        member("ill", Standing.SUSPECT),
+        member("ill", MemberState.SUSPECT),
     ]
     owners = {at: owner(at.to_bytes(8, "big"), members, "z") for at in range(500)}
     assert set(owners.values()) == {f"h{at}" for at in range(5)}
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -8,9 +8,9 @@
 import msgspec
 import pytest
 
-from hophinge.cluster.interface import Entry, Topic
+from hophinge.cluster.interface import Entry, EntryVersion, Topic
 from hophinge.cluster.messages import TOPICS
-from hophinge.cluster.entries import Shelf
+from hophinge.cluster.entry_store import EntryStore
 from hophinge.cluster.tuning import Limits
 from hophinge.core.counters import Counters
 from hophinge.core.errors import HophingeError
@@ -46,7 +46,7 @@
             raise self.wrong
         self.values[key] = value
 
-    def drop(self, topic: Topic, key: str) -> None:
+    def delete(self, topic: Topic, key: str) -> None:
         self.values.pop(key, None)
 
     def entries(self, topic: Topic) -> Iterable[Entry]:
@@ -113,7 +113,7 @@
     monkeypatch.setattr(sharing, "SLICE", 1)
     _, _, scoring, log = composed()
     board = OneBoard()
-    shelf = Shelf("peer", 1, Limits(), lambda what: None, lambda entry, gone: None, lambda owner: None)
+    shelf = EntryStore("peer", 1, Limits(), lambda what: None, lambda entry, gone: None, lambda owner: None)
     board.entries = lambda topic: shelf.entries(TOPICS.index(topic), iter(["peer"]))  # type: ignore[method-assign]
     values = encoding.encode("suspicion-1", 1, {f"n{at}": 1.0 for at in range(4)})[0]
     for chunk, value in values.items():
@@ -140,8 +140,8 @@
     _, _, scoring, _ = composed()
     board = OneBoard()
     board.others = [
-        Entry("peer", Topic.WEIGHTS, "suspicion/0", (1, 1), encoding.encode("suspicion-1", 1, {})[0][0]),
-        Entry("odd", Topic.WEIGHTS, "suspicion/0", (1, 1), b"?"),
+        Entry("peer", Topic.WEIGHTS, "suspicion/0", EntryVersion(1, 1), encoding.encode("suspicion-1", 1, {})[0][0]),
+        Entry("odd", Topic.WEIGHTS, "suspicion/0", EntryVersion(1, 1), b"?"),
     ]
     scoring.share("me", board)
     scoring.tick()
--- a/tests/test_scoring_sharing.py
+++ b/tests/test_scoring_sharing.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hophinge.cluster.interface import MAX_VALUE, Entry, Topic
+from hophinge.cluster.interface import MAX_VALUE_BYTES, Entry, EntryVersion, Topic
 from hophinge.core.interface import Result
 from hophinge.scoring import encoding
 from hophinge.scoring.engine import Engine
@@ -158,7 +158,7 @@
         b"",
         b"\xc1",
         good[:-1],
-        b"x" * (MAX_VALUE + 1),
+        b"x" * (MAX_VALUE_BYTES + 1),
         encoding.ENCODER.encode(table(1, VERSION, 0, {GOOD: 51})),
         encoding.ENCODER.encode(table(1, VERSION, 0, {GOOD: -1})),
         encoding.ENCODER.encode(table(2, VERSION, 0, {})),
@@ -200,7 +200,7 @@
         values, left_out = encoding.encode(VERSION, beat, weights)
     except UnicodeEncodeError:
         return  # no name of a brick: the list's decoder takes no lone surrogates
-    assert all(len(value) <= MAX_VALUE for value in values.values()) and 0 in values
+    assert all(len(value) <= MAX_VALUE_BYTES for value in values.values()) and 0 in values
     found: dict[str, float] = {}
     for chunk, value in values.items():
         version, part = encoding.decode(chunk, value)
@@ -215,9 +215,9 @@
             assert all(at >= weight - 0.5 / encoding.STEPS - 1e-9 for at in kept)
 
 
-@given(st.binary(max_size=MAX_VALUE + 10), st.text(max_size=12))
+@given(st.binary(max_size=MAX_VALUE_BYTES + 10), st.text(max_size=12))
 def test_no_bytes_of_a_peer_raise(value: bytes, key: str) -> None:
     head = heads(1)["h0"]
     for at, name in enumerate((key, "suspicion/0")):
-        head.tick(T0 + at, set(BACKENDS), [Entry("peer", Topic.WEIGHTS, name, (1, at), value)])
+        head.tick(T0 + at, set(BACKENDS), [Entry("peer", Topic.WEIGHTS, name, EntryVersion(1, at), value)])
     assert head.reader is not None and head.reader.bad.get("peer", 0) + len(head.shared["suspicion"].peers) >= 1
--- a/tests/together.py
+++ b/tests/together.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from hophinge.cluster.budget import HEADERS
+from hophinge.cluster.send_budget import HEADER_BYTES
 from hophinge.load.rig.run import Run, Where
 from hophinge.load.rig.waiting import Condition, until
 
@@ -114,7 +114,7 @@
 
     @staticmethod
     def sent(made: Run, names: Sequence[str]) -> dict[str, int]:
-        return {name: made.relay.sent[name] + HEADERS * made.relay.datagrams[name] for name in names}
+        return {name: made.relay.sent[name] + HEADER_BYTES * made.relay.datagrams[name] for name in names}
 
     def within(self, bytes_s: int) -> None:
         """Check that none sent more than its bound; what arrives late at the relay may have left a second before."""
