--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -33,7 +33,7 @@
 from hophinge.state.rows import AuditEntry, LedgerChange, Row  # noqa: E402
 from hophinge.tenancy.accounts import Accounts  # noqa: E402
 from hophinge.tenancy.records import Account, Bucket, Key, digest, row  # noqa: E402
-from hophinge.tenancy.feed import PART, Feed, Taker  # noqa: E402
+from hophinge.tenancy.account_replication import PART, Feed, Taker  # noqa: E402
 from stream_costs import quantile  # noqa: E402
 from stream_processes import POOLS, TOKEN, control_process, ready, staff, until  # noqa: E402
 
--- a/hophinge/admin/api.py
+++ b/hophinge/admin/api.py
@@ -34,7 +34,7 @@
 from hophinge.state.rows import AuditEntry, IdempotentResponse, LedgerChange
 from hophinge.tenancy.accounts import Accounts
 from hophinge.tenancy.records import AccountError, Role, digest
-from hophinge.tenancy.attempts import Callers
+from hophinge.tenancy.caller_rate_limits import Callers
 
 __all__ = [
     "LONGEST_PAGE",
--- a/hophinge/admin/calls.py
+++ b/hophinge/admin/calls.py
@@ -17,7 +17,7 @@
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
 from hophinge.tenancy.records import ACCESS, BUCKET, TENANT, Account, AccountError, Bucket, Key, row
-from hophinge.tenancy.life import State, Wish
+from hophinge.tenancy.lifecycle import State, Wish
 
 TAG = re.compile(r'(?:W/)?"([0-9]{1,15})"', re.ASCII)
 
--- a/hophinge/admin/front.py
+++ b/hophinge/admin/front.py
@@ -18,7 +18,7 @@
 from hophinge.state.rows import AuditEntry, LedgerChange, Row
 from hophinge.tenancy.accounts import Accounts
 from hophinge.tenancy.records import ACCESS, BUCKET, row
-from hophinge.tenancy.life import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge
+from hophinge.tenancy.lifecycle import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge
 
 CONNECTIONS, IDLE_S = 16, 30.0
 MIN_TOKEN = 16  # characters; a shorter one is a mistake
--- a/hophinge/cli/service.py
+++ b/hophinge/cli/service.py
@@ -19,7 +19,7 @@
 from hophinge.state.ledger import Ledger
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.timekeeper import Timekeeper
+from hophinge.tenancy.slewed_clock import Timekeeper
 
 Log = Callable[[str], None]
 
--- a/hophinge/control/shares.py
+++ b/hophinge/control/shares.py
@@ -14,9 +14,9 @@
 from hophinge.control.wire import Kind, Order, Response
 from hophinge.routing import records
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.allotment import Allotment, LeaseAsk
-from hophinge.tenancy.life import State
-from hophinge.tenancy.planner import fits
+from hophinge.tenancy.share_allocator import Allotment, LeaseAsk
+from hophinge.tenancy.lifecycle import State
+from hophinge.tenancy.share_planner import fits
 
 SIZE_S = 3.0  # a push that needs to know how many heads there are waits so long for one to tell
 
--- a/hophinge/control/streams.py
+++ b/hophinge/control/streams.py
@@ -15,7 +15,7 @@
 from hophinge.control.tokens import bearer
 from hophinge.control.wire import Kind, Response
 from hophinge.state.ledger import LedgerError
-from hophinge.tenancy.feed import PART, Feed
+from hophinge.tenancy.account_replication import PART, Feed
 
 if TYPE_CHECKING:
     from hophinge.control.service import ControlService
--- a/hophinge/control/wire.py
+++ b/hophinge/control/wire.py
@@ -18,7 +18,7 @@
 from msgspec import Struct
 
 from hophinge.state.rows import Row
-from hophinge.tenancy.feed import Part
+from hophinge.tenancy.account_replication import Part
 
 Order = tuple[int, int]  # of a version: epoch and number
 
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -21,8 +21,8 @@
 from hophinge.state.ledger import LedgerError
 from hophinge.state.rows import AuditEntry, LedgerChange
 from hophinge.tenancy import usage as used
-from hophinge.tenancy.attempts import Callers, Holdings
-from hophinge.tenancy.life import State
+from hophinge.tenancy.caller_rate_limits import Callers, Holdings
+from hophinge.tenancy.lifecycle import State
 
 FLUSH_S = 1.0  # of usage; a killed head loses what came since
 MAX_SWEPT = 50  # uploads whose state is looked up when a tenant has its most
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -12,9 +12,9 @@
 from hophinge.state.ledger import Ledger, LedgerError
 from hophinge.tenancy import usage as used
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.feed import Part, Taker
-from hophinge.tenancy.life import State
-from hophinge.tenancy.timekeeper import Timekeeper
+from hophinge.tenancy.account_replication import Part, Taker
+from hophinge.tenancy.lifecycle import State
+from hophinge.tenancy.slewed_clock import Timekeeper
 
 CLOCK_OFF_MS = 60_000  # staff hear of a clock that is further off
 OUTCOME = {2: used.SERVED, 3: used.SERVED, 4: used.FAILED, 5: used.FAILED}
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -19,9 +19,9 @@
 from hophinge.head.operator import StreamConfig
 from hophinge.routing.router import Router
 from hophinge.routing.table import Facts, Table
-from hophinge.tenancy.attempts import Holdings
-from hophinge.tenancy.feed import Part, Taker
-from hophinge.tenancy.leases import Holder, Lease
+from hophinge.tenancy.caller_rate_limits import Holdings
+from hophinge.tenancy.account_replication import Part, Taker
+from hophinge.tenancy.share_leases import Holder, Lease
 
 if TYPE_CHECKING:
     from hophinge.head.accounts import HeadAccounts
--- a/hophinge/maintenance/observations.py
+++ b/hophinge/maintenance/observations.py
@@ -12,7 +12,7 @@
 from hophinge.maintenance.permits import Floor, Sighting
 from hophinge.maintenance.messages import Listed, Report
 from hophinge.routing.records import Pool, Record, Route, Spare, Tenant
-from hophinge.tenancy.planner import fits
+from hophinge.tenancy.share_planner import fits
 
 REMEMBER_US = 3_600_000_000  # a brick that all lists have lost is out for an hour, then it was taken away for good
 
--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -22,7 +22,7 @@
 from hophinge.routing.bounds import Most
 
 BEGIN_US = 20_000_000  # by the asker's clock, from its asking
-DRIFT = 0.01  # part by which two steady clocks may differ in speed, as in tenancy/leases.py
+DRIFT = 0.01  # part by which two steady clocks may differ in speed, as in tenancy/share_leases.py
 LEASE_US = int(BEGIN_US * (1 + DRIFT)) + 10_000_000  # by the issuer's; the ten seconds are for what is on its way
 
 
--- a/hophinge/objects/tenants.py
+++ b/hophinge/objects/tenants.py
@@ -11,7 +11,7 @@
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
 from hophinge.tenancy.records import Account, Bucket, Key, row
-from hophinge.tenancy.life import State
+from hophinge.tenancy.lifecycle import State
 
 
 class Volume(msgspec.Struct, frozen=True):
--- a/hophinge/tenancy/accounts.py
+++ b/hophinge/tenancy/accounts.py
@@ -29,7 +29,7 @@
     digest,
     noted,
 )
-from hophinge.tenancy.life import State, Wish, step
+from hophinge.tenancy.lifecycle import State, Wish, step
 
 
 class Accounts:
--- a/hophinge/tenancy/admission.py
+++ b/hophinge/tenancy/admission.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from hophinge.tenancy.fair import Entry, Tree
+from hophinge.tenancy.fair_queue import Entry, Tree
 from hophinge.tenancy.reserve import Reserve
 
 MIN_ADVICE_US = 10_000
--- a/hophinge/tenancy/records.py
+++ b/hophinge/tenancy/records.py
@@ -11,7 +11,7 @@
 
 from hophinge.core.errors import HophingeError
 from hophinge.state.rows import Row
-from hophinge.tenancy.life import State
+from hophinge.tenancy.lifecycle import State
 
 NAME = re.compile(r"[a-z0-9](?:[a-z0-9.-]{1,61})[a-z0-9]", re.ASCII)
 KEY = re.compile(r"hk[0-9a-f]{16}", re.ASCII)
--- a/hophinge/tenancy/allotment.py
+++ b/hophinge/tenancy/share_allocator.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct
 
-from hophinge.tenancy.leases import Issuer, Lease
-from hophinge.tenancy.planner import Demand, plan
+from hophinge.tenancy.share_leases import Issuer, Lease
+from hophinge.tenancy.share_planner import Demand, plan
 
 PLAN_US = 1_000_000  # between plans
 
--- a/tests/test_accounts_model.py
+++ b/tests/test_accounts_model.py
@@ -9,7 +9,7 @@
 
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.life import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge, step
+from hophinge.tenancy.lifecycle import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge, step
 from hophinge.tenancy.records import ACCESS, BUCKET, Account, AccountError, Bucket, Quotas, Role, Shares, row
 
 WISHES = st.lists(
--- a/tests/test_copies_feed.py
+++ b/tests/test_copies_feed.py
@@ -9,8 +9,8 @@
 
 from hophinge.control import wire
 from hophinge.state.rows import Row
-from hophinge.tenancy import feed as feed_module
-from hophinge.tenancy.feed import Feed, Taker
+from hophinge.tenancy import account_replication as feed_module
+from hophinge.tenancy.account_replication import Feed, Taker
 from tests import books
 
 
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -46,7 +46,6 @@
 from hophinge.state import rows
 from hophinge.state.files import load, save
 from hophinge.state.ledger import Ledger
-from hophinge.tenancy import leases
 from hophinge.tenancy import records as tenancy_records
 from tests.outer_forms import sample
 
@@ -95,7 +94,7 @@
     "control store: course of a release": (releases.Course, json_bytes),
     "control stream: report": (messages.Report, json_bytes),
     "control stream: word": (messages.Word, json_bytes),
-    "control stream: lease": (leases.Lease, json_bytes),
+    "control stream: lease": (share_leases.Lease, json_bytes),
     "head file: last good": (lastgood.LastGood, msgpack_bytes),
     "head file: marks": (handover.Marks, json_bytes),
     "head file: mark": (Mark, json_bytes),
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hophinge.tenancy.leases import DRIFT, HIGH_US, LOW_US, Holder, Issuer, Lease
-from hophinge.tenancy.planner import Demand, fits, plan
+from hophinge.tenancy.share_leases import DRIFT, HIGH_US, LOW_US, Holder, Issuer, Lease
+from hophinge.tenancy.share_planner import Demand, fits, plan
 
 S = 1_000_000
 
--- a/tests/test_tenancy_turns.py
+++ b/tests/test_tenancy_turns.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hophinge.tenancy.fair import Entry, Tree
+from hophinge.tenancy.fair_queue import Entry, Tree
 from hophinge.tenancy.reserve import Reserve
 from tests.tenancy_model import MS, S, jain
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -13,9 +13,9 @@
 from hophinge.state.ledger import Ledger
 from hophinge.telemetry.remote_write import metrics
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.attempts import Callers, Holdings
+from hophinge.tenancy.caller_rate_limits import Callers, Holdings
 from hophinge.tenancy.records import Account, Key, Role, digest, row
-from hophinge.tenancy.timekeeper import Timekeeper
+from hophinge.tenancy.slewed_clock import Timekeeper
 from hophinge.tenancy.usage import FIELDS, MAX_VOLUMES, OTHERS, WHOLE, Exported, Reports, Usage
 
 HOUR_MS = 3_600_000
