--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -32,8 +32,8 @@
 from hophinge.state.ledger import Ledger, verify  # noqa: E402
 from hophinge.state.rows import AuditEntry, LedgerChange, Row  # noqa: E402
 from hophinge.tenancy.accounts import Accounts  # noqa: E402
-from hophinge.tenancy.records import Account, Bucket, Key, digest, row  # noqa: E402
-from hophinge.tenancy.account_replication import PART, Feed, Taker  # noqa: E402
+from hophinge.tenancy.records import Account, Bucket, Key, digest_of, row_of  # noqa: E402
+from hophinge.tenancy.account_replication import CHUNK_ROWS, AccountSender, AccountReceiver  # noqa: E402
 from stream_costs import quantile  # noqa: E402
 from stream_processes import POOLS, TOKEN, control_process, ready, staff, until  # noqa: E402
 
@@ -47,26 +47,27 @@
         rows: list[Row] = []
         for at in range(begin, min(tenants, begin + 1000)):
             name = f"tenant-{at}"
-            rows += [row(Account(name)), row(Key(name, f"hk{at:016x}", digest(f"secret{at}")))]
+            rows += [row_of(Account(name)), row_of(Key(name, f"hk{at:016x}", digest_of(f"secret{at}")))]
             rows += [
-                row(Bucket(name, f"bucket-{n}", f"{at * BUCKETS_EACH + n:016x}", "basic")) for n in range(BUCKETS_EACH)
+                row_of(Bucket(name, f"bucket-{n}", f"{at * BUCKETS_EACH + n:016x}", "basic"))
+                for n in range(BUCKETS_EACH)
             ]
         ledger.change(lambda rows=rows: LedgerChange(rows, AuditEntry(1, "bench", "operator", "fill", "", {})))  # type: ignore[misc]
 
 
-def copied(ledger: Ledger, copy: Ledger, taker: Taker) -> tuple[int, int]:
+def copied(ledger: Ledger, copy: Ledger, taker: AccountReceiver) -> tuple[int, int]:
     """Bring a copy up to a ledger over the wire's form; tells bytes and parts."""
-    feed = Feed(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
+    feed = AccountSender(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
     size = parts = 0
-    while feed.due(ledger.seq, ledger.tombstone_floor()):
-        sent = wire.account_part(feed.part(ledger.page(feed.seq, PART, feed.gone_after), ledger.seq))
+    while feed.needs_chunk(ledger.seq, ledger.tombstone_floor()):
+        sent = wire.account_part(feed.next_chunk(ledger.page(feed.seq, CHUNK_ROWS, feed.removed_after_seq), ledger.seq))
         got = wire.read_account_part(wire.decode_response(sent))
         size, parts = size + len(sent), parts + 1
-        rows = taker.take(got)
+        rows = taker.receive(got)
         if rows is not None:
             copy.replicate(got.epoch, rows[0], got.seq, rows[1], 0)
-            taker.written(got)
-        feed.acked(got.seq)
+            taker.commit(got)
+        feed.acknowledge(got.seq)
     return size, parts
 
 
@@ -75,7 +76,7 @@
     rows = []
     for tenants in (10, 1000, 10_000):
         accounts = Accounts()
-        ledger = Ledger(folder / f"{tenants}.db", accounts.take)
+        ledger = Ledger(folder / f"{tenants}.db", accounts.apply)
         since = time.perf_counter()
         fill(ledger, tenants)
         filled = time.perf_counter() - since
@@ -89,28 +90,28 @@
             since = time.perf_counter()
             ledger.change(
                 lambda at=at: LedgerChange(  # type: ignore[misc]
-                    [row(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", f"plan{at}"))],
+                    [row_of(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", f"plan{at}"))],
                     AuditEntry(2, "bench", "operator", "change", "", {}),
                 )
             )
             took.append((time.perf_counter() - since) * 1e3)
         copy_accounts = Accounts()
-        copy = Ledger(folder / f"{tenants}-copy.db", copy_accounts.take)
-        taker = Taker(copy.epoch, copy.seq)
+        copy = Ledger(folder / f"{tenants}-copy.db", copy_accounts.apply)
+        taker = AccountReceiver(copy.epoch, copy.seq)
         since = time.perf_counter()
         whole, parts = copied(ledger, copy, taker)
         whole_s = time.perf_counter() - since
         assert copy_accounts.volumes == accounts.volumes
         ledger.change(
             lambda: LedgerChange(
-                [row(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", "last"))],
+                [row_of(Bucket("tenant-1", "bucket-1", f"{BUCKETS_EACH + 1:016x}", "last"))],
                 AuditEntry(2, "bench", "operator", "change", "", {}),
             )
         )
         one, _ = copied(ledger, copy, taker)
         copy.close()
         since = time.perf_counter()
-        again = Ledger(folder / f"{tenants}-copy.db", Accounts().take)
+        again = Ledger(folder / f"{tenants}-copy.db", Accounts().apply)
         start = time.perf_counter() - since
         again.close()
         ledger.close()
--- a/benchmarks/tenants_costs.py
+++ b/benchmarks/tenants_costs.py
@@ -11,7 +11,7 @@
 sys.path.insert(0, str(ROOT))
 sys.path.insert(0, str(ROOT / "benchmarks"))
 
-from hophinge.tenancy.admission import Admission, Ask, Shares, Spare, Verdict  # noqa: E402
+from hophinge.tenancy.admission import Admission, AdmissionRequest, TenantShares, SpareCapacity, AdmissionDecision  # noqa: E402
 from stream_costs import quantile  # noqa: E402
 
 
@@ -23,22 +23,24 @@
 def fairness() -> list[str]:
     """Share what is spare among tenants of other weights that all want more."""
     weights = {f"t{at}": 1.0 + at % 5 for at in range(20)}
-    admission = Admission(lambda name: Shares(0.0, weights[name], 64), Spare(8.0, 1_000_000), 8.0)
+    admission = Admission(lambda name: TenantShares(0.0, weights[name], 64), SpareCapacity(8.0, 1_000_000), 8.0)
     rng, got, now, inside = random.Random(3), dict.fromkeys(weights, 0.0), 0, []
     for _ in range(60_000):
         now += 1000
         name = rng.choice(sorted(weights))
-        verdict, ticket, _ = admission.arrive(now, Ask(name, "v", rng.uniform(0.5, 8), 1.0, 0.0, 1.0, 900_000))
-        if verdict is Verdict.SPARE:
+        verdict, ticket, _ = admission.arrive(
+            now, AdmissionRequest(name, "v", rng.uniform(0.5, 8), 1.0, 0.0, 1.0, 900_000)
+        )
+        if verdict is AdmissionDecision.SPARE:
             inside.append(ticket)
-        for ticket, wait in admission.turn(now):
+        for ticket, wait in admission.dispatch(now):
             if not wait:
                 inside.append(ticket)
         while inside and rng.random() < 0.4:
             done = inside.pop(rng.randrange(len(inside)))
-            got[done.ask.tenant] += done.ask.units
-            admission.left(now, done)
-            inside += [ticket for ticket, wait in admission.turn(now) if not wait]
+            got[done.request.tenant] += done.request.units
+            admission.finish(now, done)
+            inside += [ticket for ticket, wait in admission.dispatch(now) if not wait]
     return [
         f"Twenty tenants of weights 1 to 5, all asking for more than there is, units of 0.5 to 8: Jain's index of "
         f"what each got for its weight is {jain([got[name] / weight for name, weight in weights.items()]):.4f}."
@@ -69,16 +71,16 @@
     for tenants, volumes in ((10, 10), (1000, 10), (10_000, 10)):
         names = [f"t{at}" for at in range(tenants)]
         rng = random.Random(2)
-        admission = Admission(lambda name: Shares(1.0, 1.0, 64), Spare(64.0, 50_000), 8.0)
+        admission = Admission(lambda name: TenantShares(1.0, 1.0, 64), SpareCapacity(64.0, 50_000), 8.0)
         now = 0
         asks = [
-            Ask(names[at % tenants], f"v{at % (tenants * volumes)}", 1.0, 1.0, 0.1, 1.0, 150_000)
+            AdmissionRequest(names[at % tenants], f"v{at % (tenants * volumes)}", 1.0, 1.0, 0.1, 1.0, 150_000)
             for at in range(tenants * volumes)
         ]
         for ask in asks:  # all are known
             now += 10
-            admission.left(now, admission.arrive(now, ask)[1])
-            admission.turn(now)
+            admission.finish(now, admission.arrive(now, ask)[1])
+            admission.dispatch(now)
         best = []
         for _ in range(5):
             chosen = rng.choices(asks, k=4000)
@@ -86,8 +88,8 @@
             for ask in chosen:
                 now += 100
                 _, ticket, _ = admission.arrive(now, ask)
-                admission.left(now, ticket)
-                admission.turn(now)
+                admission.finish(now, ticket)
+                admission.dispatch(now)
             best.append((time.perf_counter() - since) / len(chosen) * 1e6)
         scan = Scan(names)
         since = time.perf_counter()
--- a/hophinge/admin/api.py
+++ b/hophinge/admin/api.py
@@ -33,8 +33,8 @@
 from hophinge.state.ledger import BusyError, FullError, Ledger
 from hophinge.state.rows import AuditEntry, IdempotentResponse, LedgerChange
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.records import AccountError, Role, digest
-from hophinge.tenancy.caller_rate_limits import Callers
+from hophinge.tenancy.records import AccountError, Role, digest_of
+from hophinge.tenancy.caller_rate_limits import CallerRateLimits
 
 __all__ = [
     "LONGEST_PAGE",
@@ -76,9 +76,9 @@
         calls_s: float = CALLS_S,
     ) -> None:
         super().__init__(ledger, accounts, plans, describe, promises)
-        self.operator, self.now_ms, self.now_us = digest(operator), now_ms, now_us
-        self.callers = Callers(calls_s, 2 * calls_s)
-        self.guesses = Callers(GUESSES_S, GUESSES_BURST)
+        self.operator, self.now_ms, self.now_us = digest_of(operator), now_ms, now_us
+        self.callers = CallerRateLimits(calls_s, 2 * calls_s)
+        self.guesses = CallerRateLimits(GUESSES_S, GUESSES_BURST)
         self.table = [(one, one.path.split("/")) for one in OPERATIONS]
 
     # --- the way of a call
@@ -132,7 +132,7 @@
             raise ProblemError(429, "too many wrong tokens came from this address", wait_us=wait)
         scheme, _, token = call.headers.get("authorization", "").partition(" ")
         token = token.strip()
-        if scheme.lower() == "bearer" and hmac.compare_digest(self.operator, digest(token)):
+        if scheme.lower() == "bearer" and hmac.compare_digest(self.operator, digest_of(token)):
             return Principal("operator", OPERATOR)
         key = self.accounts.authenticate(token, self.now_ms()) if scheme.lower() == "bearer" else None
         if key is None or key.role is Role.DATA:
--- a/hophinge/admin/calls.py
+++ b/hophinge/admin/calls.py
@@ -16,8 +16,8 @@
 from hophinge.state.ledger import Ledger
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.records import ACCESS, BUCKET, TENANT, Account, AccountError, Bucket, Key, row
-from hophinge.tenancy.lifecycle import State, Wish
+from hophinge.tenancy.records import KEY_KIND, BUCKET_KIND, TENANT_KIND, Account, AccountError, Bucket, Key, row_of
+from hophinge.tenancy.lifecycle import TenantState, TenantAction
 
 TAG = re.compile(r'(?:W/)?"([0-9]{1,15})"', re.ASCII)
 
@@ -60,7 +60,7 @@
 
     def _shown(self, held: Account) -> shapes.TenantShown:
         return shapes.tenant_shown(
-            held, len(self.accounts.buckets.get(held.name, {})), len(self.accounts.keys_of.get(held.name, ()))
+            held, len(self.accounts.buckets.get(held.name, {})), len(self.accounts.key_ids.get(held.name, ()))
         )
 
     def _list_tenants(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
@@ -72,14 +72,14 @@
         held = self.accounts.tenants.get(names["tenant"])  # a closed one too, for its end to be seen
         if held is None:
             raise AccountError("missing", f"no tenant {names['tenant']}")
-        return _told(self._shown(held), self.accounts.seq(TENANT, held.name))
+        return _told(self._shown(held), self.accounts.seq(TENANT_KIND, held.name))
 
     def _reserved(self, name: str, reserve: float) -> None:
         """Refuse a reserve that the installation cannot keep beside all others."""
         reserves = {
             one.name: one.shares.reserve
             for one in self.accounts.tenants.values()
-            if one.shares.reserve and one.state in (State.ACTIVE, State.SUSPENDED)
+            if one.shares.reserve and one.state in (TenantState.ACTIVE, TenantState.SUSPENDED)
         }
         if reserve > reserves.get(name, 0.0) and (why := self.promises({**reserves, name: reserve})):
             raise AccountError("quota", why)
@@ -89,28 +89,28 @@
     ) -> Made:
         made = self.accounts.create(names["tenant"], body.quotas, body.shares, body.note, now_ms)
         self._reserved(made.name, body.shares.reserve)
-        return Made([row(made)], shapes.tenant_shown(made, 0, 0), made.name, msgspec.to_builtins(body))
+        return Made([row_of(made)], shapes.tenant_shown(made, 0, 0), made.name, msgspec.to_builtins(body))
 
     def _change_tenant(
         self, caller: Principal, call: Call, names: dict[str, str], body: shapes.TenantChange, now_ms: int
     ) -> Made:
         held = self.accounts.tenant(names["tenant"])
-        self._guard(call, TENANT, held.name)
+        self._guard(call, TENANT_KIND, held.name)
         quotas = None if body.quotas is UNSET else body.quotas
         shares = None if body.shares is UNSET else body.shares
         made = self.accounts.change(held.name, quotas, shares, None if body.note is UNSET else body.note)
         if shares is not None:
             self._reserved(held.name, shares.reserve)
         if body.state is not UNSET:
-            wish = Wish.RESUME if body.state == State.ACTIVE.value else Wish.SUSPEND
-            made = msgspec.structs.replace(made, state=self.accounts.become(held.name, wish).state)
-        return Made([row(made)], self._shown(made), made.name, msgspec.to_builtins(body))
+            wish = TenantAction.RESUME if body.state == TenantState.ACTIVE.value else TenantAction.SUSPEND
+            made = msgspec.structs.replace(made, state=self.accounts.transition(held.name, wish).state)
+        return Made([row_of(made)], self._shown(made), made.name, msgspec.to_builtins(body))
 
     def _close_tenant(self, caller: Principal, call: Call, names: dict[str, str], body: None, now_ms: int) -> Made:
         held = self.accounts.tenant(names["tenant"])
-        self._guard(call, TENANT, held.name)
-        made = self.accounts.become(held.name, Wish.CLOSE)
-        return Made([row(made)], self._shown(made), made.name)
+        self._guard(call, TENANT_KIND, held.name)
+        made = self.accounts.transition(held.name, TenantAction.CLOSE)
+        return Made([row_of(made)], self._shown(made), made.name)
 
     # --- buckets
 
@@ -122,7 +122,7 @@
 
     def _show_volume(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
         held = self.accounts.bucket(names["tenant"], names["bucket"])
-        return _told(shapes.volume_shown(held), self.accounts.seq(BUCKET, f"{held.tenant}/{held.name}"))
+        return _told(shapes.volume_shown(held), self.accounts.seq(BUCKET_KIND, f"{held.tenant}/{held.name}"))
 
     def _put_volume(
         self, caller: Principal, call: Call, names: dict[str, str], body: shapes.VolumeBody, now_ms: int
@@ -130,11 +130,11 @@
         tenant, name = names["tenant"], names["bucket"]
         held = self.accounts.buckets.get(tenant, {}).get(name)
         if held is not None:
-            self._guard(call, BUCKET, f"{tenant}/{name}")
+            self._guard(call, BUCKET_KIND, f"{tenant}/{name}")
         plans = frozenset(self.plans()) or frozenset({body.plan})
         made = self.accounts.put_bucket(tenant, name, body.plan, plans, secrets.token_hex(8), now_ms)
         return Made(
-            [row(made)],
+            [row_of(made)],
             shapes.volume_shown(made),
             f"{tenant}/{name}",
             {"plan": made.plan, "before": held.plan if held else ""},
@@ -142,21 +142,24 @@
 
     def _remove_volume(self, caller: Principal, call: Call, names: dict[str, str], body: None, now_ms: int) -> Made:
         held = self.accounts.bucket(names["tenant"], names["bucket"])
-        self._guard(call, BUCKET, f"{held.tenant}/{held.name}")
+        self._guard(call, BUCKET_KIND, f"{held.tenant}/{held.name}")
         return Made(
-            [Row(BUCKET, f"{held.tenant}/{held.name}", None)], None, f"{held.tenant}/{held.name}", {"volume": held.id}
+            [Row(BUCKET_KIND, f"{held.tenant}/{held.name}", None)],
+            None,
+            f"{held.tenant}/{held.name}",
+            {"volume": held.id},
         )
 
     # --- keys
 
     def _list_keys(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
         self.accounts.tenant(names["tenant"])
-        page, after = _page(call, self.accounts.keys_of.get(names["tenant"], ()))
+        page, after = _page(call, self.accounts.key_ids.get(names["tenant"], ()))
         return _told(shapes.KeyPage([shapes.key_shown(self.accounts.keys[name]) for name in page], after))
 
     def _show_key(self, caller: Principal, call: Call, names: dict[str, str]) -> Reply:
         held = self.accounts.key(names["tenant"], names["key"])
-        return _told(shapes.key_shown(held), self.accounts.seq(ACCESS, held.id))
+        return _told(shapes.key_shown(held), self.accounts.seq(KEY_KIND, held.id))
 
     def _made_key(self, rows: list[Row], key: Key, secret: str, detail: dict[str, object]) -> Made:
         told = shapes.KeyMade(key.id, f"{key.id}.{secret}", key.role, key.ends_ms)
@@ -168,19 +171,19 @@
         ends = now_ms + body.expires_s * 1000 if body.expires_s else 0
         secret = secrets.token_urlsafe(32)
         key = self.accounts.add_key(names["tenant"], _key_id(), secret, body.role, ends, body.note, now_ms)
-        return self._made_key([row(key)], key, secret, {"role": key.role.value, "ends_ms": key.ends_ms})
+        return self._made_key([row_of(key)], key, secret, {"role": key.role.value, "ends_ms": key.ends_ms})
 
     def _rotate_key(
         self, caller: Principal, call: Call, names: dict[str, str], body: shapes.Rotation, now_ms: int
     ) -> Made:
         secret = secrets.token_urlsafe(32)
         new, old = self.accounts.rotate_key(names["tenant"], names["key"], _key_id(), secret, body.overlap_s, now_ms)
-        rows = [row(new), Row(ACCESS, names["key"], None) if old is None else row(old)]
+        rows = [row_of(new), Row(KEY_KIND, names["key"], None) if old is None else row_of(old)]
         return self._made_key(rows, new, secret, {"replaces": names["key"], "overlap_s": body.overlap_s})
 
     def _end_key(self, caller: Principal, call: Call, names: dict[str, str], body: None, now_ms: int) -> Made:
         key = self.accounts.key(names["tenant"], names["key"])
-        return Made([Row(ACCESS, key.id, None)], None, f"{key.tenant}/{key.id}")
+        return Made([Row(KEY_KIND, key.id, None)], None, f"{key.tenant}/{key.id}")
 
     # --- what is seen
 
--- a/hophinge/admin/front.py
+++ b/hophinge/admin/front.py
@@ -17,8 +17,16 @@
 from hophinge.state.ledger import Ledger, LedgerError
 from hophinge.state.rows import AuditEntry, LedgerChange, Row
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.records import ACCESS, BUCKET, row
-from hophinge.tenancy.lifecycle import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge
+from hophinge.tenancy.records import KEY_KIND, BUCKET_KIND, row_of
+from hophinge.tenancy.lifecycle import (
+    AbortUploads,
+    PurgeComplete,
+    RemoveBuckets,
+    RevokeKeys,
+    TenantState,
+    TenantAction,
+    next_purge_step,
+)
 
 CONNECTIONS, IDLE_S = 16, 30.0
 MIN_TOKEN = 16  # characters; a shorter one is a mistake
@@ -111,7 +119,7 @@
         """Go on until cancelled."""
         while True:
             wait = PURGE_LOOK_S
-            for name in [one.name for one in self.accounts.tenants.values() if one.state is State.CLOSING]:
+            for name in [one.name for one in self.accounts.tenants.values() if one.state is TenantState.CLOSING]:
                 try:
                     while await self.step(name):
                         await asyncio.sleep(0)  # others have their turn between two steps
@@ -127,19 +135,21 @@
         """Take one step; False: the tenant is closed, or it is no more to be purged."""
         self.ledger.refresh()
         held = self.accounts.tenants.get(name)
-        if held is None or held.state is not State.CLOSING:
+        if held is None or held.state is not TenantState.CLOSING:
             return False
         uploads = self.ledger.count_uploads(name) if self.abort is not None else 0
-        match purge(list(self.accounts.keys_of.get(name, ())), uploads, list(self.accounts.buckets.get(name, {}))):
-            case EndKeys(keys=keys):
-                self._change(name, "purge_keys", [Row(ACCESS, key, None) for key in keys])
+        match next_purge_step(
+            list(self.accounts.key_ids.get(name, ())), uploads, list(self.accounts.buckets.get(name, {}))
+        ):
+            case RevokeKeys(keys=keys):
+                self._change(name, "purge_keys", [Row(KEY_KIND, key, None) for key in keys])
             case AbortUploads():
                 assert self.abort is not None
                 await self.abort(name)
-            case DropVolumes(buckets=buckets):
-                self._change(name, "purge_volumes", [Row(BUCKET, f"{name}/{bucket}", None) for bucket in buckets])
-            case Done():
-                self._change(name, "purged", [row(self.accounts.become(name, Wish.PURGED))])
+            case RemoveBuckets(buckets=buckets):
+                self._change(name, "purge_volumes", [Row(BUCKET_KIND, f"{name}/{bucket}", None) for bucket in buckets])
+            case PurgeComplete():
+                self._change(name, "purged", [row_of(self.accounts.transition(name, TenantAction.PURGED))])
                 self.log(f"tenant {name} is closed")
                 return False
         return True
@@ -149,7 +159,7 @@
 
         def decide() -> LedgerChange:
             held = self.accounts.tenants.get(name)
-            if held is None or held.state is not State.CLOSING:
+            if held is None or held.state is not TenantState.CLOSING:
                 raise LedgerError(f"tenant {name} is not closing any more")  # another process has ended it
             return LedgerChange(rows, entry)
 
--- a/hophinge/admin/shapes.py
+++ b/hophinge/admin/shapes.py
@@ -6,7 +6,7 @@
 
 from msgspec import UNSET, Meta, Struct, UnsetType
 
-from hophinge.tenancy.records import LONGEST_OVERLAP_S, Account, Bucket, Key, Quotas, Role, Shares
+from hophinge.tenancy.records import MAX_OVERLAP_S, Account, Bucket, Key, Quotas, Role, Shares
 
 Amount = Annotated[float, Meta(ge=0)]
 
@@ -45,7 +45,7 @@
 class Rotation(Struct, forbid_unknown_fields=True):
     """For how many seconds the old key lives on beside the new one."""
 
-    overlap_s: Annotated[int, Meta(ge=0, le=LONGEST_OVERLAP_S)] = 0
+    overlap_s: Annotated[int, Meta(ge=0, le=MAX_OVERLAP_S)] = 0
 
 
 class TenantShown(Struct):
--- a/hophinge/cli/service.py
+++ b/hophinge/cli/service.py
@@ -19,7 +19,7 @@
 from hophinge.state.ledger import Ledger
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.slewed_clock import Timekeeper
+from hophinge.tenancy.slewed_clock import SlewedClock
 
 Log = Callable[[str], None]
 
@@ -40,14 +40,14 @@
     def __post_init__(self) -> None:
         """Open the ledger; raises LedgerError, OSError and ValueError where that or the token cannot be used."""
         self.ledger = Ledger(self.path, self._take)
-        self.time = Timekeeper(wall_ms(), steady_us(), self.ledger.last_change_ms())
+        self.time = SlewedClock(wall_ms(), steady_us(), self.ledger.last_change_ms())
         self.token = read_token(self.token_file)
         self.acceptor: Acceptor | None = None
         self.front: AdminFront | None = None
         self.purging: asyncio.Task[None] | None = None
 
     def _take(self, rows: Iterable[Row]) -> None:
-        self.accounts.take(rows)
+        self.accounts.apply(rows)
         self.heard()
 
     def now_ms(self) -> int:
--- a/hophinge/control/shares.py
+++ b/hophinge/control/shares.py
@@ -14,9 +14,9 @@
 from hophinge.control.wire import Kind, Order, Response
 from hophinge.routing import records
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.share_allocator import Allotment, LeaseAsk
-from hophinge.tenancy.lifecycle import State
-from hophinge.tenancy.share_planner import fits
+from hophinge.tenancy.share_allocator import ShareAllocator, LeaseRequest
+from hophinge.tenancy.lifecycle import TenantState
+from hophinge.tenancy.share_planner import find_shortfall
 
 SIZE_S = 3.0  # a push that needs to know how many heads there are waits so long for one to tell
 
@@ -35,7 +35,7 @@
     ) -> None:
         self.store, self.accounts, self.target, self.here = store, accounts, target, here
         self.now_us, self.log = now_us, log
-        self.allotment = Allotment(store.serials, log)
+        self.allotment = ShareAllocator(store.serials, log)
         self.size = store.size()
         self.told = asyncio.Event()  # set once `size` is known
         if self.size:
@@ -48,7 +48,7 @@
         stated, capacity = reserves_of(row[2] for row in snapshot.rows.values()) if snapshot else ({}, 0.0)
         if not capacity or not self.size:
             return ""
-        misfit = fits({**reserves, **stated}, dict.fromkeys(map(str, range(self.size)), capacity))
+        misfit = find_shortfall({**reserves, **stated}, dict.fromkeys(map(str, range(self.size)), capacity))
         return f"with {self.size} heads {misfit}" if misfit is not None else ""
 
     def reserved(self) -> dict[str, float]:
@@ -57,7 +57,7 @@
         return {
             one.name: one.shares.reserve
             for one in found
-            if one.shares.reserve and one.state in (State.ACTIVE, State.SUSPENDED)
+            if one.shares.reserve and one.state in (TenantState.ACTIVE, TenantState.SUSPENDED)
         }
 
     def leased(self, head: str, figures: Mapping[str, float]) -> list[bytes]:
@@ -76,7 +76,7 @@
         }
         lease = self.allotment.answer(
             self.now_us(),
-            LeaseAsk(head, heads, process, asked, held, demand),
+            LeaseRequest(head, heads, process, asked, held, demand),
             {**self.reserved(), **self.reserves[1]},
             self.reserves[2],
             self.here(),
@@ -101,12 +101,15 @@
         self.told.set()
         snapshot = self.target()
         promised, capacity = reserves_of(row[2] for row in snapshot.rows.values()) if snapshot else ({}, 0.0)
-        if capacity and (misfit := fits(promised, dict.fromkeys(map(str, range(heads)), capacity))) is not None:
+        if (
+            capacity
+            and (misfit := find_shortfall(promised, dict.fromkeys(map(str, range(heads)), capacity))) is not None
+        ):
             self.log(f"the version in force promises too much: with {heads} heads {misfit}")
 
     async def check(self, promised: Mapping[str, float], capacity: float) -> None:
         """Refuse what cannot be kept, with the proof; what one head keeps needs no count of them."""
-        if not capacity or fits(promised, {"one": capacity}) is None:
+        if not capacity or find_shortfall(promised, {"one": capacity}) is None:
             return
         if not self.size:
             with contextlib.suppress(TimeoutError):
@@ -117,7 +120,7 @@
                 "no head has told yet how many there are, and one alone cannot keep these reserves: "
                 "connect a head, then push again"
             )
-        if (misfit := fits(promised, dict.fromkeys(map(str, range(self.size)), capacity))) is not None:
+        if (misfit := find_shortfall(promised, dict.fromkeys(map(str, range(self.size)), capacity))) is not None:
             raise StoreError(f"with {self.size} heads {misfit}")
 
 
--- a/hophinge/control/streams.py
+++ b/hophinge/control/streams.py
@@ -15,7 +15,7 @@
 from hophinge.control.tokens import bearer
 from hophinge.control.wire import Kind, Response
 from hophinge.state.ledger import LedgerError
-from hophinge.tenancy.account_replication import PART, Feed
+from hophinge.tenancy.account_replication import CHUNK_ROWS, AccountSender
 
 if TYPE_CHECKING:
     from hophinge.control.service import ControlService
@@ -31,7 +31,7 @@
 
     def __init__(self, parts: Parts) -> None:
         self.publisher = Publisher(parts)
-        self.feed: Feed | None = None  # of accounts, where its head asked for them
+        self.feed: AccountSender | None = None  # of accounts, where its head asked for them
         self.speaks = False  # of permits; a head that has not said so is never told of them
         self.queue: asyncio.Queue[bytes | None] = asyncio.Queue()
 
@@ -69,7 +69,7 @@
             if name and self.service.streams.get(name) is stream:
                 del self.service.streams[name]
                 self.service.rollout.gone(name, self.service.now_us())
-                self.service.shares.allotment.demand.gone(name)
+                self.service.shares.allotment.demand.forget(name)
                 self.service.upkeep.gone(name)
 
     async def _read(self, stream: Stream, requests: AsyncIterator[bytes]) -> None:
@@ -116,7 +116,7 @@
             stream.send([wire.encode_response(Response(Kind.USAGE, request.nonce))])
         elif request.subscribe:
             figures = request.figures
-            stream.feed = Feed(
+            stream.feed = AccountSender(
                 ledger.epoch,
                 ledger.seq,
                 ledger.tombstone_floor(),
@@ -125,15 +125,15 @@
             )
             self.feed(stream)
         elif stream.feed is not None and request.nonce.count(".") == 1:
-            stream.feed.acked(wire.order_of(request.nonce)[1])
+            stream.feed.acknowledge(wire.order_of(request.nonce)[1])
             self.feed(stream)
 
     def feed(self, stream: Stream) -> None:
         """Send a head what it lacks of the accounts."""
         feed, ledger = stream.feed, self.service.ledger
-        if feed is not None and ledger is not None and feed.due(ledger.seq, ledger.tombstone_floor()):
-            rows = ledger.page(feed.seq, PART, feed.gone_after)
-            stream.send([wire.account_part(feed.part(rows, ledger.seq))])
+        if feed is not None and ledger is not None and feed.needs_chunk(ledger.seq, ledger.tombstone_floor()):
+            rows = ledger.page(feed.seq, CHUNK_ROWS, feed.removed_after_seq)
+            stream.send([wire.account_part(feed.next_chunk(rows, ledger.seq))])
 
     def _happened(self, stream: Stream, event: Subscribed | Acked | TurnedDown) -> None:
         name, now = stream.publisher.head, self.service.now_us()
--- a/hophinge/control/wire.py
+++ b/hophinge/control/wire.py
@@ -18,7 +18,7 @@
 from msgspec import Struct
 
 from hophinge.state.rows import Row
-from hophinge.tenancy.account_replication import Part
+from hophinge.tenancy.account_replication import AccountChunk
 
 Order = tuple[int, int]  # of a version: epoch and number
 
@@ -251,9 +251,9 @@
         yield tuple(part)
 
 
-def account_part(part: Part) -> bytes:
+def account_part(part: AccountChunk) -> bytes:
     """Write a part of the accounts: rows by kind and name, the nonce tells where it belongs."""
-    flags = ("a" if part.anew else "-") + ("f" if part.first else "-") + ("l" if part.last else "-")
+    flags = ("a" if part.replaces_all else "-") + ("f" if part.is_first else "-") + ("l" if part.is_last else "-")
     return encode_response(
         Response(
             Kind.ACCOUNT,
@@ -268,7 +268,7 @@
     )
 
 
-def read_account_part(response: Response) -> Part:
+def read_account_part(response: Response) -> AccountChunk:
     """Read a part of the accounts."""
     try:
         epoch, seq, flags = response.nonce.split(".")
@@ -279,6 +279,6 @@
         for one in response.removed:
             number, kind, name = one.split("/", 2)
             rows.append(Row(kind, name, None, int(number)))
-        return Part(int(epoch), int(seq), flags[0] == "a", flags[1] == "f", flags[2] == "l", tuple(rows))
+        return AccountChunk(int(epoch), int(seq), flags[0] == "a", flags[1] == "f", flags[2] == "l", tuple(rows))
     except (ValueError, IndexError, TypeError) as error:
         raise WireError(f"a part of the accounts that cannot be read: {error}") from error
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -21,8 +21,8 @@
 from hophinge.state.ledger import LedgerError
 from hophinge.state.rows import AuditEntry, LedgerChange
 from hophinge.tenancy import usage as used
-from hophinge.tenancy.caller_rate_limits import Callers, Holdings
-from hophinge.tenancy.lifecycle import State
+from hophinge.tenancy.caller_rate_limits import CallerRateLimits, ConcurrencyQuota
+from hophinge.tenancy.lifecycle import TenantState
 
 FLUSH_S = 1.0  # of usage; a killed head loses what came since
 MAX_SWEPT = 50  # uploads whose state is looked up when a tenant has its most
@@ -63,8 +63,8 @@
         self.front: ObjectFront | None = None
         self.store: Store | None = None
         self.tenant_ended: Callable[[str], None] = lambda tenant: None  # told of one that is served no more
-        self.connections, self.requests = Holdings(), Holdings()
-        self.guesses = Callers(GUESSES_S, GUESSES_BURST)
+        self.connections, self.requests = ConcurrencyQuota(), ConcurrencyQuota()
+        self.guesses = CallerRateLimits(GUESSES_S, GUESSES_BURST)
         if old is not None and not copy and not self.ledger.seq and old.exists():
             self._take_over(old)
         self.started = True
@@ -79,9 +79,9 @@
         self.ledger.change(decide)
         self.log(f"{len(rows)} rows of {old} are taken over into {self.ledger.path}; the file is not read again")
 
-    def _became(self, tenant: str, state: State | None) -> None:
+    def _became(self, tenant: str, state: TenantState | None) -> None:
         """Answer what waits of a tenant that is served no more; its keys are valid no more already."""
-        if self.started and state is not State.ACTIVE:
+        if self.started and state is not TenantState.ACTIVE:
             if self.front is not None:
                 self.front.end_tenant(tenant)
             self.tenant_ended(tenant)
@@ -106,7 +106,7 @@
         if held is None:
             # The same for another tenant's bucket as for none at all.
             raise ObjectError(404, "NoSuchBucket", "The bucket does not exist.")
-        if not self.connections.take(key.tenant, connection, quotas.connections) or not self.requests.take(
+        if not self.connections.acquire(key.tenant, connection, quotas.connections) or not self.requests.acquire(
             key.tenant, request, quotas.requests
         ):
             self.count(key.tenant, held.id, used.REFUSED, 1)
@@ -118,8 +118,8 @@
 
     def dropped(self, holder: object) -> None:
         """Note the end of a connection or request."""
-        self.connections.drop(holder)
-        self.requests.drop(holder)
+        self.connections.release(holder)
+        self.requests.release(holder)
         if self.forms is not None:
             self.forms.dropped(holder)
 
@@ -177,8 +177,8 @@
         held = self.accounts.tenants.get(tenant)
         if (
             held is None
-            or held.state is not State.ACTIVE
-            or not self.connections.take(tenant, connection, held.quotas.connections)
+            or held.state is not TenantState.ACTIVE
+            or not self.connections.acquire(tenant, connection, held.quotas.connections)
         ):
             self.counters.add("tenants_bounded")
             return False
@@ -215,7 +215,7 @@
             await asyncio.sleep(FLUSH_S)
             for tenant in self.ledger.tenants_with_uploads():
                 held = self.accounts.tenants.get(tenant)
-                if held is None or held.state in (State.CLOSING, State.CLOSED):
+                if held is None or held.state in (TenantState.CLOSING, TenantState.CLOSED):
                     try:
                         await self.abort(tenant)
                     except Exception as error:  # bricks refuse or are away: the next turn tries again
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -12,9 +12,9 @@
 from hophinge.state.ledger import Ledger, LedgerError
 from hophinge.tenancy import usage as used
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.account_replication import Part, Taker
-from hophinge.tenancy.lifecycle import State
-from hophinge.tenancy.slewed_clock import Timekeeper
+from hophinge.tenancy.account_replication import AccountChunk, AccountReceiver
+from hophinge.tenancy.lifecycle import TenantState
+from hophinge.tenancy.slewed_clock import SlewedClock
 
 CLOCK_OFF_MS = 60_000  # staff hear of a clock that is further off
 OUTCOME = {2: used.SERVED, 3: used.SERVED, 4: used.FAILED, 5: used.FAILED}
@@ -30,23 +30,23 @@
         copy: bool,
         counters: Counters,
         log: Callable[[str], None],
-        became: Callable[[str, State | None], None],
+        became: Callable[[str, TenantState | None], None],
     ) -> None:
         self.counters, self.log, self.copy = counters, log, copy
         self.accounts = Accounts(became)
-        self.ledger = Ledger(path, self.accounts.take)
-        self.time, self.clock_told = Timekeeper(wall_ms(), steady_us(), self.ledger.last_change_ms()), False
-        self.usage, self.reports, self.exported = used.Usage(), used.Reports(), used.Exported()
+        self.ledger = Ledger(path, self.accounts.apply)
+        self.time, self.clock_told = SlewedClock(wall_ms(), steady_us(), self.ledger.last_change_ms()), False
+        self.usage, self.reports, self.exported = used.UsageCounter(), used.UsageReports(), used.LabelledTotals()
 
     def now_ms(self) -> int:
         """Tell the time that keys end by."""
         now = self.time.now_ms(wall_ms(), steady_us())
-        off = abs(self.time.off_ms(wall_ms())) > CLOCK_OFF_MS
+        off = abs(self.time.wall_clock_ahead_ms(wall_ms())) > CLOCK_OFF_MS
         if off is not self.clock_told:
             self.clock_told = off
             self.log(
-                f"the clock is {self.time.off_ms(wall_ms()) / 1000:.0f} s from the time that keys end by; it is "
-                "followed slowly"
+                f"the clock is {self.time.wall_clock_ahead_ms(wall_ms()) / 1000:.0f} s from the time that keys end by; "
+                "it is followed slowly"
                 if off
                 else "the clock is followed again"
             )
@@ -80,32 +80,32 @@
 
     def flush(self) -> None:
         """Store what was counted; what cannot be stored now comes with the next flush."""
-        amounts = self.usage.flush()
+        amounts = self.usage.begin_flush()
         try:
             if amounts:
                 self.ledger.add_usage(HERE, amounts)
-            self.usage.stored()
+            self.usage.commit_flush()
             if self.copy:
-                self.reports.changed(amounts)
+                self.reports.add(amounts)
         except LedgerError as error:
-            self.usage.failed()
+            self.usage.abort_flush()
             self.counters.add("usage_not_stored")
             if self.counters.counts["usage_not_stored"] == 1:
                 self.log(f"usage waits to be stored: {error}")
 
-    def copied(self, taker: Taker, part: Part) -> bool:
+    def copied(self, taker: AccountReceiver, part: AccountChunk) -> bool:
         """Write a part of the control service's accounts; False: it could not be, and is to be tried again."""
-        rows = taker.take(part)
+        rows = taker.receive(part)
         if rows is not None:
             try:
                 self.ledger.replicate(part.epoch, rows[0], part.seq, rows[1], self.now_ms())
             except LedgerError as error:
                 self.log(f"accounts are not written yet: {error}")
                 return False
-            taker.written(part)
+            taker.commit(part)
         return True
 
-    def report(self, most: int) -> tuple[int, Mapping[used.Place, float]]:
+    def report(self, most: int) -> tuple[int, Mapping[used.UsageKey, float]]:
         """Tell totals that the control service does not know yet, under a number."""
-        number, places = self.reports.take(most)
+        number, places = self.reports.next_report(most)
         return number, self.ledger.reporter_totals(HERE, places)
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -19,9 +19,9 @@
 from hophinge.head.operator import StreamConfig
 from hophinge.routing.router import Router
 from hophinge.routing.table import Facts, Table
-from hophinge.tenancy.caller_rate_limits import Holdings
-from hophinge.tenancy.account_replication import Part, Taker
-from hophinge.tenancy.share_leases import Holder, Lease
+from hophinge.tenancy.caller_rate_limits import ConcurrencyQuota
+from hophinge.tenancy.account_replication import AccountChunk, AccountReceiver
+from hophinge.tenancy.share_leases import ShareLeaseHolder, ShareLease
 
 if TYPE_CHECKING:
     from hophinge.head.accounts import HeadAccounts
@@ -66,7 +66,7 @@
             int(config.silence_s * 1e6),
             int(config.stale_s * 1e6),
         )
-        self.holder = Holder(exchange.settings.gateways, secrets.randbits(48), exchange.now_us())
+        self.holder = ShareLeaseHolder(exchange.settings.gateways, secrets.randbits(48), exchange.now_us())
         self.demand_since = exchange.now_us()
         path = config.folder / f"last-good-{re.sub(r'[^0-9A-Za-z-]', '_', name)}.state"
         self.client = Client(
@@ -100,17 +100,17 @@
 
     def part(self, tenant: str) -> float:
         """Tell this head's part of a tenant's reserve."""
-        return self.holder.share(tenant, self.exchange.now_us()) if self._leases() else self.holder.even
+        return self.holder.share(tenant, self.exchange.now_us()) if self._leases() else self.holder.even_share
 
     def ask_lease(self) -> dict[str, float]:
         """Tell the figures of an ask for shares; none where the version in force has no leases."""
         if not self._leases() or self.router.admission is None:
             return {}
         now = self.exchange.now_us()
-        asked, held = self.holder.ask(now)
+        asked, held = self.holder.next_request(now)
         span_s, self.demand_since = max(0.1, (now - self.demand_since) / 1e6), now
         # The largest are told; for the others the even part will do.
-        largest = sorted(self.router.admission.demand().items(), key=lambda row: -row[1])[:MAX_TOLD]
+        largest = sorted(self.router.admission.take_demand().items(), key=lambda row: -row[1])[:MAX_TOLD]
         return {
             "heads": self.exchange.settings.gateways,
             "process": self.holder.process,
@@ -122,7 +122,7 @@
 
     def take_lease(self, json: bytes) -> None:
         """Take a lease off the stream."""
-        self.holder.take(self.exchange.now_us(), msgspec.json.decode(json, type=Lease))
+        self.holder.accept(self.exchange.now_us(), msgspec.json.decode(json, type=ShareLease))
 
     def apply(self, table: Table) -> None:
         """Put a version in force: one step between two turns of the loop."""
@@ -173,7 +173,7 @@
 
     def __init__(self, router: Router, counters: Counters) -> None:
         self.router, self.counters = router, counters
-        self.held = Holdings()
+        self.held = ConcurrencyQuota()
 
     def owner(self, volume: str) -> str:
         """Tell the tenant of a volume, or nothing."""
@@ -182,7 +182,7 @@
     def admits(self, connection: object, volume: str) -> bool:
         """Tell whether a request of a volume may come over a connection."""
         form = self.router.table.tenants.get(self.owner(volume))
-        if form is None or self.held.take(form.name, connection, form.connections):
+        if form is None or self.held.acquire(form.name, connection, form.connections):
             return True
         self.counters.add("tenants_bounded")
         return False
@@ -192,7 +192,7 @@
 
     def dropped(self, holder: object) -> None:
         """Note the end of a connection."""
-        self.held.drop(holder)
+        self.held.release(holder)
 
 
 class Copied:
@@ -200,15 +200,15 @@
 
     def __init__(self, accounts: HeadAccounts, name: str) -> None:
         self.accounts, self.name = accounts, name
-        self.taker = Taker(accounts.ledger.epoch, accounts.ledger.seq)
-        self.owed: Part | None = None  # taken off the stream, and not written yet
+        self.taker = AccountReceiver(accounts.ledger.epoch, accounts.ledger.seq)
+        self.owed: AccountChunk | None = None  # taken off the stream, and not written yet
         self.ack: list[wire.Request] = []
 
     def greet(self) -> list[wire.Request]:
         """Say what is held; whatever was on its way comes anew."""
         self.owed, self.ack = None, []
-        self.taker.begin()
-        self.accounts.reports.lost()
+        self.taker.discard_staged()
+        self.accounts.reports.retry_unacknowledged()
         return [
             wire.Request(
                 wire.Kind.ACCOUNT,
@@ -221,7 +221,7 @@
     def take(self, response: wire.Response) -> None:
         """Take a part of the accounts, or the acknowledgement of a report."""
         if response.kind is wire.Kind.USAGE:
-            self.accounts.reports.acknowledged(int(response.nonce))
+            self.accounts.reports.acknowledge(int(response.nonce))
         else:
             self.owed = wire.read_account_part(response)
 
@@ -232,7 +232,7 @@
             self.owed = None
             self.ack.append(wire.Request(wire.Kind.ACCOUNT, f"{part.epoch}.{part.seq}", head=self.name))
         said, self.ack = self.ack, []
-        if beat and self.accounts.reports.due:
+        if beat and self.accounts.reports.unreported:
             number, totals = self.accounts.report(MAX_TOLD)
             said.append(
                 wire.Request(
--- a/hophinge/maintenance/observations.py
+++ b/hophinge/maintenance/observations.py
@@ -12,7 +12,7 @@
 from hophinge.maintenance.permits import Floor, Sighting
 from hophinge.maintenance.messages import Listed, Report
 from hophinge.routing.records import Pool, Record, Route, Spare, Tenant
-from hophinge.tenancy.share_planner import fits
+from hophinge.tenancy.share_planner import find_shortfall
 
 REMEMBER_US = 3_600_000_000  # a brick that all lists have lost is out for an hour, then it was taken away for good
 
@@ -82,7 +82,7 @@
     """Tell how many members of one capacity carry reserves, at least `least`."""
     total = sum(reserves.values())
     count = max(least, math.ceil(total / capacity - 1e-9) if capacity > 0 else 0)
-    while capacity > 0 and fits(reserves, dict.fromkeys(map(str, range(count)), capacity)) is not None:
+    while capacity > 0 and find_shortfall(reserves, dict.fromkeys(map(str, range(count)), capacity)) is not None:
         count += 1
     return count
 
--- a/hophinge/objects/tenants.py
+++ b/hophinge/objects/tenants.py
@@ -10,8 +10,8 @@
 
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.records import Account, Bucket, Key, row
-from hophinge.tenancy.lifecycle import State
+from hophinge.tenancy.records import Account, Bucket, Key, row_of
+from hophinge.tenancy.lifecycle import TenantState
 
 
 class Volume(msgspec.Struct, frozen=True):
@@ -80,24 +80,24 @@
     """Read the old file as rows; raises OSError and msgspec's errors."""
     rows: list[Row] = []
     for name, old in msgspec.json.decode(path.read_bytes(), type=OldFile).tenants.items():
-        state = State.SUSPENDED if old.disabled else State.ACTIVE
-        rows.append(row(Account(name, state, made_ms=now_ms)))
-        rows += [row(Key(name, key.id, key.digest, made_ms=now_ms)) for key in old.keys]
-        rows += [row(Bucket(name, bucket, one.id, one.plan, now_ms)) for bucket, one in old.volumes.items()]
+        state = TenantState.SUSPENDED if old.disabled else TenantState.ACTIVE
+        rows.append(row_of(Account(name, state, made_ms=now_ms)))
+        rows += [row_of(Key(name, key.id, key.digest, made_ms=now_ms)) for key in old.keys]
+        rows += [row_of(Bucket(name, bucket, one.id, one.plan, now_ms)) for bucket, one in old.volumes.items()]
     return rows
 
 
 def export(rows: Iterable[Row]) -> bytes:
     """Write accounts as the old file has them; what it has no place for is left out, as are keys that end."""
     accounts = Accounts()
-    accounts.take(rows)
+    accounts.apply(rows)
     found = OldFile()
     for name, held in sorted(accounts.tenants.items()):
-        if held.state in (State.ACTIVE, State.SUSPENDED):
-            keys = [accounts.keys[key] for key in sorted(accounts.keys_of.get(name, ()))]
+        if held.state in (TenantState.ACTIVE, TenantState.SUSPENDED):
+            keys = [accounts.keys[key] for key in sorted(accounts.key_ids.get(name, ()))]
             found.tenants[name] = OldTenant(
                 name,
-                held.state is State.SUSPENDED,
+                held.state is TenantState.SUSPENDED,
                 [OldKey(key.id, key.digest) for key in keys if not key.ends_ms and key.role.value == "data"],
                 {bucket: Volume(one.id, one.plan) for bucket, one in sorted(accounts.buckets.get(name, {}).items())},
             )
--- a/hophinge/routing/router.py
+++ b/hophinge/routing/router.py
@@ -20,14 +20,14 @@
 from hophinge.routing.table import EMPTY, Table
 from hophinge.routing.views import Level, Views
 from hophinge.tenancy.records import Account
-from hophinge.tenancy.admission import Admission, Ask, Shares, Spare, Verdict
+from hophinge.tenancy.admission import Admission, AdmissionRequest, TenantShares, SpareCapacity, AdmissionDecision
 
 ERRORS = frozenset({Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET})
 JUDGED = ERRORS | {Result.OK}  # FULL, CANCELLED and MOOT tell nothing of a brick's soundness
 NO_BACKENDS_US = 500_000  # advice where no brick of a request's pools is live
 ALL: tuple[str, ...] = ()  # the pools of a request without a route: every brick
 PATIENCE = 0.2  # part of its time that a request waits for a turn at most; the module holds it too
-NO_SHARES = Shares()
+NO_SHARES = TenantShares()
 
 
 class Router:
@@ -69,20 +69,22 @@
         if table.spare is None:
             if self.admission is not None:
                 # Nobody waits for a turn that nobody gives any more.
-                self.admission.spare = Spare(float("inf"), 1)
+                self.admission.spare_capacity = SpareCapacity(float("inf"), 1)
             return
-        spare = Spare(table.spare.depth, table.spare.wait_us, table.spare.queue)
+        spare = SpareCapacity(table.spare.depth, table.spare.wait_us, table.spare.queue)
         if self.admission is None:
             self.admission = Admission(self._shares, spare, self.settings.most_units)
-        self.admission.spare = spare
+        self.admission.spare_capacity = spare
 
-    def _shares(self, tenant: str) -> Shares:
+    def _shares(self, tenant: str) -> TenantShares:
         """Tell what a tenant may count on here: this head's part of its reserve."""
         form = self.table.tenants.get(tenant)
         if form is None:
             held = self.account(tenant)
-            return NO_SHARES if held is None else Shares(held.shares.reserve * self.part(tenant), held.shares.weight)
-        return Shares(form.reserve * self.part(tenant), form.weight, form.queue)
+            return (
+                NO_SHARES if held is None else TenantShares(held.shares.reserve * self.part(tenant), held.shares.weight)
+            )
+        return TenantShares(form.reserve * self.part(tenant), form.weight, form.queue)
 
     def plans(self) -> tuple[PlatformPlan, ...]:
         """Tell the platform's plans with what the version lowers."""
@@ -136,12 +138,12 @@
         ticket, waits = None, False
         if self.admission is not None and table.spare is not None:
             verdict, ticket, wait_us = self.admission.arrive(now_us, self._ask(ask, tenant, volume))
-            if verdict is Verdict.REFUSED:
+            if verdict is AdmissionDecision.REJECTED:
                 for state in states:
                     state.give_back(ask.units)
                 self.refused_share += 1
                 return wait_us
-            waits = verdict is Verdict.WAITS
+            waits = verdict is AdmissionDecision.QUEUED
         pool = level.pool.name if level.pool is not None else ""
         if route is not None and pool != route.pools[0]:
             self.spilled += 1
@@ -160,10 +162,10 @@
             return Waits(made)
         return made
 
-    def _ask(self, ask: Arrival, tenant: str, volume: str) -> Ask:
+    def _ask(self, ask: Arrival, tenant: str, volume: str) -> AdmissionRequest:
         plan, klass = self.lowered[ask.plan], self.settings.classes[ask.klass]
         heads = ask.gateways if ask.gateways > 0 else self.settings.gateways
-        return Ask(
+        return AdmissionRequest(
             tenant,
             volume,
             ask.units,
@@ -177,19 +179,19 @@
         """Tell which requests wait no longer: 0 where one is let in, else after how long it may come again."""
         if self.admission is None:
             return []
-        done = [(self.passes.pop(id(ticket), None), wait_us) for ticket, wait_us in self.admission.turn(now_us)]
+        done = [(self.passes.pop(id(ticket), None), wait_us) for ticket, wait_us in self.admission.dispatch(now_us)]
         self.refused_share += sum(wait_us > 0 for _, wait_us in done)
         # Of one whose tenant has ended the client may have left since.
         return [(made.name, wait_us) for made, wait_us in done if made is not None]
 
     def end(self, tenant: str) -> bool:
         """Have all that wait of a tenant turned away at the next turn; tells whether there were any."""
-        return self.admission is not None and self.admission.end(tenant)
+        return self.admission is not None and self.admission.evict_tenant(tenant)
 
     @property
     def due_us(self) -> int:
         """Tell when `turn` is to be called at the latest; 0: nothing waits."""
-        return self.admission.due_us if self.admission is not None else 0
+        return self.admission.next_deadline_us if self.admission is not None else 0
 
     def pause_us(self, now_us: int, volume: str, klass: str, way: int, size: int) -> int:
         """Count bytes of a long body, 0 in or 1 out, and tell for how long to move no more of it."""
@@ -218,7 +220,7 @@
         assert isinstance(bounds, Pass)
         if bounds.ticket is not None and self.admission is not None:
             self.passes.pop(id(bounds.ticket), None)
-            self.admission.left(now_us, bounds.ticket)
+            self.admission.finish(now_us, bounds.ticket)
         for state in bounds.states:
             state.release(now_us - bounds.since)
         self.open[bounds.pool] -= 1
@@ -231,17 +233,17 @@
 
     def usage(self, most: int, now_us: int) -> dict[str, Any]:
         """Tell what the busiest tenants got at this head and which of their volumes owe; of the rest, the sum."""
-        accounts = self.admission.accounts if self.admission is not None else {}
+        accounts = self.admission.tenants if self.admission is not None else {}
         rows = sorted(accounts.items(), key=lambda row: -(row[1].usage.reserved + row[1].usage.spare))
         told = {
             name or "(none)": {
                 "reserve": round(self._shares(name).reserve, 3),
                 "reserved_units": round(account.usage.reserved, 3),
                 "spare_units": round(account.usage.spare, 3),
-                "lent_units": round(account.reserve.lent, 3),
-                "debts": {volume: round(units, 3) for volume, units in account.reserve.owed(now_us).items()},
-                "refused": account.usage.refused,
-                "waiting": account.waiting,
+                "lent_units": round(account.reserve.lent_units, 3),
+                "debts": {volume: round(units, 3) for volume, units in account.reserve.loans(now_us).items()},
+                "refused": account.usage.rejected,
+                "waiting": account.queued_requests,
                 "waited_us": account.usage.waited_us,
             }
             for name, account in rows[:most]
@@ -252,7 +254,7 @@
             "others": {
                 "tenants": len(rest),
                 "units": round(sum(one.usage.reserved + one.usage.spare for _, one in rest), 3),
-                "refused": sum(one.usage.refused for _, one in rest),
+                "refused": sum(one.usage.rejected for _, one in rest),
             },
         }
 
--- a/hophinge/tenancy/caller_rate_limits.py
+++ b/hophinge/tenancy/caller_rate_limits.py
@@ -8,23 +8,23 @@
 
 from collections import OrderedDict
 
-from hophinge.tenancy.reserve import Bucket
+from hophinge.tenancy.reserve import TokenBucket
 
 MAX_CALLERS = 4096
 
 
-class Callers:
+class CallerRateLimits:
     """A bucket of calls for each caller; the oldest are forgotten, and then begin with a full one."""
 
-    def __init__(self, rate: float, burst: float, most: int = MAX_CALLERS) -> None:
-        self.rate, self.burst, self.most = rate, burst, most
-        self.buckets: OrderedDict[str, Bucket] = OrderedDict()
+    def __init__(self, rate: float, burst: float, max_callers: int = MAX_CALLERS) -> None:
+        self.rate, self.burst, self.max_callers = rate, burst, max_callers
+        self.buckets: OrderedDict[str, TokenBucket] = OrderedDict()
 
-    def _bucket(self, caller: str, now_us: int) -> Bucket:
+    def _bucket(self, caller: str, now_us: int) -> TokenBucket:
         bucket = self.buckets.get(caller)
         if bucket is None:
-            bucket = self.buckets[caller] = Bucket(self.rate, self.burst, now_us)
-            while len(self.buckets) > self.most:
+            bucket = self.buckets[caller] = TokenBucket(self.rate, self.burst, now_us)
+            while len(self.buckets) > self.max_callers:
                 self.buckets.popitem(last=False)
         else:
             self.buckets.move_to_end(caller)
@@ -49,28 +49,28 @@
         return wait
 
 
-class Holdings:
+class ConcurrencyQuota:
     """What tenants hold at a head that lasts longer than a request: connections, open object requests."""
 
     def __init__(self) -> None:
-        self.held: dict[str, int] = {}
-        self.holders: dict[object, str] = {}
+        self.open_counts: dict[str, int] = {}
+        self.owners: dict[object, str] = {}
 
-    def take(self, tenant: str, holder: object, most: int) -> bool:
+    def acquire(self, tenant: str, resource: object, limit: int) -> bool:
         """Let a holder stand for a tenant, and no longer for another; False: the tenant holds its most already."""
-        if self.holders.get(holder) == tenant:
+        if self.owners.get(resource) == tenant:
             return True
-        if most and self.held.get(tenant, 0) >= most:
+        if limit and self.open_counts.get(tenant, 0) >= limit:
             return False
-        self.drop(holder)
-        self.holders[holder] = tenant
-        self.held[tenant] = self.held.get(tenant, 0) + 1
+        self.release(resource)
+        self.owners[resource] = tenant
+        self.open_counts[tenant] = self.open_counts.get(tenant, 0) + 1
         return True
 
-    def drop(self, holder: object) -> None:
+    def release(self, resource: object) -> None:
         """Note a holder's end."""
-        tenant = self.holders.pop(holder, None)
+        tenant = self.owners.pop(resource, None)
         if tenant is not None:
-            self.held[tenant] -= 1
-            if not self.held[tenant]:
-                del self.held[tenant]
+            self.open_counts[tenant] -= 1
+            if not self.open_counts[tenant]:
+                del self.open_counts[tenant]
--- a/hophinge/tenancy/lifecycle.py
+++ b/hophinge/tenancy/lifecycle.py
@@ -10,10 +10,10 @@
 
 from msgspec import Struct
 
-BATCH = 500  # rows that one step removes
+PURGE_BATCH_ROWS = 500  # rows that one step removes
 
 
-class State(Enum):
+class TenantState(Enum):
     """Where a tenant stands."""
 
     ACTIVE = "active"
@@ -22,7 +22,7 @@
     CLOSED = "closed"  # nothing is left; its name may be taken anew
 
 
-class Wish(Enum):
+class TenantAction(Enum):
     """What somebody wants to become of a tenant."""
 
     SUSPEND = "suspend"
@@ -31,24 +31,24 @@
     PURGED = "purged"  # said by the purge alone, at its end
 
 
-STEPS = {
-    (State.ACTIVE, Wish.SUSPEND): State.SUSPENDED,
-    (State.SUSPENDED, Wish.SUSPEND): State.SUSPENDED,
-    (State.ACTIVE, Wish.RESUME): State.ACTIVE,
-    (State.SUSPENDED, Wish.RESUME): State.ACTIVE,
-    (State.ACTIVE, Wish.CLOSE): State.CLOSING,
-    (State.SUSPENDED, Wish.CLOSE): State.CLOSING,
-    (State.CLOSING, Wish.CLOSE): State.CLOSING,
-    (State.CLOSING, Wish.PURGED): State.CLOSED,
+TRANSITIONS = {
+    (TenantState.ACTIVE, TenantAction.SUSPEND): TenantState.SUSPENDED,
+    (TenantState.SUSPENDED, TenantAction.SUSPEND): TenantState.SUSPENDED,
+    (TenantState.ACTIVE, TenantAction.RESUME): TenantState.ACTIVE,
+    (TenantState.SUSPENDED, TenantAction.RESUME): TenantState.ACTIVE,
+    (TenantState.ACTIVE, TenantAction.CLOSE): TenantState.CLOSING,
+    (TenantState.SUSPENDED, TenantAction.CLOSE): TenantState.CLOSING,
+    (TenantState.CLOSING, TenantAction.CLOSE): TenantState.CLOSING,
+    (TenantState.CLOSING, TenantAction.PURGED): TenantState.CLOSED,
 }
 
 
-def step(state: State, wish: Wish) -> State | None:
+def next_state(state: TenantState, action: TenantAction) -> TenantState | None:
     """Tell the state that a wish leads to; None where it cannot be granted."""
-    return STEPS.get((state, wish))
+    return TRANSITIONS.get((state, action))
 
 
-class EndKeys(Struct, frozen=True):
+class RevokeKeys(Struct, frozen=True):
     """Remove these keys; none is taken from the moment the tenant was closing, whether removed or not."""
 
     keys: tuple[str, ...]
@@ -58,22 +58,24 @@
     """Abort what uploads are still open."""
 
 
-class DropVolumes(Struct, frozen=True):
+class RemoveBuckets(Struct, frozen=True):
     """Remove these buckets; their volumes' ids are never given again."""
 
     buckets: tuple[str, ...]
 
 
-class Done(Struct, frozen=True):
+class PurgeComplete(Struct, frozen=True):
     """Nothing is left."""
 
 
-def purge(keys: list[str], uploads_open: int, buckets: list[str]) -> EndKeys | AbortUploads | DropVolumes | Done:
+def next_purge_step(
+    keys: list[str], open_uploads: int, buckets: list[str]
+) -> RevokeKeys | AbortUploads | RemoveBuckets | PurgeComplete:
     """Tell the next step of a closing tenant, by what is left of it: keys first, then uploads, then volumes."""
     if keys:
-        return EndKeys(tuple(sorted(keys)[:BATCH]))
-    if uploads_open:
+        return RevokeKeys(tuple(sorted(keys)[:PURGE_BATCH_ROWS]))
+    if open_uploads:
         return AbortUploads()
     if buckets:
-        return DropVolumes(tuple(sorted(buckets)[:BATCH]))
-    return Done()
+        return RemoveBuckets(tuple(sorted(buckets)[:PURGE_BATCH_ROWS]))
+    return PurgeComplete()
--- a/hophinge/tenancy/records.py
+++ b/hophinge/tenancy/records.py
@@ -11,14 +11,14 @@
 
 from hophinge.core.errors import HophingeError
 from hophinge.state.rows import Row
-from hophinge.tenancy.lifecycle import State
+from hophinge.tenancy.lifecycle import TenantState
 
-NAME = re.compile(r"[a-z0-9](?:[a-z0-9.-]{1,61})[a-z0-9]", re.ASCII)
-KEY = re.compile(r"hk[0-9a-f]{16}", re.ASCII)
-LONGEST_NOTE = 200  # characters
+NAME_PATTERN = re.compile(r"[a-z0-9](?:[a-z0-9.-]{1,61})[a-z0-9]", re.ASCII)
+KEY_ID_PATTERN = re.compile(r"hk[0-9a-f]{16}", re.ASCII)
+MAX_NOTE_CHARACTERS = 200  # characters
 MAX_KEYS, MAX_VOLUMES, MAX_UPLOADS = 50, 1000, 1000  # of a tenant, unless its quotas say otherwise
-LONGEST_OVERLAP_S = 7 * 24 * 3600  # that an old key may live on beside the one that replaces it
-TENANT, BUCKET, ACCESS = "tenant", "bucket", "key"  # kinds of rows
+MAX_OVERLAP_S = 7 * 24 * 3600  # that an old key may live on beside the one that replaces it
+TENANT_KIND, BUCKET_KIND, KEY_KIND = "tenant", "bucket", "key"  # kinds of rows
 
 
 class AccountError(HophingeError):
@@ -71,7 +71,7 @@
     """One tenant; `seq` of each row is the change that it had last, and its version to whoever changes it."""
 
     name: str
-    state: State = State.ACTIVE
+    state: TenantState = TenantState.ACTIVE
     quotas: Quotas = Quotas()
     shares: Shares = Shares()
     made_ms: int = 0
@@ -99,39 +99,39 @@
     ends_ms: int = 0  # 0: never
     note: str = ""
 
-    def ended(self, now_ms: int) -> bool:
+    def has_expired(self, now_ms: int) -> bool:
         """Tell whether it has expired."""
         return 0 < self.ends_ms <= now_ms
 
 
-KINDS: dict[str, type[Account | Bucket | Key]] = {TENANT: Account, BUCKET: Bucket, ACCESS: Key}
+RECORD_TYPES: dict[str, type[Account | Bucket | Key]] = {TENANT_KIND: Account, BUCKET_KIND: Bucket, KEY_KIND: Key}
 
 
-def digest(secret: str) -> str:
+def digest_of(secret: str) -> str:
     """Digest a secret; it is random and long, so one round of a plain hash is enough."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
-def checked(name: str, what: str) -> str:
+def checked_name(name: str, subject: str) -> str:
     """Check a tenant's or bucket's name."""
-    if not NAME.fullmatch(name):
-        raise AccountError("invalid", f"{what} names have 3 to 63 of a-z, 0-9, dot and dash, ends alphanumeric")
+    if not NAME_PATTERN.fullmatch(name):
+        raise AccountError("invalid", f"{subject} names have 3 to 63 of a-z, 0-9, dot and dash, ends alphanumeric")
     return name
 
 
-def row(value: Account | Bucket | Key) -> Row:
+def row_of(value: Account | Bucket | Key) -> Row:
     """Write a row."""
     match value:
         case Account(name=name):
-            return Row(TENANT, name, msgspec.json.encode(value))
+            return Row(TENANT_KIND, name, msgspec.json.encode(value))
         case Bucket(tenant=tenant, name=name):
-            return Row(BUCKET, f"{tenant}/{name}", msgspec.json.encode(value))
+            return Row(BUCKET_KIND, f"{tenant}/{name}", msgspec.json.encode(value))
         case Key(id=name):
-            return Row(ACCESS, name, msgspec.json.encode(value))
+            return Row(KEY_KIND, name, msgspec.json.encode(value))
 
 
-def noted(text: str) -> str:
+def checked_note(text: str) -> str:
     """Check a note."""
-    if len(text) > LONGEST_NOTE:
-        raise AccountError("invalid", f"a note has at most {LONGEST_NOTE} characters")
+    if len(text) > MAX_NOTE_CHARACTERS:
+        raise AccountError("invalid", f"a note has at most {MAX_NOTE_CHARACTERS} characters")
     return text
--- a/hophinge/tenancy/reserve.py
+++ b/hophinge/tenancy/reserve.py
@@ -13,21 +13,21 @@
 from __future__ import annotations
 
 
-class Bucket:
+class TokenBucket:
     """Units that come at a rate, up to a depth; below 0 they are owed."""
 
-    __slots__ = ("at", "depth", "level", "rate")
+    __slots__ = ("updated_us", "depth", "level", "rate")
 
     def __init__(self, rate: float, depth: float, now_us: int) -> None:
-        self.rate, self.depth, self.level, self.at = rate, depth, depth, now_us
+        self.rate, self.depth, self.level, self.updated_us = rate, depth, depth, now_us
 
     def fill(self, now_us: int) -> float:
         """Bring it up to now; a clock that went back gives nothing."""
-        self.level = min(self.depth, self.level + self.rate * max(0, now_us - self.at) / 1e6)
-        self.at = now_us
+        self.level = min(self.depth, self.level + self.rate * max(0, now_us - self.updated_us) / 1e6)
+        self.updated_us = now_us
         return self.level
 
-    def change(self, rate: float, depth: float, now_us: int) -> None:
+    def set_rate(self, rate: float, depth: float, now_us: int) -> None:
         """Go on at another rate: what was taken stays taken, and what is owed stays owed."""
         if rate != self.rate or depth != self.depth:
             self.fill(now_us)
@@ -44,29 +44,29 @@
 class Reserve:
     """One tenant's reserve and its volumes'."""
 
-    __slots__ = ("borrowed", "burst_s", "debts", "lent", "returned", "total", "volumes")
+    __slots__ = ("borrowed_units", "burst_s", "lent_units", "outstanding_loans", "returned_units", "total", "volumes")
 
-    def __init__(self, rate: float, burst_s: float, least: float, now_us: int) -> None:
+    def __init__(self, rate: float, burst_s: float, min_depth: float, now_us: int) -> None:
         self.burst_s = burst_s
-        self.total = Bucket(rate, max(rate * burst_s, least) if rate else 0.0, now_us)
-        self.volumes: dict[str, Bucket] = {}
-        self.borrowed: dict[str, float] = {}  # units by volume, since it was first seen
-        self.debts: dict[str, float] = {}  # of that, what has not come back; the oldest first
-        self.lent = self.returned = 0.0
+        self.total = TokenBucket(rate, max(rate * burst_s, min_depth) if rate else 0.0, now_us)
+        self.volumes: dict[str, TokenBucket] = {}
+        self.borrowed_units: dict[str, float] = {}  # units by volume, since it was first seen
+        self.outstanding_loans: dict[str, float] = {}  # of that, what has not come back; the oldest first
+        self.lent_units = self.returned_units = 0.0
 
-    def change(self, rate: float, least: float, now_us: int) -> None:
+    def set_rate(self, rate: float, min_depth: float, now_us: int) -> None:
         """Go on at another rate."""
-        self.total.change(rate, max(rate * self.burst_s, least) if rate else 0.0, now_us)
+        self.total.set_rate(rate, max(rate * self.burst_s, min_depth) if rate else 0.0, now_us)
 
-    def take(self, volume: str, rate: float, least: float, units: float, now_us: int) -> bool:
+    def take(self, volume: str, rate: float, min_depth: float, units: float, now_us: int) -> bool:
         """Take units of a volume whose own rate is told; False: neither its right nor a loan covers them."""
-        depth = max(rate * self.burst_s, least) if rate else 0.0
+        depth = max(rate * self.burst_s, min_depth) if rate else 0.0
         own = self.volumes.get(volume)
         if own is None:
-            self._forget(now_us)
-            own = self.volumes[volume] = Bucket(rate, depth, now_us)
+            self._drop_full_buckets(now_us)
+            own = self.volumes[volume] = TokenBucket(rate, depth, now_us)
         else:
-            own.change(rate, depth, now_us)
+            own.set_rate(rate, depth, now_us)
         total = self.fill(now_us)
         if own.fill(now_us) >= units and total - units >= -self.total.depth and self.total.rate > 0:
             own.level -= units
@@ -74,9 +74,9 @@
             return True
         if total >= units:
             self.total.level -= units
-            self.borrowed[volume] = self.borrowed.get(volume, 0.0) + units
-            self.debts[volume] = self.debts.get(volume, 0.0) + units
-            self.lent += units
+            self.borrowed_units[volume] = self.borrowed_units.get(volume, 0.0) + units
+            self.outstanding_loans[volume] = self.outstanding_loans.get(volume, 0.0) + units
+            self.lent_units += units
             return True
         return False
 
@@ -84,29 +84,29 @@
         """Bring the tenant's bucket up to now and count what came in against debts; tells its level."""
         before = self.total.level
         total = self.total.fill(now_us)
-        if self.debts:
+        if self.outstanding_loans:
             self._repay(total - before, total >= self.total.depth)
         return total
 
-    def _repay(self, came: float, full: bool) -> None:
-        for volume in list(self.debts):
-            owed = self.debts[volume]
-            paid = owed if full else min(owed, came)
-            came -= paid
-            self.returned += paid
-            if paid >= owed:
-                del self.debts[volume]
+    def _repay(self, added: float, is_full: bool) -> None:
+        for volume in list(self.outstanding_loans):
+            outstanding = self.outstanding_loans[volume]
+            repaid = outstanding if is_full else min(outstanding, added)
+            added -= repaid
+            self.returned_units += repaid
+            if repaid >= outstanding:
+                del self.outstanding_loans[volume]
             else:
-                self.debts[volume] = owed - paid
+                self.outstanding_loans[volume] = outstanding - repaid
                 break
 
-    def owed(self, now_us: int) -> dict[str, float]:
+    def loans(self, now_us: int) -> dict[str, float]:
         """Tell the debts of volumes now."""
         self.fill(now_us)
-        return dict(self.debts)
+        return dict(self.outstanding_loans)
 
-    def _forget(self, now_us: int) -> None:
+    def _drop_full_buckets(self, now_us: int) -> None:
         """Drop volumes whose bucket is full, as a new one's would be, once they are many."""
         if len(self.volumes) > 64 and len(self.volumes) % 64 == 0:
             self.volumes = {name: one for name, one in self.volumes.items() if one.fill(now_us) < one.depth}
-            self.borrowed = {name: units for name, units in self.borrowed.items() if name in self.volumes}
+            self.borrowed_units = {name: units for name, units in self.borrowed_units.items() if name in self.volumes}
--- a/hophinge/tenancy/share_leases.py
+++ b/hophinge/tenancy/share_leases.py
@@ -19,66 +19,70 @@
 
 from collections.abc import Iterable, Mapping
 
-from msgspec import Struct
+from msgspec import Struct, field
 
-LOW_US = 30_000_000  # what gives holds longer than what takes, or nothing could be renewed
-HIGH_US = 10_000_000
-DRIFT = 0.01  # part by which two steady clocks may differ in speed
-HIGH_MAX_US = int(HIGH_US * (1 + DRIFT)) + 1  # of the other side's clock, by one's own
-LOW_MIN_US = int(LOW_US * (1 - DRIFT))
-MAX_ASKS = 16  # remembered by a head; an answer to an older one comes too late to be worth taking
+LOW_SHARE_TERM_US = 30_000_000  # what gives holds longer than what takes, or nothing could be renewed
+HIGH_SHARE_TERM_US = 10_000_000
+MAX_CLOCK_DRIFT = 0.01  # part by which two steady clocks may differ in speed
+MAX_HIGH_SHARE_TERM_US = int(HIGH_SHARE_TERM_US * (1 + MAX_CLOCK_DRIFT)) + 1  # of the other side's clock, by one's own
+MIN_LOW_SHARE_TERM_US = int(LOW_SHARE_TERM_US * (1 - MAX_CLOCK_DRIFT))
+MAX_OPEN_REQUESTS = 16  # remembered by a head; an answer to an older one comes too late to be worth taking
 
 
-class Lease(Struct, frozen=True):
+class ShareLease(Struct, frozen=True):
     """What the issuer tells one head: its share by tenant, in parts of the reserve; left out is the even one."""
 
     serial: int  # rises with each lease
     process: int  # of the head, that asked
-    asked: int  # the ask that it answers
+    request_number: int = field(name="asked")  # the request that it answers
     shares: Mapping[str, float]
 
 
-class Holder:
+class ShareLeaseHolder:
     """One head's side; `process` is a number that no other process of this head has."""
 
-    def __init__(self, heads: int, process: int, now_us: int) -> None:
-        self.even, self.process = 1.0 / heads, process
-        self.free_at = now_us + LOW_US + 1  # by then a promise of a process before this one has ended
-        self.asks: dict[int, int] = {}  # when each was sent
-        self.ask_number = 0
+    def __init__(self, head_count: int, process: int, now_us: int) -> None:
+        self.even_share, self.process = 1.0 / head_count, process
+        self.unbound_after_us = (
+            now_us + LOW_SHARE_TERM_US + 1
+        )  # by then a promise of a process before this one has ended
+        self.sent_requests: dict[int, int] = {}  # when each was sent
+        self.request_number = 0
         self.serial = 0
         self.shares: Mapping[str, float] = {}
-        self.low_until = self.high_until = 0
-        self.late = 0  # leases that came too late, twice or for another process
+        self.low_shares_end_us = self.high_shares_end_us = 0
+        self.stale_leases = 0  # leases that came too late, twice or for another process
 
-    def ask(self, now_us: int) -> tuple[int, int]:
+    def next_request(self, now_us: int) -> tuple[int, int]:
         """Tell what to send: the number of this ask, and the serial of the lease that is held."""
-        self.ask_number += 1
-        self.asks[self.ask_number] = now_us
-        while len(self.asks) > MAX_ASKS:
-            del self.asks[next(iter(self.asks))]
-        return self.ask_number, self.serial
+        self.request_number += 1
+        self.sent_requests[self.request_number] = now_us
+        while len(self.sent_requests) > MAX_OPEN_REQUESTS:
+            del self.sent_requests[next(iter(self.sent_requests))]
+        return self.request_number, self.serial
 
-    def take(self, now_us: int, lease: Lease) -> bool:
+    def accept(self, now_us: int, lease: ShareLease) -> bool:
         """Take a lease; False: it is older than what is held, or answers an ask that is forgotten."""
-        sent = self.asks.get(lease.asked)
+        sent = self.sent_requests.get(lease.request_number)
         if lease.process != self.process or lease.serial <= self.serial or sent is None:
-            self.late += 1
+            self.stale_leases += 1
             return False
         self.serial, self.shares = lease.serial, lease.shares
-        self.low_until, self.high_until = now_us + LOW_US, sent + HIGH_US
+        self.low_shares_end_us, self.high_shares_end_us = now_us + LOW_SHARE_TERM_US, sent + HIGH_SHARE_TERM_US
         return True
 
     def share(self, tenant: str, now_us: int) -> float:
         """Tell this head's part of a tenant's reserve now."""
         share = self.shares.get(tenant)
-        if share is not None and now_us < (self.low_until if share < self.even else self.high_until):
+        if share is not None and now_us < (
+            self.low_shares_end_us if share < self.even_share else self.high_shares_end_us
+        ):
             return share
         # Whoever holds a lease that leaves a tenant out was told the even part; whoever never held one waits.
-        return self.even if self.serial or now_us >= self.free_at else 0.0
+        return self.even_share if self.serial or now_us >= self.unbound_after_us else 0.0
 
 
-class Grant(Struct):
+class GrantedShares(Struct):
     """A lease that may be in force at a head, as the issuer knows it."""
 
     serial: int
@@ -86,75 +90,80 @@
     sent_us: int
 
 
-class Issuer:
+class ShareLeaseIssuer:
     """The control service's side, for all heads of an installation; `serial` is above any that was ever used."""
 
-    def __init__(self, heads: int, serial: int, now_us: int) -> None:
-        self.heads, self.even, self.serial = heads, 1.0 / heads, serial
-        self.grants: dict[str, list[Grant]] = {}  # by head, the oldest first
-        self.acked: dict[str, int] = {}
-        self.process: dict[str, int] = {}
-        self.ended: set[tuple[str, int]] = set()  # processes that were followed by another
-        self.quiet_until = now_us + HIGH_MAX_US
+    def __init__(self, head_count: int, serial: int, now_us: int) -> None:
+        self.head_count, self.even_share, self.serial = head_count, 1.0 / head_count, serial
+        self.grants: dict[str, list[GrantedShares]] = {}  # by head, the oldest first
+        self.acknowledged_serials: dict[str, int] = {}
+        self.processes: dict[str, int] = {}
+        self.replaced_processes: set[tuple[str, int]] = set()  # processes that were followed by another
+        self.no_grant_until_us = now_us + MAX_HIGH_SHARE_TERM_US
 
     def grant(
         self,
         now_us: int,
         head: str,
         process: int,
-        asked: int,
-        held: int,
-        wanted: Mapping[str, float],
-    ) -> Lease | None:
+        request_number: int,
+        held_serial: int,
+        desired: Mapping[str, float],
+    ) -> ShareLease | None:
         """Answer an ask of a head that holds the lease `held` (0: none) with what is safe of the wanted shares.
 
         None: nothing can be told yet, or it is the ask of a process that has been followed by another.
         """
-        if (head, process) in self.ended:
+        if (head, process) in self.replaced_processes:
             return None
-        if self.process.setdefault(head, process) != process:
+        if self.processes.setdefault(head, process) != process:
             # What the process before was bound by has ended with it; what it had may not have.
-            self.ended.add((head, self.process[head]))
-            self.process[head], self.acked[head] = process, 0
-        self.acked[head] = max(self.acked.get(head, 0), held)
-        if now_us < self.quiet_until:
+            self.replaced_processes.add((head, self.processes[head]))
+            self.processes[head], self.acknowledged_serials[head] = process, 0
+        self.acknowledged_serials[head] = max(self.acknowledged_serials.get(head, 0), held_serial)
+        if now_us < self.no_grant_until_us:
             return None
-        self._forget(now_us, head)
-        others = [one for one in self.process if one != head]
-        unheard = max(0, self.heads - len(others) - 1) * self.even  # who never asked has its even part
-        known = {name for grants in self.grants.values() for grant in grants for name in grant.shares}
+        self._drop_ended_grants(now_us, head)
+        others = [one for one in self.processes if one != head]
+        silent_heads_share = (
+            max(0, self.head_count - len(others) - 1) * self.even_share
+        )  # who never asked has its even part
+        tenants = {name for grants in self.grants.values() for grant in grants for name in grant.shares}
         shares: dict[str, float] = {}
-        for tenant in known | wanted.keys():
-            room = 1.0 - unheard - sum(self._worst(one, tenant, now_us) for one in others)
-            share = max(0.0, min(wanted.get(tenant, self.even), room))
-            if share != self.even:
+        for tenant in tenants | desired.keys():
+            available = 1.0 - silent_heads_share - sum(self._max_share(one, tenant, now_us) for one in others)
+            share = max(0.0, min(desired.get(tenant, self.even_share), available))
+            if share != self.even_share:
                 shares[tenant] = share
         self.serial += 1
-        self.grants.setdefault(head, []).append(Grant(self.serial, shares, now_us))
-        return Lease(self.serial, process, asked, shares)
+        self.grants.setdefault(head, []).append(GrantedShares(self.serial, shares, now_us))
+        return ShareLease(self.serial, process, request_number, shares)
 
-    def _forget(self, now_us: int, head: str) -> None:
+    def _drop_ended_grants(self, now_us: int, head: str) -> None:
         """Drop grants that the head has replaced, and those that hold nothing above the even part any more."""
-        acked = self.acked.get(head, 0)
+        acked = self.acknowledged_serials.get(head, 0)
         self.grants[head] = [
             grant
             for grant in self.grants.get(head, ())
-            if grant.serial == acked or (grant.serial > acked and now_us <= grant.sent_us + HIGH_MAX_US)
+            if grant.serial == acked or (grant.serial > acked and now_us <= grant.sent_us + MAX_HIGH_SHARE_TERM_US)
         ]
 
-    def _worst(self, head: str, tenant: str, now_us: int) -> float:
+    def _max_share(self, head: str, tenant: str, now_us: int) -> float:
         """Tell the largest share that a head may have at any moment while a grant made now can last."""
-        worst, bound = 0.0, False
+        max_share, is_bound = 0.0, False
         for grant in self.grants.get(head, ()):
-            share = grant.shares.get(tenant, self.even)
-            if share < self.even:
+            share = grant.shares.get(tenant, self.even_share)
+            if share < self.even_share:
                 # Once it is acknowledged the head has this or a later one until it ends.
-                bound |= grant.serial == self.acked.get(head) and grant.sent_us + LOW_MIN_US >= now_us + HIGH_MAX_US
-                worst = max(worst, share)
-            elif share == self.even or now_us <= grant.sent_us + HIGH_MAX_US:
-                worst = max(worst, share)
-        return worst if bound else max(worst, self.even)
+                is_bound |= (
+                    grant.serial == self.acknowledged_serials.get(head)
+                    and grant.sent_us + MIN_LOW_SHARE_TERM_US >= now_us + MAX_HIGH_SHARE_TERM_US
+                )
+                max_share = max(max_share, share)
+            elif share == self.even_share or now_us <= grant.sent_us + MAX_HIGH_SHARE_TERM_US:
+                max_share = max(max_share, share)
+        return max_share if is_bound else max(max_share, self.even_share)
 
     def known_heads(self) -> Iterable[str]:
         """Tell the heads that ever asked."""
-        return self.process.keys()
+        return self.processes.keys()
--- a/hophinge/tenancy/slewed_clock.py
+++ b/hophinge/tenancy/slewed_clock.py
@@ -7,24 +7,24 @@
 
 from __future__ import annotations
 
-SLEW = 0.1  # part by which time may run faster or slower than the steady clock
+MAX_SLEW = 0.1  # part by which time may run faster or slower than the steady clock
 
 
-class Timekeeper:
+class SlewedClock:
     """One process's time in milliseconds since 1970, from a wall clock that may step and a steady one."""
 
-    def __init__(self, wall_ms: int, steady_us: int, seen_ms: int = 0) -> None:
+    def __init__(self, wall_ms: int, steady_us: int, last_stored_ms: int = 0) -> None:
         self.steady_us = steady_us
-        self.time_ms = float(max(wall_ms, seen_ms))
+        self.time_ms = float(max(wall_ms, last_stored_ms))
 
     def now_ms(self, wall_ms: int, steady_us: int) -> int:
         """Tell the time."""
         span = max(0, steady_us - self.steady_us) / 1000
         self.steady_us = max(self.steady_us, steady_us)
         gap = wall_ms - (self.time_ms + span)
-        self.time_ms += span + max(-SLEW * span, min(SLEW * span, gap))
+        self.time_ms += span + max(-MAX_SLEW * span, min(MAX_SLEW * span, gap))
         return int(self.time_ms)
 
-    def off_ms(self, wall_ms: int) -> int:
+    def wall_clock_ahead_ms(self, wall_ms: int) -> int:
         """Tell by how much the wall clock is ahead; staff hear of more than a minute."""
         return int(wall_ms - self.time_ms)
--- a/hophinge/tenancy/usage.py
+++ b/hophinge/tenancy/usage.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping
 
-Place = tuple[str, str, str]  # tenant, volume, field
+UsageKey = tuple[str, str, str]  # tenant, volume, field
 UNITS, SERVED, REFUSED, FAILED, LEFT, IN, OUT = FIELDS = (
     "units",
     "served",
@@ -18,81 +18,81 @@
     "bytes_in",
     "bytes_out",
 )
-MAX_VOLUMES = 50_000  # places of volumes held between two flushes; beyond, they count for their tenant
+MAX_COUNTED_VOLUMES = 50_000  # places of volumes held between two flushes; beyond, they count for their tenant
 MAX_LABELS = 50  # tenants with a series of their own
-OTHERS = "(others)"
-WHOLE = ""  # the volume of what is counted for a tenant alone
+OTHER_TENANTS = "(others)"
+TENANT_TOTAL = ""  # the volume of what is counted for a tenant alone
 
 
-class Usage:
+class UsageCounter:
     """One head's counts since they were handed out last."""
 
     def __init__(self) -> None:
-        self.amounts: dict[Place, float] = {}
-        self.out: dict[Place, float] | None = None  # handed out, and not known to be stored
+        self.amounts: dict[UsageKey, float] = {}
+        self.flushing: dict[UsageKey, float] | None = None  # handed out, and not known to be stored
 
     def add(self, tenant: str, volume: str, field: str, amount: float) -> None:
         """Count."""
-        place = tenant, volume, field
-        if place not in self.amounts and len(self.amounts) >= MAX_VOLUMES * len(FIELDS):
-            place = tenant, WHOLE, field
-        self.amounts[place] = self.amounts.get(place, 0.0) + amount
+        key = tenant, volume, field
+        if key not in self.amounts and len(self.amounts) >= MAX_COUNTED_VOLUMES * len(FIELDS):
+            key = tenant, TENANT_TOTAL, field
+        self.amounts[key] = self.amounts.get(key, 0.0) + amount
 
-    def flush(self) -> Mapping[Place, float]:
+    def begin_flush(self) -> Mapping[UsageKey, float]:
         """Hand out what was counted; `stored` or `failed` is to follow before the next flush."""
-        if self.out is None:
-            self.out, self.amounts = self.amounts, {}
-        return self.out
+        if self.flushing is None:
+            self.flushing, self.amounts = self.amounts, {}
+        return self.flushing
 
-    def stored(self) -> None:
+    def commit_flush(self) -> None:
         """Note that what was handed out is stored."""
-        self.out = None
+        self.flushing = None
 
-    def failed(self) -> None:
+    def abort_flush(self) -> None:
         """Take back what was handed out; it comes with the next flush."""
-        for place, amount in (self.out or {}).items():
+        for place, amount in (self.flushing or {}).items():
             self.amounts[place] = self.amounts.get(place, 0.0) + amount
-        self.out = None
+        self.flushing = None
 
 
-class Reports:
+class UsageReports:
     """Which totals the control service has not been told yet; told again until they were acknowledged.
 
     Totals only grow, so a report that is lost, late or doubled does no harm.
     """
 
     def __init__(self) -> None:
-        self.due: dict[Place, None] = {}  # the oldest first
-        self.sent: dict[int, list[Place]] = {}
+        self.unreported: dict[UsageKey, None] = {}  # the oldest first
+        self.unacknowledged: dict[int, list[UsageKey]] = {}
         self.number = 0
 
-    def changed(self, places: Mapping[Place, float]) -> None:
+    def add(self, keys: Mapping[UsageKey, float]) -> None:
         """Note places whose totals have grown."""
-        for place in places:
-            self.due[place] = None
+        for place in keys:
+            self.unreported[place] = None
 
-    def take(self, most: int) -> tuple[int, list[Place]]:
+    def next_report(self, max_keys: int) -> tuple[int, list[UsageKey]]:
         """Tell what to report next, under a number."""
         self.number += 1
-        places = [place for place, _ in zip(self.due, range(most), strict=False)]
-        for place in places:
-            del self.due[place]
-        self.sent[self.number] = places
-        return self.number, places
+        keys = [place for place, _ in zip(self.unreported, range(max_keys), strict=False)]
+        for place in keys:
+            del self.unreported[place]
+        self.unacknowledged[self.number] = keys
+        return self.number, keys
 
-    def acknowledged(self, number: int) -> None:
+    def acknowledge(self, number: int) -> None:
         """Note that a report was stored."""
-        self.sent.pop(number, None)
+        self.unacknowledged.pop(number, None)
 
-    def lost(self) -> None:
+    def retry_unacknowledged(self) -> None:
         """Note the end of a stream: what was not acknowledged is reported again."""
-        for places in self.sent.values():
+        for places in self.unacknowledged.values():
             for place in places:
-                self.due[place] = None
-        self.sent = {}
+                self.unreported[place] = None
+        self.unacknowledged = {}
 
 
-class Exported:
+class LabelledTotals:
     """Counts since the start by tenant, for series whose labels are bounded: who came late is summed with the rest.
 
     A tenant keeps the label that it got first, or its counter would fall when another grew past it.
@@ -107,7 +107,7 @@
         """Count."""
         if tenant not in self.labels:
             if len(self.labels) >= self.most:
-                tenant = OTHERS
+                tenant = OTHER_TENANTS
             else:
                 self.labels.add(tenant)
         self.counts[tenant, field] = self.counts.get((tenant, field), 0.0) + amount
--- a/tests/books.py
+++ b/tests/books.py
@@ -9,7 +9,7 @@
 
 from hophinge.state.ledger import Ledger
 from hophinge.state.rows import AuditEntry, LedgerChange, Row
-from hophinge.tenancy.records import Account, Bucket, Key, Quotas, Role, digest, row
+from hophinge.tenancy.records import Account, Bucket, Key, Quotas, Role, digest_of, row_of
 
 NUMBERS = itertools.count(1)
 
@@ -32,10 +32,10 @@
     secret, key = secrets.token_urlsafe(32), f"hk{secrets.token_hex(8)}"
     write(
         ledger,
-        row(Account(name, quotas=quotas or Quotas())),
-        row(Key(name, key, digest(secret), role)),
+        row_of(Account(name, quotas=quotas or Quotas())),
+        row_of(Key(name, key, digest_of(secret), role)),
         *(
-            row(Bucket(name, bucket, secrets.token_hex(8), plan))
+            row_of(Bucket(name, bucket, secrets.token_hex(8), plan))
             for bucket, plan in ({"receipts": "priority"} if buckets is None else buckets).items()
         ),
     )
--- a/tests/tenancy_model.py
+++ b/tests/tenancy_model.py
@@ -6,7 +6,14 @@
 import random
 from collections import Counter
 
-from hophinge.tenancy.admission import Admission, Ask, Shares, Spare, Ticket, Verdict
+from hophinge.tenancy.admission import (
+    Admission,
+    AdmissionRequest,
+    TenantShares,
+    SpareCapacity,
+    Ticket,
+    AdmissionDecision,
+)
 
 S, MS = 1_000_000, 1000
 
@@ -19,35 +26,35 @@
 class Head:
     """An admission before a server that does so many units a second, one after the other; time is the test's."""
 
-    def __init__(self, shares: dict[str, Shares], spare: Spare, rate: float) -> None:
-        self.admission = Admission(lambda name: shares.get(name, Shares()), spare, 8.0)
+    def __init__(self, shares: dict[str, TenantShares], spare: SpareCapacity, rate: float) -> None:
+        self.admission = Admission(lambda name: shares.get(name, TenantShares()), spare, 8.0)
         self.rate, self.now, self.free_at = rate, 0, 0.0
         self.out: list[tuple[float, Ticket]] = []
         self.times: dict[str, list[float]] = {}
         self.refused: Counter[str] = Counter()
         self.waits: set[int] = set()
 
-    def ask(self, tenant: str, units: float = 1.0, volume: str = "", worth: float = 1.0) -> Verdict:
-        ask = Ask(tenant, volume or f"{tenant}-v", units, worth, 0.0, 1.0, 150 * MS)
+    def ask(self, tenant: str, units: float = 1.0, volume: str = "", worth: float = 1.0) -> AdmissionDecision:
+        ask = AdmissionRequest(tenant, volume or f"{tenant}-v", units, worth, 0.0, 1.0, 150 * MS)
         verdict, ticket, wait = self.admission.arrive(self.now, ask)
-        assert (verdict is Verdict.REFUSED) == (wait > 0)
-        if verdict is Verdict.WAITS:
+        assert (verdict is AdmissionDecision.REJECTED) == (wait > 0)
+        if verdict is AdmissionDecision.QUEUED:
             self.waits.add(id(ticket))
-        elif verdict is Verdict.REFUSED:
+        elif verdict is AdmissionDecision.REJECTED:
             self.refused[tenant] += 1
         else:
             self._serve(ticket)
         return verdict
 
     def _serve(self, ticket: Ticket) -> None:
-        self.free_at = max(self.free_at, self.now) + ticket.ask.units / self.rate * S
+        self.free_at = max(self.free_at, self.now) + ticket.request.units / self.rate * S
         self.out.append((self.free_at, ticket))
 
     def _turn(self) -> None:
-        for ticket, wait in self.admission.turn(self.now):
+        for ticket, wait in self.admission.dispatch(self.now):
             self.waits.remove(id(ticket))  # a KeyError: it ended twice, or never waited
             if wait:
-                self.refused[ticket.ask.tenant] += 1
+                self.refused[ticket.request.tenant] += 1
             else:
                 self._serve(ticket)
 
@@ -57,14 +64,14 @@
                 [
                     then,
                     *(int(at) + 1 for at, _ in self.out[:1]),
-                    *([self.admission.due_us] if self.admission.due_us else []),
+                    *([self.admission.next_deadline_us] if self.admission.next_deadline_us else []),
                 ]
             )
             self.now = max(self.now, at)
             while self.out and self.out[0][0] <= self.now:
                 _, ticket = self.out.pop(0)
-                self.admission.left(self.now, ticket)
-                self.times.setdefault(ticket.ask.tenant, []).append((self.now - ticket.since) / MS)
+                self.admission.finish(self.now, ticket)
+                self.times.setdefault(ticket.request.tenant, []).append((self.now - ticket.arrived_us) / MS)
             self._turn()
             if at >= then:
                 return
@@ -72,7 +79,7 @@
 
 def played(surge: float, seconds: int = 20) -> Head:
     """Three tenants, two near their reserved 30 units/s, the third at a multiple of it, on a head that does 120."""
-    head = Head({name: Shares(30.0, 1.0, 64) for name in "abc"}, Spare(2.0, 50 * MS), 120.0)
+    head = Head({name: TenantShares(30.0, 1.0, 64) for name in "abc"}, SpareCapacity(2.0, 50 * MS), 120.0)
     rng = random.Random(5)
     arrivals = sorted(
         (int(at), name)
--- a/tests/test_accounts_model.py
+++ b/tests/test_accounts_model.py
@@ -9,8 +9,17 @@
 
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.lifecycle import AbortUploads, Done, DropVolumes, EndKeys, State, Wish, purge, step
-from hophinge.tenancy.records import ACCESS, BUCKET, Account, AccountError, Bucket, Quotas, Role, Shares, row
+from hophinge.tenancy.lifecycle import (
+    AbortUploads,
+    PurgeComplete,
+    RemoveBuckets,
+    RevokeKeys,
+    TenantState,
+    TenantAction,
+    next_purge_step,
+    next_state,
+)
+from hophinge.tenancy.records import KEY_KIND, BUCKET_KIND, Account, AccountError, Bucket, Quotas, Role, Shares, row_of
 
 WISHES = st.lists(
     st.tuples(
@@ -26,7 +35,7 @@
 @given(WISHES, st.integers(0, 2**32))
 def test_accounts_by_random_steps(wishes: list[tuple[str, int, int]], seed: int) -> None:
     ended: list[str] = []
-    accounts = Accounts(lambda name, state: ended.append(name) if state is not State.ACTIVE else None)
+    accounts = Accounts(lambda name, state: ended.append(name) if state is not TenantState.ACTIVE else None)
     rng, seq, now, plans = random.Random(seed), 0, 1000, frozenset({"basic", "priority"})
     states: dict[str, str] = {}  # the model: names, and what is valid
     tokens: dict[str, tuple[str, str, int]] = {}  # key: tenant, secret, end
@@ -35,18 +44,18 @@
     def take(*rows: Row) -> None:
         nonlocal seq
         seq += 1
-        accounts.take(Row(one.kind, one.name, one.body, seq) for one in rows)
+        accounts.apply(Row(one.kind, one.name, one.body, seq) for one in rows)
 
     for word, who, number in wishes:
         name, now = f"tenant{who}", now + rng.randrange(1000)
         state = states.get(name, "closed")
         try:
             if word == "create":
-                take(row(accounts.create(name, Quotas(volumes=3, keys=3), Shares(), "", now)))
+                take(row_of(accounts.create(name, Quotas(volumes=3, keys=3), Shares(), "", now)))
                 assert state == "closed"
                 states[name] = "active"
             elif word in ("suspend", "resume", "close"):
-                take(row(accounts.become(name, Wish(word))))
+                take(row_of(accounts.transition(name, TenantAction(word))))
                 assert state in ("active", "suspended") or (state, word) == ("closing", "close")
                 states[name] = {"suspend": "suspended", "resume": "active", "close": "closing"}[word]
             elif word == "bucket":
@@ -61,40 +70,40 @@
                 assert state in ("active", "suspended") and made.id not in {
                     one for one, owner in volumes.items() if owner != name
                 }
-                take(row(made))
+                take(row_of(made))
                 volumes[made.id] = name
             elif word == "key":
                 ends = now + 500 * number if number else 0
                 made_key = accounts.add_key(name, f"hk{seq:016x}", f"secret{seq}", Role.DATA, ends, "", now)
                 assert state in ("active", "suspended")
                 tokens[made_key.id] = name, f"secret{seq}", ends
-                take(row(made_key))
+                take(row_of(made_key))
             elif word == "rotate":
                 old = rng.choice(sorted(tokens) or ["none"])
                 new, left = accounts.rotate_key(name, old, f"hk{seq:016x}", f"secret{seq}", number, now)
                 tokens[new.id] = name, f"secret{seq}", new.ends_ms
                 if left is None:
                     del tokens[old]
-                    take(row(new), Row(ACCESS, old, None))
+                    take(row_of(new), Row(KEY_KIND, old, None))
                 else:
                     tokens[old] = name, tokens[old][1], left.ends_ms
-                    take(row(new), row(left))
+                    take(row_of(new), row_of(left))
             elif word == "end":
                 gone = rng.choice(sorted(tokens) or ["none"])
-                take(Row(ACCESS, accounts.key(name, gone).id, None))
+                take(Row(KEY_KIND, accounts.key(name, gone).id, None))
                 del tokens[gone]
             elif word == "purge" and state == "closing":
-                match purge(list(accounts.keys_of.get(name, ())), 0, list(accounts.buckets.get(name, {}))):
-                    case EndKeys(keys=keys):
-                        take(*(Row(ACCESS, key, None) for key in keys))
+                match next_purge_step(list(accounts.key_ids.get(name, ())), 0, list(accounts.buckets.get(name, {}))):
+                    case RevokeKeys(keys=keys):
+                        take(*(Row(KEY_KIND, key, None) for key in keys))
                         for key in keys:
                             assert tokens.pop(key)[0] == name
-                    case DropVolumes(buckets=buckets):
-                        assert not accounts.keys_of.get(name)  # keys end first
-                        take(*(Row(BUCKET, f"{name}/{bucket}", None) for bucket in buckets))
-                    case Done():
+                    case RemoveBuckets(buckets=buckets):
+                        assert not accounts.key_ids.get(name)  # keys end first
+                        take(*(Row(BUCKET_KIND, f"{name}/{bucket}", None) for bucket in buckets))
+                    case PurgeComplete():
                         assert not accounts.buckets.get(name)
-                        take(row(accounts.become(name, Wish.PURGED)))
+                        take(row_of(accounts.transition(name, TenantAction.PURGED)))
                         states[name] = "closed"
         except AccountError as error:
             assert error.kind in ("exists", "missing", "state", "quota")
@@ -106,10 +115,10 @@
             live = sum(not 0 < ends <= now for one, _, ends in tokens.values() if one == owner)
             assert live <= 4 and len(accounts.buckets.get(owner, {})) <= 3  # a rotation's overlap is beyond
         again = Accounts()
-        again.take(
-            [row(one) for one in accounts.tenants.values()]
-            + [row(one) for one in accounts.keys.values()]
-            + [row(one) for mine in accounts.buckets.values() for one in mine.values()]
+        again.apply(
+            [row_of(one) for one in accounts.tenants.values()]
+            + [row_of(one) for one in accounts.keys.values()]
+            + [row_of(one) for mine in accounts.buckets.values() for one in mine.values()]
         )
         assert (again.tenants, again.keys, again.volumes) == (accounts.tenants, accounts.keys, accounts.volumes)
     assert set(ended) >= {name for name, state in states.items() if state != "active"}
@@ -118,9 +127,9 @@
 def test_every_step_of_a_life_is_one_of_those_that_are_meant() -> None:
     assert {
         (state.value, wish.value): to.value
-        for state in State
-        for wish in Wish
-        if (to := step(state, wish)) is not None and to is not state
+        for state in TenantState
+        for wish in TenantAction
+        if (to := next_state(state, wish)) is not None and to is not state
     } == {
         ("active", "suspend"): "suspended",
         ("suspended", "resume"): "active",
@@ -128,11 +137,13 @@
         ("suspended", "close"): "closing",
         ("closing", "purged"): "closed",
     }
-    assert isinstance(purge([], 2, ["b"]), AbortUploads) and isinstance(purge(["k"], 2, ["b"]), EndKeys)
+    assert isinstance(next_purge_step([], 2, ["b"]), AbortUploads) and isinstance(
+        next_purge_step(["k"], 2, ["b"]), RevokeKeys
+    )
 
 
 def test_an_account_s_bucket_keeps_its_volume() -> None:
     accounts = Accounts()
-    accounts.take([row(Account("alba")), row(Bucket("alba", "receipts", "0" * 16, "basic"))])
+    accounts.apply([row_of(Account("alba")), row_of(Bucket("alba", "receipts", "0" * 16, "basic"))])
     moved = accounts.put_bucket("alba", "receipts", "priority", frozenset({"priority"}), "1" * 16, 0)
     assert (moved.id, moved.plan) == ("0" * 16, "priority") and accounts.owner("0" * 16) == "alba"
--- a/tests/test_admin_bounds.py
+++ b/tests/test_admin_bounds.py
@@ -31,12 +31,12 @@
                 assert (status, fields.get("retry-after")) == ((404, None) if at < 2 else (503, "1"))
             assert (await to.object("GET", "/receipts/none", other))[0] == 404  # nobody else feels it
             wires[0].close()
-            await until(lambda: accounts.connections.held["alba"] == 1)
+            await until(lambda: accounts.connections.open_counts["alba"] == 1)
             wires[2].send("/receipts/none", {"Authorization": f"Bearer {key}"})
             assert (await wires[2].receive())[0] == 404
             for wire in wires[1:]:
                 wire.close()
-            await until(lambda: "alba" not in accounts.connections.held)
+            await until(lambda: "alba" not in accounts.connections.open_counts)
             uploads = [await to.object("POST", f"/receipts/u{at}?uploads", key) for at in range(3)]
             assert [code for code, _ in uploads] == [200, 200, 409]
             first = field(uploads[0][1], "UploadId")
@@ -55,11 +55,11 @@
             for backend in to.made.backends:
                 backend.behave = held_by(gate)
             tasks = [asyncio.create_task(to.object("GET", "/receipts/x", key)) for _ in range(2)]
-            await until(lambda: accounts.requests.held.get("alba") == 2)
+            await until(lambda: accounts.requests.open_counts.get("alba") == 2)
             assert (await to.object("GET", "/receipts/x", key))[0] == 503
             gate.set()
             assert [code for code, _ in await asyncio.gather(*tasks)] == [404, 404]
-            assert not accounts.requests.held
+            assert not accounts.requests.open_counts
 
     run(main())
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -12,7 +12,7 @@
 
 from hophinge.head.operator import load
 from hophinge.state.rows import Row
-from hophinge.tenancy.records import Bucket, row
+from hophinge.tenancy.records import Bucket, row_of
 from tests import books
 from tests.hosted import accounts_of, hosted, ledger_of
 from tests.installation import GOOD, SETTINGS, follower
@@ -69,20 +69,20 @@
             for at in range(8):
                 books.write(
                     ledger,
-                    *(row(Bucket("alba", f"bucket{at}-{n}", f"{at * 1000 + n:016x}", "basic")) for n in range(300)),
+                    *(row_of(Bucket("alba", f"bucket{at}-{n}", f"{at * 1000 + n:016x}", "basic")) for n in range(300)),
                 )
             head = await here.hosted("n0")
             await until(lambda: len(accounts_of(head).accounts.volumes) == 2400)
             assert head.streamed is not None
             before = head.streamed.client.bytes_in
-            books.write(ledger, row(Bucket("alba", "one", "f" * 16, "basic")), Row("bucket", "alba/bucket0-0", None))
+            books.write(ledger, row_of(Bucket("alba", "one", "f" * 16, "basic")), Row("bucket", "alba/bucket0-0", None))
             await until(lambda: accounts_of(head).accounts.owner("f" * 16) == "alba")
             assert "bucket0-0" not in accounts_of(head).accounts.buckets["alba"]
             assert head.streamed.client.bytes_in - before < 1000
             # A ledger that cannot be written now is written at the next beat; nothing is lost, and heads serve on.
             db = accounts_of(head).ledger.db
             db.execute("PRAGMA max_page_count = 1")
-            books.write(ledger, *(row(Bucket("alba", f"more{n}", f"{9000 + n:016x}", "basic")) for n in range(2000)))
+            books.write(ledger, *(row_of(Bucket("alba", f"more{n}", f"{9000 + n:016x}", "basic")) for n in range(2000)))
             await until(
                 lambda: (
                     head.streamed is not None
@@ -98,7 +98,7 @@
             for path in tmp_path.glob("accounts.db*"):
                 path.unlink()
             await here.control()
-            books.write(ledger_of(here), row(Bucket("beith", "new", "e" * 16, "basic")))
+            books.write(ledger_of(here), row_of(Bucket("beith", "new", "e" * 16, "basic")))
             await until(lambda: list(accounts_of(head).accounts.volumes) == ["e" * 16])
 
     run(main())
@@ -141,12 +141,12 @@
             await until(
                 lambda: (
                     router.admission is not None
-                    and router.admission.tree.waiting + router.admission.inside / UNITS == len(tasks)
+                    and router.admission.queue.queued_items + router.admission.units_in_flight / UNITS == len(tasks)
                 )
             )
             assert router.admission is not None
-            assert router.admission.tree.waiting >= 5
-            waiting, inside = router.admission.tree.waiting, 11 - router.admission.tree.waiting
+            assert router.admission.queue.queued_items >= 5
+            waiting, inside = router.admission.queue.queued_items, 11 - router.admission.queue.queued_items
             # The administrator halves its reserve and raises it again meanwhile: what was let in stays in.
             for reserve in (1, 100):
                 await here.call("PATCH", "/v1/tenants/alba", {"shares": {"reserve": reserve}})
@@ -160,14 +160,14 @@
                         == reserve
                     )
                 )
-            assert router.admission.tree.waiting == waiting
+            assert router.admission.queue.queued_items == waiting
             await here.call("DELETE", "/v1/tenants/alba")
             await until(lambda: sum(task.done() for task in tasks) == waiting)  # long before their 20 s
             assert all(task.result() == 503 for task in tasks if task.done()) and not gate.is_set()
             assert await ask(99) == 503  # and no new one
             gate.set()
             codes = await asyncio.gather(*tasks)
-            assert codes.count(200) == inside and not router.passes and router.admission.inside == 0
+            assert codes.count(200) == inside and not router.passes and router.admission.units_in_flight == 0
 
     run(main())
 
--- a/tests/test_copies_feed.py
+++ b/tests/test_copies_feed.py
@@ -10,7 +10,7 @@
 from hophinge.control import wire
 from hophinge.state.rows import Row
 from hophinge.tenancy import account_replication as feed_module
-from hophinge.tenancy.account_replication import Feed, Taker
+from hophinge.tenancy.account_replication import AccountSender, AccountReceiver
 from tests import books
 
 
@@ -23,11 +23,11 @@
     from hophinge.state.ledger import Ledger
 
     rng = random.Random(seed)
-    part, feed_module.PART = feed_module.PART, 4
+    part, feed_module.CHUNK_ROWS = feed_module.CHUNK_ROWS, 4
     try:
         with tempfile.TemporaryDirectory() as folder:
             ledger, copy = Ledger(Path(folder) / "a.db"), Ledger(Path(folder) / "b.db")
-            taker, feed = Taker(copy.epoch, copy.seq), None
+            taker, feed = AccountReceiver(copy.epoch, copy.seq), None
 
             def state(one: Ledger) -> dict[tuple[str, str], bytes | None]:
                 return {(held.kind, held.name): held.body for held in one.rows()}
@@ -48,34 +48,36 @@
                     if rng.random() < 0.3:  # and the head is a new process
                         copy.close()
                         copy = Ledger(Path(folder) / "b.db")
-                        taker = Taker(copy.epoch, copy.seq)
-                    taker.begin()
-                    feed = Feed(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
-                while feed.due(ledger.seq, ledger.tombstone_floor()) and rng.random() < 0.8:
-                    sent = wire.account_part(feed.part(ledger.page(feed.seq, 4, feed.gone_after), ledger.seq))
+                        taker = AccountReceiver(copy.epoch, copy.seq)
+                    taker.discard_staged()
+                    feed = AccountSender(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
+                while feed.needs_chunk(ledger.seq, ledger.tombstone_floor()) and rng.random() < 0.8:
+                    sent = wire.account_part(
+                        feed.next_chunk(ledger.page(feed.seq, 4, feed.removed_after_seq), ledger.seq)
+                    )
                     got = wire.read_account_part(wire.decode_response(sent))
                     if rng.random() < 0.1:
                         feed = None
                         break
-                    rows = taker.take(got)
+                    rows = taker.receive(got)
                     if rows is not None:
                         copy.replicate(got.epoch, rows[0], got.seq, rows[1], 0)
-                        taker.written(got)
+                        taker.commit(got)
                         assert state(copy) in past  # never half a change
-                    feed.acked(got.seq)
-            feed = feed or Feed(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
-            if feed.waiting:
-                taker.begin()
-                feed = Feed(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
-            while feed.due(ledger.seq, ledger.tombstone_floor()):
-                got = feed.part(ledger.page(feed.seq, 4, feed.gone_after), ledger.seq)
-                rows = taker.take(got)
+                    feed.acknowledge(got.seq)
+            feed = feed or AccountSender(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
+            if feed.awaits_acknowledgement:
+                taker.discard_staged()
+                feed = AccountSender(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
+            while feed.needs_chunk(ledger.seq, ledger.tombstone_floor()):
+                got = feed.next_chunk(ledger.page(feed.seq, 4, feed.removed_after_seq), ledger.seq)
+                rows = taker.receive(got)
                 if rows is not None:
                     copy.replicate(got.epoch, rows[0], got.seq, rows[1], 0)
-                    taker.written(got)
-                feed.acked(got.seq)
+                    taker.commit(got)
+                feed.acknowledge(got.seq)
             assert state(copy) == state(ledger) and copy.epoch == ledger.epoch
             ledger.close()
             copy.close()
     finally:
-        feed_module.PART = part
+        feed_module.CHUNK_ROWS = part
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -47,6 +47,7 @@
 from hophinge.state.files import load, save
 from hophinge.state.ledger import Ledger
 from hophinge.tenancy import records as tenancy_records
+from hophinge.tenancy import share_leases
 from tests.outer_forms import sample
 
 ROOT = Path(__file__).parent.parent
@@ -94,7 +95,7 @@
     "control store: course of a release": (releases.Course, json_bytes),
     "control stream: report": (messages.Report, json_bytes),
     "control stream: word": (messages.Word, json_bytes),
-    "control stream: lease": (share_leases.Lease, json_bytes),
+    "control stream: lease": (share_leases.ShareLease, json_bytes),
     "head file: last good": (lastgood.LastGood, msgpack_bytes),
     "head file: marks": (handover.Marks, json_bytes),
     "head file: mark": (Mark, json_bytes),
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,8 +11,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hophinge.tenancy.share_leases import DRIFT, HIGH_US, LOW_US, Holder, Issuer, Lease
-from hophinge.tenancy.share_planner import Demand, fits, plan
+from hophinge.tenancy.share_leases import (
+    MAX_CLOCK_DRIFT,
+    HIGH_SHARE_TERM_US,
+    LOW_SHARE_TERM_US,
+    ShareLeaseHolder,
+    ShareLeaseIssuer,
+    ShareLease,
+)
+from hophinge.tenancy.share_planner import DemandEstimate, find_shortfall, plan_shares
 
 S = 1_000_000
 
@@ -24,19 +31,19 @@
         self.rng, self.lossy = random.Random(seed), lossy
         self.now = 0
         self.names = [f"n{at}" for at in range(heads)]
-        self.speed = {name: 1 + self.rng.uniform(-DRIFT, DRIFT) / 2.1 for name in self.names}
+        self.speed = {name: 1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2.1 for name in self.names}
         self.skew = {name: self.rng.randrange(10**9) for name in self.names}
         self.processes = itertools.count(1)
         self.holders = {name: self.born(name) for name in self.names}
-        self.issuer = Issuer(heads, 0, 0)
+        self.issuer = ShareLeaseIssuer(heads, 0, 0)
         self.wanted: dict[str, float] = {}
         self.cut: set[str] = set()
         self.way: list[tuple[int, int, Any]] = []
         self.count = itertools.count()
         self.most = 0.0
 
-    def born(self, name: str) -> Holder:
-        return Holder(len(self.names), next(self.processes), self.clock(name))
+    def born(self, name: str) -> ShareLeaseHolder:
+        return ShareLeaseHolder(len(self.names), next(self.processes), self.clock(name))
 
     def clock(self, name: str) -> int:
         """A head's own steady clock; it may be hours off."""
@@ -49,7 +56,7 @@
             heapq.heappush(self.way, (self.now + delay, next(self.count), message))
 
     def ask(self, name: str) -> None:
-        self.send(("ask", name, self.holders[name].process, *self.holders[name].ask(self.clock(name))))
+        self.send(("ask", name, self.holders[name].process, *self.holders[name].next_request(self.clock(name))))
 
     def run(self, span: int, step: int = S // 2, every: int = 2 * S) -> None:
         until = self.now + span
@@ -69,7 +76,7 @@
                     if lease is not None:
                         self.send(("lease", name, lease))
                 else:
-                    self.holders[name].take(self.clock(name), rest[0])
+                    self.holders[name].accept(self.clock(name), rest[0])
             total = sum(holder.share("t", self.clock(name)) for name, holder in self.holders.items())
             self.most = max(self.most, total)
             assert total <= 1 + 1e-9, (
@@ -86,13 +93,13 @@
     assert here.holders["n0"].share("t", here.clock("n0")) == pytest.approx(0.9)
     assert here.holders["n1"].share("t", here.clock("n1")) == pytest.approx(0.1)
     here.wanted = {"n0": 0.1, "n1": 0.9}
-    here.run(8 * S + HIGH_US)
+    here.run(8 * S + HIGH_SHARE_TERM_US)
     assert here.holders["n1"].share("t", here.clock("n1")) == pytest.approx(0.9)
     here.cut = {"n0", "n1"}
-    here.run(HIGH_US + 5 * S)
+    here.run(HIGH_SHARE_TERM_US + 5 * S)
     assert here.holders["n1"].share("t", here.clock("n1")) == 0.5  # what it took has ended first
     assert here.holders["n0"].share("t", here.clock("n0")) == pytest.approx(0.1)
-    here.run(LOW_US)
+    here.run(LOW_SHARE_TERM_US)
     assert here.holders["n0"].share("t", here.clock("n0")) == 0.5
     assert here.most > 0.99
 
@@ -125,24 +132,24 @@
         elif word == "restart":  # a new process: no lease, no asks; its clock goes on
             here.holders[name] = here.born(name)
         else:  # a new issuer, which knows nothing but the last serial
-            here.issuer = Issuer(heads, here.issuer.serial, here.now)
+            here.issuer = ShareLeaseIssuer(heads, here.issuer.serial, here.now)
     here.cut = set()
     here.run(60 * S)
 
 
 def test_a_lease_that_comes_late_or_twice_is_not_taken() -> None:
-    holder = Holder(2, 7, -LOW_US - 1)
-    asked, _ = holder.ask(0)
-    lease = Lease(3, 7, asked, {"t": 0.8})
-    assert not holder.take(0, Lease(2, 6, asked, {"t": 0.8})) and holder.share("t", 0) == 0.5
-    assert holder.take(HIGH_US - 1, lease) and holder.share("t", HIGH_US - 1) == 0.8
-    assert holder.share("t", HIGH_US) == 0.5  # counted from the ask, however late it came
-    assert not holder.take(HIGH_US, lease) and holder.late == 2
+    holder = ShareLeaseHolder(2, 7, -LOW_SHARE_TERM_US - 1)
+    asked, _ = holder.next_request(0)
+    lease = ShareLease(3, 7, asked, {"t": 0.8})
+    assert not holder.accept(0, ShareLease(2, 6, asked, {"t": 0.8})) and holder.share("t", 0) == 0.5
+    assert holder.accept(HIGH_SHARE_TERM_US - 1, lease) and holder.share("t", HIGH_SHARE_TERM_US - 1) == 0.8
+    assert holder.share("t", HIGH_SHARE_TERM_US) == 0.5  # counted from the ask, however late it came
+    assert not holder.accept(HIGH_SHARE_TERM_US, lease) and holder.stale_leases == 2
     for _ in range(20):
-        holder.ask(HIGH_US)
-    assert not holder.take(HIGH_US, Lease(9, 7, asked, {"t": 0.8}))
-    young = Holder(2, 8, 0)
-    assert young.share("t", LOW_US) == 0.0 and young.share("t", LOW_US + 1) == 0.5
+        holder.next_request(HIGH_SHARE_TERM_US)
+    assert not holder.accept(HIGH_SHARE_TERM_US, ShareLease(9, 7, asked, {"t": 0.8}))
+    young = ShareLeaseHolder(2, 8, 0)
+    assert young.share("t", LOW_SHARE_TERM_US) == 0.0 and young.share("t", LOW_SHARE_TERM_US + 1) == 0.5
 
 
 # --- plans
@@ -161,12 +168,12 @@
 ) -> None:
     rng = random.Random(seed)
     demand = {name: {head: rng.choice([0.0, 1.0, 30.0]) for head in capacities} for name in reserves}
-    if (why := fits(reserves, capacities)) is not None:
+    if (why := find_shortfall(reserves, capacities)) is not None:
         assert why.reserved > why.capacity and "lower reserves by" in str(why)
         with pytest.raises(ValueError, match="do not fit"):
-            plan(reserves, capacities, demand)
+            plan_shares(reserves, capacities, demand)
         return
-    parts = plan(reserves, capacities, demand)
+    parts = plan_shares(reserves, capacities, demand)
     for shares in parts.values():
         assert sum(shares.values()) == pytest.approx(1.0) and min(shares.values()) >= -1e-9
     if set(parts) == set(reserves):
@@ -176,20 +183,20 @@
 
 def test_a_plan_follows_demand_and_yields_where_a_head_is_full() -> None:
     demand = {"a": {"h1": 30.0}, "b": {"h1": 5.0, "h2": 5.0}}
-    roomy = plan({"a": 40.0, "b": 40.0}, {"h1": 100.0, "h2": 100.0}, demand)
+    roomy = plan_shares({"a": 40.0, "b": 40.0}, {"h1": 100.0, "h2": 100.0}, demand)
     assert roomy["a"]["h1"] == pytest.approx(0.875) and roomy["b"]["h1"] == pytest.approx(0.5)
-    tight = plan({"a": 40.0, "b": 40.0}, {"h1": 45.0, "h2": 45.0}, demand)
+    tight = plan_shares({"a": 40.0, "b": 40.0}, {"h1": 45.0, "h2": 45.0}, demand)
     assert 40 * (tight["a"]["h1"] + tight["b"]["h1"]) == pytest.approx(45.0)
-    assert plan({"a": 40.0}, {"h1": 50.0}, {}) == {}
+    assert plan_shares({"a": 40.0}, {"h1": 50.0}, {}) == {}
 
 
 def test_demand_fades_and_a_head_that_is_gone_counts_no_more() -> None:
-    seen = Demand()
+    seen = DemandEstimate()
     for _ in range(30):
         seen.report("h1", {"t": 10.0})
         seen.report("h2", {"t": 30.0})
     assert seen.rates["t"]["h1"] == pytest.approx(10.0, rel=0.01)
-    seen.gone("h2")
+    seen.forget("h2")
     assert set(seen.rates["t"]) == {"h1"}
     for _ in range(60):
         seen.report("h1", {})
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -48,20 +48,20 @@
             router = head.streamed.router
             assert router.admission is not None
             tasks = [asyncio.create_task(put(here, head, client, "aa", at)) for at in range(1, 13)]
-            await until(lambda: router.admission is not None and router.admission.tree.waiting == 8)
+            await until(lambda: router.admission is not None and router.admission.queue.queued_items == 8)
             tasks[11].cancel()
-            await until(lambda: router.admission is not None and router.admission.tree.waiting == 7)
+            await until(lambda: router.admission is not None and router.admission.queue.queued_items == 7)
             await until(lambda: sum(task.done() for task in tasks) == 8)  # seven are refused after 150 ms
             gate.set()
             codes = Counter(await asyncio.gather(*tasks[:11]))
             assert codes == {200: 4, 503: 7} and not router.passes and not router.open
-            assert router.admission.inside == 0 and router.figures()["refused_beyond_share"] == 7
+            assert router.admission.units_in_flight == 0 and router.figures()["refused_beyond_share"] == 7
             told = (await tenants_of(head, client))["aa"]
             assert (told["spare_units"], told["refused"], told["waiting"]) == (4.0, 7, 0)
             # Without the form nothing waits any more.
             gate.clear()
             tasks = [asyncio.create_task(put(here, head, client, "aa", at)) for at in range(20, 28)]
-            await until(lambda: router.admission is not None and router.admission.tree.waiting == 4)
+            await until(lambda: router.admission is not None and router.admission.queue.queued_items == 4)
             await here.push(GOOD)
             await here.runs(head, "1.2")
             gate.set()
@@ -96,7 +96,7 @@
             assert shares() == [0.0, 0.0]  # they have just started, and nothing told them what is safe
             await until(lambda: here.service is not None and here.service.allotment.issuer is not None)
             assert here.service is not None and here.service.allotment.issuer is not None
-            here.service.allotment.issuer.quiet_until = 0  # nobody was ever granted anything here
+            here.service.allotment.issuer.no_grant_until_us = 0  # nobody was ever granted anything here
             await until(lambda: min(shares()) > 0)
             since, number = asyncio.get_running_loop().time(), itertools.count(1)
 
@@ -189,10 +189,10 @@
             wires[0].close()
             assert head.streamed is not None
             held = head.streamed.forms.held
-            await until(lambda: held.held["aa"] == 1)
+            await until(lambda: held.open_counts["aa"] == 1)
             # A connection stands for whom its last request was of: the other volume's may ask for this one now.
             wires[3].send("/record-read/00000000000000aa/7f3a9c21e0b4d655", headers(9))
-            assert (await wires[3].receive())[0] == 404 and held.held["aa"] == 2
+            assert (await wires[3].receive())[0] == 404 and held.open_counts["aa"] == 2
             assert head.counters.counts["tenants_bounded"] == 1
 
     run(main())
--- a/tests/test_tenancy_turns.py
+++ b/tests/test_tenancy_turns.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hophinge.tenancy.fair_queue import Entry, Tree
+from hophinge.tenancy.fair_queue import QueueEntry, FairQueue
 from hophinge.tenancy.reserve import Reserve
 from tests.tenancy_model import MS, S, jain
 
@@ -17,10 +17,10 @@
 @settings(max_examples=60)
 @given(st.lists(st.floats(0.5, 8.0), min_size=2, max_size=6), st.integers(0, 2**32))
 def test_what_waits_leaves_in_proportion_to_weights(weights: list[float], seed: int) -> None:
-    rng, tree, got = random.Random(seed), Tree[str](), dict.fromkeys(map(str, range(len(weights))), 0.0)
+    rng, tree, got = random.Random(seed), FairQueue[str](), dict.fromkeys(map(str, range(len(weights))), 0.0)
 
     def fill(name: str) -> None:
-        tree.put(name, rng.uniform(0.5, 8.0), name, weights[int(name)], "v", 1.0, 1.0)
+        tree.enqueue(name, rng.uniform(0.5, 8.0), name, weights[int(name)], "v", 1.0, 1.0)
 
     for name in got:
         fill(name)
@@ -98,11 +98,11 @@
     )
 )
 def test_the_tree_chooses_what_a_plain_scan_chooses(steps: list[tuple[str, int, int, float, float]]) -> None:
-    tree, plain, entries = Tree[str](), Plain(), dict[str, Entry[str]]()
+    tree, plain, entries = FairQueue[str](), Plain(), dict[str, QueueEntry[str]]()
     for at, (word, one, two, worth, units) in enumerate(steps):
         if word == "put":
             name, weights = f"i{at}", (1.0 + one, 1.0 + two)
-            entries[name] = tree.put(name, units, f"t{one}", weights[0], f"v{two}", weights[1], worth)
+            entries[name] = tree.enqueue(name, units, f"t{one}", weights[0], f"v{two}", weights[1], worth)
             plain.put(name, units, f"t{one}", f"v{two}", worth, weights)
         elif word == "remove" and entries:
             name = sorted(entries)[one % len(entries)]
@@ -113,31 +113,31 @@
             assert (entry.item if entry else None) == plain.pop()
             if entry:
                 del entries[entry.item]
-        assert tree.waiting == len(entries)
+        assert tree.queued_items == len(entries)
 
 
 def test_who_was_idle_gets_no_credit_for_it() -> None:
-    tree = Tree[str]()
+    tree = FairQueue[str]()
     for _ in range(100):
-        tree.put("busy", 1.0, "busy", 1.0, "v", 1.0, 1.0)
+        tree.enqueue("busy", 1.0, "busy", 1.0, "v", 1.0, 1.0)
     for _ in range(50):
         tree.pop()
     for _ in range(20):
-        tree.put("late", 1.0, "late", 1.0, "v", 1.0, 1.0)
+        tree.enqueue("late", 1.0, "late", 1.0, "v", 1.0, 1.0)
     first = Counter(entry.item for _ in range(20) if (entry := tree.pop()))
     assert abs(first["late"] - first["busy"]) <= 1
 
 
 def test_flows_that_are_done_and_items_that_gave_up_are_forgotten() -> None:
-    tree = Tree[int]()
+    tree = FairQueue[int]()
     for at in range(5000):
-        tree.put(at, 1.0, f"t{at}", 1.0, "v", 1.0, 1.0)
+        tree.enqueue(at, 1.0, f"t{at}", 1.0, "v", 1.0, 1.0)
         tree.pop()
         if at % 100 == 99:
-            tree.idle()
+            tree.reset_if_empty()
         assert len(tree.root.flows) <= 100
     for at in range(5000):
-        tree.remove(tree.put(at, 1.0, "t", 1.0, "v", 1.0, 1.0))
+        tree.remove(tree.enqueue(at, 1.0, "t", 1.0, "v", 1.0, 1.0))
     outer = tree.root.flows["t"]
     assert outer.node is not None and len(outer.node.flows["v"].queue) < 50
 
@@ -168,7 +168,7 @@
                 right_level[name] -= units
             elif right_level[name] >= units - 1e-6:
                 right_level[name] = max(0.0, right_level[name] - units)
-        assert abs(sum(reserve.debts.values()) + reserve.returned - reserve.lent) < 1e-6
+        assert abs(sum(reserve.outstanding_loans.values()) + reserve.returned_units - reserve.lent_units) < 1e-6
         # All together: the tenant's rate and what was saved up, and the rights that were driven below 0 by loans.
         assert sum(taken.values()) <= 40.0 * (now - since) / S + 40.0 + sum(max(rate, 8.0) for rate in rights.values())
 
@@ -177,24 +177,24 @@
     reserve = Reserve(20.0, 1.0, 4.0, 0)
     assert all(reserve.take("quiet", 20.0, 4.0, 1.0, 0) for _ in range(0))
     borrowed = sum(reserve.take("busy", 0.0, 4.0, 1.0, 0) for _ in range(40))
-    assert reserve.owed(0) == {"busy": 20.0}
-    assert borrowed == 20 and reserve.borrowed == {"busy": 20.0} and reserve.lent == 20.0
+    assert reserve.loans(0) == {"busy": 20.0}
+    assert borrowed == 20 and reserve.borrowed_units == {"busy": 20.0} and reserve.lent_units == 20.0
     rights = sum(reserve.take("quiet", 20.0, 4.0, 1.0, 0) for _ in range(40))
     assert rights == 20 and reserve.total.level == -20.0  # its right, though all was lent
-    assert reserve.owed(S // 2) == {"busy": 10.0}
+    assert reserve.loans(S // 2) == {"busy": 10.0}
     assert not reserve.take("busy", 0.0, 4.0, 1.0, S)  # a second later it is only just even
-    assert reserve.returned == 20 and not reserve.owed(S)
-    assert reserve.take("busy", 0.0, 4.0, 1.0, S + 100 * MS) and reserve.owed(S + 100 * MS) == {"busy": 1.0}
-    assert not reserve.owed(9 * S)  # a full bucket owes nothing
+    assert reserve.returned_units == 20 and not reserve.loans(S)
+    assert reserve.take("busy", 0.0, 4.0, 1.0, S + 100 * MS) and reserve.loans(S + 100 * MS) == {"busy": 1.0}
+    assert not reserve.loans(9 * S)  # a full bucket owes nothing
 
 
 def test_a_changed_rate_keeps_what_is_owed() -> None:
     reserve = Reserve(10.0, 1.0, 1.0, 0)
     assert all(reserve.take("v", 10.0, 1.0, 1.0, 0) for _ in range(10))
-    reserve.change(100.0, 1.0, 0)
+    reserve.set_rate(100.0, 1.0, 0)
     assert not reserve.take("v", 100.0, 1.0, 1.0, 0)  # a raise gives nothing at once
     assert reserve.take("v", 100.0, 1.0, 1.0, 20 * MS)
-    reserve.change(1.0, 1.0, 100 * MS)
+    reserve.set_rate(1.0, 1.0, 100 * MS)
     taken = sum(reserve.take("v", 1.0, 1.0, 1.0, 100 * MS + at * 10 * MS) for at in range(100))
     assert taken <= 2
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -13,10 +13,18 @@
 from hophinge.state.ledger import Ledger
 from hophinge.telemetry.remote_write import metrics
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.caller_rate_limits import Callers, Holdings
-from hophinge.tenancy.records import Account, Key, Role, digest, row
-from hophinge.tenancy.slewed_clock import Timekeeper
-from hophinge.tenancy.usage import FIELDS, MAX_VOLUMES, OTHERS, WHOLE, Exported, Reports, Usage
+from hophinge.tenancy.caller_rate_limits import CallerRateLimits, ConcurrencyQuota
+from hophinge.tenancy.records import Account, Key, Role, digest_of, row_of
+from hophinge.tenancy.slewed_clock import SlewedClock
+from hophinge.tenancy.usage import (
+    FIELDS,
+    MAX_COUNTED_VOLUMES,
+    OTHER_TENANTS,
+    TENANT_TOTAL,
+    LabelledTotals,
+    UsageReports,
+    UsageCounter,
+)
 
 HOUR_MS = 3_600_000
 
@@ -24,9 +32,9 @@
 @pytest.mark.parametrize("leap_ms", [HOUR_MS, -HOUR_MS])
 def test_a_clock_that_steps_by_an_hour_ends_no_key_and_revives_none(leap_ms: int) -> None:
     wall, steady = 1_000_000_000, 5_000_000
-    keeper, accounts = Timekeeper(wall, steady), Accounts()
+    keeper, accounts = SlewedClock(wall, steady), Accounts()
     for name, ends in (("hk01", wall + 600_000), ("hk02", wall + 60_000)):
-        accounts.take([row(Account("alba")), row(Key("alba", name, digest("s"), Role.DATA, wall, ends))])
+        accounts.apply([row_of(Account("alba")), row_of(Key("alba", name, digest_of("s"), Role.DATA, wall, ends))])
     last = keeper.now_ms(wall, steady)
     for second in range(1, 301):
         steady += 1_000_000
@@ -37,58 +45,69 @@
         assert accounts.authenticate("hk01.s", now) is not None
         if second > 61:
             assert accounts.authenticate("hk02.s", now) is None
-    assert abs(keeper.off_ms(wall)) > HOUR_MS * 0.9
+    assert abs(keeper.wall_clock_ahead_ms(wall)) > HOUR_MS * 0.9
     # After a restart time goes on from what was stored: an ended key stays so, whatever the clock says.
-    assert Timekeeper(wall - 10 * HOUR_MS, 0, seen_ms=last).now_ms(wall - 10 * HOUR_MS, 0) >= last
+    assert SlewedClock(wall - 10 * HOUR_MS, 0, last_stored_ms=last).now_ms(wall - 10 * HOUR_MS, 0) >= last
 
 
 def test_callers_are_bounded_each_and_together() -> None:
-    callers = Callers(10.0, 20.0, 100)
+    callers = CallerRateLimits(10.0, 20.0, 100)
     assert sum(not callers.admit("loud", 0) for _ in range(1000)) == 20
     assert callers.admit("quiet", 0) == 0 and callers.wait_us("loud", 0) == 100_001
     assert callers.admit("loud", 100_001) == 0
     for at in range(1_000):
         callers.admit(f"made-up-{at}", 0)
     assert len(callers.buckets) == 100
-    held = Holdings()
-    assert held.take("a", 1, 1) and held.take("a", 1, 1) and not held.take("a", 2, 1) and held.take("b", 1, 1)
-    assert held.take("a", 2, 1) and held.held == {"a": 1, "b": 1}
-    held.drop(1)
-    held.drop(1)
-    assert held.held == {"a": 1}
+    held = ConcurrencyQuota()
+    assert (
+        held.acquire("a", 1, 1) and held.acquire("a", 1, 1) and not held.acquire("a", 2, 1) and held.acquire("b", 1, 1)
+    )
+    assert held.acquire("a", 2, 1) and held.open_counts == {"a": 1, "b": 1}
+    held.release(1)
+    held.release(1)
+    assert held.open_counts == {"a": 1}
 
 
 @given(st.lists(st.tuples(st.sampled_from(["add", "add", "flush", "stored", "failed"]), st.integers(1, 9))))
 def test_usage_is_stored_once_whatever_fails(steps: list[tuple[str, int]]) -> None:
-    usage, store, counted = Usage(), 0.0, 0
+    usage, store, counted = UsageCounter(), 0.0, 0
     for word, amount in steps:
         if word == "add":
             usage.add("t", "v", "served", amount)
             counted += amount
         elif word == "flush":
-            usage.flush()
-        elif word == "stored" and usage.out is not None:
-            store += sum(usage.out.values())
-            usage.stored()
+            usage.begin_flush()
+        elif word == "stored" and usage.flushing is not None:
+            store += sum(usage.flushing.values())
+            usage.commit_flush()
         elif word == "failed":
-            usage.failed()
-    store += sum(usage.flush().values()) if usage.out is None else sum(usage.out.values()) + sum(usage.amounts.values())
+            usage.abort_flush()
+    store += (
+        sum(usage.begin_flush().values())
+        if usage.flushing is None
+        else sum(usage.flushing.values()) + sum(usage.amounts.values())
+    )
     assert store == counted
 
 
 def test_usage_of_more_volumes_than_are_held_counts_for_their_tenant() -> None:
-    usage = Usage()
-    for at in range(MAX_VOLUMES * len(FIELDS) + 10):
+    usage = UsageCounter()
+    for at in range(MAX_COUNTED_VOLUMES * len(FIELDS) + 10):
         usage.add("t", f"v{at}", "served", 1)
-    assert usage.amounts["t", WHOLE, "served"] == 10
+    assert usage.amounts["t", TENANT_TOTAL, "served"] == 10
 
 
 def test_labels_of_exported_series_are_bounded_and_kept() -> None:
-    exported = Exported(3)
+    exported = LabelledTotals(3)
     for turn in range(3):
         for at in range(turn, 10):
             exported.add(f"t{at}", "served", 1)
-    assert exported.counts == {("t0", "served"): 1, ("t1", "served"): 2, ("t2", "served"): 3, (OTHERS, "served"): 21}
+    assert exported.counts == {
+        ("t0", "served"): 1,
+        ("t1", "served"): 2,
+        ("t2", "served"): 3,
+        (OTHER_TENANTS, "served"): 21,
+    }
     name, found = (
         "hophinge_tenant_served_total",
         metrics(Counters(), {}, None, {("tenant_served_total", (("tenant", "t0"),)): 1.0}),
@@ -97,18 +116,18 @@
 
 
 def test_reports_come_again_until_they_are_acknowledged(tmp_path: Path) -> None:
-    reports, ledger = Reports(), Ledger(tmp_path / "a.db")
+    reports, ledger = UsageReports(), Ledger(tmp_path / "a.db")
     places: dict[Any, float] = {("t", f"v{at}", "served"): 1.0 for at in range(5)}
-    reports.changed(places)
-    _, first = reports.take(3)
-    two, second = reports.take(3)
+    reports.add(places)
+    _, first = reports.next_report(3)
+    two, second = reports.next_report(3)
     assert (len(first), len(second)) == (3, 2)
-    reports.acknowledged(two)
-    reports.lost()
-    assert set(reports.due) == set(first)
-    three, again = reports.take(9)
-    reports.acknowledged(three)
-    assert set(again) == set(first) and not reports.due and not reports.sent
+    reports.acknowledge(two)
+    reports.retry_unacknowledged()
+    assert set(reports.unreported) == set(first)
+    three, again = reports.next_report(9)
+    reports.acknowledge(three)
+    assert set(again) == set(first) and not reports.unreported and not reports.unacknowledged
     for total in (5.0, 3.0, 5.0, 7.0):  # late and doubled reports change nothing
         ledger.merge_usage_totals("n0", {("t", "v", "served"): total})
     ledger.merge_usage_totals("n1", {("t", "v", "served"): 2.0})
