--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -21,7 +21,7 @@
 
 from hophinge.cluster.actions import MemberChanged  # noqa: E402 - the checkout's own
 from hophinge.cluster.interface import MemberState, Topic  # noqa: E402
-from tests.cluster_member import Started, until  # noqa: E402
+from tests.cluster_member import MemberProcess, wait_for  # noqa: E402
 from tests.cluster_network import SECOND, Network, Node  # noqa: E402
 
 CALM_S, CUT_S, MAX_S = 20.0, 20.0, 300.0
@@ -91,7 +91,7 @@
     found = []
     for node in nodes:
         seen = set()
-        for when, what in node.told:
+        for when, what in node.notifications:
             if (
                 isinstance(what, MemberChanged)
                 and when > since_us
@@ -119,7 +119,7 @@
     # As one member sees all others: each suspicion of a living one that reached it.
     suspected = sum(
         isinstance(what, MemberChanged) and what.member.state is MemberState.SUSPECT and when > began
-        for when, what in nodes[0].told
+        for when, what in nodes[0].notifications
     )
     calm = sent(nodes, began, net.now_us)
     dead, rest = nodes[-max(1, count // 50) :], nodes[: -max(1, count // 50)]
@@ -139,7 +139,7 @@
         f"{suspected / count / calm_s * 60:.2f}",
         false,
         f"{calm:.0f}",
-        max(map(net.most_bytes, nodes)),
+        max(map(net.max_bytes_s, nodes)),
         nodes[0].machine.core.limits.bytes_s,
     ]
 
@@ -148,15 +148,15 @@
     """Cut in two halves for a while, with entries set on both sides, and heal."""
     net, nodes = fleet(count, loss, 6)
     for node in nodes:
-        node.told = Forgotten()
+        node.notifications = Forgotten()
     half = {node.address for node in nodes[::2]}
-    net.cut = lambda source, target: (source in half) != (target in half)
+    net.is_cut = lambda source, target: (source in half) != (target in half)
     entries = 3 if count < 1000 else 1
     for node in nodes:
         for number in range(entries):
             node.machine.put(Topic.WEIGHTS, f"w{number}", node.address.encode() * 10)
     net.run(CUT_S)
-    net.cut = lambda source, target: False
+    net.is_cut = lambda source, target: False
     healed = net.now_us
     done = net.until(lambda: agreed(nodes), MAX_S, 0.25)
     took = (net.now_us - healed) / SECOND
@@ -166,7 +166,7 @@
         f"{entries} of 100 bytes",
         f"{took:.1f}" if done else f"not within {MAX_S:.0f}",
         f"{sent(nodes, healed, net.now_us):.0f}",
-        max(map(net.most_bytes, nodes)),
+        max(map(net.max_bytes_s, nodes)),
         nodes[0].machine.core.limits.bytes_s,
     ]
 
@@ -174,17 +174,17 @@
 def real(count: int, loss: float) -> list[Any]:
     """Start real processes on loopback, leave them alone for a while, and kill one three times."""
     with tempfile.TemporaryDirectory() as folder:
-        started: list[Started] = []
+        started: list[MemberProcess] = []
         try:
             began = time.monotonic()
-            started.append(Started(Path(folder), "m0", []))
+            started.append(MemberProcess(Path(folder), "m0", []))
             for number in range(1, count):
-                started.append(Started(Path(folder), f"m{number}", [started[0].address]))
-            assert until(lambda: all(len(one.standings()) == count for one in started), 120)
+                started.append(MemberProcess(Path(folder), f"m{number}", [started[0].address]))
+            assert wait_for(lambda: all(len(one.member_states()) == count for one in started), 120)
             joined = time.monotonic() - began
-            before, at = [one.ask() for one in started], time.monotonic()
+            before, at = [one.request() for one in started], time.monotonic()
             time.sleep(CALM_S)
-            after, calm_s = [one.ask() for one in started], time.monotonic() - at
+            after, calm_s = [one.request() for one in started], time.monotonic() - at
             cpu = [(new["cpu_s"] - old["cpu_s"]) / calm_s for old, new in zip(before, after, strict=True)]
             bytes_ = [
                 (new["counters"]["bytes_sent"] - old["counters"]["bytes_sent"]) / calm_s
@@ -195,14 +195,14 @@
                 victim = started.pop()
                 victim.process.kill()
                 killed = time.monotonic()
-                assert until(
+                assert wait_for(
                     lambda name=victim.name: all(  # type: ignore[misc] # bound in its turn
-                        one.standings()[name] == "dead" for one in started
+                        one.member_states()[name] == "dead" for one in started
                     ),
                     120,
                 )
                 took.append(time.monotonic() - killed)
-                victim.end()
+                victim.kill()
             return [
                 count,
                 f"{joined:.1f}",
@@ -214,7 +214,7 @@
             ]
         finally:
             for one in started:
-                one.end()
+                one.kill()
 
 
 def main() -> None:
--- a/benchmarks/cluster_cuts.py
+++ b/benchmarks/cluster_cuts.py
@@ -52,7 +52,7 @@
         assert net.until(lambda: not {MemberState.ALIVE, MemberState.SUSPECT} & set(others()), MAX_S, 0.25)
         dead.append((net.now_us - began) / SECOND)
         sent.append(bytes_s([one], began, net.now_us))
-        most = max(most, net.most_bytes(one))
+        most = max(most, net.max_bytes_s(one))
     return [str(count), spread(suspected), spread(dead), f"{statistics.mean(sent):.0f}", str(most)]
 
 
@@ -75,7 +75,7 @@
         f"{found[0] / count:.2f}",
         str(found[1]),
         f"{bytes_s(nodes, began, net.now_us):.0f}",
-        str(max(map(net.most_bytes, nodes))),
+        str(max(map(net.max_bytes_s, nodes))),
     ]
 
 
@@ -87,12 +87,12 @@
         nodes = net.fleet(count, 120)
         lonely = nodes[count // 2]
         rest = [node for node in nodes if node is not lonely]
-        net.cut = lambda source, target: lonely.address in (source, target)  # noqa: B023 - called in its turn
+        net.is_cut = lambda source, target: lonely.address in (source, target)  # noqa: B023 - called in its turn
         net.run(cut_s)
-        net.cut = lambda source, target: False
+        net.is_cut = lambda source, target: False
         began = net.now_us
         before = {node.machine.own_name: node.machine.core.members.own_record.incarnation for node in rest}
-        assert net.until(lambda: net.agreed(nodes), 240, 0.25)  # noqa: B023
+        assert net.until(lambda: net.has_converged(nodes), 240, 0.25)  # noqa: B023
         took.append((net.now_us - began) / SECOND)
         refuted.append(
             float(
@@ -113,13 +113,13 @@
         for node in nodes:
             node.machine.joiner.seeds = []
         inside = {node.address for node in nodes[:side]}
-        net.cut = lambda source, target: (source in inside) != (target in inside)  # noqa: B023
+        net.is_cut = lambda source, target: (source in inside) != (target in inside)  # noqa: B023
         net.run(LONG_S)
-        net.cut = lambda source, target: False
+        net.is_cut = lambda source, target: False
         began = net.now_us
-        if net.until(lambda: net.agreed(nodes), 300, 0.25):  # noqa: B023
+        if net.until(lambda: net.has_converged(nodes), 300, 0.25):  # noqa: B023
             took.append((net.now_us - began) / SECOND)
-        most = max(most, *map(net.most_bytes, nodes))
+        most = max(most, *map(net.max_bytes_s, nodes))
     healed = spread(took) if len(took) == len(SEEDS) else f"{len(took)} of {len(SEEDS)} within 300 s"
     return [f"{side} and {other}", f"{loss:.0%}", healed, str(most)]
 
--- a/hophinge/cluster/messages.py
+++ b/hophinge/cluster/messages.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from hophinge.cluster.interface import MAX_VALUE_BYTES, Member, Role, MemberState, Topic
+from hophinge.cluster.interface import MAX_VALUE_BYTES, Member, MemberState, Role, Topic
 
 REFUTATION_BITS = 18  # low bits of an incarnation that count refutations; the high bits are the generation
 MAX_INCARNATION = 2**63 - 1
--- a/hophinge/maintenance/coordinator.py
+++ b/hophinge/maintenance/coordinator.py
@@ -14,11 +14,11 @@
 from hophinge.maintenance.drains import Drains, Verdict, owing
 from hophinge.maintenance.keeper import Keeper
 from hophinge.maintenance.listing import Listener
+from hophinge.maintenance.messages import Report, Word
+from hophinge.maintenance.observations import Head, Observations, backend_floors, head_floor
 from hophinge.maintenance.permits import Answer, Ask, Floor, Kind, Permit, Permits, Sighting, State
 from hophinge.maintenance.releases import Course, Outcome, Releases, Stage
-from hophinge.maintenance.observations import Head, Observations, backend_floors, head_floor
 from hophinge.maintenance.watch import AWAY_US, HeadView
-from hophinge.maintenance.messages import Report, Word
 from hophinge.routing.bounds import Maintenance, Outage, Release
 from hophinge.routing.records import Record
 
--- a/hophinge/maintenance/drains.py
+++ b/hophinge/maintenance/drains.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-from hophinge.cluster.interface import Entry, Member, Role, MemberState, Topic
+from hophinge.cluster.interface import Entry, Member, MemberState, Role, Topic
 
 DRAINED, SERVED = "drained", "served"  # nothing of one's own is there; it answers again, and is warm
 
--- a/hophinge/maintenance/holder.py
+++ b/hophinge/maintenance/holder.py
@@ -12,8 +12,8 @@
 
 from hophinge.cluster.interface import Entry, Topic
 from hophinge.core.errors import HophingeError
-from hophinge.maintenance.permits import BEGIN_US, Permit, State
 from hophinge.maintenance.messages import Word
+from hophinge.maintenance.permits import BEGIN_US, Permit, State
 
 HALT = "halt/"  # before NAME/AGAIN in the key of an entry that tells of a halt
 
--- a/hophinge/maintenance/observations.py
+++ b/hophinge/maintenance/observations.py
@@ -9,8 +9,8 @@
 from msgspec import Struct
 
 from hophinge.maintenance.listing import Listener
-from hophinge.maintenance.permits import Floor, Sighting
 from hophinge.maintenance.messages import Listed, Report
+from hophinge.maintenance.permits import Floor, Sighting
 from hophinge.routing.records import Pool, Record, Route, Spare, Tenant
 from hophinge.tenancy.share_planner import find_shortfall
 
--- a/hophinge/peers/endpoint.py
+++ b/hophinge/peers/endpoint.py
@@ -14,12 +14,12 @@
 from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
 
-from hophinge.cluster.actions import Action, MemberChanged, SendDatagram, SteppedDown, EntryChanged
+from hophinge.cluster.actions import Action, EntryChanged, MemberChanged, SendDatagram, SteppedDown
+from hophinge.cluster.datagram import MAX_DATAGRAM_BYTES, read_keys
 from hophinge.cluster.errors import ClusterUnusableError, KeysUnusableError, NameTakenError
-from hophinge.cluster.interface import Subscriber, Role
+from hophinge.cluster.interface import Role, Subscriber
 from hophinge.cluster.state_machine import MemberStateMachine
 from hophinge.cluster.tuning import Limits, Tuning
-from hophinge.cluster.datagram import MAX_DATAGRAM_BYTES, read_keys
 
 DATAGRAMS_PER_TURN = 32  # read at most in one turn of the loop
 READ_TURN_S = 0.002  # spent at most on reading in one turn
--- a/tests/member_lies.py
+++ b/tests/byzantine_member.py
@@ -12,9 +12,9 @@
 import sys
 from pathlib import Path
 
+from hophinge.cluster.datagram import seal_datagram
 from hophinge.cluster.interface import Topic
 from hophinge.cluster.messages import DEAD, SUSPECT, MemberRecord, encode_message
-from hophinge.cluster.datagram import seal_datagram
 from hophinge.head.cluster import Member
 from hophinge.head.sections import ClusterConfig
 
--- a/tests/cluster_member.py
+++ b/tests/cluster_member.py
@@ -1,4 +1,4 @@
-"""A member in a process of its own, as the tests and the benchmark start it: settings as JSON, words on its stdin."""
+"""A member in its own process, for tests and the benchmark: settings as JSON, commands on its stdin."""
 
 from __future__ import annotations
 
@@ -57,8 +57,8 @@
         print(json.dumps(said), flush=True)
 
 
-class Started:
-    """A started member; every word is answered with its status."""
+class MemberProcess:
+    """A member that was started; it responds to every command with its status."""
 
     def __init__(self, folder: Path, name: str, seeds: list[str], listen: str = "127.0.0.1:0", **more: Any) -> None:
         key_file = folder / f"{name}.key"
@@ -82,19 +82,19 @@
         found: dict[str, Any] = json.loads(out.readline() or "{}")
         return found
 
-    def ask(self, word: str = "status") -> dict[str, Any]:
+    def request(self, command: str = "status") -> dict[str, Any]:
         assert self.process.stdin is not None
-        self.process.stdin.write(word.encode() + b"\n")
+        self.process.stdin.write(command.encode() + b"\n")
         self.process.stdin.flush()
         return self.read()
 
-    def standings(self) -> dict[str, str]:
-        return {one["name"]: one["standing"] for one in self.ask()["members"]}
+    def member_states(self) -> dict[str, str]:
+        return {one["name"]: one["standing"] for one in self.request()["members"]}
 
     def signal(self, number: signal.Signals) -> None:
         self.process.send_signal(number)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
@@ -110,10 +110,10 @@
         return port
 
 
-def until(state: Callable[[], bool], most_s: float = 60.0) -> bool:
-    """Wait for a state, with one bound at the end."""
-    end = time.monotonic() + most_s
-    while not state():
+def wait_for(condition: Callable[[], bool], timeout_s: float = 60.0) -> bool:
+    """Wait until a condition holds; returns False on timeout."""
+    end = time.monotonic() + timeout_s
+    while not condition():
         if time.monotonic() > end:
             return False
         time.sleep(0.05)
--- a/tests/test_cluster_cuts.py
+++ b/tests/test_cluster_partitions.py
@@ -1,4 +1,4 @@
-"""One who hears nobody, and cuts that outlast the list of the dead: in virtual time, with the times promised."""
+"""Isolated members and long partitions in virtual time, with the documented times."""
 
 from __future__ import annotations
 
@@ -6,45 +6,49 @@
 
 import pytest
 
-from hophinge.cluster.messages import StreamItem, MemberRecord
-from hophinge.cluster.member_table import MemberTable, bucket_of
 from hophinge.cluster.entry_store import EntryStore, EntryStream
+from hophinge.cluster.member_table import MemberTable, bucket_of
+from hophinge.cluster.messages import MemberRecord, StreamItem
 from hophinge.cluster.tuning import Limits
-from tests import cluster_cuts as cuts
+from tests import cluster_partitions as cuts
 
 
 @pytest.mark.parametrize("count", [2, 12, 40])
-def test_a_sole_survivor_holds_all_others_dead_within_the_stated_time(count: int) -> None:
-    cuts.survivor_finds_out(count)
+def test_a_sole_survivor_declares_all_others_dead_within_the_documented_time(count: int) -> None:
+    cuts.sole_survivor_detects_all_deaths(count)
 
 
-def test_a_sole_survivor_keeps_its_bound_of_bytes() -> None:
-    cuts.survivor_finds_out(40, bytes_s=5_000)
+def test_a_sole_survivor_keeps_to_its_byte_limit() -> None:
+    cuts.sole_survivor_detects_all_deaths(40, bytes_s=5_000)
 
 
 @pytest.mark.parametrize(("cut_s", "one_way"), [(14.0, False), (24.0, False), (16.0, True)])
-def test_one_that_was_cut_off_tells_no_verdict_that_rests_on_silence_alone(cut_s: float, one_way: bool) -> None:
-    cuts.cut_off_accuses_nobody(cut_s, one_way)
+def test_an_isolated_member_spreads_no_suspicion_based_on_silence(cut_s: float, one_way: bool) -> None:
+    cuts.isolated_member_spreads_no_suspicion(cut_s, one_way)
 
 
 @pytest.mark.parametrize(("sides", "loss"), [((1, 1), 0), ((3, 3), 0), ((1, 9), 0.3), ((10, 10), 0.3)])
-def test_a_cut_that_outlasts_the_list_of_the_dead_heals_without_seeds(sides: tuple[int, int], loss: float) -> None:
-    cuts.long_cut_heals(sides, loss)
+def test_a_partition_longer_than_the_retention_of_dead_members_heals_without_seeds(
+    sides: tuple[int, int], loss: float
+) -> None:
+    cuts.long_partition_heals(sides, loss)
 
 
-def test_the_forgotten_are_knocked_at_one_a_turn_and_not_those_that_left() -> None:
-    cuts.knocks_are_few()
+def test_one_forgotten_member_is_contacted_each_round_and_none_that_left() -> None:
+    cuts.forgotten_members_are_contacted_rarely()
 
 
 @pytest.mark.parametrize(
-    "scenario", [cuts.incarnation_never_goes_back, cuts.stale_revives_nobody], ids=lambda scenario: scenario.__name__
+    "scenario",
+    [cuts.incarnation_never_decreases, cuts.stale_member_revives_nobody],
+    ids=lambda scenario: scenario.__name__,
 )
 def test_it_holds(scenario: Callable[[], None]) -> None:
     scenario()
 
 
-def test_two_that_changed_alike_do_not_cancel_out_in_what_is_compared() -> None:
-    """Members of one bucket whose incarnations, and entries whose values, went on by the same step."""
+def test_equal_changes_of_two_members_do_not_cancel_out_in_the_fingerprint() -> None:
+    """Members of one bucket whose incarnations, and entries whose values, changed by the same step."""
     names = [name for name in (f"n{number:04}" for number in range(400)) if bucket_of(name) == 3][:2]
 
     def marks(refuted: int, value: bytes) -> tuple[list[int], int]:
--- a/tests/test_cluster_random.py
+++ b/tests/test_cluster_random.py
@@ -1,4 +1,4 @@
-"""Random faults and words between members: afterwards those that live agree again within the stated time."""
+"""Random faults and messages between members: afterwards live members converge within the documented time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hophinge.cluster.interface import Topic
 from hophinge.cluster.tuning import Limits
 from tests.cluster_network import SECOND, Network, Node
-from tests.cluster_scenarios import Liar, within_bounds
+from tests.cluster_scenarios import ByzantineMember, assert_byte_limit
 
 AGREE_S = 60  # after the last fault, as docs/design/cluster.md states
 NAMES = [f"n{number}" for number in range(6)]
@@ -24,8 +24,8 @@
         self.net = Network(seed, limits=Limits(bytes_s=bytes_s, entries=20))
         self.homes = dict.fromkeys(NAMES, 0)
         self.cuts: set[tuple[str, str]] = set()
-        self.liar = Liar(self.net)
-        self.net.cut = lambda source, target: (source, target) in self.cuts
+        self.liar = ByzantineMember(self.net)
+        self.net.is_cut = lambda source, target: (source, target) in self.cuts
         for name in NAMES:
             self.start(name, False, 0)
 
@@ -34,7 +34,7 @@
 
     @rule(name=st.sampled_from(NAMES), moves=st.booleans(), clock=st.sampled_from([0, -3600, 3600]))
     def start(self, name: str, moves: bool, clock: int) -> None:
-        """Start one anew if it is gone, perhaps elsewhere, perhaps with its clock set an hour off."""
+        """Restart a dead member, perhaps at another address, perhaps with its clock an hour off."""
         if f"{name}:{7000 + self.homes[name]}" in self.net.nodes:
             if self.node(name).alive:
                 return
@@ -58,7 +58,7 @@
     @rule(name=st.sampled_from(NAMES))
     def go_on(self, name: str) -> None:
         if self.node(name).stopped and self.node(name).alive:
-            self.net.go_on(self.node(name))
+            self.net.resume(self.node(name))
 
     @rule(one=st.sampled_from(NAMES), other=st.sampled_from(NAMES), both=st.booleans())
     def cut(self, one: str, other: str, both: bool) -> None:
@@ -88,7 +88,7 @@
     @rule(name=st.sampled_from(NAMES), standing=st.integers(0, 3), ahead=st.integers(0, 2))
     def lie(self, name: str, standing: int, ahead: int) -> None:
         own = self.node(name).machine.core.members.own_record
-        self.liar.say(
+        self.liar.send(
             list(self.net.nodes.values()),
             own.__class__(name, own.address, own.incarnation + ahead, standing, accuser="liar"),
         )
@@ -107,12 +107,12 @@
         if not any(self.node(name).alive for name in NAMES[:2]):
             self.start("n0", False, 0)
         live = [self.node(name) for name in NAMES if self.node(name).alive]
-        assert not any(node.why for node in live)
-        assert self.net.until(lambda: self.net.agreed(live), AGREE_S, 0.5), {
+        assert not any(node.step_down_reason for node in live)
+        assert self.net.until(lambda: self.net.has_converged(live), AGREE_S, 0.5), {
             node.machine.own_name: [(one.name, one.state.value, one.incarnation) for one in node.machine.members()]
             for node in live
         }
-        for node in live:  # its own entries are what it said, whoever else spoke of them
+        for node in live:  # its own entries are those that it published, whatever others have sent
             mine = {
                 (one.topic, one.key, one.value)
                 for topic in Topic
@@ -121,10 +121,10 @@
             }
             assert mine == {
                 (Topic(topic), key, value)
-                for owner, topic, key, value in self.net.board(live[0])
+                for owner, topic, key, value in self.net.entries_of(live[0])
                 if owner == node.machine.own_name
             }
-        within_bounds(self.net)
+        assert_byte_limit(self.net)
 
 
 Faults.TestCase.settings = settings(max_examples=40, stateful_step_count=30, deadline=None, derandomize=True)
--- a/tests/test_peers_endpoint.py
+++ b/tests/test_peers_endpoint.py
@@ -8,10 +8,10 @@
 
 import pytest
 
+from hophinge.cluster.datagram import DatagramOpener, seal_datagram
 from hophinge.cluster.errors import ClusterUnusableError, KeysUnusableError
 from hophinge.cluster.interface import Entry, Member, Topic
-from hophinge.cluster.messages import Ack, Message, Ping, MemberRecord, encode_message
-from hophinge.cluster.datagram import DatagramOpener, seal_datagram
+from hophinge.cluster.messages import Ack, MemberRecord, Message, Ping, encode_message
 from hophinge.head import operator
 from hophinge.head.sections import ClusterConfig
 from hophinge.peers import endpoint
@@ -51,7 +51,7 @@
             await asyncio.sleep(0.01)
 
 
-def test_two_endpoints_meet_by_name_of_a_seed_and_a_broken_hearer_harms_nobody(key_file: Path) -> None:
+def test_two_endpoints_meet_by_a_seed_s_name_and_a_failing_subscriber_is_isolated(key_file: Path) -> None:
     async def main() -> None:
         said: list[str] = []
         one = MemberEndpoint("one", "127.0.0.1:0", [], key_file, log=said.append)
@@ -79,8 +79,10 @@
     asyncio.run(main())
 
 
-def test_a_flood_of_strangers_has_a_bounded_share_of_the_loop(key_file: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Counted in turns, not in time: after each full turn the socket is left alone until its pause is over."""
+def test_a_flood_of_unauthenticated_datagrams_takes_a_bounded_share_of_the_loop(
+    key_file: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Counted in turns, not in time: after each full turn the socket is not read until the backoff is over."""
 
     async def main() -> None:
         one = MemberEndpoint("one", "127.0.0.1:0", [], key_file)
@@ -97,7 +99,7 @@
 
         await until(lambda: dropped() > 0)
         assert dropped() <= endpoint.DATAGRAMS_PER_TURN
-        for _ in range(20):  # turns of the loop, none of which reads on
+        for _ in range(20):  # turns of the loop, none of which reads
             await asyncio.sleep(0)
         assert dropped() <= endpoint.DATAGRAMS_PER_TURN
         monkeypatch.setattr(endpoint, "READ_BACKOFF_S", 0.0)
@@ -105,7 +107,7 @@
         await until(lambda: dropped() == 64)
         assert counters["dropped_too_long"] and counters["dropped_unknown"] and counters["dropped_too_short"]
         assert len(one.machine.members()) == 1 and not counters["bytes_received"]
-        # One with the key is answered though the flood goes on.
+        # An authentic ping is acknowledged during the flood.
         record = MemberRecord("peer", f"127.0.0.1:{flood.getsockname()[1]}", 1 << 40)
         flood.sendto(
             seal_datagram(KEY.encode(), "peer", 1 << 22, 1, [encode_message(Ping(7, "one", record))]), (host, int(port))
@@ -143,19 +145,19 @@
 ]
 
 
-@pytest.mark.parametrize(("given", "error", "place"), WRONG, ids=lambda one: str(one)[:40])
-def test_what_cannot_be_carried_out_is_told_with_its_setting(
-    key_file: Path, given: dict[str, Any], error: type[Exception], place: str
+@pytest.mark.parametrize(("given", "error", "expected"), WRONG, ids=lambda one: str(one)[:40])
+def test_an_invalid_setting_is_named_in_the_error(
+    key_file: Path, given: dict[str, Any], error: type[Exception], expected: str
 ) -> None:
     async def main() -> None:
         settings: dict[str, Any] = {"name": "one", "listen": "127.0.0.1:0", "seeds": [], "key_file": key_file} | given
-        with pytest.raises(error, match=place):
+        with pytest.raises(error, match=expected):
             MemberEndpoint(**settings)
 
     asyncio.run(main())
 
 
-def test_an_unusable_key_file_leaves_the_keys_as_they_were(key_file: Path) -> None:
+def test_an_invalid_key_file_does_not_replace_the_keys(key_file: Path) -> None:
     async def main() -> None:
         one = MemberEndpoint("one", "127.0.0.1:0", [], key_file)
         before = list(one.machine.opener.keys)
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -7,76 +7,76 @@
 
 import pytest
 
-from tests.cluster_member import KEY, Started, until
+from tests.cluster_member import KEY, MemberProcess, wait_for
 
-Start = Callable[..., Started]
+Start = Callable[..., MemberProcess]
 
 
 @pytest.fixture
 def start(tmp_path: Path) -> Iterator[Start]:
-    started: list[Started] = []
+    started: list[MemberProcess] = []
 
-    def one(name: str, seeds: list[str], **more: Any) -> Started:
-        # Half of the usual time to refute, for the tests' own.
-        started.append(Started(tmp_path, name, seeds, tuning={"suspicion_multiplier": 2.0}, **more))
+    def one(name: str, seeds: list[str], **more: Any) -> MemberProcess:
+        # Half of the default suspicion, to shorten the tests.
+        started.append(MemberProcess(tmp_path, name, seeds, tuning={"suspicion_multiplier": 2.0}, **more))
         return started[-1]
 
     yield one
     for member in started:
-        member.end()
+        member.kill()
 
 
-def together(*members: Started) -> bool:
+def all_alive(*members: MemberProcess) -> bool:
     names = {one.name: "alive" for one in members}
-    return all(one.standings() == names for one in members)
+    return all(one.member_states() == names for one in members)
 
 
-def fleet(start: Start, count: int) -> list[Started]:
+def fleet(start: Start, count: int) -> list[MemberProcess]:
     first = start("m0", [])
     members = [first, *(start(f"m{number}", [first.address]) for number in range(1, count))]
-    assert until(lambda: together(*members))
+    assert wait_for(lambda: all_alive(*members))
     return members
 
 
-def test_members_see_each_other_entries_arrive_and_a_leave_is_told(start: Start) -> None:
+def test_members_see_each_other_replicate_entries_and_announce_a_leave(start: Start) -> None:
     members = fleet(start, 3)
     for one in members:
-        one.ask(f"put drains brick-{one.name} out")
+        one.request(f"put drains brick-{one.name} out")
     wanted = [[one.name, f"brick-{one.name}", "out"] for one in members]
-    assert until(lambda: all(one.ask()["entries"] == wanted for one in members))
-    members[2].ask("leave")
-    assert until(lambda: all(one.standings()["m2"] == "left" for one in members[:2]))
-    assert until(lambda: all(one.ask()["entries"] == wanted[:2] for one in members[:2]))
+    assert wait_for(lambda: all(one.request()["entries"] == wanted for one in members))
+    members[2].request("leave")
+    assert wait_for(lambda: all(one.member_states()["m2"] == "left" for one in members[:2]))
+    assert wait_for(lambda: all(one.request()["entries"] == wanted[:2] for one in members[:2]))
 
 
-def test_a_killed_member_is_found_dead_and_its_return_is_taken(start: Start) -> None:
+def test_a_killed_member_is_declared_dead_and_may_rejoin(start: Start) -> None:
     members = fleet(start, 5)
     members[4].signal(signal.SIGKILL)
-    assert until(lambda: all(one.standings()["m4"] == "dead" for one in members[:4]))
+    assert wait_for(lambda: all(one.member_states()["m4"] == "dead" for one in members[:4]))
     again = start("m4", [members[1].address], listen=members[4].address)
-    assert until(lambda: together(*members[:4], again))
+    assert wait_for(lambda: all_alive(*members[:4], again))
 
 
-def test_a_stopped_member_wakes_accuses_nobody_and_is_taken_back(start: Start) -> None:
+def test_a_stopped_member_suspects_nobody_when_it_resumes_and_rejoins(start: Start) -> None:
     members = fleet(start, 5)
     members[3].signal(signal.SIGSTOP)
     awake = [one for one in members if one is not members[3]]
-    assert until(lambda: all(one.standings()["m3"] == "dead" for one in awake))
+    assert wait_for(lambda: all(one.member_states()["m3"] == "dead" for one in awake))
     members[3].signal(signal.SIGCONT)
-    assert until(lambda: together(*members))
-    counters = members[3].ask()["counters"]
+    assert wait_for(lambda: all_alive(*members))
+    counters = members[3].request()["counters"]
     assert counters["late"] >= 1 and "deaths" not in counters
-    assert all(one.ask()["counters"].get("deaths", 0) <= 1 for one in awake), "somebody else was held dead"
+    assert all(one.request()["counters"].get("deaths", 0) <= 1 for one in awake), "somebody else was held dead"
 
 
-def test_two_processes_under_one_name_the_younger_steps_back_and_says_so(start: Start) -> None:
+def test_of_two_processes_with_one_name_the_younger_steps_down(start: Start) -> None:
     members = fleet(start, 3)
     twin = start("m2", [members[0].address])
-    assert until(lambda: "[member-name-taken]" in twin.ask()["stepped_back"])
-    assert until(lambda: together(*members)) and not members[2].ask()["stepped_back"]
+    assert wait_for(lambda: "[member-name-taken]" in twin.request()["stepped_back"])
+    assert wait_for(lambda: all_alive(*members)) and not members[2].request()["stepped_back"]
 
 
-def test_keys_are_changed_without_a_gap(start: Start) -> None:
+def test_keys_are_rotated_without_interruption(start: Start) -> None:
     members = fleet(start, 3)
     new = "another key, from now on"
 
@@ -88,24 +88,24 @@
     rekey(KEY, new)
     rekey(new, KEY)
     rekey(new)
-    # News under the last key reaches all.
-    assert until(
+    # Updates under the new key reach all members.
+    assert wait_for(
         lambda: (
-            bool(members[1].ask("put weights w 1"))
-            and all(one.ask()["entries"] == [["m1", "w", "1"]] for one in members)
+            bool(members[1].request("put weights w 1"))
+            and all(one.request()["entries"] == [["m1", "w", "1"]] for one in members)
         )
     )
     members[0].key_file.write_text("short\n")
     members[0].signal(signal.SIGHUP)
-    members[2].ask("put weights x 2")
-    assert until(lambda: len(members[0].ask()["entries"]) == 2)  # the keys are as they were
+    members[2].request("put weights x 2")
+    assert wait_for(lambda: len(members[0].request()["entries"]) == 2)  # the keys are unchanged
 
 
-def test_without_its_seeds_a_member_goes_on_alone_and_meets_them_when_they_come(start: Start) -> None:
+def test_without_seeds_a_member_runs_alone_and_joins_them_later(start: Start) -> None:
     seed = start("seed", [])
     where = seed.address
-    seed.end()
+    seed.kill()
     alone = start("alone", [where])
-    assert alone.standings() == {"alone": "alive"}
+    assert alone.member_states() == {"alone": "alive"}
     late = start("late", [], listen=where)
-    assert until(lambda: together(alone, late))
+    assert wait_for(lambda: all_alive(alone, late))
--- a/tests/test_together_liars.py
+++ b/tests/test_together_liars.py
@@ -69,7 +69,9 @@
                 )
             member = await made.member("liar", ["n0"])
             where = Where("", made.address(), member["listen"])
-            made.processes.make("liar", ["tests.member_lies", where.control, json.dumps(member), json.dumps(lies())])
+            made.processes.make(
+                "liar", ["tests.byzantine_member", where.control, json.dumps(member), json.dumps(lies())]
+            )
             made.where["liar"] = where
             await made.processes.start(*names, "liar")
             await until([made.ready(name) for name in names], BOUND_S)
--- a/tests/together.py
+++ b/tests/together.py
@@ -34,7 +34,7 @@
     """Make a member without a head, not yet started."""
     told = await made.member(name, seeds, zone, **more)
     where = Where("", made.address(), told["listen"])
-    made.processes.make(name, ["tests.member_alone", where.control, json.dumps(told)]).zone = zone
+    made.processes.make(name, ["tests.standalone_member", where.control, json.dumps(told)]).zone = zone
     made.where[name] = where
 
 
