--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -50,16 +50,7 @@
         self.handover: Handover | None = None
         self.share(0)
         self.rotation = Rotation(self.nodes, clock.now_us, settings.rules.cold_us)
-        self.discovery = DiscoveryWatch(
-            config.discovery,
-            self.directory,
-            self.rotation.take,
-            self.counters,
-            settings.gateways,
-            int(config.seed, 16),
-            say,
-            settings.discovery is api.Discovery.PUSHED,
-        )
+        self.discovery = self._discovery_watch()
         self.figures = self.exchange.figures
         self.figures.now = self.backends_now
         self.control = (
@@ -76,6 +67,18 @@
         self.told_us = 0  # of the end
         self.maintenance = compose.maintenance(self, say)
 
+    def _discovery_watch(self) -> DiscoveryWatch:
+        return DiscoveryWatch(
+            self.config.discovery,
+            self.directory,
+            self.rotation.take,
+            self.counters,
+            self.settings.gateways,
+            int(self.config.seed, 16),
+            say,
+            self.settings.discovery is api.Discovery.PUSHED,
+        )
+
     async def start(self) -> None:
         """Listen, and be ready once there is a list."""
         if self.control is not None:
@@ -101,14 +104,7 @@
             self.tasks.append(asyncio.create_task(self.remote_write.run()))
         if self.together is not None:
             self.tasks += self.together.start()
-        if self.accounts is not None:
-            self.front.tenant_observer, self.front.on_connection_closed = self.accounts, self.accounts.dropped
-            self.tasks += self.accounts.tasks()
-        elif self.streamed is not None:
-            self.front.tenant_observer, self.front.on_connection_closed = (
-                self.streamed.forms,
-                self.streamed.forms.dropped,
-            )
+        self._observe_tenants()
         for task in self.tasks:
             task.add_done_callback(note_end)
         if not await ending.first_of(FIRST_LIST_S, self.discovery.first_answer, self.stopping):
@@ -117,12 +113,22 @@
             # Not before: until then another process may serve what waits there.
             self._listen(self.front, self.config.listen, self.config.accept_fd)
         self.front.ready = True
-        most = self.config.limits
+        limits = self.config.limits
         say(
-            f"{self.config.name or 'a head'} serves on {self.config.listen}: {most.cores} cores, "
-            f"{most.memory_mb} MB, {most.sockets} sockets, {self.front.max_connections} for clients"
+            f"{self.config.name or 'a head'} serves on {self.config.listen}: {limits.cores} cores, "
+            f"{limits.memory_mb} MB, {limits.sockets} sockets, {self.front.max_connections} for clients"
         )
 
+    def _observe_tenants(self) -> None:
+        """Have whoever knows the tenants decide on connections and count requests."""
+        if self.accounts is not None:
+            self.front.tenant_observer = self.accounts
+            self.front.on_connection_closed = self.accounts.dropped
+            self.tasks += self.accounts.tasks()
+        elif self.streamed is not None:
+            self.front.tenant_observer = self.streamed.forms
+            self.front.on_connection_closed = self.streamed.forms.dropped
+
     def nodes(self, event: api.NodeList) -> None:
         """Take a list of bricks, or what changed in it."""
         self.exchange.nodes(event)
--- a/hophinge/net/backend_client.py
+++ b/hophinge/net/backend_client.py
@@ -61,6 +61,20 @@
             self.on_sent()
 
 
+def _request_head(payload: Payload, endpoint: str | None, remaining_us: int) -> bytes:
+    """Return an attempt's request line and headers; the target is forwarded as the bytes that came."""
+    upload, length = payload.upload, ""
+    if upload is not None and upload.length is None:
+        length = "Transfer-Encoding: chunked\r\n"
+    elif payload.method == "PUT":
+        length = f"Content-Length: {len(payload.body) if upload is None else upload.length}\r\n"
+    head = (
+        f"{payload.method} {payload.target} HTTP/1.1\r\nHost: {endpoint}\r\nX-Txn: {payload.txn}\r\n"
+        f"X-Remaining-Ms: {remaining_us // 1000}\r\n{length}"
+    )
+    return head.encode() + payload.idempotency_header + b"\r\n"
+
+
 class BackendClient:
     """The client side towards all bricks. Each attempt is a task; giving it up closes its connection.
 
@@ -135,25 +149,12 @@
     async def _run_attempt(self, attempt: Attempt) -> None:
         payload: Payload = attempt.request.payload
         progress, endpoint = RequestProgress(attempt.written), self.endpoint(attempt.node)
-        upload, length = payload.upload, ""
-        if upload is not None and upload.length is None:
-            length = "Transfer-Encoding: chunked\r\n"
-        elif payload.method == "PUT":
-            length = f"Content-Length: {len(payload.body) if upload is None else upload.length}\r\n"
 
         def request_head() -> bytes:
-            # A connection takes up to its time limit to come up; a drain heard or an answer given meanwhile ends it.
+            # A connection takes up to its time limit to come up: a drain or an answer meanwhile withdraws the attempt.
             if not attempt.may_go():
                 raise AttemptWithdrawnError
-            # The target goes on as the bytes that came.
-            return (
-                (
-                    f"{payload.method} {payload.target} HTTP/1.1\r\nHost: {endpoint}\r\nX-Txn: {payload.txn}\r\n"
-                    f"X-Remaining-Ms: {attempt.goes() // 1000}\r\n{length}"
-                ).encode()
-                + payload.idempotency_header
-                + b"\r\n"
-            )
+            return _request_head(payload, endpoint, attempt.goes())
 
         try:
             if endpoint is None:
@@ -187,21 +188,7 @@
         answer: BackendAnswer | None = None
         protocol = await self.pool.acquire(endpoint)
         try:
-            transport = cast(asyncio.Transport, protocol.transport)
-            try:
-                request = request_head()
-            except AttemptWithdrawnError:
-                self.pool.release(protocol)  # nothing was written: it serves the next request
-                raise
-            # The stream's own bound is out of reach: what is held is weighed over all connections.
-            protocol.set_response_params(read_until_eof=True, auto_decompress=False, read_bufsize=2 * MAX_LONG_BODY)
-            transport.write(request)
-            if attempt is not None:
-                payload: Payload = attempt.request.payload
-                if payload.body:
-                    transport.write(payload.body)  # uvloop sends what one turn writes at once, without a copy
-                if payload.upload is not None:
-                    await self._forward_body(payload.upload, protocol, transport)
+            await self._write_request(protocol, request_head, attempt)
             progress.mark_sent()
             message, stream = await protocol.read()
             if protocol.has_unsent and message.code not in (503, 504):
@@ -230,6 +217,27 @@
         self.pool.release(protocol)
         return answer
 
+    async def _write_request(
+        self, protocol: BackendConnection, request_head: Callable[[], bytes], attempt: Attempt | None
+    ) -> None:
+        """Write a request's head and body; releases the connection where the attempt was withdrawn before."""
+        transport = cast(asyncio.Transport, protocol.transport)
+        try:
+            head = request_head()
+        except AttemptWithdrawnError:
+            self.pool.release(protocol)  # nothing was written: it serves the next request
+            raise
+        # The stream's own bound is out of reach: flow control weighs the buffers of all connections together.
+        protocol.set_response_params(read_until_eof=True, auto_decompress=False, read_bufsize=2 * MAX_LONG_BODY)
+        transport.write(head)
+        if attempt is None:
+            return
+        payload: Payload = attempt.request.payload
+        if payload.body:
+            transport.write(payload.body)  # uvloop sends what one turn writes at once, without a copy
+        if payload.upload is not None:
+            await self._forward_body(payload.upload, protocol, transport)
+
     async def _forward_body(
         self, upload: RequestBodyStream, protocol: BackendConnection, transport: asyncio.Transport
     ) -> None:
--- a/hophinge/net/frontend.py
+++ b/hophinge/net/frontend.py
@@ -83,55 +83,66 @@
             if not self.tenant_observer.admits(request.protocol, ask.volume):
                 self.counters.add("requests_turned_away")
                 return self._reject_overload(request, klass)
+        answer = await self._serve(request, ask, key, klass)
+        if answer.rest is not None:
+            return await self._stream_answer(request, answer, answer.rest, ask.volume, klass)
+        response = web.Response(status=STATUS[answer.verdict], body=answer.body)
+        if answer.verdict is Verdict.REFUSED and answer.retry_after_us > 0:
+            response.headers["Retry-After"] = f"{answer.retry_after_us / 1e6:.3f}"
+        return response
+
+    async def _serve(self, request: web.BaseRequest, ask: api.Arrival, key: bytes, klass: str) -> Answer:
+        """Read a request's body, hand the request to the exchange and return the exchange's answer."""
         chunks: list[bytes] = []
-        upload, held = None, 0
+        stream, reserved = None, 0
         try:
-            whole = await self._read_body(request, chunks)
+            complete = await self._read_body(request, chunks)
             body = b"".join(chunks)
             chunks.clear()
-            if whole:
-                # What it waited behind others on its connection is gone from its client's time.
-                waited_us = int(cast(ClientConnection, request.protocol).waited_s() * 1e6)
-                ask = structs.replace(ask, time_left_us=max(0, ask.time_left_us - waited_us))
-                held = len(body)
-                self.budget.used += held
+            if complete:
+                ask = self._deduct_wait(request, ask)
+                reserved = len(body)
+                self.budget.used += reserved
             else:
-                upload, body = RequestBodyStream(body, request.content_length, self.budget), b""
+                stream, body = RequestBodyStream(body, request.content_length, self.budget), b""
                 self.counters.add("bodies_streamed")
             if ask.request in self.exchange.open:
                 raise MalformedRequestError(400, "X-Txn is in use")
             request[TICKET] = self.exchange.figures.take(klass)
             done: asyncio.Future[Answer] = self.loop.create_future()
-            payload = Payload(request.method, origin_form(request.raw_path), ask.request, body, key, upload)
-            if self.final_drain is not None:  # asked now, as a body may have taken its time
-                left = self.final_drain.left_us(ask.klass, ask.time_left_us, self.exchange.now_us())
-                ask = structs.replace(ask, time_left_us=left)
-            self.exchange.arrive(ask, payload, giver(done), upload is None)
+            payload = Payload(request.method, origin_form(request.raw_path), ask.request, body, key, stream)
+            ask = self._limit_to_drain(ask)
+            self.exchange.arrive(ask, payload, giver(done), stream is None)
             try:
-                answer = await (done if upload is None else self._forward_body(request, upload, ask, done, klass))
+                return await (done if stream is None else self._forward_body(request, stream, ask, done, klass))
             except (asyncio.CancelledError, MalformedRequestError):
                 self.exchange.depart(ask.request)
                 raise
         finally:
-            self.budget.used -= held
-            if upload is not None:
-                upload.finish(False)
-                upload.discard()
-        if answer.rest is not None:
-            return await self._stream_answer(request, answer, answer.rest, ask.volume, klass)
-        response = web.Response(status=STATUS[answer.verdict], body=answer.body)
-        if answer.verdict is Verdict.REFUSED and answer.retry_after_us > 0:
-            response.headers["Retry-After"] = f"{answer.retry_after_us / 1e6:.3f}"
-        return response
+            self.budget.used -= reserved
+            if stream is not None:
+                stream.finish(False)
+                stream.discard()
+
+    def _deduct_wait(self, request: web.BaseRequest, ask: api.Arrival) -> api.Arrival:
+        """Deduct from the client's time what its request waited behind others on its connection."""
+        waited_us = int(cast(ClientConnection, request.protocol).waited_s() * 1e6)
+        return structs.replace(ask, time_left_us=max(0, ask.time_left_us - waited_us))
+
+    def _limit_to_drain(self, ask: api.Arrival) -> api.Arrival:
+        """Bound a request's time by this process's end; called once its body is read, which may have taken a while."""
+        if self.final_drain is None:
+            return ask
+        left_us = self.final_drain.left_us(ask.klass, ask.time_left_us, self.exchange.now_us())
+        return structs.replace(ask, time_left_us=left_us)
 
     def _reject_overload(self, request: web.BaseRequest, klass: str) -> web.Response:
-        """Tell who comes on top that sockets are left for bricks and accepts; its connection ends."""
+        """Reject a request beyond the bound on open ones, so that sockets are left for backends and accepts."""
         request[TICKET] = self.exchange.figures.take(klass)
         advice_us = min(RETRY_AFTER_US, self.exchange.settings.allowed.retry_after_us)
         response = web.Response(status=503, headers={"Retry-After": f"{advice_us / 1e6:g}"} if advice_us > 0 else {})
-        if not cast(
-            ClientConnection, request.protocol
-        ).has_next_request:  # each that has come behind is owed an answer too
+        connection = cast(ClientConnection, request.protocol)
+        if not connection.has_next_request:  # a pipelined request needs its answer, too
             response.force_close()
         return response
 
--- a/hophinge/net/request_parser.py
+++ b/hophinge/net/request_parser.py
@@ -33,6 +33,12 @@
         self.status, self.text = status, text
 
 
+def _reject_repeated_headers(request: web.BaseRequest) -> None:
+    """Raise MalformedRequestError where a header that decides stands twice: a backend may read the other of the two."""
+    if any(len(request.headers.getall(name, ())) > 1 for name in SINGLE_HEADERS):
+        raise MalformedRequestError(400, "a header that must be alone is repeated")
+
+
 class RequestParser:
     """Takes out of a request what the decisions need."""
 
@@ -44,9 +50,7 @@
     def parse(self, request: web.BaseRequest) -> api.Arrival:
         """Read the request's line and headers; the body may still be on its way."""
         headers = request.headers
-        if any(len(headers.getall(name, ())) > 1 for name in SINGLE_HEADERS):
-            # Which of two would count is anyone's guess, and a brick's may differ from this one.
-            raise MalformedRequestError(400, "a header that must be alone is repeated")
+        _reject_repeated_headers(request)
         if request.method not in ("GET", "PUT"):
             raise MalformedRequestError(405, "only GET and PUT are served")
         target = TARGET.fullmatch(origin_form(request.raw_path))
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -16,7 +16,7 @@
 from aiohttp import web
 
 from hophinge.head.service import Service
-from hophinge.net import discovery_pacer as pace_module
+from hophinge.net import discovery_pacer
 from hophinge.net.backend_connection import BackendConnection
 from hophinge.net.discovery_pacer import DiscoveryPacer
 from tests.servers import Backend, DiscoveryAgent, held_by
@@ -103,7 +103,7 @@
 
 
 SCALE, AT_ONCE_S = 4.0, 0.5  # 8 s are played in 2 s; waits and pauses are as much shorter where lists are asked for
-SCALED = ("FIRST_PAUSE_S", "LONGEST_PAUSE_S", "LIST_S", "SHORT_S", "SPARE_S", "CHAINED_S")
+SCALED = ("FIRST_BACKOFF_S", "MAX_BACKOFF_S", "LIST_TIMEOUT_S", "MIN_WATCH_S", "WATCH_MARGIN_S", "CHAINED_CALL_S")
 
 
 @pytest.mark.parametrize("way", ["silent", "refused", "turned away"])
@@ -112,7 +112,7 @@
     mode: str, way: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in SCALED if mode == "on_request" else ():
-        monkeypatch.setattr(pace_module, name, getattr(pace_module, name) / SCALE)
+        monkeypatch.setattr(discovery_pacer, name, getattr(discovery_pacer, name) / SCALE)
 
     async def main() -> None:
         old, new = [Backend(shard % 4, f"{'ab'[shard // 4]}{shard % 4}") for shard in range(8)], Backend(2, "c2")
