--- a/benchmarks/coordination_histories.py
+++ b/benchmarks/coordination_histories.py
@@ -1,9 +1,9 @@
-"""Plays drawn histories of the coordination library by their seeds, and tells how many were played and which failed.
+"""Plays random histories of the coordination library by their seeds, and prints how many were played and which failed.
 
     python -m benchmarks.coordination_histories FIRST COUNT [SECONDS]
 
-Each history is that of `tests/coordination_histories.py`: faults with and without bound, checked for what was told, and
-for one order of all calls. Seeds are played in a row, for SECONDS at most.
+Each history is that of `tests/coordination_histories.py`: bounded and unbounded faults, checked for its invariants and for
+linearizability. Seeds are played one after another, for SECONDS at most.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 import sys
 import time
 
-from tests.coordination_histories import check, drawn
+from tests.coordination_histories import check, history_of_seed
 
 REPORT_EVERY = 500
 
 
 def main(first: int, count: int, seconds: float) -> int:
-    """Play; tells the number of failures."""
+    """Play the histories and return the number of failures."""
     until, played, failed = time.monotonic() + seconds, 0, 0
     for seed in range(first, first + count):
         if time.monotonic() >= until:
             break
         try:
-            check(drawn(seed))
+            check(history_of_seed(seed))
         except AssertionError as error:
             failed += 1
             print(f"seed {seed}: {error}", flush=True)
--- a/tests/agreement_model.py
+++ b/tests/agreement_model.py
@@ -18,8 +18,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelState:
-    """The voters' records, and what was ever sent: promises and acceptances by voter, proposals by ballot."""
+class AgreementState:
+    """The voters' records, and all messages ever sent: promises and acceptances by voter, proposals by ballot."""
 
     votes: tuple[VoteRecord, ...]
     begun: frozenset[Ballot]
@@ -29,112 +29,118 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Model:
-    """So many voters, and rounds that each may begin once."""
+class AgreementModel:
+    """The bounds of the search: numbers of voters and of ballots."""
 
     voters: int
     ballots: int
 
     def view(self) -> View:
-        """Tell the view whose voters decide."""
+        """Return the view whose voters decide."""
         replicas = tuple(Replica(f"v{number}", f"v{number}", "z") for number in range(self.voters))
         return View(TARGET - 1, replicas, tuple(ChainLink(replica.identity, 1) for replica in replicas))
 
     def proposal(self, ballot: Ballot) -> View:
-        """Tell the view that a ballot would propose of itself: another for each."""
+        """Return the view that a ballot proposes where it inherits none: another for each ballot."""
         return View(TARGET, self.view().voters, (ChainLink(f"chosen by {ballot.round_number}", TARGET),))
 
-    def first(self) -> ModelState:
-        """Tell the state before anything has happened."""
+    def initial_state(self) -> AgreementState:
+        """Return the state before any step."""
         vote = VoteRecord(TARGET, NO_BALLOT, NO_BALLOT, None)
         nothing: frozenset[Ballot] = frozenset()
-        return ModelState((vote,) * self.voters, nothing, frozenset(), frozenset(), frozenset())
+        return AgreementState((vote,) * self.voters, nothing, frozenset(), frozenset(), frozenset())
 
-    def steps(self, state: ModelState) -> Iterator[ModelState]:
-        """Tell all states that one step leads to."""
+    def successors(self, state: AgreementState) -> Iterator[AgreementState]:
+        """Yield all states that one step leads to."""
         yield from self._begin(state)
         yield from self._promise(state)
         yield from self._propose(state)
         yield from self._accept(state)
 
-    def _begin(self, state: ModelState) -> Iterator[ModelState]:
+    def _begin(self, state: AgreementState) -> Iterator[AgreementState]:
         for number in range(1, self.ballots + 1):
             ballot = Ballot(number, f"v{number % self.voters}")
             if ballot not in state.begun:
-                yield ModelState(state.votes, state.begun | {ballot}, state.promises, state.proposals, state.accepted)
+                yield AgreementState(
+                    state.votes, state.begun | {ballot}, state.promises, state.proposals, state.accepted
+                )
 
-    def _promise(self, state: ModelState) -> Iterator[ModelState]:
+    def _promise(self, state: AgreementState) -> Iterator[AgreementState]:
         for voter, vote in enumerate(state.votes):
             for ballot in state.begun:
                 acceptor = Acceptor(vote)
                 answer = acceptor.prepare(Prepare(TARGET, ballot), 0, 0)
                 if isinstance(answer, Promise):
-                    votes = _with(state.votes, voter, acceptor.vote)
+                    votes = _replace_vote(state.votes, voter, acceptor.vote)
                     promises = state.promises | {(voter, answer)}
-                    yield ModelState(votes, state.begun, promises, state.proposals, state.accepted)
+                    yield AgreementState(votes, state.begun, promises, state.proposals, state.accepted)
 
-    def _propose(self, state: ModelState) -> Iterator[ModelState]:
+    def _propose(self, state: AgreementState) -> Iterator[AgreementState]:
         proposed = {ballot for ballot, _ in state.proposals}
         majority = self.view().majority
         for ballot in state.begun - proposed:
-            heard = [(voter, promise) for voter, promise in state.promises if promise.ballot == ballot]
-            for some in combinations(sorted(heard, key=lambda one: one[0]), majority):
-                if len({voter for voter, _ in some}) == majority:
-                    proposal = self._chosen(ballot, some)
+            received = [(voter, promise) for voter, promise in state.promises if promise.ballot == ballot]
+            for quorum in combinations(sorted(received, key=lambda item: item[0]), majority):
+                if len({voter for voter, _ in quorum}) == majority:
+                    proposal = self._proposal_of(ballot, quorum)
                     proposals = state.proposals | {(ballot, proposal)}
-                    yield ModelState(state.votes, state.begun, state.promises, proposals, state.accepted)
+                    yield AgreementState(state.votes, state.begun, state.promises, proposals, state.accepted)
 
-    def _chosen(self, ballot: Ballot, promises: tuple[tuple[int, Promise], ...]) -> View:
+    def _proposal_of(self, ballot: Ballot, promises: tuple[tuple[int, Promise], ...]) -> View:
         attempt = BallotAttempt(TARGET, ballot, 0.0)
         for voter, promise in promises:
             attempt.record_promise(f"v{voter}", promise)
         return attempt.inherited_proposal() or self.proposal(ballot)
 
-    def _accept(self, state: ModelState) -> Iterator[ModelState]:
+    def _accept(self, state: AgreementState) -> Iterator[AgreementState]:
         for voter, vote in enumerate(state.votes):
             for ballot, proposal in state.proposals:
                 acceptor = Acceptor(vote)
                 answer = acceptor.accept(Accept(ballot, proposal))
                 if isinstance(answer, Accepted):
-                    votes = _with(state.votes, voter, acceptor.vote)
+                    votes = _replace_vote(state.votes, voter, acceptor.vote)
                     accepted = state.accepted | {(voter, ballot)}
-                    yield ModelState(votes, state.begun, state.promises, state.proposals, accepted)
+                    yield AgreementState(votes, state.begun, state.promises, state.proposals, accepted)
 
-    def decided(self, state: ModelState) -> set[View]:
-        """Tell the views that some proposer would take to be decided."""
-        found = set()
+    def decided(self, state: AgreementState) -> set[View]:
+        """Return the views that some proposer would find decided."""
+        views = set()
         for ballot, proposal in state.proposals:
             attempt = BallotAttempt(TARGET, ballot, 0.0, proposal=proposal)
             for voter, accepted in state.accepted:
                 attempt.record_acceptance(f"v{voter}", Accepted(TARGET, accepted))
             if len(attempt.accepted_by) >= self.view().majority:
-                found.add(proposal)
-        return found
+                views.add(proposal)
+        return views
 
 
-def _with(votes: tuple[VoteRecord, ...], voter: int, vote: VoteRecord) -> tuple[VoteRecord, ...]:
+def _replace_vote(votes: tuple[VoteRecord, ...], voter: int, vote: VoteRecord) -> tuple[VoteRecord, ...]:
     return (*votes[:voter], vote, *votes[voter + 1 :])
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """How many states there are, in how many of them a view is decided."""
+class SearchResult:
+    """The number of states, and of those in which a view is decided."""
 
     states: int
     decided: int
 
 
-def search(model: Model, most: int) -> Found:
-    """Look through all states, `most` at most; raises AssertionError where two views are decided in one."""
-    first = model.first()
-    seen, left, decided = {first}, [first], 0
-    while left and len(seen) < most:
-        state = left.pop()
+def search(model: AgreementModel, max_states: int) -> SearchResult:
+    """Search at most `max_states` states.
+
+    Raises:
+        AssertionError: two views are decided in one of them.
+    """
+    first = model.initial_state()
+    seen, unexplored, decided = {first}, [first], 0
+    while unexplored and len(seen) < max_states:
+        state = unexplored.pop()
         views = model.decided(state)
         assert len(views) <= 1, f"two views are decided: {views}"
         decided += len(views)
-        for after in model.steps(state):
-            if after not in seen:
-                seen.add(after)
-                left.append(after)
-    return Found(len(seen), decided)
+        for successor in model.successors(state):
+            if successor not in seen:
+                seen.add(successor)
+                unexplored.append(successor)
+    return SearchResult(len(seen), decided)
--- a/tests/chain_model.py
+++ b/tests/chain_model.py
@@ -31,190 +31,191 @@
 
 KEY = "k"
 LOSSES = 1
-READ = 100  # a read's request number is this and the newest version acknowledged before it was asked
-REFUSED = -1  # what is told of a change: its version, or this times its version
-LATER = 1e9  # a moment at which whatever waits to be sent again is due
+READ_REQUEST_BASE = 100  # a read's request number is this plus the newest version acknowledged before it
+REJECTED = -1  # a rejected change is recorded as its version times this
+RETRY_TIME = 1e9  # by when every retry interval has passed
 Step = Callable[[ChainReplica, Outputs], None]
 
 
+def _submit_step(submit: Submit) -> Step:
+    return lambda chain, outputs: chain.handle_submit(submit, outputs)
+
+
+def _sync_step(source: Replica, sync: Sync) -> Step:
+    return lambda chain, outputs: chain.handle_sync(RETRY_TIME, source, sync, outputs)
+
+
+def _forward_step(source: Replica, forward: Forward) -> Step:
+    return lambda chain, outputs: chain.handle_forward(source, forward, outputs)
+
+
+def _view_step(view: View) -> Step:
+    return lambda chain, outputs: chain.enter_view(RETRY_TIME, view, outputs)
+
+
+def _heartbeat_step(source: Replica, heartbeat: Heartbeat) -> Step:
+    return lambda chain, outputs: chain.handle_successor_heartbeat(RETRY_TIME, source, heartbeat, outputs)
+
+
 @dataclass(frozen=True, slots=True)
-class Disk:
-    """What one replica holds: nothing of a chain outlives its process but this."""
+class ReplicaDisk:
+    """The durable state of one replica: all of a chain that survives its process."""
 
     replica: Replica
-    view: int  # the number of the view it is in
-    synced: int
+    view_number: int  # the number of the view it is in
+    synced_view: int
     entries: tuple[HistoryEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ChainState:
-    """All replicas, the views decided so far, all that was ever sent, and what was told to callers."""
+    """All replicas, the views decided so far, all messages ever sent, and the outcomes that callers know."""
 
-    disks: tuple[Disk, ...]
+    disks: tuple[ReplicaDisk, ...]
     views: tuple[View, ...]
-    sent: frozenset[tuple[str, str, object]]  # from identity, to address
-    acknowledged: frozenset[int]  # versions, and those refused with a sign before them
+    sent_messages: frozenset[tuple[str, str, object]]  # from identity, to address
+    acknowledged: frozenset[int]  # versions of applied changes, and REJECTED times those of rejected ones
     wipes: int
     reads: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChainModel:
-    """How much may happen in one play."""
+    """The bounds of the search: changes, and numbers of views, wipes and reads."""
 
     changes: tuple[Change, ...]
     views: int
     wipes: int
     reads: int
 
-    def first(self) -> ChainState:
-        """Tell the state in which view 1 has just been formed."""
+    def initial_state(self) -> ChainState:
+        """Return the state in which view 1 has just been formed."""
         replicas = tuple(Replica(name, f"at-{name}", "z") for name in "abc")
         view = View(1, replicas, tuple(ChainLink(replica.identity, 1) for replica in replicas))
-        disks = tuple(Disk(replica, 1, 1, ()) for replica in replicas)
+        disks = tuple(ReplicaDisk(replica, 1, 1, ()) for replica in replicas)
         return ChainState(disks, (view,), frozenset(), frozenset(), 0, 0)
 
-    def steps(self, state: ChainState) -> Iterator[ChainState]:
-        """Tell all states that one step leads to."""
-        for place in range(len(state.disks)):
-            yield from self._submit(state, place)
-            yield from self._deliver(state, place)
-            yield from self._adopt(state, place)
-            yield self._changed(state, place, lambda chain, outputs: chain.commit_after_restart(outputs))
-            yield from self._send_again(state, place)
-            yield from self._wipe(state, place)
+    def successors(self, state: ChainState) -> Iterator[ChainState]:
+        """Yield all states that one step leads to."""
+        for index in range(len(state.disks)):
+            yield from self._submit(state, index)
+            yield from self._deliver(state, index)
+            yield from self._enter_view(state, index)
+            yield self._after_step(state, index, lambda chain, outputs: chain.commit_after_restart(outputs))
+            yield from self._resync(state, index)
+            yield from self._wipe(state, index)
         yield from self._decide(state)
 
     # --- one replica's step --------------------------------------------------------------------------------------
 
-    def _changed(self, state: ChainState, place: int, step: Step) -> ChainState:
-        """Have one replica take a step, from what its disk holds; what it sends and tells is added."""
-        disk = state.disks[place]
+    def _after_step(self, state: ChainState, index: int, step: Step) -> ChainState:
+        """Return the state after a step of one replica, which starts from its disk; its messages are added."""
+        disk = state.disks[index]
         chain, outputs = ChainReplica(disk.replica, LOSSES + 1), Outputs()
-        chain.synced_view = disk.synced
+        chain.synced_view = disk.synced_view
         for entry in disk.entries:
             chain.registers.apply(entry)
-        chain.resume(state.views[disk.view - 1] if disk.view else None)
+        chain.resume(state.views[disk.view_number - 1] if disk.view_number else None)
         step(chain, outputs)
         assert chain.view is None or chain.view in state.views
         versions = list(chain.registers.applied_digests.get(KEY, {}).values())
         entries = tuple(HistoryEntry(number, self._change(version)) for number, version in enumerate(versions, 1))
-        after = Disk(disk.replica, chain.view.number if chain.view else 0, chain.synced_view, entries)
-        disks = (*state.disks[:place], after, *state.disks[place + 1 :])
-        told, sent = set(state.acknowledged), set(state.sent)
+        after = ReplicaDisk(disk.replica, chain.view.number if chain.view else 0, chain.synced_view, entries)
+        disks = (*state.disks[:index], after, *state.disks[index + 1 :])
+        acknowledged, sent = set(state.acknowledged), set(state.sent_messages)
         for address, message in outputs.messages:
             if isinstance(message, Reply):
-                self._told(message, told)
+                self._record_reply(message, acknowledged)
             elif not isinstance(message, Committed):
                 sent.add((disk.replica.identity, address, message))
-        return replace(state, disks=disks, sent=frozenset(sent), acknowledged=frozenset(told))
+        return replace(state, disks=disks, sent_messages=frozenset(sent), acknowledged=frozenset(acknowledged))
 
     def _change(self, version: int) -> Change:
         return next(change for change in self.changes if change.version == version)
 
-    def _told(self, reply: Reply, told: set[int]) -> None:
-        """A caller hears; raises AssertionError where that is wrong."""
-        if reply.request_id >= READ:
-            assert reply.version >= reply.request_id - READ, (
-                f"a read told of {reply.version}, after more was acknowledged"
+    def _record_reply(self, reply: Reply, acknowledged: set[int]) -> None:
+        """Record what a caller learns; raises AssertionError where it contradicts what was acknowledged."""
+        if reply.request_id >= READ_REQUEST_BASE:
+            assert reply.version >= reply.request_id - READ_REQUEST_BASE, (
+                f"a read returned {reply.version}, after more was acknowledged"
             )
         else:
-            told.add(reply.request_id if reply.outcome == Outcome.APPLIED else REFUSED * reply.request_id)
-            assert not {reply.request_id, REFUSED * reply.request_id} <= told, (
-                f"{reply.request_id} was both taken and refused"
+            acknowledged.add(reply.request_id if reply.outcome == Outcome.APPLIED else REJECTED * reply.request_id)
+            assert not {reply.request_id, REJECTED * reply.request_id} <= acknowledged, (
+                f"{reply.request_id} was both applied and rejected"
             )
 
-    def _submit(self, state: ChainState, place: int) -> Iterator[ChainState]:
-        origin = state.disks[place].replica
+    def _submit(self, state: ChainState, index: int) -> Iterator[ChainState]:
+        origin = state.disks[index].replica
         for change in self.changes:
             if change.base and change.base not in state.acknowledged:
-                continue  # nobody builds on a version that nobody was told of
+                continue  # no caller builds on a version that was not acknowledged
             submit = Submit(RequestOrigin(origin, change.version), KEY, change)
-            yield self._changed(
-                state,
-                place,
-                lambda chain, outputs, submit=submit: chain.handle_submit(submit, outputs),  # type: ignore[misc]
-            )
+            yield self._after_step(state, index, _submit_step(submit))
         if state.reads < self.reads:
-            number = READ + max(0, *state.acknowledged) if state.acknowledged else READ
+            number = READ_REQUEST_BASE + max(0, *state.acknowledged) if state.acknowledged else READ_REQUEST_BASE
             read = Submit(RequestOrigin(origin, number), KEY, None)
-            asked = replace(state, reads=state.reads + 1)
-            yield self._changed(asked, place, lambda chain, outputs: chain.handle_submit(read, outputs))
+            state_after_read = replace(state, reads=state.reads + 1)
+            yield self._after_step(state_after_read, index, _submit_step(read))
 
-    def _deliver(self, state: ChainState, place: int) -> Iterator[ChainState]:
+    def _deliver(self, state: ChainState, index: int) -> Iterator[ChainState]:
         replicas = {disk.replica.identity: disk.replica for disk in state.disks}
-        for identity, address, message in state.sent:
+        for identity, address, message in state.sent_messages:
             source = replicas.get(identity)
-            if address != state.disks[place].replica.address:
+            if address != state.disks[index].replica.address:
                 continue
             source = source or Replica(identity, f"at-{identity[0]}", "z")
             if isinstance(message, Sync):
-                yield self._changed(
-                    state,
-                    place,
-                    lambda chain, outputs, source=source, message=message: (  # type: ignore[misc]
-                        chain.handle_sync(LATER, source, message, outputs)
-                    ),
-                )
+                yield self._after_step(state, index, _sync_step(source, message))
             elif isinstance(message, Forward):
-                yield self._changed(
-                    state,
-                    place,
-                    lambda chain, outputs, source=source, message=message: (  # type: ignore[misc]
-                        chain.handle_forward(source, message, outputs)
-                    ),
-                )
+                yield self._after_step(state, index, _forward_step(source, message))
 
-    def _adopt(self, state: ChainState, place: int) -> Iterator[ChainState]:
-        for view in state.views[state.disks[place].view :]:
-            yield self._changed(state, place, lambda chain, outputs, view=view: chain.enter_view(LATER, view, outputs))  # type: ignore[misc]
+    def _enter_view(self, state: ChainState, index: int) -> Iterator[ChainState]:
+        for view in state.views[state.disks[index].view_number :]:
+            yield self._after_step(state, index, _view_step(view))
 
-    def _send_again(self, state: ChainState, place: int) -> Iterator[ChainState]:
-        """Hear the successor's sign of life, which tells how much it holds now."""
+    def _resync(self, state: ChainState, index: int) -> Iterator[ChainState]:
+        """Deliver the successor's heartbeat, which says how much of the history it has."""
         for other in state.disks:
-            if other.view == state.disks[place].view:
-                heard = self._heartbeat(other)
-                yield self._changed(
-                    state,
-                    place,
-                    lambda chain, outputs, other=other, heard=heard: (  # type: ignore[misc]
-                        chain.handle_successor_heartbeat(LATER, other.replica, heard, outputs)
-                    ),
-                )
+            if other.view_number == state.disks[index].view_number:
+                yield self._after_step(state, index, _heartbeat_step(other.replica, self._heartbeat(other)))
 
-    def _heartbeat(self, disk: Disk) -> Heartbeat:
+    def _heartbeat(self, disk: ReplicaDisk) -> Heartbeat:
         registers = Registers()
         for entry in disk.entries:
             registers.apply(entry)
-        return Heartbeat(disk.view, disk.synced, len(disk.entries), 0, True, True, False, registers.history_digest)
+        return Heartbeat(
+            disk.view_number, disk.synced_view, len(disk.entries), 0, True, True, False, registers.history_digest
+        )
 
     # --- what happens to the group -------------------------------------------------------------------------------
 
-    def _wipe(self, state: ChainState, place: int) -> Iterator[ChainState]:
-        """Lose a disk, where all others hold the state in the newest view: so many losses are to be borne."""
+    def _wipe(self, state: ChainState, index: int) -> Iterator[ChainState]:
+        """Lose a disk, where all others are synced in the newest view: one loss at a time is tolerated."""
         newest = state.views[-1]
-        others = [disk for other, disk in enumerate(state.disks) if other != place]
-        caught_up = all(disk.synced == disk.view == newest.number for disk in others)
+        others = [disk for other, disk in enumerate(state.disks) if other != index]
+        caught_up = all(disk.synced_view == disk.view_number == newest.number for disk in others)
         if state.wipes < self.wipes and caught_up:
-            replica = state.disks[place].replica
-            empty = Disk(Replica(replica.identity + "'", replica.address, "z"), 0, 0, ())
-            disks = (*state.disks[:place], empty, *state.disks[place + 1 :])
+            replica = state.disks[index].replica
+            empty = ReplicaDisk(Replica(replica.identity + "'", replica.address, "z"), 0, 0, ())
+            disks = (*state.disks[:index], empty, *state.disks[index + 1 :])
             yield replace(state, disks=disks, wipes=state.wipes + 1)
 
     def _decide(self, state: ChainState) -> Iterator[ChainState]:
-        """Have the next view decided, by each majority that may promise; whoever has not promised counts as gone."""
+        """Decide the next view by each majority that may promise; those that have not promised count as failed."""
         newest = state.views[-1]
         if len(state.views) >= self.views:
             return
-        able = [disk for disk in state.disks if disk.view == newest.number and newest.voter(disk.replica.identity)]
-        for count in range(newest.majority, len(able) + 1):
-            for some in combinations(able, count):
+        eligible = [
+            disk for disk in state.disks if disk.view_number == newest.number and newest.voter(disk.replica.identity)
+        ]
+        for count in range(newest.majority, len(eligible) + 1):
+            for promisers in combinations(eligible, count):
                 promises = {
                     disk.replica.identity: Promise(
-                        newest.number + 1, Ballot(1, "a"), NO_BALLOT, None, disk.synced, len(disk.entries)
+                        newest.number + 1, Ballot(1, "a"), NO_BALLOT, None, disk.synced_view, len(disk.entries)
                     )
-                    for disk in some
+                    for disk in promisers
                 }
                 candidates = tuple(disk.replica for disk in state.disks if newest.voter(disk.replica.identity) is None)
                 alive = set(promises) | {replica.identity for replica in candidates}
@@ -224,36 +225,42 @@
                 if view is not None:
                     yield replace(state, views=(*state.views, view))
 
-    # --- what has to hold ----------------------------------------------------------------------------------------
+    # --- invariants ----------------------------------------------------------------------------------------------
 
     def check(self, state: ChainState) -> None:
-        """Check one state; raises AssertionError."""
+        """Check the invariants in one state; raises AssertionError where one is broken."""
         bases = [change.base for change in self.changes if change.version in state.acknowledged]
         assert len(set(bases)) == len(bases), "two changes of one version were acknowledged"
         newest = state.views[-1]
-        serving = [disk for disk in state.disks if disk.view == disk.synced == newest.number]
-        for version in (one for one in state.acknowledged if one > 0):
+        serving = [disk for disk in state.disks if disk.view_number == disk.synced_view == newest.number]
+        for version in (outcome for outcome in state.acknowledged if outcome > 0):
             holders = [disk for disk in state.disks if version in {entry.change.version for entry in disk.entries}]
             assert len(holders) >= LOSSES + 1 - state.wipes, f"{version} is on {len(holders)} disks"
             assert all(disk in holders for disk in serving), f"a replica of the newest view lacks {version}"
             for link in newest.chain:
-                disk = next((one for one in state.disks if one.replica.identity == link.identity), None)
-                complete = disk is not None and disk.synced >= link.joined_view
+                disk = next((disk for disk in state.disks if disk.replica.identity == link.identity), None)
+                complete = disk is not None and disk.synced_view >= link.joined_view
                 assert not complete or disk in holders, f"a replica that may head the next view lacks {version}"
-        order = {link.identity: place for place, link in enumerate(newest.chain)}
-        serving.sort(key=lambda disk: order.get(disk.replica.identity, -1))
+        positions = {link.identity: position for position, link in enumerate(newest.chain)}
+        serving.sort(key=lambda disk: positions.get(disk.replica.identity, -1))
         for before, after in pairwise(serving):
-            assert before.entries[: len(after.entries)] == after.entries, "a successor holds what is not before it"
-
-
-def search(model: ChainModel, most: int) -> int:
-    """Look through all states, `most` at most; tells how many. Raises AssertionError where one is wrong."""
-    first = model.first()
-    seen, left = {first}, [first]
-    while left and len(seen) < most:
-        for after in model.steps(left.pop()):
-            if after not in seen:
-                model.check(after)
-                seen.add(after)
-                left.append(after)
+            assert before.entries[: len(after.entries)] == after.entries, (
+                "a successor has an entry that its predecessor lacks"
+            )
+
+
+def search(model: ChainModel, max_states: int) -> int:
+    """Search at most `max_states` states and return their number.
+
+    Raises:
+        AssertionError: an invariant is broken in one of them.
+    """
+    first = model.initial_state()
+    seen, unexplored = {first}, [first]
+    while unexplored and len(seen) < max_states:
+        for successor in model.successors(unexplored.pop()):
+            if successor not in seen:
+                model.check(successor)
+                seen.add(successor)
+                unexplored.append(successor)
     return len(seen)
--- a/tests/coordination_histories.py
+++ b/tests/coordination_histories.py
@@ -1,4 +1,4 @@
-"""Drawn histories of a chain's replicas: machines fail, operators change and read, and what must hold is checked."""
+"""Random histories of a group of replicas: machines fail, operators change and read, and invariants are checked."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
 from tests.coordination_world import World, change
 from tests.linearizability import Call
 
-MIN_TAKEN = 5  # changes that a history takes, however many faults it has
+MIN_APPLIED = 5  # changes that a history applies, however many faults it has
 
 
 @dataclass
-class Attempted:
-    """One change that an operator sent, and what is known of it."""
+class AttemptedChange:
+    """One change that an operator sent, and its outcome as far as it is known."""
 
     change: Change
     acknowledged_at: float | None = None
-    refused: bool = False
+    is_rejected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class ReadAttempt:
-    """A read, and the newest version that anybody was told of before it was asked."""
+class AttemptedRead:
+    """A read, and the newest version that was acknowledged or read before it."""
 
     request: int
-    floor: int
+    min_version: int
 
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """What was done in one history, and the world as it was left."""
+    """The operations of one history, and the world at its end."""
 
     world: World
-    attempts: list[Attempted]
-    reads: list[ReadAttempt]
+    attempts: list[AttemptedChange]
+    reads: list[AttemptedRead]
 
 
-def start_if_there(world: World, address: str) -> None:
+def start_if_present(world: World, address: str) -> None:
     if address in world.members:
         world.start(address)
 
 
-def trouble(world: World, random: Random, down: dict[str, float]) -> None:
-    """As many machines at most as may be lost at once; one counts as lost until its time to catch up is over."""
+def inject_bounded_fault(world: World, random: Random, down: dict[str, float]) -> None:
+    """Inject a fault, of as many machines at once as may be lost; one counts as lost until it has caught up."""
     lost = {address for address, until in down.items() if until > world.now}
     if len(lost) >= world.losses:
         return
@@ -75,31 +75,31 @@
     elif not lost:
         for one in list(world.members):
             world.kill(one)
-            world.at(0.5, partial(start_if_there, world, one))
+            world.at(0.5, partial(start_if_present, world, one))
 
 
 def may_lose_disk(world: World) -> bool:
-    """Tell whether a disk may be lost beside faults beyond the tolerance: only where enough others hold the state."""
+    """Return whether a disk may be lost beside unbounded faults: only where enough others are synced."""
     views = [member.machine.view.number for member in world.members.values() if member.machine and member.machine.view]
     newest = max(views, default=0)
-    holding = sum(
+    synced_members = sum(
         member.machine is not None
         and member.machine.chain.is_serving
         and member.machine.view is not None
         and member.machine.view.number == newest
         for member in world.members.values()
     )
-    return len(world.members) - holding + 1 <= world.losses
+    return len(world.members) - synced_members + 1 <= world.losses
 
 
-def trouble_without_bound(world: World, random: Random) -> None:
-    """Faults of any number of machines at once, which may stop the chain for a while and must break nothing."""
+def inject_fault(world: World, random: Random) -> None:
+    """Inject a fault, of any number of machines at once: it may stop the chain for a while, and nothing else."""
     address = random.choice(sorted(world.members))
     seconds = random.uniform(0.05, 4.0)
     kind = random.choice(["kill", "freeze", "cut", "one_way", "slow", "lag", "wipe", "wipe", "power"])
     if kind == "kill":
         world.kill(address)
-        world.at(seconds, partial(start_if_there, world, address))
+        world.at(seconds, partial(start_if_present, world, address))
     elif kind == "freeze":
         world.freeze(address, seconds)
     elif kind in ("cut", "one_way"):
@@ -110,110 +110,114 @@
         world.lag(random.choice([0.05, 0.4]), seconds)
     elif kind == "wipe" and may_lose_disk(world):
         world.wipe(address)
-        world.at(min(seconds, 0.8), partial(start_if_there, world, address))
+        world.at(min(seconds, 0.8), partial(start_if_present, world, address))
     elif kind == "power":
         for one in list(world.members):
             world.kill(one)
-            world.at(random.uniform(0.1, 1.0), partial(start_if_there, world, one))
+            world.at(random.uniform(0.1, 1.0), partial(start_if_present, world, one))
 
 
-def told(world: World, requests: dict[int, Attempted]) -> int:
-    """Tell the newest version that an operator was told is in force."""
+def acknowledged_version(world: World, changes_by_request: dict[int, AttemptedChange]) -> int:
+    """Return the newest version that was acknowledged or read."""
     newest = 0
-    for request, answer in world.answers.items():
+    for request, answer in world.responses.items():
         if answer.outcome is Outcome.VALUE:
             newest = max(newest, answer.version)
-        elif answer.outcome is Outcome.APPLIED and request in requests:
-            newest = max(newest, requests[request].change.version)
+        elif answer.outcome is Outcome.APPLIED and request in changes_by_request:
+            newest = max(newest, changes_by_request[request].change.version)
     return newest
 
 
-def check_reads(world: World, reads: list[ReadAttempt]) -> None:
-    """No read tells of less than was told before it was asked."""
+def check_reads(world: World, reads: list[AttemptedRead]) -> None:
+    """Check that no read returned less than was acknowledged or read before it."""
     for read in reads:
-        answer = world.answers.get(read.request)
+        answer = world.responses.get(read.request)
         if answer is not None and answer.outcome is Outcome.VALUE:
-            assert answer.version >= read.floor, f"read {answer.version} after {read.floor} was told"
+            assert answer.version >= read.min_version, f"read {answer.version} after {read.min_version}"
 
 
 def play(seed: int, count: int, losses: int = 1, bounded: bool = True) -> History:
-    """Play a history; where faults are not bounded, the chain may stop until they are over."""
+    """Play a random history; where faults are not bounded, the chain may stop until they are over."""
     world, random = World(seed, count, losses), Random(seed)
-    world.loss = random.choice([0.0, 0.0, 0.02, 0.1])
+    world.loss_rate = random.choice([0.0, 0.0, 0.02, 0.1])
     world.run(2.5)
-    attempts: list[Attempted] = []
-    reads: list[ReadAttempt] = []
-    requests: dict[int, Attempted] = {}
-    known, down = 0, dict[str, float]()
+    attempts: list[AttemptedChange] = []
+    reads: list[AttemptedRead] = []
+    requests: dict[int, AttemptedChange] = {}
+    known_version, recovers_at = 0, dict[str, float]()
     numbers = itertools.count(1)
     for _ in range(60):
         if random.random() < 0.25:
             if bounded:
-                trouble(world, random, down)
+                inject_bounded_fault(world, random, recovers_at)
             else:
-                trouble_without_bound(world, random)
+                inject_fault(world, random)
         for _ in range(random.choice([0, 1, 2])):
-            attempt = Attempted(change(known, known + next(numbers), random.choice("abc")))
+            attempt = AttemptedChange(change(known_version, known_version + next(numbers), random.choice("abc")))
             attempts.append(attempt)
             for _ in range(random.choice([1, 1, 2])):
-                requests[world.ask(random.choice(sorted(world.members)), attempt.change)] = attempt
+                requests[world.request(random.choice(sorted(world.members)), attempt.change)] = attempt
         if random.random() < 0.3:
-            floor = told(world, requests)
-            reads.append(ReadAttempt(world.ask(random.choice(sorted(world.members)), None), floor))
+            min_version = acknowledged_version(world, requests)
+            reads.append(AttemptedRead(world.request(random.choice(sorted(world.members)), None), min_version))
         world.run(random.uniform(0.05, 1.0))
         for request, attempt in requests.items():
-            answer = world.answers.get(request)
+            answer = world.responses.get(request)
             if answer is None or answer.outcome is None:
                 continue
             if answer.outcome is Outcome.APPLIED and attempt.acknowledged_at is None:
-                attempt.acknowledged_at = world.answered_at[request]
-                known = max(known, attempt.change.version)
-            attempt.refused |= answer.outcome in (Outcome.CONFLICT, Outcome.OUTDATED)
-            known = max(known, answer.version)
-    world.loss = 0.0
+                attempt.acknowledged_at = world.responded_at[request]
+                known_version = max(known_version, attempt.change.version)
+            attempt.is_rejected |= answer.outcome in (Outcome.CONFLICT, Outcome.OUTDATED)
+            known_version = max(known_version, answer.version)
+    world.loss_rate = 0.0
     world.run(8.0 if bounded else 14.0)
     return History(world, attempts, reads)
 
 
-def calls(history: History) -> list[Call]:
-    """Tell the calls of a history that were answered."""
+def calls_of(history: History) -> list[Call]:
+    """Return the completed calls of a history."""
     world = history.world
-    answered = [(request, answer) for request, answer in world.answers.items() if answer.outcome is not None]
+    answered = [(request, answer) for request, answer in world.responses.items() if answer.outcome is not None]
     return [
         Call(
-            world.asked[request][0], world.answered_at[request], world.asked[request][1], answer.outcome, answer.version
+            world.sent_requests[request][0],
+            world.responded_at[request],
+            world.sent_requests[request][1],
+            answer.outcome,
+            answer.version,
         )
         for request, answer in answered
         if answer.outcome is not None
     ]
 
 
-def sent(history: History) -> list[tuple[float, Change]]:
-    """Tell all changes that were sent, with when."""
-    return [(asked, one) for asked, one in history.world.asked.values() if one is not None]
+def sent_changes(history: History) -> list[tuple[float, Change]]:
+    """Return all changes that were sent, with their times."""
+    return [(sent_at, change) for sent_at, change in history.world.sent_requests.values() if change is not None]
 
 
 def check(history: History) -> None:
-    """Check what a history has to have kept; raises AssertionError."""
+    """Check the invariants of a history; raises AssertionError where one is broken."""
     world, attempts = history.world, history.attempts
     check_reads(world, history.reads)
-    acknowledged = [one for one in attempts if one.acknowledged_at is not None]
-    bases = [one.change.base for one in acknowledged]
+    acknowledged = [attempt for attempt in attempts if attempt.acknowledged_at is not None]
+    bases = [attempt.change.base for attempt in acknowledged]
     assert len(set(bases)) == len(bases), "two changes of one version were acknowledged"
-    assert not any(one.refused for one in acknowledged), "one change was both taken and refused"
-    refused = {one.change.payload for one in attempts if one.refused}
-    assert not refused & set(world.published.values()), "a refused change is in force"
-    newest = max((one.change.version for one in acknowledged), default=0)
+    assert not any(attempt.is_rejected for attempt in acknowledged), "a change was both applied and rejected"
+    rejected = {attempt.change.payload for attempt in attempts if attempt.is_rejected}
+    assert not rejected & set(world.published_payloads.values()), "a rejected change was published"
+    newest = max((attempt.change.version for attempt in acknowledged), default=0)
     for address in sorted(world.members):
         answer = world.read(address)
         assert answer is not None, f"{address} does not answer reads after the last fault"
         assert answer.version >= newest, "an acknowledged change is lost"
-    assert len(acknowledged) >= MIN_TAKEN, "hardly anything was taken"
-    linearizability.check(calls(history), sent(history))
+    assert len(acknowledged) >= MIN_APPLIED, "hardly any change was applied"
+    linearizability.check(calls_of(history), sent_changes(history))
 
 
-def drawn(seed: int) -> History:
-    """Play the history of a seed: three to six replicas, one or two losses to bear, faults with and without bound."""
+def history_of_seed(seed: int) -> History:
+    """Play the history of a seed: three to six replicas, one or two tolerated losses, bounded and unbounded faults."""
     count = 3 + seed % 4
     losses = 2 if count >= 5 and seed % 3 == 0 else 1
     return play(seed, count, losses, bounded=seed % 2 == 0)
--- a/tests/features/group.feature
+++ b/tests/features/group.feature
@@ -10,19 +10,19 @@
     And 4 seconds pass
     Then every replica reads version 1
 
-  Scenario: of two changes on one version one wins
+  Scenario: one of two changes on the same version wins
     Given a group of 3 replicas
     When an operator sends version 1 to replica 1 and another sends version 2 to replica 3
-    Then one is acknowledged and the other refused
+    Then one is acknowledged and the other rejected
     And every replica reads the acknowledged one
 
-  Scenario: a minority that is cut off neither takes nor refuses
+  Scenario: a partitioned minority neither applies nor rejects
     Given a group of 3 replicas
-    When replica 1 is cut off
+    When replica 1 is partitioned
     And 2 seconds pass
     And an operator sends version 1 to replica 1
     And 3 seconds pass
-    Then nobody knows what became of it
+    Then its outcome is unknown
 
   Scenario: all machines lose power right after an acknowledgement
     Given a group of 4 replicas
--- a/tests/features/steps/group.py
+++ b/tests/features/steps/group.py
@@ -1,4 +1,4 @@
-"""Steps of the group's features, in virtual time."""
+"""Steps of the features of a replica group, in virtual time."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from hophinge.coordination.registers import Outcome
 from tests.coordination_world import World, change
 
-FORMED_S, SETTLED_S, POWER_S = 1.0, 0.5, 0.5
-CUT_S = 30.0
+FORMATION_S = 1.0
+COMMIT_S = 0.5
+POWER_OFF_S = 0.5
+PARTITION_S = 30.0
 
 Step = TypeVar("Step", bound=Callable[..., None])
 
 
 def step(decorator: object) -> Callable[[Step], Step]:
-    """Give the decorators of the features' runner, which has no types, a type."""
+    """Give behave's decorators, which have no types, a type."""
     return cast("Callable[[Step], Step]", decorator)
 
 
@@ -27,37 +29,37 @@
 @step(given("a group of {count:d} replicas"))
 def form(context: Any, count: int) -> None:
     context.world = World(1, count)
-    context.world.run(FORMED_S)
-    context.requests = []
+    context.world.run(FORMATION_S)
+    context.request_ids = []
 
 
 @step(when("an operator sends version {version:d} to replica {number}"))
 def send(context: Any, version: int, number: str) -> None:
     if " and another sends version " in number:
         number, _, rest = number.partition(" and another sends version ")
-        other, _, place = rest.partition(" to replica ")
-        context.requests.append(context.world.ask(_address(place), change(0, int(other), "b")))
-    context.requests.append(context.world.ask(_address(number), change(0, version, "a")))
-    context.world.run(SETTLED_S)
+        other, _, other_number = rest.partition(" to replica ")
+        context.request_ids.append(context.world.request(_address(other_number), change(0, int(other), "b")))
+    context.request_ids.append(context.world.request(_address(number), change(0, version, "a")))
+    context.world.run(COMMIT_S)
 
 
 @step(when("replica {number} loses its disk"))
 def wipe(context: Any, number: str) -> None:
     context.world.wipe(_address(number))
-    context.world.run(POWER_S)
+    context.world.run(POWER_OFF_S)
     context.world.start(_address(number))
 
 
-@step(when("replica {number} is cut off"))
+@step(when("replica {number} is partitioned"))
 def cut(context: Any, number: str) -> None:
-    context.world.cut(_address(number), CUT_S)
+    context.world.cut(_address(number), PARTITION_S)
 
 
 @step(when("all replicas lose power"))
 def power(context: Any) -> None:
     for address in context.world.members:
         context.world.kill(address)
-    context.world.run(POWER_S)
+    context.world.run(POWER_OFF_S)
     for address in context.world.members:
         context.world.start(address)
 
@@ -69,18 +71,18 @@
 
 @step(then("it is acknowledged"))
 def acknowledged(context: Any) -> None:
-    assert context.world.answers[context.requests[-1]].outcome is Outcome.APPLIED
+    assert context.world.responses[context.request_ids[-1]].outcome is Outcome.APPLIED
 
 
-@step(then("one is acknowledged and the other refused"))
+@step(then("one is acknowledged and the other rejected"))
 def one_wins(context: Any) -> None:
-    outcomes = sorted(context.world.answers[request].outcome for request in context.requests)
+    outcomes = sorted(context.world.responses[request_id].outcome for request_id in context.request_ids)
     assert outcomes == [Outcome.APPLIED, Outcome.CONFLICT]
 
 
-@step(then("nobody knows what became of it"))
+@step(then("its outcome is unknown"))
 def unknown(context: Any) -> None:
-    assert context.world.answers[context.requests[-1]].outcome is None
+    assert context.world.responses[context.request_ids[-1]].outcome is None
 
 
 @step(then("every replica reads version {version:d}"))
--- a/tests/linearizability.py
+++ b/tests/linearizability.py
@@ -1,9 +1,9 @@
-"""Checks that what callers of one register saw fits one order in which each call took effect at one moment.
+"""A linearizability check for one register: the calls fit an order in which each took effect at one moment.
 
-The register changes by compare-and-set and no version is ever used twice, so its states form a row: each taken change
-builds on the version before it. A call fits between two places of that row; calls that did not overlap may not be in
-the other order. For such intervals pairs decide: a row of moments exists where no call needs an earlier state than one
-that had ended before it began.
+The register changes by compare-and-set and no version is ever used twice, so its states form a sequence: each applied
+change builds on the version before it. A call took effect between two positions of that sequence; calls that did not
+overlap may not be in the other order. For such intervals comparing pairs is enough: an order exists where no call needs
+an earlier state than one that had completed before it started.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 from hophinge.coordination.registers import Change, Outcome
 
-LAST = 1 << 30  # the place of an end that is open
+UNBOUNDED = 1 << 30  # a position after all others
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call that was answered: a change, or a read where there is none; `version` is what the answer told."""
+    """One completed call: a change, or a read where there is none; `version` is that of the response."""
 
-    asked: float
-    answered: float
+    started_at: float
+    completed_at: float
     change: Change | None
     outcome: Outcome
     version: int
@@ -29,53 +29,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The places between which a call took effect."""
+    """The positions between which a call took effect."""
 
     call: Call
-    first: int
-    last: int
+    earliest: int
+    latest: int
 
 
-def states(changes: Iterable[Change], known: Iterable[int]) -> dict[int, int]:
-    """Tell the place of each version in the row of states; raises AssertionError where there is no row.
+def positions_of_versions(changes: Iterable[Change], known: Iterable[int]) -> dict[int, int]:
+    """Return the position of each version in the sequence of states.
 
-    Changes whose fate nobody told are taken where a known version builds on them.
+    Changes of unknown outcome count as applied where a known version builds on them.
+
+    Raises:
+        AssertionError: the versions form no sequence.
     """
     base_of = {change.version: change.base for change in changes}
     newest = max(known, default=0)
-    row = [newest]
-    while row[-1] != 0:
-        assert row[-1] in base_of, f"nobody sent version {row[-1]}"
-        row.append(base_of[row[-1]])
-    return {version: place for place, version in enumerate(reversed(row))}
+    versions = [newest]
+    while versions[-1] != 0:
+        assert versions[-1] in base_of, f"version {versions[-1]} was never sent"
+        versions.append(base_of[versions[-1]])
+    return {version: position for position, version in enumerate(reversed(versions))}
 
 
-def _bounds(call: Call, place: dict[int, int]) -> Bounds:
-    told = call.change.version if call.change is not None and call.outcome is Outcome.APPLIED else call.version
-    assert told in place, f"version {told} was told of and is in no row with the newest one"
+def _bounds(call: Call, positions: dict[int, int]) -> Bounds:
+    version = call.change.version if call.change is not None and call.outcome is Outcome.APPLIED else call.version
+    assert version in positions, f"version {version} was returned and is in no sequence with the newest one"
     if call.outcome is Outcome.APPLIED:
-        return Bounds(call, place[told], LAST)  # sent again, it may be answered when others have followed it
-    return Bounds(call, place[told], place[told])
+        # A retried change may be answered after others have followed it.
+        return Bounds(call, positions[version], UNBOUNDED)
+    return Bounds(call, positions[version], positions[version])
 
 
 def check(calls: Iterable[Call], sent: Iterable[tuple[float, Change]]) -> int:
-    """Check answered calls against all changes, with when each was sent; tells how many calls there were.
+    """Check completed calls against all changes that were sent, with their times, and return the number of calls.
 
-    Raises AssertionError where they fit no order.
+    Raises:
+        AssertionError: the calls are not linearizable.
     """
-    answered, first_sent = list(calls), dict[int, float]()
+    completed = list(calls)
+    first_sent: dict[int, float] = {}
     changes = []
-    for asked, change in sorted(sent, key=lambda one: one[0]):
+    for sent_at, change in sorted(sent, key=lambda item: item[0]):
         changes.append(change)
-        first_sent.setdefault(change.version, asked)
-    taken = [call.change.version for call in answered if call.change is not None and call.outcome is Outcome.APPLIED]
-    place = states(changes, [*taken, *(call.version for call in answered if call.outcome is not Outcome.APPLIED)])
-    rows = [_bounds(call, place) for call in answered]
-    begins = {place[version]: asked for version, asked in first_sent.items() if version in place}
-    for row in rows:
-        assert row.call.answered >= begins.get(row.first, 0.0), f"{row.call} tells of what was not yet sent"
-    for before in rows:
-        for after in rows:
-            in_order = before.call.answered >= after.call.asked or before.first <= after.last
-            assert in_order, f"{after.call} tells of less than {before.call}, which had been answered before"
-    return len(rows)
+        first_sent.setdefault(change.version, sent_at)
+    applied = [call.change.version for call in completed if call.change is not None and call.outcome is Outcome.APPLIED]
+    positions = positions_of_versions(
+        changes, [*applied, *(call.version for call in completed if call.outcome is not Outcome.APPLIED)]
+    )
+    bounds = [_bounds(call, positions) for call in completed]
+    first_sent_at_position = {
+        positions[version]: sent_at for version, sent_at in first_sent.items() if version in positions
+    }
+    for bound in bounds:
+        assert bound.call.completed_at >= first_sent_at_position.get(bound.earliest, 0.0), (
+            f"{bound.call} returned what was not yet sent"
+        )
+    for before in bounds:
+        for after in bounds:
+            in_order = before.call.completed_at >= after.call.started_at or before.earliest <= after.latest
+            assert in_order, f"{after.call} returned less than {before.call}, which had completed before"
+    return len(bounds)
--- a/tests/test_coordination_chain_model.py
+++ b/tests/test_coordination_chain_model.py
@@ -1,4 +1,4 @@
-"""The chain, through all orders of what may happen at a small size, and through a part of those at larger ones."""
+"""Chain replication: an exhaustive search at a small size, a partial one at larger ones."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hophinge.coordination.registers import Change
 from tests.chain_model import KEY, ChainModel, search
 
-PART = 4_000  # states of each larger model that are looked through here
+SEARCHED_STATES = 4_000  # of each larger model
 
 
 def _change(base: int, version: int) -> Change:
@@ -19,7 +19,7 @@
 SUCCESSIVE = (_change(0, 1), _change(1, 2))
 
 
-def test_one_change_a_change_of_view_and_a_lost_disk_in_all_orders() -> None:
+def test_one_change_with_a_view_change_and_a_lost_disk_in_any_order() -> None:
     assert search(ChainModel(ONE, views=2, wipes=1, reads=0), 1 << 20) == 9_781
 
 
@@ -33,5 +33,5 @@
         ChainModel(RIVALS, views=3, wipes=1, reads=1),
     ],
 )
-def test_a_part_of_a_larger_model_keeps_what_was_told(model: ChainModel) -> None:
-    assert search(model, PART) >= PART
+def test_larger_models_keep_acknowledged_changes_in_the_states_searched(model: ChainModel) -> None:
+    assert search(model, SEARCHED_STATES) >= SEARCHED_STATES
--- a/tests/test_coordination_roles.py
+++ b/tests/test_coordination_roles.py
@@ -1,4 +1,4 @@
-"""Leases and singleton roles: who lives, who owns a role, and when an owner may act."""
+"""Leases and singleton roles: who has a lease, who owns a role, and when an owner may act."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 NEAR, FAR = Replica("n", "10.0.0.9:1", "x"), Replica("f", "10.0.0.8:1", "y")
 
 
-def test_a_lease_that_is_not_renewed_ends() -> None:
+def test_a_lease_that_is_not_renewed_expires() -> None:
     table = LeaseTable()
     table.renew(0.0, A)
     table.renew(2.0, B)
@@ -37,7 +37,7 @@
     assert [holder.identity for holder in table.holders()] == ["a2"]
 
 
-def test_leases_granted_elsewhere_count_but_are_not_passed_on() -> None:
+def test_leases_of_other_granters_count_but_are_not_exchanged() -> None:
     table = LeaseTable()
     table.renew(0.0, A)
     table.merge(0.0, [A, B])
@@ -45,7 +45,7 @@
     assert table.local_holders() == [A]
 
 
-def test_a_holder_counts_its_lease_from_before_it_asked() -> None:
+def test_a_holder_counts_its_lease_from_its_request() -> None:
     renewal = LeaseRenewal("x", ("10.0.0.9:1",), Random(1))
     assert renewal.granter_to_contact(1.0) == "10.0.0.9:1"
     renewal.handle_grant(2.0, "10.0.0.9:1", LeaseGrant(LEASE_DURATION_S, 5, (), (NEAR, FAR), True, 1.0))
@@ -54,7 +54,7 @@
     assert renewal.max_holder_count == 5
 
 
-def test_a_late_answer_gives_a_lease_from_when_it_was_asked_for_not_from_the_latest_asking() -> None:
+def test_a_late_grant_counts_from_its_own_request_not_the_latest() -> None:
     renewal = LeaseRenewal("x", ("10.0.0.9:1",), Random(1))
     assert renewal.granter_to_contact(0.0) == "10.0.0.9:1"
     assert renewal.granter_to_contact(ACQUIRE_RETRY_INTERVAL_S) == "10.0.0.9:1"
@@ -70,7 +70,7 @@
     assert not renewal.holds_lease(0.6 + LEASE_DURATION_S), "no grant is for longer than from now"
 
 
-def test_a_granter_that_is_silent_or_cut_off_is_left_for_another() -> None:
+def test_a_silent_or_partitioned_granter_is_replaced() -> None:
     renewal = LeaseRenewal("x", ("10.0.0.9:1",), Random(1))
     renewal.granter_to_contact(0.0)
     renewal.handle_grant(0.1, "10.0.0.9:1", LeaseGrant(LEASE_DURATION_S, 1, (), (NEAR, FAR), False, 0.0))
@@ -78,7 +78,7 @@
     assert renewal.granter_to_contact(0.3 + RENEWAL_TIMEOUT_S) != FAR.address
 
 
-def test_a_member_without_a_lease_soon_asks_another_granter_and_takes_whichever_answers() -> None:
+def test_a_member_without_a_lease_soon_tries_another_granter_and_accepts_any_grant() -> None:
     renewal = LeaseRenewal("x", ("10.0.0.8:1", "10.0.0.9:1"), Random(1))
     first = renewal.granter_to_contact(0.0)
     second = renewal.granter_to_contact(ACQUIRE_RETRY_INTERVAL_S)
@@ -93,7 +93,7 @@
     assert renewal.max_holder_count == 2, "with a lease, only the granter in use counts"
 
 
-def test_a_holder_goes_back_to_a_granter_of_its_own_zone() -> None:
+def test_a_holder_returns_to_a_granter_of_its_own_zone() -> None:
     renewal = LeaseRenewal("x", ("10.0.0.8:1",), Random(1))
     renewal.granter_to_contact(0.0)
     renewal.handle_grant(0.1, "10.0.0.8:1", LeaseGrant(LEASE_DURATION_S, 1, (), (NEAR, FAR), True, 0.0))
@@ -106,7 +106,7 @@
     return registers.current(role.key)
 
 
-def test_a_role_has_one_owner_and_its_token_only_rises() -> None:
+def test_a_role_has_one_owner_and_its_token_never_decreases() -> None:
     registers, alive = Registers(), {"a", "b", "c"}
     roles = {name: Role("stages", name, 3.0) for name in alive}
     first = rendezvous("role/stages", alive)
@@ -122,13 +122,13 @@
     alive.remove(first)
     second = rendezvous("role/stages", alive)
     assert second is not None
-    again = roles[second].claim(alive)
-    assert again is not None
-    assert again.version == register.version + 1
+    next_claim = roles[second].claim(alive)
+    assert next_claim is not None
+    assert next_claim.version == register.version + 1
     assert registers.evaluate(claim) is Outcome.APPLIED
 
 
-def test_a_token_that_was_refused_is_not_used_again_and_the_next_one_is_above_it() -> None:
+def test_a_rejected_token_is_not_reused_and_the_next_claim_is_above_it() -> None:
     role, registers = Role("stages", "a", 3.0), Registers()
     claim = role.claim({"a"})
     assert claim is not None
@@ -137,15 +137,15 @@
     assert role.may_act(20.0)
     role.reject_token(register.version)
     assert not role.may_act(20.0)
-    again = role.claim({"a"})
-    assert again is not None
-    assert again.version == register.version + 1
-    role.handle_committed_owner(21.0, _published(registers, role, again))
+    next_claim = role.claim({"a"})
+    assert next_claim is not None
+    assert next_claim.version == register.version + 1
+    role.handle_committed_owner(21.0, _published(registers, role, next_claim))
     assert role.claim({"a"}) is None
     assert role.may_act(21.0 + 3.0 + TAKEOVER_MARGIN_S)
 
 
-def test_a_new_owner_waits_until_the_old_ones_time_is_over() -> None:
+def test_a_new_owner_waits_until_the_lease_of_the_old_one_has_expired() -> None:
     role, registers = Role("stages", "a", 3.0), Registers()
     claim = role.claim({"a"})
     assert claim is not None
--- a/tests/test_coordination_rules.py
+++ b/tests/test_coordination_rules.py
@@ -1,4 +1,4 @@
-"""Rules of one replica that drawn histories seldom meet, each with the inputs that it is about."""
+"""Rules of one replica that random histories seldom exercise, each with its own inputs."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def _chain(me: Replica, view: View, sequence: int = 0) -> ChainReplica:
-    """A replica that holds so many changes in a view."""
+    """A chain replica with a number of changes in a view."""
     chain = ChainReplica(me, 2)
     chain.synced_view = view.number
     chain.resume(view)
@@ -50,7 +50,7 @@
     return chain
 
 
-def test_a_chain_too_short_to_bear_a_loss_neither_takes_nor_commits() -> None:
+def test_a_chain_too_short_to_tolerate_a_loss_neither_applies_nor_commits() -> None:
     alone, outputs = _chain(A, _view(3, (A, 1))), Outputs()
     alone.handle_submit(Submit(ORIGIN, KEY, change(0, 1, "a")), outputs)
     assert not outputs.messages
@@ -60,16 +60,16 @@
     assert not outputs.committed_values
 
 
-def test_a_replica_that_did_not_take_over_the_history_heads_no_view() -> None:
+def test_a_replica_without_the_complete_history_heads_no_view() -> None:
     behind = _chain(B, _view(1, (A, 1), (B, 1)))
     outputs = Outputs()
     behind.enter_view(0.0, View(4, (A, B, C), (ChainLink("b", 3), ChainLink("c", 4))), outputs)
     assert not behind.is_serving
     assert not outputs.messages
     promises = {name: Promise(4, Ballot(1, "b"), NO_BALLOT, None, synced, 0) for name, synced in (("b", 1), ("c", 1))}
-    sight = MembershipObservation({"b", "c"}, {"b", "c"}, set(), set(), (), 3)
+    observation = MembershipObservation({"b", "c"}, {"b", "c"}, set(), set(), (), 3)
     assert (
-        next_view(View(3, (A, B, C), (ChainLink("a", 1), ChainLink("b", 3), ChainLink("c", 3))), sight, promises)
+        next_view(View(3, (A, B, C), (ChainLink("a", 1), ChainLink("b", 3), ChainLink("c", 3))), observation, promises)
         is None
     )
 
@@ -89,7 +89,7 @@
     assert replies == [(C.address, Reply(7, int(Outcome.VALUE), 1, b"1:old"))]
 
 
-def test_what_belongs_to_another_view_or_comes_from_elsewhere_is_not_taken() -> None:
+def test_messages_of_another_view_or_another_source_are_ignored() -> None:
     view = _view(2, (A, 1), (B, 1), (C, 1))
     entry = HistoryEntry(1, change(0, 1, "a"))
     for source, number in ((A, 1), (A, 3), (C, 2)):
@@ -101,12 +101,12 @@
         assert chain.registers.sequence == 0, (source, number)
 
 
-def test_changes_are_taken_in_their_order_and_none_is_passed_on_after_a_gap() -> None:
+def test_changes_are_applied_in_order_and_none_is_forwarded_after_a_gap() -> None:
     chain, outputs = _chain(B, _view(2, (A, 1), (B, 1), (C, 1))), Outputs()
     second = HistoryEntry(2, change(1, 2, "b"))
     chain.handle_forward(A, Forward(2, 2, ORIGIN, KEY, int(Outcome.APPLIED), second), outputs)
     assert chain.registers.sequence == 0
-    assert not outputs.messages, "the tail would tell of a change that is not held here"
+    assert not outputs.messages, "the tail would acknowledge a change that is not stored here"
     chain.handle_forward(
         A, Forward(2, 1, ORIGIN, KEY, int(Outcome.APPLIED), HistoryEntry(1, change(0, 1, "a"))), outputs
     )
@@ -116,19 +116,19 @@
     assert len(outputs.records) == 2
 
 
-def test_only_what_the_tail_holds_is_put_in_force() -> None:
+def test_only_committed_changes_are_published() -> None:
     head, outputs = _chain(A, _view(1, (A, 1), (B, 1))), Outputs()
     head.handle_submit(Submit(ORIGIN, KEY, change(0, 1, "a")), outputs)
     assert not outputs.committed_values
     assert not any(isinstance(message, Reply) for _, message in outputs.messages)
     head.learn_committed(2, 1, outputs)
-    assert not outputs.committed_values, "another view's tail says nothing of this one"
+    assert not outputs.committed_values, "the tail of another view does not commit in this one"
     head.handle_submit(Submit(ORIGIN, KEY, change(1, 2, "b")), outputs)
     head.learn_committed(1, 1, outputs)
-    assert [one.register.version for one in outputs.committed_values] == [1]
+    assert [value.register.version for value in outputs.committed_values] == [1]
 
 
-def test_a_history_taken_over_is_written_with_the_view_it_is_for() -> None:
+def test_a_synced_history_is_recorded_with_its_view() -> None:
     chain, outputs = _chain(B, _view(1, (A, 1), (B, 1))), Outputs()
     chain.enter_view(0.0, _view(2, (A, 1), (B, 2)), outputs)
     snapshot = _chain(A, _view(2, (A, 1)), 3).registers.snapshot()
@@ -142,14 +142,14 @@
     acceptor = Acceptor(VoteRecord(2, NO_BALLOT, NO_BALLOT, None))
     high, low = Ballot(5, "a"), Ballot(4, "c")
     assert isinstance(acceptor.prepare(Prepare(2, high), 0, 0), Promise)
-    kept = acceptor.vote
+    vote = acceptor.vote
     assert acceptor.prepare(Prepare(2, low), 0, 0) == Rejection(2, high)
     assert acceptor.accept(Accept(low, _view(2, (A, 1)))) == Rejection(2, high)
-    assert acceptor.vote == kept
+    assert acceptor.vote == vote
     assert acceptor.accept(Accept(high, _view(2, (A, 1)))) == Accepted(2, high)
 
 
-def test_the_newest_proposal_that_may_be_decided_binds() -> None:
+def test_the_highest_accepted_proposal_is_inherited() -> None:
     attempt = BallotAttempt(2, Ballot(9, "a"), 0.0)
     older, newer = (View(2, (A, B, C), (ChainLink(name, 2),)) for name in ("a", "b"))
     for name, promise in (
@@ -161,26 +161,26 @@
     assert attempt.inherited_proposal() == newer
 
 
-def test_a_proposal_that_may_be_decided_is_proposed_again() -> None:
-    machine, proposal = _machine(_view(1, (A, 1), (B, 1), (C, 1))), _view(2, (C, 1), (A, 1))
+def test_an_inherited_proposal_is_proposed_again() -> None:
+    machine, proposal = _state_machine(_view(1, (A, 1), (B, 1), (C, 1))), _view(2, (C, 1), (A, 1))
     ballot = Ballot(3, B.identity)
     machine.elections.attempt = BallotAttempt(2, ballot, 0.0)
     machine.handle(1.0, MessageReceived(A, Promise(2, ballot, Ballot(1, "a"), proposal, 1, 0)))
     third = MessageReceived(C, Promise(2, ballot, NO_BALLOT, None, 1, 0))
-    assert not machine.handle(1.0, third).messages, "this replica's own promise has a moment to come"
+    assert not machine.handle(1.0, third).messages, "the promise of this replica may come yet"
     sent = machine.handle(1.01 + PROMISE_GATHER_S, third)
     assert {message.proposal for _, message in sent.messages if isinstance(message, Accept)} == {proposal}
 
 
-def _machine(view: View) -> ReplicaStateMachine:
+def _state_machine(view: View) -> ReplicaStateMachine:
     machine = ReplicaStateMachine(ReplicaConfig(B, (A.address,), False, True, 1), Random(1), 0.0)
     machine.handle(0.0, Tick())
     machine.adopt_view(0.0, view, Outputs())
     return machine
 
 
-def test_votes_are_written_before_they_are_told_and_a_disk_without_room_casts_none() -> None:
-    machine, ballot = _machine(_view(1, (A, 1), (B, 1), (C, 1))), Ballot(4, "a")
+def test_votes_are_recorded_before_they_are_sent_and_a_full_disk_casts_none() -> None:
+    machine, ballot = _state_machine(_view(1, (A, 1), (B, 1), (C, 1))), Ballot(4, "a")
     promised = machine.handle(0.1, MessageReceived(A, Prepare(2, ballot)))
     assert promised.records == [VoteRecord(2, ballot, NO_BALLOT, None)]
     assert [type(message) for _, message in promised.messages] == [Promise]
--- a/tests/test_coordination_storage.py
+++ b/tests/test_coordination_storage.py
@@ -1,4 +1,4 @@
-"""Two slots and a log: what was synced is read back, whatever becomes of later writes."""
+"""Two slots and a log: what was synced is recovered, whatever happens to later writes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hophinge.coordination.storage.store import LOG, MAX_LOG_BYTES, SLOTS, RecoveredState, DurableStore
 
 
-class TornVolume:
+class InMemoryVolume:
     """A disk in memory: what was not synced is lost, kept or torn when power goes."""
 
     def __init__(self) -> None:
@@ -26,29 +26,29 @@
     def write(self, name: str, offset: int, data: bytes) -> None:
         if len(data) > self.free:
             raise OSError(28, "no space left on device")
-        self._place(self.files.setdefault(name, bytearray()), offset, data)
+        self._write_at(self.files.setdefault(name, bytearray()), offset, data)
         self.writes.append((name, offset, data))
 
     @staticmethod
-    def _place(file: bytearray, offset: int, data: bytes) -> None:
+    def _write_at(file: bytearray, offset: int, data: bytes) -> None:
         if len(file) < offset:
             file.extend(b"\0" * (offset - len(file)))
         file[offset : offset + len(data)] = data
 
     def sync(self, name: str) -> None:
         self.synced[name] = bytes(self.files.get(name, b""))
-        self.writes = [one for one in self.writes if one[0] != name]
+        self.writes = [write for write in self.writes if write[0] != name]
 
     def close(self) -> None:
         pass
 
     def lose_power(self, random: Random) -> None:
-        """Each write since its file's last sync is present, missing or torn."""
+        """Each write since the last sync of its file is present, missing or torn."""
         files = {name: bytearray(data) for name, data in self.synced.items()}
         for name, offset, data in self.writes:
-            kept = random.choice([0, len(data), random.randrange(len(data) + 1)])
-            if kept:
-                self._place(files.setdefault(name, bytearray()), offset, data[:kept])
+            written = random.choice([0, len(data), random.randrange(len(data) + 1)])
+            if written:
+                self._write_at(files.setdefault(name, bytearray()), offset, data[:written])
         self.files, self.writes = files, []
         self.synced = {name: bytes(data) for name, data in files.items()}
 
@@ -69,28 +69,28 @@
     return list(range(1, first + 1)) + found
 
 
-def test_an_empty_disk_holds_nothing() -> None:
-    assert DurableStore(TornVolume()).recover() == RecoveredState(None, ())
+def test_an_empty_disk_recovers_nothing() -> None:
+    assert DurableStore(InMemoryVolume()).recover() == RecoveredState(None, ())
 
 
-def test_records_come_back_in_order_after_the_newer_slot() -> None:
-    volume = TornVolume()
+def test_records_are_recovered_in_order_after_the_newer_slot() -> None:
+    volume = InMemoryVolume()
     store = DurableStore(volume)
     store.save(_state(0))
     store.append([_entry(1), SyncedRecord(1, None)])
     store.append([_entry(2)])
-    again = DurableStore(volume).recover()
-    assert again.records == (_entry(1), SyncedRecord(1, None), _entry(2))
+    reopened = DurableStore(volume).recover()
+    assert reopened.records == (_entry(1), SyncedRecord(1, None), _entry(2))
     store.save(_state(2))
     store.append([_entry(3)])
-    again = DurableStore(volume).recover()
-    assert again.state == _state(2)
-    assert again.records == (_entry(3),)
+    reopened = DurableStore(volume).recover()
+    assert reopened.state == _state(2)
+    assert reopened.records == (_entry(3),)
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_what_was_synced_survives_a_loss_of_power_at_any_write(seed: int) -> None:
-    random, volume = Random(seed), TornVolume()
+def test_synced_records_survive_a_power_loss_at_any_write(seed: int) -> None:
+    random, volume = Random(seed), InMemoryVolume()
     store = DurableStore(volume)
     store.save(_state(0))
     done = 0
@@ -120,20 +120,20 @@
         done = len(found)
 
 
-def test_a_flipped_byte_in_the_newer_slot_is_noticed() -> None:
-    volume = TornVolume()
+def test_a_flipped_byte_in_the_newer_slot_is_detected() -> None:
+    volume = InMemoryVolume()
     store = DurableStore(volume)
     store.save(_state(1))
     store.save(_state(2))
     name = SLOTS[store.current_slot]
     volume.files[name][-1] ^= 1
-    again = DurableStore(volume)
-    assert again.recover().state == _state(1)
-    assert again.unreadable_slots == 1
+    reopened = DurableStore(volume)
+    assert reopened.recover().state == _state(1)
+    assert reopened.unreadable_slots == 1
 
 
-def test_a_flipped_byte_in_the_log_ends_it_there() -> None:
-    volume = TornVolume()
+def test_a_flipped_byte_truncates_the_log() -> None:
+    volume = InMemoryVolume()
     store = DurableStore(volume)
     store.save(_state(0))
     for number in range(1, 4):
@@ -142,8 +142,8 @@
     assert DurableStore(volume).recover().records == (_entry(1),)
 
 
-def test_a_full_disk_is_told_and_a_whole_state_makes_good_for_it() -> None:
-    volume = TornVolume()
+def test_a_full_disk_raises_and_a_complete_state_repairs_it() -> None:
+    volume = InMemoryVolume()
     store = DurableStore(volume)
     store.save(_state(0))
     volume.free = 0
@@ -155,8 +155,8 @@
     assert _entries(DurableStore(volume).recover()) == [1, 2]
 
 
-def test_the_log_asks_for_a_slot_once_it_has_grown() -> None:
-    store = DurableStore(TornVolume())
+def test_a_grown_log_calls_for_a_slot() -> None:
+    store = DurableStore(InMemoryVolume())
     store.save(_state(0))
     assert not store.is_log_full
     store.append([_entry(1, MAX_LOG_BYTES)])
@@ -165,8 +165,8 @@
     assert not store.is_log_full
 
 
-def _written() -> tuple[TornVolume, DurableStore]:
-    volume = TornVolume()
+def _volume_and_store() -> tuple[InMemoryVolume, DurableStore]:
+    volume = InMemoryVolume()
     store = DurableStore(volume)
     store.save(_state(0))
     store.save(_state(1))
@@ -175,25 +175,25 @@
     return volume, store
 
 
-def test_a_state_that_was_built_on_and_cannot_be_read_any_more_makes_the_disk_a_new_one() -> None:
-    volume, store = _written()
+def test_a_disk_whose_newer_state_is_unreadable_counts_as_new() -> None:
+    volume, store = _volume_and_store()
     volume.files[SLOTS[store.current_slot]][-1] ^= 1
-    again = DurableStore(volume)
-    assert again.recover() == RecoveredState(None, (), is_damaged=True)
-    again.save(_state(9))
+    reopened = DurableStore(volume)
+    assert reopened.recover() == RecoveredState(None, (), is_damaged=True)
+    reopened.save(_state(9))
     assert DurableStore(volume).recover().state == _state(9), "what was there before never counts again"
 
 
 @pytest.mark.parametrize("name", ["slot", LOG])
-def test_the_scrub_finds_any_flipped_byte_that_counts_and_a_whole_state_repairs_it(name: str) -> None:
-    volume, store = _written()
+def test_scrub_finds_any_flipped_byte_and_a_complete_state_repairs_it(name: str) -> None:
+    volume, store = _volume_and_store()
     file = volume.files[SLOTS[store.current_slot] if name == "slot" else LOG]
     assert store.scrub() == []
-    for place in range(len(file)):
-        file[place] ^= 1
+    for offset in range(len(file)):
+        file[offset] ^= 1
         found = store.scrub()
-        assert [damage.file for damage in found] == [SLOTS[store.current_slot] if name == "slot" else LOG], place
-        file[place] ^= 1
+        assert [damage.file for damage in found] == [SLOTS[store.current_slot] if name == "slot" else LOG], offset
+        file[offset] ^= 1
     file[len(file) // 2] ^= 1
     store.save(_state(4))
     assert store.scrub() == []
--- a/tests/test_worst_days_catching_up.py
+++ b/tests/test_worst_days_catching_up.py
@@ -36,11 +36,11 @@
 
 
 def _take(world: World, address: str, one: Change) -> None:
-    request = world.ask(address, one)
+    request = world.request(address, one)
     until = world.now + 2.6
-    while request not in world.answers and world.now < until:
+    while request not in world.responses and world.now < until:
         world.run(0.01)
-    assert world.answers[request].outcome is Outcome.APPLIED
+    assert world.responses[request].outcome is Outcome.APPLIED
 
 
 def _caught_up_after(world: World, address: str, most_s: float) -> float:
@@ -127,7 +127,7 @@
     alive = next(one for one in (A, B, C) if one != sender.address)
     world.run(1.6)
     for version in range(2, 6):
-        world.ask(alive, _large(version - 1, version, DOCUMENT // 8))
+        world.request(alive, _large(version - 1, version, DOCUMENT // 8))
         world.run(0.3)
     _caught_up_after(world, D, CATCH_UP_S)
     answer = world.read(D)
@@ -145,9 +145,9 @@
     world.start(C)
     version = 1
     for _ in range(30):
-        request = world.ask(A, change(version, version + 1, "more"))
+        request = world.request(A, change(version, version + 1, "more"))
         world.run(0.15)
-        version += request in world.answers and world.answers[request].outcome is Outcome.APPLIED
+        version += request in world.responses and world.responses[request].outcome is Outcome.APPLIED
     _caught_up_after(world, C, CATCH_UP_S)
     assert version > 10
 
--- a/tests/test_worst_days_cuts.py
+++ b/tests/test_worst_days_cuts.py
@@ -27,12 +27,14 @@
     newest, sent = 1, dict[int, int]()
     while world.now < until:
         number = next(version)
-        sent[world.ask(outside, change(newest, number, "kept"))] = number
+        sent[world.request(outside, change(newest, number, "kept"))] = number
         for address in sorted(inside):
-            asked.append(world.ask(address, None))
-            asked.append(world.ask(address, change(1, 1_000 + number, "lost")))
+            asked.append(world.request(address, None))
+            asked.append(world.request(address, change(1, 1_000 + number, "lost")))
         world.run(1.0)
-        taken = [sent[one] for one in sent if one in world.answers and world.answers[one].outcome is Outcome.APPLIED]
+        taken = [
+            sent[one] for one in sent if one in world.responses and world.responses[one].outcome is Outcome.APPLIED
+        ]
         newest = max([newest, *taken])
     world.run(2.6)
     return asked
@@ -46,8 +48,8 @@
     cut(world, cut_off, one_way)
     outside = next(address for address in (A, B, C) if address not in cut_off)
     asked = _ask_of_a_side(world, cut_off, outside, CUT_S)
-    late = [one for one in asked if world.answers[one].outcome is not None]
-    known = {world.answers[one].version for one in late}
+    late = [one for one in asked if world.responses[one].outcome is not None]
+    known = {world.responses[one].version for one in late}
     assert not late, f"the side that is cut off answered {known}"
     assert _newest_view(world) <= 3, "the rest forms one view without it"
     before = _newest_view(world)
@@ -81,10 +83,10 @@
     world.run(0.4 + around_s)
     cut(world, {cut_off})
     others = [address for address in (A, B, C, D) if address != cut_off]
-    inside = world.ask(cut_off, change(1, 2, "inside"))
-    outside = world.ask(others[0], change(1, 3, "outside"))
+    inside = world.request(cut_off, change(1, 2, "inside"))
+    outside = world.request(others[0], change(1, 3, "outside"))
     world.run(CUT_S)
-    both = [world.answers[one].outcome for one in (inside, outside)]
+    both = [world.responses[one].outcome for one in (inside, outside)]
     assert both.count(Outcome.APPLIED) <= 1
     world.blocked.clear()
     world.run(CONTACT_S)
@@ -110,9 +112,9 @@
     cut(world, {C, "10.0.1.0:7660"})
     world.run(1.1)
     for address in (C, "10.0.1.0:7660"):
-        request = world.ask(address, None)
+        request = world.request(address, None)
         world.run(0.01)
-        assert world.answers[request].outcome is None
+        assert world.responses[request].outcome is None
 
 
 def test_a_processor_quota_looks_like_neither_loss_nor_death() -> None:
@@ -130,8 +132,8 @@
     for _ in range(20):
         while world.members[B].frozen_until > world.now:
             world.run(0.002)
-        request = world.ask(B, change(version, version + 1, "more"))
+        request = world.request(B, change(version, version + 1, "more"))
         world.run(2.0)
-        version += world.answers[request].outcome is Outcome.APPLIED
+        version += world.responses[request].outcome is Outcome.APPLIED
     assert _newest_view(world) == before
     assert version == 20, "each change is taken in time"
--- a/tests/test_worst_days_losses.py
+++ b/tests/test_worst_days_losses.py
@@ -56,7 +56,7 @@
     world = formed_with_a_change(41)
     world.add(D)
     world.run(2.0)
-    world.end(gone)
+    world.drain(gone)
     world.run(CATCH_UP_S - 2.0 + next_after_s)
     assert world.members[gone].machine is None, "it ended by itself, long before it would have been killed"
     _remove(world, gone)
@@ -113,7 +113,7 @@
     world.slow_disk(B, 0.5, 3.0)  # taking over the state takes a while
     world.start(B)
     world.run(0.3)
-    world.end(A, most_s=30.0)
+    world.drain(A, timeout_s=30.0)
     world.run(1.0)
     assert world.members[A].machine is not None, "it waits: nobody else that runs holds the state"
     world.start(C)
@@ -130,13 +130,13 @@
     world = formed_with_a_change(44)
     version = 1
     for address in order:
-        world.end(address)
+        world.drain(address)
         for _ in range(10):
             asked = next(one for one in (A, B, C) if one != address)
-            request = world.ask(asked, change(version, version + 1, "more"))
+            request = world.request(asked, change(version, version + 1, "more"))
             world.run(HELD_UP_S)
-            assert world.answers.get(request) is not None, f"a planned end of {address} held a change up"
-            assert world.answers[request].outcome is Outcome.APPLIED
+            assert world.responses.get(request) is not None, f"a planned end of {address} held a change up"
+            assert world.responses[request].outcome is Outcome.APPLIED
             version += 1
         assert world.members[address].machine is None
         world.start(address)
@@ -149,14 +149,14 @@
     world = formed_with_a_change(45)
     world.cut(C, 60.0)
     world.run(2.0)
-    world.end(C)
+    world.drain(C)
     world.run(6.0)
     assert world.members[C].machine is not None
     world.run(1.0)
     assert world.members[C].machine is None
     alone = World(46, 1, 0)
     alone.run(2.5)
-    alone.end(A)
+    alone.drain(A)
     alone.run(0.2)
     assert alone.members[A].machine is None
 
@@ -167,7 +167,7 @@
         world = formed_with_a_change(47)
         world.add(D)
         world.run(0.6 + wait)
-        world.end(A)
+        world.drain(A)
         world.freeze(B, 1.5)
         world.run(8.0)
         _remove(world, A)
--- a/tests/test_worst_days_operators.py
+++ b/tests/test_worst_days_operators.py
@@ -15,16 +15,16 @@
     for seed, (left, right) in enumerate(itertools.product((A, B, C), repeat=2)):
         world = formed(20 + seed)
         assert taken(world, B, change(0, 1, "first"))
-        one, two = world.ask(left, change(1, 2, "left")), world.ask(right, change(1, 2, "right"))
+        one, two = world.request(left, change(1, 2, "left")), world.request(right, change(1, 2, "right"))
         cut(world, {left})
         world.run(6.0)
         world.blocked.clear()
         world.run(CONTACT_S)
-        again = world.ask(left, change(1, 2, "left")), world.ask(right, change(1, 2, "right"))
+        again = world.request(left, change(1, 2, "left")), world.request(right, change(1, 2, "right"))
         world.run(2.6)
         outcomes = {
-            "left": [world.answers[number].outcome for number in (one, again[0])],
-            "right": [world.answers[number].outcome for number in (two, again[1])],
+            "left": [world.responses[number].outcome for number in (one, again[0])],
+            "right": [world.responses[number].outcome for number in (two, again[1])],
         }
         told_yes = [name for name, found in outcomes.items() if Outcome.APPLIED in found]
         assert len(told_yes) == 1, (left, right, outcomes)
@@ -36,9 +36,9 @@
 
 def test_the_identical_bytes_of_two_operators_are_one_change() -> None:
     world = formed(30)
-    requests = [world.ask(address, change(0, 1, "same")) for address in (A, B, C)]
+    requests = [world.request(address, change(0, 1, "same")) for address in (A, B, C)]
     world.run(0.5)
-    assert [world.answers[one].outcome for one in requests] == [Outcome.APPLIED] * 3
+    assert [world.responses[one].outcome for one in requests] == [Outcome.APPLIED] * 3
     assert world.machine(A).chain.registers.sequence == 1
 
 
@@ -48,10 +48,10 @@
     world = formed(31)
     assert taken(world, A, change(0, 1, "first"))
     for number in range(1, further + 1):
-        request = world.ask(B, change(number, number + 1, "more"))
-        while request not in world.answers:
+        request = world.request(B, change(number, number + 1, "more"))
+        while request not in world.responses:
             world.run(0.01)
-        assert world.answers[request].outcome is Outcome.APPLIED
+        assert world.responses[request].outcome is Outcome.APPLIED
     if between == "view":
         world.kill(A)
         world.run(3.0)
@@ -81,15 +81,15 @@
     others = [address for address in (A, B, C) if address != head]
     if not survives:
         cut(world, {head})
-    first = world.ask(head, change(0, 1, "x"))
+    first = world.request(head, change(0, 1, "x"))
     if survives:
         world.run(0.0015)
         cut(world, {head})
     world.run(2.0)
-    second = world.ask(others[0], change(0, 1, "x"))
+    second = world.request(others[0], change(0, 1, "x"))
     world.run(2.6)
-    assert world.answers[second].outcome is Outcome.APPLIED
-    assert world.answers[first].outcome in (None, Outcome.APPLIED)
+    assert world.responses[second].outcome is Outcome.APPLIED
+    assert world.responses[first].outcome in (None, Outcome.APPLIED)
     world.blocked.clear()
     world.run(CONTACT_S)
     assert all(world.machine(address).chain.registers.sequence == 1 for address in (A, B, C))
--- a/tests/test_worst_days_overlaps.py
+++ b/tests/test_worst_days_overlaps.py
@@ -17,8 +17,8 @@
 def test_a_disk_lost_with_all_others_without_power_loses_nothing(lost: str) -> None:
     for seed in range(8):
         world = formed_with_a_change(50 + seed)
-        request = world.ask(A, change(1, 2, "last"))
-        while request not in world.answers:
+        request = world.request(A, change(1, 2, "last"))
+        while request not in world.responses:
             world.run(0.001)
         for address in (A, B, C):
             world.kill(address)
@@ -39,11 +39,11 @@
     left, right = {A, B}, {C, D}
     world.blocked |= {(one, other) for one in left for other in right}
     world.blocked |= {(other, one) for one in left for other in right}
-    requests = [world.ask(address, change(1, 2 + number, address)) for number, address in enumerate((A, B, C, D))]
+    requests = [world.request(address, change(1, 2 + number, address)) for number, address in enumerate((A, B, C, D))]
     world.run(cut_s)
     world.blocked.clear()
     world.run(RECOVERY_S)
-    taken = [one for one in requests if world.answers[one].outcome is Outcome.APPLIED]
+    taken = [one for one in requests if world.responses[one].outcome is Outcome.APPLIED]
     assert len(taken) <= 1
     still_works(world)
 
@@ -55,9 +55,9 @@
         world.kill(one)
         world.run(0.7)
         world.cut(two, 4.0)
-        request = world.ask(next(other for other in (A, B, C) if other not in (one, two)), change(1, 2, "alone"))
+        request = world.request(next(other for other in (A, B, C) if other not in (one, two)), change(1, 2, "alone"))
         world.run(3.0)
-        assert world.answers[request].outcome is None
+        assert world.responses[request].outcome is None
         world.start(one)
         world.run(RECOVERY_S)
         still_works(world)
--- a/tests/worst_days.py
+++ b/tests/worst_days.py
@@ -13,15 +13,15 @@
 def formed(seed: int, count: int = 3, others: int = 0) -> World:
     world = World(seed, count)
     for number in range(others):
-        world.add(f"10.0.1.{number}:7660", votes=False)
+        world.add(f"10.0.1.{number}:7660", can_vote=False)
     world.run(2.0)
     return world
 
 
 def taken(world: World, address: str, one: Change) -> bool:
-    request = world.ask(address, one)
+    request = world.request(address, one)
     world.run(2.6)
-    return world.answers[request].outcome is Outcome.APPLIED
+    return world.responses[request].outcome is Outcome.APPLIED
 
 
 def cut(world: World, inside: set[str], one_way: bool = False) -> None:
@@ -34,9 +34,9 @@
 def formed_with_a_change(seed: int, count: int = 3) -> World:
     world = World(seed, count)
     world.run(2.0)
-    request = world.ask(B, change(0, 1, "first"))
+    request = world.request(B, change(0, 1, "first"))
     world.run(0.3)
-    assert world.answers[request].outcome is Outcome.APPLIED
+    assert world.responses[request].outcome is Outcome.APPLIED
     return world
 
 
@@ -48,6 +48,6 @@
     assert None not in answers, "no majority is left, or no chain"
     newest = max(answer.version for answer in answers if answer is not None)
     assert newest >= 1
-    request = world.ask(running[-1], change(newest, newest + 1, "later"))
+    request = world.request(running[-1], change(newest, newest + 1, "later"))
     world.run(2.6)
-    assert world.answers[request].outcome is Outcome.APPLIED
+    assert world.responses[request].outcome is Outcome.APPLIED
