--- a/benchmarks/coordination_histories.py
+++ b/benchmarks/coordination_histories.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.coordination_histories FIRST COUNT [SECONDS]
 
-Each history is that of `tests/coordination_histories.py`: bounded and unbounded faults, checked for its invariants and for
+Each history is that of `tests/coordination_histories.py`: bounded and unbounded faults, checked for invariants and for
 linearizability. Seeds are played one after another, for SECONDS at most.
 """
 
