--- a/hophinge/tenancy/admission.py
+++ b/hophinge/tenancy/admission.py
@@ -1,7 +1,7 @@
-"""Admission at one head: reserved units pass at once, the rest waits its turn by weight, for a bounded time.
+"""Admission at one head: reserved units pass at once, the rest is queued by weight, for a bounded time.
 
-Events in by methods with the time as argument; what they lead to is fetched by `turn`. Every request that `arrive` let
-wait ends by `turn` (admitted or refused) or by `left`, once.
+Events come in by methods that take the time as an argument; what they lead to is fetched by `dispatch`. Every request
+that `arrive` queued ends once: by `dispatch` (admitted or rejected) or by `finish`.
 """
 
 from __future__ import annotations
@@ -9,41 +9,40 @@
 import heapq
 from collections.abc import Callable
 from enum import Enum
+from typing import NamedTuple
 
 from msgspec import Struct
 
-from hophinge.tenancy.fair_queue import QueueEntry, FairQueue
+from hophinge.tenancy.fair_queue import FairQueue, QueueEntry
 from hophinge.tenancy.reserve import Reserve
 
 MIN_RETRY_AFTER_US = 10_000
-EVICTED_RETRY_AFTER_US = (
-    60_000_000  # advice to a tenant that is served no more; the front cuts it to what the settings allow
-)
+EVICTED_RETRY_AFTER_US = 60_000_000  # of a tenant that is no longer served; the front cuts it to what settings allow
 MAX_BURST_S = 0.25  # of a reserve that may be saved up: all tenants may spend theirs at one moment
-IDLE_TENANT_TIMEOUT_US = (
-    60_000_000  # a tenant unheard of for a minute starts anew, with a full reserve, which it then has anyway
-)
-OPERATIONS_BETWEEN_SWEEPS = 256  # arrivals between looks for such tenants
+IDLE_TENANT_TIMEOUT_US = 60_000_000  # a tenant idle for longer begins with a full reserve, which it then has anyway
+OPERATIONS_BETWEEN_SWEEPS = 256  # arrivals between searches for idle tenants
+MIN_WEIGHT = 1e-3
+ROUNDING_UNITS = 1e-9  # units in flight below which only rounding errors are left
 
 
 class TenantShares(Struct, frozen=True):
     """What one tenant may count on at this head."""
 
     reserve: float = 0.0  # units/s
-    weight: float = 1.0  # in what is spare
-    max_queued_requests: int = 0  # requests that may wait; 0: as many as the head's own bound
+    weight: float = 1.0  # in spare capacity
+    max_queued_requests: int = 0  # 0: the head's own bound
 
 
 class SpareCapacity(Struct, frozen=True):
-    """How a head shares what no reserve takes."""
+    """How a head shares the capacity that no reserve uses."""
 
-    max_units_in_flight: float  # units at the module at once beyond which no spare one leaves
-    max_wait_us: int  # at most, for a turn
-    max_queued_requests: int = 256  # requests of one tenant that may wait
+    max_units_in_flight: float  # units at the decision module beyond which only reserved requests are started
+    max_wait_us: int  # in the queue
+    max_queued_requests: int = 256  # of one tenant
 
 
 class AdmissionDecision(Enum):
-    """What becomes of a request that arrives."""
+    """The decision on a request that arrives."""
 
     RESERVED = "reserved"
     SPARE = "spare"
@@ -57,181 +56,214 @@
     tenant: str
     volume: str
     units: float
-    priority: float  # its class's, and its plan's price
-    reserve: float  # of its volume here, units/s
+    priority: float  # its class's worth and its plan's price
+    reserve: float  # of its volume at this head, units/s
     weight: float  # of its volume
-    max_wait_us: int  # that it may wait
+    max_wait_us: int  # in the queue; 0 or less: it is not queued
 
 
 class AdmissionUsage(Struct):
-    """What one tenant got at this head, since it was last heard of after a minute's silence."""
+    """What one tenant got at this head, since it was last forgotten as idle."""
 
     reserved: float = 0.0  # units
-    spare: float = 0.0
+    spare: float = 0.0  # units
     rejected: int = 0  # requests
     waited_us: int = 0
 
 
 class TenantAdmission:
-    """One tenant at this head."""
+    """The state of one tenant at this head."""
 
-    __slots__ = ("reserve", "last_seen_us", "usage", "queued_requests")
+    __slots__ = ("last_seen_us", "queued_requests", "reserve", "usage")
 
-    def __init__(self, shares: TenantShares, least: float, now_us: int) -> None:
-        self.reserve = Reserve(shares.reserve, MAX_BURST_S, least, now_us)
+    def __init__(self, shares: TenantShares, min_depth: float, now_us: int) -> None:
+        self.reserve = Reserve(shares.reserve, MAX_BURST_S, min_depth, now_us)
         self.usage = AdmissionUsage()
-        self.queued_requests, self.last_seen_us = 0, now_us
+        self.queued_requests = 0
+        self.last_seen_us = now_us
 
 
 class Ticket:
     """One request from its arrival until it is answered."""
 
-    __slots__ = ("tenant", "request", "queue_entry", "is_in_flight", "arrived_us", "wait_deadline_us")
+    __slots__ = ("arrived_us", "is_in_flight", "queue_entry", "request", "tenant", "wait_deadline_us")
 
-    def __init__(self, ask: AdmissionRequest, account: TenantAdmission, now_us: int) -> None:
-        self.request, self.tenant, self.arrived_us = ask, account, now_us
-        self.queue_entry: QueueEntry[Ticket] | None = None  # while it waits
-        self.is_in_flight = False  # at the module
+    def __init__(self, request: AdmissionRequest, tenant: TenantAdmission, now_us: int) -> None:
+        self.request = request
+        self.tenant = tenant
+        self.arrived_us = now_us
+        self.queue_entry: QueueEntry[Ticket] | None = None  # while it is queued
+        self.is_in_flight = False  # at the decision module
         self.wait_deadline_us = 0
 
 
+class AdmissionResult(NamedTuple):
+    """The decision on a request, and its ticket."""
+
+    decision: AdmissionDecision
+    ticket: Ticket
+    retry_after_us: int  # 0 unless it was rejected
+
+
+class DispatchedTicket(NamedTuple):
+    """A request that left the queue."""
+
+    ticket: Ticket
+    retry_after_us: int  # 0: admitted; else it was rejected
+
+
 class Admission:
-    """The tree of one head."""
+    """The admission of one head: a reserve for each tenant, and a fair queue for spare capacity."""
 
     def __init__(
         self, shares_of: Callable[[str], TenantShares], spare_capacity: SpareCapacity, max_request_units: float
     ) -> None:
-        self.shares_of, self.spare_capacity, self.max_request_units = shares_of, spare_capacity, max_request_units
+        self.shares_of = shares_of
+        self.spare_capacity = spare_capacity
+        self.max_request_units = max_request_units
         self.tenants: dict[str, TenantAdmission] = {}
         self.queue: FairQueue[Ticket] = FairQueue()
-        self.units_in_flight = 0.0  # units at the module, reserved ones too
-        self.wait_deadlines: list[tuple[int, int, Ticket]] = []
+        self.units_in_flight = 0.0  # at the decision module, reserved units too
+        self.wait_deadlines: list[tuple[int, int, Ticket]] = []  # a heap: deadline, order of arrival, ticket
         self.operation_count = 0
-        self.evicted: list[tuple[Ticket, int]] = []  # of tenants that have ended, until the next turn
-        self.requested_units: dict[str, float] = {}  # units by tenant, since `demand` was last told
+        self.evicted: list[DispatchedTicket] = []  # of tenants that ended, until the next dispatch
+        self.requested_units: dict[str, float] = {}  # by tenant, since `take_demand` was last called
 
-    # --- what comes
+    # --- events
 
-    def arrive(self, now_us: int, request: AdmissionRequest) -> tuple[AdmissionDecision, Ticket, int]:
-        """Take a request; the last is when to come back, in microseconds, where it is refused."""
+    def arrive(self, now_us: int, request: AdmissionRequest) -> AdmissionResult:
+        """Decide on a request that arrives."""
         tenant, shares = self._tenant(request.tenant, now_us)
         self.requested_units[request.tenant] = self.requested_units.get(request.tenant, 0.0) + request.units
         ticket = Ticket(request, tenant, now_us)
         if tenant.reserve.take(request.volume, request.reserve, self.max_request_units, request.units, now_us):
             tenant.usage.reserved += request.units
             self._start(ticket)
-            return AdmissionDecision.RESERVED, ticket, 0
+            return AdmissionResult(AdmissionDecision.RESERVED, ticket, 0)
         if not self.queue.queued_items and self._has_capacity(request.units):
             tenant.usage.spare += request.units
-            # Through the tree all the same: what it takes now counts against its flow's next turn.
+            # Through the queue all the same: what it takes now counts against its flow's next turn.
             self._enqueue(ticket, shares)
             self.queue.pop()
             ticket.queue_entry = None
             self._start(ticket)
-            return AdmissionDecision.SPARE, ticket, 0
-        if (
-            tenant.queued_requests >= (shares.max_queued_requests or self.spare_capacity.max_queued_requests)
-            or request.max_wait_us <= 0
-        ):
+            return AdmissionResult(AdmissionDecision.SPARE, ticket, 0)
+        max_queued_requests = shares.max_queued_requests or self.spare_capacity.max_queued_requests
+        if tenant.queued_requests >= max_queued_requests or request.max_wait_us <= 0:
             tenant.usage.rejected += 1
-            return AdmissionDecision.REJECTED, ticket, self._retry_after_us(ticket, now_us)
+            return AdmissionResult(AdmissionDecision.REJECTED, ticket, self._retry_after_us(ticket, now_us))
         self._enqueue(ticket, shares)
         tenant.queued_requests += 1
         ticket.wait_deadline_us = now_us + min(request.max_wait_us, self.spare_capacity.max_wait_us)
         self.operation_count += 1
         heapq.heappush(self.wait_deadlines, (ticket.wait_deadline_us, self.operation_count, ticket))
-        return AdmissionDecision.QUEUED, ticket, 0
+        return AdmissionResult(AdmissionDecision.QUEUED, ticket, 0)
 
     def take_demand(self) -> dict[str, float]:
-        """Tell the units that each tenant has asked for since this was last called."""
+        """Return the units that each tenant requested since the last call, and begin to count anew."""
         requested_units, self.requested_units = self.requested_units, {}
         return requested_units
 
     def finish(self, now_us: int, ticket: Ticket) -> None:
-        """Take the end of a request: answered, or its client has gone."""
-        if ticket.is_in_flight:
-            ticket.is_in_flight = False
-            self.units_in_flight -= ticket.request.units
-            if self.units_in_flight < 1e-9:
-                self.units_in_flight = 0.0  # what rounding left
-                self.queue.reset_if_empty()
-        else:
+        """Record the end of a request: it was answered, or its client has gone."""
+        if not ticket.is_in_flight:
             self._dequeue(ticket)
+            return
+        ticket.is_in_flight = False
+        self.units_in_flight -= ticket.request.units
+        if self.units_in_flight < ROUNDING_UNITS:
+            self.units_in_flight = 0.0
+            self.queue.reset_if_empty()
 
     def evict_tenant(self, tenant: str) -> bool:
-        """Take out all that wait of a tenant; the next turn tells them as refused. Tells whether there were any."""
-        for ticket in [
-            one for _, _, one in self.wait_deadlines if one.queue_entry is not None and one.request.tenant == tenant
-        ]:
-            self._dequeue(ticket)
-            ticket.tenant.usage.rejected += 1
-            self.evicted.append((ticket, EVICTED_RETRY_AFTER_US))
-        return bool(self.evicted)
+        """Remove all queued requests of a tenant; the next dispatch returns them as rejected.
 
-    def dispatch(self, now_us: int) -> list[tuple[Ticket, int]]:
-        """Tell which requests that waited wait no longer: 0 for admitted, else when to come back."""
-        done, self.evicted = self.evicted, []
-        while self.wait_deadlines and (
-            self.wait_deadlines[0][0] <= now_us or self.wait_deadlines[0][2].queue_entry is None
-        ):
-            ticket = heapq.heappop(self.wait_deadlines)[2]
-            if ticket.queue_entry is not None:
+        Returns:
+            Whether any request waits for the next dispatch.
+
+        """
+        queued = [ticket for _, _, ticket in self.wait_deadlines if ticket.queue_entry is not None]
+        for ticket in queued:
+            if ticket.request.tenant == tenant:
                 self._dequeue(ticket)
                 ticket.tenant.usage.rejected += 1
-                done.append((ticket, self._retry_after_us(ticket, now_us)))
+                self.evicted.append(DispatchedTicket(ticket, EVICTED_RETRY_AFTER_US))
+        return bool(self.evicted)
+
+    def dispatch(self, now_us: int) -> list[DispatchedTicket]:
+        """Return the requests that leave the queue now: evicted, past their deadline, or admitted."""
+        dispatched, self.evicted = self.evicted, []
+        self._reject_expired(now_us, dispatched)
         while (entry := self.queue.peek()) is not None:
             ticket = entry.item
-            # Its tenant's reserve may have come meanwhile; then it is no matter of what is spare.
-            reserved = ticket.tenant.reserve.take(
-                ticket.request.volume, ticket.request.reserve, self.max_request_units, ticket.request.units, now_us
-            )
-            if not reserved and not self._has_capacity(ticket.request.units):
-                break
-            if reserved:
-                ticket.tenant.usage.reserved += ticket.request.units
+            request, tenant = ticket.request, ticket.tenant
+            # Its tenant's reserve may have filled meanwhile; then it needs no spare capacity.
+            if tenant.reserve.take(request.volume, request.reserve, self.max_request_units, request.units, now_us):
+                tenant.usage.reserved += request.units
                 self.queue.remove(entry)
-            else:
-                ticket.tenant.usage.spare += ticket.request.units
+            elif self._has_capacity(request.units):
+                tenant.usage.spare += request.units
                 self.queue.pop()
+            else:
+                break
             ticket.queue_entry = None
-            ticket.tenant.queued_requests -= 1
-            ticket.tenant.usage.waited_us += now_us - ticket.arrived_us
+            tenant.queued_requests -= 1
+            tenant.usage.waited_us += now_us - ticket.arrived_us
             self._start(ticket)
-            done.append((ticket, 0))
-        return done
+            dispatched.append(DispatchedTicket(ticket, 0))
+        return dispatched
 
     @property
     def next_deadline_us(self) -> int:
-        """Tell when `turn` is to be called at the latest; 0: nothing waits."""
+        """The latest time at which `dispatch` has to be called; 0: nothing is queued."""
         return self.wait_deadlines[0][0] if self.queue.queued_items and self.wait_deadlines else 0
 
     # --- inside
 
-    def _tenant(self, tenant: str, now_us: int) -> tuple[TenantAdmission, TenantShares]:
-        shares = self.shares_of(tenant)
-        account = self.tenants.get(tenant)
-        if account is None:
-            account = self.tenants[tenant] = TenantAdmission(shares, self.max_request_units, now_us)
+    def _reject_expired(self, now_us: int, dispatched: list[DispatchedTicket]) -> None:
+        """Remove queued requests past their deadline, and deadlines of requests that are queued no longer."""
+        while self.wait_deadlines:
+            deadline_us, _, ticket = self.wait_deadlines[0]
+            if deadline_us > now_us and ticket.queue_entry is not None:
+                break
+            heapq.heappop(self.wait_deadlines)
+            if ticket.queue_entry is not None:
+                self._dequeue(ticket)
+                ticket.tenant.usage.rejected += 1
+                dispatched.append(DispatchedTicket(ticket, self._retry_after_us(ticket, now_us)))
+
+    def _tenant(self, name: str, now_us: int) -> tuple[TenantAdmission, TenantShares]:
+        """Return a tenant's state, created where it is new, and its shares at this moment."""
+        shares = self.shares_of(name)
+        tenant = self.tenants.get(name)
+        if tenant is None:
+            tenant = self.tenants[name] = TenantAdmission(shares, self.max_request_units, now_us)
         else:
-            account.reserve.set_rate(shares.reserve, self.max_request_units, now_us)
-        account.last_seen_us = now_us
+            tenant.reserve.set_rate(shares.reserve, self.max_request_units, now_us)
+        tenant.last_seen_us = now_us
         self.operation_count += 1
         if self.operation_count % OPERATIONS_BETWEEN_SWEEPS == 0 and len(self.tenants) > OPERATIONS_BETWEEN_SWEEPS:
             self._drop_idle_tenants(now_us)
-        return account, shares
+        return tenant, shares
 
     def _drop_idle_tenants(self, now_us: int) -> None:
-        """Look at a few tenants, and drop those that nothing is known of that counts."""
+        """Look at a few tenants, and drop those that are idle."""
         for _ in range(2 * OPERATIONS_BETWEEN_SWEEPS):
-            name, account = next(iter(self.tenants.items()))
+            name, tenant = next(iter(self.tenants.items()))
             del self.tenants[name]
-            if account.queued_requests or now_us - account.last_seen_us < IDLE_TENANT_TIMEOUT_US:
-                self.tenants[name] = account  # to the end: each look goes on where the last one ended
+            if tenant.queued_requests or now_us - tenant.last_seen_us < IDLE_TENANT_TIMEOUT_US:
+                self.tenants[name] = tenant  # at the end: each sweep goes on where the last one ended
 
     def _enqueue(self, ticket: Ticket, shares: TenantShares) -> None:
-        ask = ticket.request
+        request = ticket.request
         ticket.queue_entry = self.queue.enqueue(
-            ticket, ask.units, ask.tenant, max(shares.weight, 1e-3), ask.volume, max(ask.weight, 1e-3), ask.priority
+            ticket,
+            request.units,
+            request.tenant,
+            max(shares.weight, MIN_WEIGHT),
+            request.volume,
+            max(request.weight, MIN_WEIGHT),
+            request.priority,
         )
 
     def _dequeue(self, ticket: Ticket) -> None:
@@ -248,7 +280,7 @@
         self.units_in_flight += ticket.request.units
 
     def _retry_after_us(self, ticket: Ticket, now_us: int) -> int:
-        """Tell when the tenant's own reserve will hold the units; without one, when a turn may have come."""
+        """Return when the tenant's own reserve will hold the units; without one, when a turn may have come."""
         ticket.tenant.reserve.fill(now_us)
-        wait = ticket.tenant.reserve.total.wait_us(ticket.request.units)
-        return max(MIN_RETRY_AFTER_US, wait if wait >= 0 else 2 * self.spare_capacity.max_wait_us)
+        wait_us = ticket.tenant.reserve.total.wait_us(ticket.request.units)
+        return max(MIN_RETRY_AFTER_US, wait_us if wait_us >= 0 else 2 * self.spare_capacity.max_wait_us)
