--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -21,7 +21,8 @@
 from hophinge.state.ledger import LedgerError
 from hophinge.state.rows import AuditEntry, LedgerChange
 from hophinge.tenancy import usage as used
-from hophinge.tenancy.caller_rate_limits import CallerRateLimits, ConcurrencyQuota
+from hophinge.tenancy.caller_rate_limits import CallerRateLimits
+from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
 from hophinge.tenancy.lifecycle import TenantState
 
 FLUSH_S = 1.0  # of usage; a killed head loses what came since
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -19,7 +19,7 @@
 from hophinge.head.operator import StreamConfig
 from hophinge.routing.router import Router
 from hophinge.routing.table import Facts, Table
-from hophinge.tenancy.caller_rate_limits import ConcurrencyQuota
+from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
 from hophinge.tenancy.account_replication import AccountChunk, AccountReceiver
 from hophinge.tenancy.share_leases import ShareLeaseHolder, ShareLease
 
--- a/hophinge/tenancy/caller_rate_limits.py
+++ b/hophinge/tenancy/caller_rate_limits.py
@@ -1,24 +1,26 @@
-"""Bounds on calls: each caller has a bucket of its own, and who only guesses at keys soon gets no more answers.
+"""Rate limits on calls: each caller has a bucket of its own, so that guessing at keys soon gets no more answers.
 
-What is known of callers is bounded whatever comes: the least recently heard of are forgotten first, and a caller who
-makes up a new name each time is bounded by where it calls from.
+The state is bounded whatever comes: the least recently used callers are dropped first, and a caller that invents a new
+name each time is limited by its address.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-from hophinge.tenancy.reserve import TokenBucket
+from hophinge.tenancy.token_bucket import TokenBucket
 
 MAX_CALLERS = 4096
 
 
 class CallerRateLimits:
-    """A bucket of calls for each caller; the oldest are forgotten, and then begin with a full one."""
+    """A token bucket of calls for each caller; one that was dropped begins with a full bucket."""
 
     def __init__(self, rate: float, burst: float, max_callers: int = MAX_CALLERS) -> None:
-        self.rate, self.burst, self.max_callers = rate, burst, max_callers
-        self.buckets: OrderedDict[str, TokenBucket] = OrderedDict()
+        self.rate = rate  # calls a second
+        self.burst = burst
+        self.max_callers = max_callers
+        self.buckets: OrderedDict[str, TokenBucket] = OrderedDict()  # the least recently used first
 
     def _bucket(self, caller: str, now_us: int) -> TokenBucket:
         bucket = self.buckets.get(caller)
@@ -32,45 +34,18 @@
         return bucket
 
     def wait_us(self, caller: str, now_us: int) -> int:
-        """Tell after how many microseconds a call may come; 0: now. Nothing is counted."""
+        """Return the microseconds until a call is allowed; 0: now. The call is not counted."""
         if caller not in self.buckets:
             return 0
         return self._bucket(caller, now_us).wait_us(1.0)
 
     def count(self, caller: str, now_us: int) -> None:
-        """Count a call."""
+        """Count a call, whether it was allowed or not."""
         self._bucket(caller, now_us).level -= 1.0
 
     def admit(self, caller: str, now_us: int) -> int:
-        """Count a call that may come; tell the wait where it may not."""
-        wait = self._bucket(caller, now_us).wait_us(1.0)
-        if not wait:
+        """Count a call if it is allowed; else return the microseconds until one is."""
+        wait_us = self._bucket(caller, now_us).wait_us(1.0)
+        if not wait_us:
             self.count(caller, now_us)
-        return wait
-
-
-class ConcurrencyQuota:
-    """What tenants hold at a head that lasts longer than a request: connections, open object requests."""
-
-    def __init__(self) -> None:
-        self.open_counts: dict[str, int] = {}
-        self.owners: dict[object, str] = {}
-
-    def acquire(self, tenant: str, resource: object, limit: int) -> bool:
-        """Let a holder stand for a tenant, and no longer for another; False: the tenant holds its most already."""
-        if self.owners.get(resource) == tenant:
-            return True
-        if limit and self.open_counts.get(tenant, 0) >= limit:
-            return False
-        self.release(resource)
-        self.owners[resource] = tenant
-        self.open_counts[tenant] = self.open_counts.get(tenant, 0) + 1
-        return True
-
-    def release(self, resource: object) -> None:
-        """Note a holder's end."""
-        tenant = self.owners.pop(resource, None)
-        if tenant is not None:
-            self.open_counts[tenant] -= 1
-            if not self.open_counts[tenant]:
-                del self.open_counts[tenant]
+        return wait_us
--- a/hophinge/tenancy/lifecycle.py
+++ b/hophinge/tenancy/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of a tenant: active, suspended, closing, closed; and the steps by which what was its own goes.
+"""The lifecycle of a tenant: active, suspended, closing, closed; and the steps by which a closing tenant is purged.
 
-A plain machine: it knows no clock and no disk. Whoever drives it stores each step before the next, so one that was cut
-off goes on from what is stored.
+A state machine without clock or disk. Its caller stores each step before the next one, so that a purge that was cut off
+continues from what is stored.
 """
 
 from __future__ import annotations
@@ -10,25 +10,25 @@
 
 from msgspec import Struct
 
-PURGE_BATCH_ROWS = 500  # rows that one step removes
+PURGE_BATCH_ROWS = 500  # that one step removes
 
 
 class TenantState(Enum):
-    """Where a tenant stands."""
+    """The state of a tenant."""
 
     ACTIVE = "active"
     SUSPENDED = "suspended"  # nothing of it is served; all of it is kept
     CLOSING = "closing"  # the same, and it is being removed: there is no way back
-    CLOSED = "closed"  # nothing is left; its name may be taken anew
+    CLOSED = "closed"  # nothing is left; its name may be used anew
 
 
 class TenantAction(Enum):
-    """What somebody wants to become of a tenant."""
+    """An action that changes the state of a tenant."""
 
     SUSPEND = "suspend"
     RESUME = "resume"
     CLOSE = "close"
-    PURGED = "purged"  # said by the purge alone, at its end
+    PURGED = "purged"  # by the purge alone, at its end
 
 
 TRANSITIONS = {
@@ -44,22 +44,22 @@
 
 
 def next_state(state: TenantState, action: TenantAction) -> TenantState | None:
-    """Tell the state that a wish leads to; None where it cannot be granted."""
+    """Return the state after an action; None where the action is not allowed."""
     return TRANSITIONS.get((state, action))
 
 
 class RevokeKeys(Struct, frozen=True):
-    """Remove these keys; none is taken from the moment the tenant was closing, whether removed or not."""
+    """Remove these keys; none is valid from the moment the tenant was closing, whether removed or not."""
 
     keys: tuple[str, ...]
 
 
 class AbortUploads(Struct, frozen=True):
-    """Abort what uploads are still open."""
+    """Abort the uploads that are still open."""
 
 
 class RemoveBuckets(Struct, frozen=True):
-    """Remove these buckets; their volumes' ids are never given again."""
+    """Remove these buckets; their volumes' ids are never used again."""
 
     buckets: tuple[str, ...]
 
@@ -68,10 +68,11 @@
     """Nothing is left."""
 
 
-def next_purge_step(
-    keys: list[str], open_uploads: int, buckets: list[str]
-) -> RevokeKeys | AbortUploads | RemoveBuckets | PurgeComplete:
-    """Tell the next step of a closing tenant, by what is left of it: keys first, then uploads, then volumes."""
+PurgeStep = RevokeKeys | AbortUploads | RemoveBuckets | PurgeComplete
+
+
+def next_purge_step(keys: list[str], open_uploads: int, buckets: list[str]) -> PurgeStep:
+    """Return the next step for a closing tenant, by what is left of it: keys first, then uploads, then buckets."""
     if keys:
         return RevokeKeys(tuple(sorted(keys)[:PURGE_BATCH_ROWS]))
     if open_uploads:
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -13,7 +13,8 @@
 from hophinge.state.ledger import Ledger
 from hophinge.telemetry.remote_write import metrics
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.caller_rate_limits import CallerRateLimits, ConcurrencyQuota
+from hophinge.tenancy.caller_rate_limits import CallerRateLimits
+from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
 from hophinge.tenancy.records import Account, Key, Role, digest_of, row_of
 from hophinge.tenancy.slewed_clock import SlewedClock
 from hophinge.tenancy.usage import (
