--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -110,7 +110,7 @@
         if not self.connections.acquire(key.tenant, connection, quotas.connections) or not self.requests.acquire(
             key.tenant, request, quotas.requests
         ):
-            self.count(key.tenant, held.id, used.REFUSED, 1)
+            self.count(key.tenant, held.id, used.REJECTED, 1)
             self.counters.add("tenants_bounded")
             raise ObjectError(
                 503, "SlowDown", "The account has as many connections or requests as it may.", RETRY_INTERVAL_S
@@ -191,11 +191,11 @@
         tenant = self.accounts.owner(volume) or (self.forms.owner(volume) if self.forms is not None else "")
         if not tenant:
             return
-        end = used.REFUSED if status in (429, 503) else used.SERVED if status in (200, 404) else used.FAILED
+        end = used.REJECTED if status in (429, 503) else used.SERVED if status in (200, 404) else used.FAILED
         for field, amount in (
             (end, 1),
-            (used.IN, bytes_in),
-            (used.OUT, bytes_out),
+            (used.BYTES_IN, bytes_in),
+            (used.BYTES_OUT, bytes_out),
             (used.UNITS, ask.units if end == used.SERVED else 0),
         ):
             if amount:
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -66,11 +66,11 @@
 
     def moved(self, guest: Guest, way: int, size: int) -> None:
         """Count bytes."""
-        self.count(guest.tenant, guest.volume.id, used.IN if way == INBOUND else used.OUT, size)
+        self.count(guest.tenant, guest.volume.id, used.BYTES_IN if way == INBOUND else used.BYTES_OUT, size)
 
     def ended(self, guest: Guest, status: int) -> None:
         """Count a request's end."""
-        end = used.REFUSED if status in (429, 503) else OUTCOME.get(status // 100, used.FAILED)
+        end = used.REJECTED if status in (429, 503) else OUTCOME.get(status // 100, used.FAILED)
         self.count(guest.tenant, guest.volume.id, end, 1)
 
     def units(self, volume: str, units: float) -> None:
