--- a/hophinge/tenancy/records.py
+++ b/hophinge/tenancy/records.py
@@ -5,6 +5,7 @@
 import hashlib
 import re
 from enum import Enum
+from typing import Literal
 
 import msgspec
 from msgspec import Struct
@@ -15,21 +16,30 @@
 
 NAME_PATTERN = re.compile(r"[a-z0-9](?:[a-z0-9.-]{1,61})[a-z0-9]", re.ASCII)
 KEY_ID_PATTERN = re.compile(r"hk[0-9a-f]{16}", re.ASCII)
-MAX_NOTE_CHARACTERS = 200  # characters
-MAX_KEYS, MAX_VOLUMES, MAX_UPLOADS = 50, 1000, 1000  # of a tenant, unless its quotas say otherwise
+MAX_NOTE_CHARACTERS = 200
+# Of a tenant, unless its quotas say otherwise.
+MAX_KEYS = 50
+MAX_VOLUMES = 1000
+MAX_UPLOADS = 1000
 MAX_OVERLAP_S = 7 * 24 * 3600  # that an old key may live on beside the one that replaces it
-TENANT_KIND, BUCKET_KIND, KEY_KIND = "tenant", "bucket", "key"  # kinds of rows
+
+# Kinds of rows, as the ledger stores them.
+TENANT_KIND = "tenant"
+BUCKET_KIND = "bucket"
+KEY_KIND = "key"
+
+AccountErrorKind = Literal["exists", "missing", "invalid", "state", "quota", "stale"]
 
 
 class AccountError(HophingeError):
-    """A wish that cannot be granted; ``kind`` is exists, missing, invalid, state, quota or stale."""
+    """A change of an account that is rejected; `kind` says why."""
 
     code = "account-refused"
     remedy = "Mend what is said of the name, state, quota or version, and ask again; nothing was changed."
 
-    def __init__(self, kind: str, text: str) -> None:
+    def __init__(self, kind: AccountErrorKind, text: str) -> None:
         super().__init__(text)
-        self.kind = kind
+        self.kind: AccountErrorKind = kind
 
 
 class Role(Enum):
@@ -68,22 +78,22 @@
 
 
 class Account(Struct, frozen=True):
-    """One tenant; `seq` of each row is the change that it had last, and its version to whoever changes it."""
+    """One tenant. The `seq` of a row is its last change, and its version (ETag) to callers that change it."""
 
     name: str
     state: TenantState = TenantState.ACTIVE
     quotas: Quotas = Quotas()
     shares: Shares = Shares()
-    made_ms: int = 0
+    made_ms: int = 0  # since 1970
     note: str = ""
 
 
 class Bucket(Struct, frozen=True):
-    """A bucket and its volume on the bricks."""
+    """A bucket and its volume on the backends."""
 
     tenant: str
     name: str
-    id: str  # of the volume: random, and never given twice
+    id: str  # of the volume: random, and never used twice
     plan: str
     made_ms: int = 0
 
@@ -100,38 +110,40 @@
     note: str = ""
 
     def has_expired(self, now_ms: int) -> bool:
-        """Tell whether it has expired."""
+        """Return whether it has expired."""
         return 0 < self.ends_ms <= now_ms
 
 
-RECORD_TYPES: dict[str, type[Account | Bucket | Key]] = {TENANT_KIND: Account, BUCKET_KIND: Bucket, KEY_KIND: Key}
+AccountRecord = Account | Bucket | Key
+
+RECORD_TYPES: dict[str, type[AccountRecord]] = {TENANT_KIND: Account, BUCKET_KIND: Bucket, KEY_KIND: Key}
 
 
 def digest_of(secret: str) -> str:
-    """Digest a secret; it is random and long, so one round of a plain hash is enough."""
+    """Return the digest of a secret, which is random and long: one round of a plain hash is enough."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 def checked_name(name: str, subject: str) -> str:
-    """Check a tenant's or bucket's name."""
+    """Return a tenant's or bucket's name; raises AccountError where it is not allowed."""
     if not NAME_PATTERN.fullmatch(name):
         raise AccountError("invalid", f"{subject} names have 3 to 63 of a-z, 0-9, dot and dash, ends alphanumeric")
     return name
 
 
-def row_of(value: Account | Bucket | Key) -> Row:
-    """Write a row."""
-    match value:
+def row_of(record: AccountRecord) -> Row:
+    """Return the row of a record, as the ledger stores it."""
+    match record:
         case Account(name=name):
-            return Row(TENANT_KIND, name, msgspec.json.encode(value))
+            return Row(TENANT_KIND, name, msgspec.json.encode(record))
         case Bucket(tenant=tenant, name=name):
-            return Row(BUCKET_KIND, f"{tenant}/{name}", msgspec.json.encode(value))
+            return Row(BUCKET_KIND, f"{tenant}/{name}", msgspec.json.encode(record))
         case Key(id=name):
-            return Row(KEY_KIND, name, msgspec.json.encode(value))
+            return Row(KEY_KIND, name, msgspec.json.encode(record))
 
 
 def checked_note(text: str) -> str:
-    """Check a note."""
+    """Return an operator's note; raises AccountError where it is too long."""
     if len(text) > MAX_NOTE_CHARACTERS:
         raise AccountError("invalid", f"a note has at most {MAX_NOTE_CHARACTERS} characters")
     return text
--- a/hophinge/tenancy/share_allocator.py
+++ b/hophinge/tenancy/share_allocator.py
@@ -1,4 +1,4 @@
-"""The control service's decisions on shares: demand as heads tell it, a plan of it, and what of that may be leased."""
+"""The control service's decisions on shares: demand as heads report it, a plan for it, and what of that is leased."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 
 
 class LeaseRequest(Struct, frozen=True):
-    """A head that asks for its shares."""
+    """A head's request for its shares."""
 
     head: str
-    head_count: int  # that it counts in its installation
-    process: int
+    head_count: int  # heads of the installation, as it counts them
+    process: int  # a number that no other process of the head has
     request_number: int
-    held_serial: int
-    demand: Mapping[str, float]  # units a second by tenant, since its last ask
+    held_serial: int  # of the lease that it has; 0: none
+    demand: Mapping[str, float]  # units a second by tenant, since its last request
 
 
 class ShareAllocator:
-    """One installation's shares; `serials` tells a number above any that was used by a lease."""
+    """One installation's shares; `next_serial` returns a number above any that was used by a lease."""
 
     def __init__(self, next_serial: Callable[[], int], log: Callable[[str], None]) -> None:
-        self.next_serial, self.log = next_serial, log
+        self.next_serial = next_serial
+        self.log = log
         self.issuer: ShareLeaseIssuer | None = None
         self.demand = DemandEstimate()
-        self.planned_shares: dict[str, dict[str, float]] = {}
+        self.planned_shares: dict[str, dict[str, float]] = {}  # by tenant and head
         self.planned_at_us = 0
 
     def answer(
@@ -41,9 +42,33 @@
         capacity: float,
         connected_heads: Collection[str],
     ) -> ShareLease | None:
-        """Answer an ask; `capacity` is one head's in units a second, 0: not known; `here` are the heads connected."""
+        """Answer a request for a lease.
+
+        Args:
+            now_us: The service's monotonic clock.
+            request: The head's request.
+            reserves: Units a second by tenant.
+            capacity: Of one head, in units a second; 0: not known.
+            connected_heads: Names of the heads that are connected.
+
+        Returns:
+            A lease; None where nothing may be granted yet, or the head is not connected.
+
+        """
         if request.head_count < 1 or request.head not in connected_heads:
             return None
+        issuer = self._issuer_for(now_us, request)
+        self.demand.report(request.head, request.demand)
+        if now_us - self.planned_at_us >= PLAN_INTERVAL_US:
+            self.planned_at_us = now_us
+            self.planned_shares = self._plan(reserves, capacity, connected_heads, request.head_count)
+        desired = {
+            tenant: shares[request.head] for tenant, shares in self.planned_shares.items() if request.head in shares
+        }
+        return issuer.grant(now_us, request.head, request.process, request.request_number, request.held_serial, desired)
+
+    def _issuer_for(self, now_us: int, request: LeaseRequest) -> ShareLeaseIssuer:
+        """Return the issuer for the count of heads of a request; a new one where that has changed."""
         if self.issuer is None or self.issuer.head_count != request.head_count:
             if self.issuer is not None:
                 self.log(
@@ -52,30 +77,18 @@
                 )
             # Also where the count has changed: what was granted under another one must have ended first.
             self.issuer = ShareLeaseIssuer(request.head_count, self.next_serial(), now_us)
-        self.demand.report(request.head, request.demand)
-        if now_us - self.planned_at_us >= PLAN_INTERVAL_US:
-            self.planned_at_us, self.planned_shares = (
-                now_us,
-                self._plan(reserves, capacity, connected_heads, request.head_count),
-            )
-        desired = {
-            tenant: parts[request.head] for tenant, parts in self.planned_shares.items() if request.head in parts
-        }
-        return self.issuer.grant(
-            now_us, request.head, request.process, request.request_number, request.held_serial, desired
-        )
+        return self.issuer
 
     def _plan(
         self, reserves: Mapping[str, float], capacity: float, connected_heads: Collection[str], head_count: int
     ) -> dict[str, dict[str, float]]:
-        """Plan over the heads that are here; a plan that fails leaves each its even part."""
+        """Plan over the connected heads; a plan that fails leaves each head its even share."""
+        capacities = dict.fromkeys(connected_heads, capacity or sum(reserves.values()) or 1.0)
         try:
-            planned = plan_shares(
-                reserves, dict.fromkeys(connected_heads, capacity or sum(reserves.values()) or 1.0), self.demand.rates
-            )
+            planned = plan_shares(reserves, capacities, self.demand.rates)
         except ValueError as error:
             self.log(f"shares stay even: {error}")
             return {}
-        # Heads that are away keep their even parts, which the issuer sees to; the rest is planned among those here.
+        # Heads that are away keep their even shares, which the issuer sees to; the rest is planned among the others.
         scale = len(connected_heads) / max(head_count, len(connected_heads))
-        return {tenant: {head: part * scale for head, part in shares.items()} for tenant, shares in planned.items()}
+        return {tenant: {head: share * scale for head, share in shares.items()} for tenant, shares in planned.items()}
--- a/hophinge/tenancy/share_planner.py
+++ b/hophinge/tenancy/share_planner.py
@@ -1,26 +1,30 @@
-"""Who should have which part of a reserve at which head: a linear programme over recent demand and capacity.
+"""Which head should have which share of a reserve: a linear programme over recent demand and capacity.
 
-For each tenant and head the wanted part is the head's part of the tenant's demand. What is planned differs from that
-by as little as the heads' capacities allow: parts of a tenant add up to its reserve, planned reserves of a head stay
-within its capacity. The solver is HiGHS; without demand that differs nothing is solved.
+For each tenant and head the desired share is the head's share of the tenant's demand. The plan differs from that by as
+little as the heads' capacities allow: shares of a tenant add up to its reserve, planned reserves of a head stay within
+its capacity. The solver is HiGHS; without demand that differs between heads nothing is solved.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Mapping
 
 import highspy
 import numpy as np
 from msgspec import Struct
 
-EVENLY_SPREAD_FRACTION = (
-    0.25  # part of a tenant's reserve that is spread evenly, for demand that moves before shares do
-)
-DEMAND_SMOOTHING = 0.7  # weight kept by demand seen before, at each new report
+# Fraction of a tenant's reserve that is spread evenly, for demand that moves before shares do.
+EVENLY_SPREAD_FRACTION = 0.25
+DEMAND_SMOOTHING = 0.7  # weight of earlier demand at each new report
+MIN_RATE = 1e-6  # units a second below which demand counts as none
+TOLERANCE = 1e-9  # of sums that rounding may exceed
+
+Matrix = np.ndarray[tuple[int, int], np.dtype[np.float64]]  # tenants by heads
+Vector = np.ndarray[tuple[int], np.dtype[np.float64]]
 
 
 class CapacityShortfall(Struct, frozen=True):
-    """A promise that cannot be kept, with its proof: all reserves together are more than all capacity."""
+    """Reserves that cannot be kept: all of them together exceed all capacity."""
 
     reserved: float  # units/s
     capacity: float
@@ -33,33 +37,33 @@
 
 
 def find_shortfall(reserves: Mapping[str, float], capacities: Mapping[str, float]) -> CapacityShortfall | None:
-    """Tell whether reserves can be promised at all.
+    """Return by how much reserves exceed capacity, or None where they fit.
 
     Any tenant may be served at any head, so a plan exists if and only if the sum of reserves is within the sum of
-    capacities: then giving each head its capacity's part of each reserve is one; else no plan can be.
+    capacities: then each head with its capacity's share of each reserve is one; else no plan can be.
     """
     reserved, capacity = sum(reserves.values()), sum(capacities.values())
-    return CapacityShortfall(reserved, capacity) if reserved > capacity * (1 + 1e-9) else None
+    return CapacityShortfall(reserved, capacity) if reserved > capacity * (1 + TOLERANCE) else None
 
 
 class DemandEstimate:
-    """Recent demand by tenant and head, in units a second; a head that went silent fades with the reports of others."""
+    """Recent demand in units a second, by tenant and head, smoothed exponentially with each report of the head."""
 
     def __init__(self) -> None:
         self.rates: dict[str, dict[str, float]] = {}
 
     def report(self, head: str, rates: Mapping[str, float]) -> None:
-        """Take what one head saw since its last report; what it does not name was not asked for."""
+        """Apply what one head observed since its last report; a tenant without an entry had no demand there."""
         for tenant in rates.keys() | {name for name, heads in self.rates.items() if head in heads}:
             heads = self.rates.setdefault(tenant, {})
             heads[head] = heads.get(head, 0.0) * DEMAND_SMOOTHING + rates.get(tenant, 0.0) * (1 - DEMAND_SMOOTHING)
-            if heads[head] < 1e-6:
+            if heads[head] < MIN_RATE:
                 del heads[head]
                 if not heads:
                     del self.rates[tenant]
 
     def forget(self, head: str) -> None:
-        """Forget a head that is not there."""
+        """Drop the demand of a head that has gone."""
         for heads in self.rates.values():
             heads.pop(head, None)
 
@@ -69,9 +73,11 @@
     capacities: Mapping[str, float],
     demand: Mapping[str, Mapping[str, float]],
 ) -> dict[str, dict[str, float]]:
-    """Plan parts of 1 by tenant and head; tenants without demand or reserve are left out and keep their even parts.
+    """Return shares, fractions of 1, by tenant and head; tenants without demand or reserve are left out: even shares.
+
+    Raises:
+        ValueError: The reserves do not fit the capacities (`find_shortfall` gives the figures), or the solver failed.
 
-    Raises ValueError where the reserves do not fit; ask `fits` first, for the reason.
     """
     heads = sorted(capacities)
     if find_shortfall(reserves, capacities) is not None:
@@ -89,30 +95,32 @@
         fractions = rates / total if total > 0 else np.full(len(heads), 1.0 / len(heads))
         desired[row] = reserves[name] * ((1 - EVENLY_SPREAD_FRACTION) * fractions + EVENLY_SPREAD_FRACTION / len(heads))
     available = np.array([capacities[head] - unplanned_rate for head in heads])
-    # Where nothing is short the wanted parts are the optimum, by their cost of 0.
-    planned = desired if (desired.sum(axis=0) <= available + 1e-9).all() else _solve(desired, available)
+    # Where nothing is short the desired shares are the optimum, by their cost of 0.
+    planned = desired if (desired.sum(axis=0) <= available + TOLERANCE).all() else _solve(desired, available)
     return {
         name: {head: float(planned[row, at] / reserves[name]) for at, head in enumerate(heads)}
         for row, name in enumerate(planned_tenants)
     }
 
 
-def _solve(
-    desired: np.ndarray[tuple[int, int], np.dtype[np.float64]],
-    available: Sequence[float] | np.ndarray[tuple[int], np.dtype[np.float64]],
-) -> np.ndarray[tuple[int, int], np.dtype[np.float64]]:
-    """Solve for shares nearest to the wanted ones: within the wanted part free, beyond it at a cost."""
+def _programme(desired: Matrix, available: Vector) -> highspy.HighsLp:
+    """Return the linear programme of a plan.
+
+    Each rate has two columns: up to the desired rate at no cost, and beyond it at a cost of 1. A row for each tenant
+    fixes the sum of its rates, a row for each head bounds it by what is available.
+    """
     tenants, heads = desired.shape
     count = tenants * heads
     model = highspy.HighsLp()
-    model.num_col_, model.num_row_ = 2 * count, tenants + heads
+    model.num_col_ = 2 * count
+    model.num_row_ = tenants + heads
     model.col_cost_ = np.concatenate([np.zeros(count), np.ones(count)])
     model.col_lower_ = np.zeros(2 * count)
     model.col_upper_ = np.concatenate([desired.reshape(-1), np.full(count, highspy.kHighsInf)])
     sums = desired.sum(axis=1)
-    # Heads that lack room for what does not move (their rows would be infeasible) give it to the others by the sums.
+    # Heads without capacity for what is not planned would make their rows infeasible; the sums leave it to the others.
     model.row_lower_ = np.concatenate([sums, np.full(heads, -highspy.kHighsInf)])
-    model.row_upper_ = np.concatenate([sums, np.maximum(np.asarray(available), 0.0)])
+    model.row_upper_ = np.concatenate([sums, np.maximum(available, 0.0)])
     index, start = [], [0]
     for _ in range(2):
         for tenant in range(tenants):
@@ -123,14 +131,18 @@
     model.a_matrix_.start_ = np.array(start, dtype=np.int32)
     model.a_matrix_.index_ = np.array(index, dtype=np.int32)
     model.a_matrix_.value_ = np.ones(len(index))
-    solver = highspy.Highs()  # type: ignore[no-untyped-call]
+    return model
+
+
+def _solve(desired: Matrix, available: Vector) -> Matrix:
+    """Return the rates nearest to the desired ones; raises ValueError where there is no plan."""
+    solver = highspy.Highs()  # type: ignore[no-untyped-call]  # the library's stubs leave the constructor untyped
     solver.setOptionValue("output_flag", False)
-    solver.passModel(model)
+    solver.passModel(_programme(desired, available))
     solver.run()
     if solver.getModelStatus() != highspy.HighsModelStatus.kOptimal:
         raise ValueError(f"no plan: {solver.modelStatusToString(solver.getModelStatus())}")
     values = np.asarray(solver.getSolution().col_value)
-    planned: np.ndarray[tuple[int, int], np.dtype[np.float64]] = (values[:count] + values[count:]).reshape(
-        tenants, heads
-    )
+    count = desired.size
+    planned: Matrix = (values[:count] + values[count:]).reshape(desired.shape)
     return planned
