--- a/hophinge/admin/calls.py
+++ b/hophinge/admin/calls.py
@@ -162,8 +162,10 @@
         return _told(shapes.key_shown(held), self.accounts.seq(KEY_KIND, held.id))
 
     def _made_key(self, rows: list[Row], key: Key, secret: str, detail: dict[str, object]) -> Made:
-        told = shapes.KeyMade(key.id, f"{key.id}.{secret}", key.role, key.ends_ms)
-        return Made(rows, told, f"{key.tenant}/{key.id}", detail, shapes.KeyMade(key.id, None, key.role, key.ends_ms))
+        told = shapes.KeyMade(key.id, f"{key.id}.{secret}", key.role, key.expires_ms)
+        return Made(
+            rows, told, f"{key.tenant}/{key.id}", detail, shapes.KeyMade(key.id, None, key.role, key.expires_ms)
+        )
 
     def _create_key(
         self, caller: Principal, call: Call, names: dict[str, str], body: shapes.NewKey, now_ms: int
@@ -171,7 +173,7 @@
         ends = now_ms + body.expires_s * 1000 if body.expires_s else 0
         secret = secrets.token_urlsafe(32)
         key = self.accounts.add_key(names["tenant"], _key_id(), secret, body.role, ends, body.note, now_ms)
-        return self._made_key([row_of(key)], key, secret, {"role": key.role.value, "ends_ms": key.ends_ms})
+        return self._made_key([row_of(key)], key, secret, {"role": key.role.value, "ends_ms": key.expires_ms})
 
     def _rotate_key(
         self, caller: Principal, call: Call, names: dict[str, str], body: shapes.Rotation, now_ms: int
--- a/hophinge/admin/shapes.py
+++ b/hophinge/admin/shapes.py
@@ -157,14 +157,14 @@
 
 def tenant_shown(held: Account, volumes: int, keys: int) -> TenantShown:
     """Show a tenant."""
-    return TenantShown(held.name, held.state.value, held.quotas, held.shares, held.made_ms, held.note, volumes, keys)
+    return TenantShown(held.name, held.state.value, held.quotas, held.shares, held.created_ms, held.note, volumes, keys)
 
 
 def volume_shown(held: Bucket) -> VolumeShown:
     """Show a bucket."""
-    return VolumeShown(held.name, held.id, held.plan, held.made_ms)
+    return VolumeShown(held.name, held.id, held.plan, held.created_ms)
 
 
 def key_shown(held: Key) -> KeyShown:
     """Show a key; never its digest."""
-    return KeyShown(held.id, held.role, held.made_ms, held.ends_ms, held.note)
+    return KeyShown(held.id, held.role, held.created_ms, held.expires_ms, held.note)
--- a/hophinge/objects/tenants.py
+++ b/hophinge/objects/tenants.py
@@ -81,8 +81,8 @@
     rows: list[Row] = []
     for name, old in msgspec.json.decode(path.read_bytes(), type=OldFile).tenants.items():
         state = TenantState.SUSPENDED if old.disabled else TenantState.ACTIVE
-        rows.append(row_of(Account(name, state, made_ms=now_ms)))
-        rows += [row_of(Key(name, key.id, key.digest, made_ms=now_ms)) for key in old.keys]
+        rows.append(row_of(Account(name, state, created_ms=now_ms)))
+        rows += [row_of(Key(name, key.id, key.digest, created_ms=now_ms)) for key in old.keys]
         rows += [row_of(Bucket(name, bucket, one.id, one.plan, now_ms)) for bucket, one in old.volumes.items()]
     return rows
 
@@ -98,7 +98,7 @@
             found.tenants[name] = OldTenant(
                 name,
                 held.state is TenantState.SUSPENDED,
-                [OldKey(key.id, key.digest) for key in keys if not key.ends_ms and key.role.value == "data"],
+                [OldKey(key.id, key.digest) for key in keys if not key.expires_ms and key.role.value == "data"],
                 {bucket: Volume(one.id, one.plan) for bucket, one in sorted(accounts.buckets.get(name, {}).items())},
             )
     return msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n"
--- a/hophinge/tenancy/accounts.py
+++ b/hophinge/tenancy/accounts.py
@@ -109,8 +109,8 @@
         name, _, secret = token.partition(".")
         key = self.keys.get(name)
         # Compared in constant time also where the id is unknown, so that the time it takes reveals nothing.
-        good = hmac.compare_digest(key.digest if key else digest_of(""), digest_of(secret))
-        if not good or key is None or key.has_expired(now_ms) or not self.is_active(key.tenant):
+        is_valid = hmac.compare_digest(key.digest if key else digest_of(""), digest_of(secret))
+        if not is_valid or key is None or key.has_expired(now_ms) or not self.is_active(key.tenant):
             return None
         return key
 
@@ -152,12 +152,12 @@
         """Create a tenant; a name is free again once its purge has ended."""
         existing = self.tenants.get(checked_name(name, "tenant"))
         if existing is not None and existing.state is not TenantState.CLOSED:
-            why = (
+            reason = (
                 "exists"
                 if existing.state is not TenantState.CLOSING
                 else "is closing: its name is free once that has ended"
             )
-            raise AccountError("exists", f"tenant {name} {why}")
+            raise AccountError("exists", f"tenant {name} {reason}")
         return Account(name, TenantState.ACTIVE, quotas, shares, now_ms, checked_note(note))
 
     def change(self, name: str, quotas: Quotas | None, shares: Shares | None, note: str | None) -> Account:
@@ -200,15 +200,15 @@
             raise AccountError("missing", f"no bucket {name}")
         return bucket
 
-    def add_key(self, tenant: str, key: str, secret: str, role: Role, ends_ms: int, note: str, now_ms: int) -> Key:
+    def add_key(self, tenant: str, key: str, secret: str, role: Role, expires_ms: int, note: str, now_ms: int) -> Key:
         """Create a key; those that have expired do not count for the quota."""
         account = self._open_tenant(tenant)
-        if ends_ms and ends_ms <= now_ms:
+        if expires_ms and expires_ms <= now_ms:
             raise AccountError("invalid", "the key would have ended already")
         live = sum(not self.keys[name].has_expired(now_ms) for name in self.key_ids.get(tenant, ()))
         if live >= account.quotas.keys:
             raise AccountError("quota", f"tenant {tenant} may have {account.quotas.keys} keys")
-        return Key(tenant, key, digest_of(secret), role, now_ms, ends_ms, checked_note(note))
+        return Key(tenant, key, digest_of(secret), role, now_ms, expires_ms, checked_note(note))
 
     def key(self, tenant: str, name: str) -> Key:
         """Return a key of a tenant; another tenant's is reported as missing."""
@@ -226,8 +226,10 @@
             raise AccountError("invalid", f"an overlap is from 0 to {MAX_OVERLAP_S} s")
         if old.has_expired(now_ms):
             raise AccountError("state", f"key {name} has ended")
-        new = Key(tenant, key, digest_of(secret), old.role, now_ms, old.ends_ms, old.note)
+        new = Key(tenant, key, digest_of(secret), old.role, now_ms, old.expires_ms, old.note)
         if not overlap_s:
             return RotatedKeys(new, None)
-        ends_ms = now_ms + overlap_s * MS_PER_S
-        return RotatedKeys(new, replace(old, ends_ms=min(ends_ms, old.ends_ms) if old.ends_ms else ends_ms))
+        expires_ms = now_ms + overlap_s * MS_PER_S
+        return RotatedKeys(
+            new, replace(old, expires_ms=min(expires_ms, old.expires_ms) if old.expires_ms else expires_ms)
+        )
--- a/hophinge/tenancy/admission.py
+++ b/hophinge/tenancy/admission.py
@@ -74,13 +74,13 @@
 class TenantAdmission:
     """The state of one tenant at this head."""
 
-    __slots__ = ("last_seen_us", "queued_requests", "reserve", "usage")
+    __slots__ = ("last_observed_us", "queued_requests", "reserve", "usage")
 
     def __init__(self, shares: TenantShares, min_depth: float, now_us: int) -> None:
         self.reserve = Reserve(shares.reserve, MAX_BURST_S, min_depth, now_us)
         self.usage = AdmissionUsage()
         self.queued_requests = 0
-        self.last_seen_us = now_us
+        self.last_observed_us = now_us
 
 
 class Ticket:
@@ -240,7 +240,7 @@
             tenant = self.tenants[name] = TenantAdmission(shares, self.max_request_units, now_us)
         else:
             tenant.reserve.set_rate(shares.reserve, self.max_request_units, now_us)
-        tenant.last_seen_us = now_us
+        tenant.last_observed_us = now_us
         self.operation_count += 1
         if self.operation_count % OPERATIONS_BETWEEN_SWEEPS == 0 and len(self.tenants) > OPERATIONS_BETWEEN_SWEEPS:
             self._drop_idle_tenants(now_us)
@@ -251,7 +251,7 @@
         for _ in range(2 * OPERATIONS_BETWEEN_SWEEPS):
             name, tenant = next(iter(self.tenants.items()))
             del self.tenants[name]
-            if tenant.queued_requests or now_us - tenant.last_seen_us < IDLE_TENANT_TIMEOUT_US:
+            if tenant.queued_requests or now_us - tenant.last_observed_us < IDLE_TENANT_TIMEOUT_US:
                 self.tenants[name] = tenant  # at the end: each sweep goes on where the last one ended
 
     def _enqueue(self, ticket: Ticket, shares: TenantShares) -> None:
--- a/hophinge/tenancy/fair_queue.py
+++ b/hophinge/tenancy/fair_queue.py
@@ -136,14 +136,14 @@
         """Remove an item that is queued no longer; one that has left already is ignored."""
         if entry.is_removed:
             return
-        self._mark_removed(entry)
+        self._detach(entry)
         leaf = entry.path[-1]
         if len(leaf.queue) > 2 * leaf.queued_items + MAX_REMOVED_ENTRIES:
             # Where no item ever gets its turn, removed ones would pile up behind it.
             leaf.queue = [row for row in leaf.queue if not row[2].is_removed]
             heapq.heapify(leaf.queue)
 
-    def _mark_removed(self, entry: QueueEntry[Item]) -> None:
+    def _detach(self, entry: QueueEntry[Item]) -> None:
         entry.is_removed = True
         self.queued_items -= 1
         for flow in entry.path:
@@ -167,7 +167,7 @@
             return None
         outer, inner = entry.path
         heapq.heappop(inner.queue)
-        self._mark_removed(entry)
+        self._detach(entry)
         assert outer.node is not None
         outer.node.charge(inner, entry.units)
         self.root.charge(outer, entry.units)
--- a/hophinge/tenancy/records.py
+++ b/hophinge/tenancy/records.py
@@ -8,7 +8,7 @@
 from typing import Literal
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from hophinge.core.errors import HophingeError
 from hophinge.state.rows import Row
@@ -84,7 +84,7 @@
     state: TenantState = TenantState.ACTIVE
     quotas: Quotas = Quotas()
     shares: Shares = Shares()
-    made_ms: int = 0  # since 1970
+    created_ms: int = field(default=0, name="made_ms")  # since 1970
     note: str = ""
 
 
@@ -95,7 +95,7 @@
     name: str
     id: str  # of the volume: random, and never used twice
     plan: str
-    made_ms: int = 0
+    created_ms: int = field(default=0, name="made_ms")
 
 
 class Key(Struct, frozen=True):
@@ -105,13 +105,13 @@
     id: str
     digest: str
     role: Role = Role.DATA
-    made_ms: int = 0
-    ends_ms: int = 0  # 0: never
+    created_ms: int = field(default=0, name="made_ms")
+    expires_ms: int = field(default=0, name="ends_ms")  # 0: never
     note: str = ""
 
     def has_expired(self, now_ms: int) -> bool:
         """Return whether it has expired."""
-        return 0 < self.ends_ms <= now_ms
+        return 0 < self.expires_ms <= now_ms
 
 
 AccountRecord = Account | Bucket | Key
--- a/hophinge/tenancy/share_allocator.py
+++ b/hophinge/tenancy/share_allocator.py
@@ -19,7 +19,7 @@
     head_count: int  # heads of the installation, as it counts them
     process: int  # a number that no other process of the head has
     request_number: int
-    held_serial: int  # of the lease that it has; 0: none
+    current_serial: int  # of the lease that it has; 0: none
     demand: Mapping[str, float]  # units a second by tenant, since its last request
 
 
@@ -65,7 +65,7 @@
         desired = {
             tenant: shares[request.head] for tenant, shares in self.planned_shares.items() if request.head in shares
         }
-        return issuer.grant(now_us, request.head, request.process, request.request_number, request.held_serial, desired)
+        return issuer.grant(now_us, request.head, request.process, request.request_number, request.current_serial, desired)
 
     def _issuer_for(self, now_us: int, request: LeaseRequest) -> ShareLeaseIssuer:
         """Return the issuer for the count of heads of a request; a new one where that has changed."""
--- a/hophinge/tenancy/share_leases.py
+++ b/hophinge/tenancy/share_leases.py
@@ -43,7 +43,7 @@
     """What a head sends with a request for a lease."""
 
     request_number: int
-    held_serial: int  # of the lease that the head has; 0: none
+    current_serial: int  # of the lease that the head has; 0: none
 
 
 class ShareLeaseHolder:
@@ -119,7 +119,7 @@
         head: str,
         process: int,
         request_number: int,
-        held_serial: int,
+        current_serial: int,
         desired: Mapping[str, float],
     ) -> ShareLease | None:
         """Answer a head's request with what is safe of the desired shares.
@@ -143,7 +143,7 @@
             self.replaced_processes.add((head, self.processes[head]))
             self.processes[head] = process
             self.acknowledged_serials[head] = 0
-        self.acknowledged_serials[head] = max(self.acknowledged_serials.get(head, 0), held_serial)
+        self.acknowledged_serials[head] = max(self.acknowledged_serials.get(head, 0), current_serial)
         if now_us < self.no_grant_until_us:
             return None
         self._drop_ended_grants(now_us, head)
--- a/hophinge/tenancy/usage.py
+++ b/hophinge/tenancy/usage.py
@@ -108,15 +108,15 @@
     A tenant keeps the label that it got first, or its counter would fall when another grew past it.
     """
 
-    def __init__(self, most: int = MAX_LABELS) -> None:
-        self.most = most
+    def __init__(self, max_labels: int = MAX_LABELS) -> None:
+        self.max_labels = max_labels
         self.counts: dict[tuple[str, str], float] = {}  # by label and field
         self.labels: set[str] = set()
 
     def add(self, tenant: str, field: str, amount: float) -> None:
         """Add an amount to a tenant's total, or to that of the others."""
         if tenant not in self.labels:
-            if len(self.labels) >= self.most:
+            if len(self.labels) >= self.max_labels:
                 tenant = OTHER_TENANTS
             else:
                 self.labels.add(tenant)
--- a/tests/test_accounts_model.py
+++ b/tests/test_accounts_model.py
@@ -81,12 +81,12 @@
             elif word == "rotate":
                 old = rng.choice(sorted(tokens) or ["none"])
                 new, left = accounts.rotate_key(name, old, f"hk{seq:016x}", f"secret{seq}", number, now)
-                tokens[new.id] = name, f"secret{seq}", new.ends_ms
+                tokens[new.id] = name, f"secret{seq}", new.expires_ms
                 if left is None:
                     del tokens[old]
                     take(row_of(new), Row(KEY_KIND, old, None))
                 else:
-                    tokens[old] = name, tokens[old][1], left.ends_ms
+                    tokens[old] = name, tokens[old][1], left.expires_ms
                     take(row_of(new), row_of(left))
             elif word == "end":
                 gone = rng.choice(sorted(tokens) or ["none"])
