--- a/hophinge/tenancy/share_allocator.py
+++ b/hophinge/tenancy/share_allocator.py
@@ -65,7 +65,9 @@
         desired = {
             tenant: shares[request.head] for tenant, shares in self.planned_shares.items() if request.head in shares
         }
-        return issuer.grant(now_us, request.head, request.process, request.request_number, request.current_serial, desired)
+        return issuer.grant(
+            now_us, request.head, request.process, request.request_number, request.current_serial, desired
+        )
 
     def _issuer_for(self, now_us: int, request: LeaseRequest) -> ShareLeaseIssuer:
         """Return the issuer for the count of heads of a request; a new one where that has changed."""
--- a/hophinge/tenancy/share_leases.py
+++ b/hophinge/tenancy/share_leases.py
@@ -129,7 +129,7 @@
             head: The head's name.
             process: The number of the head's process.
             request_number: Of the request, returned in the lease.
-            held_serial: The serial of the lease that the head has, which this acknowledges; 0: none.
+            current_serial: The serial of the lease that the head has, which this acknowledges; 0: none.
             desired: Fractions of reserves by tenant.
 
         Returns:
