--- a/hophinge/core/choice/books.py
+++ b/hophinge/core/choice/books.py
@@ -17,7 +17,11 @@
     __slots__ = ("ahead", "begin", "end", "sent", "units")
 
     def __init__(self, begin: float, end: float, sent: int, units: float, ahead: float) -> None:
-        self.begin, self.end, self.sent, self.units, self.ahead = begin, end, sent, units, ahead
+        self.begin = begin
+        self.end = end
+        self.sent = sent
+        self.units = units
+        self.ahead = ahead
 
 
 class Book:
@@ -31,7 +35,9 @@
         self.spent = self.served = self.sent = 0.0  # sent: units of `recent`
         self.heard = 0
         self.lag = 0.0  # what answers took lately
-        self.wait, self.wait_at = 0.0, 0  # others' work ahead, as answers told it
+        # others' work ahead, as answers told it
+        self.wait = 0.0
+        self.wait_at = 0
         self.rest_until = 0
         self.failures = 0  # trials in a row that failed
         self.silent = False
@@ -112,7 +118,9 @@
     def __init__(
         self, ask: api.Arrival, klass: api.RequestClass, volume: Volume, now: int, waited: int, lot: float
     ) -> None:
-        self.ask, self.klass, self.volume = ask, klass, volume
+        self.ask = ask
+        self.klass = klass
+        self.volume = volume
         self.queue: dict[str, Request] = {}  # where it is held
         self.place = ""
         self.aim_at = now - waited + klass.aim_us
--- a/hophinge/core/choice/nodes.py
+++ b/hophinge/core/choice/nodes.py
@@ -31,7 +31,8 @@
             raise ValueError("settings need a tick, gateways, classes and plans")
         if any(klass.aim_us <= 0 or klass.deadline_us <= 0 for klass in settings.classes):
             raise ValueError("a class needs an aim and a deadline above 0")
-        self.settings, self.rules = settings, settings.rules
+        self.settings = settings
+        self.rules = settings.rules
         self.random = random.Random(seed)
         self.aim = min(klass.aim_us for klass in settings.classes)
         self.wake_us = max(settings.tick_us, self.aim // FINE)
@@ -44,7 +45,8 @@
         self.lost: dict[str, Request] = {}  # held reads whose shard no listed node holds
         self.turns: dict[tuple[str, str], list[Request]] = {}  # by volume and key, as key_rest
         self.key_rest: dict[tuple[str, str], int] = {}
-        self.extra, self.taken = deque[int](), deque[int]()
+        self.extra = deque[int]()
+        self.taken = deque[int]()
         self.longest: dict[int, int] = {}
         self.version = 0  # of the node list held
         self.processes = 1  # that share this gateway's part: two while it is replaced
@@ -53,7 +55,9 @@
         self.fair: dict[str, tuple[int, float]] = {}
         self.all_spent = self.all_served = 0.0  # by all nodes, for the time per unit of one not heard
         self.nominal: dict[int, float] = {}  # time per unit without waiting, by machine kind
-        self.usual_wait, self.usual_at = 0.0, 0  # of all nodes heard, lately
+        # of all nodes heard, lately
+        self.usual_wait = 0.0
+        self.usual_at = 0
         self.watch_due = self.woke_at = 0  # when it last found that it had stood still
         self.now = self.timer_at = 0  # when the next timer is due, 0: none is set
         self.full = False  # no node has room for the new object next in turn
@@ -137,8 +141,10 @@
         self.nominal[book.entry.kind] = nominal
         wait = max(0.0, took - (slot.ahead + units) * nominal)
         before, usual = self._wait(book), self._usual_wait()
-        self.usual_wait, self.usual_at = usual + (wait - usual) * (1 - MEMORY), self.now
-        book.wait, book.wait_at = before + (wait - before) * FRESH, self.now
+        self.usual_wait = usual + (wait - usual) * (1 - MEMORY)
+        self.usual_at = self.now
+        book.wait = before + (wait - before) * FRESH
+        book.wait_at = self.now
         if book.silent:
             book.silent = False
             self.actions.append(api.Log(f"node {book.entry.node} answers again"))
--- a/hophinge/core/choice/requests.py
+++ b/hophinge/core/choice/requests.py
@@ -36,10 +36,14 @@
             book = self.books.setdefault(entry.node, Book(entry))
             if entry.started_us > book.entry.started_us:
                 book.spent = book.served = book.lag = 0.0
-                book.failures, book.rest_until, book.silent, book.wait_at = 0, 0, False, 0
+                book.failures = 0
+                book.rest_until = 0
+                book.silent = False
+                book.wait_at = 0
             book.entry = entry
         waiting = [one for book in self.books.values() for one in book.held.values()] + list(self.lost.values())
-        self.shards, self.version = {}, self.version + 1
+        self.shards = {}
+        self.version = self.version + 1
         for _, book in sorted(self.books.items()):
             book.held = {}
             if book.entry.phase is api.Phase.ON:
--- a/hophinge/core/choice/scheduler.py
+++ b/hophinge/core/choice/scheduler.py
@@ -16,7 +16,8 @@
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         """Take what came in at one moment and tell what to do."""
-        self.now, self.actions = now_us, []
+        self.now = now_us
+        self.actions = []
         for event in events:
             match event:
                 case api.Arrival():
@@ -29,7 +30,8 @@
                     if self.timer_at <= now_us:
                         # A gateway that stood still accuses no node of the silence meanwhile.
                         late = self.timer_at and now_us - self.timer_at > self.aim // FINE
-                        self.timer_at, self.woke_at = 0, now_us if late else self.woke_at
+                        self.timer_at = 0
+                        self.woke_at = now_us if late else self.woke_at
                 case api.Departure():
                     self._finish(event.request)
                 case api.StreamStarted():
--- a/hophinge/core/choice/volumes.py
+++ b/hophinge/core/choice/volumes.py
@@ -14,12 +14,16 @@
     """A store of units that fills at a rate; it starts empty, as a predecessor may have spent it."""
 
     def __init__(self, rate: float, depth: float, level: float, now: int) -> None:
-        self.rate, self.depth, self.level, self.at = rate, depth, level, now
+        self.rate = rate
+        self.depth = depth
+        self.level = level
+        self.at = now
 
     def fill(self, now: int, rate: float) -> float:
         """Bring the store up to now and tell its level."""
         self.level = min(self.depth, self.level + self.rate * (now - self.at) / 1e6)
-        self.rate, self.at = rate, now
+        self.rate = rate
+        self.at = now
         return self.level
 
 
@@ -27,11 +31,13 @@
     """Units that fade with time; its value is about the rate of the last while."""
 
     def __init__(self) -> None:
-        self.units, self.at = 0.0, 0
+        self.units = 0.0
+        self.at = 0
 
     def add(self, now: int, units: float) -> None:
         """Count units."""
-        self.units, self.at = self.rate(now) + units / USE_MEMORY_S, now
+        self.units = self.rate(now) + units / USE_MEMORY_S
+        self.at = now
 
     def rate(self, now: int) -> float:
         """Units a second, lately."""
@@ -42,16 +48,20 @@
     """What this gateway knows of one volume: its plan's stores, its use here and everywhere."""
 
     def __init__(self, settings: api.Settings, plan_number: int, now: int) -> None:
-        self.number, self.plan = plan_number, settings.plans[plan_number]
-        self.gateways, self.seen = 1, now
+        self.number = plan_number
+        self.plan = settings.plans[plan_number]
+        self.gateways = 1
+        self.seen = now
         self.reserve = Bucket(0.0, self.plan.reserve + settings.most_units, settings.most_units, now)
         self.limit = Bucket(0.0, 0.0, 0.0, now)
-        self.all_use, self.own = 0.0, Gauge()
+        self.all_use = 0.0
+        self.own = Gauge()
         self.beyond: dict[str, Gauge] = {}
 
     def spread(self, gateways: int, now: int, processes: int) -> None:
         """Split the limit by the most gateways heard of: whatever they send, the sum stays within it."""
-        self.gateways, self.seen = max(self.gateways, gateways), now
+        self.gateways = max(self.gateways, gateways)
+        self.seen = now
         parts = self.gateways * processes
         self.limit.depth = (self.plan.limit_burst + SLACK_USED * self.plan.limit_slack) / parts
         self.limit.fill(now, self.plan.limit / parts)
--- a/hophinge/core/exchange/attempts.py
+++ b/hophinge/core/exchange/attempts.py
@@ -59,8 +59,11 @@
     def __init__(
         self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], since: int, whole: bool
     ) -> None:
-        self.ask, self.payload, self.whole = ask, payload, whole
-        self.since, self.deadline = since, since + ask.time_left_us
+        self.ask = ask
+        self.payload = payload
+        self.whole = whole
+        self.since = since
+        self.deadline = since + ask.time_left_us
         self.once = not whole  # its body is held only until an attempt takes it, whole by then or not
         self.waited = 0  # while nobody took a body that is on its way; its last byte may have come since then
         self.answer: Callable[[Answer], None] | None = answer  # None once the one answer is given
@@ -77,8 +80,14 @@
     def __init__(
         self, exchange: Owner, request: Open, number: int, node: str, since: int, give_up: int, until: int = 0
     ) -> None:
-        self.exchange, self.request, self.number, self.node = exchange, request, number, node
-        self.since, self.give_up, self.until = since, give_up, until  # until: none of it is written from then on
+        self.exchange = exchange
+        self.request = request
+        self.number = number
+        self.node = node
+        # until: none of it is written from then on
+        self.since = since
+        self.give_up = give_up
+        self.until = until
         self.shard = exchange.shards.get(node, -1)  # its node may be forgotten before it ends
         self.stop: Callable[[], None] | None = None
         self.timer: Timer | None = None
--- a/hophinge/core/exchange/turns.py
+++ b/hophinge/core/exchange/turns.py
@@ -24,7 +24,10 @@
     def __init__(
         self, settings: api.Settings, seed: int, loop: Loop, counters: Counters, log: Callable[[str], None]
     ) -> None:
-        self.settings, self.loop, self.counters, self.log = settings, loop, counters, log
+        self.settings = settings
+        self.loop = loop
+        self.counters = counters
+        self.log = log
         self.now_us = loop.now_us
         self.figures = Figures(klass.name for klass in settings.classes)
         self.scheduler = Scheduler(settings, seed)
--- a/hophinge/core/figures.py
+++ b/hophinge/core/figures.py
@@ -14,7 +14,9 @@
     __slots__ = ("figures", "klass", "over")
 
     def __init__(self, figures: Figures, klass: str) -> None:
-        self.figures, self.klass, self.over = figures, klass, False
+        self.figures = figures
+        self.klass = klass
+        self.over = False
         figures.open += 1
 
     def end(self, outcome: str | None) -> None:
--- a/hophinge/core/rotation.py
+++ b/hophinge/core/rotation.py
@@ -21,7 +21,9 @@
     """The list as discovery told it, the marks set by hand, and their sum, which is what the core is told."""
 
     def __init__(self, tell: Callable[[NodeList], None], now_us: Callable[[], int], cold_us: int) -> None:
-        self.tell, self.now_us, self.cold_us = tell, now_us, cold_us
+        self.tell = tell
+        self.now_us = now_us
+        self.cold_us = cold_us
         self.listed: dict[str, NodeEntry] = {}
         self.marks: dict[str, Mark] = {}
         self.marked: Callable[[], None] = lambda: None  # called when a call has set a mark
--- a/hophinge/core/settings.py
+++ b/hophinge/core/settings.py
@@ -34,7 +34,8 @@
     """An object of the settings; an absent or null value is 0, false or empty, a value of another type an error."""
 
     def __init__(self, rows: Mapping[str, Any], name: str) -> None:
-        self.rows, self.name = rows, name
+        self.rows = rows
+        self.name = name
 
     def get(self, key: str, kind: type[Value], default: Value) -> Value:
         """Read one value of a type."""
--- a/hophinge/core/written.py
+++ b/hophinge/core/written.py
@@ -15,7 +15,8 @@
     """The latest write of each object, the oldest first; bounded in entries and in age."""
 
     def __init__(self, most: int = MOST, age_us: int = AGE_US) -> None:
-        self.most, self.age_us = most, age_us
+        self.most = most
+        self.age_us = age_us
         # Shard and when, by volume and key; a plain dict finds its oldest entry only past all that were deleted.
         self.places: OrderedDict[tuple[str, str], tuple[int, int]] = OrderedDict()
 
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -64,7 +64,8 @@
         self.front: ObjectFront | None = None
         self.store: Store | None = None
         self.tenant_ended: Callable[[str], None] = lambda tenant: None  # told of one that is served no more
-        self.connections, self.requests = ConcurrencyQuota(), ConcurrencyQuota()
+        self.connections = ConcurrencyQuota()
+        self.requests = ConcurrencyQuota()
         self.guesses = CallerRateLimits(GUESSES_S, GUESSES_BURST)
         if old is not None and not copy and not self.ledger.seq and old.exists():
             self._take_over(old)
--- a/hophinge/head/compose.py
+++ b/hophinge/head/compose.py
@@ -59,7 +59,8 @@
             store = Store(Core(exchange, operator.objects))
             store.core.used = self.accounts.units
             self.objects = ObjectFront(store, self.accounts, operator.objects, counters, log)
-            self.accounts.front, self.accounts.store = self.objects, store
+            self.accounts.front = self.objects
+            self.accounts.store = store
             if operator.admin is not None:
                 from hophinge.head.administration import administration
 
--- a/hophinge/head/handover.py
+++ b/hophinge/head/handover.py
@@ -34,7 +34,11 @@
     def __init__(
         self, folder: Path, rotation: Rotation, now_us: Callable[[], int], rest_us: int, log: Callable[[str], None]
     ) -> None:
-        self.folder, self.rotation, self.now_us, self.rest_us, self.log = folder, rotation, now_us, rest_us, log
+        self.folder = folder
+        self.rotation = rotation
+        self.now_us = now_us
+        self.rest_us = rest_us
+        self.log = log
         folder.mkdir(mode=0o700, exist_ok=True)
         self.file = open(folder / f"new-{os.getpid()}", "w")  # noqa: SIM115
         fcntl.flock(self.file, fcntl.LOCK_EX)
--- a/hophinge/head/hanging.py
+++ b/hophinge/head/hanging.py
@@ -31,7 +31,8 @@
     """One guard's; the guard's calls have to come from the main thread, where Python runs handlers of signals."""
 
     def __init__(self, guard: Guard, log: Callable[[str], None]) -> None:
-        self.guard, self.log = guard, log
+        self.guard = guard
+        self.log = log
         self.accused: int | None = None  # the call that is to be broken, by when it began
         self.ended = threading.Event()
         self.thread = threading.Thread(target=self._watch, name="scorers", daemon=True)
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -99,9 +99,19 @@
         sight: MembershipView | None = None,
         disk: files.Disk = files.DISK,
     ) -> None:
-        self.client, self.rotation, self.exchange, self.holder = client, rotation, exchange, holder
-        self.zone, self.path, self.log, self.ready, self.go = zone, path, log, ready, go
-        self.alone, self.board, self.sight, self.disk = alone, board, sight, disk
+        self.client = client
+        self.rotation = rotation
+        self.exchange = exchange
+        self.holder = holder
+        self.zone = zone
+        self.path = path
+        self.log = log
+        self.ready = ready
+        self.go = go
+        self.alone = alone
+        self.board = board
+        self.sight = sight
+        self.disk = disk
         assert exchange.gate is not None, "a stream's router stands there"
         self.answers = Answers(exchange.gate)
         exchange.gate = self.answers
@@ -150,13 +160,17 @@
     # --- the stream
 
     def _greet(self, before: list[wire.Request]) -> list[wire.Request]:
-        self.spoken, self.last, self.teller, self.parts = False, None, Teller(), False
+        self.spoken = False
+        self.last = None
+        self.teller = Teller()
+        self.parts = False
         return before
 
     def _word(self, response: wire.Response) -> None:
         """Take a word off the stream."""
         word = read_word(response)
-        self.spoken, self.parts = True, word.parts
+        self.spoken = True
+        self.parts = word.parts
         try:
             goes = self.holder.told(self.exchange.now_us(), word)
         except HophingeError as error:
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -32,11 +32,16 @@
         log: Callable[[str], None],
         became: Callable[[str, TenantState | None], None],
     ) -> None:
-        self.counters, self.log, self.copy = counters, log, copy
+        self.counters = counters
+        self.log = log
+        self.copy = copy
         self.accounts = Accounts(became)
         self.ledger = Ledger(path, self.accounts.apply)
-        self.time, self.clock_told = SlewedClock(wall_ms(), steady_us(), self.ledger.last_change_ms()), False
-        self.usage, self.reports, self.exported = used.UsageCounter(), used.UsageReports(), used.LabelledTotals()
+        self.time = SlewedClock(wall_ms(), steady_us(), self.ledger.last_change_ms())
+        self.clock_told = False
+        self.usage = used.UsageCounter()
+        self.reports = used.UsageReports()
+        self.exported = used.LabelledTotals()
 
     def now_ms(self) -> int:
         """Tell the time that keys end by."""
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -74,9 +74,13 @@
         day_us: int = DAY_US,
     ) -> None:
         """`owner_of` tells a volume's tenant and plan; it knows the volumes that this head serves."""
-        self.config, self.store, self.owner_of, self.log = config, store, owner_of, log
+        self.config = config
+        self.store = store
+        self.owner_of = owner_of
+        self.log = log
         self.faults = self.untold = 0  # of this part, and pages that the board had no room for
-        self.sight, self.board = sight, board
+        self.sight = sight
+        self.board = board
         self.exchange = store.core.exchange
         me = sight.own_name if sight is not None else ""
         zone = next((one.zone for one in sight.members() if one.name == me), "") if sight is not None else ""
@@ -93,7 +97,8 @@
         now_us = self.exchange.now_us()
         self.planner = Planner(me, zone, config.fetch_bytes_s, config.tenant_part, now_us)
         self.fetcher = Fetcher(store.core, self.cache, self.planner, self.facts)
-        store.watcher, store.core.cache = self, self.cache
+        store.watcher = self
+        store.core.cache = self.cache
         self.closes_us = now_us + span_us
         self.words: dict[Object, str] = {}  # of what was fetched on a peer's word: whose
         self.taken: dict[tuple[str, str], EntryVersion] = {}  # versions of pages that were looked at
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -124,7 +124,9 @@
         settings = exchange.settings
         aim_us = min(klass.aim_us for klass in settings.classes)
         setting = Setting(aim_us, aim_us * config.most_part)
-        self.config, self.exchange, self.log = config, exchange, log
+        self.config = config
+        self.exchange = exchange
+        self.log = log
         self.surroundings = Surroundings(settings.rules.cold_us)
         scorers, versions = make(config, setting)
         self.engine = Engine(
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -34,18 +34,25 @@
     """One head."""
 
     def __init__(self, config: Config, settings: api.Settings, operator: OperatorConfig, path: str = "") -> None:
-        self.config, self.settings, self.operator, self.path = config, settings, operator, path
+        self.config = config
+        self.settings = settings
+        self.operator = operator
+        self.path = path
         self.counters = Counters()
         clock = LoopClock(asyncio.get_running_loop())
         self.exchange = Exchange(settings, int(config.seed, 16), clock, self.counters, say)
         parts = compose.Parts(config, operator, self.exchange, self.counters, say)
-        self.objects, self.admin = parts.objects, parts.admin
-        self.accounts, self.streamed, self.together = parts.accounts, parts.streamed, parts.together
+        self.objects = parts.objects
+        self.admin = parts.admin
+        self.accounts = parts.accounts
+        self.streamed = parts.streamed
+        self.together = parts.together
         # What the configuration can still be refused for lies above; sessions are opened from here on.
         self.directory = EndpointDirectory(settings)
         self.budget = ByteBudget(0)
         self.backends = BackendClient(settings, self.directory.endpoint, self.counters, say, self.budget)
-        self.exchange.start, self.exchange.probe = self.backends.start, self.backends.probe
+        self.exchange.start = self.backends.start
+        self.exchange.probe = self.backends.probe
         self.front = Frontend(self.exchange, self.counters, self.budget)
         self.handover: Handover | None = None
         self.share(0)
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -79,9 +79,12 @@
             self.figures,
         )
         if self.copied is not None:
-            self.client.greet, self.client.take_other = self.copied.greet, self.copied.take
+            self.client.greet = self.copied.greet
+            self.client.take_other = self.copied.take
             self.client.others = self.copied.others
-        self.client.ask_lease, self.client.take_lease, self.router.part = self.ask_lease, self.take_lease, self.part
+        self.client.ask_lease = self.ask_lease
+        self.client.take_lease = self.take_lease
+        self.router.part = self.part
 
     async def pace(self, volume: str, klass: str, way: int, size: int) -> None:
         """Pause for as long as the limits that fit want, after bytes of a long body have moved."""
@@ -172,7 +175,8 @@
     """Tenants of the service document at the platform's front: a bound on connections of each."""
 
     def __init__(self, router: Router, counters: Counters) -> None:
-        self.router, self.counters = router, counters
+        self.router = router
+        self.counters = counters
         self.held = ConcurrencyQuota()
 
     def owner(self, volume: str) -> str:
@@ -199,14 +203,16 @@
     """Accounts as the control service tells them, and usage as this head tells it."""
 
     def __init__(self, accounts: HeadAccounts, name: str) -> None:
-        self.accounts, self.name = accounts, name
+        self.accounts = accounts
+        self.name = name
         self.taker = AccountReceiver(accounts.ledger.epoch, accounts.ledger.seq)
         self.owed: AccountChunk | None = None  # taken off the stream, and not written yet
         self.ack: list[wire.Request] = []
 
     def greet(self) -> list[wire.Request]:
         """Say what is held; whatever was on its way comes anew."""
-        self.owed, self.ack = None, []
+        self.owed = None
+        self.ack = []
         self.taker.discard_staged()
         self.accounts.reports.retry_unacknowledged()
         return [
--- a/hophinge/net/__init__.py
+++ b/hophinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets of a head: clients before it, bricks and discovery behind it."""
+"""The sockets of the head in service: client connections, backend connections, discovery and the operators' server."""
--- a/hophinge/net/acceptor.py
+++ b/hophinge/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Takes new connections off a listening socket, as many as there is room for."""
+"""Accepts connections from a listening socket while its owner has capacity for them."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 
 class ConnectionOwner(Protocol):
-    """Who gets the connections, and knows how many there may be."""
+    """The server that owns accepted connections and bounds their number."""
 
     counters: Counters
     server: web.Server
 
     def has_capacity(self) -> bool:
-        """Tell whether one more connection may be taken."""
+        """Return whether one more connection may be accepted."""
 
 
 class Acceptor:
-    """Takes new connections while there is room; the rest wait in the kernel.
+    """Accepts connections while there is capacity; the rest wait in the kernel's backlog.
 
     asyncio's own server takes a whole backlog at once, and stops for a second when descriptors run out.
     """
@@ -45,7 +45,8 @@
     def __init__(
         self, host: str, port: int, owner: ConnectionOwner, shared: bool = False, fd: int | None = None
     ) -> None:
-        self.loop, self.owner = asyncio.get_running_loop(), owner
+        self.loop = asyncio.get_running_loop()
+        self.owner = owner
         if fd is None:
             self.socket = socket.create_server((host, port), backlog=BACKLOG, reuse_port=shared)
         else:
@@ -65,7 +66,7 @@
 
     @property
     def sockets(self) -> list[socket.socket]:
-        """The socket, as asyncio's server tells it."""
+        """The listening socket, under the name that asyncio's server has for it."""
         return [self.socket]
 
     def _accept(self) -> None:
@@ -97,13 +98,13 @@
             self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, seconds)
 
     def stop_deferring(self) -> None:
-        """Hold back no connection any more until it speaks: one that the kernel holds ends with the socket."""
+        """Disable deferred accept: a connection that the kernel still defers would end with the socket."""
         if self.owns_backlog:
             with contextlib.suppress(OSError):
                 self._set_defer_accept(0)
 
     async def finish(self, timeout_s: float) -> None:
-        """Let nobody in any more, take all who are in already as there is room for them, then close.
+        """Refuse new connections, accept those in the backlog as capacity allows, then close.
 
         Whoever connects after that is refused at once. Without the first step somebody could come in between the
         last accept and the close, and be reset: the kernel drops what begins a connection meanwhile, and its client
@@ -136,7 +137,7 @@
         self.drain()
 
     def drain(self) -> None:
-        """Take what waits in the queue, then no more: a close would reset it."""
+        """Accept what waits in the backlog, then close; a close alone would reset those connections."""
         with contextlib.suppress(OSError):
             while self._accept_one():
                 pass
@@ -162,7 +163,7 @@
             self.loop.remove_reader(self.socket)
 
     def close(self) -> None:
-        """Take no more."""
+        """Stop accepting and close the socket."""
         self._stop_accepting()
         if self.socket.fileno() >= 0:
             self.socket.close()
--- a/hophinge/net/address.py
+++ b/hophinge/net/address.py
@@ -1,4 +1,4 @@
-"""Addresses as files and lists give them."""
+"""Addresses of the form host:port."""
 
 from __future__ import annotations
 
--- a/hophinge/net/backend_answer.py
+++ b/hophinge/net/backend_answer.py
@@ -1,4 +1,4 @@
-"""A brick's answer as it is read: its body, whole or piece by piece, and the figures in its headers."""
+"""A backend's answer as it is read: its body, complete or in chunks, and the metrics in its headers."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from hophinge.net.backend_connection import BackendConnection, BackendProtocolError
 from hophinge.net.payload import MAX_BUFFERED_ANSWER, MAX_LONG_BODY
 
-BUFFER_TIMEOUT_S = 0.02  # for which an answer of unknown length is held
-MAX_METRIC = 1e9  # of use, units or load; above it a figure is noise
+BUFFER_TIMEOUT_S = 0.02  # for which an answer of unknown length is buffered
+MAX_METRIC = 1e9  # of use, units or load; a larger value is noise
 
 
 @dataclass(slots=True)
 class BackendAnswer:
-    """A brick's answer: whole, or its first part and where the rest is read."""
+    """A backend's answer: complete, or its first bytes with a reader for the remainder."""
 
     status: int
     headers: CIMultiDictProxy[str]
@@ -32,15 +32,18 @@
 
 
 class AnswerRemainder:
-    """What follows the first part of a long answer. It is read once; how it ended decides over its connection."""
+    """The remainder of a long answer; it is read once, and its result decides whether the connection is reused."""
 
     def __init__(self, protocol: BackendConnection, stream: StreamReader, first: int, length: int | None) -> None:
-        self.protocol, self.stream, self.bytes_read, self.length = protocol, stream, first, length
+        self.protocol = protocol
+        self.stream = stream
+        self.bytes_read = first
+        self.length = length
         self.done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
         protocol.allow_slow_stream()
 
     async def read(self) -> bytes:
-        """Read on; nothing at the end."""
+        """Return the next chunk, empty at the end; raises ConnectionResetError where the answer broke off."""
         try:
             chunk = await self.stream.readany()
             self.protocol.update_flow_control()
@@ -55,11 +58,11 @@
         return chunk
 
     def close(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self.end(Result.CANCELLED)
 
     def end(self, result: Result) -> None:
-        """Note how it ended; whoever still reads is told."""
+        """Record the result once; a reader that still waits gets an error unless the result is OK."""
         if not self.done.done():
             self.done.set_result(result)
             if result is not Result.OK:
@@ -67,7 +70,7 @@
 
 
 async def read_first(stream: StreamReader, protocol: BackendConnection, length: int | None) -> tuple[bytes, bool]:
-    """Read a body, or what of a long one may be held; tell whether it is whole.
+    """Read a body up to the buffering limits; returns the bytes and whether they are the complete body.
 
     Bricks may take seconds over a long one, and its client waits for the first bytes. One of unknown length that still
     comes after a moment is no spoilt one, which stands still or ends.
@@ -86,7 +89,7 @@
 
 
 def _parse_metric(text: str | None) -> float | None:
-    """Read a figure; None where it is not one. What cannot be read spoils the figure, never the answer."""
+    """Parse a non-negative metric; None where it is malformed, which affects the metric and never the answer."""
     try:
         value = float(text) if text and len(text) < 32 else math.nan
     except ValueError:
@@ -95,7 +98,7 @@
 
 
 def parse_load_report(text: str | None) -> dict[str, float]:
-    """Read a load report, `TEXT inflight=7, queue=2`; what is malformed in it is passed over."""
+    """Parse a load report such as `TEXT inflight=7, queue=2`; malformed items are skipped."""
     kind, _, rest = (text or "").strip().partition(" ")
     metrics: dict[str, float] = {}
     for item in rest.split(",") if kind == "TEXT" else ():
@@ -107,14 +110,22 @@
 
 
 def attempt_outcome(answer: BackendAnswer, has_load_report: bool, counters: Counters, names_shard: bool = False) -> End:
-    """Tell what an answer means for its attempt; `reports`: it may bear a load; `placed`: the request named a shard."""
+    """Return the outcome of the attempt that got an answer.
+
+    Args:
+        answer: the backend's answer.
+        has_load_report: whether answers carry a load report.
+        counters: count answers with an unexpected status.
+        names_shard: whether the request named the shard of its data.
+
+    """
     status, headers = answer.status, answer.headers
     result = Result.ERROR
     if status in (200, 404):
-        result = Result.OK  # 404: the brick looked and holds no such object
+        result = Result.OK  # 404: the backend holds no such object
     elif status in (503, 504) and headers.get("X-Turned-Away") == "1":
-        # A brick without room says 503. With 504 it takes others' work all the same: this request is over, or its data
-        # lies elsewhere, and no other attempt at the shard that it names would find it.
+        # A backend without capacity says 503. With 504 it accepts other work all the same: this request is over, or its
+        # data lies elsewhere, and no other attempt at the shard that it names would find it.
         result = Result.MISPLACED if status == 504 and names_shard else Result.FULL
     elif status != 500:
         counters.add("bricks_answered_oddly")
--- a/hophinge/net/backend_client.py
+++ b/hophinge/net/backend_client.py
@@ -1,4 +1,4 @@
-"""The back: carries attempts to bricks on aiohttp's connections, and tells how each ended."""
+"""The client of the backends: sends attempts over aiohttp's connections and reports each outcome."""
 
 from __future__ import annotations
 
@@ -26,18 +26,20 @@
 from hophinge.net.connection_registry import ConnectionRegistry
 from hophinge.net.request_body import RequestBodyStream, RequestBodyError
 
-IDLE_TIMEOUT_FRACTION = 0.5  # of the time after which a brick closes an idle connection: used after it is a reset
-PROBE_TIMEOUT_S = 0.25  # a brick that is up answers a probe beside its queue
-UNREACHABLE_ENDPOINT = "127.0.0.1:0"  # where a brick that no list names is asked: it refuses
+IDLE_TIMEOUT_FRACTION = (
+    0.5  # of the time after which a backend closes an idle connection: a request sent later is reset
+)
+PROBE_TIMEOUT_S = 0.25  # a live backend answers a probe without queueing it
+UNREACHABLE_ENDPOINT = "127.0.0.1:0"  # stands for a backend that no list names: a connect to it is refused
 DEFAULT_CONNECT_TIMEOUT_US = 250_000  # where the settings state no limit
 
 
 class AttemptWithdrawnError(Exception):
-    """The attempt may no longer go; nothing was written."""
+    """The attempt was withdrawn before any byte of it was written."""
 
 
 class BackendConnector(TCPConnector):
-    """aiohttp's way to connect, whose connections check their answers; none is kept in its pool."""
+    """aiohttp's connector, making BackendConnection objects; its own pool is not used."""
 
     def __init__(self, registry: ConnectionRegistry, budget: ByteBudget, **params: Any) -> None:
         super().__init__(**params)
@@ -47,15 +49,16 @@
 
 
 class RequestProgress:
-    """One request on its way: whether its last byte has been handed to the network."""
+    """Whether the last byte of a request has been handed to the network."""
 
     __slots__ = ("on_sent", "is_sent")
 
     def __init__(self, on_sent: Callable[[], None] | None = None) -> None:
-        self.on_sent, self.is_sent = on_sent, False
+        self.on_sent = on_sent
+        self.is_sent = False
 
     def mark_sent(self) -> None:
-        """Note that it has."""
+        """Record that the last byte has been handed over."""
         self.is_sent = True
         if self.on_sent is not None:
             self.on_sent()
@@ -76,7 +79,7 @@
 
 
 class BackendClient:
-    """The client side towards all bricks. Each attempt is a task; giving it up closes its connection.
+    """The client of all backends. Each attempt is a task; cancelling it closes its connection.
 
     It stands on aiohttp's connector, connections and parser, not on its session: that costs more for a request than
     all else here, and sends an idempotent request again by itself when a kept connection turns out dead, which would
@@ -92,11 +95,14 @@
         budget: ByteBudget,
         max_attempts: int = 256,
     ) -> None:
-        self.endpoint, self.counters, self.log, self.max_attempts = endpoint, counters, log, max_attempts
+        self.endpoint = endpoint
+        self.counters = counters
+        self.log = log
+        self.max_attempts = max_attempts
         self.reads_load_reports = settings.report_in_answers
         self.tasks: set[asyncio.Task[None]] = set()
         allowed = settings.allowed
-        # No limit of the connector's: it would queue attempts unseen. `most` turns them away instead.
+        # No limit of the connector's: it would queue attempts unseen. `max_attempts` rejects them instead.
         self.registry = ConnectionRegistry(max_attempts, counters)
         idle_s = IDLE_TIMEOUT_FRACTION * (allowed.conn_idle_us or 30_000_000) / 1e6
         self.connector = BackendConnector(self.registry, budget, limit=0)
@@ -107,10 +113,12 @@
             (allowed.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US) / 1e6,
             idle_s,
         )
-        self.connect_requests: dict[str, ClientRequest] = {}  # by endpoint: what the connector wants to know of it
+        self.connect_requests: dict[
+            str, ClientRequest
+        ] = {}  # by endpoint: the request object that the connector needs to connect
 
     def retain(self, endpoints: Iterable[str]) -> None:
-        """Forget all bricks but these."""
+        """Discard the state of all endpoints but these."""
         in_use = set(endpoints)
         self.registry.retain(in_use)
         self.pool.retain(in_use)
@@ -119,7 +127,7 @@
         }
 
     async def _connect(self, endpoint: str) -> BackendConnection:
-        """Open a connection."""
+        """Open a connection to an endpoint."""
         route = self.connect_requests.get(endpoint)
         if route is None:
             route = self.connect_requests[endpoint] = ClientRequest(
@@ -128,7 +136,7 @@
         return cast(BackendConnection, await self.connector._create_connection(route, [], ClientTimeout(total=None)))
 
     def start(self, attempt: Attempt) -> Callable[[], None]:
-        """Send an attempt; the callable returned gives it up."""
+        """Send an attempt; returns a callable that cancels it."""
         if len(self.tasks) >= self.max_attempts:
             self.counters.add("attempts_without_socket")
             attempt.end(End(Result.CONNECT_FAILED))
@@ -169,7 +177,7 @@
         except AttemptWithdrawnError:
             outcome = End(Result.MOOT)
         except (aiohttp.ClientError, HttpProcessingError, OSError, TimeoutError, RequestBodyError):
-            # Once the last byte was handed over the brick may have run it; before, it cannot have.
+            # Once the last byte was handed over the backend may have run the request; before, it cannot have.
             outcome = End(Result.RESET if progress.is_sent else Result.CONNECT_FAILED)
         except Exception:
             self.counters.add("client_faults")
@@ -184,7 +192,14 @@
         progress: RequestProgress,
         attempt: Attempt | None = None,
     ) -> BackendAnswer:
-        """Write a request to a brick and read its answer; whatever goes wrong, the connection is not used again."""
+        """Write a request and read its answer; on any error the connection is closed.
+
+        Raises:
+            AttemptWithdrawnError: the attempt was withdrawn before a byte was written.
+            BackendProtocolError: the answer is malformed.
+            OSError: the connection failed, or was not there in time (TimeoutError).
+
+        """
         answer: BackendAnswer | None = None
         protocol = await self.pool.acquire(endpoint)
         try:
@@ -194,7 +209,7 @@
             if protocol.has_unsent and message.code not in (503, 504):
                 raise BackendProtocolError(
                     "an answer to a request that is not whole"
-                )  # a brick can only turn it away yet
+                )  # before that a backend can only reject it
             received_us, stated = now_us(), message.headers.get("Content-Length")
             length = None if stated is None else int(stated)
             body, is_complete = await read_first(stream, protocol, length if attempt is not None else 0)
@@ -241,7 +256,7 @@
     async def _forward_body(
         self, upload: RequestBodyStream, protocol: BackendConnection, transport: asyncio.Transport
     ) -> None:
-        """Write a body as it comes."""
+        """Write a streamed body as it arrives."""
         remaining = upload.length
         while remaining != 0 and (data := await upload.read()):
             if remaining is not None:
@@ -252,13 +267,13 @@
             async with asyncio.timeout(STREAM_STALL_TIMEOUT_S):
                 await protocol._drain_helper()
             if remaining != 0 and (protocol._buffer or not protocol.is_connected()):
-                # It has answered what it has not got yet, or ended: in no case has it run the request.
+                # It answered before it had the request, or closed: in neither case has it run the request.
                 raise aiohttp.ServerDisconnectedError
         if remaining is None:
             transport.write(b"0\r\n\r\n")
 
     def probe(self, node: str, on_result: Callable[[ProbeResult], None]) -> None:
-        """Ask a brick for its load; what comes of it is told once."""
+        """Probe a backend for its load; `on_result` is called once."""
         self._create_task(self._probe(node, on_result))
 
     async def _probe(self, node: str, on_result: Callable[[ProbeResult], None]) -> None:
@@ -280,7 +295,7 @@
         on_result(ProbeResult(node, result, now_us() - started_us, report))
 
     async def close(self) -> None:
-        """Give up what is out and close all connections."""
+        """Cancel all attempts and close all connections."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/hophinge/net/backend_connection.py
+++ b/hophinge/net/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a brick: hands aiohttp a single sound answer to each request, and ends at whatever else comes.
+"""One connection to a backend: passes one well-formed answer per request to aiohttp and closes on anything else.
 
 aiohttp's client parser is made to be lenient, and what reaches a connection that waits in the pool it keeps for the
 next request. Here a client must never get what was made for another, so each answer's head is checked and its body
@@ -19,9 +19,9 @@
 from hophinge.net.connection_registry import ConnectionRegistry
 
 MAX_HEAD = 16 * 1024  # of an answer, the 1xx heads in front of it among it
-STALL_TIMEOUT_S = 0.5  # an answer that has begun comes on: a brick works before it answers, not within
-STREAM_STALL_TIMEOUT_S = 5.0  # the same once it is passed on: nothing else could be done with its request
-READ_HIGH_WATER = 128 * 1024  # held of one answer; the rest waits in the kernel, and then at the brick
+STALL_TIMEOUT_S = 0.5  # between bytes of an answer: a backend works before it answers, not while it does
+STREAM_STALL_TIMEOUT_S = 5.0  # the same once the answer is being forwarded: no other attempt could replace it
+READ_HIGH_WATER = 128 * 1024  # bytes buffered of one answer; the rest waits in the kernel, then at the backend
 MAX_CHUNK_FRAMING = 512 * 1024  # of a chunked body beyond as much as the body itself: 64 KiB byte by byte are 384 KiB
 STATUS_LINE_START = b"HTTP/1."
 HEAD = re.compile(
@@ -35,11 +35,11 @@
 
 
 class BackendProtocolError(ClientPayloadError):
-    """An answer that is not one; its request may have run."""
+    """A malformed answer of a backend; its request may have run."""
 
 
 def body_length(head: re.Match[bytes]) -> int | None:
-    """Tell how long an answer's body is, CHUNKED, UNTIL_CLOSE, or None where its head does not say so soundly."""
+    """Return an answer's body length, CHUNKED or UNTIL_CLOSE; None where its head states none (RFC 9112, 6.3)."""
     lengths, codings = CONTENT_LENGTH.findall(head[2]), TRANSFER_ENCODING.findall(head[2])
     if codings:
         return CHUNKED if [one.lower() for one in codings] == [b"chunked"] and not lengths else None
@@ -51,61 +51,68 @@
 
 
 class BackendConnection(ResponseHandler):
-    """States: new, idle (nobody uses it), taken (a request is to go), head, body; `left`: what the body still lacks."""
+    """A connection in one of the states new, idle (in the pool), taken (a request is to be sent), head or body."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, registry: ConnectionRegistry, budget: ByteBudget) -> None:
         super().__init__(loop)
-        self.registry, self.endpoint, self.budget = registry, "", budget
-        self.buffered_bytes, self.is_paused, self.stall_timeout_s = (
-            0,
-            False,
-            STALL_TIMEOUT_S,
-        )  # bytes not yet read; reading stands still
-        self.state, self.head, self.body_remaining, self.framing_bytes = "new", bytearray(), 0, 0
+        self.registry = registry
+        self.endpoint = ""
+        self.budget = budget
+        # bytes not yet read; reading stands still
+        self.buffered_bytes = 0
+        self.is_paused = False
+        self.stall_timeout_s = STALL_TIMEOUT_S
+        self.state = "new"
+        self.head = bytearray()
+        self.body_remaining = 0
+        self.framing_bytes = 0
         self.stall_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_idle(self) -> bool:
-        """Whether it waits in the pool."""
+        """Whether the connection is in the pool."""
         return self.state == "idle"
 
     @property
     def has_unsent(self) -> bool:
-        """Whether bytes written wait here for the kernel to take them: the last request is not whole at its brick."""
+        """Whether written bytes still wait here: the last request has not completely gone out."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def close(self) -> None:
-        """End it. What is unsent stays so: a close would go on sending, and its request is over."""
+        """Close the connection and drop unsent bytes: a graceful close would go on sending a request that is over."""
         if self.transport is not None and self.has_unsent:
             self.transport.abort()
         super().close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a new connection."""
+        """Register the new connection; called by asyncio."""
         super().connection_made(transport)
         host, port = transport.get_extra_info("peername")[:2]
         self.endpoint = f"{host}:{port}"
         self.registry.add(self)
 
     def become_idle(self) -> None:
-        """Wait in the pool, as one that may go when there are too many."""
+        """Become idle: the registry may evict it from now on."""
         self.state = "idle"
         if self in self.registry.open:
             self.registry.add(self)
 
     def set_response_params(self, **params: Any) -> None:
-        """Await an answer; called by aiohttp as a request is about to be written."""
-        self.state, self.head, self.framing_bytes, self.stall_timeout_s = "head", bytearray(), 0, STALL_TIMEOUT_S
+        """Expect an answer; called by aiohttp before a request is written."""
+        self.state = "head"
+        self.head = bytearray()
+        self.framing_bytes = 0
+        self.stall_timeout_s = STALL_TIMEOUT_S
         super().set_response_params(**params)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes off the network."""
+        """Process received bytes; called by asyncio."""
         if self.state == "head":
             self._receive_head(data)
         elif self.state == "body":
             self._receive_body(data)
         elif data:
-            # More than the answer was: it must not be taken for the next one.
+            # Bytes beyond the answer must not be read as the next one.
             self._should_close = True
             if self.transport is not None:
                 self.transport.close()
@@ -134,7 +141,7 @@
             if complete_head[1][:1] == b"1":
                 if complete_head[1] == b"101":
                     return self._fail("a change of protocol")
-                self.framing_bytes += end  # an interim answer in front is passed over
+                self.framing_bytes += end  # an interim (1xx) answer is skipped
                 self.head = bytearray(rest)
                 continue
             length = body_length(complete_head)
@@ -144,7 +151,9 @@
             if length == 0 and not CONTENT_LENGTH.search(text):
                 self._should_close = True
                 text = text[:-2] + b"Content-Length: 0\r\n\r\n"  # else aiohttp waits for the connection's end
-            self.head, self.body_remaining, self.state = bytearray(), length, "body"
+            self.head = bytearray()
+            self.body_remaining = length
+            self.state = "body"
             super().data_received(text)
             self._receive_body(rest)
         return None
@@ -158,7 +167,7 @@
             super().data_received(data)
             self.framing_bytes += len(data)
             if self.exception() is not None:
-                self._fail("malformed chunks")  # aiohttp tells the connection, not the body that is being read
+                self._fail("malformed chunks")  # aiohttp sets the error on the connection, not on the body being read
             elif body is None or body.is_eof():
                 self.state = "idle"
             elif self.framing_bytes > MAX_CHUNK_FRAMING + 2 * body.total_bytes:
@@ -167,14 +176,14 @@
         expected, surplus = data[: self.body_remaining], data[self.body_remaining :]
         self.body_remaining -= len(expected)
         if surplus:
-            self._should_close = True  # a second copy or noise: this answer is whole, the connection is done
+            self._should_close = True  # surplus bytes: this answer is complete, the connection is not reused
         if expected:
             super().data_received(expected)
         if not self.body_remaining and self.state == "body":
             self.state = "idle"
 
     def update_flow_control(self) -> None:
-        """Look at what is held, after bytes came or were read: with too much, reading stands still."""
+        """Pause or resume reading by the bytes buffered here and over all connections."""
         payload = self._payload
         buffered = payload._size if payload is not None else 0
         self.budget.used += buffered - self.buffered_bytes
@@ -185,13 +194,13 @@
         self.is_paused = not self.is_paused
         if self.is_paused:
             self.transport.pause_reading()
-            self._set_stall_timer(False)  # the brick is not to blame for what nobody takes
+            self._set_stall_timer(False)  # the backend is not to blame while nobody reads
         else:
             self.transport.resume_reading()
             self._set_stall_timer(self.state != "idle")
 
     def allow_slow_stream(self) -> None:
-        """Note that its answer is passed on from now on."""
+        """Allow the longer stall time-out of an answer that is being forwarded."""
         self.stall_timeout_s = STREAM_STALL_TIMEOUT_S
         self._set_stall_timer(self.state != "idle" and not self.is_paused)
 
@@ -211,7 +220,7 @@
             self.transport.abort()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Take the connection's end."""
+        """Finish the answer, if one is open, and unregister; called by asyncio."""
         if (
             self.state == "body"
             and self.body_remaining == UNTIL_CLOSE
@@ -220,7 +229,7 @@
         ):
             self._payload.set_exception(
                 BackendProtocolError("an answer that broke off")
-            )  # only a clean close makes it whole
+            )  # only a clean close completes it
         self.state = "idle"
         self._set_stall_timer(False)
         self.budget.used -= self.buffered_bytes
--- a/hophinge/net/byte_budget.py
+++ b/hophinge/net/byte_budget.py
@@ -1,15 +1,16 @@
-"""The memory that bodies on their way may hold, over all connections together."""
+"""A bound on the bytes of bodies in flight, over all connections."""
 
 from __future__ import annotations
 
 
 class ByteBudget:
-    """Bytes held and how many may be; who holds none may always take some, so nobody waits for ever."""
+    """Bytes in use and their limit; a holder of none may always take some, so that no one waits for ever."""
 
     def __init__(self, limit: int) -> None:
-        self.limit, self.used = limit, 0
+        self.limit = limit
+        self.used = 0
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether whoever holds some is to take no more."""
+        """Whether those that already hold bytes must not take more."""
         return self.used >= self.limit
--- a/hophinge/net/client_connection.py
+++ b/hophinge/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection, on aiohttp's request handler: bounded heads, and an end on which the last answer is read."""
+"""A client's connection on aiohttp's request handler: bounded heads and a graceful close after the last answer."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from hophinge.net.byte_budget import ByteBudget
 from hophinge.net.pipelined_connection import PipelinedConnection
 
-MIN_IDLE_S = 0.05  # a connection at rest, when connections run out and another asks
+MIN_IDLE_S = 0.05  # after which an idle connection may be closed for a new one
 ERROR_LINGER_S = 1.0  # for an error to be read by a client that goes on sending
-CLOSE_LINGER_S = 0.3  # for a client to take note of the end of its connection, and to end it too
+CLOSE_LINGER_S = 0.3  # for a client to notice the end of its connection and close it, too
 DISCARD_INTERVAL_S = 0.02  # between reads of what it goes on sending
 MAX_HEAD_BYTES = 16 * 1024
 
 
 class ClientConnectionOwner(Protocol):
-    """Whose connections these are: it knows which of them rest."""
+    """The listener that owns the connections and tracks which of them are idle."""
 
     counters: Counters
     pipelined_bytes: ByteBudget
@@ -33,11 +33,11 @@
     closing_connections: set[ClientConnection]
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Note that no request is open on a connection from now on."""
+        """Record that a connection has no open request."""
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport) -> bool:
-    """Tell whether bytes wait in the kernel: a request that a busy loop has not come to yet."""
+    """Return whether bytes wait in the kernel: a request that the event loop has not read yet."""
     try:
         descriptor = transport.get_extra_info("socket").fileno()
         return fcntl.ioctl(descriptor, termios.FIONREAD, bytes(4)) != bytes(4)
@@ -46,7 +46,7 @@
 
 
 class ClientConnection(PipelinedConnection):
-    """One client's connection: its heads are bounded, and it ends so that a last answer can be read."""
+    """A client's connection with bounded heads that closes so that its last answer can be read."""
 
     def __init__(self, manager: web.Server, owner: ClientConnectionOwner, **params: Any) -> None:
         super().__init__(manager, owner, **params)
@@ -55,13 +55,13 @@
         self.is_lingering = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a new connection."""
+        """Register the new connection as idle; called by asyncio."""
         super().connection_made(transport)
         self._keepalive_timeout = self.owner_listener.idle_timeout_s  # from the first answer on
         self.owner_listener.mark_idle(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Take its end."""
+        """Unregister the connection; called by asyncio."""
         self.owner_listener.idle.pop(self, None)
         self.owner_listener.closing_connections.discard(self)
         if self.owner_listener.on_connection_closed is not None:
@@ -69,7 +69,7 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes to the parser; what follows a last answer is thrown away, slowly."""
+        """Pass bytes to the parser; bytes behind a last answer are discarded at a low rate."""
         if self.is_lingering:
             if self.transport is not None:
                 self.transport.pause_reading()
@@ -97,10 +97,10 @@
             self._next_keepalive_close_time, self._loop.time() + self.owner_listener.head_timeout_s
         )
         if self.answered:
-            self.owner_listener.idle.pop(self, None)  # a client's next request: not the one to yield
+            self.owner_listener.idle.pop(self, None)  # its next request has begun: it must not be closed as idle
 
     def close_if_idle(self) -> bool:
-        """Close while at rest; False where its next request is here already, which a close would lose."""
+        """Close an idle connection; returns False where its next request has arrived, which a close would lose."""
         # A request that has been read counts as open only once its handler runs, a turn of the loop later.
         if (
             self.transport is None
@@ -110,13 +110,13 @@
         ):
             return False
         if self.is_lingering:
-            self._close_now(self.transport)  # it was told of its end before, and its place is wanted
+            self._close_now(self.transport)  # it was closed gracefully before, and its capacity is needed
         else:
             self._close_gracefully()
         return True
 
     def _close_gracefully(self) -> None:
-        """End the sending and read to the client's own end: a close over unread bytes resets the connection.
+        """Shut down the sending side and read until the client closes: closing over unread bytes resets the connection.
 
         What is read from here on is thrown away. Its client has no answer and knows that it was not taken.
         """
@@ -153,7 +153,7 @@
     def handle_error(
         self, request: web.BaseRequest, status: int = 500, exc: BaseException | None = None, message: str | None = None
     ) -> web.StreamResponse:
-        """Answer what the parser refuses; aiohttp would write a traceback to the log for each."""
+        """Answer a request that the parser rejects; aiohttp would log a traceback for each."""
         if status >= 500:
             return super().handle_error(request, status, exc, message)
         self.owner_listener.counters.add("requests_unreadable")
@@ -164,7 +164,7 @@
     async def finish_response(
         self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
     ) -> tuple[web.StreamResponse, bool]:
-        """Write an answer, and after a last one wait for the client to read it.
+        """Write an answer; after the last one of a connection wait for the client to read it.
 
         Bytes left unread at a close make the kernel reset the connection, and a reset can destroy the answer.
         """
--- a/hophinge/net/clock.py
+++ b/hophinge/net/clock.py
@@ -26,7 +26,9 @@
     __slots__ = ("callback", "handle", "loop", "when_us")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, when_us: int, callback: Callable[[], None]) -> None:
-        self.loop, self.when_us, self.callback = loop, when_us, callback
+        self.loop = loop
+        self.when_us = when_us
+        self.callback = callback
         self.handle = loop.call_later(max(0, -(-(when_us - now_us()) // 1000)) / 1000, self._on_timeout)
 
     def _on_timeout(self) -> None:
--- a/hophinge/net/connection_attempts.py
+++ b/hophinge/net/connection_attempts.py
@@ -1,4 +1,4 @@
-"""When connections to a brick are opened, and how many: decided without I/O, time in seconds as an argument.
+"""Decides when connections to a backend are opened and how many, without I/O; times are seconds, given as arguments.
 
 A connection that comes up late says little about its brick: the next one is as likely in time as any. So beside one
 that takes longer than connects usually do, another goes out while somebody waits. Each costs the brick a handshake,
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-LATE_FACTOR = 4.0  # usual connects' time after which one is late
+LATE_FACTOR = 4.0  # multiple of the typical connect time after which a connect is late
 MIN_LATE_S = 0.01  # a busy machine's turns, which are no lateness
 LATE_LIMIT_FRACTION = 1 / 3  # of the connect limit: what is late is found within it, with time for another
 ADJUSTMENT_STEP = 0.1  # part by which one connect moves the usual time
@@ -17,30 +17,32 @@
 
 
 class ConnectTimeEstimate:
-    """What connects to all bricks usually take, and how many may go out beside late ones."""
+    """The typical connect time over all backends, and the credit for hedged connects."""
 
     def __init__(self, limit_s: float) -> None:
-        """Set up; `limit_s`: how long a request waits for its connection."""
-        self.limit_s, self.typical_s, self.hedge_credit = limit_s, 0.0, HEDGE_BURST
+        """Args: limit_s: seconds that a request waits for its connection."""
+        self.limit_s = limit_s
+        self.typical_s = 0.0
+        self.hedge_credit = HEDGE_BURST
 
     @property
     def late_after_s(self) -> float:
-        """Tell the time after which a connect is late."""
+        """Seconds after which a connect counts as late."""
         return min(LATE_LIMIT_FRACTION * self.limit_s, max(MIN_LATE_S, LATE_FACTOR * self.typical_s))
 
     def record_success(self, duration_s: float) -> None:
-        """Learn from a connect that came up: half of them take less than the usual time."""
+        """Move the typical time towards the median by the duration of a successful connect."""
         if not self.typical_s:
             self.typical_s = min(duration_s, MIN_LATE_S)
         self.typical_s *= 1 + (ADJUSTMENT_STEP if duration_s > self.typical_s else -ADJUSTMENT_STEP)
 
     def record_start(self) -> None:
-        """Note a connect that goes out for a request of its own."""
+        """Add hedge credit for a connect started for a waiting request."""
         self.hedge_credit = min(HEDGE_BURST, self.hedge_credit + HEDGE_RATIO)
 
 
 class ConnectionAttempts:
-    """The connects to one brick that have not come up yet."""
+    """The connects to one backend that are in progress."""
 
     def __init__(self, estimate: ConnectTimeEstimate) -> None:
         self.estimate = estimate
@@ -51,9 +53,14 @@
         return sum(now - since >= self.estimate.late_after_s for since in self.started_at.values())
 
     def start_needed(self, now: float, waiting: int, connected: int, limit: int) -> list[tuple[int, bool]]:
-        """Begin what is wanted for so many that wait: number of each connect, and whether it goes beside a late one.
+        """Start the connects that are needed; returns the number of each and whether it hedges a late one.
+
+        Args:
+            now: seconds.
+            waiting: requests that wait for a connection.
+            connected: open connections to this backend.
+            limit: this head's share of the connections that the backend accepts.
 
-        `held`: connections to this brick that are up; `most`: this head's part of those that the brick holds.
         """
         begun = list[tuple[int, bool]]()
         late = self._count_late(now)
@@ -76,13 +83,13 @@
         return self.last_number
 
     def finish(self, number: int, now: float, succeeded: bool) -> None:
-        """Note the end of a connect, and whether it came up."""
+        """Record that a connect ended, and whether it succeeded."""
         since = self.started_at.pop(number)
         if succeeded:
             self.estimate.record_success(now - since)
 
     def next_late_at(self, now: float) -> float | None:
-        """Tell when the next connect will be late; None where all are."""
+        """Return when the next connect becomes late, in seconds; None where all are late."""
         due = [
             since + self.estimate.late_after_s
             for since in self.started_at.values()
--- a/hophinge/net/connection_pool.py
+++ b/hophinge/net/connection_pool.py
@@ -1,7 +1,7 @@
-"""The connections to bricks: who wants one takes whichever is ready first; what comes up unwanted is kept idle.
+"""The pool of backend connections: a waiter gets whichever is ready first; surplus ones are kept idle.
 
-A connect belongs to nobody. Whoever waited for it may have got another's, or have gone; it still comes up, has cost
-its brick a handshake by then, and serves the next request.
+A connect belongs to no waiter. Its waiter may have got another connection or have been cancelled; the connect still
+completes, has cost the backend a handshake by then, and serves the next request.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from hophinge.net.connection_attempts import ConnectionAttempts, ConnectTimeEstimate
 from hophinge.net.connection_registry import ConnectionRegistry
 
-MAX_CONNECT_FACTOR = 6.0  # connect limits after which a connect that nobody waits for any more is given up
+MAX_CONNECT_FACTOR = 6.0  # multiple of the connect time-out after which a connect without a waiter is cancelled
 LATE_CHECK_ITERATIONS = (
     5  # of the loop before a connect is held for late: a head that stood still has not read of its end yet
 )
@@ -28,7 +28,7 @@
 
 
 class EndpointPool:
-    """One brick's connections at rest, those that wait for one, and the connects that are out."""
+    """One endpoint's idle connections, the requests that wait for one, and the connects in progress."""
 
     __slots__ = ("attempts", "connect_tasks", "idle", "timer", "waiters")
 
@@ -40,7 +40,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def next_waiter(self) -> asyncio.Future[BackendConnection] | None:
-        """Take the first of those that wait."""
+        """Remove and return the first waiter that is not done; None where there is none."""
         while self.waiters:
             if not (future := self.waiters.popleft()).done():
                 return future
@@ -48,7 +48,16 @@
 
 
 class ConnectionPool:
-    """All connections that no request uses, by endpoint; `dial` opens one."""
+    """All connections that no request uses, by endpoint.
+
+    Args:
+        connect: opens a connection to an endpoint.
+        registry: counts and bounds the open connections.
+        counters: count connects.
+        connect_timeout_s: seconds that a request waits for a connection.
+        idle_timeout_s: seconds after which an idle connection is closed.
+
+    """
 
     def __init__(
         self,
@@ -58,20 +67,18 @@
         connect_timeout_s: float,
         idle_timeout_s: float,
     ) -> None:
-        self.connect, self.registry, self.counters, self.connect_timeout_s, self.idle_timeout_s = (
-            connect,
-            registry,
-            counters,
-            connect_timeout_s,
-            idle_timeout_s,
-        )
+        self.connect = connect
+        self.registry = registry
+        self.counters = counters
+        self.connect_timeout_s = connect_timeout_s
+        self.idle_timeout_s = idle_timeout_s
         self.loop = asyncio.get_running_loop()
         self.estimate = ConnectTimeEstimate(connect_timeout_s)
         self.endpoints: dict[str, EndpointPool] = {}
         self.sweep_timer: asyncio.TimerHandle | None = None
 
     async def acquire(self, endpoint: str) -> BackendConnection:
-        """Take a connection to a brick.
+        """Return a connection to an endpoint.
 
         Raises `TimeoutError` where none is ready within the connect limit, else what the connect ended with.
         """
@@ -105,7 +112,7 @@
             raise
 
     def release(self, connection: BackendConnection) -> None:
-        """Take back a connection on which no answer is awaited."""
+        """Return a connection to the pool; no answer may be outstanding on it."""
         pool = self.endpoints.get(connection.endpoint)
         if pool is None or not is_reusable(connection):
             connection.close()
@@ -124,7 +131,7 @@
                 self.sweep_timer = self.loop.call_later(self.idle_timeout_s / 2, self._close_expired)
 
     def _close_expired(self) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for too long."""
         self.sweep_timer = None
         any_idle, expired_before = False, self.loop.time() - self.idle_timeout_s
         for pool in self.endpoints.values():
@@ -140,7 +147,7 @@
             self.sweep_timer = self.loop.call_later(self.idle_timeout_s / 2, self._close_expired)
 
     def _start_connects(self, endpoint: str, pool: EndpointPool) -> None:
-        """Open what is wanted now, and look again when the next connect is late."""
+        """Start the connects that are needed now, and schedule a check for when the next one becomes late."""
         if pool.timer is not None:
             pool.timer.cancel()
             pool.timer = None
@@ -181,7 +188,7 @@
         self._start_connects(endpoint, pool)
 
     def retain(self, endpoints: set[str]) -> None:
-        """Forget all bricks but these; whoever waits for one of the others waits on."""
+        """Discard all endpoints but these; requests that wait for one of the others go on waiting."""
         for endpoint, pool in list(self.endpoints.items()):
             if endpoint not in endpoints and not pool.waiters:
                 self._discard(pool)
@@ -196,7 +203,7 @@
             connection.close()
 
     async def close(self) -> None:
-        """Close what is idle, and give up all connects."""
+        """Close idle connections and cancel all connects."""
         if self.sweep_timer is not None:
             self.sweep_timer.cancel()
         tasks = [task for line in self.endpoints.values() for task in line.connect_tasks]
@@ -207,7 +214,7 @@
 
 
 def is_reusable(connection: BackendConnection) -> bool:
-    """Tell whether a request may be written: it is up, has sent what was written, and got only what was asked for.
+    """Return whether a connection can carry a request: open, all bytes sent, and no unexpected bytes received.
 
     Bytes that the loop has not read yet count too: a late second answer would be taken for the next request's.
     """
--- a/hophinge/net/connection_registry.py
+++ b/hophinge/net/connection_registry.py
@@ -1,4 +1,4 @@
-"""Which connections to bricks are open; they are bounded here, and idle ones go first."""
+"""The open connections to backends, bounded in all and for each endpoint; idle ones are evicted first."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 
 
 class ConnectionRegistry:
-    """All connections to bricks, the one that is idle longest first among the idle; they are bounded here.
+    """All open connections to backends, ordered by when each became idle.
 
     The pool keeps a connection to a brick that is gone, and all that a busy moment opened, until their time is over.
     """
 
     def __init__(self, limit: int, counters: Counters) -> None:
-        self.limit, self.counters = limit, counters
+        self.limit = limit
+        self.counters = counters
         self.open: dict[BackendConnection, None] = {}
         self.endpoints_in_use: set[str] | None = None  # endpoints whose connections may be idle; None: any
         self.limit_per_endpoint = limit  # connections to one of them, beyond which idle ones go
 
     def add(self, connection: BackendConnection) -> None:
-        """Note a new connection, or one that has just become idle."""
+        """Add a new connection, or one that has just become idle, and evict idle ones beyond the limits."""
         self.open.pop(connection, None)
         self.open[connection] = None
         if (
@@ -47,11 +48,11 @@
                 self._evict(idle)
 
     def count_for(self, endpoint: str) -> int:
-        """Tell how many connections to a brick are up."""
+        """Return the number of open connections to an endpoint."""
         return sum(one.endpoint == endpoint for one in self.open)
 
     def retain(self, endpoints: Iterable[str]) -> None:
-        """Close idle connections to all bricks but these."""
+        """Close idle connections to all endpoints but these."""
         self.endpoints_in_use = kept = set(endpoints)
         for one in [one for one in self.open if one.is_idle and one.endpoint not in kept]:
             self._evict(one)
--- a/hophinge/net/discovery.py
+++ b/hophinge/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of bricks, first as the head had it last, then whole, then by chained watches."""
+"""Discovery of backends: the list as it was last saved, then a complete one, then changes by chained watches."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from hophinge.net.address import split
 from hophinge.net.discovery_pacer import HEDGE_DELAY_S, MAX_HEDGED_CALLS, DiscoveryPacer
 
-MAX_BOOT_MS = 2**53  # of a start that is told; one beyond it is no time that anything can be reckoned with
+MAX_BOOT_MS = 2**53  # of a start time; a later one is not usable in arithmetic
 PHASES = {"Ready": api.Phase.ON, "Terminating": api.Phase.DRAINING, "Gone": api.Phase.GONE}
 
 
 class Target(msgspec.Struct):
-    """A brick as discovery tells it."""
+    """A backend as discovery lists it; field names are the protocol's."""
 
     uid: str
     endpoint: str
@@ -34,7 +34,7 @@
 
 
 class Listing(msgspec.Struct):
-    """A list of bricks, or what changed in it."""
+    """A list of backends, or the changes of one; field names are the protocol's."""
 
     rev: int
     targets: list[Target]
@@ -42,14 +42,14 @@
 
 
 class DrainingEntry(msgspec.Struct):
-    """What must be heard of a brick even where the rest of its entry is malformed."""
+    """The part of an entry that counts even where the rest of it is malformed."""
 
     uid: str
     state: str
 
 
 class RawListing(msgspec.Struct):
-    """A list as it comes: its entries are read one by one, as one that is malformed must not void the others."""
+    """A list with undecoded entries: a malformed one must not invalidate the others."""
 
     rev: int
     targets: list[msgspec.Raw]
@@ -57,10 +57,15 @@
 
 
 def parse_listing(body: bytes, complete: bool = False) -> tuple[Listing, int]:
-    """Read a list and tell how many of its entries were left out: malformed, or with no address to send to.
+    """Parse a list; returns it and the number of entries left out as malformed or without an address.
+
+    Args:
+        body: JSON.
+        complete: whether a complete list was requested.
+
+    Raises:
+        msgspec.MsgspecError: it is no list, or a complete one without a valid entry.
 
-    Raises `msgspec.MsgspecError` where it is no list at all, or a whole one without a single sound entry; `whole` tells
-    that all was asked for.
     """
     try:
         raw_listing = msgspec.json.decode(body, type=RawListing)
@@ -73,7 +78,7 @@
 
 
 def _parse_target(raw: msgspec.Raw) -> Target | None:
-    """Read an entry; None: it is malformed, and tells of no brick that takes nothing more."""
+    """Parse an entry; None where it is malformed and does not say that a backend is draining or gone."""
     with contextlib.suppress(ValueError):  # msgspec's errors are among them
         target = msgspec.json.decode(raw, type=Target)
         if target.uid and (target.state == "Gone" or split(target.endpoint)[1] > 0):
@@ -86,7 +91,7 @@
 
 
 class EndpointDirectory:
-    """Where bricks listen; turns discovery's lists into the interface's."""
+    """The endpoints of the listed backends; translates discovery's lists into the core's."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.endpoints: dict[str, str] = {}
@@ -94,11 +99,11 @@
         self.kinds = {name: at for at, name in enumerate(settings.kinds)}
 
     def endpoint(self, node: str) -> str | None:
-        """Tell where a brick listens."""
+        """Return a backend's endpoint; None where it is not listed."""
         return self.endpoints.get(node)
 
     def apply(self, listing: Listing, kind: api.ListKind) -> api.NodeList:
-        """Note the endpoints of a list and translate it."""
+        """Record the endpoints of a list and translate it."""
         previous = self.endpoints
         if kind is api.ListKind.FULL:
             self.endpoints = {}
@@ -124,7 +129,7 @@
 
 
 def _retry_after_s(error: Exception) -> float:
-    """Tell for how long discovery asks its caller to stay away."""
+    """Return the seconds of an error's Retry-After header; 0.0 where there is none."""
     headers = error.headers if isinstance(error, aiohttp.ClientResponseError) else None
     try:
         return float(headers.get("Retry-After", "0")) if headers else 0.0
@@ -133,7 +138,7 @@
 
 
 class DiscoveryWatch:
-    """The watch. It outlives silence and errors; the list held stays in force meanwhile."""
+    """The watch on discovery's list. It survives time-outs and errors; the last list stays in force meanwhile."""
 
     def __init__(
         self,
@@ -146,9 +151,14 @@
         log: Callable[[str], None] = lambda text: None,
         pushed: bool = False,
     ) -> None:
-        self.address, self.directory, self.on_list, self.counters = address, directory, on_list, counters
+        self.address = address
+        self.directory = directory
+        self.on_list = on_list
+        self.counters = counters
         self.rev: int | None = None
-        self.log, self.last_fault = log, ""  # what the calls that failed last ended with
+        # what the calls that failed last ended with
+        self.log = log
+        self.last_fault = ""
         self.pacer = DiscoveryPacer(heads, random.Random(seed), pushed)
         self.task: asyncio.Task[None] | None = None
         self.first_answer = asyncio.Event()  # the first answer is in, be it that callers are turned away
@@ -160,14 +170,15 @@
         )
 
     def follow(self, address: str, rev: int | None = None) -> None:
-        """Follow the list at an address, from the version held of it or else begun with a whole one.
+        """Follow the list at an address, from a known version or else from a complete list.
 
         A watch elsewhere ends at once: an agent that is left may go on holding it open without a word, and versions of
         one agent mean nothing to another. The list held stays in force until the new agent has told its own.
         """
         if self.task is not None:
             self.task.cancel()
-        self.address, self.rev = address, rev
+        self.address = address
+        self.rev = rev
         self.pacer.reset()
         self.task = asyncio.get_running_loop().create_task(self._run(f"http://{address}/v1/servers"))
 
@@ -185,7 +196,7 @@
                 self._log_fault("")
 
     def _record_failure(self, error: BaseException) -> float:
-        """Count and log the end of a call that brought nothing; tell the pause in seconds after it."""
+        """Count and log a failed call; returns the backoff in seconds."""
         self.counters.add("discovery_errors")
         away = isinstance(error, (aiohttp.ClientError, ConnectionError))
         if away and self.directory.endpoints and not self.pacer.pushed:
@@ -202,7 +213,7 @@
         return self.pacer.record_failure()
 
     def _log_fault(self, fault: str, trace: str = "") -> None:
-        """Log a trouble once, and its end."""
+        """Log a fault once, and its end."""
         if fault != self.last_fault:
             self.last_fault = fault
             with contextlib.suppress(Exception):  # a log that is full or gone takes no watch with it
@@ -221,7 +232,7 @@
             return parse_listing(await response.read(), self.rev is None)
 
     async def _hedged_request(self, url: str) -> tuple[Listing, int]:
-        """Ask beside calls that say nothing, until one is answered: none knows when the agent is back."""
+        """Hedge calls that get no answer with further ones until one is answered."""
         calls: set[asyncio.Task[tuple[Listing, int]]] = set()
         pause_s = 0.0  # before another call, after one that failed; those that are open go on meanwhile
         try:
@@ -261,7 +272,7 @@
         self.first_answer.set()
 
     async def close(self) -> None:
-        """End the watch and close its connection."""
+        """Cancel the watch and close its session."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
--- a/hophinge/net/discovery_pacer.py
+++ b/hophinge/net/discovery_pacer.py
@@ -1,4 +1,4 @@
-"""When a head asks discovery again, how long it waits, and what it holds for broken: decided without I/O.
+"""Backoff, wait and time-out of one head's calls to discovery, decided without I/O.
 
 One discovery serves all heads in turn. A call that it turns away costs it about as much as one that it serves, so
 heads that all come back within a second keep it busy with nothing but refusals, and nobody hears a list again. Each
@@ -39,11 +39,19 @@
 
 
 class DiscoveryPacer:
-    """The pauses and waits of one head's calls to discovery."""
+    """The backoffs and waits of one head's calls to discovery, in seconds."""
 
     def __init__(self, heads: int, random_source: random.Random, pushed: bool = False) -> None:
-        """Set up for so many heads that share one discovery; `lots` draws the jitter; `pushed`: an agent answers."""
-        self.random, self.pushed = random_source, pushed
+        """Set up the backoffs for a fleet.
+
+        Args:
+            heads: heads that share one discovery service.
+            random_source: draws the jitter.
+            pushed: whether an agent on this machine answers at once.
+
+        """
+        self.random = random_source
+        self.pushed = pushed
         # Pauses whose mean is half a chained call's time for each head let two calls through in that time.
         self.first_rejected_backoff_s = max(FIRST_BACKOFF_S, min(FIRST_REJECTED_BACKOFF_S, heads * CHAINED_CALL_S / 2))
         self.max_rejected_backoff_s = min(MAX_REJECTED_BACKOFF_S, max(MAX_BACKOFF_S, heads * CHAINED_CALL_S * 2))
@@ -62,13 +70,16 @@
 
     @property
     def hedges(self) -> bool:
-        """Tell whether calls go out beside each other now: an agent that costs nothing has said nothing."""
+        """Whether calls are hedged now: an agent, whose calls cost nothing, has not answered."""
         return self.pushed and self.is_silent
 
     def next_timeouts(self, has_version: bool, has_answered: bool) -> tuple[float, float]:
-        """Tell the wait in seconds that the next call asks for, 0 where it asks for the whole list, and its limit.
+        """Return the wait that the next call requests, 0 for a complete list, and the call's time-out.
+
+        Args:
+            has_version: whether there is a version to watch from.
+            has_answered: whether there has been an answer since the start.
 
-        `held`: there is a version to ask from; `heard`: there has been an answer since the start.
         """
         limit = PUSHED_LIST_TIMEOUT_S if self.pushed else LIST_TIMEOUT_S
         if not has_version:
@@ -80,17 +91,17 @@
         return wait, wait + (PUSHED_WATCH_MARGIN_S if self.pushed else WATCH_MARGIN_S)
 
     def record_answer(self) -> None:
-        """Note an answer: the next error begins anew."""
+        """Reset the backoff after an answer."""
         self.errors = self.rejections = 0
         self.is_silent = False
 
     def reset(self) -> None:
-        """Note that another address is asked from now on: the trouble of the last one says nothing of it."""
+        """Reset for another address, of which earlier faults say nothing."""
         self.errors = self.rejections = 0
         self.is_silent = self.pushed
 
     def record_rejection(self, retry_after_s: float = 0.0) -> float:
-        """Tell the pause in seconds after a call that was turned away, with the Retry-After that came with it."""
+        """Return the backoff after a rejected call, given the seconds of its Retry-After header."""
         backoff_s = min(self.max_rejected_backoff_s, self.first_rejected_backoff_s * 2.0 ** min(self.rejections, 16))
         self.rejections += 1
         self.is_silent = True
@@ -103,7 +114,7 @@
         return max(backoff_s * self.random.uniform(*REJECTED_JITTER), advice * self.random.uniform(1, JITTER[1]))
 
     def record_failure(self) -> float:
-        """Tell the pause in seconds after an error on the wire, a silence or an answer that is no list."""
+        """Return the backoff after a connection error, a time-out or a malformed answer."""
         backoff_s = min(self.max_backoff_s, FIRST_BACKOFF_S * 2.0 ** min(self.errors, 16))
         self.errors += 1
         self.is_silent = True
--- a/hophinge/net/frontend.py
+++ b/hophinge/net/frontend.py
@@ -24,36 +24,37 @@
 MIN_BODY_RATE = 16_000  # bytes a second; slower clients hold a connection for too long
 CHUNK_TIMEOUT_S = 2.2  # for its next bytes
 MAX_RETAINED_BODY = 1024 * 1024  # of a body, while the budget allows: it may be sent again
-RETRY_AFTER_US = 1_000_000  # for whom there is no room, where the settings allow as much
+RETRY_AFTER_US = 1_000_000  # for rejected requests, where the settings allow as much
 TICKET = web.RequestKey("ticket", Ticket)
 ASK = web.RequestKey("ask", api.Arrival)
 STATUS = {Verdict.SERVED: 200, Verdict.REFUSED: 503, Verdict.FAILED: 502, Verdict.ABSENT: 404}
 
 
 class TenantObserver(Protocol):
-    """Who looks on for tenants, where there are any."""
+    """Decides on connections and counts requests by tenant, where there are tenants."""
 
     def admits(self, connection: object, volume: str) -> bool:
-        """Tell whether a request of a volume may come over a connection."""
+        """Return whether a connection may carry a request of a volume."""
 
     def answered(self, ask: api.Arrival, status: int, bytes_in: int, bytes_out: int) -> None:
-        """Note an answer that was written whole."""
+        """Record an answer that was completely written; sizes are bytes."""
 
 
 class FinalDrain(Protocol):
-    """What is still taken once the end has begun."""
+    """Decides which requests are accepted while the process drains."""
 
     def left_us(self, klass: int, time_left_us: int, now_us: int) -> int:
-        """Tell how long a request may take; 0 where it is not to be taken."""
+        """Return the microseconds that a request may take; 0 where it must be rejected."""
 
 
 class Frontend(Listener):
-    """One handler for every connection; a connection carries one request at a time."""
+    """The platform's HTTP server; a connection carries one request at a time."""
 
     def __init__(self, exchange: Exchange, counters: Counters, budget: ByteBudget) -> None:
         super().__init__(counters)
         self.budget = budget
-        self.exchange, self.max_busy = exchange, self.max_connections
+        self.exchange = exchange
+        self.max_busy = self.max_connections
         self.reader = RequestParser(exchange.settings)
         self.loop = asyncio.get_running_loop()
         self.ready = False
@@ -147,7 +148,7 @@
         return response
 
     def response_written(self, request: web.BaseRequest, response: web.StreamResponse) -> None:
-        """Count a request by what its client got, once that is on its way whole."""
+        """Count a request by the status of its answer, once that is completely written."""
         ticket = request.get(TICKET)
         if ticket is not None:
             ticket.end({200: FULFILLED, 429: THROTTLED, 503: THROTTLED}.get(response.status, FAULTED))
@@ -163,7 +164,7 @@
     async def _stream_answer(
         self, request: web.BaseRequest, answer: Answer, rest: Rest, volume: str, klass: str
     ) -> web.StreamResponse:
-        """Write an answer as it comes; the client's pace is the brick's."""
+        """Write an answer as it arrives from the backend, at the rate that the client reads."""
         response = web.StreamResponse(status=STATUS[answer.verdict])
         response.content_length = rest.length  # where it is not known, chunks or the connection's end tell it
         if self.is_final_response(cast(ClientConnection, request.protocol)) or (
@@ -184,8 +185,8 @@
                     await self.rate_limit(volume, klass, OUTBOUND, len(chunk))
                 chunk = await rest.read()
         except (ConnectionError, TimeoutError):
-            # Spoilt, or its client has gone or does not read. The end comes before the stated length or the last
-            # chunk, so whoever is still there can tell.
+            # The answer broke off, or its client has gone or does not read. The connection ends before the stated
+            # length or the last chunk, so that a client which is still there can tell.
             self.counters.add("answers_broken_off")
             if (ticket := request.get(TICKET)) is not None:
                 ticket.end(FAULTED)
@@ -196,7 +197,7 @@
         return response
 
     async def _read_body(self, request: web.BaseRequest, body: list[bytes]) -> bool:
-        """Read a body; False where it goes on beyond what may be kept."""
+        """Read a body into `body`; returns False where it exceeds what may be retained."""
         if not request.can_read_body:
             return True
         if (request.content_length or 0) > MAX_LONG_BODY:
@@ -217,7 +218,7 @@
         return True
 
     async def _body_chunks(self, request: web.BaseRequest, begun: int = 0) -> AsyncIterator[bytes]:
-        """Read a body piece by piece; who stands still or is far too slow is not waited for."""
+        """Yield a body's chunks; raises MalformedRequestError where it stalls, is too slow, too long or malformed."""
         since, size, content = self.loop.time(), 0, request.content
         try:
             while True:
@@ -230,7 +231,7 @@
                 if begun + size > MAX_LONG_BODY:
                     raise MalformedRequestError(413, "the body is too large")
                 yield chunk
-                # While nobody takes what has come, the client is not to blame.
+                # Time during which the consumer is slow does not count against the client.
         except TimeoutError as error:
             raise MalformedRequestError(408, "the body does not come") from error
         except web.RequestPayloadError as error:
@@ -244,7 +245,7 @@
         done: asyncio.Future[Answer],
         klass: str,
     ) -> Answer:
-        """Pass a body on as it comes, until it is whole or its request is answered."""
+        """Forward a body as it arrives, until it is complete or its request is answered."""
 
         async def fill() -> None:
             try:
@@ -255,14 +256,14 @@
                 upload.finish(True)
                 self.exchange.whole(ask.request)
             finally:
-                upload.finish(False)  # void after the other
+                upload.finish(False)  # no effect where it was finished before
 
         filling = self.loop.create_task(fill())
         both: set[asyncio.Future[Any]] = {filling, done}
         try:
             await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
             if not done.done():
-                filling.result()  # a body that is none ends its request
+                filling.result()  # raises where the body is malformed, which ends its request
             return await done
         finally:
             filling.cancel()
--- a/hophinge/net/listener.py
+++ b/hophinge/net/listener.py
@@ -1,4 +1,4 @@
-"""What every front's server does alike: bounded connections, one request at a time on each, and a careful end."""
+"""The base of all HTTP servers here: bounded connections, one request at a time on each, a graceful end."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 HEAD_TIMEOUT_S = 2.5  # for a head, from its first byte
 SILENT_YIELD_S = 0.3  # a connection that has said nothing yet, when connections run out
 MAX_PIPELINED_BYTES = 8 * 1024 * 1024  # bytes that all clients together may have sent behind requests that are open
-INBOUND, OUTBOUND = 0, 1  # ways of bytes, as seen from a head
+INBOUND, OUTBOUND = 0, 1  # directions of bytes, as seen from a head
 
 
 def origin_form(target: str) -> str:
-    """Tell a request target's path and query; a client may write the whole URL, as to a proxy."""
+    """Return a request target in origin form (RFC 9112, 3.2.1); a client may send the absolute form, as to a proxy."""
     scheme, mark, rest = target.partition("://")
     if mark and scheme.lower() in ("http", "https"):
         return "/" + rest.partition("/")[2]
@@ -44,15 +44,16 @@
 
 
 class ConnectionFactory(web.Server):
-    """aiohttp's low-level server with these connections."""
+    """aiohttp's low-level server, making ClientConnection objects."""
 
     def __init__(self, listener: Listener, first_head_timeout_s: float) -> None:
         # A client that closes its connection has gone: its handler is cancelled.
         super().__init__(listener.serve, handler_cancellation=True)
-        self.listener, self.first_head_timeout_s = listener, first_head_timeout_s
+        self.listener = listener
+        self.first_head_timeout_s = first_head_timeout_s
 
     def __call__(self) -> RequestHandler:
-        """Make the protocol of a new connection."""
+        """Return the protocol object of a new connection."""
         return ClientConnection(
             self,
             self.listener,
@@ -66,11 +67,11 @@
         )
 
 
-RateLimit = Callable[[str, str, int, int], Awaitable[None]]  # of a volume and class: a way, and bytes just moved
+RateLimit = Callable[[str, str, int, int], Awaitable[None]]  # waits for (volume, class, direction, bytes just moved)
 
 
 class Listener:
-    """A low-level server that knows which of its connections are busy and how many there may be."""
+    """A server that tracks which of its connections are busy or idle, and bounds their number."""
 
     def __init__(
         self,
@@ -79,15 +80,17 @@
         first_head_timeout_s: float = FIRST_HEAD_TIMEOUT_S,
         idle_timeout_s: float = IDLE_TIMEOUT_S,
     ) -> None:
-        self.counters, self.max_connections, self.idle_timeout_s = counters, max_connections, idle_timeout_s
+        self.counters = counters
+        self.max_connections = max_connections
+        self.idle_timeout_s = idle_timeout_s
         self.max_idle = max_connections
         self.head_timeout_s = max(first_head_timeout_s, HEAD_TIMEOUT_S)
         self.pipelined_bytes = ByteBudget(MAX_PIPELINED_BYTES)
         self.is_draining = False
-        self.on_connection_closed: Callable[[Any], None] | None = None  # told of connections that have ended
+        self.on_connection_closed: Callable[[Any], None] | None = None  # called with each connection that has ended
         self.busy: set[ClientConnection] = set()
         self.idle: dict[ClientConnection, float] = {}  # connections that are not busy, and since when; the oldest first
-        self.closing_connections: set[ClientConnection] = set()  # connections that have been told of their end
+        self.closing_connections: set[ClientConnection] = set()  # connections whose sending side is shut down
         self.server: web.Server = ConnectionFactory(self, first_head_timeout_s)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -116,17 +119,17 @@
             self.mark_idle(protocol)
 
     def is_final_response(self, connection: ClientConnection) -> bool:
-        """Tell whether an answer is its connection's last at the end: no request has come behind it."""
+        """Return whether an answer is its connection's last while draining: no request has arrived behind it."""
         return self.is_draining and not connection.has_next_request
 
     def response_written(self, request: web.BaseRequest, response: web.StreamResponse) -> None:
-        """Note that an answer's last byte has been handed over."""
+        """Called when an answer's last byte has been handed over."""
 
     def request_ended(self, request: web.BaseRequest) -> None:
-        """Note that a request has ended, answered or not."""
+        """Called when a request has ended, answered or not."""
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Note that no request is open on a connection from now on."""
+        """Record that no request is open on a connection; closes the longest idle one beyond the bound."""
         if connection.transport is None:
             return
         self.idle.pop(connection, None)
@@ -138,9 +141,9 @@
             self._close_idlest(1, 1)
 
     def _close_idlest(self, number: int, max_answered: float = math.inf) -> None:
-        """Close what rests longest, of those that were answered so often at most."""
+        """Close the connections that have been idle longest, of those with at most so many answers."""
         now = asyncio.get_running_loop().time()
-        # One that has had no answer yet may have its first request on the way: closing it would lose that.
+        # One without an answer may have its first request in flight, which a close would lose.
         candidates = (
             connection
             for connection, since in self.idle.items()
@@ -153,28 +156,28 @@
                 self.idle.pop(connection, None)
 
     def has_capacity(self) -> bool:
-        """Tell whether one more connection may be taken; where not, the one that rests longest yields."""
+        """Return whether one more connection may be accepted; where not, the longest idle one is closed."""
         if len(self.server._connections) < self.max_connections:
             return True
         self._close_idlest(
             max(0, ACCEPT_BATCH - len(self.closing_connections))
-        )  # those that part leave their places too
+        )  # connections that are closing free capacity, too
         return False
 
     def send_continue(self, request: web.BaseRequest) -> None:
-        """Ask for a body that its client holds back until it knows that it is wanted; aiohttp's server does not."""
+        """Answer `Expect: 100-continue` (RFC 9110, 10.1.1), which aiohttp's low-level server does not."""
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def close_longest_idle(self, min_idle_s: float) -> None:
-        """Close the connection that rests longest, if it has for so long."""
+        """Close the connection that has been idle longest, if it has been for `min_idle_s`."""
         now = asyncio.get_running_loop().time()
         connection, since = next(iter(self.idle.items()), (None, now))
         if connection is not None and now - since >= min_idle_s and connection.close_if_idle():
             self.idle.pop(connection, None)
 
     def close_idle(self) -> None:
-        """Close what is between requests, from the end's beginning on; the rest closes with its answer.
+        """Close the idle connections when draining begins; the others close with their answers.
 
         aiohttp's own pre_shutdown stops reading idle connections but leaves them open: a request sent on one would
         wait for ever.
--- a/hophinge/net/operations_server.py
+++ b/hophinge/net/operations_server.py
@@ -1,4 +1,4 @@
-"""The second address: readiness, figures, and bricks taken out and put back by hand. One call a connection."""
+"""The operators' HTTP server: readiness, metrics, and manual ejection of backends. One call a connection."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hophinge.net.listener import Listener, origin_form
 from hophinge.core.rotation import Rotation
 
-MAX_CALLERS = 16  # connections at once; clients' load has no part in them
+MAX_CALLERS = 16  # connections at once, apart from those of clients
 HEAD_TIMEOUT_S = 0.8  # for a head to come
 BODY_TIMEOUT_S = 0.6  # for a body to come; an answer is due within a second
 BACKEND_ID = re.compile(r"[!-~]{1,256}", re.ASCII)
@@ -21,13 +21,15 @@
 
 
 class OperationsServer(Listener):
-    """Answers operators, with connections, bounds and timers of its own."""
+    """Answers operators' calls, with connections, bounds and timers of its own."""
 
     def __init__(self, counters: Counters, metrics: Figures, rotation: Rotation, ready: Callable[[], bool]) -> None:
         super().__init__(counters, MAX_CALLERS, HEAD_TIMEOUT_S, HEAD_TIMEOUT_S)
-        self.metrics, self.rotation, self.ready = metrics, rotation, ready
+        self.metrics = metrics
+        self.rotation = rotation
+        self.ready = ready
         self.head_s = HEAD_TIMEOUT_S
-        self.reports: dict[str, Callable[[], str]] = {}  # what else is told, by path
+        self.reports: dict[str, Callable[[], str]] = {}  # further GET calls, by path
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one call."""
--- a/hophinge/net/pipelined_connection.py
+++ b/hophinge/net/pipelined_connection.py
@@ -1,4 +1,4 @@
-"""Requests behind one another on a client's connection: read one at a time, and given up with their client."""
+"""Pipelined requests of a client's connection: read one at a time, and cancelled when the client goes."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class PipelineOwner(Protocol):
-    """Whose connections these are."""
+    """The listener that owns the connections."""
 
     counters: Counters
     pipelined_bytes: ByteBudget
 
 
 def length_to_head_end(before: bytes, data: bytearray) -> int:
-    """Tell how much of `data` goes up to a head's end, which may have begun `before`; all of it where there is none."""
+    """Return the length of `data` up to a head's end, which may have begun in `before`; all of it where none ends."""
     at = (before + data[:3]).find(HEAD_END)
     if at >= 0:
         return at + len(HEAD_END) - len(before)
@@ -43,7 +43,7 @@
 
 
 def has_hung_up(transport: asyncio.BaseTransport) -> bool:
-    """Tell whether the other side has closed, also where bytes lie unread before its end."""
+    """Return whether the peer has closed, even where unread bytes precede its end."""
     try:
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), HANGUP_EVENTS)
@@ -62,37 +62,37 @@
     def __init__(self, manager: web.Server, owner: PipelineOwner, **params: Any) -> None:
         super().__init__(manager, **params)
         self.owner = owner
-        self.answered = 0  # requests, malformed ones among them
-        self.pipelined = bytearray()  # bytes that come after the request that is open
-        self.counted_bytes = 0  # of them, in the owner's budget
-        self.arrivals = deque[tuple[int, float]]()  # of it: how many bytes came, and when
-        self.last_arrival = 0.0  # when the last byte came that the parser has
-        self.parsed_tail = b""  # the last few bytes that the parser has
-        self.request_payload: StreamReader = EMPTY_PAYLOAD  # of the last request read
-        self.content_length: int | None = None  # of its body, where it is stated
-        self.is_throttled = False  # it has sent too much, and is not read
+        self.answered = 0  # answered requests, including malformed ones
+        self.pipelined = bytearray()  # received bytes behind the open request
+        self.counted_bytes = 0  # bytes of it that the owner's budget counts
+        self.arrivals = deque[tuple[int, float]]()  # sizes and times of the reads that make up `pipelined`
+        self.last_arrival = 0.0  # arrival of the last byte passed to the parser
+        self.parsed_tail = b""  # the last three bytes passed to the parser
+        self.request_payload: StreamReader = EMPTY_PAYLOAD  # body of the last request read
+        self.content_length: int | None = None  # of that body, where it is stated
+        self.is_throttled = False  # reading is paused, as the client has sent too much
         self.hangup_timer: asyncio.TimerHandle | None = None
         self.write_timer: asyncio.TimerHandle | None = None
 
     @property
     def requests_read(self) -> int:
-        """Tell how many requests have been read, malformed ones among them."""
+        """The number of requests read, including malformed ones."""
         return self._request_count
 
     @property
     def has_next_request(self) -> bool:
-        """Tell whether a request has come behind the one that is answered now."""
+        """Whether a request has arrived behind the open one."""
         return self.requests_read > self.answered + 1 or HEAD_END in self.pipelined
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Take its end."""
+        """Discard what is buffered; called by asyncio."""
         self.discard_pipelined()
         if self.write_timer is not None:
             self.write_timer.cancel()
         super().connection_lost(exc)
 
     def eof_received(self) -> None:
-        """Give up what is open: a client that ends its sending has gone, as the protocol knows only a close.
+        """Cancel the open request: a client that shuts down its sending side has gone.
 
         The connection ends once all that was answered is written out, which may take its time.
         """
@@ -102,20 +102,20 @@
             self.limit_close_time(self.transport)
 
     def limit_close_time(self, transport: asyncio.Transport) -> None:
-        """Have a transport that closes end in time, whether or not its client reads what waits."""
+        """Abort a closing transport whose client does not read the rest within a bound."""
         waiting = transport.get_write_buffer_size()
         if waiting:
             self._loop.call_later(CLIENT_READ_TIMEOUT_S + waiting / MIN_CLIENT_READ_RATE, transport.abort)
 
     def force_close(self) -> None:
-        """Close at once but for what waits to be written."""
+        """Close once what is buffered has been written."""
         transport = self.transport
         super().force_close()
         if transport is not None:
             self.limit_close_time(transport)
 
     def pause_writing(self) -> None:
-        """Wait for a client that does not read, for a while."""
+        """Start the time-out for a client that does not read; called by asyncio."""
         super().pause_writing()
         if self.transport is not None:
             waiting = self.transport.get_write_buffer_size()
@@ -124,21 +124,22 @@
             )
 
     def resume_writing(self) -> None:
-        """Go on: the client reads."""
+        """Stop that time-out; called by asyncio."""
         if self.write_timer is not None:
             self.write_timer.cancel()
         super().resume_writing()
 
     def data_received(self, data: bytes) -> None:
-        """Read the request that is the next, and hold what comes behind it."""
+        """Parse the next request and buffer what arrives behind it."""
         if (
             not self.parsed_tail
             and not self.pipelined
             and self._request_count == self.answered
             and (data.find(HEAD_END) == len(data) - len(HEAD_END) >= 0)
         ):
-            # As nearly always: one head on a connection at rest.
-            self.last_arrival, self.parsed_tail = self._loop.time(), data[-3:]
+            # The usual case: one complete head on an idle connection.
+            self.last_arrival = self._loop.time()
+            self.parsed_tail = data[-3:]
             return self._parse(data)
         if not data:
             self._parse(data)  # a body that was paused goes on
@@ -148,7 +149,7 @@
         self.advance()
 
     def advance(self) -> None:
-        """Read as far as the next request's end, if its turn has come."""
+        """Parse up to the next request's end, if the requests before it are answered."""
         while (
             self.pipelined
             and not self._reading_paused
@@ -167,7 +168,7 @@
         self._throttle()
 
     def discard_pipelined(self) -> None:
-        """Hold nothing any longer: what has come behind the open request is nobody's."""
+        """Discard what was buffered behind the open request."""
         self.pipelined.clear()
         self.arrivals.clear()
         self._update_budget()
@@ -203,19 +204,20 @@
             size -= min(size, came)
 
     def waited_s(self) -> float:
-        """Tell for how long the request that is answered now has been here whole: its client's time runs from then."""
+        """Return the seconds since the open request was completely received, when its client's time began."""
         return max(0.0, self._loop.time() - self.last_arrival)
 
     def request_answered(self, keeps_open: bool) -> None:
-        """Note that a request has been answered, and read the next, if its connection lasts."""
+        """Record an answered request, and parse the next if the connection stays open."""
         self.answered += 1
         if self.requests_read == self.answered:
-            self.request_payload, self.parsed_tail = EMPTY_PAYLOAD, b""
+            self.request_payload = EMPTY_PAYLOAD
+            self.parsed_tail = b""
         if keeps_open and self.pipelined:
             self.advance()
 
     def _next_parse_size(self) -> int:
-        """Tell how much the parser is given: up to a body's end, where its length is known, or that of a head."""
+        """Return how many bytes to parse: up to the body's end, where its length is known, or a head's end."""
         if self.content_length is not None and not self.request_payload.is_eof():
             return min(len(self.pipelined), max(1, self.content_length - self.request_payload.total_bytes))
         return length_to_head_end(self.parsed_tail, self.pipelined)
@@ -252,7 +254,7 @@
         super()._resume_transport_reading()
 
     def _check_hangup(self) -> None:
-        """Look for the close that is not seen behind bytes that are not read."""
+        """Check for a close that is hidden behind unread bytes."""
         self.hangup_timer = None
         if self.transport is None or self.transport.is_closing():
             return
--- a/hophinge/net/request_body.py
+++ b/hophinge/net/request_body.py
@@ -1,4 +1,4 @@
-"""A request's body that is passed on as it comes: what has come is held only until the attempt has taken it."""
+"""A request's body that is forwarded as it arrives; bytes are buffered only until the attempt has read them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 
 
 class RequestBodyError(Exception):
-    """The body will never be whole: its client left, stood still or sent what is none."""
+    """The body will never be complete: its client left, stalled or sent a malformed one."""
 
 
 class RequestBodyStream:
-    """Filled by the front, emptied by one attempt; a slow brick slows the client down and the other way round."""
+    """A stream between a frontend and one attempt, with back-pressure in both directions."""
 
     def __init__(self, first: bytes, length: int | None, budget: ByteBudget) -> None:
-        self.length, self.budget = length, budget  # length: as the client stated it, None for chunks
+        # stated by the client; None for a chunked body
+        self.length = length
+        self.budget = budget
         self.chunks = [first]
         self.buffered_bytes = len(first)
         self.state = "coming"  # then "whole" or "broken"
@@ -24,7 +26,7 @@
         budget.used += self.buffered_bytes
 
     async def feed(self, data: bytes) -> None:
-        """Add bytes once the attempt has taken those before; whoever is not taken from waits here."""
+        """Add bytes once the attempt has read those before; waits until then."""
         while self.buffered_bytes:
             self.buffer_drained.clear()
             await self.buffer_drained.wait()
@@ -34,13 +36,13 @@
         self.data_available.set()
 
     def finish(self, complete: bool) -> None:
-        """No more comes."""
+        """End the stream, complete or broken; a second call has no effect."""
         if self.state == "coming":
             self.state = "whole" if complete else "broken"
         self.data_available.set()
 
     async def read(self) -> bytes:
-        """Take what has come; nothing at the end."""
+        """Return the buffered bytes, empty at the end; raises RequestBodyError for a broken body."""
         while not self.chunks and self.state == "coming":
             self.data_available.clear()
             await self.data_available.wait()
@@ -51,7 +53,7 @@
         return data
 
     def discard(self) -> None:
-        """Hold nothing any longer."""
+        """Discard the buffered bytes."""
         self.chunks.clear()
         self.budget.used -= self.buffered_bytes
         self.buffered_bytes = 0
--- a/hophinge/net/request_parser.py
+++ b/hophinge/net/request_parser.py
@@ -1,4 +1,4 @@
-"""What the decisions need of a client's request, out of its line and headers, and what must pass on as it came."""
+"""Parses a client's request line and headers into what the scheduler needs and what is forwarded unchanged."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
 
 
 class MalformedRequestError(HophingeError):
-    """A request that cannot be one of a client's, and the status that says so."""
+    """A malformed request of a client, with the status of its answer."""
 
     code = "request-malformed"
     remedy = "Have the client send the request as the platform's protocol says; the head serves others meanwhile."
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
-        self.status, self.text = status, text
+        self.status = status
+        self.text = text
 
 
 def _reject_repeated_headers(request: web.BaseRequest) -> None:
@@ -40,15 +41,21 @@
 
 
 class RequestParser:
-    """Takes out of a request what the decisions need."""
+    """Parses requests by the classes, plans and bounds of the settings."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {klass.name: at for at, klass in enumerate(settings.classes)}
         self.plans = {plan.name: at for at, plan in enumerate(settings.plans)}
-        self.max_units, self.heads = settings.most_units, settings.gateways
+        self.max_units = settings.most_units
+        self.heads = settings.gateways
 
     def parse(self, request: web.BaseRequest) -> api.Arrival:
-        """Read the request's line and headers; the body may still be on its way."""
+        """Parse the request line and headers; the body may not have arrived yet.
+
+        Raises:
+            MalformedRequestError: with the status to answer.
+
+        """
         headers = request.headers
         _reject_repeated_headers(request)
         if request.method not in ("GET", "PUT"):
@@ -90,7 +97,7 @@
 
 
 def parse_idempotency_key(request: web.BaseRequest) -> bytes:
-    """Tell the line of a request's key, with the bytes that came; nothing where there is none."""
+    """Return the Idempotency-Key header line with the bytes that came; empty where there is none."""
     key = request.headers.get(IDEMPOTENCY_KEY)
     if key is None:
         return b""
