--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -29,6 +29,7 @@
 
 from hophinge.cli.demo import free_port  # noqa: E402
 from hophinge.control import wire  # noqa: E402
+from hophinge.control.account_wire import decode_account_chunk, encode_account_chunk  # noqa: E402
 from hophinge.state.ledger import Ledger, verify  # noqa: E402
 from hophinge.state.rows import AuditEntry, LedgerChange, Row  # noqa: E402
 from hophinge.tenancy.accounts import Accounts  # noqa: E402
@@ -60,8 +61,10 @@
     feed = AccountSender(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
     size = parts = 0
     while feed.needs_chunk(ledger.seq, ledger.tombstone_floor()):
-        sent = wire.account_part(feed.next_chunk(ledger.page(feed.seq, CHUNK_ROWS, feed.removed_after_seq), ledger.seq))
-        got = wire.read_account_part(wire.decode_response(sent))
+        sent = encode_account_chunk(
+            feed.next_chunk(ledger.page(feed.seq, CHUNK_ROWS, feed.removed_after_seq), ledger.seq)
+        )
+        got = decode_account_chunk(wire.decode_response(sent))
         size, parts = size + len(sent), parts + 1
         rows = taker.receive(got)
         if rows is not None:
--- a/benchmarks/maintenance_reports.py
+++ b/benchmarks/maintenance_reports.py
@@ -11,7 +11,8 @@
 import msgspec
 
 from hophinge.control import wire
-from hophinge.control.permits import REPORT, report_request
+from hophinge.control.messages import DiscoveryRequest, ResourceType
+from hophinge.control.maintenance_wire import REPORT_KEY, report_request
 from hophinge.maintenance.drains import DRAINED, Statement
 from hophinge.maintenance.listing import Teller
 from hophinge.maintenance.messages import Listed, Report
@@ -28,7 +29,11 @@
     fields = {name: getattr(report, name) for name in Report.__struct_fields__ if name not in ("parts", "unsure")}
     return len(
         wire.encode_request(
-            wire.Request(wire.Kind.MAINTENANCE, head="n0017", initial={REPORT: msgspec.json.encode(fields).decode()})
+            DiscoveryRequest(
+                ResourceType.MAINTENANCE,
+                head="n0017",
+                initial_versions={REPORT_KEY: msgspec.json.encode(fields).decode()},
+            )
         )
     )
 
--- a/benchmarks/stream.py
+++ b/benchmarks/stream.py
@@ -10,6 +10,7 @@
 import sys
 import tempfile
 import time
+from collections.abc import Iterable
 from pathlib import Path
 
 import uvloop
@@ -19,9 +20,10 @@
 sys.path.insert(0, str(ROOT))
 
 from hophinge.cli.demo import free_port  # noqa: E402
-from hophinge.control import wire  # noqa: E402
-from hophinge.control.service import ControlService, Stream  # noqa: E402
-from hophinge.control.store import Store  # noqa: E402
+from hophinge.control.messages import parse_version_text  # noqa: E402
+from hophinge.control.service import ControlService  # noqa: E402
+from hophinge.control.connections import HeadStream  # noqa: E402
+from hophinge.control.store import ControlStore  # noqa: E402
 
 sys.path.insert(0, str(ROOT / "benchmarks"))
 from stream_costs import look_up, quantile  # noqa: E402
@@ -41,28 +43,29 @@
 ROUNDS = 20  # pushes of each sort
 
 
-class Truncating(Stream):
+class Truncating(HeadStream):
     """A stream that loses the first part of each version while told so."""
 
     losing = False
 
-    def send(self, frames: list[bytes]) -> None:
+    def send(self, frames: Iterable[bytes]) -> None:
         """Queue responses, but for one that is lost."""
-        if Truncating.losing and len(frames) > 1:
-            frames = frames[1:]
-        super().send(frames)
+        sent = list(frames)
+        super().send(sent[1:] if Truncating.losing and len(sent) > 1 else sent)
 
 
 async def real_heads(folder: Path) -> list[str]:
     """Push good, bad and truncated versions to ten heads under load; kill the control service under load."""
-    import hophinge.control.service as module
+    import hophinge.control.head_streams as module
 
-    module.Stream = Truncating  # type: ignore[misc]
-    service = ControlService(Store(folder / "versions.db"), frozenset({TOKEN}), {STAFF: "bench"}, lambda text: None)
+    setattr(module, "HeadStream", Truncating)  # noqa: B010  # the module imports the name, so mypy refuses the plain form
+    service = ControlService(
+        ControlStore(folder / "versions.db"), frozenset({TOKEN}), {STAFF: "bench"}, lambda text: None
+    )
     await service.start("127.0.0.1:0")
     here = Installation(folder, service.port)
     await here.start()
-    await until(lambda: len(service.streams) == HEADS)
+    await until(lambda: len(service.connections) == HEADS)
     codes: dict[int, int] = {}
     stop = asyncio.Event()
     loading = asyncio.create_task(here.load(stop, codes))
@@ -76,22 +79,22 @@
             extra = "(pool moon (zones the-moon))" if sort == "bad" else ""
             since = time.monotonic()
             text = f"{POOLS}{extra}(limit (open {9000 + number} requests))"
-            version = (await service.push("bench", {"text": text}))["version"]
+            version = (await service.operator_api.push("bench", {"text": text}))["version"]
             waiting = set(service.rollout.heads)
-            order = wire.order_of(version)
+            order = parse_version_text(version)
             lose_until = since + 0.1
             while waiting:
                 if time.monotonic() > lose_until:
                     Truncating.losing = False
                 for name in list(waiting):
                     head = service.rollout.heads[name]
-                    if order == (head.refused if sort == "bad" else head.runs):
+                    if order == (head.rejected if sort == "bad" else head.running):
                         waiting.discard(name)
                         took.append(time.monotonic() - since)
                 if time.monotonic() - since > WAIT_S:
                     raise TimeoutError(f"{sort}: {waiting} give no answer")
                 await asyncio.sleep(0.001)
-            if sort == "bad" and any(head.runs == order for head in service.rollout.heads.values()):
+            if sort == "bad" and any(head.running == order for head in service.rollout.heads.values()):
                 raise AssertionError("a bad version is in force")
         rows.append(
             f"| {sort} | {len(took)} | {quantile(took, 0.5) * 1000:.0f} | {quantile(took, 0.99) * 1000:.0f} | "
--- a/benchmarks/stream_emulated.py
+++ b/benchmarks/stream_emulated.py
@@ -16,8 +16,9 @@
 sys.path.insert(0, str(ROOT))
 
 from hophinge.cli.demo import free_port  # noqa: E402
-from hophinge.control.client import Client  # noqa: E402
-from hophinge.control.follower import Follower, State  # noqa: E402
+from hophinge.control.stream_client import StreamClient  # noqa: E402
+from hophinge.control.follower import Follower  # noqa: E402
+from hophinge.control.follower_actions import FollowerState  # noqa: E402
 from hophinge.routing.table import Facts  # noqa: E402
 
 sys.path.insert(0, str(ROOT / "benchmarks"))
@@ -43,7 +44,9 @@
     for at in range(first, first + count):
         follower = Follower(f"e{at}", [f"127.0.0.1:{port}"], FACTS, at, 20_000_000, 600_000_000)
         clients.append(
-            Client(follower, TOKEN, None, lambda table: None, lambda: time.monotonic_ns() // 1000, lambda text: None)
+            StreamClient(
+                follower, TOKEN, None, lambda table: None, lambda: time.monotonic_ns() // 1000, lambda text: None
+            )
         )
     tasks = [asyncio.create_task(client.run()) for client in clients]
     reader = asyncio.StreamReader()
@@ -51,12 +54,13 @@
     while line := (await reader.readline()).decode().strip():
         await until(
             lambda line=line: all(
-                client.follower.running == line and client.follower.state is State.IN_FORCE for client in clients
+                client.follower.active_name == line and client.follower.state is FollowerState.IN_FORCE
+                for client in clients
             )
         )
         print(
-            f"{time.monotonic()} {sum(client.bytes_in for client in clients)} "
-            f"{sum(client.bytes_out for client in clients)} {memory_mb(os.getpid()):.0f}",
+            f"{time.monotonic()} {sum(client.bytes_received for client in clients)} "
+            f"{sum(client.bytes_sent for client in clients)} {memory_mb(os.getpid()):.0f}",
             flush=True,
         )
     for task in tasks:
--- a/benchmarks/stream_processes.py
+++ b/benchmarks/stream_processes.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(ROOT))
 
 from hophinge.cli.demo import free_port  # noqa: E402
-from hophinge.control.client import call  # noqa: E402
+from hophinge.control.operator_client import call_operator_api  # noqa: E402
 
 HEADS = 10
 TOKEN, STAFF = "a-token-of-heads-1", "a-token-of-staff-1"
@@ -65,7 +65,7 @@
     until = time.monotonic() + WAIT_S
     while True:
         try:
-            answer = await call(f"127.0.0.1:{port}", STAFF, method, msgspec.json.encode(body), WAIT_S)
+            answer = await call_operator_api(f"127.0.0.1:{port}", STAFF, method, msgspec.json.encode(body), WAIT_S)
             return msgspec.json.decode(answer, type=dict[str, Any])
         except ConnectionError:
             if time.monotonic() > until:
--- a/hophinge/cli/demo.py
+++ b/hophinge/cli/demo.py
@@ -121,12 +121,11 @@
             ) as answer:
                 body = await answer.read()
                 out.print(f"4. it is read from brick {shard}: {answer.status}, {body!r}")
-            from hophinge.control.client import call
+            from hophinge.control.operator_client import call_operator_api
 
             async def push(text: str) -> dict[str, Any]:
-                made: dict[str, Any] = json.loads(
-                    await call(f"127.0.0.1:{ports['stream']}", staff_token, "Push", json.dumps({"text": text}).encode())
-                )
+                address, body = f"127.0.0.1:{ports['stream']}", json.dumps({"text": text}).encode()
+                made: dict[str, Any] = json.loads(await call_operator_api(address, staff_token, "Push", body))
                 return made
 
             # Without its waves, which take seconds, and with which a version that is turned down is rolled back.
--- a/hophinge/cli/main.py
+++ b/hophinge/cli/main.py
@@ -114,8 +114,8 @@
 
     from hophinge.cli.service import Owner
     from hophinge.cli.service import serve as main_
-    from hophinge.control.service import read_tokens
-    from hophinge.control.store import Store, StoreError
+    from hophinge.control.tokens import read_tokens
+    from hophinge.control.store import ControlStore, StoreError
     from hophinge.head.config import ConfigError
     from hophinge.state.ledger import LedgerError
 
@@ -129,7 +129,7 @@
             if admin_token is None or not plan:
                 raise fail("--accounts needs --admin-token, and --plan for each plan that there is")
             owner = Owner(accounts, admin, admin_token, frozenset(plan), lambda text: log.info(text))
-        held = Store(store, new_epoch)
+        held = ControlStore(store, new_epoch)
     except (OSError, ValueError, StoreError, LedgerError) as error:
         raise fail(str(error)) from error
 
@@ -149,13 +149,13 @@
 
 def ask(address: str, token_file: Path, method: str, **body: Any) -> dict[str, Any]:
     """Make one call of staff."""
-    from hophinge.control.client import call
+    from hophinge.control.operator_client import call_operator_api
 
     try:
         words = token_file.read_text().split()
         if not words:
             raise fail(f"{token_file}: no token")
-        data = asyncio.run(call(address, words[-1], method, msgspec.json.encode(body)))
+        data = asyncio.run(call_operator_api(address, words[-1], method, msgspec.json.encode(body)))
     except (OSError, ValueError) as error:  # a ConnectionError is an OSError
         raise fail(str(error), 1) from error
     return msgspec.json.decode(data, type=dict[str, Any])
--- a/hophinge/cli/service.py
+++ b/hophinge/cli/service.py
@@ -12,7 +12,7 @@
 from hophinge.admin.api import Api
 from hophinge.admin.front import AdminFront, Purger, read_token, steady_us, wall_ms
 from hophinge.control.service import ControlService
-from hophinge.control.store import Store
+from hophinge.control.store import ControlStore
 from hophinge.core.counters import Counters
 from hophinge.head.config import address
 from hophinge.net.acceptor import Acceptor
@@ -56,7 +56,7 @@
 
     def start(self, service: ControlService) -> None:
         """Listen; heads hear of changes through the service."""
-        self.heard = service.accounts_changed
+        self.heard = service.streams.on_accounts_changed
         api = Api(
             self.ledger,
             self.accounts,
@@ -65,7 +65,7 @@
             self.now_ms,
             steady_us,
             openapi.text,
-            service.promised,
+            service.shares.reserves_shortfall,
             self.calls_s,
         )
         self.front = AdminFront(api, Counters(), self.log)
@@ -87,7 +87,7 @@
 
 
 async def serve(
-    store: Store,
+    store: ControlStore,
     heads: dict[str, str],
     staff: dict[str, str],
     where: str,
--- a/hophinge/control/__init__.py
+++ b/hophinge/control/__init__.py
@@ -1,1 +1,1 @@
-"""Streamed configuration: the control service, what a head keeps of it, and the stream between them."""
+"""Streamed configuration: the control service, the heads that follow it, and the discovery stream between them."""
--- /dev/null
+++ b/hophinge/control/config_replica.py
@@ -0,0 +1,144 @@
+"""A head's replica of the service document: what the control service believes it has, valid or not."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from typing import NamedTuple
+
+from hophinge.control.messages import (
+    ConfigVersion,
+    DiscoveryResponse,
+    MalformedMessageError,
+    VersionedRecord,
+    parse_version_text,
+)
+from hophinge.control.wire import decode_record
+from hophinge.routing import records
+from hophinge.routing.table import EMPTY, Facts, check
+
+MAX_REASON_CHARS = 2000
+MAX_REASONS = 5
+
+
+class AppliedResponse(NamedTuple):
+    """Outcome of applying a response: resources that could not be decoded, and how many were older than stored."""
+
+    errors: list[str]
+    replayed: int
+
+
+class ConfigReplica:
+    """Stored records of one head, complete or not, beside the records of the active version."""
+
+    def __init__(self, facts: Facts) -> None:
+        self.facts = facts
+        self.stored: dict[str, VersionedRecord] = {}  # by name
+        self.records: dict[str, records.Record] = {}  # the same, decoded
+        self.undecodable: dict[str, str] = {}  # names of records that cannot be decoded, and why
+        self.fingerprint_sum = 0
+        self.replaced: dict[str, records.Record | None] = {}  # where `records` differs from the active version: its one
+        self.table = EMPTY
+
+    def store(self, name: str, version: str, body: bytes | None) -> None:
+        """Store a record, or with None remove it."""
+        previous = self.stored.get(name)
+        if previous is not None:
+            if body == previous.body:
+                self.stored[name] = VersionedRecord(version, previous.fingerprint, previous.body)
+                return
+            self.fingerprint_sum = (self.fingerprint_sum - previous.fingerprint) % records.SUM
+        elif body is None:
+            return
+        if name not in self.replaced:
+            # A record that could not be decoded was never in the active version.
+            self.replaced[name] = self.records.get(name)
+        self.records.pop(name, None)
+        self.undecodable.pop(name, None)
+        if body is None:
+            del self.stored[name]
+        else:
+            self._add(name, version, body)
+
+    def _add(self, name: str, version: str, body: bytes) -> None:
+        fingerprint = records.fingerprint(name, body)
+        self.stored[name] = VersionedRecord(version, fingerprint, body)
+        self.fingerprint_sum = (self.fingerprint_sum + fingerprint) % records.SUM
+        try:
+            record = records.decode(body)
+            if record.key != name:
+                raise ValueError(f"it holds {record.key}")
+            self.records[name] = record
+        except ValueError as error:
+            self.undecodable[name] = f"{name}: this head cannot read it: {error}"
+
+    def restore(self, version: ConfigVersion, rows: Iterable[tuple[str, str, bytes]]) -> list[str]:
+        """Load the last known good version.
+
+        Args:
+            version: The version.
+            rows: Name, version text and JSON of each record.
+
+        Returns:
+            Why the version cannot run here; if there is any reason, nothing is stored.
+
+        """
+        for name, text, body in rows:
+            self.store(name, text, body)
+        reasons = self.validation_errors()
+        if not self.matches(version):
+            reasons = ["its records are not those of its version"]
+        if reasons:
+            self.clear()
+        return reasons
+
+    def matches(self, version: ConfigVersion) -> bool:
+        """Return whether exactly the records of a version are stored."""
+        return version.fingerprint_sum == self.fingerprint_sum and version.record_count == len(self.stored)
+
+    def apply_response(self, response: DiscoveryResponse) -> AppliedResponse:
+        """Store the records of a response; older ones than stored, of a replayed response, are skipped."""
+        errors: list[str] = []
+        replayed = 0
+        for resource in response.resources:
+            try:
+                body = decode_record(resource.body)
+            except MalformedMessageError as error:
+                errors.append(f"{resource.name}: {error}")
+                continue
+            previous = self.stored.get(resource.name)
+            if previous is not None and parse_version_text(resource.version) < parse_version_text(
+                previous.version_text
+            ):
+                replayed += 1
+                continue
+            self.store(resource.name, resource.version, body)
+        for name in response.removed:
+            self.store(name, "", None)
+        return AppliedResponse(errors, replayed)
+
+    def clear(self) -> None:
+        """Remove all stored records."""
+        for name in list(self.stored):
+            self.store(name, "", None)
+
+    def validation_errors(self) -> list[str]:
+        """Return why the stored records cannot run here; only those that differ from the active version are checked."""
+        errors = sorted(self.undecodable.values())
+        return errors or check(self.records, self.replaced, self.facts)
+
+    def activate(self, version: ConfigVersion) -> None:
+        """Build the routing table of the stored records, which becomes the active one."""
+        changes: dict[str, records.Record | None] = {}
+        for name, before in self.replaced.items():
+            record = self.records.get(name)
+            if record is not None or before is not None:
+                changes[name] = record
+        previous = {name: record for name, record in self.replaced.items() if record is not None}
+        self.table = self.table.changed(version.id, changes, previous)
+        self.replaced = {}
+
+
+def summarize(reasons: Sequence[str]) -> str:
+    """Join the first few reasons and count the others."""
+    more = f" (and {len(reasons) - MAX_REASONS} more)" if len(reasons) > MAX_REASONS else ""
+    return ("; ".join(reasons[:MAX_REASONS]) + more)[:MAX_REASON_CHARS]
--- /dev/null
+++ b/hophinge/control/connections.py
@@ -0,0 +1,38 @@
+"""State of the heads' streams that are open at a control service."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterable
+
+from hophinge.control.delta_cache import DeltaCache
+from hophinge.control.publisher import Publisher
+from hophinge.tenancy.account_replication import AccountSender
+
+
+class HeadStream:
+    """One head's stream, with the frames to write in order; None in the queue ends it."""
+
+    def __init__(self, deltas: DeltaCache) -> None:
+        self.publisher = Publisher(deltas)
+        self.account_feed: AccountSender | None = None  # set once the head has subscribed to accounts
+        self.supports_maintenance = False  # a head that has not reported so is sent no maintenance updates
+        self.queue: asyncio.Queue[bytes | None] = asyncio.Queue()
+
+    @property
+    def head(self) -> str:
+        """Name of the head; empty until it has subscribed."""
+        return self.publisher.head
+
+    def send(self, frames: Iterable[bytes]) -> None:
+        """Queue encoded responses; one version is in flight at a time, which bounds the queue."""
+        for frame in frames:
+            self.queue.put_nowait(frame)
+
+    def close(self) -> None:
+        """End the stream once the queued frames are written."""
+        self.queue.put_nowait(None)
+
+
+Connections = dict[str, HeadStream]
+"""The newest stream of each connected head, by the head's name."""
--- a/hophinge/control/follower.py
+++ b/hophinge/control/follower.py
@@ -1,282 +1,342 @@
-"""A head's side of the stream, without I/O: versions are received, checked, prepared, put in force or turned down.
+"""A head's side of the stream, without I/O: versions are received, validated, and activated or rejected.
 
-Events come in by methods with the time as argument, actions go out as a list. The follower owns what is held (a mirror
-of what the service believes it holds, good or bad) and what is in force (always a whole version that passed).
+Events come in through methods that take the time; actions go out as lists. The follower owns the replica (which mirrors
+what the service believes is stored here, valid or not) and the active version (always complete and validated).
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
-from hophinge.control.actions import (
-    Action as Action,
-    Apply as Apply,
-    Close as Close,
-    Connect as Connect,
-    Keep as Keep,
-    Log as Log,
-    State as State,
-    Tell as Tell,
+from hophinge.control.config_replica import MAX_REASON_CHARS, ConfigReplica, summarize
+from hophinge.control.follower_actions import (
+    Action,
+    ApplyTable,
+    CloseStream,
+    FollowerState,
+    LogMessage,
+    OpenStream,
+    PersistVersion,
+    SendRequest,
 )
-from hophinge.control.dial import LONGEST_PAUSE_US as LONGEST_PAUSE_US, Dial
-from hophinge.control.mirror import LONGEST_REASON, Mirror, short
-from hophinge.control.publisher import name_of
-from hophinge.control.wire import (
+from hophinge.control.messages import (
+    NO_VERSION,
     VERSION_NAME,
-    Kind,
-    Order,
-    Request,
-    Response,
-    Version,
-    WireError,
-    read_version,
+    ConfigVersion,
+    DiscoveryRequest,
+    DiscoveryResponse,
+    MalformedMessageError,
+    ResourceType,
+    VersionedRecord,
+    VersionId,
+    version_name,
     version_text,
 )
+from hophinge.control.reconnect_policy import ReconnectPolicy
+from hophinge.control.wire import decode_version
 from hophinge.routing.table import Facts, Table
 
-CONNECT_US = 3_000_000  # for a stream to give its first response
-SOUND_US = 5_000_000  # a stream that ends sooner was none: pauses go on growing
-COMPLETE_US = 1_000_000  # for records that come behind their version
-MAX_REFUSED = 64  # versions that were turned down and are remembered
+CONNECT_TIMEOUT_US = 3_000_000  # from opening a stream to its first response
+MIN_STABLE_STREAM_US = 5_000_000  # a stream that ends sooner counts as a failed attempt, and backoffs go on growing
+RECORDS_TIMEOUT_US = 1_000_000  # for records that arrive after their version
+MAX_REJECTED = 64  # rejected versions that are remembered
+COUNTERS = ("taken_up", "turned_down", "truncated", "connects", "failovers", "replayed")  # keys of the status
 
 
 class Follower:
-    """The state of one head; `due_us` is when `tick` is to be called next."""
+    """State of one head; `next_tick_us` is when `tick` is to be called next.
+
+    Args:
+        head: Name of the head.
+        endpoints: Addresses of control services, in order of preference.
+        facts: What this head offers, which versions are validated against.
+        seed: Seed of the backoff's jitter.
+        idle_timeout_us: A stream without a response for so long is closed.
+        stale_after_us: Without any response for so long the configuration is reported as stale.
+
+    """
 
     def __init__(
-        self, head: str, endpoints: Iterable[str], facts: Facts, seed: int, silence_us: int, stale_us: int
+        self,
+        head: str,
+        endpoints: Iterable[str],
+        facts: Facts,
+        seed: int,
+        idle_timeout_us: int,
+        stale_after_us: int,
     ) -> None:
-        self.head, self.dial, self.mirror = head, Dial(tuple(endpoints), seed), Mirror(facts)
-        self.silence_us, self.stale_us = silence_us, stale_us
-        self.version: Version | None = None  # in force
-        self.wanted: Version | None = None  # told, not decided yet
-        self.wanted_nonce, self.wanted_until = "", 0
-        self.refused: dict[tuple[Order, int], str] = {}
-        self.state, self.reason = State.NONE, ""
-        self.resynced: set[Order] = set()  # versions for which all was asked for anew
-        self.kept: Order = (0, 0)
-        self.keep_error = ""
-        self.figures: Mapping[str, float] = {}
-        self.connected = self.opening = False
-        self.heard_us = 0  # last response of any stream
-        self.opened_us = 0  # first response of the open one
-        self.due_us = 0
-        self.stale_told = False
-        self.counts = dict.fromkeys(("taken_up", "turned_down", "truncated", "connects", "failovers", "replayed"), 0)
-
-    # --- the stream's life
+        self.head = head
+        self.reconnect = ReconnectPolicy(tuple(endpoints), seed)
+        self.replica = ConfigReplica(facts)
+        self.idle_timeout_us = idle_timeout_us
+        self.stale_after_us = stale_after_us
+        self.active_version: ConfigVersion | None = None
+        self.pending_version: ConfigVersion | None = None  # announced, neither activated nor rejected yet
+        self.pending_nonce = ""
+        self.pending_deadline_us = 0
+        self.rejected: dict[tuple[VersionId, int], str] = {}  # reason, by version id and sum of fingerprints
+        self.state = FollowerState.NONE
+        self.reason = ""
+        self.resynced: set[VersionId] = set()  # versions for which all records were requested once more
+        self.persisted_id: VersionId = NO_VERSION
+        self.persist_error = ""
+        self.metrics: Mapping[str, float] = {}
+        self.is_connected = False
+        self.is_connecting = False
+        self.last_response_us = 0  # on any stream
+        self.opened_at_us = 0  # first response of the open stream
+        self.next_tick_us = 0
+        self.is_stale = False
+        self.counters = dict.fromkeys(COUNTERS, 0)
+
+    # --- connection
 
     def start(self, now_us: int) -> list[Action]:
-        """Begin; what was kept is to be given to `restore` before."""
-        self.heard_us = now_us
+        """Begin to connect; a persisted version is to be given to `restore` before."""
+        self.last_response_us = now_us
         return self._connect(now_us)
 
-    def restore(self, version: Version, rows: Iterable[tuple[str, str, bytes]], now_us: int) -> list[Action]:
-        """Take the last good version, unless this head cannot run it any more."""
-        if reasons := self.mirror.restored(version, rows):
-            return [Log(f"the last good version {name_of(version.order)} is not taken: {short(reasons)}")]
-        self.kept = version.order
-        return [*self._take_up(version), Log(f"version {name_of(version.order)} is in force, as it was kept")]
-
-    def _connect(self, now_us: int) -> list[Action]:
-        self.opening, self.connected = True, False
-        self.due_us = now_us + CONNECT_US
-        self.counts["connects"] += 1
-        force = {VERSION_NAME: version_text(self.version.order, self.version.sum)} if self.version else {}
-        initial = {name: row[0] for name, row in self.mirror.held.items()}
+    def restore(self, version: ConfigVersion, rows: Iterable[tuple[str, str, bytes]]) -> list[Action]:
+        """Activate the last known good version, unless it fails validation on this head."""
+        if reasons := self.replica.restore(version, rows):
+            return [LogMessage(f"last known good version {version_name(version.id)} is rejected: {summarize(reasons)}")]
+        self.persisted_id = version.id
         return [
-            Connect(
-                self.dial.endpoint,
-                (
-                    Request(Kind.RECORD, subscribe=True, initial=initial, head=self.head, figures=self.figures),
-                    Request(Kind.VERSION, subscribe=True, initial=force),
-                ),
-            )
+            *self._activate(version),
+            LogMessage(f"version {version_name(version.id)} is active, restored from disk"),
         ]
 
-    def closed(self, now_us: int, reason: str) -> list[Action]:
-        """Take the end of a stream, or of an attempt to open one."""
-        if not self.opening and not self.connected:
+    def _connect(self, now_us: int) -> list[Action]:
+        self.is_connecting = True
+        self.is_connected = False
+        self.next_tick_us = now_us + CONNECT_TIMEOUT_US
+        self.counters["connects"] += 1
+        active = self.active_version
+        active_text = {VERSION_NAME: version_text(active.id, active.fingerprint_sum)} if active else {}
+        stored_texts = {name: record.version_text for name, record in self.replica.stored.items()}
+        subscribe_records = DiscoveryRequest(
+            ResourceType.RECORD, subscribe=True, initial_versions=stored_texts, head=self.head, metrics=self.metrics
+        )
+        subscribe_version = DiscoveryRequest(ResourceType.VERSION, subscribe=True, initial_versions=active_text)
+        return [OpenStream(self.reconnect.endpoint, (subscribe_records, subscribe_version))]
+
+    def on_stream_closed(self, now_us: int, reason: str) -> list[Action]:
+        """Process the end of a stream, or of an attempt to open one."""
+        if not self.is_connecting and not self.is_connected:
             return []
-        lived = self.connected and now_us - self.opened_us >= SOUND_US
-        self.opening = self.connected = False
-        self.wanted = None  # whoever answers next tells it again
-        if self.state is State.RECEIVED:
-            self.state = State.IN_FORCE if self.version else State.NONE
-        self.due_us = now_us + self.dial.ended(lived)
-        self.counts["failovers"] += len(self.dial.endpoints) > 1
-        return [Log(f"the stream ended: {reason}; next is {self.dial.endpoint}")]
+        was_stable = self.is_connected and now_us - self.opened_at_us >= MIN_STABLE_STREAM_US
+        self.is_connecting = False
+        self.is_connected = False
+        self.pending_version = None  # the next stream announces it again
+        if self.state is FollowerState.RECEIVED:
+            self.state = FollowerState.IN_FORCE if self.active_version else FollowerState.NONE
+        self.next_tick_us = now_us + self.reconnect.record_failure(was_stable)
+        self.counters["failovers"] += len(self.reconnect.endpoints) > 1
+        return [LogMessage(f"stream closed: {reason}; the next endpoint is {self.reconnect.endpoint}")]
 
     def tick(self, now_us: int) -> list[Action]:
-        """Do what is due."""
+        """Do what is due by now: report staleness, end a wait, close an idle stream, connect."""
         actions: list[Action] = []
-        if not self.stale_told and now_us - self.heard_us >= self.stale_us:
-            self.stale_told = True
-            actions.append(
-                Log(f"no control service for {self.stale_us / 1e6:g} s: version {self.running} is stale and goes on")
-            )
-        if self.wanted is not None and now_us >= self.wanted_until:
-            actions += self._truncated(self.wanted, now_us)
-        elif self.connected and now_us - self.heard_us >= self.silence_us:
-            actions += [Close("silence"), *self.closed(now_us, f"silent for {self.silence_us / 1e6:g} s")]
-        elif self.opening and now_us >= self.due_us:
-            actions += [Close("no answer"), *self.closed(now_us, f"no answer within {CONNECT_US / 1e6:g} s")]
-        elif not self.opening and not self.connected and now_us >= self.due_us:
+        if not self.is_stale and now_us - self.last_response_us >= self.stale_after_us:
+            self.is_stale = True
+            silent = f"no control service for {self.stale_after_us / 1e6:g} s"
+            actions.append(LogMessage(f"{silent}: version {self.active_name} is stale and stays active"))
+        if self.pending_version is not None and now_us >= self.pending_deadline_us:
+            actions += self._on_records_missing(self.pending_version, now_us)
+        elif self.is_connected and now_us - self.last_response_us >= self.idle_timeout_us:
+            reason = f"silent for {self.idle_timeout_us / 1e6:g} s"
+            actions += [CloseStream("silence"), *self.on_stream_closed(now_us, reason)]
+        elif self.is_connecting and now_us >= self.next_tick_us:
+            reason = f"no answer within {CONNECT_TIMEOUT_US / 1e6:g} s"
+            actions += [CloseStream("no answer"), *self.on_stream_closed(now_us, reason)]
+        elif not self.is_connecting and not self.is_connected and now_us >= self.next_tick_us:
             actions += self._connect(now_us)
-        return actions + self._set_due(now_us)
+        self._schedule_tick()
+        return actions
 
-    def _set_due(self, now_us: int) -> list[Action]:
-        if self.connected:
-            self.due_us = self.heard_us + self.silence_us
-            if self.wanted is not None:
-                self.due_us = min(self.due_us, self.wanted_until)
-        return []
+    def _schedule_tick(self) -> None:
+        if self.is_connected:
+            self.next_tick_us = self.last_response_us + self.idle_timeout_us
+            if self.pending_version is not None:
+                self.next_tick_us = min(self.next_tick_us, self.pending_deadline_us)
 
-    # --- what comes
+    # --- responses
 
-    def received(self, now_us: int, response: Response) -> list[Action]:
-        """Take a response; each gets its one answer, at once or when its version is decided."""
-        if not self.opening and not self.connected:
+    def on_response(self, now_us: int, response: DiscoveryResponse) -> list[Action]:
+        """Process a response; it is answered at once, or when its version is activated or rejected."""
+        if not self.is_connecting and not self.is_connected:
             return []
-        if self.opening:
-            self.opened_us = now_us
-        self.opening, self.connected = False, True
-        self.heard_us, self.stale_told = now_us, False
-        actions = (self._records if response.kind is Kind.RECORD else self._version)(now_us, response)
-        return actions + self._set_due(now_us)
-
-    def _records(self, now_us: int, response: Response) -> list[Action]:
-        wrong, replayed = self.mirror.received(response)
-        self.counts["replayed"] += replayed
-        answer = Tell(Request(response.kind, response.nonce, short(wrong), head=self.head, figures=self.figures))
-        return [answer, *self._consider(now_us)]
-
-    def _version(self, now_us: int, response: Response) -> list[Action]:
+        if self.is_connecting:
+            self.opened_at_us = now_us
+        self.is_connecting = False
+        self.is_connected = True
+        self.last_response_us = now_us
+        self.is_stale = False
+        if response.resource_type is ResourceType.RECORD:
+            actions = self._on_records(response)
+        else:
+            actions = self._on_version(now_us, response)
+        self._schedule_tick()
+        return actions
+
+    def _on_records(self, response: DiscoveryResponse) -> list[Action]:
+        applied = self.replica.apply_response(response)
+        self.counters["replayed"] += applied.replayed
+        answer = self._answer(response.resource_type, response.nonce, summarize(applied.errors))
+        return [answer, *self._evaluate_pending()]
+
+    def _on_version(self, now_us: int, response: DiscoveryResponse) -> list[Action]:
         if not response.resources:
-            return [Tell(Request(response.kind, response.nonce, head=self.head, figures=self.figures))]
+            return [self._answer(response.resource_type, response.nonce)]
         try:
-            version = read_version(response.resources[0].body)
-        except WireError as error:
-            return [self._answer(response.nonce, str(error)), Log(f"a version is turned down: {error}")]
+            version = decode_version(response.resources[0].body)
+        except MalformedMessageError as error:
+            return [
+                self._answer_version(response.nonce, str(error)),
+                LogMessage(f"a version is rejected: {error}"),
+            ]
         actions: list[Action] = []
-        if self.wanted is not None and self.wanted_nonce != response.nonce:
-            late = f"version {name_of(version.order)} came before it was whole"
-            actions.append(self._answer(self.wanted_nonce, late))
-        self.wanted, self.wanted_nonce = version, response.nonce
-        self.wanted_until = now_us + COMPLETE_US
-        return actions + self._consider(now_us)
+        if self.pending_version is not None and self.pending_nonce != response.nonce:
+            superseded = f"version {version_name(version.id)} came before it was whole"
+            actions.append(self._answer_version(self.pending_nonce, superseded))
+        self.pending_version = version
+        self.pending_nonce = response.nonce
+        self.pending_deadline_us = now_us + RECORDS_TIMEOUT_US
+        return actions + self._evaluate_pending()
+
+    def _answer(self, resource_type: ResourceType, nonce: str, error: str = "") -> SendRequest:
+        return SendRequest(DiscoveryRequest(resource_type, nonce, error, head=self.head, metrics=self.metrics))
 
-    def _answer(self, nonce: str, error: str) -> Tell:
-        return Tell(Request(Kind.VERSION, nonce, error[:LONGEST_REASON], head=self.head, figures=self.figures))
+    def _answer_version(self, nonce: str, error: str = "") -> SendRequest:
+        return self._answer(ResourceType.VERSION, nonce, error[:MAX_REASON_CHARS])
 
-    # --- what is decided
+    # --- decisions
 
-    def _consider(self, now_us: int) -> list[Action]:
-        """Decide on the version that was told last, if all of it is here."""
-        version, force = self.wanted, self.version
+    def _evaluate_pending(self) -> list[Action]:
+        """Activate or reject the pending version once all of its records are stored."""
+        version = self.pending_version
         if version is None:
             return []
-        if force is not None and version.order == force.order and version.sum == force.sum:
-            self.wanted = None
-            self.state, self.reason = State.IN_FORCE, ""
-            return [self._answer(self.wanted_nonce, "")]
-        if force is not None and version.order <= force.order:
-            why = "has other records than" if version.order == force.order else "is lower than"
-            told = f"version {name_of(version.order)} {why} {name_of(force.order)}"
-            return self._turn_down(
-                version, f"{told} in force here; if the control service was restored from a backup, raise its epoch"
-            )
-        if (reason := self.refused.get((version.order, version.sum))) is not None:
-            return self._turn_down(version, reason)
-        if self.mirror.sum != version.sum or len(self.mirror.held) != version.count:
-            self.state = State.RECEIVED
-            return []  # its records may come behind it; `tick` ends the wait
-        if reasons := self.mirror.faults():
-            return self._turn_down(version, short(reasons))
-        self.wanted = None
+        active = self.active_version
+        if active is not None and version.id <= active.id:
+            return self._on_old_version(version, active)
+        if (reason := self.rejected.get((version.id, version.fingerprint_sum))) is not None:
+            return self._reject(version, reason)
+        if not self.replica.matches(version):
+            self.state = FollowerState.RECEIVED
+            return []  # its records may come after it; `tick` ends the wait
+        if reasons := self.replica.validation_errors():
+            return self._reject(version, summarize(reasons))
+        self.pending_version = None
         return [
-            *self._take_up(version),
-            self._answer(self.wanted_nonce, ""),
-            Log(f"version {name_of(version.order)} is in force"),
-            Keep(version),
+            *self._activate(version),
+            self._answer_version(self.pending_nonce),
+            LogMessage(f"version {version_name(version.id)} is active"),
+            PersistVersion(version),
         ]
 
-    def _take_up(self, version: Version) -> list[Action]:
-        self.mirror.take_up(version)
-        self.version, self.state, self.reason = version, State.IN_FORCE, ""
-        self.counts["taken_up"] += 1
+    def _on_old_version(self, version: ConfigVersion, active: ConfigVersion) -> list[Action]:
+        """Acknowledge the active version; reject one that is lower, or that has its id and other records."""
+        is_same_id = version.id == active.id
+        if is_same_id and version.fingerprint_sum == active.fingerprint_sum:
+            self.pending_version = None
+            self.state = FollowerState.IN_FORCE
+            self.reason = ""
+            return [self._answer_version(self.pending_nonce)]
+        why = "has other records than" if is_same_id else "is lower than"
+        return self._reject(
+            version,
+            f"version {version_name(version.id)} {why} {version_name(active.id)} in force here; "
+            "if the control service was restored from a backup, raise its epoch",
+        )
+
+    def _activate(self, version: ConfigVersion) -> list[Action]:
+        self.replica.activate(version)
+        self.active_version = version
+        self.state = FollowerState.IN_FORCE
+        self.reason = ""
+        self.counters["taken_up"] += 1
         self.resynced.clear()
-        return [Apply(self.mirror.table)]
-
-    def _turn_down(self, version: Version, reason: str) -> list[Action]:
-        self.wanted = None
-        known = (version.order, version.sum) in self.refused
-        while len(self.refused) >= MAX_REFUSED:
-            del self.refused[next(iter(self.refused))]
-        self.refused[version.order, version.sum] = reason
-        self.state, self.reason = State.TURNED_DOWN, reason
-        self.counts["turned_down"] += 1
-        told = f"version {name_of(version.order)} is turned down: {reason}; {self.running} goes on"
-        line = [] if known else [Log(told)]
-        return [self._answer(self.wanted_nonce, reason), *line]
-
-    def _truncated(self, version: Version, now_us: int) -> list[Action]:
-        """Ask for everything anew where records do not add up, once for each version; then turn it down."""
-        self.counts["truncated"] += 1
-        told = f"{version.count} records told, {len(self.mirror.held)} here"
-        if version.order in self.resynced:
-            return self._turn_down(version, f"its records do not add up to it, twice ({told}): truncated or mixed up")
-        self.resynced.add(version.order)
-        # No answer: whoever sent it must not take a loss on the way for a fault of the version.
-        self.mirror.drop_all()
-        self.dial.failures = 0  # happens once for a version, so the shortest pause will do
+        return [ApplyTable(self.replica.table)]
+
+    def _reject(self, version: ConfigVersion, reason: str) -> list[Action]:
+        self.pending_version = None
+        key = (version.id, version.fingerprint_sum)
+        is_known = key in self.rejected
+        while len(self.rejected) >= MAX_REJECTED:
+            del self.rejected[next(iter(self.rejected))]
+        self.rejected[key] = reason
+        self.state = FollowerState.REJECTED
+        self.reason = reason
+        self.counters["turned_down"] += 1
+        actions: list[Action] = [self._answer_version(self.pending_nonce, reason)]
+        if not is_known:
+            name = version_name(version.id)
+            actions.append(LogMessage(f"version {name} is rejected: {reason}; {self.active_name} stays active"))
+        return actions
+
+    def _on_records_missing(self, version: ConfigVersion, now_us: int) -> list[Action]:
+        """Request all records again, once for each version; reject the version the second time."""
+        self.counters["truncated"] += 1
+        difference = f"{version.record_count} records told, {len(self.replica.stored)} here"
+        if version.id in self.resynced:
+            return self._reject(
+                version, f"its records do not add up to it, twice ({difference}): truncated or mixed up"
+            )
+        self.resynced.add(version.id)
+        # The version is not answered: the service must not take a loss on the way for a fault of the version.
+        self.replica.clear()
+        self.reconnect.failures = 0  # happens once for each version, so the shortest backoff is enough
+        name = version_name(version.id)
         actions: list[Action] = [
-            Log(f"version {name_of(version.order)} does not add up ({told}); asking for all anew"),
-            Close("records do not add up"),
-            *self.closed(now_us, "records do not add up"),
+            LogMessage(f"version {name} is incomplete ({difference}): requesting all records again"),
+            CloseStream("records do not add up"),
+            *self.on_stream_closed(now_us, "records do not add up"),
         ]
-        self.dial.stay()  # the service itself is there
+        self.reconnect.retry_same_endpoint()
         return actions
 
-    # --- what was kept
+    # --- persistence and status
 
-    def keep_done(self, order: Order, error: str) -> list[Action]:
-        """Note that a version is written where it lasts, or why not."""
-        if error:
-            first = not self.keep_error
-            self.keep_error = error
-            return [Log(f"version {name_of(order)} is in force but could not be kept: {error}")] if first else []
-        self.kept, self.keep_error = max(self.kept, order), ""
-        return []
+    def on_persisted(self, version_id: VersionId, error: str) -> list[Action]:
+        """Record that a version was written to disk, or why it was not; only the first error in a row is logged."""
+        if not error:
+            self.persisted_id = max(self.persisted_id, version_id)
+            self.persist_error = ""
+            return []
+        is_first = not self.persist_error
+        self.persist_error = error
+        name = version_name(version_id)
+        return [LogMessage(f"version {name} is active but could not be written to disk: {error}")] if is_first else []
 
     @property
-    def held(self) -> Mapping[str, tuple[str, int, bytes]]:
-        """Tell what is held, by name: version, fingerprint and JSON."""
-        return self.mirror.held
+    def stored_records(self) -> Mapping[str, VersionedRecord]:
+        """Records of the replica, by name."""
+        return self.replica.stored
 
     @property
-    def running(self) -> str:
-        """Tell the version in force, as staff write it."""
-        return name_of(self.version.order) if self.version else "none"
+    def active_name(self) -> str:
+        """The active version as operators write it."""
+        return version_name(self.active_version.id) if self.active_version else "none"
 
     @property
     def table(self) -> Table:
-        """Tell the version in force as a table."""
-        return self.mirror.table
+        """The active routing table."""
+        return self.replica.table
 
     def status(self, now_us: int) -> dict[str, object]:
-        """Tell staff what runs here."""
+        """Return the status for operators; its keys are described in docs/operate/stream.md."""
         return {
             "head": self.head,
-            "running": self.running,
+            "running": self.active_name,
             "state": self.state.value,
             "reason": self.reason,
-            "stale": self.stale_told,
-            "connected": self.connected,
-            "endpoint": self.dial.endpoint,
-            "records": len(self.mirror.held),
-            "kept": name_of(self.kept),
-            "keep_error": self.keep_error,
-            "silent_s": round((now_us - self.heard_us) / 1e6, 1),
-            **self.counts,
+            "stale": self.is_stale,
+            "connected": self.is_connected,
+            "endpoint": self.reconnect.endpoint,
+            "records": len(self.replica.stored),
+            "kept": version_name(self.persisted_id),
+            "keep_error": self.persist_error,
+            "silent_s": round((now_us - self.last_response_us) / 1e6, 1),
+            **self.counters,
         }
--- /dev/null
+++ b/hophinge/control/last_known_good.py
@@ -0,0 +1,64 @@
+"""The last known good version of a head: loaded at start, so that a head serves without a control service."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from pathlib import Path
+
+import msgspec
+
+from hophinge.control.messages import ConfigVersion, VersionedRecord, VersionId
+from hophinge.routing import records
+from hophinge.state import files
+
+KIND = "last-good"
+FORMAT_VERSION = 1
+
+
+class LastKnownGood(msgspec.Struct, frozen=True, array_like=True):
+    """Content of the file: a version and its records, each as name, version text and JSON."""
+
+    version_id: VersionId
+    fingerprint_sum: bytes  # 16 bytes, as integers of MessagePack end at 64 bits
+    saved_ms: int  # clock of the head, since 1970
+    records: list[tuple[str, str, bytes]]
+
+    @property
+    def version(self) -> ConfigVersion:
+        """The version as the stream has it."""
+        return ConfigVersion(self.version_id, len(self.records), int.from_bytes(self.fingerprint_sum, "big"))
+
+
+def from_records(version: ConfigVersion, stored: Mapping[str, VersionedRecord], now_ms: int) -> LastKnownGood:
+    """Return the file's content for a version and its records by name."""
+    return LastKnownGood(
+        version.id,
+        version.fingerprint_sum.to_bytes(16, "big"),
+        now_ms,
+        [(name, record.version_text, record.body) for name, record in stored.items()],
+    )
+
+
+def save(path: Path, good: LastKnownGood, disk: files.Disk = files.DISK) -> None:
+    """Write the file; raises OSError, and then the previous one stays."""
+    files.save(path, KIND, FORMAT_VERSION, msgspec.msgpack.encode(good), disk)
+
+
+def load(path: Path) -> LastKnownGood | None:
+    """Read and verify the file; None where there is none.
+
+    Raises:
+        StateFileError: The file is corrupt, or its records are not those of its version.
+
+    """
+    file = files.load(path, KIND, range(1, FORMAT_VERSION + 1))
+    if file is None:
+        return None
+    try:
+        good = msgspec.msgpack.decode(file.payload, type=LastKnownGood)
+    except msgspec.MsgspecError as error:
+        raise files.StateFileError(f"{path}: {error}") from error
+    fingerprint_sum = sum(records.fingerprint(name, body) for name, _, body in good.records) % records.SUM
+    if fingerprint_sum != good.version.fingerprint_sum:
+        raise files.StateFileError(f"{path}: its records are not those of its version")
+    return good
--- /dev/null
+++ b/hophinge/control/maintenance_wire.py
@@ -0,0 +1,56 @@
+"""Encoding of maintenance: updates to heads, reports of heads, and the statements in the store."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+import msgspec
+
+from hophinge.control import wire
+from hophinge.control.messages import (
+    DiscoveryRequest,
+    DiscoveryResponse,
+    MalformedMessageError,
+    Resource,
+    ResourceType,
+)
+from hophinge.maintenance.messages import Report, Word
+from hophinge.routing import records
+from hophinge.routing.records import Record
+
+MAINTENANCE_METRIC = "maintenance"  # reported by heads that take updates and send reports
+REPORT_KEY = "report"  # a request bears its report under this name of `initial_versions`
+
+
+def encode_statements(statements: Sequence[Record]) -> bytes:
+    """Encode statements on maintenance as the store has them."""
+    return msgspec.json.encode([msgspec.Raw(records.encode(statement)) for statement in statements])
+
+
+def encode_update(update: Word) -> bytes:
+    """Encode an update as a response."""
+    nonce = f"{update.fence}.{update.number}"
+    resource = Resource(MAINTENANCE_METRIC, nonce, wire.encode_record(msgspec.json.encode(update)))
+    return wire.encode_response(DiscoveryResponse(ResourceType.MAINTENANCE, nonce, (resource,)))
+
+
+def decode_update(response: DiscoveryResponse) -> Word:
+    """Decode an update; raises MalformedMessageError."""
+    try:
+        return msgspec.json.decode(wire.decode_record(response.resources[0].body), type=Word)
+    except (IndexError, msgspec.MsgspecError) as error:
+        raise MalformedMessageError(f"a word on maintenance that cannot be read: {error}") from error
+
+
+def report_request(head: str, report: Report) -> DiscoveryRequest:
+    """Return the request that bears a head's report."""
+    encoded = msgspec.json.encode(report).decode()
+    return DiscoveryRequest(ResourceType.MAINTENANCE, head=head, initial_versions={REPORT_KEY: encoded})
+
+
+def decode_report(request: DiscoveryRequest) -> Report:
+    """Return the report that a request bears; raises MalformedMessageError."""
+    try:
+        return msgspec.json.decode(request.initial_versions.get(REPORT_KEY, ""), type=Report)
+    except msgspec.MsgspecError as error:
+        raise MalformedMessageError(f"a report that cannot be read: {error}") from error
--- /dev/null
+++ b/hophinge/control/quota_shares.py
@@ -0,0 +1,195 @@
+"""Reserves of tenants: whether the heads can guarantee them, and the shares of them that heads lease."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import Callable, Collection, Iterable, Mapping
+from typing import NamedTuple
+
+import msgspec
+
+from hophinge.control import wire
+from hophinge.control.messages import (
+    DEMAND_PREFIX,
+    LEASE_NAME,
+    NO_VERSION,
+    DiscoveryResponse,
+    Resource,
+    ResourceType,
+    VersionId,
+)
+from hophinge.control.snapshot import Snapshot
+from hophinge.control.store import ControlStore, StoreError
+from hophinge.routing import records
+from hophinge.tenancy.accounts import Accounts
+from hophinge.tenancy.share_allocator import LeaseRequest, ShareAllocator
+from hophinge.tenancy.lifecycle import TenantState
+from hophinge.tenancy.share_planner import CapacityShortfall, find_shortfall
+
+HEAD_COUNT_TIMEOUT_S = 3.0  # how long a push that needs the number of heads waits for a head to report it
+MIN_SPAN_S = 0.1  # demand is reported per lease request; a shorter time between two would inflate its rate
+RESERVE_RECORDS = (b'{"type":"tenant"', b'{"type":"spare"')
+
+
+class StatedReserves(NamedTuple):
+    """What a version states, in units a second: the reserve of each tenant, and what one head serves (0: unknown)."""
+
+    by_tenant: dict[str, float]
+    head_capacity: float
+
+
+NO_RESERVES = StatedReserves({}, 0.0)
+
+
+class QuotaShares:
+    """Reserves of one installation."""
+
+    def __init__(
+        self,
+        store: ControlStore,
+        accounts: Accounts | None,
+        get_target: Callable[[], Snapshot | None],
+        connected_heads: Callable[[], Collection[str]],
+        now_us: Callable[[], int],
+        log: Callable[[str], None],
+    ) -> None:
+        """Create the state of a service that has just started.
+
+        Args:
+            store: Has the number of heads, and allocates lease serials.
+            accounts: Tenants' accounts, if this service has them.
+            get_target: Returns the version that is rolled out.
+            connected_heads: Returns the names of heads with a stream.
+            now_us: Monotonic clock.
+            log: Takes lines for operators.
+
+        """
+        self.store = store
+        self.accounts = accounts
+        self.get_target = get_target
+        self.connected_heads = connected_heads
+        self.now_us = now_us
+        self.log = log
+        self.allotment = ShareAllocator(store.allocate_serials, log)
+        self.head_count = store.head_count()
+        self.head_count_known = asyncio.Event()
+        if self.head_count:
+            self.head_count_known.set()
+        self._target_id: VersionId = NO_VERSION  # of which `_target_reserves` are
+        self._target_reserves = NO_RESERVES
+
+    # --- reserves
+
+    def tenant_reserves(self) -> dict[str, float]:
+        """Return the reserves of tenants that have an account."""
+        accounts = self.accounts.tenants.values() if self.accounts is not None else ()
+        return {
+            account.name: account.shares.reserve
+            for account in accounts
+            if account.shares.reserve and account.state in (TenantState.ACTIVE, TenantState.SUSPENDED)
+        }
+
+    def reserves_shortfall(self, reserves: Mapping[str, float]) -> str:
+        """Return why tenants' reserves cannot be guaranteed beside those of the newest version; empty if they can."""
+        stated = _snapshot_reserves(self.store.newest)
+        if not stated.head_capacity or not self.head_count:
+            return ""
+        shortfall = _shortfall({**reserves, **stated.by_tenant}, self.head_count, stated.head_capacity)
+        return f"with {self.head_count} heads {shortfall}" if shortfall is not None else ""
+
+    async def check_reserves(self, reserves: Mapping[str, float], head_capacity: float) -> None:
+        """Check that reserves can be guaranteed; what one head can guarantee alone needs no number of heads.
+
+        Raises:
+            StoreError: They cannot, or no head has reported how many there are.
+
+        """
+        if not head_capacity or _shortfall(reserves, 1, head_capacity) is None:
+            return
+        if not self.head_count:
+            with contextlib.suppress(TimeoutError):
+                async with asyncio.timeout(HEAD_COUNT_TIMEOUT_S):
+                    await self.head_count_known.wait()
+        if not self.head_count:
+            raise StoreError(
+                "no head has told yet how many there are, and one alone cannot keep these reserves: "
+                "connect a head, then push again"
+            )
+        if (shortfall := _shortfall(reserves, self.head_count, head_capacity)) is not None:
+            raise StoreError(f"with {self.head_count} heads {shortfall}")
+
+    def on_head_count(self, head: str, count: int) -> None:
+        """Record how many heads one of them counts; reserves depend on the installation, not on who is connected.
+
+        During a change of the installation heads report different numbers; the latest one is used, as that is where the
+        change leads.
+        """
+        if count < 1 or count == self.head_count:
+            return
+        if self.head_count:
+            self.log(f"{head} counts {count} heads; before there were {self.head_count}")
+        self.store.set_head_count(count)
+        self.head_count = count
+        self.head_count_known.set()
+        stated = _snapshot_reserves(self.get_target())
+        if not stated.head_capacity:
+            return
+        if (shortfall := _shortfall(stated.by_tenant, count, stated.head_capacity)) is not None:
+            self.log(f"the reserves of the active version cannot be guaranteed: with {count} heads {shortfall}")
+
+    # --- leases
+
+    def lease_responses(self, head: str, metrics: Mapping[str, float]) -> list[bytes]:
+        """Return the encoded response to a head's lease request; none where it gets no lease."""
+        target = self.get_target()
+        if target is None:
+            return []
+        if self._target_id != target.id:
+            self._target_id = target.id
+            self._target_reserves = _snapshot_reserves(target)
+        lease = self.allotment.answer(
+            self.now_us(),
+            _lease_request(head, metrics),
+            {**self.tenant_reserves(), **self._target_reserves.by_tenant},
+            self._target_reserves.head_capacity,
+            self.connected_heads(),
+        )
+        if lease is None:
+            return []
+        name = f"lease/{lease.serial}"
+        resource = Resource(LEASE_NAME, name, wire.encode_record(msgspec.json.encode(lease)))
+        return [wire.encode_response(DiscoveryResponse(ResourceType.LEASE, name, (resource,)))]
+
+
+def _lease_request(head: str, metrics: Mapping[str, float]) -> LeaseRequest:
+    heads, process, asked, held = (int(metrics.get(name, 0)) for name in ("heads", "process", "asked", "held"))
+    span_s = max(MIN_SPAN_S, metrics.get("span_s", 1.0))
+    demand = {
+        name.removeprefix(DEMAND_PREFIX): units / span_s
+        for name, units in metrics.items()
+        if name.startswith(DEMAND_PREFIX)
+    }
+    return LeaseRequest(head, heads, process, asked, held, demand)
+
+
+def _shortfall(reserves: Mapping[str, float], head_count: int, head_capacity: float) -> CapacityShortfall | None:
+    return find_shortfall(reserves, dict.fromkeys(map(str, range(head_count)), head_capacity))
+
+
+def _snapshot_reserves(snapshot: Snapshot | None) -> StatedReserves:
+    return stated_reserves(record.body for record in snapshot.records.values()) if snapshot else NO_RESERVES
+
+
+def stated_reserves(bodies: Iterable[bytes]) -> StatedReserves:
+    """Return the reserves that a version's records state."""
+    by_tenant: dict[str, float] = {}
+    head_capacity = 0.0
+    for body in bodies:
+        if body.startswith(RESERVE_RECORDS):
+            record = records.decode(body)
+            if isinstance(record, records.Tenant) and record.reserve > 0:
+                by_tenant[record.name] = record.reserve
+            elif isinstance(record, records.Spare):
+                head_capacity = record.capacity
+    return StatedReserves(by_tenant, head_capacity)
--- a/hophinge/control/rollout.py
+++ b/hophinge/control/rollout.py
@@ -1,6 +1,6 @@
-"""Which head is to run which version: waves, what holds them, what rolls them back. No I/O; time is an argument.
+"""Rollout of versions over heads in waves: what pauses it and what rolls it back. No I/O; time is an argument.
 
-Heads only ever go forward: a head that a version was aimed at is aimed at it, or at a later one, from then on.
+Heads only go forward: a head that was ever told to run a version is told to run that version or a later one.
 """
 
 from __future__ import annotations
@@ -12,198 +12,242 @@
 
 import msgspec
 
-from hophinge.control.wire import Order
-from hophinge.routing.records import Rollout as Rule
+from hophinge.control.messages import NO_VERSION, VersionId
+from hophinge.routing.records import Rollout as RolloutRule
 
-MIN_TAKEN = 20  # requests of a wave before its failures tell anything
-FORGET_US = 7 * 24 * 3600 * 1_000_000  # a head unheard of for a week counts no more in a wave's share
+MIN_REQUESTS = 20  # requests of a wave before its failure rate is judged
+FORGET_HEAD_US = 7 * 24 * 3600 * 1_000_000  # a head that was not observed for a week is not counted in a wave's share
+MAX_NAMED_HEADS = 5  # in a reason
+ROUNDING = 1e-9
 
 
-class Stage(Enum):
-    """Where a rollout stands."""
+class RolloutStage(Enum):
+    """Stage of a rollout."""
 
     IDLE = "done"
     ROLLING = "rolling"
-    HELD = "held"
+    PAUSED = "held"
 
 
-class Head(msgspec.Struct):
-    """One head as the control service knows it."""
+class HeadStatus(msgspec.Struct):
+    """One head as the control service observes it."""
 
     name: str
-    seen_us: int
-    connected: bool = False
-    runs: Order = (0, 0)
-    refused: Order = (0, 0)  # the last version that it turned down
+    last_seen_us: int
+    is_connected: bool = False
+    running: VersionId = NO_VERSION
+    rejected: VersionId = NO_VERSION  # the last version that it rejected
     reason: str = ""
-    taken: float = 0.0  # requests, by its own count
+    requests: float = 0.0  # by the head's own count, since its stream began
     failed: float = 0.0
-    since_taken: float = 0.0  # the same when it took up the version that is rolled out
-    since_failed: float = 0.0
-    usual: float = 0.0  # part of its requests that failed before it took up the version
+    baseline_requests: float = 0.0  # the same counts when it activated the target, or the wave began
+    baseline_failed: float = 0.0
+    usual_failure_rate: float = 0.0  # share of its requests that failed before it activated the target
 
+    def reset_counts(self) -> None:
+        """Start over with counts of zero."""
+        self.requests = 0.0
+        self.failed = 0.0
+        self.baseline_requests = 0.0
+        self.baseline_failed = 0.0
 
-class Course(msgspec.Struct):
-    """What outlives a restart of the control service."""
+    def set_baseline(self) -> None:
+        """Judge requests from here on."""
+        self.baseline_requests = self.requests
+        self.baseline_failed = self.failed
 
-    stable: Order = (0, 0)  # what heads run that no wave has reached; (0, 0): nothing yet
-    target: Order = (0, 0)  # what is rolled out; as stable when it is done
-    stage: Stage = Stage.IDLE
+
+class RolloutPlan(msgspec.Struct):
+    """The state that outlives a restart of the control service; stored as JSON."""
+
+    stable: VersionId = NO_VERSION  # for heads that no wave has reached
+    target: VersionId = NO_VERSION  # what is rolled out; equals `stable` when it is done
+    stage: RolloutStage = RolloutStage.IDLE
     wave: int = 0
-    reached: set[str] = msgspec.field(default_factory=set)
-    reason: str = ""
-    undoes: bool = False  # the target takes a former one back
+    reached: set[str] = msgspec.field(default_factory=set)  # heads that are told to run the target
+    reason: str = ""  # why it is paused
+    is_rollback: bool = msgspec.field(default=False, name="undoes")  # the target restores an earlier version's content
 
 
-class Decision(msgspec.Struct, frozen=True):
-    """What a step led to: the course is to be stored before heads hear of it; a version may be taken back."""
+class RolloutDecision(msgspec.Struct, frozen=True):
+    """Result of a step: a changed plan is to be stored before heads are told; a rollback is to be pushed."""
 
-    changed: bool = False
-    roll_back: str = ""  # the reason; the content of the stable version is wanted as a new one
+    is_changed: bool = False
+    rollback_reason: str = ""  # if not empty, the stable version's content is to be pushed as a new version
 
 
-class Rollout:
-    """The course of versions over heads."""
+class RolloutController:
+    """Decides which head is to run which version."""
 
-    def __init__(self, course: Course, rule: Rule, names: Iterable[tuple[str, int]] = ()) -> None:
-        self.course, self.rule = course, rule
-        self.heads = {name: Head(name, seen) for name, seen in names}
-        self.quiet_since = 0  # when the last head of the wave acknowledged; 0: some are missing
-        self.missing: dict[str, int] = {}  # heads that are aimed at and do not run it yet, and since when
+    def __init__(self, plan: RolloutPlan, rule: RolloutRule, known_heads: Iterable[tuple[str, int]] = ()) -> None:
+        """Continue a stored plan; `known_heads` gives the name and `last_seen_us` of each head."""
+        self.plan = plan
+        self.rule = rule
+        self.heads = {name: HeadStatus(name, last_seen_us) for name, last_seen_us in known_heads}
+        self.acknowledged_since_us = 0  # when the last head of the wave acknowledged; 0: some have not
+        self.unacknowledged: dict[str, int] = {}  # heads that are told to run the target and do not yet, and since when
 
-    # --- who is to run what
+    # --- targets
 
-    def aim(self, name: str) -> Order:
-        """Tell what a head is to run; (0, 0): nothing yet."""
-        course = self.course
-        return course.target if course.stage is Stage.IDLE or name in course.reached else course.stable
+    def target_for(self, name: str) -> VersionId:
+        """Return the version that a head is to run; `NO_VERSION` if there is none yet."""
+        plan = self.plan
+        return plan.target if plan.stage is RolloutStage.IDLE or name in plan.reached else plan.stable
 
-    def covered(self, wave: int, now_us: int) -> set[str]:
-        """Tell the known heads that waves up to this one reach."""
-        known = [head.name for head in self.heads.values() if head.connected or now_us - head.seen_us < FORGET_US]
+    def heads_in_waves(self, wave: int, now_us: int) -> set[str]:
+        """Return the known heads that waves up to this one cover."""
+        known = [
+            head.name
+            for head in self.heads.values()
+            if head.is_connected or now_us - head.last_seen_us < FORGET_HEAD_US
+        ]
         first = {name for name in self.rule.first if name in known}
         if wave == 0 and self.rule.first:
             return first
         share = self.rule.waves[min(wave - bool(self.rule.first), len(self.rule.waves) - 1)]
+        # Ordered by hash, so that a head is in the same wave of every rollout, whatever its name.
         ranked = sorted(known, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
-        return first | set(ranked[: math.ceil(share * len(ranked) - 1e-9)])
+        return first | set(ranked[: math.ceil(share * len(ranked) - ROUNDING)])
 
     @property
     def last_wave(self) -> int:
-        """Tell the number of the wave that reaches all."""
+        """Number of the wave that covers all heads."""
         return len(self.rule.waves) - 1 + bool(self.rule.first)
 
-    # --- what happens
+    # --- events
 
-    def planned(self, order: Order, undoes: bool = False) -> Course:
-        """Tell the course of a new version; who has reached an unfinished one goes on to this one at once."""
-        course = self.course
-        reached = set(course.reached) if course.stage is not Stage.IDLE else set()
-        return Course(course.stable, order, Stage.ROLLING, 0, reached, "", undoes)
+    def plan_for(self, version_id: VersionId, is_rollback: bool = False) -> RolloutPlan:
+        """Return the plan of a new version; heads that an unfinished rollout has reached get it at once."""
+        plan = self.plan
+        reached = set(plan.reached) if plan.stage is not RolloutStage.IDLE else set()
+        return RolloutPlan(plan.stable, version_id, RolloutStage.ROLLING, 0, reached, "", is_rollback)
 
-    def push(self, course: Course, rule: Rule, now_us: int) -> None:
-        """Begin a planned course, once it is stored."""
-        self.course, self.rule = course, rule
-        self._begin_wave(now_us)
+    def start(self, plan: RolloutPlan, rule: RolloutRule) -> None:
+        """Begin a plan that is stored."""
+        self.plan = plan
+        self.rule = rule
+        self._begin_wave()
 
-    def _begin_wave(self, now_us: int) -> None:
-        self.quiet_since = 0
-        self.missing = {}
+    def _begin_wave(self) -> None:
+        self.acknowledged_since_us = 0
+        self.unacknowledged = {}
         for head in self.heads.values():
-            head.since_taken, head.since_failed = head.taken, head.failed
-
-    def connected(self, name: str, runs: Order, now_us: int) -> None:
-        """Note a head that is there; it joins the wave that covers it at the next `tick`."""
-        head = self.heads.setdefault(name, Head(name, now_us))
-        head.connected, head.runs, head.seen_us = True, runs, now_us
-        head.taken = head.failed = head.since_taken = head.since_failed = 0.0
-        self.quiet_since = 0
-
-    def gone(self, name: str, now_us: int) -> None:
-        """Note a head whose stream has ended."""
+            head.set_baseline()
+
+    def on_head_connected(self, name: str, running: VersionId, now_us: int) -> None:
+        """Record a connected head; it joins the wave that covers it at the next `tick`."""
+        head = self.heads.setdefault(name, HeadStatus(name, now_us))
+        head.is_connected = True
+        head.running = running
+        head.last_seen_us = now_us
+        head.reset_counts()
+        self.acknowledged_since_us = 0
+
+    def on_head_disconnected(self, name: str, now_us: int) -> None:
+        """Record the end of a head's stream."""
         if (head := self.heads.get(name)) is not None:
-            head.connected, head.seen_us = False, now_us
+            head.is_connected = False
+            head.last_seen_us = now_us
 
-    def acked(self, name: str, order: Order, now_us: int) -> None:
-        """Note what a head has in force."""
+    def on_acknowledged(self, name: str, version_id: VersionId, now_us: int) -> None:
+        """Record the version that a head has activated."""
         head = self.heads[name]
-        head.runs, head.seen_us, head.reason = order, now_us, ""
-        head.usual = head.failed / head.taken if head.taken >= MIN_TAKEN else 0.0
-        head.since_taken, head.since_failed = head.taken, head.failed
-
-    def counted(self, name: str, taken: float, failed: float, now_us: int) -> None:
-        """Take a head's own counts of its requests; counts that fell are those of a new process."""
+        head.running = version_id
+        head.last_seen_us = now_us
+        head.reason = ""
+        head.usual_failure_rate = head.failed / head.requests if head.requests >= MIN_REQUESTS else 0.0
+        head.set_baseline()
+
+    def on_request_counts(self, name: str, requests: float, failed: float, now_us: int) -> None:
+        """Record a head's own counts of its requests; counts that fell are those of a new process."""
         head = self.heads[name]
-        head.seen_us = now_us
-        if taken < head.since_taken or failed < head.since_failed:
-            head.since_taken = head.since_failed = 0.0
-        head.taken, head.failed = taken, failed
-
-    def turned_down(self, name: str, order: Order, reason: str, now_us: int) -> Decision:
-        """Note a head that keeps what it has; the rollout of what it turned down goes no further."""
+        head.last_seen_us = now_us
+        if requests < head.baseline_requests or failed < head.baseline_failed:
+            head.baseline_requests = 0.0
+            head.baseline_failed = 0.0
+        head.requests = requests
+        head.failed = failed
+
+    def on_rejected(self, name: str, version_id: VersionId, reason: str, now_us: int) -> RolloutDecision:
+        """Record a head that keeps its version; the rollout of what it rejected goes no further."""
         head = self.heads[name]
-        head.refused, head.reason, head.seen_us = order, reason, now_us
-        if order == self.course.target and self.course.stage is Stage.ROLLING:
-            return self._trouble(f"{name} turned it down: {reason}")
-        return Decision()
-
-    def _trouble(self, reason: str) -> Decision:
-        course = self.course
-        course.reason = reason
-        course.stage = Stage.HELD
-        # What takes a version back is not taken back itself: that would go on for ever.
-        if self.rule.on_trouble == "rollback" and any(course.stable) and not course.undoes:
-            return Decision(True, reason)
-        return Decision(True)
-
-    def resume(self, now_us: int) -> bool:
-        """Go on with a held rollout, by hand."""
-        if self.course.stage is not Stage.HELD:
+        head.rejected = version_id
+        head.reason = reason
+        head.last_seen_us = now_us
+        if version_id == self.plan.target and self.plan.stage is RolloutStage.ROLLING:
+            return self._pause(f"{name} turned it down: {reason}")
+        return RolloutDecision()
+
+    def _pause(self, reason: str) -> RolloutDecision:
+        plan = self.plan
+        plan.reason = reason
+        plan.stage = RolloutStage.PAUSED
+        # A rollback is not rolled back itself: that would go on for ever.
+        if self.rule.on_trouble == "rollback" and any(plan.stable) and not plan.is_rollback:
+            return RolloutDecision(True, reason)
+        return RolloutDecision(True)
+
+    def resume(self) -> bool:
+        """Continue a paused rollout on an operator's request; returns False where none is paused."""
+        if self.plan.stage is not RolloutStage.PAUSED:
             return False
-        self.course.stage, self.course.reason = Stage.ROLLING, ""
-        self._begin_wave(now_us)
+        self.plan.stage = RolloutStage.ROLLING
+        self.plan.reason = ""
+        self._begin_wave()
         return True
 
-    def tick(self, now_us: int) -> Decision:
-        """Let new heads join, judge the wave, begin the next."""
-        course = self.course
-        if course.stage is not Stage.ROLLING:
-            return Decision()
-        reached = course.reached | self.covered(course.wave, now_us)
-        changed = reached != course.reached
-        course.reached = reached
-        members = [self.heads[name] for name in reached if name in self.heads and self.heads[name].connected]
-        self.missing = {
-            head.name: self.missing.get(head.name, now_us) for head in members if head.runs != course.target
+    # --- progress
+
+    def tick(self, now_us: int) -> RolloutDecision:
+        """Let new heads join, judge the current wave, and begin the next one."""
+        plan = self.plan
+        if plan.stage is not RolloutStage.ROLLING:
+            return RolloutDecision()
+        reached = plan.reached | self.heads_in_waves(plan.wave, now_us)
+        is_changed = reached != plan.reached
+        plan.reached = reached
+        members = [self.heads[name] for name in reached if name in self.heads and self.heads[name].is_connected]
+        self.unacknowledged = {
+            head.name: self.unacknowledged.get(head.name, now_us) for head in members if head.running != plan.target
         }
-        if reason := self._failures(members):
-            return self._trouble(reason)
-        if self.missing:
-            self.quiet_since = 0
-            late = sorted(name for name, since in self.missing.items() if now_us - since > self.rule.patience_us)
-            if late:
-                return self._trouble(f"{', '.join(late[:5])} gave no answer for {self.rule.patience_us / 1e6:g} s")
-            return Decision(changed)
-        if not members and not (course.wave == 0 and self.rule.first):
-            return Decision(changed)  # nobody is there to tell whether it is good
-        self.quiet_since = self.quiet_since or now_us
-        if members and now_us - self.quiet_since < self.rule.hold_us:
-            return Decision(changed)
-        if course.wave < self.last_wave:
-            course.wave += 1
-            self._begin_wave(now_us)
+        if reason := self._failure_reason(members):
+            return self._pause(reason)
+        if self.unacknowledged:
+            self.acknowledged_since_us = 0
+            if reason := self._timeout_reason(now_us):
+                return self._pause(reason)
+            return RolloutDecision(is_changed)
+        if not members and not (plan.wave == 0 and self.rule.first):
+            return RolloutDecision(is_changed)  # no head is connected that would show whether the version is good
+        self.acknowledged_since_us = self.acknowledged_since_us or now_us
+        if members and now_us - self.acknowledged_since_us < self.rule.hold_us:
+            return RolloutDecision(is_changed)
+        self._advance()
+        return RolloutDecision(True)
+
+    def _advance(self) -> None:
+        plan = self.plan
+        if plan.wave < self.last_wave:
+            plan.wave += 1
+            self._begin_wave()
         else:
-            self.course = Course(course.target, course.target)
-        return Decision(True)
-
-    def _failures(self, members: list[Head]) -> str:
-        there = [head for head in members if head.runs == self.course.target]
-        taken = sum(head.taken - head.since_taken for head in there)
-        failed = sum(head.failed - head.since_failed for head in there)
-        usual = sum(head.usual * (head.taken - head.since_taken) for head in there)
-        if taken >= MIN_TAKEN and failed > usual + self.rule.failures * taken:
+            self.plan = RolloutPlan(plan.target, plan.target)
+
+    def _timeout_reason(self, now_us: int) -> str:
+        """Return why heads that did not acknowledge in time pause the rollout; empty if none is late."""
+        timeout_us = self.rule.patience_us
+        late = sorted(name for name, since_us in self.unacknowledged.items() if now_us - since_us > timeout_us)
+        return f"{', '.join(late[:MAX_NAMED_HEADS])} gave no answer for {timeout_us / 1e6:g} s" if late else ""
+
+    def _failure_reason(self, members: list[HeadStatus]) -> str:
+        """Return why failed requests pause the rollout; empty if they are within the rule's bound."""
+        upgraded = [head for head in members if head.running == self.plan.target]
+        requests = sum(head.requests - head.baseline_requests for head in upgraded)
+        failed = sum(head.failed - head.baseline_failed for head in upgraded)
+        usual = sum(head.usual_failure_rate * (head.requests - head.baseline_requests) for head in upgraded)
+        if requests >= MIN_REQUESTS and failed > usual + self.rule.failures * requests:
             return (
-                f"{failed:g} of {taken:g} requests failed where it runs, {usual:.0f} by what was usual there; "
+                f"{failed:g} of {requests:g} requests failed where it runs, {usual:.0f} by what was usual there; "
                 f"over the stated {100 * self.rule.failures:g} % more"
             )
         return ""
--- a/hophinge/control/schema.py
+++ b/hophinge/control/schema.py
@@ -1,4 +1,4 @@
-"""The tables of the control service's store."""
+"""Tables of the control service's store; their names and columns belong to the stored format."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 CREATE TABLE audit(id INTEGER PRIMARY KEY AUTOINCREMENT, at_ms INTEGER, who TEXT, what TEXT, detail TEXT);
 """
 
-# What a store of an earlier version lacks; none of it changes what such a version reads.
-LATER = """
+# Tables that stores of earlier versions lack; such versions still read a store that has them.
+ADDED_TABLES = """
 CREATE TABLE IF NOT EXISTS size(one INTEGER PRIMARY KEY CHECK(one = 1), heads INTEGER NOT NULL);
 CREATE TABLE IF NOT EXISTS fence(one INTEGER PRIMARY KEY CHECK(one = 1), issuer TEXT NOT NULL, fence INTEGER NOT NULL);
 CREATE TABLE IF NOT EXISTS upkeep(one INTEGER PRIMARY KEY CHECK(one = 1), body BLOB NOT NULL);
--- a/hophinge/control/store.py
+++ b/hophinge/control/store.py
@@ -1,7 +1,7 @@
-"""The control service's store: versions, the course of their rollout, known heads and the audit, in SQLite.
+"""The control service's store in SQLite: versions, the plan of their rollout, known heads and the audit.
 
-The promise: what a call has returned from is on the disk (one transaction each, synchronous FULL), so no head hears of
-a version that a crash could take back. A store serves one process; a second one is told so.
+What a call has returned from is on disk (one transaction each, `synchronous=FULL`), so that no head is told of a
+version that a crash could take back. A store serves one process at a time; a second one gets an error.
 """
 
 from __future__ import annotations
@@ -11,23 +11,27 @@
 import secrets
 import sqlite3
 import zlib
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from hophinge.control.publisher import Snapshot, rebuilt
-from hophinge.control.rollout import Course
-from hophinge.control.schema import LATER, SCHEMA
+from hophinge.control.maintenance_wire import encode_statements
+from hophinge.control.messages import NO_VERSION, VersionId
+from hophinge.control.rollout import RolloutPlan
+from hophinge.control.schema import ADDED_TABLES, SCHEMA
+from hophinge.control.snapshot import Snapshot
 from hophinge.control.transaction import Transaction
-from hophinge.control.wire import Order
 from hophinge.core.errors import HophingeError
 from hophinge.routing import records
+from hophinge.routing.records import Record
 
-FORM = 1
-SERIALS = 10**9  # leases that one start of the service may give
-KEPT = 16  # snapshots held in memory beside those in use
+SCHEMA_VERSION = 1
+OPEN_TIMEOUT_S = 5.0  # waiting for another process's transaction
+SERIALS_PER_BLOCK = 10**9  # leases that one start of the service may grant
+MAX_CACHED_SNAPSHOTS = 16  # kept in memory beside those in use
 
 
 class StoreError(HophingeError):
@@ -37,12 +41,59 @@
     remedy = "Mend what is said of the store or of the call, and repeat it; nothing was stored."
 
 
-class Store:
-    """The store of one control service."""
+class KnownHead(NamedTuple):
+    """A head that was ever observed; the time is in milliseconds since 1970."""
+
+    name: str
+    last_seen_ms: int
+
+
+@dataclass(frozen=True)
+class NewVersion:
+    """A version to be stored: its records as JSON by name, how it is rolled out, and what its history says."""
+
+    bodies: Mapping[str, bytes]
+    rule: records.Rollout
+    author: str
+    note: str = ""
+    source: bytes = b""  # text of the document
+    statements: Sequence[Record] | None = None  # on maintenance; None: they stay as they are
+
+
+class _VersionRecords:
+    """Records by name as of a version, brought forward one version at a time from the changes that are stored."""
+
+    def __init__(self, db: sqlite3.Connection) -> None:
+        self.db = db
+        self.bodies: dict[str, bytes] = {}
+        self.changed_in: dict[str, VersionId] = {}
+
+    def advance(self, version_id: VersionId) -> None:
+        changes = self.db.execute("SELECT name, body FROM record WHERE epoch = ? AND number = ?", version_id)
+        for name, body in changes:
+            if body is None:
+                self.bodies.pop(name, None)
+            else:
+                self.bodies[name] = body
+                self.changed_in[name] = version_id
+
+
+class ControlStore:
+    """An open store; `snapshots` has the versions in memory by id."""
 
     def __init__(self, path: Path, new_epoch: bool = False) -> None:
+        """Open a store, or create it.
+
+        Args:
+            path: The SQLite file; a lock file is created beside it.
+            new_epoch: Begin a new epoch, whose versions are higher than all of the last: after a restore from a backup.
+
+        Raises:
+            StoreError: Another process has the store open, or it cannot be read.
+
+        """
         path.parent.mkdir(parents=True, exist_ok=True)
-        self.fence = 0  # grows with each start on this store; whoever has an older one may not write
+        self.fence = 0  # fencing token: each start gets a higher one, and only the highest may write
         self.lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -50,28 +101,21 @@
             os.close(self.lock)
             raise StoreError(f"{path}: another control service uses this store") from error
         try:
-            self.db = sqlite3.connect(path, isolation_level=None, timeout=5.0)
+            self.db = sqlite3.connect(path, isolation_level=None, timeout=OPEN_TIMEOUT_S)
             self.db.execute("PRAGMA journal_mode=WAL")
             self.db.execute("PRAGMA synchronous=FULL")
             self._open(new_epoch)
         except sqlite3.DatabaseError as error:
             os.close(self.lock)
             raise StoreError(f"{path}: {error}") from error
-        self.snapshots: dict[Order, Snapshot] = {}
-        self._load()
+        self.snapshots: dict[VersionId, Snapshot] = {}
+        self._load_snapshots()
 
     def _open(self, new_epoch: bool) -> None:
-        tables = self.db.execute("SELECT count(*) FROM sqlite_master WHERE name = 'meta'").fetchone()[0]
-        if not tables:
-            with self.transaction():
-                for statement in SCHEMA.split(";"):
-                    self.db.execute(statement)
-                self.db.execute("INSERT INTO meta VALUES (?, 1)", (FORM,))
-        for statement in LATER.split(";"):
-            self.db.execute(statement)
-        form, self.epoch = self.db.execute("SELECT form, epoch FROM meta").fetchone()
-        if form != FORM:
-            raise StoreError(f"the store has form {form}; this version reads form {FORM}")
+        self._create_tables_if_missing()
+        version, self.epoch = self.db.execute("SELECT form, epoch FROM meta").fetchone()
+        if version != SCHEMA_VERSION:
+            raise StoreError(f"the store has form {version}; this version reads form {SCHEMA_VERSION}")
         if new_epoch:
             with self.transaction():
                 self.db.execute("UPDATE meta SET epoch = epoch + 1")
@@ -83,111 +127,114 @@
             )
         self.issuer, self.fence = self.db.execute("SELECT issuer, fence FROM fence").fetchone()
 
+    def _create_tables_if_missing(self) -> None:
+        tables = self.db.execute("SELECT count(*) FROM sqlite_master WHERE name = 'meta'").fetchone()[0]
+        if not tables:
+            with self.transaction():
+                for statement in SCHEMA.split(";"):
+                    self.db.execute(statement)
+                self.db.execute("INSERT INTO meta VALUES (?, 1)", (SCHEMA_VERSION,))
+        for statement in ADDED_TABLES.split(";"):
+            self.db.execute(statement)
+
     def transaction(self) -> Transaction:
-        """Tell a write that is done whole or not at all."""
+        """Return the context of a transaction; raises FencedError once another service has opened the store."""
         return Transaction(self.db, self.fence)
 
-    def _load(self) -> None:
-        """Make the versions in use, and those just before, out of their changes."""
-        course = self.course()
-        orders: list[Order] = [
+    def _load_snapshots(self) -> None:
+        """Rebuild the versions in use, and the newest ones, from the stored changes."""
+        plan = self.rollout_plan()
+        version_ids: list[VersionId] = [
             (epoch, number)
             for epoch, number in self.db.execute("SELECT epoch, number FROM version ORDER BY epoch, number")
         ]
-        wanted = {course.stable, course.target, *orders[-KEPT:]}
-        bodies: dict[str, bytes] = {}
-        before: Snapshot | None = None
-        last = max((order for order in orders if order in wanted), default=(0, 0))
-        changed_at: dict[str, Order] = {}
-        for order in orders:
-            if order > last:
+        needed = {plan.stable, plan.target, *version_ids[-MAX_CACHED_SNAPSHOTS:]}
+        newest_needed = max((version_id for version_id in version_ids if version_id in needed), default=NO_VERSION)
+        version_records = _VersionRecords(self.db)
+        previous: Snapshot | None = None
+        for version_id in version_ids:
+            if version_id > newest_needed:
                 break
-            for name, body in self.db.execute("SELECT name, body FROM record WHERE epoch = ? AND number = ?", order):
-                if body is None:
-                    bodies.pop(name, None)
-                else:
-                    bodies[name], changed_at[name] = body, order
-            if order in wanted:
-                pushed = self.db.execute("SELECT pushed_ms FROM version WHERE epoch = ? AND number = ?", order)
-                before = self.snapshots[order] = rebuilt(order, bodies, changed_at, before, pushed.fetchone()[0])
+            version_records.advance(version_id)
+            if version_id in needed:
+                pushed_ms = self.db.execute(
+                    "SELECT pushed_ms FROM version WHERE epoch = ? AND number = ?", version_id
+                ).fetchone()[0]
+                previous = Snapshot.rebuild(
+                    version_id, version_records.bodies, version_records.changed_in, previous, pushed_ms
+                )
+                self.snapshots[version_id] = previous
 
     # --- versions
 
     @property
     def newest(self) -> Snapshot | None:
-        """Tell the newest version."""
+        """The newest version; None where there is none."""
         return self.snapshots[max(self.snapshots)] if self.snapshots else None
 
-    def push(
-        self,
-        bodies: Mapping[str, bytes],
-        rule: records.Rollout,
-        who: str,
-        note: str,
-        source: bytes,
-        now_ms: int,
-        course: Callable[[Order], Course],
-        upkeep: bytes | None = None,
-    ) -> Snapshot:
-        """Store a version whole, and the course of its rollout with it; it has the next number of the epoch."""
-        before = self.newest
-        number = before.order[1] + 1 if before is not None and before.order[0] == self.epoch else 1
-        snapshot = Snapshot.made((self.epoch, number), bodies, before, now_ms)
-        old = before.rows if before is not None else {}
-        changed = [(name, row[2]) for name, row in snapshot.rows.items() if old.get(name) != row]
-        removed = [name for name in old if name not in snapshot.rows]
+    def push(self, version: NewVersion, now_ms: int, plan_for: Callable[[VersionId], RolloutPlan]) -> Snapshot:
+        """Store a version with the plan of its rollout, in one transaction; it gets the next number of the epoch.
+
+        Args:
+            version: What is stored.
+            now_ms: Milliseconds since 1970.
+            plan_for: Returns the plan; what it raises rolls back.
+
+        """
+        previous = self.newest
+        previous_records = previous.records if previous is not None else {}
+        number = previous.id[1] + 1 if previous is not None and previous.id[0] == self.epoch else 1
+        snapshot = Snapshot.create((self.epoch, number), version.bodies, previous, now_ms)
+        changes: list[tuple[str, bytes | None]] = [
+            (name, record.body) for name, record in snapshot.records.items() if previous_records.get(name) != record
+        ]
+        changed = len(changes)
+        changes += [(name, None) for name in previous_records if name not in snapshot.records]
+        removed = len(changes) - changed
         with self.transaction():
-            self.db.execute(
-                "INSERT INTO version VALUES (?,?,?,?,?,?,?,?,?)",
-                (
-                    *snapshot.order,
-                    now_ms,
-                    who,
-                    note,
-                    len(changed),
-                    len(removed),
-                    records.encode(rule),
-                    zlib.compress(source),
-                ),
-            )
+            self._insert_version(snapshot.id, version, now_ms, changed, removed)
             self.db.executemany(
-                "INSERT INTO record VALUES (?,?,?,?)",
-                [(*snapshot.order, name, body) for name, body in changed]
-                + [(*snapshot.order, name, None) for name in removed],
-            )
-            self._set_course(course(snapshot.order))
-            if upkeep is not None:
-                self.set_upkeep(upkeep)
-            self.note(
-                now_ms,
-                who,
-                "push",
-                f"version {self.epoch}.{number}: {len(changed)} changed, "
-                f"{len(removed)} removed{': ' if note else ''}{note}",
+                "INSERT INTO record VALUES (?,?,?,?)", [(*snapshot.id, name, body) for name, body in changes]
             )
-        self.snapshots[snapshot.order] = snapshot
+            self._write_rollout_plan(plan_for(snapshot.id))
+            if version.statements is not None:
+                self.write_maintenance(encode_statements(version.statements))
+            note = f": {version.note}" if version.note else ""
+            detail = f"version {self.epoch}.{number}: {changed} changed, {removed} removed{note}"
+            self.append_audit(now_ms, version.author, "push", detail)
+        self.snapshots[snapshot.id] = snapshot
         return snapshot
 
-    def forget(self, in_use: set[Order]) -> None:
-        """Drop old versions from memory; they stay in the store."""
-        for order in sorted(self.snapshots)[:-KEPT]:
-            if order not in in_use:
-                del self.snapshots[order]
+    def _insert_version(
+        self, version_id: VersionId, version: NewVersion, now_ms: int, changed: int, removed: int
+    ) -> None:
+        rule = records.encode(version.rule)
+        source = zlib.compress(version.source)
+        self.db.execute(
+            "INSERT INTO version VALUES (?,?,?,?,?,?,?,?,?)",
+            (*version_id, now_ms, version.author, version.note, changed, removed, rule, source),
+        )
+
+    def evict_snapshots(self, in_use: set[VersionId]) -> None:
+        """Drop old versions from memory but for those in use; they stay in the store."""
+        for version_id in sorted(self.snapshots)[:-MAX_CACHED_SNAPSHOTS]:
+            if version_id not in in_use:
+                del self.snapshots[version_id]
 
-    def rule(self, order: Order) -> records.Rollout:
-        """Tell how a version is rolled out."""
-        row = self.db.execute("SELECT rollout FROM version WHERE epoch = ? AND number = ?", order).fetchone()
+    def rollout_rule(self, version_id: VersionId) -> records.Rollout:
+        """Return how a version is rolled out; the default rule where there is no such version."""
+        row = self.db.execute("SELECT rollout FROM version WHERE epoch = ? AND number = ?", version_id).fetchone()
         rule = records.decode(row[0]) if row else records.Rollout()
         assert isinstance(rule, records.Rollout)
         return rule
 
-    def content(self, order: Order) -> dict[str, bytes]:
-        """Tell a version's records, also of an old one; raises StoreError where there is none."""
-        if not self.db.execute("SELECT 1 FROM version WHERE epoch = ? AND number = ?", order).fetchone():
-            raise StoreError(f"there is no version {order[0]}.{order[1]}")
+    def version_records(self, version_id: VersionId) -> dict[str, bytes]:
+        """Return the records of any stored version as JSON by name; raises StoreError where there is none."""
+        if not self.db.execute("SELECT 1 FROM version WHERE epoch = ? AND number = ?", version_id).fetchone():
+            raise StoreError(f"there is no version {version_id[0]}.{version_id[1]}")
         bodies: dict[str, bytes] = {}
         for name, body in self.db.execute(
-            "SELECT name, body FROM record WHERE (epoch, number) <= (?, ?) ORDER BY epoch, number", order
+            "SELECT name, body FROM record WHERE (epoch, number) <= (?, ?) ORDER BY epoch, number", version_id
         ):
             if body is None:
                 bodies.pop(name, None)
@@ -195,90 +242,95 @@
                 bodies[name] = body
         return bodies
 
-    def history(self, most: int) -> list[dict[str, Any]]:
-        """Tell the newest versions, the newest first."""
+    def history(self, limit: int) -> list[dict[str, Any]]:
+        """Return JSON objects of the newest versions, the newest first."""
         rows = self.db.execute(
             "SELECT epoch, number, pushed_ms, who, note, changed, removed FROM version "
             "ORDER BY epoch DESC, number DESC LIMIT ?",
-            (most,),
+            (limit,),
         )
         return [
             {
                 "version": f"{epoch}.{number}",
-                "pushed_ms": pushed,
-                "who": who,
+                "pushed_ms": pushed_ms,
+                "who": author,
                 "note": note,
                 "changed": changed,
                 "removed": removed,
             }
-            for epoch, number, pushed, who, note, changed, removed in rows
+            for epoch, number, pushed_ms, author, note, changed, removed in rows
         ]
 
-    def serials(self) -> int:
-        """Tell a number for leases that is above any that was ever used, whatever the clocks say."""
+    def allocate_serials(self) -> int:
+        """Return the first of a block of lease serials above all that were ever allocated, whatever clocks say."""
         with self.transaction():
             self.db.execute("INSERT INTO block DEFAULT VALUES")
             block = int(self.db.execute("SELECT max(id) FROM block").fetchone()[0])
-        return block * SERIALS
+        return block * SERIALS_PER_BLOCK
 
-    # --- course, heads, audit
+    # --- the rollout's plan, heads, the audit
 
-    def course(self) -> Course:
-        """Tell the course that was stored last."""
+    def rollout_plan(self) -> RolloutPlan:
+        """Return the plan that was stored last."""
         row = self.db.execute("SELECT body FROM course").fetchone()
-        return msgspec.json.decode(row[0], type=Course) if row else Course()
+        return msgspec.json.decode(row[0], type=RolloutPlan) if row else RolloutPlan()
 
-    def set_course(self, course: Course, who: str, what: str, detail: str, now_ms: int) -> None:
-        """Store a course, and what led to it for the audit; an empty `what` is no news."""
+    def set_rollout_plan(self, plan: RolloutPlan, actor: str, action: str, detail: str, now_ms: int) -> None:
+        """Store a plan with an audit entry; an empty `action` adds none."""
         with self.transaction():
-            self._set_course(course)
-            if what:
-                self.note(now_ms, who, what, detail)
+            self._write_rollout_plan(plan)
+            if action:
+                self.append_audit(now_ms, actor, action, detail)
 
-    def _set_course(self, course: Course) -> None:
+    def _write_rollout_plan(self, plan: RolloutPlan) -> None:
         self.db.execute(
             "INSERT INTO course VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET body = excluded.body",
-            (msgspec.json.encode(course),),
+            (msgspec.json.encode(plan),),
         )
 
-    def heads(self) -> list[tuple[str, int]]:
-        """Tell the heads ever heard of, and when last, in milliseconds since 1970."""
-        return [(name, seen) for name, seen in self.db.execute("SELECT name, seen_ms FROM head ORDER BY name")]
+    def known_heads(self) -> list[KnownHead]:
+        """Return all heads that were ever observed, by name."""
+        return [
+            KnownHead(name, seen_ms)
+            for name, seen_ms in self.db.execute("SELECT name, seen_ms FROM head ORDER BY name")
+        ]
 
-    def saw(self, name: str, now_ms: int) -> None:
-        """Note a head."""
+    def record_head(self, name: str, now_ms: int) -> None:
+        """Record when a head was observed last."""
         with self.transaction():
             self.db.execute(
                 "INSERT INTO head VALUES (?, ?) ON CONFLICT(name) DO UPDATE SET seen_ms = excluded.seen_ms",
                 (name, now_ms),
             )
 
-    def size(self) -> int:
-        """Tell how many heads the installation has, as one of them told it last; 0: none ever has."""
+    def head_count(self) -> int:
+        """Return how many heads the installation has, as one of them reported last; 0: none ever has."""
         row = self.db.execute("SELECT heads FROM size").fetchone()
         return int(row[0]) if row else 0
 
-    def set_size(self, heads: int) -> None:
+    def set_head_count(self, heads: int) -> None:
         """Store how many heads the installation has."""
         with self.transaction():
             self.db.execute(
                 "INSERT INTO size VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET heads = excluded.heads", (heads,)
             )
 
-    def set_upkeep(self, body: bytes) -> None:
-        """Put the forms on maintenance in place of those before; within a transaction."""
+    def write_maintenance(self, body: bytes) -> None:
+        """Replace the statements on maintenance; to be called within a transaction."""
         self.db.execute("INSERT INTO upkeep VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET body = excluded.body", (body,))
 
-    def note(self, now_ms: int, who: str, what: str, detail: str) -> None:
-        """Write a line of the audit; within a transaction."""
-        self.db.execute("INSERT INTO audit(at_ms, who, what, detail) VALUES (?,?,?,?)", (now_ms, who, what, detail))
+    def append_audit(self, now_ms: int, actor: str, action: str, detail: str) -> None:
+        """Append an audit entry; to be called within a transaction."""
+        self.db.execute("INSERT INTO audit(at_ms, who, what, detail) VALUES (?,?,?,?)", (now_ms, actor, action, detail))
 
-    def audit(self, most: int) -> list[dict[str, Any]]:
-        """Tell what was done, the newest first."""
-        rows = self.db.execute("SELECT at_ms, who, what, detail FROM audit ORDER BY id DESC LIMIT ?", (most,))
-        return [{"at_ms": at, "who": who, "what": what, "detail": detail} for at, who, what, detail in rows]
+    def audit_entries(self, limit: int) -> list[dict[str, Any]]:
+        """Return JSON objects of the newest audit entries, the newest first."""
+        rows = self.db.execute("SELECT at_ms, who, what, detail FROM audit ORDER BY id DESC LIMIT ?", (limit,))
+        return [
+            {"at_ms": at_ms, "who": actor, "what": action, "detail": detail} for at_ms, actor, action, detail in rows
+        ]
 
     def close(self) -> None:
-        """Close the store."""
+        """Close the store and release its lock."""
         self.db.close()
         os.close(self.lock)
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from hophinge.cluster.interface import ReplicatedEntries, MembershipView, Topic
-from hophinge.control import wire
-from hophinge.control.client import Client
-from hophinge.control.permits import SPEAKS, read_word, report_request
+from hophinge.cluster.interface import MembershipView, ReplicatedEntries, Topic
+from hophinge.control.messages import DiscoveryRequest, DiscoveryResponse
+from hophinge.control.stream_client import StreamClient
+from hophinge.control.maintenance_wire import MAINTENANCE_METRIC, decode_update, report_request
 from hophinge.core.errors import HophingeError, told
 from hophinge.core.exchange import Exchange, Gate
 from hophinge.core.interface import Arrival, Bounds, NodeList, Phase, Result, Waits
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        client: Client,
+        client: StreamClient,
         rotation: Rotation,
         exchange: Exchange,
         holder: Holder,
@@ -124,11 +124,11 @@
         self.teller = Teller()  # of this stream
         self.parts = False  # the service on this stream takes lists as changes
         self.halted: set[str] = set()  # on the board by this head
-        greet, others, figures = client.greet, client.others, client.figures
-        client.greet = lambda: self._greet(greet())
-        client.others = lambda beat: [*others(beat), *self._due(beat)]
-        client.figures = lambda: {**figures(), SPEAKS: 1.0}
-        client.take_word = self._word
+        greet, others, figures = client.initial_requests, client.followup_requests, client.collect_metrics
+        client.initial_requests = lambda: self._greet(greet())
+        client.followup_requests = lambda beat: [*others(beat), *self._due(beat)]
+        client.collect_metrics = lambda: {**figures(), MAINTENANCE_METRIC: 1.0}
+        client.on_maintenance_response = self._word
 
     # --- what a restart finds
 
@@ -159,16 +159,16 @@
 
     # --- the stream
 
-    def _greet(self, before: list[wire.Request]) -> list[wire.Request]:
+    def _greet(self, before: list[DiscoveryRequest]) -> list[DiscoveryRequest]:
         self.spoken = False
         self.last = None
         self.teller = Teller()
         self.parts = False
         return before
 
-    def _word(self, response: wire.Response) -> None:
+    def _word(self, response: DiscoveryResponse) -> None:
         """Take a word off the stream."""
-        word = read_word(response)
+        word = decode_update(response)
         self.spoken = True
         self.parts = word.parts
         try:
@@ -187,7 +187,7 @@
                 self.go(one)
         return None
 
-    def _due(self, beat: bool) -> list[wire.Request]:
+    def _due(self, beat: bool) -> list[DiscoveryRequest]:
         """Report at each beat, and as soon as something has changed."""
         if not self.spoken:
             return []
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -10,9 +10,11 @@
 
 import msgspec
 
-from hophinge.control import wire
-from hophinge.control.client import Client
-from hophinge.control.follower import Follower, State
+from hophinge.control.messages import DEMAND_PREFIX, DiscoveryRequest, DiscoveryResponse, ResourceType
+from hophinge.control.account_wire import decode_account_chunk
+from hophinge.control.stream_client import StreamClient
+from hophinge.control.follower import Follower
+from hophinge.control.follower_actions import FollowerState
 from hophinge.core.counters import Counters
 from hophinge.core.exchange import Exchange
 from hophinge.core.interface import Arrival
@@ -69,7 +71,7 @@
         self.holder = ShareLeaseHolder(exchange.settings.gateways, secrets.randbits(48), exchange.now_us())
         self.demand_since = exchange.now_us()
         path = config.folder / f"last-good-{re.sub(r'[^0-9A-Za-z-]', '_', name)}.state"
-        self.client = Client(
+        self.client = StreamClient(
             self.follower,
             token,
             path,
@@ -78,12 +80,16 @@
             lambda text: log(f"configuration: {text}"),
             self.figures,
         )
+        self._set_hooks()
+
+    def _set_hooks(self) -> None:
+        """Let accounts, leases and the router's shares use the stream."""
         if self.copied is not None:
-            self.client.greet = self.copied.greet
-            self.client.take_other = self.copied.take
-            self.client.others = self.copied.others
-        self.client.ask_lease = self.ask_lease
-        self.client.take_lease = self.take_lease
+            self.client.initial_requests = self.copied.greet
+            self.client.on_account_response = self.copied.take
+            self.client.followup_requests = self.copied.others
+        self.client.lease_request_metrics = self.ask_lease
+        self.client.on_lease = self.take_lease
         self.router.part = self.part
 
     async def pace(self, volume: str, klass: str, way: int, size: int) -> None:
@@ -120,7 +126,7 @@
             "asked": asked,
             "held": held,
             "span_s": span_s,
-            **{wire.DEMAND + tenant: units for tenant, units in largest if tenant},
+            **{DEMAND_PREFIX + tenant: units for tenant, units in largest if tenant},
         }
 
     def take_lease(self, json: bytes) -> None:
@@ -146,11 +152,11 @@
         """Tell what alerts look at."""
         follower = self.follower
         return {
-            "config_stale": follower.stale_told,
-            "config_turned_down": follower.state is State.TURNED_DOWN,
-            "config_connected": follower.connected,
-            "config_not_kept": bool(follower.keep_error),
-            "config_version": follower.version.order[1] if follower.version else 0,
+            "config_stale": follower.is_stale,
+            "config_turned_down": follower.state is FollowerState.REJECTED,
+            "config_connected": follower.is_connected,
+            "config_not_kept": bool(follower.persist_error),
+            "config_version": follower.active_version.id[1] if follower.active_version else 0,
             "bricks_resting": len(self.router.ejector.out),
             "limits_refused_total": self.router.refused_limit,
             "pools_refused_total": self.router.refused_pools,
@@ -207,45 +213,45 @@
         self.name = name
         self.taker = AccountReceiver(accounts.ledger.epoch, accounts.ledger.seq)
         self.owed: AccountChunk | None = None  # taken off the stream, and not written yet
-        self.ack: list[wire.Request] = []
+        self.ack: list[DiscoveryRequest] = []
 
-    def greet(self) -> list[wire.Request]:
+    def greet(self) -> list[DiscoveryRequest]:
         """Say what is held; whatever was on its way comes anew."""
         self.owed = None
         self.ack = []
         self.taker.discard_staged()
         self.accounts.reports.retry_unacknowledged()
         return [
-            wire.Request(
-                wire.Kind.ACCOUNT,
+            DiscoveryRequest(
+                ResourceType.ACCOUNT,
                 subscribe=True,
                 head=self.name,
-                figures={"epoch": self.taker.epoch, "seq": self.taker.seq},
+                metrics={"epoch": self.taker.epoch, "seq": self.taker.seq},
             )
         ]
 
-    def take(self, response: wire.Response) -> None:
+    def take(self, response: DiscoveryResponse) -> None:
         """Take a part of the accounts, or the acknowledgement of a report."""
-        if response.kind is wire.Kind.USAGE:
+        if response.resource_type is ResourceType.USAGE:
             self.accounts.reports.acknowledge(int(response.nonce))
         else:
-            self.owed = wire.read_account_part(response)
+            self.owed = decode_account_chunk(response)
 
-    def others(self, beat: bool) -> list[wire.Request]:
+    def others(self, beat: bool) -> list[DiscoveryRequest]:
         """Write what is owed and tell what to say; a ledger that is busy or full is tried again at the next beat."""
         part = self.owed
         if part is not None and self.accounts.copied(self.taker, part):
             self.owed = None
-            self.ack.append(wire.Request(wire.Kind.ACCOUNT, f"{part.epoch}.{part.seq}", head=self.name))
+            self.ack.append(DiscoveryRequest(ResourceType.ACCOUNT, f"{part.epoch}.{part.seq}", head=self.name))
         said, self.ack = self.ack, []
         if beat and self.accounts.reports.unreported:
             number, totals = self.accounts.report(MAX_TOLD)
             said.append(
-                wire.Request(
-                    wire.Kind.USAGE,
+                DiscoveryRequest(
+                    ResourceType.USAGE,
                     str(number),
                     head=self.name,
-                    figures={
+                    metrics={
                         f"{self.accounts.ledger.store_id}/{'/'.join(place)}": total for place, total in totals.items()
                     },
                 )
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -11,7 +11,7 @@
 
 from hophinge.cli.service import Owner
 from hophinge.control import service as control_service
-from hophinge.control.store import Store
+from hophinge.control.store import ControlStore
 from hophinge.head.operator import OperatorConfig, StreamConfig
 from hophinge.head.service import Service
 from hophinge.objects.config import ObjectConfig
@@ -37,7 +37,7 @@
             1000.0,
         )
         self.service = control_service.ControlService(
-            Store(self.folder / "versions.db", **options),
+            ControlStore(self.folder / "versions.db", **options),
             frozenset({HEADS}),
             {"a-token-of-staff-1": "tester"},
             self.log.append,
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -12,9 +12,10 @@
 
 import msgspec
 
-from hophinge.control.client import call
+from hophinge.control.operator_client import call_operator_api
+from hophinge.control.follower import Follower
 from hophinge.control.service import ControlService
-from hophinge.control.store import Store
+from hophinge.control.store import ControlStore
 from hophinge.head.operator import OperatorConfig, StreamConfig
 from hophinge.head.service import Service
 from tests.stand_in import Backend, World, headers, setup, until, world
@@ -38,7 +39,7 @@
 
     async def control(self, **options: Any) -> ControlService:
         self.service = ControlService(
-            Store(self.folder / "versions.db", **options), frozenset({HEADS}), {STAFF: "tester"}, self.log.append
+            ControlStore(self.folder / "versions.db", **options), frozenset({HEADS}), {STAFF: "tester"}, self.log.append
         )
         await self.service.start(f"127.0.0.1:{self.port}")
         self.port = self.service.port
@@ -55,14 +56,14 @@
         return await self.staff("Push", text=text, **more)
 
     async def staff(self, method: str, token: str = STAFF, **body: Any) -> dict[str, Any]:
-        answer = await call(f"127.0.0.1:{self.port}", token, method, msgspec.json.encode(body))
+        answer = await call_operator_api(f"127.0.0.1:{self.port}", token, method, msgspec.json.encode(body))
         return msgspec.json.decode(answer, type=dict[str, Any])
 
     async def runs(self, head: Service, version: str) -> None:
-        await until(lambda: follower(head).running == version)
+        await until(lambda: follower(head).active_name == version)
 
 
-def follower(head: Service) -> Any:
+def follower(head: Service) -> Follower:
     assert head.streamed is not None
     return head.streamed.follower
 
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from hophinge.control.client import call
+from hophinge.control.operator_client import call_operator_api
 from hophinge.maintenance.holder import Go
 from tests.maintenance_process import TOKEN, Head
 from tests.test_service import ROOT
@@ -136,7 +136,9 @@
     async def staff(self, method: str, **body: Any) -> dict[str, Any]:
         while True:
             with contextlib.suppress(ConnectionError):
-                answer = await call(f"127.0.0.1:{self.port}", STAFF, method, msgspec.json.encode(body), 2.0)
+                answer = await call_operator_api(
+                    f"127.0.0.1:{self.port}", STAFF, method, msgspec.json.encode(body), 2.0
+                )
                 told: dict[str, Any] = msgspec.json.decode(answer)
                 return told
             await asyncio.sleep(0.05)
--- a/tests/maintenance_rig.py
+++ b/tests/maintenance_rig.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from hophinge.control.client import call
+from hophinge.control.operator_client import call_operator_api
 from hophinge.load.plan import LoadPlan
 from hophinge.load.rig.processes import ROOT
 from hophinge.load.rig.run import Run
@@ -116,7 +116,9 @@
 
     async def staff(self, method: str, **body: Any) -> dict[str, Any]:
         told: dict[str, Any] = json.loads(
-            await call(self.made.where["c"].listen, self.made.tokens["staff"], method, json.dumps(body).encode(), 2.0)
+            await call_operator_api(
+                self.made.where["c"].listen, self.made.tokens["staff"], method, json.dumps(body).encode(), 2.0
+            )
         )
         return told
 
--- a/tests/maintenance_struck.py
+++ b/tests/maintenance_struck.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from hophinge.control.promises import Promises
+from hophinge.control.maintenance_store import MaintenanceStore
 from hophinge.head.maintenance import Answers
 from hophinge.maintenance.holder import Holder
 
@@ -23,9 +23,9 @@
 
 def end_at_stores(word: Path) -> None:
     """End as by SIGKILL before or after the next store of permits, as the file says."""
-    keep = Promises.keep
+    keep = MaintenanceStore.keep
 
-    def struck(self: Promises, *rows: Any) -> None:
+    def struck(self: MaintenanceStore, *rows: Any) -> None:
         when = word.read_text() if word.exists() else ""
         if when == "before":
             os.kill(os.getpid(), signal.SIGKILL)
@@ -33,7 +33,7 @@
         if when == "after":
             os.kill(os.getpid(), signal.SIGKILL)
 
-    setattr(Promises, "keep", struck)  # noqa: B010
+    setattr(MaintenanceStore, "keep", struck)  # noqa: B010
 
 
 def stand_still_when_let_go(word: Path) -> None:
--- a/tests/test_streamed_commands.py
+++ b/tests/test_control_commands.py
@@ -1,4 +1,4 @@
-"""The command line of streamed configuration, and the files that it and heads read."""
+"""Command line of the control service, and the files that it and heads read."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from hophinge.control.service import read_tokens
+from hophinge.control.tokens import read_tokens
 from hophinge.head.operator import load
 from tests.installation import STAFF, serving
 from tests.test_service import ROOT
@@ -21,7 +21,7 @@
     )
 
 
-def test_the_command_line_tells_mistakes_by_line_and_status(tmp_path: Path) -> None:
+def test_mistakes_are_reported_by_line_and_exit_code(tmp_path: Path) -> None:
     good = command("check", "examples/service.sexp")
     assert good.returncode == 0 and "3 pool" in good.stdout
     bad = tmp_path / "bad.sexp"
@@ -43,7 +43,7 @@
     assert refused.returncode == 2 and refused.stderr.startswith(f"hophinge: {tmp_path}/t:1: a line is NAME TOKEN")
 
 
-def test_staff_push_ask_and_roll_back_by_command(tmp_path: Path) -> None:
+def test_push_status_and_rollback_by_command(tmp_path: Path) -> None:
     process, port = serving(tmp_path)
     token = tmp_path / "token"
     token.write_text(STAFF)
@@ -66,7 +66,7 @@
         process.stderr.close()
 
 
-def test_tokens_are_checked_when_they_are_read(tmp_path: Path) -> None:
+def test_token_files_are_validated(tmp_path: Path) -> None:
     path = tmp_path / "t"
     for text, why in (("a short", "16"), ("", "no token"), (f"a {STAFF}\nb {STAFF}", "stands here again")):
         path.write_text(text)
@@ -74,7 +74,7 @@
             read_tokens(path)
 
 
-def test_the_operator_s_part_is_checked(tmp_path: Path) -> None:
+def test_stream_section_of_the_operator_s_file_is_validated(tmp_path: Path) -> None:
     path = tmp_path / "op.toml"
     for text in ("endpoints = []", 'endpoints = ["nowhere"]', 'endpoints = ["a:1"]\nsilence_s = 0.1'):
         path.write_text(f'[stream]\n{text}\ntoken_file = "t"\nfolder = "f"\n')
@@ -82,7 +82,7 @@
             load(str(path))
 
 
-def test_the_platform_s_head_imports_none_of_it() -> None:
+def test_head_without_a_stream_does_not_import_it() -> None:
     code = (
         "import sys\nimport hophinge.head.service\n"
         "odd = [name for name in sys.modules if name.split('.')[0] in ('grpc', 'lark', 'envoy', 'typer', 'rich',"
--- a/tests/test_streamed.py
+++ b/tests/test_control_service.py
@@ -1,4 +1,4 @@
-"""Streamed configuration over sockets: what staff push reaches heads, and what it does there."""
+"""Control service and heads over sockets: what operators push, and what heads do with it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tests.stand_in import headers, held_by, run, setup, until
 
 
-def test_pushes_reach_heads_and_each_tells_what_it_runs(tmp_path: Path) -> None:
+def test_pushed_versions_reach_heads_and_status_shows_them(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path) as here:
             one = await here.head("n0")
@@ -38,12 +38,14 @@
             assert (await here.push(MOON))["version"] == "1.2"  # good for one of them
             await here.runs(two, "1.2")
             await until(lambda: follower(one).state.value == "turned down")
-            told, rows = await here.staff("Status"), dict[str, Any]()
-            while rows.get("n1", {}).get("runs") != "1.2":  # a head runs a version before the service hears of it
-                told = await here.staff("Status")
-                rows = {row["name"]: row for row in told["heads"]}
+            status_now, rows = await here.staff("Status"), dict[str, Any]()
+            while (
+                rows.get("n1", {}).get("runs") != "1.2"
+            ):  # a head runs a version before the service gets its acknowledgement
+                status_now = await here.staff("Status")
+                rows = {row["name"]: row for row in status_now["heads"]}
             assert (rows["n0"]["runs"], rows["n1"]["runs"]) == ("1.1", "1.2")
-            assert "no zone the-moon here" in rows["n0"]["reason"] and told["stage"] == "held"
+            assert "no zone the-moon here" in rows["n0"]["reason"] and status_now["stage"] == "held"
             assert one.control_listener is not None
             host, port = one.control_listener.sockets[0].getsockname()
             async with here.made.client.get(f"http://{host}:{port}/ops/config") as answer:
@@ -55,7 +57,7 @@
             await here.runs(two, "1.3")
             assert here.service is not None
             rollout = here.service.rollout
-            await until(lambda: rollout.course.stage.value == "done")
+            await until(lambda: rollout.plan.stage.value == "done")
             history = await here.staff("History")
             assert [row["version"] for row in history["versions"]] == ["1.3", "1.2", "1.1"]
             assert {row["what"] for row in history["audit"]} >= {"push", "hold", "done"}
@@ -63,7 +65,7 @@
     run(main())
 
 
-def test_bad_documents_tokens_and_expectations_are_told_and_change_nothing(tmp_path: Path) -> None:
+def test_invalid_documents_tokens_and_expectations_change_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path) as here:
             assert (await here.push("(hophinge 1) (limit (rate 5))", name="x.sexp"))["mistakes"] == [
@@ -80,13 +82,13 @@
             with pytest.raises(ConnectionError, match="no rollout is held"):
                 await here.staff("Resume")
             stranger = await here.head("n0", token="a-token-of-strangers")
-            await until(lambda: follower(stranger).counts["connects"] >= 2)
-            assert follower(stranger).running == "none" and stranger.ready()  # it serves without
+            await until(lambda: follower(stranger).counters["connects"] >= 2)
+            assert follower(stranger).active_name == "none" and stranger.ready()  # it serves without
 
     run(main())
 
 
-def test_a_version_that_comes_while_500_requests_wait_touches_none_of_them(tmp_path: Path) -> None:
+def test_version_change_does_not_affect_500_waiting_requests(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path) as here, ClientSession(connector=TCPConnector(limit=0)) as client:
             gate = asyncio.Event()
@@ -128,7 +130,7 @@
     run(main())
 
 
-def test_limits_refuse_at_once_with_advice_and_a_route_keeps_writes_in_its_pool(tmp_path: Path) -> None:
+def test_limits_reject_at_once_with_retry_after_and_routes_keep_writes_in_their_pool(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path) as here:
             head = await here.head("n0")
@@ -153,7 +155,7 @@
     run(main())
 
 
-def test_a_newer_stream_of_a_head_takes_the_place_of_its_old_one(tmp_path: Path) -> None:
+def test_newer_stream_of_a_head_replaces_its_old_one(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path) as here:
             await here.push(GOOD)
@@ -161,19 +163,19 @@
             await here.runs(one, "1.1")
             two = await here.head("n0")
             await here.runs(two, "1.1")
-            await until(lambda: follower(one).counts["connects"] >= 2)
-            told = await here.staff("Status")
-            assert [row["name"] for row in told["heads"]] == ["n0"]
+            await until(lambda: follower(one).counters["connects"] >= 2)
+            status_now = await here.staff("Status")
+            assert [row["name"] for row in status_now["heads"]] == ["n0"]
 
     run(main())
 
 
-def test_a_second_endpoint_takes_over(tmp_path: Path) -> None:
+def test_second_endpoint_takes_over(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path) as here:
             await here.push(GOOD)
             head = await here.head("n0", endpoints=["127.0.0.1:9", f"127.0.0.1:{here.port}"])
             await here.runs(head, "1.1")
-            assert follower(head).counts["failovers"] >= 1
+            assert follower(head).counters["failovers"] >= 1
 
     run(main())
--- a/tests/test_streamed_kills.py
+++ b/tests/test_control_service_kills.py
@@ -1,4 +1,4 @@
-"""Streamed configuration by processes: services and heads that are killed."""
+"""Processes of control services and heads that are killed."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 
 import msgspec
 
-from hophinge.control import lastgood
-from hophinge.control.client import call
-from hophinge.control.store import Store
+from hophinge.control import last_known_good
+from hophinge.control.operator_client import call_operator_api
+from hophinge.control.store import ControlStore
 from tests.installation import GOOD, HEADS, SETTINGS, STAFF, Installation, follower, serving
 from tests.stand_in import Backend, run, until, world
 from tests.test_service import ROOT, config
 
 
-def test_a_service_killed_again_and_again_keeps_every_version_that_it_told_of(tmp_path: Path) -> None:
-    told, port = [], 0
+def test_acknowledged_versions_survive_repeated_kills(tmp_path: Path) -> None:
+    acknowledged, port = [], 0
     for turn in range(4):
         process, port = serving(tmp_path, port)
         try:
             for at in range(3):
                 body = msgspec.json.encode({"text": GOOD + f"(limit (open {turn * 10 + at + 1} requests))"})
-                answer = run(call(f"127.0.0.1:{port}", STAFF, "Push", body))
-                told.append(msgspec.json.decode(answer)["version"])
+                answer = run(call_operator_api(f"127.0.0.1:{port}", STAFF, "Push", body))
+                acknowledged.append(msgspec.json.decode(answer)["version"])
         finally:
             process.kill()
             process.wait()
             assert process.stderr is not None
             process.stderr.close()
-    assert told == [f"1.{at + 1}" for at in range(12)]
-    store = Store(tmp_path / "v.db")
-    assert [row["version"] for row in store.history(99)] == told[::-1]
+    assert acknowledged == [f"1.{at + 1}" for at in range(12)]
+    store = ControlStore(tmp_path / "v.db")
+    assert [row["version"] for row in store.history(99)] == acknowledged[::-1]
     store.close()
 
 
-def test_a_service_killed_while_it_sends_a_large_version_sends_all_of_it_when_it_is_back(tmp_path: Path) -> None:
+def test_service_killed_while_sending_a_large_version_sends_all_of_it_after_restart(tmp_path: Path) -> None:
     count = 20_000
     big = GOOD + "".join(f"(limit (tenant t{at}) (open 9 requests))" for at in range(count))
 
@@ -49,18 +49,18 @@
             here = Installation(tmp_path, made)
             process, here.port = serving(tmp_path)
             head = await here.head("n0")
-            await until(lambda: follower(head).connected)
-            received, killed_at = follower(head).received, 0
+            await until(lambda: follower(head).is_connected)
+            on_response, killed_at = follower(head).on_response, 0
 
             def killing(now_us: int, response: Any) -> Any:
                 nonlocal killed_at
-                actions = received(now_us, response)
-                if follower(head).held and not killed_at:  # some records are here, not all
-                    killed_at = len(follower(head).held)
+                actions = on_response(now_us, response)
+                if follower(head).stored_records and not killed_at:  # some records are here, not all
+                    killed_at = len(follower(head).stored_records)
                     process.kill()
                 return actions
 
-            follower(head).received = killing
+            follower(head).on_response = killing  # type: ignore[method-assign]
             try:
                 with contextlib.suppress(ConnectionError):  # its answer may be lost with it
                     await here.push(big)
@@ -71,7 +71,7 @@
                 process.stderr.close()
                 process, here.port = serving(tmp_path, here.port)
                 await here.runs(head, "1.1")
-                assert len(follower(head).held) == count + 2
+                assert len(follower(head).stored_records) == count + 2
             finally:
                 process.kill()
                 process.wait()
@@ -81,14 +81,14 @@
     run(main())
 
 
-def test_a_head_killed_at_any_moment_of_a_storm_of_versions_starts_from_a_whole_one(tmp_path: Path) -> None:
+def test_head_killed_during_many_versions_restarts_from_a_complete_one(tmp_path: Path) -> None:
     process, port = serving(tmp_path)
     (tmp_path / "token").write_text(HEADS)
     (tmp_path / "op.toml").write_text(
         f'[stream]\nendpoints = ["127.0.0.1:{port}"]\ntoken_file = "token"\nfolder = "state"\n'
     )
     environ = {**config(tmp_path, settings=SETTINGS), "HOPHINGE_OPERATOR_FILE": str(tmp_path / "op.toml")}
-    path, seen = tmp_path / "state" / "last-good-n0.state", []
+    path, restored_ids = tmp_path / "state" / "last-good-n0.state", []
     try:
         for turn in range(5):
             head = subprocess.Popen(
@@ -97,7 +97,7 @@
             try:
                 assert head.stdout is not None
                 for line in head.stdout:
-                    if "is in force" in line or " serves on " in line:
+                    if "is active" in line or " serves on " in line:
                         break
                 until_s = time.monotonic() + 0.1 + 0.07 * turn
                 number = 0
@@ -107,18 +107,18 @@
                     text = GOOD + "".join(
                         f"(limit (tenant t{at}) (open {turn * 1000 + number} requests))" for at in range(200)
                     )
-                    run(call(f"127.0.0.1:{port}", STAFF, "Push", msgspec.json.encode({"text": text})))
+                    run(call_operator_api(f"127.0.0.1:{port}", STAFF, "Push", msgspec.json.encode({"text": text})))
             finally:
                 head.send_signal(signal.SIGKILL)
                 head.wait()
                 assert head.stdout is not None
                 head.stdout.close()
-            kept = lastgood.load(path)  # UnusableError would be a torn file
-            if kept is not None:
-                seen.append(kept.order)
+            stored = last_known_good.load(path)  # StateFileError would be a torn file
+            if stored is not None:
+                restored_ids.append(stored.version_id)
     finally:
         process.kill()
         process.wait()
         assert process.stderr is not None
         process.stderr.close()
-    assert len(seen) >= 2 and seen == sorted(seen)
+    assert len(restored_ids) >= 2 and restored_ids == sorted(restored_ids)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -74,11 +74,11 @@
             head = await here.hosted("n0")
             await until(lambda: len(accounts_of(head).accounts.volumes) == 2400)
             assert head.streamed is not None
-            before = head.streamed.client.bytes_in
+            before = head.streamed.client.bytes_received
             books.write(ledger, row_of(Bucket("alba", "one", "f" * 16, "basic")), Row("bucket", "alba/bucket0-0", None))
             await until(lambda: accounts_of(head).accounts.owner("f" * 16) == "alba")
             assert "bucket0-0" not in accounts_of(head).accounts.buckets["alba"]
-            assert head.streamed.client.bytes_in - before < 1000
+            assert head.streamed.client.bytes_received - before < 1000
             # A ledger that cannot be written now is written at the next beat; nothing is lost, and heads serve on.
             db = accounts_of(head).ledger.db
             db.execute("PRAGMA max_page_count = 1")
@@ -188,7 +188,7 @@
                     GOOD + "(spare (depth 9 units) (capacity 50 units/s))"
                     "(tenant doc (volumes 00000000000000aa) (reserve 50 units/s))"
                 )
-            assert follower(head).running == "1.1"
+            assert follower(head).active_name == "1.1"
 
     run(main())
 
--- a/tests/test_copies_feed.py
+++ b/tests/test_copies_feed.py
@@ -8,6 +8,7 @@
 from hypothesis import strategies as st
 
 from hophinge.control import wire
+from hophinge.control.account_wire import decode_account_chunk, encode_account_chunk
 from hophinge.state.rows import Row
 from hophinge.tenancy import account_replication as feed_module
 from hophinge.tenancy.account_replication import AccountSender, AccountReceiver
@@ -52,10 +53,10 @@
                     taker.discard_staged()
                     feed = AccountSender(ledger.epoch, ledger.seq, ledger.tombstone_floor(), taker.epoch, taker.seq)
                 while feed.needs_chunk(ledger.seq, ledger.tombstone_floor()) and rng.random() < 0.8:
-                    sent = wire.account_part(
+                    sent = encode_account_chunk(
                         feed.next_chunk(ledger.page(feed.seq, 4, feed.removed_after_seq), ledger.seq)
                     )
-                    got = wire.read_account_part(wire.decode_response(sent))
+                    got = decode_account_chunk(wire.decode_response(sent))
                     if rng.random() < 0.1:
                         feed = None
                         break
--- a/tests/test_maintenance_naming.py
+++ b/tests/test_maintenance_naming.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from hophinge.control.permits import REPORT, encode_word
+from hophinge.control.maintenance_wire import REPORT_KEY, encode_update
 from hophinge.control.wire import decode_response
 from hophinge.core.interface import ListKind, NodeEntry, NodeList, Phase
 from hophinge.maintenance.coordinator import Coordinator
@@ -83,9 +83,9 @@
         assert upkeep is not None
 
         def told(word: Word) -> Report:
-            upkeep._word(decode_response(encode_word(word)))
+            upkeep._word(decode_response(encode_update(word)))
             (request,) = upkeep._due(True)
-            return msgspec.json.decode(request.initial[REPORT], type=Report)
+            return msgspec.json.decode(request.initial_versions[REPORT_KEY], type=Report)
 
         upkeep.rotation.take(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
         assert upkeep._due(True) == []  # no word yet
--- a/tests/test_maintenance_parts.py
+++ b/tests/test_maintenance_parts.py
@@ -9,12 +9,13 @@
 import msgspec
 import pytest
 
-from hophinge.cluster.interface import Entry, EntryVersion, Member, Role, MemberState, Topic
-from hophinge.control.permits import body_of, encode_word, read_word
-from hophinge.control.promises import Promises
-from hophinge.control.store import Store, StoreError
+from hophinge.cluster.interface import Entry, EntryVersion, Member, MemberState, Role, Topic
+from hophinge.control.maintenance_wire import encode_statements, encode_update, decode_update
+from hophinge.control.maintenance_store import MaintenanceStore
+from hophinge.control.store import ControlStore, StoreError
 from hophinge.control.transaction import FencedError
-from hophinge.control.wire import Request, decode_request, decode_response, encode_request
+from hophinge.control.messages import DiscoveryRequest
+from hophinge.control.wire import decode_request, decode_response, encode_request
 from hophinge.core.errors import HophingeError
 from hophinge.maintenance.drains import DRAINED, Statement, heard, value
 from hophinge.maintenance.holder import Holder
@@ -63,38 +64,38 @@
 
 
 def test_promises_last_and_ids_of_a_later_start_are_higher(tmp_path: Path) -> None:
-    store = Store(tmp_path / "v.db")
-    promises = Promises(store, lambda: 0)
+    store = ControlStore(tmp_path / "v.db")
+    promises = MaintenanceStore(store, lambda: 0)
     promises.keep([ROW], [Course("r", "2", 1, Stage.ROLLING)])
     promises.zone("n0", "z0")
     with store.transaction():
-        store.set_upkeep(body_of([Outage("o", ("b0",))]))
+        store.write_maintenance(encode_statements([Outage("o", ("b0",))]))
     store.close()
-    store = Store(tmp_path / "v.db")
-    again = Promises(store, lambda: 0)
+    store = ControlStore(tmp_path / "v.db")
+    again = MaintenanceStore(store, lambda: 0)
     assert again.permits() == [ROW] and again.courses() == [Course("r", "2", 1, Stage.ROLLING)]
-    assert again.zones(["n0", "n1"]) == {"n0": "z0", "n1": ""} and again.upkeep() == [Outage("o", ("b0",))]
+    assert again.zones(["n0", "n1"]) == {"n0": "z0", "n1": ""} and again.statements() == [Outage("o", ("b0",))]
     assert again.issuer == promises.issuer and again.fence > promises.fence
     again.keep([msgspec.structs.replace(ROW, state=State.FREE)], [])
     assert again.permits() == []
     store.close()
-    store = Store(tmp_path / "v.db", new_epoch=True)
-    assert Promises(store, lambda: 0).fence > again.fence + 900_000
+    store = ControlStore(tmp_path / "v.db", new_epoch=True)
+    assert MaintenanceStore(store, lambda: 0).fence > again.fence + 900_000
     store.close()
 
 
 def test_a_service_whose_store_was_taken_over_can_keep_nothing(tmp_path: Path) -> None:
-    old = Store(tmp_path / "v.db")
-    promises = Promises(old, lambda: 0)
+    old = ControlStore(tmp_path / "v.db")
+    promises = MaintenanceStore(old, lambda: 0)
     with pytest.raises(StoreError, match="another control service uses this store"):
-        Store(tmp_path / "v.db")
+        ControlStore(tmp_path / "v.db")
     (tmp_path / "v.db.lock").unlink()  # as on a file system that has no locks
-    new = Store(tmp_path / "v.db")
+    new = ControlStore(tmp_path / "v.db")
     with pytest.raises(FencedError, match="has taken the store over"):
         promises.keep([ROW], [])
     with pytest.raises(FencedError):
-        old.saw("n0", 0)
-    later = Promises(new, lambda: 0)
+        old.record_head("n0", 0)
+    later = MaintenanceStore(new, lambda: 0)
     assert later.permits() == []
     later.keep([ROW], [])
     assert later.permits() == [ROW]
@@ -104,10 +105,12 @@
 
 def test_words_and_reports_pass_the_wire_and_what_is_none_is_told() -> None:
     word = Word("s", 3, 4, {"1.1": "b0"}, {}, ROW, "no room", ("r/0",))
-    assert read_word(decode_response(encode_word(word))) == word
+    assert decode_update(decode_response(encode_update(word))) == word
     assert decode_request(
-        encode_request(Request(decode_response(encode_word(word)).kind, initial={"report": "{}"}))
-    ).initial == {"report": "{}"}
+        encode_request(
+            DiscoveryRequest(decode_response(encode_update(word)).resource_type, initial_versions={"report": "{}"})
+        )
+    ).initial_versions == {"report": "{}"}
     entry = Entry("n0", Topic.DRAINS, "1.1/b0", EntryVersion(1, 1), value(Statement("1.1", "b0", DRAINED)))
     rubbish = [
         Entry("n1", Topic.DRAINS, "x", EntryVersion(1, 1), b"\xff"),
@@ -166,7 +169,7 @@
         upkeep.board = upkeep.sight = peers
         upkeep.disk, upkeep.alone = disk, lambda: alone[0]
         looking = asyncio.create_task(upkeep.run())
-        response = decode_response(encode_word(Word("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
+        response = decode_response(encode_update(Word("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
         upkeep._word(response)
         assert head.rotation.out("s-0") and "halt/r/0" in peers.own  # before any list names the brick
         await until(lambda: any("cannot be kept" in line for line in head.log))
@@ -181,10 +184,10 @@
         assert report.statements == (Statement("1.1", "s-0", DRAINED),) and report.clustered
         assert (report.live, report.gone, report.heard) == (("n0", "n1", "n2"), ("n3",), {})
         peers.full = True
-        upkeep._word(decode_response(encode_word(Word("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {}))))
+        upkeep._word(decode_response(encode_update(Word("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {}))))
         await until(lambda: any("peers do not hear" in line for line in head.log))
         assert len(upkeep.report().statements) == 2 and "halt/r/0" not in peers.own
-        upkeep._word(decode_response(encode_word(Word("other", 9, 9))))
+        upkeep._word(decode_response(encode_update(Word("other", 9, 9))))
         assert any("permit-issuer-unknown" in line for line in head.log) and head.rotation.out("s-1")
         looking.cancel()
         await asyncio.gather(looking, return_exceptions=True)
--- a/tests/test_maintenance_wire.py
+++ b/tests/test_maintenance_wire.py
@@ -151,9 +151,9 @@
             await here.push(BOUNDS + RELEASE.format(""))
             told = await here.until(lambda told: bool(told["waiting"]))
             assert "does not speak of permits" in told["waiting"][0]["why"] and told["heads_up"] == 1
-            while old.streamed.follower.running != "1.1":
+            while old.streamed.follower.active_name != "1.1":
                 await asyncio.sleep(0.01)
-            assert old.streamed.follower.counts["connects"] == 1
+            assert old.streamed.follower.counters["connects"] == 1
             await here.push(BOUNDS + "(outage o (heads n0)) ")
             await here.until(lambda told: bool(told["permits"]) and told["permits"][0]["state"] == "begun")
             await old.end()
@@ -162,6 +162,6 @@
             await here.until(lambda told: told["permits"][0]["state"] == "back")
             await here.push(BOUNDS)
             await here.until(lambda told: not told["permits"])
-            assert new.streamed.follower.counts["connects"] == 1
+            assert new.streamed.follower.counters["connects"] == 1
 
     run(main())
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -22,8 +22,9 @@
 from hophinge.admin import shapes
 from hophinge.cli import main
 from hophinge.cluster import messages as cluster_messages
-from hophinge.control import lastgood, rollout
-from hophinge.control.store import Store as ControlStore
+from hophinge.control import rollout
+from hophinge.control import last_known_good
+from hophinge.control.store import ControlStore
 from hophinge.coordination import codec
 from hophinge.coordination.messages import LogRecord, StateRecord
 from hophinge.coordination.storage.store import DurableStore
@@ -94,13 +95,13 @@
     "document: maintenance": (bounds.Maintenance, json_bytes),
     "document: outage": (bounds.Outage, json_bytes),
     "document: release": (bounds.Release, json_bytes),
-    "control store: course of a version": (rollout.Course, json_bytes),
+    "control store: course of a version": (rollout.RolloutPlan, json_bytes),
     "control store: permit": (permits.Permit, json_bytes),
     "control store: course of a release": (releases.Course, json_bytes),
     "control stream: report": (messages.Report, json_bytes),
     "control stream: word": (messages.Word, json_bytes),
     "control stream: lease": (share_leases.ShareLease, json_bytes),
-    "head file: last good": (lastgood.LastGood, msgpack_bytes),
+    "head file: last good": (last_known_good.LastKnownGood, msgpack_bytes),
     "head file: marks": (handover.Marks, json_bytes),
     "head file: mark": (Mark, json_bytes),
     "ledger: audit entry": (rows.AuditEntry, json_bytes),
--- a/tests/test_shares.py
+++ b/tests/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Shares between heads: the sum never passes the reserve, whatever the way does; plans by demand and capacity."""
+"""Leases of shares: their sum never exceeds the reserve, whatever the network does; plans by demand and capacity."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Installation:
-    """Holders with clocks of their own speed, one issuer, and a way that delays, loses and doubles what is sent."""
+    """Lease holders with clocks of their own speed, one issuer, and a network that delays, loses and duplicates."""
 
     def __init__(self, heads: int, seed: int, lossy: bool = True) -> None:
         self.rng, self.lossy = random.Random(seed), lossy
@@ -34,15 +34,15 @@
         self.speed = {name: 1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2.1 for name in self.names}
         self.skew = {name: self.rng.randrange(10**9) for name in self.names}
         self.processes = itertools.count(1)
-        self.holders = {name: self.born(name) for name in self.names}
+        self.holders = {name: self.new_holder(name) for name in self.names}
         self.issuer = ShareLeaseIssuer(heads, 0, 0)
-        self.wanted: dict[str, float] = {}
-        self.cut: set[str] = set()
-        self.way: list[tuple[int, int, Any]] = []
+        self.demand: dict[str, float] = {}
+        self.disconnected: set[str] = set()
+        self.in_transit: list[tuple[int, int, Any]] = []
         self.count = itertools.count()
-        self.most = 0.0
+        self.max_total = 0.0
 
-    def born(self, name: str) -> ShareLeaseHolder:
+    def new_holder(self, name: str) -> ShareLeaseHolder:
         return ShareLeaseHolder(len(self.names), next(self.processes), self.clock(name))
 
     def clock(self, name: str) -> int:
@@ -53,7 +53,7 @@
         copies = self.rng.choice([0, 1, 1, 1, 2]) if self.lossy else 1
         for _ in range(copies):
             delay = self.rng.choice([1000, 50_000, 3 * S, 15 * S, 40 * S]) if self.lossy else 1000
-            heapq.heappush(self.way, (self.now + delay, next(self.count), message))
+            heapq.heappush(self.in_transit, (self.now + delay, next(self.count), message))
 
     def ask(self, name: str) -> None:
         self.send(("ask", name, self.holders[name].process, *self.holders[name].next_request(self.clock(name))))
@@ -63,14 +63,14 @@
         while self.now < until:
             self.now += step
             for name in self.names:
-                if self.now % every < step and name not in self.cut:
+                if self.now % every < step and name not in self.disconnected:
                     self.ask(name)
-            while self.way and self.way[0][0] <= self.now:
-                kind, name, *rest = heapq.heappop(self.way)[2]
-                if name in self.cut:
+            while self.in_transit and self.in_transit[0][0] <= self.now:
+                kind, name, *rest = heapq.heappop(self.in_transit)[2]
+                if name in self.disconnected:
                     continue
                 if kind == "ask":
-                    want = {"t": self.wanted[name]} if name in self.wanted else {}
+                    want = {"t": self.demand[name]} if name in self.demand else {}
                     process, asked, held = rest
                     lease = self.issuer.grant(self.now, name, process, asked, held, want)
                     if lease is not None:
@@ -78,30 +78,30 @@
                 else:
                     self.holders[name].accept(self.clock(name), rest[0])
             total = sum(holder.share("t", self.clock(name)) for name, holder in self.holders.items())
-            self.most = max(self.most, total)
+            self.max_total = max(self.max_total, total)
             assert total <= 1 + 1e-9, (
                 self.now,
                 {name: holder.share("t", self.clock(name)) for name, holder in self.holders.items()},
             )
 
 
-def test_shares_follow_demand_within_a_few_asks_and_fall_back_to_even_parts_when_cut_off() -> None:
+def test_shares_follow_demand_and_fall_back_to_even_ones_when_disconnected() -> None:
     here = Installation(2, 1, lossy=False)
     here.run(15 * S)
-    here.wanted = {"n0": 0.9, "n1": 0.1}
+    here.demand = {"n0": 0.9, "n1": 0.1}
     here.run(8 * S)
     assert here.holders["n0"].share("t", here.clock("n0")) == pytest.approx(0.9)
     assert here.holders["n1"].share("t", here.clock("n1")) == pytest.approx(0.1)
-    here.wanted = {"n0": 0.1, "n1": 0.9}
+    here.demand = {"n0": 0.1, "n1": 0.9}
     here.run(8 * S + HIGH_SHARE_TERM_US)
     assert here.holders["n1"].share("t", here.clock("n1")) == pytest.approx(0.9)
-    here.cut = {"n0", "n1"}
+    here.disconnected = {"n0", "n1"}
     here.run(HIGH_SHARE_TERM_US + 5 * S)
     assert here.holders["n1"].share("t", here.clock("n1")) == 0.5  # what it took has ended first
     assert here.holders["n0"].share("t", here.clock("n0")) == pytest.approx(0.1)
     here.run(LOW_SHARE_TERM_US)
     assert here.holders["n0"].share("t", here.clock("n0")) == 0.5
-    assert here.most > 0.99
+    assert here.max_total > 0.99
 
 
 STEPS = st.lists(
@@ -116,28 +116,28 @@
 
 @settings(max_examples=150)
 @given(st.integers(2, 4), st.integers(0, 2**32), STEPS)
-def test_the_sum_never_passes_the_reserve(heads: int, seed: int, steps: list[tuple[str, int, float]]) -> None:
+def test_sum_of_shares_never_exceeds_the_reserve(heads: int, seed: int, steps: list[tuple[str, int, float]]) -> None:
     here = Installation(heads, seed)
-    for word, at, part in steps:
-        name = here.names[at % heads]
-        if word == "run":
-            here.run(int(part * 30 * S) + S)
-        elif word == "want":
-            rest = (1 - part) / max(1, heads - 1)
-            here.wanted = {one: part if one == name else rest for one in here.names}
-        elif word == "cut":
-            here.cut.add(name)
-        elif word == "heal":
-            here.cut.discard(name)
-        elif word == "restart":  # a new process: no lease, no asks; its clock goes on
-            here.holders[name] = here.born(name)
+    for step, index, share in steps:
+        name = here.names[index % heads]
+        if step == "run":
+            here.run(int(share * 30 * S) + S)
+        elif step == "want":
+            rest = (1 - share) / max(1, heads - 1)
+            here.demand = {one: share if one == name else rest for one in here.names}
+        elif step == "cut":
+            here.disconnected.add(name)
+        elif step == "heal":
+            here.disconnected.discard(name)
+        elif step == "restart":  # a new process: no lease, no asks; its clock goes on
+            here.holders[name] = here.new_holder(name)
         else:  # a new issuer, which knows nothing but the last serial
             here.issuer = ShareLeaseIssuer(heads, here.issuer.serial, here.now)
-    here.cut = set()
+    here.disconnected = set()
     here.run(60 * S)
 
 
-def test_a_lease_that_comes_late_or_twice_is_not_taken() -> None:
+def test_late_or_duplicate_lease_is_ignored() -> None:
     holder = ShareLeaseHolder(2, 7, -LOW_SHARE_TERM_US - 1)
     asked, _ = holder.next_request(0)
     lease = ShareLease(3, 7, asked, {"t": 0.8})
@@ -163,13 +163,13 @@
     st.dictionaries(st.sampled_from(["h1", "h2", "h3"]), AMOUNTS, min_size=1),
     st.integers(0, 2**32),
 )
-def test_a_plan_gives_each_its_reserve_within_each_head_s_capacity(
+def test_plan_gives_each_tenant_its_reserve_within_each_head_s_capacity(
     reserves: dict[str, float], capacities: dict[str, float], seed: int
 ) -> None:
     rng = random.Random(seed)
     demand = {name: {head: rng.choice([0.0, 1.0, 30.0]) for head in capacities} for name in reserves}
-    if (why := find_shortfall(reserves, capacities)) is not None:
-        assert why.reserved > why.capacity and "lower reserves by" in str(why)
+    if (shortfall := find_shortfall(reserves, capacities)) is not None:
+        assert shortfall.reserved > shortfall.capacity and "lower reserves by" in str(shortfall)
         with pytest.raises(ValueError, match="do not fit"):
             plan_shares(reserves, capacities, demand)
         return
@@ -181,7 +181,7 @@
             assert sum(reserves[name] * parts[name][head] for name in parts) <= capacity * (1 + 1e-6) + 1e-6
 
 
-def test_a_plan_follows_demand_and_yields_where_a_head_is_full() -> None:
+def test_plan_follows_demand_up_to_a_head_s_capacity() -> None:
     demand = {"a": {"h1": 30.0}, "b": {"h1": 5.0, "h2": 5.0}}
     roomy = plan_shares({"a": 40.0, "b": 40.0}, {"h1": 100.0, "h2": 100.0}, demand)
     assert roomy["a"]["h1"] == pytest.approx(0.875) and roomy["b"]["h1"] == pytest.approx(0.5)
@@ -190,14 +190,14 @@
     assert plan_shares({"a": 40.0}, {"h1": 50.0}, {}) == {}
 
 
-def test_demand_fades_and_a_head_that_is_gone_counts_no_more() -> None:
-    seen = DemandEstimate()
+def test_demand_decays_and_a_removed_head_is_not_counted() -> None:
+    demand = DemandEstimate()
     for _ in range(30):
-        seen.report("h1", {"t": 10.0})
-        seen.report("h2", {"t": 30.0})
-    assert seen.rates["t"]["h1"] == pytest.approx(10.0, rel=0.01)
-    seen.forget("h2")
-    assert set(seen.rates["t"]) == {"h1"}
+        demand.report("h1", {"t": 10.0})
+        demand.report("h2", {"t": 30.0})
+    assert demand.rates["t"]["h1"] == pytest.approx(10.0, rel=0.01)
+    demand.forget("h2")
+    assert set(demand.rates["t"]) == {"h1"}
     for _ in range(60):
-        seen.report("h1", {})
-    assert seen.rates == {}
+        demand.report("h1", {})
+    assert demand.rates == {}
--- a/tests/test_rig_run.py
+++ b/tests/test_rig_run.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hophinge.control.client import call
+from hophinge.control.operator_client import call_operator_api
 from hophinge.core.errors import told
 from hophinge.load.rig.run import PORTS, LeftoverError, NoPortError, Run
 from hophinge.load.rig.waiting import Condition, ConditionError, said, until
@@ -18,7 +18,9 @@
 
 
 async def push(made: Run, control: str, text: str = DOCUMENT) -> str:
-    done = await call(made.where[control].listen, made.tokens["staff"], "Push", json.dumps({"text": text}).encode())
+    done = await call_operator_api(
+        made.where[control].listen, made.tokens["staff"], "Push", json.dumps({"text": text}).encode()
+    )
     return str(json.loads(done)["version"])
 
 
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -13,9 +13,9 @@
 import pytest
 from aiohttp import ClientSession, TCPConnector, web
 
-from hophinge.control import shares as control_shares
+from hophinge.control import quota_shares
 from tests.stand_in import headers, held_by, run, setup, until
-from tests.test_streamed import GOOD, SETTINGS, TARGET, follower, installation, status
+from tests.test_control_service import GOOD, SETTINGS, TARGET, follower, installation, status
 
 
 def put(here: Any, head: Any, client: ClientSession, volume: str, number: int, remaining_ms: int = 750) -> Any:
@@ -94,9 +94,9 @@
                 return [holder.share("aa", heads[0].exchange.now_us()) for holder in holders]
 
             assert shares() == [0.0, 0.0]  # they have just started, and nothing told them what is safe
-            await until(lambda: here.service is not None and here.service.allotment.issuer is not None)
-            assert here.service is not None and here.service.allotment.issuer is not None
-            here.service.allotment.issuer.no_grant_until_us = 0  # nobody was ever granted anything here
+            await until(lambda: here.service is not None and here.service.shares.allotment.issuer is not None)
+            assert here.service is not None and here.service.shares.allotment.issuer is not None
+            here.service.shares.allotment.issuer.no_grant_until_us = 0  # nobody was ever granted anything here
             await until(lambda: min(shares()) > 0)
             since, number = asyncio.get_running_loop().time(), itertools.count(1)
 
@@ -122,7 +122,7 @@
 def test_promises_are_judged_by_what_the_installation_is_not_by_who_is_connected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(control_shares, "SIZE_S", 0.1)
+    monkeypatch.setattr(quota_shares, "HEAD_COUNT_TIMEOUT_S", 0.1)
     form = "(spare (depth 9 units) (capacity 50 units/s))(tenant aa (volumes 00000000000000aa) (reserve {} units/s))"
 
     async def main() -> None:
@@ -144,7 +144,7 @@
             # A head that is alone now: what is in force is told to be too much, and goes on.
             head = await here.head("n0", {**SETTINGS, "Balancers": 1})
             await until(lambda: any("with 1 heads" in line for line in here.log))
-            assert follower(head).running == "1.2"
+            assert follower(head).active_name == "1.2"
 
     run(main())
 
@@ -221,7 +221,7 @@
             )
             await here.push(document)
             await here.runs(head, "1.1")
-            assert follower(head).running == "1.1"
+            assert follower(head).active_name == "1.1"
             number, tasks = itertools.count(1), dict[str, list[asyncio.Task[int]]]()
             for step in range(60):
                 for name, each in (("aa", 1), ("bb", 1), ("cc", 12)):
--- a/tests/test_together_upkeep.py
+++ b/tests/test_together_upkeep.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from hophinge.control.client import call
+from hophinge.control.operator_client import call_operator_api
 from hophinge.load.plan import LoadPlan
 from hophinge.load.rig.processes import ROOT
 from hophinge.load.rig.run import Run
@@ -23,7 +23,7 @@
 
 async def staff(made: Run, method: str, **body: Any) -> dict[str, Any]:
     found: dict[str, Any] = json.loads(
-        await call(made.where["c"].listen, made.tokens["staff"], method, json.dumps(body).encode(), 2.0)
+        await call_operator_api(made.where["c"].listen, made.tokens["staff"], method, json.dumps(body).encode(), 2.0)
     )
     return found
 
