--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -12,9 +12,11 @@
 from hophinge.cli.service import Owner
 from hophinge.control import service as control_service
 from hophinge.control.store import ControlStore
+from hophinge.head.accounts import HeadAccounts
 from hophinge.head.operator import OperatorConfig, StreamConfig
 from hophinge.head.service import Service
 from hophinge.objects.config import ObjectConfig
+from hophinge.state.ledger import Ledger
 from tests.installation import HEADS, SETTINGS, Installation
 from tests.stand_in import Backend, world
 
@@ -102,11 +104,11 @@
                 await here.end_control()
 
 
-def accounts_of(head: Service) -> Any:
+def accounts_of(head: Service) -> HeadAccounts:
     assert head.accounts is not None
     return head.accounts
 
 
-def ledger_of(here: Hosted) -> Any:
+def ledger_of(here: Hosted) -> Ledger:
     assert here.owner is not None
     return here.owner.ledger
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -45,7 +45,7 @@
             await here.control()
             await here.call("PATCH", "/v1/tenants/alba", {"state": "suspended"})
             for head in (heads[0], again):
-                await until(lambda head=head: accounts_of(head).accounts.barred("alba"))  # type: ignore[misc]
+                await until(lambda head=head: accounts_of(head).accounts.is_blocked("alba"))  # type: ignore[misc]
                 assert await here.object(head, "GET", "/receipts/a", key) == 403
             await here.call("DELETE", "/v1/tenants/alba")
             for head in (heads[0], again):
@@ -116,7 +116,7 @@
             await here.tenant("alba")
             await here.push(GOOD + "(spare (depth 4 units) (wait 20 s))")
             await here.runs(head, "1.1")
-            await until(lambda: accounts_of(head).accounts.active("alba"))
+            await until(lambda: accounts_of(head).accounts.is_active("alba"))
             volume = accounts_of(head).accounts.buckets["alba"]["receipts"].id
             for backend in here.made.backends:
                 backend.behave = held_by(gate)
