--- a/hophinge/fleet/controlplane/directory.py
+++ b/hophinge/fleet/controlplane/directory.py
@@ -18,7 +18,7 @@
 from hophinge.coordination.replica import ReplicaStateMachine
 from hophinge.coordination.view import Replica
 from hophinge.fleet.controlplane.relay import Relay
-from hophinge.fleet.placement.hints import Hints, Reports, Suspects
+from hophinge.fleet.placement.hints import PlacementHints, EngineReports, SuspectedInstances
 from hophinge.fleet.placement.stages import StageLoads
 from hophinge.fleet.registry.instance import Instance
 from hophinge.fleet.registry.registry import Liveness, Registry
@@ -128,7 +128,7 @@
                 self._let_go(self.service.held(now, self._around(), source.identity, message))
             case GrantedLeases(holders=holders):
                 self.leases.merge(now, holders)
-            case Hints() | Reports() | Suspects():
+            case PlacementHints() | EngineReports() | SuspectedInstances():
                 self._relayed(address, message)
             case Liveness():
                 self.service.heard_elsewhere(now, message)
@@ -158,26 +158,26 @@
 
     # --- hints ---------------------------------------------------------------------------------------------------
 
-    def tell_heads(self, message: Reports | Suspects) -> None:
+    def tell_heads(self, message: EngineReports | SuspectedInstances) -> None:
         """Tell the heads here what is known of engines, and the others over the other control members."""
-        if isinstance(message, Reports):
+        if isinstance(message, EngineReports):
             self._reported(message)
         self.relay.at_once(message, [*self._heads(), *self._relays()])
 
-    def _reported(self, reports: Reports) -> None:
+    def _reported(self, reports: EngineReports) -> None:
         """Engines that answer questions live, also where their heartbeats reach a member that is cut off."""
-        self.loads.take(reports, self.registry.instances)
+        self.loads.record(reports, self.registry.instances)
         seen = [report.instance for report in reports.reports]
         self._let_go(self.service.seen(self.loop.time(), self._around(), seen))
 
-    def _relayed(self, source: str, message: Hints | Reports | Suspects) -> None:
+    def _relayed(self, source: str, message: PlacementHints | EngineReports | SuspectedInstances) -> None:
         """Pass on to the heads here, and what came from one of these to the other control members."""
         heads = self._heads()
-        if isinstance(message, Hints):
+        if isinstance(message, PlacementHints):
             self.relay.take(source, message, source in heads)
             self._schedule_relay()
             return
-        if isinstance(message, Reports):
+        if isinstance(message, EngineReports):
             self._reported(message)
         targets = [head for head in heads if head != source]
         self.relay.at_once(message, [*targets, *(self._relays() if source in heads else [])])
--- a/hophinge/fleet/controlplane/keeper.py
+++ b/hophinge/fleet/controlplane/keeper.py
@@ -15,8 +15,8 @@
 from hophinge.coordination.replica import ReplicaStateMachine
 from hophinge.fleet import log
 from hophinge.fleet.controlplane.directory import Directory
-from hophinge.fleet.placement.policy import Policy
-from hophinge.fleet.placement.stages import Switch, wanted_switches
+from hophinge.fleet.placement.policy import PlacementPolicy
+from hophinge.fleet.placement.stages import StageSwitch, plan_switches
 from hophinge.fleet.program import repeat
 
 TICK_S = 0.5
@@ -35,7 +35,12 @@
     """One control member's part in the role."""
 
     def __init__(
-        self, machine: ReplicaStateMachine, directory: Directory, request: Request, lease_s: float, policy: Policy
+        self,
+        machine: ReplicaStateMachine,
+        directory: Directory,
+        request: Request,
+        lease_s: float,
+        policy: PlacementPolicy,
     ) -> None:
         self.machine, self.directory, self.request, self.policy = machine, directory, request, policy
         self.loop = asyncio.get_running_loop()
@@ -76,12 +81,12 @@
                 log.note(f"owner of the stages, token {claim.version}")
             return
         instances = self.directory.registry.instances
-        self.loads.keep(instances.keys())
-        switches = wanted_switches(instances.values(), self.loads, self.policy)
+        self.loads.retain(instances.keys())
+        switches = plan_switches(instances.values(), self.loads, self.policy)
         wanted = (switches[0].instance.service, switches[0].stage) if switches else None
         if wanted != self.wanted:
             self.wanted, self.wanted_since = wanted, now
-        if switches and self._due(now, switches[0].urgent) and self.role.may_act(now):
+        if switches and self._due(now, switches[0].is_urgent) and self.role.may_act(now):
             await self._order(switches)
 
     def _due(self, now: float, urgent: bool) -> bool:
@@ -90,7 +95,7 @@
             return now - self.ordered_at >= URGENT_RETRY_INTERVAL_S
         return now - self.wanted_since >= STEADY_S and now - self.ordered_at >= RETRY_INTERVAL_S
 
-    async def _order(self, switches: tuple[Switch, ...]) -> None:
+    async def _order(self, switches: tuple[StageSwitch, ...]) -> None:
         """Confirm the ownership through the chain, then order at once."""
         try:
             async with asyncio.timeout(CONFIRM_S):
@@ -102,17 +107,17 @@
         self.ordered_at, token = self.loop.time(), self.role.token
         await asyncio.gather(*(self._order_one(switch, token) for switch in switches))
 
-    async def _order_one(self, switch: Switch, token: int) -> None:
+    async def _order_one(self, switch: StageSwitch, token: int) -> None:
         status = await _post_order(switch, self.role.me, token)
         log.note(f"instance {switch.instance.identity} is to be {switch.stage}: answered {status}")
         if status == OUTDATED_TOKEN:
             self.role.reject_token(token)
         if status in TAKEN:
-            self.loads.switched(switch.instance.identity)
+            self.loads.forget(switch.instance.identity)
             self.directory.switching(switch.instance)
 
 
-async def _post_order(switch: Switch, holder: str, token: int) -> int | None:
+async def _post_order(switch: StageSwitch, holder: str, token: int) -> int | None:
     """Send an order; None where no answer came."""
     body = json.dumps({"operation": "stage", "stage": switch.stage, "holder": holder, "fence-token": token}).encode()
     headers = [
--- a/hophinge/fleet/controlplane/relay.py
+++ b/hophinge/fleet/controlplane/relay.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Iterable
 
-from hophinge.fleet.placement.hints import Hints, Reports, Suspects
+from hophinge.fleet.placement.hints import PlacementHints, EngineReports, SuspectedInstances
 from hophinge.fleet.transport.frames import frame
 
 SOON_S = 0.01  # from a word until it is passed on, at least: others may join it
@@ -22,11 +22,11 @@
 
     def __init__(self, send_frame: SendFrame) -> None:
         self.send_frame = send_frame
-        self.hints: list[tuple[str, Hints]] = []
-        self.from_heads = Hints(())  # what the other control members have to hear
+        self.hints: list[tuple[str, PlacementHints]] = []
+        self.from_heads = PlacementHints(())  # what the other control members have to hear
         self.flushed = float("-inf")
 
-    def take(self, source: str, hints: Hints, from_head: bool) -> None:
+    def take(self, source: str, hints: PlacementHints, from_head: bool) -> None:
         """Take what was placed."""
         self.hints.append((source, hints))
         if from_head:
@@ -40,20 +40,20 @@
         """Pass on what was gathered."""
         gathered, self.hints, self.flushed = self.hints, [], now
         sources = {source for source, _ in gathered}
-        everything = frame(sum((hints for _, hints in gathered), Hints(())))
+        everything = frame(sum((hints for _, hints in gathered), PlacementHints(())))
         for head in heads:
             if head not in sources:
                 self.send_frame(head, everything)
                 continue
-            others = sum((hints for source, hints in gathered if source != head), Hints(()))
-            if not others.empty:
+            others = sum((hints for source, hints in gathered if source != head), PlacementHints(()))
+            if not others.is_empty:
                 self.send_frame(head, frame(others))
-        if not self.from_heads.empty:
-            shared, self.from_heads = frame(self.from_heads), Hints(())
+        if not self.from_heads.is_empty:
+            shared, self.from_heads = frame(self.from_heads), PlacementHints(())
             for control in controls:
                 self.send_frame(control, shared)
 
-    def at_once(self, message: Reports | Suspects, targets: Iterable[str]) -> None:
+    def at_once(self, message: EngineReports | SuspectedInstances, targets: Iterable[str]) -> None:
         """Pass on a word that is not gathered."""
         data = frame(message)
         for target in targets:
--- a/hophinge/fleet/controlplane/reports.py
+++ b/hophinge/fleet/controlplane/reports.py
@@ -14,7 +14,7 @@
 
 from hophinge.coordination.ownership import rendezvous
 from hophinge.fleet.controlplane.directory import Directory
-from hophinge.fleet.placement.hints import Report, Reports
+from hophinge.fleet.placement.hints import EngineReport, EngineReports
 from hophinge.fleet.program import repeat
 from hophinge.fleet.registry.instance import Instance
 
@@ -25,10 +25,10 @@
 FAILURES = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, ValueError, KeyError, TypeError)
 
 
-def read_report(identity: str, body: bytes) -> Report:
+def read_report(identity: str, body: bytes) -> EngineReport:
     """Read an instance's answer; raises ValueError, KeyError or TypeError for anything else."""
     raw = json.loads(body)
-    return Report(identity, int(raw["waiting"]), int(raw["running"]), int(raw["kv-used"]), int(raw["kv-total"]))
+    return EngineReport(identity, int(raw["waiting"]), int(raw["running"]), int(raw["kv-used"]), int(raw["kv-total"]))
 
 
 class Reporter:
@@ -60,9 +60,9 @@
         answers = await asyncio.gather(*(self._ask(instance) for instance in self.asked()))
         reports = tuple(answer for answer in answers if answer is not None)
         if reports:
-            self.directory.tell_heads(Reports(reports))
+            self.directory.tell_heads(EngineReports(reports))
 
-    async def _ask(self, instance: Instance) -> Report | None:
+    async def _ask(self, instance: Instance) -> EngineReport | None:
         headers = [(b"hophinge-expected-instance", instance.identity.encode())]
         timeout = {"connect": ANSWER_S, "read": ANSWER_S, "write": ANSWER_S, "pool": ANSWER_S}
         try:
--- a/hophinge/fleet/dataplane/exchange.py
+++ b/hophinge/fleet/dataplane/exchange.py
@@ -34,7 +34,7 @@
     unexecuted,
 )
 from hophinge.fleet.placement.node import Node
-from hophinge.fleet.placement.pool import Placed
+from hophinge.fleet.placement.pool import Reservation
 from hophinge.fleet.transport.asgi import Send, answer
 
 MILLISECONDS = 1_000
@@ -202,7 +202,7 @@
             self.failure = _failure(error)
             return Result(Ending.BROKEN if self.started else Ending.UNKNOWN, event_id=reader.last_id)
 
-    async def _answered(self, placed: Placed, response: httpcore.Response, reader: EventReader) -> Result:
+    async def _answered(self, placed: Reservation, response: httpcore.Response, reader: EventReader) -> Result:
         fields = response.headers
         if not belongs(fields, self.inbound.request_id):
             return self._unfit("the answer is another request's")
@@ -226,7 +226,7 @@
         self.failure = AttemptFailure(Side.INSTANCE, why)
         return Result(Ending.UNKNOWN)
 
-    async def _stream(self, placed: Placed, response: httpcore.Response, reader: EventReader) -> Result:
+    async def _stream(self, placed: Reservation, response: httpcore.Response, reader: EventReader) -> Result:
         """Pass events on as they come; the end is passed on only where the instance's own answer was whole."""
         if not self.started:
             head = [*returned(response.headers), *self._closing()]
@@ -236,7 +236,7 @@
         async for chunk in response.aiter_stream():
             whole = reader.feed(chunk)
             if whole:
-                if not placed.streaming:
+                if not placed.is_streaming:
                     self.life.streaming(self.loop.time(), placed)
                 await self.send({"type": "http.response.body", "body": whole, "more_body": True})
         await self.send({"type": "http.response.body", "body": reader.rest})
--- a/hophinge/fleet/dataplane/front.py
+++ b/hophinge/fleet/dataplane/front.py
@@ -122,8 +122,8 @@
                     "service": node.instance.service,
                     "stage": node.instance.stage,
                     "state": node.instance.state,
-                    "out": node.out,
-                    "rests": node.rests(now),
+                    "out": node.outstanding,
+                    "rests": node.is_ejected(now),
                 }
                 for identity, node in sorted(self.placement.nodes.items())
             },
--- a/hophinge/fleet/dataplane/program.py
+++ b/hophinge/fleet/dataplane/program.py
@@ -12,7 +12,7 @@
 from hophinge.fleet.dataplane.front import Front
 from hophinge.fleet.dataplane.knowledge import KNOWLEDGE_TICK_S, Knowledge
 from hophinge.fleet.dataplane.upstream import Upstream
-from hophinge.fleet.placement.hints import Hints, Reports, Suspects, WantHints
+from hophinge.fleet.placement.hints import PlacementHints, EngineReports, SuspectedInstances, HintsRequest
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.program import REREAD_S, Signals, Tasks, every, reread_settings
 from hophinge.fleet.registry.instance import Instance
@@ -54,13 +54,13 @@
         self.links.send(address, message)
 
     def _received(self, hello: Hello, message: object) -> None:
-        if isinstance(message, Hints):
+        if isinstance(message, PlacementHints):
             self.placement.receive_hints(asyncio.get_running_loop().time(), message)
-        elif isinstance(message, WantHints):
-            self._send(hello.sender.address, self.placement.kept())
-        elif isinstance(message, Suspects):
+        elif isinstance(message, HintsRequest):
+            self._send(hello.sender.address, self.placement.cache_snapshot())
+        elif isinstance(message, SuspectedInstances):
             self.placement.receive_suspects(asyncio.get_running_loop().time(), message)
-        elif isinstance(message, Reports):
+        elif isinstance(message, EngineReports):
             self.placement.receive_reports(asyncio.get_running_loop().time(), message)
         else:
             self.knowledge.received(hello.sender.address, message)
@@ -68,7 +68,7 @@
     def _instance(self, identity: str, instance: Instance | None) -> None:
         if instance is not None:
             self.upstream.returned(identity)
-        self.placement.instance(identity, instance)
+        self.placement.update_instance(identity, instance)
 
     def _ended(self, identity: str) -> None:
         self.tasks.start_aside(self.upstream.forget(identity))
@@ -78,13 +78,13 @@
         self.server.bound(ConnectionBounds(limits.idle_s + SLACK_S, limits.header_s + SLACK_S, limits.header_bytes))
         self.front.split.keep({route.name for route in table.routes})
         engines = {name: service.engine for name, service in table.services.items()}
-        self.placement.configured({name: engine.memory_tokens for name, engine in engines.items() if engine})
+        self.placement.configure({name: engine.memory_tokens for name, engine in engines.items() if engine})
 
     def _granted(self) -> None:
         """With the first lease, ask another head what is kept where."""
         neighbours = self.knowledge.dissemination.neighbours
         if neighbours:
-            self._send(neighbours[0], WantHints())
+            self._send(neighbours[0], HintsRequest())
 
     def _schedule_hints(self) -> None:
         """Have the others told soon: nothing wakes this process while nothing is placed."""
--- a/hophinge/fleet/dataplane/request_log.py
+++ b/hophinge/fleet/dataplane/request_log.py
@@ -17,5 +17,5 @@
     raw = asdict(trace)
     raw["zone"] = zone
     if prompt is not None:
-        raw["tokens-in"], raw["tokens-out"], raw["parts"] = prompt.tokens_in, prompt.tokens_out, prompt.parts
+        raw["tokens-in"], raw["tokens-out"], raw["parts"] = prompt.tokens_in, prompt.tokens_out, prompt.segments
     log.note(MARK + json.dumps(raw, separators=(",", ":")))
--- a/hophinge/fleet/emulation/sizes.py
+++ b/hophinge/fleet/emulation/sizes.py
@@ -8,7 +8,7 @@
 
 from hophinge.coordination.dissemination import GossipStore
 from hophinge.coordination.leases import LeaseHolder
-from hophinge.fleet.placement.hints import Hint
+from hophinge.fleet.placement.hints import PlacementHint
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.registry.instance import READY, Instance, Model, record_of
 
@@ -76,10 +76,10 @@
 JOB_NUMBER = 1 << 39  # of the size that most drawn numbers have
 
 
-def hint(number: int) -> Hint:
+def hint(number: int) -> PlacementHint:
     """Make a hint."""
     parts = ((f"{number:08x}", 2520), (f"{number + 1:08x}", 3780), (f"{number + 2:08x}", 2890))
-    return Hint(f"i-{number % 1700:010x}", 2890, parts, 2, 9300, JOB_NUMBER + number)
+    return PlacementHint(f"i-{number % 1700:010x}", 2890, parts, 2, 9300, JOB_NUMBER + number)
 
 
 def placement(count: int) -> Placement:
@@ -87,6 +87,6 @@
     made = Placement("zone-1", lambda identity: None, Random(1))
     for number in range(count):
         one = instance(number * 22)
-        made.instance(one.identity, one)
-    made.configured({"service0": 441_937})
+        made.update_instance(one.identity, one)
+    made.configure({"service0": 441_937})
     return made
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -26,10 +26,10 @@
 from hophinge.coordination.view import Replica
 from hophinge.fleet.configuration.document import check
 from hophinge.fleet.configuration.routes import COMPRESSION, configuration_record, parse, table_of
-from hophinge.fleet.placement.hints import Done, Hints, Report, Reports
-from hophinge.fleet.placement.node import Cache
+from hophinge.fleet.placement.hints import PrefillDone, PlacementHints, EngineReport, EngineReports
+from hophinge.fleet.placement.node import PrefixCache
 from hophinge.fleet.placement.placement import Placement
-from hophinge.fleet.placement.plan import Wish
+from hophinge.fleet.placement.plan import PlacementRequest
 from hophinge.fleet.placement.prompt import Prompt
 from hophinge.fleet.registry.instance import record_of
 from hophinge.fleet.registry.registry import Liveness
@@ -100,11 +100,13 @@
 def _choose(made: Placement, random: Random) -> Callable[[], object]:
     def work() -> object:
         prompt = Prompt(9_190, 80, ((f"{random.randrange(500):08x}", 6_300), (f"{random.random()}", 2_890)))
-        plan = made.generation(Wish(0.0, (str(random.random()), 1), "service0", set(), 0.72, 0.72), prompt)
+        plan = made.place_generation(
+            PlacementRequest(0.0, (str(random.random()), 1), "service0", set(), 0.72, 0.72), prompt
+        )
         made.outgoing_hints(0.0)
         for node in made.nodes.values():
-            node.book.slots.clear()
-            node.book.free = node.book.units_out = 0.0
+            node.in_flight.slots.clear()
+            node.in_flight.free = node.in_flight.units_out = 0.0
         return plan
 
     return work
@@ -204,17 +206,21 @@
 def _load_report_slopes() -> list[Slope]:
     """Measure the bytes of what heads and engines report of their load."""
     return [
-        fit("hints", "B by placements", lambda n: sent(Hints(tuple(hint(one) for one in range(n)))), FEW),
+        fit("hints", "B by placements", lambda n: sent(PlacementHints(tuple(hint(one) for one in range(n)))), FEW),
         fit(
             "ends of reads",
             "B by ends",
-            lambda n: sent(Hints((), tuple(Done(f"i-{one:010x}", JOB_NUMBER + one, 12) for one in range(n)))),
+            lambda n: sent(
+                PlacementHints((), tuple(PrefillDone(f"i-{one:010x}", JOB_NUMBER + one, 12) for one in range(n)))
+            ),
             FEW,
         ),
         fit(
             "reports",
             "B by engines",
-            lambda n: sent(Reports(tuple(Report(f"i-{one:010x}", 1, 12, 41_000, 441_937) for one in range(n)))),
+            lambda n: sent(
+                EngineReports(tuple(EngineReport(f"i-{one:010x}", 1, 12, 41_000, 441_937) for one in range(n)))
+            ),
             FEW,
         ),
     ]
@@ -254,7 +260,7 @@
         fit(
             "encoding and decoding hints",
             "us by placements",
-            lambda n: _codec(Hints(tuple(hint(one) for one in range(n)))),
+            lambda n: _codec(PlacementHints(tuple(hint(one) for one in range(n)))),
             FEW,
         ),
         fit(
@@ -289,9 +295,9 @@
     ]
 
 
-def _cache(parts: int) -> Cache:
-    cache = Cache(1 << 40)
-    cache.remember(tuple((f"{number:08x}", 3_000) for number in range(parts)))
+def _cache(parts: int) -> PrefixCache:
+    cache = PrefixCache(1 << 40)
+    cache.insert(tuple((f"{number:08x}", 3_000) for number in range(parts)))
     return cache
 
 
--- a/hophinge/fleet/emulation/virtual_engine.py
+++ b/hophinge/fleet/emulation/virtual_engine.py
@@ -13,8 +13,8 @@
 from enum import Enum, auto
 
 from hophinge.fleet.emulation.clock import VirtualClock
-from hophinge.fleet.placement.hints import Report
-from hophinge.fleet.placement.node import Cache
+from hophinge.fleet.placement.hints import EngineReport
+from hophinge.fleet.placement.node import PrefixCache
 from hophinge.fleet.placement.timing import DECODE, PREFILL
 from hophinge.fleet.placement.prompt import Prompt
 
@@ -73,7 +73,7 @@
         self.reading: Work | None = None
         self.running: list[Work] = []
         self.fetching: list[Work] = []
-        self.cache = Cache(profile.memory_tokens)
+        self.cache = PrefixCache(profile.memory_tokens)
         self.alive = True
         self.stepping = False
         self.link_free = 0.0
@@ -123,7 +123,7 @@
     def _run(self, work: Work) -> None:
         work.tokens_left = max(1, work.prompt.tokens_out)
         self.running.append(work)
-        self.cache.remember(work.prompt.parts)
+        self.cache.insert(work.prompt.segments)
         self._kick()
 
     def crash(self) -> None:
@@ -147,10 +147,10 @@
 
         self.clock.after(self.profile.switch_s, back)
 
-    def report(self) -> Report:
+    def report(self) -> EngineReport:
         """Tell how full the engine is."""
         waiting = len(self.waiting) + len(self.fetching)
-        return Report(self.identity, waiting, len(self.running), self._held(), self.profile.memory_tokens)
+        return EngineReport(self.identity, waiting, len(self.running), self._held(), self.profile.memory_tokens)
 
     # --- steps ---------------------------------------------------------------------------------------------------
 
@@ -162,7 +162,7 @@
         """Begin a step: a piece of a prompt, and a token for each running request."""
         if self.reading is None and self.waiting and len(self.running) < self.profile.slots:
             self.reading = self.waiting.pop(0)
-            self.reading.unread = max(1, self.reading.prompt.tokens_in - self.cache.cached(self.reading.prompt))
+            self.reading.unread = max(1, self.reading.prompt.tokens_in - self.cache.cached_tokens(self.reading.prompt))
             self.tokens_read += self.reading.unread
         piece, pace = self._piece()
         lasts = piece / pace + (self.profile.step_s if self.running else 0.0)
@@ -193,7 +193,7 @@
         self._step()
 
     def _was_read(self, work: Work) -> None:
-        self.cache.remember(work.prompt.parts)
+        self.cache.insert(work.prompt.segments)
         if work.read_only:
             work.listener(Event.READ)
         else:
--- a/hophinge/fleet/emulation/virtual_fleet.py
+++ b/hophinge/fleet/emulation/virtual_fleet.py
@@ -18,10 +18,10 @@
 from hophinge.fleet.forwarding.life import GiveUp, Life, Pause, Read, Run
 from hophinge.fleet.forwarding.results import Ending, Handle, Result
 from hophinge.fleet.forwarding.trace import RequestTrace
-from hophinge.fleet.placement.hints import Reports
+from hophinge.fleet.placement.hints import EngineReports
 from hophinge.fleet.placement.placement import Placement
-from hophinge.fleet.placement.policy import Policy
-from hophinge.fleet.placement.stages import StageLoads, Switch, wanted_switches
+from hophinge.fleet.placement.policy import PlacementPolicy
+from hophinge.fleet.placement.stages import StageLoads, StageSwitch, plan_switches
 from hophinge.fleet.registry.instance import LOST, READY, SWITCHING, Instance
 
 SERVICE = "models"
@@ -79,7 +79,7 @@
         heads: int,
         zones: int,
         seed: int,
-        policy: Policy = Policy(),  # noqa: B008 - frozen
+        policy: PlacementPolicy = PlacementPolicy(),  # noqa: B008 - frozen
     ) -> None:
         self.policy = policy
         self.clock, self.random, self.traffic = VirtualClock(), Random(seed), traffic
@@ -100,7 +100,7 @@
         for number in range(prefill + decode):
             self._start_engine(engine, number, "prefill" if number < prefill else "decode")
         for head in self.heads:
-            head.configured({SERVICE: engine.memory_tokens})
+            head.configure({SERVICE: engine.memory_tokens})
 
     # --- engines -------------------------------------------------------------------------------------------------
 
@@ -114,7 +114,7 @@
     def _tell(self, instance: Instance) -> None:
         self.instances[instance.identity] = instance
         for head in self.heads:
-            head.instance(instance.identity, instance)
+            head.update_instance(instance.identity, instance)
 
     def crash(self, identity: str, moment: float) -> None:
         """Have an engine end without a word."""
@@ -126,11 +126,11 @@
         self.clock.at(moment + LOST_S, lost)
 
     def _report(self) -> None:
-        reports = Reports(tuple(engine.report() for engine in self.engines.values() if engine.alive))
+        reports = EngineReports(tuple(engine.report() for engine in self.engines.values() if engine.alive))
         self.clock.after(REPORT_AGE_S, lambda: self._reported(reports))
 
-    def _reported(self, reports: Reports) -> None:
-        self.loads.take(reports, self.instances)
+    def _reported(self, reports: EngineReports) -> None:
+        self.loads.record(reports, self.instances)
         for head in self.heads:
             head.receive_reports(self.clock.now, reports)
 
@@ -146,23 +146,23 @@
     def _look_at_stages(self) -> None:
         """Order a change of stage once it was wanted for a while."""
         now = self.clock.now
-        switches = wanted_switches(self.instances.values(), self.loads, self.policy)
+        switches = plan_switches(self.instances.values(), self.loads, self.policy)
         if not switches:
             self.switch_wanted = None
             return
         if self.switch_wanted is None or self.switch_wanted[0] != switches[0].stage:
             self.switch_wanted = switches[0].stage, now
         steady = now - self.switch_wanted[1] >= STAGE_STEADY_S and now - self.switched_at >= STAGE_RETRY_INTERVAL_S
-        if not steady and not switches[0].urgent:
+        if not steady and not switches[0].is_urgent:
             return
         self.switched_at = now
         for switch in switches:
             self._switch(switch)
 
-    def _switch(self, switch: Switch) -> None:
+    def _switch(self, switch: StageSwitch) -> None:
         """Have an engine change its stage."""
         name = switch.instance.identity
-        self.loads.switched(name)
+        self.loads.forget(name)
         self._tell(replace(self.instances[name], state=SWITCHING))
         back = replace(self.instances[name], state=READY, stage=switch.stage)
         self.engines[name].switch(switch.stage, lambda: self._tell(back))
--- a/hophinge/fleet/forwarding/life.py
+++ b/hophinge/fleet/forwarding/life.py
@@ -13,9 +13,9 @@
 from hophinge.fleet.forwarding.results import Ending, Handle, Result
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.node import Node
-from hophinge.fleet.placement.placement import COME_BACK_S, Placement
-from hophinge.fleet.placement.plan import Hopeless, Plan, Wish
-from hophinge.fleet.placement.pool import Placed, Pool
+from hophinge.fleet.placement.placement import MIN_RETRY_AFTER_S, Placement
+from hophinge.fleet.placement.plan import PlacementRejection, PlacementPlan, PlacementRequest
+from hophinge.fleet.placement.pool import Reservation, InstancePool
 from hophinge.fleet.placement.timing import DECODE, PLAIN, PREFILL
 from hophinge.fleet.placement.prompt import Prompt
 
@@ -30,7 +30,7 @@
 class Read:
     """Have the prompt read at an instance."""
 
-    placed: Placed
+    placed: Reservation
     priority: int
 
 
@@ -38,7 +38,7 @@
 class Run:
     """Have the request run at an instance, from memory that was read where there is some."""
 
-    placed: Placed
+    placed: Reservation
     priority: int
     handle: Handle | None
     event_id: str | None  # go on after this event, where a stream broke off
@@ -104,11 +104,11 @@
             return self._next_round(now)
         if plan is None:
             return self._give_up(BAD_GATEWAY, "no instance")
-        if isinstance(plan, Hopeless):
-            return self._give_up(BAD_GATEWAY, "hopeless", plan.come_back_s)
-        placed = plan.placed
+        if isinstance(plan, PlacementRejection):
+            return self._give_up(BAD_GATEWAY, "hopeless", plan.retry_after_s)
+        placed = plan.reservation
         self.trace.sent(now, placed.pool.stage, placed.node.instance.identity, placed.units, plan.forecast)
-        return self._read(now, plan) if plan.reads else self._run(now, plan)
+        return self._read(now, plan) if plan.is_prefill_only else self._run(now, plan)
 
     def _next_round(self, now: float) -> Step:
         """Have all instances asked once more after a pause: an instance that has just refused would do so again."""
@@ -119,9 +119,9 @@
         self.rounds += 1
         return Pause(pause_s)
 
-    def _plan(self, now: float) -> Plan | Hopeless | None:
+    def _plan(self, now: float) -> PlacementPlan | PlacementRejection | None:
         """Have the next attempt placed."""
-        wish = Wish(
+        wish = PlacementRequest(
             now,
             (self.name, self.tries + 1),
             self.service,
@@ -131,10 +131,10 @@
             float("inf") if self.begun else self.gone_at,
         )
         if self.prompt is None:
-            return self.placement.plain(wish, DECODE if self.staged else PLAIN)
+            return self.placement.place_plain(wish, DECODE if self.staged else PLAIN)
         if self.handle is None and self.reads < MAX_READS:
-            return self.placement.generation(wish, self.prompt)
-        return self.placement.decode(wish, self.prompt, self.handle.instance if self.handle is not None else "")
+            return self.placement.place_generation(wish, self.prompt)
+        return self.placement.place_decode(wish, self.prompt, self.handle.instance if self.handle is not None else "")
 
     def _may_run_again(self) -> bool:
         """A request that may have run goes on only where that is harmless, and the route allows another instance."""
@@ -145,25 +145,25 @@
         reading = self.prompt is not None and self.handle is None
         return (self.reads > 0 and reading) or self.runs > 0
 
-    def _give_up(self, status: int, reason: str, come_back_s: float = COME_BACK_S) -> GiveUp:
+    def _give_up(self, status: int, reason: str, come_back_s: float = MIN_RETRY_AFTER_S) -> GiveUp:
         self.trace.refusal = reason
         harmless = not self.ran or self.route.idempotent
         return GiveUp(UNAVAILABLE, come_back_s) if harmless and not self.begun else GiveUp(status, None)
 
-    def _read(self, now: float, plan: Plan) -> Step:
+    def _read(self, now: float, plan: PlacementPlan) -> Step:
         self.tries += 1
         if self.reads:
             self.budget.spend(now)
         self.reads += 1
-        return Read(plan.placed, plan.priority)
+        return Read(plan.reservation, plan.priority)
 
-    def _run(self, now: float, plan: Plan) -> Step:
+    def _run(self, now: float, plan: PlacementPlan) -> Step:
         self.tries += 1
         if self.runs:
             self.budget.spend(now)
         self.runs += 1
         self.asked_for, self.handle = self.handle, None
-        return Run(plan.placed, plan.priority, self.asked_for, self.event_id)
+        return Run(plan.reservation, plan.priority, self.asked_for, self.event_id)
 
     def leftover(self) -> list[Handle]:
         """Tell the memory that was read and that nobody takes any more: it is to be freed."""
@@ -171,18 +171,18 @@
         self.unused, self.handle = [], None
         return handles
 
-    def streaming(self, now: float, placed: Placed) -> None:
+    def streaming(self, now: float, placed: Reservation) -> None:
         """The first event of an answer has come: the instance has read, and makes tokens from now on."""
-        self.placement.answered(now, placed, True)
+        self.placement.record_answer(now, placed, True)
         self.trace.began(now)
 
-    def ended(self, now: float, placed: Placed, result: Result) -> bool:
+    def ended(self, now: float, placed: Reservation, result: Result) -> bool:
         """Take the end of an attempt; tells whether the request is over."""
         node, ending = placed.node, result.ending
         self.trace.attempt_ended(now, ending.name)
         if ending in (Ending.READ, Ending.ANSWERED):
-            self.placement.answered(now, placed, False)
-        self.placement.ended(now, placed)
+            self.placement.record_answer(now, placed, False)
+        self.placement.release(now, placed)
         self.event_id = result.event_id or self.event_id
         if ending is Ending.READ:
             self.handle = result.handle
@@ -193,7 +193,7 @@
         self._failed(now, node, placed.pool, ending)
         return False
 
-    def _failed(self, now: float, node: Node, pool: Pool, ending: Ending) -> None:
+    def _failed(self, now: float, node: Node, pool: InstancePool, ending: Ending) -> None:
         self.avoid.add(node.instance.identity)
         if self.asked_for is not None and pool.stage != PREFILL:
             if ending is Ending.UNSENT:
@@ -202,7 +202,7 @@
                 self.unused.append(self.asked_for)
             self.asked_for = None
         if ending in (Ending.UNSENT, Ending.UNKNOWN, Ending.MISPLACED):
-            self.placement.failed(node, now)
+            self.placement.record_failure(node, now)
         if pool.stage != PREFILL and ending in (Ending.UNKNOWN, Ending.BROKEN):
             self.ran = True
             self.possible_runs += 1
--- a/hophinge/fleet/placement/hints.py
+++ b/hophinge/fleet/placement/hints.py
@@ -13,58 +13,58 @@
 
 @wire(80)
 @dataclass(frozen=True, slots=True)
-class Hint:
+class PlacementHint:
     """Units of work that were sent to an instance, and the prompt parts that it keeps from then on."""
 
     instance: str
     units: int
-    parts: tuple[tuple[str, int], ...]
+    segments: tuple[tuple[str, int], ...]
     priority: int  # at the instance: 0 first
-    memory: int  # tokens that the request holds there while it runs; 0 where it is only read
-    job: int  # its number in the instance's queue, drawn at random
+    memory_tokens: int  # tokens that the request holds there while it runs; 0 where it is only read
+    job_id: int  # its number in the instance's queue, drawn at random
 
 
 @wire(86)
 @dataclass(frozen=True, slots=True)
-class Done:
+class PrefillDone:
     """A prompt was read: its job is over, and the instance has gone on to the next."""
 
     instance: str
-    job: int
+    job_id: int
     age_ms: int  # since then, when this was told
 
 
 @wire(87)
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class PrefillDropped:
     """A prompt will not be read: its client has left, or the attempt failed."""
 
     instance: str
-    job: int
+    job_id: int
 
 
 @wire(81)
 @dataclass(frozen=True, slots=True)
-class Hints:
+class PlacementHints:
     """What was placed, and what came to its end, since the last word."""
 
-    hints: tuple[Hint, ...]
-    done: tuple[Done, ...] = ()
-    dropped: tuple[Dropped, ...] = ()
+    hints: tuple[PlacementHint, ...]
+    done: tuple[PrefillDone, ...] = ()
+    dropped: tuple[PrefillDropped, ...] = ()
 
-    def __add__(self, other: Hints) -> Hints:
+    def __add__(self, other: PlacementHints) -> PlacementHints:
         """Put two words together."""
-        return Hints(self.hints + other.hints, self.done + other.done, self.dropped + other.dropped)
+        return PlacementHints(self.hints + other.hints, self.done + other.done, self.dropped + other.dropped)
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Tell whether this says nothing."""
         return not self.hints and not self.done and not self.dropped
 
 
 @wire(85)
 @dataclass(frozen=True, slots=True)
-class Suspects:
+class SuspectedInstances:
     """Instances that did not answer in time."""
 
     instances: tuple[str, ...]
@@ -72,13 +72,13 @@
 
 @wire(84)
 @dataclass(frozen=True, slots=True)
-class WantHints:
+class HintsRequest:
     """A head that has just started asks another what is kept where."""
 
 
 @wire(82)
 @dataclass(frozen=True, slots=True)
-class Report:
+class EngineReport:
     """What an engine tells of itself."""
 
     instance: str
@@ -90,16 +90,16 @@
 
 @wire(83)
 @dataclass(frozen=True, slots=True)
-class Reports:
+class EngineReports:
     """What some engines told."""
 
-    reports: tuple[Report, ...]
+    reports: tuple[EngineReport, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class FinishedRead:
+class FinishedPrefill:
     """A prompt that was read here and that the others have not been told of."""
 
     instance: str
-    job: int
-    ended: float
+    job_id: int
+    ended_at: float
--- a/hophinge/fleet/placement/placement.py
+++ b/hophinge/fleet/placement/placement.py
@@ -13,24 +13,32 @@
 from collections.abc import Callable
 from random import Random
 
-from hophinge.fleet.placement.hints import Done, Dropped, FinishedRead, Hint, Hints, Reports, Suspects
+from hophinge.fleet.placement.hints import (
+    PrefillDone,
+    PrefillDropped,
+    FinishedPrefill,
+    PlacementHint,
+    PlacementHints,
+    EngineReports,
+    SuspectedInstances,
+)
 from hophinge.core.choice.nodes import CEILING
-from hophinge.fleet.placement.node import MICROSECONDS, Cache, Node
-from hophinge.fleet.placement.plan import Forecast, Hopeless, Plan, Wish
-from hophinge.fleet.placement.policy import Policy
-from hophinge.fleet.placement.pool import Offer, Placed, Pool, answered, ended
+from hophinge.fleet.placement.node import MICROSECONDS, PrefixCache, Node
+from hophinge.fleet.placement.plan import Forecast, PlacementRejection, PlacementPlan, PlacementRequest
+from hophinge.fleet.placement.policy import PlacementPolicy
+from hophinge.fleet.placement.pool import Candidate, Reservation, InstancePool, record_answer, release
 from hophinge.fleet.placement.timing import DECODE, PLAIN, PREFILL
 from hophinge.fleet.placement.prompt import Prompt
-from hophinge.fleet.placement.weighing import Choice, Weighing
+from hophinge.fleet.placement.scoring import PlacementChoice, PlacementScorer
 from hophinge.fleet.registry.instance import Instance
 
 MILLISECONDS = 1_000
-COME_BACK_S = 0.25  # when a client that was refused is told to come back, at least
-SPREAD_S = 1.0  # over which such clients are spread, at most
-RELAYED_S = 0.03  # that a word takes from one head to another on average
-JOB_BITS = 40  # of a job's number: two alike in one queue are next to impossible
+MIN_RETRY_AFTER_S = 0.25  # when a client that was refused is told to come back, at least
+MAX_RETRY_JITTER_S = 1.0  # over which such clients are spread, at most
+MEAN_RELAY_DELAY_S = 0.03  # that a word takes from one head to another on average
+JOB_ID_BITS = 40  # of a job's number: two alike in one queue are next to impossible
 MIN_TOKENS = 64  # charged for a request with nothing to read
-SILENT_S = 0.6  # without an answer, before a failed attempt speaks against an instance that answered
+FAILURE_SILENCE_S = 0.6  # without an answer, before a failed attempt speaks against an instance that answered
 
 
 class Placement:
@@ -39,220 +47,254 @@
     def __init__(
         self,
         zone: str,
-        changed: Callable[[str], None],
+        on_instance_removed: Callable[[str], None],
         random: Random,
-        pending: Callable[[], None] = lambda: None,
-        policy: Policy = Policy(),  # noqa: B008 - frozen
+        on_update_pending: Callable[[], None] = lambda: None,
+        policy: PlacementPolicy = PlacementPolicy(),  # noqa: B008 - frozen
     ) -> None:
         self.policy = policy
-        self.zone, self.changed, self.random, self.pending = zone, changed, random, pending
-        self.pools: dict[tuple[str, str], Pool] = {}
+        self.zone, self.on_instance_removed, self.random, self.on_update_pending = (
+            zone,
+            on_instance_removed,
+            random,
+            on_update_pending,
+        )
+        self.pools: dict[tuple[str, str], InstancePool] = {}
         self.nodes: dict[str, Node] = {}
-        self.memory: dict[str, int] = {}  # tokens that an instance of a service keeps
-        self.pending_hints: list[Hint] = []
-        self.pending_reads: list[FinishedRead] = []
-        self.pending_drops: list[Dropped] = []
+        self.cache_tokens: dict[str, int] = {}  # tokens that an instance of a service keeps
+        self.pending_hints: list[PlacementHint] = []
+        self.pending_finished: list[FinishedPrefill] = []
+        self.pending_drops: list[PrefillDropped] = []
         self.suspects: set[str] = set()
 
     # --- instances -----------------------------------------------------------------------------------------------
 
-    def instance(self, identity: str, instance: Instance | None) -> None:
+    def update_instance(self, identity: str, instance: Instance | None) -> None:
         """Take what is known of an instance; None where it has ended."""
         node = self.nodes.get(identity)
         if node is not None and (instance is None or instance.stage != node.instance.stage):
             self.pool(node.instance.service, node.instance.stage).nodes.pop(identity, None)
         if instance is None:
             if self.nodes.pop(identity, None) is not None:
-                self.changed(identity)
+                self.on_instance_removed(identity)
             return
         if node is None:
             node = self.nodes[identity] = Node(instance)
-            node.cache = Cache(self.memory.get(instance.service, 0))
+            node.cache = PrefixCache(self.cache_tokens.get(instance.service, 0))
         node.instance = instance
         self.pool(instance.service, instance.stage).nodes[identity] = node
 
-    def configured(self, memory: dict[str, int]) -> None:
+    def configure(self, memory_tokens: dict[str, int]) -> None:
         """Take the tokens that instances of each service hold, of which some are for running requests."""
-        self.memory = {service: int(tokens * self.policy.kept_part) for service, tokens in memory.items()}
+        self.cache_tokens = {
+            service: int(tokens * self.policy.cache_fraction) for service, tokens in memory_tokens.items()
+        }
         for node in self.nodes.values():
-            node.cache.tokens = self.memory.get(node.instance.service, 0)
+            node.cache.capacity_tokens = self.cache_tokens.get(node.instance.service, 0)
 
-    def pool(self, service: str, stage: str) -> Pool:
+    def pool(self, service: str, stage: str) -> InstancePool:
         """Tell the instances of a stage."""
         key = service, stage
-        found = self.pools.get(key)
-        if found is None:
-            found = self.pools[key] = Pool(stage, self.policy)
-        return found
+        pool = self.pools.get(key)
+        if pool is None:
+            pool = self.pools[key] = InstancePool(stage, self.policy)
+        return pool
 
     # --- hints ---------------------------------------------------------------------------------------------------
 
-    def outgoing_hints(self, now: float) -> Hints | None:
+    def outgoing_hints(self, now: float) -> PlacementHints | None:
         """Tell what was placed here, and what came to its end, since the last call."""
-        done = tuple(Done(one.instance, one.job, int((now - one.ended) * MILLISECONDS)) for one in self.pending_reads)
-        hints = Hints(tuple(self.pending_hints), done, tuple(self.pending_drops))
-        self.pending_hints, self.pending_reads, self.pending_drops = [], [], []
-        return None if hints.empty else hints
+        done = tuple(
+            PrefillDone(one.instance, one.job_id, int((now - one.ended_at) * MILLISECONDS))
+            for one in self.pending_finished
+        )
+        hints = PlacementHints(tuple(self.pending_hints), done, tuple(self.pending_drops))
+        self.pending_hints, self.pending_finished, self.pending_drops = [], [], []
+        return None if hints.is_empty else hints
 
-    def receive_hints(self, now: float, hints: Hints) -> None:
+    def receive_hints(self, now: float, hints: PlacementHints) -> None:
         """Take what other heads placed."""
         for hint in hints.hints:
             node = self.nodes.get(hint.instance)
             if node is not None:
                 pool = self.pool(node.instance.service, node.instance.stage)
-                pool.others_sent(now, node, hint)
-                self._expect(node, hint.parts, hint.units, hint.job)
-                node.sent_since += hint.memory
+                pool.record_remote_placement(now, node, hint)
+                self._record_segments(node, hint.segments, hint.units, hint.job_id)
+                node.tokens_since_report += hint.memory_tokens
         for done in hints.done:
             node = self.nodes.get(done.instance)
-            job = node.queue.find(done.job) if node is not None else None
+            job = node.queue.find(done.job_id) if node is not None else None
             if node is not None and job is not None:
                 pool = self.pool(node.instance.service, node.instance.stage)
-                pool.finished(now, node, job, now - RELAYED_S - done.age_ms / MILLISECONDS)
-                node.cache.confirm(done.job)
+                pool.finish_job(now, node, job, now - MEAN_RELAY_DELAY_S - done.age_ms / MILLISECONDS)
+                node.cache.confirm(done.job_id)
         for dropped in hints.dropped:
             node = self.nodes.get(dropped.instance)
             if node is not None:
-                node.drop(dropped.job)
+                node.drop_job(dropped.job_id)
 
-    def _expect(self, node: Node, parts: tuple[tuple[str, int], ...], units: int, job: int) -> None:
+    def _record_segments(self, node: Node, segments: tuple[tuple[str, int], ...], units: int, job_id: int) -> None:
         """Parts are at an instance soon: at once where next to nothing is read, as they are moved there."""
-        if units > MIN_TOKENS and self.policy.drops_told:
-            node.cache.expect(parts, job)
+        if units > MIN_TOKENS and self.policy.shares_drops:
+            node.cache.insert_pending(segments, job_id)
         else:
-            node.cache.remember(parts)
+            node.cache.insert(segments)
 
-    def answered(self, now: float, placed: Placed, streaming: bool) -> None:
+    def record_answer(self, now: float, reservation: Reservation, is_streaming: bool) -> None:
         """An attempt's units are done; where a prompt was read, the other heads are told."""
-        if placed.name not in placed.node.book.slots:
+        if reservation.attempt_id not in reservation.node.in_flight.slots:
             return
-        answered(now, placed, streaming)
-        if placed.pool.timing.reads_in_turn and placed.units > MIN_TOKENS:
-            placed.pool.finished(now, placed.node, placed.job, now)
-            placed.node.cache.confirm(placed.job.number)
-            self.pending_reads.append(FinishedRead(placed.node.instance.identity, placed.job.number, now))
-            self.pending()
-
-    def ended(self, now: float, placed: Placed) -> None:
+        record_answer(now, reservation, is_streaming)
+        if reservation.pool.timing.is_sequential and reservation.units > MIN_TOKENS:
+            reservation.pool.finish_job(now, reservation.node, reservation.job, now)
+            reservation.node.cache.confirm(reservation.job.job_id)
+            self.pending_finished.append(
+                FinishedPrefill(reservation.node.instance.identity, reservation.job.job_id, now)
+            )
+            self.on_update_pending()
+
+    def release(self, now: float, reservation: Reservation) -> None:
         """Nothing of an attempt is out any more; where its prompt was not read, the other heads are told."""
-        unread = placed.name in placed.node.book.slots
-        ended(now, placed)
-        if unread and placed.units > MIN_TOKENS and self.policy.drops_told:
-            placed.node.drop(placed.job.number)
-            self.pending_drops.append(Dropped(placed.node.instance.identity, placed.job.number))
-            self.pending()
-
-    def failed(self, node: Node, now: float) -> None:
+        is_unfinished = reservation.attempt_id in reservation.node.in_flight.slots
+        release(now, reservation)
+        if is_unfinished and reservation.units > MIN_TOKENS and self.policy.shares_drops:
+            reservation.node.drop_job(reservation.job.job_id)
+            self.pending_drops.append(PrefillDropped(reservation.node.instance.identity, reservation.job.job_id))
+            self.on_update_pending()
+
+    def record_failure(self, node: Node, now: float) -> None:
         """An attempt failed at an instance; where nothing was heard of it for a while, the other heads are told."""
-        if now - node.answered_at > SILENT_S:
-            node.failed(now)
+        if now - node.last_answer_at > FAILURE_SILENCE_S:
+            node.record_failure(now)
             self.suspects.add(node.instance.identity)
-            self.pending()
+            self.on_update_pending()
 
-    def outgoing_suspects(self) -> Suspects | None:
+    def outgoing_suspects(self) -> SuspectedInstances | None:
         """Tell the instances that failed here since the last call."""
         suspects, self.suspects = tuple(self.suspects), set()
-        return Suspects(suspects) if suspects else None
+        return SuspectedInstances(suspects) if suspects else None
 
-    def receive_suspects(self, now: float, suspects: Suspects) -> None:
+    def receive_suspects(self, now: float, suspects: SuspectedInstances) -> None:
         """Take what failed at others."""
         for identity in suspects.instances:
             node = self.nodes.get(identity)
             if node is not None:
-                node.suspected(now)
+                node.record_suspicion(now)
 
-    def receive_reports(self, now: float, reports: Reports) -> None:
+    def receive_reports(self, now: float, reports: EngineReports) -> None:
         """Take what engines told of themselves."""
         for report in reports.reports:
             node = self.nodes.get(report.instance)
             if node is not None:
                 pool = self.pool(node.instance.service, node.instance.stage)
-                node.reported(now * MICROSECONDS, report, pool.mean_us(node))
+                node.apply_report(now * MICROSECONDS, report, pool.mean_service_us(node))
 
-    def kept(self) -> Hints:
+    def cache_snapshot(self) -> PlacementHints:
         """Tell all prompt parts believed to be kept, for a head that has just started."""
-        return Hints(
+        return PlacementHints(
             tuple(
-                Hint(identity, 0, tuple(node.cache.parts.items()), 0, 0, 0)
+                PlacementHint(identity, 0, tuple(node.cache.segments.items()), 0, 0, 0)
                 for identity, node in self.nodes.items()
-                if node.cache.parts
+                if node.cache.segments
             )
         )
 
     # --- choice --------------------------------------------------------------------------------------------------
 
-    def plain(self, wish: Wish, stage: str) -> Plan | None:
+    def place_plain(self, request: PlacementRequest, stage: str) -> PlacementPlan | None:
         """Place a request without a prompt: each counts one unit."""
-        pool = self.pool(wish.service, stage)
+        pool = self.pool(request.service, stage)
         units = 1.0 if stage == PLAIN else float(MIN_TOKENS)
 
-        def choose(late: bool) -> Choice | None:
-            offers = self._offers(pool, wish, wish.name[0], lambda node: units, late)
-            best = min(offers, key=lambda offer: offer.done_us, default=None)
-            return Choice(pool, best, False, best.done_us) if best is not None else None
+        def choose(late: bool) -> PlacementChoice | None:
+            offers = self._candidates(pool, request, request.attempt_id[0], lambda node: units, late)
+            candidate = min(offers, key=lambda offer: offer.done_at_us, default=None)
+            return PlacementChoice(pool, candidate, False, candidate.done_at_us) if candidate is not None else None
 
-        return self._placed(wish, choose, None)
+        return self._place(request, choose, None)
 
-    def generation(self, wish: Wish, prompt: Prompt) -> Plan | Hopeless | None:
+    def place_generation(self, request: PlacementRequest, prompt: Prompt) -> PlacementPlan | PlacementRejection | None:
         """Place a request whose prompt is still to be read: at a prefill instance, or where its tokens are made."""
-        prefill, decode = self.pool(wish.service, PREFILL), self.pool(wish.service, DECODE)
-        weighing = Weighing(prompt, self.zone, prefill, decode, self.policy)
+        prefill, decode = self.pool(request.service, PREFILL), self.pool(request.service, DECODE)
+        scorer = PlacementScorer(prompt, self.zone, prefill, decode, self.policy)
 
         def units(node: Node) -> float:
-            return float(max(MIN_TOKENS, prompt.tokens_in - node.cache.cached(prompt)))
+            return float(max(MIN_TOKENS, prompt.tokens_in - node.cache.cached_tokens(prompt)))
 
-        def choose(late: bool) -> Choice | None:
-            reading = self._offers(prefill, wish, prompt.key, units, late)
-            return weighing.choose(reading, self._offers(decode, wish, prompt.key, units, late))
+        def choose(late: bool) -> PlacementChoice | None:
+            prefill_candidates = self._candidates(prefill, request, prompt.key, units, late)
+            return scorer.choose(prefill_candidates, self._candidates(decode, request, prompt.key, units, late))
 
-        choice = self._timely(wish, choose)
+        choice = self._choose_in_time(request, choose)
         if choice is None:
             return None
-        wait_us = choice.offer.wait_us
-        patience_s = (wish.gone_at - wish.now) * self.policy.patience_part
-        hopeless = wait_us > 0 and choice.done_us > (wish.now + patience_s) * MICROSECONDS
-        if hopeless and self.policy.refuse_hopeless:
-            return Hopeless(COME_BACK_S + self.random.random() * min(SPREAD_S, wait_us / MICROSECONDS))
-        return self._reserve(choice, wish, prompt)
-
-    def decode(self, wish: Wish, prompt: Prompt, reader: str) -> Plan | None:
+        wait_us = choice.candidate.wait_us
+        max_wait_s = (request.client_deadline - request.now) * self.policy.client_timeout_fraction
+        is_hopeless = wait_us > 0 and choice.first_token_at_us > (request.now + max_wait_s) * MICROSECONDS
+        if is_hopeless and self.policy.rejects_hopeless:
+            return PlacementRejection(
+                MIN_RETRY_AFTER_S + self.random.random() * min(MAX_RETRY_JITTER_S, wait_us / MICROSECONDS)
+            )
+        return self._reserve(choice, request, prompt)
+
+    def place_decode(self, request: PlacementRequest, prompt: Prompt, prefill_identity: str) -> PlacementPlan | None:
         """Place a request whose prompt was read at an instance: it is charged for what moving it takes."""
-        decode = self.pool(wish.service, DECODE)
-        weighing = Weighing(prompt, self.zone, self.pool(wish.service, PREFILL), decode, self.policy)
+        decode = self.pool(request.service, DECODE)
+        scorer = PlacementScorer(prompt, self.zone, self.pool(request.service, PREFILL), decode, self.policy)
 
-        def choose(late: bool) -> Choice | None:
-            offers = self._offers(decode, wish, prompt.key, lambda node: float(MIN_TOKENS), late)
-            return weighing.choose_maker(self.nodes.get(reader), offers)
+        def choose(late: bool) -> PlacementChoice | None:
+            candidates = self._candidates(decode, request, prompt.key, lambda node: float(MIN_TOKENS), late)
+            return scorer.choose_decode(self.nodes.get(prefill_identity), candidates)
 
-        return self._placed(wish, choose, prompt)
+        return self._place(request, choose, prompt)
 
-    def _placed(self, wish: Wish, choose: Callable[[bool], Choice | None], prompt: Prompt | None) -> Plan | None:
-        choice = self._timely(wish, choose)
-        return self._reserve(choice, wish, prompt) if choice is not None else None
+    def _place(
+        self, request: PlacementRequest, choose: Callable[[bool], PlacementChoice | None], prompt: Prompt | None
+    ) -> PlacementPlan | None:
+        choice = self._choose_in_time(request, choose)
+        return self._reserve(choice, request, prompt) if choice is not None else None
 
-    def _timely(self, wish: Wish, choose: Callable[[bool], Choice | None]) -> Choice | None:
+    def _choose_in_time(
+        self, request: PlacementRequest, choose: Callable[[bool], PlacementChoice | None]
+    ) -> PlacementChoice | None:
         """Choose as if the request could be in time; where it can't, choose anew behind all that is late as well."""
         choice = choose(False)
-        late = choice is not None and choice.done_us > wish.aim_at * MICROSECONDS
-        return choose(True) if late else choice
+        is_late = choice is not None and choice.first_token_at_us > request.target_at * MICROSECONDS
+        return choose(True) if is_late else choice
 
-    def _offers(self, pool: Pool, wish: Wish, key: str, units: Callable[[Node], float], late: bool) -> list[Offer]:
+    def _candidates(
+        self, pool: InstancePool, request: PlacementRequest, key: str, units: Callable[[Node], float], is_late: bool
+    ) -> list[Candidate]:
         """Ask the members of a key's group that have room; where no instance has, any that is not full."""
-        nodes = pool.group(wish.now, key, wish.avoid, lambda node: pool.room(node, units(node), wish.aim_s))
+        nodes = pool.key_group(
+            request.now, key, request.excluded, lambda node: pool.has_capacity(node, units(node), request.target_s)
+        )
         if not nodes:
-            nodes = pool.group(wish.now, key, wish.avoid, lambda node: node.out < CEILING)
-        return pool.offers(wish.now, nodes, units, late)
+            nodes = pool.key_group(request.now, key, request.excluded, lambda node: node.outstanding < CEILING)
+        return pool.candidates(request.now, nodes, units, is_late)
 
-    def _reserve(self, choice: Choice, wish: Wish, prompt: Prompt | None) -> Plan:
+    def _reserve(self, choice: PlacementChoice, request: PlacementRequest, prompt: Prompt | None) -> PlacementPlan:
         """Book an offer, and have the other heads told of it."""
-        offer = choice.offer
-        parts = prompt.parts if prompt is not None else ()
-        memory = prompt.tokens_in + prompt.tokens_out if prompt is not None and not choice.reads else 0
-        offer.node.sent_since += memory
-        number = self.random.getrandbits(JOB_BITS)
-        self._expect(offer.node, parts, int(offer.units), number)
-        identity = offer.node.instance.identity
-        self.pending_hints.append(Hint(identity, int(offer.units), parts, offer.priority, memory, number))
-        self.pending()
-        forecast = Forecast(offer.wait_us, offer.spent_us, choice.done_us - wish.now * MICROSECONDS, offer.late)
-        return Plan(choice.pool.reserve(wish.now, offer, wish.name, number), choice.reads, offer.priority, forecast)
+        candidate = choice.candidate
+        segments = prompt.segments if prompt is not None else ()
+        memory_tokens = prompt.tokens_in + prompt.tokens_out if prompt is not None and not choice.is_prefill_only else 0
+        candidate.node.tokens_since_report += memory_tokens
+        job_id = self.random.getrandbits(JOB_ID_BITS)
+        self._record_segments(candidate.node, segments, int(candidate.units), job_id)
+        identity = candidate.node.instance.identity
+        self.pending_hints.append(
+            PlacementHint(identity, int(candidate.units), segments, candidate.priority, memory_tokens, job_id)
+        )
+        self.on_update_pending()
+        forecast = Forecast(
+            candidate.wait_us,
+            candidate.service_us,
+            choice.first_token_at_us - request.now * MICROSECONDS,
+            candidate.is_late,
+        )
+        return PlacementPlan(
+            choice.pool.reserve(request.now, candidate, request.attempt_id, job_id),
+            choice.is_prefill_only,
+            candidate.priority,
+            forecast,
+        )
--- a/hophinge/fleet/placement/plan.py
+++ b/hophinge/fleet/placement/plan.py
@@ -4,20 +4,20 @@
 
 from dataclasses import dataclass
 
-from hophinge.fleet.placement.pool import Placed
+from hophinge.fleet.placement.pool import Reservation
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class PlacementRequest:
     """What is to be placed: a request's name, the instances it has failed at, and what it was promised."""
 
     now: float
-    name: tuple[str, int]
+    attempt_id: tuple[str, int]
     service: str
-    avoid: set[str]
-    aim_s: float
-    aim_at: float  # when its answer is due
-    gone_at: float = float("inf")  # when its client gives up, if nothing has come by then
+    excluded: set[str]
+    target_s: float
+    target_at: float  # when its answer is due
+    client_deadline: float = float("inf")  # when its client gives up, if nothing has come by then
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,17 +31,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hopeless:
+class PlacementRejection:
     """No attempt could begin to be answered before the client gives up."""
 
-    come_back_s: float  # when the client is told to come back
+    retry_after_s: float  # when the client is told to come back
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class PlacementPlan:
     """Where the next attempt of a request goes."""
 
-    placed: Placed
-    reads: bool  # only the prompt is read there
+    reservation: Reservation
+    is_prefill_only: bool  # only the prompt is read there
     priority: int  # at the instance: 0 first
     forecast: Forecast
--- a/hophinge/fleet/placement/prompt.py
+++ b/hophinge/fleet/placement/prompt.py
@@ -11,18 +11,18 @@
 
     tokens_in: int
     tokens_out: int
-    parts: tuple[tuple[str, int], ...]
+    segments: tuple[tuple[str, int], ...]
 
     @property
     def key(self) -> str:
         """The last shared part: requests with the same one share all parts before it too."""
-        shared = self.parts[:-1] or self.parts
+        shared = self.segments[:-1] or self.segments
         return shared[-1][0] if shared else ""
 
     @property
     def shared_tokens(self) -> int:
         """Tokens that other requests share."""
-        return sum(tokens for _, tokens in self.parts[:-1])
+        return sum(tokens for _, tokens in self.segments[:-1])
 
 
 def parse_prompt(usage: str | None, prefix: str | None) -> Prompt:
@@ -32,12 +32,12 @@
         fields = usage.split(",")
         tokens_in = _number(fields[0])
         tokens_out = _number(fields[1]) if len(fields) > 1 else 0
-    parts = []
+    segments = []
     for field in (prefix or "").split(","):
         name, separator, tokens = field.strip().partition(":")
         if separator:
-            parts.append((name, _number(tokens)))
-    return Prompt(tokens_in or sum(tokens for _, tokens in parts), tokens_out, tuple(parts))
+            segments.append((name, _number(tokens)))
+    return Prompt(tokens_in or sum(tokens for _, tokens in segments), tokens_out, tuple(segments))
 
 
 def _number(text: str) -> int:
--- a/hophinge/fleet/placement/stages.py
+++ b/hophinge/fleet/placement/stages.py
@@ -13,143 +13,151 @@
 from dataclasses import dataclass
 from math import ceil
 
-from hophinge.fleet.placement.hints import Report, Reports
-from hophinge.fleet.placement.policy import Policy
+from hophinge.fleet.placement.hints import EngineReport, EngineReports
+from hophinge.fleet.placement.policy import PlacementPolicy
 from hophinge.fleet.placement.timing import DECODE, PREFILL
 from hophinge.fleet.registry.instance import READY, SWITCHING, Instance
 
 OTHER_STAGE = {PREFILL: DECODE, DECODE: PREFILL}
-NEWEST = 0.4  # weight of the newest report in an instance's means
-QUEUED = 0.25  # of an instance's time that each request that waits there adds to the work there is
+SMOOTHING = 0.4  # weight of the newest report in an instance's means
+QUEUED_WEIGHT = 0.25  # of an instance's time that each request that waits there adds to the work there is
 MAX_QUEUED = 4  # requests that wait at one instance and are counted
-LEAST = 2  # instances of a stage, where there are twice as many in all: one more may be lost
-AT_ONCE = 0.17  # part of a service's instances that change their part together, at most
+MIN_STAGE_INSTANCES = 2  # instances of a stage, where there are twice as many in all: one more may be lost
+MAX_SWITCHED_FRACTION = 0.17  # part of a service's instances that change their part together, at most
 
 
 @dataclass(frozen=True, slots=True)
-class Switch:
+class StageSwitch:
     """An instance that should change its part."""
 
     instance: Instance
     stage: str
-    urgent: bool  # nobody is left of that stage
+    is_urgent: bool  # nobody is left of that stage
 
 
 @dataclass(slots=True)
-class Load:
+class InstanceLoad:
     """Means of what one instance reported lately."""
 
-    reading: float = 0.0  # part of its time that it reads, and what waits, in its time
-    making: float = 0.0  # part that is taken of its slots or of its memory
+    prefill_load: float = 0.0  # part of its time that it reads, and what waits, in its time
+    decode_load: float = 0.0  # part that is taken of its slots or of its memory
 
-    def take(self, report: Report, slots: int) -> None:
+    def record(self, report: EngineReport, slots: int) -> None:
         """Take a report."""
-        queued = QUEUED * min(MAX_QUEUED, report.waiting)
-        reading = (1.0 if report.running or report.waiting else 0.0) + queued
+        queued = QUEUED_WEIGHT * min(MAX_QUEUED, report.waiting)
+        prefill_sample = (1.0 if report.running or report.waiting else 0.0) + queued
         memory = report.used / report.total if report.total > 0 else 0.0
-        making = max((report.running + report.waiting) / max(1, slots), memory)
-        self.reading += (reading - self.reading) * NEWEST
-        self.making += (making - self.making) * NEWEST
+        decode_sample = max((report.running + report.waiting) / max(1, slots), memory)
+        self.prefill_load += (prefill_sample - self.prefill_load) * SMOOTHING
+        self.decode_load += (decode_sample - self.decode_load) * SMOOTHING
 
 
 class StageLoads:
     """What engines told of their work lately."""
 
     def __init__(self) -> None:
-        self.of: dict[str, Load] = {}
+        self.by_instance: dict[str, InstanceLoad] = {}
 
-    def take(self, reports: Reports, instances: dict[str, Instance]) -> None:
+    def record(self, reports: EngineReports, instances: dict[str, Instance]) -> None:
         """Take what some engines told."""
         for report in reports.reports:
             instance = instances.get(report.instance)
             if instance is not None:
-                self.of.setdefault(report.instance, Load()).take(report, instance.slots)
+                self.by_instance.setdefault(report.instance, InstanceLoad()).record(report, instance.slots)
 
-    def keep(self, identities: Set[str]) -> None:
+    def retain(self, identities: Set[str]) -> None:
         """Forget instances that are gone."""
-        self.of = {identity: load for identity, load in self.of.items() if identity in identities}
+        self.by_instance = {identity: load for identity, load in self.by_instance.items() if identity in identities}
 
-    def switched(self, identity: str) -> None:
+    def forget(self, identity: str) -> None:
         """An instance changes its part: what it reported says nothing of the new one."""
-        self.of.pop(identity, None)
+        self.by_instance.pop(identity, None)
 
-    def reading(self, members: Iterable[Instance]) -> float:
+    def prefill_load(self, members: Iterable[Instance]) -> float:
         """Tell the work of instances that read, in instances."""
-        return sum(self.of[member.identity].reading for member in members if member.identity in self.of)
+        return sum(
+            self.by_instance[member.identity].prefill_load for member in members if member.identity in self.by_instance
+        )
 
-    def making(self, members: Iterable[Instance]) -> float:
+    def decode_load(self, members: Iterable[Instance]) -> float:
         """Tell how much is taken of instances that make tokens, in instances."""
-        return sum(self.of[member.identity].making for member in members if member.identity in self.of)
+        return sum(
+            self.by_instance[member.identity].decode_load for member in members if member.identity in self.by_instance
+        )
 
 
-def wanted_switches(instances: Iterable[Instance], loads: StageLoads, policy: Policy) -> tuple[Switch, ...]:
+def plan_switches(instances: Iterable[Instance], loads: StageLoads, policy: PlacementPolicy) -> tuple[StageSwitch, ...]:
     """Tell the changes that the stages of the first service want that wants some; none while any is under way there."""
     services: dict[str, list[Instance]] = {}
     for instance in instances:
         if instance.stage:
             services.setdefault(instance.service, []).append(instance)
     for _, members in sorted(services.items()):
-        switches = _of_service(members, loads, policy)
+        switches = _service_switches(members, loads, policy)
         if switches:
             return switches
     return ()
 
 
-def _of_service(members: list[Instance], loads: StageLoads, policy: Policy) -> tuple[Switch, ...]:
+def _service_switches(members: list[Instance], loads: StageLoads, policy: PlacementPolicy) -> tuple[StageSwitch, ...]:
     ready = [member for member in members if member.state == READY]
     prefill = [member for member in ready if member.stage == PREFILL]
     decode = [member for member in ready if member.stage == DECODE]
-    coming = {OTHER_STAGE[member.stage] for member in members if member.state == SWITCHING}
-    missing = _missing_stage(prefill, decode, coming)
+    arriving_stages = {OTHER_STAGE[member.stage] for member in members if member.state == SWITCHING}
+    missing = _missing_stage(prefill, decode, arriving_stages)
     if missing:
-        return (Switch(_spared(ready, loads, 1)[0], missing, True),)
-    if coming or not (prefill and decode):
+        return (StageSwitch(_least_needed(ready, loads, 1)[0], missing, True),)
+    if arriving_stages or not (prefill and decode):
         return ()
-    most = max(1, int(AT_ONCE * len(ready)))
-    least = LEAST if len(ready) >= 2 * LEAST else 1
-    if not policy.stages_by_work:
-        return _repaired(prefill, decode, loads, least)
-    reading = max(least, _needed(loads.reading(prefill), policy.reading_part))
-    making = max(least, _needed(loads.making(decode), policy.making_part))
-    to_decode = min(making - len(decode), len(prefill) - reading, most)
-    to_prefill = min(reading - len(prefill), len(decode) - making, most)
+    max_switches = max(1, int(MAX_SWITCHED_FRACTION * len(ready)))
+    min_instances = MIN_STAGE_INSTANCES if len(ready) >= 2 * MIN_STAGE_INSTANCES else 1
+    if not policy.switches_by_load:
+        return _restore_minimum(prefill, decode, loads, min_instances)
+    prefill_needed = max(min_instances, _instances_needed(loads.prefill_load(prefill), policy.prefill_utilization))
+    decode_needed = max(min_instances, _instances_needed(loads.decode_load(decode), policy.decode_utilization))
+    to_decode = min(decode_needed - len(decode), len(prefill) - prefill_needed, max_switches)
+    to_prefill = min(prefill_needed - len(prefill), len(decode) - decode_needed, max_switches)
     if to_decode >= 1:
-        return tuple(Switch(one, DECODE, False) for one in _spared(prefill, loads, to_decode))
+        return tuple(StageSwitch(one, DECODE, False) for one in _least_needed(prefill, loads, to_decode))
     if to_prefill >= 1:
-        return tuple(Switch(one, PREFILL, False) for one in _spared(decode, loads, to_prefill))
+        return tuple(StageSwitch(one, PREFILL, False) for one in _least_needed(decode, loads, to_prefill))
     return ()
 
 
-def _missing_stage(prefill: list[Instance], decode: list[Instance], coming: set[str]) -> str:
+def _missing_stage(prefill: list[Instance], decode: list[Instance], arriving_stages: set[str]) -> str:
     """Tell the stage that has nobody and gets nobody, though somebody can be spared; empty where there is none."""
-    if len(prefill) > 1 and not decode and DECODE not in coming:
+    if len(prefill) > 1 and not decode and DECODE not in arriving_stages:
         return DECODE
-    if len(decode) > 1 and not prefill and PREFILL not in coming:
+    if len(decode) > 1 and not prefill and PREFILL not in arriving_stages:
         return PREFILL
     return ""
 
 
-def _repaired(prefill: list[Instance], decode: list[Instance], loads: StageLoads, least: int) -> tuple[Switch, ...]:
+def _restore_minimum(
+    prefill: list[Instance], decode: list[Instance], loads: StageLoads, min_instances: int
+) -> tuple[StageSwitch, ...]:
     """Tell the change that gives a stage its least number again, whatever the work is."""
-    if len(decode) < least:
-        return (Switch(_spared(prefill, loads, 1)[0], DECODE, False),)
-    if len(prefill) < least:
-        return (Switch(_spared(decode, loads, 1)[0], PREFILL, False),)
+    if len(decode) < min_instances:
+        return (StageSwitch(_least_needed(prefill, loads, 1)[0], DECODE, False),)
+    if len(prefill) < min_instances:
+        return (StageSwitch(_least_needed(decode, loads, 1)[0], PREFILL, False),)
     return ()
 
 
-def _needed(work: float, part: float) -> int:
+def _instances_needed(load: float, utilization: float) -> int:
     """Tell how many instances some work wants, each of which is to be taken to a part only."""
-    return max(1, ceil(work / part))
+    return max(1, ceil(load / utilization))
 
 
-def _spared(members: list[Instance], loads: StageLoads, count: int) -> list[Instance]:
+def _least_needed(members: list[Instance], loads: StageLoads, count: int) -> list[Instance]:
     """Tell who changes: from the zones that have most of them, the least busy first."""
     in_zone = Counter(member.zone for member in members)
-    left, chosen = list(members), []
+    remaining, chosen = list(members), []
     for _ in range(count):
-        one = min(left, key=lambda member: (-in_zone[member.zone], loads.making([member]), member.identity))
-        left.remove(one)
-        in_zone[one.zone] -= 1
-        chosen.append(one)
+        member = min(
+            remaining, key=lambda member: (-in_zone[member.zone], loads.decode_load([member]), member.identity)
+        )
+        remaining.remove(member)
+        in_zone[member.zone] -= 1
+        chosen.append(member)
     return chosen
--- a/hophinge/fleet/trial.py
+++ b/hophinge/fleet/trial.py
@@ -3,28 +3,31 @@
 from __future__ import annotations
 
 import json
-from dataclasses import fields
 from pathlib import Path
 
 from hophinge.fleet import log
-from hophinge.fleet.placement.policy import Policy
+from hophinge.fleet.placement.policy import PlacementPolicy, fields_by_trial_name
 
 TRIAL_PATH = Path("trial-policy.json")  # ignored by git
 
 
-def trial_policy(path: Path = TRIAL_PATH) -> Policy:
-    """Read the policy of a trial, or tell the one in service.
+def trial_policy(path: Path = TRIAL_PATH) -> PlacementPolicy:
+    """Read the policy of a trial; without a file, return the one in service.
+
+    Raises:
+        ValueError: the file cannot be used (pydantic's ValidationError is one): a trial must not run with less.
 
-    Raises ValueError (pydantic's ValidationError is one) where the file can't be used: a trial must not run with less.
     """
     if not path.exists():
-        return Policy()
+        return PlacementPolicy()
     from pydantic import TypeAdapter  # not loaded in service: it takes a while
 
-    text = path.read_bytes()
-    unknown = json.loads(text).keys() - {field.name for field in fields(Policy)}
+    values = json.loads(path.read_bytes())
+    field_names = fields_by_trial_name()
+    unknown = values.keys() - field_names.keys()
     if unknown:
         raise ValueError(f"{path}: no such mechanism: {', '.join(sorted(unknown))}")
-    policy = TypeAdapter(Policy).validate_json(text)
+    renamed = json.dumps({field_names[name]: value for name, value in values.items()})
+    policy = TypeAdapter(PlacementPolicy).validate_json(renamed)
     log.note(f"trial: {policy}")
     return policy
--- a/tests/test_fleet_life.py
+++ b/tests/test_fleet_life.py
@@ -15,7 +15,7 @@
 from hophinge.fleet.forwarding.life import GiveUp, Life, Pause, Read, Run
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.forwarding.results import Ending, Handle, Result, unexecuted
-from hophinge.fleet.placement.hints import Hint, Hints
+from hophinge.fleet.placement.hints import PlacementHint, PlacementHints
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.placement.prompt import Prompt, parse_prompt
 from hophinge.fleet.registry.instance import READY, Instance
@@ -32,8 +32,8 @@
     stages = ["prefill"] * prefill + ["decode"] * decode + [""] * plain
     for number, stage in enumerate(stages):
         instance = Instance(f"i-{number}", "s", f"10.0.0.{number}:80", "z", "v", 8, READY, stage, ())
-        placement.instance(instance.identity, instance)
-    placement.configured({"s": 100_000})
+        placement.update_instance(instance.identity, instance)
+    placement.configure({"s": 100_000})
     return placement
 
 
@@ -170,9 +170,9 @@
     life.ended(0.1, read.placed, _handle(read))
     run = _run(life, 0.1)
     life.streaming(0.2, run.placed)
-    assert run.placed.node.out == 1
+    assert run.placed.node.outstanding == 1
     assert life.ended(0.9, run.placed, Result(Ending.ANSWERED))
-    assert all(node.out == 0 for node in placement.nodes.values())
+    assert all(node.outstanding == 0 for node in placement.nodes.values())
 
 
 def test_the_parts_of_all_heads_keep_within_the_budget() -> None:
@@ -252,7 +252,10 @@
             life.streaming(0.1, first.placed)
         life.ended(1.5, first.placed, Result(Ending.BROKEN if begun else Ending.REFUSED, event_id="3"))
         placement.receive_hints(
-            1.5, Hints(tuple(Hint(name, 90_000, (), 0, 0, number) for number, name in enumerate(placement.nodes, 1)))
+            1.5,
+            PlacementHints(
+                tuple(PlacementHint(name, 90_000, (), 0, 0, number) for number, name in enumerate(placement.nodes, 1))
+            ),
         )
         step = life.next(1.5)
         assert isinstance(step, Run if begun else GiveUp)
--- a/tests/test_fleet_life_histories.py
+++ b/tests/test_fleet_life_histories.py
@@ -14,7 +14,15 @@
 from hophinge.fleet.forwarding.life import GiveUp, Life, Pause, Read, Run
 from hophinge.fleet.forwarding.results import Ending, Handle, Result
 from hophinge.fleet.forwarding.trace import RequestTrace
-from hophinge.fleet.placement.hints import Done, Dropped, Hint, Hints, Report, Reports, Suspects
+from hophinge.fleet.placement.hints import (
+    PrefillDone,
+    PrefillDropped,
+    PlacementHint,
+    PlacementHints,
+    EngineReport,
+    EngineReports,
+    SuspectedInstances,
+)
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.placement.prompt import Prompt
 from hophinge.fleet.registry.instance import DRAINING, LOST, READY, SWITCHING, Instance
@@ -52,18 +60,18 @@
             self.random.choice((self.registry, self.told, self.begin, self.begin, self.answer, self.answer))()
         while self.out:
             self.answer()
-        assert all(node.out == 0 for node in self.placement.nodes.values()), "the books are empty at the end"
+        assert all(node.outstanding == 0 for node in self.placement.nodes.values()), "the books are empty at the end"
 
     def registry(self) -> None:
         """An instance comes, changes, or goes; or the configuration does."""
         identity = self.random.choice(IDENTITIES)
         if self.random.random() < 0.3:
-            self.placement.instance(identity, None)
+            self.placement.update_instance(identity, None)
         elif self.random.random() < 0.1:
-            self.placement.configured(self.random.choice(({}, {"s": 100_000}, {"other": 5})))
+            self.placement.configure(self.random.choice(({}, {"s": 100_000}, {"other": 5})))
         else:
             stage, state = self.random.choice(STAGES), self.random.choice(STATES)
-            self.placement.instance(
+            self.placement.update_instance(
                 identity,
                 Instance(
                     identity,
@@ -84,18 +92,18 @@
         parts = (("a", 100), ("b", self.random.randrange(3) * 50))
         self.placement.receive_hints(
             self.now,
-            Hints(
-                (Hint(identity, self.random.randrange(90_000), parts, 1, self.random.randrange(500), job),),
-                (Done(identity, job, self.random.randrange(400)),),
-                (Dropped(identity, job),),
+            PlacementHints(
+                (PlacementHint(identity, self.random.randrange(90_000), parts, 1, self.random.randrange(500), job),),
+                (PrefillDone(identity, job, self.random.randrange(400)),),
+                (PrefillDropped(identity, job),),
             ),
         )
-        self.placement.receive_suspects(self.now, Suspects((identity,)))
-        report = Report(identity, 3, 2, 500, self.random.choice((0, 1_000)))
-        self.placement.receive_reports(self.now, Reports((report,)))
+        self.placement.receive_suspects(self.now, SuspectedInstances((identity,)))
+        report = EngineReport(identity, 3, 2, 500, self.random.choice((0, 1_000)))
+        self.placement.receive_reports(self.now, EngineReports((report,)))
         self.placement.outgoing_hints(self.now)
         self.placement.outgoing_suspects()
-        self.placement.kept()
+        self.placement.cache_snapshot()
 
     def begin(self) -> None:
         """A request comes."""
--- a/tests/test_fleet_losses.py
+++ b/tests/test_fleet_losses.py
@@ -12,7 +12,7 @@
 from hophinge.fleet.forwarding.figures import RequestFigures
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.plan import Forecast
-from hophinge.fleet.placement.policy import Order, Policy
+from hophinge.fleet.placement.policy import PrefillOrder, PlacementPolicy
 from hophinge.fleet.trial import trial_policy
 
 KINDS = [Kind("long", 2.0, 0.5, True, 10_000.0), Kind("short", 1.0, 0.25, True, 1_000.0)]
@@ -145,9 +145,9 @@
 
 def test_a_trial_gives_a_policy_in_a_file_and_a_deployment_has_none(tmp_path: Path) -> None:
     path = tmp_path / "trial-policy.json"
-    assert trial_policy(path) == Policy()
+    assert trial_policy(path) == PlacementPolicy()
     path.write_text('{"order": "arrival", "group": 5}')
-    assert trial_policy(path) == Policy(order=Order.ARRIVAL, group=5)
+    assert trial_policy(path) == PlacementPolicy(order=PrefillOrder.ARRIVAL, group_size=5)
     for text in ('{"order": "best"}', '{"no-such-mechanism": 1}', '{"group": "many"}', "{"):
         path.write_text(text)
         with pytest.raises(ValueError):
--- a/tests/test_fleet_orders.py
+++ b/tests/test_fleet_orders.py
@@ -17,8 +17,8 @@
 from hophinge.fleet.controlplane.keeper import StageKeeper
 from hophinge.fleet.emulation.stand_in import Taken, read_request
 from hophinge.fleet.forwarding.headers import EXPECTED_INSTANCE, find
-from hophinge.fleet.placement.policy import Policy
-from hophinge.fleet.placement.stages import Switch
+from hophinge.fleet.placement.policy import PlacementPolicy
+from hophinge.fleet.placement.stages import StageSwitch
 from hophinge.fleet.registry.instance import READY, Instance
 
 TOKEN = 7
@@ -34,12 +34,12 @@
         self.arrived, self.left = asyncio.Event(), asyncio.Event()
 
     @asynccontextmanager
-    async def listening(self) -> AsyncIterator[Switch]:
+    async def listening(self) -> AsyncIterator[StageSwitch]:
         """Listen; tells the order that is wanted."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with server:
-            yield Switch(Instance(self.identity, "s", address, "z", "v", 8, READY, "prefill", ()), "decode", False)
+            yield StageSwitch(Instance(self.identity, "s", address, "z", "v", 8, READY, "prefill", ()), "decode", False)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         taken = await read_request(reader)
@@ -61,14 +61,14 @@
 def _keeper() -> tuple[StageKeeper, list[str]]:
     """Make an owner of the role; tells it, and the instances that it takes to be switching."""
     switching: list[str] = []
-    loads = SimpleNamespace(switched=lambda identity: None)
+    loads = SimpleNamespace(forget=lambda identity: None)
     directory = SimpleNamespace(loads=loads, switching=lambda instance: switching.append(instance.identity))
     machine = SimpleNamespace(me=SimpleNamespace(identity="me"))
 
     async def request(key: str, change: object, patience: float) -> Any:
         raise AssertionError("nothing is asked of the chain here")
 
-    made = StageKeeper(cast(Any, machine), cast(Any, directory), cast(Any, request), 3.0, Policy())
+    made = StageKeeper(cast(Any, machine), cast(Any, directory), cast(Any, request), 3.0, PlacementPolicy())
     return made, switching
 
 
@@ -93,7 +93,7 @@
     status: int, taken: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     refused: list[int] = []
-    monkeypatch.setattr(Role, "refused", lambda role, token: refused.append(token))
+    monkeypatch.setattr(Role, "reject_token", lambda role, token: refused.append(token))
 
     async def play() -> None:
         instance, (made, switching) = OrderedInstance("i-1"), _keeper()
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -4,76 +4,79 @@
 
 from dataclasses import replace
 
-from hophinge.fleet.placement.hints import Hint, Hints
-from hophinge.fleet.placement.placement import COME_BACK_S, SPREAD_S, Placement
-from hophinge.fleet.placement.plan import Hopeless, Plan
-from tests.fleet_placement_parts import generation, placement_of, prompt_of, wish
+from hophinge.fleet.placement.hints import PlacementHint, PlacementHints
+from hophinge.fleet.placement.placement import MIN_RETRY_AFTER_S, MAX_RETRY_JITTER_S, Placement
+from hophinge.fleet.placement.plan import PlacementRejection, PlacementPlan
+from tests.fleet_placement_parts import generation, placement_of, prompt_of, request_of
 
 
 def _behind(seconds: float) -> Placement:
     """Make a placement whose only instances have work for so long."""
     placement = placement_of(1, 1)
     jobs = tuple(
-        Hint(name, int(seconds * 1e6 / placement.pool("s", stage).timing.typical_us), (), 0, 0, number)
+        PlacementHint(name, int(seconds * 1e6 / placement.pool("s", stage).timing.typical_unit_us), (), 0, 0, number)
         for number, (name, stage) in enumerate((("i-0", "prefill"), ("i-1", "decode")), 1)
     )
-    placement.receive_hints(0.0, Hints(jobs))
+    placement.receive_hints(0.0, PlacementHints(jobs))
     return placement
 
 
 def test_what_cannot_begin_before_its_client_gives_up_is_refused_at_once() -> None:
-    asked = replace(wish("a", 0.0, 0.5), gone_at=2.0)
-    refused = _behind(3.0).generation(asked, prompt_of("key"))
-    assert isinstance(refused, Hopeless)
-    assert COME_BACK_S <= refused.come_back_s <= COME_BACK_S + SPREAD_S
-    assert isinstance(_behind(0.1).generation(asked, prompt_of("key")), Plan)
-    alone = placement_of(1, 1).generation(asked, prompt_of("key", 500_000))  # nobody waits: it is tried
-    assert isinstance(alone, Plan)
+    asked = replace(request_of("a", 0.0, 0.5), client_deadline=2.0)
+    refused = _behind(3.0).place_generation(asked, prompt_of("key"))
+    assert isinstance(refused, PlacementRejection)
+    assert MIN_RETRY_AFTER_S <= refused.retry_after_s <= MIN_RETRY_AFTER_S + MAX_RETRY_JITTER_S
+    assert isinstance(_behind(0.1).place_generation(asked, prompt_of("key")), PlacementPlan)
+    alone = placement_of(1, 1).place_generation(asked, prompt_of("key", 500_000))  # nobody waits: it is tried
+    assert isinstance(alone, PlacementPlan)
 
 
 def test_clients_that_are_refused_come_back_at_different_times() -> None:
     placement = _behind(3.0)
-    wishes = [replace(wish(str(number), 0.0, 0.5), gone_at=2.0) for number in range(20)]
-    refused = [placement.generation(asked, prompt_of("key")) for asked in wishes]
-    times = [one.come_back_s for one in refused if isinstance(one, Hopeless)]
+    wishes = [replace(request_of(str(number), 0.0, 0.5), client_deadline=2.0) for number in range(20)]
+    refused = [placement.place_generation(asked, prompt_of("key")) for asked in wishes]
+    times = [one.retry_after_s for one in refused if isinstance(one, PlacementRejection)]
     assert len(times) == 20
-    assert max(times) - min(times) > SPREAD_S / 2
+    assert max(times) - min(times) > MAX_RETRY_JITTER_S / 2
 
 
 def test_a_refused_request_leaves_no_trace_in_books_and_hints() -> None:
     placement = _behind(3.0)
-    assert isinstance(placement.generation(replace(wish("a", 0.0, 0.5), gone_at=2.0), prompt_of("key")), Hopeless)
+    assert isinstance(
+        placement.place_generation(replace(request_of("a", 0.0, 0.5), client_deadline=2.0), prompt_of("key")),
+        PlacementRejection,
+    )
     assert placement.outgoing_hints(0.0) is None
-    assert not any(node.out or node.cache.parts for node in placement.nodes.values())
+    assert not any(node.outstanding or node.cache.segments for node in placement.nodes.values())
 
 
 def test_parts_of_a_prompt_that_was_not_read_are_not_taken_for_kept() -> None:
     placement, other = placement_of(4, 1), placement_of(4, 1)
     plan = generation(placement, "a", prompt_of("key"))
     _tell(placement, other)
-    identity = plan.placed.node.instance.identity
-    assert other.nodes[identity].cache.cached(prompt_of("key")) == 5_500
-    placement.ended(0.1, plan.placed)
+    identity = plan.reservation.node.instance.identity
+    assert other.nodes[identity].cache.cached_tokens(prompt_of("key")) == 5_500
+    placement.release(0.1, plan.reservation)
     _tell(placement, other)
     for one in (placement, other):
-        assert one.nodes[identity].cache.cached(prompt_of("key")) == 0
-        assert one.nodes[identity].cache.used == 0
-        assert one.nodes[identity].queue.begin(0.2e6, 9) <= 0.4e6
+        assert one.nodes[identity].cache.cached_tokens(prompt_of("key")) == 0
+        assert one.nodes[identity].cache.used_tokens == 0
+        assert one.nodes[identity].queue.start_at_us(0.2e6, 9) <= 0.4e6
 
 
 def test_parts_that_another_job_has_read_stay_when_a_later_one_is_dropped() -> None:
     placement, other = placement_of(4, 1), placement_of(4, 1)
     first = generation(placement, "a", prompt_of("key"))
-    placement.answered(0.1, first.placed, False)
-    placement.ended(0.1, first.placed)
+    placement.record_answer(0.1, first.reservation, False)
+    placement.release(0.1, first.reservation)
     second = generation(placement, "b", prompt_of("key", name="b"))
-    assert second.placed.node is first.placed.node
-    placement.ended(0.2, second.placed)
+    assert second.reservation.node is first.reservation.node
+    placement.release(0.2, second.reservation)
     _tell(placement, other)
     for one in (placement, other):
-        cache = one.nodes[first.placed.node.instance.identity].cache
-        assert cache.cached(prompt_of("key")) == 5_500
-        assert not cache.expected
+        cache = one.nodes[first.reservation.node.instance.identity].cache
+        assert cache.cached_tokens(prompt_of("key")) == 5_500
+        assert not cache.pending_jobs
 
 
 def _tell(placement: Placement, other: Placement) -> None:
--- a/tests/test_fleet_placement.py
+++ b/tests/test_fleet_placement.py
@@ -5,77 +5,79 @@
 from random import Random
 
 from hophinge.core.choice.nodes import CEILING
-from hophinge.fleet.placement.hints import Hint, Hints, Report, Reports
+from hophinge.fleet.placement.hints import PlacementHint, PlacementHints, EngineReport, EngineReports
 from hophinge.fleet.placement.placement import Placement
-from hophinge.fleet.placement.policy import Order, Policy
-from hophinge.fleet.placement.pool import FEW, ended
-from hophinge.fleet.placement.urgency import LATE_PRIORITY, priority_of
+from hophinge.fleet.placement.policy import PrefillOrder, PlacementPolicy
+from hophinge.fleet.placement.pool import MIN_OUTSTANDING, release
+from hophinge.fleet.placement.priority import LATE_PRIORITY, priority_of
 from hophinge.fleet.registry.instance import DRAINING, LOST
-from tests.fleet_placement_parts import generation, instance, placement_of, prompt_of, wish
+from tests.fleet_placement_parts import generation, instance, placement_of, prompt_of, request_of
 
 
 def test_requests_of_one_key_go_where_its_shared_part_is_kept() -> None:
     placement = placement_of(6, 2)
     first = generation(placement, "a", prompt_of("key"))
-    assert first.reads
+    assert first.is_prefill_only
     second = generation(placement, "b", prompt_of("key"))
-    assert second.placed.node is first.placed.node
-    assert second.placed.units < first.placed.units
+    assert second.reservation.node is first.reservation.node
+    assert second.reservation.units < first.reservation.units
 
 
 def test_a_key_is_spread_over_its_group_where_its_members_are_busy() -> None:
     placement = placement_of(8, 1)
     for node in placement.pool("s", "decode").nodes.values():
-        node.report = Report(node.instance.identity, 9, 60, 190_000, 200_000)
+        node.last_report = EngineReport(node.instance.identity, 9, 60, 190_000, 200_000)
     prompts = [prompt_of("key", 3_000, 3_000, str(number)) for number in range(9)]
-    used = {generation(placement, prompt.parts[1][0], prompt).placed.node.instance.identity for prompt in prompts}
-    assert 1 < len(used) <= Policy().group
+    used = {
+        generation(placement, prompt.segments[1][0], prompt).reservation.node.instance.identity for prompt in prompts
+    }
+    assert 1 < len(used) <= PlacementPolicy().group_size
 
 
 def test_the_member_whose_book_frees_earliest_takes_a_plain_request() -> None:
     placement = placement_of(0, 0, 3)
     taken = []
     for number in range(3):
-        plan = placement.plain(wish("same"), "")
+        plan = placement.place_plain(request_of("same"), "")
         assert plan is not None
-        taken.append(plan.placed.node.instance.identity)
-        assert plan.placed.units == 1.0, number
+        taken.append(plan.reservation.node.instance.identity)
+        assert plan.reservation.units == 1.0, number
     assert len(set(taken)) == 3
 
 
 def test_what_others_placed_counts_in_the_books_and_in_the_caches() -> None:
     placement = placement_of(2, 1)
     prompt = prompt_of("key")
-    alone = generation(placement, "a", prompt).placed.node.instance.identity
+    alone = generation(placement, "a", prompt).reservation.node.instance.identity
     other = placement_of(2, 1)
     elsewhere = next(name for name in ("i-0", "i-1") if name != alone)
-    other.receive_hints(0.0, Hints((Hint(elsewhere, 100, prompt.parts, 0, 0, 1),)))
-    assert generation(other, "a", prompt).placed.node.instance.identity == elsewhere
+    other.receive_hints(0.0, PlacementHints((PlacementHint(elsewhere, 100, prompt.segments, 0, 0, 1),)))
+    assert generation(other, "a", prompt).reservation.node.instance.identity == elsewhere
 
 
 def test_what_is_out_at_an_instance_stays_under_the_bound() -> None:
     placement = placement_of(0, 0, 1)
     pool = placement.pool("s", "")
     node = next(iter(pool.nodes.values()))
-    for number in range(FEW):
-        assert pool.room(node, 1.0, 0.001), number
-        offer = pool.offers(0.0, [node], lambda one: 1.0, False)[0]
+    for number in range(MIN_OUTSTANDING):
+        assert pool.has_capacity(node, 1.0, 0.001), number
+        offer = pool.candidates(0.0, [node], lambda one: 1.0, False)[0]
         pool.reserve(0.0, offer, (str(number), 1), number)
-    assert not pool.room(node, 1.0, 0.001)
-    assert pool.room(node, 1.0, 10.0)
+    assert not pool.has_capacity(node, 1.0, 0.001)
+    assert pool.has_capacity(node, 1.0, 10.0)
 
 
 def test_no_instance_gets_more_than_the_ceiling_from_one_head() -> None:
     placement = placement_of(0, 0, 1)
-    plans = [placement.plain(wish(str(number)), "") for number in range(CEILING + 3)]
+    plans = [placement.place_plain(request_of(str(number)), "") for number in range(CEILING + 3)]
     assert sum(plan is not None for plan in plans) == CEILING
 
 
 def test_a_request_that_cannot_be_in_time_waits_behind_all_others() -> None:
     placement = placement_of(1, 1)
     prompt = prompt_of("key", 40_000, 4_000)
-    assert generation(placement, "a", prompt, aim_s=10.0).priority < LATE_PRIORITY
-    assert generation(placement, "b", prompt_of("other", 40_000, 4_000), aim_s=0.1).priority == LATE_PRIORITY
+    assert generation(placement, "a", prompt, target_s=10.0).priority < LATE_PRIORITY
+    assert generation(placement, "b", prompt_of("other", 40_000, 4_000), target_s=0.1).priority == LATE_PRIORITY
     hints = placement.outgoing_hints(0.0)
     assert hints is not None
     assert [hint.priority == LATE_PRIORITY for hint in hints.hints] == [False, True]
@@ -83,19 +85,19 @@
 
 def test_late_work_that_waits_does_not_hold_up_what_can_be_in_time() -> None:
     placement = placement_of(1, 1)
-    under_way = [Hint(name, 1_000, (), 0, 0, 1) for name in ("i-0", "i-1")]
-    late = [Hint(name, 900_000, (), LATE_PRIORITY, 0, 2) for name in ("i-0", "i-1")]
-    placement.receive_hints(0.0, Hints((*under_way, *late)))
-    assert generation(placement, "a", prompt_of("key"), aim_s=1.0).priority < LATE_PRIORITY
+    under_way = [PlacementHint(name, 1_000, (), 0, 0, 1) for name in ("i-0", "i-1")]
+    late = [PlacementHint(name, 900_000, (), LATE_PRIORITY, 0, 2) for name in ("i-0", "i-1")]
+    placement.receive_hints(0.0, PlacementHints((*under_way, *late)))
+    assert generation(placement, "a", prompt_of("key"), target_s=1.0).priority < LATE_PRIORITY
 
 
 def test_late_work_that_is_under_way_is_waited_for_or_passed_by() -> None:
     placement = placement_of(2, 1)
     prompt = prompt_of("key", 100, 100)
-    alone = generation(placement, "a", prompt).placed.node.instance.identity
+    alone = generation(placement, "a", prompt).reservation.node.instance.identity
     other = placement_of(2, 1)
-    other.receive_hints(0.0, Hints((Hint(alone, 900_000, (), LATE_PRIORITY, 0, 2),)))
-    assert generation(other, "a", prompt).placed.node.instance.identity != alone
+    other.receive_hints(0.0, PlacementHints((PlacementHint(alone, 900_000, (), LATE_PRIORITY, 0, 2),)))
+    assert generation(other, "a", prompt).reservation.node.instance.identity != alone
 
 
 def test_shorter_work_is_admitted_first() -> None:
@@ -109,19 +111,19 @@
     gone: list[str] = []
     placement = Placement("z", gone.append, Random(1))
     for number in range(2):
-        placement.instance(f"i-{number}", instance(number, ""))
-    placement.instance("i-0", instance(0, "", DRAINING))
+        placement.update_instance(f"i-{number}", instance(number, ""))
+    placement.update_instance("i-0", instance(0, "", DRAINING))
     for number in range(4):
-        plan = placement.plain(wish(str(number)), "")
+        plan = placement.place_plain(request_of(str(number)), "")
         assert plan is not None
-        assert plan.placed.node.instance.identity == "i-1"
-    placement.instance("i-0", None)
+        assert plan.reservation.node.instance.identity == "i-1"
+    placement.update_instance("i-0", None)
     assert gone == ["i-0"]
 
 
 def test_an_instance_that_changes_its_stage_moves_to_the_other_pool() -> None:
     placement = placement_of(2, 1)
-    placement.instance("i-0", instance(0, "decode"))
+    placement.update_instance("i-0", instance(0, "decode"))
     assert set(placement.pool("s", "prefill").nodes) == {"i-1"}
     assert set(placement.pool("s", "decode").nodes) == {"i-0", "i-2"}
 
@@ -129,19 +131,19 @@
 def test_a_full_decode_instance_is_passed_over() -> None:
     placement = placement_of(0, 2)
     prompt = prompt_of("key", 100, 100)
-    first = generation(placement, "a", prompt).placed.node.instance.identity
-    placement.receive_reports(0.0, Reports((Report(first, 12, 60, 199_000, 200_000),)))
-    assert generation(placement, "b", prompt).placed.node.instance.identity != first
+    first = generation(placement, "a", prompt).reservation.node.instance.identity
+    placement.receive_reports(0.0, EngineReports((EngineReport(first, 12, 60, 199_000, 200_000),)))
+    assert generation(placement, "b", prompt).reservation.node.instance.identity != first
 
 
 def test_an_answer_in_no_time_does_not_make_an_instance_free_of_charge() -> None:
     placement = placement_of(1, 1)
     for number in range(200):
         plan = generation(placement, str(number), prompt_of(f"key-{number}", 2_000, 100))
-        placement.answered(0.0, plan.placed, False)
-        ended(0.0, plan.placed)
+        placement.record_answer(0.0, plan.reservation, False)
+        release(0.0, plan.reservation)
     assert all(pool.unit_us(node) > 0 for pool in placement.pools.values() for node in pool.nodes.values())
-    assert placement.generation(wish("last"), prompt_of("key")) is not None
+    assert placement.place_generation(request_of("last"), prompt_of("key")) is not None
 
 
 def test_the_time_per_unit_follows_what_answers_take() -> None:
@@ -149,61 +151,65 @@
     pool = placement.pool("s", "prefill")
     node = pool.nodes["i-0"]
     for number in range(60):
-        offer = pool.offers(0.0, [node], lambda one: 10_000.0, False)[0]
+        offer = pool.candidates(0.0, [node], lambda one: 10_000.0, False)[0]
         placed = pool.reserve(float(number), offer, (str(number), 1), number)
-        placement.answered(number + 0.125, placed, False)  # 10 us a unit, and 25 ms beside
-        ended(number + 0.125, placed)
+        placement.record_answer(number + 0.125, placed, False)  # 10 us a unit, and 25 ms beside
+        release(number + 0.125, placed)
     assert 8.0 < pool.unit_us(node) < 13.0
 
 
 def test_an_instance_that_answers_here_is_used_whatever_the_core_has_heard() -> None:
     placement = placement_of(0, 0, 2)
-    plan = placement.plain(wish("a"), "")
+    plan = placement.place_plain(request_of("a"), "")
     assert plan is not None
-    answering = plan.placed.node.instance.identity
-    placement.answered(0.1, plan.placed, False)
+    answering = plan.reservation.node.instance.identity
+    placement.record_answer(0.1, plan.reservation, False)
     for number in range(2):
-        placement.instance(f"i-{number}", instance(number, "", LOST))
+        placement.update_instance(f"i-{number}", instance(number, "", LOST))
     for number in range(3):
-        plan = placement.plain(wish(str(number), 1.0), "")
+        plan = placement.place_plain(request_of(str(number), 1.0), "")
         assert plan is not None
-        assert plan.placed.node.instance.identity == answering
+        assert plan.reservation.node.instance.identity == answering
 
 
 def test_one_that_only_the_core_takes_for_lost_is_tried_where_there_is_no_other() -> None:
     placement = placement_of(0, 0, 1)
-    placement.instance("i-0", instance(0, "", LOST))
-    assert placement.plain(wish("a"), "") is not None
-    placement.instance("i-1", instance(1, ""))
-    plan = placement.plain(wish("b"), "")
+    placement.update_instance("i-0", instance(0, "", LOST))
+    assert placement.place_plain(request_of("a"), "") is not None
+    placement.update_instance("i-1", instance(1, ""))
+    plan = placement.place_plain(request_of("b"), "")
     assert plan is not None
-    assert plan.placed.node.instance.identity == "i-1"
+    assert plan.reservation.node.instance.identity == "i-1"
 
 
 def test_a_leaving_one_is_never_tried() -> None:
     placement = placement_of(0, 0, 1)
-    placement.instance("i-0", instance(0, "", DRAINING))
-    assert placement.plain(wish("a"), "") is None
+    placement.update_instance("i-0", instance(0, "", DRAINING))
+    assert placement.place_plain(request_of("a"), "") is None
 
 
 def test_shorter_work_comes_first_and_what_is_late_last_unless_a_trial_says_otherwise() -> None:
-    by_length = [priority_of(Policy(), spent_us, False) for spent_us in (10_000.0, 90_000.0, 500_000.0, 2_000_000.0)]
+    by_length = [
+        priority_of(PlacementPolicy(), spent_us, False) for spent_us in (10_000.0, 90_000.0, 500_000.0, 2_000_000.0)
+    ]
     assert by_length == sorted(set(by_length))
-    assert priority_of(Policy(), 10_000.0, True) == LATE_PRIORITY > by_length[-1]
-    by_arrival = Policy(order=Order.ARRIVAL)
+    assert priority_of(PlacementPolicy(), 10_000.0, True) == LATE_PRIORITY > by_length[-1]
+    by_arrival = PlacementPolicy(order=PrefillOrder.ARRIVAL)
     assert priority_of(by_arrival, 10_000.0, False) == priority_of(by_arrival, 2_000_000.0, False)
-    assert priority_of(Policy(late_last=False), 10_000.0, True) == by_length[0]
+    assert priority_of(PlacementPolicy(defers_late=False), 10_000.0, True) == by_length[0]
 
 
 def test_answers_that_are_being_made_weigh_little_in_where_a_prompt_is_read() -> None:
     """Ten answers cost a reading instance less than a quarter of the prompt's own time: their pauses stay bounded."""
     chosen = []
-    for share in (Policy().streams_share, 4.0):
-        placement = Placement("z", lambda identity: None, Random(1), policy=Policy(streams_share=share))
+    for share in (PlacementPolicy().stream_weight, 4.0):
+        placement = Placement("z", lambda identity: None, Random(1), policy=PlacementPolicy(stream_weight=share))
         for number, stage in enumerate(("prefill", "decode")):
-            placement.instance(f"i-{number}", instance(number, stage))
-        placement.configured({"s": 200_000})
-        placement.receive_hints(0.0, Hints((Hint("i-0", 20_000, (), 0, 0, 1),)))  # the prefill instance is busy
-        placement.nodes["i-1"].report = Report("i-1", 0, 8, 100, 200_000)
-        chosen.append(generation(placement, "a", prompt_of("key", 0, 3_000)).reads)
+            placement.update_instance(f"i-{number}", instance(number, stage))
+        placement.configure({"s": 200_000})
+        placement.receive_hints(
+            0.0, PlacementHints((PlacementHint("i-0", 20_000, (), 0, 0, 1),))
+        )  # the prefill instance is busy
+        placement.nodes["i-1"].last_report = EngineReport("i-1", 0, 8, 100, 200_000)
+        chosen.append(generation(placement, "a", prompt_of("key", 0, 3_000)).is_prefill_only)
     assert chosen == [False, True]
--- a/tests/test_fleet_queue.py
+++ b/tests/test_fleet_queue.py
@@ -4,31 +4,31 @@
 
 from random import Random
 
-from hophinge.fleet.placement.queue import FRESH_US, MIN_SAMPLE_US, WorkQueue
+from hophinge.fleet.placement.queue import MAX_REPORT_AGE_US, MIN_SAMPLE_US, WorkQueue
 
 
 def test_jobs_are_worked_on_in_turn() -> None:
     queue = WorkQueue()
-    assert queue.begin(5.0, 0) == 5.0
+    assert queue.start_at_us(5.0, 0) == 5.0
     queue.add(5.0, 2, 100.0)
     queue.add(6.0, 2, 50.0)
-    assert queue.begin(7.0, 2) == 155.0
-    assert queue.begin(200.0, 2) == 200.0
+    assert queue.start_at_us(7.0, 2) == 155.0
+    assert queue.start_at_us(200.0, 2) == 200.0
 
 
 def test_an_urgent_job_waits_for_the_one_under_way_alone() -> None:
     queue = WorkQueue()
     queue.add(0.0, 8, 100.0)
     queue.add(1.0, 5, 300.0)
-    assert queue.begin(2.0, 0) == 100.0
-    assert queue.begin(2.0, 5) == 400.0
+    assert queue.start_at_us(2.0, 0) == 100.0
+    assert queue.start_at_us(2.0, 5) == 400.0
 
 
 def test_a_job_that_came_while_the_instance_was_idle_has_begun() -> None:
     queue = WorkQueue()
     queue.add(0.0, 0, 10.0)
     queue.add(50.0, 8, 1_000.0)
-    assert queue.begin(60.0, 0) == 1_050.0
+    assert queue.start_at_us(60.0, 0) == 1_050.0
 
 
 def test_a_dropped_job_is_not_waited_for() -> None:
@@ -37,7 +37,7 @@
     job = queue.add(0.0, 0, 100.0)
     queue.drop(job)
     queue.drop(job)
-    assert queue.begin(0.0, 0) == 100.0
+    assert queue.start_at_us(0.0, 0) == 100.0
 
 
 def test_an_answer_sooner_than_reckoned_ends_what_stood_before_it() -> None:
@@ -45,37 +45,37 @@
     queue.add(0.0, 0, 1_000.0)
     job = queue.add(0.0, 0, 1_000.0)
     queue.add(0.0, 0, 500.0)
-    assert queue.spent_us(job, 300.0) == MIN_SAMPLE_US
+    assert queue.service_us(job, 300.0) == MIN_SAMPLE_US
     queue.finish(300.0, job, 300.0)
-    assert queue.begin(300.0, 0) == 800.0
+    assert queue.start_at_us(300.0, 0) == 800.0
 
 
 def test_an_answer_later_than_reckoned_puts_back_what_stands_behind_it() -> None:
     queue = WorkQueue()
     job = queue.add(0.0, 0, 100.0)
     queue.add(0.0, 0, 200.0)
-    assert queue.spent_us(job, 1_000.0) == 1_000.0
+    assert queue.service_us(job, 1_000.0) == 1_000.0
     queue.finish(1_000.0, job, 1_000.0)
-    assert queue.begin(1_000.0, 0) == 1_200.0
+    assert queue.start_at_us(1_000.0, 0) == 1_200.0
 
 
 def test_a_report_cuts_the_queue_and_fills_it_up() -> None:
     queue = WorkQueue()
     for _ in range(6):
         queue.add(0.0, 0, 10_000_000.0)
-    now = 2 * FRESH_US
-    queue.reported(now, 1, 7.0)
-    assert len(queue.waiting) == 2
-    queue.reported(now, 8, 7.0)
-    assert len(queue.waiting) == 7
+    now = 2 * MAX_REPORT_AGE_US
+    queue.apply_queue_length(now, 1, 7.0)
+    assert len(queue.queued) == 2
+    queue.apply_queue_length(now, 8, 7.0)
+    assert len(queue.queued) == 7
 
 
 def test_a_report_says_nothing_of_what_was_placed_since() -> None:
     queue = WorkQueue()
     for _ in range(4):
         queue.add(0.0, 0, 10_000_000.0)
-    queue.reported(FRESH_US / 2, 0, 7.0)
-    assert len(queue.waiting) == 3
+    queue.apply_queue_length(MAX_REPORT_AGE_US / 2, 0, 7.0)
+    assert len(queue.queued) == 3
 
 
 def test_whatever_comes_the_queue_stays_sorted_and_time_goes_on() -> None:
@@ -91,11 +91,11 @@
                 case 3 if jobs:
                     queue.drop(random.choice(jobs))
                 case _:
-                    queue.reported(now, random.randrange(5), 40.0)
-            priorities = [job.priority for job in queue.waiting]
+                    queue.apply_queue_length(now, random.randrange(5), 40.0)
+            priorities = [job.priority for job in queue.queued]
             assert priorities == sorted(priorities), seed
-            assert all(queue.begin(now, one) <= queue.begin(now, one + 1) for one in range(9)), seed
-            assert queue.begin(now, 0) >= now, seed
+            assert all(queue.start_at_us(now, one) <= queue.start_at_us(now, one + 1) for one in range(9)), seed
+            assert queue.start_at_us(now, 0) >= now, seed
 
 
 def test_the_time_spent_on_a_job_runs_from_the_end_of_the_one_before_it() -> None:
@@ -105,9 +105,9 @@
     later = queue.add(90_000.0, 0, 5_000.0, 3, 100.0)
     assert queue.find(2) is second
     assert queue.find(9) is None
-    assert queue.spent_us(first, 8_000.0) == 8_000.0
+    assert queue.service_us(first, 8_000.0) == 8_000.0
     queue.finish(95_000.0, first, 8_000.0)
-    assert queue.spent_us(second, 20_000.0) == 12_000.0
+    assert queue.service_us(second, 20_000.0) == 12_000.0
     queue.finish(95_000.0, second, 20_000.0)
-    assert queue.spent_us(later, 97_000.0) == 7_000.0
+    assert queue.service_us(later, 97_000.0) == 7_000.0
     queue.finish(97_000.0, later, 97_000.0)
--- a/tests/test_fleet_relay.py
+++ b/tests/test_fleet_relay.py
@@ -5,14 +5,14 @@
 import pytest
 
 from hophinge.fleet.controlplane.relay import EACH_HEAD_S, GATHER_S, SOON_S, Relay
-from hophinge.fleet.placement.hints import Hint, Hints, Suspects
+from hophinge.fleet.placement.hints import PlacementHint, PlacementHints, SuspectedInstances
 from hophinge.fleet.transport.frames import FrameReader
 
 HEADS, CONTROLS = ["h1", "h2", "h3"], ["c2", "c3"]
 
 
-def _hint(name: str) -> Hints:
-    return Hints((Hint(name, 1, (), 0, 0, 1),))
+def _hint(name: str) -> PlacementHints:
+    return PlacementHints((PlacementHint(name, 1, (), 0, 0, 1),))
 
 
 class Wire:
@@ -28,7 +28,7 @@
         for target, data in self.frames:
             if target == address:
                 for message in reader.feed(data):
-                    assert isinstance(message, Hints)
+                    assert isinstance(message, PlacementHints)
                     names += [hint.instance for hint in message.hints]
         return names
 
@@ -77,5 +77,5 @@
 
 def test_a_word_that_is_not_gathered_goes_at_once() -> None:
     wire = Wire()
-    wire.relay.at_once(Suspects(("i",)), HEADS)
+    wire.relay.at_once(SuspectedInstances(("i",)), HEADS)
     assert [target for target, _ in wire.frames] == HEADS
--- a/tests/test_fleet_stages.py
+++ b/tests/test_fleet_stages.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from hophinge.fleet.placement.hints import Report, Reports
-from hophinge.fleet.placement.policy import Policy
-from hophinge.fleet.placement.stages import StageLoads, Switch, wanted_switches
+from hophinge.fleet.placement.hints import EngineReport, EngineReports
+from hophinge.fleet.placement.policy import PlacementPolicy
+from hophinge.fleet.placement.stages import StageLoads, StageSwitch, plan_switches
 from hophinge.fleet.registry.instance import DRAINING, LOST, READY, SWITCHING, Instance
 
 SLOTS = 16
 MEMORY = 100_000
-POLICY = Policy(reading_part=0.6, making_part=0.4)
+POLICY = PlacementPolicy(prefill_utilization=0.6, decode_utilization=0.4)
 
 
 def _staged(prefill: int, decode: int, zones: int = 1) -> list[Instance]:
@@ -29,17 +29,17 @@
     """Have instances report (waiting, running) where they read and (waiting, running, memory) where they make."""
     loads = StageLoads()
     values = {"prefill": (*reads, 0), "decode": makes}
-    reports = Reports(tuple(Report(one.identity, *values[one.stage], MEMORY) for one in members))
+    reports = EngineReports(tuple(EngineReport(one.identity, *values[one.stage], MEMORY) for one in members))
     for _ in range(20):
-        loads.take(reports, {one.identity: one for one in members})
+        loads.record(reports, {one.identity: one for one in members})
     return loads
 
 
-def _wanted(members: list[Instance], loads: StageLoads | None = None) -> tuple[Switch, ...]:
-    return wanted_switches(members, loads or StageLoads(), POLICY)
+def _wanted(members: list[Instance], loads: StageLoads | None = None) -> tuple[StageSwitch, ...]:
+    return plan_switches(members, loads or StageLoads(), POLICY)
 
 
-def _stages(switches: tuple[Switch, ...]) -> list[tuple[str, str]]:
+def _stages(switches: tuple[StageSwitch, ...]) -> list[tuple[str, str]]:
     return [(switch.instance.stage, switch.stage) for switch in switches]
 
 
@@ -54,14 +54,14 @@
 def test_where_nobody_is_left_of_a_stage_one_is_made_at_once(prefill: int, decode: int, stage: str) -> None:
     [switch] = _wanted(_staged(prefill, decode))
     assert switch.stage == stage
-    assert switch.urgent
+    assert switch.is_urgent
 
 
 def test_an_instance_that_leaves_or_is_lost_counts_for_no_stage() -> None:
     for state in (LOST, DRAINING):
         members = [replace(one, state=state) if one.stage == "decode" else one for one in _staged(3, 2)]
         [switch] = _wanted(members)
-        assert (switch.instance.state, switch.stage, switch.urgent) == (READY, "decode", True), state
+        assert (switch.instance.state, switch.stage, switch.is_urgent) == (READY, "decode", True), state
 
 
 def test_an_instance_that_is_alone_keeps_its_stage() -> None:
@@ -80,17 +80,17 @@
     """The maker that was ordered to read is under way when the other makers are lost."""
     to_read = replace(_staged(0, 1)[0], identity="i-99", state=SWITCHING)
     [switch] = _wanted([*_staged(3, 0), to_read])
-    assert (switch.instance.stage, switch.stage, switch.urgent) == ("prefill", "decode", True)
+    assert (switch.instance.stage, switch.stage, switch.is_urgent) == ("prefill", "decode", True)
     to_make = replace(_staged(1, 0)[0], identity="i-99", state=SWITCHING)
     [switch] = _wanted([*_staged(0, 3), to_make])
-    assert (switch.instance.stage, switch.stage, switch.urgent) == ("decode", "prefill", True)
+    assert (switch.instance.stage, switch.stage, switch.is_urgent) == ("decode", "prefill", True)
 
 
 def test_busy_readers_are_given_several_instances_that_make_little() -> None:
     members = _staged(29, 41)
     switches = _wanted(members, _loads(members, (1, 1), (0, 2, 0)))
     assert _stages(switches) == [("decode", "prefill")] * 11  # as many as may change at once
-    assert not any(switch.urgent for switch in switches)
+    assert not any(switch.is_urgent for switch in switches)
 
 
 def test_readers_get_no_more_than_the_makers_can_spare() -> None:
@@ -111,10 +111,12 @@
     members = _staged(4, 5)
     half_busy = StageLoads()
     for number in range(41):
-        reports = Reports(
-            tuple(Report(one.identity, 0, number % 2 if one.stage == "prefill" else 4, 0, MEMORY) for one in members)
+        reports = EngineReports(
+            tuple(
+                EngineReport(one.identity, 0, number % 2 if one.stage == "prefill" else 4, 0, MEMORY) for one in members
+            )
         )
-        half_busy.take(reports, {one.identity: one for one in members})
+        half_busy.record(reports, {one.identity: one for one in members})
     assert _wanted(members, half_busy) == ()
 
 
@@ -131,11 +133,11 @@
 def test_what_an_instance_reported_before_it_changed_says_nothing_of_it_now() -> None:
     members = _staged(2, 2)
     loads = _loads(members, (4, 1), (0, 0, 0))
-    before = loads.reading(members[:2])
-    loads.switched(members[0].identity)
-    assert loads.reading(members[:2]) == pytest.approx(before / 2)
-    loads.keep({members[2].identity})
-    assert loads.reading(members) == 0.0
+    before = loads.prefill_load(members[:2])
+    loads.forget(members[0].identity)
+    assert loads.prefill_load(members[:2]) == pytest.approx(before / 2)
+    loads.retain({members[2].identity})
+    assert loads.prefill_load(members) == 0.0
 
 
 @pytest.mark.parametrize("by_work", [True, False])
@@ -144,5 +146,5 @@
     prefill: int, decode: int, stage: str, by_work: bool
 ) -> None:
     members = _staged(prefill, decode)
-    [switch] = wanted_switches(members, StageLoads(), Policy(stages_by_work=by_work))
-    assert (switch.stage, switch.urgent) == (stage, False)
+    [switch] = plan_switches(members, StageLoads(), PlacementPolicy(switches_by_load=by_work))
+    assert (switch.stage, switch.is_urgent) == (stage, False)
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -32,7 +32,7 @@
 from hophinge.fleet.configuration.document import check
 from hophinge.fleet.controlplane.forms import Heartbeat
 from hophinge.fleet.forwarding.trace import RequestTrace
-from hophinge.fleet.placement.policy import Policy
+from hophinge.fleet.placement.policy import fields_by_trial_name
 from hophinge.fleet.settings import parse_settings
 from hophinge.head import accounts, config, handover, operator
 from hophinge.head.environment import CONFIG_FILE
@@ -280,7 +280,7 @@
 def trial_names() -> dict[str, list[str]]:
     """The names of a trial's policy file and of a line of the request log."""
     return {
-        "policy": sorted(Policy.__dataclass_fields__),
+        "policy": sorted(fields_by_trial_name()),
         "request": sorted(RequestTrace.__dataclass_fields__),
     }
 
--- a/tests/test_worst_days_connections.py
+++ b/tests/test_worst_days_connections.py
@@ -50,7 +50,7 @@
             await play.script.left.wait()
             assert asyncio.get_running_loop().time() - begin < GONE_S
             await asyncio.gather(asking, return_exceptions=True)
-            assert all(node.out == 0 for node in play.placement.nodes.values()), "nothing stays in the books"
+            assert all(node.outstanding == 0 for node in play.placement.nodes.values()), "nothing stays in the books"
 
     asyncio.run(asyncio.wait_for(run(), BOUND_S))
 
@@ -70,7 +70,7 @@
     async def run() -> None:
         async with _playing(False) as play:
             instance = play.instances[0]
-            play.placement.instance(play.instances[1].name, None)
+            play.placement.update_instance(play.instances[1].name, None)
             assert (await play.request("warm", replace(UNSAFE, kind="safe"))).status == 200
             pool = play.upstream.pools[instance.name]
             assert pool.resting_s == RESTING_S
