--- a/hophinge/fleet/analysis/cuts.py
+++ b/hophinge/fleet/analysis/cuts.py
@@ -14,19 +14,25 @@
 
 # A machine with one role is named without it.
 LOG_LINE = re.compile(r"^ *(-?\d+\.\d+) ([^\s/]+)(?:/data-plane)? \d+:\S+ \w+ (.*)$")
-CUT_LINE = re.compile(r"^cut: request (\S+) \(.*?\) by (\w+) while (\w+)(?:; after ([^;]*))?")
+CUT_LINE = re.compile(r"^response aborted request=(\S+) route=.*? side=(\w+) phase=(\w+) (?:.*? error=(.*))?")
+# Lines as heads wrote them before events had fields; reports of those days are still read.
+OLD_CUT_LINE = re.compile(r"^cut: request (\S+) \(.*?\) by (\w+) while (\w+)(?:; after ([^;]*))?")
 CASE_BEGIN = re.compile(r"^not served, last try '(cut in the answer|cut, no answer)'")
 CASE_LINE = re.compile(r"^ +(\d+\.\d+) s  (.*)$")
 SENT = re.compile(r"^request (\w+) \(.*\) sent to (\S+)$")
-STARTED = re.compile(r"^head \w+ at ")
-ENDING = "ending"
+STARTED = re.compile(r"^head (?:started identity=|\w+ at )")  # the second form in old reports
+SHUTDOWN_LINES = ("draining", "ending")  # the second form in old reports
 FAILED_WORK = (
-    "a task failed",
-    "a periodic step failed",
+    "task failed",
+    "periodic step failed",
+    "message handling failed",
+    "background work failed",
+    "request handling failed",
+    "Fatal error",
+    # As old reports have them:
     "could not be taken",
     "a piece of work failed",
     "a request failed in the head itself",
-    "Fatal error",
 )
 
 
@@ -118,7 +124,7 @@
 
 
 def _told(day: PlayedDay, line: LogLine) -> CutAnswer | None:
-    found = CUT_LINE.match(line.text)
+    found = CUT_LINE.match(line.text) or OLD_CUT_LINE.match(line.text)
     if found is None:
         return None
     request, side, step, error = found[1], found[2], found[3], found[4] or ""
@@ -139,7 +145,7 @@
             continue
         if STARTED.match(line.text):
             told = False
-        elif line.text == ENDING:
+        elif line.text in SHUTDOWN_LINES:
             told = True
     failed = any(line.machine == cut.machine and line.at_s <= cut.at_s for line in day.failures())
     return told and not failed
--- a/hophinge/fleet/cli/commands.py
+++ b/hophinge/fleet/cli/commands.py
@@ -11,7 +11,7 @@
 import cappa
 import httpcore
 
-from hophinge.fleet.configuration.document import check
+from hophinge.fleet.configuration.document import validate_document
 from hophinge.fleet.settings import SettingsError, read_settings
 
 FOUND, UNREACHABLE = 1, 2  # exit statuses: something is wrong with the file; the member does not answer
@@ -41,7 +41,7 @@
         except OSError as error:
             _findings(str(self.file), [str(error.strerror)])
             return
-        checked = check(data)
+        checked = validate_document(data)
         _findings(str(self.file), [str(finding) for finding in checked.error] if checked.is_error() else [])
 
 
--- a/hophinge/fleet/configuration/document.py
+++ b/hophinge/fleet/configuration/document.py
@@ -16,20 +16,20 @@
     return name.replace("_", "-")
 
 
-class Part(BaseModel):
+class ConfigurationModel(BaseModel):
     """A part of the document. Fields that this version does not know are kept out of its way."""
 
     model_config = ConfigDict(alias_generator=_alias, populate_by_name=True, extra="ignore")
 
 
-class Weight(Part):
+class WeightedServiceModel(ConfigurationModel):
     """A service's part of a route's requests."""
 
     service: str
     weight: float = Field(ge=0)
 
 
-class RouteModel(Part):
+class RouteModel(ConfigurationModel):
     """One route."""
 
     name: str
@@ -40,17 +40,17 @@
     target_latency_ms: float = Field(default=1_000, ge=0)
     priority: int = 0
     service: str | None = None
-    traffic_split: list[Weight] | None = None
+    traffic_split: list[WeightedServiceModel] | None = None
     max_attempts: int = Field(default=1, ge=0)
 
 
-class ModelModel(Part):
+class ModelModel(ConfigurationModel):
     """A model of a service."""
 
     name: str
 
 
-class ServiceModel(Part):
+class ServiceModel(ConfigurationModel):
     """One service."""
 
     name: str
@@ -58,7 +58,7 @@
     max_connections: int = Field(default=100, ge=0)
 
 
-class LimitsModel(Part):
+class LimitsModel(ConfigurationModel):
     """What a client may send, and how long it may take."""
 
     max_header_bytes: int = Field(default=16_384, gt=0)
@@ -67,7 +67,7 @@
     idle_timeout_ms: float = Field(default=15_000, gt=0)
 
 
-class DocumentModel(Part):
+class DocumentModel(ConfigurationModel):
     """The whole document."""
 
     version: int = Field(gt=0)
@@ -80,17 +80,17 @@
 class Finding:
     """What is wrong, and where: a path into the document."""
 
-    place: str
-    text: str
+    path: str
+    message: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.text}"
+        return f"{self.path}: {self.message}"
 
 
 Findings = tuple[Finding, ...]
 
 
-def check(data: bytes) -> Result[DocumentModel, Findings]:
+def validate_document(data: bytes) -> Result[DocumentModel, Findings]:
     """Read and check a document."""
     try:
         raw = json.loads(data)
@@ -101,23 +101,23 @@
     except ValidationError as error:
         found = [Finding(".".join(map(str, one["loc"])) or "document", one["msg"]) for one in error.errors()]
         return Error(tuple(found[:MAX_FINDINGS]))
-    findings = tuple(_contradictions(document))
+    findings = tuple(_check_references(document))
     return Error(findings[:MAX_FINDINGS]) if findings else Ok(document)
 
 
-def _contradictions(document: DocumentModel) -> Iterator[Finding]:
+def _check_references(document: DocumentModel) -> Iterator[Finding]:
     services = {service.name for service in document.services}
     places: dict[tuple[str, str], int] = {}
     for number, route in enumerate(document.routes):
         place = f"routes.{number}"
-        yield from _targets(route, place, services)
+        yield from _check_targets(route, place, services)
         key = route.host.lower(), route.path_prefix
         if key in places:
             yield Finding(place, f"host and prefix are those of routes.{places[key]}")
         places.setdefault(key, number)
 
 
-def _targets(route: RouteModel, place: str, services: set[str]) -> Iterator[Finding]:
+def _check_targets(route: RouteModel, place: str, services: set[str]) -> Iterator[Finding]:
     split = route.traffic_split
     if route.service is None and not split:
         yield Finding(place, "names no service")
--- a/hophinge/fleet/configuration/routes.py
+++ b/hophinge/fleet/configuration/routes.py
@@ -12,14 +12,14 @@
 from hophinge.coordination.dissemination import GossipRecord
 
 RECORD_KEY = "configuration"  # the record under which members know the configuration in force
-COMPRESSION = 1  # zlib's level: documents repeat themselves, and time counts more than bytes
-MIN_TIMEOUT_S = 2.0  # silence after which a client gives a stream up, at least
-PATIENT_AIMS = 4.0  # and so many times the route's objective
-PATIENT_GAPS = 8.0  # and its longest pause
+COMPRESSION_LEVEL = 1  # zlib's level: documents repeat themselves, and time counts more than bytes
+MIN_CLIENT_TIMEOUT_S = 2.0  # silence after which a client gives a stream up, at least
+CLIENT_TIMEOUT_TARGETS = 4.0  # and so many times the route's objective
+CLIENT_TIMEOUT_GAPS = 8.0  # and its longest pause
 
 
 @dataclass(frozen=True, slots=True)
-class Engine:
+class EngineSettings:
     """What the document tells of the engines of a service with prefill and decode."""
 
     slots: int
@@ -33,7 +33,7 @@
 
     name: str
     max_connections: int
-    engine: Engine | None
+    engine: EngineSettings | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,29 +43,31 @@
     name: str
     host: str
     prefix: str
-    kind: str  # safe, unsafe or streaming
+    route_type: str  # safe, unsafe or streaming
     timeout_s: float
     target_s: float
     gap_s: float  # the longest pause between events that keeps an answer in time; 0 where not told
     priority: int
     max_attempts: int
-    resumable: bool
+    is_resumable: bool
     services: tuple[str, ...]
-    bounds: tuple[float, ...]
+    cumulative_weights: tuple[float, ...]
 
     @property
-    def idempotent(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Tell whether a request may run more than once."""
-        return self.kind == "safe" or (self.kind == "streaming" and self.resumable)
+        return self.route_type == "safe" or (self.route_type == "streaming" and self.is_resumable)
 
     @property
-    def patience_s(self) -> float:
+    def client_timeout_s(self) -> float:
         """Tell how long a client waits for the first event of a stream, by the protocol."""
-        return max(MIN_TIMEOUT_S, PATIENT_AIMS * self.target_s, PATIENT_GAPS * self.gap_s)
+        return max(MIN_CLIENT_TIMEOUT_S, CLIENT_TIMEOUT_TARGETS * self.target_s, CLIENT_TIMEOUT_GAPS * self.gap_s)
 
-    def service(self, draw: float) -> str:
+    def choose_service(self, draw: float) -> str:
         """Choose a service by weight; `draw` is from 0 to 1."""
-        return self.services[min(bisect_right(self.bounds, draw * self.bounds[-1]), len(self.services) - 1)]
+        return self.services[
+            min(bisect_right(self.cumulative_weights, draw * self.cumulative_weights[-1]), len(self.services) - 1)
+        ]
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +104,7 @@
         return None
 
 
-def _route(raw: dict[str, Any]) -> Route:
+def _parse_route(raw: dict[str, Any]) -> Route:
     split = raw.get("traffic-split")
     weights = [(one["service"], float(one["weight"])) for one in split] if split else [(raw["service"], 1.0)]
     weights = [one for one in weights if one[1] > 0]
@@ -110,32 +112,32 @@
         name=raw["name"],
         host=raw["host"],
         prefix=raw["path-prefix"],
-        kind=raw.get("route-type", "safe"),
+        route_type=raw.get("route-type", "safe"),
         timeout_s=raw["timeout-ms"] / 1_000,
         target_s=raw.get("target-latency-ms", 1_000) / 1_000,
         gap_s=raw.get("gap_aim_ms", 0) / 1_000,
         priority=raw.get("priority", 0),
         max_attempts=raw.get("max-attempts", 1),
-        resumable=bool(raw.get("resumable", False)),
+        is_resumable=bool(raw.get("resumable", False)),
         services=tuple(name for name, _ in weights),
-        bounds=tuple(accumulate(weight for _, weight in weights)),
+        cumulative_weights=tuple(accumulate(weight for _, weight in weights)),
     )
 
 
-def _service(raw: dict[str, Any]) -> Service:
+def _parse_service(raw: dict[str, Any]) -> Service:
     engine = raw.get("engine")
-    known = Engine(engine["slots"], engine["kv-cache-tokens"], engine["handle-ttl-s"]) if engine else None
+    known = EngineSettings(engine["slots"], engine["kv-cache-tokens"], engine["handle-ttl-s"]) if engine else None
     return Service(raw["name"], raw.get("max-connections", 100), known)
 
 
-def parse(document: bytes) -> RouteTable:
+def parse_route_table(document: bytes) -> RouteTable:
     """Build the table of a document that was checked before."""
     raw = json.loads(document)
     limits = raw.get("limits", {})
     return RouteTable(
         raw["version"],
-        [_route(one) for one in raw["routes"]],
-        [_service(one) for one in raw["services"]],
+        [_parse_route(one) for one in raw["routes"]],
+        [_parse_service(one) for one in raw["services"]],
         Limits(
             limits.get("max-header-bytes", 16_384),
             limits.get("max-body-bytes", 4_194_304),
@@ -147,9 +149,9 @@
 
 def configuration_record(sequence: int, document: bytes) -> GossipRecord:
     """Put a committed document into a record; its stamp is its place in the chain's history."""
-    return GossipRecord(RECORD_KEY, (sequence, 0), zlib.compress(document, COMPRESSION))
+    return GossipRecord(RECORD_KEY, (sequence, 0), zlib.compress(document, COMPRESSION_LEVEL))
 
 
-def table_of(record: GossipRecord) -> RouteTable:
+def route_table_of(record: GossipRecord) -> RouteTable:
     """Read a configuration's record."""
-    return parse(zlib.decompress(record.value))
+    return parse_route_table(zlib.decompress(record.value))
--- a/hophinge/fleet/controlplane/__init__.py
+++ b/hophinge/fleet/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The program that keeps the control state and serves the operator and the instances."""
+"""The control plane: replicates the configuration, leases and instances, and serves operators and instances."""
--- a/hophinge/fleet/controlplane/__main__.py
+++ b/hophinge/fleet/controlplane/__main__.py
@@ -1,6 +1,6 @@
-"""Starts a control member."""
+"""Entry point of a control member."""
 
-from hophinge.fleet import early_signals  # isort: skip  # noqa: F401 - before all that takes a while
+from hophinge.fleet import early_signals  # isort: skip  # noqa: F401 - before imports that take long
 
 from hophinge.fleet.controlplane.program import serve
 from hophinge.fleet.program import run
--- a/hophinge/fleet/controlplane/api.py
+++ b/hophinge/fleet/controlplane/api.py
@@ -7,28 +7,28 @@
 from hashlib import blake2b
 from urllib.parse import unquote
 
+from loguru import logger
 from pydantic import ValidationError
 
 from hophinge.coordination.registers import Change, Outcome
-from hophinge.fleet import log
-from hophinge.fleet.configuration.document import Findings, check
+from hophinge.fleet.configuration.document import Findings, validate_document
 from hophinge.fleet.configuration.routes import RECORD_KEY
-from hophinge.fleet.controlplane.directory import Directory
-from hophinge.fleet.controlplane.forms import Heartbeat
-from hophinge.fleet.controlplane.host import ReplicaHost
+from hophinge.fleet.controlplane.replica_host import ReplicaHost
+from hophinge.fleet.controlplane.schemas import HeartbeatBody
+from hophinge.fleet.controlplane.soft_state import SoftState
 from hophinge.fleet.controlplane.status import member_status
 from hophinge.fleet.registry.instance import Instance, Model
 from hophinge.fleet.transport.asgi import BodyTooLargeError, ClientGoneError, Receive, Scope, Send, answer, read_body
 
 CONFIGURATION_PATH = "/v1/config"
 INSTANCES_PATH = "/v1/instances/"
-MEMBER_PATH = "/v1/member"  # for operators: how this member stands
-MAX_BODY = 8 << 20  # above the operator's bound on a configuration
-MAX_HEARTBEAT = 64 << 10
-TIMEOUT_S = 2.5  # for a change to come to its end, within the operator's bound on an acknowledgement
+MEMBER_PATH = "/v1/member"  # for operators: this member's status
+MAX_CONFIGURATION_BYTES = 8 << 20  # above the operator's bound on a configuration
+MAX_HEARTBEAT_BYTES = 64 << 10
+CHANGE_TIMEOUT_S = 2.5  # for a change to complete, within the operator's bound on an acknowledgement
 READ_TIMEOUT_S = 2.0
 JSON_TYPE = (b"content-type", b"application/json")
-AGAIN = (b"retry-after", b"0.2")
+RETRY_AFTER = (b"retry-after", b"0.2")
 
 
 def _body(**fields: object) -> bytes:
@@ -36,80 +36,84 @@
 
 
 class ControlApi:
-    """An ASGI application."""
+    """The ASGI application of the control API."""
 
-    def __init__(self, host: ReplicaHost, directory: Directory) -> None:
-        self.host, self.directory = host, directory
-        self.connection_ends: Mapping[str, int] = {}  # of the server in front, where something had been left open
+    def __init__(self, host: ReplicaHost, soft_state: SoftState) -> None:
+        self.host = host
+        self.soft_state = soft_state
+        self.connection_outcomes: Mapping[str, int] = {}  # the server's counts of connections that ended early
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
         method, path = scope["method"], scope["path"]
         try:
             if path == CONFIGURATION_PATH and method == "PUT":
-                await self._put(scope, receive, send)
+                await self._put_configuration(scope, receive, send)
             elif path == CONFIGURATION_PATH and method == "GET":
-                await self._get(send)
+                await self._get_configuration(send)
             elif path == MEMBER_PATH and method == "GET":
-                status = member_status(self.host.machine, self.directory, self.host.loop.time())
-                status["connection-ends"] = dict(sorted(self.connection_ends.items()))
-                await answer(send, 200, json.dumps(status).encode(), (JSON_TYPE,))
+                await self._get_status(send)
             elif path.startswith(INSTANCES_PATH) and method == "PUT":
-                await self._beat(unquote(path[len(INSTANCES_PATH) :]), receive, send)
+                await self._put_heartbeat(unquote(path[len(INSTANCES_PATH) :]), receive, send)
             elif path.startswith(INSTANCES_PATH) and method == "DELETE":
-                held = await self.directory.leave(unquote(path[len(INSTANCES_PATH) :]))
-                await self._acknowledge(send, held)
+                is_acknowledged = await self.soft_state.unregister(unquote(path[len(INSTANCES_PATH) :]))
+                await self._acknowledge(send, is_acknowledged)
             else:
                 await answer(send, 404, _body(error="there is no such resource"), (JSON_TYPE,))
         except ClientGoneError:
-            log.note(f"cut: {method} {path} by client while arriving")
+            logger.info("upload aborted side=client phase=arriving method={} path={}", method, path)
         except BodyTooLargeError:
             await answer(send, 413, _body(error="the body is too large"), (JSON_TYPE, (b"connection", b"close")))
 
-    async def _acknowledge(self, send: Send, held: bool) -> None:
-        if held:
+    async def _get_status(self, send: Send) -> None:
+        status = member_status(self.host.machine, self.soft_state, self.host.loop.time())
+        status["connection-ends"] = dict(sorted(self.connection_outcomes.items()))
+        await answer(send, 200, json.dumps(status).encode(), (JSON_TYPE,))
+
+    async def _acknowledge(self, send: Send, is_acknowledged: bool) -> None:
+        if is_acknowledged:
             await answer(send, 200, b"{}", (JSON_TYPE,))
         else:
-            await answer(send, 503, _body(error="too few control members hold this yet"), (JSON_TYPE, AGAIN))
+            await answer(send, 503, _body(error="too few control members hold this yet"), (JSON_TYPE, RETRY_AFTER))
 
     # --- instances -----------------------------------------------------------------------------------------------
 
-    async def _beat(self, identity: str, receive: Receive, send: Send) -> None:
-        body = await read_body(receive, MAX_HEARTBEAT)
+    async def _put_heartbeat(self, identity: str, receive: Receive, send: Send) -> None:
+        body = await read_body(receive, MAX_HEARTBEAT_BYTES)
         try:
-            form = Heartbeat.model_validate_json(body)
+            heartbeat = HeartbeatBody.model_validate_json(body)
         except ValidationError as error:
-            findings = [f"{'.'.join(map(str, one['loc']))}: {one['msg']}" for one in error.errors()]
+            findings = [f"{'.'.join(map(str, detail['loc']))}: {detail['msg']}" for detail in error.errors()]
             await answer(send, 400, _body(error="the heartbeat is invalid", findings=findings), (JSON_TYPE,))
             return
         instance = Instance(
             identity,
-            form.service,
-            form.address,
-            form.zone,
-            form.version,
-            form.slots,
-            form.state,
-            form.stage or "",
-            tuple(Model(model.name, model.version) for model in form.models),
+            heartbeat.service,
+            heartbeat.address,
+            heartbeat.zone,
+            heartbeat.version,
+            heartbeat.slots,
+            heartbeat.state,
+            heartbeat.stage or "",
+            tuple(Model(model.name, model.version) for model in heartbeat.models),
         )
-        await self._acknowledge(send, await self.directory.beat(instance, form.sequence))
+        await self._acknowledge(send, await self.soft_state.heartbeat(instance, heartbeat.sequence))
 
     # --- configuration -------------------------------------------------------------------------------------------
 
-    async def _put(self, scope: Scope, receive: Receive, send: Send) -> None:
-        body = await read_body(receive, MAX_BODY)
-        base = _if_match(scope)
-        checked = check(body)
-        if checked.is_error():
-            await _refuse(send, checked.error)
+    async def _put_configuration(self, scope: Scope, receive: Receive, send: Send) -> None:
+        body = await read_body(receive, MAX_CONFIGURATION_BYTES)
+        base_version = _if_match(scope)
+        validated = validate_document(body)
+        if validated.is_error():
+            await _reject_configuration(send, validated.error)
             return
-        if base is None:
+        if base_version is None:
             await answer(send, 400, _body(error="If-Match is missing or is not a version"), (JSON_TYPE,))
             return
-        digest = blake2b(str(base).encode() + b"\0" + body, digest_size=16).digest()
-        change = Change(RECORD_KEY, base, checked.ok.version, digest, body)
-        result = await self.host.request(RECORD_KEY, change, TIMEOUT_S)
+        digest = blake2b(str(base_version).encode() + b"\0" + body, digest_size=16).digest()
+        change = Change(RECORD_KEY, base_version, validated.ok.version, digest, body)
+        result = await self.host.request(RECORD_KEY, change, CHANGE_TIMEOUT_S)
         match result.outcome:
             case Outcome.APPLIED:
                 await answer(send, 200, _body(version=change.version), (JSON_TYPE,))
@@ -121,24 +125,25 @@
                 await answer(send, 400, _body(error=text, version=result.version), (JSON_TYPE,))
             case _:
                 text = "nobody knows yet whether the change was taken: send it again"
-                await answer(send, 503, _body(error=text), (JSON_TYPE, AGAIN))
+                await answer(send, 503, _body(error=text), (JSON_TYPE, RETRY_AFTER))
 
-    async def _get(self, send: Send) -> None:
+    async def _get_configuration(self, send: Send) -> None:
         result = await self.host.request(RECORD_KEY, None, READ_TIMEOUT_S)
         if result.outcome is not Outcome.VALUE:
-            await answer(send, 503, _body(error="the newest version is not known here now"), (JSON_TYPE, AGAIN))
+            await answer(send, 503, _body(error="the newest version is not known here now"), (JSON_TYPE, RETRY_AFTER))
         elif not result.version:
             await answer(send, 404, _body(error="there is no configuration yet"), (JSON_TYPE,))
         else:
             await answer(send, 200, result.payload, (JSON_TYPE,))
 
 
-async def _refuse(send: Send, findings: Findings) -> None:
+async def _reject_configuration(send: Send, findings: Findings) -> None:
     body = _body(error="the configuration is invalid", findings=[str(finding) for finding in findings])
     await answer(send, 400, body, (JSON_TYPE,))
 
 
 def _if_match(scope: Scope) -> int | None:
+    """Return the version in the If-Match header; None where there is none or it is not a version."""
     for name, value in scope["headers"]:
         if name == b"if-match":
             text = value.decode("latin-1").strip().strip('"')
--- /dev/null
+++ b/hophinge/fleet/controlplane/disk_writer.py
@@ -0,0 +1,52 @@
+"""The thread that writes a replica's records and state to its disk."""
+
+from __future__ import annotations
+
+import queue
+import threading
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from hophinge.coordination.events import Outputs
+from hophinge.coordination.messages import LogRecord, StateRecord
+from hophinge.coordination.storage.store import Damage, DurableStore
+
+
+@dataclass(slots=True)
+class WriteBatch:
+    """Records to write, and the outputs to release then; the complete state where the disk has to catch up."""
+
+    records: list[LogRecord]
+    state: StateRecord | None
+    outputs: list[Outputs]
+    is_scrub: bool = False  # writes nothing: the data on the disk is read back
+    damages: list[Damage] = field(default_factory=list)
+
+
+class DiskWriter(threading.Thread):
+    """The only thread that writes: a disk that hangs blocks nothing else."""
+
+    def __init__(self, store: DurableStore, on_done: Callable[[WriteBatch, Exception | None], None]) -> None:
+        super().__init__(daemon=True, name="disk")
+        self.store = store
+        self.on_done = on_done
+        self.batches: queue.SimpleQueue[WriteBatch] = queue.SimpleQueue()
+
+    def run(self) -> None:
+        """Write batches in order, forever.
+
+        Any error is passed on with its batch: were the thread to end, nothing would be written any more.
+        """
+        while True:
+            batch = self.batches.get()
+            error: Exception | None = None
+            try:
+                if batch.is_scrub:
+                    batch.damages = self.store.scrub()
+                elif batch.state is not None:
+                    self.store.save(batch.state)
+                else:
+                    self.store.append(batch.records)
+            except Exception as failure:  # broad: the event loop decides what follows, whatever failed
+                error = failure
+            self.on_done(batch, error)
--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -6,15 +6,16 @@
 
 from hophinge.fleet.transport import lean  # isort: skip  # noqa: F401 - before the HTTP libraries
 
+from loguru import logger
+
 from hophinge.coordination.events import CommittedValue
-from hophinge.fleet import log
 from hophinge.fleet.configuration.routes import RECORD_KEY, configuration_record
 from hophinge.fleet.controlplane.api import ControlApi
-from hophinge.fleet.controlplane.directory import DIRECTORY_TICK_S, Directory
-from hophinge.fleet.controlplane.host import REPLICA_TICK_S, Effects, ReplicaHost
-from hophinge.fleet.controlplane.keeper import StageKeeper
-from hophinge.fleet.controlplane.relay import Relay
-from hophinge.fleet.controlplane.reports import Reporter
+from hophinge.fleet.controlplane.hint_relay import HintRelay
+from hophinge.fleet.controlplane.replica_host import REPLICA_TICK_S, ReplicaEffects, ReplicaHost
+from hophinge.fleet.controlplane.report_collector import ReportCollector
+from hophinge.fleet.controlplane.soft_state import SOFT_STATE_TICK_S, SoftState
+from hophinge.fleet.controlplane.stage_controller import StageController
 from hophinge.fleet.program import REREAD_S, Signals, Tasks, every, reread_settings
 from hophinge.fleet.settings import Settings, SettingsError
 from hophinge.fleet.trial import trial_policy
@@ -23,8 +24,8 @@
 from hophinge.fleet.transport.server import HttpServer, listening
 
 CONTROL = "control"
-LEAVE_S = 0.3  # for requests under way to come to their end
-RESERVE_S = 1.5  # of the time to end that is left unused
+REQUEST_DRAIN_S = 0.3  # for requests in flight to complete
+SHUTDOWN_RESERVE_S = 1.5  # of the grace period that is left unused
 
 
 class ControlPlane:
@@ -34,58 +35,61 @@
         self.settings = settings
         self.signals = Signals()
         self.tasks = Tasks(self.signals.ending)
-        self.host = ReplicaHost(settings, Effects(self._send, self._publish, log.note))
-        self.links = Links(self.host.me, CONTROL, self._received, log.note)
-        self.directory = Directory(settings, self.host.machine, self._send, Relay(self.links.send_frame))
-        self.keeper = StageKeeper(
-            self.host.machine, self.directory, self.host.request, settings.bounds.lease_s, trial_policy()
+        self.host = ReplicaHost(settings, ReplicaEffects(self._send, self._publish))
+        machine = self.host.machine
+        self.links = Links(self.host.me, CONTROL, self._receive)
+        self.soft_state = SoftState(settings, machine, self._send, HintRelay(self.links.send_frame))
+        self.stage_controller = StageController(
+            machine, self.soft_state, self.host.request, settings.bounds.lease_s, trial_policy()
         )
-        self.reporter = Reporter(self.directory, self.keeper.alive, self.host.me.identity)
-        api = ControlApi(self.host, self.directory)
+        live_replicas = self.stage_controller.live_replicas
+        self.report_collector = ReportCollector(self.soft_state, live_replicas, self.host.me.identity)
+        api = ControlApi(self.host, self.soft_state)
         self.server = HttpServer(api)
-        api.connection_ends = self.server.context.ends
+        api.connection_outcomes = self.server.context.ends
 
     def _send(self, address: str, message: object) -> None:
         self.links.send(address, message)
 
     def _publish(self, published: list[CommittedValue]) -> None:
-        for one in published:
-            if one.key == self.keeper.role.key:
-                self.keeper.published(one.register)
-            if one.key == RECORD_KEY:
-                log.note(f"configuration {one.register.version} is in force")
-                self.directory.publish_configuration(configuration_record(one.sequence, one.register.payload))
-
-    def _received(self, hello: Hello, message: object) -> None:
+        for update in published:
+            if update.key == self.stage_controller.lease.key:
+                self.stage_controller.apply_lease(update.register)
+            if update.key == RECORD_KEY:
+                logger.info("configuration applied version={}", update.register.version)
+                record = configuration_record(update.sequence, update.register.payload)
+                self.soft_state.publish_configuration(record)
+
+    def _receive(self, hello: Hello, message: object) -> None:
         if self.host.machine.router.has_handler(message):
-            self._replica_received(hello, message)
+            self._receive_for_replica(hello, message)
         else:
-            self.directory.received(hello.sender, message)
+            self.soft_state.receive(hello.sender, message)
 
-    def _replica_received(self, hello: Hello, message: object) -> None:
-        """Take a replica's message; one that fails half way ends this process, which starts again from its disk."""
+    def _receive_for_replica(self, hello: Hello, message: object) -> None:
+        """Pass a message to the replica; one that fails half way ends this process, which restarts from its disk."""
         try:
-            self.host.received(hello.sender, message)
-        except Exception:
+            self.host.receive(hello.sender, message)
+        except Exception:  # broad: the replica's state may be inconsistent, whatever failed
             self.signals.ending.set()
             raise
 
     async def run(self) -> None:
-        """Serve until told to end."""
+        """Serve until the process is asked to terminate."""
         assert self.settings.control is not None
         self.signals.changed = self._reread
         await self.links.listen()
         self.tasks.start(every(REPLICA_TICK_S, self.host.tick, most_failures=1))
-        self.tasks.start(every(DIRECTORY_TICK_S, self.directory.tick))
-        self.tasks.start(self.keeper.run())
-        self.tasks.start(self.reporter.run())
+        self.tasks.start(every(SOFT_STATE_TICK_S, self.soft_state.tick))
+        self.tasks.start(self.stage_controller.run())
+        self.tasks.start(self.report_collector.run())
         self.tasks.start(self.server.serve([listening(self.settings.control)]))
-        self.tasks.start(every(REREAD_S, self._tend))
-        log.note(f"control member {self.host.me.identity} at {self.settings.control}")
+        self.tasks.start(every(REREAD_S, self._maintain))
+        logger.info("control member started identity={} address={}", self.host.me.identity, self.settings.control)
         await self.signals.ending.wait()
-        await self._end()
+        await self._shut_down()
 
-    def _tend(self) -> None:
+    def _maintain(self) -> None:
         self._reread()
         self.links.tidy()
 
@@ -95,33 +99,39 @@
             return
         seeds = settings.seed_members()
         if seeds != self.host.machine.seeds:
-            log.note(f"seeds are {', '.join(seeds)}")
+            logger.info("seeds changed seeds={}", ",".join(seeds))
             self.host.machine.seeds = seeds
 
-    async def _end(self) -> None:
-        log.note("ending")
+    async def _shut_down(self) -> None:
+        logger.info("draining")
         await self._hand_over()
-        await self.server.finish(asyncio.get_running_loop().time() + LEAVE_S, self._give_up)
+        await self.server.finish(asyncio.get_running_loop().time() + REQUEST_DRAIN_S, self._reject_pending)
         self.tasks.cancel()
         self.links.close()
         self.signals.close()
 
-    def _give_up(self) -> None:
-        """Have callers that wait for others told that nobody knows yet: they ask another member."""
-        self.host.give_up()
-        self.directory.give_up()
+    def _reject_pending(self) -> None:
+        """Answer pending requests as of unknown outcome: their callers retry at another member."""
+        self.host.answer_pending_unknown()
+        self.soft_state.reject_pending()
 
     async def _hand_over(self) -> None:
-        """Serve on until the others have a view without this member: it may hold what nobody else holds."""
-        machine, loop = self.host.machine, asyncio.get_running_loop()
-        until = loop.time() + self.settings.bounds.grace_s - RESERVE_S
+        """Serve on until the others have a view without this member: it may hold what no other member holds."""
+        machine = self.host.machine
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + self.settings.bounds.grace_s - SHUTDOWN_RESERVE_S
         machine.begin_drain()
-        while machine.is_required() and loop.time() < until:
+        while machine.is_required() and loop.time() < deadline:
             await asyncio.sleep(REPLICA_TICK_S)
 
 
 async def serve(settings: Settings) -> None:
-    """Run a control member."""
+    """Run a control member.
+
+    Raises:
+        SettingsError: The settings name no address for the control API.
+
+    """
     if settings.control is None:
         raise SettingsError(["listen-addresses.control: is missing"])
     await ControlPlane(settings).run()
--- /dev/null
+++ b/hophinge/fleet/controlplane/report_collector.py
@@ -0,0 +1,90 @@
+"""Collects engines' load reports and publishes them to the heads: one control member requests each instance's.
+
+The member is chosen by rendezvous hashing over the live replicas. Two that request the same report for a while cost
+no more than a request, so this work needs no fencing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Callable
+
+import httpcore
+
+from hophinge.coordination.ownership import rendezvous
+from hophinge.fleet.controlplane.soft_state import SoftState
+from hophinge.fleet.placement.hints import EngineReport, EngineReports
+from hophinge.fleet.program import repeat
+from hophinge.fleet.registry.instance import Instance
+
+COLLECTION_INTERVAL_S = 0.8  # between two requests to one instance
+REQUEST_TIMEOUT_S = 0.4
+KEEPALIVE_EXPIRY_S = 20.0
+MAX_CONNECTIONS = 1_000  # one to each instance that this member collects from
+REQUEST_ERRORS = (
+    httpcore.NetworkError,
+    httpcore.TimeoutException,
+    httpcore.ProtocolError,
+    ValueError,
+    KeyError,
+    TypeError,
+)
+
+
+def parse_report(identity: str, body: bytes) -> EngineReport:
+    """Parse an instance's report.
+
+    Raises:
+        ValueError, KeyError, TypeError: The body is anything else.
+
+    """
+    raw = json.loads(body)
+    return EngineReport(identity, int(raw["waiting"]), int(raw["running"]), int(raw["kv-used"]), int(raw["kv-total"]))
+
+
+class ReportCollector:
+    """Collects the reports of the instances that are assigned to one control member."""
+
+    def __init__(self, soft_state: SoftState, live_replicas: Callable[[], set[str]], me: str) -> None:
+        self.soft_state = soft_state
+        self.live_replicas = live_replicas
+        self.me = me
+        self.pool = httpcore.AsyncConnectionPool(
+            max_connections=MAX_CONNECTIONS,
+            max_keepalive_connections=MAX_CONNECTIONS,
+            keepalive_expiry=KEEPALIVE_EXPIRY_S,
+        )
+
+    def assigned_instances(self) -> list[Instance]:
+        """Return the instances assigned to this member; a member outside the chain has none."""
+        live_replicas = self.live_replicas()
+        if self.me not in live_replicas:
+            return []
+        return [
+            instance
+            for instance in self.soft_state.registry.instances.values()
+            if instance.stage and rendezvous(instance.identity, live_replicas) == self.me
+        ]
+
+    async def run(self) -> None:
+        """Collect periodically, forever."""
+        await repeat(COLLECTION_INTERVAL_S, self.collect_once)
+
+    async def collect_once(self) -> None:
+        """Request the report of each assigned instance and publish those that came."""
+        answers = await asyncio.gather(*(self._request_report(instance) for instance in self.assigned_instances()))
+        reports = tuple(answer for answer in answers if answer is not None)
+        if reports:
+            self.soft_state.publish_hints(EngineReports(reports))
+
+    async def _request_report(self, instance: Instance) -> EngineReport | None:
+        headers = [(b"hophinge-expected-instance", instance.identity.encode())]
+        timeout = dict.fromkeys(("connect", "read", "write", "pool"), REQUEST_TIMEOUT_S)
+        try:
+            response = await self.pool.request(
+                "GET", f"http://{instance.address}/v1/report", headers=headers, extensions={"timeout": timeout}
+            )
+            return parse_report(instance.identity, response.content) if response.status == 200 else None
+        except REQUEST_ERRORS:
+            return None
--- a/hophinge/fleet/controlplane/forms.py
+++ b/hophinge/fleet/controlplane/schemas.py
@@ -9,15 +9,15 @@
 MAX_PORT = 65_535
 
 
-class ModelForm(BaseModel):
+class ModelBody(BaseModel):
     """A model that an instance serves."""
 
     name: str
     version: int = 1
 
 
-class Heartbeat(BaseModel):
-    """A heartbeat; fields that are not known here are ignored."""
+class HeartbeatBody(BaseModel):
+    """An instance's heartbeat; fields that are not known here are ignored."""
 
     service: str
     address: str = Field(pattern=r"^[^\s:]+:[0-9]{1,5}$")
@@ -26,13 +26,13 @@
     slots: int = Field(default=1, ge=0)
     state: Literal["ready", "draining"] = "ready"
     stage: str | None = None
-    models: list[ModelForm] = []
+    models: list[ModelBody] = []
     sequence: int = Field(ge=0)
 
     @field_validator("address")
     @classmethod
     def _port_exists(cls, address: str) -> str:
-        """Turn down a port that nobody can connect to: each call there would fail in an unforeseen way."""
+        """Reject a port that cannot be connected to: each call there would fail in an unforeseen way."""
         if not 0 < int(address.rsplit(":", 1)[1]) <= MAX_PORT:
             raise ValueError("the port is not one from 1 to 65535")
         return address
--- /dev/null
+++ b/hophinge/fleet/controlplane/stage_controller.py
@@ -0,0 +1,155 @@
+"""Orders instances to change their stage: a singleton, owned under a lease with a fencing token."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple
+
+import httpcore
+from loguru import logger
+
+from hophinge.coordination.events import ClientResponse
+from hophinge.coordination.ownership import Role
+from hophinge.coordination.peers import SUSPECT_TIMEOUT_S
+from hophinge.coordination.registers import Change, Outcome, Register
+from hophinge.coordination.replica import ReplicaStateMachine
+from hophinge.fleet.controlplane.soft_state import SoftState
+from hophinge.fleet.placement.policy import PlacementPolicy
+from hophinge.fleet.placement.stages import StageSwitch, plan_switches
+from hophinge.fleet.program import repeat
+
+RECONCILE_INTERVAL_S = 0.5
+STABILIZATION_S = 1.2  # for which a change is desired before it is ordered: instances come and go in between
+RETRY_INTERVAL_S = 2.5  # between two orders: the effect of the last one has to show
+URGENT_RETRY_INTERVAL_S = 1.0  # where no instance of a stage is left, and an order was lost or refused
+CLAIM_TIMEOUT_S = 1.0
+CONFIRM_TIMEOUT_S = 0.3  # for the chain to confirm the lease, right before an order
+ORDER_TIMEOUT_S = 0.5  # for an instance to answer an order
+ACCEPTED_STATUSES = (200, 202)
+STALE_TOKEN_STATUS = 412  # an instance's answer where it has observed a higher fencing token
+
+RegisterRequest = Callable[[str, Change | None, float], Awaitable[ClientResponse]]
+
+
+class DesiredStage(NamedTuple):
+    """A stage that needs more instances."""
+
+    service: str
+    stage: str
+
+
+class StageController:
+    """One control member's side of the controller: it acts only while it holds the lease."""
+
+    def __init__(
+        self,
+        machine: ReplicaStateMachine,
+        soft_state: SoftState,
+        request: RegisterRequest,
+        lease_s: float,
+        policy: PlacementPolicy,
+    ) -> None:
+        self.machine = machine
+        self.soft_state = soft_state
+        self.request = request
+        self.policy = policy
+        self.loop = asyncio.get_running_loop()
+        self.lease = Role("stages", machine.me.identity, lease_s)
+        self.loads = soft_state.loads
+        self.desired_stage: DesiredStage | None = None
+        self.desired_since = 0.0
+        self.last_ordered_at = float("-inf")
+
+    def apply_lease(self, register: Register) -> None:
+        """Apply the committed register of the lease."""
+        self.lease.handle_committed_owner(self.loop.time(), register)
+
+    def live_replicas(self) -> set[str]:
+        """Return the replicas of the chain that were heard from lately, this one among them."""
+        now = self.loop.time()
+        view = self.machine.view
+        if view is None:
+            return set()
+        peers = self.machine.peers.known.items()
+        live = {identity for identity, peer in peers if now - peer.last_heartbeat_at <= 2 * SUSPECT_TIMEOUT_S}
+        return {link.identity for link in view.chain} & (live | {self.machine.me.identity})
+
+    async def run(self) -> None:
+        """Reconcile periodically, forever; a reconciliation that fails does not end the member."""
+        await repeat(RECONCILE_INTERVAL_S, self._reconcile)
+
+    async def _reconcile(self) -> None:
+        now = self.loop.time()
+        if not self.machine.is_connected(now):
+            return
+        claim = self.lease.claim(self.live_replicas())
+        if claim is not None:
+            await self._acquire_lease(claim)
+            return
+        instances = self.soft_state.registry.instances
+        self.loads.retain(instances.keys())
+        switches = plan_switches(instances.values(), self.loads, self.policy)
+        desired = DesiredStage(switches[0].instance.service, switches[0].stage) if switches else None
+        if desired != self.desired_stage:
+            self.desired_stage = desired
+            self.desired_since = now
+        if switches and self._may_order(now, switches[0].is_urgent) and self.lease.may_act(now):
+            await self._order_switches(switches)
+
+    async def _acquire_lease(self, claim: Change) -> None:
+        answer = await self.request(self.lease.key, claim, CLAIM_TIMEOUT_S)
+        if answer.outcome is Outcome.APPLIED:
+            logger.info("stage lease acquired fencing_token={}", claim.version)
+
+    def _may_order(self, now: float, is_urgent: bool) -> bool:
+        """Return whether the interval since the last order has passed, and the desired stage is stable or urgent."""
+        if is_urgent:
+            return now - self.last_ordered_at >= URGENT_RETRY_INTERVAL_S
+        return now - self.desired_since >= STABILIZATION_S and now - self.last_ordered_at >= RETRY_INTERVAL_S
+
+    async def _order_switches(self, switches: tuple[StageSwitch, ...]) -> None:
+        """Confirm the lease through the chain, then order at once."""
+        try:
+            async with asyncio.timeout(CONFIRM_TIMEOUT_S):
+                answer = await self.request(self.lease.key, None, CONFIRM_TIMEOUT_S)
+        except TimeoutError:
+            return
+        if answer.outcome is not Outcome.VALUE or not self.lease.is_confirmed(answer.version):
+            return
+        self.last_ordered_at = self.loop.time()
+        fencing_token = self.lease.token
+        await asyncio.gather(*(self._order_switch(switch, fencing_token) for switch in switches))
+
+    async def _order_switch(self, switch: StageSwitch, fencing_token: int) -> None:
+        status = await _post_order(switch, self.lease.me, fencing_token)
+        identity = switch.instance.identity
+        logger.info("stage change ordered instance={} stage={} status={}", identity, switch.stage, status)
+        if status == STALE_TOKEN_STATUS:
+            self.lease.reject_token(fencing_token)
+        if status in ACCEPTED_STATUSES:
+            self.loads.forget(identity)
+            self.soft_state.begin_stage_change(switch.instance)
+
+
+async def _post_order(switch: StageSwitch, lease_holder: str, fencing_token: int) -> int | None:
+    """Send an order; return the status of the answer, None where none came."""
+    order = {"operation": "stage", "stage": switch.stage, "holder": lease_holder, "fence-token": fencing_token}
+    headers = [
+        (b"content-type", b"application/json"),
+        (b"hophinge-expected-instance", switch.instance.identity.encode()),
+    ]
+    timeout = dict.fromkeys(("connect", "read", "write", "pool"), ORDER_TIMEOUT_S)
+    async with httpcore.AsyncConnectionPool() as pool:
+        try:
+            response = await pool.request(
+                "POST",
+                f"http://{switch.instance.address}/v1/order",
+                headers=headers,
+                content=json.dumps(order).encode(),
+                extensions={"timeout": timeout},
+            )
+        except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError):
+            return None
+        return int(response.status)
--- a/hophinge/fleet/controlplane/status.py
+++ b/hophinge/fleet/controlplane/status.py
@@ -1,4 +1,4 @@
-"""What a control member tells of itself: view, chain, lag, leases, digests, instances."""
+"""The status of a control member for operators: view, chain, lag, leases, digests, instances."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from hophinge.coordination.replica import ReplicaStateMachine
 from hophinge.fleet.configuration.routes import RECORD_KEY
-from hophinge.fleet.controlplane.directory import Directory
+from hophinge.fleet.controlplane.soft_state import SoftState
 
 
-def member_status(machine: ReplicaStateMachine, directory: Directory, now: float) -> dict[str, Any]:
-    """Tell how this member stands."""
+def member_status(machine: ReplicaStateMachine, soft_state: SoftState, now: float) -> dict[str, Any]:
+    """Return the body of the member's status; its keys are read by operators' tools and tests."""
     view, chain = machine.view, machine.chain
     peers = machine.peers.known.values()
-    record = directory.dissemination.store.get(RECORD_KEY)
+    record = soft_state.dissemination.store.get(RECORD_KEY)
     return {
         "program": "control-plane",
         "identity": machine.me.identity,
@@ -37,11 +37,11 @@
         ],
         "configuration": chain.registers.current(RECORD_KEY).version,
         "configuration-record": list(record.stamp) if record is not None else None,
-        "leases": len(directory.leases.holders()),
-        "leases-here": len(directory.leases.local_holders()),
+        "leases": len(soft_state.leases.holders()),
+        "leases-here": len(soft_state.leases.local_holders()),
         "instances": {
             identity: f"{instance.service} {instance.stage} {instance.state}".replace("  ", " ")
-            for identity, instance in sorted(directory.registry.instances.items())
+            for identity, instance in sorted(soft_state.registry.instances.items())
         },
-        "digest": [f"{mark:016x}" for mark in directory.dissemination.store.fingerprints(now)],
+        "digest": [f"{mark:016x}" for mark in soft_state.dissemination.store.fingerprints(now)],
     }
--- a/hophinge/fleet/dataplane/cut_log.py
+++ b/hophinge/fleet/dataplane/cut_log.py
@@ -5,7 +5,8 @@
 import asyncio
 from collections import Counter
 
-from hophinge.fleet import log
+from loguru import logger
+
 from hophinge.fleet.dataplane.exchange import Exchange
 from hophinge.fleet.dataplane.knowledge import Knowledge
 from hophinge.fleet.dataplane.upstream import Upstream
@@ -36,7 +37,7 @@
             exchange.life.deadline - now,
         )
         self.counts[cut.reason] += 1
-        log.note(cut.line())
+        logger.info("{}", cut.log_line())
 
     def _instance(self, now: float, identity: str) -> InstanceSeen | None:
         if not identity:
--- a/hophinge/fleet/dataplane/front.py
+++ b/hophinge/fleet/dataplane/front.py
@@ -7,7 +7,8 @@
 from collections.abc import Mapping
 from random import Random
 
-from hophinge.fleet import log
+from loguru import logger
+
 from hophinge.fleet.configuration.routes import Limits, Route
 from hophinge.fleet.dataplane import request_log
 from hophinge.fleet.dataplane.client import carried
@@ -91,7 +92,7 @@
         except BrokenOffError:
             pass  # told of by then; the server closes the connection behind what has gone
         except Exception:
-            log.logger.exception("a request failed in the head itself")
+            logger.exception("request handling failed")
             raise
 
     async def _ready(self, scope: Scope, send: Send) -> None:
@@ -199,7 +200,7 @@
             budget,
             heads,
             trace,
-            min(deadline, arrived + route.patience_s),
+            min(deadline, arrived + route.client_timeout_s),
         )
 
     async def _carry(self, exchange: Exchange, receive: Receive, connection: ConnectionState) -> None:
--- a/hophinge/fleet/dataplane/knowledge.py
+++ b/hophinge/fleet/dataplane/knowledge.py
@@ -7,6 +7,8 @@
 from collections.abc import Callable
 from random import Random
 
+from loguru import logger
+
 from hophinge.coordination.dissemination import (
     Digest,
     Dissemination,
@@ -18,8 +20,7 @@
 )
 from hophinge.coordination.leases import LEASE_DURATION_S, LeaseGrant, LeaseHolder, RenewLease, LeaseRenewal
 from hophinge.coordination.view import Replica
-from hophinge.fleet import log
-from hophinge.fleet.configuration.routes import RECORD_KEY, RouteTable, table_of
+from hophinge.fleet.configuration.routes import RECORD_KEY, RouteTable, route_table_of
 from hophinge.fleet.registry.instance import INSTANCE_PREFIX, Instance, instance_of
 from hophinge.fleet.settings import Settings
 
@@ -89,9 +90,9 @@
 
     def _learn(self, record: GossipRecord) -> None:
         if record.key == RECORD_KEY:
-            self.table, self.table_since = table_of(record), self.loop.time()
+            self.table, self.table_since = route_table_of(record), self.loop.time()
             self.configured(self.table)
-            log.note(f"configuration {self.table.version} is in force")
+            logger.info("configuration applied version={}", self.table.version)
         elif record.key.startswith(INSTANCE_PREFIX):
             self.watcher(record.key.removeprefix(INSTANCE_PREFIX), instance_of(record))
 
--- a/hophinge/fleet/dataplane/program.py
+++ b/hophinge/fleet/dataplane/program.py
@@ -7,7 +7,8 @@
 
 from hophinge.fleet.transport import lean  # isort: skip  # noqa: F401 - before the HTTP libraries
 
-from hophinge.fleet import log
+from loguru import logger
+
 from hophinge.fleet.configuration.routes import RouteTable
 from hophinge.fleet.dataplane.front import Front
 from hophinge.fleet.dataplane.knowledge import KNOWLEDGE_TICK_S, Knowledge
@@ -45,7 +46,7 @@
         self.hints_due = False
         self.upstream = Upstream()
         self.knowledge = Knowledge(settings, self._send, self._instance, self._configured, self._granted)
-        self.links = Links(self.knowledge.me, DATA, self._received, log.note)
+        self.links = Links(self.knowledge.me, DATA, self._received)
         self.front = Front(settings, self.knowledge, self.placement, self.upstream)
         self.server = HttpServer(self.front)
         self.front.connection_ends = self.server.context.ends
@@ -108,7 +109,7 @@
         self.tasks.start(every(KNOWLEDGE_TICK_S, self.knowledge.tick))
         self.tasks.start(self.server.serve([listening(address) for address in self.addresses]))
         self.tasks.start(every(REREAD_S, self._tend))
-        log.note(f"head {self.knowledge.me.identity} at {self.settings.front}")
+        logger.info("head started identity={} address={}", self.knowledge.me.identity, self.settings.front)
         await self.signals.ending.wait()
         await self._end()
 
@@ -124,7 +125,7 @@
 
     async def _end(self) -> None:
         """Leave: not ready at first, then no resting connections, then no work."""
-        log.note("ending")
+        logger.info("draining")
         loop = asyncio.get_running_loop()
         grace_s = self.settings.bounds.grace_s
         until = loop.time() + grace_s - min(RESERVE_S, RESERVE_PART * grace_s)
--- a/hophinge/fleet/dataplane/request_log.py
+++ b/hophinge/fleet/dataplane/request_log.py
@@ -5,7 +5,8 @@
 import json
 from dataclasses import asdict
 
-from hophinge.fleet import log
+from loguru import logger
+
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.prompt import Prompt
 
@@ -18,4 +19,4 @@
     raw["zone"] = zone
     if prompt is not None:
         raw["tokens-in"], raw["tokens-out"], raw["parts"] = prompt.tokens_in, prompt.tokens_out, prompt.segments
-    log.note(MARK + json.dumps(raw, separators=(",", ":")))
+    logger.info("{}", MARK + json.dumps(raw, separators=(",", ":")))
--- a/hophinge/fleet/emulation/fleet.py
+++ b/hophinge/fleet/emulation/fleet.py
@@ -24,6 +24,7 @@
 PORTS = range(12_000, 28_000)  # none that the system gives to connections on their way out
 ANSWER_S = 5.0
 START_S = 20.0
+STARTED = " started identity="  # in the log line of a process that has read its settings
 BUDGET_WINDOW_S = 2.0  # for which a head that has just started has a small part of the slack
 PROGRAMS = 2  # on each machine
 HOST = "models.example"
@@ -150,7 +151,7 @@
     @staticmethod
     def _started(process: Process) -> Condition:
         async def look() -> tuple[bool, str]:
-            return process.said(" at "), ""
+            return process.said(STARTED), ""
 
         return Condition(process, "has read its settings", look)
 
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -24,8 +24,13 @@
 from hophinge.coordination.messages import Heartbeat, Sync
 from hophinge.coordination.registers import Change, HistoryEntry, Registers
 from hophinge.coordination.view import Replica
-from hophinge.fleet.configuration.document import check
-from hophinge.fleet.configuration.routes import COMPRESSION, configuration_record, parse, table_of
+from hophinge.fleet.configuration.document import validate_document
+from hophinge.fleet.configuration.routes import (
+    COMPRESSION_LEVEL,
+    configuration_record,
+    parse_route_table,
+    route_table_of,
+)
 from hophinge.fleet.placement.hints import PrefillDone, PlacementHints, EngineReport, EngineReports
 from hophinge.fleet.placement.node import PrefixCache
 from hophinge.fleet.placement.placement import Placement
@@ -233,7 +238,7 @@
         fit(
             "configuration as it is spread, compressed",
             "KB by routes",
-            lambda n: len(zlib.compress(document(n), COMPRESSION)) / 1024,
+            lambda n: len(zlib.compress(document(n), COMPRESSION_LEVEL)) / 1024,
             MANY,
         ),
         fit(
@@ -242,11 +247,11 @@
             lambda n: sent(Sync(1, _registers(n).snapshot())) / 1024,
             MANY,
         ),
-        fit("checking a configuration", "us by routes", lambda n: _timed(check, document(n)), MANY),
+        fit("checking a configuration", "us by routes", lambda n: _timed(validate_document, document(n)), MANY),
         fit(
             "putting a configuration in force",
             "us by routes",
-            lambda n: _timed(table_of, configuration_record(1, document(n))),
+            lambda n: _timed(route_table_of, configuration_record(1, document(n))),
             MANY,
         ),
     ]
@@ -314,7 +319,7 @@
 
 
 def _table_memory(data: bytes) -> float:
-    return kilobytes(lambda: parse(data))
+    return kilobytes(lambda: parse_route_table(data))
 
 
 def main() -> None:
--- a/hophinge/fleet/emulation/virtual_fleet.py
+++ b/hophinge/fleet/emulation/virtual_fleet.py
@@ -217,7 +217,7 @@
             budget,
             len(self.heads),
             RequestTrace(kind.name, now, kind.aim_s),
-            now + route.patience_s,
+            now + route.client_timeout_s,
         )
         self._next(Journey(outcome, life, self.heads[number], retries), began)
 
--- a/hophinge/fleet/forwarding/cuts.py
+++ b/hophinge/fleet/forwarding/cuts.py
@@ -59,13 +59,16 @@
         """Tell what it is counted as."""
         return f"{self.side.value} while {self.step.value}"
 
-    def line(self) -> str:
-        """Tell it to an operator."""
-        parts = [f"cut: request {self.request} ({self.route}) by {self.reason}"]
-        parts += [f"after {self.error}"] if self.error else []
+    def log_line(self) -> str:
+        """Return the event for the operator's log; the error comes last, as its text may hold spaces."""
+        line = f"response aborted request={self.request} route={self.route}"
+        line += f" side={self.side.value} phase={self.step.value}"
         if self.instance is not None:
-            seen = self.instance
-            ended = "" if seen.unregistered_s is None else f", unregistered {seen.unregistered_s:.3f} s ago"
-            parts.append(f"instance {seen.identity} ({seen.state or 'unknown'}{ended}, {seen.connections} connections)")
-        parts.append(f"version {self.version} for {self.version_age_s:.3f} s, {self.left_s:.3f} s left")
-        return "; ".join(parts)
+            line += f" instance={self.instance.identity} state={self.instance.state or 'unknown'}"
+            if self.instance.unregistered_s is not None:
+                line += f" unregistered_s={self.instance.unregistered_s:.3f}"
+            line += f" connections={self.instance.connections}"
+        line += f" version={self.version} version_age_s={self.version_age_s:.3f} deadline_in_s={self.left_s:.3f}"
+        if self.error:
+            line += f" error={self.error}"
+        return line
--- a/hophinge/fleet/forwarding/life.py
+++ b/hophinge/fleet/forwarding/life.py
@@ -138,7 +138,7 @@
 
     def _may_run_again(self) -> bool:
         """A request that may have run goes on only where that is harmless, and the route allows another instance."""
-        return self.route.idempotent and self.possible_runs < max(1, self.route.max_attempts)
+        return self.route.is_idempotent and self.possible_runs < max(1, self.route.max_attempts)
 
     def _extra(self) -> bool:
         """Tell whether the next arrival is one beyond the first; the first reading of a prompt is none."""
@@ -147,7 +147,7 @@
 
     def _give_up(self, status: int, reason: str, come_back_s: float = MIN_RETRY_AFTER_S) -> GiveUp:
         self.trace.refusal = reason
-        harmless = not self.ran or self.route.idempotent
+        harmless = not self.ran or self.route.is_idempotent
         return GiveUp(UNAVAILABLE, come_back_s) if harmless and not self.begun else GiveUp(status, None)
 
     def _read(self, now: float, plan: PlacementPlan) -> Step:
--- a/hophinge/fleet/forwarding/split.py
+++ b/hophinge/fleet/forwarding/split.py
@@ -27,7 +27,7 @@
         place = self.places.get(route.name)
         place = self.random.random() if place is None else (place + GOLDEN_RATIO) % 1.0
         self.places[route.name] = place
-        return route.service(place)
+        return route.choose_service(place)
 
     def keep(self, names: set[str]) -> None:
         """Forget routes that are no more."""
--- a/hophinge/fleet/log.py
+++ b/hophinge/fleet/log.py
@@ -1,20 +1,15 @@
-"""Logs of the two programs: one line for each change that an operator would want to know of."""
+"""The log of the two programs: an event a line, with its fields as `name=value` behind it."""
 
 from __future__ import annotations
 
 import sys
 
-from loguru import logger as logger
+from loguru import logger
 
 FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 
 
-def begin(level: str = "INFO") -> None:
-    """Write to standard error from now on."""
+def configure_log(level: str = "INFO") -> None:
+    """Write the log to standard error, from this level up."""
     logger.remove()
     logger.add(sys.stderr, level=level, format=FORMAT, colorize=False, backtrace=False, diagnose=False)
-
-
-def note(text: str) -> None:
-    """Tell an operator what has changed."""
-    logger.info("{}", text)
--- a/hophinge/fleet/program.py
+++ b/hophinge/fleet/program.py
@@ -9,7 +9,9 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from hophinge.fleet import log
+from loguru import logger
+
+from hophinge.fleet.log import configure_log
 from hophinge.fleet.settings import Settings, SettingsError, read_settings
 
 FAILED = 1  # exit status where settings cannot be used
@@ -61,12 +63,12 @@
     def _done_aside(self, task: asyncio.Task[Any]) -> None:
         self.running.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.logger.opt(exception=task.exception()).error("a piece of work failed")
+            logger.opt(exception=task.exception()).error("background work failed")
 
     def _done(self, task: asyncio.Task[Any]) -> None:
         self.running.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.logger.opt(exception=task.exception()).error("a task failed")
+            logger.opt(exception=task.exception()).error("task failed")
             self.ending.set()
 
     def cancel(self) -> None:
@@ -89,7 +91,7 @@
             failures = 0
         except Exception:
             failures += 1
-            log.logger.exception("a periodic step failed, {} times in a row", failures)
+            logger.exception("periodic step failed consecutive_failures={}", failures)
             if failures >= most_failures:
                 raise
         await asyncio.sleep(period_s)
@@ -109,18 +111,18 @@
     try:
         return read_settings()
     except SettingsError as error:
-        log.note(f"the settings file is not used: {error}")
+        logger.info("settings file rejected error={}", error)
         return None
 
 
 def run(program: Callable[[Settings], Awaitable[None]]) -> None:
     """Read the settings and run a program to its end."""
-    log.begin()
+    configure_log()
     try:
         settings = read_settings()
     except SettingsError as error:
         for finding in error.findings:
-            log.logger.error("settings: {}", finding)
+            logger.error("settings invalid: {}", finding)
         sys.exit(FAILED)
     gc.freeze()
     asyncio.run(_main(program, settings))
--- a/hophinge/fleet/registry/instance.py
+++ b/hophinge/fleet/registry/instance.py
@@ -1,4 +1,4 @@
-"""An instance as it registers, and the record under which members know it."""
+"""An instance as it registers, and the replicated record that describes it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 from hophinge.coordination.dissemination import GossipRecord
 
 INSTANCE_PREFIX = "instance/"
-READY, DRAINING, LOST, SWITCHING = "ready", "draining", "lost", "switching"
+READY = "ready"
+DRAINING = "draining"
+LOST = "lost"  # silent for longer than the registry allows
+SWITCHING = "switching"  # ordered to change its stage, and gets no requests meanwhile
 
 
 @wire(70)
@@ -37,12 +40,19 @@
 
 
 def record_of(instance: Instance, sequence: int, minor: int = 0) -> GossipRecord:
-    """Put an instance into a record; `minor` tells what the registry concluded after the heartbeat `sequence`."""
+    """Return the record of an instance.
+
+    Args:
+        instance: What is recorded.
+        sequence: The sequence of the heartbeat that the record follows from.
+        minor: 0 for the heartbeat itself; above for each conclusion that the registry drew after it.
+
+    """
     return GossipRecord(INSTANCE_PREFIX + instance.identity, (sequence, minor), encode(instance))
 
 
 def instance_of(record: GossipRecord) -> Instance | None:
-    """Read a record back; None where it is gone, or holds something else."""
+    """Return the instance that a record describes; None for a tombstone or a record of another kind."""
     if record.is_deleted or not record.key.startswith(INSTANCE_PREFIX):
         return None
     value = decode(record.value)
--- a/hophinge/fleet/registry/registry.py
+++ b/hophinge/fleet/registry/registry.py
@@ -1,7 +1,7 @@
-"""The registry at one control member: heartbeats come in, records of what changed go out.
+"""The instance registry of one control member, without I/O: heartbeats in, records of changes out.
 
-Only changes are told to the data planes. Between control members goes the sequence of each instance's last heartbeat,
-so that none takes an instance for lost that beats at another.
+Only changes are published to the data planes. Control members exchange the sequence of each instance's last heartbeat,
+so that none marks an instance lost that sends its heartbeats to another member.
 """
 
 from __future__ import annotations
@@ -22,188 +22,224 @@
     record_of,
 )
 
-MISSED = 4.0  # heartbeats that are missed before an instance is taken for lost
-SWITCH_S = 12.0  # an instance ordered to change its stage is spared for so long at most
-FORGET_S = 600.0  # silence after which a lost or leaving instance is dropped, until its next heartbeat
-REMEMBER_S = 600.0  # how long an instance that has unregistered is remembered as ended
-ENDED = 1 << 62  # the sequence of an instance that has unregistered: above any heartbeat
+MAX_MISSED_HEARTBEATS = 4.0  # heartbeat intervals of silence before an instance is marked lost
+STAGE_CHANGE_TIMEOUT_S = 12.0  # an instance ordered to change its stage gets no requests for so long at most
+SILENT_RETENTION_S = 600.0  # silence after which a lost or draining instance is dropped, until its next heartbeat
+UNREGISTERED_RETENTION_S = 600.0  # how long the identity of an unregistered instance stays blocked
+UNREGISTERED_SEQUENCE = 1 << 62  # the sequence of an instance that has unregistered: above any heartbeat
 
 
 @wire(72)
 @dataclass(frozen=True, slots=True)
 class Liveness:
-    """The newest heartbeat of instances that one control member heard since it told of them last."""
+    """The newest heartbeat sequence of each instance that one control member received since its last update."""
 
     rows: tuple[tuple[str, int], ...]
 
 
 @dataclass(slots=True)
-class Beat:
+class Heartbeat:
     """The newest heartbeat known of an instance."""
 
     sequence: int
-    heard: float
+    last_observed: float  # seconds on the caller's clock
 
 
 @dataclass(frozen=True, slots=True)
 class StageChange:
-    """An ordered change of an instance's stage; kept when given up, until another one or the next stage."""
+    """An ordered change of an instance's stage.
+
+    It is kept after its timeout, until the instance is ordered again or reports another stage.
+    """
 
     old_stage: str
-    until: float  # when it counts as not carried out, in seconds on the caller's clock
+    expires_at: float  # when it counts as not carried out, in seconds on the caller's clock
 
 
 class Registry:
-    """What one control member knows of instances; records live in its dissemination."""
+    """What one control member knows of instances; the records themselves live in its dissemination."""
 
     def __init__(self, heartbeat_s: float, now: float) -> None:
         self.heartbeat_s = heartbeat_s
-        self.beats: dict[str, Beat] = {}
+        self.heartbeats: dict[str, Heartbeat] = {}
         self.instances: dict[str, Instance] = {}
         self.stamps: dict[str, tuple[int, int]] = {}
-        self.ended: dict[str, float] = {}
-        self.unsent_beats: dict[str, int] = {}
-        self.ticked = now
-        self.changes: dict[str, StageChange] = {}  # by instance
+        self.unregistered: dict[str, float] = {}
+        self.unsent_heartbeats: dict[str, int] = {}
+        self.last_expiry_check = now
+        self.stage_changes: dict[str, StageChange] = {}  # by instance
+
+    def record_heartbeat(self, now: float, instance: Instance, sequence: int) -> GossipRecord | None:
+        """Record a heartbeat.
+
+        Returns:
+            The instance's new record where the heartbeat changes it. None where it changes nothing, is older than the
+            newest one known, or comes from an identity that has unregistered.
 
-    def heartbeat(self, now: float, instance: Instance, sequence: int) -> GossipRecord | None:
-        """Take a heartbeat; tells the record where it changes what is known."""
+        """
         identity = instance.identity
-        if identity in self.ended:
+        if identity in self.unregistered:
             return None
-        beat = self.beats.get(identity)
-        if beat is not None and sequence <= beat.sequence:
+        heartbeat = self.heartbeats.get(identity)
+        if heartbeat is not None and sequence <= heartbeat.sequence:
             return None
-        self.beats[identity] = Beat(sequence, now)
-        self.unsent_beats[identity] = sequence
-        instance = self._as_switching(now, instance)
+        self.heartbeats[identity] = Heartbeat(sequence, now)
+        self.unsent_heartbeats[identity] = sequence
+        instance = self._with_stage_change(now, instance)
         if self.instances.get(identity) == instance:
             return None
-        return self._change(instance, (sequence, 0))
+        return self._update(instance, (sequence, 0))
 
-    def _as_switching(self, now: float, instance: Instance) -> Instance:
-        """While an instance changes its stage, its heartbeats still tell of the old one.
+    def _with_stage_change(self, now: float, instance: Instance) -> Instance:
+        """Return the instance as switching while its change of stage is in progress.
 
-        Any other stage ends the change, whoever heard of the new one first: the heartbeats may have moved here since.
+        Until the change is done, heartbeats still report the old stage as ready. Any other stage ends the change,
+        whichever member received it first: the heartbeats may have moved here since.
         """
-        under_way = self._change_under_way(now, instance)
-        return replace(instance, state=SWITCHING) if under_way and instance.state == READY else instance
+        is_changing = self._is_changing_stage(now, instance)
+        return replace(instance, state=SWITCHING) if is_changing and instance.state == READY else instance
 
-    def _change_under_way(self, now: float, instance: Instance) -> bool:
-        """Tell whether an instance is changing the stage that it has here; a change to any other one is done."""
-        change = self.changes.get(instance.identity)
+    def _is_changing_stage(self, now: float, instance: Instance) -> bool:
+        """Return whether the instance is changing away from the stage given; a report of any other one ends it."""
+        change = self.stage_changes.get(instance.identity)
         if change is not None and instance.stage != change.old_stage:
-            del self.changes[instance.identity]
+            del self.stage_changes[instance.identity]
             return False
-        return change is not None and now < change.until
+        return change is not None and now < change.expires_at
 
-    def switching(self, now: float, identity: str) -> GossipRecord | None:
-        """An instance was ordered to change its stage."""
+    def begin_stage_change(self, now: float, identity: str) -> GossipRecord | None:
+        """Mark an instance as switching after an order; return its record, None where it isn't ready."""
         instance = self.instances.get(identity)
         if instance is None or instance.state != READY:
             return None
-        self.changes[identity] = StageChange(instance.stage, now + SWITCH_S)
-        return self._change(replace(instance, state=SWITCHING), self._stamp_after(identity))
+        self.stage_changes[identity] = StageChange(instance.stage, now + STAGE_CHANGE_TIMEOUT_S)
+        return self._update(replace(instance, state=SWITCHING), self._stamp_after(identity))
 
-    def _change(self, instance: Instance, stamp: tuple[int, int]) -> GossipRecord:
+    def _update(self, instance: Instance, stamp: tuple[int, int]) -> GossipRecord:
         self.instances[instance.identity] = instance
         self.stamps[instance.identity] = stamp
         return record_of(instance, *stamp)
 
     def unregister(self, now: float, identity: str) -> GossipRecord:
-        """An instance ends by its own word; it never comes back under this identity."""
-        self.ended[identity] = now
-        self._drop(identity)
-        return GossipRecord(INSTANCE_PREFIX + identity, (ENDED, 0), b"", True)
+        """Remove an instance at its own request; it never comes back under this identity."""
+        self.unregistered[identity] = now
+        self._remove(identity)
+        return GossipRecord(INSTANCE_PREFIX + identity, (UNREGISTERED_SEQUENCE, 0), b"", True)
 
-    def _drop(self, identity: str) -> None:
+    def _remove(self, identity: str) -> None:
         self.instances.pop(identity, None)
         self.stamps.pop(identity, None)
-        self.beats.pop(identity, None)
-        self.unsent_beats.pop(identity, None)
-        self.changes.pop(identity, None)
+        self.heartbeats.pop(identity, None)
+        self.unsent_heartbeats.pop(identity, None)
+        self.stage_changes.pop(identity, None)
 
-    def learn(self, now: float, record: GossipRecord) -> None:
-        """Take a record that another member told."""
+    def apply_record(self, now: float, record: GossipRecord) -> None:
+        """Apply an instance's record that was received from another member."""
         identity = record.key.removeprefix(INSTANCE_PREFIX)
         instance = instance_of(record)
         if instance is None:
-            if record.stamp[0] == ENDED:
-                self.ended[identity] = now
-            self._drop(identity)
+            if record.stamp[0] == UNREGISTERED_SEQUENCE:
+                self.unregistered[identity] = now
+            self._remove(identity)
             return
-        if identity in self.ended or self.stamps.get(identity, (-1, 0)) >= record.stamp:
+        if identity in self.unregistered or self.stamps.get(identity, (-1, 0)) >= record.stamp:
             return
-        self.instances[identity], self.stamps[identity] = instance, record.stamp
-        self._learn_change(now, instance, record.stamp[1] > 0)
-        beat = self.beats.get(identity)
-        if beat is None or beat.sequence < record.stamp[0]:
-            self.beats[identity] = Beat(record.stamp[0], now)
-
-    def _learn_change(self, now: float, instance: Instance, ordered: bool) -> None:
-        """Learn of a change from another member; `ordered` where the record is that of an order.
-
-        The record of a heartbeat during a change tells whoever missed the order. Where the change was given up it
-        brings nothing back: members would prolong it for one another, and the instance would be spared for ever.
+        self.instances[identity] = instance
+        self.stamps[identity] = record.stamp
+        self._apply_stage_change(now, instance, record.stamp[1] > 0)
+        heartbeat = self.heartbeats.get(identity)
+        if heartbeat is None or heartbeat.sequence < record.stamp[0]:
+            self.heartbeats[identity] = Heartbeat(record.stamp[0], now)
+
+    def _apply_stage_change(self, now: float, instance: Instance, is_order: bool) -> None:
+        """Apply a change of stage from another member; `is_order` where the record is that of an order.
+
+        The record of a heartbeat during a change informs a member that missed the order. Where the change has timed
+        out it must not restart it: members would prolong it for one another, and the instance would never be used.
         """
-        under_way = self._change_under_way(now, instance)
-        given_up = instance.identity in self.changes and not under_way
-        if instance.state == SWITCHING and not under_way and (ordered or not given_up):
-            self.changes[instance.identity] = StageChange(instance.stage, now + SWITCH_S)
+        is_changing = self._is_changing_stage(now, instance)
+        is_timed_out = instance.identity in self.stage_changes and not is_changing
+        if instance.state == SWITCHING and not is_changing and (is_order or not is_timed_out):
+            self.stage_changes[instance.identity] = StageChange(instance.stage, now + STAGE_CHANGE_TIMEOUT_S)
 
-    def heard_elsewhere(self, now: float, liveness: Liveness) -> None:
-        """Take what another control member heard."""
+    def apply_liveness(self, now: float, liveness: Liveness) -> None:
+        """Apply the heartbeats that another control member received."""
         for identity, sequence in liveness.rows:
-            beat = self.beats.get(identity)
-            if beat is not None and sequence > beat.sequence:
-                beat.sequence, beat.heard = sequence, now
-
-    def liveness(self) -> Liveness | None:
-        """Tell what was heard here since the last call."""
-        rows, self.unsent_beats = tuple(self.unsent_beats.items()), {}
+            heartbeat = self.heartbeats.get(identity)
+            if heartbeat is not None and sequence > heartbeat.sequence:
+                heartbeat.sequence = sequence
+                heartbeat.last_observed = now
+
+    def collect_liveness(self) -> Liveness | None:
+        """Return the heartbeats received here since the last call; None where there were none."""
+        rows = tuple(self.unsent_heartbeats.items())
+        self.unsent_heartbeats = {}
         return Liveness(rows) if rows else None
 
-    def expire(self, now: float, listening: bool) -> list[GossipRecord]:
-        """Tell the instances that have fallen silent; while this member hears little itself, none is accused."""
-        stalled = now - self.ticked > self.heartbeat_s
-        self.ticked = now
-        if stalled or not listening:
-            for beat in self.beats.values():
-                beat.heard = max(beat.heard, now - self.heartbeat_s)
+    def expire(self, now: float, is_connected: bool) -> list[GossipRecord]:
+        """Mark instances lost that have fallen silent; return their records.
+
+        After a stall of this process, or while this member is disconnected itself, silence proves nothing: every
+        instance gets a heartbeat interval of grace.
+        """
+        is_stalled = now - self.last_expiry_check > self.heartbeat_s
+        self.last_expiry_check = now
+        if is_stalled or not is_connected:
+            for heartbeat in self.heartbeats.values():
+                heartbeat.last_observed = max(heartbeat.last_observed, now - self.heartbeat_s)
         lost: list[GossipRecord] = []
-        for identity, beat in self.beats.items():
+        for identity, heartbeat in self.heartbeats.items():
             instance = self.instances.get(identity)
-            silent = now - beat.heard > MISSED * self.heartbeat_s
-            if silent and instance is not None and instance.state in (READY, SWITCHING):
-                lost.append(self._change(replace(instance, state=LOST), self._stamp_after(identity)))
+            is_silent = now - heartbeat.last_observed > MAX_MISSED_HEARTBEATS * self.heartbeat_s
+            if is_silent and instance is not None and instance.state in (READY, SWITCHING):
+                lost.append(self._update(replace(instance, state=LOST), self._stamp_after(identity)))
         return lost
 
     def _stamp_after(self, identity: str) -> tuple[int, int]:
-        """Tell the stamp of what is concluded here: above the record it is drawn from, and below any heartbeat since.
+        """Return the stamp of a conclusion drawn here: above the record it follows from, below any later heartbeat.
 
-        A newer heartbeat may have been heard of whose record, that the instance is leaving, has not come yet.
+        A newer heartbeat may be known whose record, saying that the instance drains, has not arrived yet.
         """
         sequence, minor = self.stamps.get(identity, (0, 0))
         return sequence, minor + 1
 
-    def seen(self, now: float, identities: Iterable[str]) -> list[GossipRecord]:
-        """Instances answered a question: they live, though their heartbeats may not arrive; tells those found again."""
-        found: list[GossipRecord] = []
+    def mark_reachable(self, now: float, identities: Iterable[str]) -> list[GossipRecord]:
+        """Record that instances answered a request: they live, though their heartbeats may not arrive.
+
+        Returns:
+            The records of instances that were marked lost and are ready again.
+
+        """
+        recovered: list[GossipRecord] = []
         for identity in identities:
-            instance, beat = self.instances.get(identity), self.beats.get(identity)
-            if instance is None or beat is None:
+            instance = self.instances.get(identity)
+            heartbeat = self.heartbeats.get(identity)
+            if instance is None or heartbeat is None:
                 continue
-            beat.heard = now
+            heartbeat.last_observed = now
             if instance.state == LOST:
-                found.append(self._change(replace(instance, state=READY), self._stamp_after(identity)))
-        return found
-
-    def forget(self, now: float) -> list[GossipRecord]:
-        """Drop lost instances that have been silent for long, and ends that nobody asks about any more."""
-        self.ended = {identity: at for identity, at in self.ended.items() if now - at < REMEMBER_S}
-        leaving = {identity for identity, instance in self.instances.items() if instance.state in (LOST, DRAINING)}
-        old = [identity for identity, beat in self.beats.items() if identity in leaving and now - beat.heard > FORGET_S]
-        records = [GossipRecord(INSTANCE_PREFIX + identity, self._stamp_after(identity), b"", True) for identity in old]
-        for identity in old:
-            self._drop(identity)
-        return records
+                recovered.append(self._update(replace(instance, state=READY), self._stamp_after(identity)))
+        return recovered
+
+    def purge(self, now: float) -> list[GossipRecord]:
+        """Drop lost and draining instances after long silence, and old unregistered identities.
+
+        Returns:
+            Tombstones of the dropped instances.
+
+        """
+        self.unregistered = {
+            identity: since for identity, since in self.unregistered.items() if now - since < UNREGISTERED_RETENTION_S
+        }
+        inactive = {identity for identity, instance in self.instances.items() if instance.state in (LOST, DRAINING)}
+        expired = [
+            identity
+            for identity, heartbeat in self.heartbeats.items()
+            if identity in inactive and now - heartbeat.last_observed > SILENT_RETENTION_S
+        ]
+        tombstones = [
+            GossipRecord(INSTANCE_PREFIX + identity, self._stamp_after(identity), b"", True) for identity in expired
+        ]
+        for identity in expired:
+            self._remove(identity)
+        return tombstones
--- a/hophinge/fleet/registry/service.py
+++ b/hophinge/fleet/registry/service.py
@@ -1,12 +1,13 @@
-"""What a control member does with instances: takes heartbeats, tells others, and acknowledges what may be acknowledged.
+"""The instance service of a control member: takes heartbeats, publishes changes, acknowledges what a quorum holds.
 
-A state machine without I/O. Its shell gives it the time, the core as it is seen now, and whom to tell.
+A state machine without I/O. Its host passes the time, the core as it is observed now, and the recipients.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from hophinge.coordination.dissemination import Dissemination, GossipMessage, Push, GossipRecord, DisseminationStep
 from hophinge.coordination.quorum_acknowledgements import (
@@ -22,24 +23,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
-    """Whom a member knows of at one moment."""
+class RegistryContext:
+    """The other members that a control member knows of at one moment."""
 
     core: QuorumView
-    heads: tuple[str, ...]  # addresses of data planes that get news from this member whole
-    controls: tuple[str, ...]  # addresses of the other control members
+    heads: tuple[str, ...]  # addresses of data planes that this member updates directly
+    control_members: tuple[str, ...]  # addresses of the other control members
+
+
+class CompletedRequest(NamedTuple):
+    """A caller's request that has come to its end."""
+
+    request_id: int
+    is_acknowledged: bool
 
 
 @dataclass(slots=True)
 class ServiceStep:
-    """What one input brings about: messages by address, and callers' requests that are settled."""
+    """The effects of one input: messages by address, and callers' requests that are completed."""
 
     messages: list[tuple[str, object]] = field(default_factory=list)
-    settled: list[tuple[int, bool]] = field(default_factory=list)
+    completed: list[CompletedRequest] = field(default_factory=list)
 
 
-def is_leaving(record: GossipRecord) -> bool:
-    """Tell whether a record says that its instance is leaving, or has left."""
+def is_draining(record: GossipRecord) -> bool:
+    """Return whether the record's instance is draining or has unregistered."""
     instance = instance_of(record)
     return instance is None or instance.state == DRAINING
 
@@ -48,135 +56,151 @@
     """The instances as one control member knows them."""
 
     def __init__(self, me: Replica, dissemination: Dissemination, registry: Registry) -> None:
-        self.dissemination, self.registry = dissemination, registry
+        self.dissemination = dissemination
+        self.registry = registry
         self.me = me
-        self.holds = QuorumAcknowledgements(me)
-        self.holding: dict[int, str] = {}  # requests that wait for a quorum, and the instance each is about
-        self.safe: set[str] = set()  # instances whose leaving a quorum holds
+        self.quorum_acknowledgements = QuorumAcknowledgements(me)
+        self.pending_requests: dict[int, str] = {}  # the instance of each request that waits for a quorum
+        self.acknowledged_drains: set[str] = set()  # instances whose draining record a quorum holds
 
     # --- callers -------------------------------------------------------------------------------------------------
 
-    def beat(self, now: float, around: Surroundings, request: int, instance: Instance, sequence: int) -> ServiceStep:
-        """Take a heartbeat. That of a ready instance is refused where this member is cut off: others are to hear it."""
+    def heartbeat(
+        self, now: float, context: RegistryContext, request: int, instance: Instance, sequence: int
+    ) -> ServiceStep:
+        """Apply a heartbeat and complete or begin its request.
+
+        A ready instance's heartbeat is refused while this member has no contact to a majority: the instance then
+        sends it to another member. A draining instance's is acknowledged once a quorum holds its record.
+        """
         step = ServiceStep()
-        record = self.registry.heartbeat(now, instance, sequence)
+        record = self.registry.record_heartbeat(now, instance, sequence)
         if instance.state == READY:
             if record is not None:
-                self.safe.discard(instance.identity)
-                self.tell(now, around, record, step)
-            voters = {voter.identity for voter in around.core.voters}
+                self.acknowledged_drains.discard(instance.identity)
+                self.publish(now, context, record, step)
+            voters = {voter.identity for voter in context.core.voters}
             in_contact = (
-                around.core.view_number >= 1 and len(voters & around.core.live_replicas) >= around.core.majority
+                context.core.view_number >= 1 and len(voters & context.core.live_replicas) >= context.core.majority
             )
-            step.settled.append((request, in_contact))
+            step.completed.append(CompletedRequest(request, in_contact))
             return step
-        known = record or self.dissemination.store.get(INSTANCE_PREFIX + instance.identity)
-        self._acknowledge_leaving(now, around, request, instance.identity, known, step)
+        newest = record or self.dissemination.store.get(INSTANCE_PREFIX + instance.identity)
+        self._replicate_until_quorum(now, context, request, instance.identity, newest, step)
         return step
 
-    def leave(self, now: float, around: Surroundings, request: int, identity: str) -> ServiceStep:
-        """Take an instance's word that it has ended."""
+    def unregister(self, now: float, context: RegistryContext, request: int, identity: str) -> ServiceStep:
+        """Apply an instance's request to unregister; it is acknowledged once a quorum holds the tombstone."""
         step = ServiceStep()
-        if identity not in self.registry.ended:
-            self.safe.discard(identity)
+        if identity not in self.registry.unregistered:
+            self.acknowledged_drains.discard(identity)
         record = self.registry.unregister(now, identity)
-        self._acknowledge_leaving(now, around, request, identity, record, step)
+        self._replicate_until_quorum(now, context, request, identity, record, step)
         return step
 
-    def _acknowledge_leaving(
+    def _replicate_until_quorum(
         self,
         now: float,
-        around: Surroundings,
+        context: RegistryContext,
         request: int,
         identity: str,
         record: GossipRecord | None,
         step: ServiceStep,
     ) -> None:
-        """Acknowledge a leaving once a quorum holds it: from then on no data plane in touch may send work there."""
-        if identity in self.safe:
-            step.settled.append((request, True))
-        elif record is None or not is_leaving(record):
-            step.settled.append((request, False))  # an older word than what is known: the next one will do
+        """Acknowledge a draining instance once a quorum holds its record: no connected data plane may use it then."""
+        if identity in self.acknowledged_drains:
+            step.completed.append(CompletedRequest(request, True))
+        elif record is None or not is_draining(record):
+            # The request is older than what is known: the instance's next one will be answered.
+            step.completed.append(CompletedRequest(request, False))
         else:
-            self._let_go(now, self.dissemination.publish(now, [record], around.heads), step)
-            self.holding[request] = identity
-            self._take(self.holds.begin(now, around.core, request, record), step)
-
-    def _take(self, taken: AcknowledgementStep, step: ServiceStep) -> None:
-        step.messages += taken.messages
-        for request, bound in taken.resolved:
-            identity = self.holding.pop(request)
-            if bound:
-                self.safe.add(identity)
-            step.settled.append((request, bound))
+            self._apply_dissemination(now, self.dissemination.publish(now, [record], context.heads), step)
+            self.pending_requests[request] = identity
+            self._complete_requests(self.quorum_acknowledgements.begin(now, context.core, request, record), step)
+
+    def _complete_requests(self, quorum_step: AcknowledgementStep, step: ServiceStep) -> None:
+        step.messages += quorum_step.messages
+        for request, is_acknowledged in quorum_step.resolved:
+            identity = self.pending_requests.pop(request)
+            if is_acknowledged:
+                self.acknowledged_drains.add(identity)
+            step.completed.append(CompletedRequest(request, is_acknowledged))
 
     # --- other members -------------------------------------------------------------------------------------------
 
-    def hold(self, now: float, around: Surroundings, source: str, hold: ReplicateRecord) -> ServiceStep:
-        """Hold a record for another member, and pass it on: its sender may be lost the moment after."""
+    def replicate_record(
+        self, now: float, context: RegistryContext, source: str, request: ReplicateRecord
+    ) -> ServiceStep:
+        """Store a record for another member, and pass it on first: its sender may be lost the moment after."""
         step = ServiceStep()
-        voters = [voter.address for voter in around.core.voters if voter.identity != self.me.identity]
-        told = [*around.heads, *voters]
-        self.receive(now, source, Push((hold.record,)), told, step)
-        step.messages.append((source, RecordReplicated(hold.token, around.core.view_number)))
+        voters = [voter.address for voter in context.core.voters if voter.identity != self.me.identity]
+        recipients = [*context.heads, *voters]
+        self.receive(now, source, Push((request.record,)), recipients, step)
+        step.messages.append((source, RecordReplicated(request.token, context.core.view_number)))
         return step
 
-    def held(self, now: float, around: Surroundings, source: str, held: RecordReplicated) -> ServiceStep:
-        """Take the word of the member with the identity `source` that it holds a record."""
+    def record_replicated(
+        self, now: float, context: RegistryContext, source: str, acknowledgement: RecordReplicated
+    ) -> ServiceStep:
+        """Apply the acknowledgement of the member with the identity `source` that it stores a record."""
         step = ServiceStep()
-        self._take(self.holds.handle_replicated(now, around.core, source, held), step)
+        quorum_step = self.quorum_acknowledgements.handle_replicated(now, context.core, source, acknowledgement)
+        self._complete_requests(quorum_step, step)
         return step
 
-    def receive(self, now: float, source: str, message: GossipMessage, told: Iterable[str], step: ServiceStep) -> None:
-        """Take a message of the dissemination; `told` members get what is new."""
-        self._let_go(now, self.dissemination.handle(now, source, message, told), step)
+    def receive(
+        self, now: float, source: str, message: GossipMessage, recipients: Iterable[str], step: ServiceStep
+    ) -> None:
+        """Apply a message of the dissemination; what is new in it goes to `recipients`."""
+        self._apply_dissemination(now, self.dissemination.handle(now, source, message, recipients), step)
 
-    def heard_elsewhere(self, now: float, liveness: Liveness) -> None:
-        """Take what another control member heard."""
-        self.registry.heard_elsewhere(now, liveness)
+    def apply_liveness(self, now: float, liveness: Liveness) -> None:
+        """Apply the heartbeats that another control member received."""
+        self.registry.apply_liveness(now, liveness)
 
-    def seen(self, now: float, around: Surroundings, identities: Iterable[str]) -> ServiceStep:
-        """Instances answered a question."""
+    def mark_reachable(self, now: float, context: RegistryContext, identities: Iterable[str]) -> ServiceStep:
+        """Record that instances answered a request, and publish those that were taken for lost."""
         step = ServiceStep()
-        for record in self.registry.seen(now, identities):
-            self.tell(now, around, record, step)
+        for record in self.registry.mark_reachable(now, identities):
+            self.publish(now, context, record, step)
         return step
 
-    def switching(self, now: float, around: Surroundings, identity: str) -> ServiceStep:
-        """An instance was ordered to change its stage: requests spare it until it is back."""
+    def begin_stage_change(self, now: float, context: RegistryContext, identity: str) -> ServiceStep:
+        """Publish that an instance was ordered to change its stage: it gets no requests until it has."""
         step = ServiceStep()
-        record = self.registry.switching(now, identity)
+        record = self.registry.begin_stage_change(now, identity)
         if record is not None:
-            self.tell(now, around, record, step)
+            self.publish(now, context, record, step)
         return step
 
-    # --- telling -------------------------------------------------------------------------------------------------
+    # --- publishing ----------------------------------------------------------------------------------------------
 
-    def tell(self, now: float, around: Surroundings, record: GossipRecord, step: ServiceStep) -> None:
-        """Tell the data planes and the other control members."""
-        self._let_go(now, self.dissemination.publish(now, [record], [*around.heads, *around.controls]), step)
+    def publish(self, now: float, context: RegistryContext, record: GossipRecord, step: ServiceStep) -> None:
+        """Send a record to the data planes and the other control members."""
+        recipients = [*context.heads, *context.control_members]
+        self._apply_dissemination(now, self.dissemination.publish(now, [record], recipients), step)
 
-    def _let_go(self, now: float, spread: DisseminationStep, step: ServiceStep) -> None:
-        step.messages += spread.messages
-        for record in spread.updates:
+    def _apply_dissemination(self, now: float, dissemination_step: DisseminationStep, step: ServiceStep) -> None:
+        step.messages += dissemination_step.messages
+        for record in dissemination_step.updates:
             if record.key.startswith(INSTANCE_PREFIX):
-                self.registry.learn(now, record)
+                self.registry.apply_record(now, record)
 
     # --- time ----------------------------------------------------------------------------------------------------
 
-    def tick(self, now: float, around: Surroundings, listening: bool) -> ServiceStep:
-        """Give up what took too long, and tell of instances that have fallen silent."""
+    def tick(self, now: float, context: RegistryContext, is_connected: bool) -> ServiceStep:
+        """Time out pending requests, and publish instances that have fallen silent."""
         step = ServiceStep()
-        self._take(self.holds.tick(now, around.core), step)
-        for record in self.registry.expire(now, listening):
-            self.tell(now, around, record, step)
+        self._complete_requests(self.quorum_acknowledgements.tick(now, context.core), step)
+        for record in self.registry.expire(now, is_connected):
+            self.publish(now, context, record, step)
         return step
 
-    def tidy(self, now: float, around: Surroundings) -> ServiceStep:
-        """Forget what nobody asks about any more."""
+    def purge(self, now: float, context: RegistryContext) -> ServiceStep:
+        """Drop instances and identities whose retention has passed."""
         step = ServiceStep()
         self.dissemination.store.remove_expired_tombstones(now)
-        for record in self.registry.forget(now):
-            self.tell(now, around, record, step)
-        self.safe &= self.registry.ended.keys() | self.registry.instances.keys()
+        for record in self.registry.purge(now):
+            self.publish(now, context, record, step)
+        self.acknowledged_drains &= self.registry.unregistered.keys() | self.registry.instances.keys()
         return step
--- a/hophinge/fleet/transport/links.py
+++ b/hophinge/fleet/transport/links.py
@@ -11,9 +11,10 @@
 import socket
 from collections.abc import Callable
 
+from loguru import logger
+
 from hophinge.coordination.codec import CodecError
 from hophinge.coordination.view import Replica
-from hophinge.fleet import log
 from hophinge.fleet.transport.frames import FrameReader, Hello, frame
 
 USER_TIMEOUT_MS = 1_500  # unacknowledged bytes for so long end a connection
@@ -54,7 +55,7 @@
         try:
             messages = self.reader.feed(data)
         except CodecError as error:
-            self.links.note(f"a connection was ended: {error}")
+            logger.info("peer connection closed error={}", error)
             self._abort()
             return
         for message in messages:
@@ -71,7 +72,7 @@
         try:
             self.links.handler(hello, message)
         except Exception:
-            log.logger.exception("a message of {} could not be taken: {}", hello.sender.address, type(message).__name__)
+            logger.exception("message handling failed peer={} type={}", hello.sender.address, type(message).__name__)
 
     def _abort(self) -> None:
         if self.transport is not None:
@@ -138,9 +139,9 @@
 class Links:
     """All connections of one member."""
 
-    def __init__(self, me: Replica, program: str, handler: Handler, note: Callable[[str], None]) -> None:
+    def __init__(self, me: Replica, program: str, handler: Handler) -> None:
         self.hello = Hello(me, program)
-        self.handler, self.note = handler, note
+        self.handler = handler
         self.outgoing: dict[str, Outgoing] = {}
         self.incoming: set[Incoming] = set()
         self.server: asyncio.Server | None = None
--- a/hophinge/fleet/transport/server.py
+++ b/hophinge/fleet/transport/server.py
@@ -9,8 +9,8 @@
 from typing import Any, cast
 
 import uvicorn
+from loguru import logger
 
-from hophinge.fleet import log
 from hophinge.fleet.transport.connection_context import ConnectionContext
 from hophinge.fleet.transport.connection_state import ConnectionBounds
 from hophinge.fleet.transport.server_connection import ServerConnection
@@ -97,7 +97,7 @@
             give_up()
             await self._come_to_rest(asyncio.get_running_loop().time() + LAST_S)
         for owed in self.owed():
-            log.note(f"cut: by the end of this process; {owed}")
+            logger.info("connection aborted side=process {}", owed)
 
     async def _come_to_rest(self, until: float) -> None:
         while self.under_way and asyncio.get_running_loop().time() < until:
--- a/hophinge/fleet/transport/server_connection.py
+++ b/hophinge/fleet/transport/server_connection.py
@@ -234,10 +234,10 @@
         """Tell the answers that are owed, or have not gone out whole yet."""
         waiting = self.raw.get_write_buffer_size() if self.raw is not None else 0
         told = [
-            f"{cycle.scope['path']} of {self.client}: no whole answer, {waiting} bytes not sent"
+            f"path={cycle.scope['path']} client={self.client} response=incomplete unsent_bytes={waiting}"
             for cycle in self.cycles
         ]
         if not told and waiting:
             path = self.cycle.scope["path"] if self.cycle is not None else "?"
-            told.append(f"{path} of {self.client}: answered, {waiting} bytes not sent")
+            told.append(f"path={path} client={self.client} response=complete unsent_bytes={waiting}")
         return told
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -13,9 +13,9 @@
 from hophinge.coordination.replica import ReplicaStateMachine
 from hophinge.coordination.replica_state import ReplicaConfig
 from hophinge.coordination.view import Replica
-from hophinge.fleet.controlplane.directory import DIRECTORY_TICK_S, Directory
-from hophinge.fleet.controlplane.host import REPLICA_TICK_S
-from hophinge.fleet.controlplane.relay import Relay
+from hophinge.fleet.controlplane.soft_state import SOFT_STATE_TICK_S, SoftState
+from hophinge.fleet.controlplane.replica_host import REPLICA_TICK_S
+from hophinge.fleet.controlplane.hint_relay import HintRelay
 from hophinge.fleet.dataplane.knowledge import KNOWLEDGE_TICK_S, Knowledge
 from hophinge.fleet.registry.instance import DRAINING, READY, Instance
 from hophinge.fleet.settings import Settings, parse_settings
@@ -50,7 +50,7 @@
     settings: Settings
     records: list[LogRecord] = field(default_factory=list)
     machine: ReplicaStateMachine | None = None
-    directory: Directory | None = None
+    soft_state: SoftState | None = None
 
 
 @dataclass
@@ -99,14 +99,14 @@
         def send_frame(target: str, data: bytes) -> None:
             """Hints are no part of these plays."""
 
-        member.directory = Directory(settings, machine, send, Relay(send_frame))
+        member.soft_state = SoftState(settings, machine, send, HintRelay(send_frame))
         self._every(REPLICA_TICK_S, lambda: self._handle(member, machine, Tick()), machine, member)
-        self._every(DIRECTORY_TICK_S, member.directory.tick, machine, member)
+        self._every(SOFT_STATE_TICK_S, member.soft_state.tick, machine, member)
         self.disturbed = self.loop.time()
 
     def kill(self, address: str) -> None:
         """End a member's process."""
-        self.members[address].machine = self.members[address].directory = None
+        self.members[address].machine = self.members[address].soft_state = None
         self.disturbed = self.loop.time()
 
     def _every(
@@ -159,12 +159,12 @@
             self.heads[target].received(source.address, message)
             return
         member = self.members.get(target)
-        if member is None or member.machine is None or member.directory is None:
+        if member is None or member.machine is None or member.soft_state is None:
             return
         if member.machine.router.has_handler(message):
             self._handle(member, member.machine, MessageReceived(source, message))
         else:
-            member.directory.received(source, message)
+            member.soft_state.receive(source, message)
 
     def cut(self, inside: set[str], outside: set[str], one_way: bool = False) -> None:
         """Cut some machines off from others until `heal`."""
@@ -182,11 +182,11 @@
 
     async def beat(self, address: str, name: str, state: str, sequence: int) -> bool:
         """Send an instance's heartbeat to a member; notes a leaving that it acknowledges."""
-        directory = self.members[address].directory
-        if directory is None:
+        soft_state = self.members[address].soft_state
+        if soft_state is None:
             return False
         instance = Instance(name, "s", f"10.9.0.{len(name)}:80", "z1", "v", 8, state, "", ())
-        acknowledged = await directory.beat(instance, sequence)
+        acknowledged = await soft_state.heartbeat(instance, sequence)
         if acknowledged and state == DRAINING:
             self.acknowledged.append(Acknowledged(name, address, self.loop.time()))
         return acknowledged
--- a/tests/decision_mutants.py
+++ b/tests/decision_mutants.py
@@ -76,8 +76,8 @@
     Mutant(
         "members prolong a change for one another",
         "fleet/registry/registry",
-        "not under_way and (ordered or not given_up)",
-        "not under_way",
+        "not is_changing and (is_order or not is_timed_out)",
+        "not is_changing",
         CHANGES + "test_a_change_that_was_given_up_is_not_begun_anew_by_a_member_that_gives_it_up_later",
     ),
     Mutant(
--- a/tests/soak_checks.py
+++ b/tests/soak_checks.py
@@ -13,8 +13,8 @@
 from tests.soak_manners import KINDS
 
 SERVED_PART = 0.97  # of requests whose route is always there, so that refusing everything does not pass
-BY_CLIENT = re.compile(r"cut: request (\S+) \(\w+\) by client while ")
-BAD_WORDS = ("cut:", "Traceback", "failed", "Error", "Exception")
+BY_CLIENT = re.compile(r"response aborted request=(\S+) route=\S+ side=client ")
+BAD_WORDS = ("aborted", "Traceback", "failed", "Error", "Exception")
 
 
 def findings(soak: Soak) -> list[str]:
--- a/tests/soak_fleet.py
+++ b/tests/soak_fleet.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from hophinge.fleet.emulation.fleet import FRONT, READY, LoopbackFleet
+from hophinge.fleet.emulation.fleet import FRONT, READY, STARTED, LoopbackFleet
 from hophinge.fleet.emulation.stand_in import FAILURES
 from hophinge.load.rig.processes import Process
 from hophinge.load.rig.waiting import until
@@ -132,7 +132,7 @@
         while not self.over:
             await asyncio.sleep(self.random.random() * self.course.roll_s)
             process = self.fleet.processes.by_name[f"{program}-{self.random.randrange(self.course.machines)}"]
-            served = process.said(" at ")
+            served = process.said(STARTED)
             if not process.running:
                 await self._restart(process, asked=False, served=served)
                 continue
@@ -220,6 +220,6 @@
             self.over = True
         for process in self.fleet.processes.by_name.values():
             if not process.running:
-                await self._restart(process, asked=False, served=process.said(" at "))
+                await self._restart(process, asked=False, served=process.said(STARTED))
         self.draft.passing, self.draft.version = True, self.draft.version + 1
         await self._push()
--- a/tests/test_fleet_client_connections.py
+++ b/tests/test_fleet_client_connections.py
@@ -108,7 +108,7 @@
     async def play(fleet: LoopbackFleet) -> None:
         for scenario in (garbage, requests, half_a_request, body_that_cannot_be_read):
             await scenario(fleet)
-        assert not fleet.head(0).said("cut:")
+        assert not fleet.head(0).said("aborted")
 
     asyncio.run(with_head(tmp_path, SHORT, play))
 
@@ -203,7 +203,7 @@
         assert answer is not None and answer.closes and await client.ends()
         await last_event(busy)
         assert await busy.ends()
-        assert not fleet.head(0).said("cut:")
+        assert not fleet.head(0).said("aborted")
 
     async def last_event(client: Client) -> None:
         async with asyncio.timeout(BOUND_S):
--- a/tests/test_fleet_configuration.py
+++ b/tests/test_fleet_configuration.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from hophinge.fleet.configuration.document import check
-from hophinge.fleet.configuration.routes import configuration_record, parse, table_of
+from hophinge.fleet.configuration.document import validate_document
+from hophinge.fleet.configuration.routes import configuration_record, parse_route_table, route_table_of
 
 
 NOTHING = {"service": "s", "weight": 0}
@@ -37,7 +37,7 @@
 
 
 def _findings(document: dict[str, Any]) -> list[str]:
-    checked = check(json.dumps(document).encode())
+    checked = validate_document(json.dumps(document).encode())
     return [str(finding) for finding in checked.error] if checked.is_error() else []
 
 
@@ -68,12 +68,12 @@
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"version": 1', b"\xff"])
 def test_what_cannot_be_read_whole_is_a_finding(data: bytes) -> None:
-    assert check(data).is_error()
+    assert validate_document(data).is_error()
 
 
 def test_the_longest_prefix_of_the_host_is_taken() -> None:
     routes = [_route(), _route(name="long", **{"path-prefix": "/x/y/"}), _route(name="other", host="b.example")]
-    table = parse(json.dumps(_document(routes=routes)).encode())
+    table = parse_route_table(json.dumps(_document(routes=routes)).encode())
 
     def named(host: str, path: str) -> str | None:
         route = table.find(host, path)
@@ -91,13 +91,13 @@
     document = _document(
         routes=[_route(service=None, **{"traffic-split": split})], services=[{"name": name} for name in "stu"]
     )
-    route = parse(json.dumps(document).encode()).routes[0]
-    assert [route.service(draw) for draw in (0.0, 0.89, 0.91, 0.9999)] == ["s", "s", "t", "t"]
+    route = parse_route_table(json.dumps(document).encode()).routes[0]
+    assert [route.choose_service(draw) for draw in (0.0, 0.89, 0.91, 0.9999)] == ["s", "s", "t", "t"]
 
 
 def test_a_record_brings_the_same_table() -> None:
     document = json.dumps(_document()).encode()
     record = configuration_record(4, document)
     assert record.stamp == (4, 0)
-    assert table_of(record).routes == parse(document).routes
-    assert table_of(record).routes[0].idempotent
+    assert route_table_of(record).routes == parse_route_table(document).routes
+    assert route_table_of(record).routes[0].is_idempotent
--- a/tests/test_fleet_cuts.py
+++ b/tests/test_fleet_cuts.py
@@ -24,21 +24,21 @@
         (
             "ReadError()",
             0.0034,
-            "cut: request q1 (r) by head while answering; after ReadError(); instance i-1 (unknown, "
-            "unregistered 0.003 s ago, 2 connections); version 7 for 1.500 s, 4.600 s left",
+            "response aborted request=q1 route=r side=head phase=answering instance=i-1 state=unknown "
+            "unregistered_s=0.003 connections=2 version=7 version_age_s=1.500 deadline_in_s=4.600 error=ReadError()",
         ),
         (
             "",
             None,
-            "cut: request q1 (r) by head while answering; instance i-1 (unknown, 2 connections); "
-            "version 7 for 1.500 s, 4.600 s left",
+            "response aborted request=q1 route=r side=head phase=answering instance=i-1 state=unknown "
+            "connections=2 version=7 version_age_s=1.500 deadline_in_s=4.600",
         ),
     ],
 )
 def test_the_line_tells_what_was_known(error: str, unregistered: float | None, line: str) -> None:
     seen = InstanceSeen("i-1", "", unregistered, 2)
     cut = Cut("q1", "r", Side.HEAD, Step.ANSWERING, error, seen, 7, 1.5, 4.6)
-    assert cut.line() == line
+    assert cut.log_line() == line
     assert cut.reason == "head while answering"
 
 
@@ -68,15 +68,19 @@
                 BOUND_S,
             )
             head = fleet.head(0)
-            assert head.said("cut: request broken (r0) by instance while answering; after RemoteProtocolError(")
-            assert head.said(
-                "cut: request left-answering (r0) by client while answering; after closed by the client; "
-                "instance d1 (ready, "
-            )
-            assert head.said(
-                "cut: request left-waiting (r1) by client while waiting; after closed by the client; "
-                "instance s1 (ready, "
-            )
+            for begin, error in (
+                ("request=broken route=r0 side=instance phase=answering", "RemoteProtocolError("),
+                (
+                    "request=left-answering route=r0 side=client phase=answering instance=d1 state=ready ",
+                    "closed by the client",
+                ),
+                (
+                    "request=left-waiting route=r1 side=client phase=waiting instance=s1 state=ready ",
+                    "closed by the client",
+                ),
+            ):
+                lines = [line for line in head.lines if f"response aborted {begin}" in line]
+                assert any(f" error={error}" in line for line in lines), (begin, list(head.lines))
             assert not head.said("Traceback")
             assert {"left-answering"} <= maker.under_way
 
--- a/tests/test_fleet_ended_instances.py
+++ b/tests/test_fleet_ended_instances.py
@@ -188,7 +188,7 @@
             replies = await asyncio.gather(*asked)
             assert all(streamed(reply) for reply in replies), [reply.body for reply in replies]
             assert not makers[0].left | makers[1].left
-            assert not any(fleet.head(number).said("cut:") for number in range(MACHINES))
+            assert not any(fleet.head(number).said("aborted") for number in range(MACHINES))
 
     asyncio.run(run())
 
@@ -221,7 +221,7 @@
             await _closed(leaving)
             replies = [await fleet.request(0, "/p/q", f"after{number}") for number in range(8)]
             assert [reply.status for reply in replies] == [200] * 8
-            assert not fleet.head(0).said("cut:")
+            assert not fleet.head(0).said("aborted")
 
     asyncio.run(run())
 
--- a/tests/test_fleet_failing_steps.py
+++ b/tests/test_fleet_failing_steps.py
@@ -97,7 +97,7 @@
         taken.append(message)
 
     me = Replica("me", "127.0.0.1:1", "z")
-    links = Links(me, "data", handler, lambda text: None)
+    links = Links(me, "data", handler)
     incoming = Incoming(links)
     other = Push((GossipRecord("key", (1, 0), b""),))
     incoming.data_received(frame(Hello(me, "data")) + frame(other) + frame(Push(())) + frame(other))
--- a/tests/test_fleet_failing_work.py
+++ b/tests/test_fleet_failing_work.py
@@ -15,7 +15,7 @@
 import pytest
 
 from hophinge.coordination.storage.store import DurableStore
-from hophinge.fleet.controlplane.host import Batch, DiskWriter
+from hophinge.fleet.controlplane.disk_writer import DiskWriter, WriteBatch
 from hophinge.fleet.settings import SettingsError, read_settings
 
 BOUND_S = 20.0
@@ -76,7 +76,7 @@
         loop, told = asyncio.get_running_loop(), list[Exception | None]()
         both = asyncio.Event()
 
-        def done(batch: Batch, error: Exception | None) -> None:
+        def done(batch: WriteBatch, error: Exception | None) -> None:
             told.append(error)
             if len(told) == 2:
                 loop.call_soon_threadsafe(both.set)
@@ -84,7 +84,7 @@
         writer = DiskWriter(Broken(), done)
         writer.start()
         for _ in range(2):
-            writer.batches.put(Batch([], None, []))
+            writer.batches.put(WriteBatch([], None, []))
         async with asyncio.timeout(BOUND_S):
             await both.wait()
         return told
--- a/tests/test_fleet_relay.py
+++ b/tests/test_fleet_hint_relay.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from hophinge.fleet.controlplane.relay import EACH_HEAD_S, GATHER_S, SOON_S, Relay
+from hophinge.fleet.controlplane.hint_relay import (
+    FLUSH_INTERVAL_PER_HEAD_S,
+    MIN_FLUSH_INTERVAL_S,
+    MIN_RELAY_DELAY_S,
+    HintRelay,
+)
 from hophinge.fleet.placement.hints import PlacementHint, PlacementHints, SuspectedInstances
 from hophinge.fleet.transport.frames import FrameReader
 
@@ -20,7 +25,7 @@
 
     def __init__(self) -> None:
         self.frames: list[tuple[str, bytes]] = []
-        self.relay = Relay(lambda address, data: self.frames.append((address, data)))
+        self.relay = HintRelay(lambda address, data: self.frames.append((address, data)))
 
     def told(self, address: str) -> list[str]:
         """Tell the instances that an address heard of."""
@@ -35,21 +40,21 @@
 
 def test_each_head_hears_what_the_others_said_and_nothing_of_its_own() -> None:
     wire = Wire()
-    wire.relay.take("h1", _hint("a"), True)
-    wire.relay.take("h2", _hint("b"), True)
-    wire.relay.take("c2", _hint("c"), False)
+    wire.relay.add("h1", _hint("a"), True)
+    wire.relay.add("h2", _hint("b"), True)
+    wire.relay.add("c2", _hint("c"), False)
     wire.relay.flush(1.0, HEADS, CONTROLS)
     assert [wire.told(head) for head in HEADS] == [["b", "c"], ["a", "c"], ["a", "b", "c"]]
     assert [wire.told(control) for control in CONTROLS] == [["a", "b"]] * 2, "what control members said stays here"
     wire.frames.clear()
-    wire.relay.take("c2", _hint("d"), False)
+    wire.relay.add("c2", _hint("d"), False)
     wire.relay.flush(2.0, HEADS, CONTROLS)
     assert wire.told("c2") == []
 
 
 def test_a_head_that_alone_said_something_is_told_nothing() -> None:
     wire = Wire()
-    wire.relay.take("h1", _hint("a"), True)
+    wire.relay.add("h1", _hint("a"), True)
     wire.relay.flush(1.0, ["h1"], [])
     assert wire.frames == []
 
@@ -59,23 +64,23 @@
         wire = Wire()
         now, due, flushes = 0.0, None, 0
         while now < 1.0:
-            wire.relay.take("x", _hint("a"), True)
+            wire.relay.add("x", _hint("a"), True)
             due = now + wire.relay.delay_s(now, heads) if due is None else due
             if now >= due:
                 wire.relay.flush(now, [], [])
                 flushes, due = flushes + 1, None
-            now += GATHER_S / 4
-        assert flushes * heads <= 1.2 / EACH_HEAD_S
+            now += MIN_FLUSH_INTERVAL_S / 4
+        assert flushes * heads <= 1.2 / FLUSH_INTERVAL_PER_HEAD_S
 
 
 def test_a_word_after_a_rest_is_passed_on_soon() -> None:
     wire = Wire()
     wire.relay.flush(1.0, HEADS, CONTROLS)
-    assert wire.relay.delay_s(9.0, 1_000) == SOON_S
-    assert wire.relay.delay_s(1.0, 30) == pytest.approx(GATHER_S + 30 * EACH_HEAD_S)
+    assert wire.relay.delay_s(9.0, 1_000) == MIN_RELAY_DELAY_S
+    assert wire.relay.delay_s(1.0, 30) == pytest.approx(MIN_FLUSH_INTERVAL_S + 30 * FLUSH_INTERVAL_PER_HEAD_S)
 
 
 def test_a_word_that_is_not_gathered_goes_at_once() -> None:
     wire = Wire()
-    wire.relay.at_once(SuspectedInstances(("i",)), HEADS)
+    wire.relay.send_now(SuspectedInstances(("i",)), HEADS)
     assert [target for target, _ in wire.frames] == HEADS
--- a/tests/test_fleet_instance_service.py
+++ b/tests/test_fleet_instance_service.py
@@ -14,12 +14,12 @@
 from hophinge.coordination.view import Replica
 from hophinge.fleet.registry.instance import DRAINING, READY, Instance, record_of
 from hophinge.fleet.registry.registry import Registry
-from hophinge.fleet.registry.service import InstanceService, Surroundings
+from hophinge.fleet.registry.service import InstanceService, RegistryContext
 
 A, B, C = (Replica(name, f"10.0.0.{number}:1", "z") for number, name in enumerate("abc", 1))
 HEAD = "10.0.1.1:2"
-CALM = Surroundings(QuorumView(1, (A, B, C), 2, frozenset("abc")), (HEAD,), (B.address, C.address))
-ALONE = Surroundings(QuorumView(1, (A, B, C), 2, frozenset("a")), (HEAD,), (B.address, C.address))
+CALM = RegistryContext(QuorumView(1, (A, B, C), 2, frozenset("abc")), (HEAD,), (B.address, C.address))
+ALONE = RegistryContext(QuorumView(1, (A, B, C), 2, frozenset("a")), (HEAD,), (B.address, C.address))
 
 
 def _service() -> InstanceService:
@@ -32,75 +32,77 @@
 
 def test_a_ready_instance_is_told_of_at_once_and_asked_elsewhere_by_a_member_that_is_cut_off() -> None:
     service = _service()
-    step = service.beat(0.0, CALM, 1, _instance(READY), 1)
-    assert step.settled == [(1, True)]
+    step = service.heartbeat(0.0, CALM, 1, _instance(READY), 1)
+    assert step.completed == [(1, True)]
     assert {address for address, message in step.messages if isinstance(message, Push)} == {HEAD, B.address, C.address}
-    assert service.beat(1.0, ALONE, 2, _instance(READY), 2).settled == [(2, False)]
+    assert service.heartbeat(1.0, ALONE, 2, _instance(READY), 2).completed == [(2, False)]
 
 
 def test_a_leaving_is_told_to_the_heads_at_once_and_acknowledged_once_a_quorum_holds_it() -> None:
     service = _service()
-    service.beat(0.0, CALM, 1, _instance(READY), 1)
-    step = service.beat(1.0, CALM, 2, _instance(DRAINING), 2)
-    assert step.settled == []
+    service.heartbeat(0.0, CALM, 1, _instance(READY), 1)
+    step = service.heartbeat(1.0, CALM, 2, _instance(DRAINING), 2)
+    assert step.completed == []
     assert [address for address, message in step.messages if isinstance(message, Push)] == [HEAD]
     assert [address for address, message in step.messages if isinstance(message, ReplicateRecord)] == [
         B.address,
         C.address,
     ]
-    assert service.held(1.1, CALM, "b", RecordReplicated(2, 1)).settled == []
-    assert service.held(1.1, CALM, "c", RecordReplicated(2, 1)).settled == [(2, True)]
-    assert service.beat(2.0, ALONE, 3, _instance(DRAINING), 3).settled == [(3, True)], "it is held once and for all"
+    assert service.record_replicated(1.1, CALM, "b", RecordReplicated(2, 1)).completed == []
+    assert service.record_replicated(1.1, CALM, "c", RecordReplicated(2, 1)).completed == [(2, True)]
+    assert service.heartbeat(2.0, ALONE, 3, _instance(DRAINING), 3).completed == [(3, True)], (
+        "it is held once and for all"
+    )
 
 
 def test_one_that_is_ready_again_leaves_anew() -> None:
     service = _service()
-    service.beat(1.0, CALM, 1, _instance(DRAINING), 2)
-    service.held(1.1, CALM, "b", RecordReplicated(1, 1))
-    service.held(1.1, CALM, "c", RecordReplicated(1, 1))
-    service.beat(2.0, CALM, 2, _instance(READY), 3)
-    assert service.beat(3.0, ALONE, 3, _instance(DRAINING), 4).settled == []
-    assert service.tick(3.0 + ACKNOWLEDGEMENT_TIMEOUT_S, ALONE, True).settled == [(3, False)]
+    service.heartbeat(1.0, CALM, 1, _instance(DRAINING), 2)
+    service.record_replicated(1.1, CALM, "b", RecordReplicated(1, 1))
+    service.record_replicated(1.1, CALM, "c", RecordReplicated(1, 1))
+    service.heartbeat(2.0, CALM, 2, _instance(READY), 3)
+    assert service.heartbeat(3.0, ALONE, 3, _instance(DRAINING), 4).completed == []
+    assert service.tick(3.0 + ACKNOWLEDGEMENT_TIMEOUT_S, ALONE, True).completed == [(3, False)]
 
 
 def test_an_end_is_acknowledged_by_the_same_rule_and_an_older_heartbeat_brings_nothing_back() -> None:
     service = _service()
-    service.beat(0.0, CALM, 1, _instance(READY), 1)
-    assert service.leave(1.0, CALM, 2, "i").settled == []
-    service.held(1.1, CALM, "b", RecordReplicated(2, 1))
-    assert service.held(1.1, CALM, "c", RecordReplicated(2, 1)).settled == [(2, True)]
-    late = service.beat(2.0, CALM, 3, _instance(READY), 9)
+    service.heartbeat(0.0, CALM, 1, _instance(READY), 1)
+    assert service.unregister(1.0, CALM, 2, "i").completed == []
+    service.record_replicated(1.1, CALM, "b", RecordReplicated(2, 1))
+    assert service.record_replicated(1.1, CALM, "c", RecordReplicated(2, 1)).completed == [(2, True)]
+    late = service.heartbeat(2.0, CALM, 3, _instance(READY), 9)
     assert not late.messages
     assert "i" not in service.registry.instances
-    assert service.leave(3.0, ALONE, 4, "i").settled == [(4, True)], "an end that is sent again"
+    assert service.unregister(3.0, ALONE, 4, "i").completed == [(4, True)], "an end that is sent again"
 
 
 def test_an_end_after_an_acknowledged_leaving_needs_a_quorum_of_its_own() -> None:
     service = _service()
-    service.beat(1.0, CALM, 1, _instance(DRAINING), 2)
-    service.held(1.1, CALM, "b", RecordReplicated(1, 1))
-    service.held(1.1, CALM, "c", RecordReplicated(1, 1))
-    assert service.leave(2.0, ALONE, 2, "i").settled == []
-    assert service.tick(2.0 + ACKNOWLEDGEMENT_TIMEOUT_S, ALONE, True).settled == [(2, False)]
+    service.heartbeat(1.0, CALM, 1, _instance(DRAINING), 2)
+    service.record_replicated(1.1, CALM, "b", RecordReplicated(1, 1))
+    service.record_replicated(1.1, CALM, "c", RecordReplicated(1, 1))
+    assert service.unregister(2.0, ALONE, 2, "i").completed == []
+    assert service.tick(2.0 + ACKNOWLEDGEMENT_TIMEOUT_S, ALONE, True).completed == [(2, False)]
 
 
 def test_who_holds_a_record_for_another_passes_it_on_before_it_says_so() -> None:
     service = _service()
     record = record_of(_instance(DRAINING), 5)
-    step = service.hold(0.0, CALM, B.address, ReplicateRecord(9, record))
+    step = service.replicate_record(0.0, CALM, B.address, ReplicateRecord(9, record))
     assert [address for address, message in step.messages if isinstance(message, Push)] == [HEAD, C.address]
     assert step.messages[-1] == (B.address, RecordReplicated(9, 1))
     assert service.registry.instances["i"].state == DRAINING
-    again = service.hold(0.1, CALM, B.address, ReplicateRecord(9, record))
+    again = service.replicate_record(0.1, CALM, B.address, ReplicateRecord(9, record))
     assert again.messages == [(B.address, RecordReplicated(9, 1))]
 
 
 def test_an_older_word_than_what_is_known_is_not_acknowledged() -> None:
     service = _service()
-    service.beat(0.0, CALM, 1, _instance(READY), 9)
-    step = service.beat(0.1, CALM, 2, _instance(DRAINING), 5)
-    assert step.settled == [(2, False)]
+    service.heartbeat(0.0, CALM, 1, _instance(READY), 9)
+    step = service.heartbeat(0.1, CALM, 2, _instance(DRAINING), 5)
+    assert step.completed == [(2, False)]
     assert not step.messages
     gone = GossipRecord("instance/other", (3, 0), b"", True)
-    service.hold(0.2, CALM, B.address, ReplicateRecord(1, gone))
+    service.replicate_record(0.2, CALM, B.address, ReplicateRecord(1, gone))
     assert "other" not in service.registry.instances
--- a/tests/test_fleet_life.py
+++ b/tests/test_fleet_life.py
@@ -21,9 +21,9 @@
 from hophinge.fleet.registry.instance import READY, Instance
 
 UNSAFE = Route("r", "h", "/", "unsafe", 4.0, 0.5, 0.0, 1, 1, False, ("s",), (1.0,))
-SAFE = replace(UNSAFE, kind="safe", max_attempts=3)
-STREAM = replace(UNSAFE, kind="streaming", max_attempts=2, resumable=True)
-FIXED = replace(STREAM, resumable=False)
+SAFE = replace(UNSAFE, route_type="safe", max_attempts=3)
+STREAM = replace(UNSAFE, route_type="streaming", max_attempts=2, is_resumable=True)
+FIXED = replace(STREAM, is_resumable=False)
 PROMPT = Prompt(1_000, 80, (("shared", 800), ("own", 200)))
 
 
--- a/tests/test_fleet_process_ends.py
+++ b/tests/test_fleet_process_ends.py
@@ -6,6 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
+from loguru import logger
 
 from hophinge.fleet.transport.asgi import Receive, Scope, Send, answer, read_body
 from hophinge.fleet.transport.connection_state import ConnectionBounds
@@ -69,8 +70,8 @@
 def test_the_end_does_not_wait_for_longer_than_it_may_and_tells_what_is_owed(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    notes: list[str] = []
-    monkeypatch.setattr("hophinge.fleet.log.note", notes.append)
+    events: list[str] = []
+    sink = logger.add(events.append, format="{message}")
 
     async def play(server: HttpServer, host: str, port: int) -> None:
         _, writer = await asyncio.open_connection(host, port, limit=1 << 12)
@@ -78,10 +79,14 @@
         while not server.server_state.total_requests:
             await asyncio.sleep(0)
         await server.finish(asyncio.get_running_loop().time())
-        assert len(notes) == 1 and notes[0].startswith("cut: by the end of this process; /large of")
+        assert len(events) == 1 and events[0].startswith("connection aborted side=process path=/large client=")
+        assert " unsent_bytes=" in events[0]
         writer.close()
 
-    asyncio.run(_serve(play))
+    try:
+        asyncio.run(_serve(play))
+    finally:
+        logger.remove(sink)
 
 
 def test_the_tidying_behind_an_answer_comes_to_its_end_with_the_process() -> None:
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -5,7 +5,13 @@
 from dataclasses import replace
 
 from hophinge.fleet.registry.instance import DRAINING, LOST, READY, SWITCHING, Instance, Model, instance_of
-from hophinge.fleet.registry.registry import FORGET_S, MISSED, REMEMBER_S, Liveness, Registry
+from hophinge.fleet.registry.registry import (
+    SILENT_RETENTION_S,
+    MAX_MISSED_HEARTBEATS,
+    UNREGISTERED_RETENTION_S,
+    Liveness,
+    Registry,
+)
 
 PERIOD_S = 1.0
 ONE = Instance("i-1", "models", "10.0.0.1:80", "z", "v1", 64, READY, "decode", (Model("m", 1),))
@@ -26,29 +32,29 @@
 
 def test_only_what_changes_is_told() -> None:
     registry = _registry()
-    record = registry.heartbeat(0.0, ONE, 1)
+    record = registry.record_heartbeat(0.0, ONE, 1)
     assert record is not None
     assert instance_of(record) == ONE
-    assert registry.heartbeat(1.0, ONE, 2) is None
-    told = registry.heartbeat(2.0, replace(ONE, state=DRAINING), 3)
+    assert registry.record_heartbeat(1.0, ONE, 2) is None
+    told = registry.record_heartbeat(2.0, replace(ONE, state=DRAINING), 3)
     assert told is not None
     assert told.stamp > record.stamp
 
 
 def test_a_late_heartbeat_does_not_bring_a_leaving_instance_back() -> None:
     registry = _registry()
-    registry.heartbeat(0.0, ONE, 1)
-    registry.heartbeat(1.0, replace(ONE, state=DRAINING), 5)
-    assert registry.heartbeat(1.1, ONE, 4) is None
-    assert registry.heartbeat(1.2, ONE, 5) is None
+    registry.record_heartbeat(0.0, ONE, 1)
+    registry.record_heartbeat(1.0, replace(ONE, state=DRAINING), 5)
+    assert registry.record_heartbeat(1.1, ONE, 4) is None
+    assert registry.record_heartbeat(1.2, ONE, 5) is None
     assert registry.instances["i-1"].state == DRAINING
 
 
 def test_an_instance_that_unregistered_never_comes_back_under_its_identity() -> None:
     registry = _registry()
-    registry.heartbeat(0.0, ONE, 1)
+    registry.record_heartbeat(0.0, ONE, 1)
     assert registry.unregister(1.0, "i-1").is_deleted
-    assert registry.heartbeat(2.0, ONE, 9) is None
+    assert registry.record_heartbeat(2.0, ONE, 9) is None
     assert "i-1" not in registry.instances
 
 
@@ -58,29 +64,29 @@
 
 def test_a_silent_instance_is_lost_and_found_again() -> None:
     registry = _registry()
-    registry.heartbeat(0.0, ONE, 1)
-    assert _pass(registry, 0.0, MISSED * PERIOD_S) == []
-    assert _pass(registry, MISSED * PERIOD_S, MISSED * PERIOD_S + 1) == ["instance/i-1"]
+    registry.record_heartbeat(0.0, ONE, 1)
+    assert _pass(registry, 0.0, MAX_MISSED_HEARTBEATS * PERIOD_S) == []
+    assert _pass(registry, MAX_MISSED_HEARTBEATS * PERIOD_S, MAX_MISSED_HEARTBEATS * PERIOD_S + 1) == ["instance/i-1"]
     assert registry.instances["i-1"].state == LOST
-    back = registry.heartbeat(6.0, ONE, 2)
+    back = registry.record_heartbeat(6.0, ONE, 2)
     assert back is not None
     assert registry.instances["i-1"].state == READY
 
 
 def test_an_instance_that_beats_elsewhere_is_not_lost_here() -> None:
     registry = _registry()
-    registry.heartbeat(0.0, ONE, 1)
+    registry.record_heartbeat(0.0, ONE, 1)
     lost = []
     for number in range(2, 10):
         registry.heartbeat_s = PERIOD_S
-        registry.heard_elsewhere(float(number), Liveness((("i-1", number),)))
+        registry.apply_liveness(float(number), Liveness((("i-1", number),)))
         lost += _pass(registry, float(number), number + 1.0)
     assert lost == []
 
 
 def test_who_stood_still_or_hears_nobody_accuses_nobody() -> None:
     registry = _registry()
-    registry.heartbeat(0.0, ONE, 1)
+    registry.record_heartbeat(0.0, ONE, 1)
     assert registry.expire(20.0, True) == []  # it stood still for 20 s
     assert registry.expire(20.25, True) == []
     assert registry.expire(23.0, False) == []  # it is cut off from the others
@@ -88,29 +94,29 @@
 
 def test_an_instance_under_order_is_spared_until_its_stage_has_changed() -> None:
     registry = _registry()
-    registry.heartbeat(0.0, ONE, 1)
-    record = registry.switching(1.0, "i-1")
+    registry.record_heartbeat(0.0, ONE, 1)
+    record = registry.begin_stage_change(1.0, "i-1")
     assert record is not None
     assert registry.instances["i-1"].state == SWITCHING
-    assert registry.heartbeat(2.0, ONE, 2) is None  # it still tells of the old stage
-    done = registry.heartbeat(4.0, replace(ONE, stage="prefill"), 3)
+    assert registry.record_heartbeat(2.0, ONE, 2) is None  # it still tells of the old stage
+    done = registry.record_heartbeat(4.0, replace(ONE, stage="prefill"), 3)
     assert done is not None
     assert registry.instances["i-1"].state == READY
 
 
 def test_a_lost_instance_is_dropped_in_time_and_its_next_heartbeat_brings_it_back() -> None:
     registry, other = _registry(), _registry()
-    first = registry.heartbeat(0.0, ONE, 1)
+    first = registry.record_heartbeat(0.0, ONE, 1)
     assert first is not None
-    other.learn(0.0, first)
-    _pass(registry, 0.0, MISSED * PERIOD_S + 1)
-    assert registry.forget(FORGET_S - 1) == []
-    dropped = registry.forget(FORGET_S + 1)
+    other.apply_record(0.0, first)
+    _pass(registry, 0.0, MAX_MISSED_HEARTBEATS * PERIOD_S + 1)
+    assert registry.purge(SILENT_RETENTION_S - 1) == []
+    dropped = registry.purge(SILENT_RETENTION_S + 1)
     assert [record.key for record in dropped] == ["instance/i-1"]
-    other.learn(FORGET_S + 1, dropped[0])
+    other.apply_record(SILENT_RETENTION_S + 1, dropped[0])
     assert not registry.instances
     assert not other.instances
-    back = other.heartbeat(FORGET_S + 2, ONE, 2)
+    back = other.record_heartbeat(SILENT_RETENTION_S + 2, ONE, 2)
     assert back is not None
     assert back.stamp > dropped[0].stamp
 
@@ -118,61 +124,61 @@
 def test_an_end_is_remembered_for_a_while_only() -> None:
     registry = _registry()
     registry.unregister(0.0, "i-1")
-    registry.forget(REMEMBER_S - 1)
-    assert registry.heartbeat(REMEMBER_S - 1, ONE, 5) is None
-    registry.forget(REMEMBER_S + 1)
-    assert not registry.ended
+    registry.purge(UNREGISTERED_RETENTION_S - 1)
+    assert registry.record_heartbeat(UNREGISTERED_RETENTION_S - 1, ONE, 5) is None
+    registry.purge(UNREGISTERED_RETENTION_S + 1)
+    assert not registry.unregistered
 
 
 def test_another_member_that_hears_of_the_order_spares_it_too() -> None:
     registry, other = _registry(), _registry()
-    registry.heartbeat(0.0, ONE, 1)
-    record = registry.switching(1.0, "i-1")
+    registry.record_heartbeat(0.0, ONE, 1)
+    record = registry.begin_stage_change(1.0, "i-1")
     assert record is not None
-    other.learn(1.0, record)
-    other.heartbeat(2.0, ONE, 2)
+    other.apply_record(1.0, record)
+    other.record_heartbeat(2.0, ONE, 2)
     assert other.instances["i-1"].state == SWITCHING
 
 
 def test_an_instance_that_answers_questions_is_not_lost_and_is_found_again() -> None:
     registry = Registry(1.0, 0.0)
-    registry.heartbeat(0.0, ONE, 1)
+    registry.record_heartbeat(0.0, ONE, 1)
     _pass(registry, 0.0, 4.0)
-    assert registry.seen(4.0, ["i-1", "i-unknown"]) == []
+    assert registry.mark_reachable(4.0, ["i-1", "i-unknown"]) == []
     assert _pass(registry, 4.0, 8.0) == []
     assert _pass(registry, 8.0, 9.0) == ["instance/i-1"]
-    [record] = registry.seen(9.0, ["i-1"])
+    [record] = registry.mark_reachable(9.0, ["i-1"])
     found = instance_of(record)
     assert found is not None
     assert found.state == READY
-    later = registry.heartbeat(9.1, replace(ONE, state=DRAINING), 2)
+    later = registry.record_heartbeat(9.1, replace(ONE, state=DRAINING), 2)
     assert later is not None
     assert later.stamp > record.stamp, "the next heartbeat counts for more"
 
 
 def test_a_leaving_instance_that_falls_silent_stays_a_leaving_one() -> None:
     registry = Registry(1.0, 0.0)
-    registry.heartbeat(0.0, replace(ONE, state=DRAINING), 1)
+    registry.record_heartbeat(0.0, replace(ONE, state=DRAINING), 1)
     assert _pass(registry, 0.0, 20.0) == []
     assert registry.instances["i-1"].state == DRAINING
-    assert registry.seen(20.0, ["i-1"]) == []
+    assert registry.mark_reachable(20.0, ["i-1"]) == []
 
 
 def test_what_is_concluded_here_never_hides_a_leaving_that_others_have_heard_of() -> None:
     elsewhere, here = _registry(), _registry()
-    first = elsewhere.heartbeat(0.0, ONE, 1)
+    first = elsewhere.record_heartbeat(0.0, ONE, 1)
     assert first is not None
-    here.learn(0.0, first)
+    here.apply_record(0.0, first)
     _pass(here, 0.0, 6.0)
     assert here.instances["i-1"].state == LOST
-    leaving = elsewhere.heartbeat(6.0, replace(ONE, state=DRAINING), 7)
-    words = elsewhere.liveness()
+    leaving = elsewhere.record_heartbeat(6.0, replace(ONE, state=DRAINING), 7)
+    words = elsewhere.collect_liveness()
     assert leaving is not None
     assert words is not None
-    here.heard_elsewhere(6.1, words)  # the word comes before the record
-    [found] = here.seen(6.2, ["i-1"])
+    here.apply_liveness(6.1, words)  # the word comes before the record
+    [found] = here.mark_reachable(6.2, ["i-1"])
     assert found.stamp < leaving.stamp
-    here.learn(6.3, leaving)
+    here.apply_record(6.3, leaving)
     assert here.instances["i-1"].state == DRAINING
     _pass(here, 6.3, 20.0)
     assert here.instances["i-1"].state == DRAINING
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_replica_host.py
@@ -6,9 +6,11 @@
 from dataclasses import replace
 from pathlib import Path
 
+from loguru import logger
+
 from hophinge.coordination.registers import Change
 from hophinge.coordination.storage.store import SLOTS
-from hophinge.fleet.controlplane.host import SCRUB_S, Effects, ReplicaHost
+from hophinge.fleet.controlplane.replica_host import SCRUB_INTERVAL_S, ReplicaEffects, ReplicaHost
 from hophinge.fleet.settings import Settings, parse_settings
 
 
@@ -28,26 +30,25 @@
 
 
 def test_the_scrub_tells_of_damage_and_the_state_is_written_anew(tmp_path: Path) -> None:
-    notes: list[str] = []
+    events: list[str] = []
+    sink = logger.add(events.append, format="{message}")
 
     async def play() -> None:
         written = asyncio.Queue[bool]()
-        host = ReplicaHost(
-            _settings(tmp_path), Effects(lambda address, message: None, lambda published: None, notes.append)
-        )
+        host = ReplicaHost(_settings(tmp_path), ReplicaEffects(lambda address, message: None, lambda published: None))
         assert host.store is not None
-        after = host._written
+        after = host._complete_write
 
         def watched(batch: object, error: Exception | None) -> None:
             after(batch, error)  # type: ignore[arg-type]
             written.put_nowait(host.writing_since is None)
 
-        host._written = watched  # type: ignore[method-assign]
+        host._complete_write = watched  # type: ignore[method-assign]
         slot = tmp_path / SLOTS[host.store.current_slot]
         data = bytearray(slot.read_bytes())
         data[-1] ^= 1
         slot.write_bytes(bytes(data))
-        host.scrubbed = host.loop.time() - SCRUB_S
+        host.last_scrub_at = host.loop.time() - SCRUB_INTERVAL_S
         host.tick()
         while not await written.get():
             pass
@@ -56,21 +57,24 @@
         again = ReplicaHost(_settings(tmp_path), host.effects)
         assert again.me.identity == identity
 
-    asyncio.run(asyncio.wait_for(play(), 30.0))
-    assert any(note.startswith("scrub: ") for note in notes)
+    try:
+        asyncio.run(asyncio.wait_for(play(), 30.0))
+    finally:
+        logger.remove(sink)
+    assert any(event.startswith("scrub found damage") for event in events)
 
 
 def test_who_waits_for_the_chain_is_told_at_the_end_that_nothing_is_known(tmp_path: Path) -> None:
     async def play() -> None:
         host = ReplicaHost(
             replace(_settings(tmp_path), bootstrap=False),
-            Effects(lambda address, message: None, lambda published: None, lambda text: None),
+            ReplicaEffects(lambda address, message: None, lambda published: None),
         )
         waiting = asyncio.create_task(host.request("configuration", Change("configuration", 0, 1, b"d", b"x"), 60.0))
-        while not host.callers:
+        while not host.pending_requests:
             await asyncio.sleep(0)
-        host.give_up()
+        host.answer_pending_unknown()
         assert (await waiting).outcome is None
-        host.give_up()
+        host.answer_pending_unknown()
 
     asyncio.run(asyncio.wait_for(play(), 30.0))
--- a/tests/test_fleet_server_connection.py
+++ b/tests/test_fleet_server_connection.py
@@ -181,7 +181,7 @@
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(FIRST)
         wire.pipe.unsent = 9
-        assert wire.connection is not None and wire.connection.owed()[0].endswith("answered, 9 bytes not sent")
+        assert wire.connection is not None and wire.connection.owed()[0].endswith("response=complete unsent_bytes=9")
         looks = 0
 
         def unsent() -> int:
--- a/tests/test_fleet_split.py
+++ b/tests/test_fleet_split.py
@@ -37,5 +37,5 @@
 
 def test_a_route_with_one_service_draws_nothing() -> None:
     draws = SplitDraws(Random(1))
-    assert draws.service(replace(ROUTE, services=("a",), bounds=(1.0,))) == "a"
+    assert draws.service(replace(ROUTE, services=("a",), cumulative_weights=(1.0,))) == "a"
     assert not draws.places
--- a/tests/test_fleet_stage_changes.py
+++ b/tests/test_fleet_stage_changes.py
@@ -18,7 +18,7 @@
 
 from hophinge.coordination.dissemination import GossipRecord
 from hophinge.fleet.registry.instance import READY, SWITCHING, Instance, Model
-from hophinge.fleet.registry.registry import SWITCH_S, Registry
+from hophinge.fleet.registry.registry import STAGE_CHANGE_TIMEOUT_S, Registry
 
 PERIOD_S = 0.5
 READER = Instance("i-1", "models", "10.0.0.1:80", "z", "v1", 64, READY, "prefill", (Model("m", 1),))
@@ -35,18 +35,18 @@
     def _tell(self, now: float, source: Registry, record: GossipRecord | None) -> None:
         for member in self.all:
             if record is not None and member is not source:
-                member.learn(now, record)
+                member.apply_record(now, record)
 
     def beat(self, now: float, member: int, instance: Instance) -> None:
         """An instance beats at a member, which tells the others what changed."""
         self.sequence += 1
         source = self.all[member]
-        self._tell(now, source, source.heartbeat(now, instance, self.sequence))
+        self._tell(now, source, source.record_heartbeat(now, instance, self.sequence))
 
     def order(self, now: float, member: int) -> None:
         """A member has ordered the instance to change its stage."""
         source = self.all[member]
-        self._tell(now, source, source.switching(now, READER.identity))
+        self._tell(now, source, source.begin_stage_change(now, READER.identity))
 
     def seen(self) -> set[tuple[str, str]]:
         """Tell state and stage of the instance as the members have them."""
@@ -85,12 +85,12 @@
     members.beat(0.0, 0, READER)
     members.order(1.0, random.randrange(3))
     now, spared_until = 1.0, 0.0
-    while now < 10 * SWITCH_S:
+    while now < 10 * STAGE_CHANGE_TIMEOUT_S:
         now += PERIOD_S
         members.beat(now, random.randrange(3), READER)
         if members.seen() != {(READY, "prefill")}:
             spared_until = now
-    assert SWITCH_S - PERIOD_S < spared_until <= 1.0 + SWITCH_S + 3 * PERIOD_S
+    assert STAGE_CHANGE_TIMEOUT_S - PERIOD_S < spared_until <= 1.0 + STAGE_CHANGE_TIMEOUT_S + 3 * PERIOD_S
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -111,29 +111,29 @@
 def test_a_member_that_has_just_started_spares_an_instance_that_is_changing() -> None:
     members = Members(1)
     members.beat(0.0, 0, READER)
-    ordered = members.all[0].switching(1.0, "i-1")
+    ordered = members.all[0].begin_stage_change(1.0, "i-1")
     assert ordered is not None
-    beaten = members.all[0].heartbeat(1.5, replace(READER, slots=65), 2)
+    beaten = members.all[0].record_heartbeat(1.5, replace(READER, slots=65), 2)
     assert beaten is not None
     started = Registry(PERIOD_S, 2.0)
-    started.learn(2.0, beaten)
-    started.heartbeat(2.5, READER, 3)
+    started.apply_record(2.0, beaten)
+    started.record_heartbeat(2.5, READER, 3)
     assert started.instances["i-1"].state == SWITCHING
-    started.heartbeat(5.0, MAKER, 4)
+    started.record_heartbeat(5.0, MAKER, 4)
     assert (started.instances["i-1"].state, started.instances["i-1"].stage) == (READY, "decode")
 
 
 def test_a_change_that_was_given_up_is_not_begun_anew_by_a_member_that_gives_it_up_later() -> None:
     members = Members(2)
     members.beat(0.0, 0, READER)
-    ordered = members.all[0].switching(1.0, "i-1")
+    ordered = members.all[0].begin_stage_change(1.0, "i-1")
     assert ordered is not None
-    members.all[1].learn(1.4, ordered)  # the order's record came late
-    members.beat(1.0 + SWITCH_S, 0, READER)
+    members.all[1].apply_record(1.4, ordered)  # the order's record came late
+    members.beat(1.0 + STAGE_CHANGE_TIMEOUT_S, 0, READER)
     assert members.seen() == {(READY, "prefill")}
-    members.beat(1.2 + SWITCH_S, 1, READER)
+    members.beat(1.2 + STAGE_CHANGE_TIMEOUT_S, 1, READER)
     assert members.seen() == {(SWITCHING, "prefill")}  # for this member it is under way still
-    members.beat(1.5 + SWITCH_S, 0, READER)
+    members.beat(1.5 + STAGE_CHANGE_TIMEOUT_S, 0, READER)
     assert members.seen() == {(READY, "prefill")}
     members.order(30.0, 1)
     members.beat(30.5, 0, READER)
--- a/tests/test_fleet_orders.py
+++ b/tests/test_fleet_stage_controller.py
@@ -13,8 +13,8 @@
 import pytest
 
 from hophinge.coordination.ownership import Role
-from hophinge.fleet.controlplane import keeper
-from hophinge.fleet.controlplane.keeper import StageKeeper
+from hophinge.fleet.controlplane import stage_controller
+from hophinge.fleet.controlplane.stage_controller import StageController
 from hophinge.fleet.emulation.stand_in import Taken, read_request
 from hophinge.fleet.forwarding.headers import EXPECTED_INSTANCE, find
 from hophinge.fleet.placement.policy import PlacementPolicy
@@ -58,25 +58,25 @@
             await writer.wait_closed()
 
 
-def _keeper() -> tuple[StageKeeper, list[str]]:
+def _controller() -> tuple[StageController, list[str]]:
     """Make an owner of the role; tells it, and the instances that it takes to be switching."""
     switching: list[str] = []
     loads = SimpleNamespace(forget=lambda identity: None)
-    directory = SimpleNamespace(loads=loads, switching=lambda instance: switching.append(instance.identity))
+    soft_state = SimpleNamespace(loads=loads, begin_stage_change=lambda instance: switching.append(instance.identity))
     machine = SimpleNamespace(me=SimpleNamespace(identity="me"))
 
     async def request(key: str, change: object, patience: float) -> Any:
         raise AssertionError("nothing is asked of the chain here")
 
-    made = StageKeeper(cast(Any, machine), cast(Any, directory), cast(Any, request), 3.0, PlacementPolicy())
+    made = StageController(cast(Any, machine), cast(Any, soft_state), cast(Any, request), 3.0, PlacementPolicy())
     return made, switching
 
 
 def test_an_order_names_its_instance_its_holder_and_its_token() -> None:
     async def play() -> None:
-        instance, (made, switching) = OrderedInstance("i-1"), _keeper()
+        instance, (made, switching) = OrderedInstance("i-1"), _controller()
         async with instance.listening() as switch:
-            await made._order_one(switch, TOKEN)
+            await made._order_switch(switch, TOKEN)
         (order,) = instance.orders
         assert (order.method, order.target) == ("POST", "/v1/order")
         assert json.loads(order.body) == {"operation": "stage", "stage": "decode", "holder": "me", "fence-token": TOKEN}
@@ -96,10 +96,10 @@
     monkeypatch.setattr(Role, "reject_token", lambda role, token: refused.append(token))
 
     async def play() -> None:
-        instance, (made, switching) = OrderedInstance("i-1"), _keeper()
+        instance, (made, switching) = OrderedInstance("i-1"), _controller()
         instance.answer = lambda order: status
         async with instance.listening() as switch:
-            await made._order_one(switch, TOKEN)
+            await made._order_switch(switch, TOKEN)
         assert switching == ["i-1"] * taken
         assert refused == [TOKEN] * (status == 412)
 
@@ -108,16 +108,16 @@
 
 def test_of_two_orders_over_a_restart_the_second_reaches_no_other_instance(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first gets no answer and may have been taken; the instance restarts under another identity."""
-    monkeypatch.setattr(keeper, "ORDER_S", 0.2)
+    monkeypatch.setattr(stage_controller, "ORDER_TIMEOUT_S", 0.2)
 
     async def play() -> None:
-        instance, (made, switching) = OrderedInstance("i-1"), _keeper()
+        instance, (made, switching) = OrderedInstance("i-1"), _controller()
         instance.answer = lambda order: None
         async with instance.listening() as switch:
-            first = asyncio.create_task(made._order_one(switch, TOKEN))
+            first = asyncio.create_task(made._order_switch(switch, TOKEN))
             await instance.arrived.wait()
             instance.identity = "i-2"
-            await made._order_one(switch, TOKEN)
+            await made._order_switch(switch, TOKEN)
             await first
             await instance.left.wait()
         assert switching == [], "neither is taken for done"
--- a/tests/test_fleet_streams_outlive.py
+++ b/tests/test_fleet_streams_outlive.py
@@ -116,7 +116,11 @@
             await asyncio.gather(*playing)
             while CLIENTS:
                 CLIENTS.pop().writer.close()
-            lines = [line for line in fleet.head(HEAD).lines if "cut:" in line or "failed" in line or "ending" in line]
+            lines = [
+                line
+                for line in fleet.head(HEAD).lines
+                if any(word in line for word in ("aborted", "failed", "draining"))
+            ]
             assert all(whole) and not lines, (whole, lines)
 
     asyncio.run(run())
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -29,8 +29,8 @@
 from hophinge.coordination.messages import LogRecord, StateRecord
 from hophinge.coordination.storage.store import DurableStore
 from hophinge.core.rotation import Mark
-from hophinge.fleet.configuration.document import check
-from hophinge.fleet.controlplane.forms import Heartbeat
+from hophinge.fleet.configuration.document import validate_document
+from hophinge.fleet.controlplane.schemas import HeartbeatBody
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.policy import fields_by_trial_name
 from hophinge.fleet.settings import parse_settings
@@ -375,7 +375,7 @@
     seen = repr(settings)
     for value in ("edge-1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:7000", "0.001", "0.4", "0.008"):
         assert value in seen
-    document = check(json.dumps(recorded("document")).encode()).default_value(None)
+    document = validate_document(json.dumps(recorded("document")).encode()).default_value(None)
     assert document is not None
     dumped = document.model_dump(by_alias=True, exclude_none=True)
     for name, value in recorded("document")["routes"][0].items():
@@ -383,7 +383,7 @@
     for name, value in recorded("document")["services"][0].items():
         assert dumped["services"][0][name] == value
     assert dumped["limits"] == recorded("document")["limits"]
-    heartbeat = Heartbeat.model_validate(recorded("heartbeat")).model_dump(by_alias=True)
+    heartbeat = HeartbeatBody.model_validate(recorded("heartbeat")).model_dump(by_alias=True)
     assert heartbeat == recorded("heartbeat")
 
 
--- a/tests/test_worst_days_connections.py
+++ b/tests/test_worst_days_connections.py
@@ -71,7 +71,7 @@
         async with _playing(False) as play:
             instance = play.instances[0]
             play.placement.update_instance(play.instances[1].name, None)
-            assert (await play.request("warm", replace(UNSAFE, kind="safe"))).status == 200
+            assert (await play.request("warm", replace(UNSAFE, route_type="safe"))).status == 200
             pool = play.upstream.pools[instance.name]
             assert pool.resting_s == RESTING_S
             resting = [one for one in pool.connections if isinstance(one, InstanceConnection)]
@@ -80,7 +80,7 @@
             play.script.ending, play.script.stage, play.script.name = _forgetful, "", "plain-1"
             assert (await play.request("plain-1", UNSAFE)).status == 502
             assert pool.resting_s == pytest.approx(FORGOTTEN_PART * 3.0, abs=0.3)
-            assert (await play.request("warm", replace(UNSAFE, kind="safe"))).status == 200
+            assert (await play.request("warm", replace(UNSAFE, route_type="safe"))).status == 200
             kept = next(one for one in pool.connections if isinstance(one, InstanceConnection))
             kept.rests_since = asyncio.get_running_loop().time() - 2.0
             connections = play.script.connections
--- a/tests/test_worst_days_requests.py
+++ b/tests/test_worst_days_requests.py
@@ -28,9 +28,9 @@
 UNSAFE = Route("r", "h", "/", "unsafe", 4.0, 0.5, 0.0, 1, 2, False, ("s",), (1.0,))
 ROUTES = {
     "unsafe": UNSAFE,
-    "safe": replace(UNSAFE, kind="safe"),
-    "stream": replace(UNSAFE, kind="streaming"),
-    "stream-resumable": replace(UNSAFE, kind="streaming", resumable=True),
+    "safe": replace(UNSAFE, route_type="safe"),
+    "stream": replace(UNSAFE, route_type="streaming"),
+    "stream-resumable": replace(UNSAFE, route_type="streaming", is_resumable=True),
 }
 PROMISES = (408, 421, 429, 503)
 TOKENS = 40_000  # of a prompt: so long that it is read apart
@@ -119,7 +119,7 @@
 def _check(kind: str, name: str, client: Client, script: Script) -> None:
     """Check the rules from what the client got and what the instances saw; raises AssertionError."""
     route, ran = ROUTES[kind], script.runs[name]
-    if not route.idempotent:
+    if not route.is_idempotent:
         assert ran <= 1, f"ran {ran} times"
         assert client.status not in PROMISES or ran == 0, f"{client.status} for what has run"
     assert ran <= route.max_attempts
@@ -147,7 +147,7 @@
         name = f"{'stream' if kind.startswith('stream') else 'plain'}-1"
         if kept:
             for _ in range(6):
-                assert (await play.request("warm", replace(route, kind="safe"))).status == 200
+                assert (await play.request("warm", replace(route, route_type="safe"))).status == 200
         play.script.ending, play.script.stage, play.script.name = ending, stage, name
         client = await play.request(name, route, left_s=SHORT_S if ending in SILENCES else DEADLINE_S)
         _check(kind, name, client, play.script)
@@ -170,7 +170,7 @@
 def test_every_ending_at_every_step(kind: str, ending: Ending, stage: str, kept: bool) -> None:
     async def run() -> None:
         client, script = await _drive(kind, ending, stage, kept)
-        harmless = ROUTES[kind].idempotent or stage == "prefill"
+        harmless = ROUTES[kind].is_idempotent or stage == "prefill"
         if ending in NOT_RUN or (harmless and ending not in SILENCES and ending not in SERVED):
             assert client.status == 200, "what surely did not run, or may run twice, is served elsewhere"
         if ending in SILENCES and not harmless:
--- a/tests/worst_days_mutants.py
+++ b/tests/worst_days_mutants.py
@@ -41,28 +41,29 @@
     Mutant(
         "what is held for another is not passed on",
         "fleet/registry/service",
-        "        told = [*around.heads, *voters]",
-        "        told = list(around.heads)",
+        "        recipients = [*context.heads, *voters]",
+        "        recipients = list(context.heads)",
         SERVICE + "test_who_holds_a_record_for_another_passes_it_on_before_it_says_so",
     ),
     Mutant(
         "an older word than what is known is acknowledged",
         "fleet/registry/service",
-        "        elif record is None or not is_leaving(record):",
+        "        elif record is None or not is_draining(record):",
         "        elif record is None:",
         SERVICE + "test_an_older_word_than_what_is_known_is_not_acknowledged",
     ),
     Mutant(
         "who is ready again is still taken for held",
         "fleet/registry/service",
-        "            if record is not None:\n                self.safe.discard(instance.identity)\n",
+        "            if record is not None:\n                self.acknowledged_drains.discard(instance.identity)\n",
         "            if record is not None:\n",
         SERVICE + "test_one_that_is_ready_again_leaves_anew",
     ),
     Mutant(
         "an end counts as held with the leaving before it",
         "fleet/registry/service",
-        "        if identity not in self.registry.ended:\n            self.safe.discard(identity)\n",
+        "        if identity not in self.registry.unregistered:\n"
+        "            self.acknowledged_drains.discard(identity)\n",
         "",
         SERVICE + "test_an_end_after_an_acknowledged_leaving_needs_a_quorum_of_its_own",
     ),
@@ -198,7 +199,7 @@
     Mutant(
         "what may have run is promised not to have",
         "fleet/forwarding/life",
-        "        harmless = not self.ran or self.route.idempotent",
+        "        harmless = not self.ran or self.route.is_idempotent",
         "        harmless = True",
         REQUESTS,
     ),
