--- a/hophinge/tenancy/accounts.py
+++ b/hophinge/tenancy/accounts.py
@@ -14,10 +14,11 @@
 from msgspec.structs import replace
 
 from hophinge.state.rows import Row
+from hophinge.tenancy.lifecycle import TenantAction, TenantState, next_state
 from hophinge.tenancy.records import (
     BUCKET_KIND,
-    RECORD_TYPES,
     MAX_OVERLAP_S,
+    RECORD_TYPES,
     TENANT_KIND,
     Account,
     AccountError,
@@ -27,10 +28,9 @@
     Role,
     Shares,
     checked_name,
-    digest_of,
     checked_note,
+    digest_of,
 )
-from hophinge.tenancy.lifecycle import TenantState, TenantAction, next_state
 
 MS_PER_S = 1000
 
--- a/hophinge/tenancy/share_allocator.py
+++ b/hophinge/tenancy/share_allocator.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from hophinge.tenancy.share_leases import ShareLeaseIssuer, ShareLease
+from hophinge.tenancy.share_leases import ShareLease, ShareLeaseIssuer
 from hophinge.tenancy.share_planner import DemandEstimate, plan_shares
 
 PLAN_INTERVAL_US = 1_000_000  # between plans
--- a/tests/test_copies_feed.py
+++ b/tests/test_tenancy_account_replication.py
@@ -11,7 +11,7 @@
 from hophinge.control.account_wire import decode_account_chunk, encode_account_chunk
 from hophinge.state.rows import Row
 from hophinge.tenancy import account_replication as feed_module
-from hophinge.tenancy.account_replication import AccountSender, AccountReceiver
+from hophinge.tenancy.account_replication import AccountReceiver, AccountSender
 from tests import books
 
 
--- a/tests/test_accounts_model.py
+++ b/tests/test_tenancy_accounts.py
@@ -14,12 +14,12 @@
     PurgeComplete,
     RemoveBuckets,
     RevokeKeys,
-    TenantState,
     TenantAction,
+    TenantState,
     next_purge_step,
     next_state,
 )
-from hophinge.tenancy.records import KEY_KIND, BUCKET_KIND, Account, AccountError, Bucket, Quotas, Role, Shares, row_of
+from hophinge.tenancy.records import BUCKET_KIND, KEY_KIND, Account, AccountError, Bucket, Quotas, Role, Shares, row_of
 
 WISHES = st.lists(
     st.tuples(
--- /dev/null
+++ b/tests/test_tenancy_admission.py
@@ -0,0 +1,140 @@
+"""Admission of tenants' requests: a surge, spare capacity by weight, rejections, random steps."""
+
+from __future__ import annotations
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from hophinge.tenancy.admission import (
+    Admission,
+    AdmissionDecision,
+    AdmissionRequest,
+    SpareCapacity,
+    TenantShares,
+    Ticket,
+)
+from tests.tenancy_model import MS, SimulatedHead, jain_index, run_surge
+
+
+def test_a_surge_of_one_tenant_leaves_the_others_their_rate_and_their_latency() -> None:
+    calm, surge = run_surge(1.0), run_surge(10.0)
+    for name in "ab":
+        arrived = len(calm.latencies_ms[name]) + calm.rejected[name]
+        assert len(surge.latencies_ms[name]) >= 0.98 * arrived
+        before, after = (
+            sorted(head.latencies_ms[name])[int(0.99 * len(head.latencies_ms[name]))] for head in (calm, surge)
+        )
+        assert after <= 1.2 * before
+    assert len(surge.latencies_ms["c"]) > 1.8 * len(calm.latencies_ms["c"])  # spare capacity is used
+    assert surge.rejected["c"] > 0
+
+
+def test_a_reserve_changed_within_a_surge_holds_from_then_on_and_a_negative_level_stays() -> None:
+    shares = {"a": TenantShares(30.0, 1.0, 64), "c": TenantShares(30.0, 1.0, 64)}
+    head = SimulatedHead(shares, SpareCapacity(2.0, 50 * MS), 100.0)
+
+    def reserved(seconds: int) -> float:
+        """Send requests of c at ten times its reserve; return the units a second that its reserve gave it."""
+        since, usage = head.now_us, head.admission.tenants["c"].usage.reserved if head.admission.tenants else 0.0
+        for step in range(seconds * 200):
+            head.run_until(since + step * 5 * MS)
+            head.arrive("c", 1.5)
+            if step % 8 == 0:
+                head.arrive("a")
+        return (head.admission.tenants["c"].usage.reserved - usage) / seconds
+
+    assert 28 <= reserved(4) <= 33
+    in_flight = head.admission.units_in_flight
+    shares["c"] = TenantShares(60.0, 1.0, 64)
+    assert head.admission.units_in_flight == in_flight  # what was admitted stays
+    assert 57 <= reserved(4) <= 63  # from now on, without a burst of a second
+    shares["c"] = TenantShares(5.0, 1.0, 64)
+    assert 4 <= reserved(4) <= 8
+    level = head.admission.tenants["c"].reserve.total.level
+    assert level < 8.0
+    shares["c"] = TenantShares(30.0, 1.0, 64)
+    head.arrive("c", 8.0)
+    assert head.admission.tenants["c"].reserve.total.level <= level + 0.5  # a raise gives nothing back
+
+
+def test_spare_capacity_is_shared_by_weight() -> None:
+    weights = {"a": 1.0, "b": 2.0, "c": 5.0}
+    head = SimulatedHead(
+        {name: TenantShares(0.0, weight, 32) for name, weight in weights.items()}, SpareCapacity(8.0, 200 * MS), 100.0
+    )
+    for step in range(4000):
+        head.run_until(step * 5 * MS)
+        for name in weights:
+            head.arrive(name)
+    got = {name: len(head.latencies_ms[name]) for name in weights}
+    assert jain_index([got[name] / weight for name, weight in weights.items()]) >= 0.98
+    assert 0.95 * 100 * 20 <= sum(got.values()) <= 1.05 * 100 * 20
+
+
+def test_a_request_of_higher_priority_goes_first_within_its_volume() -> None:
+    head = SimulatedHead({}, SpareCapacity(1.0, 100 * MS), 100.0)
+    head.arrive("a")
+    for priority in (1.0, 3.0, 2.0):
+        assert head.arrive("a", priority=priority) is AdmissionDecision.QUEUED
+    order = []
+    while head.admission.queue.queued_items:
+        head.run_until(head.now_us + MS)
+        order += [ticket.request.priority for _, ticket in head.in_service if ticket.request.priority not in order]
+    assert order == [1.0, 3.0, 2.0, 1.0][: len(order)] or order[:3] == [1.0, 3.0, 2.0]
+
+
+def test_a_rejection_says_when_the_tenants_own_reserve_is_refilled() -> None:
+    head = SimulatedHead({"a": TenantShares(10.0, 1.0, 1)}, SpareCapacity(1.0, 50 * MS), 1.0)
+    while head.arrive("a") is AdmissionDecision.RESERVED:
+        pass
+    head.arrive("a")
+    decision, _, retry_after_us = head.admission.arrive(0, AdmissionRequest("a", "v", 2.0, 1.0, 0.0, 1.0, 150 * MS))
+    assert decision is AdmissionDecision.REJECTED and 190 * MS <= retry_after_us <= 210 * MS
+
+
+@settings(max_examples=150)
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["ask", "ask", "end", "leave", "wait", "shares"]), st.integers(0, 3), st.floats(0.5, 8.0)
+        ),
+        max_size=120,
+    )
+)
+def test_by_random_steps_each_request_ends_once_and_nothing_remains(steps: list[tuple[str, int, float]]) -> None:
+    shares = {f"t{at}": TenantShares(5.0 * at, 1.0 + at, 3) for at in range(4)}
+    admission = Admission(lambda name: shares[name], SpareCapacity(10.0, 40 * MS), 8.0)
+    now, in_flight, queued = 0, list[Ticket](), list[Ticket]()
+
+    def dispatch() -> None:
+        for ticket, retry_after_us in admission.dispatch(now):
+            queued.remove(ticket)
+            if not retry_after_us:
+                in_flight.append(ticket)
+
+    for word, at, units in steps:
+        if word == "ask":
+            request = AdmissionRequest(f"t{at}", "v", units, units, 2.0, 1.0, 30 * MS)
+            decision, ticket, _ = admission.arrive(now, request)
+            if decision in (AdmissionDecision.RESERVED, AdmissionDecision.SPARE):
+                in_flight.append(ticket)
+            elif decision is AdmissionDecision.QUEUED:
+                queued.append(ticket)
+        elif word == "end" and in_flight:
+            admission.finish(now, in_flight.pop(at % len(in_flight)))
+        elif word == "leave" and queued:
+            admission.finish(now, queued.pop(at % len(queued)))
+        elif word == "shares":
+            shares[f"t{at}"] = TenantShares(units * 3, units, 2)
+        else:
+            now += int(units * 5 * MS)
+        dispatch()
+        queued_requests = sum(tenant.queued_requests for tenant in admission.tenants.values())
+        assert admission.queue.queued_items == len(queued) == queued_requests
+        assert abs(admission.units_in_flight - sum(ticket.request.units for ticket in in_flight)) < 1e-6
+        assert not admission.next_deadline_us or admission.next_deadline_us > now
+    now += 41 * MS
+    dispatch()
+    for ticket in in_flight:
+        admission.finish(now, ticket)
+    assert not queued and not admission.queue.queued_items and abs(admission.units_in_flight) < 1e-6
--- /dev/null
+++ b/tests/test_tenancy_fair_queue.py
@@ -0,0 +1,143 @@
+"""The fair queue by weights and random steps, against a linear scan."""
+
+from __future__ import annotations
+
+import itertools
+import random
+from collections import Counter
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from hophinge.tenancy.fair_queue import FairQueue, QueueEntry
+from tests.tenancy_model import jain_index
+
+
+@settings(max_examples=60)
+@given(st.lists(st.floats(0.5, 8.0), min_size=2, max_size=6), st.integers(0, 2**32))
+def test_items_leave_in_proportion_to_weights(weights: list[float], seed: int) -> None:
+    rng, fair_queue, served = random.Random(seed), FairQueue[str](), dict.fromkeys(map(str, range(len(weights))), 0.0)
+
+    def fill(name: str) -> None:
+        fair_queue.enqueue(name, rng.uniform(0.5, 8.0), name, weights[int(name)], "v", 1.0, 1.0)
+
+    for name in served:
+        fill(name)
+        fill(name)
+    for _ in range(400 * len(weights)):
+        entry = fair_queue.pop()
+        assert entry is not None
+        served[entry.item] += entry.units
+        fill(entry.item)
+    assert jain_index([served[name] / weights[int(name)] for name in served]) > 0.98
+
+
+class LinearScan:
+    """The same discipline by scanning everything at each step: slow, and obviously right."""
+
+    def __init__(self) -> None:
+        self.virtual: dict[str, float] = {"": 0.0}
+        self.finish: dict[str, float] = {}
+        self.start: dict[str, float] = {}
+        self.activated: dict[str, int] = {}
+        self.queues: dict[str, list[tuple[float, int, str, float]]] = {}
+        self.weights: dict[str, float] = {}
+        self.count = itertools.count()
+
+    def waiting(self, key: str) -> bool:
+        return any(queue and (name == key or name.startswith(key + "/")) for name, queue in self.queues.items())
+
+    def put(
+        self, item: str, units: float, tenant: str, volume: str, priority: float, weights: tuple[float, float]
+    ) -> None:
+        path = tenant, f"{tenant}/{volume}"
+        was_active = [self.waiting(key) for key in path]
+        self.queues.setdefault(path[1], []).append((-priority, next(self.count), item, units))
+        for key, parent, was_queued, weight in zip(
+            path[::-1], (tenant, ""), was_active[::-1], weights[::-1], strict=True
+        ):
+            self.weights[key] = weight
+            if not was_queued:
+                self.start[key] = max(self.virtual.setdefault(parent, 0.0), self.finish.get(key, 0.0))
+                self.activated[key] = next(self.count)
+
+    def remove(self, item: str) -> None:
+        for queue in self.queues.values():
+            queue[:] = [row for row in queue if row[2] != item]
+
+    def pop(self) -> str | None:
+        tenants = [key for key in self.start if "/" not in key and self.waiting(key)]
+        if not tenants:
+            return None
+        tenant = min(tenants, key=lambda key: (self.start[key], self.activated[key]))
+        volumes = [key for key in self.start if key.startswith(tenant + "/") and self.queues[key]]
+        volume = min(volumes, key=lambda key: (self.start[key], self.activated[key]))
+        row = min(self.queues[volume])
+        self.queues[volume].remove(row)
+        for key, parent in ((volume, tenant), (tenant, "")):
+            self.virtual[parent] = self.start[key]
+            self.finish[key] = self.start[key] + row[3] / self.weights[key]
+            if self.waiting(key):
+                self.start[key], self.activated[key] = self.finish[key], next(self.count)
+        return row[2]
+
+
+@settings(max_examples=200)
+@given(
+    st.lists(
+        st.one_of(
+            st.tuples(
+                st.just("put"),
+                st.integers(0, 2),
+                st.integers(0, 2),
+                st.sampled_from([1.0, 2.0, 3.0]),
+                st.sampled_from([1.0, 2.0, 5.0]),
+            ),
+            st.tuples(st.sampled_from(["pop", "remove"]), st.integers(0, 9), st.just(0), st.just(1.0), st.just(1.0)),
+        ),
+        max_size=60,
+    )
+)
+def test_the_fair_queue_chooses_what_a_linear_scan_chooses(steps: list[tuple[str, int, int, float, float]]) -> None:
+    fair_queue, scan, entries = FairQueue[str](), LinearScan(), dict[str, QueueEntry[str]]()
+    for at, (word, one, two, priority, units) in enumerate(steps):
+        if word == "put":
+            name, weights = f"i{at}", (1.0 + one, 1.0 + two)
+            entries[name] = fair_queue.enqueue(name, units, f"t{one}", weights[0], f"v{two}", weights[1], priority)
+            scan.put(name, units, f"t{one}", f"v{two}", priority, weights)
+        elif word == "remove" and entries:
+            name = sorted(entries)[one % len(entries)]
+            fair_queue.remove(entries.pop(name))
+            scan.remove(name)
+        elif word == "pop":
+            entry = fair_queue.pop()
+            assert (entry.item if entry else None) == scan.pop()
+            if entry:
+                del entries[entry.item]
+        assert fair_queue.queued_items == len(entries)
+
+
+def test_an_idle_flow_gets_no_credit() -> None:
+    fair_queue = FairQueue[str]()
+    for _ in range(100):
+        fair_queue.enqueue("busy", 1.0, "busy", 1.0, "v", 1.0, 1.0)
+    for _ in range(50):
+        fair_queue.pop()
+    for _ in range(20):
+        fair_queue.enqueue("late", 1.0, "late", 1.0, "v", 1.0, 1.0)
+    first = Counter(entry.item for _ in range(20) if (entry := fair_queue.pop()))
+    assert abs(first["late"] - first["busy"]) <= 1
+
+
+def test_finished_flows_and_removed_items_are_dropped() -> None:
+    fair_queue = FairQueue[int]()
+    for at in range(5000):
+        fair_queue.enqueue(at, 1.0, f"t{at}", 1.0, "v", 1.0, 1.0)
+        fair_queue.pop()
+        if at % 100 == 99:
+            fair_queue.reset_if_empty()
+        assert len(fair_queue.root.flows) <= 100
+    for at in range(5000):
+        fair_queue.remove(fair_queue.enqueue(at, 1.0, "t", 1.0, "v", 1.0, 1.0))
+    outer = fair_queue.root.flows["t"]
+    assert outer.node is not None and len(outer.node.flows["v"].queue) < 50
--- a/tests/test_usage.py
+++ b/tests/test_tenancy_usage.py
@@ -23,8 +23,8 @@
     OTHER_TENANTS,
     TENANT_TOTAL,
     LabelledTotals,
-    UsageReports,
     UsageCounter,
+    UsageReports,
 )
 
 HOUR_MS = 3_600_000
