--- a/hophinge/fleet/configuration/__init__.py
+++ b/hophinge/fleet/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: reading, checking, and the routes that follow from it."""
+"""The operator's configuration: its schema and validation, and the route table built from it."""
--- a/hophinge/fleet/configuration/document.py
+++ b/hophinge/fleet/configuration/document.py
@@ -1,4 +1,4 @@
-"""Checks the operator's document; all findings are collected with their place and told together."""
+"""Schema and validation of the operator's document; all findings are collected with their paths."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from expression import Error, Ok, Result
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-MAX_FINDINGS = 50  # told of one document
+MAX_FINDINGS = 50  # reported of one document
 
 
 def _alias(name: str) -> str:
@@ -17,13 +17,13 @@
 
 
 class ConfigurationModel(BaseModel):
-    """A part of the document. Fields that this version does not know are kept out of its way."""
+    """Base of the document's models: field names with hyphens; unknown fields are ignored."""
 
     model_config = ConfigDict(alias_generator=_alias, populate_by_name=True, extra="ignore")
 
 
 class WeightedServiceModel(ConfigurationModel):
-    """A service's part of a route's requests."""
+    """A service that gets a weighted share of a route's requests."""
 
     service: str
     weight: float = Field(ge=0)
@@ -59,7 +59,7 @@
 
 
 class LimitsModel(ConfigurationModel):
-    """What a client may send, and how long it may take."""
+    """Limits on what a client may send, and how long it may take."""
 
     max_header_bytes: int = Field(default=16_384, gt=0)
     max_body_bytes: int = Field(default=4_194_304, gt=0)
@@ -68,7 +68,7 @@
 
 
 class DocumentModel(ConfigurationModel):
-    """The whole document."""
+    """The complete document."""
 
     version: int = Field(gt=0)
     routes: list[RouteModel]
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What is wrong, and where: a path into the document."""
+    """One fault of the document, with the path of the field."""
 
     path: str
     message: str
@@ -91,7 +91,7 @@
 
 
 def validate_document(data: bytes) -> Result[DocumentModel, Findings]:
-    """Read and check a document."""
+    """Parse a document and validate it; an error holds the findings, at most MAX_FINDINGS."""
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError) as error:
@@ -99,32 +99,34 @@
     try:
         document = DocumentModel.model_validate(raw)
     except ValidationError as error:
-        found = [Finding(".".join(map(str, one["loc"])) or "document", one["msg"]) for one in error.errors()]
-        return Error(tuple(found[:MAX_FINDINGS]))
+        schema_findings = [
+            Finding(".".join(map(str, detail["loc"])) or "document", detail["msg"]) for detail in error.errors()
+        ]
+        return Error(tuple(schema_findings[:MAX_FINDINGS]))
     findings = tuple(_check_references(document))
     return Error(findings[:MAX_FINDINGS]) if findings else Ok(document)
 
 
 def _check_references(document: DocumentModel) -> Iterator[Finding]:
     services = {service.name for service in document.services}
-    places: dict[tuple[str, str], int] = {}
-    for number, route in enumerate(document.routes):
-        place = f"routes.{number}"
-        yield from _check_targets(route, place, services)
+    route_indexes: dict[tuple[str, str], int] = {}
+    for index, route in enumerate(document.routes):
+        path = f"routes.{index}"
+        yield from _check_targets(route, path, services)
         key = route.host.lower(), route.path_prefix
-        if key in places:
-            yield Finding(place, f"host and prefix are those of routes.{places[key]}")
-        places.setdefault(key, number)
+        if key in route_indexes:
+            yield Finding(path, f"host and prefix are those of routes.{route_indexes[key]}")
+        route_indexes.setdefault(key, index)
 
 
-def _check_targets(route: RouteModel, place: str, services: set[str]) -> Iterator[Finding]:
+def _check_targets(route: RouteModel, path: str, services: set[str]) -> Iterator[Finding]:
     split = route.traffic_split
     if route.service is None and not split:
-        yield Finding(place, "names no service")
+        yield Finding(path, "names no service")
     if route.service is not None and route.service not in services:
-        yield Finding(f"{place}.service", f"unknown service {route.service!r}")
-    for number, weight in enumerate(split or []):
+        yield Finding(f"{path}.service", f"unknown service {route.service!r}")
+    for index, weight in enumerate(split or []):
         if weight.service not in services:
-            yield Finding(f"{place}.traffic-split.{number}", f"unknown service {weight.service!r}")
+            yield Finding(f"{path}.traffic-split.{index}", f"unknown service {weight.service!r}")
     if split and sum(weight.weight for weight in split) <= 0:
-        yield Finding(f"{place}.traffic-split", "the weights add up to 0")
+        yield Finding(f"{path}.traffic-split", "the weights add up to 0")
--- a/hophinge/fleet/configuration/routes.py
+++ b/hophinge/fleet/configuration/routes.py
@@ -1,4 +1,4 @@
-"""The routes of a checked document, as the data plane asks for them."""
+"""The route table of a validated document, as the data plane looks routes up."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 from hophinge.coordination.dissemination import GossipRecord
 
-RECORD_KEY = "configuration"  # the record under which members know the configuration in force
-COMPRESSION_LEVEL = 1  # zlib's level: documents repeat themselves, and time counts more than bytes
-MIN_CLIENT_TIMEOUT_S = 2.0  # silence after which a client gives a stream up, at least
-CLIENT_TIMEOUT_TARGETS = 4.0  # and so many times the route's objective
-CLIENT_TIMEOUT_GAPS = 8.0  # and its longest pause
+RECORD_KEY = "configuration"  # the key of the replicated record of the applied configuration
+COMPRESSION_LEVEL = 1  # of zlib: documents are repetitive, and time counts more than bytes
+# A client gives up a silent stream after the largest of these:
+MIN_CLIENT_TIMEOUT_S = 2.0
+CLIENT_TIMEOUT_TARGETS = 4.0  # times the route's target latency
+CLIENT_TIMEOUT_GAPS = 8.0  # times the route's longest gap between events
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """What the document tells of the engines of a service with prefill and decode."""
+    """The engines of a service with prefill and decode."""
 
     slots: int
-    memory_tokens: int
-    handle_ttl_s: float
+    memory_tokens: int  # of the KV cache
+    handle_ttl_s: float  # for which a prefill's result can be fetched
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A route. The last of `bounds` is the sum of the weights of `services`."""
+    """A route. `cumulative_weights` are those of `services`, so the last one is their sum."""
 
     name: str
     host: str
@@ -46,7 +47,7 @@
     route_type: str  # safe, unsafe or streaming
     timeout_s: float
     target_s: float
-    gap_s: float  # the longest pause between events that keeps an answer in time; 0 where not told
+    gap_s: float  # the longest gap between events of a response in time; 0 where not given
     priority: int
     max_attempts: int
     is_resumable: bool
@@ -55,24 +56,23 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Whether a request may run more than once."""
         return self.route_type == "safe" or (self.route_type == "streaming" and self.is_resumable)
 
     @property
     def client_timeout_s(self) -> float:
-        """Tell how long a client waits for the first event of a stream, by the protocol."""
+        """How long a client waits for the first event of a stream, in seconds, by the protocol."""
         return max(MIN_CLIENT_TIMEOUT_S, CLIENT_TIMEOUT_TARGETS * self.target_s, CLIENT_TIMEOUT_GAPS * self.gap_s)
 
     def choose_service(self, draw: float) -> str:
         """Choose a service by weight; `draw` is from 0 to 1."""
-        return self.services[
-            min(bisect_right(self.cumulative_weights, draw * self.cumulative_weights[-1]), len(self.services) - 1)
-        ]
+        index = bisect_right(self.cumulative_weights, draw * self.cumulative_weights[-1])
+        return self.services[min(index, len(self.services) - 1)]
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long a connection may rest."""
+    """Limits on what a client may send, and how long a connection may be idle."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -84,7 +84,8 @@
     """One version of the configuration."""
 
     def __init__(self, version: int, routes: list[Route], services: list[Service], limits: Limits) -> None:
-        self.version, self.limits = version, limits
+        self.version = version
+        self.limits = limits
         self.services = {service.name: service for service in services}
         self.routes = routes
         self.hosts: dict[str, dict[str, Route]] = {}
@@ -92,7 +93,7 @@
             self.hosts.setdefault(route.host.lower(), {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Find the route of a host with the longest prefix that begins the path."""
+        """Return the host's route with the longest prefix of the path; None where there is none."""
         prefixes = self.hosts.get(host.lower())
         if prefixes is None:
             return None
@@ -106,8 +107,8 @@
 
 def _parse_route(raw: dict[str, Any]) -> Route:
     split = raw.get("traffic-split")
-    weights = [(one["service"], float(one["weight"])) for one in split] if split else [(raw["service"], 1.0)]
-    weights = [one for one in weights if one[1] > 0]
+    weights = [(entry["service"], float(entry["weight"])) for entry in split] if split else [(raw["service"], 1.0)]
+    weights = [(service, weight) for service, weight in weights if weight > 0]
     return Route(
         name=raw["name"],
         host=raw["host"],
@@ -126,18 +127,18 @@
 
 def _parse_service(raw: dict[str, Any]) -> Service:
     engine = raw.get("engine")
-    known = EngineSettings(engine["slots"], engine["kv-cache-tokens"], engine["handle-ttl-s"]) if engine else None
-    return Service(raw["name"], raw.get("max-connections", 100), known)
+    settings = EngineSettings(engine["slots"], engine["kv-cache-tokens"], engine["handle-ttl-s"]) if engine else None
+    return Service(raw["name"], raw.get("max-connections", 100), settings)
 
 
 def parse_route_table(document: bytes) -> RouteTable:
-    """Build the table of a document that was checked before."""
+    """Build the route table of a document that was validated before."""
     raw = json.loads(document)
     limits = raw.get("limits", {})
     return RouteTable(
         raw["version"],
-        [_parse_route(one) for one in raw["routes"]],
-        [_parse_service(one) for one in raw["services"]],
+        [_parse_route(route) for route in raw["routes"]],
+        [_parse_service(service) for service in raw["services"]],
         Limits(
             limits.get("max-header-bytes", 16_384),
             limits.get("max-body-bytes", 4_194_304),
@@ -148,10 +149,10 @@
 
 
 def configuration_record(sequence: int, document: bytes) -> GossipRecord:
-    """Put a committed document into a record; its stamp is its place in the chain's history."""
+    """Return the replicated record of a committed document, stamped with its sequence in the chain's history."""
     return GossipRecord(RECORD_KEY, (sequence, 0), zlib.compress(document, COMPRESSION_LEVEL))
 
 
 def route_table_of(record: GossipRecord) -> RouteTable:
-    """Read a configuration's record."""
+    """Return the route table of a configuration's record."""
     return parse_route_table(zlib.decompress(record.value))
--- a/hophinge/fleet/early_signals.py
+++ b/hophinge/fleet/early_signals.py
@@ -1,6 +1,6 @@
 """Ignores SIGHUP from the first moment of a process: until its handler is there, the default would end the process.
 
-Imported before all that takes a while. The settings are read anew every few seconds, so nothing is missed.
+Imported before modules that take long to load. The settings are reread every few seconds, so nothing is missed.
 """
 
 from __future__ import annotations
--- a/hophinge/fleet/program.py
+++ b/hophinge/fleet/program.py
@@ -1,4 +1,4 @@
-"""What both programs do at their start and end: settings, signals, tasks whose failure ends the process."""
+"""Start and shutdown of both programs: settings, signals, and tasks whose failure ends the process."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from hophinge.fleet.log import configure_log
 from hophinge.fleet.settings import Settings, SettingsError, read_settings
 
-FAILED = 1  # exit status where settings cannot be used
-MAX_FAILURES = 20  # in a row, of a periodic step, before the process ends to be started anew
-REREAD_S = 3.0  # between looks at the settings file: it may change without a signal
+FAILED = 1  # exit status where the settings are invalid
+MAX_FAILURES = 20  # consecutive, of a periodic step, before the process ends to be restarted
+REREAD_S = 3.0  # between reads of the settings file: it may change without a signal
 
 
 class Signals:
-    """The signals that the platform sends."""
+    """The signals that the platform sends: SIGTERM and SIGINT to shut down, SIGHUP to reread the settings."""
 
     def __init__(self) -> None:
         self.ending = asyncio.Event()
@@ -34,7 +34,7 @@
         self.changed()
 
     def close(self) -> None:
-        """Ignore signals from now on: one that comes in a process's last moments must not change how it ended."""
+        """Ignore signals from now on: one that comes late must not change the exit status."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             loop.remove_signal_handler(number)
@@ -42,7 +42,7 @@
 
 
 class Tasks:
-    """Tasks that run as long as the program; one that fails is told of and ends the program."""
+    """Tasks that run as long as the program; the failure of one is logged and ends the program."""
 
     def __init__(self, ending: asyncio.Event) -> None:
         self.ending = ending
@@ -55,7 +55,7 @@
         task.add_done_callback(self._done)
 
     def start_aside(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a piece of work whose failure is told of and ends nothing else."""
+        """Run a background task whose failure is logged and ends nothing else."""
         task = asyncio.get_running_loop().create_task(work)
         self.running.add(task)
         task.add_done_callback(self._done_aside)
@@ -72,24 +72,33 @@
             self.ending.set()
 
     def cancel(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in list(self.running):
             task.cancel()
 
 
 async def repeat(period_s: float, work: Callable[[], Awaitable[None]], most_failures: int = MAX_FAILURES) -> None:
-    """Do a round of work for ever, with a pause after each.
+    """Run a step forever, sleeping after each.
+
+    The failure of a step is logged and the next one is run all the same: the process has responses in flight that do
+    not depend on it.
+
+    Args:
+        period_s: How long to sleep after each step.
+        work: The step.
+        most_failures: How many consecutive failures end the repetition. 1 is for a state that must not go on from
+            half a step, as what is on disk may lack what is in memory.
+
+    Raises:
+        Exception: What the last step raised, after so many consecutive failures.
 
-    A round that fails is told of, and the next one comes all the same: the process has answers under way that have no
-    part in it. Raises what the round raised once it has failed so many times with no success between; 1 is for a state
-    that must not go on from half a step, as what is on disk may lack what is in memory.
     """
     failures = 0
     while True:
         try:
             await work()
             failures = 0
-        except Exception:
+        except Exception:  # broad: a step may fail for any reason and must not end the process
             failures += 1
             logger.exception("periodic step failed consecutive_failures={}", failures)
             if failures >= most_failures:
@@ -98,7 +107,7 @@
 
 
 async def every(period_s: float, action: Callable[[], None], most_failures: int = MAX_FAILURES) -> None:
-    """Call something for ever, as `repeat` does."""
+    """Call a function forever, as `repeat` does."""
 
     async def call() -> None:
         action()
@@ -107,7 +116,7 @@
 
 
 def reread_settings() -> Settings | None:
-    """Read the settings anew; None, and a line in the log, where they cannot be used."""
+    """Read the settings again; return None, and log why, where they are invalid."""
     try:
         return read_settings()
     except SettingsError as error:
@@ -116,7 +125,7 @@
 
 
 def run(program: Callable[[Settings], Awaitable[None]]) -> None:
-    """Read the settings and run a program to its end."""
+    """Read the settings and run a program to its end; exit with FAILED where the settings are invalid."""
     configure_log()
     try:
         settings = read_settings()
--- a/hophinge/fleet/settings.py
+++ b/hophinge/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: read with findings that are collected and told with their place."""
+"""The settings file of a process; all faults are collected and reported with the paths of their fields."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 
 VARIABLE = "HOPHINGE_CONFIG"
 DEFAULT_PATH = "/etc/hophinge/local.json"
-MAX_NUMBER = 1e12  # that a setting may be
-CONTROL_PORT, DATA_PORT = 0, 1  # places in the internal port range
+MAX_NUMBER = 1e12  # the largest number that a setting may be
+# Offsets into the internal port range:
+CONTROL_PORT = 0
+DATA_PORT = 1
 
 
 class SettingsError(ValueError):
-    """A settings file that cannot be used; tells all findings."""
+    """The settings file is invalid; `findings` holds every fault."""
 
     def __init__(self, findings: list[str]) -> None:
         super().__init__("; ".join(findings))
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Figures of the rules, in seconds and parts."""
+    """Bounds set by the operators: times in seconds, ratios as fractions."""
 
     config_apply_s: float
     drain_s: float
@@ -39,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a process is told of its machine and of the others."""
+    """The settings of a process: its machine, its addresses, and the other members."""
 
     name: str
     ip: str
@@ -56,84 +58,94 @@
     votes: bool
     data_dir: Path | None
     heartbeat_s: float
-    losses: int  # machines that may be lost at once
+    losses: int  # machines whose loss at the same time must be tolerated
     bounds: Bounds
 
     def seed_members(self) -> tuple[str, ...]:
-        """Tell the seeds' internal addresses: ports are alike on all machines."""
+        """Return the seeds' internal addresses; ports are the same on all machines."""
         port = self.control_internal.rsplit(":", 1)[1]
         return tuple(f"{seed.rsplit(':', 1)[0]}:{port}" for seed in self.seeds)
 
 
 def _is_number(value: Any) -> bool:
-    """Tell whether a value is a number that can be counted with; not a number that is none, nor one without an end."""
+    """Return whether a value is a finite number from 0 to MAX_NUMBER; neither NaN nor infinity is."""
     return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MAX_NUMBER
 
 
-class Reader:
-    """Reads fields of a mapping and collects what is wrong with them."""
+class SettingsReader:
+    """Reads the fields of a mapping and collects their faults."""
 
-    def __init__(self, raw: dict[str, Any], place: str, findings: list[str]) -> None:
-        self.raw, self.place, self.findings = raw, place, findings
+    def __init__(self, raw: dict[str, Any], path: str, findings: list[str]) -> None:
+        self.raw = raw
+        self.path = path  # of the mapping, with a dot behind it; empty at the top
+        self.findings = findings
 
-    def _take(self, name: str, kind: str, fits: Callable[[Any], bool], default: Any) -> Any:
+    def _read(self, name: str, kind: str, is_valid: Callable[[Any], bool], default: Any) -> Any:
         value = self.raw.get(name)
         if value is None and default is not None:
             return default
-        if value is None or not fits(value):
-            self.findings.append(f"{self.place}{name}: " + ("is missing" if value is None else f"is not {kind}"))
+        if value is None or not is_valid(value):
+            self.findings.append(f"{self.path}{name}: " + ("is missing" if value is None else f"is not {kind}"))
             return default
         return value
 
     def text(self, name: str, default: str | None = None) -> str:
         """Read a string."""
-        return str(self._take(name, "a string", lambda value: isinstance(value, str) and bool(value), default))
+        return str(self._read(name, "a string", lambda value: isinstance(value, str) and bool(value), default))
 
     def number(self, name: str, default: float | None = None) -> float:
         """Read a number that is not below 0."""
-        return float(self._take(name, "a number from 0", _is_number, default) or 0.0)
+        return float(self._read(name, "a number from 0", _is_number, default) or 0.0)
 
     def flag(self, name: str, default: bool) -> bool:
         """Read true or false."""
-        return bool(self._take(name, "true or false", lambda value: isinstance(value, bool), default))
+        return bool(self._read(name, "true or false", lambda value: isinstance(value, bool), default))
 
-    def section(self, name: str) -> Reader:
-        """Read a mapping inside; one that is missing is empty."""
-        value = self._take(name, "a mapping", lambda value: isinstance(value, dict), {})
-        return Reader(value, f"{self.place}{name}.", self.findings)
+    def section(self, name: str) -> SettingsReader:
+        """Read a nested mapping; a missing one is empty."""
+        value = self._read(name, "a mapping", lambda value: isinstance(value, dict), {})
+        return SettingsReader(value, f"{self.path}{name}.", self.findings)
 
     def items(self, name: str) -> list[Any]:
         """Read a list."""
-        return list(self._take(name, "a list", lambda value: isinstance(value, list), []))
+        return list(self._read(name, "a list", lambda value: isinstance(value, list), []))
 
     def optional(self, name: str) -> str | None:
-        """Read a string that need not be there."""
+        """Read an optional string."""
         value = self.raw.get(name)
         return value if isinstance(value, str) and value else None
 
 
 def read_settings(path: str | None = None) -> Settings:
-    """Read the settings file; raises SettingsError with all that is wrong with it."""
-    place = path or os.environ.get(VARIABLE, DEFAULT_PATH)
+    """Read the settings file.
+
+    Raises:
+        SettingsError: The file cannot be read or is invalid; it holds every fault.
+
+    """
+    file = path or os.environ.get(VARIABLE, DEFAULT_PATH)
     try:
-        raw = json.loads(Path(place).read_bytes())
+        raw = json.loads(Path(file).read_bytes())
     except (OSError, ValueError) as error:
-        raise SettingsError([f"{place}: {error}"]) from error
+        raise SettingsError([f"{file}: {error}"]) from error
     if not isinstance(raw, dict):
-        raise SettingsError([f"{place}: is not a mapping"])
+        raise SettingsError([f"{file}: is not a mapping"])
     return parse_settings(raw)
 
 
 def parse_settings(raw: dict[str, Any]) -> Settings:
-    """Check the fields of a settings file; ones that are not known are ignored."""
+    """Validate the fields of a settings file; unknown ones are ignored.
+
+    Raises:
+        SettingsError: Fields are missing or invalid; it holds every fault.
+
+    """
     findings: list[str] = []
-    top = Reader(raw, "", findings)
-    addresses, bounds = top.section("listen-addresses"), top.section("bounds")
+    top = SettingsReader(raw, "", findings)
+    addresses = top.section("listen-addresses")
+    bounds = top.section("bounds")
     ip = top.text("ip")
-    ports = top.items("internal-port-range")
-    if len(ports) != 2 or not all(isinstance(port, int) for port in ports) or ports[1] - ports[0] < DATA_PORT:
-        findings.append("internal-port-range: is not a first and a last port")
-        ports = [0, 1]
+    first_port = _parse_first_port(top)
     folder = top.optional("data-dir")
     settings = Settings(
         name=top.text("node-name"),
@@ -144,25 +156,39 @@
         front=addresses.optional("front"),
         ready=addresses.optional("ready"),
         control=addresses.optional("control"),
-        control_internal=f"{ip}:{ports[0] + CONTROL_PORT}",
-        data_internal=f"{ip}:{ports[0] + DATA_PORT}",
+        control_internal=f"{ip}:{first_port + CONTROL_PORT}",
+        data_internal=f"{ip}:{first_port + DATA_PORT}",
         seeds=tuple(str(seed) for seed in top.items("seed-nodes")),
         bootstrap=top.flag("bootstrap", False),
         votes=top.flag("counts-for-quorum", False) and folder is not None,
         data_dir=Path(folder) if folder else None,
         heartbeat_s=top.number("heartbeat-ms", 1_000) / 1_000,
         losses=int(top.section("fault-tolerance").number("machines", 0)),
-        bounds=Bounds(
-            bounds.number("config-apply-ms", 2_000) / 1_000,
-            bounds.number("drain-ms", 2_000) / 1_000,
-            bounds.number("grace-s", 8),
-            bounds.number("retry-budget-ratio", 0.1),
-            bounds.number("retry-budget-slack", 10),
-            bounds.number("budget-window-s", 10),
-            bounds.number("transit-ms", 120) / 1_000,
-            bounds.number("lease-ms", 3_000) / 1_000,
-        ),
+        bounds=_parse_bounds(bounds),
     )
     if findings:
         raise SettingsError(findings)
     return settings
+
+
+def _parse_first_port(top: SettingsReader) -> int:
+    """Return the first port of the internal range; 0 where the range is invalid."""
+    ports = top.items("internal-port-range")
+    if len(ports) != 2 or not all(isinstance(port, int) for port in ports) or ports[1] - ports[0] < DATA_PORT:
+        top.findings.append("internal-port-range: is not a first and a last port")
+        return 0
+    first_port: int = ports[0]
+    return first_port
+
+
+def _parse_bounds(bounds: SettingsReader) -> Bounds:
+    return Bounds(
+        bounds.number("config-apply-ms", 2_000) / 1_000,
+        bounds.number("drain-ms", 2_000) / 1_000,
+        bounds.number("grace-s", 8),
+        bounds.number("retry-budget-ratio", 0.1),
+        bounds.number("retry-budget-slack", 10),
+        bounds.number("budget-window-s", 10),
+        bounds.number("transit-ms", 120) / 1_000,
+        bounds.number("lease-ms", 3_000) / 1_000,
+    )
