--- a/tests/test_tenancy_accounts.py
+++ b/tests/test_tenancy_accounts.py
@@ -21,7 +21,7 @@
 )
 from hophinge.tenancy.records import BUCKET_KIND, KEY_KIND, Account, AccountError, Bucket, Quotas, Role, Shares, row_of
 
-WISHES = st.lists(
+ACTIONS = st.lists(
     st.tuples(
         st.sampled_from(["create", "suspend", "resume", "close", "bucket", "key", "rotate", "end", "purge", "late"]),
         st.integers(0, 2),
@@ -32,34 +32,34 @@
 
 
 @settings(max_examples=120)
-@given(WISHES, st.integers(0, 2**32))
-def test_accounts_by_random_steps(wishes: list[tuple[str, int, int]], seed: int) -> None:
-    ended: list[str] = []
-    accounts = Accounts(lambda name, state: ended.append(name) if state is not TenantState.ACTIVE else None)
+@given(ACTIONS, st.integers(0, 2**32))
+def test_accounts_by_random_steps(actions: list[tuple[str, int, int]], seed: int) -> None:
+    inactive: list[str] = []
+    accounts = Accounts(lambda name, state: inactive.append(name) if state is not TenantState.ACTIVE else None)
     rng, seq, now, plans = random.Random(seed), 0, 1000, frozenset({"basic", "priority"})
     states: dict[str, str] = {}  # the model: names, and what is valid
     tokens: dict[str, tuple[str, str, int]] = {}  # key: tenant, secret, end
     volumes: dict[str, str] = {}  # volume: tenant; an id is never there twice
 
-    def take(*rows: Row) -> None:
+    def store(*rows: Row) -> None:
         nonlocal seq
         seq += 1
         accounts.apply(Row(one.kind, one.name, one.body, seq) for one in rows)
 
-    for word, who, number in wishes:
-        name, now = f"tenant{who}", now + rng.randrange(1000)
+    for word, tenant_number, number in actions:
+        name, now = f"tenant{tenant_number}", now + rng.randrange(1000)
         state = states.get(name, "closed")
         try:
             if word == "create":
-                take(row_of(accounts.create(name, Quotas(volumes=3, keys=3), Shares(), "", now)))
+                store(row_of(accounts.create(name, Quotas(volumes=3, keys=3), Shares(), "", now)))
                 assert state == "closed"
                 states[name] = "active"
             elif word in ("suspend", "resume", "close"):
-                take(row_of(accounts.transition(name, TenantAction(word))))
+                store(row_of(accounts.transition(name, TenantAction(word))))
                 assert state in ("active", "suspended") or (state, word) == ("closing", "close")
                 states[name] = {"suspend": "suspended", "resume": "active", "close": "closing"}[word]
             elif word == "bucket":
-                made = accounts.put_bucket(
+                bucket = accounts.put_bucket(
                     name,
                     f"bucket{number}",
                     rng.choice(["basic", "priority"]),
@@ -67,69 +67,69 @@
                     f"{rng.randrange(10**15):016x}",
                     now,
                 )
-                assert state in ("active", "suspended") and made.id not in {
-                    one for one, owner in volumes.items() if owner != name
+                assert state in ("active", "suspended") and bucket.id not in {
+                    volume for volume, owner in volumes.items() if owner != name
                 }
-                take(row_of(made))
-                volumes[made.id] = name
+                store(row_of(bucket))
+                volumes[bucket.id] = name
             elif word == "key":
                 ends = now + 500 * number if number else 0
-                made_key = accounts.add_key(name, f"hk{seq:016x}", f"secret{seq}", Role.DATA, ends, "", now)
+                key = accounts.add_key(name, f"hk{seq:016x}", f"secret{seq}", Role.DATA, ends, "", now)
                 assert state in ("active", "suspended")
-                tokens[made_key.id] = name, f"secret{seq}", ends
-                take(row_of(made_key))
+                tokens[key.id] = name, f"secret{seq}", ends
+                store(row_of(key))
             elif word == "rotate":
                 old = rng.choice(sorted(tokens) or ["none"])
-                new, left = accounts.rotate_key(name, old, f"hk{seq:016x}", f"secret{seq}", number, now)
+                new, remaining = accounts.rotate_key(name, old, f"hk{seq:016x}", f"secret{seq}", number, now)
                 tokens[new.id] = name, f"secret{seq}", new.expires_ms
-                if left is None:
+                if remaining is None:
                     del tokens[old]
-                    take(row_of(new), Row(KEY_KIND, old, None))
+                    store(row_of(new), Row(KEY_KIND, old, None))
                 else:
-                    tokens[old] = name, tokens[old][1], left.expires_ms
-                    take(row_of(new), row_of(left))
+                    tokens[old] = name, tokens[old][1], remaining.expires_ms
+                    store(row_of(new), row_of(remaining))
             elif word == "end":
-                gone = rng.choice(sorted(tokens) or ["none"])
-                take(Row(KEY_KIND, accounts.key(name, gone).id, None))
-                del tokens[gone]
+                removed = rng.choice(sorted(tokens) or ["none"])
+                store(Row(KEY_KIND, accounts.key(name, removed).id, None))
+                del tokens[removed]
             elif word == "purge" and state == "closing":
                 match next_purge_step(list(accounts.key_ids.get(name, ())), 0, list(accounts.buckets.get(name, {}))):
-                    case RevokeKeys(keys=keys):
-                        take(*(Row(KEY_KIND, key, None) for key in keys))
-                        for key in keys:
-                            assert tokens.pop(key)[0] == name
+                    case RevokeKeys(keys=key_ids):
+                        store(*(Row(KEY_KIND, key_id, None) for key_id in key_ids))
+                        for key_id in key_ids:
+                            assert tokens.pop(key_id)[0] == name
                     case RemoveBuckets(buckets=buckets):
                         assert not accounts.key_ids.get(name)  # keys end first
-                        take(*(Row(BUCKET_KIND, f"{name}/{bucket}", None) for bucket in buckets))
+                        store(*(Row(BUCKET_KIND, f"{name}/{bucket_name}", None) for bucket_name in buckets))
                     case PurgeComplete():
                         assert not accounts.buckets.get(name)
-                        take(row_of(accounts.transition(name, TenantAction.PURGED)))
+                        store(row_of(accounts.transition(name, TenantAction.PURGED)))
                         states[name] = "closed"
         except AccountError as error:
             assert error.kind in ("exists", "missing", "state", "quota")
-        for key, (owner, secret, ends) in tokens.items():
-            valid = accounts.authenticate(f"{key}.{secret}", now)
+        for key_id, (owner, secret, ends) in tokens.items():
+            valid = accounts.authenticate(f"{key_id}.{secret}", now)
             assert (valid is not None) is (states.get(owner) == "active" and not 0 < ends <= now)
-            assert accounts.authenticate(f"{key}.{secret}x", now) is None
+            assert accounts.authenticate(f"{key_id}.{secret}x", now) is None
         for owner in states:
             live = sum(not 0 < ends <= now for one, _, ends in tokens.values() if one == owner)
             assert live <= 4 and len(accounts.buckets.get(owner, {})) <= 3  # a rotation's overlap is beyond
-        again = Accounts()
-        again.apply(
+        rebuilt = Accounts()
+        rebuilt.apply(
             [row_of(one) for one in accounts.tenants.values()]
             + [row_of(one) for one in accounts.keys.values()]
-            + [row_of(one) for mine in accounts.buckets.values() for one in mine.values()]
+            + [row_of(one) for of_tenant in accounts.buckets.values() for one in of_tenant.values()]
         )
-        assert (again.tenants, again.keys, again.volumes) == (accounts.tenants, accounts.keys, accounts.volumes)
-    assert set(ended) >= {name for name, state in states.items() if state != "active"}
+        assert (rebuilt.tenants, rebuilt.keys, rebuilt.volumes) == (accounts.tenants, accounts.keys, accounts.volumes)
+    assert set(inactive) >= {name for name, state in states.items() if state != "active"}
 
 
-def test_every_step_of_a_life_is_one_of_those_that_are_meant() -> None:
+def test_every_transition_of_a_tenant_is_one_of_those_intended() -> None:
     assert {
-        (state.value, wish.value): to.value
+        (state.value, action.value): to.value
         for state in TenantState
-        for wish in TenantAction
-        if (to := next_state(state, wish)) is not None and to is not state
+        for action in TenantAction
+        if (to := next_state(state, action)) is not None and to is not state
     } == {
         ("active", "suspend"): "suspended",
         ("suspended", "resume"): "active",
@@ -142,7 +142,7 @@
     )
 
 
-def test_an_account_s_bucket_keeps_its_volume() -> None:
+def test_a_bucket_that_moves_to_another_plan_keeps_its_volume() -> None:
     accounts = Accounts()
     accounts.apply([row_of(Account("alba")), row_of(Bucket("alba", "receipts", "0" * 16, "basic"))])
     moved = accounts.put_bucket("alba", "receipts", "priority", frozenset({"priority"}), "1" * 16, 0)
--- a/tests/test_tenancy_usage.py
+++ b/tests/test_tenancy_usage.py
@@ -31,27 +31,27 @@
 
 
 @pytest.mark.parametrize("leap_ms", [HOUR_MS, -HOUR_MS])
-def test_a_clock_that_steps_by_an_hour_ends_no_key_and_revives_none(leap_ms: int) -> None:
+def test_a_clock_that_steps_by_an_hour_expires_no_key_and_revives_none(leap_ms: int) -> None:
     wall, steady = 1_000_000_000, 5_000_000
-    keeper, accounts = SlewedClock(wall, steady), Accounts()
+    clock, accounts = SlewedClock(wall, steady), Accounts()
     for name, ends in (("hk01", wall + 600_000), ("hk02", wall + 60_000)):
         accounts.apply([row_of(Account("alba")), row_of(Key("alba", name, digest_of("s"), Role.DATA, wall, ends))])
-    last = keeper.now_ms(wall, steady)
+    last = clock.now_ms(wall, steady)
     for second in range(1, 301):
         steady += 1_000_000
         wall += 1000 + (leap_ms if second == 120 else 0)
-        now = keeper.now_ms(wall, steady)
+        now = clock.now_ms(wall, steady)
         assert last <= now <= last + 1101
         last = now
         assert accounts.authenticate("hk01.s", now) is not None
         if second > 61:
             assert accounts.authenticate("hk02.s", now) is None
-    assert abs(keeper.wall_clock_ahead_ms(wall)) > HOUR_MS * 0.9
+    assert abs(clock.wall_clock_ahead_ms(wall)) > HOUR_MS * 0.9
     # After a restart time goes on from what was stored: an ended key stays so, whatever the clock says.
     assert SlewedClock(wall - 10 * HOUR_MS, 0, last_stored_ms=last).now_ms(wall - 10 * HOUR_MS, 0) >= last
 
 
-def test_callers_are_bounded_each_and_together() -> None:
+def test_calls_are_limited_by_caller_and_callers_in_number() -> None:
     callers = CallerRateLimits(10.0, 20.0, 100)
     assert sum(not callers.admit("loud", 0) for _ in range(1000)) == 20
     assert callers.admit("quiet", 0) == 0 and callers.wait_us("loud", 0) == 100_001
@@ -59,14 +59,17 @@
     for at in range(1_000):
         callers.admit(f"made-up-{at}", 0)
     assert len(callers.buckets) == 100
-    held = ConcurrencyQuota()
+    quota = ConcurrencyQuota()
     assert (
-        held.acquire("a", 1, 1) and held.acquire("a", 1, 1) and not held.acquire("a", 2, 1) and held.acquire("b", 1, 1)
+        quota.acquire("a", 1, 1)
+        and quota.acquire("a", 1, 1)
+        and not quota.acquire("a", 2, 1)
+        and quota.acquire("b", 1, 1)
     )
-    assert held.acquire("a", 2, 1) and held.open_counts == {"a": 1, "b": 1}
-    held.release(1)
-    held.release(1)
-    assert held.open_counts == {"a": 1}
+    assert quota.acquire("a", 2, 1) and quota.open_counts == {"a": 1, "b": 1}
+    quota.release(1)
+    quota.release(1)
+    assert quota.open_counts == {"a": 1}
 
 
 @given(st.lists(st.tuples(st.sampled_from(["add", "add", "flush", "stored", "failed"]), st.integers(1, 9))))
@@ -91,7 +94,7 @@
     assert store == counted
 
 
-def test_usage_of_more_volumes_than_are_held_counts_for_their_tenant() -> None:
+def test_usage_of_volumes_beyond_the_bound_counts_for_their_tenant() -> None:
     usage = UsageCounter()
     for at in range(MAX_COUNTED_VOLUMES * len(FIELDS) + 10):
         usage.add("t", f"v{at}", "served", 1)
@@ -99,11 +102,11 @@
 
 
 def test_labels_of_exported_series_are_bounded_and_kept() -> None:
-    exported = LabelledTotals(3)
-    for turn in range(3):
-        for at in range(turn, 10):
-            exported.add(f"t{at}", "served", 1)
-    assert exported.counts == {
+    totals = LabelledTotals(3)
+    for first in range(3):
+        for at in range(first, 10):
+            totals.add(f"t{at}", "served", 1)
+    assert totals.counts == {
         ("t0", "served"): 1,
         ("t1", "served"): 2,
         ("t2", "served"): 3,
@@ -116,19 +119,19 @@
     assert found[name, (("tenant", "t0"),)] == 1.0
 
 
-def test_reports_come_again_until_they_are_acknowledged(tmp_path: Path) -> None:
+def test_reports_are_retried_until_they_are_acknowledged(tmp_path: Path) -> None:
     reports, ledger = UsageReports(), Ledger(tmp_path / "a.db")
-    places: dict[Any, float] = {("t", f"v{at}", "served"): 1.0 for at in range(5)}
-    reports.add(places)
+    keys: dict[Any, float] = {("t", f"v{at}", "served"): 1.0 for at in range(5)}
+    reports.add(keys)
     _, first = reports.next_report(3)
-    two, second = reports.next_report(3)
+    second_number, second = reports.next_report(3)
     assert (len(first), len(second)) == (3, 2)
-    reports.acknowledge(two)
+    reports.acknowledge(second_number)
     reports.retry_unacknowledged()
     assert set(reports.unreported) == set(first)
-    three, again = reports.next_report(9)
-    reports.acknowledge(three)
-    assert set(again) == set(first) and not reports.unreported and not reports.unacknowledged
+    third_number, retried = reports.next_report(9)
+    reports.acknowledge(third_number)
+    assert set(retried) == set(first) and not reports.unreported and not reports.unacknowledged
     for total in (5.0, 3.0, 5.0, 7.0):  # late and doubled reports change nothing
         ledger.merge_usage_totals("n0", {("t", "v", "served"): total})
     ledger.merge_usage_totals("n1", {("t", "v", "served"): 2.0})
