--- a/hophinge/fleet/placement/hints.py
+++ b/hophinge/fleet/placement/hints.py
@@ -1,6 +1,6 @@
-"""What heads tell each other of requests they placed, so that each sees the load and the caches of all.
+"""Messages by which heads exchange their placements, so that each knows the load and the caches of all instances.
 
-A head sees a small part of the traffic; without these words its books say next to nothing of an instance's queue.
+A head sees a small fraction of the traffic; without these messages it knows next to nothing of an instance's queue.
 They are hints: one that is lost makes a choice worse and breaks nothing.
 """
 
@@ -9,35 +9,36 @@
 from dataclasses import dataclass
 
 from hophinge.coordination.codec import wire
+from hophinge.fleet.placement.prompt import PromptSegment
 
 
 @wire(80)
 @dataclass(frozen=True, slots=True)
 class PlacementHint:
-    """Units of work that were sent to an instance, and the prompt parts that it keeps from then on."""
+    """Units of work that were sent to an instance, and the prompt segments that it has cached from then on."""
 
     instance: str
     units: int
-    segments: tuple[tuple[str, int], ...]
+    segments: tuple[PromptSegment, ...]
     priority: int  # at the instance: 0 first
-    memory_tokens: int  # tokens that the request holds there while it runs; 0 where it is only read
-    job_id: int  # its number in the instance's queue, drawn at random
+    memory_tokens: int  # that the request occupies there while it runs; 0 where its prompt is only read
+    job_id: int  # in the instance's queue, random
 
 
 @wire(86)
 @dataclass(frozen=True, slots=True)
 class PrefillDone:
-    """A prompt was read: its job is over, and the instance has gone on to the next."""
+    """A prompt has been read, and the instance has started its next job."""
 
     instance: str
     job_id: int
-    age_ms: int  # since then, when this was told
+    age_ms: int  # since then, when this was sent
 
 
 @wire(87)
 @dataclass(frozen=True, slots=True)
 class PrefillDropped:
-    """A prompt will not be read: its client has left, or the attempt failed."""
+    """A prompt will not be read: its client has disconnected, or the attempt failed."""
 
     instance: str
     job_id: int
@@ -46,19 +47,19 @@
 @wire(81)
 @dataclass(frozen=True, slots=True)
 class PlacementHints:
-    """What was placed, and what came to its end, since the last word."""
+    """The placements, and the jobs that finished or were dropped, since the last message."""
 
     hints: tuple[PlacementHint, ...]
     done: tuple[PrefillDone, ...] = ()
     dropped: tuple[PrefillDropped, ...] = ()
 
     def __add__(self, other: PlacementHints) -> PlacementHints:
-        """Put two words together."""
+        """Combine two messages."""
         return PlacementHints(self.hints + other.hints, self.done + other.done, self.dropped + other.dropped)
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether this says nothing."""
+        """Whether there is nothing to send."""
         return not self.hints and not self.done and not self.dropped
 
 
@@ -73,32 +74,32 @@
 @wire(84)
 @dataclass(frozen=True, slots=True)
 class HintsRequest:
-    """A head that has just started asks another what is kept where."""
+    """A head that has just started asks another which segments are cached where."""
 
 
 @wire(82)
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine tells of itself."""
+    """The load that an engine reports."""
 
     instance: str
     waiting: int
     running: int
-    used: int  # tokens of memory that can't give way
+    used: int  # tokens of memory that cannot be evicted
     total: int
 
 
 @wire(83)
 @dataclass(frozen=True, slots=True)
 class EngineReports:
-    """What some engines told."""
+    """The reports of some engines."""
 
     reports: tuple[EngineReport, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedPrefill:
-    """A prompt that was read here and that the others have not been told of."""
+    """A prompt that was read here, and of which the other heads are not yet notified."""
 
     instance: str
     job_id: int
--- a/hophinge/fleet/placement/placement.py
+++ b/hophinge/fleet/placement/placement.py
@@ -1,11 +1,11 @@
-"""Which instances take a request: one to read the prompt and one to make the tokens, or one for both.
+"""Placement of requests: one instance to read the prompt and one to decode the tokens, or one for both.
 
-The ordinary path: the prompt's last shared part is the key; it is hashed to a group of prefill instances and to one of
-decode instances, and in each group the one whose book frees earliest takes the request. Books are charged by size, in
-tokens to read that are not believed to be kept there.
+The ordinary path: the prompt's last shared segment is the key; it is hashed to a group of prefill instances and to one
+of decode instances, and in each group the instance that would be done first gets the request. Requests are charged by
+their tokens to read that are not believed to be cached there.
 
-Reading at the decode instance itself costs no move and is weighed against it: it takes the time that decode instances
-were learned to take for a token read.
+Reading at the decode instance itself needs no transfer and is scored against that, with the service time per token that
+was learned for decode instances.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 from hophinge.fleet.placement.node import MICROSECONDS, PrefixCache, Node
 from hophinge.fleet.placement.plan import Forecast, PlacementRejection, PlacementPlan, PlacementRequest
 from hophinge.fleet.placement.policy import PlacementPolicy
-from hophinge.fleet.placement.pool import Candidate, Reservation, InstancePool, record_answer, release
+from hophinge.fleet.placement.pool import Candidate, Reservation, InstancePool
 from hophinge.fleet.placement.timing import DECODE, PLAIN, PREFILL
-from hophinge.fleet.placement.prompt import Prompt
+from hophinge.fleet.placement.prompt import Prompt, PromptSegment
 from hophinge.fleet.placement.scoring import PlacementChoice, PlacementScorer
 from hophinge.fleet.registry.instance import Instance
 
 MILLISECONDS = 1_000
-MIN_RETRY_AFTER_S = 0.25  # when a client that was refused is told to come back, at least
-MAX_RETRY_JITTER_S = 1.0  # over which such clients are spread, at most
-MEAN_RELAY_DELAY_S = 0.03  # that a word takes from one head to another on average
-JOB_ID_BITS = 40  # of a job's number: two alike in one queue are next to impossible
-MIN_TOKENS = 64  # charged for a request with nothing to read
-FAILURE_SILENCE_S = 0.6  # without an answer, before a failed attempt speaks against an instance that answered
+MIN_RETRY_AFTER_S = 0.25  # of a rejected client, at least
+MAX_RETRY_JITTER_S = 1.0  # over which the retries of such clients are spread, at most
+MEAN_RELAY_DELAY_S = 0.03  # of a hint from one head to another
+JOB_ID_BITS = 40  # of a random job id: collisions in one queue are next to impossible
+MIN_TOKENS = 64  # charged for a request that needs no prefill
+FAILURE_SILENCE_S = 0.6  # since its last answer, before a failure ejects an instance
 
 
 class Placement:
-    """The books of one data plane."""
+    """The placement of one head: its instances, their estimated load, and pending messages to the other heads."""
 
     def __init__(
         self,
@@ -53,15 +53,13 @@
         policy: PlacementPolicy = PlacementPolicy(),  # noqa: B008 - frozen
     ) -> None:
         self.policy = policy
-        self.zone, self.on_instance_removed, self.random, self.on_update_pending = (
-            zone,
-            on_instance_removed,
-            random,
-            on_update_pending,
-        )
+        self.zone = zone
+        self.on_instance_removed = on_instance_removed
+        self.random = random
+        self.on_update_pending = on_update_pending
         self.pools: dict[tuple[str, str], InstancePool] = {}
         self.nodes: dict[str, Node] = {}
-        self.cache_tokens: dict[str, int] = {}  # tokens that an instance of a service keeps
+        self.cache_tokens: dict[str, int] = {}  # by service: that an instance has for cached segments
         self.pending_hints: list[PlacementHint] = []
         self.pending_finished: list[FinishedPrefill] = []
         self.pending_drops: list[PrefillDropped] = []
@@ -70,7 +68,7 @@
     # --- instances -----------------------------------------------------------------------------------------------
 
     def update_instance(self, identity: str, instance: Instance | None) -> None:
-        """Take what is known of an instance; None where it has ended."""
+        """Record an instance; None where it has ended."""
         node = self.nodes.get(identity)
         if node is not None and (instance is None or instance.stage != node.instance.stage):
             self.pool(node.instance.service, node.instance.stage).nodes.pop(identity, None)
@@ -85,7 +83,7 @@
         self.pool(instance.service, instance.stage).nodes[identity] = node
 
     def configure(self, memory_tokens: dict[str, int]) -> None:
-        """Take the tokens that instances of each service hold, of which some are for running requests."""
+        """Set the memory of each service's instances in tokens, some of which is for running requests."""
         self.cache_tokens = {
             service: int(tokens * self.policy.cache_fraction) for service, tokens in memory_tokens.items()
         }
@@ -93,7 +91,7 @@
             node.cache.capacity_tokens = self.cache_tokens.get(node.instance.service, 0)
 
     def pool(self, service: str, stage: str) -> InstancePool:
-        """Tell the instances of a stage."""
+        """Return the instances of a stage of a service."""
         key = service, stage
         pool = self.pools.get(key)
         if pool is None:
@@ -103,17 +101,19 @@
     # --- hints ---------------------------------------------------------------------------------------------------
 
     def outgoing_hints(self, now: float) -> PlacementHints | None:
-        """Tell what was placed here, and what came to its end, since the last call."""
+        """Return the hints since the last call, or None without any."""
         done = tuple(
-            PrefillDone(one.instance, one.job_id, int((now - one.ended_at) * MILLISECONDS))
-            for one in self.pending_finished
+            PrefillDone(finished.instance, finished.job_id, int((now - finished.ended_at) * MILLISECONDS))
+            for finished in self.pending_finished
         )
         hints = PlacementHints(tuple(self.pending_hints), done, tuple(self.pending_drops))
-        self.pending_hints, self.pending_finished, self.pending_drops = [], [], []
+        self.pending_hints = []
+        self.pending_finished = []
+        self.pending_drops = []
         return None if hints.is_empty else hints
 
     def receive_hints(self, now: float, hints: PlacementHints) -> None:
-        """Take what other heads placed."""
+        """Apply the hints of another head."""
         for hint in hints.hints:
             node = self.nodes.get(hint.instance)
             if node is not None:
@@ -133,18 +133,18 @@
             if node is not None:
                 node.drop_job(dropped.job_id)
 
-    def _record_segments(self, node: Node, segments: tuple[tuple[str, int], ...], units: int, job_id: int) -> None:
-        """Parts are at an instance soon: at once where next to nothing is read, as they are moved there."""
+    def _record_segments(self, node: Node, segments: tuple[PromptSegment, ...], units: int, job_id: int) -> None:
+        """Record that an instance will have segments: at once where they are transferred, so that little is read."""
         if units > MIN_TOKENS and self.policy.shares_drops:
             node.cache.insert_pending(segments, job_id)
         else:
             node.cache.insert(segments)
 
     def record_answer(self, now: float, reservation: Reservation, is_streaming: bool) -> None:
-        """An attempt's units are done; where a prompt was read, the other heads are told."""
+        """Record the answer to an attempt; where its prompt was read, the other heads are notified."""
         if reservation.attempt_id not in reservation.node.in_flight.slots:
             return
-        record_answer(now, reservation, is_streaming)
+        reservation.record_answer(now, is_streaming)
         if reservation.pool.timing.is_sequential and reservation.units > MIN_TOKENS:
             reservation.pool.finish_job(now, reservation.node, reservation.job, now)
             reservation.node.cache.confirm(reservation.job.job_id)
@@ -154,35 +154,36 @@
             self.on_update_pending()
 
     def release(self, now: float, reservation: Reservation) -> None:
-        """Nothing of an attempt is out any more; where its prompt was not read, the other heads are told."""
+        """Release an attempt; where its prompt was not read, the other heads are notified."""
         is_unfinished = reservation.attempt_id in reservation.node.in_flight.slots
-        release(now, reservation)
+        reservation.release(now)
         if is_unfinished and reservation.units > MIN_TOKENS and self.policy.shares_drops:
             reservation.node.drop_job(reservation.job.job_id)
             self.pending_drops.append(PrefillDropped(reservation.node.instance.identity, reservation.job.job_id))
             self.on_update_pending()
 
     def record_failure(self, node: Node, now: float) -> None:
-        """An attempt failed at an instance; where nothing was heard of it for a while, the other heads are told."""
+        """Eject an instance after a failed attempt and notify the other heads, unless it has answered lately."""
         if now - node.last_answer_at > FAILURE_SILENCE_S:
             node.record_failure(now)
             self.suspects.add(node.instance.identity)
             self.on_update_pending()
 
     def outgoing_suspects(self) -> SuspectedInstances | None:
-        """Tell the instances that failed here since the last call."""
-        suspects, self.suspects = tuple(self.suspects), set()
+        """Return the instances that failed here since the last call, or None without any."""
+        suspects = tuple(self.suspects)
+        self.suspects = set()
         return SuspectedInstances(suspects) if suspects else None
 
     def receive_suspects(self, now: float, suspects: SuspectedInstances) -> None:
-        """Take what failed at others."""
+        """Record instances that failed at another head."""
         for identity in suspects.instances:
             node = self.nodes.get(identity)
             if node is not None:
                 node.record_suspicion(now)
 
     def receive_reports(self, now: float, reports: EngineReports) -> None:
-        """Take what engines told of themselves."""
+        """Record the reports of engines."""
         for report in reports.reports:
             node = self.nodes.get(report.instance)
             if node is not None:
@@ -190,7 +191,7 @@
                 node.apply_report(now * MICROSECONDS, report, pool.mean_service_us(node))
 
     def cache_snapshot(self) -> PlacementHints:
-        """Tell all prompt parts believed to be kept, for a head that has just started."""
+        """Return all segments believed to be cached, for a head that has just started."""
         return PlacementHints(
             tuple(
                 PlacementHint(identity, 0, tuple(node.cache.segments.items()), 0, 0, 0)
@@ -202,28 +203,35 @@
     # --- choice --------------------------------------------------------------------------------------------------
 
     def place_plain(self, request: PlacementRequest, stage: str) -> PlacementPlan | None:
-        """Place a request without a prompt: each counts one unit."""
+        """Place a request without a prompt, which counts as one unit; None where no instance has capacity."""
         pool = self.pool(request.service, stage)
         units = 1.0 if stage == PLAIN else float(MIN_TOKENS)
 
-        def choose(late: bool) -> PlacementChoice | None:
-            offers = self._candidates(pool, request, request.attempt_id[0], lambda node: units, late)
-            candidate = min(offers, key=lambda offer: offer.done_at_us, default=None)
+        def choose(is_late: bool) -> PlacementChoice | None:
+            candidates = self._candidates(pool, request, request.attempt_id[0], lambda node: units, is_late)
+            candidate = min(candidates, key=lambda candidate: candidate.done_at_us, default=None)
             return PlacementChoice(pool, candidate, False, candidate.done_at_us) if candidate is not None else None
 
         return self._place(request, choose, None)
 
     def place_generation(self, request: PlacementRequest, prompt: Prompt) -> PlacementPlan | PlacementRejection | None:
-        """Place a request whose prompt is still to be read: at a prefill instance, or where its tokens are made."""
-        prefill, decode = self.pool(request.service, PREFILL), self.pool(request.service, DECODE)
+        """Place a request whose prompt is to be read, at a prefill or at a decode instance.
+
+        Returns:
+            The plan; a rejection where it could not start before its client gives up; None where no instance has
+            capacity.
+
+        """
+        prefill = self.pool(request.service, PREFILL)
+        decode = self.pool(request.service, DECODE)
         scorer = PlacementScorer(prompt, self.zone, prefill, decode, self.policy)
 
         def units(node: Node) -> float:
             return float(max(MIN_TOKENS, prompt.tokens_in - node.cache.cached_tokens(prompt)))
 
-        def choose(late: bool) -> PlacementChoice | None:
-            prefill_candidates = self._candidates(prefill, request, prompt.key, units, late)
-            return scorer.choose(prefill_candidates, self._candidates(decode, request, prompt.key, units, late))
+        def choose(is_late: bool) -> PlacementChoice | None:
+            prefill_candidates = self._candidates(prefill, request, prompt.key, units, is_late)
+            return scorer.choose(prefill_candidates, self._candidates(decode, request, prompt.key, units, is_late))
 
         choice = self._choose_in_time(request, choose)
         if choice is None:
@@ -238,12 +246,12 @@
         return self._reserve(choice, request, prompt)
 
     def place_decode(self, request: PlacementRequest, prompt: Prompt, prefill_identity: str) -> PlacementPlan | None:
-        """Place a request whose prompt was read at an instance: it is charged for what moving it takes."""
+        """Place the decoding of a request whose prompt was read at an instance; None where no instance has capacity."""
         decode = self.pool(request.service, DECODE)
         scorer = PlacementScorer(prompt, self.zone, self.pool(request.service, PREFILL), decode, self.policy)
 
-        def choose(late: bool) -> PlacementChoice | None:
-            candidates = self._candidates(decode, request, prompt.key, lambda node: float(MIN_TOKENS), late)
+        def choose(is_late: bool) -> PlacementChoice | None:
+            candidates = self._candidates(decode, request, prompt.key, lambda node: float(MIN_TOKENS), is_late)
             return scorer.choose_decode(self.nodes.get(prefill_identity), candidates)
 
         return self._place(request, choose, prompt)
@@ -257,7 +265,7 @@
     def _choose_in_time(
         self, request: PlacementRequest, choose: Callable[[bool], PlacementChoice | None]
     ) -> PlacementChoice | None:
-        """Choose as if the request could be in time; where it can't, choose anew behind all that is late as well."""
+        """Choose as if the request could be in time; where it cannot, choose again as a late one."""
         choice = choose(False)
         is_late = choice is not None and choice.first_token_at_us > request.target_at * MICROSECONDS
         return choose(True) if is_late else choice
@@ -265,7 +273,7 @@
     def _candidates(
         self, pool: InstancePool, request: PlacementRequest, key: str, units: Callable[[Node], float], is_late: bool
     ) -> list[Candidate]:
-        """Ask the members of a key's group that have room; where no instance has, any that is not full."""
+        """Return the candidates of a key's group with capacity; where no instance has any, those that are not full."""
         nodes = pool.key_group(
             request.now, key, request.excluded, lambda node: pool.has_capacity(node, units(node), request.target_s)
         )
@@ -274,7 +282,7 @@
         return pool.candidates(request.now, nodes, units, is_late)
 
     def _reserve(self, choice: PlacementChoice, request: PlacementRequest, prompt: Prompt | None) -> PlacementPlan:
-        """Book an offer, and have the other heads told of it."""
+        """Reserve a candidate, and notify the other heads."""
         candidate = choice.candidate
         segments = prompt.segments if prompt is not None else ()
         memory_tokens = prompt.tokens_in + prompt.tokens_out if prompt is not None and not choice.is_prefill_only else 0
@@ -292,9 +300,5 @@
             choice.first_token_at_us - request.now * MICROSECONDS,
             candidate.is_late,
         )
-        return PlacementPlan(
-            choice.pool.reserve(request.now, candidate, request.attempt_id, job_id),
-            choice.is_prefill_only,
-            candidate.priority,
-            forecast,
-        )
+        reservation = choice.pool.reserve(request.now, candidate, request.attempt_id, job_id)
+        return PlacementPlan(reservation, choice.is_prefill_only, candidate.priority, forecast)
--- a/hophinge/fleet/placement/plan.py
+++ b/hophinge/fleet/placement/plan.py
@@ -1,4 +1,4 @@
-"""What is asked of placement, and what it answers: where an attempt goes, and what was reckoned of it."""
+"""The request to placement and its result: the reservation of an attempt, and the forecast for it."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """What is to be placed: a request's name, the instances it has failed at, and what it was promised."""
+    """An attempt that is to be placed; times are seconds on the head's clock."""
 
     now: float
     attempt_id: tuple[str, int]
     service: str
-    excluded: set[str]
+    excluded: set[str]  # instances at which the request has failed
     target_s: float
-    target_at: float  # when its answer is due
-    client_deadline: float = float("inf")  # when its client gives up, if nothing has come by then
+    target_at: float  # by when the first token should come
+    client_deadline: float = float("inf")  # when its client gives up without a response
 
 
 @dataclass(frozen=True, slots=True)
 class Forecast:
-    """What was reckoned when an attempt was placed."""
+    """The forecast for an attempt at its placement, in microseconds; its fields are names in the request log."""
 
-    wait_us: float  # until the instance begins
-    spent_us: float  # of the instance's time
-    done_us: float  # from then on until the first token
-    late: bool  # it could not be in time anywhere
+    wait_us: float  # until the instance starts it
+    spent_us: float  # service time of the instance
+    done_us: float  # from the placement until the first token
+    late: bool  # no instance could be in time
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRejection:
-    """No attempt could begin to be answered before the client gives up."""
+    """A request is rejected, as no attempt could start before its client gives up."""
 
-    retry_after_s: float  # when the client is told to come back
+    retry_after_s: float  # after which the client may retry
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementPlan:
-    """Where the next attempt of a request goes."""
+    """The placement of the next attempt of a request."""
 
     reservation: Reservation
-    is_prefill_only: bool  # only the prompt is read there
+    is_prefill_only: bool  # the tokens are decoded at another instance
     priority: int  # at the instance: 0 first
     forecast: Forecast
--- a/hophinge/fleet/placement/priority.py
+++ b/hophinge/fleet/placement/priority.py
@@ -1,4 +1,4 @@
-"""The priority at an instance of a prompt that is to be read: 0 is read first, equals in the order of arrival.
+"""The priority at an instance of a prompt that is to be read: 0 is the highest, equals are in the order of arrival.
 
 Times are microseconds.
 """
@@ -9,13 +9,13 @@
 
 from hophinge.fleet.placement.policy import PrefillOrder, PlacementPolicy
 
-LATE_PRIORITY = 8  # of requests that are late already: an instance admits all others before them
-DEFAULT_PRIORITY = 4  # of all others where arrival alone decides
-SERVICE_TIME_CLASSES_US = (40_000.0, 100_000.0, 200_000.0, 400_000.0, 800_000.0)  # shorter work comes first
+LATE_PRIORITY = 8  # of requests that cannot be in time: an instance admits all others first
+DEFAULT_PRIORITY = 4  # of all others where only the arrival counts
+SERVICE_TIME_CLASSES_US = (40_000.0, 100_000.0, 200_000.0, 400_000.0, 800_000.0)  # upper bounds of priorities 0, 1, ...
 
 
 def priority_of(policy: PlacementPolicy, service_us: float, is_late: bool) -> int:
-    """Tell the priority of a prompt by what it takes of the instance's time, and whether it is late already."""
+    """Return the priority of a prompt by its service time, and by whether it cannot be in time."""
     if is_late and policy.defers_late:
         return LATE_PRIORITY
     if policy.order is PrefillOrder.SHORTEST:
--- a/hophinge/fleet/placement/prompt.py
+++ b/hophinge/fleet/placement/prompt.py
@@ -1,21 +1,24 @@
-"""A request's prompt: its parts in order, their sizes, and the key by which it is placed."""
+"""A request's prompt: its segments in order, their sizes, and the key by which it is placed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 
+PromptSegment = tuple[str, int]  # name, and tokens: a plain tuple, as placement compares many for each request
+
+
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What the headers of a generation tell."""
+    """The prompt of a generation, as its headers describe it."""
 
     tokens_in: int
     tokens_out: int
-    segments: tuple[tuple[str, int], ...]
+    segments: tuple[PromptSegment, ...]
 
     @property
     def key(self) -> str:
-        """The last shared part: requests with the same one share all parts before it too."""
+        """The last shared segment: requests with the same one share all segments before it too."""
         shared = self.segments[:-1] or self.segments
         return shared[-1][0] if shared else ""
 
@@ -26,8 +29,9 @@
 
 
 def parse_prompt(usage: str | None, prefix: str | None) -> Prompt:
-    """Read the headers; what cannot be read counts as absent."""
-    tokens_in, tokens_out = 0, 0
+    """Parse the usage and prefix headers; what is malformed counts as absent."""
+    tokens_in = 0
+    tokens_out = 0
     if usage:
         fields = usage.split(",")
         tokens_in = _number(fields[0])
--- a/hophinge/fleet/placement/queue.py
+++ b/hophinge/fleet/placement/queue.py
@@ -1,8 +1,8 @@
-"""The work believed to wait at one instance, this head's and that of all others.
+"""The estimated queue of one instance: the jobs of this head and of all others.
 
-An engine reads prompts one at a time: the most urgent of those that wait comes next, in the order of arrival among
-equals, and none is interrupted once it has begun. So a short request may wait for a long one of lower priority, and
-that is what `begin` tells.
+An engine reads prompts one at a time: the queued one of the highest priority comes next, in the order of arrival among
+equals, without preemption. So a short request may wait for a long one of lower priority; `start_at_us` takes account
+of that.
 
 All times are microseconds on the caller's clock.
 """
@@ -13,20 +13,20 @@
 from collections import deque
 from dataclasses import dataclass
 
-MAX_STARTED_JOBS = 32  # jobs taken to be begun that are kept, to put back those that were not
-MIN_SAMPLE_US = 1_000.0  # a job takes at least that: less is an error of clocks
-MAX_REPORT_AGE_US = 500_000.0  # a report is so old at most: what was placed since may not be in it
-PHANTOM_PRIORITY = 9  # of work that an engine reports and nobody told of
+MAX_STARTED_JOBS = 32  # of those believed to have started, stored to correct the estimate
+MIN_SAMPLE_US = 1_000.0  # a shorter service time is an error of clocks
+MAX_REPORT_AGE_US = 500_000.0  # jobs placed more recently may be missing in a report
+PHANTOM_PRIORITY = 9  # of jobs that an engine reports and no head placed
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One request's work at the instance."""
+    """One request's work at an instance."""
 
     priority: int  # 0 first
-    service_us: float  # what it takes of the instance's time
+    service_us: float  # its service time
     arrived_at_us: float
-    job_id: int = 0  # by which heads tell each other that it is done; 0 where nobody will
+    job_id: int = 0  # by which heads report that it is done; 0 where none will
     units: float = 0.0
 
 
@@ -35,23 +35,23 @@
 
 
 class WorkQueue:
-    """The queue of one instance, played forward as time passes."""
+    """The queue of one instance, simulated forward as time passes."""
 
     def __init__(self) -> None:
-        self.free_at_us = 0.0  # when the job under way ends
+        self.free_at_us = 0.0  # when the running job ends
         self.queued: list[Job] = []  # by priority, then by arrival
         self.started: deque[Job] = deque(maxlen=MAX_STARTED_JOBS)
-        self.last_done_at_us = 0.0  # end of the last job that is known to be done
+        self.last_done_at_us = 0.0  # end of the latest job that is known to be done
 
     def _advance(self, now_us: float) -> None:
-        """Begin the jobs that the instance should have come to by now."""
+        """Start the jobs that the instance should have started by now."""
         while self.queued and self.free_at_us <= now_us:
             job = self.queued.pop(0)
             self.free_at_us = max(self.free_at_us, job.arrived_at_us) + job.service_us
             self.started.append(job)
 
     def add(self, now_us: float, priority: int, service_us: float, job_id: int = 0, units: float = 0.0) -> Job:
-        """A request was sent there."""
+        """Queue a job that was sent to the instance."""
         self._advance(now_us)
         job = Job(priority, service_us, now_us, job_id, units)
         insort(self.queued, job, key=_priority)
@@ -59,28 +59,28 @@
         return job
 
     def start_at_us(self, now_us: float, priority: int) -> float:
-        """Tell when another request of a priority would be begun."""
+        """Return when a new job of a priority would start."""
         self._advance(now_us)
         ahead = sum(job.service_us for job in self.queued if job.priority <= priority)
         return max(self.free_at_us, now_us) + ahead
 
     def drop(self, job: Job) -> None:
-        """A request will not be worked on; one that was begun is not interrupted."""
+        """Remove a job that will not be executed; one that has started is not interrupted."""
         if job in self.queued:
             self.queued.remove(job)
 
     def find(self, job_id: int) -> Job | None:
-        """Find a job by its number."""
+        """Return a job by its identifier."""
         return next((job for job in (*self.started, *self.queued) if job.job_id == job_id), None)
 
     def service_us(self, job: Job, ended_at_us: float) -> float:
-        """Tell the time that the instance spent on a job that has just ended: since the one before it ended."""
+        """Return the service time of a job that has just ended: since the end of the one before it, or its arrival."""
         return max(MIN_SAMPLE_US, ended_at_us - max(self.last_done_at_us, job.arrived_at_us))
 
     def finish(self, now_us: float, job: Job, ended_at_us: float) -> None:
         """Correct the queue by the end of a job.
 
-        Of the jobs reckoned to come before it, all are taken to be done; of those behind it, none is.
+        All jobs estimated to come before it count as done, and none of those behind it.
         """
         self._advance(now_us)
         self.last_done_at_us = max(self.last_done_at_us, ended_at_us)
@@ -90,14 +90,14 @@
         elif job in self.started:
             later = list(self.started)[self.started.index(job) + 1 :]
             self.started = deque(later, maxlen=MAX_STARTED_JOBS)
-            self.free_at_us = ended_at_us + sum(one.service_us for one in later)
+            self.free_at_us = ended_at_us + sum(later_job.service_us for later_job in later)
         self._advance(now_us)
 
     def apply_queue_length(self, now_us: float, queued_count: int, mean_us: float) -> None:
         """Correct the queue by the number of requests that the instance reports as waiting.
 
         A longer queue loses its oldest jobs first, never those that are too new to be in the report; a shorter one is
-        filled with jobs of mean size and least priority. One job more than reported is left: the one under way.
+        filled with jobs of mean size and the lowest priority. One job more than reported remains: the running one.
         """
         self._advance(now_us)
         reportable = [job for job in self.queued if now_us - job.arrived_at_us > MAX_REPORT_AGE_US]
--- a/hophinge/fleet/placement/scoring.py
+++ b/hophinge/fleet/placement/scoring.py
@@ -1,6 +1,7 @@
-"""Weighs where a prompt is read: apart, at a prefill instance, or where its tokens are made.
+"""Scores where a prompt is read: at a prefill instance, or at the instance that decodes its tokens.
 
-All terms are microseconds: time until the first token, and what a choice costs others or the operator in its place.
+All costs are microseconds: the time until the first token, and equivalents of what a choice costs other requests or
+the operator.
 """
 
 from __future__ import annotations
@@ -13,34 +14,37 @@
 from hophinge.fleet.placement.prompt import Prompt
 from hophinge.fleet.registry.instance import LOST, READY
 
-KV_TRANSFER_US = 15_000.0  # from the end of reading to the first token elsewhere
-CROSS_ZONE_BODY_US = 1.0  # weight of each token of a prompt whose request goes to another zone
-CROSS_ZONE_KV_US = 3.0  # weight of each token whose memory is moved to another zone
+KV_TRANSFER_US = 15_000.0  # from the end of prefill to the first token at another instance
+CROSS_ZONE_BODY_US = 1.0  # for each prompt token of a request that is sent to another zone
+CROSS_ZONE_KV_US = 3.0  # for each prompt token whose KV cache is moved to another zone
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementChoice:
-    """The best offer of those weighed."""
+    """The best candidate."""
 
     pool: InstancePool
     candidate: Candidate
     is_prefill_only: bool
-    first_token_at_us: float  # when the first token should come
+    first_token_at_us: float  # estimated
 
 
 def memory_wait_us(candidate: Candidate, prompt: Prompt) -> float:
-    """Tell how long a request is likely to wait for memory."""
+    """Return the expected wait of a request for memory at a candidate."""
     return candidate.node.memory_wait_us(prompt.tokens_in + prompt.tokens_out)
 
 
 class PlacementScorer:
-    """One request's prompt against the instances that could read it."""
+    """Scores the candidates for one request's prompt."""
 
     def __init__(
         self, prompt: Prompt, zone: str, prefill: InstancePool, decode: InstancePool, policy: PlacementPolicy
     ) -> None:
-        self.prompt, self.zone, self.policy = prompt, zone, policy
-        self.prefill, self.decode = prefill, decode
+        self.prompt = prompt
+        self.zone = zone
+        self.policy = policy
+        self.prefill = prefill
+        self.decode = decode
         members = [*prefill.nodes.values(), *decode.nodes.values()]
         nodes = [node for node in members if node.instance.state in (READY, LOST)]
         most_cached = max((node.cache.cached_tokens(prompt) for node in nodes), default=0)
@@ -50,20 +54,19 @@
         return CROSS_ZONE_BODY_US * self.prompt.tokens_in if node.instance.zone != self.zone else 0.0
 
     def cross_zone_kv_us(self, prefill_node: Node, decode_node: Node) -> float:
-        """Tell what moving the prompt's memory between two instances costs beyond a move within a zone."""
-        return (
-            CROSS_ZONE_KV_US * self.prompt.tokens_in if prefill_node.instance.zone != decode_node.instance.zone else 0.0
-        )
+        """Return the cost of moving the prompt's KV cache between two instances beyond that within a zone."""
+        is_same_zone = prefill_node.instance.zone == decode_node.instance.zone
+        return 0.0 if is_same_zone else CROSS_ZONE_KV_US * self.prompt.tokens_in
 
     def _prefill_cost_us(self, candidate: Candidate) -> float:
-        """Tell what reading at an instance costs."""
+        """Return the cost of reading the prompt at an instance."""
         node = candidate.node
         weight = self.policy.others_weight + self.policy.stream_weight * node.running_decodes()
         reread_us = self.policy.reread_us * max(0, self.reusable_tokens - node.cache.cached_tokens(self.prompt))
         return candidate.done_at_us + weight * candidate.service_us + reread_us + self._cross_zone_body_us(node)
 
     def _decode_cost_us(self, prefill_node: Node, candidate: Candidate) -> float:
-        """Tell what making the tokens at an instance costs, once the prompt is read elsewhere."""
+        """Return the cost of decoding at an instance, once the prompt is read at another."""
         node = candidate.node
         return (
             memory_wait_us(candidate, self.prompt)
@@ -72,49 +75,45 @@
         )
 
     def choose(self, prefill_candidates: list[Candidate], decode_candidates: list[Candidate]) -> PlacementChoice | None:
-        """Choose among the offers of both stages; the first of `reading` is the key's first member with room."""
+        """Choose between one instance for both stages and one for each.
+
+        The first of `prefill_candidates` is the first member of the key's group with capacity. None without a decode
+        candidate.
+        """
         if not decode_candidates:
             return None
-        combined = min(
-            decode_candidates, key=lambda offer: self._prefill_cost_us(offer) + memory_wait_us(offer, self.prompt)
-        )
-        combined_cost_us = self._prefill_cost_us(combined) + memory_wait_us(combined, self.prompt)
+
+        def combined_cost(candidate: Candidate) -> float:
+            return self._prefill_cost_us(candidate) + memory_wait_us(candidate, self.prompt)
+
+        combined = min(decode_candidates, key=combined_cost)
+        combined_cost_us = combined_cost(combined)
         split_costs_us = [
-            self._prefill_cost_us(offer)
-            + min(self._decode_cost_us(offer.node, maker) for maker in decode_candidates)
+            self._prefill_cost_us(candidate)
+            + min(self._decode_cost_us(candidate.node, decode) for decode in decode_candidates)
             + KV_TRANSFER_US
-            for offer in prefill_candidates
+            for candidate in prefill_candidates
         ]
         if split_costs_us and not self.reusable_tokens:
             unit_us = self.prefill.unit_us(prefill_candidates[0].node)
             split_costs_us[0] -= self.policy.assumed_reuse_fraction * self.prompt.shared_tokens * unit_us
-        best_index = min(range(len(prefill_candidates)), key=lambda number: split_costs_us[number], default=None)
+        best_index = min(range(len(prefill_candidates)), key=lambda index: split_costs_us[index], default=None)
         if best_index is not None and split_costs_us[best_index] < combined_cost_us:
-            return PlacementChoice(
-                self.prefill,
-                prefill_candidates[best_index],
-                True,
-                prefill_candidates[best_index].done_at_us + KV_TRANSFER_US,
-            )
-        return PlacementChoice(
-            self.decode, combined, False, combined.done_at_us + memory_wait_us(combined, self.prompt)
-        )
+            best = prefill_candidates[best_index]
+            return PlacementChoice(self.prefill, best, True, best.done_at_us + KV_TRANSFER_US)
+        first_token_at_us = combined.done_at_us + memory_wait_us(combined, self.prompt)
+        return PlacementChoice(self.decode, combined, False, first_token_at_us)
 
     def choose_decode(self, prefill_node: Node | None, candidates: list[Candidate]) -> PlacementChoice | None:
-        """Choose who makes the tokens of a prompt that was read."""
-
-        def cost(offer: Candidate) -> float:
-            transfer_us = self.cross_zone_kv_us(prefill_node, offer.node) if prefill_node is not None else 0.0
-            return (
-                offer.done_at_us
-                + memory_wait_us(offer, self.prompt)
-                + transfer_us
-                + self._cross_zone_body_us(offer.node)
-            )
-
-        best = min(candidates, key=cost, default=None)
-        return (
-            PlacementChoice(self.decode, best, False, best.done_at_us + memory_wait_us(best, self.prompt))
-            if best
-            else None
-        )
+        """Choose the instance that decodes the tokens of a prompt that was read."""
+
+        def cost_us(candidate: Candidate) -> float:
+            node = candidate.node
+            transfer_us = self.cross_zone_kv_us(prefill_node, node) if prefill_node is not None else 0.0
+            first_token_at_us = candidate.done_at_us + memory_wait_us(candidate, self.prompt)
+            return first_token_at_us + transfer_us + self._cross_zone_body_us(node)
+
+        best = min(candidates, key=cost_us, default=None)
+        if best is None:
+            return None
+        return PlacementChoice(self.decode, best, False, best.done_at_us + memory_wait_us(best, self.prompt))
--- a/hophinge/fleet/placement/stages.py
+++ b/hophinge/fleet/placement/stages.py
@@ -1,9 +1,9 @@
-"""How many instances of a service read prompts and how many make tokens, and which ones should change their part.
+"""The numbers of prefill and decode instances of a service, and which instances should switch their stage.
 
-Both follow the work that instances report. A reading instance is busy or idle, so the part of reports that find it busy
-is the work there is to read; an instance that makes tokens is full to the part of its slots or of its memory that is
-taken, whichever is scarcer. Where one stage is short and the other can spare some, several change at once. Where no
-instance of a stage is left, one is made at once.
+Both follow the load that instances report. A prefill instance is busy or idle, so the fraction of reports that find it
+busy is its load; the load of a decode instance is the fraction of its slots or of its memory that is used, whichever is
+higher. Where one stage is short and the other has spare capacity, several instances switch at once. Where a stage has
+no instance left, one switches at once.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 from hophinge.fleet.registry.instance import READY, SWITCHING, Instance
 
 OTHER_STAGE = {PREFILL: DECODE, DECODE: PREFILL}
-SMOOTHING = 0.4  # weight of the newest report in an instance's means
-QUEUED_WEIGHT = 0.25  # of an instance's time that each request that waits there adds to the work there is
-MAX_QUEUED = 4  # requests that wait at one instance and are counted
-MIN_STAGE_INSTANCES = 2  # instances of a stage, where there are twice as many in all: one more may be lost
-MAX_SWITCHED_FRACTION = 0.17  # part of a service's instances that change their part together, at most
+SMOOTHING = 0.4  # weight of the newest report in an instance's moving averages
+QUEUED_WEIGHT = 0.25  # load that each queued request adds, in instances
+MAX_QUEUED = 4  # of one instance that count
+MIN_STAGE_INSTANCES = 2  # where there are twice as many in all: so one may be lost
+MAX_SWITCHED_FRACTION = 0.17  # of a service's instances that switch together, at most
 
 
 @dataclass(frozen=True, slots=True)
 class StageSwitch:
-    """An instance that should change its part."""
+    """An instance that should switch, and its new stage."""
 
     instance: Instance
     stage: str
-    is_urgent: bool  # nobody is left of that stage
+    is_urgent: bool  # the stage has no instance left
 
 
 @dataclass(slots=True)
 class InstanceLoad:
-    """Means of what one instance reported lately."""
+    """Moving averages over the reports of one instance."""
 
-    prefill_load: float = 0.0  # part of its time that it reads, and what waits, in its time
-    decode_load: float = 0.0  # part that is taken of its slots or of its memory
+    prefill_load: float = 0.0  # fraction of its time that it is busy, plus its queue
+    decode_load: float = 0.0  # used fraction of its slots or of its memory
 
     def record(self, report: EngineReport, slots: int) -> None:
-        """Take a report."""
+        """Record a report."""
         queued = QUEUED_WEIGHT * min(MAX_QUEUED, report.waiting)
         prefill_sample = (1.0 if report.running or report.waiting else 0.0) + queued
         memory = report.used / report.total if report.total > 0 else 0.0
@@ -53,41 +53,41 @@
 
 
 class StageLoads:
-    """What engines told of their work lately."""
+    """The load of all instances, from their reports."""
 
     def __init__(self) -> None:
         self.by_instance: dict[str, InstanceLoad] = {}
 
     def record(self, reports: EngineReports, instances: dict[str, Instance]) -> None:
-        """Take what some engines told."""
+        """Record the reports of some engines."""
         for report in reports.reports:
             instance = instances.get(report.instance)
             if instance is not None:
                 self.by_instance.setdefault(report.instance, InstanceLoad()).record(report, instance.slots)
 
     def retain(self, identities: Set[str]) -> None:
-        """Forget instances that are gone."""
+        """Remove all instances but these."""
         self.by_instance = {identity: load for identity, load in self.by_instance.items() if identity in identities}
 
     def forget(self, identity: str) -> None:
-        """An instance changes its part: what it reported says nothing of the new one."""
+        """Remove an instance that switches: its reports say nothing of its new stage."""
         self.by_instance.pop(identity, None)
 
     def prefill_load(self, members: Iterable[Instance]) -> float:
-        """Tell the work of instances that read, in instances."""
+        """Return the total prefill load of some instances, in instances."""
         return sum(
             self.by_instance[member.identity].prefill_load for member in members if member.identity in self.by_instance
         )
 
     def decode_load(self, members: Iterable[Instance]) -> float:
-        """Tell how much is taken of instances that make tokens, in instances."""
+        """Return the total decode load of some instances, in instances."""
         return sum(
             self.by_instance[member.identity].decode_load for member in members if member.identity in self.by_instance
         )
 
 
 def plan_switches(instances: Iterable[Instance], loads: StageLoads, policy: PlacementPolicy) -> tuple[StageSwitch, ...]:
-    """Tell the changes that the stages of the first service want that wants some; none while any is under way there."""
+    """Return the switches of the first service that needs some; none while one is in progress there."""
     services: dict[str, list[Instance]] = {}
     for instance in instances:
         if instance.stage:
@@ -125,7 +125,7 @@
 
 
 def _missing_stage(prefill: list[Instance], decode: list[Instance], arriving_stages: set[str]) -> str:
-    """Tell the stage that has nobody and gets nobody, though somebody can be spared; empty where there is none."""
+    """Return the stage that has no instance and gets none, though the other could give one; else an empty name."""
     if len(prefill) > 1 and not decode and DECODE not in arriving_stages:
         return DECODE
     if len(decode) > 1 and not prefill and PREFILL not in arriving_stages:
@@ -136,7 +136,7 @@
 def _restore_minimum(
     prefill: list[Instance], decode: list[Instance], loads: StageLoads, min_instances: int
 ) -> tuple[StageSwitch, ...]:
-    """Tell the change that gives a stage its least number again, whatever the work is."""
+    """Return the switch that restores the minimum of a stage, whatever the load."""
     if len(decode) < min_instances:
         return (StageSwitch(_least_needed(prefill, loads, 1)[0], DECODE, False),)
     if len(prefill) < min_instances:
@@ -145,14 +145,15 @@
 
 
 def _instances_needed(load: float, utilization: float) -> int:
-    """Tell how many instances some work wants, each of which is to be taken to a part only."""
+    """Return how many instances a load needs at a target utilization."""
     return max(1, ceil(load / utilization))
 
 
 def _least_needed(members: list[Instance], loads: StageLoads, count: int) -> list[Instance]:
-    """Tell who changes: from the zones that have most of them, the least busy first."""
+    """Return the members to switch: from the zones that have most of them, the least loaded first."""
     in_zone = Counter(member.zone for member in members)
-    remaining, chosen = list(members), []
+    remaining = list(members)
+    chosen: list[Instance] = []
     for _ in range(count):
         member = min(
             remaining, key=lambda member: (-in_zone[member.zone], loads.decode_load([member]), member.identity)
--- a/hophinge/fleet/placement/timing.py
+++ b/hophinge/fleet/placement/timing.py
@@ -1,4 +1,4 @@
-"""What a unit of work takes at the instances of one stage, learned from answers and from the ends of jobs.
+"""Service times per unit of work at the instances of one stage, learned from answers and from the ends of jobs.
 
 Units are tokens to read, or requests where slots are alike. Times are microseconds.
 """
@@ -7,43 +7,53 @@
 
 from hophinge.fleet.placement.node import Node
 
-PREFILL, DECODE, PLAIN = "prefill", "decode", ""
+PREFILL = "prefill"
+DECODE = "decode"
+PLAIN = ""
 MEAN_UNITS_STEP = 0.04  # weight of the newest request in the mean size of requests
-START_UNIT_US = {PREFILL: 30.0, DECODE: 60.0, PLAIN: 20_000.0}  # until an answer has taught better
-START_FIXED_US = {PREFILL: 25_000.0, DECODE: 30_000.0, PLAIN: 0.0}  # of an answer's time that no unit takes
-QUANTILE = 0.3  # of answers' times, that counts as served without waiting
+START_UNIT_US = {PREFILL: 30.0, DECODE: 60.0, PLAIN: 20_000.0}  # until they are learned
+START_FIXED_US = {
+    PREFILL: 25_000.0,
+    DECODE: 30_000.0,
+    PLAIN: 0.0,
+}  # of an answer's time that does not depend on its units
+QUANTILE = 0.3  # of answers' times: below it they count as served without queueing
 NODE_STEP = 0.3  # weight of the newest sample in an instance's time per unit
-TYPICAL_STEP = 0.05  # and in what is typical of its stage
-UNIT_STEP = 0.1  # part by which one answer moves the time per unit at most
-FIXED_STEP_US = 4_000.0  # by which one answer moves it at most
-MAX_SAMPLE_RATIO = 2.0  # times the time per unit: a sample beyond it is mostly something else
-MIN_SAMPLE_UNITS = {PREFILL: 1_500.0, DECODE: 1_500.0, PLAIN: 0.0}  # units of a request that teaches the time per unit
+TYPICAL_STEP = 0.05  # and in the typical one of its stage
+UNIT_STEP = 0.1  # relative change of the time per unit by one answer, at most
+FIXED_STEP_US = 4_000.0  # change of the fixed time by one answer, at most
+MAX_SAMPLE_RATIO = 2.0  # a sample that differs from the time per unit by more is bounded
+MIN_SAMPLE_UNITS = {
+    PREFILL: 1_500.0,
+    DECODE: 1_500.0,
+    PLAIN: 0.0,
+}  # smaller requests are no samples
 
 
 class StageTiming:
-    """Times per unit of one stage: of each instance, and what is typical of all."""
+    """Service times per unit of one stage: those of each instance, and the typical one."""
 
     def __init__(self, stage: str) -> None:
         self.stage = stage
         self.typical_unit_us = START_UNIT_US[stage]  # per unit, at an instance without a sample
-        self.fixed_us = START_FIXED_US[stage]  # of an answer's time that no unit takes
-        self.mean_units = 0.0  # of requests placed lately
+        self.fixed_us = START_FIXED_US[stage]  # of an answer's time that does not depend on its units
+        self.mean_units = 0.0  # moving average over placed requests
 
     @property
     def is_sequential(self) -> bool:
-        """Tell whether instances work on one request at a time: engines, on the prompts that they read."""
+        """Whether instances execute one job at a time, as engines do with prompts that they read."""
         return self.stage != PLAIN
 
     def unit_us(self, node: Node) -> float:
-        """Tell an instance's learned time per unit; one without a sample counts as is typical of its stage."""
+        """Return an instance's learned time per unit, or the typical one where it has no sample."""
         return node.unit_us or self.typical_unit_us
 
     def record_placement(self, units: float) -> None:
-        """Count a request's size."""
+        """Record the size of a placed request."""
         self.mean_units += (units - self.mean_units) * MEAN_UNITS_STEP
 
     def learn_from_answer(self, node: Node, units: float, duration_us: float) -> None:
-        """Learn from an answer's time. What lies above the lower part of such times is waiting behind others' work."""
+        """Learn from the duration of an answer, of which the part above a low quantile is queueing."""
         if units < MIN_SAMPLE_UNITS[self.stage]:
             return
         if self.is_sequential:
@@ -54,13 +64,13 @@
         self.typical_unit_us = _step_to_quantile(self.typical_unit_us, sample)
 
     def _learn_fixed(self, node: Node, units: float, duration_us: float) -> None:
-        """Move the fixed time towards the lower part of what answers took beyond their units."""
+        """Step the fixed time towards a low quantile of what answers take beyond their units."""
         above = duration_us - units * self.unit_us(node) > self.fixed_us
         step = FIXED_STEP_US * (QUANTILE if above else QUANTILE - 1)
         self.fixed_us = max(0.0, self.fixed_us + step)
 
     def learn_from_job(self, node: Node, units: float, service_us: float) -> None:
-        """Learn from the time that an instance spent on one job; a word of another head may name one of no size."""
+        """Learn from the service time of one job; a hint of another head may be of one without units."""
         if units <= 0 or units < MIN_SAMPLE_UNITS[self.stage]:
             return
         sample = service_us / units
@@ -69,10 +79,10 @@
 
 
 def _step_to_quantile(unit_us: float, sample_us: float) -> float:
-    """Move a time per unit towards the lower part of the samples."""
+    """Step a time per unit towards a low quantile of the samples."""
     return unit_us * (1 + UNIT_STEP * (QUANTILE if sample_us > unit_us else QUANTILE - 1))
 
 
 def _step_to_sample(unit_us: float, sample_us: float, step: float) -> float:
-    """Move a time per unit towards a sample; one far off counts as one at a bound."""
+    """Step a time per unit towards a sample, which is bounded by a ratio."""
     return unit_us + step * (min(max(sample_us, unit_us / MAX_SAMPLE_RATIO), unit_us * MAX_SAMPLE_RATIO) - unit_us)
--- a/tests/decision_mutants.py
+++ b/tests/decision_mutants.py
@@ -41,15 +41,15 @@
     Mutant(
         "parts of a prompt that was not read stay",
         "fleet/placement/node",
-        "            self.used_tokens -= self.segments.pop(part, 0)\n\n    def cached_tokens",
+        "            self.used_tokens -= self.segments.pop(segment, 0)\n\n    def cached_tokens",
         "\n    def cached_tokens",
         OVERLOAD + "test_parts_of_a_prompt_that_was_not_read_are_not_taken_for_kept",
     ),
     Mutant(
         "a later drop takes what an earlier job read",
         "fleet/placement/node",
-        "new_segments = [part for part, _ in segments if part not in self.segments]",
-        "new_segments = [part for part, _ in segments]",
+        "new_segments = [segment for segment, _ in segments if segment not in self.segments]",
+        "new_segments = [segment for segment, _ in segments]",
         OVERLOAD + "test_parts_that_another_job_has_read_stay_when_a_later_one_is_dropped",
     ),
     Mutant(
--- a/tests/test_fleet_placement.py
+++ b/tests/test_fleet_placement.py
@@ -8,7 +8,7 @@
 from hophinge.fleet.placement.hints import PlacementHint, PlacementHints, EngineReport, EngineReports
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.placement.policy import PrefillOrder, PlacementPolicy
-from hophinge.fleet.placement.pool import MIN_OUTSTANDING, release
+from hophinge.fleet.placement.pool import MIN_OUTSTANDING
 from hophinge.fleet.placement.priority import LATE_PRIORITY, priority_of
 from hophinge.fleet.registry.instance import DRAINING, LOST
 from tests.fleet_placement_parts import generation, instance, placement_of, prompt_of, request_of
@@ -141,7 +141,7 @@
     for number in range(200):
         plan = generation(placement, str(number), prompt_of(f"key-{number}", 2_000, 100))
         placement.record_answer(0.0, plan.reservation, False)
-        release(0.0, plan.reservation)
+        plan.reservation.release(0.0)
     assert all(pool.unit_us(node) > 0 for pool in placement.pools.values() for node in pool.nodes.values())
     assert placement.place_generation(request_of("last"), prompt_of("key")) is not None
 
@@ -154,7 +154,7 @@
         offer = pool.candidates(0.0, [node], lambda one: 10_000.0, False)[0]
         placed = pool.reserve(float(number), offer, (str(number), 1), number)
         placement.record_answer(number + 0.125, placed, False)  # 10 us a unit, and 25 ms beside
-        release(number + 0.125, placed)
+        placed.release(number + 0.125)
     assert 8.0 < pool.unit_us(node) < 13.0
 
 
