--- a/tests/fleet_placement_parts.py
+++ b/tests/fleet_placement_fixtures.py
@@ -1,4 +1,4 @@
-"""What tests of placement share: instances, prompts and wishes of one service."""
+"""Fixtures of the tests of placement: instances, prompts and requests of one service."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -1,4 +1,4 @@
-"""Overload: what is hopeless is refused at once, and prompts that are not read are not taken for kept."""
+"""Overload: hopeless requests are rejected at once, and prompts that are not read do not count as cached."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from hophinge.fleet.placement.hints import PlacementHint, PlacementHints
 from hophinge.fleet.placement.placement import MIN_RETRY_AFTER_S, MAX_RETRY_JITTER_S, Placement
 from hophinge.fleet.placement.plan import PlacementRejection, PlacementPlan
-from tests.fleet_placement_parts import generation, placement_of, prompt_of, request_of
+from tests.fleet_placement_fixtures import generation, placement_of, prompt_of, request_of
 
 
-def _behind(seconds: float) -> Placement:
-    """Make a placement whose only instances have work for so long."""
+def _with_backlog(seconds: float) -> Placement:
+    """Return a placement whose instances have a backlog of this length."""
     placement = placement_of(1, 1)
     jobs = tuple(
         PlacementHint(name, int(seconds * 1e6 / placement.pool("s", stage).timing.typical_unit_us), (), 0, 0, number)
@@ -21,18 +21,18 @@
     return placement
 
 
-def test_what_cannot_begin_before_its_client_gives_up_is_refused_at_once() -> None:
+def test_a_request_that_cannot_start_before_its_client_gives_up_is_rejected() -> None:
     asked = replace(request_of("a", 0.0, 0.5), client_deadline=2.0)
-    refused = _behind(3.0).place_generation(asked, prompt_of("key"))
+    refused = _with_backlog(3.0).place_generation(asked, prompt_of("key"))
     assert isinstance(refused, PlacementRejection)
     assert MIN_RETRY_AFTER_S <= refused.retry_after_s <= MIN_RETRY_AFTER_S + MAX_RETRY_JITTER_S
-    assert isinstance(_behind(0.1).place_generation(asked, prompt_of("key")), PlacementPlan)
+    assert isinstance(_with_backlog(0.1).place_generation(asked, prompt_of("key")), PlacementPlan)
     alone = placement_of(1, 1).place_generation(asked, prompt_of("key", 500_000))  # nobody waits: it is tried
     assert isinstance(alone, PlacementPlan)
 
 
-def test_clients_that_are_refused_come_back_at_different_times() -> None:
-    placement = _behind(3.0)
+def test_rejected_clients_retry_at_different_times() -> None:
+    placement = _with_backlog(3.0)
     wishes = [replace(request_of(str(number), 0.0, 0.5), client_deadline=2.0) for number in range(20)]
     refused = [placement.place_generation(asked, prompt_of("key")) for asked in wishes]
     times = [one.retry_after_s for one in refused if isinstance(one, PlacementRejection)]
@@ -40,8 +40,8 @@
     assert max(times) - min(times) > MAX_RETRY_JITTER_S / 2
 
 
-def test_a_refused_request_leaves_no_trace_in_books_and_hints() -> None:
-    placement = _behind(3.0)
+def test_a_rejected_request_leaves_no_reservation_and_no_hint() -> None:
+    placement = _with_backlog(3.0)
     assert isinstance(
         placement.place_generation(replace(request_of("a", 0.0, 0.5), client_deadline=2.0), prompt_of("key")),
         PlacementRejection,
@@ -50,21 +50,21 @@
     assert not any(node.outstanding or node.cache.segments for node in placement.nodes.values())
 
 
-def test_parts_of_a_prompt_that_was_not_read_are_not_taken_for_kept() -> None:
+def test_segments_of_a_prompt_that_was_not_read_do_not_count_as_cached() -> None:
     placement, other = placement_of(4, 1), placement_of(4, 1)
     plan = generation(placement, "a", prompt_of("key"))
-    _tell(placement, other)
+    _exchange_hints(placement, other)
     identity = plan.reservation.node.instance.identity
     assert other.nodes[identity].cache.cached_tokens(prompt_of("key")) == 5_500
     placement.release(0.1, plan.reservation)
-    _tell(placement, other)
+    _exchange_hints(placement, other)
     for one in (placement, other):
         assert one.nodes[identity].cache.cached_tokens(prompt_of("key")) == 0
         assert one.nodes[identity].cache.used_tokens == 0
         assert one.nodes[identity].queue.start_at_us(0.2e6, 9) <= 0.4e6
 
 
-def test_parts_that_another_job_has_read_stay_when_a_later_one_is_dropped() -> None:
+def test_segments_read_by_another_job_stay_when_a_later_one_is_dropped() -> None:
     placement, other = placement_of(4, 1), placement_of(4, 1)
     first = generation(placement, "a", prompt_of("key"))
     placement.record_answer(0.1, first.reservation, False)
@@ -72,14 +72,14 @@
     second = generation(placement, "b", prompt_of("key", name="b"))
     assert second.reservation.node is first.reservation.node
     placement.release(0.2, second.reservation)
-    _tell(placement, other)
+    _exchange_hints(placement, other)
     for one in (placement, other):
         cache = one.nodes[first.reservation.node.instance.identity].cache
         assert cache.cached_tokens(prompt_of("key")) == 5_500
         assert not cache.pending_jobs
 
 
-def _tell(placement: Placement, other: Placement) -> None:
+def _exchange_hints(placement: Placement, other: Placement) -> None:
     hints = placement.outgoing_hints(0.1)
     assert hints is not None
     other.receive_hints(0.1, hints)
--- a/tests/test_fleet_placement.py
+++ b/tests/test_fleet_placement.py
@@ -1,4 +1,4 @@
-"""Groups by key, books by size, the bound on what is out, caches, and what is late."""
+"""Placement: groups by key, charges by size, the bound on outstanding units, caches, and late requests."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from hophinge.fleet.placement.pool import MIN_OUTSTANDING
 from hophinge.fleet.placement.priority import LATE_PRIORITY, priority_of
 from hophinge.fleet.registry.instance import DRAINING, LOST
-from tests.fleet_placement_parts import generation, instance, placement_of, prompt_of, request_of
+from tests.fleet_placement_fixtures import generation, instance, placement_of, prompt_of, request_of
 
 
-def test_requests_of_one_key_go_where_its_shared_part_is_kept() -> None:
+def test_requests_of_one_key_go_where_its_shared_segment_is_cached() -> None:
     placement = placement_of(6, 2)
     first = generation(placement, "a", prompt_of("key"))
     assert first.is_prefill_only
@@ -23,7 +23,7 @@
     assert second.reservation.units < first.reservation.units
 
 
-def test_a_key_is_spread_over_its_group_where_its_members_are_busy() -> None:
+def test_a_key_is_spread_over_its_group_when_members_are_busy() -> None:
     placement = placement_of(8, 1)
     for node in placement.pool("s", "decode").nodes.values():
         node.last_report = EngineReport(node.instance.identity, 9, 60, 190_000, 200_000)
@@ -34,7 +34,7 @@
     assert 1 < len(used) <= PlacementPolicy().group_size
 
 
-def test_the_member_whose_book_frees_earliest_takes_a_plain_request() -> None:
+def test_a_plain_request_goes_to_the_instance_that_is_done_first() -> None:
     placement = placement_of(0, 0, 3)
     taken = []
     for number in range(3):
@@ -45,7 +45,7 @@
     assert len(set(taken)) == 3
 
 
-def test_what_others_placed_counts_in_the_books_and_in_the_caches() -> None:
+def test_remote_placements_count_in_queues_and_caches() -> None:
     placement = placement_of(2, 1)
     prompt = prompt_of("key")
     alone = generation(placement, "a", prompt).reservation.node.instance.identity
@@ -55,7 +55,7 @@
     assert generation(other, "a", prompt).reservation.node.instance.identity == elsewhere
 
 
-def test_what_is_out_at_an_instance_stays_under_the_bound() -> None:
+def test_outstanding_units_at_an_instance_stay_under_the_bound() -> None:
     placement = placement_of(0, 0, 1)
     pool = placement.pool("s", "")
     node = next(iter(pool.nodes.values()))
@@ -73,7 +73,7 @@
     assert sum(plan is not None for plan in plans) == CEILING
 
 
-def test_a_request_that_cannot_be_in_time_waits_behind_all_others() -> None:
+def test_a_request_that_cannot_be_in_time_is_queued_behind_all_others() -> None:
     placement = placement_of(1, 1)
     prompt = prompt_of("key", 40_000, 4_000)
     assert generation(placement, "a", prompt, target_s=10.0).priority < LATE_PRIORITY
@@ -83,7 +83,7 @@
     assert [hint.priority == LATE_PRIORITY for hint in hints.hints] == [False, True]
 
 
-def test_late_work_that_waits_does_not_hold_up_what_can_be_in_time() -> None:
+def test_queued_late_work_does_not_delay_what_can_be_in_time() -> None:
     placement = placement_of(1, 1)
     under_way = [PlacementHint(name, 1_000, (), 0, 0, 1) for name in ("i-0", "i-1")]
     late = [PlacementHint(name, 900_000, (), LATE_PRIORITY, 0, 2) for name in ("i-0", "i-1")]
@@ -91,7 +91,7 @@
     assert generation(placement, "a", prompt_of("key"), target_s=1.0).priority < LATE_PRIORITY
 
 
-def test_late_work_that_is_under_way_is_waited_for_or_passed_by() -> None:
+def test_running_late_work_is_waited_for_or_avoided() -> None:
     placement = placement_of(2, 1)
     prompt = prompt_of("key", 100, 100)
     alone = generation(placement, "a", prompt).reservation.node.instance.identity
@@ -100,14 +100,14 @@
     assert generation(other, "a", prompt).reservation.node.instance.identity != alone
 
 
-def test_shorter_work_is_admitted_first() -> None:
+def test_shorter_work_has_a_higher_priority() -> None:
     placement = placement_of(2, 1)
     short = generation(placement, "a", prompt_of("one", 100, 100))
     long = generation(placement, "b", prompt_of("two", 12_000, 1_000))
     assert short.priority < long.priority
 
 
-def test_a_leaving_instance_gets_nothing_and_an_ended_one_is_forgotten() -> None:
+def test_a_draining_instance_gets_no_requests_and_an_ended_one_is_removed() -> None:
     gone: list[str] = []
     placement = Placement("z", gone.append, Random(1))
     for number in range(2):
@@ -128,7 +128,7 @@
     assert set(placement.pool("s", "decode").nodes) == {"i-0", "i-2"}
 
 
-def test_a_full_decode_instance_is_passed_over() -> None:
+def test_a_full_decode_instance_is_avoided() -> None:
     placement = placement_of(0, 2)
     prompt = prompt_of("key", 100, 100)
     first = generation(placement, "a", prompt).reservation.node.instance.identity
@@ -136,7 +136,7 @@
     assert generation(placement, "b", prompt).reservation.node.instance.identity != first
 
 
-def test_an_answer_in_no_time_does_not_make_an_instance_free_of_charge() -> None:
+def test_an_instant_answer_leaves_a_time_per_unit_above_zero() -> None:
     placement = placement_of(1, 1)
     for number in range(200):
         plan = generation(placement, str(number), prompt_of(f"key-{number}", 2_000, 100))
@@ -146,7 +146,7 @@
     assert placement.place_generation(request_of("last"), prompt_of("key")) is not None
 
 
-def test_the_time_per_unit_follows_what_answers_take() -> None:
+def test_the_time_per_unit_follows_the_durations_of_answers() -> None:
     placement = placement_of(1, 1)
     pool = placement.pool("s", "prefill")
     node = pool.nodes["i-0"]
@@ -158,7 +158,7 @@
     assert 8.0 < pool.unit_us(node) < 13.0
 
 
-def test_an_instance_that_answers_here_is_used_whatever_the_core_has_heard() -> None:
+def test_an_instance_that_answers_here_is_used_though_the_registry_lost_it() -> None:
     placement = placement_of(0, 0, 2)
     plan = placement.place_plain(request_of("a"), "")
     assert plan is not None
@@ -172,7 +172,7 @@
         assert plan.reservation.node.instance.identity == answering
 
 
-def test_one_that_only_the_core_takes_for_lost_is_tried_where_there_is_no_other() -> None:
+def test_a_lost_instance_is_tried_where_there_is_no_other() -> None:
     placement = placement_of(0, 0, 1)
     placement.update_instance("i-0", instance(0, "", LOST))
     assert placement.place_plain(request_of("a"), "") is not None
@@ -182,13 +182,13 @@
     assert plan.reservation.node.instance.identity == "i-1"
 
 
-def test_a_leaving_one_is_never_tried() -> None:
+def test_a_draining_instance_is_never_tried() -> None:
     placement = placement_of(0, 0, 1)
     placement.update_instance("i-0", instance(0, "", DRAINING))
     assert placement.place_plain(request_of("a"), "") is None
 
 
-def test_shorter_work_comes_first_and_what_is_late_last_unless_a_trial_says_otherwise() -> None:
+def test_priorities_follow_service_time_and_lateness_unless_a_trial_differs() -> None:
     by_length = [
         priority_of(PlacementPolicy(), spent_us, False) for spent_us in (10_000.0, 90_000.0, 500_000.0, 2_000_000.0)
     ]
@@ -199,8 +199,8 @@
     assert priority_of(PlacementPolicy(defers_late=False), 10_000.0, True) == by_length[0]
 
 
-def test_answers_that_are_being_made_weigh_little_in_where_a_prompt_is_read() -> None:
-    """Ten answers cost a reading instance less than a quarter of the prompt's own time: their pauses stay bounded."""
+def test_open_streams_weigh_little_in_where_a_prompt_is_read() -> None:
+    """Ten open streams cost a prefill instance less than a quarter of the prompt's service time."""
     chosen = []
     for share in (PlacementPolicy().stream_weight, 4.0):
         placement = Placement("z", lambda identity: None, Random(1), policy=PlacementPolicy(stream_weight=share))
--- a/tests/test_fleet_queue.py
+++ b/tests/test_fleet_queue.py
@@ -1,4 +1,4 @@
-"""The queue of an instance: one job at a time, the most urgent first, none interrupted, corrected by what is seen."""
+"""The queue of an instance: one job at a time, by priority, without preemption, corrected by observations."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hophinge.fleet.placement.queue import MAX_REPORT_AGE_US, MIN_SAMPLE_US, WorkQueue
 
 
-def test_jobs_are_worked_on_in_turn() -> None:
+def test_jobs_are_executed_in_order() -> None:
     queue = WorkQueue()
     assert queue.start_at_us(5.0, 0) == 5.0
     queue.add(5.0, 2, 100.0)
@@ -16,7 +16,7 @@
     assert queue.start_at_us(200.0, 2) == 200.0
 
 
-def test_an_urgent_job_waits_for_the_one_under_way_alone() -> None:
+def test_an_urgent_job_waits_only_for_the_running_one() -> None:
     queue = WorkQueue()
     queue.add(0.0, 8, 100.0)
     queue.add(1.0, 5, 300.0)
@@ -24,7 +24,7 @@
     assert queue.start_at_us(2.0, 5) == 400.0
 
 
-def test_a_job_that_came_while_the_instance_was_idle_has_begun() -> None:
+def test_a_job_at_an_idle_instance_has_started() -> None:
     queue = WorkQueue()
     queue.add(0.0, 0, 10.0)
     queue.add(50.0, 8, 1_000.0)
@@ -40,7 +40,7 @@
     assert queue.start_at_us(0.0, 0) == 100.0
 
 
-def test_an_answer_sooner_than_reckoned_ends_what_stood_before_it() -> None:
+def test_an_early_end_finishes_the_jobs_before_it() -> None:
     queue = WorkQueue()
     queue.add(0.0, 0, 1_000.0)
     job = queue.add(0.0, 0, 1_000.0)
@@ -50,7 +50,7 @@
     assert queue.start_at_us(300.0, 0) == 800.0
 
 
-def test_an_answer_later_than_reckoned_puts_back_what_stands_behind_it() -> None:
+def test_a_late_end_delays_the_jobs_behind_it() -> None:
     queue = WorkQueue()
     job = queue.add(0.0, 0, 100.0)
     queue.add(0.0, 0, 200.0)
@@ -59,7 +59,7 @@
     assert queue.start_at_us(1_000.0, 0) == 1_200.0
 
 
-def test_a_report_cuts_the_queue_and_fills_it_up() -> None:
+def test_a_report_shortens_or_fills_the_queue() -> None:
     queue = WorkQueue()
     for _ in range(6):
         queue.add(0.0, 0, 10_000_000.0)
@@ -70,7 +70,7 @@
     assert len(queue.queued) == 7
 
 
-def test_a_report_says_nothing_of_what_was_placed_since() -> None:
+def test_a_report_does_not_count_recent_placements() -> None:
     queue = WorkQueue()
     for _ in range(4):
         queue.add(0.0, 0, 10_000_000.0)
@@ -78,7 +78,7 @@
     assert len(queue.queued) == 3
 
 
-def test_whatever_comes_the_queue_stays_sorted_and_time_goes_on() -> None:
+def test_the_queue_stays_sorted_and_time_advances_for_any_input() -> None:
     for seed in range(200):
         random, queue, now, jobs = Random(seed), WorkQueue(), 0.0, []
         for _ in range(100):
@@ -98,7 +98,7 @@
             assert queue.start_at_us(now, 0) >= now, seed
 
 
-def test_the_time_spent_on_a_job_runs_from_the_end_of_the_one_before_it() -> None:
+def test_the_service_time_of_a_job_counts_from_the_end_of_the_one_before() -> None:
     queue = WorkQueue()
     first = queue.add(0.0, 0, 5_000.0, 1, 100.0)
     second = queue.add(1_000.0, 0, 5_000.0, 2, 100.0)
--- a/tests/test_fleet_stages.py
+++ b/tests/test_fleet_stages.py
@@ -1,4 +1,4 @@
-"""Which instances change their stage: by the work that is reported, several at once, and at once where none is left."""
+"""Switches of stage: by the reported load, several at once, and at once where a stage is empty."""
 
 from __future__ import annotations
 
@@ -25,17 +25,19 @@
     ]
 
 
-def _loads(members: list[Instance], reads: tuple[int, int], makes: tuple[int, int, int] = (0, 0, 0)) -> StageLoads:
-    """Have instances report (waiting, running) where they read and (waiting, running, memory) where they make."""
+def _loads(
+    members: list[Instance], prefill_reports: tuple[int, int], decode_reports: tuple[int, int, int] = (0, 0, 0)
+) -> StageLoads:
+    """Record reports: (waiting, running) of prefill instances, (waiting, running, memory) of decode instances."""
     loads = StageLoads()
-    values = {"prefill": (*reads, 0), "decode": makes}
+    values = {"prefill": (*prefill_reports, 0), "decode": decode_reports}
     reports = EngineReports(tuple(EngineReport(one.identity, *values[one.stage], MEMORY) for one in members))
     for _ in range(20):
         loads.record(reports, {one.identity: one for one in members})
     return loads
 
 
-def _wanted(members: list[Instance], loads: StageLoads | None = None) -> tuple[StageSwitch, ...]:
+def _planned(members: list[Instance], loads: StageLoads | None = None) -> tuple[StageSwitch, ...]:
     return plan_switches(members, loads or StageLoads(), POLICY)
 
 
@@ -43,71 +45,73 @@
     return [(switch.instance.stage, switch.stage) for switch in switches]
 
 
-def test_without_work_nothing_changes() -> None:
+def test_without_load_no_stage_switches() -> None:
     for prefill, decode in ((1, 1), (2, 1), (2, 8), (29, 41)):
         members = _staged(prefill, decode)
-        assert _wanted(members) == ()
-        assert _wanted(members, _loads(members, (0, 0))) == ()
+        assert _planned(members) == ()
+        assert _planned(members, _loads(members, (0, 0))) == ()
 
 
 @pytest.mark.parametrize(("prefill", "decode", "stage"), [(5, 0, "decode"), (0, 5, "prefill"), (2, 0, "decode")])
-def test_where_nobody_is_left_of_a_stage_one_is_made_at_once(prefill: int, decode: int, stage: str) -> None:
-    [switch] = _wanted(_staged(prefill, decode))
+def test_an_empty_stage_gets_an_instance_at_once(prefill: int, decode: int, stage: str) -> None:
+    [switch] = _planned(_staged(prefill, decode))
     assert switch.stage == stage
     assert switch.is_urgent
 
 
-def test_an_instance_that_leaves_or_is_lost_counts_for_no_stage() -> None:
+def test_draining_and_lost_instances_count_for_no_stage() -> None:
     for state in (LOST, DRAINING):
         members = [replace(one, state=state) if one.stage == "decode" else one for one in _staged(3, 2)]
-        [switch] = _wanted(members)
+        [switch] = _planned(members)
         assert (switch.instance.state, switch.stage, switch.is_urgent) == (READY, "decode", True), state
 
 
-def test_an_instance_that_is_alone_keeps_its_stage() -> None:
-    assert _wanted(_staged(1, 0)) == ()
-    assert _wanted(_staged(0, 1)) == ()
+def test_a_single_instance_keeps_its_stage() -> None:
+    assert _planned(_staged(1, 0)) == ()
+    assert _planned(_staged(0, 1)) == ()
 
 
-def test_while_an_instance_changes_no_other_does() -> None:
+def test_no_instance_switches_while_another_does() -> None:
     changing = replace(_staged(1, 0)[0], identity="i-99", state=SWITCHING)
-    assert _wanted([*_staged(3, 0), changing]) == ()
+    assert _planned([*_staged(3, 0), changing]) == ()
     members = _staged(4, 14)
-    assert _wanted([*members, changing], _loads(members, (2, 1), (0, 1, 0))) == ()
+    assert _planned([*members, changing], _loads(members, (2, 1), (0, 1, 0))) == ()
 
 
-def test_a_change_that_takes_the_last_one_from_a_stage_does_not_hold_up_the_one_that_it_needs() -> None:
-    """The maker that was ordered to read is under way when the other makers are lost."""
+def test_a_switch_that_empties_a_stage_does_not_delay_the_one_that_it_needs() -> None:
+    """A decode instance is switching to prefill when the other decode instances are lost."""
     to_read = replace(_staged(0, 1)[0], identity="i-99", state=SWITCHING)
-    [switch] = _wanted([*_staged(3, 0), to_read])
+    [switch] = _planned([*_staged(3, 0), to_read])
     assert (switch.instance.stage, switch.stage, switch.is_urgent) == ("prefill", "decode", True)
     to_make = replace(_staged(1, 0)[0], identity="i-99", state=SWITCHING)
-    [switch] = _wanted([*_staged(0, 3), to_make])
+    [switch] = _planned([*_staged(0, 3), to_make])
     assert (switch.instance.stage, switch.stage, switch.is_urgent) == ("decode", "prefill", True)
 
 
-def test_busy_readers_are_given_several_instances_that_make_little() -> None:
+def test_a_busy_prefill_stage_gets_several_idle_decode_instances() -> None:
     members = _staged(29, 41)
-    switches = _wanted(members, _loads(members, (1, 1), (0, 2, 0)))
-    assert _stages(switches) == [("decode", "prefill")] * 11  # as many as may change at once
+    switches = _planned(members, _loads(members, (1, 1), (0, 2, 0)))
+    assert _stages(switches) == [("decode", "prefill")] * 11  # as many as may switch at once
     assert not any(switch.is_urgent for switch in switches)
 
 
-def test_readers_get_no_more_than_the_makers_can_spare() -> None:
+def test_prefill_gets_no_more_than_the_spare_decode_instances() -> None:
     members = _staged(7, 11)
-    assert len(_wanted(members, _loads(members, (3, 1), (0, 5, 0)))) == 2  # 11 * 5 / 16 / 0.4: nine are wanted
+    assert len(_planned(members, _loads(members, (3, 1), (0, 5, 0)))) == 2  # 11 * 5 / 16 / 0.4: nine are needed
     full = _loads(members, (3, 1), (0, SLOTS // 2, 0))
-    assert _wanted(members, full) == ()
+    assert _planned(members, full) == ()
 
 
-@pytest.mark.parametrize("makes", [(0, 12, 0), (6, 6, 0), (0, 1, 75_000)])
-def test_makers_short_of_slots_or_of_memory_are_given_idle_readers(makes: tuple[int, int, int]) -> None:
+@pytest.mark.parametrize("decode_reports", [(0, 12, 0), (6, 6, 0), (0, 1, 75_000)])
+def test_a_decode_stage_short_of_slots_or_memory_gets_idle_prefill_instances(
+    decode_reports: tuple[int, int, int],
+) -> None:
     members = _staged(7, 11)
-    switches = _wanted(members, _loads(members, (0, 0), makes))
+    switches = _planned(members, _loads(members, (0, 0), decode_reports))
     assert _stages(switches) == [("prefill", "decode")] * 3
 
 
-def test_moderate_work_changes_nothing() -> None:
+def test_a_moderate_load_switches_nothing() -> None:
     members = _staged(4, 5)
     half_busy = StageLoads()
     for number in range(41):
@@ -117,20 +121,20 @@
             )
         )
         half_busy.record(reports, {one.identity: one for one in members})
-    assert _wanted(members, half_busy) == ()
+    assert _planned(members, half_busy) == ()
 
 
-def test_those_that_change_leave_each_zone_some_of_their_stage() -> None:
+def test_switches_leave_each_zone_some_instances_of_the_stage() -> None:
     members = _staged(0, 12, 3)
     members[0] = replace(members[0], stage="prefill")
     loads = _loads(members, (4, 1), (0, 1, 0))
     left = {one.identity: one.zone for one in members if one.stage == "decode"}
-    for switch in _wanted(members, loads):
+    for switch in _planned(members, loads):
         del left[switch.instance.identity]
     assert set(Counter(left.values()).values()) <= {3, 4}
 
 
-def test_what_an_instance_reported_before_it_changed_says_nothing_of_it_now() -> None:
+def test_reports_from_before_a_switch_do_not_count() -> None:
     members = _staged(2, 2)
     loads = _loads(members, (4, 1), (0, 0, 0))
     before = loads.prefill_load(members[:2])
@@ -142,7 +146,7 @@
 
 @pytest.mark.parametrize("by_work", [True, False])
 @pytest.mark.parametrize(("prefill", "decode", "stage"), [(3, 1, "decode"), (1, 8, "prefill"), (60, 1, "decode")])
-def test_a_stage_is_given_a_second_instance_before_its_last_one_is_lost(
+def test_a_stage_gets_a_second_instance_before_it_loses_the_last(
     prefill: int, decode: int, stage: str, by_work: bool
 ) -> None:
     members = _staged(prefill, decode)
