--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -18,8 +18,8 @@
 import maintenance_issuers as issuers  # noqa: E402
 from maintenance_log import Members  # noqa: E402
 
-from hophinge.maintenance.permits import Kind, State  # noqa: E402
-from hophinge.maintenance.releases import Stage  # noqa: E402
+from hophinge.maintenance.permits import PermitKind, PermitState  # noqa: E402
+from hophinge.maintenance.releases import ReleaseStage  # noqa: E402
 from hophinge.routing.bounds import Maintenance, Most, Release  # noqa: E402
 from tests.maintenance_faults import history  # noqa: E402
 from tests.maintenance_world import S, World  # noqa: E402
@@ -38,9 +38,9 @@
         world.turn()
     history(world, 25)
     rows = world.store.permits.values()
-    done = Counter({f"permits for {kind.value}s": sum(row.kind is kind for row in rows) for kind in Kind})
+    done = Counter({f"permits for {kind.value}s": sum(row.kind is kind for row in rows) for kind in PermitKind})
     done["begun"] = sum(
-        row.state is not State.GRANTED and bool(row.process or row.kind is Kind.BACKEND) for row in rows
+        row.state is not PermitState.GRANTED and bool(row.process or row.kind is PermitKind.BACKEND) for row in rows
     )
     done["drained by all heads' word"] = world.verdicts
     return len(world.wrong), world.struck, done
@@ -95,20 +95,20 @@
         tally.see(
             up,
             sum(head.ready for head in bad),
-            sum(one.state is not State.GRANTED for one in world.store.held(Kind.HEAD).values()),
+            sum(one.state is not PermitState.GRANTED for one in world.store.held(PermitKind.HEAD).values()),
         )
         if losses and not lost and sum(head.build == "2" for head in world.heads.values()) >= 10:
             lost = True
             for name in lots.sample([name for name, head in world.heads.items() if head.ready], 3):
                 world.kill_head(name)
                 world.heads[name].returns_at = world.now + 120 * S
-        if course.stage is Stage.HALTED and all(head.alive for head in world.heads.values()):
+        if course.stage is ReleaseStage.HALTED and all(head.alive for head in world.heads.values()):
             form = Release(
-                "r", "2", (), (0.1, 0.5, 1.0), 10 * S, 120 * S, 0.02, "back" if bad_build else "go", course.again + 1
+                "r", "2", (), (0.1, 0.5, 1.0), 10 * S, 120 * S, 0.02, "back" if bad_build else "go", course.attempt + 1
             )
             world.releases["r"] = form
             world.document()
-        if course.stage in (Stage.DONE, Stage.UNDONE):
+        if course.stage in (ReleaseStage.DONE, ReleaseStage.UNDONE):
             break
     assert world.wrong == [], world.wrong[:3]
     name = "agreed" + (", bad build" if bad_build else "") + (", three heads lost" if losses else "")
--- a/benchmarks/maintenance_heads.py
+++ b/benchmarks/maintenance_heads.py
@@ -18,7 +18,7 @@
 
 from hophinge.load.rig.run import Run
 from hophinge.load.rig.waiting import ConditionError, until
-from hophinge.maintenance.releases import ranked
+from hophinge.maintenance.releases import rollout_order
 from tests.maintenance_rig import PLAN, REFUSES, Whole
 
 TABLE = Path(__file__).with_suffix(".md")
@@ -99,7 +99,7 @@
 
     for task in fleet.tasks:
         task.cancel()
-    order = ranked(fleet.names)
+    order = rollout_order(fleet.names)
     await asyncio.gather(one(order[::2]), one(order[1::2]))
     return "all on the build"
 
@@ -109,7 +109,7 @@
     async with Run(folder, 1, PLAN) as made:
         fleet = Whole(made, [f"n{at}" for at in range(count)])
         await fleet.start(clustered=False)
-        fleet.bad = set(ranked(fleet.names)[1::3]) if bad else set()
+        fleet.bad = set(rollout_order(fleet.names)[1::3]) if bad else set()
         clients = Clients(fleet)
         asking = asyncio.create_task(clients.run())
         await asyncio.sleep(AFTER_S)
--- a/benchmarks/maintenance_reports.py
+++ b/benchmarks/maintenance_reports.py
@@ -14,8 +14,8 @@
 from hophinge.control.messages import DiscoveryRequest, ResourceType
 from hophinge.control.maintenance_wire import REPORT_KEY, report_request
 from hophinge.maintenance.drains import DRAINED, Statement
-from hophinge.maintenance.listing import Teller
-from hophinge.maintenance.messages import Listed, Report
+from hophinge.maintenance.snapshots import SnapshotSender
+from hophinge.maintenance.messages import BackendListing, HeadReport
 
 TABLE = Path(__file__).with_suffix(".md")
 BEAT_S, BEATS = 2.0, 300
@@ -24,9 +24,13 @@
 DRAINS = 2  # bricks out, for which each head has said its word, as the cluster's board tells it
 
 
-def whole(report: Report) -> int:
+def whole(report: HeadReport) -> int:
     """Tell the bytes of a report with all that it has, as every one was before and the first on a stream is."""
-    fields = {name: getattr(report, name) for name in Report.__struct_fields__ if name not in ("parts", "unsure")}
+    fields = {
+        outer_name: getattr(report, name)
+        for name, outer_name in zip(HeadReport.__struct_fields__, HeadReport.__struct_encode_fields__, strict=True)
+        if outer_name not in ("parts", "unsure")
+    }
     return len(
         wire.encode_request(
             DiscoveryRequest(
@@ -40,30 +44,30 @@
 
 def beats(heads: int, backends: int, changes: int, drains: int) -> tuple[int, float, int]:
     """Play beats; tells the bytes of a whole report, of one of changes on average, and of the first."""
-    lots, teller = random.Random(1), Teller()
-    rows = {f"brick-{at:04d}": Listed(f"hall-{'abc'[at % 3]}", "std-1c", True) for at in range(backends)}
+    lots, teller = random.Random(1), SnapshotSender()
+    rows = {f"brick-{at:04d}": BackendListing(f"hall-{'abc'[at % 3]}", "std-1c", True) for at in range(backends)}
     names = tuple(f"n{at:04d}" for at in range(heads))
     own = tuple(Statement(f"1000001.{at}", f"brick-{at:04d}", DRAINED) for at in range(drains))
     heard = {name: list(own) for name in names[1:]} if own else {}
     before, after = [], []
     for beat in range(BEATS):
         for name in lots.sample(sorted(rows), changes):
-            rows[name] = msgspec.structs.replace(rows[name], up=not rows[name].up)
-        report = Report(
+            rows[name] = msgspec.structs.replace(rows[name], is_up=not rows[name].is_up)
+        report = HeadReport(
             0x7F3A9C21E0B4,
             "2.4.1",
             "hall-a",
             True,
             statements=own,
-            heard=heard,
+            peer_statements=heard,
             backends=dict(rows),
-            live=names,
-            clustered=True,
-            taken=1e6 + 40 * beat,
-            failed=12.0,
+            live_heads=names,
+            is_clustered=True,
+            accepted_requests=1e6 + 40 * beat,
+            failed_requests=12.0,
         )
         before.append(whole(report))
-        after.append(len(wire.encode_request(report_request("n0017", teller.made(int(2e6) * beat, report, 0)))))
+        after.append(len(wire.encode_request(report_request("n0017", teller.to_changes(int(2e6) * beat, report, 0)))))
     return round(sum(before) / BEATS), sum(after[1:]) / (BEATS - 1), after[0]
 
 
--- a/hophinge/control/maintenance_channel.py
+++ b/hophinge/control/maintenance_channel.py
@@ -19,9 +19,9 @@
 from hophinge.control.rollout import FORGET_HEAD_US
 from hophinge.control.store import ControlStore
 from hophinge.core.errors import told
-from hophinge.maintenance.coordinator import Coordinator
-from hophinge.maintenance.naming import refused, taken_back
-from hophinge.maintenance.shown import shown
+from hophinge.maintenance.issuer import PermitIssuer
+from hophinge.maintenance.retirement import retirement_errors, without_retired
+from hophinge.maintenance.status import maintenance_status
 from hophinge.routing import records
 from hophinge.routing.document import Form
 from hophinge.routing.records import Record
@@ -47,7 +47,7 @@
         forget_before_ms = now_ms() - FORGET_HEAD_US // 1000
         self.last_seen_ms = dict(control_store.known_heads())
         recent_heads = [name for name, seen_ms in self.last_seen_ms.items() if seen_ms > forget_before_ms]
-        self.coordinator = Coordinator(
+        self.coordinator = PermitIssuer(
             self.store.issuer,
             self.store.fence,
             self.store.permits(),
@@ -80,7 +80,7 @@
             name: Name of the document.
 
         """
-        return refused(statements, self.coordinator.observations.connected(), form, name)
+        return retirement_errors(statements, self.coordinator.observations.connected(), form, name)
 
     def on_statements(self, statements: Sequence[Record] | None) -> None:
         """Use the statements of a document that is stored, and the pools and reserves of its version.
@@ -99,7 +99,7 @@
                 for record in newest.records.values()
                 if record.body.startswith(COORDINATED_RECORDS)
             ]
-        self.coordinator.document(self.statements, coordinated, self.shares.tenant_reserves())
+        self.coordinator.apply_configuration(self.statements, coordinated, self.shares.tenant_reserves())
         self.next_tick_us = 0
 
     # --- heads
@@ -108,19 +108,19 @@
         """Begin to serve a head's stream."""
         name = stream.head
         stream.supports_maintenance = bool(stream.publisher.metrics.get(MAINTENANCE_METRIC))
-        remaining = taken_back(self.statements, name)
+        remaining = without_retired(self.statements, name)
         if remaining != self.statements:
             # In force at once: a head that is connected must not be treated as retired. Stored by the next tick.
             self.returned_heads.append(name)
             self.on_statements(remaining)
             self.log(f"maintenance: {name} is connected again, so (retired {name}) no longer applies")
-        self.coordinator.connected(name, stream.supports_maintenance, self.shares.head_count)
+        self.coordinator.head_connected(name, stream.supports_maintenance, self.shares.head_count)
         self.next_tick_us = 0
         self._send_update(stream)
 
     def on_head_disconnected(self, name: str) -> None:
         """Record the end of a head's stream."""
-        self.coordinator.gone(name)
+        self.coordinator.head_disconnected(name)
         self.last_seen_ms[name] = now_ms()
         self._run_step(lambda: self.control_store.record_head(name, self.last_seen_ms[name]))
         self.next_tick_us = 0
@@ -131,7 +131,7 @@
         if self.connections.get(name) is not stream or not stream.supports_maintenance:
             return  # of a stream that a newer one has replaced
         report = decode_report(request)
-        self._run_step(lambda: self.coordinator.report(name, report))
+        self._run_step(lambda: self.coordinator.apply_report(name, report))
         self.next_tick_us = 0
 
     # --- steps
@@ -172,7 +172,7 @@
         return True
 
     def _send_update(self, stream: HeadStream) -> None:
-        if stream.supports_maintenance and (update := self.coordinator.word(stream.head)) is not None:
+        if stream.supports_maintenance and (update := self.coordinator.next_update(stream.head)) is not None:
             stream.send([encode_update(update)])
 
     def status(self) -> dict[str, Any]:
@@ -180,5 +180,5 @@
         return {
             "failing": self.failure,
             "now_ms": now_ms(),
-            **shown(self.coordinator, lambda name: self.last_seen_ms.get(name, 0)),
+            **maintenance_status(self.coordinator, lambda name: self.last_seen_ms.get(name, 0)),
         }
--- a/hophinge/control/maintenance_store.py
+++ b/hophinge/control/maintenance_store.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from hophinge.control.store import ControlStore
-from hophinge.maintenance.permits import Permit, State
-from hophinge.maintenance.releases import Course
+from hophinge.maintenance.permits import Permit, PermitState
+from hophinge.maintenance.releases import ReleaseProgress
 from hophinge.routing import records
 from hophinge.routing.records import Record
 
@@ -33,9 +33,11 @@
         """Return all permits that are not free."""
         return [msgspec.json.decode(row[0], type=Permit) for row in self.db.execute("SELECT body FROM permit")]
 
-    def courses(self) -> list[Course]:
+    def courses(self) -> list[ReleaseProgress]:
         """Return the plans of releases."""
-        return [msgspec.json.decode(row[0], type=Course) for row in self.db.execute("SELECT body FROM release")]
+        return [
+            msgspec.json.decode(row[0], type=ReleaseProgress) for row in self.db.execute("SELECT body FROM release")
+        ]
 
     def zones(self, heads: Sequence[str]) -> dict[str, str]:
         """Return the zone of each head, as it reported last; empty where it never has."""
@@ -51,14 +53,14 @@
         bodies = msgspec.json.decode(row[0], type=list[msgspec.Raw]) if row else []
         return [records.decode(bytes(body)) for body in bodies]
 
-    def zone(self, head: str, zone: str) -> None:
+    def store_zone(self, head: str, zone: str) -> None:
         """Store a head's zone."""
         with self.store.transaction():
             self.db.execute(
                 "INSERT INTO place VALUES (?, ?) ON CONFLICT(head) DO UPDATE SET zone = excluded.zone", (head, zone)
             )
 
-    def keep(self, permits: Sequence[Permit], courses: Sequence[Course]) -> None:
+    def save(self, permits: Sequence[Permit], courses: Sequence[ReleaseProgress]) -> None:
         """Store permits and plans of releases in one transaction; if it raises, nothing is stored."""
         with self.store.transaction():
             for permit in permits:
@@ -68,12 +70,12 @@
 
     def _write_permit(self, permit: Permit) -> None:
         self.db.execute("DELETE FROM permit WHERE id = ?", (permit.id,))
-        if permit.state is not State.FREE:
+        if permit.state is not PermitState.FREE:
             self.db.execute("INSERT INTO permit VALUES (?, ?)", (permit.id, msgspec.json.encode(permit)))
         detail = f"{permit.id} for {permit.kind.value} {permit.name}: {permit.state.value}"
-        self.store.append_audit(self.now_ms(), permit.by, "permit", detail)
+        self.store.append_audit(self.now_ms(), permit.requester, "permit", detail)
 
-    def _write_course(self, course: Course) -> None:
+    def _write_course(self, course: ReleaseProgress) -> None:
         self.db.execute(
             "INSERT INTO release VALUES (?, ?) ON CONFLICT(name) DO UPDATE SET body = excluded.body",
             (course.name, msgspec.json.encode(course)),
--- a/hophinge/control/maintenance_wire.py
+++ b/hophinge/control/maintenance_wire.py
@@ -14,7 +14,7 @@
     Resource,
     ResourceType,
 )
-from hophinge.maintenance.messages import Report, Word
+from hophinge.maintenance.messages import HeadReport, PermitUpdate
 from hophinge.routing import records
 from hophinge.routing.records import Record
 
@@ -27,30 +27,30 @@
     return msgspec.json.encode([msgspec.Raw(records.encode(statement)) for statement in statements])
 
 
-def encode_update(update: Word) -> bytes:
+def encode_update(update: PermitUpdate) -> bytes:
     """Encode an update as a response."""
-    nonce = f"{update.fence}.{update.number}"
+    nonce = f"{update.fencing_token}.{update.sequence}"
     resource = Resource(MAINTENANCE_METRIC, nonce, wire.encode_record(msgspec.json.encode(update)))
     return wire.encode_response(DiscoveryResponse(ResourceType.MAINTENANCE, nonce, (resource,)))
 
 
-def decode_update(response: DiscoveryResponse) -> Word:
+def decode_update(response: DiscoveryResponse) -> PermitUpdate:
     """Decode an update; raises MalformedMessageError."""
     try:
-        return msgspec.json.decode(wire.decode_record(response.resources[0].body), type=Word)
+        return msgspec.json.decode(wire.decode_record(response.resources[0].body), type=PermitUpdate)
     except (IndexError, msgspec.MsgspecError) as error:
         raise MalformedMessageError(f"a word on maintenance that cannot be read: {error}") from error
 
 
-def report_request(head: str, report: Report) -> DiscoveryRequest:
+def report_request(head: str, report: HeadReport) -> DiscoveryRequest:
     """Return the request that bears a head's report."""
     encoded = msgspec.json.encode(report).decode()
     return DiscoveryRequest(ResourceType.MAINTENANCE, head=head, initial_versions={REPORT_KEY: encoded})
 
 
-def decode_report(request: DiscoveryRequest) -> Report:
+def decode_report(request: DiscoveryRequest) -> HeadReport:
     """Return the report that a request bears; raises MalformedMessageError."""
     try:
-        return msgspec.json.decode(request.initial_versions.get(REPORT_KEY, ""), type=Report)
+        return msgspec.json.decode(request.initial_versions.get(REPORT_KEY, ""), type=HeadReport)
     except msgspec.MsgspecError as error:
         raise MalformedMessageError(f"a report that cannot be read: {error}") from error
--- a/hophinge/head/compose.py
+++ b/hophinge/head/compose.py
@@ -126,11 +126,11 @@
         return None
     from hophinge.head.cluster import build_of_program
     from hophinge.head.maintenance import HeadMaintenance
-    from hophinge.maintenance.holder import Holder
+    from hophinge.maintenance.permit_holder import PermitHolder
 
     name = head.config.name or head.config.listen
     member = head.together.member if head.together is not None else None
-    holder = Holder(secrets.randbits(48) | 1, section.build or build_of_program())
+    holder = PermitHolder(secrets.randbits(48) | 1, section.build or build_of_program())
     return HeadMaintenance(
         head.streamed.client,
         head.rotation,
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -24,18 +24,18 @@
 from hophinge.maintenance.drains import (
     Action,
     HeadDrains,
-    Phase as DrainPhase,
-    Say,
-    TakeOut,
-    TakeUp,
-    Unsay,
-    heard,
-    standing,
-    value,
+    DrainPhase as DrainPhase,
+    Announce,
+    Eject,
+    Restore,
+    Retract,
+    statements_by_owner,
+    head_states,
+    encode_statement,
 )
-from hophinge.maintenance.holder import HALT, Go, Holder, halts
-from hophinge.maintenance.listing import Teller
-from hophinge.maintenance.messages import Listed, Report
+from hophinge.maintenance.permit_holder import HALT_KEY_PREFIX, GoOffline, PermitHolder, halted_releases
+from hophinge.maintenance.snapshots import SnapshotSender
+from hophinge.maintenance.messages import BackendListing, HeadReport
 from hophinge.state import files
 
 KIND, FORM = "drains", 1
@@ -88,12 +88,12 @@
         client: StreamClient,
         rotation: Rotation,
         exchange: Exchange,
-        holder: Holder,
+        holder: PermitHolder,
         zone: str,
         path: Path,
         log: Callable[[str], None],
         ready: Callable[[], bool],
-        go: Callable[[Go], None] | None = None,
+        go: Callable[[GoOffline], None] | None = None,
         alone: Callable[[], bool] = lambda: True,
         board: ReplicatedEntries | None = None,
         sight: MembershipView | None = None,
@@ -116,12 +116,12 @@
         self.answers = Answers(exchange.gate)
         exchange.gate = self.answers
         self.drains = HeadDrains(self._kept())
-        self.saved = self.drains.keeps()
+        self.saved = self.drains.to_store()
         self.born_us = exchange.now_us()
         self.up_at: dict[str, int] = {}  # by brick: when it was taken up again
         self.spoken = False  # the service has sent a word on this stream, so it takes reports
-        self.last: Report | None = None  # as reported, with all lists whole
-        self.teller = Teller()  # of this stream
+        self.last: HeadReport | None = None  # as reported, with all lists whole
+        self.teller = SnapshotSender()  # of this stream
         self.parts = False  # the service on this stream takes lists as changes
         self.halted: set[str] = set()  # on the board by this head
         greet, others, figures = client.initial_requests, client.followup_requests, client.collect_metrics
@@ -142,14 +142,14 @@
 
     def begin(self) -> None:
         """Take out what was out when this head ended, whoever can be reached."""
-        self._do(self.drains.begin())
+        self._do(self.drains.start())
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
             await asyncio.sleep(LOOK_S)
             try:
-                if (keeps := self.drains.keeps()) != self.saved:
+                if (keeps := self.drains.to_store()) != self.saved:
                     await asyncio.to_thread(files.save, self.path, KIND, FORM, msgspec.json.encode(keeps), self.disk)
                     self.saved = keeps
                 self.look()
@@ -162,7 +162,7 @@
     def _greet(self, before: list[DiscoveryRequest]) -> list[DiscoveryRequest]:
         self.spoken = False
         self.last = None
-        self.teller = Teller()
+        self.teller = SnapshotSender()
         self.parts = False
         return before
 
@@ -170,14 +170,14 @@
         """Take a word off the stream."""
         word = decode_update(response)
         self.spoken = True
-        self.parts = word.parts
+        self.parts = word.accepts_list_changes
         try:
-            goes = self.holder.told(self.exchange.now_us(), word)
+            goes = self.holder.apply_update(self.exchange.now_us(), word)
         except HophingeError as error:
             return self.log(f"maintenance: {told(error)}")
-        if self.holder.word is word:
-            self._do(self.drains.told(word.out, word.back))
-            self._tell_halts({HALT + one for one in word.halted})
+        if self.holder.update is word:
+            self._do(self.drains.apply_update(word.ejected, word.restored))
+            self._tell_halts({HALT_KEY_PREFIX + one for one in word.halted_releases})
         for one in goes:
             self.log(
                 f"maintenance: permit {one.permit} lets this head go; it is to come back with "
@@ -192,39 +192,39 @@
         if not self.spoken:
             return []
         report, now = self.report(), self.exchange.now_us()
-        asked = self.holder.word.whole if self.holder.word is not None else 0
-        owes = self.parts and self.teller.owes(now, asked)
+        asked = self.holder.update.full_lists_request if self.holder.update is not None else 0
+        owes = self.parts and self.teller.is_full_due(now, asked)
         if not beat and not owes and self.last is not None and _same(report, self.last):
             return []
         self.last = report
         if self.parts:
-            report = self.teller.made(now, report, asked)
+            report = self.teller.to_changes(now, report, asked)
         return [report_request(self.client.follower.head, report)]
 
-    def report(self) -> Report:
+    def report(self) -> HeadReport:
         """Tell all that this head says now."""
         now, listed = self.exchange.now_us(), self.rotation.listed
         settings, counts = self.exchange.settings, self.exchange.counters.counts
         avoided = set(self.exchange.scheduler.avoided(now))
         backends = {
-            name: Listed(
+            name: BackendListing(
                 settings.zones[one.zone] if one.zone < len(settings.zones) else "",
                 settings.kinds[one.kind] if one.kind < len(settings.kinds) else "",
                 one.phase is Phase.ON and name not in avoided,
             )
             for name, one in listed.items()
         }
-        live, gone = standing(self.sight.members()) if self.sight is not None else ([], [])
+        live, gone = head_states(self.sight.members()) if self.sight is not None else ([], [])
         entries = list(self.board.entries(Topic.DRAINS)) if self.board is not None else []
         me = self.sight.own_name if self.sight is not None else self.client.follower.head
-        said = {owner: rows for owner, rows in heard(entries).items() if owner != me}
-        return Report(
+        said = {owner: rows for owner, rows in statements_by_owner(entries).items() if owner != me}
+        return HeadReport(
             self.holder.process,
             self.holder.build,
             self.zone,
             self.ready() and bool(backends),
-            self.holder.asks(now),
-            self.holder.begins(now, halts(entries)),
+            self.holder.pending_key(now),
+            self.holder.permit_to_begin(now, halted_releases(entries)),
             tuple(self.drains.statements()),
             said,
             backends,
@@ -239,13 +239,13 @@
 
     def look(self) -> None:
         """See what is out there, and say what follows."""
-        if self.drains.own:
+        if self.drains.drains:
             open_there = Counter(
                 attempt.node for request in self.exchange.open.values() for attempt in request.attempts.values()
             )
-            out = [one.backend for one in self.drains.own.values() if self.rotation.out(one.backend)]
+            out = [one.backend for one in self.drains.drains.values() if self.rotation.out(one.backend)]
             # Another process of this head, before or after it, may still have something there.
-            self._do(self.drains.look(open_there, out if self.alone() else (), self._warm()))
+            self._do(self.drains.observe(open_there, out if self.alone() else (), self._warm()))
         for request in self._due(False):
             self.client.outgoing.put_nowait(request)
 
@@ -254,8 +254,8 @@
         now, cold = self.exchange.now_us(), self.rotation.cold_us
         since = {
             one.backend: self.up_at.get(one.backend, self.born_us)
-            for one in self.drains.own.values()
-            if one.phase is DrainPhase.BACK
+            for one in self.drains.drains.values()
+            if one.phase is DrainPhase.RESTORED
         }
         return [
             backend for backend, at in since.items() if self.answers.good.get(backend, -1) > at and now - at >= cold
@@ -264,17 +264,17 @@
     def _do(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case TakeOut(backend=backend):
+                case Eject(backend=backend):
                     # Set also where no list names it yet: it must not come into use when one does.
                     self._mark(backend, True)
                     self.log(f"maintenance: {backend} is taken out")
-                case TakeUp(backend=backend):
+                case Restore(backend=backend):
                     self._mark(backend, False)
                     self.up_at[backend] = self.exchange.now_us()
                     self.log(f"maintenance: {backend} is taken up again, cold")
-                case Say(statement=statement):
-                    self._put(statement.key, value(statement))
-                case Unsay(statement=statement):
+                case Announce(statement=statement):
+                    self._put(statement.key, encode_statement(statement))
+                case Retract(statement=statement):
                     if self.board is not None:
                         self.board.delete(Topic.DRAINS, statement.key)
 
@@ -298,6 +298,9 @@
             self.log(f"maintenance: peers do not hear of {key}: {told(error)}")
 
 
-def _same(one: Report, other: Report) -> bool:
+def _same(one: HeadReport, other: HeadReport) -> bool:
     """Tell whether two reports differ in counts of requests alone, which a beat brings."""
-    return msgspec.structs.replace(one, taken=other.taken, failed=other.failed) == other
+    return (
+        msgspec.structs.replace(one, accepted_requests=other.accepted_requests, failed_requests=other.failed_requests)
+        == other
+    )
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -10,7 +10,7 @@
 from hophinge.core import interface as api
 from hophinge.core.errors import HophingeError, told
 from hophinge.head.sections import PopularityConfig
-from hophinge.maintenance.drains import heard
+from hophinge.maintenance.drains import statements_by_owner
 from hophinge.objects.prefetch import Fetcher
 from hophinge.objects.cache import Object, PieceCache
 from hophinge.objects.records import Manifest, manifest_id, shard_of
@@ -56,7 +56,7 @@
     """Tell the bricks that some member's statement names; one that is back counts until its permit is free."""
     if board is None:
         return frozenset()
-    return frozenset(one.backend for rows in heard(board.entries(Topic.DRAINS)).values() for one in rows)
+    return frozenset(one.backend for rows in statements_by_owner(board.entries(Topic.DRAINS)).values() for one in rows)
 
 
 class HeadPopularity:
--- a/hophinge/maintenance/keeper.py
+++ b/hophinge/maintenance/permit_store.py
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 from hophinge.maintenance.permits import Permit
-from hophinge.maintenance.releases import Course
+from hophinge.maintenance.releases import ReleaseProgress
 
 
-class Keeper(Protocol):
+class PermitStore(Protocol):
     """Where promises last."""
 
-    def keep(self, permits: Sequence[Permit], courses: Sequence[Course]) -> None:
+    def save(self, permits: Sequence[Permit], releases: Sequence[ReleaseProgress]) -> None:
         """Store rows in one transaction; raises, and then nothing is stored."""
 
-    def zone(self, head: str, zone: str) -> None:
+    def store_zone(self, head: str, zone: str) -> None:
         """Store a head's zone."""
--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -22,8 +22,10 @@
 from hophinge.routing.bounds import Most
 
 BEGIN_US = 20_000_000  # by the asker's clock, from its asking
-DRIFT = 0.01  # part by which two steady clocks may differ in speed, as in tenancy/share_leases.py
-LEASE_US = int(BEGIN_US * (1 + DRIFT)) + 10_000_000  # by the issuer's; the ten seconds are for what is on its way
+MAX_CLOCK_DRIFT = 0.01  # part by which two steady clocks may differ in speed, as in tenancy/share_leases.py
+LEASE_US = (
+    int(BEGIN_US * (1 + MAX_CLOCK_DRIFT)) + 10_000_000
+)  # by the issuer's; the ten seconds are for what is on its way
 
 
 class PermitError(HophingeError):
@@ -33,14 +35,14 @@
     remedy = "Read the permit's state in `hophinge control status` and free it by its id if it is out for good."
 
 
-class Kind(Enum):
+class PermitKind(Enum):
     """What may be out."""
 
     HEAD = "head"
     BACKEND = "brick"
 
 
-class State(Enum):
+class PermitState(Enum):
     """Where a permit stands; asked for is what has no row yet."""
 
     GRANTED = "granted"
@@ -50,12 +52,12 @@
     FREE = "free"
 
 
-STEPS = {
-    State.GRANTED: {State.BEGUN, State.FREE},
-    State.BEGUN: {State.OUT, State.BACK, State.FREE},
-    State.OUT: {State.BACK, State.FREE},
-    State.BACK: {State.OUT, State.FREE},
-    State.FREE: frozenset[State](),
+TRANSITIONS = {
+    PermitState.GRANTED: {PermitState.BEGUN, PermitState.FREE},
+    PermitState.BEGUN: {PermitState.OUT, PermitState.BACK, PermitState.FREE},
+    PermitState.OUT: {PermitState.BACK, PermitState.FREE},
+    PermitState.BACK: {PermitState.OUT, PermitState.FREE},
+    PermitState.FREE: frozenset[PermitState](),
 }
 
 
@@ -63,17 +65,17 @@
     """A place that is taken, and by whom; `process` is the head's that began, `build` the one wanted back."""
 
     id: str
-    kind: Kind
+    kind: PermitKind
     name: str
     zone: str
-    by: str
-    key: str  # of the ask: the same ask is answered with the same permit
-    state: State = State.GRANTED
+    requester: str = msgspec.field(name="by")
+    request_key: str = msgspec.field(name="key")  # a repeated request gets the same permit
+    state: PermitState = PermitState.GRANTED
     build: str = ""
     process: int = 0
 
 
-class Sighting(Struct, frozen=True):
+class Availability(Struct, frozen=True):
     """What there is of one kind, each with its zone (empty: unknown); `total` may be more than both know by name."""
 
     total: int
@@ -81,27 +83,27 @@
     down: Mapping[str, str]  # known, and out unplanned or not to be told about
 
 
-class Floor(Struct, frozen=True):
+class CapacityFloor(Struct, frozen=True):
     """Members of which so many must stay up, whatever `most` says."""
 
     name: str
     members: Collection[str]
-    need: int
+    min_up: int
 
 
-class Ask(Struct, frozen=True):
+class PermitRequest(Struct, frozen=True):
     """A wish for a place."""
 
-    kind: Kind
+    kind: PermitKind
     name: str
-    by: str
-    key: str
+    requester: str
+    request_key: str
     build: str = ""
-    begun: bool = False  # an operator's word: the place is taken and begun in one step
+    begin_at_once: bool = False  # an operator's word: the place is taken and begun in one step
     process: int = 0  # of the head that is to go, where that is known
 
 
-class Answer(Struct, frozen=True):
+class PermitDecision(Struct, frozen=True):
     """A permit with the rows to store, or why there is none."""
 
     rows: tuple[Permit, ...] = ()
@@ -109,139 +111,177 @@
     reason: str = ""
 
 
-class Permits:
+class PermitTable:
     """The table; `serial` and `fence` make ids that no other process on this store ever gives."""
 
-    def __init__(self, rows: Iterable[Permit], fence: int, now_us: int) -> None:
-        self.fence, self.count = fence, 0
-        self.held: dict[str, Permit] = {}
-        self.places: dict[tuple[Kind, str], str] = {}
-        self.lapses: dict[str, int] = {}
+    def __init__(self, rows: Iterable[Permit], fencing_token: int, now_us: int) -> None:
+        self.fencing_token, self.issued_count = fencing_token, 0
+        self.active: dict[str, Permit] = {}
+        self.by_target: dict[tuple[PermitKind, str], str] = {}
+        self.lease_ends: dict[str, int] = {}
         # Whoever has just started does not know when these were granted: they last a whole lease from now.
-        self.take(now_us, tuple(row for row in rows if row.state is not State.FREE))
+        self.apply(now_us, tuple(row for row in rows if row.state is not PermitState.FREE))
 
-    def take(self, now_us: int, rows: Iterable[Permit]) -> None:
+    def apply(self, now_us: int, rows: Iterable[Permit]) -> None:
         """Take rows that are stored."""
         for row in rows:
-            if row.state is State.FREE:
-                self.held.pop(row.id, None)
-                self.lapses.pop(row.id, None)
-                if self.places.get((row.kind, row.name)) == row.id:
-                    del self.places[row.kind, row.name]
+            if row.state is PermitState.FREE:
+                self.active.pop(row.id, None)
+                self.lease_ends.pop(row.id, None)
+                if self.by_target.get((row.kind, row.name)) == row.id:
+                    del self.by_target[row.kind, row.name]
                 continue
-            self.held[row.id] = row
-            self.places[row.kind, row.name] = row.id
-            if row.state is State.GRANTED:
-                self.lapses.setdefault(row.id, now_us + LEASE_US)
+            self.active[row.id] = row
+            self.by_target[row.kind, row.name] = row.id
+            if row.state is PermitState.GRANTED:
+                self.lease_ends.setdefault(row.id, now_us + LEASE_US)
             else:
-                self.lapses.pop(row.id, None)
+                self.lease_ends.pop(row.id, None)
 
-    def of(self, kind: Kind, name: str) -> Permit | None:
+    def for_target(self, kind: PermitKind, name: str) -> Permit | None:
         """Tell the permit that holds a place."""
-        found = self.places.get((kind, name))
-        return self.held[found] if found is not None else None
+        permit_id = self.by_target.get((kind, name))
+        return self.active[permit_id] if permit_id is not None else None
 
-    def all(self, kind: Kind) -> list[Permit]:
+    def of_kind(self, kind: PermitKind) -> list[Permit]:
         """Tell the permits of one kind, by name."""
-        return sorted((one for one in self.held.values() if one.kind is kind), key=lambda one: one.name)
+        return sorted((one for one in self.active.values() if one.kind is kind), key=lambda one: one.name)
 
-    def out(self, kind: Kind, sight: Sighting) -> dict[str, str]:
+    def unavailable(self, kind: PermitKind, availability: Availability) -> dict[str, str]:
         """Tell what counts as out: places taken, what is out unplanned, what nobody can tell about; with zones."""
-        unknown = {f"#{at}": "" for at in range(sight.total - len(sight.up.keys() | sight.down.keys()))}
-        return {**unknown, **sight.down, **{one.name: one.zone for one in self.all(kind)}}
-
-    def lacks(
-        self, kind: Kind, name: str, zone: str, sight: Sighting, most: Most | None, floors: Iterable[Floor] = ()
+        unknown = {
+            f"#{at}": "" for at in range(availability.total - len(availability.up.keys() | availability.down.keys()))
+        }
+        return {**unknown, **availability.down, **{one.name: one.zone for one in self.of_kind(kind)}}
+
+    def rejection_reason(
+        self,
+        kind: PermitKind,
+        name: str,
+        zone: str,
+        availability: Availability,
+        limit: Most | None,
+        floors: Iterable[CapacityFloor] = (),
     ) -> str:
         """Tell why there is no room for one more to be out, or nothing."""
-        if most is None:
+        if limit is None:
             return f"no (maintenance ({kind.value}s ...)) states how many {kind.value}s may be out"
-        out = {**self.out(kind, sight), name: zone}
-        total = max(sight.total, len(sight.up.keys() | sight.down.keys()))
-        if len(out) > (allowed := most.allowed(total)):
-            return f"{len(out)} {kind.value}s of {total} would be out, {allowed} may: {_some(out, name)}"
+        unavailable = {**self.unavailable(kind, availability), name: zone}
+        total = max(availability.total, len(availability.up.keys() | availability.down.keys()))
+        if len(unavailable) > (allowed := limit.allowed(total)):
+            return (
+                f"{len(unavailable)} {kind.value}s of {total} would be out, "
+                f"{allowed} may: {_describe_unavailable(unavailable, name)}"
+            )
         # A member whose zone is unknown may be of any; so may one that nobody has heard of.
-        here = {one: where for one, where in out.items() if not zone or not where or where == zone}
-        known = {**sight.down, **sight.up}
+        in_zone = {one: where for one, where in unavailable.items() if not zone or not where or where == zone}
+        known = {**availability.down, **availability.up}
         sizes = [list(known.values()).count(one) for one in set(known.values()) if one]
         size = list(known.values()).count(zone) if zone else min(sizes, default=total)
-        if len(here) > (allowed := most.allowed_zone(size)):
+        if len(in_zone) > (allowed := limit.allowed_zone(size)):
             return (
-                f"{len(here)} {kind.value}s of {size} would be out in zone {zone or '(unknown)'}, "
-                f"{allowed} may: {_some(here, name)}"
+                f"{len(in_zone)} {kind.value}s of {size} would be out in zone {zone or '(unknown)'}, "
+                f"{allowed} may: {_describe_unavailable(in_zone, name)}"
             )
         for floor in floors:
             if name in floor.members or not floor.members:
-                up = len([one for one in (floor.members or sight.up) if one in sight.up and one not in out])
-                if up < floor.need:
-                    return f"{floor.name} would have {up} {kind.value}s, its reserves need {floor.need}"
+                up = len(
+                    [
+                        one
+                        for one in (floor.members or availability.up)
+                        if one in availability.up and one not in unavailable
+                    ]
+                )
+                if up < floor.min_up:
+                    return f"{floor.name} would have {up} {kind.value}s, its reserves need {floor.min_up}"
         return ""
 
-    def ask(self, now_us: int, ask: Ask, sight: Sighting, most: Most | None, floors: Iterable[Floor] = ()) -> Answer:
+    def decide(
+        self,
+        now_us: int,
+        request: PermitRequest,
+        availability: Availability,
+        limit: Most | None,
+        floors: Iterable[CapacityFloor] = (),
+    ) -> PermitDecision:
         """Answer an ask; the same one again gets the same permit."""
-        held = self.of(ask.kind, ask.name)
-        if held is not None:
-            if (held.by, held.key) == (ask.by, ask.key):
-                return Answer((), held)
-            return Answer(reason=f"{ask.name} is out under permit {held.id} of {held.by} already")
-        if ask.name not in sight.up and ask.name not in sight.down:
-            return Answer(reason=f"nobody knows a {ask.kind.value} {ask.name}")
-        zone = sight.up.get(ask.name) or sight.down.get(ask.name, "")
-        if reason := self.lacks(ask.kind, ask.name, zone, sight, most, floors):
-            return Answer(reason=reason)
-        self.count += 1  # an id that is not stored is never told, and never given again
-        made = Permit(
-            f"{self.fence}.{self.count}",
-            ask.kind,
-            ask.name,
+        current = self.for_target(request.kind, request.name)
+        if current is not None:
+            if (current.requester, current.request_key) == (request.requester, request.request_key):
+                return PermitDecision((), current)
+            return PermitDecision(
+                reason=f"{request.name} is out under permit {current.id} of {current.requester} already"
+            )
+        if request.name not in availability.up and request.name not in availability.down:
+            return PermitDecision(reason=f"nobody knows a {request.kind.value} {request.name}")
+        zone = availability.up.get(request.name) or availability.down.get(request.name, "")
+        if reason := self.rejection_reason(request.kind, request.name, zone, availability, limit, floors):
+            return PermitDecision(reason=reason)
+        self.issued_count += 1  # an id that is not stored is never told, and never given again
+        permit = Permit(
+            f"{self.fencing_token}.{self.issued_count}",
+            request.kind,
+            request.name,
             zone,
-            ask.by,
-            ask.key,
-            State.BEGUN if ask.begun else State.GRANTED,
-            ask.build,
-            ask.process,
+            request.requester,
+            request.request_key,
+            PermitState.BEGUN if request.begin_at_once else PermitState.GRANTED,
+            request.build,
+            request.process,
         )
-        return Answer((made,), made)
+        return PermitDecision((permit,), permit)
 
     def begin(
-        self, now_us: int, permit: str, process: int, sight: Sighting, most: Most | None, floors: Iterable[Floor] = ()
-    ) -> Answer:
+        self,
+        now_us: int,
+        permit_id: str,
+        process: int,
+        availability: Availability,
+        limit: Most | None,
+        floors: Iterable[CapacityFloor] = (),
+    ) -> PermitDecision:
         """Begin what was granted, if there is still room: what went out unplanned since then has taken it."""
-        held = self.held.get(permit)
-        if held is None:
-            return Answer(reason=f"permit {permit} has lapsed, was withdrawn or never was")
-        if held.state is not State.GRANTED:
-            same = held.process == process
-            return Answer((), held) if same else Answer(reason=f"permit {permit} was begun by another process")
-        if now_us >= self.lapses.get(permit, 0):
-            return Answer(reason=f"permit {permit} has lapsed")
-        if reason := self.lacks(held.kind, held.name, held.zone, sight, most, floors):
-            return Answer(reason=reason)
-        row = msgspec.structs.replace(held, state=State.BEGUN, process=process)
-        return Answer((row,), row)
-
-    def step(self, permit: str, state: State, build: str | None = None) -> tuple[Permit, ...]:
+        permit = self.active.get(permit_id)
+        if permit is None:
+            return PermitDecision(reason=f"permit {permit_id} has lapsed, was withdrawn or never was")
+        if permit.state is not PermitState.GRANTED:
+            same = permit.process == process
+            return (
+                PermitDecision((), permit)
+                if same
+                else PermitDecision(reason=f"permit {permit_id} was begun by another process")
+            )
+        if now_us >= self.lease_ends.get(permit_id, 0):
+            return PermitDecision(reason=f"permit {permit_id} has lapsed")
+        if reason := self.rejection_reason(permit.kind, permit.name, permit.zone, availability, limit, floors):
+            return PermitDecision(reason=reason)
+        row = msgspec.structs.replace(permit, state=PermitState.BEGUN, process=process)
+        return PermitDecision((row,), row)
+
+    def transition(self, permit_id: str, state: PermitState, build: str | None = None) -> tuple[Permit, ...]:
         """Make the rows of a step; raises PermitError where the table has none such."""
-        held = self.held.get(permit)
-        if held is None:
-            raise PermitError(f"there is no permit {permit}")
-        if held.state is not state and state not in STEPS[held.state]:
-            raise PermitError(f"permit {permit} of {held.name} is {held.state.value}, and cannot be {state.value} next")
-        row = msgspec.structs.replace(held, state=state, build=held.build if build is None else build)
-        return () if row == held else (row,)
-
-    def lapsed(self, now_us: int) -> tuple[Permit, ...]:
+        permit = self.active.get(permit_id)
+        if permit is None:
+            raise PermitError(f"there is no permit {permit_id}")
+        if permit.state is not state and state not in TRANSITIONS[permit.state]:
+            raise PermitError(
+                f"permit {permit_id} of {permit.name} is {permit.state.value}, and cannot be {state.value} next"
+            )
+        row = msgspec.structs.replace(permit, state=state, build=permit.build if build is None else build)
+        return () if row == permit else (row,)
+
+    def expired(self, now_us: int) -> tuple[Permit, ...]:
         """Make the rows of what was granted, never begun, and has lapsed."""
         return tuple(
-            msgspec.structs.replace(self.held[one], state=State.FREE)
-            for one, until in self.lapses.items()
+            msgspec.structs.replace(self.active[one], state=PermitState.FREE)
+            for one, until in self.lease_ends.items()
             if now_us >= until
         )
 
 
-def _some(out: Mapping[str, str], name: str) -> str:
-    unknown = sum(one.startswith("#") for one in out)
-    rows = sorted(one for one in out if one != name and not one.startswith("#"))
+def _describe_unavailable(unavailable: Mapping[str, str], name: str) -> str:
+    unknown = sum(one.startswith("#") for one in unavailable)
+    rows = sorted(one for one in unavailable if one != name and not one.startswith("#"))
     told = [
         *rows[:5],
         *([f"{len(rows) - 5} more"] if len(rows) > 5 else []),
--- a/hophinge/maintenance/naming.py
+++ b/hophinge/maintenance/retirement.py
@@ -18,7 +18,7 @@
 RETIRED = "retired"
 
 
-def taken_back(forms: Sequence[Record], head: str) -> list[Record]:
+def without_retired(forms: Sequence[Record], head: str) -> list[Record]:
     """Make the forms without the word that a head is gone; the same ones where none says so."""
     return [
         msgspec.structs.replace(one, retired=tuple(name for name in one.retired if name != head))
@@ -28,15 +28,15 @@
     ]
 
 
-def refused(forms: Iterable[Record], here: Collection[str], place: Form | None, name: str) -> list[str]:
+def retirement_errors(forms: Iterable[Record], connected: Collection[str], form: Form | None, name: str) -> list[str]:
     """Tell the heads that are named as gone and have a stream here, each at its place; `place`: the form that names."""
-    retired = [one for form in forms if isinstance(form, Maintenance) for one in form.retired if one in here]
+    retired = [one for form in forms if isinstance(form, Maintenance) for one in form.retired if one in connected]
     found = []
     for head in retired:
         line, column = next(
             (
                 (atom.line, atom.column)
-                for part in (place.items if place is not None else ())
+                for part in (form.items if form is not None else ())
                 if isinstance(part, Form) and part.word == RETIRED
                 for atom in part.items[1:]
                 if isinstance(atom, Atom) and atom.text == head
@@ -53,7 +53,7 @@
     return found
 
 
-def advice(head: str) -> str:
+def absence_remedy(head: str) -> str:
     """Tell the words for a head that nobody hears of."""
     return (
         f"start {head} or mend its line; if it is gone for good: (retired {head}) in (maintenance ...); for one "
@@ -61,13 +61,13 @@
     )
 
 
-def absent(
+def absent_heads(
     known: Iterable[str],
     connected: Collection[str],
     retired: Collection[str],
     since_ms: Callable[[str], int],
-    most: int,
+    max_rows: int,
 ) -> list[dict[str, object]]:
     """Tell heads without a stream, the one longest away first: its name, since when (0: unknown), what to say."""
     rows = sorted((since_ms(name), name) for name in known if name not in connected and name not in retired)
-    return [{"name": name, "since_ms": since, "word": advice(name)} for since, name in rows[:most]]
+    return [{"name": name, "since_ms": since, "word": absence_remedy(name)} for since, name in rows[:max_rows]]
--- a/tests/maintenance_faults.py
+++ b/tests/maintenance_faults.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from hophinge.maintenance.permits import State
+from hophinge.maintenance.permits import PermitState
 from hophinge.routing.bounds import Outage, Release
 from tests.maintenance_world import S, World
 
@@ -32,7 +32,8 @@
 def lose_on_the_way(world: World) -> None:
     """End a head that holds a permit; its place stays taken."""
     if name := _lot(
-        world, [one.name for one in world.store.permits.values() if one.state is State.BACK and one.name in world.heads]
+        world,
+        [one.name for one in world.store.permits.values() if one.state is PermitState.BACK and one.name in world.heads],
     ):
         world.struck["head with a permit lost"] += 1
         world.heads[name].end()
@@ -49,7 +50,7 @@
 def kill_issuer(world: World) -> None:
     """Have the issuer end at one of its next stores, before or after it."""
     if world.issuer is not None and world.store.kill is None:
-        world.store.kill = world.store.keeps + world.random.randint(1, 3), world.random.random() < 0.5
+        world.store.kill = world.store.saves + world.random.randint(1, 3), world.random.random() < 0.5
 
 
 def end_issuer(world: World) -> None:
@@ -133,10 +134,10 @@
     """Have a head ask to go out by itself, or take that back."""
     if name := _lot(world, [name for name, head in world.heads.items() if head.alive]):
         holder = world.heads[name].holder
-        if holder.wish:
-            holder.unask()
+        if holder.requested_key:
+            holder.withdraw_request()
         else:
-            holder.ask(int(world.now * world.heads[name].drift), f"own-{world.random.getrandbits(20)}")
+            holder.request(int(world.now * world.heads[name].drift), f"own-{world.random.getrandbits(20)}")
 
 
 def lose_after_a_grant(world: World) -> None:
@@ -144,7 +145,9 @@
     names = [name for name, head in world.heads.items() if head.linked and not head.frozen]
     if len(names) > 4:
         asker, *lost = world.random.sample(names, 4)
-        world.heads[asker].holder.ask(int(world.now * world.heads[asker].drift), f"own-{world.random.getrandbits(20)}")
+        world.heads[asker].holder.request(
+            int(world.now * world.heads[asker].drift), f"own-{world.random.getrandbits(20)}"
+        )
         world.turn()
         for name in lost:
             world.kill_head(name)
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from hophinge.control.operator_client import call_operator_api
-from hophinge.maintenance.holder import Go
+from hophinge.maintenance.permit_holder import GoOffline
 from tests.maintenance_process import TOKEN, Head
 from tests.test_service import ROOT
 
@@ -123,7 +123,7 @@
         head.start()
         return head
 
-    def go(self, head: Head, one: Go) -> None:
+    def go(self, head: Head, one: GoOffline) -> None:
         self.out.add(head.name)
         self.most_out = max(self.most_out, len(self.out))
         self.moving.append(asyncio.create_task(self._move(head, one.build)))
--- a/tests/maintenance_head.py
+++ b/tests/maintenance_head.py
@@ -6,10 +6,10 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from hophinge.maintenance.drains import DRAINED, HeadDrains, Say, TakeOut, TakeUp
-from hophinge.maintenance.holder import Holder
-from hophinge.maintenance.listing import Teller
-from hophinge.maintenance.messages import Listed, Report, Word
+from hophinge.maintenance.drains import DRAINED, HeadDrains, Announce, Eject, Restore
+from hophinge.maintenance.permit_holder import PermitHolder
+from hophinge.maintenance.snapshots import SnapshotSender
+from hophinge.maintenance.messages import BackendListing, HeadReport, PermitUpdate
 
 if TYPE_CHECKING:
     from tests.maintenance_world import World
@@ -33,13 +33,13 @@
         self.alive, self.frozen, self.returns_at = True, False, 0
         self.process = self.world.random.getrandbits(40) | 1
         self.born_us = self.world.now
-        self.holder = Holder(self.process, self.build)
+        self.holder = PermitHolder(self.process, self.build)
         self.drains = HeadDrains(self.disk.items())
-        self.out = {one.backend for one in self.drains.begin() if isinstance(one, TakeOut)}
+        self.out = {one.backend for one in self.drains.start() if isinstance(one, Eject)}
         self.open: Counter[str] = Counter()
         self.taken = self.failed = 0.0
         self.ask = ""
-        self.teller = Teller()
+        self.teller = SnapshotSender()
 
     def end(self) -> None:
         self.alive = self.linked = self.frozen = False
@@ -49,21 +49,21 @@
     def ready(self) -> bool:
         return self.alive and self.world.now - self.born_us >= 2 * S and self.build not in self.world.never_ready
 
-    def report(self) -> Report:
+    def report(self) -> HeadReport:
         halted = set[str]()
-        begin = self.holder.begins(int(self.world.now * self.drift), halted)
+        begin = self.holder.permit_to_begin(int(self.world.now * self.drift), halted)
         dead = tuple(one.name for one in self.world.heads.values() if not one.alive) if self.world.clustered else ()
-        report = Report(
+        report = HeadReport(
             self.process,
             self.build,
             self.world.zones[self.name],
             self.ready,
-            self.holder.asks(int(self.world.now * self.drift)),
+            self.holder.pending_key(int(self.world.now * self.drift)),
             begin,
             tuple(self.drains.statements()),
             {},
             {
-                name: Listed(zone, "", name not in self.world.backends_down)
+                name: BackendListing(zone, "", name not in self.world.backends_down)
                 for name, zone in self.world.backend_zones.items()
             },
             tuple(one.name for one in self.world.heads.values() if one.alive) if self.world.clustered else (),
@@ -72,15 +72,15 @@
             self.taken,
             self.failed,
         )
-        word = self.holder.word
-        return self.teller.made(self.world.now, report, word.whole if word is not None else 0)
+        word = self.holder.update
+        return self.teller.to_changes(self.world.now, report, word.full_lists_request if word is not None else 0)
 
-    def told(self, word: Word) -> None:
-        for go in self.holder.told(int(self.world.now * self.drift), word):
+    def told(self, word: PermitUpdate) -> None:
+        for go in self.holder.apply_update(int(self.world.now * self.drift), word):
             self.world.go(self, go.build)
             return
-        if self.holder.word is word:
-            self.act(self.drains.told(word.out, word.back))
+        if self.holder.update is word:
+            self.act(self.drains.apply_update(word.ejected, word.restored))
 
     def work(self) -> None:
         """Serve for a moment."""
@@ -94,14 +94,14 @@
         self.taken += 20
         self.failed += 20 * bad
         warm = [one for one in self.world.backend_zones if one not in self.out and one not in self.world.backends_down]
-        self.act(self.drains.look(self.open, self.out, warm))
+        self.act(self.drains.observe(self.open, self.out, warm))
 
     def act(self, actions: Sequence[object]) -> None:
         for one in actions:
-            if isinstance(one, TakeOut):
+            if isinstance(one, Eject):
                 self.out.add(one.backend)
-            elif isinstance(one, TakeUp):
+            elif isinstance(one, Restore):
                 self.out.discard(one.backend)
-            elif isinstance(one, Say) and one.statement.said == DRAINED:
+            elif isinstance(one, Announce) and one.statement.claim == DRAINED:
                 self.world.said.add((self.name, one.statement.permit))
-        self.disk = self.drains.keeps()
+        self.disk = self.drains.to_store()
--- a/tests/maintenance_process.py
+++ b/tests/maintenance_process.py
@@ -17,7 +17,7 @@
 from hophinge.head.maintenance import HeadMaintenance
 from hophinge.head.operator import StreamConfig
 from hophinge.head.streamed import Streamed
-from hophinge.maintenance.holder import Go, Holder
+from hophinge.maintenance.permit_holder import GoOffline, PermitHolder
 from hophinge.net.clock import LoopClock
 from tests.stand_in import setup
 
@@ -34,7 +34,7 @@
         port: int,
         build: str,
         folder: Path,
-        go: Callable[[Head, Go], None],
+        go: Callable[[Head, GoOffline], None],
         heads: int = 4,
         speaks: bool = True,
     ) -> None:
@@ -55,7 +55,7 @@
                 self.streamed.client,
                 self.rotation,
                 self.exchange,
-                Holder(time.time_ns(), build),
+                PermitHolder(time.time_ns(), build),
                 "hall-a",
                 folder / f"drains-{name}.state",
                 self.log.append,
@@ -96,7 +96,7 @@
     """Be a head until a permit lets it go: say so, wait a moment as one that ends in order does, and end."""
     done = asyncio.Event()
 
-    def go(head: Head, one: Go) -> None:
+    def go(head: Head, one: GoOffline) -> None:
         print(f"goes {one.build}", flush=True)
         asyncio.get_running_loop().call_later(0.5, done.set)
 
--- a/tests/maintenance_struck.py
+++ b/tests/maintenance_struck.py
@@ -14,7 +14,7 @@
 
 from hophinge.control.maintenance_store import MaintenanceStore
 from hophinge.head.maintenance import Answers
-from hophinge.maintenance.holder import Holder
+from hophinge.maintenance.permit_holder import PermitHolder
 
 FOLDER, BAD = "STRUCK_FOLDER", "STRUCK_REFUSES"  # BAD: one request in so many is refused
 KILL, STOP = "kill", "stop"  # files: `before` or `after` a store, the process ends; told to go, it stands still
@@ -23,7 +23,7 @@
 
 def end_at_stores(word: Path) -> None:
     """End as by SIGKILL before or after the next store of permits, as the file says."""
-    keep = MaintenanceStore.keep
+    keep = MaintenanceStore.save
 
     def struck(self: MaintenanceStore, *rows: Any) -> None:
         when = word.read_text() if word.exists() else ""
@@ -33,20 +33,20 @@
         if when == "after":
             os.kill(os.getpid(), signal.SIGKILL)
 
-    setattr(MaintenanceStore, "keep", struck)  # noqa: B010
+    setattr(MaintenanceStore, "save", struck)  # noqa: B010
 
 
 def stand_still_when_let_go(word: Path) -> None:
     """Stand still between hearing that a begun permit lets this head go and acting on it, while the file is there."""
-    told = Holder.told
+    told = PermitHolder.apply_update
 
-    def struck(self: Holder, *words: Any) -> Any:
+    def struck(self: PermitHolder, *words: Any) -> Any:
         goes = told(self, *words)
         if goes and word.exists():
             os.kill(os.getpid(), signal.SIGSTOP)
         return goes
 
-    setattr(Holder, "told", struck)  # noqa: B010
+    setattr(PermitHolder, "apply_update", struck)  # noqa: B010
 
 
 def refuse_one_in(count: int) -> None:
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -10,17 +10,17 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from hophinge.maintenance.coordinator import Coordinator
-from hophinge.maintenance.listing import Teller
-from hophinge.maintenance.permits import Kind, Permit, State
-from hophinge.maintenance.releases import Course
-from hophinge.maintenance.messages import Word
+from hophinge.maintenance.issuer import PermitIssuer
+from hophinge.maintenance.snapshots import SnapshotSender
+from hophinge.maintenance.permits import PermitKind, Permit, PermitState
+from hophinge.maintenance.releases import ReleaseProgress
+from hophinge.maintenance.messages import PermitUpdate
 from hophinge.routing.bounds import Maintenance, Outage, Release
 from hophinge.routing.records import Record
 from tests.maintenance_head import SimHead
 
 S = 1_000_000
-LEAVES = {State.BEGUN, State.OUT}
+LEAVES = {PermitState.BEGUN, PermitState.OUT}
 
 
 class KilledError(Exception):
@@ -33,18 +33,18 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.permits: dict[str, Permit] = {}
-        self.courses: dict[str, Course] = {}
+        self.courses: dict[str, ReleaseProgress] = {}
         self.zones: dict[str, str] = {}
-        self.keeps = 0
+        self.saves = 0
         self.kill: tuple[int, bool] | None = None  # at which keep, and whether it is stored before
 
-    def zone(self, head: str, zone: str) -> None:
+    def store_zone(self, head: str, zone: str) -> None:
         self.zones[head] = zone
 
-    def keep(self, permits: Sequence[Permit], courses: Sequence[Course]) -> None:
-        self.keeps += 1
+    def save(self, permits: Sequence[Permit], courses: Sequence[ReleaseProgress]) -> None:
+        self.saves += 1
         at, stored = self.kill or (0, False)
-        if self.kill is not None and self.keeps >= at and not stored:
+        if self.kill is not None and self.saves >= at and not stored:
             self.world.struck["killed before storing"] += 1
             raise KilledError
         for row in permits:
@@ -52,28 +52,41 @@
             self.permits[row.id] = row
         for course in courses:
             self.courses[course.name] = course
-        if self.kill is not None and self.keeps >= at:
+        if self.kill is not None and self.saves >= at:
             self.world.struck["killed between storing and telling"] += 1
             raise KilledError
 
-    def held(self, kind: Kind) -> dict[str, Permit]:
-        return {row.name: row for row in self.permits.values() if row.kind is kind and row.state is not State.FREE}
+    def held(self, kind: PermitKind) -> dict[str, Permit]:
+        return {
+            row.name: row for row in self.permits.values() if row.kind is kind and row.state is not PermitState.FREE
+        }
 
     def check(self, row: Permit) -> None:
         wrong, world = self.world.wrong, self.world
         before = self.permits.get(row.id)
-        if before is not None and row.state is State.FREE and before.state in LEAVES and row.id not in world.rule.free:
+        if (
+            before is not None
+            and row.state is PermitState.FREE
+            and before.state in LEAVES
+            and row.id not in world.rule.free
+        ):
             wrong.append(f"{row.id} of {row.name} was {before.state.value} and freed by nothing")
-        if row.kind is Kind.BACKEND and row.state is State.OUT and (before is None or before.state is not State.OUT):
+        if (
+            row.kind is PermitKind.BACKEND
+            and row.state is PermitState.OUT
+            and (before is None or before.state is not PermitState.OUT)
+        ):
             world.drained(row)
-        if row.state not in (State.GRANTED, State.BEGUN) or (before is not None and before.state is row.state):
+        if row.state not in (PermitState.GRANTED, PermitState.BEGUN) or (
+            before is not None and before.state is row.state
+        ):
             return
         held = self.held(row.kind)
         if row.name in held and held[row.name].id != row.id:
             wrong.append(f"{row.name} has two permits, {row.id} and {held[row.name].id}")
-        zones = world.zones if row.kind is Kind.HEAD else world.backend_zones
+        zones = world.zones if row.kind is PermitKind.HEAD else world.backend_zones
         out = {*held, row.name, *world.known_out(row.kind)}
-        most = world.rule.heads if row.kind is Kind.HEAD else world.rule.backends
+        most = world.rule.heads if row.kind is PermitKind.HEAD else world.rule.backends
         assert most is not None
         here = [one for one in out if zones[one] == zones[row.name]]
         limit = min([most.most] + ([int(most.part * len(zones) + 1e-9)] if most.part >= 0 else []))
@@ -101,10 +114,10 @@
         self.verdicts = 0
         self.restart_us = 20 * S
         self.lose = self.double = self.late = 0.0
-        self.held_back: list[tuple[str, Word]] = []
+        self.held_back: list[tuple[str, PermitUpdate]] = []
         self.fence = 0
         self.store = MemoryStore(self)
-        self.issuer: Coordinator | None = None
+        self.issuer: PermitIssuer | None = None
         self.heads = {name: SimHead(self, name) for name in self.zones}
         self.cut: set[str] = set()  # heads without a line to the issuer
         self.begin()
@@ -114,15 +127,17 @@
     def begin(self) -> None:
         self.fence += 1
         self.store.kill = None
-        rows = [row for row in self.store.permits.values() if row.state is not State.FREE]
-        self.issuer = Coordinator(
+        rows = [row for row in self.store.permits.values() if row.state is not PermitState.FREE]
+        self.issuer = PermitIssuer(
             "store", self.fence, rows, self.store.courses.values(), self.store.zones, self.store, self.now
         )
         self.document()
 
     def document(self) -> None:
         if self.issuer is not None:
-            self.issuer.document([self.rule, *self.outages.values(), *self.releases.values()], self.records, {})
+            self.issuer.apply_configuration(
+                [self.rule, *self.outages.values(), *self.releases.values()], self.records, {}
+            )
 
     def stop_issuer(self) -> None:
         self.issuer = None
@@ -131,13 +146,13 @@
 
     def disconnected(self, name: str) -> None:
         if self.issuer is not None:
-            self.issuer.gone(name)
+            self.issuer.head_disconnected(name)
 
     # --- what the checks rest on
 
-    def known_out(self, kind: Kind) -> set[str]:
+    def known_out(self, kind: PermitKind) -> set[str]:
         """Tell what the issuer can see to be out unplanned, or cannot see at all."""
-        if kind is Kind.BACKEND:
+        if kind is PermitKind.BACKEND:
             return set(self.backends_down)
         return {name for name, head in self.heads.items() if not head.linked}
 
@@ -152,7 +167,7 @@
     # --- what happens
 
     def go(self, head: SimHead, build: str) -> None:
-        if head.name not in self.store.held(Kind.HEAD):
+        if head.name not in self.store.held(PermitKind.HEAD):
             self.wrong.append(f"{head.name} goes out without a permit")
         head.end()
         head.build = build or head.build
@@ -183,22 +198,22 @@
             if not head.alive or name in self.cut:
                 if head.linked:
                     head.linked = False
-                    issuer.gone(name)
+                    issuer.head_disconnected(name)
                 continue
             if head.frozen:
                 continue  # its line stays up for all that anybody can tell
             if not head.linked:
-                head.linked, head.teller = True, Teller()
-                issuer.connected(name, True, len(self.heads))
+                head.linked, head.teller = True, SnapshotSender()
+                issuer.head_connected(name, True, len(self.heads))
             report = head.report()
             for _ in range(self._times()):
-                issuer.report(name, report)
+                issuer.apply_report(name, report)
         issuer.tick(self.now)
         words, self.held_back = self.held_back, []
         words += [
             (name, word)
             for name, head in self.heads.items()
-            if head.linked and not head.frozen and (word := issuer.word(name)) is not None
+            if head.linked and not head.frozen and (word := issuer.next_update(name)) is not None
         ]
         if self.late:
             self.random.shuffle(words)
@@ -210,7 +225,7 @@
             head = self.heads[name]
             times = self._times()
             if not times and head.linked:
-                issuer.told.pop(name, None)  # a lost one ends its stream, and the next is told all anew
+                issuer.last_updates.pop(name, None)  # a lost one ends its stream, and the next is told all anew
             for _ in range(times):
                 if head.alive and not head.frozen and name not in self.cut:
                     head.told(word)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -7,30 +7,30 @@
 from hophinge.maintenance.drains import (
     DRAINED,
     SERVED,
-    Drains,
+    DrainStatements,
     HeadDrains,
-    Say,
+    Announce,
     Statement,
-    TakeOut,
-    TakeUp,
-    Unsay,
-    owing,
+    Eject,
+    Restore,
+    Retract,
+    required_heads,
 )
-from hophinge.maintenance.holder import Go, Holder, IssuerError
+from hophinge.maintenance.permit_holder import GoOffline, PermitHolder, IssuerError
 from hophinge.maintenance.permits import (
     BEGIN_US,
     LEASE_US,
-    Ask,
-    Floor,
-    Kind,
+    PermitRequest,
+    CapacityFloor,
+    PermitKind,
     Permit,
     PermitError,
-    Permits,
-    Sighting,
-    State,
+    PermitTable,
+    Availability,
+    PermitState,
 )
-from hophinge.maintenance.observations import backend_floors, need
-from hophinge.maintenance.messages import Listed, Word
+from hophinge.maintenance.observations import backend_floors, required_count
+from hophinge.maintenance.messages import BackendListing, PermitUpdate
 from hophinge.routing.bounds import Most
 from hophinge.routing.records import Pool, Route, Scope, Tenant
 
@@ -38,23 +38,23 @@
 UP = {f"n{at}": f"z{at % 3}" for at in range(9)}
 
 
-def sight(down: dict[str, str] | None = None, total: int = 0) -> Sighting:
+def sight(down: dict[str, str] | None = None, total: int = 0) -> Availability:
     down = down or {}
-    return Sighting(total or 9, {name: zone for name, zone in UP.items() if name not in down}, down)
+    return Availability(total or 9, {name: zone for name, zone in UP.items() if name not in down}, down)
 
 
-def ask(name: str, key: str = "k", begun: bool = False) -> Ask:
-    return Ask(Kind.HEAD, name, "me", key, begun=begun)
+def ask(name: str, key: str = "k", begun: bool = False) -> PermitRequest:
+    return PermitRequest(PermitKind.HEAD, name, "me", key, begin_at_once=begun)
 
 
-def granted(table: Permits, name: str, seen: Sighting, most: Most, now: int = 0) -> str:
-    answer = table.ask(now, ask(name), seen, most)
-    table.take(now, answer.rows)
+def granted(table: PermitTable, name: str, seen: Availability, most: Most, now: int = 0) -> str:
+    answer = table.decide(now, ask(name), seen, most)
+    table.apply(now, answer.rows)
     return answer.reason
 
 
 def test_the_strictest_of_counts_and_parts_holds_in_all_and_in_a_zone() -> None:
-    table = Permits((), 1, 0)
+    table = PermitTable((), 1, 0)
     assert granted(table, "n0", sight(), Most(3, 0.3, 1)) == ""
     assert "in zone z0, 1 may" in granted(table, "n3", sight(), Most(3, 0.3, 1))
     assert granted(table, "n1", sight(), Most(3, 0.3, 1)) == ""
@@ -64,143 +64,156 @@
 
 @pytest.mark.parametrize(("down", "total"), [({"n4": "z1", "n5": "z2", "n8": "z2"}, 9), ({}, 12)])
 def test_what_is_out_unplanned_or_unknown_takes_the_room(down: dict[str, str], total: int) -> None:
-    assert "may" in granted(Permits((), 1, 0), "n0", sight(down, total), Most(3))
-    assert granted(Permits((), 1, 0), "n0", sight(dict(list(down.items())[1:]), max(9, total - 1)), Most(3)) == ""
+    assert "may" in granted(PermitTable((), 1, 0), "n0", sight(down, total), Most(3))
+    assert granted(PermitTable((), 1, 0), "n0", sight(dict(list(down.items())[1:]), max(9, total - 1)), Most(3)) == ""
 
 
 def test_a_member_of_no_known_zone_takes_a_place_in_each() -> None:
-    assert "zone z0" in granted(Permits((), 1, 0), "n0", sight({"n8": ""}), Most(3, -1.0, 1))
-    assert granted(Permits((), 1, 0), "n0", sight({"n8": "z2"}), Most(3, -1.0, 1)) == ""
+    assert "zone z0" in granted(PermitTable((), 1, 0), "n0", sight({"n8": ""}), Most(3, -1.0, 1))
+    assert granted(PermitTable((), 1, 0), "n0", sight({"n8": "z2"}), Most(3, -1.0, 1)) == ""
 
 
 def test_the_same_ask_gets_the_same_permit_and_no_other_the_same_place() -> None:
-    table = Permits((), 7, 0)
-    first = table.ask(0, ask("n0"), sight(), Most(3))
-    table.take(0, first.rows)
-    again = table.ask(1, ask("n0"), sight(), Most(3))
+    table = PermitTable((), 7, 0)
+    first = table.decide(0, ask("n0"), sight(), Most(3))
+    table.apply(0, first.rows)
+    again = table.decide(1, ask("n0"), sight(), Most(3))
     assert again.permit == first.permit and not again.rows and first.permit is not None and first.permit.id == "7.1"
-    assert "under permit 7.1 of me already" in table.ask(1, ask("n0", "other"), sight(), Most(3)).reason
+    assert "under permit 7.1 of me already" in table.decide(1, ask("n0", "other"), sight(), Most(3)).reason
 
 
 def test_what_is_not_begun_lapses_and_what_is_begun_never_does() -> None:
-    table = Permits((), 1, 0)
+    table = PermitTable((), 1, 0)
     granted(table, "n0", sight(), Most(3))
     granted(table, "n1", sight(), Most(3))
-    table.take(0, table.begin(BEGIN_US, "1.1", 5, sight(), Most(3)).rows)
-    assert BEGIN_US * 1.01 < LEASE_US and table.lapsed(LEASE_US - 1) == ()
-    assert [row.id for row in table.lapsed(LEASE_US)] == ["1.2"]
-    assert table.lapsed(10**15) == table.lapsed(LEASE_US)
+    table.apply(0, table.begin(BEGIN_US, "1.1", 5, sight(), Most(3)).rows)
+    assert BEGIN_US * 1.01 < LEASE_US and table.expired(LEASE_US - 1) == ()
+    assert [row.id for row in table.expired(LEASE_US)] == ["1.2"]
+    assert table.expired(10**15) == table.expired(LEASE_US)
     assert "lapsed" in table.begin(LEASE_US, "1.2", 5, sight(), Most(3)).reason
-    again = Permits(table.held.values(), 2, 100 * S)  # granted when? a whole lease from now, then
-    assert again.lapsed(100 * S + LEASE_US - 1) == () and len(again.lapsed(100 * S + LEASE_US)) == 1
+    again = PermitTable(table.active.values(), 2, 100 * S)  # granted when? a whole lease from now, then
+    assert again.expired(100 * S + LEASE_US - 1) == () and len(again.expired(100 * S + LEASE_US)) == 1
 
 
 def test_a_begin_is_turned_down_where_losses_have_taken_the_room_meanwhile() -> None:
-    table = Permits((), 1, 0)
+    table = PermitTable((), 1, 0)
     granted(table, "n0", sight(), Most(2))
     assert "would be out" in table.begin(1, "1.1", 5, sight({"n4": "z1", "n5": "z2"}), Most(2)).reason
     assert table.begin(1, "1.1", 5, sight({"n4": "z1"}), Most(2)).permit is not None
-    table.take(1, table.begin(1, "1.1", 5, sight(), Most(2)).rows)
+    table.apply(1, table.begin(1, "1.1", 5, sight(), Most(2)).rows)
     assert table.begin(2, "1.1", 5, sight(), Most(2)).permit is not None  # the same begin, said twice
     assert "another process" in table.begin(2, "1.1", 6, sight(), Most(2)).reason
     with pytest.raises(PermitError, match="begun, and cannot be granted"):
-        table.step("1.1", State.GRANTED)
+        table.transition("1.1", PermitState.GRANTED)
 
 
 def test_floors_keep_what_reserves_need() -> None:
     floors = backend_floors(
         [Pool("a", ("z0",), at_least=2), Pool("b", ("z1",)), Route(Scope("t"), ("a",)), Tenant("t", reserve=70.0)],
-        {f"b{at}": Listed(f"z{at % 2}", "", True) for at in range(10)},
+        {f"b{at}": BackendListing(f"z{at % 2}", "", True) for at in range(10)},
         25.0,
         {"u": 10.0},
     )
-    assert [(floor.name, len(floor.members), floor.need) for floor in floors] == [
+    assert [(floor.name, len(floor.members), floor.min_up) for floor in floors] == [
         ("the pool a", 5, 3),
         ("the pool b", 5, 1),
         ("the installation", 0, 4),
     ]
-    assert need({"t": 100.0}, 25.0, 2) == 4 and need({"t": 100.0}, 0.0, 2) == 2
-    table = Permits((), 1, 0)
+    assert required_count({"t": 100.0}, 25.0, 2) == 4 and required_count({"t": 100.0}, 0.0, 2) == 2
+    table = PermitTable((), 1, 0)
     seen = sight({"n1": "z1"})
-    floor = Floor("the pool a", frozenset({"n0", "n1", "n2"}), 2)
-    assert "the pool a would have 1" in table.ask(0, ask("n0"), seen, Most(9), [floor]).reason
-    assert table.ask(0, ask("n4"), seen, Most(9), [floor]).permit is not None
+    floor = CapacityFloor("the pool a", frozenset({"n0", "n1", "n2"}), 2)
+    assert "the pool a would have 1" in table.decide(0, ask("n0"), seen, Most(9), [floor]).reason
+    assert table.decide(0, ask("n4"), seen, Most(9), [floor]).permit is not None
 
 
 # --- drains
 
 
 def test_silence_is_never_yes_and_a_statement_holds_for_its_permit_alone() -> None:
-    drains = Drains()
-    drains.take("n0", [Statement("1.1", "b0", DRAINED), Statement("0.9", "b0", DRAINED)], True, {"1.1"})
+    drains = DrainStatements()
+    drains.record_statements("n0", [Statement("1.1", "b0", DRAINED), Statement("0.9", "b0", DRAINED)], True, {"1.1"})
     assert drains.verdict("1.1", ["n0", "n1"]).missing == ("n1",)
-    drains.take("n1", [Statement("1.2", "b0", DRAINED)], True, {"1.1", "1.2"})
-    assert not drains.verdict("1.1", ["n0", "n1"]).done
-    drains.take("n1", [Statement("1.1", "b0", DRAINED)], False, {"1.1"})
-    assert drains.verdict("1.1", ["n0", "n1"]).done
-    drains.take("n0", [], True, {"1.1"})  # taken back
+    drains.record_statements("n1", [Statement("1.2", "b0", DRAINED)], True, {"1.1", "1.2"})
+    assert not drains.verdict("1.1", ["n0", "n1"]).is_complete
+    drains.record_statements("n1", [Statement("1.1", "b0", DRAINED)], False, {"1.1"})
+    assert drains.verdict("1.1", ["n0", "n1"]).is_complete
+    drains.record_statements("n0", [], True, {"1.1"})  # taken back
     assert drains.verdict("1.1", ["n0", "n1"]).missing == ("n0",)
 
 
 def test_a_head_is_let_off_only_by_all_who_can_tell_or_by_word() -> None:
     known, here = ["n0", "n1", "n2", "n3"], {"n0", "n1"}
-    assert owing(known, here, {}, {}) == set(known)  # nobody can tell: silence may be a cut line
-    assert owing(known, here, {"n0": ["n0", "n1"], "n1": ["n1"]}, {"n0": ["n2", "n3"], "n1": ["n2"]}) == {
+    assert required_heads(known, here, {}, {}) == set(known)  # nobody can tell: silence may be a cut line
+    assert required_heads(known, here, {"n0": ["n0", "n1"], "n1": ["n1"]}, {"n0": ["n2", "n3"], "n1": ["n2"]}) == {
         "n0",
         "n1",
         "n3",
     }
-    assert owing(known, here, {"n0": ["n2"]}, {"n0": ["n3"], "n1": ["n2", "n3"]}) == {"n0", "n1", "n2"}
-    assert owing(known, here, {}, {"n0": ["n1"]}) == set(known)  # it has a line to here, whatever peers say
-    assert owing(known, here, {}, {}, ["n2", "n3"]) == here
+    assert required_heads(known, here, {"n0": ["n2"]}, {"n0": ["n3"], "n1": ["n2", "n3"]}) == {"n0", "n1", "n2"}
+    assert required_heads(known, here, {}, {"n0": ["n1"]}) == set(known)  # it has a line to here, whatever peers say
+    assert required_heads(known, here, {}, {}, ["n2", "n3"]) == here
 
 
 def test_a_head_says_drained_once_nothing_is_there_and_takes_it_back_when_somebody_undoes_it() -> None:
     head = HeadDrains()
-    assert head.told({"1.1": "b0"}, {}) == [TakeOut("b0")]
+    assert head.apply_update({"1.1": "b0"}, {}) == [Eject("b0")]
     said = Statement("1.1", "b0", DRAINED)
-    assert head.look({"b0": 2}, {"b0"}, ["b0"]) == [] and head.look({"b0": 0}, {"b0"}, []) == [Say(said)]
-    assert head.told({"1.1": "b0"}, {}) == [] and head.statements() == [said]  # told again: nothing new
-    assert head.look({}, set(), []) == [Unsay(said), TakeOut("b0")]
-    assert head.look({}, {"b0"}, []) == [Say(said)]
-    again = HeadDrains(head.keeps().items())  # a restart, with no line to the issuer
-    assert again.begin() == [TakeOut("b0")] and again.statements() == []
-    assert head.told({}, {"1.1": "b0"}) == [Unsay(said), TakeUp("b0")]
-    assert head.look({}, set(), ["b0"]) == [Say(Statement("1.1", "b0", SERVED))]
-    assert head.told({}, {}) == [Unsay(Statement("1.1", "b0", SERVED))] and head.own == {}
+    assert head.observe({"b0": 2}, {"b0"}, ["b0"]) == [] and head.observe({"b0": 0}, {"b0"}, []) == [Announce(said)]
+    assert head.apply_update({"1.1": "b0"}, {}) == [] and head.statements() == [said]  # told again: nothing new
+    assert head.observe({}, set(), []) == [Retract(said), Eject("b0")]
+    assert head.observe({}, {"b0"}, []) == [Announce(said)]
+    again = HeadDrains(head.to_store().items())  # a restart, with no line to the issuer
+    assert again.start() == [Eject("b0")] and again.statements() == []
+    assert head.apply_update({}, {"1.1": "b0"}) == [Retract(said), Restore("b0")]
+    assert head.observe({}, set(), ["b0"]) == [Announce(Statement("1.1", "b0", SERVED))]
+    assert head.apply_update({}, {}) == [Retract(Statement("1.1", "b0", SERVED))] and head.drains == {}
 
 
 # --- a head's permit
 
 
-def permit(state: State, process: int = 0, by: str = "release r", key: str = "r/0/2") -> Permit:
-    return Permit("1.1", Kind.HEAD, "n0", "z0", by, key, state, "2", process)
+def permit(state: PermitState, process: int = 0, by: str = "release r", key: str = "r/0/2") -> Permit:
+    return Permit("1.1", PermitKind.HEAD, "n0", "z0", by, key, state, "2", process)
 
 
 def test_a_head_goes_only_when_its_begin_is_stored_and_then_whenever_it_wakes() -> None:
-    head = Holder(5, "1")
-    assert head.told(0, Word("s", 1, 1, own=permit(State.GRANTED))) == []
-    assert head.begins(1) == "1.1" and head.begins(BEGIN_US) == ""
-    assert head.begins(1, {"r/0"}) == "" and head.begins(1, {"r/1", "q/0"}) == "1.1"  # a halt, as peers have heard it
-    assert head.told(10**12, Word("s", 1, 2, own=permit(State.BEGUN, 5))) == [Go("1.1", "2")]
-    assert head.told(10**12, Word("s", 1, 3, own=permit(State.OUT, 5))) == []
-    assert Holder(6, "2").told(0, Word("s", 1, 3, own=permit(State.BACK, 5))) == []  # back with what is wanted
-    assert Holder(6, "3").told(0, Word("s", 1, 3, own=permit(State.BACK, 5))) == [Go("1.1", "2")]
+    head = PermitHolder(5, "1")
+    assert head.apply_update(0, PermitUpdate("s", 1, 1, own_permit=permit(PermitState.GRANTED))) == []
+    assert head.permit_to_begin(1) == "1.1" and head.permit_to_begin(BEGIN_US) == ""
+    assert (
+        head.permit_to_begin(1, {"r/0"}) == "" and head.permit_to_begin(1, {"r/1", "q/0"}) == "1.1"
+    )  # a halt, as peers have heard it
+    assert head.apply_update(10**12, PermitUpdate("s", 1, 2, own_permit=permit(PermitState.BEGUN, 5))) == [
+        GoOffline("1.1", "2")
+    ]
+    assert head.apply_update(10**12, PermitUpdate("s", 1, 3, own_permit=permit(PermitState.OUT, 5))) == []
+    assert (
+        PermitHolder(6, "2").apply_update(0, PermitUpdate("s", 1, 3, own_permit=permit(PermitState.BACK, 5))) == []
+    )  # back with what is wanted
+    assert PermitHolder(6, "3").apply_update(0, PermitUpdate("s", 1, 3, own_permit=permit(PermitState.BACK, 5))) == [
+        GoOffline("1.1", "2")
+    ]
 
 
 def test_words_that_come_behind_or_of_another_store_change_nothing() -> None:
-    head = Holder(5, "1")
-    head.told(0, Word("s", 2, 1, own=permit(State.GRANTED)))
-    assert head.told(0, Word("s", 1, 9, own=permit(State.BEGUN, 5))) == [] and head.older == 1
+    head = PermitHolder(5, "1")
+    head.apply_update(0, PermitUpdate("s", 2, 1, own_permit=permit(PermitState.GRANTED)))
+    assert (
+        head.apply_update(0, PermitUpdate("s", 1, 9, own_permit=permit(PermitState.BEGUN, 5))) == []
+        and head.stale_updates == 1
+    )
     with pytest.raises(IssuerError, match="not of s"):
-        head.told(0, Word("other", 3, 1))
-    assert head.begins(1) == "1.1"
+        head.apply_update(0, PermitUpdate("other", 3, 1))
+    assert head.permit_to_begin(1) == "1.1"
 
 
 def test_a_wish_of_its_own_counts_from_the_asking() -> None:
-    head = Holder(5, "1")
-    head.ask(0, "up")
-    head.told(BEGIN_US - 1, Word("s", 1, 1, own=permit(State.GRANTED, by="head n0", key="up")))
-    assert head.begins(BEGIN_US - 1) == "1.1" and head.begins(BEGIN_US) == ""
-    head.unask()
-    assert head.begins(1) == ""
+    head = PermitHolder(5, "1")
+    head.request(0, "up")
+    head.apply_update(
+        BEGIN_US - 1, PermitUpdate("s", 1, 1, own_permit=permit(PermitState.GRANTED, by="head n0", key="up"))
+    )
+    assert head.permit_to_begin(BEGIN_US - 1) == "1.1" and head.permit_to_begin(BEGIN_US) == ""
+    head.withdraw_request()
+    assert head.permit_to_begin(1) == ""
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -11,9 +11,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from hophinge.maintenance import coordinator, drains, permits
-from hophinge.maintenance.holder import Go, Holder
-from hophinge.maintenance.permits import Floor, Kind, Permit, Permits, Sighting, State
+from hophinge.maintenance import drains, permits
+from hophinge.maintenance import issuer
+from hophinge.maintenance.permit_holder import GoOffline, PermitHolder
+from hophinge.maintenance.permits import CapacityFloor, PermitKind, Permit, PermitTable, Availability, PermitState
 from hophinge.routing.bounds import Maintenance, Most
 from tests.maintenance_faults import FAULTS, heal, history
 from tests.maintenance_world import S, World
@@ -51,20 +52,20 @@
     def ends_and_finds_all_again(self) -> None:
         """Whatever was begun is found again after any end."""
         self.world.stop_issuer()
-        held = {one.id: one for one in self.world.store.permits.values() if one.state is not State.FREE}
+        held = {one.id: one for one in self.world.store.permits.values() if one.state is not PermitState.FREE}
         self.world.begin()
-        assert self.world.issuer is not None and self.world.issuer.permits.held == held
+        assert self.world.issuer is not None and self.world.issuer.permits.active == held
 
     @invariant()
     def nothing_is_wrong(self) -> None:
         assert self.world.wrong == []
-        for kind in Kind:
+        for kind in PermitKind:
             rows = [
                 row.name
                 for row in self.world.store.permits.values()
-                if row.kind is kind and row.state is not State.FREE
+                if row.kind is kind and row.state is not PermitState.FREE
             ]
-            assert len(set(rows)) == len(rows) <= (3 if kind is Kind.HEAD else 2)
+            assert len(set(rows)) == len(rows) <= (3 if kind is PermitKind.HEAD else 2)
 
 
 def test_in_no_history_is_more_out_than_allowed() -> None:
@@ -83,25 +84,25 @@
         world.document()
         heal(world, 80)
         assert world.wrong == []
-        left += sum(row.state is not State.FREE and not row.build for row in world.store.permits.values())
+        left += sum(row.state is not PermitState.FREE and not row.build for row in world.store.permits.values())
     assert left == 0
 
 
 # --- mutants: each promise, broken
 
 
-def lapse_of_a_begun_one(self: Permits, now_us: int) -> tuple[Permit, ...]:
+def lapse_of_a_begun_one(self: PermitTable, now_us: int) -> tuple[Permit, ...]:
     return tuple(
-        msgspec.structs.replace(one, state=State.FREE)
-        for one in self.held.values()
-        if one.state in (State.GRANTED, State.BEGUN, State.OUT)
-        and one.kind is Kind.HEAD
-        and now_us >= self.lapses.setdefault(one.id, now_us + 30 * S)
+        msgspec.structs.replace(one, state=PermitState.FREE)
+        for one in self.active.values()
+        if one.state in (PermitState.GRANTED, PermitState.BEGUN, PermitState.OUT)
+        and one.kind is PermitKind.HEAD
+        and now_us >= self.lease_ends.setdefault(one.id, now_us + 30 * S)
     )
 
 
-def unplanned_not_counted(self: Permits, kind: Kind, sight: Sighting) -> dict[str, str]:
-    return {one.name: one.zone for one in self.all(kind)}
+def unplanned_not_counted(self: PermitTable, kind: PermitKind, sight: Availability) -> dict[str, str]:
+    return {one.name: one.zone for one in self.of_kind(kind)}
 
 
 def silence_is_yes(
@@ -114,35 +115,41 @@
     return set()
 
 
-def forgets_at_start(self: Permits, rows: Sequence[Permit], fence: int, now_us: int) -> None:
-    permits_begin(self, [row for row in rows if row.state is State.GRANTED], fence, now_us)
+def forgets_at_start(self: PermitTable, rows: Sequence[Permit], fence: int, now_us: int) -> None:
+    permits_begin(self, [row for row in rows if row.state is PermitState.GRANTED], fence, now_us)
 
 
 def begins_whatever_was_lost(
-    self: Permits, kind: Kind, name: str, zone: str, sight: Sighting, most: Most | None, floors: Iterable[Floor] = ()
+    self: PermitTable,
+    kind: PermitKind,
+    name: str,
+    zone: str,
+    sight: Availability,
+    most: Most | None,
+    floors: Iterable[CapacityFloor] = (),
 ) -> str:
-    return "" if self.of(kind, name) is not None else permits_lacks(self, kind, name, zone, sight, most, floors)
+    return "" if self.for_target(kind, name) is not None else permits_lacks(self, kind, name, zone, sight, most, floors)
 
 
-def any_head_will_do(self: drains.Drains, permit: str, wanted: Iterable[str]) -> drains.Verdict:
-    said = self.said.get((permit, drains.DRAINED), set())
-    return drains.Verdict(() if said else tuple(wanted))
+def any_head_will_do(self: drains.DrainStatements, permit: str, wanted: Iterable[str]) -> drains.DrainVerdict:
+    said = self.heads_by_claim.get((permit, drains.DRAINED), set())
+    return drains.DrainVerdict(() if said else tuple(wanted))
 
 
 def goes_without_its_begin(self: Any, now_us: int, word: Any) -> list[Any]:
-    self.word = word
-    return [Go(word.own.id, word.own.build)] if word.own is not None else []
+    self.update = word
+    return [GoOffline(word.own_permit.id, word.own_permit.build)] if word.own_permit is not None else []
 
 
-permits_begin, permits_lacks = Permits.__init__, Permits.lacks
+permits_begin, permits_lacks = PermitTable.__init__, PermitTable.rejection_reason
 MUTANTS = {
-    "a begun permit lapses": (permits.Permits, "lapsed", lapse_of_a_begun_one),
-    "what is out unplanned takes no room": (permits.Permits, "out", unplanned_not_counted),
-    "silence is taken for yes": (coordinator, "owing", silence_is_yes),
-    "a promise is forgotten at a start": (permits.Permits, "__init__", forgets_at_start),
-    "a begin looks at no losses": (permits.Permits, "lacks", begins_whatever_was_lost),
-    "one head's word is all heads'": (drains.Drains, "verdict", any_head_will_do),
-    "a head goes without its begin": (Holder, "told", goes_without_its_begin),
+    "a begun permit lapses": (permits.PermitTable, "expired", lapse_of_a_begun_one),
+    "what is out unplanned takes no room": (permits.PermitTable, "unavailable", unplanned_not_counted),
+    "silence is taken for yes": (issuer, "required_heads", silence_is_yes),
+    "a promise is forgotten at a start": (permits.PermitTable, "__init__", forgets_at_start),
+    "a begin looks at no losses": (permits.PermitTable, "rejection_reason", begins_whatever_was_lost),
+    "one head's word is all heads'": (drains.DrainStatements, "verdict", any_head_will_do),
+    "a head goes without its begin": (PermitHolder, "apply_update", goes_without_its_begin),
 }
 
 
--- a/tests/test_maintenance_parts.py
+++ b/tests/test_maintenance_parts.py
@@ -17,11 +17,11 @@
 from hophinge.control.messages import DiscoveryRequest
 from hophinge.control.wire import decode_request, decode_response, encode_request
 from hophinge.core.errors import HophingeError
-from hophinge.maintenance.drains import DRAINED, Statement, heard, value
-from hophinge.maintenance.holder import Holder
-from hophinge.maintenance.permits import Kind, Permit, State
-from hophinge.maintenance.releases import Course, Stage
-from hophinge.maintenance.messages import Word
+from hophinge.maintenance.drains import DRAINED, Statement, statements_by_owner, encode_statement
+from hophinge.maintenance.permit_holder import PermitHolder
+from hophinge.maintenance.permits import PermitKind, Permit, PermitState
+from hophinge.maintenance.releases import ReleaseProgress, ReleaseStage
+from hophinge.maintenance.messages import PermitUpdate
 from hophinge.routing import records
 from hophinge.routing.bounds import Maintenance, Most, Outage, Release
 from hophinge.routing.record_reader import read
@@ -31,7 +31,7 @@
 
 EXAMPLE = (Path(__file__).parent.parent / "examples" / "maintenance.sexp").read_bytes()
 BOUND = "(maintenance (heads (most 1)) (bricks (most 1))) "
-ROW = Permit("1.1", Kind.HEAD, "n0", "z0", "release r", "r/0/2", State.BEGUN, "2", 7)
+ROW = Permit("1.1", PermitKind.HEAD, "n0", "z0", "release r", "r/0/2", PermitState.BEGUN, "2", 7)
 
 
 def test_the_example_is_read_as_it_says() -> None:
@@ -66,17 +66,17 @@
 def test_promises_last_and_ids_of_a_later_start_are_higher(tmp_path: Path) -> None:
     store = ControlStore(tmp_path / "v.db")
     promises = MaintenanceStore(store, lambda: 0)
-    promises.keep([ROW], [Course("r", "2", 1, Stage.ROLLING)])
-    promises.zone("n0", "z0")
+    promises.save([ROW], [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)])
+    promises.store_zone("n0", "z0")
     with store.transaction():
         store.write_maintenance(encode_statements([Outage("o", ("b0",))]))
     store.close()
     store = ControlStore(tmp_path / "v.db")
     again = MaintenanceStore(store, lambda: 0)
-    assert again.permits() == [ROW] and again.courses() == [Course("r", "2", 1, Stage.ROLLING)]
+    assert again.permits() == [ROW] and again.courses() == [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)]
     assert again.zones(["n0", "n1"]) == {"n0": "z0", "n1": ""} and again.statements() == [Outage("o", ("b0",))]
     assert again.issuer == promises.issuer and again.fence > promises.fence
-    again.keep([msgspec.structs.replace(ROW, state=State.FREE)], [])
+    again.save([msgspec.structs.replace(ROW, state=PermitState.FREE)], [])
     assert again.permits() == []
     store.close()
     store = ControlStore(tmp_path / "v.db", new_epoch=True)
@@ -92,32 +92,32 @@
     (tmp_path / "v.db.lock").unlink()  # as on a file system that has no locks
     new = ControlStore(tmp_path / "v.db")
     with pytest.raises(FencedError, match="has taken the store over"):
-        promises.keep([ROW], [])
+        promises.save([ROW], [])
     with pytest.raises(FencedError):
         old.record_head("n0", 0)
     later = MaintenanceStore(new, lambda: 0)
     assert later.permits() == []
-    later.keep([ROW], [])
+    later.save([ROW], [])
     assert later.permits() == [ROW]
     old.close()
     new.close()
 
 
 def test_words_and_reports_pass_the_wire_and_what_is_none_is_told() -> None:
-    word = Word("s", 3, 4, {"1.1": "b0"}, {}, ROW, "no room", ("r/0",))
+    word = PermitUpdate("s", 3, 4, {"1.1": "b0"}, {}, ROW, "no room", ("r/0",))
     assert decode_update(decode_response(encode_update(word))) == word
     assert decode_request(
         encode_request(
             DiscoveryRequest(decode_response(encode_update(word)).resource_type, initial_versions={"report": "{}"})
         )
     ).initial_versions == {"report": "{}"}
-    entry = Entry("n0", Topic.DRAINS, "1.1/b0", EntryVersion(1, 1), value(Statement("1.1", "b0", DRAINED)))
+    entry = Entry("n0", Topic.DRAINS, "1.1/b0", EntryVersion(1, 1), encode_statement(Statement("1.1", "b0", DRAINED)))
     rubbish = [
         Entry("n1", Topic.DRAINS, "x", EntryVersion(1, 1), b"\xff"),
         Entry("n2", Topic.DRAINS, "1.2/b0", EntryVersion(1, 1), entry.value),  # a statement under another's key
         Entry("n3", Topic.WEIGHTS, "1.1/b0", EntryVersion(1, 1), entry.value),
     ]
-    assert heard([entry, *rubbish]) == {"n0": [Statement("1.1", "b0", DRAINED)]}
+    assert statements_by_owner([entry, *rubbish]) == {"n0": [Statement("1.1", "b0", DRAINED)]}
 
 
 class Peers:
@@ -169,7 +169,7 @@
         upkeep.board = upkeep.sight = peers
         upkeep.disk, upkeep.alone = disk, lambda: alone[0]
         looking = asyncio.create_task(upkeep.run())
-        response = decode_response(encode_update(Word("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
+        response = decode_response(encode_update(PermitUpdate("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
         upkeep._word(response)
         assert head.rotation.out("s-0") and "halt/r/0" in peers.own  # before any list names the brick
         await until(lambda: any("cannot be kept" in line for line in head.log))
@@ -181,13 +181,13 @@
         alone[0] = True
         await until(lambda: "1.1/s-0" in peers.own)
         report = upkeep.report()
-        assert report.statements == (Statement("1.1", "s-0", DRAINED),) and report.clustered
-        assert (report.live, report.gone, report.heard) == (("n0", "n1", "n2"), ("n3",), {})
+        assert report.statements == (Statement("1.1", "s-0", DRAINED),) and report.is_clustered
+        assert (report.live_heads, report.departed_heads, report.peer_statements) == (("n0", "n1", "n2"), ("n3",), {})
         peers.full = True
-        upkeep._word(decode_response(encode_update(Word("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {}))))
+        upkeep._word(decode_response(encode_update(PermitUpdate("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {}))))
         await until(lambda: any("peers do not hear" in line for line in head.log))
         assert len(upkeep.report().statements) == 2 and "halt/r/0" not in peers.own
-        upkeep._word(decode_response(encode_update(Word("other", 9, 9))))
+        upkeep._word(decode_response(encode_update(PermitUpdate("other", 9, 9))))
         assert any("permit-issuer-unknown" in line for line in head.log) and head.rotation.out("s-1")
         looking.cancel()
         await asyncio.gather(looking, return_exceptions=True)
@@ -200,8 +200,8 @@
 
 
 def test_a_halt_that_a_peer_has_heard_of_keeps_a_head_from_beginning() -> None:
-    holder = Holder(7, "1")
-    granted = msgspec.structs.replace(ROW, state=State.GRANTED, process=0)
-    holder.told(0, Word("s", 1, 1, own=granted))
-    assert holder.begins(1) == "1.1"
-    assert holder.begins(1, {"r/0"}) == ""
+    holder = PermitHolder(7, "1")
+    granted = msgspec.structs.replace(ROW, state=PermitState.GRANTED, process=0)
+    holder.apply_update(0, PermitUpdate("s", 1, 1, own_permit=granted))
+    assert holder.permit_to_begin(1) == "1.1"
+    assert holder.permit_to_begin(1, {"r/0"}) == ""
--- a/tests/test_maintenance_listing.py
+++ b/tests/test_maintenance_snapshots.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from hophinge.maintenance import listing
-from hophinge.maintenance.coordinator import Coordinator
+from hophinge.maintenance import snapshots
+from hophinge.maintenance.issuer import PermitIssuer
 from hophinge.maintenance.drains import DRAINED, Statement
-from hophinge.maintenance.listing import WHOLE_US, Listener, Teller
-from hophinge.maintenance.messages import Listed, Report
+from hophinge.maintenance.snapshots import FULL_LISTS_INTERVAL_US, SnapshotReceiver, SnapshotSender
+from hophinge.maintenance.messages import BackendListing, HeadReport
 from hophinge.routing.bounds import Maintenance, Most, Outage
 from tests.maintenance_world import MemoryStore, World
 
@@ -27,37 +27,41 @@
     """A head and an issuer with a line between them that loses, doubles and mixes up; each end starts anew at will."""
 
     def __init__(self) -> None:
-        self.now, self.backends, self.live, self.gone = 0, dict[str, Listed](), set[str](), set[str]()
+        self.now, self.backends, self.live, self.gone = 0, dict[str, BackendListing](), set[str](), set[str]()
         self.heard: dict[str, list[Statement]] = {}
         self.whole_at: list[int] = []
         self.connect()
 
     def connect(self) -> None:
         """A stream begins: what was on its way on the one before never comes."""
-        self.teller, self.listener = Teller(), Listener()
-        self.way: list[Report] = []
-        self.told: dict[int, Report] = {}  # all reports of this stream, as the head meant them
+        self.teller, self.listener = SnapshotSender(), SnapshotReceiver()
+        self.way: list[HeadReport] = []
+        self.told: dict[int, HeadReport] = {}  # all reports of this stream, as the head meant them
         self.asked = self.newest = 0
-        self.taken: Report | None = None
+        self.taken: HeadReport | None = None
 
     def report(self) -> None:
         self.now += BEAT_US // 4
-        meant = Report(
-            1, backends=dict(self.backends), live=tuple(self.live), gone=tuple(self.gone), heard=dict(self.heard)
+        meant = HeadReport(
+            1,
+            backends=dict(self.backends),
+            live_heads=tuple(self.live),
+            departed_heads=tuple(self.gone),
+            peer_statements=dict(self.heard),
         )
-        made = self.teller.made(self.now, meant, self.asked)
-        assert made.parts is not None and not made.backends and not made.live and not made.heard
-        if made.parts.backends.whole:
+        made = self.teller.to_changes(self.now, meant, self.asked)
+        assert made.list_changes is not None and not made.backends and not made.live_heads and not made.peer_statements
+        if made.list_changes.backends.is_full:
             self.whole_at.append(self.now)
-        self.told[made.parts.number] = meant
-        self.way.append(msgspec.json.decode(msgspec.json.encode(made), type=Report))
+        self.told[made.list_changes.sequence] = meant
+        self.way.append(msgspec.json.decode(msgspec.json.encode(made), type=HeadReport))
 
     def arrive(self, at: int, stays: bool) -> None:
         if self.way:
             one = self.way[at % len(self.way)] if stays else self.way.pop(at % len(self.way))
-            assert one.parts is not None
-            self.newest = max(self.newest, one.parts.number)  # of those that have come
-            taken = self.listener.take(one)
+            assert one.list_changes is not None
+            self.newest = max(self.newest, one.list_changes.sequence)  # of those that have come
+            taken = self.listener.to_full(one)
             self.taken = taken if taken is not None else self.taken
 
     def check(self) -> None:
@@ -65,12 +69,14 @@
         if one is None:
             return
         meant = self.told[self.newest]
-        if not one.unsure:
+        if not one.is_uncertain:
             assert one.backends == meant.backends
-        assert set(one.gone) <= set(meant.gone)  # nobody is let off whom the head does not hold for gone
-        assert all(rows == meant.heard.get(name) for name, rows in one.heard.items())
-        if self.listener.sure:
-            assert set(one.live) == set(meant.live) and one.heard == meant.heard
+        assert set(one.departed_heads) <= set(
+            meant.departed_heads
+        )  # nobody is let off whom the head does not hold for gone
+        assert all(rows == meant.peer_statements.get(name) for name, rows in one.peer_statements.items())
+        if self.listener.is_synchronized:
+            assert set(one.live_heads) == set(meant.live_heads) and one.peer_statements == meant.peer_statements
 
 
 class Lines(RuleBasedStateMachine):
@@ -80,7 +86,7 @@
 
     @rule(name=NAMES, up=st.booleans(), zone=st.sampled_from(["", "z"]))
     def lists(self, name: str, up: bool, zone: str) -> None:
-        self.line.backends[name] = Listed(zone, "", up)
+        self.line.backends[name] = BackendListing(zone, "", up)
 
     @rule(name=NAMES)
     def forgets(self, name: str) -> None:
@@ -112,7 +118,7 @@
 
     @rule()
     def is_asked(self) -> None:
-        self.line.asked = self.line.listener.asks
+        self.line.asked = self.line.listener.full_lists_request
 
     @rule()
     def starts_again(self) -> None:
@@ -129,9 +135,9 @@
         for _ in range(8):
             line.report()
             line.arrive(0, False)
-            line.asked = line.listener.asks
+            line.asked = line.listener.full_lists_request
         line.check()
-        assert line.listener.sure and line.taken is not None and line.taken.backends == line.backends
+        assert line.listener.is_synchronized and line.taken is not None and line.taken.backends == line.backends
 
 
 def test_what_the_issuer_is_sure_of_is_what_the_head_told() -> None:
@@ -164,34 +170,40 @@
     machine.teardown()
 
 
-def takes_any_order(self: Listener, report: Report) -> Report | None:
-    self.number = 0
+def takes_any_order(self: SnapshotReceiver, report: HeadReport) -> HeadReport | None:
+    self.sequence = 0
     return take(self, report)
 
 
 def never_doubts(self: Any, part: Any) -> None:
     take_part(self, part)
-    self.sure = True
+    self.is_synchronized = True
 
 
-def passes_on_unsure(self: Listener, report: Report) -> Report | None:
+def passes_on_unsure(self: SnapshotReceiver, report: HeadReport) -> HeadReport | None:
     found = take(self, report)
-    assert report.parts is not None
+    assert report.list_changes is not None
     return (
         found
         if found is None
         else msgspec.structs.replace(
-            found, gone=tuple(name for name, live in self.members.rows.items() if not live), heard=self.heard.rows
+            found,
+            departed_heads=tuple(name for name, live in self.members.rows.items() if not live),
+            peer_statements=self.peer_statements.rows,
         )
     )
 
 
-take, take_part = Listener.take, listing.Receiver.take
+take, take_part = SnapshotReceiver.to_full, snapshots.ListReceiver.apply
 MUTANTS = {
-    "reports are taken in any order": (Listener, "take", takes_any_order),
-    "a digest that differs is believed": (listing.Receiver, "take", never_doubts),
-    "an unsure witness lets heads off": (Listener, "take", passes_on_unsure),
-    "a question is never answered": (Teller, "owes", lambda self, now_us, asked: self.answered < 0),
+    "reports are taken in any order": (SnapshotReceiver, "to_full", takes_any_order),
+    "a digest that differs is believed": (snapshots.ListReceiver, "apply", never_doubts),
+    "an unsure witness lets heads off": (SnapshotReceiver, "to_full", passes_on_unsure),
+    "a question is never answered": (
+        SnapshotSender,
+        "is_full_due",
+        lambda self, now_us, request: self.answered_request < 0,
+    ),
 }
 
 
@@ -212,30 +224,38 @@
 def test_whole_lists_are_seldom_however_often_they_are_asked_for() -> None:
     line, lots = Line(), random.Random(1)
     for at in range(400):
-        line.backends[f"b-{at % 5}"] = Listed("", "", lots.random() < 0.5)
+        line.backends[f"b-{at % 5}"] = BackendListing("", "", lots.random() < 0.5)
         line.report()
         line.arrive(0, False) if lots.random() < 0.5 else line.way.clear()
-        line.asked = line.listener.asks
+        line.asked = line.listener.full_lists_request
         line.check()
     assert len(line.whole_at) > 10
-    assert all(later - one >= WHOLE_US for one, later in zip(line.whole_at, line.whole_at[1:], strict=False))
+    assert all(
+        later - one >= FULL_LISTS_INTERVAL_US for one, later in zip(line.whole_at, line.whole_at[1:], strict=False)
+    )
 
 
 def test_of_what_a_head_is_not_sure_nothing_is_granted() -> None:
     rule = Maintenance(None, Most(1, -1.0, -1))
     world = World(1, 2, 3, rule)
-    issuer = Coordinator("store", 9, (), (), {}, MemoryStore(world), world.now)
-    issuer.document([rule, Outage("o", ("b0",))], (), {})
-    tellers = {name: Teller() for name in ("n0", "n1")}
-    rows = {name: Listed("", "", True) for name in ("b0", "b1", "b2")}
+    issuer = PermitIssuer("store", 9, (), (), {}, MemoryStore(world), world.now)
+    issuer.apply_configuration([rule, Outage("o", ("b0",))], (), {})
+    tellers = {name: SnapshotSender() for name in ("n0", "n1")}
+    rows = {name: BackendListing("", "", True) for name in ("b0", "b1", "b2")}
     for name in tellers:
-        issuer.connected(name, True, 2)
-        issuer.report(name, tellers[name].made(0, Report(1, backends=rows, ready=True), 0))
-    tellers["n1"].made(BEAT_US, Report(1, backends={**rows, "b1": Listed("", "", False)}), 0)  # lost
-    issuer.report("n1", tellers["n1"].made(2 * BEAT_US, Report(1, backends={**rows, "b1": Listed("", "", False)}), 0))
+        issuer.head_connected(name, True, 2)
+        issuer.apply_report(name, tellers[name].to_changes(0, HeadReport(1, backends=rows, is_ready=True), 0))
+    tellers["n1"].to_changes(BEAT_US, HeadReport(1, backends={**rows, "b1": BackendListing("", "", False)}), 0)  # lost
+    issuer.apply_report(
+        "n1",
+        tellers["n1"].to_changes(2 * BEAT_US, HeadReport(1, backends={**rows, "b1": BackendListing("", "", False)}), 0),
+    )
     issuer.tick(world.now)
-    word = issuer.word("n1")
-    assert not issuer.permits.held and word is not None and word.whole == 1
-    issuer.report("n1", tellers["n1"].made(3 * BEAT_US, Report(1, backends=rows, ready=True), word.whole))
+    word = issuer.next_update("n1")
+    assert not issuer.permits.active and word is not None and word.full_lists_request == 1
+    issuer.apply_report(
+        "n1",
+        tellers["n1"].to_changes(3 * BEAT_US, HeadReport(1, backends=rows, is_ready=True), word.full_lists_request),
+    )
     issuer.tick(world.now)
-    assert [one.name for one in issuer.permits.held.values()] == ["b0"]
+    assert [one.name for one in issuer.permits.active.values()] == ["b0"]
--- a/tests/test_popularity_drains.py
+++ b/tests/test_popularity_drains.py
@@ -9,7 +9,7 @@
 
 from hophinge.cluster.interface import Topic
 from hophinge.head.popularity import HeadPopularity, drained
-from hophinge.maintenance.drains import DRAINED, Statement, value
+from hophinge.maintenance.drains import DRAINED, Statement, encode_statement
 from hophinge.objects.pieces import Budget
 from hophinge.objects.records import shard_of
 from hophinge.objects.tenants import Volume
@@ -20,7 +20,7 @@
 
 def drain(built: Installation, backend: Backend) -> None:
     one = Statement("permit-1", backend.name, DRAINED)
-    View(built.peers, "control").put(Topic.DRAINS, one.key, value(one))
+    View(built.peers, "control").put(Topic.DRAINS, one.key, encode_statement(one))
 
 
 def drain_was_met(built: Installation, head: HeadPopularity, backend: Backend) -> bool:
@@ -76,9 +76,9 @@
 def test_a_backend_whose_name_is_within_another_s_is_not_in_that_one_s_drain() -> None:
     view = View(Peers({"a": ""}), "a")
     for key, said in (
-        ("permit-1/b11", value(Statement("permit-1", "b11", DRAINED))),
+        ("permit-1/b11", encode_statement(Statement("permit-1", "b11", DRAINED))),
         ("halt/1", b""),
-        ("permit-2/b2", value(Statement("permit-1", "b2", DRAINED))),
+        ("permit-2/b2", encode_statement(Statement("permit-1", "b2", DRAINED))),
         ("permit-3/b3", b"b3"),
     ):
         view.put(Topic.DRAINS, key, said)
--- a/tests/test_together_release.py
+++ b/tests/test_together_release.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hophinge.load.rig.waiting import ended, until
-from hophinge.maintenance.releases import ranked
+from hophinge.maintenance.releases import rollout_order
 from tests.maintenance_rig import KILL, places, whole
 from tests.together import BOUND_S, SOAK, run
 
@@ -43,7 +43,7 @@
     async def main() -> None:
         count, most = (6, 2) if SOAK else (3, 1)
         async with whole(tmp_path, count, 42, clustered=False) as here:
-            order = ranked(here.names)
+            order = rollout_order(here.names)
             here.bad = {order[1]}  # the one that goes first, alone, is sound
             here.tasks.append(asyncio.create_task(here.load()))
             other = RELEASE.format("s", order[-1], "3", "")
--- a/tests/test_together_release_faults.py
+++ b/tests/test_together_release_faults.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from hophinge.load.rig.waiting import Condition, always, until
-from hophinge.maintenance.releases import ranked
+from hophinge.maintenance.releases import rollout_order
 from tests.maintenance_rig import STOP, Whole, whole
 from tests.together import BOUND_S, SOAK, holds, run
 
@@ -42,7 +42,7 @@
 def test_a_head_stands_still_with_a_begun_permit_three_are_lost_and_nothing_more_is_granted(tmp_path: Path) -> None:
     async def main() -> None:
         async with whole(tmp_path, 5, 51, clustered=False) as here:
-            first, other, *lost = ranked(here.names)
+            first, other, *lost = rollout_order(here.names)
             rack = f"(outage rack (heads {other})) "
             here.strike(first, STOP, "yes")
             await here.push(BOUNDS.format(3) + RELEASE.format(""))
@@ -89,7 +89,7 @@
 def test_a_halt_holds_on_both_sides_of_a_split_and_the_release_goes_on_by_word(tmp_path: Path) -> None:
     async def main() -> None:
         async with whole(tmp_path, 3, 53) as here:
-            order = ranked(here.names)
+            order = rollout_order(here.names)
             await here.push(BOUNDS.format(2) + RELEASE.format(""))
             await until([went(here, 1)], BOUND_S)
             # The service and the head that is under way on the one side, both that are to follow on the other.
