--- a/benchmarks/popularity_model.py
+++ b/benchmarks/popularity_model.py
@@ -24,7 +24,7 @@
 
 from hophinge.core import interface as api  # noqa: E402
 from hophinge.core.counters import Counters  # noqa: E402
-from hophinge.core.exchange import Attempt, End, Exchange  # noqa: E402
+from hophinge.core.exchange import Attempt, AttemptResult, Exchange  # noqa: E402
 from hophinge.core.settings import read_settings  # noqa: E402
 from hophinge.head.popularity import HeadPopularity  # noqa: E402
 from hophinge.head.sections import PopularityConfig  # noqa: E402
@@ -108,9 +108,9 @@
             self.kept[payload.target.split("/", 2)[2]] = payload.body
         else:
             self.reads[ask.volume] += 1
-        attempt.written()
+        attempt.record_sent()
         body = self.kept.get(payload.target.split("/", 2)[2], b"")
-        end = End(api.Result.OK, b"" if ask.write else body, absent=not ask.write and not body)
+        end = AttemptResult(api.Result.OK, b"" if ask.write else body, absent=not ask.write and not body)
         again = self.again[ask.volume, ask.key] = self.again[ask.volume, ask.key] + 1
         lots = random.Random(f"{self.model.seed} {ask.volume} {ask.key} {again}")
         handle = self.model.timers.call_at(int(self.work(ask.units, lots)) + 100, lambda: attempt.end(end))
--- a/benchmarks/scoring_costs.py
+++ b/benchmarks/scoring_costs.py
@@ -13,7 +13,7 @@
 from hophinge.cluster.interface import Entry, EntryVersion, Topic
 from hophinge.core import interface as api
 from hophinge.core.choice import Scheduler
-from hophinge.core.choice.books import Book
+from hophinge.core.choice.node_state import NodeState
 from hophinge.head.scoring import usage
 from hophinge.scoring import encoding
 from hophinge.scoring.engine import Engine
@@ -73,16 +73,17 @@
     for size in (10, 100, 1000):
         names = [f"brick-{number:04d}" for number in range(size)]
         books = [
-            Book(api.NodeEntry(name, 0, number, api.Phase.ON, 1.0, T0 - 5_000_000)) for number, name in enumerate(names)
+            NodeState(api.NodeEntry(name, 0, number, api.Phase.ON, 1.0, T0 - 5_000_000))
+            for number, name in enumerate(names)
         ]
         for number, book in enumerate(books):
-            book.free = T0 + number * 37 % 1000
+            book.free_at = T0 + number * 37 % 1000
 
-        def choose(head: Engine | None, books: list[Book] = books) -> list[Book]:
+        def choose(head: Engine | None, books: list[NodeState] = books) -> list[NodeState]:
             now = T0 + 2
             added = head.added_us(now, ASK, books) if head is not None else {}
             return sorted(
-                books, key=lambda one: (one.failures > 0, max(one.free, now) + added.get(one.entry.node, 0.0))
+                books, key=lambda one: (one.failures > 0, max(one.free_at, now) + added.get(one.entry.node, 0.0))
             )
 
         heads = {number: engine(number, names) for number in (0, 1, 3)}
--- a/benchmarks/scoring_model.py
+++ b/benchmarks/scoring_model.py
@@ -33,13 +33,13 @@
 MAX_PART = 0.25
 AIM_US = 300 * MS
 KLASS = api.RequestClass(
-    aim_us=AIM_US,
+    target_latency_us=AIM_US,
     deadline_us=2 * S,
     effect=api.Effect.SAFE,
     scope=api.DedupScope.ALL,
     dedup_window_us=S,
-    worth=2.0,
-    late_worth=0.1,
+    value=2.0,
+    late_value=0.1,
     in_order=False,
     stream=False,
 )
@@ -53,23 +53,23 @@
     rules=api.Rules(
         answer_grace_us=8 * MS,
         drain_grace_us=250 * MS,
-        fall_multiple=4,
-        fall_us=S,
-        cold_share=0.16,
-        cold_us=10 * S,
-        cold_units=8,
+        overload_multiple=4,
+        overload_window_us=S,
+        slow_start_share=0.16,
+        slow_start_us=10 * S,
+        slow_start_units=8,
         budget_free=10,
         budget_share=0.5,
         budget_us=5 * S,
-        settle_us=0,
-        ask_within_us=10 * S,
+        key_block_us=0,
+        watch_within_us=10 * S,
     ),
-    allowed=api.Allowed(attempts=3, second_copies=False, cancel=False, probes=False, retry_after_us=S),
+    allowed=api.Allowed(attempts=3, hedging=False, cancel=False, probes=False, retry_after_us=S),
     discovery=api.Discovery.PUSHED,
     mean_units=1,
-    most_units=4,
-    share_worth=0.4,
-    spare_worth=0.1,
+    max_units=4,
+    share_value=0.4,
+    spare_value=0.1,
     meter_us=0,
     tells_elsewhere=False,
     report_fields=(),
@@ -109,7 +109,7 @@
                 1e6,
                 lambda: 0,
                 lambda text: None,
-                Surroundings(SETTINGS.rules.cold_us),
+                Surroundings(SETTINGS.rules.slow_start_us),
                 **more,
             )
             if shared:
@@ -195,7 +195,7 @@
                 case api.Send():
                     self.send(head, action)
                 case api.SetTimer():
-                    self.at(self.now + action.delay_us, partial(self.handle, head, api.TimerDue(action.token)))
+                    self.at(self.now + action.delay_us, partial(self.handle, head, api.TimerExpired(action.token)))
                 case api.Refuse() | api.Fail():
                     self.unserved += 1
 
--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -24,7 +24,7 @@
 from tomlkit.exceptions import ParseError, TOMLKitError
 from tomlkit.items import AoT
 
-from hophinge.core.errors import HophingeError, told
+from hophinge.core.errors import HophingeError, one_line
 
 HERE = Path(__file__).parent
 BASE = HERE.parents[2] / "given" / "kit" / "sites" / "clydebank-main.toml"
@@ -224,10 +224,10 @@
         for site in make(base, recipes, made):
             print(site)
     except KitMissingError as error:
-        print(told(error), file=sys.stderr)
+        print(one_line(error), file=sys.stderr)
         return 2
     except (RecipeError, OSError) as error:
-        print(told(error), file=sys.stderr)
+        print(one_line(error), file=sys.stderr)
         return 1
     return 0
 
--- a/hophinge/control/maintenance_channel.py
+++ b/hophinge/control/maintenance_channel.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
+from hophinge.core.errors import one_line
 from hophinge.control.clock import now_ms, now_us
 from hophinge.control.connections import Connections, HeadStream
 from hophinge.control.maintenance_store import MaintenanceStore
@@ -18,7 +19,6 @@
 from hophinge.control.quota_shares import QuotaShares
 from hophinge.control.rollout import FORGET_HEAD_US
 from hophinge.control.store import ControlStore
-from hophinge.core.errors import told
 from hophinge.maintenance.issuer import PermitIssuer
 from hophinge.maintenance.retirement import retirement_errors, without_retired
 from hophinge.maintenance.status import maintenance_status
@@ -163,7 +163,7 @@
         try:
             step()
         except Exception as error:  # a full disk, a fence or a fault here must not end the rollout of versions
-            failure = told(error)
+            failure = one_line(error)
             if self.failure != failure:
                 self.failure = failure
                 self.log(f"maintenance is stalled: {failure}")
--- a/hophinge/core/choice/__init__.py
+++ b/hophinge/core/choice/__init__.py
@@ -1,5 +1,8 @@
 """Every decision of hophinge: a key is hashed to a group of nodes, of which the first to be free takes it."""
 
-from hophinge.core.choice.leaving import GROUP as GROUP
-from hophinge.core.choice.nodes import CEILING as CEILING, FLEET as FLEET
+from hophinge.core.choice.dispatcher import GROUP_SIZE as GROUP_SIZE
+from hophinge.core.choice.gateway_state import (
+    MAX_IN_FLIGHT as MAX_IN_FLIGHT,
+    MAX_IN_FLIGHT_OF_ALL as MAX_IN_FLIGHT_OF_ALL,
+)
 from hophinge.core.choice.scheduler import Scheduler as Scheduler
--- a/hophinge/core/choice/scheduler.py
+++ b/hophinge/core/choice/scheduler.py
@@ -7,11 +7,11 @@
 from dataclasses import replace
 
 from hophinge.core import interface as api
-from hophinge.core.choice.leaving import Leaving
-from hophinge.core.choice.nodes import FINE, SILENT
+from hophinge.core.choice.dispatcher import Dispatcher
+from hophinge.core.choice.gateway_state import WAKEUPS_PER_TARGET, UNRESPONSIVE_AFTER
 
 
-class Scheduler(Leaving):
+class Scheduler(Dispatcher):
     """The decisions of one gateway. It reads no clock and does no I/O."""
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
@@ -26,21 +26,21 @@
                     self._outcome(event)
                 case api.NodeList():
                     self._node_list(event)
-                case api.TimerDue():
+                case api.TimerExpired():
                     if self.timer_at <= now_us:
                         # A gateway that stood still accuses no node of the silence meanwhile.
-                        late = self.timer_at and now_us - self.timer_at > self.aim // FINE
+                        late = self.timer_at and now_us - self.timer_at > self.target_us // WAKEUPS_PER_TARGET
                         self.timer_at = 0
-                        self.woke_at = now_us if late else self.woke_at
+                        self.resumed_at = now_us if late else self.resumed_at
                 case api.Departure():
                     self._finish(event.request)
                 case api.StreamStarted():
                     self._stream_started(event)
         self._watch_nodes()
-        self._copy()
-        self.look |= {place: None for place, due in self.again.items() if due <= now_us}
-        while self.look:
-            places, self.look = list(self.look), {}
+        self._enqueue_hedges()
+        self.changed_queues |= {place: None for place, due in self.recheck_at.items() if due <= now_us}
+        while self.changed_queues:
+            places, self.changed_queues = list(self.changed_queues), {}
             self._dispatch(places)
         self._expire()
         self._set_timer()
@@ -50,27 +50,30 @@
         """Go on under changed figures of the same plans; what was taken stays taken."""
         self.settings = replace(self.settings, plans=plans)
         for volume in self.volumes.values():
-            volume.plan = plans[volume.number]
-            volume.reserve.depth = volume.plan.reserve + self.settings.most_units
+            volume.plan = plans[volume.plan_number]
+            volume.reserve.depth = volume.plan.reserve + self.settings.max_units
 
     def avoided(self, now: int) -> list[str]:
         """Tell which listed nodes get nothing now by choice: they rest, or have gone silent."""
         return [
             node
-            for node, book in self.books.items()
-            if book.entry.phase is api.Phase.ON and (book.silent or book.rest_until > now)
+            for node, book in self.nodes.items()
+            if book.entry.phase is api.Phase.ON and (book.is_unresponsive or book.backoff_until > now)
         ]
 
     def _set_timer(self) -> None:
         """Wake for what is due next; a steady tick would cost gateways times nodes."""
         while self.deadlines and self.deadlines[0][1] not in self.requests:
             heapq.heappop(self.deadlines)
-        heard = [book.quiet_since() for book in self.busy.values() if not book.silent]
-        due = [*self.again.values(), *(max(self.woke_at, at) + int(SILENT * self.aim) + 1 for at in heard)]
-        due += [self.deadlines[0][0] - self.lead_us] if self.deadlines else []
-        due += self.copies[0][:1] if self.copies else ()
-        if self.settings.discovery is api.Discovery.ON_REQUEST and self.watch_due >= 0:
-            due.append(self.watch_due)
+        heard = [book.last_activity() for book in self.active_nodes.values() if not book.is_unresponsive]
+        due = [
+            *self.recheck_at.values(),
+            *(max(self.resumed_at, at) + int(UNRESPONSIVE_AFTER * self.target_us) + 1 for at in heard),
+        ]
+        due += [self.deadlines[0][0] - self.answer_lead_us] if self.deadlines else []
+        due += self.hedge_times[0][:1] if self.hedge_times else ()
+        if self.settings.discovery is api.Discovery.ON_REQUEST and self.next_watch_at >= 0:
+            due.append(self.next_watch_at)
         if due and (not self.timer_at or min(due) < self.timer_at):
             self.timer_at = max(min(due), self.now + self.settings.tick_us)
             self.actions.append(api.SetTimer(0, self.timer_at - self.now))
--- a/hophinge/core/errors.py
+++ b/hophinge/core/errors.py
@@ -18,12 +18,12 @@
         super().__init__(what)
         self.what = what
 
-    def told(self) -> str:
+    def one_line(self) -> str:
         """Tell all of it as one line, for the log and the command line."""
-        return told(self)
+        return one_line(self)
 
 
-def told(error: BaseException) -> str:
+def one_line(error: BaseException) -> str:
     """Tell any error as one line; one of another library's bears no code and no remedy."""
     what = " ".join(str(error).split()) or type(error).__name__
     if isinstance(error, HophingeError):
@@ -31,7 +31,7 @@
     return what
 
 
-def types() -> list[type[HophingeError]]:
+def error_types() -> list[type[HophingeError]]:
     """Tell all types of errors that are loaded, by code."""
     found: set[type[HophingeError]] = set()
     open_types = [HophingeError]
--- a/hophinge/core/exchange/__init__.py
+++ b/hophinge/core/exchange/__init__.py
@@ -13,32 +13,41 @@
 from msgspec import structs
 
 from hophinge.core import interface as api
-from hophinge.core.exchange.attempts import Attempt, Open, Probe, Start
-from hophinge.core.exchange.turns import BACKSTOP, Turns
-from hophinge.core.exchange.types import Answer, End, Gate, Loop, Rest, Timer, Verdict, giver
+from hophinge.core.exchange.attempts import Attempt, OpenRequest, Probe, Start
+from hophinge.core.exchange.event_loop_driver import BACKSTOP, EventLoopDriver
+from hophinge.core.exchange.types import (
+    Answer,
+    AttemptResult,
+    Gate,
+    Loop,
+    AnswerStream,
+    Timer,
+    Verdict,
+    answer_callback,
+)
 
 __all__ = [
     "Answer",
     "Attempt",
     "BACKSTOP",
-    "End",
+    "AttemptResult",
     "Exchange",
     "Gate",
     "Loop",
-    "Open",
+    "OpenRequest",
     "Probe",
-    "Rest",
+    "AnswerStream",
     "Start",
     "Timer",
     "Verdict",
-    "giver",
+    "answer_callback",
 ]
 
 
-class Exchange(Turns):
+class Exchange(EventLoopDriver):
     """The open requests of one head, and what its fronts, its back and its list of nodes tell of."""
 
-    def arrive(self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], whole: bool = True) -> None:
+    def arrive(self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], complete: bool = True) -> None:
         """Take a request; ``answer`` is called once, never within this call, unless its client departs.
 
         Where it is not `whole`, its body is still on its way: its one attempt may take that on, and its client's time
@@ -46,8 +55,8 @@
         """
         if ask.request in self.open:
             raise ValueError(f"request {ask.request} is open already")
-        request = self.open[ask.request] = Open(ask, payload, answer, self.now_us(), whole)
-        if whole:
+        request = self.open[ask.request] = OpenRequest(ask, payload, answer, self.now_us(), complete)
+        if complete:
             self._limit(request)
         self.unanswered += 1
         self.counters.add("requests_taken")
@@ -55,25 +64,25 @@
             bounds = self.gate.admit(self.now_us(), ask)
             if isinstance(bounds, int):
                 advice = bounds
-                self.loop.call_soon(lambda: self._turn_away(request, advice))
+                self.loop.call_soon(lambda: self._reject(request, advice))
                 return
-            if isinstance(bounds, api.Waits):
+            if isinstance(bounds, api.WaitAtGate):
                 self.counters.add("requests_waited")
                 request.ask = structs.replace(ask, bounds=bounds.bounds)
                 return self._gate_timer()
             ask = request.ask = structs.replace(ask, bounds=bounds)
         self._event(ask)
 
-    def whole(self, name: str) -> None:
+    def body_complete(self, name: str) -> None:
         """Take the last byte of a request's body."""
         request = self.open.get(name)
-        if request is None or request.whole or request.answer is None:
+        if request is None or request.is_complete or request.answer is None:
             return
-        request.whole = True
-        request.deadline = self.now_us() + max(0, request.ask.time_left_us - request.waited)
+        request.is_complete = True
+        request.deadline = self.now_us() + max(0, request.ask.time_left_us - request.waited_us)
         self._limit(request)
         for attempt in request.attempts.values():
-            attempt.give_up = request.deadline
+            attempt.give_up_at = request.deadline
             self._time(attempt)
 
     def depart(self, name: str) -> None:
@@ -85,11 +94,11 @@
             self._forget(request)  # one of which nothing is out would else stay for ever
             self._event(api.Departure(name))
 
-    def cut_off(self) -> None:
+    def answer_all_now(self) -> None:
         """Give each request that still waits its final answer: who answers will be there no longer."""
         for request in [one for one in self.open.values() if one.answer is not None]:
             self.counters.add("requests_cut_off")
-            harmless = not request.sent or self.settings.classes[request.ask.klass].effect is api.Effect.SAFE
+            harmless = not request.attempts_sent or self.settings.classes[request.ask.klass].effect is api.Effect.SAFE
             self._answer(request, Answer(Verdict.REFUSED if harmless else Verdict.FAILED))
             self._event(api.Departure(request.ask.request))
 
--- a/hophinge/core/exchange/attempts.py
+++ b/hophinge/core/exchange/attempts.py
@@ -8,16 +8,16 @@
 from msgspec import structs
 
 from hophinge.core import interface as api
-from hophinge.core.exchange.types import Answer, End, Rest, Timer
-from hophinge.core.figures import Figures
-from hophinge.core.written import Written
+from hophinge.core.exchange.types import Answer, AttemptResult, AnswerStream, Timer
+from hophinge.core.request_metrics import RequestMetrics
+from hophinge.core.write_locations import WriteLocations
 
 
-class Owner(Protocol):
+class AttemptOwner(Protocol):
     """The exchange as one of its attempts needs it."""
 
     @property
-    def figures(self) -> Figures:
+    def metrics(self) -> RequestMetrics:
         """Tell where work is counted."""
 
     @property
@@ -32,14 +32,14 @@
     def now_us(self) -> Callable[[], int]:
         """Tell the clock."""
 
-    def begun(self, attempt: Attempt, body: bytes, rest: Rest, heard_us: int) -> bool:
+    def attempt_streams(self, attempt: Attempt, body: bytes, rest: AnswerStream, heard_us: int) -> bool:
         """Take the first part of an answer that is too long to be held."""
 
-    def ended(self, attempt: Attempt, end: End) -> None:
+    def attempt_ended(self, attempt: Attempt, end: AttemptResult) -> None:
         """Take the end of an attempt."""
 
 
-class Open:
+class OpenRequest:
     """A request from its arrival until it is answered and no attempt of it is out."""
 
     __slots__ = (
@@ -48,92 +48,110 @@
         "attempts",
         "backstop",
         "deadline",
-        "once",
+        "single_attempt",
         "payload",
-        "sent",
-        "since",
-        "waited",
-        "whole",
+        "attempts_sent",
+        "arrived_at",
+        "waited_us",
+        "is_complete",
     )
 
     def __init__(
-        self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], since: int, whole: bool
+        self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], arrived_at: int, is_complete: bool
     ) -> None:
         self.ask = ask
         self.payload = payload
-        self.whole = whole
-        self.since = since
-        self.deadline = since + ask.time_left_us
-        self.once = not whole  # its body is held only until an attempt takes it, whole by then or not
-        self.waited = 0  # while nobody took a body that is on its way; its last byte may have come since then
+        self.is_complete = is_complete
+        self.arrived_at = arrived_at
+        self.deadline = arrived_at + ask.time_left_us
+        self.single_attempt = not is_complete  # its body is held only until an attempt takes it, whole by then or not
+        self.waited_us = 0  # while nobody took a body that is on its way; its last byte may have come since then
         self.answer: Callable[[Answer], None] | None = answer  # None once the one answer is given
         self.attempts: dict[int, Attempt] = {}
-        self.sent = 0
+        self.attempts_sent = 0
         self.backstop: Timer | None = None
 
 
 class Attempt:
     """One attempt that is out; ``may_go`` is to be asked just before its bytes are written."""
 
-    __slots__ = ("exchange", "give_up", "node", "number", "request", "shard", "since", "stop", "timer", "until")
+    __slots__ = (
+        "exchange",
+        "give_up_at",
+        "node",
+        "number",
+        "request",
+        "shard",
+        "sent_at",
+        "stop",
+        "timer",
+        "write_before",
+    )
 
     def __init__(
-        self, exchange: Owner, request: Open, number: int, node: str, since: int, give_up: int, until: int = 0
+        self,
+        exchange: AttemptOwner,
+        request: OpenRequest,
+        number: int,
+        node: str,
+        sent_at: int,
+        give_up_at: int,
+        write_before: int = 0,
     ) -> None:
         self.exchange = exchange
         self.request = request
         self.number = number
         self.node = node
         # until: none of it is written from then on
-        self.since = since
-        self.give_up = give_up
-        self.until = until
+        self.sent_at = sent_at
+        self.give_up_at = give_up_at
+        self.write_before = write_before
         self.shard = exchange.shards.get(node, -1)  # its node may be forgotten before it ends
         self.stop: Callable[[], None] | None = None
         self.timer: Timer | None = None
 
-    def written(self) -> None:
+    def record_sent(self) -> None:
         """Note that its last byte has been handed to the network."""
-        self.exchange.figures.relayed += 1
+        self.exchange.metrics.relayed += 1
 
-    def begin(self, body: bytes, rest: Rest, heard_us: int) -> bool:
+    def begin_stream(self, body: bytes, rest: AnswerStream, heard_us: int) -> bool:
         """Report that a long answer has begun, and when its head came; False where nobody waits for it."""
-        return self.exchange.begun(self, body, rest, heard_us)
+        return self.exchange.attempt_streams(self, body, rest, heard_us)
 
-    def may_go(self) -> bool:
+    def may_send(self) -> bool:
         """Guard drains, answered requests, deadlines and windows for repeats after a wait for a connection."""
         # A request that is answered or whose time is over must not reach a node, nor anything a node that drains.
         return (
             self.request.answer is not None
-            and (not self.request.whole or self.exchange.now_us() < self.give_up)
-            and (not self.until or self.exchange.now_us() < self.until)
+            and (not self.request.is_complete or self.exchange.now_us() < self.give_up_at)
+            and (not self.write_before or self.exchange.now_us() < self.write_before)
             and self.exchange.phases.get(self.node) is api.Phase.ON
         )
 
-    def goes(self) -> int:
+    def begin_sending(self) -> int:
         """Note that its first byte goes now; tell how long it will be waited for, in microseconds."""
         request, now = self.request, self.exchange.now_us()
-        if request.whole:
-            return max(0, self.give_up - now)
+        if request.is_complete:
+            return max(0, self.give_up_at - now)
         # What has come and was not taken is not seen: the client's time may have run since the body's beginning.
-        request.waited = now - request.since
-        return max(0, request.ask.time_left_us - request.waited)
+        request.waited_us = now - request.arrived_at
+        return max(0, request.ask.time_left_us - request.waited_us)
 
-    def moved(self, written: Written, result: api.Result) -> api.Arrival | None:
+    def redirected(self, write_locations: WriteLocations, result: api.Result) -> api.Arrival | None:
         """Note where a write went; tell the request that finds a read's object, if this head wrote it elsewhere."""
         ask, nodes, now = self.request.ask, self.exchange.phases, self.exchange.now_us()
         if result is api.Result.OK and ask.write and ask.key and self.shard >= 0:
-            written.note(now, ask.volume, ask.key, self.shard)
+            write_locations.record(now, ask.volume, ask.key, self.shard)
         if result is not api.Result.MISPLACED or ask.write:
             return None
-        shard = written.find(now, ask.volume, ask.key)
+        shard = write_locations.find(now, ask.volume, ask.key)
         # Turned away at the same shard, it is over. A shard that no node in use holds is asked for in vain.
         held = {self.exchange.shards.get(node) for node, phase in nodes.items() if phase is api.Phase.ON}
         return None if shard is None or shard not in held - {self.shard} else structs.replace(ask, shard=shard)
 
-    def end(self, end: End) -> None:
+    def end(self, end: AttemptResult) -> None:
         """Report the end; whatever comes after the first one is void."""
-        self.exchange.ended(self, end)
+        self.exchange.attempt_ended(self, end)
 
 
 Start = Callable[[Attempt], Callable[[], None]]
--- a/hophinge/core/exchange/types.py
+++ b/hophinge/core/exchange/types.py
@@ -41,7 +41,7 @@
     ABSENT = "absent"  # a node holds the place where it would be, and it is not there
 
 
-class Rest(Protocol):
+class AnswerStream(Protocol):
     """What follows the first part of an answer that has begun; whoever reads sets the pace."""
 
     @property
@@ -62,10 +62,10 @@
     body: bytes = b""
     retry_after_us: int = 0
     shard: int = -1  # of the node that served it
-    rest: Rest | None = None  # its reader closes it
+    stream: AnswerStream | None = None  # its reader closes it
 
 
-def giver(done: Future[Answer]) -> Callable[[Answer], None]:
+def answer_callback(done: Future[Answer]) -> Callable[[Answer], None]:
     """Make the `answer` of a front that awaits it in a future.
 
     The future of a client that has gone is cancelled before its front gets to say so: there is nobody to tell then.
@@ -78,7 +78,7 @@
     return give
 
 
-class End(Struct, frozen=True):
+class AttemptResult(Struct, frozen=True):
     """How an attempt ended, as the back saw it."""
 
     result: api.Result
@@ -92,14 +92,14 @@
 class Gate(Protocol):
     """Whoever stands before the module: it turns requests away and narrows what the module may choose from."""
 
-    def admit(self, now_us: int, ask: api.Arrival) -> api.Bounds | api.Waits | int:
+    def admit(self, now_us: int, ask: api.Arrival) -> api.Bounds | api.WaitAtGate | int:
         """Tell a request's bounds, or after how many microseconds it may come again where it is refused."""
 
-    def turn(self, now_us: int) -> list[tuple[str, int]]:
+    def release(self, now_us: int) -> list[tuple[str, int]]:
         """Tell which requests wait no longer: 0 where one is let in, else after how long it may come again."""
 
     @property
-    def due_us(self) -> int:
+    def next_release_us(self) -> int:
         """Tell when `turn` is to be called at the latest; 0: nothing waits."""
 
     def answered(self, now_us: int, bounds: api.Bounds) -> None:
--- a/hophinge/core/interface/__init__.py
+++ b/hophinge/core/interface/__init__.py
@@ -18,12 +18,12 @@
     Send,
     SetTimer,
     StreamStarted,
-    TimerDue,
-    Waits,
+    TimerExpired,
+    WaitAtGate,
     Watch,
 )
 from hophinge.core.interface.nodes import ListKind, NodeEntry, NodeList, Phase, Result
-from hophinge.core.interface.protocols import Bounds, Scorers, Seen
+from hophinge.core.interface.protocols import Bounds, Scorers, NodeObservation
 from hophinge.core.interface.settings import Allowed, DedupScope, Discovery, Effect, Plan, RequestClass, Rules, Settings
 
 __all__ = [
@@ -52,12 +52,12 @@
     "Result",
     "Rules",
     "Scorers",
-    "Seen",
+    "NodeObservation",
     "Send",
     "SetTimer",
     "Settings",
     "StreamStarted",
-    "TimerDue",
-    "Waits",
+    "TimerExpired",
+    "WaitAtGate",
     "Watch",
 ]
--- a/hophinge/core/interface/events.py
+++ b/hophinge/core/interface/events.py
@@ -13,7 +13,7 @@
 from hophinge.core.interface.protocols import Bounds
 
 
-class Waits(Struct, frozen=True):
+class WaitAtGate(Struct, frozen=True):
     """A request that is not let in yet; the gate's `turn` tells what becomes of it."""
 
     bounds: Bounds
@@ -34,7 +34,7 @@
     plan: int
     bounds: Bounds | None = None
     keyless: bool = False  # bears no key that nodes could drop a repeat by, whatever its class says
-    spare: bool = False  # nobody waits for it: it has no reserve, and counts in nobody's fair part
+    is_background: bool = False  # nobody waits for it: it has no reserve, and counts in nobody's fair part
 
 
 class Outcome(Struct, frozen=True):
@@ -79,13 +79,13 @@
     report: Mapping[str, float]
 
 
-class TimerDue(Struct, frozen=True, gc=False):
+class TimerExpired(Struct, frozen=True, gc=False):
     """A timer that the scheduler set."""
 
     token: int
 
 
-Event = NodeList | Arrival | Outcome | StreamStarted | Departure | ProbeResult | TimerDue
+Event = NodeList | Arrival | Outcome | StreamStarted | Departure | ProbeResult | TimerExpired
 
 
 class Send(Struct, frozen=True, gc=False, repr_omit_defaults=True):
--- a/hophinge/core/interface/settings.py
+++ b/hophinge/core/interface/settings.py
@@ -33,13 +33,13 @@
 class RequestClass:
     """A class of requests; worth counts per request, aim and deadline from its first arrival."""
 
-    aim_us: int
+    target_latency_us: int
     deadline_us: int
     effect: Effect
     scope: DedupScope
     dedup_window_us: int
-    worth: float
-    late_worth: float
+    value: float
+    late_value: float
     in_order: bool
     stream: bool
     name: str = ""
@@ -65,16 +65,16 @@
 
     answer_grace_us: int
     drain_grace_us: int
-    fall_multiple: float
-    fall_us: int
-    cold_share: float
-    cold_us: int
-    cold_units: float
+    overload_multiple: float
+    overload_window_us: int
+    slow_start_share: float
+    slow_start_us: int
+    slow_start_units: float
     budget_free: float
     budget_share: float
     budget_us: int
-    settle_us: int
-    ask_within_us: int
+    key_block_us: int
+    watch_within_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
     """What a deployment permits its gateways."""
 
     attempts: int
-    second_copies: bool
+    hedging: bool
     cancel: bool
     probes: bool
     retry_after_us: int
@@ -103,9 +103,9 @@
     allowed: Allowed
     discovery: Discovery
     mean_units: float
-    most_units: float
-    share_worth: float
-    spare_worth: float
+    max_units: float
+    share_value: float
+    spare_value: float
     meter_us: int
     tells_elsewhere: bool
     report_fields: tuple[str, ...]
--- a/hophinge/core/rotation.py
+++ b/hophinge/core/manual_ejections.py
@@ -10,25 +10,25 @@
 from hophinge.core.interface import ListKind, NodeEntry, NodeList, Phase
 
 
-class Mark(Struct, frozen=True):
+class ManualEjection(Struct, frozen=True):
     """The last call for a brick: when it came, and whether it took the brick out."""
 
     at_us: int
     out: bool
 
 
-class Rotation:
+class ManualEjections:
     """The list as discovery told it, the marks set by hand, and their sum, which is what the core is told."""
 
-    def __init__(self, tell: Callable[[NodeList], None], now_us: Callable[[], int], cold_us: int) -> None:
-        self.tell = tell
+    def __init__(self, on_change: Callable[[NodeList], None], now_us: Callable[[], int], slow_start_us: int) -> None:
+        self.on_change = on_change
         self.now_us = now_us
-        self.cold_us = cold_us
+        self.slow_start_us = slow_start_us
         self.listed: dict[str, NodeEntry] = {}
-        self.marks: dict[str, Mark] = {}
-        self.marked: Callable[[], None] = lambda: None  # called when a call has set a mark
+        self.ejections: dict[str, ManualEjection] = {}
+        self.on_ejection: Callable[[], None] = lambda: None  # called when a call has set a mark
 
-    def take(self, event: NodeList) -> None:
+    def apply_list(self, event: NodeList) -> None:
         """Take a list, or what changed in it, and pass it on with the marks laid over it."""
         if event.kind is ListKind.FULL:
             self.listed = {}
@@ -38,10 +38,10 @@
             else:
                 self.listed[entry.node] = entry
         self._forget()
-        self.tell(NodeList(event.kind, tuple(map(self._laid_over, event.entries))))
+        self.on_change(NodeList(event.kind, tuple(map(self._with_ejection, event.entries))))
 
-    def _laid_over(self, entry: NodeEntry) -> NodeEntry:
-        mark = self.marks.get(entry.node)
+    def _with_ejection(self, entry: NodeEntry) -> NodeEntry:
+        mark = self.ejections.get(entry.node)
         if mark is None or entry.phase is Phase.GONE:
             return entry
         if mark.out:
@@ -51,39 +51,43 @@
 
     def _forget(self) -> None:
         """Drop the marks of bricks that are back for so long that they count as warm."""
-        then = self.now_us() - self.cold_us
-        self.marks = {node: mark for node, mark in self.marks.items() if mark.out or mark.at_us > then}
+        then = self.now_us() - self.slow_start_us
+        self.ejections = {node: mark for node, mark in self.ejections.items() if mark.out or mark.at_us > then}
 
-    def out(self, node: str) -> bool:
+    def is_ejected(self, node: str) -> bool:
         """Tell whether a brick is out by hand."""
-        mark = self.marks.get(node)
+        mark = self.ejections.get(node)
         return mark is not None and mark.out
 
-    def down(self, node: str) -> bool:
+    def eject(self, node: str) -> bool:
         """Take a brick out; False: no such brick. Twice is as good as once."""
-        if self.out(node):
+        if self.is_ejected(node):
             return True
         return node in self.listed and self._set(node, True)
 
-    def up(self, node: str) -> bool:
+    def restore(self, node: str) -> bool:
         """Use a brick again, however often it was taken out; False: no such brick."""
-        if self.out(node):
+        if self.is_ejected(node):
             return self._set(node, False)
         return node in self.listed
 
     def _set(self, node: str, out: bool) -> bool:
-        last = self.marks.get(node)  # a call that follows within one tick of the clock is the later one all the same
-        done = self.merge({node: Mark(max(self.now_us(), last.at_us + 1 if last else 0), out)})
-        self.marked()
+        last = self.ejections.get(
+            node
+        )  # a call that follows within one tick of the clock is the later one all the same
+        done = self.merge({node: ManualEjection(max(self.now_us(), last.at_us + 1 if last else 0), out)})
+        self.on_ejection()
         return done
 
-    def merge(self, marks: Mapping[str, Mark]) -> bool:
+    def merge(self, ejections: Mapping[str, ManualEjection]) -> bool:
         """Take marks that are newer than those held; tell whether there were any."""
         newer = {
-            node: mark for node, mark in marks.items() if node not in self.marks or mark.at_us > self.marks[node].at_us
+            node: mark
+            for node, mark in ejections.items()
+            if node not in self.ejections or mark.at_us > self.ejections[node].at_us
         }
-        self.marks.update(newer)
-        changed = tuple(self._laid_over(self.listed[node]) for node in newer if node in self.listed)
+        self.ejections.update(newer)
+        changed = tuple(self._with_ejection(self.listed[node]) for node in newer if node in self.listed)
         if changed:
-            self.tell(NodeList(ListKind.CHANGES, changed))
+            self.on_change(NodeList(ListKind.CHANGES, changed))
         return bool(newer)
--- a/hophinge/core/figures.py
+++ b/hophinge/core/request_metrics.py
@@ -8,42 +8,42 @@
 PREFIX = "edge."
 
 
-class Ticket:
+class OpenRequestCount:
     """A request from when it is taken until its true end; whatever comes after the first end is void."""
 
-    __slots__ = ("figures", "klass", "over")
+    __slots__ = ("metrics", "klass", "is_ended")
 
-    def __init__(self, figures: Figures, klass: str) -> None:
-        self.figures = figures
+    def __init__(self, metrics: RequestMetrics, klass: str) -> None:
+        self.metrics = metrics
         self.klass = klass
-        self.over = False
-        figures.open += 1
+        self.is_ended = False
+        metrics.open += 1
 
     def end(self, outcome: str | None) -> None:
         """Count the end; None: its client had left, and it stands under no count."""
-        if self.over:
+        if self.is_ended:
             return
-        self.over = True
-        self.figures.open -= 1
+        self.is_ended = True
+        self.metrics.open -= 1
         if outcome is not None:
-            self.figures.ended[self.klass, outcome] += 1
+            self.metrics.ended[self.klass, outcome] += 1
 
 
-class Figures:
+class RequestMetrics:
     """Requests by class and end, attempts written whole to bricks, and what is now."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.ended = {(klass, outcome): 0 for klass in classes for outcome in OUTCOMES}
         self.relayed = self.open = 0
-        self.now: Callable[[], Mapping[str, int]] = dict  # figures that others hold; asked at each reading
+        self.current_values: Callable[[], Mapping[str, int]] = dict  # figures that others hold; asked at each reading
 
-    def take(self, klass: str) -> Ticket:
+    def open_request(self, klass: str) -> OpenRequestCount:
         """Note a request that is taken."""
-        return Ticket(self, klass)
+        return OpenRequestCount(self, klass)
 
     def gauges(self) -> dict[str, int]:
         """Tell what is now."""
-        return {"open_requests": self.open, **self.now()}
+        return {"open_requests": self.open, **self.current_values()}
 
     def text(self) -> str:
         """All figures, one `name=value` a line."""
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -110,8 +110,8 @@
         )
         made.outgoing_hints(0.0)
         for node in made.nodes.values():
-            node.in_flight.slots.clear()
-            node.in_flight.free = node.in_flight.units_out = 0.0
+            node.in_flight.reservations.clear()
+            node.in_flight.free_at = node.in_flight.units_out = 0.0
         return plan
 
     return work
--- a/hophinge/fleet/placement/node.py
+++ b/hophinge/fleet/placement/node.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from hophinge.core.choice.books import Book
+from hophinge.core.choice.node_state import NodeState
 from hophinge.core.interface.nodes import NodeEntry, Phase
 from hophinge.fleet.placement.hints import EngineReport
 from hophinge.fleet.placement.prompt import Prompt, PromptSegment
@@ -72,7 +72,7 @@
 
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
-        self.in_flight = Book(NodeEntry(instance.identity, 0, 0, Phase.ON, 1.0, 0))
+        self.in_flight = NodeState(NodeEntry(instance.identity, 0, 0, Phase.ON, 1.0, 0))
         self.queue = WorkQueue()  # the jobs of all heads there
         self.open_streams = 0  # answers to this head that are being streamed
         self.cache = PrefixCache(0)
@@ -98,7 +98,7 @@
     @property
     def outstanding(self) -> int:
         """The number of requests of this head that are outstanding there."""
-        return len(self.in_flight.slots) + self.open_streams
+        return len(self.in_flight.reservations) + self.open_streams
 
     def apply_report(self, now_us: float, report: EngineReport, mean_us: float) -> None:
         """Record the instance's report, and correct its estimated queue."""
--- a/hophinge/fleet/placement/placement.py
+++ b/hophinge/fleet/placement/placement.py
@@ -22,7 +22,7 @@
     EngineReports,
     SuspectedInstances,
 )
-from hophinge.core.choice.nodes import CEILING
+from hophinge.core.choice.gateway_state import MAX_IN_FLIGHT
 from hophinge.fleet.placement.node import MICROSECONDS, PrefixCache, Node
 from hophinge.fleet.placement.plan import Forecast, PlacementRejection, PlacementPlan, PlacementRequest
 from hophinge.fleet.placement.policy import PlacementPolicy
@@ -142,7 +142,7 @@
 
     def record_answer(self, now: float, reservation: Reservation, is_streaming: bool) -> None:
         """Record the answer to an attempt; where its prompt was read, the other heads are notified."""
-        if reservation.attempt_id not in reservation.node.in_flight.slots:
+        if reservation.attempt_id not in reservation.node.in_flight.reservations:
             return
         reservation.record_answer(now, is_streaming)
         if reservation.pool.timing.is_sequential and reservation.units > MIN_TOKENS:
@@ -155,7 +155,7 @@
 
     def release(self, now: float, reservation: Reservation) -> None:
         """Release an attempt; where its prompt was not read, the other heads are notified."""
-        is_unfinished = reservation.attempt_id in reservation.node.in_flight.slots
+        is_unfinished = reservation.attempt_id in reservation.node.in_flight.reservations
         reservation.release(now)
         if is_unfinished and reservation.units > MIN_TOKENS and self.policy.shares_drops:
             reservation.node.drop_job(reservation.job.job_id)
@@ -278,7 +278,7 @@
             request.now, key, request.excluded, lambda node: pool.has_capacity(node, units(node), request.target_s)
         )
         if not nodes:
-            nodes = pool.key_group(request.now, key, request.excluded, lambda node: node.outstanding < CEILING)
+            nodes = pool.key_group(request.now, key, request.excluded, lambda node: node.outstanding < MAX_IN_FLIGHT)
         return pool.candidates(request.now, nodes, units, is_late)
 
     def _reserve(self, choice: PlacementChoice, request: PlacementRequest, prompt: Prompt | None) -> PlacementPlan:
--- a/hophinge/fleet/placement/pool.py
+++ b/hophinge/fleet/placement/pool.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from hophinge.core.choice.nodes import CEILING
+from hophinge.core.choice.gateway_state import MAX_IN_FLIGHT
 from hophinge.fleet.placement.hints import PlacementHint
 from hophinge.fleet.placement.node import MICROSECONDS, Node
 from hophinge.fleet.placement.policy import PlacementPolicy
@@ -37,11 +37,11 @@
         """Record an answer: its duration is a sample of the time per unit. A stream stays open."""
         node = self.node
         now_us = int(now * MICROSECONDS)
-        if self.attempt_id not in node.in_flight.slots:
+        if self.attempt_id not in node.in_flight.reservations:
             return
-        slot = node.in_flight.drop(self.attempt_id, now_us)
-        self.pool.timing.learn_from_answer(node, slot.units, now_us - slot.sent)
-        node.in_flight.heard = now_us
+        slot = node.in_flight.release(self.attempt_id, now_us)
+        self.pool.timing.learn_from_answer(node, slot.units, now_us - slot.sent_at)
+        node.in_flight.last_answer_at = now_us
         node.record_answer(now)
         if is_streaming:
             self.is_streaming = True
@@ -49,8 +49,8 @@
 
     def release(self, now: float) -> None:
         """Release what the attempt still occupies at its instance."""
-        if self.attempt_id in self.node.in_flight.slots:
-            self.node.in_flight.drop(self.attempt_id, int(now * MICROSECONDS))
+        if self.attempt_id in self.node.in_flight.reservations:
+            self.node.in_flight.release(self.attempt_id, int(now * MICROSECONDS))
             self.node.queue.drop(self.job)
         if self.is_streaming:
             self.is_streaming = False
@@ -114,10 +114,10 @@
 
     def has_capacity(self, node: Node, units: float, target_s: float) -> bool:
         """Return whether this head may send more units to an instance: the units outstanding there are bounded."""
-        if len(node.in_flight.slots) < MIN_OUTSTANDING:
+        if len(node.in_flight.reservations) < MIN_OUTSTANDING:
             return True
         bound = self.policy.outstanding_fraction * target_s * MICROSECONDS / self.unit_us(node) * self.parallelism
-        return node.outstanding < CEILING and node.in_flight.units_out + units <= bound
+        return node.outstanding < MAX_IN_FLIGHT and node.in_flight.units_out + units <= bound
 
     def candidates(
         self, now: float, nodes: Iterable[Node], units: Callable[[Node], float], is_late: bool
--- a/hophinge/head/adapter.py
+++ b/hophinge/head/adapter.py
@@ -96,7 +96,7 @@
     "first_byte": lambda part: api.StreamStarted(part[0], whole(part[1])),
     "client_left": lambda part: api.Departure(part[0]),
     "ping_result": lambda part: api.ProbeResult(part[0], RESULTS[part[1]], whole(part[2]), report(part[3])),
-    "ring": lambda part: api.TimerDue(whole(part[0])),
+    "ring": lambda part: api.TimerExpired(whole(part[0])),
 }
 
 
--- a/hophinge/head/cluster.py
+++ b/hophinge/head/cluster.py
@@ -8,7 +8,7 @@
 
 from hophinge.cluster.interface import ReplicatedEntries, Subscriber, Role, MembershipView
 from hophinge.cluster.tuning import Limits, Tuning
-from hophinge.core.errors import HophingeError, told
+from hophinge.core.errors import HophingeError, one_line
 from hophinge.head.sections import ClusterConfig
 from hophinge.peers.endpoint import MemberEndpoint
 
@@ -74,7 +74,7 @@
         try:
             self.endpoint.reload()
         except HophingeError as error:
-            self.say(f"the cluster's keys are kept as they were: {told(error)}")
+            self.say(f"the cluster's keys are kept as they were: {one_line(error)}")
 
     def leave(self) -> None:
         """Tell others that this process leaves, at its end."""
@@ -88,7 +88,7 @@
             "name": self.sight.own_name,
             "address": self.endpoint.address,
             "health": core.health,
-            "stepped_back": failed.told() if failed is not None else "",
+            "stepped_back": failed.one_line() if failed is not None else "",
             "members": [
                 {
                     "name": one.name,
--- a/hophinge/head/compose.py
+++ b/hophinge/head/compose.py
@@ -114,7 +114,7 @@
         counters,
         gauges,
         exchange.now_us,
-        exchange.figures,
+        exchange.metrics,
         accounts.series if accounts is not None else dict,
     )
 
--- a/hophinge/head/ending.py
+++ b/hophinge/head/ending.py
@@ -103,7 +103,7 @@
     while owed():
         await asyncio.sleep(DRAIN_LOOK_S)
         if exchange.now_us() >= last.until_us:
-            exchange.cut_off()  # what was taken before the signal may have longer than this process
+            exchange.answer_all_now()  # what was taken before the signal may have longer than this process
         front.close_idle()
 
 
--- a/hophinge/head/handover.py
+++ b/hophinge/head/handover.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from hophinge.core.rotation import Mark, Rotation
+from hophinge.core.manual_ejections import ManualEjection, ManualEjections
 
 VERSION = 1
 LOOK_S = 0.05  # between looks; the grace on drains is ten times that
@@ -21,7 +21,7 @@
     """The file of marks. A version that is not known is left alone."""
 
     version: int
-    marks: dict[str, Mark]
+    marks: dict[str, ManualEjection]
 
 
 class Handover:
@@ -32,7 +32,12 @@
     """
 
     def __init__(
-        self, folder: Path, rotation: Rotation, now_us: Callable[[], int], rest_us: int, log: Callable[[str], None]
+        self,
+        folder: Path,
+        rotation: ManualEjections,
+        now_us: Callable[[], int],
+        rest_us: int,
+        log: Callable[[str], None],
     ) -> None:
         self.folder = folder
         self.rotation = rotation
@@ -91,14 +96,14 @@
             if found.version != VERSION:
                 return self.log(f"{path} has version {found.version}, not {VERSION}; bricks out by hand are not shared")
             self.rotation.merge(found.marks)
-            if any(found.marks.get(node) != mark for node, mark in self.rotation.marks.items()):
+            if any(found.marks.get(node) != mark for node, mark in self.rotation.ejections.items()):
                 self.write()
         return None
 
     def write(self) -> None:
         """Put the marks that this process holds in the file's place."""
         path = self.folder / f"marks-{os.getpid()}"
-        path.write_bytes(msgspec.json.encode(Marks(VERSION, self.rotation.marks)))
+        path.write_bytes(msgspec.json.encode(Marks(VERSION, self.rotation.ejections)))
         os.replace(path, self.folder / MARKS)
 
     def descriptors(self) -> int:
--- a/hophinge/head/last.py
+++ b/hophinge/head/last.py
@@ -18,7 +18,9 @@
         longest_us = max(klass.deadline_us for klass in classes)
         self.until_us = told_us + min(LONGEST_US, longest_us) + KILL_US - ANSWER_US
         # Who can hardly be answered any more is better told at once.
-        self.needs_us = [int(NEED * min(klass.aim_us or klass.deadline_us, klass.deadline_us)) for klass in classes]
+        self.needs_us = [
+            int(NEED * min(klass.target_latency_us or klass.deadline_us, klass.deadline_us)) for klass in classes
+        ]
         self.closes_us = max(told_us, self.until_us - min(self.needs_us))
 
     def left_us(self, klass: int, time_left_us: int, now_us: int) -> int:
--- a/hophinge/head/log.py
+++ b/hophinge/head/log.py
@@ -8,7 +8,7 @@
 import select
 import sys
 
-from hophinge.core.errors import told
+from hophinge.core.errors import one_line
 
 PIECE = select.PIPE_BUF // 4  # characters; their bytes fit into a pipe that has any room
 READ_MS = 50.0  # for a reader that is behind; one that let it pass is not waited for until it has read
@@ -60,4 +60,4 @@
 def note_end(task: asyncio.Task[None]) -> None:
     """Log the end of a task that should run as long as its head, unless it was cancelled."""
     if not task.cancelled() and (error := task.exception()) is not None:
-        say(f"a part of the head has ended, all else goes on: {told(error)}")
+        say(f"a part of the head has ended, all else goes on: {one_line(error)}")
--- a/hophinge/head/main.py
+++ b/hophinge/head/main.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from hophinge.core import interface as api
-from hophinge.core.errors import HophingeError, told
+from hophinge.core.errors import HophingeError, one_line
 from hophinge.head.config import Config, load
 from hophinge.head.environment import CONFIG_FILE
 from hophinge.head.log import Lines, say
@@ -36,7 +36,7 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, settings, operator))
     except (HophingeError, ValueError, OSError, msgspec.MsgspecError) as error:
-        print(f"hophinge: {told(error)}", file=sys.stderr)
+        print(f"hophinge: {one_line(error)}", file=sys.stderr)
         return 2
     return 0
 
@@ -67,5 +67,5 @@
     try:
         await service.finish()
     except Exception as error:  # what does not close cleanly ends with the process
-        say(f"the end was not clean: {told(error)}")
+        say(f"the end was not clean: {one_line(error)}")
     service.report()
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -17,10 +17,10 @@
 from hophinge.control.messages import DiscoveryRequest, DiscoveryResponse
 from hophinge.control.stream_client import StreamClient
 from hophinge.control.maintenance_wire import MAINTENANCE_METRIC, decode_update, report_request
-from hophinge.core.errors import HophingeError, told
+from hophinge.core.errors import HophingeError, one_line
 from hophinge.core.exchange import Exchange, Gate
-from hophinge.core.interface import Arrival, Bounds, NodeList, Phase, Result, Waits
-from hophinge.core.rotation import Mark, Rotation
+from hophinge.core.interface import Arrival, Bounds, NodeList, Phase, Result, WaitAtGate
+from hophinge.core.manual_ejections import ManualEjection, ManualEjections
 from hophinge.maintenance.drains import (
     Action,
     HeadDrains,
@@ -52,18 +52,18 @@
         self.gate = gate
         self.good: dict[str, int] = {}  # by brick: when it answered last
 
-    def admit(self, now_us: int, ask: Arrival) -> Bounds | Waits | int:
+    def admit(self, now_us: int, ask: Arrival) -> Bounds | WaitAtGate | int:
         """Pass on."""
         return self.gate.admit(now_us, ask)
 
-    def turn(self, now_us: int) -> list[tuple[str, int]]:
+    def release(self, now_us: int) -> list[tuple[str, int]]:
         """Pass on."""
-        return self.gate.turn(now_us)
+        return self.gate.release(now_us)
 
     @property
-    def due_us(self) -> int:
+    def next_release_us(self) -> int:
         """Pass on."""
-        return self.gate.due_us
+        return self.gate.next_release_us
 
     def answered(self, now_us: int, bounds: Bounds) -> None:
         """Pass on."""
@@ -86,7 +86,7 @@
     def __init__(
         self,
         client: StreamClient,
-        rotation: Rotation,
+        rotation: ManualEjections,
         exchange: Exchange,
         holder: PermitHolder,
         zone: str,
@@ -174,7 +174,7 @@
         try:
             goes = self.holder.apply_update(self.exchange.now_us(), word)
         except HophingeError as error:
-            return self.log(f"maintenance: {told(error)}")
+            return self.log(f"maintenance: {one_line(error)}")
         if self.holder.update is word:
             self._do(self.drains.apply_update(word.ejected, word.restored))
             self._tell_halts({HALT_KEY_PREFIX + one for one in word.halted_releases})
@@ -243,7 +243,7 @@
             open_there = Counter(
                 attempt.node for request in self.exchange.open.values() for attempt in request.attempts.values()
             )
-            out = [one.backend for one in self.drains.drains.values() if self.rotation.out(one.backend)]
+            out = [one.backend for one in self.drains.drains.values() if self.rotation.is_ejected(one.backend)]
             # Another process of this head, before or after it, may still have something there.
             self._do(self.drains.observe(open_there, out if self.alone() else (), self._warm()))
         for request in self._due(False):
@@ -251,7 +251,7 @@
 
     def _warm(self) -> list[str]:
         """Tell which bricks have answered since they are back, for longer than they count as cold."""
-        now, cold = self.exchange.now_us(), self.rotation.cold_us
+        now, cold = self.exchange.now_us(), self.rotation.slow_start_us
         since = {
             one.backend: self.up_at.get(one.backend, self.born_us)
             for one in self.drains.drains.values()
@@ -279,9 +279,9 @@
                         self.board.delete(Topic.DRAINS, statement.key)
 
     def _mark(self, backend: str, out: bool) -> None:
-        last = self.rotation.marks.get(backend)
-        self.rotation.merge({backend: Mark(max(self.exchange.now_us(), last.at_us + 1 if last else 0), out)})
-        self.rotation.marked()
+        last = self.rotation.ejections.get(backend)
+        self.rotation.merge({backend: ManualEjection(max(self.exchange.now_us(), last.at_us + 1 if last else 0), out)})
+        self.rotation.on_ejection()
 
     def _tell_halts(self, keys: set[str]) -> None:
         for key in self.halted - keys if self.board is not None else ():
@@ -295,7 +295,7 @@
             if self.board is not None:
                 self.board.put(Topic.DRAINS, key, body)
         except HophingeError as error:
-            self.log(f"maintenance: peers do not hear of {key}: {told(error)}")
+            self.log(f"maintenance: peers do not hear of {key}: {one_line(error)}")
 
 
 def _same(one: HeadReport, other: HeadReport) -> bool:
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -8,7 +8,7 @@
 
 from hophinge.cluster.interface import ReplicatedEntries, Role, MembershipView, MemberState, Topic, EntryVersion
 from hophinge.core import interface as api
-from hophinge.core.errors import HophingeError, told
+from hophinge.core.errors import HophingeError, one_line
 from hophinge.head.sections import PopularityConfig
 from hophinge.maintenance.drains import statements_by_owner
 from hophinge.objects.prefetch import Fetcher
@@ -145,12 +145,12 @@
         refused = exchange.counters.counts["requests_refused"] - self.fetcher.refused
         overloaded, self.refusals = refused > self.refusals, refused
         sources, draining = dict[int, list[Source]](), drained(self.board)
-        aim = exchange.scheduler.aim
-        for name, book in exchange.scheduler.books.items():
-            queued = book.wait > SPARE_WAIT * aim and now_us - book.wait_at < WAIT_FADES * aim
-            waits = book.held or book.full or book.failures or queued
-            spare = 0.0 if waits else exchange.settings.most_units - book.units_out
-            warm = book.warmth(now_us, exchange.settings.rules.cold_us) >= 1.0
+        aim = exchange.scheduler.target_us
+        for name, book in exchange.scheduler.nodes.items():
+            queued = book.queue_delay > SPARE_WAIT * aim and now_us - book.queue_delay_at < WAIT_FADES * aim
+            waits = book.queued or book.is_blocked or book.failures or queued
+            spare = 0.0 if waits else exchange.settings.max_units - book.units_out
+            warm = book.warmth(now_us, exchange.settings.rules.slow_start_us) >= 1.0
             sources.setdefault(book.entry.shard, []).append(
                 Source(name, book.entry.shard, book.entry.phase is api.Phase.ON, warm, spare, name in draining)
             )
@@ -172,7 +172,7 @@
                     await self.fetch()
             except Exception as error:
                 self.faults += 1
-                self.log(f"popularity: {told(error)}")
+                self.log(f"popularity: {one_line(error)}")
 
     def tick(self) -> None:
         """Hear peers, and close a span that is over; `Site.step` then foretells."""
@@ -214,7 +214,7 @@
         except HophingeError as error:
             # Peers then go by what they have; it is only a hint.
             self.untold += 1
-            self.log(f"popularity is not told: {told(error)}")
+            self.log(f"popularity is not told: {one_line(error)}")
 
     async def fetch(self) -> None:
         """Carry out a plan, one read at a time; what does not come to its turn is planned anew."""
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -122,12 +122,12 @@
         clock_ns: Callable[[], int] = time.perf_counter_ns,
     ) -> None:
         settings = exchange.settings
-        aim_us = min(klass.aim_us for klass in settings.classes)
+        aim_us = min(klass.target_latency_us for klass in settings.classes)
         setting = Setting(aim_us, aim_us * config.most_part)
         self.config = config
         self.exchange = exchange
         self.log = log
-        self.surroundings = Surroundings(settings.rules.cold_us)
+        self.surroundings = Surroundings(settings.rules.slow_start_us)
         scorers, versions = make(config, setting)
         self.engine = Engine(
             scorers, versions, setting.most_us, config.budget_us, clock_ns, log, self.surroundings, usage=usage
@@ -135,7 +135,7 @@
         self.board: ReplicatedEntries | None = None
         self.refused = ""  # why the board took no entry, as it was last logged
         exchange.scheduler.scorers = self.engine
-        exchange.heard = self.heard
+        exchange.on_attempt_ended = self.heard
 
     def share(self, me: str, board: ReplicatedEntries) -> None:
         """Share weights with peers as the member `me`, where the configuration says so."""
@@ -189,7 +189,7 @@
                 else:
                     self.board.delete(Topic.WEIGHTS, action.key)
             except HophingeError as error:
-                self._refused(error.told())  # tried again with the next tick
+                self._refused(error.one_line())  # tried again with the next tick
                 continue
             self.engine.done(action)
 
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -9,7 +9,7 @@
 
 from hophinge.core import interface as api
 from hophinge.core.counters import Counters
-from hophinge.core.errors import told
+from hophinge.core.errors import one_line
 from hophinge.core.exchange import Exchange
 from hophinge.net.byte_budget import ByteBudget
 from hophinge.net.backend_client import BackendClient
@@ -24,7 +24,7 @@
 from hophinge.head.config import Config, ConfigError, ReloadError, address, read_config
 from hophinge.head.log import note_end, say
 from hophinge.head.operator import OperatorConfig
-from hophinge.core.rotation import Rotation
+from hophinge.core.manual_ejections import ManualEjections
 
 FIRST_LIST_S = 0.4  # ready with the saved list alone if discovery, which answers at once, is silent for so long
 SHUTDOWN_S = 2.0  # for answers on their way out
@@ -56,10 +56,10 @@
         self.front = Frontend(self.exchange, self.counters, self.budget)
         self.handover: Handover | None = None
         self.share(0)
-        self.rotation = Rotation(self.nodes, clock.now_us, settings.rules.cold_us)
+        self.rotation = ManualEjections(self.nodes, clock.now_us, settings.rules.slow_start_us)
         self.discovery = self._discovery_watch()
-        self.figures = self.exchange.figures
-        self.figures.now = self.backends_now
+        self.figures = self.exchange.metrics
+        self.figures.current_values = self.backends_now
         self.control = (
             OperationsServer(self.counters, self.figures, self.rotation, self.ready) if config.control else None
         )
@@ -78,7 +78,7 @@
         return DiscoveryWatch(
             self.config.discovery,
             self.directory,
-            self.rotation.take,
+            self.rotation.apply_list,
             self.counters,
             self.settings.gateways,
             int(self.config.seed, 16),
@@ -93,7 +93,7 @@
         if self.maintenance is not None:
             self.maintenance.begin()
             self.tasks.append(asyncio.create_task(self.maintenance.run()))
-        self.rotation.take(self.directory.apply(self.config.known, api.ListKind.SAVED))
+        self.rotation.apply_list(self.directory.apply(self.config.known, api.ListKind.SAVED))
         if self.streamed is not None:
             self.streamed.client.restore()
             self.tasks.append(asyncio.create_task(self.streamed.client.run()))
@@ -140,7 +140,9 @@
         """Take a list of bricks, or what changed in it."""
         self.exchange.nodes(event)
         # Connections to a brick that is out by hand go: it is about to be restarted.
-        self.backends.retain(where for node, where in self.directory.endpoints.items() if not self.rotation.out(node))
+        self.backends.retain(
+            where for node, where in self.directory.endpoints.items() if not self.rotation.is_ejected(node)
+        )
 
     def ready(self) -> bool:
         """Tell whether this process serves."""
@@ -160,9 +162,13 @@
             return say("no TMPDIR: bricks out by hand do not outlive an upgrade")
         name = re.sub(r"[^0-9A-Za-z-]", "_", self.config.name or self.config.listen)
         self.handover = Handover(
-            Path(folder) / f"hophinge-{name}", self.rotation, self.exchange.now_us, self.settings.rules.fall_us, say
+            Path(folder) / f"hophinge-{name}",
+            self.rotation,
+            self.exchange.now_us,
+            self.settings.rules.overload_window_us,
+            say,
         )
-        self.rotation.marked = self.handover.write
+        self.rotation.on_ejection = self.handover.write
         self._look()
         self.tasks.append(asyncio.create_task(self._look_on()))
 
@@ -178,7 +184,7 @@
             try:
                 self._look()
             except OSError as error:
-                say(f"cannot look for another process: {told(error)}")
+                say(f"cannot look for another process: {one_line(error)}")
 
     def share(self, elsewhere: int) -> None:
         """Take this process's part of sockets and memory when so many descriptors are another process's."""
@@ -225,7 +231,7 @@
         except ConfigError as error:
             # Somebody's slip, or a file caught half written: the head goes on with what it has.
             self.counters.add("reloads_failed")
-            say(f"the configuration is kept as it was: {told(ReloadError(str(error)))}")
+            say(f"the configuration is kept as it was: {one_line(ReloadError(str(error)))}")
             return
         self.counters.add("reloads")
         if new.discovery != self.discovery.address:
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -101,7 +101,7 @@
     def tenant_ended(self, tenant: str) -> None:
         """Turn away at once what waits of a tenant that is served no more."""
         if self.router.end(tenant):
-            self.exchange.gate_news()
+            self.exchange.gate_changed()
 
     def _leases(self) -> bool:
         spare = self.router.table.spare
--- a/hophinge/net/backend_answer.py
+++ b/hophinge/net/backend_answer.py
@@ -12,7 +12,7 @@
 from multidict import CIMultiDictProxy
 
 from hophinge.core.counters import Counters
-from hophinge.core.exchange import End
+from hophinge.core.exchange import AttemptResult
 from hophinge.core.interface import Result
 from hophinge.net.backend_connection import BackendConnection, BackendProtocolError
 from hophinge.net.payload import MAX_BUFFERED_ANSWER, MAX_LONG_BODY
@@ -109,7 +109,9 @@
     return metrics
 
 
-def attempt_outcome(answer: BackendAnswer, has_load_report: bool, counters: Counters, names_shard: bool = False) -> End:
+def attempt_outcome(
+    answer: BackendAnswer, has_load_report: bool, counters: Counters, names_shard: bool = False
+) -> AttemptResult:
     """Return the outcome of the attempt that got an answer.
 
     Args:
@@ -130,7 +132,7 @@
     elif status != 500:
         counters.add("bricks_answered_oddly")
     used = _parse_metric(headers.get("X-Iops-Used"))
-    return End(
+    return AttemptResult(
         result,
         answer.body if status == 200 else b"",
         0 if used is None else 1 + int(used),
--- a/hophinge/net/backend_client.py
+++ b/hophinge/net/backend_client.py
@@ -15,7 +15,7 @@
 from yarl import URL
 
 from hophinge.core.counters import Counters
-from hophinge.core.exchange import Attempt, End
+from hophinge.core.exchange import Attempt, AttemptResult
 from hophinge.core.interface import ProbeResult, Result, Settings
 from hophinge.net.backend_answer import BackendAnswer, AnswerRemainder, read_first, attempt_outcome, parse_load_report
 from hophinge.net.backend_connection import STREAM_STALL_TIMEOUT_S, BackendConnection, BackendProtocolError
@@ -139,7 +139,7 @@
         """Send an attempt; returns a callable that cancels it."""
         if len(self.tasks) >= self.max_attempts:
             self.counters.add("attempts_without_socket")
-            attempt.end(End(Result.CONNECT_FAILED))
+            attempt.end(AttemptResult(Result.CONNECT_FAILED))
             return lambda: None
         task = self._create_task(self._run_attempt(attempt))
 
@@ -156,13 +156,13 @@
 
     async def _run_attempt(self, attempt: Attempt) -> None:
         payload: Payload = attempt.request.payload
-        progress, endpoint = RequestProgress(attempt.written), self.endpoint(attempt.node)
+        progress, endpoint = RequestProgress(attempt.record_sent), self.endpoint(attempt.node)
 
         def request_head() -> bytes:
             # A connection takes up to its time limit to come up: a drain or an answer meanwhile withdraws the attempt.
-            if not attempt.may_go():
+            if not attempt.may_send():
                 raise AttemptWithdrawnError
-            return _request_head(payload, endpoint, attempt.goes())
+            return _request_head(payload, endpoint, attempt.begin_sending())
 
         try:
             if endpoint is None:
@@ -170,19 +170,19 @@
             answer = await self._exchange(endpoint, request_head, progress, attempt)
             outcome = attempt_outcome(answer, self.reads_load_reports, self.counters, attempt.request.ask.shard >= 0)
             if answer.rest is not None:
-                outcome = End(await answer.rest.done, b"", outcome.used, outcome.elsewhere, outcome.report)
+                outcome = AttemptResult(await answer.rest.done, b"", outcome.used, outcome.elsewhere, outcome.report)
         except asyncio.CancelledError:
-            attempt.end(End(Result.CANCELLED))
+            attempt.end(AttemptResult(Result.CANCELLED))
             raise
         except AttemptWithdrawnError:
-            outcome = End(Result.MOOT)
+            outcome = AttemptResult(Result.MOOT)
         except (aiohttp.ClientError, HttpProcessingError, OSError, TimeoutError, RequestBodyError):
             # Once the last byte was handed over the backend may have run the request; before, it cannot have.
-            outcome = End(Result.RESET if progress.is_sent else Result.CONNECT_FAILED)
+            outcome = AttemptResult(Result.RESET if progress.is_sent else Result.CONNECT_FAILED)
         except Exception:
             self.counters.add("client_faults")
             self.log(traceback.format_exc())
-            outcome = End(Result.RESET if progress.is_sent else Result.CONNECT_FAILED)
+            outcome = AttemptResult(Result.RESET if progress.is_sent else Result.CONNECT_FAILED)
         attempt.end(outcome)
 
     async def _exchange(
@@ -216,7 +216,7 @@
             answer = BackendAnswer(message.code, message.headers, body)
             if not is_complete:
                 rest = AnswerRemainder(protocol, stream, len(body), length)
-                if attempt is None or message.code != 200 or not attempt.begin(body, rest, received_us):
+                if attempt is None or message.code != 200 or not attempt.begin_stream(body, rest, received_us):
                     raise BackendProtocolError("a long answer that nobody waits for")
                 answer.rest = rest
                 if await asyncio.shield(rest.done) is not Result.OK:
--- a/hophinge/net/frontend.py
+++ b/hophinge/net/frontend.py
@@ -11,8 +11,8 @@
 
 from hophinge.core import interface as api
 from hophinge.core.counters import Counters
-from hophinge.core.exchange import Answer, Exchange, Rest, Verdict, giver
-from hophinge.core.figures import FAULTED, FULFILLED, THROTTLED, Ticket
+from hophinge.core.exchange import Answer, Exchange, AnswerStream, Verdict, answer_callback
+from hophinge.core.request_metrics import FAULTED, FULFILLED, THROTTLED, OpenRequestCount
 from hophinge.net.byte_budget import ByteBudget
 from hophinge.net.listener import INBOUND, OUTBOUND, ClientConnection, Listener, RateLimit, origin_form
 from hophinge.net.payload import MAX_SHORT_BODY, MAX_LONG_BODY, Payload
@@ -25,7 +25,7 @@
 CHUNK_TIMEOUT_S = 2.2  # for its next bytes
 MAX_RETAINED_BODY = 1024 * 1024  # of a body, while the budget allows: it may be sent again
 RETRY_AFTER_US = 1_000_000  # for rejected requests, where the settings allow as much
-TICKET = web.RequestKey("ticket", Ticket)
+TICKET = web.RequestKey("ticket", OpenRequestCount)
 ASK = web.RequestKey("ask", api.Arrival)
 STATUS = {Verdict.SERVED: 200, Verdict.REFUSED: 503, Verdict.FAILED: 502, Verdict.ABSENT: 404}
 
@@ -85,8 +85,8 @@
                 self.counters.add("requests_turned_away")
                 return self._reject_overload(request, klass)
         answer = await self._serve(request, ask, key, klass)
-        if answer.rest is not None:
-            return await self._stream_answer(request, answer, answer.rest, ask.volume, klass)
+        if answer.stream is not None:
+            return await self._stream_answer(request, answer, answer.stream, ask.volume, klass)
         response = web.Response(status=STATUS[answer.verdict], body=answer.body)
         if answer.verdict is Verdict.REFUSED and answer.retry_after_us > 0:
             response.headers["Retry-After"] = f"{answer.retry_after_us / 1e6:.3f}"
@@ -109,11 +109,11 @@
                 self.counters.add("bodies_streamed")
             if ask.request in self.exchange.open:
                 raise MalformedRequestError(400, "X-Txn is in use")
-            request[TICKET] = self.exchange.figures.take(klass)
+            request[TICKET] = self.exchange.metrics.open_request(klass)
             done: asyncio.Future[Answer] = self.loop.create_future()
             payload = Payload(request.method, origin_form(request.raw_path), ask.request, body, key, stream)
             ask = self._limit_to_drain(ask)
-            self.exchange.arrive(ask, payload, giver(done), stream is None)
+            self.exchange.arrive(ask, payload, answer_callback(done), stream is None)
             try:
                 return await (done if stream is None else self._forward_body(request, stream, ask, done, klass))
             except (asyncio.CancelledError, MalformedRequestError):
@@ -139,7 +139,7 @@
 
     def _reject_overload(self, request: web.BaseRequest, klass: str) -> web.Response:
         """Reject a request beyond the bound on open ones, so that sockets are left for backends and accepts."""
-        request[TICKET] = self.exchange.figures.take(klass)
+        request[TICKET] = self.exchange.metrics.open_request(klass)
         advice_us = min(RETRY_AFTER_US, self.exchange.settings.allowed.retry_after_us)
         response = web.Response(status=503, headers={"Retry-After": f"{advice_us / 1e6:g}"} if advice_us > 0 else {})
         connection = cast(ClientConnection, request.protocol)
@@ -162,7 +162,7 @@
             ticket.end(None)
 
     async def _stream_answer(
-        self, request: web.BaseRequest, answer: Answer, rest: Rest, volume: str, klass: str
+        self, request: web.BaseRequest, answer: Answer, rest: AnswerStream, volume: str, klass: str
     ) -> web.StreamResponse:
         """Write an answer as it arrives from the backend, at the rate that the client reads."""
         response = web.StreamResponse(status=STATUS[answer.verdict])
@@ -254,7 +254,7 @@
                     if self.rate_limit is not None:
                         await self.rate_limit(ask.volume, klass, INBOUND, len(chunk))
                 upload.finish(True)
-                self.exchange.whole(ask.request)
+                self.exchange.body_complete(ask.request)
             finally:
                 upload.finish(False)  # no effect where it was finished before
 
--- a/hophinge/net/operations_server.py
+++ b/hophinge/net/operations_server.py
@@ -9,9 +9,9 @@
 from aiohttp import web
 
 from hophinge.core.counters import Counters
-from hophinge.core.figures import Figures
+from hophinge.core.request_metrics import RequestMetrics
 from hophinge.net.listener import Listener, origin_form
-from hophinge.core.rotation import Rotation
+from hophinge.core.manual_ejections import ManualEjections
 
 MAX_CALLERS = 16  # connections at once, apart from those of clients
 HEAD_TIMEOUT_S = 0.8  # for a head to come
@@ -23,7 +23,9 @@
 class OperationsServer(Listener):
     """Answers operators' calls, with connections, bounds and timers of its own."""
 
-    def __init__(self, counters: Counters, metrics: Figures, rotation: Rotation, ready: Callable[[], bool]) -> None:
+    def __init__(
+        self, counters: Counters, metrics: RequestMetrics, rotation: ManualEjections, ready: Callable[[], bool]
+    ) -> None:
         super().__init__(counters, MAX_CALLERS, HEAD_TIMEOUT_S, HEAD_TIMEOUT_S)
         self.metrics = metrics
         self.rotation = rotation
@@ -62,7 +64,7 @@
             node = None
         if node is None:
             return 400, "the body is not the id of a brick\n"
-        done = self.rotation.down(node) if path.endswith("down") else self.rotation.up(node)
+        done = self.rotation.eject(node) if path.endswith("down") else self.rotation.restore(node)
         return (200, "done\n") if done else (404, "no such brick\n")
 
     async def _read_backend_id(self, request: web.BaseRequest) -> str | None:
--- a/hophinge/net/request_parser.py
+++ b/hophinge/net/request_parser.py
@@ -46,7 +46,7 @@
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {klass.name: at for at, klass in enumerate(settings.classes)}
         self.plans = {plan.name: at for at, plan in enumerate(settings.plans)}
-        self.max_units = settings.most_units
+        self.max_units = settings.max_units
         self.heads = settings.gateways
 
     def parse(self, request: web.BaseRequest) -> api.Arrival:
--- a/hophinge/objects/pieces.py
+++ b/hophinge/objects/pieces.py
@@ -13,8 +13,8 @@
 from msgspec import structs
 
 from hophinge.core import interface as api
-from hophinge.core.exchange import Answer, Exchange, Rest, Verdict, giver
-from hophinge.core.figures import FAULTED, FULFILLED, THROTTLED
+from hophinge.core.exchange import Answer, Exchange, AnswerStream, Verdict, answer_callback
+from hophinge.core.request_metrics import FAULTED, FULFILLED, THROTTLED
 from hophinge.net.payload import MAX_SHORT_BODY, Payload, idempotency_header
 from hophinge.objects.config import ObjectConfig
 from hophinge.objects.records import Piece, Run, piece_id
@@ -80,7 +80,7 @@
             if at == self.read_class
             or (at != self.write_class and klass.effect is api.Effect.SAFE and not klass.in_order and not klass.stream)
         ]
-        self.least_class = min(reads, key=lambda at: settings.classes[at].worth * settings.classes[at].late_worth)
+        self.least_class = min(reads, key=lambda at: settings.classes[at].value * settings.classes[at].late_value)
         self.least_plan = min(
             self.plans.values(),
             key=lambda at: (settings.plans[at].price, settings.plans[at].reserve, settings.plans[at].weight),
@@ -92,7 +92,7 @@
 
     def units(self, size: int) -> float:
         """Tell what a body counts: a brick's largest request is a full body."""
-        most = self.exchange.settings.most_units
+        most = self.exchange.settings.max_units
         return min(most, max(1.0, math.ceil(size / MAX_SHORT_BODY * most)))
 
     async def call(
@@ -118,7 +118,7 @@
             if left == 0:
                 raise CoreFailedError
             if beforehand:
-                aim = settings.classes[klass].aim_us
+                aim = settings.classes[klass].target_latency_us
                 left = min(deadline, max(aim + 1, deadline - aim))
             txn = secrets.token_hex(8)
             ask = api.Arrival(
@@ -132,15 +132,15 @@
                 time_left_us=deadline if left is None else min(deadline, left),
                 write=body is not None,
                 plan=self.least_plan if beforehand else self.plans[volume.plan],
-                spare=beforehand,
+                is_background=beforehand,
             )
             target = f"/{settings.classes[klass].name}/{volume.id}/{key}"
-            ticket = None if beforehand else self.exchange.figures.take(settings.classes[klass].name)
+            ticket = None if beforehand else self.exchange.metrics.open_request(settings.classes[klass].name)
             done: asyncio.Future[Answer] = loop.create_future()
             # A keyed class's repeats are dropped by this call's own id.
             keyed = settings.classes[klass].effect is api.Effect.KEYED
             payload = Payload(method, target, txn, body or b"", idempotency_header(txn.encode()) if keyed else b"")
-            self.exchange.arrive(ask, payload, giver(done))
+            self.exchange.arrive(ask, payload, answer_callback(done))
             try:
                 answer = await done
             except asyncio.CancelledError:
@@ -150,8 +150,8 @@
                 raise
         if ticket is not None:
             ticket.end(OUTCOMES[answer.verdict])
-        if answer.rest is not None:
-            answer = structs.replace(answer, body=await self._whole(answer.body, answer.rest), rest=None)
+        if answer.stream is not None:
+            answer = structs.replace(answer, body=await self._whole(answer.body, answer.stream), rest=None)
         if answer.verdict in (Verdict.SERVED, Verdict.ABSENT) and not beforehand:
             self.used(volume.id, ask.units)
         if answer.verdict is Verdict.REFUSED:
@@ -160,7 +160,7 @@
             raise CoreFailedError
         return answer
 
-    async def _whole(self, body: bytes, rest: Rest) -> bytes:
+    async def _whole(self, body: bytes, rest: AnswerStream) -> bytes:
         """Read on in an answer whose length its brick did not say."""
         try:
             while len(body) <= MAX_SHORT_BODY and (chunk := await rest.read()):
--- a/hophinge/peers/endpoint.py
+++ b/hophinge/peers/endpoint.py
@@ -206,7 +206,7 @@
                 self._notify(action, now_us)
             elif isinstance(action, SteppedDown):
                 self.conflict = NameTakenError(action.reason)
-                self.log(self.conflict.told())
+                self.log(self.conflict.one_line())
         if self.conflict is not None:
             return self.close()
         if self.timer is not None:
--- a/hophinge/routing/admitted.py
+++ b/hophinge/routing/admitted.py
@@ -12,7 +12,7 @@
 class Pass:
     """What one request was given when it came."""
 
-    __slots__ = ("attempts", "budget", "name", "pool", "second_copy_us", "since", "states", "table", "ticket", "view")
+    __slots__ = ("attempts", "budget", "name", "pool", "hedge_delay_us", "since", "states", "table", "ticket", "view")
 
     def __init__(
         self,
@@ -28,21 +28,21 @@
         self.since = since
         self.ticket: Ticket | None = None  # of admission, where heads share what is spare
         self.attempts = budget.rule.attempts if budget is not None else 0
-        self.second_copy_us = budget.rule.second_copy_us if budget is not None else 0
+        self.hedge_delay_us = budget.rule.second_copy_us if budget is not None else 0
 
     @property
     def version(self) -> int:
         """Tell a number that changes with the nodes that may be taken."""
         return self.view.version
 
-    def takes(self, node: str, shard: int) -> bool:
+    def allows(self, node: str, shard: int) -> bool:
         """Tell whether a node may be used.
 
         Data lies where it lies: a request bound to a shard that none of its pools' bricks holds may follow it.
         """
         return node in self.view.nodes or (shard >= 0 and shard not in self.view.shards)
 
-    def repeat(self, now_us: int, attempts: int) -> bool:
+    def take_retry(self, now_us: int, attempts: int) -> bool:
         """Take one attempt beyond the so many that it had from the budget."""
         if self.budget is None:
             return True
--- a/hophinge/routing/router.py
+++ b/hophinge/routing/router.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from typing import Any
 
-from hophinge.core.interface import Arrival, Bounds, NodeList, Result, Settings, Waits
+from hophinge.core.interface import Arrival, Bounds, NodeList, Result, Settings, WaitAtGate
 from hophinge.core.interface import Plan as PlatformPlan
 from hophinge.routing.eject import Ejector
 from hophinge.routing.limits import Limiter
@@ -73,7 +73,7 @@
             return
         spare = SpareCapacity(table.spare.depth, table.spare.wait_us, table.spare.queue)
         if self.admission is None:
-            self.admission = Admission(self._shares, spare, self.settings.most_units)
+            self.admission = Admission(self._shares, spare, self.settings.max_units)
         self.admission.spare_capacity = spare
 
     def _shares(self, tenant: str) -> TenantShares:
@@ -119,7 +119,7 @@
 
     # --- requests
 
-    def admit(self, now_us: int, ask: Arrival) -> Bounds | Waits | int:
+    def admit(self, now_us: int, ask: Arrival) -> Bounds | WaitAtGate | int:
         """Tell a request's bounds, or after how many microseconds it may come again where it is refused."""
         if self.ejector.lapse(now_us):
             self.views.look()
@@ -159,7 +159,7 @@
         made.ticket = ticket
         if waits and ticket is not None:
             self.passes[id(ticket)] = made
-            return Waits(made)
+            return WaitAtGate(made)
         return made
 
     def _ask(self, ask: Arrival, tenant: str, volume: str) -> AdmissionRequest:
@@ -169,13 +169,13 @@
             tenant,
             volume,
             ask.units,
-            klass.worth * plan.price,
+            klass.value * plan.price,
             plan.reserve / heads,
             plan.weight,
             int(PATIENCE * ask.time_left_us),
         )
 
-    def turn(self, now_us: int) -> list[tuple[str, int]]:
+    def release(self, now_us: int) -> list[tuple[str, int]]:
         """Tell which requests wait no longer: 0 where one is let in, else after how long it may come again."""
         if self.admission is None:
             return []
@@ -189,7 +189,7 @@
         return self.admission is not None and self.admission.evict_tenant(tenant)
 
     @property
-    def due_us(self) -> int:
+    def next_release_us(self) -> int:
         """Tell when `turn` is to be called at the latest; 0: nothing waits."""
         return self.admission.next_deadline_us if self.admission is not None else 0
 
--- a/hophinge/routing/table.py
+++ b/hophinge/routing/table.py
@@ -35,7 +35,7 @@
             frozenset(klass.name for klass in settings.classes),
             {plan.name: (plan.reserve, plan.weight) for plan in settings.plans},
             settings.allowed.attempts,
-            settings.allowed.second_copies,
+            settings.allowed.hedging,
         )
 
 
--- a/hophinge/scoring/engine.py
+++ b/hophinge/scoring/engine.py
@@ -54,7 +54,7 @@
         """Share weights from now on, as this member."""
         self.reader = Reader(me, self.shared)
 
-    def added_us(self, now_us: int, ask: api.Arrival, nodes: Sequence[api.Seen]) -> dict[str, float]:
+    def added_us(self, now_us: int, ask: api.Arrival, nodes: Sequence[api.NodeObservation]) -> dict[str, float]:
         """Tell added microseconds by candidate; see hophinge/core/interface.py."""
         return self.guard.added_us(now_us, ask, nodes, self.surroundings)
 
--- a/hophinge/scoring/guard.py
+++ b/hophinge/scoring/guard.py
@@ -82,7 +82,7 @@
         self.hung = False  # it was broken
 
     def added_us(
-        self, now_us: int, ask: api.Arrival, nodes: Sequence[api.Seen], surroundings: Surroundings
+        self, now_us: int, ask: api.Arrival, nodes: Sequence[api.NodeObservation], surroundings: Surroundings
     ) -> dict[str, float]:
         """Tell added microseconds by candidate, from 0 to the clamp, all scorers together."""
         view = View.of(now_us, ask, nodes, surroundings)
@@ -201,7 +201,7 @@
         self.hung = False  # whatever the scorer made of the exception, it had to be broken
         one.counts["hung"] += 1
         one.pauses.off = True
-        self.log(ScorerHungError(f"scorer {one.name} did not return, was interrupted, and is left out").told())
+        self.log(ScorerHungError(f"scorer {one.name} did not return, was interrupted, and is left out").one_line())
 
     def _tell(self, one: Guarded, now_us: int, what: str) -> None:
         until = "until it is told on" if one.pauses.off else f"for {(one.pauses.until_us - now_us) // 1_000_000} s"
--- a/hophinge/scoring/interface.py
+++ b/hophinge/scoring/interface.py
@@ -44,12 +44,12 @@
     now_us: int  # on the head's one clock
     nodes: tuple[str, ...]  # the candidates' names
     _ask: api.Arrival
-    _seen: Sequence[api.Seen]
+    _seen: Sequence[api.NodeObservation]
     _surroundings: Surroundings
     _kept: dict[str, Any]
 
     @classmethod
-    def of(cls, now_us: int, ask: api.Arrival, seen: Sequence[api.Seen], surroundings: Surroundings) -> View:
+    def of(cls, now_us: int, ask: api.Arrival, seen: Sequence[api.NodeObservation], surroundings: Surroundings) -> View:
         """Make the view of a choice."""
         return cls(now_us, tuple([one.entry.node for one in seen]), ask, seen, surroundings, {})
 
@@ -80,7 +80,7 @@
         now = self.now_us
         kept: tuple[float, ...] | None = self._kept.get("wait_us")
         if kept is None:
-            kept = self._kept["wait_us"] = tuple([max(0.0, one.free - now) for one in self._seen])
+            kept = self._kept["wait_us"] = tuple([max(0.0, one.free_at - now) for one in self._seen])
         return kept
 
     @property
@@ -88,7 +88,7 @@
         """Tell what their answers took lately, in microseconds; 0.0 where none was heard."""
         kept: tuple[float, ...] | None = self._kept.get("lag_us")
         if kept is None:
-            kept = self._kept["lag_us"] = tuple([one.lag for one in self._seen])
+            kept = self._kept["lag_us"] = tuple([one.recent_latency for one in self._seen])
         return kept
 
     @property
--- a/hophinge/scoring/testing.py
+++ b/hophinge/scoring/testing.py
@@ -26,8 +26,18 @@
         """Tell its entry in the node list."""
         return api.NodeEntry(self.node, self.zone, 0, api.Phase.ON, 1.0, 0)
 
-    def warmth(self, now: int, cold_us: int) -> float:
-        """Tell how far it has warmed up."""
+    @property
+    def free_at(self) -> float:
+        """Return when its work should be done, in microseconds."""
+        return self.free
+
+    @property
+    def recent_latency(self) -> float:
+        """Return what its answers took lately, in microseconds."""
+        return self.lag
+
+    def warmth(self, now: int, slow_start_us: int) -> float:
+        """Return how far it has warmed up, from 0 to 1."""
         return self.warm
 
 
--- a/hophinge/telemetry/remote_write.py
+++ b/hophinge/telemetry/remote_write.py
@@ -16,7 +16,7 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
 from hophinge.core.counters import Counters
-from hophinge.core.figures import Figures
+from hophinge.core.request_metrics import RequestMetrics
 from hophinge.telemetry.config import RemoteWriteConfig
 
 FIRST_PAUSE_S = 0.25
@@ -64,7 +64,7 @@
 def metrics(
     counters: Counters,
     gauges: Mapping[str, float],
-    figures: Figures | None = None,
+    figures: RequestMetrics | None = None,
     more: Mapping[Series, float] | None = None,
 ) -> dict[Series, float]:
     """Name all that is exported: counters end in _total, gauges stand as they are; `more` has labels of its own."""
@@ -101,7 +101,7 @@
         counters: Counters,
         gauges: Callable[[], Mapping[str, float]],
         now_us: Callable[[], int],
-        figures: Figures | None = None,
+        figures: RequestMetrics | None = None,
         more: Callable[[], Mapping[Series, float]] = dict,
     ) -> None:
         self.more = more
--- a/tests/cluster_member.py
+++ b/tests/cluster_member.py
@@ -30,7 +30,7 @@
     try:
         member = Member(ClusterConfig(**settings), "", lambda text: print(text, file=sys.stderr), tuning=tuning)
     except HophingeError as error:
-        print(json.dumps({"error": error.told()}), flush=True)
+        print(json.dumps({"error": error.one_line()}), flush=True)
         return
     member.start()
     loop = asyncio.get_running_loop()
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -26,13 +26,18 @@
     Result,
     Send,
     SetTimer,
-    TimerDue,
+    TimerExpired,
 )
 from tests.test_choice import MS, SETTINGS, T0, klass
 
 SECOND = 1000 * MS
 RULES = replace(
-    SETTINGS.rules, fall_multiple=2.5, fall_us=1500 * MS, cold_share=0.18, cold_us=17 * SECOND, cold_units=30
+    SETTINGS.rules,
+    overload_multiple=2.5,
+    overload_window_us=1500 * MS,
+    slow_start_share=0.18,
+    slow_start_us=17 * SECOND,
+    slow_start_units=30,
 )
 POWER = 75.0  # units a second of a usual warm brick
 MEAN = 2.0  # units of a request of mean work
@@ -58,8 +63,8 @@
     moves_s: float = 3.0  # a volume's busiest head changes so often
     told_s: float = 0.0  # heads are told of the start within so long
     returns: bool = False  # a brick of a lost zone: until told, heads take it for the warm one it was
-    share: float = RULES.cold_share  # capacity at the start; the rules tell the least
-    warms_s: float = RULES.cold_us / SECOND
+    share: float = RULES.slow_start_share  # capacity at the start; the rules tell the least
+    warms_s: float = RULES.slow_start_us / SECOND
     own: bool = False  # judged by its own capacity, not by the least that the rules tell
     noise: float = 0.3  # deviation of a request's work from its units
     within_s: float = 0.5  # the cold bricks start within so long
@@ -94,21 +99,21 @@
         """Tell how many requests of mean work the settings allow it."""
         fleet = self.fleet if self.fleet.own else Fleet()
         least = self.capacity(now, fleet.share, fleet.warms_s)
-        return max(RULES.cold_units, RULES.fall_multiple * least * RULES.fall_us / SECOND) / MEAN
+        return max(RULES.slow_start_units, RULES.overload_multiple * least * RULES.overload_window_us / SECOND) / MEAN
 
     def take(self, now: int, units: float, told: bool) -> float:
         """Take a request's work, and tell when it is done."""
         begin = max(self.free, float(now))
         self.free = begin + units / self.capacity(begin, self.fleet.share, self.fleet.warms_s) * SECOND
-        cold = 0 <= now - self.started < RULES.cold_us
+        cold = 0 <= now - self.started < RULES.slow_start_us
         if self.started and cold and not self.fell:
             self.got += 1
             self.window.append((now, units, told))
             self.work, self.told = self.work + units, self.told + units * told
-            while self.window[0][0] <= now - RULES.fall_us:
+            while self.window[0][0] <= now - RULES.overload_window_us:
                 _, gone, knew = self.window.popleft()
                 self.work, self.told = self.work - gone, self.told - gone * knew
-            number = self.allowed(max(self.started, now - RULES.fall_us))  # the least within the window
+            number = self.allowed(max(self.started, now - RULES.overload_window_us))  # the least within the window
             part = self.work / MEAN / (number + 2 * math.sqrt(number) + 2)
             broken = self.told > TOLD_PART * self.work
             self.most = max(self.most, part if broken else 0.0)
@@ -128,7 +133,7 @@
             rules=RULES,
             classes=(klass(Effect.SAFE),),
             mean_units=MEAN,
-            most_units=8,
+            max_units=8,
         )
         self.heads = [Scheduler(self.settings, 1000 * seed + at) for at in range(fleet.heads)]
         self.weights = [1 / (1 + at) ** fleet.skew for at in range(fleet.heads)]
@@ -207,7 +212,7 @@
 
     def act(self, when: int, head: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.push(when + action.delay_us, head, TimerDue(action.token))
+            self.push(when + action.delay_us, head, TimerExpired(action.token))
         if isinstance(action, Send):
             backend, request = self.by_name[action.node], self.heads[head].requests[action.request]
             work, attempt = request.ask.units * self.noise(), request.attempts - 1
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -26,7 +26,7 @@
     Rules,
     Send,
     Settings,
-    TimerDue,
+    TimerExpired,
 )
 
 T0 = 50_000_000
@@ -36,13 +36,13 @@
 
 def klass(effect: Effect, in_order: bool = False) -> RequestClass:
     return RequestClass(
-        aim_us=300 * MS,
+        target_latency_us=300 * MS,
         deadline_us=2000 * MS,
         effect=effect,
         scope=DedupScope.CELL,
         dedup_window_us=1000 * MS,
-        worth=2.0,
-        late_worth=0.1,
+        value=2.0,
+        late_value=0.1,
         in_order=in_order,
         stream=False,
     )
@@ -59,23 +59,23 @@
     rules=Rules(
         answer_grace_us=8 * MS,
         drain_grace_us=250 * MS,
-        fall_multiple=4,
-        fall_us=1000 * MS,
-        cold_share=0.16,
-        cold_us=10_000 * MS,
-        cold_units=8,
+        overload_multiple=4,
+        overload_window_us=1000 * MS,
+        slow_start_share=0.16,
+        slow_start_us=10_000 * MS,
+        slow_start_units=8,
         budget_free=3,
         budget_share=0.25,
         budget_us=5000 * MS,
-        settle_us=100 * MS,
-        ask_within_us=10_000 * MS,
+        key_block_us=100 * MS,
+        watch_within_us=10_000 * MS,
     ),
-    allowed=Allowed(attempts=3, second_copies=True, cancel=True, probes=False, retry_after_us=0),
+    allowed=Allowed(attempts=3, hedging=True, cancel=True, probes=False, retry_after_us=0),
     discovery=Discovery.PUSHED,
     mean_units=2,
-    most_units=6,
-    share_worth=0.4,
-    spare_worth=0.1,
+    max_units=6,
+    share_value=0.4,
+    spare_value=0.1,
     meter_us=0,
     tells_elsewhere=False,
     report_fields=(),
@@ -127,7 +127,7 @@
     def run(self, span: int, step: int = 10 * MS) -> list[Action]:
         found: list[Action] = []
         for _ in range(span // step):
-            found += self.at(step, TimerDue(0))
+            found += self.at(step, TimerExpired(0))
         return found
 
 
--- a/tests/maintenance_process.py
+++ b/tests/maintenance_process.py
@@ -12,7 +12,7 @@
 from hophinge.core.counters import Counters
 from hophinge.core.exchange import Exchange
 from hophinge.core.interface import ListKind, NodeEntry, NodeList, Phase, Result
-from hophinge.core.rotation import Rotation
+from hophinge.core.manual_ejections import ManualEjections
 from hophinge.core.settings import read_settings
 from hophinge.head.maintenance import HeadMaintenance
 from hophinge.head.operator import StreamConfig
@@ -42,7 +42,7 @@
         self.log: list[str] = []
         settings = read_settings(json.dumps(setup(Balancers=heads)))
         self.exchange = Exchange(settings, 1, LoopClock(asyncio.get_running_loop()), Counters(), self.log.append)
-        self.rotation = Rotation(self.exchange.nodes, self.exchange.now_us, 1000)
+        self.rotation = ManualEjections(self.exchange.nodes, self.exchange.now_us, 1000)
         folder.mkdir(exist_ok=True)
         (folder / "token").write_text(TOKEN)
         stream = StreamConfig([f"127.0.0.1:{port}"], folder / "token", folder / "state")
@@ -67,7 +67,7 @@
         if self.upkeep is not None:
             self.upkeep.begin()
             self.tasks.append(asyncio.create_task(self.upkeep.run()))
-        self.rotation.take(
+        self.rotation.apply_list(
             NodeList(ListKind.FULL, tuple(NodeEntry(name, 0, at, Phase.ON, 1.0, 0) for at, name in enumerate(BACKENDS)))
         )
         self.streamed.client.restore()
@@ -81,7 +81,7 @@
             counts["requests_taken"] += 100
             counts["requests_failed"] += int(100 * self.fails)
             for backend in BACKENDS if self.upkeep is not None else ():
-                if not self.rotation.out(backend):
+                if not self.rotation.is_ejected(backend):
                     self.upkeep.answers.ended(self.exchange.now_us(), backend, Result.OK)  # type: ignore[union-attr]
 
     async def end(self) -> None:
--- a/tests/routes.py
+++ b/tests/routes.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from hophinge.core.interface import Arrival, Bounds, ListKind, NodeEntry, NodeList, Phase, Waits
+from hophinge.core.interface import Arrival, Bounds, ListKind, NodeEntry, NodeList, Phase, WaitAtGate
 from hophinge.routing.record_reader import read
 from hophinge.routing.admitted import Pass
 from hophinge.routing.records import Record
@@ -56,9 +56,9 @@
     return made
 
 
-def within(bounds: Bounds | Waits | int, shard: int = -1) -> set[str]:
+def within(bounds: Bounds | WaitAtGate | int, shard: int = -1) -> set[str]:
     assert isinstance(bounds, Pass)
-    return {f"n{at}" for at in range(12) if bounds.takes(f"n{at}", shard)}
+    return {f"n{at}" for at in range(12) if bounds.allows(f"n{at}", shard)}
 
 
 POOLS = "(pool a (zones hall-a) (at-least 2 bricks)) (pool b (zones hall-b))"
--- a/tests/scoring_parts.py
+++ b/tests/scoring_parts.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from hophinge.cluster.interface import Entry, EntryVersion, Topic
-from hophinge.core.choice.books import Book
+from hophinge.core.choice.node_state import NodeState
 from hophinge.core.interface import Arrival, NodeEntry, Phase
 from hophinge.scoring import encoding
 from hophinge.scoring.engine import Engine, Put
@@ -33,8 +33,8 @@
         return self.cpu_ns, self.waits, self.collections
 
 
-def books(*names: str, started_us: int = 0) -> list[Book]:
-    return [Book(NodeEntry(name, at % 3, at, Phase.ON, 1.0, started_us)) for at, name in enumerate(names)]
+def books(*names: str, started_us: int = 0) -> list[NodeState]:
+    return [NodeState(NodeEntry(name, at % 3, at, Phase.ON, 1.0, started_us)) for at, name in enumerate(names)]
 
 
 class Says(Scorer):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hophinge.core.choice import GROUP, Scheduler
+from hophinge.core.choice import GROUP_SIZE, Scheduler
 from hophinge.core.interface import Discovery, ListKind, Log, NodeList, Plan, Result, Watch
 from tests.gateways import KEYED, MS, SAFE, SETTINGS, T0, UNSAFE, Gateway, ask, end, finals, klass, node
 
@@ -26,13 +26,13 @@
 
 
 def test_group_is_made_by_hash_and_is_the_same_at_every_gateway() -> None:
-    many = [node(number) for number in range(3 * GROUP)]
+    many = [node(number) for number in range(3 * GROUP_SIZE)]
     groups = []
     for nodes in (many, many[::-1]):
         gate = Gateway(nodes=nodes)
         gate.at(0, ask("a", shard=-1, key="key"))
-        groups.append([book.entry.node for book in gate.scheduler._group(gate.scheduler.requests["a"])])
-    assert groups[0] == groups[1] and len(groups[0]) == GROUP
+        groups.append([book.entry.node for book in gate.scheduler._candidates(gate.scheduler.requests["a"])])
+    assert groups[0] == groups[1] and len(groups[0]) == GROUP_SIZE
 
 
 def test_bound_holds_reads_and_lets_one_go_when_none_is_out() -> None:
@@ -47,17 +47,17 @@
     gate.at(0, ask("a"))
     gate.at(100 * MS, end("a", Result.OK))
     gate.at(0, ask("b"), ask("c"))
-    book = gate.scheduler.books["n0"]
-    assert book.free > gate.now
+    book = gate.scheduler.nodes["n0"]
+    assert book.free_at > gate.now
     gate.at(MS, end("b", Result.OK), end("c", Result.OK))
-    assert book.free <= gate.now and not book.slots
+    assert book.free_at <= gate.now and not book.reservations
 
 
 def test_errors_teach_no_time_per_unit() -> None:
     gate = Gateway()
     gate.at(0, ask("a"))
     gate.at(1 * MS, end("a", Result.ERROR))
-    assert gate.scheduler.books["n0"].served == 0
+    assert gate.scheduler.nodes["n0"].served_units == 0
 
 
 def test_reserve_leaves_before_what_is_beyond_it() -> None:
@@ -100,7 +100,7 @@
 
 
 def test_zero_figures_are_borne() -> None:
-    bare = replace(SETTINGS, plans=(Plan(0, 0, 0, 0, 0, 0, 0),), mean_units=0, most_units=0)
+    bare = replace(SETTINGS, plans=(Plan(0, 0, 0, 0, 0, 0, 0),), mean_units=0, max_units=0)
     gate = Gateway(bare)
     assert gate.sends(0, ask("a", units=0, gateways=0)) == [("a", "n0")]
 
--- a/tests/test_choice_rules.py
+++ b/tests/test_choice_rules.py
@@ -16,7 +16,7 @@
     Result,
     Send,
     StreamStarted,
-    TimerDue,
+    TimerExpired,
 )
 from tests.gateways import KEYED, LIMITED, MS, ORDERED, SETTINGS, T0, UNSAFE, Gateway, ask, end, finals, node
 
@@ -93,7 +93,7 @@
 def test_unsafe_goes_again_when_it_never_ran() -> None:
     gate = Gateway()
     gate.at(0, ask("a", shard=-1, kind=UNSAFE))
-    where = next(iter(gate.scheduler.requests["a"].out.values())).entry.node
+    where = next(iter(gate.scheduler.requests["a"].in_flight.values())).entry.node
     actions = gate.at(10 * MS, end("a", Result.FULL, where)) + gate.run(200 * MS)
     assert len([one for one in actions if isinstance(one, Send)]) == 1
 
@@ -132,13 +132,13 @@
         for request, where in gate.sends(20 * MS, ask(f"r{number}", units=1, volume=f"v{number}")):
             sent += 1
             gate.at(MS, end(request, Result.OK, where))
-    assert 0 < sent <= SETTINGS.rules.fall_multiple * 40
+    assert 0 < sent <= SETTINGS.rules.overload_multiple * 40
 
 
 def test_unknown_cold_node_bears_no_more_than_the_stated_units() -> None:
     gate = Gateway(nodes=(node(0, started_us=T0 - MS),))
     asks = [ask(f"r{number}", units=1, volume=f"v{number}") for number in range(20)]
-    assert len(gate.sends(0, *asks)) <= SETTINGS.rules.cold_units / SETTINGS.gateways
+    assert len(gate.sends(0, *asks)) <= SETTINGS.rules.slow_start_units / SETTINGS.gateways
 
 
 # --- rule 5: limits
@@ -150,7 +150,7 @@
     assert not gate.sends(0, *flood)
     units = 0.0
     for _ in range(100):
-        for request, where in gate.sends(10 * MS, TimerDue(0)):
+        for request, where in gate.sends(10 * MS, TimerExpired(0)):
             units += 2
             gate.at(0, end(request, Result.OK, where))
     assert 2 <= units <= LIMITED.limit / 2 * 1.1
@@ -164,8 +164,8 @@
     both = ask("a", kind=ORDERED, key="k"), ask("b", kind=ORDERED, key="k", units=1)
     assert gate.sends(0, *both) == [("a", "n0")]
     assert not gate.sends(10 * MS, end("a", Result.TIMEOUT, finished=True))
-    assert not gate.sends(99 * MS - 1, TimerDue(0))
-    assert gate.sends(2 * MS, TimerDue(0)) == [("b", "n0")]
+    assert not gate.sends(99 * MS - 1, TimerExpired(0))
+    assert gate.sends(2 * MS, TimerExpired(0)) == [("b", "n0")]
 
 
 # --- rule 7: budget
@@ -177,7 +177,7 @@
     for number in range(12):
         gate.at(100 * MS, ask(f"r{number}", volume=f"v{number}"))
         for one in list(gate.scheduler.requests.values()):
-            for attempt, book in list(one.out.items()):
+            for attempt, book in list(one.in_flight.items()):
                 further += attempt > 0
                 gate.at(0, end(one.ask.request, Result.ERROR, book.entry.node, attempt))
         rules = SETTINGS.rules
--- a/tests/test_choice_streams.py
+++ b/tests/test_choice_streams.py
@@ -13,9 +13,9 @@
     gate = Gateway(nodes=[node(0)])
     gate.at(0, ask("a"))
     gate.at(30 * MS, StreamStarted("a", 0, 20 * MS, upward))
-    book = gate.scheduler.books["n0"]
-    assert not book.slots and not gate.scheduler.busy and (book.served > 0) is not upward
+    book = gate.scheduler.nodes["n0"]
+    assert not book.reservations and not gate.scheduler.active_nodes and (book.served_units > 0) is not upward
     # What its client takes seconds over is no silence of the node, and no further attempt is made.
-    assert not [one for one in gate.at(3000 * MS) if isinstance(one, Send)] and not book.silent
+    assert not [one for one in gate.at(3000 * MS) if isinstance(one, Send)] and not book.is_unresponsive
     late = Outcome("a", 0, "n0", Result.RESET, 3000 * MS, not upward, 0, 0.0, {})
     assert len(finals(gate.at(3001 * MS, late))) == upward and not gate.scheduler.requests
--- a/tests/test_choice_waits.py
+++ b/tests/test_choice_waits.py
@@ -17,7 +17,7 @@
     Send,
     SetTimer,
     StreamStarted,
-    TimerDue,
+    TimerExpired,
 )
 from tests.gateways import MS, ORDERED, SETTINGS, Gateway, ask, end, finals, node
 
@@ -36,7 +36,7 @@
 def spend_reserve(gate: Gateway, volume: str) -> None:
     held = gate.scheduler.volumes.get(volume)
     assert held is not None
-    held.reserve.level, held.reserve.rate, held.reserve.at = 0.0, 0.0, gate.now
+    held.reserve.level, held.reserve.rate, held.reserve.updated_at = 0.0, 0.0, gate.now
 
 
 def test_others_work_holds_back_what_earns_less_and_not_the_reserve() -> None:
@@ -56,15 +56,15 @@
     gate.at(0, ask("first", units=1, volume="greedy"))
     gate.at(10 * MS, end("first", Result.OK))
     spend_reserve(gate, "greedy")
-    book = gate.scheduler.books["n0"]
-    book.wait, book.wait_at = 0.6 * gate.scheduler.aim, gate.now
+    book = gate.scheduler.nodes["n0"]
+    book.queue_delay, book.queue_delay_at = 0.6 * gate.scheduler.target_us, gate.now
     assert not gate.sends(0, ask("beyond", units=1, volume="greedy"))  # earns 0.4 of the full worth
     assert gate.sends(0, ask("reserved", units=1, volume="meek")) == [("reserved", "n0")]
     gate = Gateway()
     gate.at(0, ask("first", units=1, volume="meek"))
     gate.at(10 * MS, end("first", Result.OK))
-    book = gate.scheduler.books["n0"]
-    book.wait, book.wait_at = 0.85 * gate.scheduler.aim, gate.now
+    book = gate.scheduler.nodes["n0"]
+    book.queue_delay, book.queue_delay_at = 0.85 * gate.scheduler.target_us, gate.now
     assert gate.sends(0, ask("reserved", units=1, volume="meek")) == [("reserved", "n0")]
 
 
@@ -74,10 +74,10 @@
     gate.at(0, ask("first", units=1, volume="greedy"))
     gate.at(10 * MS, end("first", Result.OK))
     spend_reserve(gate, "greedy")
-    book = gate.scheduler.books["n0"]
-    book.wait, book.wait_at = 0.9 * gate.scheduler.aim, gate.now
+    book = gate.scheduler.nodes["n0"]
+    book.queue_delay, book.queue_delay_at = 0.9 * gate.scheduler.target_us, gate.now
     gate.at(600 * MS)
-    assert gate.scheduler._wait(book) < 0.4 * gate.scheduler.aim
+    assert gate.scheduler._queue_delay(book) < 0.4 * gate.scheduler.target_us
     assert gate.sends(0, ask("beyond", units=1, volume="greedy")) == [("beyond", "n0")]
 
 
@@ -86,10 +86,10 @@
     gate = Gateway()
     for _ in range(9):
         loaded(gate)
-    unseen = gate.scheduler.books["n1"]
-    before = gate.scheduler._wait(unseen)
+    unseen = gate.scheduler.nodes["n1"]
+    before = gate.scheduler._queue_delay(unseen)
     gate.at(3000 * MS)
-    assert before > 40 * MS and gate.scheduler._wait(unseen) < before / 3
+    assert before > 40 * MS and gate.scheduler._queue_delay(unseen) < before / 3
 
 
 def test_own_requests_ahead_are_no_work_of_others() -> None:
@@ -99,11 +99,11 @@
         gate.at(0, ask(f"s{number}", units=1))
         gate.at(40 * MS, end(f"s{number}", Result.OK, took=40 * MS))
     gate.at(0, *(ask(f"r{number}", units=1, volume=f"v{number}") for number in range(3)))
-    out = [name for name, request in gate.scheduler.requests.items() if request.out]
+    out = [name for name, request in gate.scheduler.requests.items() if request.in_flight]
     assert len(out) > 1
     for place, name in enumerate(out):
         gate.at(40 * MS, end(name, Result.OK, took=40 * MS * (place + 1)))
-    assert gate.scheduler._wait(gate.scheduler.books["n0"]) < 20 * MS
+    assert gate.scheduler._queue_delay(gate.scheduler.nodes["n0"]) < 20 * MS
 
 
 def test_an_idle_gateway_sets_no_timer_and_a_busy_one_few() -> None:
@@ -112,7 +112,7 @@
     timers = 0
     for number in range(20):
         for _ in range(10):
-            timers += sum(isinstance(one, SetTimer) for one in gate.at(10 * MS, TimerDue(0)))
+            timers += sum(isinstance(one, SetTimer) for one in gate.at(10 * MS, TimerExpired(0)))
         gate.at(0, ask(f"r{number}"))
         timers += sum(isinstance(one, SetTimer) for one in gate.at(10 * MS, end(f"r{number}", Result.OK)))
     assert timers <= 2 * 20
@@ -147,7 +147,7 @@
     assert "n2" not in places and len(set(places)) > 1
     gate.sends(0, ask("again", shard=2))
     gate.at(20 * MS, end("again", Result.OK, "n2", took=20 * MS))
-    assert gate.scheduler.books["n2"].failures == 0
+    assert gate.scheduler.nodes["n2"].failures == 0
     alone = Gateway(nodes=(node(0),))
     alone.at(0, ask("read"))
     alone.at(5 * MS, end("read", Result.ERROR, took=5 * MS), Departure("read"))
@@ -160,7 +160,7 @@
     gate.at(0, ask("lost", units=5))
     gate.at(100 * MS, ask("next", units=1, volume="w"))
     gate.at(20 * MS, end("next", Result.OK, took=20 * MS))
-    assert gate.scheduler.books["n0"].units_out == 0
+    assert gate.scheduler.nodes["n0"].units_out == 0
     assert gate.sends(0, ask("big", units=6, volume="x")) == [("big", "n0")]
 
 
@@ -177,18 +177,18 @@
     gate = Gateway()
     gate.at(0, ask("usual"), ask("short", shard=1, time_left=150 * MS), ask("retry", shard=1, time_left=1500 * MS))
     requests = gate.scheduler.requests
-    assert requests["short"].aim_at > requests["short"].deadline
-    assert requests["retry"].aim_at < gate.now
+    assert requests["short"].target_at > requests["short"].deadline
+    assert requests["retry"].target_at < gate.now
 
 
 def test_a_stalled_gateway_accuses_no_node() -> None:
     """After a stall the clock jumps, and every node with work out looked hung (lakeshore-yard-later)."""
     gate = Gateway()
     gate.at(0, ask("a"))
-    assert not [one for one in gate.at(900 * MS, TimerDue(0)) if isinstance(one, Log)]
-    assert not gate.scheduler.books["n0"].silent
+    assert not [one for one in gate.at(900 * MS, TimerExpired(0)) if isinstance(one, Log)]
+    assert not gate.scheduler.nodes["n0"].is_unresponsive
     gate.at(0, end("a", Result.OK, took=20 * MS))
-    assert gate.scheduler._wait(gate.scheduler.books["n0"]) < 20 * MS
+    assert gate.scheduler._queue_delay(gate.scheduler.nodes["n0"]) < 20 * MS
 
 
 def test_memory_stays_bounded_while_nodes_keys_and_volumes_come_and_go() -> None:
@@ -199,10 +199,16 @@
         for request, where in gate.sends(0, ask(f"r{number}", kind=ORDERED, volume=f"v{number}")):
             gate.at(100 * MS, end(request, Result.TIMEOUT, where, finished=True))
     one = gate.scheduler
-    assert max(len(one.books), len(one.requests), len(one.turns), len(one.key_rest), len(one.taken)) <= 10
-    assert max(len(one.extra), len(one.fair), len(one.again), len(one.busy), len(one.deadlines)) <= 10
+    assert (
+        max(len(one.nodes), len(one.requests), len(one.key_order), len(one.key_blocked_until), len(one.arrival_times))
+        <= 10
+    )
+    assert (
+        max(len(one.retry_times), len(one.fair_use), len(one.recheck_at), len(one.active_nodes), len(one.deadlines))
+        <= 10
+    )
     assert len(one.volumes) <= 62
-    assert all(len(volume.beyond) <= 3 for volume in one.volumes.values())
+    assert all(len(volume.excess_use) <= 3 for volume in one.volumes.values())
 
 
 def test_odd_events_are_borne() -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -23,13 +23,18 @@
     Result,
     Send,
     SetTimer,
-    TimerDue,
+    TimerExpired,
 )
 from tests.test_choice import MS, SETTINGS, T0, klass
 
 SECOND = 1000 * MS
 RULES = replace(
-    SETTINGS.rules, fall_multiple=2.5, fall_us=1500 * MS, cold_share=0.18, cold_us=17 * SECOND, cold_units=30
+    SETTINGS.rules,
+    overload_multiple=2.5,
+    overload_window_us=1500 * MS,
+    slow_start_share=0.18,
+    slow_start_us=17 * SECOND,
+    slow_start_units=30,
 )
 POWER = 75.0  # units a second of a warm node
 
@@ -44,7 +49,7 @@
     def __init__(self, load: float, seed: int, heads: int = 40, fresh: float = 0.0) -> None:
         self.lots, self.load, self.fresh = random.Random(seed), load, fresh
         settings = replace(
-            SETTINGS, gateways=heads, rules=RULES, classes=(klass(Effect.SAFE),), mean_units=2, most_units=8
+            SETTINGS, gateways=heads, rules=RULES, classes=(klass(Effect.SAFE),), mean_units=2, max_units=8
         )
         self.heads = [Scheduler(settings, 1000 * seed + at) for at in range(heads)]
         self.weights = [1 / (1 + at) ** 0.7 for at in range(heads)]  # the busiest sees several times the mean
@@ -62,7 +67,7 @@
 
     def share(self, now: float) -> float:
         """Tell the least part of its power that the rules leave a starting node."""
-        return min(1.0, RULES.cold_share + (1 - RULES.cold_share) * (now - T0) / RULES.cold_us)
+        return min(1.0, RULES.slow_start_share + (1 - RULES.slow_start_share) * (now - T0) / RULES.slow_start_us)
 
     def run(self, span: int) -> None:
         now = float(T0)
@@ -81,7 +86,7 @@
 
     def act(self, when: int, head: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.push(when + action.delay_us, head, TimerDue(action.token))
+            self.push(when + action.delay_us, head, TimerExpired(action.token))
         if isinstance(action, Send):
             ask = self.heads[head].requests[action.request].ask
             units = ask.units
@@ -102,12 +107,12 @@
         most, begin, units = 0.0, 0, 0.0
         for when, own in self.sent:
             units += own
-            while self.sent[begin][0] <= when - RULES.fall_us:
+            while self.sent[begin][0] <= when - RULES.overload_window_us:
                 units -= self.sent[begin][1]
                 begin += 1
-            least = self.share(max(T0, when - RULES.fall_us))
-            budget = RULES.fall_multiple * least * POWER * RULES.fall_us / SECOND
-            most = max(most, units / max(RULES.cold_units, budget))
+            least = self.share(max(T0, when - RULES.overload_window_us))
+            budget = RULES.overload_multiple * least * POWER * RULES.overload_window_us / SECOND
+            most = max(most, units / max(RULES.slow_start_units, budget))
         return most
 
     def used(self) -> float:
@@ -118,11 +123,14 @@
         most, begin, units = 0.0, 0, 0.0
         for when, own in self.sent:
             units += own
-            while self.sent[begin][0] <= when - RULES.fall_us:
+            while self.sent[begin][0] <= when - RULES.overload_window_us:
                 units -= self.sent[begin][1]
                 begin += 1
-            least = self.share(max(T0, when - RULES.fall_us))
-            number = max(RULES.cold_units, RULES.fall_multiple * least * POWER * RULES.fall_us / SECOND) / 2.0
+            least = self.share(max(T0, when - RULES.overload_window_us))
+            number = (
+                max(RULES.slow_start_units, RULES.overload_multiple * least * POWER * RULES.overload_window_us / SECOND)
+                / 2.0
+            )
             most = max(most, units / 2.0 / (number + 2 * math.sqrt(number) + 2))
         return most
 
@@ -172,7 +180,7 @@
 
 
 def test_the_measure_sees_a_fleet_without_the_guard(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Scheduler, "_bears", lambda *_: True)
+    monkeypatch.setattr(Scheduler, "_is_within_slow_start", lambda *_: True)
     day = Day(2.5, 0, 40)
     day.run(12 * SECOND)
     assert day.used() > 1.0
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -72,13 +72,13 @@
 
 @pytest.mark.parametrize("heads", [30, 200])
 def test_the_measure_sees_a_fleet_without_the_guard(heads: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Scheduler, "_bears", lambda *_: True)
+    monkeypatch.setattr(Scheduler, "_is_within_slow_start", lambda *_: True)
     days = [Day(Fleet(heads=heads, load=2.5, volumes=60), seed).run() for seed in range(2)]
     assert all(day.broken == 1 for day in days)
 
 
 def test_a_fall_that_heads_caused_which_had_not_been_told_breaks_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nor does what comes to a brick that has fallen."""
-    monkeypatch.setattr(Scheduler, "_bears", lambda *_: True)
+    monkeypatch.setattr(Scheduler, "_is_within_slow_start", lambda *_: True)
     day = Day(Fleet(heads=200, load=2.5, volumes=60, returns=True, told_s=60), 0).run()
     assert [backend.fell for backend in day.backends if backend.started] == ["untold"] and day.broken == 0
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -12,7 +12,7 @@
 from hophinge.core.interface import ListKind, NodeEntry, NodeList, Phase
 from hophinge.net.operations_server import MAX_CALLERS
 from hophinge.head.service import Service
-from hophinge.core.rotation import Mark, Rotation
+from hophinge.core.manual_ejections import ManualEjection, ManualEjections
 from tests.stand_in import OBJECT, VOLUME, Backend, Wire, World, headers, held_by, run, until, world
 from tests.test_net import READ
 
@@ -140,7 +140,7 @@
             assert start is not None
 
             def late(attempt):  # type: ignore[no-untyped-def]
-                service.rotation.down("s-0")  # the call comes between decision and write
+                service.rotation.eject("s-0")  # the call comes between decision and write
                 return start(attempt)
 
             service.exchange.start = late
@@ -201,7 +201,7 @@
         super().__init__()
         self.now, self.told = COLD_US, dict[str, NodeEntry]()
         self.listed, self.out, self.back = dict[str, Phase](), set[str](), dict[str, int]()
-        self.rotation = Rotation(self.hear, lambda: self.now, COLD_US)
+        self.rotation = ManualEjections(self.hear, lambda: self.now, COLD_US)
 
     def hear(self, event: NodeList) -> None:
         if event.kind is ListKind.FULL:
@@ -216,12 +216,12 @@
         self.listed[node] = phase
         if phase is Phase.GONE:
             del self.listed[node]
-        self.rotation.take(NodeList(kind, (NodeEntry(node, 0, 0, phase, 1.0, 0),)))
+        self.rotation.apply_list(NodeList(kind, (NodeEntry(node, 0, 0, phase, 1.0, 0),)))
 
     @rule(node=NODES, down=st.booleans())
     def call(self, node: str, down: bool) -> None:
         known = node in self.listed or node in self.out
-        assert (self.rotation.down(node) if down else self.rotation.up(node)) is known
+        assert (self.rotation.eject(node) if down else self.rotation.restore(node)) is known
         if known and down:
             self.out.add(node)
         elif node in self.out:
@@ -230,7 +230,7 @@
 
     @rule()
     def older_marks_change_nothing(self) -> None:
-        self.rotation.merge({node: Mark(0, True) for node in self.rotation.marks})
+        self.rotation.merge({node: ManualEjection(0, True) for node in self.rotation.ejections})
 
     @rule(span=st.sampled_from([1, 1000, COLD_US]))
     def wait(self, span: int) -> None:
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -85,7 +85,7 @@
             for number in range(1, 9):
                 assert await asked(wire, READ, number) == 200
             scheduler = service.exchange.scheduler
-            assert scheduler.books["s-0"].wait > 0
+            assert scheduler.nodes["s-0"].queue_delay > 0
             assert await asked(wire, READ, 9, X_Remaining_Ms="600000") in (200, 503)  # far beyond its class's time
             assert [await asked(wire, READ, number) for number in range(10, 14)] == [200] * 4
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -13,7 +13,7 @@
 
 from hophinge.core import interface as api
 from hophinge.core.counters import Counters
-from hophinge.core.exchange import Answer, Attempt, End, Exchange, Verdict
+from hophinge.core.exchange import Answer, Attempt, AttemptResult, Exchange, Verdict
 from tests.test_choice import MS, SETTINGS, T0, ask, node
 
 GRACE = SETTINGS.rules.answer_grace_us
@@ -68,7 +68,7 @@
         self.loop.advance(0)
 
     def start(self, attempt: Attempt) -> Callable[[], None]:
-        assert attempt.may_go(), "sent for a request that is over, or to a node that drains"
+        assert attempt.may_send(), "sent for a request that is over, or to a node that drains"
         self.out.append(attempt)
         return lambda: self.stopped.append(attempt)
 
@@ -108,8 +108,8 @@
     @rule(data=st.data(), result=st.sampled_from([one for one in api.Result if one is not api.Result.MOOT]))
     def end(self, data: st.DataObject, result: api.Result) -> None:
         attempt = data.draw(st.sampled_from(self.desk.out))
-        attempt.end(End(result, b"body"))
-        attempt.end(End(api.Result.OK, b"second"))  # void: an attempt ends once
+        attempt.end(AttemptResult(result, b"body"))
+        attempt.end(AttemptResult(api.Result.OK, b"second"))  # void: an attempt ends once
 
     @rule(phase=st.sampled_from(list(api.Phase)), kind=st.sampled_from([api.ListKind.CHANGES, api.ListKind.FULL]))
     def nodes(self, phase: api.Phase, kind: api.ListKind) -> None:
@@ -156,7 +156,7 @@
     desk = Desk()
     desk.arrive("a", shard=-1)
     desk.loop.advance(0)
-    desk.out[0].end(End(api.Result.OK, b"body"))
+    desk.out[0].end(AttemptResult(api.Result.OK, b"body"))
     shard = desk.exchange.shards[desk.out[0].node]
     assert desk.answers["a"] == [Answer(Verdict.SERVED, b"body", shard=shard)]
 
@@ -167,10 +167,10 @@
     desk.arrive("b", shard=1)
     desk.loop.advance(0)
     first, second = desk.out
-    assert first.may_go() and second.may_go()
+    assert first.may_send() and second.may_send()
     desk.exchange.nodes(api.NodeList(api.ListKind.CHANGES, (node(0, api.Phase.DRAINING),)))
     desk.exchange.depart("b")
-    assert not first.may_go() and not second.may_go()
+    assert not first.may_send() and not second.may_send()
 
 
 def test_a_fault_of_the_module_fails_what_arrived_and_the_head_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -182,7 +182,7 @@
     assert [one.verdict for one in desk.answers["a"]] == [Verdict.FAILED] and "ZeroDivisionError" in desk.lines[0]
     desk.arrive("b")
     desk.loop.advance(0)
-    desk.out[0].end(End(api.Result.OK))
+    desk.out[0].end(AttemptResult(api.Result.OK))
     assert [one.verdict for one in desk.answers["b"]] == [Verdict.SERVED]
 
 
--- a/tests/test_fleet_placement.py
+++ b/tests/test_fleet_placement.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from hophinge.core.choice.nodes import CEILING
+from hophinge.core.choice.gateway_state import MAX_IN_FLIGHT
 from hophinge.fleet.placement.hints import PlacementHint, PlacementHints, EngineReport, EngineReports
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.placement.policy import PrefillOrder, PlacementPolicy
@@ -69,8 +69,8 @@
 
 def test_no_instance_gets_more_than_the_ceiling_from_one_head() -> None:
     placement = placement_of(0, 0, 1)
-    plans = [placement.place_plain(request_of(str(number)), "") for number in range(CEILING + 3)]
-    assert sum(plan is not None for plan in plans) == CEILING
+    plans = [placement.place_plain(request_of(str(number)), "") for number in range(MAX_IN_FLIGHT + 3)]
+    assert sum(plan is not None for plan in plans) == MAX_IN_FLIGHT
 
 
 def test_a_request_that_cannot_be_in_time_is_queued_behind_all_others() -> None:
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -101,30 +101,30 @@
 class Unbounded:
     """Nothing narrows what the module may choose from."""
 
-    attempts = second_copy_us = version = 0
+    attempts = hedge_delay_us = version = 0
 
-    def takes(self, node: str, shard: int) -> bool:
+    def allows(self, node: str, shard: int) -> bool:
         return True
 
-    def repeat(self, now_us: int, attempts: int) -> bool:
+    def take_retry(self, now_us: int, attempts: int) -> bool:
         return True
 
 
 class Closed:
     """A gate under the test's hand; it lets all in at once that it has held."""
 
-    due_us = 0
+    next_release_us = 0
 
     def __init__(self) -> None:
         self.held: list[str] | None = []
 
-    def admit(self, now_us: int, ask: api.Arrival) -> api.Bounds | api.Waits | int:
+    def admit(self, now_us: int, ask: api.Arrival) -> api.Bounds | api.WaitAtGate | int:
         if self.held is None:
             return Unbounded()
         self.held.append(ask.request)
-        return api.Waits(Unbounded())
+        return api.WaitAtGate(Unbounded())
 
-    def turn(self, now_us: int) -> list[tuple[str, int]]:
+    def release(self, now_us: int) -> list[tuple[str, int]]:
         held, self.held = self.held or [], None
         return [(name, 0) for name in held]
 
@@ -145,7 +145,7 @@
     await until(lambda: bool(closed.held))
 
     async def free() -> None:
-        service.exchange.gate_news()
+        service.exchange.gate_changed()
         await until(lambda: closed.held is None)
 
     return free
--- a/tests/test_gone_attempts.py
+++ b/tests/test_gone_attempts.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from hophinge.core import interface as api
-from hophinge.core.exchange import End
+from hophinge.core.exchange import AttemptResult
 from hophinge.head.service import Service
 from hophinge.net import frontend
 from hophinge.net.backend_connection import BackendConnection
@@ -134,10 +134,10 @@
         desk.loop.advance(0)
         assert len(desk.out) == 1
     if order == "reset first":
-        desk.out[0].end(End(api.Result.RESET))
+        desk.out[0].end(AttemptResult(api.Result.RESET))
     desk.exchange.depart("a")
     if order == "reset":
-        desk.out[0].end(End(api.Result.RESET))
+        desk.out[0].end(AttemptResult(api.Result.RESET))
     if order == "full list":
         desk.exchange.nodes(api.NodeList(api.ListKind.CHANGES, ()))
     desk.loop.advance(10_000_000)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,10 +14,10 @@
 import msgspec
 import pytest
 
-from hophinge.core.choice import CEILING, Scheduler
+from hophinge.core.choice import MAX_IN_FLIGHT, Scheduler
 from hophinge.core.interface import ListKind, NodeEntry, NodeList, Phase, Send
 from hophinge.head.handover import LIVE, MARKS, VERSION, Handover, Marks
-from hophinge.core.rotation import Mark, Rotation
+from hophinge.core.manual_ejections import ManualEjection, ManualEjections
 from tests.stand_in import OBJECT, VOLUME, Backend, Wire, headers, held_by, run, until, world
 from tests.test_choice import SETTINGS, T0, ask
 from tests.test_service import HOST, config, program
@@ -31,10 +31,10 @@
 
     def __init__(self, folder: Path) -> None:
         self.now, self.lines, self.folder = 1_000_000, list[str](), folder / "hophinge-n0"
-        self.rotation = Rotation(lambda _: None, lambda: self.now, 17_000_000)
-        self.rotation.take(NodeList(ListKind.FULL, (NodeEntry("a", 0, 0, Phase.ON, 1.0, 0),)))
+        self.rotation = ManualEjections(lambda _: None, lambda: self.now, 17_000_000)
+        self.rotation.apply_list(NodeList(ListKind.FULL, (NodeEntry("a", 0, 0, Phase.ON, 1.0, 0),)))
         self.handover = Handover(self.folder, self.rotation, lambda: self.now, REST_US, self.lines.append)
-        self.rotation.marked = self.handover.write
+        self.rotation.on_ejection = self.handover.write
 
     def marks(self) -> Marks:
         return msgspec.json.decode((self.folder / MARKS).read_bytes(), type=Marks)
@@ -64,14 +64,18 @@
 
 def test_marks_are_shared_and_none_is_lost_when_both_write_at_once(tmp_path: Path) -> None:
     desk = Desk(tmp_path)
-    assert desk.rotation.down("a")
-    assert desk.marks() == Marks(VERSION, {"a": Mark(1_000_000, True)})
-    desk.put(msgspec.json.encode(Marks(VERSION, {"b": Mark(5, True)})))  # the other had not seen it
+    assert desk.rotation.eject("a")
+    assert desk.marks() == Marks(VERSION, {"a": ManualEjection(1_000_000, True)})
+    desk.put(msgspec.json.encode(Marks(VERSION, {"b": ManualEjection(5, True)})))  # the other had not seen it
     desk.handover.look()
-    assert desk.rotation.out("a") and desk.rotation.out("b") and desk.marks().marks == desk.rotation.marks
-    desk.put(msgspec.json.encode(Marks(VERSION, {"a": Mark(1_000_001, False), "b": Mark(5, True)})))
+    assert (
+        desk.rotation.is_ejected("a")
+        and desk.rotation.is_ejected("b")
+        and desk.marks().marks == desk.rotation.ejections
+    )
+    desk.put(msgspec.json.encode(Marks(VERSION, {"a": ManualEjection(1_000_001, False), "b": ManualEjection(5, True)})))
     desk.handover.look()
-    assert not desk.rotation.out("a")
+    assert not desk.rotation.is_ejected("a")
     desk.handover.close()
 
 
@@ -83,10 +87,10 @@
     content: bytes, after: bool, tmp_path: Path
 ) -> None:
     desk = Desk(tmp_path)
-    desk.rotation.down("a")
+    desk.rotation.eject("a")
     desk.put(content)
     desk.handover.look()
-    assert desk.rotation.out("a") and len(desk.lines) == 1
+    assert desk.rotation.is_ejected("a") and len(desk.lines) == 1
     # One that is malformed is written anew; another version's belongs to a newer program and is left alone.
     assert (desk.folder / MARKS).read_bytes() != content if after else (desk.folder / MARKS).read_bytes() == content
     desk.handover.close()
@@ -94,20 +98,22 @@
 
 @pytest.mark.parametrize("processes", [1, 2])
 def test_two_processes_give_a_cold_backend_and_a_warm_one_no_more_than_one_does(processes: int) -> None:
-    rules = dataclasses.replace(SETTINGS.rules, cold_units=16.0, cold_us=17_000_000, fall_us=REST_US)
+    rules = dataclasses.replace(
+        SETTINGS.rules, slow_start_units=16.0, slow_start_us=17_000_000, overload_window_us=REST_US
+    )
     settings = dataclasses.replace(SETTINGS, rules=rules)
     sent = dict.fromkeys(("cold", "warm"), 0.0)
     for _ in range(processes):
         scheduler = Scheduler(settings, 1)
         scheduler.processes = processes
         nodes = (NodeEntry("cold", 0, 0, Phase.ON, 1.0, T0), NodeEntry("warm", 0, 1, Phase.ON, 1.0, 0))
-        asks = [ask(f"{at:016x}", shard=at % 2, units=0.05) for at in range(4 * CEILING)]
+        asks = [ask(f"{at:016x}", shard=at % 2, units=0.05) for at in range(4 * MAX_IN_FLIGHT)]
         asks += [ask(f"{at + 999:016x}", shard=0, units=1.0) for at in range(40)]
         for action in scheduler.handle(T0 + 1, [NodeList(ListKind.FULL, nodes), *asks]):
             if isinstance(action, Send):
                 units = next(one.units for one in asks if one.request == action.request)
                 sent[action.node] += units if action.node == "cold" else 1
-    assert 0 < sent["cold"] <= 16.0 / settings.gateways + 1 and 0 < sent["warm"] <= CEILING
+    assert 0 < sent["cold"] <= 16.0 / settings.gateways + 1 and 0 < sent["warm"] <= MAX_IN_FLIGHT
 
 
 async def call(port: int, path: str, backend: str = "") -> tuple[int, str]:
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hophinge.core.choice import FLEET
+from hophinge.core.choice import MAX_IN_FLIGHT_OF_ALL
 from hophinge.core.interface import Send
 from tests.stand_in import Backend, headers, held_by, run, setup, until, world
 from tests.test_choice import SETTINGS, Gateway, ask, node
@@ -39,7 +39,7 @@
 def test_requests_out_at_a_backend_are_a_head_s_part(heads: int) -> None:
     gate = Gateway(dataclasses.replace(SETTINGS, gateways=heads), [node(0)])
     sent = [one for one in gate.at(0, *(ask(f"{at:016x}", units=0.01) for at in range(100))) if isinstance(one, Send)]
-    assert len(sent) == max(1, min(32, FLEET // heads))
+    assert len(sent) == max(1, min(32, MAX_IN_FLIGHT_OF_ALL // heads))
 
 
 def test_a_head_that_discovery_turns_away_serves_from_its_saved_list_and_keeps_away_as_told() -> None:
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import hophinge
-from hophinge.core.errors import HophingeError, told, types
+from hophinge.core.errors import HophingeError, one_line, error_types
 from hophinge.core.settings import SettingsError
 
 ROOT = Path(__file__).parent.parent
@@ -25,7 +25,7 @@
         for module in pkgutil.walk_packages(hophinge.__path__, "hophinge."):
             if not module.name.endswith("__main__"):
                 importlib.import_module(module.name)
-    kinds = [kind for kind in types() if kind.__module__.startswith("hophinge.")]
+    kinds = [kind for kind in error_types() if kind.__module__.startswith("hophinge.")]
     listed = dict(ROW.findall((ROOT / "docs" / "operate" / "errors.md").read_text()))
     assert len(kinds) >= 3
     for kind in kinds:
@@ -37,8 +37,10 @@
 
 
 def test_an_error_is_told_as_one_line_with_its_remedy() -> None:
-    assert told(SettingsError("Caps:\n no number")) == (f"Caps: no number [settings-unreadable] {SettingsError.remedy}")
-    assert told(OSError("disk full")) == "disk full" and told(ValueError()) == "ValueError"
+    assert one_line(SettingsError("Caps:\n no number")) == (
+        f"Caps: no number [settings-unreadable] {SettingsError.remedy}"
+    )
+    assert one_line(OSError("disk full")) == "disk full" and one_line(ValueError()) == "ValueError"
     assert not HophingeError.code  # the base is none that is raised
 
 
--- a/tests/test_maintenance_parts.py
+++ b/tests/test_maintenance_parts.py
@@ -171,7 +171,7 @@
         looking = asyncio.create_task(upkeep.run())
         response = decode_response(encode_update(PermitUpdate("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
         upkeep._word(response)
-        assert head.rotation.out("s-0") and "halt/r/0" in peers.own  # before any list names the brick
+        assert head.rotation.is_ejected("s-0") and "halt/r/0" in peers.own  # before any list names the brick
         await until(lambda: any("cannot be kept" in line for line in head.log))
         assert "1.1/s-0" not in peers.own and upkeep.report().statements == ()
         disk.full = False
@@ -188,13 +188,13 @@
         await until(lambda: any("peers do not hear" in line for line in head.log))
         assert len(upkeep.report().statements) == 2 and "halt/r/0" not in peers.own
         upkeep._word(decode_response(encode_update(PermitUpdate("other", 9, 9))))
-        assert any("permit-issuer-unknown" in line for line in head.log) and head.rotation.out("s-1")
+        assert any("permit-issuer-unknown" in line for line in head.log) and head.rotation.is_ejected("s-1")
         looking.cancel()
         await asyncio.gather(looking, return_exceptions=True)
         again = Head("n0", 1, "1", tmp_path / "n0", lambda head, go: None)
         assert again.upkeep is not None
         again.upkeep.begin()
-        assert again.rotation.out("s-0") and again.rotation.out("s-1")
+        assert again.rotation.is_ejected("s-0") and again.rotation.is_ejected("s-1")
 
     run(main())
 
--- a/tests/test_maintenance_retirement.py
+++ b/tests/test_maintenance_retirement.py
@@ -93,7 +93,7 @@
             (request,) = upkeep._due(True)
             return msgspec.json.decode(request.initial_versions[REPORT_KEY], type=HeadReport)
 
-        upkeep.rotation.take(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
+        upkeep.rotation.apply_list(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
         assert upkeep._due(True) == []  # no word yet
         older = told(PermitUpdate("s", 1, 1))
         assert list(older.backends) == ["s-0"] and older.list_changes is None
--- a/tests/test_maintenance_wire.py
+++ b/tests/test_maintenance_wire.py
@@ -80,16 +80,16 @@
             relay.set(False)
             told = await here.until(lambda told: told["permits"][0]["state"] == "drained")
             assert stage(told) == "halted" and {head.build for head in here.heads.values()} == {"1"}
-            assert all(head.rotation.out("s-1") for head in here.heads.values())
+            assert all(head.rotation.is_ejected("s-1") for head in here.heads.values())
             await here.kill()  # what is out stays out while nobody is there
             await here.heads["n2"].end()
             again = here.head("n2", port=relay.port)
-            assert again.rotation.out("s-1")
+            assert again.rotation.is_ejected("s-1")
             await here.control()
             relay.to = here.port
             await here.push(BOUNDS)
             await here.until(lambda told: not told["permits"])  # all four have had warm answers
-            assert not any(head.rotation.out("s-1") for head in here.heads.values())
+            assert not any(head.rotation.is_ejected("s-1") for head in here.heads.values())
 
     run(main())
 
--- a/tests/test_net_attempts.py
+++ b/tests/test_net_attempts.py
@@ -76,8 +76,8 @@
             wire = await made.wire(service)
             wire.send(READ, headers())
             await wire.receive()
-            await until(lambda: service.exchange.scheduler.volumes[VOLUME].all_use > 0)
-            assert service.exchange.scheduler.volumes[VOLUME].all_use == 1.5 * 400
+            await until(lambda: service.exchange.scheduler.volumes[VOLUME].reported_use > 0)
+            assert service.exchange.scheduler.volumes[VOLUME].reported_use == 1.5 * 400
 
     run(main())
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -24,7 +24,7 @@
             moved = made.backends[1].target()
             await agent.tell(Target("s-0", moved.endpoint, "Ready", "hall-a", "std-1c", 0, 1.0, 1_700_000_000_000))
             await until(lambda: service.directory.endpoints.get("s-0") == moved.endpoint and "s-0" in phases)
-            assert service.exchange.scheduler.books["s-0"].entry.started_us == 1_700_000_000_000_000
+            assert service.exchange.scheduler.nodes["s-0"].entry.started_us == 1_700_000_000_000_000
             await agent.close()  # the agent goes and comes back
             await until(lambda: service.counters.counts["discovery_errors"] > 0)
             assert phases["s-0"].value == "on"
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -210,7 +210,7 @@
             assert {ask.plan for ask in asks if ask.volume == bucket.id} == {0}
             assert all(ask.units == 1 and ask.time_left_us == classes[ask.klass].deadline_us for ask in asks)
             assert service.objects is not None
-            assert service.objects.store.core.units(64 * 1024) == service.exchange.settings.most_units
+            assert service.objects.store.core.units(64 * 1024) == service.exchange.settings.max_units
             assert all(
                 ask.shard == -1
                 for ask in asks
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -28,7 +28,7 @@
 from hophinge.coordination import codec
 from hophinge.coordination.messages import LogRecord, StateRecord
 from hophinge.coordination.storage.store import DurableStore
-from hophinge.core.rotation import Mark
+from hophinge.core.manual_ejections import ManualEjection
 from hophinge.fleet.configuration.document import validate_document
 from hophinge.fleet.controlplane.schemas import HeartbeatBody
 from hophinge.fleet.forwarding.trace import RequestTrace
@@ -103,7 +103,7 @@
     "control stream: lease": (share_leases.ShareLease, json_bytes),
     "head file: last good": (last_known_good.LastKnownGood, msgpack_bytes),
     "head file: marks": (handover.Marks, json_bytes),
-    "head file: mark": (Mark, json_bytes),
+    "head file: mark": (ManualEjection, json_bytes),
     "ledger: audit entry": (rows.AuditEntry, json_bytes),
     "ledger: open upload": (accounts.Upload, json_bytes),
     "ledger: account": (tenancy_records.Account, json_bytes),
--- a/tests/test_popularity_head.py
+++ b/tests/test_popularity_head.py
@@ -50,7 +50,10 @@
             for ask in asks:
                 assert ask.volume == BEFOREHAND and settings.plans[ask.plan].price == 1
                 klass = settings.classes[ask.klass]
-                assert klass.worth == 1 and klass.aim_us < ask.time_left_us <= klass.deadline_us - klass.aim_us
+                assert (
+                    klass.value == 1
+                    and klass.target_latency_us < ask.time_left_us <= klass.deadline_us - klass.target_latency_us
+                )
             before = sum(len(backend.seen) for backend in built.world.backends)
             for path in paths:
                 _, body = await built.clients["b"].call("GET", path)
--- a/tests/test_popularity_planner.py
+++ b/tests/test_popularity_planner.py
@@ -9,7 +9,7 @@
 from msgspec import structs
 
 from hophinge.cluster.interface import Member, Role, MemberState
-from hophinge.core.choice.volumes import Bucket
+from hophinge.core.choice.volume_state import TokenBucket
 from hophinge.core.interface import Result
 from hophinge.popularity.planner import (
     BURST_S,
@@ -157,14 +157,14 @@
             for volume in ("tenant", "beforehand")[: 1 + (spare is not None and at % 4 == 0)]:
                 name, later = f"{volume}{at}", MS if volume == "tenant" else 0
                 one = ask(name, units=2, volume=volume)
-                gate.at(later, structs.replace(one, spare=volume != "tenant" and spare is True))
+                gate.at(later, structs.replace(one, is_background=volume != "tenant" and spare is True))
                 gate.at(later, end(name, Result.OK))
-                scheduler.volumes[volume].reserve = Bucket(0.0, 0.0, 0.0, gate.now)
-        found.append(scheduler._fair("n0") * scheduler.volumes["tenant"].plan.weight)
+                scheduler.volumes[volume].reserve = TokenBucket(0.0, 0.0, 0.0, gate.now)
+        found.append(scheduler._fair_use_per_weight("n0") * scheduler.volumes["tenant"].plan.weight)
         if spare:
-            gate.at(0, structs.replace(ask("held", units=1, volume="new"), spare=True))
-            assert scheduler._part(scheduler.requests["held"], "n0", 0.0) == SETTINGS.spare_worth
-            assert not scheduler.volumes["beforehand"].beyond
+            gate.at(0, structs.replace(ask("held", units=1, volume="new"), is_background=True))
+            assert scheduler._value_factor(scheduler.requests["held"], "n0", 0.0) == SETTINGS.spare_value
+            assert not scheduler.volumes["beforehand"].excess_use
     assert found[0] > 1 and found[1] == pytest.approx(found[0], rel=0.1) and found[2] < 0.8 * found[0]
 
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from msgspec import structs
 
-from hophinge.core.exchange import End
+from hophinge.core.exchange import AttemptResult
 from hophinge.core.interface import DedupScope, Effect, Fail, Refuse, Result, Send, StreamStarted
 from tests.stand_in import Backend, headers, run, setup, until, world
 from tests.test_choice import KEYED, MS, SETTINGS, T0, Gateway, ask, end, finals, klass
@@ -83,7 +83,7 @@
     for attempt, result in enumerate((Result.CONNECT_FAILED, Result.RESET)):
         again = gate.at(10 * MS, end("a", result, attempt=attempt)) + gate.run(400 * MS)
         ends += [one.until_us for one in again if isinstance(one, Send)]
-    second_at = gate.scheduler.requests["a"].ran_at
+    second_at = gate.scheduler.requests["a"].may_have_run_since
     assert ends == [0, second_at + WINDOW - SETTINGS.tick_us] and second_at > T0
 
 
@@ -92,12 +92,12 @@
     desk.arrive("a")
     desk.loop.advance(0)
     (attempt,) = desk.out
-    attempt.until = desk.loop.now + 10 * MS
+    attempt.write_before = desk.loop.now + 10 * MS
     desk.loop.advance(9 * MS)
-    assert attempt.may_go()
+    assert attempt.may_send()
     desk.loop.advance(1 * MS)
-    assert not attempt.may_go()
-    attempt.end(End(Result.MOOT))
+    assert not attempt.may_send()
+    attempt.end(AttemptResult(Result.MOOT))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_restart_last.py
+++ b/tests/test_restart_last.py
@@ -18,7 +18,7 @@
 
 
 def of(aim_ms: int, deadline_ms: int) -> RequestClass:
-    return dataclasses.replace(READ, aim_us=aim_ms * MS, deadline_us=deadline_ms * MS)
+    return dataclasses.replace(READ, target_latency_us=aim_ms * MS, deadline_us=deadline_ms * MS)
 
 
 @given(
--- a/tests/test_restart_moments.py
+++ b/tests/test_restart_moments.py
@@ -140,7 +140,7 @@
                 "PUT",
             )
             await until(lambda: service.exchange.unanswered == 1 and len(made.backends[0].seen) == 1 - shard)
-            service.exchange.cut_off()
+            service.exchange.answer_all_now()
             assert (await wire.receive())[0] == status
             gate.set()
 
--- a/tests/test_restart_queue.py
+++ b/tests/test_restart_queue.py
@@ -60,7 +60,7 @@
         """Make the protocol of a new connection."""
         return Says(self.open)
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         return True
 
 
--- a/tests/test_rig_run.py
+++ b/tests/test_rig_run.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from hophinge.core.errors import one_line
 from hophinge.control.operator_client import call_operator_api
-from hophinge.core.errors import told
 from hophinge.load.rig.run import PORTS, LeftoverError, NoPortError, Run
 from hophinge.load.rig.waiting import Condition, ConditionError, said, until
 from tests.stand_in import run
@@ -105,7 +105,7 @@
                     return [123]
 
                 made.processes.close = close  # type: ignore[method-assign]  # the end that goes wrong
-        assert LeftoverError.remedy in told(caught.value)
+        assert LeftoverError.remedy in one_line(caught.value)
 
     run(main())
 
@@ -125,4 +125,4 @@
     made.port()
     with pytest.raises(NoPortError) as error:
         made.port()
-    assert "[rig-no-port]" in told(error.value)
+    assert "[rig-no-port]" in one_line(error.value)
--- a/tests/test_routing_module.py
+++ b/tests/test_routing_module.py
@@ -21,7 +21,7 @@
     Refuse,
     Result,
     Send,
-    TimerDue,
+    TimerExpired,
 )
 from hophinge.routing.admitted import Pass
 from tests.routes import NAMED, POOLS, ask, backend, router
@@ -45,7 +45,7 @@
         return self.at(0, structs.replace(arrival, bounds=bounds))
 
     def run(self, span: int, step: int = 5 * MS) -> list[Action]:
-        return [action for _ in range(span // step) for action in self.at(step, TimerDue(0))]
+        return [action for _ in range(span // step) for action in self.at(step, TimerExpired(0))]
 
 
 def sends(actions: Iterable[Action]) -> list[str]:
@@ -99,7 +99,7 @@
     actions = pair.at(1, Outcome("r1", 1, second, Result.OK, 10 * MS, True, 0, 0.0, {}))
     assert [one for one in actions if isinstance(one, Cancel)] == [Cancel("r1", 0)]
     pair.at(1, Outcome("r1", 0, first, Result.CANCELLED, 10 * MS, True, 0, 0.0, {}))
-    assert not pair.module.requests and not pair.module.busy
+    assert not pair.module.requests and not pair.module.active_nodes
 
 
 def test_a_second_copy_needs_another_backend_with_the_data_and_its_budget() -> None:
--- a/tests/test_scoring_choice.py
+++ b/tests/test_scoring_choice.py
@@ -22,7 +22,7 @@
     Phase,
     Refuse,
     Result,
-    Seen,
+    NodeObservation,
     Send,
 )
 from hophinge.scoring.interface import View
@@ -38,13 +38,13 @@
 
     left: frozenset[str]
     attempts: int = 0
-    second_copy_us: int = 0
+    hedge_delay_us: int = 0
     version: int = 1
 
-    def takes(self, node: str, shard: int) -> bool:
+    def allows(self, node: str, shard: int) -> bool:
         return node in self.left
 
-    def repeat(self, now_us: int, attempts: int) -> bool:
+    def take_retry(self, now_us: int, attempts: int) -> bool:
         return True
 
 
@@ -54,7 +54,7 @@
     def __init__(self, added: Mapping[str, float]) -> None:
         self.added = added
 
-    def added_us(self, now_us: int, ask: Arrival, nodes: Sequence[Seen]) -> Mapping[str, float]:
+    def added_us(self, now_us: int, ask: Arrival, nodes: Sequence[NodeObservation]) -> Mapping[str, float]:
         return self.added
 
 
@@ -158,7 +158,7 @@
         may[name] = left
         events: list[Event] = [fresh(name, left)]
         while events:
-            resting = {node for node, book in one.books.items() if book.rest_until > now}
+            resting = {node for node, book in one.nodes.items() if book.backoff_until > now}
             actions, events = one.handle(now, events), []
             now += MS
             for send in actions:
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -14,7 +14,7 @@
 from hophinge.cluster.tuning import Limits
 from hophinge.core.counters import Counters
 from hophinge.core.errors import HophingeError
-from hophinge.core.exchange import Answer, Attempt, End, Exchange, Verdict
+from hophinge.core.exchange import Answer, Attempt, AttemptResult, Exchange, Verdict
 from hophinge.core.interface import ListKind, NodeList, Result
 from hophinge.head.scoring import Scoring, usage
 from hophinge.head.sections import ScoringConfig
@@ -78,7 +78,7 @@
     def start(attempt: Attempt) -> Callable[[], None]:
         tried.append(attempt.node)
         loop.now += 5 * MS
-        attempt.end(End(Result.OK, b"kept"))
+        attempt.end(AttemptResult(Result.OK, b"kept"))
         return lambda: None
 
     exchange.start = start
--- a/tests/test_scoring_scorers.py
+++ b/tests/test_scoring_scorers.py
@@ -123,7 +123,7 @@
 def test_a_view_tells_what_the_books_hold_and_makes_each_column_once() -> None:
     seen = books("a", "b")
     seen[0].reserve(("r", 0), 2.0, 1_000.0, T0)
-    seen[1].failures, seen[1].lag = 3, 7_000.0
+    seen[1].failures, seen[1].recent_latency = 3, 7_000.0
     asked: list[str] = []
     around = Surroundings(0)
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -112,7 +112,7 @@
                 status, fields, _ = await wire.receive()
                 assert status == 503 and "retry-after" not in fields
             assert len(made.backends[0].seen) == 5  # one attempt each
-            assert service.exchange.scheduler.books["s-0"].failures == 0
+            assert service.exchange.scheduler.nodes["s-0"].failures == 0
             made.backends[0].behave = None
             wire.send(WRITE, headers(9, X_Placement="units=2,shard=-1,hosts=1", X_Remaining_Ms="1200"), "PUT", b"x")
             assert (await wire.receive())[0] == 200
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -193,7 +193,7 @@
         assert (await wire.receive())[0] == 200
         assert backend.objects[f"{VOLUME}/{OBJECT}"] == LONG
         assert service.counters.counts["bodies_streamed"] == 1 and service.figures.relayed == 1
-        assert not any(book.silent for book in service.exchange.scheduler.books.values())
+        assert not any(book.is_unresponsive for book in service.exchange.scheduler.nodes.values())
 
     with_head(test)
 
--- a/tests/test_time_told.py
+++ b/tests/test_time_told.py
@@ -60,7 +60,7 @@
         service.backends.pool.connect_timeout_s = 30.0
         begun = late(monkeypatch, service.backends.connector, gate, set(range(9)))
         given = list[int]()
-        whole = service.exchange.whole
+        whole = service.exchange.body_complete
 
         def noted(name: str) -> None:
             whole(name)
--- a/tests/test_upload_ends.py
+++ b/tests/test_upload_ends.py
@@ -52,7 +52,7 @@
                 wire.writer.write(wire.head(WRITE, fields, "PUT") + b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))
             else:
                 wire.send(WRITE, fields, "PUT", LONG)
-            await until(lambda: any(one.whole for one in service.exchange.open.values()))
+            await until(lambda: any(one.is_complete for one in service.exchange.open.values()))
             assert not backend.bodies and service.counters.counts["bodies_streamed"] == 1
             await made.agent.tell(backend.target())
             assert (await wire.receive())[0] == 503
--- a/tests/test_vanish.py
+++ b/tests/test_vanish.py
@@ -24,7 +24,7 @@
     for _ in range(220):
         actions += gate.at(10 * MS)
     # A brick that alone says nothing gets a trial now and then, two of the tightest aims after the last.
-    assert len(sent(actions)) - len(out) <= 2_200 * MS // (2 * gate.scheduler.aim)
+    assert len(sent(actions)) - len(out) <= 2_200 * MS // (2 * gate.scheduler.target_us)
     answered = Counter(one.request for one in finals(actions))  # type: ignore[union-attr]
     assert answered == Counter(names)
     for one in sent(actions):
@@ -42,5 +42,5 @@
     units = 0
     for number in range(40):
         units += sum(2 for _ in sent(gate.at(20 * MS, ask(f"t{number}", units=2))))
-    assert units <= SETTINGS.rules.cold_units
-    assert gate.now - T0 < SETTINGS.rules.cold_us
+    assert units <= SETTINGS.rules.slow_start_units
+    assert gate.now - T0 < SETTINGS.rules.slow_start_us
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -8,15 +8,15 @@
 from aiohttp import web
 
 from hophinge.core import interface as api
-from hophinge.core.exchange import End, Verdict
-from hophinge.core.written import AGE_US, MOST, Written
+from hophinge.core.exchange import AttemptResult, Verdict
+from hophinge.core.write_locations import MAX_AGE_US, MAX_ENTRIES, WriteLocations
 from tests.gateways import KEYED, ask, node
 from tests.stand_in import Backend, headers, run, world
 from tests.test_exchange import Desk
 from tests.test_net import READ, WRITE
 from tests.test_silence import away
 
-AWAY = End(api.Result.MISPLACED)
+AWAY = AttemptResult(api.Result.MISPLACED)
 
 
 def write(desk: Desk, name: str, shard: int) -> None:
@@ -25,7 +25,7 @@
     desk.exchange.arrive(ask(name, shard=shard, kind=KEYED, key="o"), "payload", desk.answers[name].append)
     desk.loop.advance(0)
     assert desk.out[-1].node == f"n{shard}"
-    desk.out[-1].end(End(api.Result.OK, b"written"))
+    desk.out[-1].end(AttemptResult(api.Result.OK, b"written"))
 
 
 def read(desk: Desk, shard: int, key: str = "o", name: str = "r") -> None:
@@ -44,28 +44,28 @@
 
 
 def test_the_map_holds_no_more_than_its_bound_and_forgets_the_oldest_write() -> None:
-    written = Written(most=3)
+    written = WriteLocations(max_entries=3)
     for at, key in enumerate(("a", "b", "a", "c", "d")):
-        written.note(at, "v", key, at)
-    assert [written.find(9, "v", key) for key in "abcd"] == [2, None, 3, 4] and len(written.places) == 3
+        written.record(at, "v", key, at)
+    assert [written.find(9, "v", key) for key in "abcd"] == [2, None, 3, 4] and len(written.locations) == 3
     assert written.find(9, "w", "a") is None
 
 
 def test_the_map_forgets_what_is_older_than_its_age() -> None:
-    written = Written()
-    written.note(0, "v", "a", 5)
-    assert written.find(AGE_US, "v", "a") == 5 and written.find(AGE_US + 1, "v", "a") is None
-    written.note(AGE_US + 1, "v", "b", 6)
-    assert list(written.places) == [("v", "b")]
+    written = WriteLocations()
+    written.record(0, "v", "a", 5)
+    assert written.find(MAX_AGE_US, "v", "a") == 5 and written.find(MAX_AGE_US + 1, "v", "a") is None
+    written.record(MAX_AGE_US + 1, "v", "b", 6)
+    assert list(written.locations) == [("v", "b")]
 
 
 def test_the_map_at_its_bound_takes_what_its_note_says() -> None:
     tracemalloc.start()
     try:
-        written = Written()
-        for number in range(2 * MOST):
-            written.note(1_000_000 + number, f"{number:016x}", f"{number:016x}", number % 1000)
-        assert len(written.places) == MOST and tracemalloc.get_traced_memory()[0] < 2_000_000
+        written = WriteLocations()
+        for number in range(2 * MAX_ENTRIES):
+            written.record(1_000_000 + number, f"{number:016x}", f"{number:016x}", number % 1000)
+        assert len(written.locations) == MAX_ENTRIES and tracemalloc.get_traced_memory()[0] < 2_000_000
     finally:
         tracemalloc.stop()
 
@@ -81,7 +81,7 @@
     desk.loop.advance(0)
     assert [one.node for one in desk.out] == ["n1", "n0", "n1"] and not desk.answers["r"]
     assert len(desk.exchange.open["r"].attempts) == 1  # one at a time
-    desk.out[-1].end(End(api.Result.OK, b"body"))
+    desk.out[-1].end(AttemptResult(api.Result.OK, b"body"))
     assert verdicts(desk) == [Verdict.SERVED] and desk.counts["reads_moved"] == 1
 
 
