--- a/benchmarks/maintenance_reports.py
+++ b/benchmarks/maintenance_reports.py
@@ -13,7 +13,7 @@
 from hophinge.control import wire
 from hophinge.control.messages import DiscoveryRequest, ResourceType
 from hophinge.control.maintenance_wire import REPORT_KEY, report_request
-from hophinge.maintenance.drains import DRAINED, Statement
+from hophinge.maintenance.statements import DRAINED, Statement
 from hophinge.maintenance.snapshots import SnapshotSender
 from hophinge.maintenance.messages import BackendListing, HeadReport
 
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -21,18 +21,17 @@
 from hophinge.core.exchange import Exchange, Gate
 from hophinge.core.interface import Arrival, Bounds, NodeList, Phase, Result, WaitAtGate
 from hophinge.core.manual_ejections import ManualEjection, ManualEjections
-from hophinge.maintenance.drains import (
+from hophinge.maintenance.drain_verdicts import head_states
+from hophinge.maintenance.head_drains import (
     Action,
     HeadDrains,
-    DrainPhase as DrainPhase,
+    DrainPhase,
     Announce,
     Eject,
     Restore,
     Retract,
-    statements_by_owner,
-    head_states,
-    encode_statement,
 )
+from hophinge.maintenance.statements import statements_by_owner, encode_statement
 from hophinge.maintenance.permit_holder import HALT_KEY_PREFIX, GoOffline, PermitHolder, halted_releases
 from hophinge.maintenance.snapshots import SnapshotSender
 from hophinge.maintenance.messages import BackendListing, HeadReport
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -10,7 +10,7 @@
 from hophinge.core import interface as api
 from hophinge.core.errors import HophingeError, one_line
 from hophinge.head.sections import PopularityConfig
-from hophinge.maintenance.drains import statements_by_owner
+from hophinge.maintenance.statements import statements_by_owner
 from hophinge.objects.prefetch import Fetcher
 from hophinge.objects.cache import Object, PieceCache
 from hophinge.objects.records import Manifest, manifest_id, shard_of
--- a/hophinge/maintenance/issuer.py
+++ b/hophinge/maintenance/issuer.py
@@ -1,8 +1,8 @@
-"""The issuer of permits as a whole: reports and the document come in, what was stored goes out as words to heads.
+"""The issuer of permits: reports of heads and the configuration come in, updates for heads go out.
 
-Nothing is told that is not stored: each step hands its rows to the keeper first and takes them only when that has
-returned. All that is told is made of the table as it stands, so whoever ends between the two tells it when it starts
-again, and a step that failed is made again by the next `tick`.
+Nothing is sent that is not stored: each step passes its rows to the store first and applies them only when that has
+returned. All updates are made of the table as it is, so an issuer that ends in between sends them when it starts again,
+and a step that failed is repeated by the next `tick`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from hophinge.maintenance.drains import DrainStatements, DrainVerdict, required_heads
+from hophinge.maintenance.drain_verdicts import DrainStatements, DrainVerdict, required_heads
 from hophinge.maintenance.messages import HeadReport, PermitUpdate
 from hophinge.maintenance.observations import Observations, ObservedHead, backend_floors, head_floor
 from hophinge.maintenance.permit_store import PermitStore
@@ -31,11 +31,25 @@
 from hophinge.routing.bounds import Maintenance, Outage, Release
 from hophinge.routing.records import Record
 
-RELEASE, OUTAGE, HEAD = "release ", "outage ", "head "
+# Prefixes of the requester of a permit.
+RELEASE = "release "
+OUTAGE = "outage "
+HEAD = "head "
 
 
 class PermitIssuer:
-    """One installation's; `fence` is above that of every process that had this store before."""
+    """The issuer of one installation.
+
+    Args:
+        issuer: The id of the store.
+        fencing_token: Above that of every process that had this store before.
+        permits: The permits that are stored.
+        releases: The releases that are stored.
+        zones: The zones of known heads.
+        store: Where permits and releases are stored.
+        now_us: The current time.
+
+    """
 
     def __init__(
         self,
@@ -47,80 +61,84 @@
         store: PermitStore,
         now_us: int,
     ) -> None:
-        self.issuer, self.fencing_token, self.store = issuer, fencing_token, store
-        self.permits, self.releases, self.drain_statements = (
-            PermitTable(permits, fencing_token, now_us),
-            Releases(releases),
-            DrainStatements(),
-        )
+        self.issuer = issuer
+        self.fencing_token = fencing_token
+        self.store = store
+        self.permits = PermitTable(permits, fencing_token, now_us)
+        self.releases = Releases(releases)
+        self.drain_statements = DrainStatements()
         self.observations = Observations(zones)
         self.started_us = now_us
         self.policy = Maintenance()
         self.outages: dict[str, Outage] = {}
         self.configured_releases: dict[str, Release] = {}
-        self.records: tuple[Record, ...] = ()
+        self.records: tuple[Record, ...] = ()  # of pools, routes and tenants
         self.reserves: dict[str, float] = {}  # of tenants that have an account
-        self.waiting_reasons: dict[tuple[PermitKind, str], str] = {}  # why who wants to go out has to wait
-        self.last_updates: dict[str, PermitUpdate] = {}
-        self.last_sequence = 0  # of the last word
-        self.backend_availability: Availability | None = None  # until something is heard, or time goes on
+        self.waiting_reasons: dict[tuple[PermitKind, str], str] = {}  # why requests were rejected
+        self.last_updates: dict[str, PermitUpdate] = {}  # by head
+        self.last_sequence = 0  # of updates
+        self.backend_availability: Availability | None = None  # cached until a report arrives or time advances
 
-    # --- what comes in
+    # --- input
 
     def apply_configuration(
         self, maintenance_records: Iterable[Record], records: Iterable[Record], reserves: Mapping[str, float]
     ) -> None:
-        """Take the forms on maintenance, and those that tell what pools must carry."""
+        """Apply the maintenance records, and the records that state what pools must carry."""
         rows = list(maintenance_records)
-        self.policy = next((one for one in rows if isinstance(one, Maintenance)), Maintenance())
-        self.outages = {one.name: one for one in rows if isinstance(one, Outage)}
-        self.configured_releases = {one.name: one for one in rows if isinstance(one, Release)}
-        self.records, self.reserves = tuple(records), dict(reserves)
+        self.policy = next((row for row in rows if isinstance(row, Maintenance)), Maintenance())
+        self.outages = {row.name: row for row in rows if isinstance(row, Outage)}
+        self.configured_releases = {row.name: row for row in rows if isinstance(row, Release)}
+        self.records = tuple(records)
+        self.reserves = dict(reserves)
 
     def head_connected(self, name: str, supports_permits: bool, head_count: int) -> None:
-        """Note a head's stream; `size` is how many heads the installation counts, 0: nobody has told."""
+        """Record the stream of a head; `head_count` is how many heads the installation counts, 0: unknown."""
         head = self.observations.heads.setdefault(name, ObservedHead())
-        head.is_connected, head.was_connected, head.supports_permits, head.report, self.backend_availability = (
-            True,
-            True,
-            supports_permits,
-            None,
-            None,
-        )
+        head.is_connected = True
+        head.was_connected = True
+        head.supports_permits = supports_permits
+        head.report = None
         head.receiver = SnapshotReceiver()
+        self.backend_availability = None
         self.observations.head_count = head_count
         self.last_updates.pop(name, None)
 
     def head_disconnected(self, name: str) -> None:
-        """Note the end of a head's stream."""
-        if (head := self.observations.heads.get(name)) is not None:
-            head.is_connected, head.report, self.backend_availability = False, None, None
+        """Record the end of a head's stream."""
+        head = self.observations.heads.get(name)
+        if head is not None:
+            head.is_connected = False
+            head.report = None
+            self.backend_availability = None
 
     def apply_report(self, name: str, report: HeadReport) -> None:
-        """Take what a head says; what it says replaces what it said, and lists follow what has changed."""
+        """Apply the report of a head, which replaces its last one; a stale one has no effect."""
         head = self.observations.heads[name]
-        if (whole := head.receiver.to_full(report)) is None:
+        full_report = head.receiver.to_full(report)
+        if full_report is None:
             return
-        report = whole
-        if report.zone and report.zone != head.zone:
-            self.store.store_zone(name, report.zone)
-            head.zone = report.zone
-        head.report, self.backend_availability = report, None
-        self.drain_statements.record_statements(name, report.statements, True, self.permits.active)
-        for other, statements in report.peer_statements.items():
-            # A head that has a line to here speaks for itself: what others have heard of it may be of a former process.
-            if (known := self.observations.heads.get(other)) is None or not known.is_connected:
+        if full_report.zone and full_report.zone != head.zone:
+            self.store.store_zone(name, full_report.zone)
+            head.zone = full_report.zone
+        head.report = full_report
+        self.backend_availability = None
+        self.drain_statements.record_statements(name, full_report.statements, True, self.permits.active)
+        for other, statements in full_report.peer_statements.items():
+            # A connected head reports for itself: what others relay of it may be of an earlier process.
+            known = self.observations.heads.get(other)
+            if known is None or not known.is_connected:
                 self.drain_statements.record_statements(other, statements, False, self.permits.active)
 
-    # --- what follows
+    # --- evaluation
 
     def tick(self, now_us: int) -> None:
-        """Do all that follows from what is known; raises what the keeper raises, and is then to be called again."""
+        """Do all that follows from what is known; raises what the store raises, and is then to be called again."""
         self.backend_availability = None
         self._store(now_us, self.permits.expired(now_us))
-        for permit in self.policy.free:
-            if permit in self.permits.active:
-                self._store(now_us, self.permits.transition(permit, PermitState.FREE))
+        for permit_id in self.policy.free:
+            if permit_id in self.permits.active:
+                self._store(now_us, self.permits.transition(permit_id, PermitState.FREE))
         self._apply_evidence(now_us)
         self.drain_statements.retain(self.permits.active)
         self.waiting_reasons = {}
@@ -135,94 +153,91 @@
             self.releases.apply(releases)
 
     def _apply_evidence(self, now_us: int) -> None:
-        for one in list(self.permits.active.values()):
-            state = (
-                self._head_permit_state(one, now_us) if one.kind is PermitKind.HEAD else self._backend_permit_state(one)
-            )
+        """Store the transitions that follow from streams, reports and statements."""
+        for permit in list(self.permits.active.values()):
+            if permit.kind is PermitKind.HEAD:
+                state = self._head_permit_state(permit, now_us)
+            else:
+                state = self._backend_permit_state(permit)
             if state is not None:
-                self._store(now_us, self.permits.transition(one.id, state))
+                self._store(now_us, self.permits.transition(permit.id, state))
 
     def _head_permit_state(self, permit: Permit, now_us: int) -> PermitState | None:
-        """Tell what a head's stream and report make of its permit."""
+        """Return the next state of a head's permit by its stream and report, None if there is no evidence for one."""
         head = self.observations.heads.get(permit.name)
         if permit.state is PermitState.GRANTED or head is None:
             return None
-        standing = self._is_still_requested(permit)
         if not head.is_connected:
-            # To an issuer that has just started all heads are away; that tells nothing until they had time to come.
-            told = head.was_connected or now_us - self.started_us >= DISCONNECT_TIMEOUT_US
-            return PermitState.OUT if told and permit.state in (PermitState.BEGUN, PermitState.BACK) else None
+            # To an issuer that has just started all heads are absent, until they had time to connect.
+            is_evidence = head.was_connected or now_us - self.started_us >= DISCONNECT_TIMEOUT_US
+            return PermitState.OUT if is_evidence and permit.state in (PermitState.BEGUN, PermitState.BACK) else None
+        is_requested = self._is_still_requested(permit)
         report = head.report
-        another = (report is not None and report.process != permit.process) or (
-            report is None and not head.supports_permits and permit.state is PermitState.OUT
-        )
+        if report is not None:
+            is_restarted = report.process != permit.process
+        else:
+            is_restarted = not head.supports_permits and permit.state is PermitState.OUT
         if permit.state in (PermitState.BEGUN, PermitState.OUT):
-            return PermitState.BACK if another or not standing else None
-        wanted = report is None or not permit.build or report.build == permit.build
-        return (
-            PermitState.FREE
-            if head.is_up and wanted and not (permit.requester.startswith(OUTAGE) and standing)
-            else None
-        )
+            return PermitState.BACK if is_restarted or not is_requested else None
+        has_build = report is None or not permit.build or report.build == permit.build
+        is_in_outage = permit.requester.startswith(OUTAGE) and is_requested
+        return PermitState.FREE if head.is_up and has_build and not is_in_outage else None
 
     def _backend_permit_state(self, permit: Permit) -> PermitState | None:
-        """Tell what the heads' statements make of a brick's permit."""
+        """Return the next state of a backend's permit by heads' statements, None if there is no evidence for one."""
         if permit.state is PermitState.BACK:
-            heads = self.observations.head_availability(self.policy.retired).total
-            return (
-                PermitState.FREE
-                if self.drain_statements.served_count(permit.id) >= max(1, min(self.policy.served, heads))
-                else None
-            )
+            head_count = self.observations.head_availability(self.policy.retired).total
+            required_count = max(1, min(self.policy.served, head_count))
+            return PermitState.FREE if self.drain_statements.served_count(permit.id) >= required_count else None
         if not self._is_still_requested(permit):
             return PermitState.BACK
         return PermitState.OUT if permit.state is PermitState.BEGUN and self.verdict(permit).is_complete else None
 
     def _is_still_requested(self, permit: Permit) -> bool:
-        """Tell whether the form that a permit is for still wants it; whoever asked otherwise has no form."""
+        """Whether the outage that a permit is for is still configured; other requesters have none."""
         if not permit.requester.startswith(OUTAGE):
             return True
-        form = self.outages.get(permit.requester.removeprefix(OUTAGE))
-        return form is not None and permit.name in (form.heads if permit.kind is PermitKind.HEAD else form.backends)
+        outage = self.outages.get(permit.requester.removeprefix(OUTAGE))
+        if outage is None:
+            return False
+        return permit.name in (outage.heads if permit.kind is PermitKind.HEAD else outage.backends)
 
     def verdict(self, permit: Permit) -> DrainVerdict:
-        """Tell whose word that a brick is drained is missing."""
-        form = self.outages.get(permit.requester.removeprefix(OUTAGE))
+        """Return which heads' statements that a backend is drained are missing."""
+        outage = self.outages.get(permit.requester.removeprefix(OUTAGE))
+        connected = self.observations.connected()
         known = [name for name in self.observations.heads if name not in self.policy.retired]
-        return self.drain_statements.verdict(
-            permit.id,
-            required_heads(
-                known,
-                self.observations.connected(),
-                self.observations.reported_live(),
-                self.observations.reported_departed(),
-                {
-                    *(form.without if form is not None else ()),
-                    *(set(self.policy.retired) - self.observations.connected()),
-                },
-            ),
+        exempt = {
+            *(outage.without if outage is not None else ()),
+            *(set(self.policy.retired) - connected),
+        }
+        required = required_heads(
+            known,
+            connected,
+            self.observations.reported_live(),
+            self.observations.reported_departed(),
+            exempt,
         )
+        return self.drain_statements.verdict(permit.id, required)
 
-    # --- who wants to go out
+    # --- requests
 
     def _floors(self, kind: PermitKind) -> list[CapacityFloor]:
         if kind is PermitKind.HEAD:
             return [head_floor(self.records, self.reserves)]
-        listed = {name: one for name, (one, _) in self.observations.listed_backends.items()}
-        return backend_floors(self.records, listed, self.policy.capacity, self.reserves)
+        listings = {name: listed.listing for name, listed in self.observations.listed_backends.items()}
+        return backend_floors(self.records, listings, self.policy.capacity, self.reserves)
 
     def _request(self, now_us: int, request: PermitRequest) -> None:
         if request.kind is PermitKind.HEAD:
-            sight, most = self.observations.head_availability(self.policy.retired), self.policy.heads
+            availability = self.observations.head_availability(self.policy.retired)
+            limit = self.policy.heads
         else:
             self.backend_availability = self.backend_availability or self.observations.backend_availability(now_us)
-            sight, most = self.backend_availability, self.policy.backends
-        self._apply_decision(
-            now_us,
-            request.kind,
-            request.name,
-            self.permits.decide(now_us, request, sight, most, self._floors(request.kind)),
-        )
+            availability = self.backend_availability
+            limit = self.policy.backends
+        decision = self.permits.decide(now_us, request, availability, limit, self._floors(request.kind))
+        self._apply_decision(now_us, request.kind, request.name, decision)
 
     def _apply_decision(self, now_us: int, kind: PermitKind, name: str, decision: PermitDecision) -> None:
         self._store(now_us, decision.rows)
@@ -230,85 +245,81 @@
             self.waiting_reasons[kind, name] = decision.reason
 
     def _request_outages(self, now_us: int) -> None:
-        for form in self.outages.values():
-            for kind, names in ((PermitKind.BACKEND, form.backends), (PermitKind.HEAD, form.heads)):
+        for outage in self.outages.values():
+            requester = OUTAGE + outage.name
+            for kind, names in ((PermitKind.BACKEND, outage.backends), (PermitKind.HEAD, outage.heads)):
                 for name in names:
-                    held = self.permits.for_target(kind, name)
-                    if held is None or held.requester != OUTAGE + form.name:
-                        head = self.observations.heads.get(name) if kind is PermitKind.HEAD else None
-                        process = head.report.process if head is not None and head.report is not None else 0
-                        self._request(
-                            now_us, PermitRequest(kind, name, OUTAGE + form.name, form.name, "", True, process)
-                        )
+                    current = self.permits.for_target(kind, name)
+                    if current is None or current.requester != requester:
+                        process = self._process_of(name) if kind is PermitKind.HEAD else 0
+                        request = PermitRequest(kind, name, requester, outage.name, "", True, process)
+                        self._request(now_us, request)
+
+    def _process_of(self, head_name: str) -> int:
+        """Return the process of a head as it has reported, 0 if it has not."""
+        head = self.observations.heads.get(head_name)
+        return head.report.process if head is not None and head.report is not None else 0
 
     def _advance_releases(self, now_us: int) -> None:
         self._store(now_us, (), self.releases.reconcile(self.configured_releases))
-        outcome = self.releases.decide(now_us, self.configured_releases, self.head_statuses())
+        decision = self.releases.decide(now_us, self.configured_releases, self.head_statuses())
         rows = [
-            msgspec.structs.replace(one, state=PermitState.FREE)
-            for one in self.permits.active.values()
-            if one.state is PermitState.GRANTED and one.requester.removeprefix(RELEASE) in outcome.withdrawn
+            msgspec.structs.replace(permit, state=PermitState.FREE)
+            for permit in self.permits.active.values()
+            if permit.state is PermitState.GRANTED and permit.requester.removeprefix(RELEASE) in decision.withdrawn
         ]
-        rows += [
-            row
-            for permit, build in outcome.rebuilt
-            for row in self.permits.transition(permit, self.permits.active[permit].state, build)
-        ]
-        self._store(now_us, rows, outcome.progress)  # the way back is stored before anybody is asked to go
-        self._request_restarts(now_us, outcome)
+        for permit_id, build in decision.rebuilt:
+            rows += self.permits.transition(permit_id, self.permits.active[permit_id].state, build)
+        self._store(now_us, rows, decision.progress)  # previous builds are stored before any head is asked to restart
+        self._request_restarts(now_us, decision)
 
     def _request_restarts(self, now_us: int, decision: ReleaseDecision) -> None:
-        for want in decision.requests:
-            if not self.observations.heads[want.head].supports_permits:
-                self.waiting_reasons[PermitKind.HEAD, want.head] = (
-                    "it does not speak of permits; restart it under an (outage ...)"
-                )
-            else:
-                self._request(
-                    now_us,
-                    PermitRequest(PermitKind.HEAD, want.head, RELEASE + want.release, want.request_key, want.build),
-                )
+        for restart in decision.requests:
+            if not self.observations.heads[restart.head].supports_permits:
+                reason = "it does not speak of permits; restart it under an (outage ...)"
+                self.waiting_reasons[PermitKind.HEAD, restart.head] = reason
+                continue
+            requester = RELEASE + restart.release
+            request = PermitRequest(PermitKind.HEAD, restart.head, requester, restart.request_key, restart.build)
+            self._request(now_us, request)
 
     def _handle_head_requests(self, now_us: int) -> None:
         for name, head in self.observations.heads.items():
-            report = head.report
-            if report is None:
-                continue
-            held = self.permits.for_target(PermitKind.HEAD, name)
-            if (
-                held is not None
-                and held.state is PermitState.GRANTED
-                and held.requester == HEAD + name
-                and held.request_key != report.requested_key
-            ):
-                self._store(
-                    now_us, self.permits.transition(held.id, PermitState.FREE)
-                )  # whoever asked wants it no more
-            if report.requested_key and self.permits.for_target(PermitKind.HEAD, name) is None:
-                self._request(now_us, PermitRequest(PermitKind.HEAD, name, HEAD + name, report.requested_key))
-            held = self.permits.for_target(PermitKind.HEAD, name)
-            if held is not None and report.permit_to_begin == held.id:
-                self._apply_decision(
-                    now_us,
-                    PermitKind.HEAD,
-                    name,
-                    self.permits.begin(
-                        now_us,
-                        held.id,
-                        report.process,
-                        self.observations.head_availability(self.policy.retired),
-                        self.policy.heads,
-                        self._floors(PermitKind.HEAD),
-                    ),
-                )
+            if head.report is not None:
+                self._handle_head_request(now_us, name, head.report)
+
+    def _handle_head_request(self, now_us: int, name: str, report: HeadReport) -> None:
+        """Handle a head's own request, and its begin of a permit that was granted."""
+        requester = HEAD + name
+        current = self.permits.for_target(PermitKind.HEAD, name)
+        if (
+            current is not None
+            and current.state is PermitState.GRANTED
+            and current.requester == requester
+            and current.request_key != report.requested_key
+        ):
+            self._store(now_us, self.permits.transition(current.id, PermitState.FREE))  # the request was withdrawn
+        if report.requested_key and self.permits.for_target(PermitKind.HEAD, name) is None:
+            self._request(now_us, PermitRequest(PermitKind.HEAD, name, requester, report.requested_key))
+        current = self.permits.for_target(PermitKind.HEAD, name)
+        if current is not None and report.permit_to_begin == current.id:
+            decision = self.permits.begin(
+                now_us,
+                current.id,
+                report.process,
+                self.observations.head_availability(self.policy.retired),
+                self.policy.heads,
+                self._floors(PermitKind.HEAD),
+            )
+            self._apply_decision(now_us, PermitKind.HEAD, name, decision)
 
     def head_statuses(self) -> dict[str, HeadStatus]:
-        """Tell the heads as releases see them."""
-        found = {}
+        """Return the heads as releases see them, by name."""
+        statuses = {}
         for name, head in self.observations.heads.items():
             if head.is_connected or name not in self.policy.retired:
                 report = head.report or HeadReport(0)
-                found[name] = HeadStatus(
+                statuses[name] = HeadStatus(
                     head.is_connected,
                     head.is_up,
                     report.build,
@@ -318,32 +329,30 @@
                     report.failed_requests,
                     head.report is not None or not head.supports_permits,
                 )
-        return found
+        return statuses
 
-    # --- what is told
+    # --- output
 
     def next_update(self, name: str) -> PermitUpdate | None:
-        """Tell what is new for a head since it was last told, or nothing."""
+        """Return the update for a head if it differs from the last one."""
         backends = self.permits.of_kind(PermitKind.BACKEND)
-        before = self.last_updates.get(name)
-        word = PermitUpdate(
+        releases = self.releases.progress.values()
+        head = self.observations.heads.get(name)
+        last_update = self.last_updates.get(name)
+        update = PermitUpdate(
             self.issuer,
             self.fencing_token,
-            before.sequence if before is not None else 0,
-            {one.id: one.name for one in backends if one.state in (PermitState.BEGUN, PermitState.OUT)},
-            {one.id: one.name for one in backends if one.state is PermitState.BACK},
-            self.permits.for_target(PermitKind.HEAD, name),
-            self.waiting_reasons.get((PermitKind.HEAD, name), ""),
-            tuple(
-                f"{one.name}/{one.attempt}"
-                for one in self.releases.progress.values()
-                if one.stage is ReleaseStage.HALTED
-            ),
-            True,
-            self.observations.heads[name].receiver.full_lists_request if name in self.observations.heads else 0,
+            last_update.sequence if last_update is not None else 0,
+            ejected={one.id: one.name for one in backends if one.state in (PermitState.BEGUN, PermitState.OUT)},
+            restored={one.id: one.name for one in backends if one.state is PermitState.BACK},
+            own_permit=self.permits.for_target(PermitKind.HEAD, name),
+            waiting_reason=self.waiting_reasons.get((PermitKind.HEAD, name), ""),
+            halted_releases=tuple(f"{one.name}/{one.attempt}" for one in releases if one.stage is ReleaseStage.HALTED),
+            accepts_list_changes=True,
+            full_lists_request=head.receiver.full_lists_request if head is not None else 0,
         )
-        if word == before:
+        if update == last_update:
             return None
         self.last_sequence += 1
-        self.last_updates[name] = msgspec.structs.replace(word, sequence=self.last_sequence)
+        self.last_updates[name] = msgspec.structs.replace(update, sequence=self.last_sequence)
         return self.last_updates[name]
--- a/hophinge/maintenance/observations.py
+++ b/hophinge/maintenance/observations.py
@@ -1,9 +1,10 @@
-"""What the issuer knows of heads and bricks, each held for out where nobody can tell that it is not."""
+"""What the issuer observes of heads and backends, and how many of them the reserves of tenants require."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Collection, Iterable, Iterator, Mapping
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Struct
@@ -15,63 +16,69 @@
 from hophinge.tenancy.share_planner import find_shortfall
 
 BACKEND_RETENTION_US = (
-    3_600_000_000  # a brick that all lists have lost is out for an hour, then it was taken away for good
+    3_600_000_000  # a backend that no list has any more counts as down for this long, then as removed
 )
 
 
 class ObservedHead(Struct):
-    """One head as the issuer knows it; `speaks`: it tells reports, and is held for out until it has told one."""
+    """One head as the issuer observes it."""
 
     zone: str = ""
     is_connected: bool = False
-    was_connected: bool = False  # has had a stream here since the issuer started
-    supports_permits: bool = False
+    was_connected: bool = False  # since the issuer started
+    supports_permits: bool = False  # it sends reports, and counts as down until the first
     report: HeadReport | None = None
     receiver: SnapshotReceiver = msgspec.field(default_factory=SnapshotReceiver)
 
     @property
     def is_up(self) -> bool:
-        """Tell whether it surely serves; of an older head its stream is all there is to go by."""
+        """Whether it certainly serves; for an older head its stream is all there is to go by."""
         return self.is_connected and (self.report.is_ready if self.report is not None else not self.supports_permits)
 
 
+class ListedBackend(NamedTuple):
+    """A backend as a head has listed it last."""
+
+    listing: BackendListing
+    listed_us: int
+
+
 class Observations:
-    """All heads and bricks."""
+    """All heads and backends; each counts as down if it is not certain to be up."""
 
     def __init__(self, zones: Mapping[str, str]) -> None:
         self.heads = {name: ObservedHead(zone) for name, zone in zones.items()}
         self.head_count = 0  # heads that the installation counts
-        self.listed_backends: dict[str, tuple[BackendListing, int]] = {}  # bricks: as listed last, and when
+        self.listed_backends: dict[str, ListedBackend] = {}
 
     def head_availability(self, retired: Collection[str]) -> Availability:
-        """Tell the heads; those that are counted and never heard of are among the total."""
-        known = {name: one for name, one in self.heads.items() if one.is_connected or name not in retired}
-        up = {name: one.zone for name, one in known.items() if one.is_up}
-        down = {name: one.zone for name, one in known.items() if not one.is_up}
+        """Return the heads; those that are counted but were never observed are part of the total."""
+        known = {name: head for name, head in self.heads.items() if head.is_connected or name not in retired}
+        up = {name: head.zone for name, head in known.items() if head.is_up}
+        down = {name: head.zone for name, head in known.items() if not head.is_up}
         return Availability(max(self.head_count, len(known)), up, down)
 
     def backend_availability(self, now_us: int) -> Availability:
-        """Tell the bricks: up is what no connected head holds for anything else, all heads' lists being sure."""
+        """Return the backends: one is up if no connected head lists it as down and no head's list is uncertain."""
         up: dict[str, str] = {}
         down: dict[str, str] = {}
-        sure = not any(
-            one.report.is_uncertain for one in self.heads.values() if one.is_connected and one.report is not None
-        )
-        for one in self.heads.values():
-            for name, listed in one.report.backends.items() if one.is_connected and one.report is not None else ():
-                self.listed_backends[name] = listed, now_us
-                (up if listed.is_up and sure else down)[name] = listed.zone
-        for name, (listed, at_us) in list(self.listed_backends.items()):
-            if now_us - at_us > BACKEND_RETENTION_US:
+        reports = [head.report for head in self.heads.values() if head.is_connected and head.report is not None]
+        is_certain = not any(report.is_uncertain for report in reports)
+        for report in reports:
+            for name, listing in report.backends.items():
+                self.listed_backends[name] = ListedBackend(listing, now_us)
+                (up if listing.is_up and is_certain else down)[name] = listing.zone
+        for name, (listing, listed_us) in list(self.listed_backends.items()):
+            if now_us - listed_us > BACKEND_RETENTION_US:
                 del self.listed_backends[name]
             elif name not in up:
-                down[name] = listed.zone
+                down[name] = listing.zone
         up = {name: zone for name, zone in up.items() if name not in down}
         return Availability(len(up) + len(down), up, down)
 
     def connected(self) -> set[str]:
-        """Tell the heads that have a line to here."""
-        return {name for name, one in self.heads.items() if one.is_connected}
+        """Return the heads with a stream to this service."""
+        return {name for name, head in self.heads.items() if head.is_connected}
 
     def reported_live(self) -> dict[str, tuple[str, ...]]:
         """Return the live heads by each connected head that is a member of the cluster."""
@@ -88,7 +95,7 @@
 
 
 def required_count(reserves: Mapping[str, float], capacity: float, min_count: int) -> int:
-    """Tell how many members of one capacity carry reserves, at least `least`."""
+    """Return how many processes of one capacity carry the reserves of tenants, at least `min_count`."""
     total = sum(reserves.values())
     count = max(min_count, math.ceil(total / capacity - 1e-9) if capacity > 0 else 0)
     while capacity > 0 and find_shortfall(reserves, dict.fromkeys(map(str, range(count)), capacity)) is not None:
@@ -99,39 +106,53 @@
 def backend_floors(
     records: Iterable[Record], backends: Mapping[str, BackendListing], capacity: float, accounts: Mapping[str, float]
 ) -> list[CapacityFloor]:
-    """Tell how many bricks each pool needs: its `at-least`, and the reserves of tenants whose first choice it is."""
+    """Return how many backends each pool needs: its `at-least`, and the reserves of tenants that choose it first.
+
+    Args:
+        records: The records of pools, routes and tenants.
+        backends: The backends that heads list, by name.
+        capacity: Of one backend, in requests; 0: unknown.
+        accounts: The reserves of tenants that have an account.
+
+    """
     rows = list(records)
-    pools = {one.name: one for one in rows if isinstance(one, Pool)}
-    routes = [one for one in rows if isinstance(one, Route)]
-    reserves = {**accounts, **{one.name: one.reserve for one in rows if isinstance(one, Tenant) and one.reserve > 0}}
+    pools = {record.name: record for record in rows if isinstance(record, Pool)}
+    routes = [record for record in rows if isinstance(record, Route)]
+    reserves = _all_reserves(rows, accounts)
     by_pool: dict[str, dict[str, float]] = {name: {} for name in pools}
     for tenant, reserve in reserves.items():
-        own = [one for one in routes if one.scope.tenant == tenant] or [one for one in routes if not one.scope.tenant]
-        for pool in {one.pools[0] for one in own}:
-            by_pool[pool][tenant] = reserve  # whole in each: no route tells how a tenant's requests divide
+        own_routes = [route for route in routes if route.scope.tenant == tenant]
+        own_routes = own_routes or [route for route in routes if not route.scope.tenant]
+        for pool_name in {route.pools[0] for route in own_routes}:
+            by_pool[pool_name][tenant] = reserve  # in full in each: no route says how a tenant's requests divide
     floors = [
         CapacityFloor(
             f"the pool {name}",
-            frozenset(backend for backend, listed in backends.items() if _belongs(pool, backend, listed)),
+            frozenset(backend for backend, listing in backends.items() if _belongs(pool, backend, listing)),
             required_count(by_pool[name], capacity, pool.at_least),
         )
         for name, pool in pools.items()
     ]
-    floors = [floor for floor in floors if floor.members]  # of no brick that anybody lists: nothing to keep
+    floors = [floor for floor in floors if floor.members]  # a pool without listed backends has nothing to lose
     return [*floors, CapacityFloor("the installation", (), required_count(reserves, capacity, 0))]
 
 
 def head_floor(records: Iterable[Record], accounts: Mapping[str, float]) -> CapacityFloor:
-    """Tell how many heads carry all reserves, by the capacity that the document states for one."""
+    """Return how many heads carry all reserves, by the capacity that the document states for one."""
     rows = list(records)
-    capacity = next((one.capacity for one in rows if isinstance(one, Spare)), 0.0)
-    reserves = {**accounts, **{one.name: one.reserve for one in rows if isinstance(one, Tenant) and one.reserve > 0}}
+    capacity = next((record.capacity for record in rows if isinstance(record, Spare)), 0.0)
+    reserves = _all_reserves(rows, accounts)
     return CapacityFloor("the installation", (), required_count(reserves, capacity, 0))
 
 
-def _belongs(pool: Pool, backend: str, listed: BackendListing) -> bool:
+def _all_reserves(records: Iterable[Record], accounts: Mapping[str, float]) -> dict[str, float]:
+    stated = {record.name: record.reserve for record in records if isinstance(record, Tenant) and record.reserve > 0}
+    return {**accounts, **stated}
+
+
+def _belongs(pool: Pool, backend: str, listing: BackendListing) -> bool:
     return (
-        (not pool.zones or listed.zone in pool.zones)
-        and (not pool.kinds or listed.kind in pool.kinds)
+        (not pool.zones or listing.zone in pool.zones)
+        and (not pool.kinds or listing.kind in pool.kinds)
         and (not pool.backends or backend in pool.backends)
     )
--- a/hophinge/maintenance/permit_store.py
+++ b/hophinge/maintenance/permit_store.py
@@ -1,4 +1,4 @@
-"""Where promises last, as the issuer of permits needs it."""
+"""The durable store of permits and releases, as the issuer of permits needs it."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class PermitStore(Protocol):
-    """Where promises last."""
+    """The durable store of permits and releases."""
 
     def save(self, permits: Sequence[Permit], releases: Sequence[ReleaseProgress]) -> None:
-        """Store rows in one transaction; raises, and then nothing is stored."""
+        """Store rows in one transaction; if it raises, nothing is stored."""
 
     def store_zone(self, head: str, zone: str) -> None:
-        """Store a head's zone."""
+        """Store the zone of a head."""
--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -1,13 +1,13 @@
-"""Who may be out: the table of permits, what uses up the room for them, and what frees a place.
+"""Permits to be offline: the table of permits, the limits on how many may be out, and their transitions.
 
-A permit is asked for, granted, begun, out, back, free. Not begun, it lapses by a lease; the asker may begin for
-`BEGIN_US` by its own clock from its asking, the issuer keeps the place for `LEASE_US` by its own from the granting,
-which came later and is longer by more than two clocks differ. A begin counts once the issuer has stored it, and the
-asker acts only when told so: clocks save refusals, the store keeps the promise. Once begun only evidence or an
-operator's word frees a place; no time does.
+A permit is requested, granted, begun, out, back and free. Before its begin it expires by a lease: the requester may
+begin for `BEGIN_US` by its own clock from its request, the issuer reserves the place for `LEASE_US` by its own from the
+grant, which came later and lasts longer by more than two clocks may drift. A begin counts once the issuer has stored
+it, and the requester acts only on confirmation: clocks save rejections, the store provides safety. A permit that has
+begun is freed only by evidence or by an operator, never by time.
 
-Every change is made as rows first. Whoever drives the table stores them, then has them taken: a failure or an end in
-between leaves nothing half done.
+Every change is computed as rows first. The owner of the table stores them, then has them applied: a failure in between
+leaves nothing half done.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 from hophinge.core.errors import HophingeError
 from hophinge.routing.bounds import Most
 
-BEGIN_US = 20_000_000  # by the asker's clock, from its asking
-MAX_CLOCK_DRIFT = 0.01  # part by which two steady clocks may differ in speed, as in tenancy/share_leases.py
-LEASE_US = (
-    int(BEGIN_US * (1 + MAX_CLOCK_DRIFT)) + 10_000_000
-)  # by the issuer's; the ten seconds are for what is on its way
+BEGIN_US = 20_000_000  # by the requester's clock, from its request
+MAX_CLOCK_DRIFT = 0.01  # relative, between two monotonic clocks, as in tenancy/share_leases.py
+LEASE_US = int(BEGIN_US * (1 + MAX_CLOCK_DRIFT)) + 10_000_000  # by the issuer's; ten seconds for messages in flight
+
+MAX_NAMED = 5  # processes that a rejection names
 
 
 class PermitError(HophingeError):
-    """A step that the table of states does not have; nothing was changed."""
+    """The permit does not exist or its state has no such transition; nothing was changed."""
 
     code = "permit-unfit"
     remedy = "Read the permit's state in `hophinge control status` and free it by its id if it is out for good."
 
 
 class PermitKind(Enum):
-    """What may be out."""
+    """The kind of process that may be out."""
 
     HEAD = "head"
     BACKEND = "brick"
 
 
 class PermitState(Enum):
-    """Where a permit stands; asked for is what has no row yet."""
+    """The state of a permit; one that is requested has no row yet."""
 
     GRANTED = "granted"
     BEGUN = "begun"
@@ -62,29 +62,30 @@
 
 
 class Permit(Struct, frozen=True):
-    """A place that is taken, and by whom; `process` is the head's that began, `build` the one wanted back."""
+    """A place among those that may be out."""
 
     id: str
     kind: PermitKind
     name: str
     zone: str
+    # `release NAME`, `outage NAME` or `head NAME`.
     requester: str = msgspec.field(name="by")
     request_key: str = msgspec.field(name="key")  # a repeated request gets the same permit
     state: PermitState = PermitState.GRANTED
-    build: str = ""
-    process: int = 0
+    build: str = ""  # that the head is to come back with; empty: any
+    process: int = 0  # of the head that has begun
 
 
 class Availability(Struct, frozen=True):
-    """What there is of one kind, each with its zone (empty: unknown); `total` may be more than both know by name."""
+    """The processes of one kind, zones by name (empty: unknown); `total` may include some of unknown name."""
 
     total: int
     up: Mapping[str, str]
-    down: Mapping[str, str]  # known, and out unplanned or not to be told about
+    down: Mapping[str, str]  # known, and out without a permit or uncertain
 
 
 class CapacityFloor(Struct, frozen=True):
-    """Members of which so many must stay up, whatever `most` says."""
+    """A number of processes that must stay up, whatever the limits allow; without members, of all."""
 
     name: str
     members: Collection[str]
@@ -92,19 +93,19 @@
 
 
 class PermitRequest(Struct, frozen=True):
-    """A wish for a place."""
+    """A request for a permit."""
 
     kind: PermitKind
     name: str
     requester: str
     request_key: str
     build: str = ""
-    begin_at_once: bool = False  # an operator's word: the place is taken and begun in one step
-    process: int = 0  # of the head that is to go, where that is known
+    begin_at_once: bool = False  # by an operator: granted and begun in one step
+    process: int = 0  # of the head that is to go offline, if known
 
 
 class PermitDecision(Struct, frozen=True):
-    """A permit with the rows to store, or why there is none."""
+    """A permit with the rows to store, or the reason for a rejection."""
 
     rows: tuple[Permit, ...] = ()
     permit: Permit | None = None
@@ -112,18 +113,19 @@
 
 
 class PermitTable:
-    """The table; `serial` and `fence` make ids that no other process on this store ever gives."""
+    """All permits that are not free; the fencing token makes their ids unique among all processes of the store."""
 
     def __init__(self, rows: Iterable[Permit], fencing_token: int, now_us: int) -> None:
-        self.fencing_token, self.issued_count = fencing_token, 0
-        self.active: dict[str, Permit] = {}
-        self.by_target: dict[tuple[PermitKind, str], str] = {}
-        self.lease_ends: dict[str, int] = {}
-        # Whoever has just started does not know when these were granted: they last a whole lease from now.
+        self.fencing_token = fencing_token
+        self.issued_count = 0
+        self.active: dict[str, Permit] = {}  # by id
+        self.by_target: dict[tuple[PermitKind, str], str] = {}  # ids
+        self.lease_ends: dict[str, int] = {}  # of permits that have not begun, by id
+        # An issuer that has just started does not know when these were granted: their leases begin now.
         self.apply(now_us, tuple(row for row in rows if row.state is not PermitState.FREE))
 
     def apply(self, now_us: int, rows: Iterable[Permit]) -> None:
-        """Take rows that are stored."""
+        """Apply rows that are stored."""
         for row in rows:
             if row.state is PermitState.FREE:
                 self.active.pop(row.id, None)
@@ -139,19 +141,18 @@
                 self.lease_ends.pop(row.id, None)
 
     def for_target(self, kind: PermitKind, name: str) -> Permit | None:
-        """Tell the permit that holds a place."""
+        """Return the permit of a process, if there is one."""
         permit_id = self.by_target.get((kind, name))
         return self.active[permit_id] if permit_id is not None else None
 
     def of_kind(self, kind: PermitKind) -> list[Permit]:
-        """Tell the permits of one kind, by name."""
+        """Return the permits of one kind, sorted by name."""
         return sorted((one for one in self.active.values() if one.kind is kind), key=lambda one: one.name)
 
     def unavailable(self, kind: PermitKind, availability: Availability) -> dict[str, str]:
-        """Tell what counts as out: places taken, what is out unplanned, what nobody can tell about; with zones."""
-        unknown = {
-            f"#{at}": "" for at in range(availability.total - len(availability.up.keys() | availability.down.keys()))
-        }
+        """Return the zones of all that count as out, by name: with a permit, out without one, and unknown ones."""
+        known = availability.up.keys() | availability.down.keys()
+        unknown = {f"#{number}": "" for number in range(availability.total - len(known))}
         return {**unknown, **availability.down, **{one.name: one.zone for one in self.of_kind(kind)}}
 
     def rejection_reason(
@@ -163,38 +164,15 @@
         limit: Most | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> str:
-        """Tell why there is no room for one more to be out, or nothing."""
+        """Return why no further process may be out; empty if it may."""
         if limit is None:
             return f"no (maintenance ({kind.value}s ...)) states how many {kind.value}s may be out"
         unavailable = {**self.unavailable(kind, availability), name: zone}
-        total = max(availability.total, len(availability.up.keys() | availability.down.keys()))
-        if len(unavailable) > (allowed := limit.allowed(total)):
-            return (
-                f"{len(unavailable)} {kind.value}s of {total} would be out, "
-                f"{allowed} may: {_describe_unavailable(unavailable, name)}"
-            )
-        # A member whose zone is unknown may be of any; so may one that nobody has heard of.
-        in_zone = {one: where for one, where in unavailable.items() if not zone or not where or where == zone}
-        known = {**availability.down, **availability.up}
-        sizes = [list(known.values()).count(one) for one in set(known.values()) if one]
-        size = list(known.values()).count(zone) if zone else min(sizes, default=total)
-        if len(in_zone) > (allowed := limit.allowed_zone(size)):
-            return (
-                f"{len(in_zone)} {kind.value}s of {size} would be out in zone {zone or '(unknown)'}, "
-                f"{allowed} may: {_describe_unavailable(in_zone, name)}"
-            )
-        for floor in floors:
-            if name in floor.members or not floor.members:
-                up = len(
-                    [
-                        one
-                        for one in (floor.members or availability.up)
-                        if one in availability.up and one not in unavailable
-                    ]
-                )
-                if up < floor.min_up:
-                    return f"{floor.name} would have {up} {kind.value}s, its reserves need {floor.min_up}"
-        return ""
+        return (
+            _total_rejection(kind, name, unavailable, availability, limit)
+            or _zone_rejection(kind, name, zone, unavailable, availability, limit)
+            or _floor_rejection(kind, name, unavailable, availability, floors)
+        )
 
     def decide(
         self,
@@ -204,7 +182,7 @@
         limit: Most | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> PermitDecision:
-        """Answer an ask; the same one again gets the same permit."""
+        """Decide on a request; a repeated one gets the same permit."""
         current = self.for_target(request.kind, request.name)
         if current is not None:
             if (current.requester, current.request_key) == (request.requester, request.request_key):
@@ -217,7 +195,7 @@
         zone = availability.up.get(request.name) or availability.down.get(request.name, "")
         if reason := self.rejection_reason(request.kind, request.name, zone, availability, limit, floors):
             return PermitDecision(reason=reason)
-        self.issued_count += 1  # an id that is not stored is never told, and never given again
+        self.issued_count += 1  # an id that was not stored is never sent, and never reused
         permit = Permit(
             f"{self.fencing_token}.{self.issued_count}",
             request.kind,
@@ -240,17 +218,14 @@
         limit: Most | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> PermitDecision:
-        """Begin what was granted, if there is still room: what went out unplanned since then has taken it."""
+        """Begin a permit that was granted, unless processes that went out since then leave no place for it."""
         permit = self.active.get(permit_id)
         if permit is None:
             return PermitDecision(reason=f"permit {permit_id} has lapsed, was withdrawn or never was")
         if permit.state is not PermitState.GRANTED:
-            same = permit.process == process
-            return (
-                PermitDecision((), permit)
-                if same
-                else PermitDecision(reason=f"permit {permit_id} was begun by another process")
-            )
+            if permit.process == process:
+                return PermitDecision((), permit)
+            return PermitDecision(reason=f"permit {permit_id} was begun by another process")
         if now_us >= self.lease_ends.get(permit_id, 0):
             return PermitDecision(reason=f"permit {permit_id} has lapsed")
         if reason := self.rejection_reason(permit.kind, permit.name, permit.zone, availability, limit, floors):
@@ -259,7 +234,12 @@
         return PermitDecision((row,), row)
 
     def transition(self, permit_id: str, state: PermitState, build: str | None = None) -> tuple[Permit, ...]:
-        """Make the rows of a step; raises PermitError where the table has none such."""
+        """Return the rows of a transition, none if nothing changes.
+
+        Raises:
+            PermitError: There is no such permit, or no such transition.
+
+        """
         permit = self.active.get(permit_id)
         if permit is None:
             raise PermitError(f"there is no permit {permit_id}")
@@ -271,21 +251,73 @@
         return () if row == permit else (row,)
 
     def expired(self, now_us: int) -> tuple[Permit, ...]:
-        """Make the rows of what was granted, never begun, and has lapsed."""
+        """Return the rows that free permits whose lease has expired before their begin."""
         return tuple(
-            msgspec.structs.replace(self.active[one], state=PermitState.FREE)
-            for one, until in self.lease_ends.items()
-            if now_us >= until
+            msgspec.structs.replace(self.active[permit_id], state=PermitState.FREE)
+            for permit_id, end_us in self.lease_ends.items()
+            if now_us >= end_us
         )
 
 
+def _total_rejection(
+    kind: PermitKind, name: str, unavailable: Mapping[str, str], availability: Availability, limit: Most
+) -> str:
+    total = max(availability.total, len(availability.up.keys() | availability.down.keys()))
+    allowed = limit.allowed(total)
+    if len(unavailable) <= allowed:
+        return ""
+    return (
+        f"{len(unavailable)} {kind.value}s of {total} would be out, "
+        f"{allowed} may: {_describe_unavailable(unavailable, name)}"
+    )
+
+
+def _zone_rejection(
+    kind: PermitKind,
+    name: str,
+    zone: str,
+    unavailable: Mapping[str, str],
+    availability: Availability,
+    limit: Most,
+) -> str:
+    # A process whose zone is unknown may be in any zone.
+    in_zone = {one: where for one, where in unavailable.items() if not zone or not where or where == zone}
+    zones = list({**availability.down, **availability.up}.values())
+    zone_sizes = [zones.count(one) for one in set(zones) if one]
+    smallest_size = min(zone_sizes, default=max(availability.total, len(zones)))
+    size = zones.count(zone) if zone else smallest_size
+    allowed = limit.allowed_zone(size)
+    if len(in_zone) <= allowed:
+        return ""
+    return (
+        f"{len(in_zone)} {kind.value}s of {size} would be out in zone {zone or '(unknown)'}, "
+        f"{allowed} may: {_describe_unavailable(in_zone, name)}"
+    )
+
+
+def _floor_rejection(
+    kind: PermitKind,
+    name: str,
+    unavailable: Mapping[str, str],
+    availability: Availability,
+    floors: Iterable[CapacityFloor],
+) -> str:
+    for floor in floors:
+        if name in floor.members or not floor.members:
+            members = floor.members or availability.up
+            up_count = sum(member in availability.up and member not in unavailable for member in members)
+            if up_count < floor.min_up:
+                return f"{floor.name} would have {up_count} {kind.value}s, its reserves need {floor.min_up}"
+    return ""
+
+
 def _describe_unavailable(unavailable: Mapping[str, str], name: str) -> str:
+    """Return the names of unavailable processes, the first few in full, and of the one that requests."""
     unknown = sum(one.startswith("#") for one in unavailable)
-    rows = sorted(one for one in unavailable if one != name and not one.startswith("#"))
-    told = [
-        *rows[:5],
-        *([f"{len(rows) - 5} more"] if len(rows) > 5 else []),
-        *([f"{unknown} that nobody can tell about"] if unknown else []),
-        f"and {name} itself",
-    ]
-    return ", ".join(told)
+    others = sorted(one for one in unavailable if one != name and not one.startswith("#"))
+    shown = others[:MAX_NAMED]
+    if len(others) > MAX_NAMED:
+        shown.append(f"{len(others) - MAX_NAMED} more")
+    if unknown:
+        shown.append(f"{unknown} that nobody can tell about")
+    return ", ".join([*shown, f"and {name} itself"])
--- a/hophinge/maintenance/releases.py
+++ b/hophinge/maintenance/releases.py
@@ -1,7 +1,7 @@
-"""Releases: which head is to come back with which build, wave by wave, what halts that, and the way back.
+"""Releases: which head is to come back with which build, wave by wave, what halts that, and the rollback.
 
-A release takes no place itself: it names the heads that it wants out, and whoever holds the permits decides. Its
-course is stored with the permits that follow from it, so a coordinator that ends anywhere goes on from there.
+A release takes no place among those that may be out itself: it requests restarts of heads, and the permits decide. Its
+progress is stored with the permits that follow from it, so that an issuer that restarts continues from there.
 """
 
 from __future__ import annotations
@@ -10,16 +10,22 @@
 import math
 from collections.abc import Iterable, Mapping
 from enum import Enum
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Struct
 
-from hophinge.maintenance.wave_monitor import HeadStatus, WaveMonitor
+from hophinge.maintenance.wave_monitor import HeadStatus, WaveId, WaveMonitor
 from hophinge.routing.bounds import Release
 
+# The commands of a `(release ...)` form.
+GO = "go"
+HALT = "halt"
+ROLL_BACK = "back"
+
 
 class ReleaseStage(Enum):
-    """Where a release stands."""
+    """The stage of a release."""
 
     WAITING = "waiting"
     ROLLING = "rolling"
@@ -27,28 +33,28 @@
     RETURNING = "going back"
     DONE = "done"
     UNDONE = "taken back"
-    DROPPED = "dropped"  # its form is gone
+    DROPPED = "dropped"  # it is not configured any more
 
 
 FINAL_STAGES = frozenset({ReleaseStage.DONE, ReleaseStage.UNDONE, ReleaseStage.DROPPED})
 
 
 class ReleaseProgress(Struct, frozen=True):
-    """What outlives the coordinator. `was` is stored before a head is asked to go, and is its way back."""
+    """The durable state of a release; previous builds are stored before a head is asked to restart."""
 
     name: str
     build: str
-    order: int = msgspec.field(name="began")  # the order among releases
+    order: int = msgspec.field(name="began")  # among releases
     stage: ReleaseStage = ReleaseStage.WAITING
     wave: int = 0  # 0: one head alone
     attempt: int = msgspec.field(default=0, name="again")
-    halted_automatically: bool = msgspec.field(default=False, name="by_itself")  # what halted it
-    reason: str = ""
-    previous_builds: dict[str, str] = msgspec.field(default_factory=dict, name="was")
+    halted_automatically: bool = msgspec.field(default=False, name="by_itself")
+    reason: str = ""  # why it is halted
+    previous_builds: dict[str, str] = msgspec.field(default_factory=dict, name="was")  # by head, for the rollback
 
 
 class RestartRequest(Struct, frozen=True):
-    """A head that is to go out and come back with a build."""
+    """A head that is to go offline and come back with a build."""
 
     release: str
     head: str
@@ -56,17 +62,24 @@
     request_key: str
 
 
+class RebuiltPermit(NamedTuple):
+    """A permit whose head is to come back with another build."""
+
+    permit_id: str
+    build: str
+
+
 class ReleaseDecision(Struct, frozen=True):
-    """What a look led to: courses to store, places wanted, grants to withdraw, permits whose build is another now."""
+    """What follows from the state of a release."""
 
-    progress: tuple[ReleaseProgress, ...] = ()
+    progress: tuple[ReleaseProgress, ...] = ()  # to store
     requests: tuple[RestartRequest, ...] = ()
-    withdrawn: tuple[str, ...] = ()  # releases
-    rebuilt: tuple[tuple[str, str], ...] = ()  # permit and build
+    withdrawn: tuple[str, ...] = ()  # releases whose granted permits are withdrawn
+    rebuilt: tuple[RebuiltPermit, ...] = ()
 
 
 def rollout_order(names: Iterable[str]) -> list[str]:
-    """Tell heads in the order in which releases reach them."""
+    """Return heads in the order in which releases reach them: the same for all releases, unrelated to their names."""
     return sorted(names, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
 
 
@@ -74,148 +87,177 @@
     """All releases of an installation; one runs at a time."""
 
     def __init__(self, progress: Iterable[ReleaseProgress] = ()) -> None:
-        self.progress: dict[str, ReleaseProgress] = {}
+        self.progress: dict[str, ReleaseProgress] = {}  # by name
         self.apply(progress)
-        self.monitor = WaveMonitor(("", 0, 0))
-        self.pending_heads: list[str] = []  # heads that the wave waits for
+        self.monitor = WaveMonitor(WaveId("", 0, 0))
+        self.pending_heads: list[str] = []  # that the wave waits for
 
     def apply(self, progress: Iterable[ReleaseProgress]) -> None:
-        """Take courses that are stored."""
-        for one in progress:
-            if one.stage is ReleaseStage.DROPPED:
-                self.progress.pop(one.name, None)
+        """Apply progress that is stored."""
+        for release in progress:
+            if release.stage is ReleaseStage.DROPPED:
+                self.progress.pop(release.name, None)
             else:
-                self.progress[one.name] = one
+                self.progress[release.name] = release
 
     def active(self) -> ReleaseProgress | None:
-        """Tell the release that runs, or that the others wait for."""
+        """Return the release that runs, or that the others wait for."""
         return min(
-            (one for one in self.progress.values() if one.stage not in FINAL_STAGES),
-            key=lambda one: one.order,
+            (release for release in self.progress.values() if release.stage not in FINAL_STAGES),
+            key=lambda release: release.order,
             default=None,
         )
 
     def reconcile(self, configured: Mapping[str, Release]) -> tuple[ReleaseProgress, ...]:
-        """Make the courses that follow from the forms alone; they are taken before the next `look`."""
-        made: list[ReleaseProgress] = []
-        for name, course in self.progress.items():
+        """Return the progress that follows from the configuration alone; it is applied before the next `decide`."""
+        changes: list[ReleaseProgress] = []
+        for name, release in self.progress.items():
             if name not in configured:
-                made.append(msgspec.structs.replace(course, stage=ReleaseStage.DROPPED))
-        last = max((one.order for one in self.progress.values()), default=0)
+                changes.append(msgspec.structs.replace(release, stage=ReleaseStage.DROPPED))
+        last_order = max((release.order for release in self.progress.values()), default=0)
         for name in sorted(configured):
-            form, known = configured[name], self.progress.get(name)
-            if known is None or (known.build != form.build and known.stage in FINAL_STAGES):
-                last += 1
-                made.append(ReleaseProgress(name, form.build, last, attempt=form.again))
-            elif known.build != form.build and known.stage is not ReleaseStage.HALTED:
-                made.append(_halted(known, f"its form has another build, {form.build}; give that a name of its own"))
-        return tuple(made)
+            config = configured[name]
+            known = self.progress.get(name)
+            if known is None or (known.build != config.build and known.stage in FINAL_STAGES):
+                last_order += 1
+                changes.append(ReleaseProgress(name, config.build, last_order, attempt=config.again))
+            elif known.build != config.build and known.stage is not ReleaseStage.HALTED:
+                reason = f"its form has another build, {config.build}; give that a name of its own"
+                changes.append(_halted(known, reason))
+        return tuple(changes)
 
     def decide(
         self, now_us: int, configured: Mapping[str, Release], heads: Mapping[str, HeadStatus]
     ) -> ReleaseDecision:
-        """Judge the release that runs, and tell what follows."""
-        undo = next(
-            (
-                one
-                for one in self.progress.values()
-                if one.stage is ReleaseStage.DONE and one.name in configured and configured[one.name].word == "back"
-            ),
-            None,
-        )
-        course = self.active() or undo
-        if course is None or course.name not in configured:
+        """Return what follows for the release that runs, or for one that is done and to be rolled back."""
+        release = self.active() or self._release_to_undo(configured)
+        if release is None or release.name not in configured:
             return ReleaseDecision()
-        spoken = self._apply_command(course, configured[course.name])
-        if spoken is not course:
-            withdrawn = () if spoken.stage is ReleaseStage.ROLLING else (course.name,)
-            return ReleaseDecision((spoken,), withdrawn=withdrawn)
-        if course.stage is ReleaseStage.ROLLING:
-            return self._roll_forward(now_us, course, configured[course.name], heads)
-        if course.stage is ReleaseStage.RETURNING:
-            return self._roll_back(course, heads)
+        config = configured[release.name]
+        commanded = _apply_command(release, config)
+        if commanded is not release:
+            withdrawn = () if commanded.stage is ReleaseStage.ROLLING else (release.name,)
+            return ReleaseDecision((commanded,), withdrawn=withdrawn)
+        if release.stage is ReleaseStage.ROLLING:
+            return self._roll_forward(now_us, release, config, heads)
+        if release.stage is ReleaseStage.RETURNING:
+            return self._roll_back(release, heads)
         return ReleaseDecision()
 
-    def _apply_command(self, course: ReleaseProgress, form: Release) -> ReleaseProgress:
-        """Follow the form's word."""
-        changed = msgspec.structs.replace
-        if form.word == "halt" and course.stage in (ReleaseStage.WAITING, ReleaseStage.ROLLING, ReleaseStage.RETURNING):
-            return changed(course, stage=ReleaseStage.HALTED, halted_automatically=False, reason="halted by word")
-        if form.word == "back" and course.stage is not ReleaseStage.RETURNING:
-            return changed(course, stage=ReleaseStage.RETURNING, reason="", attempt=max(course.attempt, form.again))
-        if form.word == "go" and form.build == course.build:
-            if course.stage is ReleaseStage.WAITING or (
-                course.stage is ReleaseStage.HALTED and not course.halted_automatically
-            ):
-                return changed(course, stage=ReleaseStage.ROLLING, reason="", attempt=max(course.attempt, form.again))
-            if course.stage in (ReleaseStage.HALTED, ReleaseStage.RETURNING) and form.again > course.attempt:
-                return changed(course, stage=ReleaseStage.ROLLING, reason="", attempt=form.again)
-        return course
+    def _release_to_undo(self, configured: Mapping[str, Release]) -> ReleaseProgress | None:
+        for release in self.progress.values():
+            config = configured.get(release.name)
+            if release.stage is ReleaseStage.DONE and config is not None and config.word == ROLL_BACK:
+                return release
+        return None
 
     def _roll_forward(
-        self, now_us: int, course: ReleaseProgress, form: Release, heads: Mapping[str, HeadStatus]
+        self, now_us: int, release: ReleaseProgress, config: Release, heads: Mapping[str, HeadStatus]
     ) -> ReleaseDecision:
-        watch = self._monitor_for(course, heads)
-        targets = rollout_order(form.heads or heads)
-        share = form.waves[min(course.wave - 1, len(form.waves) - 1)]
-        wave = targets[: 1 if course.wave == 0 else max(1, math.ceil(share * len(targets) - 1e-9))]
-        views = {name: heads[name] for name in wave if name in heads}
-        if reason := watch.find_problem(now_us, course.build, course.previous_builds, form, views, heads):
-            return ReleaseDecision((_halted(course, reason),), withdrawn=(course.name,))
-        left = self.pending_heads = [
-            name for name in wave if name not in views or not _runs_build(views[name], course.build)
-        ]
-        if left:
-            watch.stable_since_us = 0
-            wants = tuple(
-                RestartRequest(course.name, name, course.build, f"{course.name}/{course.attempt}/{course.build}")
-                for name in left
-                if name in views and _needs_restart(views[name], course.build)
-            )
-            was = {**{one.head: heads[one.head].build for one in wants}, **course.previous_builds}
-            return ReleaseDecision(
-                (msgspec.structs.replace(course, previous_builds=was),) if was != course.previous_builds else (), wants
-            )
-        watch.stable_since_us = watch.stable_since_us or now_us
-        if now_us - watch.stable_since_us < form.settle_us:
+        monitor = self._monitor_for(release, heads)
+        targets = rollout_order(config.heads or heads)
+        wave = targets[: _wave_size(release, config, len(targets))]
+        wave_heads = {name: heads[name] for name in wave if name in heads}
+        problem = monitor.find_problem(now_us, release.build, release.previous_builds, config, wave_heads, heads)
+        if problem:
+            return ReleaseDecision((_halted(release, problem),), withdrawn=(release.name,))
+        pending = [name for name in wave if name not in heads or not _runs_build(heads[name], release.build)]
+        self.pending_heads = pending
+        if pending:
+            monitor.stable_since_us = 0
+            return _request_restarts(release, pending, heads)
+        monitor.stable_since_us = monitor.stable_since_us or now_us
+        if now_us - monitor.stable_since_us < config.settle_us:
             return ReleaseDecision()
-        if course.wave < len(form.waves) and len(wave) < len(targets):
-            return ReleaseDecision((msgspec.structs.replace(course, wave=course.wave + 1),))
-        return ReleaseDecision((msgspec.structs.replace(course, stage=ReleaseStage.DONE),))
-
-    def _monitor_for(self, course: ReleaseProgress, heads: Mapping[str, HeadStatus]) -> WaveMonitor:
-        place = course.name, course.wave, course.attempt
-        if self.monitor.wave_id != place:
-            self.monitor = WaveMonitor.start(place, heads)
+        if release.wave < len(config.waves) and len(wave) < len(targets):
+            return ReleaseDecision((msgspec.structs.replace(release, wave=release.wave + 1),))
+        return ReleaseDecision((msgspec.structs.replace(release, stage=ReleaseStage.DONE),))
+
+    def _monitor_for(self, release: ReleaseProgress, heads: Mapping[str, HeadStatus]) -> WaveMonitor:
+        wave_id = WaveId(release.name, release.wave, release.attempt)
+        if self.monitor.wave_id != wave_id:
+            self.monitor = WaveMonitor.start(wave_id, heads)
         return self.monitor
 
-    def _roll_back(self, course: ReleaseProgress, heads: Mapping[str, HeadStatus]) -> ReleaseDecision:
-        wants, rebuilt, left = [], [], False
-        for name in rollout_order(course.previous_builds):
-            build, one = course.previous_builds[name], heads.get(name)
-            if one is not None and _runs_build(one, build):
+    def _roll_back(self, release: ReleaseProgress, heads: Mapping[str, HeadStatus]) -> ReleaseDecision:
+        requests: list[RestartRequest] = []
+        rebuilt: list[RebuiltPermit] = []
+        is_pending = False
+        for name in rollout_order(release.previous_builds):
+            build = release.previous_builds[name]
+            head = heads.get(name)
+            if head is not None and _runs_build(head, build):
                 continue
-            left = True
-            if one is None:
+            is_pending = True
+            if head is None:
                 continue
-            if one.permit is not None:
-                if one.permit.requester == f"release {course.name}" and one.permit.build != build:
-                    rebuilt.append((one.permit.id, build))
-            elif _needs_restart(one, build):
-                wants.append(RestartRequest(course.name, name, build, f"{course.name}/{course.attempt}/{build}/back"))
-        if not left:
-            return ReleaseDecision((msgspec.structs.replace(course, stage=ReleaseStage.UNDONE),))
-        return ReleaseDecision((), tuple(wants), rebuilt=tuple(rebuilt))
-
-
-def _halted(course: ReleaseProgress, reason: str) -> ReleaseProgress:
-    return msgspec.structs.replace(course, stage=ReleaseStage.HALTED, halted_automatically=True, reason=reason)
-
-
-def _runs_build(one: HeadStatus, build: str) -> bool:
-    return one.is_connected and one.is_ready and one.permit is None and one.build == build
-
-
-def _needs_restart(one: HeadStatus, build: str) -> bool:
-    """Tell whether a head is to be asked to go: one whose build nobody knows yet may have it already."""
-    return one.is_connected and one.is_build_known and one.permit is None and one.build != build
+            if head.permit is not None:
+                if head.permit.requester == f"release {release.name}" and head.permit.build != build:
+                    rebuilt.append(RebuiltPermit(head.permit.id, build))
+            elif _needs_restart(head, build):
+                key = f"{release.name}/{release.attempt}/{build}/back"
+                requests.append(RestartRequest(release.name, name, build, key))
+        if not is_pending:
+            return ReleaseDecision((msgspec.structs.replace(release, stage=ReleaseStage.UNDONE),))
+        return ReleaseDecision((), tuple(requests), rebuilt=tuple(rebuilt))
+
+
+def _apply_command(release: ReleaseProgress, config: Release) -> ReleaseProgress:
+    """Return the release after the command of its configuration, the same object if that changes nothing."""
+    replace = msgspec.structs.replace
+    if config.word == HALT and release.stage in (
+        ReleaseStage.WAITING,
+        ReleaseStage.ROLLING,
+        ReleaseStage.RETURNING,
+    ):
+        return replace(release, stage=ReleaseStage.HALTED, halted_automatically=False, reason="halted by word")
+    if config.word == ROLL_BACK and release.stage is not ReleaseStage.RETURNING:
+        attempt = max(release.attempt, config.again)
+        return replace(release, stage=ReleaseStage.RETURNING, reason="", attempt=attempt)
+    if config.word == GO and config.build == release.build:
+        is_halted_by_command = release.stage is ReleaseStage.HALTED and not release.halted_automatically
+        if release.stage is ReleaseStage.WAITING or is_halted_by_command:
+            attempt = max(release.attempt, config.again)
+            return replace(release, stage=ReleaseStage.ROLLING, reason="", attempt=attempt)
+        if release.stage in (ReleaseStage.HALTED, ReleaseStage.RETURNING) and config.again > release.attempt:
+            return replace(release, stage=ReleaseStage.ROLLING, reason="", attempt=config.again)
+    return release
+
+
+def _wave_size(release: ReleaseProgress, config: Release, target_count: int) -> int:
+    if release.wave == 0:
+        return 1
+    share = config.waves[min(release.wave - 1, len(config.waves) - 1)]
+    return max(1, math.ceil(share * target_count - 1e-9))
+
+
+def _request_restarts(
+    release: ReleaseProgress, pending: Iterable[str], heads: Mapping[str, HeadStatus]
+) -> ReleaseDecision:
+    """Request restarts of pending heads, and store their builds for a rollback."""
+    key = f"{release.name}/{release.attempt}/{release.build}"
+    requests = tuple(
+        RestartRequest(release.name, name, release.build, key)
+        for name in pending
+        if name in heads and _needs_restart(heads[name], release.build)
+    )
+    previous_builds = {
+        **{request.head: heads[request.head].build for request in requests},
+        **release.previous_builds,
+    }
+    if previous_builds == release.previous_builds:
+        return ReleaseDecision((), requests)
+    return ReleaseDecision((msgspec.structs.replace(release, previous_builds=previous_builds),), requests)
+
+
+def _halted(release: ReleaseProgress, reason: str) -> ReleaseProgress:
+    return msgspec.structs.replace(release, stage=ReleaseStage.HALTED, halted_automatically=True, reason=reason)
+
+
+def _runs_build(head: HeadStatus, build: str) -> bool:
+    return head.is_connected and head.is_ready and head.permit is None and head.build == build
+
+
+def _needs_restart(head: HeadStatus, build: str) -> bool:
+    """Whether a head is to be restarted with a build; one whose build is still unknown may have it already."""
+    return head.is_connected and head.is_build_known and head.permit is None and head.build != build
--- a/hophinge/maintenance/retirement.py
+++ b/hophinge/maintenance/retirement.py
@@ -1,13 +1,14 @@
-"""The word that a head is gone for good, `(retired n7)`: refused while the head is here, taken back when it is back.
+"""Heads that an operator has declared gone for good, `(retired n7)`: rejected while the head is connected.
 
-An operator can be wrong about a head: it was cut off or stopped, and comes back with what it had. So the word holds for
-one absence. With the head's return the store forgets it, and the head's word is wanted again; the next absence has to
-be named anew.
+An operator can be wrong about a head: it was cut off or stopped, and comes back with the requests that it had. So the
+declaration holds for one absence. When the head returns the store drops the declaration, and the head's statements are
+required again; its next absence has to be declared anew.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Iterable, Sequence
+from typing import NamedTuple
 
 import msgspec
 
@@ -18,43 +19,59 @@
 RETIRED = "retired"
 
 
-def without_retired(forms: Sequence[Record], head: str) -> list[Record]:
-    """Make the forms without the word that a head is gone; the same ones where none says so."""
+class AbsentHead(NamedTuple):
+    """A head without a stream to this service."""
+
+    name: str
+    since_ms: int  # since 1970; 0: unknown
+    remedy: str
+
+
+def without_retired(records: Sequence[Record], head: str) -> list[Record]:
+    """Return the records without the declaration that a head is gone; unchanged ones if none declares it."""
     return [
-        msgspec.structs.replace(one, retired=tuple(name for name in one.retired if name != head))
-        if isinstance(one, Maintenance)
-        else one
-        for one in forms
+        msgspec.structs.replace(record, retired=tuple(name for name in record.retired if name != head))
+        if isinstance(record, Maintenance)
+        else record
+        for record in records
     ]
 
 
-def retirement_errors(forms: Iterable[Record], connected: Collection[str], form: Form | None, name: str) -> list[str]:
-    """Tell the heads that are named as gone and have a stream here, each at its place; `place`: the form that names."""
-    retired = [one for form in forms if isinstance(form, Maintenance) for one in form.retired if one in connected]
-    found = []
-    for head in retired:
-        line, column = next(
-            (
-                (atom.line, atom.column)
-                for part in (form.items if form is not None else ())
-                if isinstance(part, Form) and part.word == RETIRED
-                for atom in part.items[1:]
-                if isinstance(atom, Atom) and atom.text == head
-            ),
-            (1, 1),
-        )
-        found.append(
-            Mistake(
-                line,
-                column,
-                f"{head} is not gone, it has a stream here; take it out of (retired ...), or stop it first",
-            ).at(name)
+def retirement_errors(
+    records: Iterable[Record], connected: Collection[str], form: Form | None, document: str
+) -> list[str]:
+    """Return an error for each head that is declared gone and is connected.
+
+    Args:
+        records: The maintenance records of the document.
+        connected: Heads with a stream to this service.
+        form: The `(maintenance ...)` form of the document, for the positions of errors.
+        document: The name of the document.
+
+    """
+    retired = [name for record in records if isinstance(record, Maintenance) for name in record.retired]
+    errors = []
+    for head in (name for name in retired if name in connected):
+        line, column = _position(form, head)
+        error = Mistake(
+            line, column, f"{head} is not gone, it has a stream here; take it out of (retired ...), or stop it first"
         )
-    return found
+        errors.append(error.at(document))
+    return errors
+
+
+def _position(form: Form | None, head: str) -> tuple[int, int]:
+    """Return the line and column where a form declares a head as gone; the beginning if it does not."""
+    for item in form.items if form is not None else ():
+        if isinstance(item, Form) and item.word == RETIRED:
+            for atom in item.items[1:]:
+                if isinstance(atom, Atom) and atom.text == head:
+                    return atom.line, atom.column
+    return 1, 1
 
 
 def absence_remedy(head: str) -> str:
-    """Tell the words for a head that nobody hears of."""
+    """Return what an operator can do about a head that is absent."""
     return (
         f"start {head} or mend its line; if it is gone for good: (retired {head}) in (maintenance ...); for one "
         f"drain alone: (without {head}) in its (outage ...)"
@@ -67,7 +84,7 @@
     retired: Collection[str],
     since_ms: Callable[[str], int],
     max_rows: int,
-) -> list[dict[str, object]]:
-    """Tell heads without a stream, the one longest away first: its name, since when (0: unknown), what to say."""
-    rows = sorted((since_ms(name), name) for name in known if name not in connected and name not in retired)
-    return [{"name": name, "since_ms": since, "word": absence_remedy(name)} for since, name in rows[:max_rows]]
+) -> list[AbsentHead]:
+    """Return the heads that are neither connected nor declared gone, those first that are absent for longest."""
+    absent = sorted((since_ms(name), name) for name in known if name not in connected and name not in retired)
+    return [AbsentHead(name, since, absence_remedy(name)) for since, name in absent[:max_rows]]
--- a/hophinge/maintenance/snapshots.py
+++ b/hophinge/maintenance/snapshots.py
@@ -1,8 +1,8 @@
-"""Lists that a head reports again and again: what changed, with a digest of the whole; whole lists when asked for.
+"""Lists that a head reports repeatedly: sent as changes with a digest of the complete list, in full on request.
 
-The digest is a sum of prints, so both sides follow it change by change. A report that was lost shows at the next one:
-the digests differ, the issuer is unsure, and asks. What it is unsure of counts as the worse of both. One that comes
-twice or late is known by its number.
+The digest is a sum of row digests, so both sides update it change by change. A lost report shows at the next one: the
+digests differ, the issuer is uncertain, and requests full lists. What it is uncertain of counts as unavailable.
+Duplicate and late reports are recognized by their sequence.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 
 import msgspec
 
-from hophinge.maintenance.drains import Statement
 from hophinge.maintenance.messages import BackendListing, HeadReport, ListChange, ListChanges
+from hophinge.maintenance.statements import Statement
 
-FULL_LISTS_INTERVAL_US = 1_000_000  # between two whole lists of one head, however often it is asked
+FULL_LISTS_INTERVAL_US = 1_000_000  # between two full reports of one head, however often they are requested
 DIGEST_MODULUS = 1 << 64
 
 Row = TypeVar("Row")
 
 
 def digest_of(name: str, row: object) -> int:
-    """Tell a row's print, by blake2b of its name and its JSON."""
+    """Return the digest of one row: blake2b of the JSON of its name and content; any type that msgspec encodes."""
     encoded = msgspec.json.encode((name, row))
     return int.from_bytes(blake2b(encoded, digest_size=8).digest(), "big")
 
 
 class ListSender(Generic[Row]):
-    """One list at the head: what was told last, as if it had come."""
+    """One list at the head: the rows that were sent last, as if they had been received."""
 
     def __init__(self) -> None:
         self.sent_rows: dict[str, Row] = {}
         self.digest = 0
 
     def next_change(self, rows: Mapping[str, Row], is_full: bool) -> ListChange[Row]:
-        """Tell what changed since it was told last, or all of it."""
+        """Return the changes since the last call, or all rows."""
         changed = {name: row for name, row in rows.items() if self.sent_rows.get(name) != row}
         removed = tuple(name for name in self.sent_rows if name not in rows)
         for name in (*changed, *removed):
@@ -44,15 +44,13 @@
                 self.digest -= digest_of(name, self.sent_rows[name])
         self.digest = (self.digest + sum(digest_of(name, row) for name, row in changed.items())) % DIGEST_MODULUS
         self.sent_rows = dict(rows)
-        return (
-            ListChange(self.digest, True, self.sent_rows, ())
-            if is_full
-            else ListChange(self.digest, False, changed, removed)
-        )
+        if is_full:
+            return ListChange(self.digest, True, self.sent_rows, ())
+        return ListChange(self.digest, False, changed, removed)
 
 
 class ListReceiver(Generic[Row]):
-    """One list of one head at the issuer; `sure`: it is what the head had when it last told."""
+    """One list of one head at the issuer; `is_synchronized`: it is what the head had at its last report."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -60,9 +58,10 @@
         self.is_synchronized = False
 
     def apply(self, change: ListChange[Row]) -> None:
-        """Take what is told; parts come in the order in which they were made, some may be missing."""
+        """Apply a change; changes arrive in the order in which they were made, some may be missing."""
         if change.is_full:
-            self.rows, self.digest = {}, 0
+            self.rows = {}
+            self.digest = 0
         for name in (*change.rows, *change.removed):
             if name in self.rows:
                 self.digest -= digest_of(name, self.rows.pop(name))
@@ -72,27 +71,28 @@
 
 
 class SnapshotSender:
-    """A head's side of one stream; `asked` is what the issuer's words last asked for."""
+    """A head's side of one stream."""
 
     def __init__(self) -> None:
         self.sequence = 0
         self.backends: ListSender[BackendListing] = ListSender()
         self.members: ListSender[bool] = ListSender()
         self.peer_statements: ListSender[list[Statement]] = ListSender()
-        self.answered_request = -1  # the first report is whole
-        self.full_lists_us = 0
+        self.answered_request = -1  # the first report is full
+        self.full_lists_us = 0  # when full lists were sent last
 
     def is_full_due(self, now_us: int, request: int) -> bool:
-        """Tell whether whole lists are due; the number of a question is unlike the one before, and of no other use."""
-        return self.answered_request < 0 or (
-            request != self.answered_request and now_us - self.full_lists_us >= FULL_LISTS_INTERVAL_US
-        )
+        """Whether full lists are due; `request` is the issuer's last one, which differs from the one before."""
+        if self.answered_request < 0:
+            return True
+        return request != self.answered_request and now_us - self.full_lists_us >= FULL_LISTS_INTERVAL_US
 
     def to_changes(self, now_us: int, report: HeadReport, request: int) -> HeadReport:
-        """Write a report that is about to go as one that tells changes."""
+        """Return a report that is about to be sent with its lists as changes."""
         is_full = self.is_full_due(now_us, request)
         if is_full:
-            self.answered_request, self.full_lists_us = request, now_us
+            self.answered_request = request
+            self.full_lists_us = now_us
         self.sequence += 1
         members = {**dict.fromkeys(report.departed_heads, False), **dict.fromkeys(report.live_heads, True)}
         list_changes = ListChanges(
@@ -107,7 +107,7 @@
 
 
 class SnapshotReceiver:
-    """The issuer's side of one stream; `asks` is the number of its last question for all of it."""
+    """The issuer's side of one stream; `full_lists_request` is the number of its last request for full lists."""
 
     def __init__(self) -> None:
         self.sequence = 0
@@ -118,14 +118,14 @@
 
     @property
     def is_synchronized(self) -> bool:
-        """Tell whether all lists are as the head has them."""
+        """Whether all lists are what the head had at its last report."""
         return self.backends.is_synchronized and self.members.is_synchronized and self.peer_statements.is_synchronized
 
     def to_full(self, report: HeadReport) -> HeadReport | None:
-        """Make a whole report of one that tells changes; None: a later one has come already."""
+        """Return a report with its complete lists; None if a later one has been received already."""
         list_changes = report.list_changes
         if list_changes is None:
-            return report  # a head of a build that tells all each time
+            return report  # of a build that reports complete lists each time
         if list_changes.sequence <= self.sequence:
             return None
         self.sequence = list_changes.sequence
@@ -135,14 +135,13 @@
         if not self.is_synchronized:
             self.full_lists_request += 1
         members = self.members.rows
-        # A witness that is not sure lets nobody off, and passes nobody's yes on.
+        departed = tuple(name for name, is_live in members.items() if not is_live)
+        # An uncertain witness neither exempts a head nor passes on the statements of others.
         return msgspec.structs.replace(
             report,
             backends=self.backends.rows,
-            live_heads=tuple(name for name, live in members.items() if live),
-            departed_heads=tuple(name for name, live in members.items() if not live)
-            if self.members.is_synchronized
-            else (),
+            live_heads=tuple(name for name, is_live in members.items() if is_live),
+            departed_heads=departed if self.members.is_synchronized else (),
             peer_statements=self.peer_statements.rows if self.peer_statements.is_synchronized else {},
             is_uncertain=not self.backends.is_synchronized,
         )
--- a/hophinge/maintenance/status.py
+++ b/hophinge/maintenance/status.py
@@ -1,4 +1,4 @@
-"""What staff are told of permits, outages and releases, and of who still owes its word."""
+"""The status of permits, outages and releases for operators, and the heads whose statements are missing."""
 
 from __future__ import annotations
 
@@ -10,59 +10,85 @@
 from hophinge.maintenance.releases import FINAL_STAGES, ReleaseProgress, ReleaseStage
 from hophinge.maintenance.retirement import absent_heads
 
-MAX_NAMED = 20  # heads whose word is missing, named for one brick, and heads that are away
+MAX_NAMED = 20  # heads with missing statements, named for one backend, and absent heads
+MAX_PENDING_NAMED = 5  # heads that a release waits for
+BACKEND_STATES = {
+    PermitState.BEGUN: "draining",
+    PermitState.OUT: "drained",
+    PermitState.BACK: "back, cold",
+}
 
 
-def maintenance_status(one: PermitIssuer, since_ms: Callable[[str], int] = lambda name: 0) -> dict[str, Any]:
-    """Tell it as plain rows; `since_ms` tells when a head that is away was here last, since 1970."""
-    heads = one.observations.head_availability(one.policy.retired)
+def maintenance_status(issuer: PermitIssuer, since_ms: Callable[[str], int] = lambda name: 0) -> dict[str, Any]:
+    """Return the status as JSON values.
+
+    Args:
+        issuer: The issuer of permits.
+        since_ms: Returns when an absent head was connected last, in milliseconds since 1970; 0: unknown.
+
+    """
+    heads = issuer.observations.head_availability(issuer.policy.retired)
     return {
         "heads_up": len(heads.up),
         "heads": max(heads.total, len(heads.up) + len(heads.down)),
-        "absent": absent_heads(
-            one.observations.heads, one.observations.connected(), one.policy.retired, since_ms, MAX_NAMED
-        ),
-        "permits": [_permit(one, permit) for kind in PermitKind for permit in one.permits.of_kind(kind)],
+        "absent": [
+            {"name": head.name, "since_ms": head.since_ms, "word": head.remedy}
+            for head in absent_heads(
+                issuer.observations.heads,
+                issuer.observations.connected(),
+                issuer.policy.retired,
+                since_ms,
+                MAX_NAMED,
+            )
+        ],
+        "permits": [_permit(issuer, permit) for kind in PermitKind for permit in issuer.permits.of_kind(kind)],
         "waiting": [
-            {"kind": kind.value, "name": name, "why": why}
-            for (kind, name), why in sorted(one.waiting_reasons.items(), key=lambda row: (row[0][0].value, row[0][1]))
+            {"kind": kind.value, "name": name, "why": reason}
+            for (kind, name), reason in sorted(
+                issuer.waiting_reasons.items(), key=lambda row: (row[0][0].value, row[0][1])
+            )
         ],
         "releases": [
-            {
-                "name": course.name,
-                "build": course.build,
-                "stage": course.stage.value,
-                "wave": course.wave,
-                "again": course.attempt,
-                "touched": len(course.previous_builds),
-                "reason": course.reason or _waits(one, course),
-            }
-            for course in sorted(one.releases.progress.values(), key=lambda row: (row.stage in FINAL_STAGES, row.order))
+            _release(issuer, release)
+            for release in sorted(
+                issuer.releases.progress.values(), key=lambda row: (row.stage in FINAL_STAGES, row.order)
+            )
         ],
     }
 
 
-def _waits(one: PermitIssuer, course: ReleaseProgress) -> str:
-    active = one.releases.active()
-    if active is not None and active is not course and course.stage is ReleaseStage.WAITING:
+def _release(issuer: PermitIssuer, release: ReleaseProgress) -> dict[str, Any]:
+    return {
+        "name": release.name,
+        "build": release.build,
+        "stage": release.stage.value,
+        "wave": release.wave,
+        "again": release.attempt,
+        "touched": len(release.previous_builds),
+        "reason": release.reason or _waiting_reason(issuer, release),
+    }
+
+
+def _waiting_reason(issuer: PermitIssuer, release: ReleaseProgress) -> str:
+    active = issuer.releases.active()
+    if active is not None and active is not release and release.stage is ReleaseStage.WAITING:
         return f"waits for {active.name}"
-    if active is course and course.stage is ReleaseStage.ROLLING and one.releases.pending_heads:
-        left = one.releases.pending_heads
-        return f"waits for {', '.join(left[:5])}" + (f" and {len(left) - 5} more" if len(left) > 5 else "")
+    if active is release and release.stage is ReleaseStage.ROLLING and issuer.releases.pending_heads:
+        pending = issuer.releases.pending_heads
+        more = len(pending) - MAX_PENDING_NAMED
+        return f"waits for {', '.join(pending[:MAX_PENDING_NAMED])}" + (f" and {more} more" if more > 0 else "")
     return ""
 
 
-def _permit(one: PermitIssuer, permit: Permit) -> dict[str, Any]:
+def _permit(issuer: PermitIssuer, permit: Permit) -> dict[str, Any]:
     missing: tuple[str, ...] = ()
     if permit.kind is PermitKind.BACKEND and permit.state in (PermitState.BEGUN, PermitState.OUT):
-        missing = one.verdict(permit).missing
+        missing = issuer.verdict(permit).missing
     state = permit.state.value
     if permit.kind is PermitKind.BACKEND:
-        state = {PermitState.BEGUN: "draining", PermitState.OUT: "drained", PermitState.BACK: "back, cold"}.get(
-            permit.state, state
-        )
+        state = BACKEND_STATES.get(permit.state, state)
         if permit.state is PermitState.OUT and missing:
-            state = "draining again"  # a head is here that had not heard of it, or somebody took the brick up
+            state = "draining again"  # a head has connected that drains only now, or an operator restored the backend
     return {
         "id": permit.id,
         "kind": permit.kind.value,
@@ -73,5 +99,5 @@
         "build": permit.build,
         "missing": list(missing[:MAX_NAMED]),
         "missing_count": len(missing),
-        "served": one.drain_statements.served_count(permit.id) if permit.state is PermitState.BACK else 0,
+        "served": issuer.drain_statements.served_count(permit.id) if permit.state is PermitState.BACK else 0,
     }
--- a/hophinge/maintenance/wave_monitor.py
+++ b/hophinge/maintenance/wave_monitor.py
@@ -1,20 +1,20 @@
-"""What is seen of a wave while it runs, and what in it is trouble."""
+"""Monitoring of one wave of a release: what is observed while it runs, and which problems halt it."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Collection, Iterable, Mapping
+from typing import NamedTuple
 
 from msgspec import Struct
 
 from hophinge.maintenance.permits import Permit, PermitState
 from hophinge.routing.bounds import Release
 
-MIN_REQUESTS = 50  # requests before a share of failures tells anything
-DISCONNECT_TIMEOUT_US = (
-    10_000_000  # without a stream before a head is lost: a service that starts has all back within five seconds
-)
-SIGNIFICANCE = 3.0  # standard errors by which a share has to be over what is allowed
+MIN_REQUESTS = 50  # before a failure rate is significant
+DISCONNECT_TIMEOUT_US = 10_000_000  # a service that starts has all streams back within five seconds
+SIGNIFICANCE = 3.0  # standard errors by which a failure rate has to exceed what is allowed
+MIN_VARIANCE = 1e-4  # of one request, where nearly none may fail
 
 
 class HeadStatus(Struct, frozen=True):
@@ -27,23 +27,50 @@
     permit: Permit | None
     accepted_requests: float
     failed_requests: float
-    is_build_known: bool = True  # False: it will tell what it runs and has not yet
+    is_build_known: bool = True  # False: its first report is outstanding
+
+
+class RequestCounts(NamedTuple):
+    """Requests of heads since their process began; failed ones were rejected or got no answer."""
+
+    accepted: float
+    failed: float
+
+
+class Baseline(NamedTuple):
+    """The process of a head and its counts when the wave began."""
+
+    process: int
+    accepted: float
+    failed: float
+
+
+class WaveId(NamedTuple):
+    """Which wave of which attempt of a release."""
+
+    release: str
+    wave: int
+    attempt: int
 
 
 class WaveMonitor(Struct):
-    """One wave; a coordinator that starts sees it anew, which only makes it wait longer."""
+    """One wave; an issuer that restarts monitors it from the beginning, which only makes it wait longer."""
 
-    wave_id: tuple[str, int, int]  # release, wave, again
-    baseline: dict[str, tuple[int, float, float]] = {}  # process, taken and failed of each head when it began
-    began_us: dict[str, int] = {}
-    disconnected_us: dict[str, int] = {}
-    stable_since_us: int = 0
+    wave_id: WaveId
+    baseline: dict[str, Baseline] = {}
+    began_us: dict[str, int] = {}  # when a head's permit was first observed as begun
+    disconnected_us: dict[str, int] = {}  # when a head was first observed without a stream
+    stable_since_us: int = 0  # 0: heads are outstanding
 
     @classmethod
-    def start(cls, wave_id: tuple[str, int, int], heads: Mapping[str, HeadStatus]) -> WaveMonitor:
-        """Begin to watch a wave."""
+    def start(cls, wave_id: WaveId, heads: Mapping[str, HeadStatus]) -> WaveMonitor:
+        """Start to monitor a wave."""
         return cls(
-            wave_id, {name: (one.process, one.accepted_requests, one.failed_requests) for name, one in heads.items()}
+            wave_id,
+            {
+                name: Baseline(head.process, head.accepted_requests, head.failed_requests)
+                for name, head in heads.items()
+            },
         )
 
     def find_problem(
@@ -55,42 +82,64 @@
         wave: Mapping[str, HeadStatus],
         heads: Mapping[str, HeadStatus],
     ) -> str:
-        """Tell why the release must not go on, or nothing; `touched` are heads that it has wanted out."""
-        for name, one in wave.items():
-            if one.is_connected or one.permit is not None or name not in touched:
+        """Return why the release must not continue; empty if it may.
+
+        Args:
+            now_us: The current time.
+            build: The build of the release.
+            touched: Heads that the release has requested to restart.
+            release: The configuration of the release.
+            wave: The heads of the wave.
+            heads: All heads.
+
+        """
+        return self._find_lost_head(now_us, touched, release, wave) or self._find_failures(build, release, wave, heads)
+
+    def _find_lost_head(
+        self, now_us: int, touched: Collection[str], release: Release, wave: Mapping[str, HeadStatus]
+    ) -> str:
+        for name, head in wave.items():
+            if head.is_connected or head.permit is not None or name not in touched:
                 self.disconnected_us.pop(name, None)
             elif now_us - self.disconnected_us.setdefault(name, now_us) > DISCONNECT_TIMEOUT_US:
                 return f"{name} was lost while no permit let it go"
-            if one.permit is not None and one.permit.state in (PermitState.BEGUN, PermitState.OUT, PermitState.BACK):
-                since = self.began_us.setdefault(name, now_us)
-                if now_us - since > release.patience_us:
-                    return f"{name} is not back after {release.patience_us / 1e6:g} s (permit {one.permit.id})"
+            permit = head.permit
+            if permit is not None and permit.state in (PermitState.BEGUN, PermitState.OUT, PermitState.BACK):
+                since_us = self.began_us.setdefault(name, now_us)
+                if now_us - since_us > release.patience_us:
+                    return f"{name} is not back after {release.patience_us / 1e6:g} s (permit {permit.id})"
             else:
                 self.began_us.pop(name, None)
-        there = {name: one for name, one in wave.items() if one.build == build}
-        taken, failed = self.count_requests((name, one) for name, one in heads.items() if name not in there)
-        if not taken:  # all are in the wave: what was usual before it has to do
-            taken, failed = (sum(row[at] for row in self.baseline.values()) for at in (1, 2))
-        allowed = (failed / taken if taken else 0.0) + release.refused
-        for told, names in [
-            (f"the wave's {len(there)} heads", sorted(there)),
-            *((name, [name]) for name in sorted(there)),
-        ]:
-            taken, failed = self.count_requests((name, there[name]) for name in names)
-            error = math.sqrt(max(allowed * (1 - allowed), 1e-4) / taken) if taken else 0.0
-            if taken >= MIN_REQUESTS and failed / taken > allowed + SIGNIFICANCE * error:
+        return ""
+
+    def _find_failures(
+        self, build: str, release: Release, wave: Mapping[str, HeadStatus], heads: Mapping[str, HeadStatus]
+    ) -> str:
+        """Compare the failure rate of the wave's heads that run the build with that of all others."""
+        updated = {name: head for name, head in wave.items() if head.build == build}
+        others = self.count_requests((name, head) for name, head in heads.items() if name not in updated)
+        if not others.accepted:  # all heads are in the wave: the rate before it has to do
+            others = RequestCounts(
+                sum(row.accepted for row in self.baseline.values()), sum(row.failed for row in self.baseline.values())
+            )
+        allowed = (others.failed / others.accepted if others.accepted else 0.0) + release.refused
+        groups = [(f"the wave's {len(updated)} heads", sorted(updated)), *((name, [name]) for name in sorted(updated))]
+        for label, names in groups:
+            accepted, failed = self.count_requests((name, updated[name]) for name in names)
+            error = math.sqrt(max(allowed * (1 - allowed), MIN_VARIANCE) / accepted) if accepted else 0.0
+            if accepted >= MIN_REQUESTS and failed / accepted > allowed + SIGNIFICANCE * error:
                 return (
-                    f"{told}: {failed:g} of {taken:g} requests were refused or failed; "
+                    f"{label}: {failed:g} of {accepted:g} requests were refused or failed; "
                     f"{100 * allowed:.1f} % may, {100 * release.refused:g} % more than elsewhere"
                 )
         return ""
 
-    def count_requests(self, views: Iterable[tuple[str, HeadStatus]]) -> tuple[float, float]:
-        """Sum what was taken and failed since the wave began, or since a process that began later did."""
-        taken = failed = 0.0
-        for name, one in views:
-            process, was_taken, was_failed = self.baseline.get(name, (0, 0.0, 0.0))
-            same = process == one.process and was_taken <= one.accepted_requests
-            taken += one.accepted_requests - (was_taken if same else 0.0)
-            failed += one.failed_requests - (was_failed if same else 0.0)
-        return taken, failed
+    def count_requests(self, heads: Iterable[tuple[str, HeadStatus]]) -> RequestCounts:
+        """Sum the requests of heads since the wave began, or since a later process of a head began."""
+        accepted = failed = 0.0
+        for name, head in heads:
+            baseline = self.baseline.get(name, Baseline(0, 0.0, 0.0))
+            is_same = baseline.process == head.process and baseline.accepted <= head.accepted_requests
+            accepted += head.accepted_requests - (baseline.accepted if is_same else 0.0)
+            failed += head.failed_requests - (baseline.failed if is_same else 0.0)
+        return RequestCounts(accepted, failed)
--- a/tests/maintenance_head.py
+++ b/tests/maintenance_head.py
@@ -6,10 +6,11 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from hophinge.maintenance.drains import DRAINED, HeadDrains, Announce, Eject, Restore
+from hophinge.maintenance.head_drains import Announce, Eject, HeadDrains, Restore
+from hophinge.maintenance.messages import BackendListing, HeadReport, PermitUpdate
 from hophinge.maintenance.permit_holder import PermitHolder
 from hophinge.maintenance.snapshots import SnapshotSender
-from hophinge.maintenance.messages import BackendListing, HeadReport, PermitUpdate
+from hophinge.maintenance.statements import DRAINED
 
 if TYPE_CHECKING:
     from tests.maintenance_world import World
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -11,10 +11,10 @@
 from collections.abc import Sequence
 
 from hophinge.maintenance.issuer import PermitIssuer
-from hophinge.maintenance.snapshots import SnapshotSender
-from hophinge.maintenance.permits import PermitKind, Permit, PermitState
-from hophinge.maintenance.releases import ReleaseProgress
 from hophinge.maintenance.messages import PermitUpdate
+from hophinge.maintenance.permits import Permit, PermitKind, PermitState
+from hophinge.maintenance.releases import ReleaseProgress
+from hophinge.maintenance.snapshots import SnapshotSender
 from hophinge.routing.bounds import Maintenance, Outage, Release
 from hophinge.routing.records import Record
 from tests.maintenance_head import SimHead
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -4,33 +4,24 @@
 
 import pytest
 
-from hophinge.maintenance.drains import (
-    DRAINED,
-    SERVED,
-    DrainStatements,
-    HeadDrains,
-    Announce,
-    Statement,
-    Eject,
-    Restore,
-    Retract,
-    required_heads,
-)
-from hophinge.maintenance.permit_holder import GoOffline, PermitHolder, IssuerError
+from hophinge.maintenance.drain_verdicts import DrainStatements, required_heads
+from hophinge.maintenance.head_drains import Announce, Eject, HeadDrains, Restore, Retract
+from hophinge.maintenance.messages import BackendListing, PermitUpdate
+from hophinge.maintenance.observations import backend_floors, required_count
+from hophinge.maintenance.permit_holder import GoOffline, IssuerError, PermitHolder
 from hophinge.maintenance.permits import (
     BEGIN_US,
     LEASE_US,
-    PermitRequest,
+    Availability,
     CapacityFloor,
-    PermitKind,
     Permit,
     PermitError,
-    PermitTable,
-    Availability,
+    PermitKind,
+    PermitRequest,
     PermitState,
+    PermitTable,
 )
-from hophinge.maintenance.observations import backend_floors, required_count
-from hophinge.maintenance.messages import BackendListing, PermitUpdate
+from hophinge.maintenance.statements import DRAINED, SERVED, Statement
 from hophinge.routing.bounds import Most
 from hophinge.routing.records import Pool, Route, Scope, Tenant
 
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -11,10 +11,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from hophinge.maintenance import drains, permits
-from hophinge.maintenance import issuer
+from hophinge.maintenance import drain_verdicts, issuer, permits, statements
 from hophinge.maintenance.permit_holder import GoOffline, PermitHolder
-from hophinge.maintenance.permits import CapacityFloor, PermitKind, Permit, PermitTable, Availability, PermitState
+from hophinge.maintenance.permits import Availability, CapacityFloor, Permit, PermitKind, PermitState, PermitTable
 from hophinge.routing.bounds import Maintenance, Most
 from tests.maintenance_faults import FAULTS, heal, history
 from tests.maintenance_world import S, World
@@ -131,9 +130,11 @@
     return "" if self.for_target(kind, name) is not None else permits_lacks(self, kind, name, zone, sight, most, floors)
 
 
-def any_head_will_do(self: drains.DrainStatements, permit: str, wanted: Iterable[str]) -> drains.DrainVerdict:
-    said = self.heads_by_claim.get((permit, drains.DRAINED), set())
-    return drains.DrainVerdict(() if said else tuple(wanted))
+def any_head_will_do(
+    self: drain_verdicts.DrainStatements, permit: str, wanted: Iterable[str]
+) -> drain_verdicts.DrainVerdict:
+    said = self.heads_by_claim.get((permit, statements.DRAINED), set())
+    return drain_verdicts.DrainVerdict(() if said else tuple(wanted))
 
 
 def goes_without_its_begin(self: Any, now_us: int, word: Any) -> list[Any]:
@@ -148,7 +149,7 @@
     "silence is taken for yes": (issuer, "required_heads", silence_is_yes),
     "a promise is forgotten at a start": (permits.PermitTable, "__init__", forgets_at_start),
     "a begin looks at no losses": (permits.PermitTable, "rejection_reason", begins_whatever_was_lost),
-    "one head's word is all heads'": (drains.DrainStatements, "verdict", any_head_will_do),
+    "one head's word is all heads'": (drain_verdicts.DrainStatements, "verdict", any_head_will_do),
     "a head goes without its begin": (PermitHolder, "apply_update", goes_without_its_begin),
 }
 
--- a/tests/test_maintenance_parts.py
+++ b/tests/test_maintenance_parts.py
@@ -10,18 +10,18 @@
 import pytest
 
 from hophinge.cluster.interface import Entry, EntryVersion, Member, MemberState, Role, Topic
-from hophinge.control.maintenance_wire import encode_statements, encode_update, decode_update
 from hophinge.control.maintenance_store import MaintenanceStore
+from hophinge.control.maintenance_wire import decode_update, encode_statements, encode_update
+from hophinge.control.messages import DiscoveryRequest
 from hophinge.control.store import ControlStore, StoreError
 from hophinge.control.transaction import FencedError
-from hophinge.control.messages import DiscoveryRequest
 from hophinge.control.wire import decode_request, decode_response, encode_request
 from hophinge.core.errors import HophingeError
-from hophinge.maintenance.drains import DRAINED, Statement, statements_by_owner, encode_statement
+from hophinge.maintenance.messages import PermitUpdate
 from hophinge.maintenance.permit_holder import PermitHolder
-from hophinge.maintenance.permits import PermitKind, Permit, PermitState
+from hophinge.maintenance.permits import Permit, PermitKind, PermitState
 from hophinge.maintenance.releases import ReleaseProgress, ReleaseStage
-from hophinge.maintenance.messages import PermitUpdate
+from hophinge.maintenance.statements import DRAINED, Statement, encode_statement, statements_by_owner
 from hophinge.routing import records
 from hophinge.routing.bounds import Maintenance, Most, Outage, Release
 from hophinge.routing.record_reader import read
--- a/tests/test_maintenance_releases.py
+++ b/tests/test_maintenance_releases.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from hophinge.maintenance.permits import PermitKind, Permit, PermitState
+from hophinge.maintenance.permits import Permit, PermitKind, PermitState
 from hophinge.maintenance.releases import ReleaseStage
 from hophinge.routing.bounds import Maintenance, Most, Outage, Release
 from tests.maintenance_world import S, World
--- a/tests/test_maintenance_retirement.py
+++ b/tests/test_maintenance_retirement.py
@@ -10,11 +10,11 @@
 from hophinge.control.wire import decode_response
 from hophinge.core.interface import ListKind, NodeEntry, NodeList, Phase
 from hophinge.maintenance.issuer import PermitIssuer
-from hophinge.maintenance.drains import DRAINED, Statement
-from hophinge.maintenance.retirement import retirement_errors, without_retired
+from hophinge.maintenance.messages import BackendListing, HeadReport, PermitUpdate
 from hophinge.maintenance.permits import PermitKind, PermitState
+from hophinge.maintenance.retirement import retirement_errors, without_retired
+from hophinge.maintenance.statements import DRAINED, Statement
 from hophinge.maintenance.status import maintenance_status
-from hophinge.maintenance.messages import BackendListing, HeadReport, PermitUpdate
 from hophinge.routing.bounds import Maintenance, Most, Outage
 from hophinge.routing.record_reader import read
 from hophinge.routing.records import Record
--- a/tests/test_maintenance_snapshots.py
+++ b/tests/test_maintenance_snapshots.py
@@ -13,9 +13,9 @@
 
 from hophinge.maintenance import snapshots
 from hophinge.maintenance.issuer import PermitIssuer
-from hophinge.maintenance.drains import DRAINED, Statement
-from hophinge.maintenance.snapshots import FULL_LISTS_INTERVAL_US, SnapshotReceiver, SnapshotSender
 from hophinge.maintenance.messages import BackendListing, HeadReport
+from hophinge.maintenance.snapshots import FULL_LISTS_INTERVAL_US, SnapshotReceiver, SnapshotSender
+from hophinge.maintenance.statements import DRAINED, Statement
 from hophinge.routing.bounds import Maintenance, Most, Outage
 from tests.maintenance_world import MemoryStore, World
 
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -36,7 +36,7 @@
 from hophinge.fleet.settings import parse_settings
 from hophinge.head import accounts, config, handover, operator
 from hophinge.head.environment import CONFIG_FILE
-from hophinge.maintenance import drains, messages, permits, releases
+from hophinge.maintenance import messages, permits, releases, statements
 from hophinge.net import discovery
 from hophinge.objects import records as object_records
 from hophinge.objects import tenants
@@ -109,7 +109,7 @@
     "ledger: account": (tenancy_records.Account, json_bytes),
     "ledger: bucket": (tenancy_records.Bucket, json_bytes),
     "ledger: key": (tenancy_records.Key, json_bytes),
-    "board: drain statement": (drains.Statement, msgpack_bytes),
+    "board: drain statement": (statements.Statement, msgpack_bytes),
     "board: scorer's table": (encoding.Table, msgpack_bytes),
     "object: manifest": (object_records.Manifest, msgpack_bytes),
     "object: part": (object_records.Part, msgpack_bytes),
--- a/tests/test_popularity_drains.py
+++ b/tests/test_popularity_drains.py
@@ -9,7 +9,7 @@
 
 from hophinge.cluster.interface import Topic
 from hophinge.head.popularity import HeadPopularity, drained
-from hophinge.maintenance.drains import DRAINED, Statement, encode_statement
+from hophinge.maintenance.statements import DRAINED, Statement, encode_statement
 from hophinge.objects.pieces import Budget
 from hophinge.objects.records import shard_of
 from hophinge.objects.tenants import Volume
