--- a/benchmarks/popularity_latency.py
+++ b/benchmarks/popularity_latency.py
@@ -50,7 +50,7 @@
     """Fetch objects again and again; their pieces are dropped, so that there is always something to fetch."""
     popular = built.popular["a"]
     while True:
-        popular.cache.forget_tenant("alba")
+        popular.cache.remove_tenant("alba")
         popular.tried.clear()
         await popular.fetch()
         await asyncio.sleep(0.05)
@@ -81,7 +81,7 @@
             popular.tick()
             while popular.site.step(100):
                 pass
-            popular.store.core.cache = None  # others' reads go to bricks whether or not a piece is kept
+            popular.store.chunk_store.cache = None  # others' reads go to bricks whether or not a piece is kept
             for backend in built.world.backends:
                 backend.behave = work
             await load(built, paths, 2.0, 1)
@@ -89,7 +89,7 @@
             ratios, fetched, lost = [], 0, {True: 0, False: 0}
             for pair in range(PAIRS):
                 for on in (True, False) if pair % 2 else (False, True):
-                    before = popular.fetcher.bytes
+                    before = popular.fetcher.fetched_bytes
                     task = asyncio.create_task(fetching(built)) if on else None
                     LOST.clear()
                     found[on].append(await load(built, paths, SECONDS, 100 + pair))
@@ -97,7 +97,7 @@
                     if task is not None:
                         task.cancel()
                         await asyncio.gather(task, return_exceptions=True)
-                        fetched += popular.fetcher.bytes - before
+                        fetched += popular.fetcher.fetched_bytes - before
                 ratios.append(quantile(found[True][-1], 0.99) / quantile(found[False][-1], 0.99))
     rows = []
     for on, runs in sorted(found.items()):
--- a/benchmarks/popularity_model.py
+++ b/benchmarks/popularity_model.py
@@ -29,9 +29,10 @@
 from hophinge.head.popularity import HeadPopularity  # noqa: E402
 from hophinge.head.sections import PopularityConfig  # noqa: E402
 from hophinge.objects.config import ObjectConfig  # noqa: E402
-from hophinge.objects.pieces import Budget, Core, CoreFailedError, RefusedError  # noqa: E402
-from hophinge.objects.store import Store  # noqa: E402
-from hophinge.objects.tenants import Volume  # noqa: E402
+from hophinge.objects.chunk_store import ChunkStore  # noqa: E402
+from hophinge.objects.core_client import TimeBudget, CoreFailedError, RejectedError  # noqa: E402
+from hophinge.objects.object_store import ObjectStore  # noqa: E402
+from hophinge.objects.account_access import Volume  # noqa: E402
 
 Value = TypeVar("Value")
 T0_S = 1e6
@@ -142,8 +143,9 @@
                 tuple(api.NodeEntry(f"b{shard}", 0, shard, api.Phase.ON, 0.0, 0) for shard in range(backends)),
             )
         )
-        self.store = Store(
-            Core(self.exchange, ObjectConfig("", folder, "record-read", "transfer-write", piece_bytes=1000)), loop.time
+        self.store = ObjectStore(
+            ChunkStore(self.exchange, ObjectConfig("", folder, "record-read", "transfer-write", piece_bytes=1000)),
+            loop.time,
         )
         (folder / "key").write_bytes(b"the installation's secret")
         self.popular = HeadPopularity(
@@ -165,16 +167,16 @@
                 yield b"x" * 1000
 
         for name in names:
-            await self.store.put(self.volume, name, "", chunks(), "", Budget(0, None))
+            await self.store.put(self.volume, name, "", chunks(), "", TimeBudget(0, None))
 
     async def read(self, name: str) -> float | None:
         """Read an object whole, as a client does; tells milliseconds, nothing where it was not served."""
         since = self.loop.time()
         try:
-            manifest = await self.store.head(self.volume, name, Budget(0, None))
-            async for _ in self.store.read(self.volume, manifest, 0, manifest.size - 1, Budget(0, None)):
+            manifest = await self.store.head(self.volume, name, TimeBudget(0, None))
+            async for _ in self.store.read(self.volume, manifest, 0, manifest.size - 1, TimeBudget(0, None)):
                 pass
-        except (RefusedError, CoreFailedError) as error:
+        except (RejectedError, CoreFailedError) as error:
             self.lost[type(error).__name__] += 1
             return None
         return (self.loop.time() - since) * 1000
@@ -203,7 +205,7 @@
     async def fetching(self) -> None:
         """Fetch objects again and again; their pieces are dropped, so that there is always something to fetch."""
         while True:
-            self.popular.cache.forget_tenant("alba")
+            self.popular.cache.remove_tenant("alba")
             self.popular.tried.clear()
             await self.popular.fetch()
             await asyncio.sleep(0.05)
--- a/benchmarks/popularity_others.py
+++ b/benchmarks/popularity_others.py
@@ -60,11 +60,11 @@
         popular.tick()
         while popular.site.step(100):
             pass
-        popular.store.core.cache = None  # others' reads go to bricks whether or not a piece is kept
+        popular.store.chunk_store.cache = None  # others' reads go to bricks whether or not a piece is kept
         beside = [asyncio.create_task(model.others(others))]
         await model.load(names, RATE, 2.0)
         model.lost.clear()
-        before = popular.fetcher.bytes
+        before = popular.fetcher.fetched_bytes
         if fetches:
             beside.append(asyncio.create_task(model.fetching()))
         since = time.process_time()
@@ -74,7 +74,10 @@
             task.cancel()
         await asyncio.gather(*beside, return_exceptions=True)
         return Found(
-            took, model.lost.total(), (popular.fetcher.bytes - before) / SECONDS, 1e6 * spent / max(1, len(took))
+            took,
+            model.lost.total(),
+            (popular.fetcher.fetched_bytes - before) / SECONDS,
+            1e6 * spent / max(1, len(took)),
         )
 
     return virtual(main, seed)
--- a/benchmarks/popularity_replay.py
+++ b/benchmarks/popularity_replay.py
@@ -11,8 +11,8 @@
 sys.path.insert(0, str(ROOT))
 sys.path.insert(0, str(ROOT / "benchmarks"))
 
-from hophinge.objects.cache import PieceCache  # noqa: E402
-from hophinge.objects.records import Manifest, Piece, Run  # noqa: E402
+from hophinge.objects.chunk_cache import ChunkCache  # noqa: E402
+from hophinge.objects.stored_records import Manifest, ChunkRef, ChunkRun  # noqa: E402
 from hophinge.popularity.keys import Keys, Locator  # noqa: E402
 from hophinge.popularity.planner import Facts, Planner, Source  # noqa: E402
 from hophinge.popularity.rumour import ITEMS_EACH, MAX_PAGES, Item, pages  # noqa: E402
@@ -42,7 +42,9 @@
         self.locators = [
             Locator(VOLUME.format(int(trace.publisher[at])), VOLUME.format(at), at % 8) for at in range(objects)
         ]
-        self.runs = [Run(at.to_bytes(8, "big"), [Piece(at % 8, int(size), 0)]) for at, size in enumerate(trace.sizes)]
+        self.runs = [
+            ChunkRun(at.to_bytes(8, "big"), [ChunkRef(at % 8, int(size), 0)]) for at, size in enumerate(trace.sizes)
+        ]
         self.bodies = [bytes(int(size)) for size in trace.sizes]
         keys = Keys(b"x" * 16)
         self.most, self.met = most, np.zeros(objects, bool)
@@ -58,8 +60,8 @@
     def restart(self) -> None:
         """Begin as a head does that was killed: with no cache and no counts."""
         self.site = Site(Keys(b"x" * 16), 4_000_000, 1.0, "me", "here", SPAN_US, SPAN_US * SPANS_A_DAY)
-        self.cache = PieceCache(self.most, 1.0, wanted=lambda one: self.worth(int(one[1], 16)))
-        self.cache.tell = self.told
+        self.cache = ChunkCache(self.most, 1.0, demand_of=lambda one: self.worth(int(one[1], 16)))
+        self.cache.on_prefetch_outcome = self.told
 
     def told(self, one: tuple[str, str], useful: bool) -> None:
         """Count what a fetch was worth."""
@@ -94,7 +96,7 @@
     def ask(self, at: int, now: int, counted: bool) -> bool:
         """Serve one request from the cache or a brick."""
         locator = self.locators[at]
-        self.cache.version((locator.volume, locator.manifest), [self.runs[at].token])
+        self.cache.set_runs((locator.volume, locator.manifest), [self.runs[at].token])
         hit = self.cache.get(locator.volume, self.runs[at], 0) is not None
         if not hit:
             self.cache.put(locator.volume, self.runs[at], 0, self.bodies[at])
@@ -146,15 +148,17 @@
                 key = self.site.note(self.locators[at], self.locators[at].volume, int(self.trace.sizes[at]))
                 self.site.elsewhere[key] = float(self.values[at])
         wanted = [
-            one for one in self.site.candidates(lambda size: 1.0) if not self.cache.holds(self.site.object(one.key))
+            one
+            for one in self.site.candidates(lambda size: 1.0)
+            if not self.cache.has_chunks(self.site.object(one.key))
         ]
         for one in self.planner.plan(now, [], facts, wanted, 512):
             at = self.number[one.key]
             place = self.locators[at].volume, self.locators[at].manifest
-            self.cache.seen(*place, Manifest("e", 1, 0, "", "", [self.runs[at]]))
+            self.cache.observe_manifest(*place, Manifest("e", 1, 0, "", "", [self.runs[at]]))
             size = len(self.bodies[at])
             if (
-                not self.cache.would_keep(place, size + 200)
+                not self.cache.would_store(place, size + 200)
                 or self.planner.may(now, one.tenant, one.shard, size, 1.0, facts) is not None
             ):
                 continue
--- a/hophinge/cli/tenants.py
+++ b/hophinge/cli/tenants.py
@@ -147,7 +147,7 @@
 @tenant.command()
 def export(store: Annotated[Path, typer.Argument(help="a head's tenants.db")]) -> None:
     """Write accounts as the old tenants.json had them."""
-    from hophinge.objects.tenants import export as write
+    from hophinge.objects.account_access import export_accounts as write
     from hophinge.state.ledger import Ledger, LedgerError
 
     if not store.exists():
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -15,9 +15,9 @@
 from hophinge.core.counters import Counters
 from hophinge.head.metering import Metering
 from hophinge.objects.front import ObjectFront
-from hophinge.objects.pieces import Budget
-from hophinge.objects.store import ObjectError, Store
-from hophinge.objects.tenants import Guest, Volume, take_over
+from hophinge.objects.core_client import TimeBudget
+from hophinge.objects.object_store import ObjectError, ObjectStore
+from hophinge.objects.account_access import AuthenticatedRequest, Volume, import_accounts
 from hophinge.state.ledger import LedgerError
 from hophinge.state.rows import AuditEntry, LedgerChange
 from hophinge.tenancy import usage as used
@@ -62,7 +62,7 @@
         self.started = False
         super().__init__(path, copy, counters, log, self._became)
         self.front: ObjectFront | None = None
-        self.store: Store | None = None
+        self.store: ObjectStore | None = None
         self.tenant_ended: Callable[[str], None] = lambda tenant: None  # told of one that is served no more
         self.connections = ConcurrencyQuota()
         self.requests = ConcurrencyQuota()
@@ -72,7 +72,7 @@
         self.started = True
 
     def _take_over(self, old: Path) -> None:
-        rows = take_over(old, self.now_ms())
+        rows = import_accounts(old, self.now_ms())
         entry = AuditEntry(self.now_ms(), "hophinge", "service", "take_over", str(old), {"rows": len(rows)})
 
         def decide() -> LedgerChange:
@@ -85,12 +85,12 @@
         """Answer what waits of a tenant that is served no more; its keys are valid no more already."""
         if self.started and state is not TenantState.ACTIVE:
             if self.front is not None:
-                self.front.end_tenant(tenant)
+                self.front.evict_tenant(tenant)
             self.tenant_ended(tenant)
 
     # --- the object front
 
-    def admit(self, token: str, bucket: str, request: object, connection: object) -> Guest:
+    def admit(self, token: str, bucket: str, request: object, connection: object) -> AuthenticatedRequest:
         """Tell whose key this is and its bucket's volume; raises ObjectError, also where a bound is reached."""
         self.ledger.refresh()
         peer, now_us = _peer(connection), steady_us()
@@ -116,7 +116,7 @@
             raise ObjectError(
                 503, "SlowDown", "The account has as many connections or requests as it may.", RETRY_INTERVAL_S
             )
-        return Guest(key.tenant, bucket, Volume(held.id, held.plan))
+        return AuthenticatedRequest(key.tenant, bucket, Volume(held.id, held.plan))
 
     def dropped(self, holder: object) -> None:
         """Note the end of a connection or request."""
@@ -125,7 +125,7 @@
         if self.forms is not None:
             self.forms.dropped(holder)
 
-    async def opens(self, guest: Guest, name: str) -> None:
+    async def reserve_upload(self, guest: AuthenticatedRequest, name: str) -> None:
         """Ask for room for one more upload; those that other heads ended are found out before it is refused."""
         held = self.accounts.tenants.get(guest.tenant)
         if held is None or not held.quotas.uploads:
@@ -139,24 +139,24 @@
         assert self.store is not None
         for upload, body in self.ledger.list_uploads(tenant, MAX_SWEPT):
             one = msgspec.json.decode(body, type=Upload)
-            if await self.store.ended(Volume(one.volume, one.plan), one.name, upload, self._budget()):
+            if await self.store.is_closed(Volume(one.volume, one.plan), one.name, upload, self._budget()):
                 self.ledger.remove_upload(upload)
 
-    def opened(self, guest: Guest, name: str, upload: str) -> None:
+    def record_upload(self, guest: AuthenticatedRequest, name: str, upload: str) -> None:
         """Note an open upload."""
         one = Upload(guest.bucket, guest.volume.id, guest.volume.plan, name)
         self.ledger.add_upload(upload, guest.tenant, msgspec.json.encode(one))
 
-    def closed(self, upload: str) -> None:
+    def forget_upload(self, upload: str) -> None:
         """Note that an upload was completed or aborted."""
         try:
             self.ledger.remove_upload(upload)
         except LedgerError:  # busy or full: what its client asked for is done all the same
             self.log(f"the end of upload {upload} is noted later")  # a sweep finds it
 
-    def _budget(self) -> Budget:
+    def _budget(self) -> TimeBudget:
         assert self.store is not None
-        return Budget(self.store.core.exchange.now_us(), None)
+        return TimeBudget(self.store.chunk_store.exchange.now_us(), None)
 
     async def abort(self, tenant: str) -> None:
         """Abort what uploads of a tenant are open here; one at a time, each noted before the next."""
--- a/hophinge/head/compose.py
+++ b/hophinge/head/compose.py
@@ -53,11 +53,11 @@
             )
         if operator.objects is not None and self.accounts is not None:
             from hophinge.objects.front import ObjectFront
-            from hophinge.objects.pieces import Core
-            from hophinge.objects.store import Store
+            from hophinge.objects.chunk_store import ChunkStore
+            from hophinge.objects.object_store import ObjectStore
 
-            store = Store(Core(exchange, operator.objects))
-            store.core.used = self.accounts.units
+            store = ObjectStore(ChunkStore(exchange, operator.objects))
+            store.chunk_store.on_served = self.accounts.units
             self.objects = ObjectFront(store, self.accounts, operator.objects, counters, log)
             self.accounts.front = self.objects
             self.accounts.store = store
@@ -83,7 +83,7 @@
         if self.streamed is not None:
             front.rate_limit = self.streamed.pace
             if self.objects is not None:
-                self.objects.pace = self.streamed.pace
+                self.objects.rate_limit = self.streamed.pace
         if control is not None:
             control.reports |= self.tells()
 
--- a/hophinge/head/ending.py
+++ b/hophinge/head/ending.py
@@ -95,7 +95,7 @@
         return (
             exchange.unanswered > 0
             or coming(acceptors)
-            or (objects is not None and objects.active > 0)
+            or (objects is not None and objects.active_requests > 0)
             or (bool(front.busy) and left_us > -UNREAD_S * 1e6)
             or (bool(front.server.connections) and left_us > -AFTER_S * 1e6)
         )
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -8,7 +8,7 @@
 from hophinge.admin.front import steady_us, wall_ms
 from hophinge.core.counters import Counters
 from hophinge.net.listener import INBOUND
-from hophinge.objects.tenants import Guest
+from hophinge.objects.account_access import AuthenticatedRequest
 from hophinge.state.ledger import Ledger, LedgerError
 from hophinge.tenancy import usage as used
 from hophinge.tenancy.accounts import Accounts
@@ -69,11 +69,11 @@
             for (tenant, field), amount in self.exported.counts.items()
         }
 
-    def moved(self, guest: Guest, way: int, size: int) -> None:
+    def moved(self, guest: AuthenticatedRequest, way: int, size: int) -> None:
         """Count bytes."""
         self.count(guest.tenant, guest.volume.id, used.BYTES_IN if way == INBOUND else used.BYTES_OUT, size)
 
-    def ended(self, guest: Guest, status: int) -> None:
+    def ended(self, guest: AuthenticatedRequest, status: int) -> None:
         """Count a request's end."""
         end = used.REJECTED if status in (429, 503) else OUTCOME.get(status // 100, used.FAILED)
         self.count(guest.tenant, guest.volume.id, end, 1)
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -11,11 +11,11 @@
 from hophinge.core.errors import HophingeError, one_line
 from hophinge.head.sections import PopularityConfig
 from hophinge.maintenance.statements import statements_by_owner
-from hophinge.objects.prefetch import Fetcher
-from hophinge.objects.cache import Object, PieceCache
-from hophinge.objects.records import Manifest, manifest_id, shard_of
-from hophinge.objects.store import Store
-from hophinge.objects.tenants import Volume
+from hophinge.objects.prefetch import Prefetcher
+from hophinge.objects.chunk_cache import ObjectKey, ChunkCache
+from hophinge.objects.stored_records import Manifest, manifest_id, shard_of
+from hophinge.objects.object_store import ObjectStore
+from hophinge.objects.account_access import Volume
 from hophinge.popularity.keys import Keys, Locator
 from hophinge.popularity.planner import Facts, Planner, Source
 from hophinge.popularity.site import DAY_US, SPAN_US, Site
@@ -65,7 +65,7 @@
     def __init__(
         self,
         config: PopularityConfig,
-        store: Store,
+        store: ObjectStore,
         owner_of: Callable[[str], tuple[str, str] | None],
         log: Callable[[str], None],
         sight: MembershipView | None = None,
@@ -81,26 +81,26 @@
         self.faults = self.untold = 0  # of this part, and pages that the board had no room for
         self.sight = sight
         self.board = board
-        self.exchange = store.core.exchange
+        self.exchange = store.chunk_store.exchange
         me = sight.own_name if sight is not None else ""
         zone = next((one.zone for one in sight.members() if one.name == me), "") if sight is not None else ""
         self.site = Site(
             Keys(read_secret(config.secret_file)), config.count_bytes, config.tenant_part, me, zone, span_us, day_us
         )
-        self.cache = PieceCache(
+        self.cache = ChunkCache(
             config.cache_bytes,
             config.tenant_part,
             lambda volume: (owner_of(volume) or ("",))[0],
             lambda one: self.site.wanted_object(one),
         )
-        self.cache.tell = self._asked_for
+        self.cache.on_prefetch_outcome = self._asked_for
         now_us = self.exchange.now_us()
         self.planner = Planner(me, zone, config.fetch_bytes_s, config.tenant_part, now_us)
-        self.fetcher = Fetcher(store.core, self.cache, self.planner, self.facts)
+        self.fetcher = Prefetcher(store.chunk_store, self.cache, self.planner, self.facts)
         store.watcher = self
-        store.core.cache = self.cache
+        store.chunk_store.cache = self.cache
         self.closes_us = now_us + span_us
-        self.words: dict[Object, str] = {}  # of what was fetched on a peer's word: whose
+        self.words: dict[ObjectKey, str] = {}  # of what was fetched on a peer's word: whose
         self.taken: dict[tuple[str, str], EntryVersion] = {}  # versions of pages that were looked at
         self.told = 0  # pages that are on the board
         self.tried: dict[bytes, int] = {}  # in which span a fetch was tried
@@ -110,18 +110,18 @@
     # --- what the store tells
 
     def _locator(self, volume: Volume, name: str) -> Locator:
-        return Locator(volume.id, manifest_id(name), shard_of(volume.id, name, self.store.core.shards))
+        return Locator(volume.id, manifest_id(name), shard_of(volume.id, name, self.store.chunk_store.shards))
 
-    def version(self, volume: Volume, name: str, manifest: Manifest) -> None:
+    def manifest_changed(self, volume: Volume, name: str, manifest: Manifest) -> None:
         """Take an object's manifest as it is now; one without an ETag is that of a deleted object."""
         locator = self._locator(volume, name)
-        self.cache.seen(volume.id, locator.manifest, manifest)
+        self.cache.observe_manifest(volume.id, locator.manifest, manifest)
         if manifest.etag:
             self.site.note(locator, (self.owner_of(volume.id) or ("",))[0], manifest.size)
         else:
             self.site.gone(locator)
 
-    def read(self, volume: Volume, manifest: Manifest, first: int, last: int) -> None:
+    def read_started(self, volume: Volume, manifest: Manifest, first: int, last: int) -> None:
         """Count a read that begins."""
         one = self.cache.object_of(volume.id, manifest.runs[0]) if manifest.runs else None
         key = self.site.by_object.get(one) if one is not None else None
@@ -132,7 +132,7 @@
         """Tell predicted requests a second for what a brick is asked for; 0.0 where nothing is known."""
         return self.site.wanted(key)
 
-    def _asked_for(self, one: Object, useful: bool) -> None:
+    def _asked_for(self, one: ObjectKey, useful: bool) -> None:
         owner = self.words.pop(one, "")
         if owner:
             self.site.trust(owner, useful)
@@ -142,7 +142,7 @@
     def facts(self) -> Facts:
         """Tell what this head sees now; a brick has to spare what a full body takes, less what is out there."""
         now_us, exchange = self.exchange.now_us(), self.exchange
-        refused = exchange.counters.counts["requests_refused"] - self.fetcher.refused
+        refused = exchange.counters.counts["requests_refused"] - self.fetcher.rejected_reads
         overloaded, self.refusals = refused > self.refusals, refused
         sources, draining = dict[int, list[Source]](), drained(self.board)
         aim = exchange.scheduler.target_us
@@ -154,7 +154,7 @@
             sources.setdefault(book.entry.shard, []).append(
                 Source(name, book.entry.shard, book.entry.phase is api.Phase.ON, warm, spare, name in draining)
             )
-        return Facts(max(0, exchange.unanswered - self.fetcher.out), overloaded, sources)
+        return Facts(max(0, exchange.unanswered - self.fetcher.reads_in_flight), overloaded, sources)
 
     # --- the loop
 
@@ -224,9 +224,9 @@
         self.unfinished &= self.site.known.keys()
         fresh = (
             one
-            for one in self.site.candidates(self.store.core.units)
+            for one in self.site.candidates(self.store.chunk_store.units)
             if one.key not in self.tried
-            and (one.key in self.unfinished or not self.cache.holds(self.site.object(one.key)))
+            and (one.key in self.unfinished or not self.cache.has_chunks(self.site.object(one.key)))
         )
         until_us = self.exchange.now_us() + FETCH_US
         for one in self.planner.plan(self.exchange.now_us(), members, self.facts(), fresh):
@@ -262,20 +262,23 @@
             "followed": len(self.site.predictor.courses),
             "peers": len(self.site.hearsay.owners),
             "malformed": self.site.hearsay.malformed,
-            "kept_bytes": cache.size,
-            "kept_pieces": len(cache.held),
+            "kept_bytes": cache.used_bytes,
+            "kept_pieces": len(cache.chunks),
             "hits": cache.hits,
             "misses": cache.misses,
-            "fetched_objects": fetcher.objects,
-            "fetched_bytes": fetcher.bytes,
-            "fetches_refused": fetcher.refused,
+            "fetched_objects": fetcher.fetched_objects,
+            "fetched_bytes": fetcher.fetched_bytes,
+            "fetches_refused": fetcher.rejected_reads,
             "faults": self.faults,
             "untold": self.untold,
-            "useful": cache.useful,
-            "useless": cache.useless,
+            "useful": cache.used_prefetches,
+            "useless": cache.wasted_prefetches,
             "held_back": {why.value: count for why, count in self.planner.held_back.items()},
         }
 
     def tenant(self, tenant: str) -> dict[str, float]:
         """Tell a tenant its own figures."""
-        return {**self.site.tenant(self.exchange.now_us(), tenant), "kept_bytes": self.cache.sizes.get(tenant, 0)}
+        return {
+            **self.site.tenant(self.exchange.now_us(), tenant),
+            "kept_bytes": self.cache.tenant_bytes.get(tenant, 0),
+        }
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -291,7 +291,7 @@
             "requests_open": self.exchange.unanswered,
             "attempts_out": len(self.backends.tasks),
             "bricks_ready": ready,
-            "object_requests_open": self.objects.active if self.objects else 0,
+            "object_requests_open": self.objects.active_requests if self.objects else 0,
             **(self.streamed.gauges() if self.streamed is not None else {}),
             **(self.together.gauges() if self.together is not None else {}),
         }
--- a/hophinge/head/together.py
+++ b/hophinge/head/together.py
@@ -17,7 +17,7 @@
     from hophinge.head.cluster import Member
     from hophinge.head.popularity import HeadPopularity
     from hophinge.head.scoring import Scoring
-    from hophinge.objects.store import Store
+    from hophinge.objects.object_store import ObjectStore
 
 
 class Together:
@@ -29,7 +29,7 @@
         operator: OperatorConfig,
         exchange: Exchange,
         log: Callable[[str], None],
-        store: Store | None = None,
+        store: ObjectStore | None = None,
         accounts: HeadAccounts | None = None,
     ) -> None:
         """Take the member's socket; raises a HophingeError that names the setting. Needs a running loop."""
@@ -60,7 +60,7 @@
 
             def tenant_ended(tenant: str) -> None:
                 before(tenant)
-                popularity.cache.forget_tenant(tenant)
+                popularity.cache.remove_tenant(tenant)
 
             accounts.tenant_ended = tenant_ended
             if self.scoring is not None:
--- a/hophinge/objects/tenants.py
+++ b/hophinge/objects/account_access.py
@@ -21,7 +21,7 @@
     plan: str
 
 
-class Guest(msgspec.Struct, frozen=True):
+class AuthenticatedRequest(msgspec.Struct, frozen=True):
     """Whose request it is, and the bucket that it is for."""
 
     tenant: str
@@ -32,25 +32,25 @@
 class Admission(Protocol):
     """What the front asks of the accounts."""
 
-    def admit(self, token: str, bucket: str, request: object, connection: object) -> Guest:
+    def admit(self, token: str, bucket: str, request: object, connection: object) -> AuthenticatedRequest:
         """Tell whose key this is and its bucket's volume; raises ObjectError, also where a bound is reached."""
 
-    def dropped(self, holder: object) -> None:
+    def dropped(self, resource: object) -> None:
         """Note the end of a connection or request."""
 
-    def opens(self, guest: Guest, name: str) -> Awaitable[None]:
+    def reserve_upload(self, guest: AuthenticatedRequest, name: str) -> Awaitable[None]:
         """Ask for room for one more upload; raises ObjectError where there is none."""
 
-    def opened(self, guest: Guest, name: str, upload: str) -> None:
+    def record_upload(self, guest: AuthenticatedRequest, name: str, upload: str) -> None:
         """Note an open upload."""
 
-    def closed(self, upload: str) -> None:
+    def forget_upload(self, upload: str) -> None:
         """Note that an upload was completed or aborted."""
 
-    def moved(self, guest: Guest, way: int, size: int) -> None:
+    def moved(self, guest: AuthenticatedRequest, direction: int, size: int) -> None:
         """Count bytes."""
 
-    def ended(self, guest: Guest, status: int) -> None:
+    def ended(self, guest: AuthenticatedRequest, status: int) -> None:
         """Count a request's end."""
 
 
@@ -76,7 +76,7 @@
     tenants: dict[str, OldTenant] = {}
 
 
-def take_over(path: Path, now_ms: int) -> list[Row]:
+def import_accounts(path: Path, now_ms: int) -> list[Row]:
     """Read the old file as rows; raises OSError and msgspec's errors."""
     rows: list[Row] = []
     for name, old in msgspec.json.decode(path.read_bytes(), type=OldFile).tenants.items():
@@ -87,7 +87,7 @@
     return rows
 
 
-def export(rows: Iterable[Row]) -> bytes:
+def export_accounts(rows: Iterable[Row]) -> bytes:
     """Write accounts as the old file has them; what it has no place for is left out, as are keys that end."""
     accounts = Accounts()
     accounts.apply(rows)
--- /dev/null
+++ b/hophinge/objects/chunk_cache.py
@@ -0,0 +1,217 @@
+"""Pieces kept at a head, bounded by bytes: what bricks need not be asked for again.
+
+Only pieces are kept, never manifests. A piece is named by the run that wrote it and is never written again; which runs
+an object has is read from the bricks for each request. So what was overwritten or deleted is not served from here:
+nothing that is asked for names it any more. A head that starts has an empty cache.
+"""
+
+from __future__ import annotations
+
+import itertools
+from collections import OrderedDict
+from collections.abc import Callable, Iterable
+
+from msgspec import Struct
+
+from hophinge.objects.stored_records import Manifest, ChunkRun
+
+EVICTION_SAMPLE = 16  # of the pieces used longest ago, the one of least demand a byte goes
+PREFETCH_MARGIN = 4.0  # times a victim's demand a byte that what nobody asked for must promise: what is chosen for its
+#                         prediction is overrated, and what is given up for its own underrated
+CHUNK_OVERHEAD_BYTES = 200  # bytes that a kept piece takes beside its body
+MAX_OBJECTS = 50_000  # whose runs are known; beyond, those seen longest ago are forgotten with their pieces
+
+ChunkKey = tuple[str, bytes, int]  # volume, run, place in the run
+ObjectKey = tuple[str, str]  # volume, id of the manifest
+
+
+class CachedChunk(Struct):
+    """A kept piece."""
+
+    body: bytes
+    object_key: ObjectKey
+    tenant: str
+    is_unused_prefetch: bool  # fetched before it was asked for, and not asked for since
+
+
+class KnownObject(Struct):
+    """An object whose manifest was seen: its runs now, and which of its pieces are kept."""
+
+    tenant: str
+    runs: frozenset[bytes]
+    cached_chunks: set[ChunkKey]
+
+
+class ChunkCache:
+    """Pieces of one head, at most `most` bytes, of one tenant at most `tenant_part` of them."""
+
+    def __init__(
+        self,
+        max_bytes: int,
+        tenant_fraction: float = 1.0,
+        tenant_of: Callable[[str], str] = lambda volume: "",
+        demand_of: Callable[[ObjectKey], float] = lambda one: 0.0,
+    ) -> None:
+        self.max_bytes, self.max_tenant_bytes = max_bytes, int(max_bytes * tenant_fraction)
+        self.tenant_of, self.demand_of = tenant_of, demand_of
+        self.chunks: OrderedDict[ChunkKey, CachedChunk] = OrderedDict()
+        self.objects: OrderedDict[ObjectKey, KnownObject] = OrderedDict()
+        self.runs: dict[tuple[str, bytes], ObjectKey] = {}
+        self.used_bytes = 0
+        self.tenant_bytes: dict[str, int] = {}  # by tenant
+        self.hits = self.misses = self.hit_bytes = 0
+        self.used_prefetches = self.wasted_prefetches = (
+            0  # pieces fetched beforehand that were asked for, or went before that
+        )
+        self.on_prefetch_outcome: Callable[[ObjectKey, bool], None] = lambda one, useful: None  # of each of these
+
+    # --- versions
+
+    def observe_manifest(self, volume: str, name: str, manifest: Manifest) -> None:
+        """Take an object's manifest as the bricks told it just now; `name` is the manifest's id."""
+        self.set_runs((volume, name), [run.token for run in manifest.runs] if manifest.etag else [])
+
+    def set_runs(self, object_key: ObjectKey, tokens: Iterable[bytes]) -> None:
+        """Note an object's runs; pieces of others go, for nobody will name them again."""
+        runs = frozenset(tokens)
+        known = self.objects.get(object_key)
+        if known is not None and known.runs == runs:
+            self.objects.move_to_end(object_key)
+            return
+        if known is not None:
+            # A run that both versions name stays; a reader of an old manifest that is still at work asks the bricks.
+            for place in [place for place in known.cached_chunks if place[1] not in runs]:
+                self._remove(place)
+            for token in known.runs - runs:
+                self.runs.pop((object_key[0], token), None)
+        if not runs:
+            self.objects.pop(object_key, None)
+            return
+        kept = known.cached_chunks if known is not None else set()
+        self.objects[object_key] = KnownObject(self.tenant_of(object_key[0]), runs, kept)
+        self.objects.move_to_end(object_key)
+        for token in runs:
+            self.runs[object_key[0], token] = object_key
+        while len(self.objects) > MAX_OBJECTS:
+            self.set_runs(next(iter(self.objects)), ())
+
+    def has_chunks(self, object_key: ObjectKey) -> bool:
+        """Tell whether any piece of an object is kept."""
+        known = self.objects.get(object_key)
+        return known is not None and bool(known.cached_chunks)
+
+    def object_of(self, volume: str, run: ChunkRun) -> ObjectKey | None:
+        """Tell whose run it is, where its manifest was seen."""
+        return self.runs.get((volume, run.token))
+
+    # --- pieces
+
+    def get(self, volume: str, run: ChunkRun, index: int) -> bytes | None:
+        """Tell a piece that is kept."""
+        key = (volume, run.token, index)
+        chunk = self.chunks.get(key)
+        if chunk is None:
+            self.misses += 1
+            return None
+        self.hits += 1
+        self.hit_bytes += len(chunk.body)
+        self.chunks.move_to_end(key)
+        if chunk.is_unused_prefetch:
+            chunk.is_unused_prefetch = False
+            self.used_prefetches += 1
+            self.on_prefetch_outcome(chunk.object_key, True)
+        return chunk.body
+
+    def has(self, volume: str, run: ChunkRun, index: int) -> bool:
+        """Tell whether a piece is kept, without counting it as asked for."""
+        return (volume, run.token, index) in self.chunks
+
+    def put(self, volume: str, run: ChunkRun, index: int, body: bytes, is_prefetch: bool = False) -> bool:
+        """Keep a piece that was read, if it is worth more than what would go for it; tells whether it is kept."""
+        key, object_key = (volume, run.token, index), self.runs.get((volume, run.token))
+        if object_key is None or key in self.chunks:
+            return key in self.chunks  # of an unknown or old version: nobody will name it
+        known, size = self.objects[object_key], len(body) + CHUNK_OVERHEAD_BYTES
+        if size > self.max_tenant_bytes or size > self.max_bytes:
+            return False
+        demand_per_byte = self.demand_of(object_key) / size
+        while self.tenant_bytes.get(known.tenant, 0) + size > self.max_tenant_bytes:
+            if not self._evict(demand_per_byte, object_key, is_prefetch, known.tenant):
+                return False
+        while self.used_bytes + size > self.max_bytes:
+            if not self._evict(demand_per_byte, object_key, is_prefetch, None):
+                return False
+        self.chunks[key] = CachedChunk(body, object_key, known.tenant, is_prefetch)
+        known.cached_chunks.add(key)
+        self.used_bytes += size
+        self.tenant_bytes[known.tenant] = self.tenant_bytes.get(known.tenant, 0) + size
+        return True
+
+    def would_store(self, object_key: ObjectKey, size: int) -> bool:
+        """Tell whether a piece of an object, so many bytes, would be kept if it were fetched beforehand now."""
+        known = self.objects.get(object_key)
+        if known is None or size > min(self.max_bytes, self.max_tenant_bytes):
+            return False
+        demand_per_byte = self.demand_of(object_key) / size
+        if self.tenant_bytes.get(known.tenant, 0) + size > self.max_tenant_bytes:
+            return self._eviction_candidate(demand_per_byte, object_key, True, known.tenant) is not None
+        return (
+            self.used_bytes + size <= self.max_bytes
+            or self._eviction_candidate(demand_per_byte, object_key, True, None) is not None
+        )
+
+    def _evict(self, demand_per_byte: float, object_key: ObjectKey, is_prefetch: bool, tenant: str | None) -> bool:
+        victim = self._eviction_candidate(demand_per_byte, object_key, is_prefetch, tenant)
+        if victim is not None:
+            self._remove(victim)
+        return victim is not None
+
+    def _eviction_candidate(
+        self, demand_per_byte: float, object_key: ObjectKey, is_prefetch: bool, tenant: str | None
+    ) -> ChunkKey | None:
+        """Tell the piece of least demand a byte, of those used longest ago; none where the newcomer has less.
+
+        Where nothing is known of demand, both count 0 and the one used longest ago goes.
+        """
+        least_recently_used = itertools.islice(
+            (place for place, held in self.chunks.items() if tenant is None or held.tenant == tenant), EVICTION_SAMPLE
+        )
+        min_demand_per_byte, _, victim = min(
+            (
+                (
+                    self.demand_of(self.chunks[place].object_key)
+                    / (len(self.chunks[place].body) + CHUNK_OVERHEAD_BYTES),
+                    at,
+                    place,
+                )
+                for at, place in enumerate(least_recently_used)
+            ),
+            key=lambda row: row[:2],
+        )
+        # An object that pushes out its own pieces would never be whole.
+        if (
+            demand_per_byte < min_demand_per_byte
+            or (is_prefetch and demand_per_byte <= PREFETCH_MARGIN * min_demand_per_byte)
+            or self.chunks[victim].object_key == object_key
+        ):
+            return None
+        return victim
+
+    def _remove(self, key: ChunkKey) -> None:
+        chunk = self.chunks.pop(key)
+        size = len(chunk.body) + CHUNK_OVERHEAD_BYTES
+        self.used_bytes -= size
+        self.tenant_bytes[chunk.tenant] -= size
+        if not self.tenant_bytes[chunk.tenant]:
+            del self.tenant_bytes[chunk.tenant]
+        known = self.objects.get(chunk.object_key)
+        if known is not None:
+            known.cached_chunks.discard(key)
+        if chunk.is_unused_prefetch:
+            self.wasted_prefetches += 1
+            self.on_prefetch_outcome(chunk.object_key, False)
+
+    def remove_tenant(self, tenant: str) -> None:
+        """Drop all of a tenant that is served no more."""
+        for one in [one for one, known in self.objects.items() if known.tenant == tenant]:
+            self.set_runs(one, ())
--- a/hophinge/objects/front.py
+++ b/hophinge/objects/front.py
@@ -10,61 +10,66 @@
 from aiohttp import web
 
 from hophinge.core.counters import Counters
-from hophinge.objects.parameters import failure
+from hophinge.objects.http_fields import failure
 from hophinge.objects.config import ObjectConfig
-from hophinge.objects.pieces import CoreFailedError, RefusedError
-from hophinge.objects.requests import GUEST, ObjectRequests
-from hophinge.objects.store import ObjectError, Store
-from hophinge.objects.tenants import Admission
+from hophinge.objects.core_client import CoreFailedError, RejectedError
+from hophinge.objects.request_handlers import GUEST, ObjectRequestHandlers
+from hophinge.objects.object_store import ObjectError, ObjectStore
+from hophinge.objects.account_access import Admission
 
 BUSY_RETRY_S = 1  # advice when a head has as many object requests as it takes
 
 
-class ObjectFront(ObjectRequests):
+class ObjectFront(ObjectRequestHandlers):
     """One handler for every connection."""
 
     def __init__(
-        self, store: Store, accounts: Admission, config: ObjectConfig, counters: Counters, log: Callable[[str], None]
+        self,
+        store: ObjectStore,
+        accounts: Admission,
+        config: ObjectConfig,
+        counters: Counters,
+        log: Callable[[str], None],
     ) -> None:
         super().__init__(store, accounts, config, counters)
         self.log, self.on_connection_closed = log, accounts.dropped
-        self.active = 0
-        self.cut: set[asyncio.Task[Any]] = set()
+        self.active_requests = 0
+        self.evicted: set[asyncio.Task[Any]] = set()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request; whatever goes wrong, it gets one answer."""
         self.counters.add("object_requests")
         response: web.StreamResponse
-        if self.active >= self.config.requests:
+        if self.active_requests >= self.config.requests:
             self.counters.add("object_too_many")
             response = failure(ObjectError(503, "SlowDown", "Too many requests at once."), BUSY_RETRY_S)
         else:
-            self.active += 1
+            self.active_requests += 1
             task = asyncio.current_task()
             assert task is not None
             try:
                 response = await self._answered(request)
             except asyncio.CancelledError:
-                if task not in self.cut:
+                if task not in self.evicted:
                     raise
                 task.uncancel()
                 response = failure(ObjectError(403, "AccessDenied", "The account is not served any more."))
                 response.force_close()  # its body is read by nobody
             finally:
-                self.active -= 1
-                self.cut.discard(task)
+                self.active_requests -= 1
+                self.evicted.discard(task)
                 if GUEST in request:
-                    self._begins(request)
+                    self._record_answer_start(request)
                     self.accounts.dropped(task)
             if GUEST in request:
                 self.accounts.ended(request[GUEST], response.status)
         self.counters.add(f"object_answers_{response.status // 100}xx")
         return response
 
-    def end_tenant(self, tenant: str) -> None:
+    def evict_tenant(self, tenant: str) -> None:
         """Answer what waits of a tenant that is no longer served; answers that have begun go on to their end."""
-        for task in self.waiting.pop(tenant, set()):
-            self.cut.add(task)
+        for task in self.unanswered.pop(tenant, set()):
+            self.evicted.add(task)
             task.cancel()
 
     async def _answered(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -72,7 +77,7 @@
             return await self._route(request)
         except ObjectError as error:
             return failure(error, error.retry_s)
-        except RefusedError as refused:
+        except RejectedError as refused:
             # The module gave a request up: told at once, with when to come back.
             text = "The core refused the request; it is safe to repeat."
             return failure(ObjectError(503, "SlowDown", text), max(refused.retry_after_us, 1) / 1e6)
--- a/hophinge/objects/parameters.py
+++ b/hophinge/objects/http_fields.py
@@ -8,8 +8,8 @@
 
 from aiohttp import web
 
-from hophinge.objects import xml
-from hophinge.objects.store import ObjectError
+from hophinge.objects import xml_documents
+from hophinge.objects.object_store import ObjectError
 
 UPLOAD = re.compile(r"[0-9a-f]{32}", re.ASCII)
 
@@ -54,14 +54,14 @@
     return header is not None and (header.strip() == "*" or etag in (one.strip() for one in header.split(",")))
 
 
-def document(name: str, nodes: list[xml.Node]) -> web.Response:
+def document(name: str, nodes: list[xml_documents.Node]) -> web.Response:
     """Make an answer of one document."""
-    return web.Response(body=xml.document(name, nodes), content_type="application/xml")
+    return web.Response(body=xml_documents.render(name, nodes), content_type="application/xml")
 
 
 def failure(error: ObjectError, retry_s: float = 0) -> web.Response:
     """Make the answer that tells an error."""
-    body = xml.document("Error", [("Code", error.code), ("Message", error.text)], namespace="")
+    body = xml_documents.render("Error", [("Code", error.code), ("Message", error.text)], namespace="")
     response = web.Response(status=error.status, body=body, content_type="application/xml")
     if retry_s:
         response.headers["Retry-After"] = f"{retry_s:.3f}".rstrip("0").rstrip(".")
--- a/hophinge/objects/prefetch.py
+++ b/hophinge/objects/prefetch.py
@@ -9,88 +9,93 @@
 import msgspec
 
 from hophinge.core.exchange import Verdict
-from hophinge.objects.cache import OVERHEAD, PieceCache
-from hophinge.objects.pieces import Budget, Core, CoreFailedError, RefusedError
-from hophinge.objects.records import Manifest
-from hophinge.objects.tenants import Volume
+from hophinge.objects.chunk_cache import CHUNK_OVERHEAD_BYTES, ChunkCache
+from hophinge.objects.chunk_store import ChunkStore
+from hophinge.objects.core_client import TimeBudget, CoreFailedError, RejectedError
+from hophinge.objects.stored_records import Manifest
+from hophinge.objects.account_access import Volume
 from hophinge.popularity.keys import Locator
 from hophinge.popularity.planner import Candidate, Facts, Planner, Why
 
 RECORD_BYTES = 4096  # taken from budgets for a manifest, whose size is not known before
 # These speak against one brick: other pieces may lie elsewhere.
-ELSEWHERE = (Why.REST, Why.DRAIN, Why.COLD, Why.UNITS, Why.UNKNOWN)
+BACKEND_REASONS = (Why.REST, Why.DRAIN, Why.COLD, Why.UNITS, Why.UNKNOWN)
 
 
-class Fetcher:
+class Prefetcher:
     """Carries out a plan; asks the planner before each read, for facts change while an object is fetched."""
 
-    def __init__(self, core: Core, cache: PieceCache, planner: Planner, facts: Callable[[], Facts]) -> None:
-        self.core, self.cache, self.planner, self.facts = core, cache, planner, facts
-        self.out = 0  # reads of its own that are out: they are not others' requests
-        self.objects = self.bytes = self.refused = 0
+    def __init__(
+        self, chunk_store: ChunkStore, cache: ChunkCache, planner: Planner, facts: Callable[[], Facts]
+    ) -> None:
+        self.chunk_store, self.cache, self.planner, self.facts = chunk_store, cache, planner, facts
+        self.reads_in_flight = 0  # reads of its own that are out: they are not others' requests
+        self.fetched_objects = self.fetched_bytes = self.rejected_reads = 0
 
     async def fetch(
-        self, one: Candidate, locator: Locator, volume: Volume, until_us: int
+        self, candidate: Candidate, locator: Locator, volume: Volume, until_us: int
     ) -> tuple[Manifest | None, bool]:
         """Fetch an object as far as budgets and bricks allow, and its pieces until a time of the exchange's clock.
 
         Tells its manifest, if it was read, and whether nothing is left to fetch. A piece that its brick has nothing to
         spare for is left to whoever asks for it, or to a later fetch.
         """
-        body = await self._read(one, locator.shard, RECORD_BYTES, partial(self._manifest, volume, locator))
+        body = await self._read(candidate, locator.shard, RECORD_BYTES, partial(self._manifest, volume, locator))
         if not isinstance(body, bytes):
             return None, False
         try:
             manifest = msgspec.msgpack.decode(body, type=Manifest) if body else Manifest()
         except msgspec.MsgspecError:
             return None, True
-        self.cache.seen(locator.volume, locator.manifest, manifest)
+        self.cache.observe_manifest(locator.volume, locator.manifest, manifest)
         if not manifest.etag:
             return manifest, True  # deleted: there is nothing to fetch
-        self.objects += 1
-        whole = True
+        self.fetched_objects += 1
+        is_complete = True
         for run in manifest.runs:
-            for at, piece in enumerate(run.pieces):
+            for at, piece in enumerate(run.chunks):
                 if self.cache.has(volume.id, run, at):
                     continue
-                if self.core.exchange.now_us() >= until_us:
+                if self.chunk_store.exchange.now_us() >= until_us:
                     return manifest, False
-                if not self.cache.would_keep((locator.volume, locator.manifest), piece.size + OVERHEAD):
+                if not self.cache.would_store((locator.volume, locator.manifest), piece.size + CHUNK_OVERHEAD_BYTES):
                     return manifest, True
-                piece_read = partial(self.core.read_piece, volume, run, at, self._budget(), True)
-                read = await self._read(one, piece.shard, piece.size, piece_read)
+                piece_read = partial(self.chunk_store.read_chunk, volume, run, at, self._budget(), True)
+                read = await self._read(candidate, piece.shard, piece.size, piece_read)
                 if isinstance(read, bytes):
-                    self.bytes += piece.size
+                    self.fetched_bytes += piece.size
                     continue
-                whole = False
-                if read not in ELSEWHERE:
+                is_complete = False
+                if read not in BACKEND_REASONS:
                     return manifest, False
-        return manifest, whole
+        return manifest, is_complete
 
-    def _budget(self) -> Budget:
-        return Budget(self.core.exchange.now_us(), None)
+    def _budget(self) -> TimeBudget:
+        return TimeBudget(self.chunk_store.exchange.now_us(), None)
 
     async def _manifest(self, volume: Volume, locator: Locator) -> bytes:
-        answer = await self.core.call(volume, locator.manifest, locator.shard, None, 1, self._budget(), True)
+        answer = await self.chunk_store.call(volume, locator.manifest, locator.shard, None, 1, self._budget(), True)
         return b"" if answer.verdict is Verdict.ABSENT else answer.body
 
-    async def _read(self, one: Candidate, shard: int, size: int, read: Callable[[], Awaitable[bytes]]) -> bytes | Why:
-        if rest_us := self.planner.rest_us(self.core.exchange.now_us(), shard):
+    async def _read(
+        self, candidate: Candidate, shard: int, size: int, read: Callable[[], Awaitable[bytes]]
+    ) -> bytes | Why:
+        if rest_us := self.planner.rest_us(self.chunk_store.exchange.now_us(), shard):
             await asyncio.sleep(rest_us / 1e6)
-        now_us = self.core.exchange.now_us()
-        why = self.planner.may(now_us, one.tenant, shard, size, self.core.units(size), self.facts())
+        now_us = self.chunk_store.exchange.now_us()
+        why = self.planner.may(now_us, candidate.tenant, shard, size, self.chunk_store.units(size), self.facts())
         if why is not None:
             return why
-        self.planner.spend(now_us, one.tenant, size)
-        self.out += 1
+        self.planner.spend(now_us, candidate.tenant, size)
+        self.reads_in_flight += 1
         try:
             body = await read()
-        except (RefusedError, CoreFailedError):
-            self.refused += 1
-            self.planner.refused(self.core.exchange.now_us())
+        except (RejectedError, CoreFailedError):
+            self.rejected_reads += 1
+            self.planner.refused(self.chunk_store.exchange.now_us())
             return Why.BUSY
         finally:
-            self.out -= 1
-            done_us = self.core.exchange.now_us()
+            self.reads_in_flight -= 1
+            done_us = self.chunk_store.exchange.now_us()
             self.planner.took(done_us, shard, done_us - now_us)
         return body
--- a/hophinge/objects/ranges.py
+++ b/hophinge/objects/range_header.py
@@ -7,11 +7,11 @@
 RANGE = re.compile(r"bytes\s*=\s*([0-9]*)\s*-\s*([0-9]*)\s*", re.ASCII | re.IGNORECASE)
 
 
-class UnsatisfiableError(Exception):
+class UnsatisfiableRangeError(Exception):
     """No byte of the range is in the object."""
 
 
-def parse(header: str | None, size: int) -> tuple[int, int] | None:
+def parse_range(header: str | None, size: int) -> tuple[int, int] | None:
     """Tell the first and last byte asked for, or None for the whole object.
 
     A header that is malformed, of another unit or of several ranges is ignored, as the RFC allows.
@@ -24,10 +24,10 @@
         if not last:
             return None
         if int(last) == 0 or size == 0:
-            raise UnsatisfiableError
+            raise UnsatisfiableRangeError
         return max(0, size - int(last)), size - 1
     if last and int(last) < int(first):
         return None
     if int(first) >= size:
-        raise UnsatisfiableError
+        raise UnsatisfiableRangeError
     return int(first), min(int(last) if last else size - 1, size - 1)
--- a/hophinge/objects/requests.py
+++ b/hophinge/objects/request_handlers.py
@@ -14,40 +14,40 @@
 from hophinge.core.counters import Counters
 from hophinge.net.listener import INBOUND, OUTBOUND, Listener, RateLimit
 from hophinge.net.payload import MAX_SHORT_BODY
-from hophinge.objects import xml
-from hophinge.objects.parameters import document, failure, matches, md5_of, number_of, type_of, upload_of
+from hophinge.objects import xml_documents
+from hophinge.objects.http_fields import document, failure, matches, md5_of, number_of, type_of, upload_of
 from hophinge.objects.config import ObjectConfig
-from hophinge.objects.pieces import Budget, CoreFailedError, RefusedError
-from hophinge.objects.ranges import UnsatisfiableError, parse
-from hophinge.objects.records import Manifest
-from hophinge.objects.store import ObjectError, Store
-from hophinge.objects.tenants import Admission, Guest, Volume
+from hophinge.objects.core_client import TimeBudget, CoreFailedError, RejectedError
+from hophinge.objects.range_header import UnsatisfiableRangeError, parse_range
+from hophinge.objects.stored_records import Manifest
+from hophinge.objects.object_store import ObjectError, ObjectStore
+from hophinge.objects.account_access import Admission, AuthenticatedRequest, Volume
 
-MAX_NAME = 1024  # bytes of an object's name
-LIST_DEFAULT = 100
+MAX_NAME_BYTES = 1024  # bytes of an object's name
+DEFAULT_LIST_PARTS = 100
 REMAINING = re.compile(r"[0-9]{1,9}", re.ASCII)
-GUEST = web.RequestKey("guest", Guest)
-TRUNCATES = (CoreFailedError, RefusedError)
+GUEST = web.RequestKey("guest", AuthenticatedRequest)
+TRUNCATES = (CoreFailedError, RejectedError)
 
 
-class ObjectRequests(Listener):
+class ObjectRequestHandlers(Listener):
     """Requests as they are read, carried out and answered; errors are raised."""
 
-    def __init__(self, store: Store, accounts: Admission, config: ObjectConfig, counters: Counters) -> None:
+    def __init__(self, store: ObjectStore, accounts: Admission, config: ObjectConfig, counters: Counters) -> None:
         super().__init__(counters, config.connections, config.idle_s, config.idle_s)
         self.store, self.accounts, self.config = store, accounts, config
         # By tenant, the requests whose answer has not begun; they end at once with their tenant.
-        self.waiting: dict[str, set[asyncio.Task[Any]]] = {}
-        self.pace: RateLimit | None = None  # of bodies, both ways
+        self.unanswered: dict[str, set[asyncio.Task[Any]]] = {}
+        self.rate_limit: RateLimit | None = None  # of bodies, both ways
 
-    def _begins(self, request: web.BaseRequest) -> None:
+    def _record_answer_start(self, request: web.BaseRequest) -> None:
         """Note that a request waits no longer."""
         task = asyncio.current_task()
-        tasks = self.waiting.get(request[GUEST].tenant)
+        tasks = self.unanswered.get(request[GUEST].tenant)
         if tasks is not None and task is not None:
             tasks.discard(task)
             if not tasks:
-                del self.waiting[request[GUEST].tenant]
+                del self.unanswered[request[GUEST].tenant]
 
     async def _route(self, request: web.BaseRequest) -> web.StreamResponse:
         raw, _, query_text = request.raw_path.partition("?")
@@ -59,13 +59,13 @@
             query = parse_qs(query_text, keep_blank_values=True, max_num_fields=16, errors="strict")
         except ValueError as error:
             raise ObjectError(400, "InvalidURI", "The path or query is not UTF-8.") from error
-        guest = self._guest(request, unquote(bucket))
+        guest = self._authenticate(request, unquote(bucket))
         volume = guest.volume
         if not name:
             raise ObjectError(501, "NotImplemented", "Buckets are made by the administration API and not listed.")
-        if len(name.encode()) > MAX_NAME:
-            raise ObjectError(400, "KeyTooLongError", f"An object's name has at most {MAX_NAME} bytes.")
-        budget = self._budget(request)
+        if len(name.encode()) > MAX_NAME_BYTES:
+            raise ObjectError(400, "KeyTooLongError", f"An object's name has at most {MAX_NAME_BYTES} bytes.")
+        budget = self._time_budget(request)
         match request.method, "uploads" in query, "uploadId" in query:
             case "POST", True, False:
                 return await self._initiate(request, guest, bucket, name, budget)
@@ -77,11 +77,11 @@
                 return await self._list_parts(volume, bucket, name, query, budget)
             case "DELETE", False, True:
                 await self.store.abort(volume, name, upload_of(query), budget)
-                self.accounts.closed(upload_of(query))
+                self.accounts.forget_upload(upload_of(query))
                 return web.Response(status=204)
             case "PUT", False, False:
                 manifest = await self.store.put(
-                    volume, name, type_of(request), self._chunks(request, volume), md5_of(request), budget
+                    volume, name, type_of(request), self._body_chunks(request, volume), md5_of(request), budget
                 )
                 return web.Response(headers={"ETag": f'"{manifest.etag}"'})
             case (("GET" | "HEAD"), False, False):
@@ -91,22 +91,22 @@
                 return web.Response(status=204)
         raise ObjectError(405, "MethodNotAllowed", "The method is not allowed here.")
 
-    def _guest(self, request: web.BaseRequest, bucket: str) -> Guest:
+    def _authenticate(self, request: web.BaseRequest, bucket: str) -> AuthenticatedRequest:
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
         task = asyncio.current_task()
         assert task is not None
         guest = self.accounts.admit(token.strip() if scheme.lower() == "bearer" else "", bucket, task, request.protocol)
         request[GUEST] = guest
-        self.waiting.setdefault(guest.tenant, set()).add(task)
+        self.unanswered.setdefault(guest.tenant, set()).add(task)
         return guest
 
-    def _budget(self, request: web.BaseRequest) -> Budget:
+    def _time_budget(self, request: web.BaseRequest) -> TimeBudget:
         text = request.headers.get("X-Remaining-Ms")
         if text is not None and not REMAINING.fullmatch(text):
             raise ObjectError(400, "InvalidArgument", "X-Remaining-Ms is malformed.")
-        return Budget(self.store.core.exchange.now_us(), None if text is None else int(text))
+        return TimeBudget(self.store.chunk_store.exchange.now_us(), None if text is None else int(text))
 
-    async def _chunks(self, request: web.BaseRequest, volume: Volume | None = None) -> AsyncIterator[bytes]:
+    async def _body_chunks(self, request: web.BaseRequest, volume: Volume | None = None) -> AsyncIterator[bytes]:
         """Cut a body into pieces; a client that stops sending is not waited for for ever."""
         self.send_continue(request)
         size, buffer = self.config.piece_bytes, bytearray()
@@ -121,8 +121,8 @@
             buffer += data
             if GUEST in request:
                 self.accounts.moved(request[GUEST], INBOUND, len(data))
-            if self.pace is not None and volume is not None:
-                await self.pace(volume.id, self.config.write_class, INBOUND, len(data))
+            if self.rate_limit is not None and volume is not None:
+                await self.rate_limit(volume.id, self.config.write_class, INBOUND, len(data))
             while len(buffer) >= size:
                 yield bytes(buffer[:size])
                 del buffer[:size]
@@ -131,7 +131,7 @@
 
     async def _body(self, request: web.BaseRequest) -> bytes:
         body = bytearray()
-        async for chunk in self._chunks(request):
+        async for chunk in self._body_chunks(request):
             body += chunk
             if len(body) > MAX_SHORT_BODY:
                 raise ObjectError(413, "EntityTooLarge", "The list is too long.")
@@ -139,7 +139,7 @@
 
     # --- answers
 
-    async def _get(self, request: web.BaseRequest, volume: Volume, name: str, budget: Budget) -> web.StreamResponse:
+    async def _get(self, request: web.BaseRequest, volume: Volume, name: str, budget: TimeBudget) -> web.StreamResponse:
         manifest = await self.store.head(volume, name, budget)
         etag = f'"{manifest.etag}"'
         headers = {
@@ -156,8 +156,8 @@
         if request.headers.get("If-Range", etag) != etag:
             asked = None
         try:
-            found = parse(asked, manifest.size)
-        except UnsatisfiableError:
+            found = parse_range(asked, manifest.size)
+        except UnsatisfiableRangeError:
             error = failure(ObjectError(416, "InvalidRange", "No byte of the range is in the object."))
             error.headers["Content-Range"] = f"bytes */{manifest.size}"
             return error
@@ -181,19 +181,19 @@
         volume: Volume,
         manifest: Manifest,
         span: tuple[int, int],
-        budget: Budget,
+        budget: TimeBudget,
     ) -> web.StreamResponse:
         chunks = self.store.read(volume, manifest, *span, budget)
         try:
             async for chunk in chunks:  # the first one is there before the status goes out
                 if not response.prepared:
-                    self._begins(request)
+                    self._record_answer_start(request)
                     await response.prepare(request)
                 self.accounts.moved(request[GUEST], OUTBOUND, len(chunk))
                 async with asyncio.timeout(self.config.idle_s):
                     await response.write(chunk)
-                if self.pace is not None:
-                    await self.pace(volume.id, self.config.read_class, OUTBOUND, len(chunk))
+                if self.rate_limit is not None:
+                    await self.rate_limit(volume.id, self.config.read_class, OUTBOUND, len(chunk))
             await response.write_eof()
         except (*TRUNCATES, TimeoutError):
             if not response.prepared:
@@ -207,29 +207,29 @@
         return response
 
     async def _initiate(
-        self, request: web.BaseRequest, guest: Guest, bucket: str, name: str, budget: Budget
+        self, request: web.BaseRequest, guest: AuthenticatedRequest, bucket: str, name: str, budget: TimeBudget
     ) -> web.Response:
-        await self.accounts.opens(guest, name)
+        await self.accounts.reserve_upload(guest, name)
         upload = await self.store.initiate(guest.volume, name, type_of(request), budget)
-        self.accounts.opened(guest, name, upload)
+        self.accounts.record_upload(guest, name, upload)
         return document("InitiateMultipartUploadResult", [("Bucket", bucket), ("Key", name), ("UploadId", upload)])
 
     async def _put_part(
-        self, request: web.BaseRequest, volume: Volume, name: str, query: dict[str, list[str]], budget: Budget
+        self, request: web.BaseRequest, volume: Volume, name: str, query: dict[str, list[str]], budget: TimeBudget
     ) -> web.Response:
         upload, number = upload_of(query), number_of(query, "partNumber", 0)
         part = await self.store.put_part(
-            volume, name, upload, number, self._chunks(request, volume), md5_of(request), budget
+            volume, name, upload, number, self._body_chunks(request, volume), md5_of(request), budget
         )
         return web.Response(headers={"ETag": f'"{part.etag}"'})
 
     async def _list_parts(
-        self, volume: Volume, bucket: str, name: str, query: dict[str, list[str]], budget: Budget
+        self, volume: Volume, bucket: str, name: str, query: dict[str, list[str]], budget: TimeBudget
     ) -> web.Response:
         upload, after = upload_of(query), number_of(query, "part-number-marker", 0)
-        most = max(1, number_of(query, "max-parts", LIST_DEFAULT))
+        most = max(1, number_of(query, "max-parts", DEFAULT_LIST_PARTS))
         found, more = await self.store.list_parts(volume, name, upload, after, most, budget)
-        rows: list[xml.Node] = [
+        rows: list[xml_documents.Node] = [
             ("Bucket", bucket),
             ("Key", name),
             ("UploadId", upload),
@@ -244,7 +244,7 @@
                 "Part",
                 [
                     ("PartNumber", str(number)),
-                    ("LastModified", xml.date(part.modified)),
+                    ("LastModified", xml_documents.format_time(part.modified)),
                     ("ETag", f'"{part.etag}"'),
                     ("Size", str(part.size)),
                 ],
@@ -254,14 +254,14 @@
         return document("ListPartsResult", rows)
 
     async def _complete(
-        self, request: web.BaseRequest, volume: Volume, bucket: str, name: str, upload: str, budget: Budget
+        self, request: web.BaseRequest, volume: Volume, bucket: str, name: str, upload: str, budget: TimeBudget
     ) -> web.Response:
         try:
-            wanted = xml.parts(await self._body(request))
+            wanted = xml_documents.parse_part_list(await self._body(request))
         except ValueError as error:
             raise ObjectError(400, "MalformedXML", f"The list of parts is malformed: {error}.") from error
         etag = await self.store.complete(volume, name, upload, wanted, budget)
-        self.accounts.closed(upload)
+        self.accounts.forget_upload(upload)
         return document(
             "CompleteMultipartUploadResult",
             [("Location", f"/{bucket}/{name}"), ("Bucket", bucket), ("Key", name), ("ETag", f'"{etag}"')],
--- a/hophinge/objects/records.py
+++ b/hophinge/objects/stored_records.py
@@ -11,7 +11,7 @@
 import msgspec
 
 
-class Piece(msgspec.Struct, array_like=True, frozen=True):
+class ChunkRef(msgspec.Struct, array_like=True, frozen=True):
     """One body on one brick; its id follows from its run's token and its place in the run."""
 
     shard: int
@@ -19,11 +19,11 @@
     crc: int
 
 
-class Run(msgspec.Struct, array_like=True, frozen=True):
+class ChunkRun(msgspec.Struct, array_like=True, frozen=True):
     """Pieces written by one PUT or one part."""
 
     token: bytes
-    pieces: list[Piece]
+    chunks: list[ChunkRef]
 
 
 class Manifest(msgspec.Struct, array_like=True, frozen=True):
@@ -34,7 +34,7 @@
     modified: int = 0  # Unix time, whole seconds
     content_type: str = ""
     upload: str = ""  # the multipart upload that made it
-    runs: list[Run] = []
+    runs: list[ChunkRun] = []
 
 
 class Part(msgspec.Struct, array_like=True, frozen=True):
@@ -43,7 +43,7 @@
     etag: str
     size: int
     modified: int
-    run: Run
+    run: ChunkRun
 
 
 class Upload(msgspec.Struct, array_like=True, frozen=True):
@@ -54,29 +54,29 @@
     etag: str = ""
 
 
-def short(*parts: bytes) -> str:
+def short_hash(*parts: bytes) -> str:
     """Hash to the 16 hex digits of an object's id."""
     return blake2b(b"\0".join(parts), digest_size=8).hexdigest()
 
 
-def piece_id(token: bytes, at: int) -> str:
+def chunk_id(token: bytes, index: int) -> str:
     """Tell a piece's id."""
-    return short(b"piece", token, at.to_bytes(4, "big"))
+    return short_hash(b"piece", token, index.to_bytes(4, "big"))
 
 
 def manifest_id(name: str) -> str:
     """Tell where an object's manifest lies within its volume."""
-    return short(b"manifest", name.encode())
+    return short_hash(b"manifest", name.encode())
 
 
 def upload_id(name: str, upload: str) -> str:
     """Tell where an upload's state lies within its volume."""
-    return short(b"upload", name.encode(), upload.encode())
+    return short_hash(b"upload", name.encode(), upload.encode())
 
 
 def part_id(name: str, upload: str, number: int) -> str:
     """Tell where a part's record lies within its volume."""
-    return short(b"part", name.encode(), upload.encode(), number.to_bytes(4, "big"))
+    return short_hash(b"part", name.encode(), upload.encode(), number.to_bytes(4, "big"))
 
 
 def shard_of(volume: str, name: str, shards: int) -> int:
--- a/hophinge/objects/xml.py
+++ b/hophinge/objects/xml_documents.py
@@ -20,7 +20,7 @@
             _add(child, value)
 
 
-def document(name: str, nodes: Iterable[Node], namespace: str = NAMESPACE) -> bytes:
+def render(name: str, nodes: Iterable[Node], namespace: str = NAMESPACE) -> bytes:
     """Write a document."""
     root = ElementTree.Element(name, {"xmlns": namespace} if namespace else {})
     _add(root, nodes)
@@ -28,12 +28,12 @@
     return text
 
 
-def date(unix: int) -> str:
+def format_time(unix: int) -> str:
     """Write a time as the object API does."""
     return datetime.fromtimestamp(unix, UTC).strftime("%Y-%m-%dT%H:%M:%S.000Z")
 
 
-def parts(body: bytes) -> list[tuple[int, str]]:
+def parse_part_list(body: bytes) -> list[tuple[int, str]]:
     """Read the list of a complete request; ValueError if it is none."""
     if b"<!" in body:
         raise ValueError("no document type or entities are taken")
--- a/tests/popular.py
+++ b/tests/popular.py
@@ -105,7 +105,7 @@
 
         def done() -> int:
             return sum(
-                sum(place in one.cache.held for place in ((where[0], token, at) for at in range(3))) == 3
+                sum(place in one.cache.chunks for place in ((where[0], token, at) for at in range(3))) == 3
                 for where, known in one.cache.objects.items()
                 for token in known.runs
             )
--- a/tests/test_admin_ends.py
+++ b/tests/test_admin_ends.py
@@ -55,17 +55,17 @@
             )
             assert to.service.objects is not None and to.service.accounts is not None
             front, accounts = to.service.objects, to.service.accounts
-            await until(lambda: len(front.waiting.get("alba", ())) == 6)
+            await until(lambda: len(front.unanswered.get("alba", ())) == 6)
             assert await to.call("DELETE", "/v1/tenants/alba", If_Match="*") == 202
             codes = await asyncio.gather(*waiting)
             assert [code for code, _ in codes] == [403] * 5  # each once, and long before its time is over
-            assert await uploading == 403 and not front.waiting
+            assert await uploading == 403 and not front.unanswered
             assert await to.call("PUT", "/v1/tenants/alba") == 409 and not gate.is_set()  # its purge has not ended
             gate.set()
             coming.set()
             assert begun + await streaming.read() == big  # what had begun went on to its end
             await until(lambda: accounts.accounts.tenants["alba"].state.value == "closed")
-            assert not accounts.ledger.count_uploads("alba") and not front.active
+            assert not accounts.ledger.count_uploads("alba") and not front.active_requests
             records = [body for backend in to.made.backends for body in backend.objects.values()]
             assert sum(body[1:9] == b"\xa7aborted" for body in records) == 3
             assert await to.call("PUT", "/v1/tenants/alba") == 201
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -14,7 +14,7 @@
 
 from hophinge.core.exchange import Answer
 from hophinge.core.interface import Arrival
-from hophinge.objects.ranges import UnsatisfiableError, parse
+from hophinge.objects.range_header import UnsatisfiableRangeError, parse_range
 from tests import books
 from tests.objects_client import PIECE, Client, content, field, operator, store
 from tests.stand_in import held_by, run, until
@@ -153,7 +153,7 @@
             for backend in made.backends:
                 backend.behave = held_by(gate)
             first = asyncio.create_task(client.status("GET", "/receipts/a"))
-            await until(lambda: service.objects is not None and service.objects.active == 1)
+            await until(lambda: service.objects is not None and service.objects.active_requests == 1)
             response, _ = await client.call("GET", "/receipts/a")
             assert response.status == 503 and response.headers["Retry-After"] == "1"
             gate.set()
@@ -210,7 +210,7 @@
             assert {ask.plan for ask in asks if ask.volume == bucket.id} == {0}
             assert all(ask.units == 1 and ask.time_left_us == classes[ask.klass].deadline_us for ask in asks)
             assert service.objects is not None
-            assert service.objects.store.core.units(64 * 1024) == service.exchange.settings.max_units
+            assert service.objects.store.chunk_store.units(64 * 1024) == service.exchange.settings.max_units
             assert all(
                 ask.shard == -1
                 for ask in asks
@@ -249,7 +249,7 @@
 )
 def test_range_header(header: str | None, size: int, expected: tuple[int, int] | str | None) -> None:
     try:
-        found: tuple[int, int] | str | None = parse(header, size)
-    except UnsatisfiableError:
+        found: tuple[int, int] | str | None = parse_range(header, size)
+    except UnsatisfiableRangeError:
         found = "none"
     assert found == expected
--- a/tests/test_cache.py
+++ b/tests/test_objects_chunk_cache.py
@@ -10,90 +10,94 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from hophinge.objects import cache as cache_module
-from hophinge.objects.cache import OVERHEAD, PieceCache
-from hophinge.objects.records import Manifest, Piece, Run
+from hophinge.objects import chunk_cache as cache_module
+from hophinge.objects.chunk_cache import CHUNK_OVERHEAD_BYTES, ChunkCache
+from hophinge.objects.stored_records import Manifest, ChunkRef, ChunkRun
 from tests.popular import installation
 from tests.stand_in import run
 from tests.test_objects import PIECE, Client
 
 VOLUME = "00000003b4d60021"
 BODY = 100
-EACH = BODY + OVERHEAD
+EACH = BODY + CHUNK_OVERHEAD_BYTES
 
 
-def a_run(token: int, pieces: int = 1) -> Run:
-    return Run(token.to_bytes(8, "big"), [Piece(0, BODY, 0)] * pieces)
+def a_run(token: int, pieces: int = 1) -> ChunkRun:
+    return ChunkRun(token.to_bytes(8, "big"), [ChunkRef(0, BODY, 0)] * pieces)
 
 
-def manifest(*runs: Run) -> Manifest:
+def manifest(*runs: ChunkRun) -> Manifest:
     return Manifest("etag", 1, 0, "", "", list(runs))
 
 
-def held(cache: PieceCache) -> list[int]:
-    return [int.from_bytes(token, "big") for _, token, __ in cache.held]
+def held(cache: ChunkCache) -> list[int]:
+    return [int.from_bytes(token, "big") for _, token, __ in cache.chunks]
 
 
 # --- by itself
 
 
 def test_pieces_of_a_version_that_is_gone_are_dropped_and_unknown_ones_never_taken() -> None:
-    cache, one, two = PieceCache(100 * EACH), a_run(1, 2), a_run(2)
+    cache, one, two = ChunkCache(100 * EACH), a_run(1, 2), a_run(2)
     assert not cache.put(VOLUME, one, 0, b"x" * BODY)  # its manifest was not seen
-    cache.seen(VOLUME, "m", manifest(one))
+    cache.observe_manifest(VOLUME, "m", manifest(one))
     assert cache.put(VOLUME, one, 0, b"x" * BODY) and cache.get(VOLUME, one, 0) == b"x" * BODY
-    assert cache.get(VOLUME, one, 1) is None and cache.get("other", one, 0) is None and cache.holds((VOLUME, "m"))
-    cache.seen(VOLUME, "m", manifest(one, two))  # a longer version keeps what it shares
+    assert cache.get(VOLUME, one, 1) is None and cache.get("other", one, 0) is None and cache.has_chunks((VOLUME, "m"))
+    cache.observe_manifest(VOLUME, "m", manifest(one, two))  # a longer version keeps what it shares
     assert cache.has(VOLUME, one, 0)
-    cache.seen(VOLUME, "m", manifest(two))
-    assert not cache.held and cache.size == 0 and not cache.sizes
+    cache.observe_manifest(VOLUME, "m", manifest(two))
+    assert not cache.chunks and cache.used_bytes == 0 and not cache.tenant_bytes
     assert not cache.put(VOLUME, one, 0, b"x" * BODY)  # a slow reader of the old version
     assert cache.put(VOLUME, two, 0, b"y" * BODY)
-    cache.seen(VOLUME, "m", Manifest())  # deleted
-    assert not cache.held and not cache.objects and not cache.runs
+    cache.observe_manifest(VOLUME, "m", Manifest())  # deleted
+    assert not cache.chunks and not cache.objects and not cache.runs
 
 
 def test_what_is_least_wanted_a_byte_goes_and_the_oldest_where_nothing_is_known() -> None:
     wanted: dict[str, float] = {}
-    cache = PieceCache(3 * EACH, wanted=lambda one: wanted.get(one[1], 0.0))
+    cache = ChunkCache(3 * EACH, demand_of=lambda one: wanted.get(one[1], 0.0))
     for at in range(5):
-        cache.seen(VOLUME, str(at), manifest(a_run(at)))
+        cache.observe_manifest(VOLUME, str(at), manifest(a_run(at)))
         if at < 3:
             cache.put(VOLUME, a_run(at), 0, b"x" * BODY)
     cache.get(VOLUME, a_run(0), 0)
     assert cache.put(VOLUME, a_run(3), 0, b"x" * BODY) and held(cache) == [2, 0, 3]
     wanted |= {"0": 1.0, "2": 9.0, "3": 8.0, "4": 4.5}
-    assert not cache.would_keep((VOLUME, "1"), EACH) and not cache.put(VOLUME, a_run(1), 0, b"x" * BODY)
+    assert not cache.would_store((VOLUME, "1"), EACH) and not cache.put(VOLUME, a_run(1), 0, b"x" * BODY)
     wanted["4"] = 3.9  # of what nobody asked for, more is wanted than of what it would push out
-    assert not cache.would_keep((VOLUME, "4"), EACH)
+    assert not cache.would_store((VOLUME, "4"), EACH)
     wanted["4"] = 4.5
-    assert cache.would_keep((VOLUME, "4"), EACH) and cache.put(VOLUME, a_run(4), 0, b"x" * BODY, beforehand=True)
+    assert cache.would_store((VOLUME, "4"), EACH) and cache.put(VOLUME, a_run(4), 0, b"x" * BODY, is_prefetch=True)
     assert held(cache) == [2, 3, 4]
     told: list[tuple[str, bool]] = []
-    cache.tell = lambda one, useful: told.append((one[1], useful))
+    cache.on_prefetch_outcome = lambda one, useful: told.append((one[1], useful))
     cache.get(VOLUME, a_run(4), 0)
     cache.get(VOLUME, a_run(4), 0)
-    assert told == [("4", True)] and (cache.useful, cache.useless) == (1, 0)
+    assert told == [("4", True)] and (cache.used_prefetches, cache.wasted_prefetches) == (1, 0)
 
 
 def check_bounds(seed: int) -> None:
     lots, tenants = random.Random(seed), {"a": "one", "b": "two"}
-    cache = PieceCache(10 * EACH, 0.6, lambda volume: tenants[volume], lambda one: float(hash(one) % 3))
+    cache = ChunkCache(10 * EACH, 0.6, lambda volume: tenants[volume], lambda one: float(hash(one) % 3))
     for _ in range(300):
         volume, name = lots.choice("ab"), str(lots.randrange(12))
         token = lots.randrange(4) * 100 + int(name)
         if lots.random() < 0.3:
-            cache.seen(volume, name, manifest(a_run(token, 3)) if lots.random() < 0.8 else Manifest())
+            cache.observe_manifest(volume, name, manifest(a_run(token, 3)) if lots.random() < 0.8 else Manifest())
         cache.put(volume, a_run(token, 3), lots.randrange(3), b"x" * lots.randrange(2 * BODY), lots.random() < 0.5)
-        assert cache.size == sum(len(one.body) + OVERHEAD for one in cache.held.values()) <= 10 * EACH
-        for tenant, size in cache.sizes.items():
+        assert (
+            cache.used_bytes == sum(len(one.body) + CHUNK_OVERHEAD_BYTES for one in cache.chunks.values()) <= 10 * EACH
+        )
+        for tenant, size in cache.tenant_bytes.items():
             assert (
-                size == sum(len(one.body) + OVERHEAD for one in cache.held.values() if one.tenant == tenant) <= 6 * EACH
+                size
+                == sum(len(one.body) + CHUNK_OVERHEAD_BYTES for one in cache.chunks.values() if one.tenant == tenant)
+                <= 6 * EACH
             )
-        assert {place for known in cache.objects.values() for place in known.kept} == cache.held.keys()
+        assert {place for known in cache.objects.values() for place in known.cached_chunks} == cache.chunks.keys()
         assert all(one in cache.objects for one in cache.runs.values())
-    cache.forget_tenant("one")
-    assert set(cache.sizes) <= {"two"}
+    cache.remove_tenant("one")
+    assert set(cache.tenant_bytes) <= {"two"}
 
 
 @given(st.integers(0, 1 << 32))
@@ -103,12 +107,12 @@
 
 
 def test_a_tenant_s_bound_that_is_ignored_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    make = PieceCache.__init__
+    make = ChunkCache.__init__
 
-    def unbounded(self: PieceCache, most: int, part: float, *more: object) -> None:
+    def unbounded(self: ChunkCache, most: int, part: float, *more: object) -> None:
         make(self, most, 1.0, *more)  # type: ignore[arg-type]  # a mutant: the tenant's part is not looked at
 
-    monkeypatch.setattr(PieceCache, "__init__", unbounded)
+    monkeypatch.setattr(ChunkCache, "__init__", unbounded)
     with pytest.raises(AssertionError):
         for seed in range(5):
             check_bounds(seed)
@@ -116,9 +120,9 @@
 
 def test_known_objects_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(cache_module, "MAX_OBJECTS", 3)
-    cache = PieceCache(100 * EACH)
+    cache = ChunkCache(100 * EACH)
     for at in range(6):
-        cache.seen(VOLUME, str(at), manifest(a_run(at)))
+        cache.observe_manifest(VOLUME, str(at), manifest(a_run(at)))
         cache.put(VOLUME, a_run(at), 0, b"x" * BODY)
     assert held(cache) == [3, 4, 5] and len(cache.runs) == 3
 
@@ -151,7 +155,9 @@
 
 def test_several_heads_never_serve_what_was_overwritten_or_deleted(tmp_path: Path) -> None:
     async def main() -> None:
-        async with installation(tmp_path, dict.fromkeys("abc", ""), 6 * (PIECE + OVERHEAD), alone=True) as built:
+        async with installation(
+            tmp_path, dict.fromkeys("abc", ""), 6 * (PIECE + CHUNK_OVERHEAD_BYTES), alone=True
+        ) as built:
             await steps(list(built.clients.values()), 1)
             assert sum(one.cache.hits for one in built.popular.values()) > 20
 
@@ -163,20 +169,20 @@
         async with installation(tmp_path, dict.fromkeys("abc", ""), alone=True) as built:
             await steps(list(built.clients.values()), 1)
 
-    by_name: dict[tuple[PieceCache, str, int], bytes] = {}
+    by_name: dict[tuple[ChunkCache, str, int], bytes] = {}
 
-    def get(self: PieceCache, volume: str, run: Run, at: int) -> bytes | None:
+    def get(self: ChunkCache, volume: str, run: ChunkRun, at: int) -> bytes | None:
         one = self.object_of(volume, run)
         return by_name.get((self, one[1], at)) if one is not None else None
 
-    def put(self: PieceCache, volume: str, run: Run, at: int, body: bytes, beforehand: bool = False) -> bool:
+    def put(self: ChunkCache, volume: str, run: ChunkRun, at: int, body: bytes, beforehand: bool = False) -> bool:
         one = self.object_of(volume, run)
         if one is not None:
             by_name[self, one[1], at] = body
         return True
 
-    monkeypatch.setattr(PieceCache, "get", get)
-    monkeypatch.setattr(PieceCache, "put", put)
+    monkeypatch.setattr(ChunkCache, "get", get)
+    monkeypatch.setattr(ChunkCache, "put", put)
     with pytest.raises((AssertionError, aiohttp.ClientError)):
         run(main())
 
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -38,8 +38,8 @@
 from hophinge.head.environment import CONFIG_FILE
 from hophinge.maintenance import messages, permits, releases, statements
 from hophinge.net import discovery
-from hophinge.objects import records as object_records
-from hophinge.objects import tenants
+from hophinge.objects import stored_records as object_records
+from hophinge.objects import account_access
 from hophinge.routing import bounds, records
 from hophinge.scoring import encoding, latency, outlook, suspicion
 from hophinge.state import rows
@@ -114,7 +114,7 @@
     "object: manifest": (object_records.Manifest, msgpack_bytes),
     "object: part": (object_records.Part, msgpack_bytes),
     "object: upload": (object_records.Upload, msgpack_bytes),
-    "accounts' old file": (tenants.OldFile, json_bytes),
+    "accounts' old file": (account_access.OldFile, json_bytes),
     **{f"cluster: part {number}": (kind, msgpack_bytes) for number, kind in cluster_messages.MESSAGE_TYPES.items()},
 }
 CONFIGURATIONS: dict[str, Any] = {
--- a/tests/test_popularity_drains.py
+++ b/tests/test_popularity_drains.py
@@ -10,9 +10,9 @@
 from hophinge.cluster.interface import Topic
 from hophinge.head.popularity import HeadPopularity, drained
 from hophinge.maintenance.statements import DRAINED, Statement, encode_statement
-from hophinge.objects.pieces import Budget
-from hophinge.objects.records import shard_of
-from hophinge.objects.tenants import Volume
+from hophinge.objects.core_client import TimeBudget
+from hophinge.objects.stored_records import shard_of
+from hophinge.objects.account_access import Volume
 from hophinge.popularity.planner import Why
 from tests.popular import Installation, Peers, View, installation, put
 from tests.stand_in import Backend, run
@@ -45,23 +45,23 @@
             one = built.popular["a"]
             bucket = next(iter(one.site.known.values())).locator.volume
             if shard_of(bucket, path[10:], 3) != drained.shard:
-                found = await one.store.head(Volume(bucket, "priority"), path[10:], Budget(0, None))
-                fit += sum(piece.shard != drained.shard for run in found.runs for piece in run.pieces)
+                found = await one.store.head(Volume(bucket, "priority"), path[10:], TimeBudget(0, None))
+                fit += sum(piece.shard != drained.shard for run in found.runs for piece in run.chunks)
         # Which brick holds what is drawn by the volume's random id, so a few fetches may need none of the drained
         # one's pieces. It goes on until the drain was met: the planner stands back from it, or has asked there.
-        while len(west.cache.held) < fit or not drain_was_met(built, west, drained):
+        while len(west.cache.chunks) < fit or not drain_was_met(built, west, drained):
             west.tried.clear()
             west.planner.paused_us = 0
             west.planner.rests.clear()
             await west.fetch()
             await asyncio.sleep(0.005)
-        kept, fetched = len(west.cache.held), built.beforehand()
+        kept, fetched = len(west.cache.chunks), built.beforehand()
         # The crowd arrives: all is served, from what is kept and from bricks, the one in the drain among them.
         await built.crowd("b", paths, 12)
         assert west.cache.hits >= kept
         built.peers.held.clear()
         west.tried.clear()
-        west.cache.forget_tenant("alba")
+        west.cache.remove_tenant("alba")
         built.close_own("b")
         assert built.beforehand() == fetched
         await built.fetch("b", 6)  # the drain is over
--- a/tests/test_popularity_head.py
+++ b/tests/test_popularity_head.py
@@ -12,8 +12,8 @@
 from hophinge.core.exchange import Answer
 from hophinge.core.interface import Arrival
 from hophinge.head.popularity import SecretUnusableError, read_secret
-from hophinge.objects.pieces import BEFOREHAND
-from hophinge.objects.records import manifest_id
+from hophinge.objects.core_client import PREFETCH_VOLUME
+from hophinge.objects.stored_records import manifest_id
 from hophinge.popularity.planner import QUIET, Planner, owner
 from hophinge.popularity.rumour import Item, pages
 from tests import books
@@ -43,12 +43,12 @@
 
             monkeypatch.setattr(west.exchange, "arrive", noted)
             used: list[float] = []
-            west.store.core.used = lambda volume, units: used.append(units)
+            west.store.chunk_store.on_served = lambda volume, units: used.append(units)
             await built.fetch("b", 2)
             settings = west.exchange.settings
             assert len(asks) == len(built.beforehand()) >= 8 and not used  # two manifests, six pieces
             for ask in asks:
-                assert ask.volume == BEFOREHAND and settings.plans[ask.plan].price == 1
+                assert ask.volume == PREFETCH_VOLUME and settings.plans[ask.plan].price == 1
                 klass = settings.classes[ask.klass]
                 assert (
                     klass.value == 1
@@ -59,13 +59,13 @@
                 _, body = await built.clients["b"].call("GET", path)
                 assert body == path.encode() * (3 * PIECE // len(path))
             assert sum(len(backend.seen) for backend in built.world.backends) - before == 2  # its manifests alone
-            assert west.cache.useful == 6 and west.site.trusted("a") > 0.5
+            assert west.cache.used_prefetches == 6 and west.site.trusted("a") > 0.5
             assert west.wanted(manifest_id("one")) > 0 and west.wanted("f" * 16) == 0.0
             count = len(asks)
             await west.fetch()
             assert len(asks) == count  # nothing is fetched twice
             status = west.status()
-            assert status["peers"] == 1 and west.fetcher.objects >= 2 and "receipts" not in str(status)
+            assert status["peers"] == 1 and west.fetcher.fetched_objects >= 2 and "receipts" not in str(status)
             assert west.tenant("alba")["requests"] == pytest.approx(2, abs=0.1)
             assert west.tenant("beith") == {"requests": 0.0, "followed": 0, "kept_bytes": 0}
 
@@ -88,7 +88,7 @@
             assert sum(mine.values()) == 12
             for name, count in mine.items():
                 await built.fetch(name, count)
-            kept = [place for name in "abc" for place in built.popular[name].cache.held]
+            kept = [place for name in "abc" for place in built.popular[name].cache.chunks]
             assert len(kept) == len(set(kept)) == 12 * 3
 
     run(main())
@@ -100,11 +100,11 @@
             popular, client = built.popular["a"], built.clients["a"]
             paths = await put(client, "one")
             await built.crowd("a", paths, 12)
-            popular.cache.forget_tenant("alba")
+            popular.cache.remove_tenant("alba")
             built.close_own("a")
             await built.fetch("a", 1)
             assert await client.status("DELETE", paths[0]) == 204
-            assert not popular.cache.held and not popular.site.known and popular.wanted(manifest_id("one")) == 0.0
+            assert not popular.cache.chunks and not popular.site.known and popular.wanted(manifest_id("one")) == 0.0
 
     run(main())
 
@@ -120,7 +120,7 @@
             while not built.beforehand():
                 await west.fetch()
                 await asyncio.sleep(0.005)
-            assert len(built.beforehand()) == 1 and not west.cache.held and not west.site.known
+            assert len(built.beforehand()) == 1 and not west.cache.chunks and not west.site.known
 
     run(main())
 
@@ -138,8 +138,8 @@
             paths = await put(other, "honest")
             for _ in range(12):
                 assert await other.status("GET", paths[0]) == 200
-            popular.cache.forget_tenant("alba")
-            popular.cache.forget_tenant("beith")
+            popular.cache.remove_tenant("alba")
+            popular.cache.remove_tenant("beith")
             site = popular.site
             items = [
                 Item(key, site.keys.seal(one.locator), 1e6) for key, one in site.known.items() if one.tenant == "alba"
@@ -150,15 +150,15 @@
             assert 0 < believed <= 4 * 12 * 1.5  # four times what this head served, and what a first span foretells
             since = popular.exchange.now_us()
             popular.planner = popular.fetcher.planner = Planner("", "none", 6000.0, 0.5, since)  # owns all
-            while popular.cache.sizes.get("beith", 0) < 2 * PIECE:  # the honest tenant's is fetched too
+            while popular.cache.tenant_bytes.get("beith", 0) < 2 * PIECE:  # the honest tenant's is fetched too
                 popular.tried.clear()
                 popular.planner.paused_us = 0
                 popular.planner.rests.clear()
                 await popular.fetch()
                 await asyncio.sleep(0.005)
             most = 6000.0 * (10 + (popular.exchange.now_us() - since) / 1e6)
-            assert sum(len(one.body) for one in popular.cache.held.values() if one.tenant == "alba") <= 0.5 * most
-            assert popular.fetcher.bytes <= most
+            assert sum(len(one.body) for one in popular.cache.chunks.values() if one.tenant == "alba") <= 0.5 * most
+            assert popular.fetcher.fetched_bytes <= most
 
     run(main())
 
@@ -178,7 +178,7 @@
             while not built.beforehand():
                 west.planner.paused_us = 0
                 await west.fetch()
-            assert len(built.beforehand()) == 1 and not west.cache.held and not west.tried  # it goes on later
+            assert len(built.beforehand()) == 1 and not west.cache.chunks and not west.tried  # it goes on later
             await built.crowd("b", await put(built.clients["b"], "two"))
             built.close_spans()
             assert west.untold >= 1
--- a/tests/test_together_sections.py
+++ b/tests/test_together_sections.py
@@ -56,7 +56,7 @@
             popularity = service.together.popularity
             assert popularity is not None
             gone: list[str] = []
-            popularity.cache.forget_tenant = gone.append  # type: ignore[method-assign, assignment]     # in place of its own
+            popularity.cache.remove_tenant = gone.append  # type: ignore[method-assign, assignment]     # in place of its own
             service.accounts.tenant_ended("alba")
             assert gone == ["alba"]
 
