--- a/hophinge/objects/account_access.py
+++ b/hophinge/objects/account_access.py
@@ -1,4 +1,4 @@
-"""What a front needs of an account; and the old file of accounts, which is taken over once."""
+"""What the object API needs of accounts; and the old file of accounts, which is imported once."""
 
 from __future__ import annotations
 
@@ -10,59 +10,59 @@
 
 from hophinge.state.rows import Row
 from hophinge.tenancy.accounts import Accounts
-from hophinge.tenancy.records import Account, Bucket, Key, row_of
 from hophinge.tenancy.lifecycle import TenantState
+from hophinge.tenancy.records import Account, Bucket, Key, row_of
 
 
 class Volume(msgspec.Struct, frozen=True):
-    """A bucket's volume on the bricks and the plan that it stands on."""
+    """A bucket's volume on the backends, and its plan."""
 
     id: str
     plan: str
 
 
 class AuthenticatedRequest(msgspec.Struct, frozen=True):
-    """Whose request it is, and the bucket that it is for."""
+    """The tenant of a request, and the bucket that it is for."""
 
     tenant: str
     bucket: str
     volume: Volume
 
 
-class Admission(Protocol):
-    """What the front asks of the accounts."""
+class AccountAccess(Protocol):
+    """The accounts, as the object API uses them."""
 
     def admit(self, token: str, bucket: str, request: object, connection: object) -> AuthenticatedRequest:
-        """Tell whose key this is and its bucket's volume; raises ObjectError, also where a bound is reached."""
+        """Return the tenant of a key and its bucket's volume; raises ObjectError, also where a quota is reached."""
 
     def dropped(self, resource: object) -> None:
-        """Note the end of a connection or request."""
+        """Record the end of a connection or request."""
 
     def reserve_upload(self, guest: AuthenticatedRequest, name: str) -> Awaitable[None]:
-        """Ask for room for one more upload; raises ObjectError where there is none."""
+        """Reserve one more upload of the quota; raises ObjectError where it is used up."""
 
     def record_upload(self, guest: AuthenticatedRequest, name: str, upload: str) -> None:
-        """Note an open upload."""
+        """Record an open upload."""
 
     def forget_upload(self, upload: str) -> None:
-        """Note that an upload was completed or aborted."""
+        """Record that an upload was completed or aborted."""
 
     def moved(self, guest: AuthenticatedRequest, direction: int, size: int) -> None:
-        """Count bytes."""
+        """Count bytes of a body; the direction is `INBOUND` or `OUTBOUND`."""
 
     def ended(self, guest: AuthenticatedRequest, status: int) -> None:
-        """Count a request's end."""
+        """Count the end of a request, by its HTTP status."""
 
 
 class OldKey(msgspec.Struct):
-    """An access key: its public id and the digest of its secret."""
+    """An access key in the old file: its public id and the digest of its secret."""
 
     id: str
     digest: str
 
 
 class OldTenant(msgspec.Struct):
-    """One account."""
+    """One account in the old file."""
 
     name: str
     disabled: bool = False
@@ -71,13 +71,13 @@
 
 
 class OldFile(msgspec.Struct):
-    """The file."""
+    """The old file of accounts (JSON)."""
 
     tenants: dict[str, OldTenant] = {}
 
 
 def import_accounts(path: Path, now_ms: int) -> list[Row]:
-    """Read the old file as rows; raises OSError and msgspec's errors."""
+    """Return the rows of the old file; raises OSError and msgspec.MsgspecError."""
     rows: list[Row] = []
     for name, old in msgspec.json.decode(path.read_bytes(), type=OldFile).tenants.items():
         state = TenantState.SUSPENDED if old.disabled else TenantState.ACTIVE
@@ -88,7 +88,7 @@
 
 
 def export_accounts(rows: Iterable[Row]) -> bytes:
-    """Write accounts as the old file has them; what it has no place for is left out, as are keys that end."""
+    """Return accounts in the form of the old file; what it has no field for is left out, as are keys that expire."""
     accounts = Accounts()
     accounts.apply(rows)
     found = OldFile()
--- a/hophinge/objects/chunk_cache.py
+++ b/hophinge/objects/chunk_cache.py
@@ -1,8 +1,8 @@
-"""Pieces kept at a head, bounded by bytes: what bricks need not be asked for again.
+"""A cache of chunks at a head, bounded by bytes.
 
-Only pieces are kept, never manifests. A piece is named by the run that wrote it and is never written again; which runs
-an object has is read from the bricks for each request. So what was overwritten or deleted is not served from here:
-nothing that is asked for names it any more. A head that starts has an empty cache.
+Only chunks are stored, never manifests. A chunk is named by the run that wrote it and is never written again; which
+runs an object has is read from the backends for each request. So what was overwritten or deleted is not served from
+here: no request names it any more. A head that starts has an empty cache.
 """
 
 from __future__ import annotations
@@ -13,29 +13,30 @@
 
 from msgspec import Struct
 
-from hophinge.objects.stored_records import Manifest, ChunkRun
+from hophinge.objects.stored_records import ChunkRun, Manifest
 
-EVICTION_SAMPLE = 16  # of the pieces used longest ago, the one of least demand a byte goes
-PREFETCH_MARGIN = 4.0  # times a victim's demand a byte that what nobody asked for must promise: what is chosen for its
-#                         prediction is overrated, and what is given up for its own underrated
-CHUNK_OVERHEAD_BYTES = 200  # bytes that a kept piece takes beside its body
-MAX_OBJECTS = 50_000  # whose runs are known; beyond, those seen longest ago are forgotten with their pieces
+EVICTION_SAMPLE = 16  # least recently used chunks, of which the one of least demand a byte is evicted
+# Times the demand a byte of an evicted chunk that a prefetched one must have: what is selected by its prediction is
+# overestimated, and what is evicted by its own is underestimated.
+PREFETCH_MARGIN = 4.0
+CHUNK_OVERHEAD_BYTES = 200  # that a cached chunk takes beside its body
+MAX_OBJECTS = 50_000  # whose runs are known; beyond, the least recently used are dropped with their chunks
 
-ChunkKey = tuple[str, bytes, int]  # volume, run, place in the run
+ChunkKey = tuple[str, bytes, int]  # volume, token of the run, index in the run
 ObjectKey = tuple[str, str]  # volume, id of the manifest
 
 
 class CachedChunk(Struct):
-    """A kept piece."""
+    """A chunk in the cache."""
 
     body: bytes
     object_key: ObjectKey
     tenant: str
-    is_unused_prefetch: bool  # fetched before it was asked for, and not asked for since
+    is_unused_prefetch: bool  # prefetched, and not requested since
 
 
 class KnownObject(Struct):
-    """An object whose manifest was seen: its runs now, and which of its pieces are kept."""
+    """An object whose manifest was read: its runs now, and which of its chunks are cached."""
 
     tenant: str
     runs: frozenset[bytes]
@@ -43,7 +44,7 @@
 
 
 class ChunkCache:
-    """Pieces of one head, at most `most` bytes, of one tenant at most `tenant_part` of them."""
+    """Chunks of one head, at most `max_bytes`; of one tenant at most `tenant_fraction` of them."""
 
     def __init__(
         self,
@@ -59,29 +60,30 @@
         self.runs: dict[tuple[str, bytes], ObjectKey] = {}
         self.used_bytes = 0
         self.tenant_bytes: dict[str, int] = {}  # by tenant
-        self.hits = self.misses = self.hit_bytes = 0
-        self.used_prefetches = self.wasted_prefetches = (
-            0  # pieces fetched beforehand that were asked for, or went before that
-        )
-        self.on_prefetch_outcome: Callable[[ObjectKey, bool], None] = lambda one, useful: None  # of each of these
+        self.hits = 0
+        self.misses = 0
+        self.hit_bytes = 0
+        self.used_prefetches = 0  # prefetched chunks that were requested
+        self.wasted_prefetches = 0  # prefetched chunks that were removed before
+        self.on_prefetch_outcome: Callable[[ObjectKey, bool], None] = lambda one, useful: None  # with each of these
 
     # --- versions
 
     def observe_manifest(self, volume: str, name: str, manifest: Manifest) -> None:
-        """Take an object's manifest as the bricks told it just now; `name` is the manifest's id."""
+        """Record an object's manifest as it was just read or written; `name` is the manifest's id."""
         self.set_runs((volume, name), [run.token for run in manifest.runs] if manifest.etag else [])
 
     def set_runs(self, object_key: ObjectKey, tokens: Iterable[bytes]) -> None:
-        """Note an object's runs; pieces of others go, for nobody will name them again."""
+        """Set an object's runs; chunks of other runs are removed, as no request will name them again."""
         runs = frozenset(tokens)
         known = self.objects.get(object_key)
         if known is not None and known.runs == runs:
             self.objects.move_to_end(object_key)
             return
         if known is not None:
-            # A run that both versions name stays; a reader of an old manifest that is still at work asks the bricks.
-            for place in [place for place in known.cached_chunks if place[1] not in runs]:
-                self._remove(place)
+            # A run that both versions name stays; a reader of an old manifest in progress reads from the backends.
+            for key in [place for place in known.cached_chunks if place[1] not in runs]:
+                self._remove(key)
             for token in known.runs - runs:
                 self.runs.pop((object_key[0], token), None)
         if not runs:
@@ -96,18 +98,18 @@
             self.set_runs(next(iter(self.objects)), ())
 
     def has_chunks(self, object_key: ObjectKey) -> bool:
-        """Tell whether any piece of an object is kept."""
+        """Return whether any chunk of an object is cached."""
         known = self.objects.get(object_key)
         return known is not None and bool(known.cached_chunks)
 
     def object_of(self, volume: str, run: ChunkRun) -> ObjectKey | None:
-        """Tell whose run it is, where its manifest was seen."""
+        """Return the object of a run; None where its manifest was not read."""
         return self.runs.get((volume, run.token))
 
-    # --- pieces
+    # --- chunks
 
     def get(self, volume: str, run: ChunkRun, index: int) -> bytes | None:
-        """Tell a piece that is kept."""
+        """Return a cached chunk; None where there is none."""
         key = (volume, run.token, index)
         chunk = self.chunks.get(key)
         if chunk is None:
@@ -123,14 +125,14 @@
         return chunk.body
 
     def has(self, volume: str, run: ChunkRun, index: int) -> bool:
-        """Tell whether a piece is kept, without counting it as asked for."""
+        """Return whether a chunk is cached, without counting a hit or a miss."""
         return (volume, run.token, index) in self.chunks
 
     def put(self, volume: str, run: ChunkRun, index: int, body: bytes, is_prefetch: bool = False) -> bool:
-        """Keep a piece that was read, if it is worth more than what would go for it; tells whether it is kept."""
+        """Store a chunk if its demand exceeds that of what it would evict; returns whether it is cached."""
         key, object_key = (volume, run.token, index), self.runs.get((volume, run.token))
         if object_key is None or key in self.chunks:
-            return key in self.chunks  # of an unknown or old version: nobody will name it
+            return key in self.chunks  # of an unknown or old version: no request will name it
         known, size = self.objects[object_key], len(body) + CHUNK_OVERHEAD_BYTES
         if size > self.max_tenant_bytes or size > self.max_bytes:
             return False
@@ -148,7 +150,7 @@
         return True
 
     def would_store(self, object_key: ObjectKey, size: int) -> bool:
-        """Tell whether a piece of an object, so many bytes, would be kept if it were fetched beforehand now."""
+        """Return whether a chunk of an object, so many bytes, would be stored if it were prefetched now."""
         known = self.objects.get(object_key)
         if known is None or size > min(self.max_bytes, self.max_tenant_bytes):
             return False
@@ -169,9 +171,9 @@
     def _eviction_candidate(
         self, demand_per_byte: float, object_key: ObjectKey, is_prefetch: bool, tenant: str | None
     ) -> ChunkKey | None:
-        """Tell the piece of least demand a byte, of those used longest ago; none where the newcomer has less.
+        """Return the least recently used chunk of least demand a byte; None where the new chunk has less demand.
 
-        Where nothing is known of demand, both count 0 and the one used longest ago goes.
+        Where nothing is known of demand, both count 0 and the least recently used one is evicted.
         """
         least_recently_used = itertools.islice(
             (place for place, held in self.chunks.items() if tenant is None or held.tenant == tenant), EVICTION_SAMPLE
@@ -188,7 +190,7 @@
             ),
             key=lambda row: row[:2],
         )
-        # An object that pushes out its own pieces would never be whole.
+        # An object that evicts its own chunks would never be complete.
         if (
             demand_per_byte < min_demand_per_byte
             or (is_prefetch and demand_per_byte <= PREFETCH_MARGIN * min_demand_per_byte)
@@ -212,6 +214,6 @@
             self.on_prefetch_outcome(chunk.object_key, False)
 
     def remove_tenant(self, tenant: str) -> None:
-        """Drop all of a tenant that is served no more."""
+        """Remove all chunks of a tenant that is no longer served."""
         for one in [one for one, known in self.objects.items() if known.tenant == tenant]:
             self.set_runs(one, ())
--- a/hophinge/objects/front.py
+++ b/hophinge/objects/front.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP: S3's status codes on aiohttp's low-level server; whatever goes wrong gets one answer."""
+"""The object API over HTTP: S3's status codes on aiohttp's low-level server; each request gets one answer."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from aiohttp import web
 
 from hophinge.core.counters import Counters
-from hophinge.objects.http_fields import failure
+from hophinge.objects.account_access import AccountAccess
 from hophinge.objects.config import ObjectConfig
 from hophinge.objects.core_client import CoreFailedError, RejectedError
-from hophinge.objects.request_handlers import GUEST, ObjectRequestHandlers
+from hophinge.objects.http_fields import failure
 from hophinge.objects.object_store import ObjectError, ObjectStore
-from hophinge.objects.account_access import Admission
+from hophinge.objects.request_handlers import AUTHENTICATED, ObjectRequestHandlers
 
-BUSY_RETRY_S = 1  # advice when a head has as many object requests as it takes
+BUSY_RETRY_S = 1  # Retry-After where a head has as many object requests as it accepts
 
 
 class ObjectFront(ObjectRequestHandlers):
-    """One handler for every connection."""
+    """The handler of every connection."""
 
     def __init__(
         self,
         store: ObjectStore,
-        accounts: Admission,
+        accounts: AccountAccess,
         config: ObjectConfig,
         counters: Counters,
         log: Callable[[str], None],
@@ -37,7 +37,7 @@
         self.evicted: set[asyncio.Task[Any]] = set()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request; whatever goes wrong, it gets one answer."""
+        """Answer one request; an error is an answer as well."""
         self.counters.add("object_requests")
         response: web.StreamResponse
         if self.active_requests >= self.config.requests:
@@ -58,16 +58,16 @@
             finally:
                 self.active_requests -= 1
                 self.evicted.discard(task)
-                if GUEST in request:
+                if AUTHENTICATED in request:
                     self._record_answer_start(request)
                     self.accounts.dropped(task)
-            if GUEST in request:
-                self.accounts.ended(request[GUEST], response.status)
+            if AUTHENTICATED in request:
+                self.accounts.ended(request[AUTHENTICATED], response.status)
         self.counters.add(f"object_answers_{response.status // 100}xx")
         return response
 
     def evict_tenant(self, tenant: str) -> None:
-        """Answer what waits of a tenant that is no longer served; answers that have begun go on to their end."""
+        """Cancel the unanswered requests of a tenant; answers that have begun are completed."""
         for task in self.unanswered.pop(tenant, set()):
             self.evicted.add(task)
             task.cancel()
@@ -78,7 +78,7 @@
         except ObjectError as error:
             return failure(error, error.retry_s)
         except RejectedError as refused:
-            # The module gave a request up: told at once, with when to come back.
+            # The decision module rejected it: answered at once, with a time to retry.
             text = "The core refused the request; it is safe to repeat."
             return failure(ObjectError(503, "SlowDown", text), max(refused.retry_after_us, 1) / 1e6)
         except CoreFailedError:
--- a/hophinge/objects/http_fields.py
+++ b/hophinge/objects/http_fields.py
@@ -1,4 +1,4 @@
-"""What a request of the object API says in its query and headers, and answers that are one document."""
+"""Query parameters and headers of the object API's requests, and answers that are one document."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from hophinge.objects import xml_documents
 from hophinge.objects.object_store import ObjectError
 
-UPLOAD = re.compile(r"[0-9a-f]{32}", re.ASCII)
+UPLOAD_ID_PATTERN = re.compile(r"[0-9a-f]{32}", re.ASCII)
 
 
-def upload_of(query: dict[str, list[str]]) -> str:
-    """Read which upload is meant."""
+def upload_id_of(query: dict[str, list[str]]) -> str:
+    """Return the upload that a query names; raises ObjectError (404) where it is malformed."""
     upload = query["uploadId"][0]
-    if not UPLOAD.fullmatch(upload):
+    if not UPLOAD_ID_PATTERN.fullmatch(upload):
         raise ObjectError(404, "NoSuchUpload", "The upload does not exist.")
     return upload
 
 
 def number_of(query: dict[str, list[str]], name: str, default: int) -> int:
-    """Read a figure of the query."""
+    """Return a number of the query; raises ObjectError (400) where it is malformed."""
     text = query.get(name, [str(default)])[0]
     if not (text.isascii() and text.isdigit() and len(text) < 10):
         raise ObjectError(400, "InvalidArgument", f"{name} is not a number.")
@@ -31,12 +31,12 @@
 
 
 def type_of(request: web.BaseRequest) -> str:
-    """Read what type a body is said to have."""
+    """Return the Content-Type of a body."""
     return request.headers.get("Content-Type", "application/octet-stream")[:256]
 
 
 def md5_of(request: web.BaseRequest) -> str:
-    """Read what digest a body is said to have; nothing where none is."""
+    """Return the Content-MD5 of a body in hex, or an empty text; raises ObjectError (400) where it is malformed."""
     text = request.headers.get("Content-MD5")
     if text is None:
         return ""
@@ -50,17 +50,17 @@
 
 
 def matches(header: str | None, etag: str) -> bool:
-    """Tell whether a header of conditions names an ETag."""
+    """Return whether an If-Match or If-None-Match header names an ETag (RFC 9110, section 13.1)."""
     return header is not None and (header.strip() == "*" or etag in (one.strip() for one in header.split(",")))
 
 
 def document(name: str, nodes: list[xml_documents.Node]) -> web.Response:
-    """Make an answer of one document."""
+    """Return an answer of one XML document."""
     return web.Response(body=xml_documents.render(name, nodes), content_type="application/xml")
 
 
 def failure(error: ObjectError, retry_s: float = 0) -> web.Response:
-    """Make the answer that tells an error."""
+    """Return the answer of an error, with Retry-After where a time in seconds is given."""
     body = xml_documents.render("Error", [("Code", error.code), ("Message", error.text)], namespace="")
     response = web.Response(status=error.status, body=body, content_type="application/xml")
     if retry_s:
--- a/hophinge/objects/object_store.py
+++ b/hophinge/objects/object_store.py
@@ -14,19 +14,19 @@
 
 from hophinge.core.exchange import Verdict
 from hophinge.net.payload import MAX_SHORT_BODY
+from hophinge.objects.account_access import Volume
 from hophinge.objects.chunk_store import ChunkStore, cancel_tasks
-from hophinge.objects.core_client import TimeBudget, CoreFailedError
+from hophinge.objects.core_client import CoreFailedError, TimeBudget
 from hophinge.objects.stored_records import (
+    ChunkRun,
     Manifest,
     Part,
-    ChunkRun,
     Upload,
     manifest_id,
     part_id,
     shard_of,
     upload_id,
 )
-from hophinge.objects.account_access import Volume
 
 LIST_PAGE = 100  # part numbers looked up for one page of a list
 
@@ -229,9 +229,9 @@
         numbers = list(
             range(after_number + 1, min(after_number + min(max_parts, LIST_PAGE), self.chunk_store.config.parts) + 1)
         )
-        found = await self._parts(volume, name, upload, numbers, budget)
-        more = numbers[-1] if numbers and numbers[-1] < self.chunk_store.config.parts else None
-        return [(number, part) for number, part in zip(numbers, found, strict=True) if part is not None], more
+        records = await self._parts(volume, name, upload, numbers, budget)
+        next_number = numbers[-1] if numbers and numbers[-1] < self.chunk_store.config.parts else None
+        return [(number, part) for number, part in zip(numbers, records, strict=True) if part is not None], next_number
 
     async def complete(
         self, volume: Volume, name: str, upload: str, requested_parts: list[tuple[int, str]], budget: TimeBudget
--- a/hophinge/objects/prefetch.py
+++ b/hophinge/objects/prefetch.py
@@ -1,4 +1,4 @@
-"""Fetches beforehand: an object's manifest and pieces into this head's cache, one read at a time."""
+"""Prefetching: an object's manifest and chunks into this head's cache, one read at a time."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 import msgspec
 
 from hophinge.core.exchange import Verdict
+from hophinge.objects.account_access import Volume
 from hophinge.objects.chunk_cache import CHUNK_OVERHEAD_BYTES, ChunkCache
 from hophinge.objects.chunk_store import ChunkStore
-from hophinge.objects.core_client import TimeBudget, CoreFailedError, RejectedError
+from hophinge.objects.core_client import CoreFailedError, RejectedError, TimeBudget
 from hophinge.objects.stored_records import Manifest
-from hophinge.objects.account_access import Volume
 from hophinge.popularity.keys import Locator
 from hophinge.popularity.planner import Candidate, Facts, Planner, Why
 
-RECORD_BYTES = 4096  # taken from budgets for a manifest, whose size is not known before
-# These speak against one brick: other pieces may lie elsewhere.
+RECORD_BYTES = 4096  # charged to budgets for a manifest, whose size is not known before it is read
+# These concern one backend: other chunks may lie elsewhere.
 BACKEND_REASONS = (Why.REST, Why.DRAIN, Why.COLD, Why.UNITS, Why.UNKNOWN)
 
 
 class Prefetcher:
-    """Carries out a plan; asks the planner before each read, for facts change while an object is fetched."""
+    """Carries out a plan; consults the planner before each read, as facts change while an object is fetched."""
 
     def __init__(
         self, chunk_store: ChunkStore, cache: ChunkCache, planner: Planner, facts: Callable[[], Facts]
     ) -> None:
         self.chunk_store, self.cache, self.planner, self.facts = chunk_store, cache, planner, facts
-        self.reads_in_flight = 0  # reads of its own that are out: they are not others' requests
+        self.reads_in_flight = 0  # its own reads, which do not count as other requests
         self.fetched_objects = self.fetched_bytes = self.rejected_reads = 0
 
     async def fetch(
         self, candidate: Candidate, locator: Locator, volume: Volume, until_us: int
     ) -> tuple[Manifest | None, bool]:
-        """Fetch an object as far as budgets and bricks allow, and its pieces until a time of the exchange's clock.
+        """Fetch an object as far as budgets and backends allow, until a time of the exchange's clock.
 
-        Tells its manifest, if it was read, and whether nothing is left to fetch. A piece that its brick has nothing to
-        spare for is left to whoever asks for it, or to a later fetch.
+        Returns its manifest, if it was read, and whether nothing is left to fetch. A chunk whose backend has no spare
+        capacity is left to the request that needs it, or to a later prefetch.
         """
-        body = await self._read(candidate, locator.shard, RECORD_BYTES, partial(self._manifest, volume, locator))
+        body = await self._read(candidate, locator.shard, RECORD_BYTES, partial(self._read_manifest, volume, locator))
         if not isinstance(body, bytes):
             return None, False
         try:
@@ -53,17 +53,17 @@
         self.fetched_objects += 1
         is_complete = True
         for run in manifest.runs:
-            for at, piece in enumerate(run.chunks):
-                if self.cache.has(volume.id, run, at):
+            for index, chunk in enumerate(run.chunks):
+                if self.cache.has(volume.id, run, index):
                     continue
                 if self.chunk_store.exchange.now_us() >= until_us:
                     return manifest, False
-                if not self.cache.would_store((locator.volume, locator.manifest), piece.size + CHUNK_OVERHEAD_BYTES):
+                if not self.cache.would_store((locator.volume, locator.manifest), chunk.size + CHUNK_OVERHEAD_BYTES):
                     return manifest, True
-                piece_read = partial(self.chunk_store.read_chunk, volume, run, at, self._budget(), True)
-                read = await self._read(candidate, piece.shard, piece.size, piece_read)
+                read_chunk = partial(self.chunk_store.read_chunk, volume, run, index, self._budget(), True)
+                read = await self._read(candidate, chunk.shard, chunk.size, read_chunk)
                 if isinstance(read, bytes):
-                    self.fetched_bytes += piece.size
+                    self.fetched_bytes += chunk.size
                     continue
                 is_complete = False
                 if read not in BACKEND_REASONS:
@@ -73,7 +73,7 @@
     def _budget(self) -> TimeBudget:
         return TimeBudget(self.chunk_store.exchange.now_us(), None)
 
-    async def _manifest(self, volume: Volume, locator: Locator) -> bytes:
+    async def _read_manifest(self, volume: Volume, locator: Locator) -> bytes:
         answer = await self.chunk_store.call(volume, locator.manifest, locator.shard, None, 1, self._budget(), True)
         return b"" if answer.verdict is Verdict.ABSENT else answer.body
 
--- a/hophinge/objects/range_header.py
+++ b/hophinge/objects/range_header.py
@@ -12,7 +12,7 @@
 
 
 def parse_range(header: str | None, size: int) -> tuple[int, int] | None:
-    """Tell the first and last byte asked for, or None for the whole object.
+    """Return the first and last byte requested, or None for the whole object.
 
     A header that is malformed, of another unit or of several ranges is ignored, as the RFC allows.
     """
--- a/hophinge/objects/request_handlers.py
+++ b/hophinge/objects/request_handlers.py
@@ -1,4 +1,4 @@
-"""What each request of the object API does, by S3's names and verbs, and what it is answered."""
+"""Handlers of the object API's requests, by S3's operations, and their answers."""
 
 from __future__ import annotations
 
@@ -15,99 +15,122 @@
 from hophinge.net.listener import INBOUND, OUTBOUND, Listener, RateLimit
 from hophinge.net.payload import MAX_SHORT_BODY
 from hophinge.objects import xml_documents
-from hophinge.objects.http_fields import document, failure, matches, md5_of, number_of, type_of, upload_of
+from hophinge.objects.account_access import AccountAccess, AuthenticatedRequest, Volume
 from hophinge.objects.config import ObjectConfig
-from hophinge.objects.core_client import TimeBudget, CoreFailedError, RejectedError
+from hophinge.objects.core_client import CoreFailedError, RejectedError, TimeBudget
+from hophinge.objects.http_fields import document, failure, matches, md5_of, number_of, type_of, upload_id_of
+from hophinge.objects.object_store import ObjectError, ObjectStore
 from hophinge.objects.range_header import UnsatisfiableRangeError, parse_range
 from hophinge.objects.stored_records import Manifest
-from hophinge.objects.object_store import ObjectError, ObjectStore
-from hophinge.objects.account_access import Admission, AuthenticatedRequest, Volume
 
 MAX_NAME_BYTES = 1024  # bytes of an object's name
 DEFAULT_LIST_PARTS = 100
-REMAINING = re.compile(r"[0-9]{1,9}", re.ASCII)
-GUEST = web.RequestKey("guest", AuthenticatedRequest)
-TRUNCATES = (CoreFailedError, RejectedError)
+REMAINING_MS_PATTERN = re.compile(r"[0-9]{1,9}", re.ASCII)
+AUTHENTICATED = web.RequestKey("guest", AuthenticatedRequest)
+TRUNCATING_ERRORS = (CoreFailedError, RejectedError)
+
+
+def method_not_allowed() -> ObjectError:
+    """Return the error for a method that a resource does not have."""
+    return ObjectError(405, "MethodNotAllowed", "The method is not allowed here.")
 
 
 class ObjectRequestHandlers(Listener):
-    """Requests as they are read, carried out and answered; errors are raised."""
+    """One handler for each operation; errors are raised."""
 
-    def __init__(self, store: ObjectStore, accounts: Admission, config: ObjectConfig, counters: Counters) -> None:
+    def __init__(self, store: ObjectStore, accounts: AccountAccess, config: ObjectConfig, counters: Counters) -> None:
         super().__init__(counters, config.connections, config.idle_s, config.idle_s)
         self.store, self.accounts, self.config = store, accounts, config
-        # By tenant, the requests whose answer has not begun; they end at once with their tenant.
+        # By tenant, the requests whose answer has not begun; they are cancelled where the tenant is evicted.
         self.unanswered: dict[str, set[asyncio.Task[Any]]] = {}
         self.rate_limit: RateLimit | None = None  # of bodies, both ways
 
     def _record_answer_start(self, request: web.BaseRequest) -> None:
-        """Note that a request waits no longer."""
+        """Record that the answer of a request begins."""
         task = asyncio.current_task()
-        tasks = self.unanswered.get(request[GUEST].tenant)
+        tasks = self.unanswered.get(request[AUTHENTICATED].tenant)
         if tasks is not None and task is not None:
             tasks.discard(task)
             if not tasks:
-                del self.unanswered[request[GUEST].tenant]
+                del self.unanswered[request[AUTHENTICATED].tenant]
 
     async def _route(self, request: web.BaseRequest) -> web.StreamResponse:
-        raw, _, query_text = request.raw_path.partition("?")
-        if raw == "/healthz" and request.method == "GET":
+        raw_path, _, query_text = request.raw_path.partition("?")
+        if raw_path == "/healthz" and request.method == "GET":
             return web.Response(status=503 if self.is_draining else 200)
-        bucket, _, quoted = raw.removeprefix("/").partition("/")
+        bucket, _, quoted = raw_path.removeprefix("/").partition("/")
         try:
             name = unquote(quoted, errors="strict")
             query = parse_qs(query_text, keep_blank_values=True, max_num_fields=16, errors="strict")
         except ValueError as error:
             raise ObjectError(400, "InvalidURI", "The path or query is not UTF-8.") from error
         guest = self._authenticate(request, unquote(bucket))
-        volume = guest.volume
         if not name:
             raise ObjectError(501, "NotImplemented", "Buckets are made by the administration API and not listed.")
         if len(name.encode()) > MAX_NAME_BYTES:
             raise ObjectError(400, "KeyTooLongError", f"An object's name has at most {MAX_NAME_BYTES} bytes.")
         budget = self._time_budget(request)
+        if "uploadId" in query or "uploads" in query:
+            return await self._route_upload(request, guest, bucket, name, query, budget)
+        return await self._route_object(request, guest.volume, name, budget)
+
+    async def _route_object(
+        self, request: web.BaseRequest, volume: Volume, name: str, budget: TimeBudget
+    ) -> web.StreamResponse:
+        match request.method:
+            case "PUT":
+                chunks = self._body_chunks(request, volume)
+                manifest = await self.store.put(volume, name, type_of(request), chunks, md5_of(request), budget)
+                return web.Response(headers={"ETag": f'"{manifest.etag}"'})
+            case "GET" | "HEAD":
+                return await self._get(request, volume, name, budget)
+            case "DELETE":
+                await self.store.delete(volume, name, budget)
+                return web.Response(status=204)
+        raise method_not_allowed()
+
+    async def _route_upload(
+        self,
+        request: web.BaseRequest,
+        guest: AuthenticatedRequest,
+        bucket: str,
+        name: str,
+        query: dict[str, list[str]],
+        budget: TimeBudget,
+    ) -> web.StreamResponse:
+        volume = guest.volume
         match request.method, "uploads" in query, "uploadId" in query:
             case "POST", True, False:
                 return await self._initiate(request, guest, bucket, name, budget)
             case "POST", False, True:
-                return await self._complete(request, volume, bucket, name, upload_of(query), budget)
+                return await self._complete(request, volume, bucket, name, upload_id_of(query), budget)
             case "PUT", False, True:
                 return await self._put_part(request, volume, name, query, budget)
             case "GET", False, True:
                 return await self._list_parts(volume, bucket, name, query, budget)
             case "DELETE", False, True:
-                await self.store.abort(volume, name, upload_of(query), budget)
-                self.accounts.forget_upload(upload_of(query))
-                return web.Response(status=204)
-            case "PUT", False, False:
-                manifest = await self.store.put(
-                    volume, name, type_of(request), self._body_chunks(request, volume), md5_of(request), budget
-                )
-                return web.Response(headers={"ETag": f'"{manifest.etag}"'})
-            case (("GET" | "HEAD"), False, False):
-                return await self._get(request, volume, name, budget)
-            case "DELETE", False, False:
-                await self.store.delete(volume, name, budget)
+                await self.store.abort(volume, name, upload_id_of(query), budget)
+                self.accounts.forget_upload(upload_id_of(query))
                 return web.Response(status=204)
-        raise ObjectError(405, "MethodNotAllowed", "The method is not allowed here.")
+        raise method_not_allowed()
 
     def _authenticate(self, request: web.BaseRequest, bucket: str) -> AuthenticatedRequest:
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
         task = asyncio.current_task()
         assert task is not None
         guest = self.accounts.admit(token.strip() if scheme.lower() == "bearer" else "", bucket, task, request.protocol)
-        request[GUEST] = guest
+        request[AUTHENTICATED] = guest
         self.unanswered.setdefault(guest.tenant, set()).add(task)
         return guest
 
     def _time_budget(self, request: web.BaseRequest) -> TimeBudget:
         text = request.headers.get("X-Remaining-Ms")
-        if text is not None and not REMAINING.fullmatch(text):
+        if text is not None and not REMAINING_MS_PATTERN.fullmatch(text):
             raise ObjectError(400, "InvalidArgument", "X-Remaining-Ms is malformed.")
         return TimeBudget(self.store.chunk_store.exchange.now_us(), None if text is None else int(text))
 
     async def _body_chunks(self, request: web.BaseRequest, volume: Volume | None = None) -> AsyncIterator[bytes]:
-        """Cut a body into pieces; a client that stops sending is not waited for for ever."""
+        """Split a body into chunks; raises ObjectError (408) where the client stops sending."""
         self.send_continue(request)
         size, buffer = self.config.piece_bytes, bytearray()
         while True:
@@ -119,8 +142,8 @@
             if not data:
                 break
             buffer += data
-            if GUEST in request:
-                self.accounts.moved(request[GUEST], INBOUND, len(data))
+            if AUTHENTICATED in request:
+                self.accounts.moved(request[AUTHENTICATED], INBOUND, len(data))
             if self.rate_limit is not None and volume is not None:
                 await self.rate_limit(volume.id, self.config.write_class, INBOUND, len(data))
             while len(buffer) >= size:
@@ -152,19 +175,19 @@
             return web.Response(status=304, headers={"ETag": etag})
         if "If-Match" in request.headers and not matches(request.headers["If-Match"], etag):
             raise ObjectError(412, "PreconditionFailed", "The object has another ETag.")
-        asked = request.headers.get("Range")
+        range_header = request.headers.get("Range")
         if request.headers.get("If-Range", etag) != etag:
-            asked = None
+            range_header = None
         try:
-            found = parse_range(asked, manifest.size)
+            byte_range = parse_range(range_header, manifest.size)
         except UnsatisfiableRangeError:
             error = failure(ObjectError(416, "InvalidRange", "No byte of the range is in the object."))
             error.headers["Content-Range"] = f"bytes */{manifest.size}"
             return error
-        first, last = found or (0, manifest.size - 1)
-        response = web.StreamResponse(status=206 if found else 200, headers=headers)
+        first, last = byte_range or (0, manifest.size - 1)
+        response = web.StreamResponse(status=206 if byte_range else 200, headers=headers)
         response.content_length = last + 1 - first
-        if found:
+        if byte_range:
             response.headers["Content-Range"] = f"bytes {first}-{last}/{manifest.size}"
         if self.is_draining:
             response.force_close()
@@ -189,13 +212,13 @@
                 if not response.prepared:
                     self._record_answer_start(request)
                     await response.prepare(request)
-                self.accounts.moved(request[GUEST], OUTBOUND, len(chunk))
+                self.accounts.moved(request[AUTHENTICATED], OUTBOUND, len(chunk))
                 async with asyncio.timeout(self.config.idle_s):
                     await response.write(chunk)
                 if self.rate_limit is not None:
                     await self.rate_limit(volume.id, self.config.read_class, OUTBOUND, len(chunk))
             await response.write_eof()
-        except (*TRUNCATES, TimeoutError):
+        except (*TRUNCATING_ERRORS, TimeoutError):
             if not response.prepared:
                 raise
             # The status is out: the client sees that it got less than Content-Length says.
@@ -217,7 +240,7 @@
     async def _put_part(
         self, request: web.BaseRequest, volume: Volume, name: str, query: dict[str, list[str]], budget: TimeBudget
     ) -> web.Response:
-        upload, number = upload_of(query), number_of(query, "partNumber", 0)
+        upload, number = upload_id_of(query), number_of(query, "partNumber", 0)
         part = await self.store.put_part(
             volume, name, upload, number, self._body_chunks(request, volume), md5_of(request), budget
         )
@@ -226,19 +249,19 @@
     async def _list_parts(
         self, volume: Volume, bucket: str, name: str, query: dict[str, list[str]], budget: TimeBudget
     ) -> web.Response:
-        upload, after = upload_of(query), number_of(query, "part-number-marker", 0)
-        most = max(1, number_of(query, "max-parts", DEFAULT_LIST_PARTS))
-        found, more = await self.store.list_parts(volume, name, upload, after, most, budget)
+        upload, after_number = upload_id_of(query), number_of(query, "part-number-marker", 0)
+        max_parts = max(1, number_of(query, "max-parts", DEFAULT_LIST_PARTS))
+        parts, next_number = await self.store.list_parts(volume, name, upload, after_number, max_parts, budget)
         rows: list[xml_documents.Node] = [
             ("Bucket", bucket),
             ("Key", name),
             ("UploadId", upload),
-            ("PartNumberMarker", str(after)),
-            ("MaxParts", str(most)),
-            ("IsTruncated", "false" if more is None else "true"),
+            ("PartNumberMarker", str(after_number)),
+            ("MaxParts", str(max_parts)),
+            ("IsTruncated", "false" if next_number is None else "true"),
         ]
-        if more is not None:
-            rows.append(("NextPartNumberMarker", str(more)))
+        if next_number is not None:
+            rows.append(("NextPartNumberMarker", str(next_number)))
         rows += [
             (
                 "Part",
@@ -249,7 +272,7 @@
                     ("Size", str(part.size)),
                 ],
             )
-            for number, part in found
+            for number, part in parts
         ]
         return document("ListPartsResult", rows)
 
@@ -257,10 +280,10 @@
         self, request: web.BaseRequest, volume: Volume, bucket: str, name: str, upload: str, budget: TimeBudget
     ) -> web.Response:
         try:
-            wanted = xml_documents.parse_part_list(await self._body(request))
+            requested_parts = xml_documents.parse_part_list(await self._body(request))
         except ValueError as error:
             raise ObjectError(400, "MalformedXML", f"The list of parts is malformed: {error}.") from error
-        etag = await self.store.complete(volume, name, upload, wanted, budget)
+        etag = await self.store.complete(volume, name, upload, requested_parts, budget)
         self.accounts.forget_upload(upload)
         return document(
             "CompleteMultipartUploadResult",
--- a/hophinge/objects/stored_records.py
+++ b/hophinge/objects/stored_records.py
@@ -1,7 +1,8 @@
-"""What the object front keeps on bricks: pieces, parts, upload states and manifests, and where each is found.
+"""What the object API stores on backends: chunks, parts, states of uploads and manifests, and where each is found.
 
-Pieces are new objects: the module places them and the record names the shard that took each. Records are found
+Chunks are new objects: the decision module places them, and a record names the shard that took each. Records are found
 without any list: their ids and their shard follow from the volume and the object's name, so every head finds them.
+Records are MessagePack arrays: a field may be renamed, never moved.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class ChunkRef(msgspec.Struct, array_like=True, frozen=True):
-    """One body on one brick; its id follows from its run's token and its place in the run."""
+    """Where one chunk is stored; its id follows from its run's token and its index in the run."""
 
     shard: int
     size: int
@@ -20,7 +21,7 @@
 
 
 class ChunkRun(msgspec.Struct, array_like=True, frozen=True):
-    """Pieces written by one PUT or one part."""
+    """The chunks that one PUT or one part wrote."""
 
     token: bytes
     chunks: list[ChunkRef]
@@ -38,7 +39,7 @@
 
 
 class Part(msgspec.Struct, array_like=True, frozen=True):
-    """A part of an upload, in a record of its own: heads that take parts at once overwrite nothing."""
+    """A part of an upload, in a record of its own, so that heads that write parts at once overwrite nothing."""
 
     etag: str
     size: int
@@ -55,30 +56,30 @@
 
 
 def short_hash(*parts: bytes) -> str:
-    """Hash to the 16 hex digits of an object's id."""
+    """Return the 16 hex digits of an id on a backend."""
     return blake2b(b"\0".join(parts), digest_size=8).hexdigest()
 
 
 def chunk_id(token: bytes, index: int) -> str:
-    """Tell a piece's id."""
+    """Return the id of a chunk."""
     return short_hash(b"piece", token, index.to_bytes(4, "big"))
 
 
 def manifest_id(name: str) -> str:
-    """Tell where an object's manifest lies within its volume."""
+    """Return the id of an object's manifest within its volume."""
     return short_hash(b"manifest", name.encode())
 
 
 def upload_id(name: str, upload: str) -> str:
-    """Tell where an upload's state lies within its volume."""
+    """Return the id of an upload's state within its volume."""
     return short_hash(b"upload", name.encode(), upload.encode())
 
 
 def part_id(name: str, upload: str, number: int) -> str:
-    """Tell where a part's record lies within its volume."""
+    """Return the id of a part's record within its volume."""
     return short_hash(b"part", name.encode(), upload.encode(), number.to_bytes(4, "big"))
 
 
 def shard_of(volume: str, name: str, shards: int) -> int:
-    """Tell the shard of all records of an object."""
+    """Return the shard of all records of an object."""
     return int.from_bytes(blake2b(f"{volume}\0{name}".encode(), digest_size=8).digest(), "big") % shards
--- a/hophinge/objects/xml_documents.py
+++ b/hophinge/objects/xml_documents.py
@@ -21,7 +21,7 @@
 
 
 def render(name: str, nodes: Iterable[Node], namespace: str = NAMESPACE) -> bytes:
-    """Write a document."""
+    """Return a document as bytes."""
     root = ElementTree.Element(name, {"xmlns": namespace} if namespace else {})
     _add(root, nodes)
     text: bytes = ElementTree.tostring(root, encoding="utf-8", xml_declaration=True)
@@ -29,12 +29,12 @@
 
 
 def format_time(unix: int) -> str:
-    """Write a time as the object API does."""
+    """Return a Unix time in the form of S3's documents."""
     return datetime.fromtimestamp(unix, UTC).strftime("%Y-%m-%dT%H:%M:%S.000Z")
 
 
 def parse_part_list(body: bytes) -> list[tuple[int, str]]:
-    """Read the list of a complete request; ValueError if it is none."""
+    """Return number and ETag of each part of a CompleteMultipartUpload; raises ValueError where it is malformed."""
     if b"<!" in body:
         raise ValueError("no document type or entities are taken")
     try:
