--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -11,7 +11,7 @@
 
 import pygal
 
-from hophinge.fleet.emulation.plays import RULINGS, SCREENING, play
+from hophinge.fleet.emulation.simulations import RULINGS, SCREENING, simulate
 
 LOADS = (0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 8.0)
 SEEDS = range(3)
@@ -21,7 +21,7 @@
     """Print the part of the worth earned by load."""
     for deployment in (SCREENING, RULINGS):
         for load in LOADS:
-            part = fmean(play(deployment, seed, load).day for seed in SEEDS)
+            part = fmean(simulate(deployment, seed, load).day for seed in SEEDS)
             print(deployment.name, load, round(part, 4), flush=True)
 
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -8,7 +8,7 @@
 
 import argparse
 
-from hophinge.fleet.emulation.plays import RULINGS, SCREENING, mean, play
+from hophinge.fleet.emulation.simulations import RULINGS, SCREENING, format_means, simulate
 
 LOADS = (0.5, 1.0, 1.5, 2.0, 3.0)
 
@@ -20,12 +20,12 @@
     seeds = range(parser.parse_args().seeds)
     for deployment in (SCREENING, RULINGS):
         for load in LOADS:
-            rows = [play(deployment, seed, load) for seed in seeds]
-            print(f"{deployment.name}, {load} times the usual rate: {mean(rows)}", flush=True)
-        rows = [play(deployment, seed, 1.0, burst=2.0) for seed in seeds]
-        print(f"{deployment.name}, a burst of 2: {mean(rows)}", flush=True)
-        rows = [play(deployment, seed, 1.0, crash=True) for seed in seeds]
-        print(f"{deployment.name}, an engine lost: {mean(rows)}", flush=True)
+            rows = [simulate(deployment, seed, load) for seed in seeds]
+            print(f"{deployment.name}, {load} times the usual rate: {format_means(rows)}", flush=True)
+        rows = [simulate(deployment, seed, 1.0, burst=2.0) for seed in seeds]
+        print(f"{deployment.name}, a burst of 2: {format_means(rows)}", flush=True)
+        rows = [simulate(deployment, seed, 1.0, crash=True) for seed in seeds]
+        print(f"{deployment.name}, an engine lost: {format_means(rows)}", flush=True)
 
 
 if __name__ == "__main__":
--- a/hophinge/fleet/emulation/__init__.py
+++ b/hophinge/fleet/emulation/__init__.py
@@ -1,1 +1,1 @@
-"""Engines and services as stand-ins on loopback, for tests of the two programs and for experiments."""
+"""Emulated engines and services, on loopback or in virtual time, for tests of the two programs and for experiments."""
--- a/hophinge/fleet/emulation/clock.py
+++ b/hophinge/fleet/emulation/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: callbacks in the order of their moments, and nothing that waits."""
+"""Virtual time: a discrete-event scheduler."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 class VirtualClock:
-    """Runs callbacks at their moments, in seconds from the start."""
+    """Runs callbacks in the order of their times, which are seconds from the start."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._order = itertools.count()
-        self._due: list[tuple[float, int, Callback]] = []
+        self._scheduled: list[tuple[float, int, Callback]] = []
 
-    def at(self, moment: float, callback: Callback) -> None:
-        """Have something done at a moment; one that is past means now."""
-        heapq.heappush(self._due, (max(moment, self.now), next(self._order), callback))
+    def at(self, time_s: float, callback: Callback) -> None:
+        """Schedule a callback at a time; one in the past means now."""
+        heapq.heappush(self._scheduled, (max(time_s, self.now), next(self._order), callback))
 
-    def after(self, delay: float, callback: Callback) -> None:
-        """Have something done after a delay."""
-        self.at(self.now + delay, callback)
+    def after(self, delay_s: float, callback: Callback) -> None:
+        """Schedule a callback after a delay."""
+        self.at(self.now + delay_s, callback)
 
-    def every(self, period: float, callback: Callback) -> None:
-        """Have something done again and again."""
+    def every(self, interval_s: float, callback: Callback) -> None:
+        """Schedule a callback at a fixed interval, first after one interval."""
 
-        def again() -> None:
+        def repeat() -> None:
             callback()
-            self.after(period, again)
+            self.after(interval_s, repeat)
 
-        self.after(period, again)
+        self.after(interval_s, repeat)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
-        while self._due and self._due[0][0] <= until:
-            self.now, _, callback = heapq.heappop(self._due)
+        """Run all callbacks up to a time."""
+        while self._scheduled and self._scheduled[0][0] <= until:
+            self.now, _, callback = heapq.heappop(self._scheduled)
             callback()
         self.now = until
--- a/hophinge/fleet/emulation/engine.py
+++ b/hophinge/fleet/emulation/engine.py
@@ -1,7 +1,7 @@
-"""A stand-in for an engine or a service on loopback: what it answers, as a state machine without sockets.
+"""An emulated engine or service: its responses, as a state machine without sockets.
 
-It speaks what instances speak: prompts are read and held under handles, tokens are streamed as events, requests that
-are not run are said so. Faults are switched on by a test.
+It speaks the protocol of instances: prompts are read and stored under handles, tokens are streamed as events, requests
+that are not executed are marked so. Tests inject faults.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
     find,
 )
 
-SIGNATURE_FORM = "{identity}.{request}"
-EVENT_FORM = "id: {number}\ndata: {identity} {number}\n\n"
+SIGNATURE_FORMAT = "{identity}.{request}"
+EVENT_FORMAT = "id: {number}\ndata: {identity} {number}\n\n"
 
 
 class Fault(Enum):
-    """What a test may have go wrong."""
+    """A fault that a test injects."""
 
-    FULL = auto()  # every request is refused as not executed
-    RESET = auto()  # the connection ends after the request was taken up
+    FULL = auto()  # every request is rejected as not executed
+    RESET = auto()  # the connection ends after the request was executed
     CUT = auto()  # a stream breaks off in the middle of an event
-    NO_MEMORY = auto()  # no handle can be had
+    NO_MEMORY = auto()  # no KV cache can be fetched
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """An answer: whole, or broken off after its body where `cut`; none at all where the status is 0."""
+class EngineResponse:
+    """A response: complete, or truncated after its body; none at all where the status is 0."""
 
     status: int
     fields: Fields = field(default_factory=list)
     body: bytes = b""
-    cut: bool = False
+    is_truncated: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """One request that an instance ran."""
+    """One request that an instance executed."""
 
     request: str
     instance: str
@@ -54,24 +54,27 @@
     handle: str | None
 
 
-class Engine:
+class EmulatedEngine:
     """One incarnation of an instance."""
 
     def __init__(self, identity: str, stage: str, events: int = 4) -> None:
-        self.identity, self.stage, self.events = identity, stage, events
+        self.identity = identity
+        self.stage = stage
+        self.events = events
         self.state = "ready"
         self.faults: set[Fault] = set()
         self.runs: list[RunRecord] = []
-        self.handles: dict[str, str] = {}  # handle to the request whose prompt it holds
-        self.freed: set[str] = set()
+        self.handles: dict[str, str] = {}  # by handle: the request whose KV cache it stores
+        self.freed_handles: set[str] = set()
         self.sequence = 0
-        self.leaving = False  # each answer says that its connection closes behind it
-        self.waiting = self.running = 0  # requests that it reports
-        self.orders = 0  # that it has taken
-        self.next_stage = ""  # while it changes its stage
-
-    def registration(self, service: str, address: str, zone: str) -> bytes:
-        """Tell the body of the next heartbeat."""
+        self.is_draining = False  # each response closes its connection
+        self.waiting = 0  # as it reports
+        self.running = 0  # as it reports
+        self.order_count = 0  # accepted so far
+        self.next_stage = ""  # while it switches its stage
+
+    def heartbeat_body(self, service: str, address: str, zone: str) -> bytes:
+        """Return the body of the next heartbeat."""
         self.sequence += 1
         return json.dumps(
             {
@@ -88,31 +91,32 @@
             }
         ).encode()
 
-    def order(self, body: bytes) -> Answered:
-        """Take an order to change the stage; `change` carries it out."""
-        wanted = str(json.loads(body).get("stage"))
-        if wanted not in ("prefill", "decode") or not self.stage:
-            return Answered(400)
+    def accept_order(self, body: bytes) -> EngineResponse:
+        """Answer an order to switch the stage, which `complete_switch` ends."""
+        desired_stage = str(json.loads(body).get("stage"))
+        if desired_stage not in ("prefill", "decode") or not self.stage:
+            return EngineResponse(400)
         if self.next_stage:
-            return Answered(409)
-        if wanted == self.stage:
-            return Answered(200)
-        self.next_stage = wanted
-        self.orders += 1
-        return Answered(202)
-
-    def change(self) -> None:
-        """Change the stage as ordered."""
-        self.stage, self.next_stage = self.next_stage, ""
-
-    def report(self) -> bytes:
-        """Tell how full it is."""
+            return EngineResponse(409)
+        if desired_stage == self.stage:
+            return EngineResponse(200)
+        self.next_stage = desired_stage
+        self.order_count += 1
+        return EngineResponse(202)
+
+    def complete_switch(self) -> None:
+        """End the switch of the stage that was ordered."""
+        self.stage = self.next_stage
+        self.next_stage = ""
+
+    def report_body(self) -> bytes:
+        """Return the body of its load report."""
         return json.dumps(
             {
                 "stage": self.stage,
                 "models": [],
                 "busy": bool(self.next_stage),
-                "sequence": self.orders,
+                "sequence": self.order_count,
                 "waiting": self.waiting,
                 "running": self.running,
                 "kv-used": 0,
@@ -121,58 +125,78 @@
             }
         ).encode()
 
-    def serve(self, target: str, fields: Fields, body: bytes, holders: dict[str, Engine]) -> Answered:
-        """Answer a request; `holders` are the instances by address, from which memory is fetched."""
+    def serve(
+        self, target: str, fields: Fields, body: bytes, engines_by_address: dict[str, EmulatedEngine]
+    ) -> EngineResponse:
+        """Answer a request.
+
+        Args:
+            target: the path of the request.
+            fields: the headers of the request.
+            body: the body of the request.
+            engines_by_address: the engines from which the KV cache of a prompt may be fetched.
+
+        """
         request = find(fields, REQUEST_ID) or ""
         own = [(b"Hophinge-Request-Id", request.encode())]
-        if self.leaving:
+        if self.is_draining:
             own.append((b"Connection", b"close"))
         if find(fields, EXPECTED_INSTANCE) != self.identity:
-            return Answered(421, own)
+            return EngineResponse(421, own)
         if Fault.FULL in self.faults:
-            return Answered(503, [*own, (b"Hophinge-Not-Executed", b"1")])
+            return EngineResponse(503, [*own, (b"Hophinge-Not-Executed", b"1")])
         if find(fields, SERVING_STAGE) == "prefill":
-            return self._read(request, own)
+            return self._prefill(request, own)
         if self.stage == "prefill":
-            return Answered(421, own)
-        return self._run(request, target, fields, body, own, holders)
+            return EngineResponse(421, own)
+        return self._run(request, target, fields, body, own, engines_by_address)
 
-    def _read(self, request: str, own: Fields) -> Answered:
+    def _prefill(self, request: str, own: Fields) -> EngineResponse:
         if self.stage != "prefill":
-            return Answered(421, own)
-        handle = f"{self.identity}-{len(self.handles) + len(self.freed)}"
+            return EngineResponse(421, own)
+        handle = f"{self.identity}-{len(self.handles) + len(self.freed_handles)}"
         self.handles[handle] = request
-        return Answered(200, own, json.dumps({"prefill-handle": handle, "tokens": 9, "version": 1}).encode())
+        return EngineResponse(200, own, json.dumps({"prefill-handle": handle, "tokens": 9, "version": 1}).encode())
 
     def _run(
-        self, request: str, target: str, fields: Fields, body: bytes, own: Fields, holders: dict[str, Engine]
-    ) -> Answered:
+        self,
+        request: str,
+        target: str,
+        fields: Fields,
+        body: bytes,
+        own: Fields,
+        engines_by_address: dict[str, EmulatedEngine],
+    ) -> EngineResponse:
         source = find(fields, KV_FROM)
-        if source is not None and not self._fetch(source, request, holders):
-            return Answered(503, [*own, (b"Hophinge-Not-Executed", b"1")])
+        if source is not None and not self._fetch_kv_cache(source, request, engines_by_address):
+            return EngineResponse(503, [*own, (b"Hophinge-Not-Executed", b"1")])
         self.runs.append(RunRecord(request, self.identity, target, body, source))
         if Fault.RESET in self.faults:
-            return Answered(0)
-        signature = SIGNATURE_FORM.format(identity=self.identity, request=request)
+            return EngineResponse(0)
+        signature = SIGNATURE_FORMAT.format(identity=self.identity, request=request)
         stamped = [*own, (b"Hophinge-Server-Signature", signature.encode())]
         if not self.stage:
-            return Answered(200, stamped, f"{self.identity} {request}".encode())
+            return EngineResponse(200, stamped, f"{self.identity} {request}".encode())
         first = int(find(fields, LAST_EVENT_ID) or 0) + 1
         text = "".join(
-            EVENT_FORM.format(number=number, identity=self.identity) for number in range(first, self.events + 1)
+            EVENT_FORMAT.format(number=number, identity=self.identity) for number in range(first, self.events + 1)
         ).encode()
         stream = [*stamped, (b"Content-Type", b"text/event-stream")]
-        return Answered(200, stream, text[:-9], True) if Fault.CUT in self.faults else Answered(200, stream, text)
-
-    def _fetch(self, source: str, request: str, holders: dict[str, Engine]) -> bool:
-        """Take memory from another instance: once, and only that of the same request."""
+        return (
+            EngineResponse(200, stream, text[:-9], True)
+            if Fault.CUT in self.faults
+            else EngineResponse(200, stream, text)
+        )
+
+    def _fetch_kv_cache(self, source: str, request: str, engines_by_address: dict[str, EmulatedEngine]) -> bool:
+        """Fetch a KV cache from another engine: once, and only that of the same request."""
         address, _, handle = source.partition("/")
-        holder = holders.get(address)
-        if holder is None or Fault.NO_MEMORY in self.faults:
+        source_engine = engines_by_address.get(address)
+        if source_engine is None or Fault.NO_MEMORY in self.faults:
             return False
-        return holder.handles.pop(handle, None) == request
+        return source_engine.handles.pop(handle, None) == request
 
-    def free(self, handle: str) -> None:
-        """Let go of a handle."""
-        self.freed.add(handle)
+    def free_handle(self, handle: str) -> None:
+        """Free a handle."""
+        self.freed_handles.add(handle)
         self.handles.pop(handle, None)
--- a/hophinge/fleet/emulation/fleet.py
+++ b/hophinge/fleet/emulation/loopback_fleet.py
@@ -14,35 +14,39 @@
 
 import httpcore
 
-from hophinge.fleet.emulation.engine import Engine
-from hophinge.fleet.emulation.stand_in import FAILURES, StandIn
+from hophinge.fleet.emulation.engine import EmulatedEngine
+from hophinge.fleet.emulation.instance_server import FAILURES, EmulatedInstance
 from hophinge.fleet.forwarding.headers import Fields
 from hophinge.load.rig.processes import USUAL_MAX, Process, Processes
 from hophinge.load.rig.waiting import Condition, until
 
-FRONT, READY, CONTROL, INTERNAL = 0, 1, 2, 3  # ports of a machine, from the fleet's first
-PORTS = range(12_000, 28_000)  # none that the system gives to connections on their way out
-ANSWER_S = 5.0
-START_S = 20.0
+# Ports of a machine, as offsets from the first port of the fleet.
+FRONT_PORT = 0
+READY_PORT = 1
+CONTROL_PORT = 2
+INTERNAL_PORT = 3
+FIRST_PORTS = range(12_000, 28_000)  # below the ephemeral ports
+CALL_TIMEOUT_S = 5.0
+START_TIMEOUT_S = 20.0
 STARTED = " started identity="  # in the log line of a process that has read its settings
-BUDGET_WINDOW_S = 2.0  # for which a head that has just started has a small part of the slack
-PROGRAMS = 2  # on each machine
+BUDGET_WINDOW_S = 2.0  # after its start a head has only a fraction of the slack
+PROGRAMS_PER_MACHINE = 2
 HOST = "models.example"
-ENGINES = {"slots": 8, "kv-cache-tokens": 400_000, "kv-token-bytes": 1_000, "handle-ttl-s": 5.0}
+ENGINE_SETTINGS = {"slots": 8, "kv-cache-tokens": 400_000, "kv-token-bytes": 1_000, "handle-ttl-s": 5.0}
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a client got; `whole` tells that the answer came to its end."""
+    """The response that a client received; `is_complete` says whether it was received to its end."""
 
     status: int
     fields: Fields
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
-def document(version: int, routes: Iterable[tuple[str, str, str]]) -> bytes:
-    """Write a configuration of routes, each a prefix, a kind and a service."""
+def configuration_document(version: int, routes: Iterable[tuple[str, str, str]]) -> bytes:
+    """Return a configuration of routes, each of a prefix, a type and a service."""
     rows = [
         {
             "name": f"r{number}",
@@ -59,7 +63,7 @@
         for number, (prefix, kind, service) in enumerate(routes)
     ]
     services = [
-        {"name": "models", "max-connections": 100, "engine": ENGINES},
+        {"name": "models", "max-connections": 100, "engine": ENGINE_SETTINGS},
         {"name": "plain", "max-connections": 50},
         {"name": "other", "max-connections": 50},
     ]
@@ -67,23 +71,25 @@
 
 
 class LoopbackFleet:
-    """Machines, each with a head and a control member, and the instances that register with them."""
+    """Machines, each with a head and a control member, and the emulated instances that register with them."""
 
     def __init__(self, folder: Path, machines: int, losses: int = 1, grace_s: float = 3.0) -> None:
-        self.folder, self.losses, self.grace_s = folder, losses, grace_s
-        self.processes = Processes(folder, max(USUAL_MAX, PROGRAMS * machines))
+        self.folder = folder
+        self.losses = losses
+        self.grace_s = grace_s
+        self.processes = Processes(folder, max(USUAL_MAX, PROGRAMS_PER_MACHINE * machines))
         net = secrets.randbelow(200) + 20
         self.ips = [f"127.{net}.{secrets.randbelow(250) + 1}.{number + 1}" for number in range(machines)]
-        self.port = secrets.choice(PORTS)
-        self.holders: dict[str, Engine] = {}
-        self.stand_ins: dict[str, StandIn] = {}
-        self.tasks: dict[str, asyncio.Task[None]] = {}
+        self.port = secrets.choice(FIRST_PORTS)
+        self.engines_by_address: dict[str, EmulatedEngine] = {}
+        self.instances: dict[str, EmulatedInstance] = {}
+        self.heartbeat_tasks: dict[str, asyncio.Task[None]] = {}
         self.version = 0
         self.bootstrap = True
         for number in range(machines):
-            self._add(number)
+            self._add_machine(number)
 
-    def _add(self, number: int) -> None:
+    def _add_machine(self, number: int) -> None:
         for program in ("control", "head"):
             name = f"{program}-{number}"
             words = [f"hophinge.fleet.{'controlplane' if program == 'control' else 'dataplane'}"]
@@ -91,44 +97,44 @@
             process.environ["HOPHINGE_CONFIG"] = str(process.folder / "settings.json")
 
     def address(self, number: int, port: int) -> str:
-        """Tell one of a machine's addresses."""
+        """Return an address of a machine."""
         return f"{self.ips[number]}:{self.port + port}"
 
     def control(self, number: int) -> Process:
-        """Tell a machine's control member."""
+        """Return the process of a machine's control member."""
         return self.processes.by_name[f"control-{number}"]
 
     def head(self, number: int) -> Process:
-        """Tell a machine's head."""
+        """Return the process of a machine's head."""
         return self.processes.by_name[f"head-{number}"]
 
     @property
     def controls(self) -> list[str]:
-        """Tell all control addresses."""
-        return [self.address(number, CONTROL) for number in range(len(self.ips))]
+        """The addresses of all control members."""
+        return [self.address(number, CONTROL_PORT) for number in range(len(self.ips))]
 
     def data_folder(self, number: int) -> Path:
-        """Tell where a control member keeps its state."""
+        """Return the directory of a control member's durable state."""
         return self.control(number).folder / "data"
 
     def write_settings(self) -> None:
-        """Write the settings files anew."""
+        """Write the settings files of all processes."""
         for number in range(len(self.ips)):
             for process in (self.control(number), self.head(number)):
                 (process.folder / "settings.json").write_text(json.dumps(self._settings(number)))
 
     def _settings(self, number: int) -> dict[str, Any]:
-        first = self.port + INTERNAL
+        first = self.port + INTERNAL_PORT
         return {
             "node-name": f"machine-{number}",
             "ip": self.ips[number],
             "zone": f"zone-{number}",
             "region": "r",
-            "zones": {f"zone-{one}": "r" for one in range(len(self.ips))},
+            "zones": {f"zone-{machine}": "r" for machine in range(len(self.ips))},
             "listen-addresses": {
-                "front": self.address(number, FRONT),
-                "ready": self.address(number, READY),
-                "control": self.address(number, CONTROL),
+                "front": self.address(number, FRONT_PORT),
+                "ready": self.address(number, READY_PORT),
+                "control": self.address(number, CONTROL_PORT),
             },
             "internal-port-range": [first, first + 2],
             "seed-nodes": self.controls[:3],
@@ -144,51 +150,53 @@
         """Start all processes for the first time."""
         self.write_settings()
         await self.processes.start(*self.processes.by_name)
-        await until([self._started(process) for process in self.processes.by_name.values()], START_S)
+        await until([self.started_condition(process) for process in self.processes.by_name.values()], START_TIMEOUT_S)
         self.bootstrap = False
         self.write_settings()
 
     @staticmethod
-    def _started(process: Process) -> Condition:
+    def started_condition(process: Process) -> Condition:
+        """Return the condition that a process has read its settings and started."""
+
         async def look() -> tuple[bool, str]:
             return process.said(STARTED), ""
 
         return Condition(process, "has read its settings", look)
 
-    async def instance(self, identity: str, service: str, stage: str, number: int = 0) -> Engine:
+    async def start_instance(self, identity: str, service: str, stage: str, number: int = 0) -> EmulatedEngine:
         """Start an emulated instance that registers by heartbeat."""
-        engine = Engine(identity, stage)
-        stand_in = StandIn(engine, service, "127.0.0.1", f"zone-{number}", self.holders)
-        await stand_in.start()
-        self.stand_ins[identity] = stand_in
-        self.tasks[identity] = asyncio.create_task(stand_in.beat_on(self.controls))
+        engine = EmulatedEngine(identity, stage)
+        server = EmulatedInstance(engine, service, "127.0.0.1", f"zone-{number}", self.engines_by_address)
+        await server.start()
+        self.instances[identity] = server
+        self.heartbeat_tasks[identity] = asyncio.create_task(server.run_heartbeats(self.controls))
         return engine
 
     async def stop_instance(self, identity: str) -> None:
-        """End an instance without a word."""
-        self.tasks.pop(identity).cancel()
-        self.stand_ins[identity].stop()
+        """Stop an instance without unregistering it."""
+        self.heartbeat_tasks.pop(identity).cancel()
+        self.instances[identity].stop()
 
     async def call(
         self, address: str, method: str, target: str, body: bytes = b"", fields: Iterable[tuple[bytes, bytes]] = ()
     ) -> Reply:
-        """Make one call on a connection of its own."""
-        timeout = {"connect": ANSWER_S, "read": ANSWER_S, "write": ANSWER_S, "pool": ANSWER_S}
+        """Send one request on a connection of its own."""
+        timeout = {"connect": CALL_TIMEOUT_S, "read": CALL_TIMEOUT_S, "write": CALL_TIMEOUT_S, "pool": CALL_TIMEOUT_S}
         async with httpcore.AsyncConnectionPool() as pool:
             headers = [*fields, (b"content-length", str(len(body)).encode())]
             request = httpcore.Request(
                 method, f"http://{address}{target}", content=body, headers=headers, extensions={"timeout": timeout}
             )
             response = await pool.handle_async_request(request)
-            parts: list[bytes] = []
+            chunks: list[bytes] = []
             try:
                 async for part in response.aiter_stream():
-                    parts.append(part)
+                    chunks.append(part)
             except FAILURES:
-                return Reply(response.status, response.headers, b"".join(parts), False)
+                return Reply(response.status, response.headers, b"".join(chunks), False)
             finally:
                 await response.aclose()
-            return Reply(response.status, response.headers, b"".join(parts), True)
+            return Reply(response.status, response.headers, b"".join(chunks), True)
 
     async def request(
         self,
@@ -198,32 +206,34 @@
         *fields: tuple[bytes, bytes],
         body: bytes = b"x",
     ) -> Reply:
-        """Make a client's request at a head."""
+        """Send a client's request to a head."""
         own = [(b"Host", HOST.encode()), (b"Hophinge-Request-Id", name.encode()), (b"Hophinge-Deadline-Ms", b"4000")]
-        return await self.call(self.address(number, FRONT), "POST", path, body, [*own, *fields])
+        return await self.call(self.address(number, FRONT_PORT), "POST", path, body, [*own, *fields])
 
     async def configure(self, number: int, data: bytes, base: int) -> int:
-        """Send a configuration to a control member; tells its status, 0 where none came."""
+        """Send a configuration to a control member, and return the status of the response, 0 without one."""
         fields = [(b"Host", b"c"), (b"If-Match", str(base).encode()), (b"Content-Type", b"application/json")]
         with contextlib.suppress(*FAILURES):
-            return (await self.call(self.address(number, CONTROL), "PUT", "/v1/config", data, fields)).status
+            return (await self.call(self.address(number, CONTROL_PORT), "PUT", "/v1/config", data, fields)).status
         return 0
 
-    def cut_off(self, number: int) -> None:
-        """Lose all that a machine and the others send each other, without a word to either."""
+    def partition(self, number: int) -> None:
+        """Drop all messages between a machine and the others."""
         others = [ip for ip in self.ips if ip != self.ips[number]]
-        for one in range(len(self.ips)):
-            lost = others if one == number else [self.ips[number]]
-            self.control(one).cut(lost)
-            self.head(one).cut(lost)
+        for machine in range(len(self.ips)):
+            unreachable = others if machine == number else [self.ips[number]]
+            self.control(machine).cut(unreachable)
+            self.head(machine).cut(unreachable)
 
     def heal(self) -> None:
-        """End all cuts."""
-        for one in range(len(self.ips)):
-            self.control(one).cut([])
-            self.head(one).cut([])
-
-    def _answers(self, process: Process, address: str, target: str, what: str, expected: dict[str, Any]) -> Condition:
+        """End all partitions."""
+        for machine in range(len(self.ips)):
+            self.control(machine).cut([])
+            self.head(machine).cut([])
+
+    def _response_condition(
+        self, process: Process, address: str, target: str, description: str, expected: dict[str, Any]
+    ) -> Condition:
         async def look() -> tuple[bool, str]:
             try:
                 reply = await self.call(address, "GET", target, b"", [(b"Host", b"c")])
@@ -232,13 +242,13 @@
             seen = json.loads(reply.body) if reply.body else {}
             return reply.status == 200 and expected.items() <= seen.items(), reply.body.decode()[:300]
 
-        return Condition(process, what, look)
+        return Condition(process, description, look)
 
-    def ready(self, number: int, version: int, instances: int) -> Condition:
-        """A head is ready under a version and knows so many instances."""
+    def ready_condition(self, number: int, version: int, instances: int) -> Condition:
+        """Return the condition that a head is ready with a version and this number of instances."""
 
         async def look() -> tuple[bool, str]:
-            address = self.address(number, READY)
+            address = self.address(number, READY_PORT)
             try:
                 reply = await self.call(address, "GET", "/v1/member", b"", [(b"Host", b"c")])
                 ready = await self.call(address, "GET", "/v1/ready", b"", [(b"Host", b"c")])
@@ -251,26 +261,26 @@
 
         return Condition(self.head(number), f"ready under {version} with {instances} instances", look)
 
-    def serving(self, number: int, version: int) -> Condition:
-        """A control member holds the chain's history, and a version is in force there."""
-        return self._answers(
+    def serving_condition(self, number: int, version: int) -> Condition:
+        """Return the condition that a control member serves the chain and has a version in force."""
+        return self._response_condition(
             self.control(number),
-            self.address(number, CONTROL),
+            self.address(number, CONTROL_PORT),
             "/v1/member",
             f"holds version {version}",
             {"serving": True, "configuration": version},
         )
 
     async def __aenter__(self) -> Self:
-        """Begin."""
+        """Enter the context; `start` starts the processes."""
         return self
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """End all that was started."""
-        for task in self.tasks.values():
+        """Stop all processes and instances."""
+        for task in self.heartbeat_tasks.values():
             task.cancel()
-        for stand_in in self.stand_ins.values():
-            stand_in.end()
+        for stand_in in self.instances.values():
+            stand_in.close()
         await self.processes.close()
--- a/hophinge/fleet/emulation/sizes.py
+++ b/hophinge/fleet/emulation/samples.py
@@ -1,4 +1,4 @@
-"""Parts of a fleet of any size, for measurements of bytes, time and memory."""
+"""Sample data of a fleet of any size, for measurements of bytes, time and memory."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def instance(number: int) -> Instance:
-    """Make an instance."""
+    """Return an instance."""
     stage = "prefill" if number % 4 == 0 else "decode"
     return Instance(
         f"i-{number:010x}",
@@ -29,16 +29,16 @@
     )
 
 
-def replicas(count: int) -> GossipStore:
-    """Hold the records of instances."""
-    held = GossipStore()
+def gossip_store(count: int) -> GossipStore:
+    """Return a store with the records of instances."""
+    store = GossipStore()
     for number in range(count):
-        held.store_if_newer(0.0, record_of(instance(number), 1))
-    return held
+        store.store_if_newer(0.0, record_of(instance(number), 1))
+    return store
 
 
-def document(routes: int) -> bytes:
-    """Write a configuration of routes."""
+def configuration_document(routes: int) -> bytes:
+    """Return a configuration with a number of routes."""
     rows = [
         {
             "name": f"r-{number:07x}",
@@ -67,26 +67,26 @@
     return json.dumps({"version": 7, "routes": rows, "services": services}).encode()
 
 
-def holder(number: int) -> LeaseHolder:
-    """Make a lease's holder."""
+def lease_holder(number: int) -> LeaseHolder:
+    """Return the holder of a lease."""
     address = f"10.1.{number // 250}.{number % 250}:7661"
     return LeaseHolder(f"{number:016x}", f"edge-zone-{number % 19}-{number}", address, f"zone-{number % 19}")
 
 
-JOB_NUMBER = 1 << 39  # of the size that most drawn numbers have
+SAMPLE_JOB_ID = 1 << 39  # of the size that most random ids have
 
 
 def hint(number: int) -> PlacementHint:
-    """Make a hint."""
-    parts = ((f"{number:08x}", 2520), (f"{number + 1:08x}", 3780), (f"{number + 2:08x}", 2890))
-    return PlacementHint(f"i-{number % 1700:010x}", 2890, parts, 2, 9300, JOB_NUMBER + number)
+    """Return a placement hint."""
+    segments = ((f"{number:08x}", 2520), (f"{number + 1:08x}", 3780), (f"{number + 2:08x}", 2890))
+    return PlacementHint(f"i-{number % 1700:010x}", 2890, segments, 2, 9300, SAMPLE_JOB_ID + number)
 
 
 def placement(count: int) -> Placement:
-    """Make books of instances of one service."""
-    made = Placement("zone-1", lambda identity: None, Random(1))
+    """Return a placement with instances of one service."""
+    placement = Placement("zone-1", lambda identity: None, Random(1))
     for number in range(count):
-        one = instance(number * 22)
-        made.update_instance(one.identity, one)
-    made.configure({"service0": 441_937})
-    return made
+        member = instance(number * 22)
+        placement.update_instance(member.identity, member)
+    placement.configure({"service0": 441_937})
+    return placement
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -1,7 +1,7 @@
-"""Slopes of the fleet's parts: bytes, processor time and memory by size; `python benchmarks/fleet_capacity.py`.
+"""Cost of the fleet by its size: bytes, processor time and memory; run by `python benchmarks/fleet_capacity.py`.
 
-Each row is measured at three sizes, fitted by least squares through them, and told with the worst deviation of a point
-from the line. Times are process time on this machine.
+Each row is measured at three sizes, fitted by least squares, and printed with the worst deviation of a point from the
+line. Times are process time on this machine.
 """
 
 from __future__ import annotations
@@ -16,7 +16,15 @@
 
 import numpy as np
 
-from hophinge.fleet.emulation.sizes import JOB_NUMBER, document, hint, holder, instance, placement, replicas
+from hophinge.fleet.emulation.samples import (
+    SAMPLE_JOB_ID,
+    configuration_document,
+    hint,
+    lease_holder,
+    instance,
+    placement,
+    gossip_store,
+)
 
 from hophinge.coordination.codec import decode, encode
 from hophinge.coordination.dissemination import BUCKET_COUNT, Digest, Dissemination, Push, GossipStore, DigestEntries
@@ -49,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A fitted line: what does not depend on the size, what each unit adds, and the worst deviation of a point."""
+    """A fitted line: a base, what each unit adds, and the worst relative deviation of a point."""
 
     name: str
     unit: str
@@ -59,12 +67,12 @@
     sizes: tuple[int, ...]
 
     def at(self, size: int) -> float:
-        """Tell the value at a size."""
+        """Return the value at a size."""
         return self.base + self.each * size
 
 
 def fit(name: str, unit: str, measure: Measure, sizes: tuple[int, ...]) -> Slope:
-    """Measure at some sizes and fit a line."""
+    """Measure at some sizes, and fit a line by least squares."""
     values = [measure(size) for size in sizes]
     each, base = np.polyfit(sizes, values, 1)
     pairs = zip(sizes, values, strict=True)
@@ -73,45 +81,46 @@
 
 
 def micros(work: Callable[[], object]) -> float:
-    """Tell the processor time of one call in microseconds."""
+    """Return the processor time of one call, in microseconds."""
     work()
     count = 1
     while True:
-        begun = time.process_time()
+        started_at = time.process_time()
         for _ in range(count):
             work()
-        spent = time.process_time() - begun
+        spent = time.process_time() - started_at
         if spent >= MIN_S:
             return spent / count * 1e6
         count *= 4
 
 
 def kilobytes(make: Callable[[], object]) -> float:
-    """Tell the memory that something made takes."""
+    """Return the memory that a new object takes."""
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    value = make()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del value
     return size / 1024
 
 
 def sent(message: object) -> float:
-    """Tell the bytes of a message that goes alone in a frame."""
+    """Return the bytes of a message that is sent alone in a frame."""
     return len(encode(message)) + FRAME_BYTES
 
 
-def _choose(made: Placement, random: Random) -> Callable[[], object]:
+def _choose(placement: Placement, random: Random) -> Callable[[], object]:
     def work() -> object:
         prompt = Prompt(9_190, 80, ((f"{random.randrange(500):08x}", 6_300), (f"{random.random()}", 2_890)))
-        plan = made.place_generation(
+        plan = placement.place_generation(
             PlacementRequest(0.0, (str(random.random()), 1), "service0", set(), 0.72, 0.72), prompt
         )
-        made.outgoing_hints(0.0)
-        for node in made.nodes.values():
+        placement.outgoing_hints(0.0)
+        for node in placement.nodes.values():
             node.in_flight.reservations.clear()
-            node.in_flight.free_at = node.in_flight.units_out = 0.0
+            node.in_flight.free_at = 0.0
+            node.in_flight.units_out = 0.0
         return plan
 
     return work
@@ -121,7 +130,7 @@
     def make() -> LeaseTable:
         table = LeaseTable()
         for number in range(count):
-            table.renew(0.0, holder(number))
+            table.renew(0.0, lease_holder(number))
         return table
 
     return kilobytes(make)
@@ -129,26 +138,28 @@
 
 def _registers(count: int) -> Registers:
     registers = Registers()
-    payload = document(100)
+    payload = configuration_document(100)
     for number in range(count):
         change = Change("configuration", number, number + 1, number.to_bytes(16, "big"), payload)
         registers.apply(HistoryEntry(number + 1, change))
     return registers
 
 
-def _missed(count: int) -> float:
-    """Tell the bytes by which two members that differ in one record of many agree again."""
-    one, other = Dissemination(Random(1)), Dissemination(Random(2))
-    one.store, other.store = replicas(count), replicas(count)
-    other.store.store_if_newer(0.0, record_of(instance(count), 1))
-    digest = one.digest(0.0)
+def _anti_entropy_bytes(count: int) -> float:
+    """Return the bytes after which two members that differ in one record agree again."""
+    first = Dissemination(Random(1))
+    first.store = gossip_store(count)
+    second = Dissemination(Random(2))
+    second.store = gossip_store(count)
+    second.store.store_if_newer(0.0, record_of(instance(count), 1))
+    digest = first.digest(0.0)
     total = sent(digest)
-    waiting = [("b", message) for _, message in other.handle(0.0, "a", digest).messages]
-    while waiting:
-        target, message = waiting.pop()
+    in_flight = [("first", message) for _, message in second.handle(0.0, "first", digest).messages]
+    while in_flight:
+        recipient, message = in_flight.pop()
         total += sent(message)
-        member, source = (one, "b") if target == "b" else (other, "a")
-        waiting += [("a" if target == "b" else "b", more) for _, more in member.handle(0.0, source, message).messages]
+        member, source = (first, "second") if recipient == "first" else (second, "first")
+        in_flight += [(source, reply) for _, reply in member.handle(0.0, source, message).messages]
     return total
 
 
@@ -159,18 +170,18 @@
         fit(
             "record of an instance, pushed",
             "B by records",
-            lambda n: sent(Push(tuple(record_of(instance(one), 1) for one in range(n)))),
+            lambda n: sent(Push(tuple(record_of(instance(number), 1) for number in range(n)))),
             FEW,
         ),
         fit(
             "rows of a comparison, one bucket in 16",
             "B by instances",
             lambda n: sent(
-                DigestEntries(1, tuple((f"instance/i-{one:010x}", (1, 0)) for one in range(n // BUCKET_COUNT)))
+                DigestEntries(1, tuple((f"instance/i-{number:010x}", (1, 0)) for number in range(n // BUCKET_COUNT)))
             ),
             MANY,
         ),
-        fit("two members that differ in one record", "B by instances", lambda n: _missed(n), MANY),
+        fit("two members that differ in one record", "B by instances", lambda n: _anti_entropy_bytes(n), MANY),
         fit("digest", "B by instances", lambda n: sent(Digest(fingerprints)), MANY),
     ]
 
@@ -180,7 +191,9 @@
     fingerprints = tuple(range(1 << 60, (1 << 60) + BUCKET_COUNT))
     me = Replica("0" * 16, "10.1.0.35:7660", "zone-1")
     return [
-        fit("renewal of a lease", "B by instances", lambda n: sent(RenewLease(holder(1), fingerprints, 1.5)), MANY),
+        fit(
+            "renewal of a lease", "B by instances", lambda n: sent(RenewLease(lease_holder(1), fingerprints, 1.5)), MANY
+        ),
         fit(
             "grant of a lease",
             "B by core members",
@@ -190,13 +203,13 @@
         fit(
             "leases told to another core member",
             "B by leases",
-            lambda n: sent(GrantedLeases(tuple(holder(one) for one in range(n)))),
+            lambda n: sent(GrantedLeases(tuple(lease_holder(number) for number in range(n)))),
             FEW,
         ),
         fit(
             "heartbeats told to another core member",
             "B by instances",
-            lambda n: sent(Liveness(tuple((f"i-{one:010x}", 41) for one in range(n)))),
+            lambda n: sent(Liveness(tuple((f"i-{number:010x}", 41) for number in range(n)))),
             MANY,
         ),
         fit(
@@ -211,12 +224,16 @@
 def _load_report_slopes() -> list[Slope]:
     """Measure the bytes of what heads and engines report of their load."""
     return [
-        fit("hints", "B by placements", lambda n: sent(PlacementHints(tuple(hint(one) for one in range(n)))), FEW),
+        fit(
+            "hints", "B by placements", lambda n: sent(PlacementHints(tuple(hint(number) for number in range(n)))), FEW
+        ),
         fit(
             "ends of reads",
             "B by ends",
             lambda n: sent(
-                PlacementHints((), tuple(PrefillDone(f"i-{one:010x}", JOB_NUMBER + one, 12) for one in range(n)))
+                PlacementHints(
+                    (), tuple(PrefillDone(f"i-{number:010x}", SAMPLE_JOB_ID + number, 12) for number in range(n))
+                )
             ),
             FEW,
         ),
@@ -224,7 +241,7 @@
             "reports",
             "B by engines",
             lambda n: sent(
-                EngineReports(tuple(EngineReport(f"i-{one:010x}", 1, 12, 41_000, 441_937) for one in range(n)))
+                EngineReports(tuple(EngineReport(f"i-{number:010x}", 1, 12, 41_000, 441_937) for number in range(n)))
             ),
             FEW,
         ),
@@ -234,11 +251,16 @@
 def _configuration_slopes() -> list[Slope]:
     """Measure the bytes of a configuration and the time to check and apply it."""
     return [
-        fit("configuration as the operator sends it", "KB by routes", lambda n: len(document(n)) / 1024, MANY),
+        fit(
+            "configuration as the operator sends it",
+            "KB by routes",
+            lambda n: len(configuration_document(n)) / 1024,
+            MANY,
+        ),
         fit(
             "configuration as it is spread, compressed",
             "KB by routes",
-            lambda n: len(zlib.compress(document(n), COMPRESSION_LEVEL)) / 1024,
+            lambda n: len(zlib.compress(configuration_document(n), COMPRESSION_LEVEL)) / 1024,
             MANY,
         ),
         fit(
@@ -247,11 +269,16 @@
             lambda n: sent(Sync(1, _registers(n).snapshot())) / 1024,
             MANY,
         ),
-        fit("checking a configuration", "us by routes", lambda n: _timed(validate_document, document(n)), MANY),
+        fit(
+            "checking a configuration",
+            "us by routes",
+            lambda n: _timed(validate_document, configuration_document(n)),
+            MANY,
+        ),
         fit(
             "putting a configuration in force",
             "us by routes",
-            lambda n: _timed(route_table_of, configuration_record(1, document(n))),
+            lambda n: _timed(route_table_of, configuration_record(1, configuration_document(n))),
             MANY,
         ),
     ]
@@ -261,11 +288,11 @@
     """Measure the time of what is computed for each message or generation."""
     random = Random(1)
     return [
-        fit("marks of all buckets", "us by instances", lambda n: _marks(replicas(n)), (300, 1000, 3000)),
+        fit("marks of all buckets", "us by instances", lambda n: _fingerprint_time(gossip_store(n)), (300, 1000, 3000)),
         fit(
             "encoding and decoding hints",
             "us by placements",
-            lambda n: _codec(PlacementHints(tuple(hint(one) for one in range(n)))),
+            lambda n: _codec(PlacementHints(tuple(hint(number) for number in range(n)))),
             FEW,
         ),
         fit(
@@ -281,9 +308,9 @@
     """Measure the memory of what each member stores."""
     return [
         fit("prompt parts believed to be kept", "KB by parts", lambda n: kilobytes(lambda: _cache(n)), MANY),
-        fit("records of instances", "KB by instances", lambda n: kilobytes(lambda: replicas(n)), MANY),
+        fit("records of instances", "KB by instances", lambda n: kilobytes(lambda: gossip_store(n)), MANY),
         fit("books of instances", "KB by instances", lambda n: kilobytes(lambda: placement(n)), MANY),
-        fit("routes in force", "KB by routes", lambda n: _table_memory(document(n)), MANY),
+        fit("routes in force", "KB by routes", lambda n: _table_memory(configuration_document(n)), MANY),
         fit("leases", "KB by leases", _lease_memory, MANY),
     ]
 
@@ -300,9 +327,9 @@
     ]
 
 
-def _cache(parts: int) -> PrefixCache:
+def _cache(segment_count: int) -> PrefixCache:
     cache = PrefixCache(1 << 40)
-    cache.insert(tuple((f"{number:08x}", 3_000) for number in range(parts)))
+    cache.insert(tuple((f"{number:08x}", 3_000) for number in range(segment_count)))
     return cache
 
 
@@ -310,8 +337,8 @@
     return micros(lambda: work(argument))
 
 
-def _marks(held: GossipStore) -> float:
-    return micros(lambda: held.fingerprints(1.0))
+def _fingerprint_time(store: GossipStore) -> float:
+    return micros(lambda: store.fingerprints(1.0))
 
 
 def _codec(message: object) -> float:
@@ -326,6 +353,6 @@
     """Print the table."""
     print("| what | unit | base | each | worst deviation | sizes |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for one in slopes():
-        sizes = ", ".join(map(str, one.sizes))
-        print(f"| {one.name} | {one.unit} | {one.base:.4g} | {one.each:.4g} | {one.error:.0%} | {sizes} |")
+    for slope in slopes():
+        sizes = ", ".join(map(str, slope.sizes))
+        print(f"| {slope.name} | {slope.unit} | {slope.base:.4g} | {slope.each:.4g} | {slope.error:.0%} | {sizes} |")
--- a/hophinge/fleet/emulation/virtual_engine.py
+++ b/hophinge/fleet/emulation/virtual_engine.py
@@ -1,8 +1,8 @@
-"""An engine in virtual time: batches, prompts read in pieces, cached parts, handles, moves of memory, stages.
+"""An engine in virtual time: continuous batching, chunked prefill, prefix cache, KV transfers, switches of stage.
 
-What it does is what the operators' protocol page says of engines: one prompt is read at a time, the most urgent first
-and none interrupted; a decode engine makes a token for each running request in each step and reads prompts between
-these at half the pace and in pieces a quarter as long; memory is shared by running requests and cached parts.
+It follows the operators' protocol page: one prompt is read at a time, by priority and without preemption; a decode
+engine generates a token for each running request in each step and reads prompts between these at half the rate and in
+chunks a quarter as long; memory is shared by running requests and cached segments.
 """
 
 from __future__ import annotations
@@ -18,193 +18,210 @@
 from hophinge.fleet.placement.timing import DECODE, PREFILL
 from hophinge.fleet.placement.prompt import Prompt
 
-DECODE_PACE = 0.5  # of the pace at which a prefill engine reads
-DECODE_PIECE = 0.25  # of the length of its pieces
-QUEUE_SLOTS = 2  # times the slots that may wait; more is turned away
-FAR_MOVE = 2.0  # times as long as within a zone
+DECODE_PREFILL_RATE = 0.5  # of the rate of a prefill engine
+DECODE_CHUNK_FRACTION = 0.25  # of its chunk
+MAX_QUEUED_PER_SLOT = 2  # more requests are rejected
+CROSS_ZONE_TRANSFER_FACTOR = 2.0  # of the duration within a zone
 
 
-class Event(Enum):
-    """What an engine tells of a request."""
+class EngineEvent(Enum):
+    """An event of a request at an engine."""
 
-    READ = auto()  # the prompt is read, its memory is held
-    FIRST = auto()  # the first token
-    DONE = auto()  # the last token
-    REFUSED = auto()  # it was not run
-    LOST = auto()  # the engine is gone
+    PREFILLED = auto()  # the prompt is read, its KV cache is stored
+    FIRST_TOKEN = auto()  # the first token
+    COMPLETED = auto()  # the last token
+    REJECTED = auto()  # it was not executed
+    LOST = auto()  # the engine crashed
 
 
-Listener = Callable[[Event], None]
+Listener = Callable[[EngineEvent], None]
 
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """The figures of a deployment's engines."""
+    """The parameters of a deployment's engines."""
 
     slots: int
     memory_tokens: int
-    step_s: float  # a step of a batch without a piece of a prompt
-    tokens_read_a_second: float
-    piece_tokens: int
-    move_s_a_token: float
+    step_s: float  # a step of a batch without a chunk of a prompt
+    prefill_tokens_per_s: float
+    chunk_tokens: int
+    transfer_s_per_token: float
     switch_s: float
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class EngineRequest:
     """One request at an engine."""
 
     prompt: Prompt
     priority: int
-    read_only: bool
-    fetched_from: str | None  # zone of the engine that holds the prompt's memory
+    is_prefill_only: bool
+    kv_cache_zone: str | None  # zone of the engine that stores the prompt's KV cache
     listener: Listener
-    unread: int = 0
+    unread_tokens: int = 0
     tokens_left: int = 0
-    begun: bool = False
+    has_started: bool = False
 
 
 class VirtualEngine:
     """One engine."""
 
     def __init__(self, clock: VirtualClock, profile: EngineProfile, identity: str, stage: str, zone: str) -> None:
-        self.clock, self.profile, self.identity, self.stage, self.zone = clock, profile, identity, stage, zone
-        self.waiting: list[Work] = []
-        self.reading: Work | None = None
-        self.running: list[Work] = []
-        self.fetching: list[Work] = []
+        self.clock = clock
+        self.profile = profile
+        self.identity = identity
+        self.stage = stage
+        self.zone = zone
+        self.queued: list[EngineRequest] = []
+        self.prefilling: EngineRequest | None = None
+        self.running: list[EngineRequest] = []
+        self.transferring: list[EngineRequest] = []
         self.cache = PrefixCache(profile.memory_tokens)
-        self.alive = True
-        self.stepping = False
-        self.link_free = 0.0
-        self.tokens_read = 0
+        self.is_alive = True
+        self.is_stepping = False
+        self.link_free_at = 0.0
+        self.prefilled_tokens = 0
 
     # --- requests ------------------------------------------------------------------------------------------------
 
-    def submit(self, work: Work) -> None:
-        """Take a request."""
-        if not self.alive:
-            work.listener(Event.LOST)
-        elif not self._takes(work):
-            work.listener(Event.REFUSED)
-        elif work.fetched_from is not None:
-            self._fetch(work)
+    def submit(self, request: EngineRequest) -> None:
+        """Submit a request; its listener receives its events."""
+        if not self.is_alive:
+            request.listener(EngineEvent.LOST)
+        elif not self._accepts(request):
+            request.listener(EngineEvent.REJECTED)
+        elif request.kv_cache_zone is not None:
+            self._transfer_kv_cache(request)
         else:
-            insort(self.waiting, work, key=lambda one: one.priority)
-            self._kick()
+            insort(self.queued, request, key=lambda queued: queued.priority)
+            self._wake()
 
-    def _takes(self, work: Work) -> bool:
-        """Tell whether it is the stage that a request asks for, and has room for it."""
-        right_stage = self.stage == (PREFILL if work.read_only else DECODE)
-        return right_stage and len(self.waiting) < QUEUE_SLOTS * self.profile.slots and self._fits(work)
+    def _accepts(self, request: EngineRequest) -> bool:
+        """Return whether the engine is of the stage that a request needs, and has capacity for it."""
+        is_right_stage = self.stage == (PREFILL if request.is_prefill_only else DECODE)
+        return is_right_stage and len(self.queued) < MAX_QUEUED_PER_SLOT * self.profile.slots and self._fits(request)
 
-    def _held(self) -> int:
-        """Tell the tokens of memory that can't give way."""
-        busy = [*self.running, *self.fetching, *([self.reading] if self.reading is not None else [])]
+    def _pinned_tokens(self) -> int:
+        """Return the tokens of memory that cannot be evicted."""
+        busy = [*self.running, *self.transferring, *([self.prefilling] if self.prefilling is not None else [])]
         return sum(work.prompt.tokens_in + work.prompt.tokens_out for work in busy)
 
-    def _fits(self, work: Work) -> bool:
-        wanted = work.prompt.tokens_in + work.prompt.tokens_out
-        return work.read_only or self._held() + wanted <= self.profile.memory_tokens
-
-    def _fetch(self, work: Work) -> None:
-        """Move a prompt's memory here: moves go one after the other over the link."""
-        far = FAR_MOVE if work.fetched_from != self.zone else 1.0
-        began = max(self.link_free, self.clock.now)
-        self.link_free = began + work.prompt.tokens_in * self.profile.move_s_a_token * far
-        self.fetching.append(work)
-        self.clock.at(self.link_free, lambda: self._fetched(work))
-
-    def _fetched(self, work: Work) -> None:
-        if work in self.fetching:
-            self.fetching.remove(work)
-            self._run(work)
-
-    def _run(self, work: Work) -> None:
-        work.tokens_left = max(1, work.prompt.tokens_out)
-        self.running.append(work)
-        self.cache.insert(work.prompt.segments)
-        self._kick()
+    def _fits(self, request: EngineRequest) -> bool:
+        required_tokens = request.prompt.tokens_in + request.prompt.tokens_out
+        return request.is_prefill_only or self._pinned_tokens() + required_tokens <= self.profile.memory_tokens
+
+    def _transfer_kv_cache(self, request: EngineRequest) -> None:
+        """Transfer a prompt's KV cache here; transfers share the link one after another."""
+        zone_factor = CROSS_ZONE_TRANSFER_FACTOR if request.kv_cache_zone != self.zone else 1.0
+        start_at = max(self.link_free_at, self.clock.now)
+        self.link_free_at = start_at + request.prompt.tokens_in * self.profile.transfer_s_per_token * zone_factor
+        self.transferring.append(request)
+        self.clock.at(self.link_free_at, lambda: self._finish_transfer(request))
+
+    def _finish_transfer(self, request: EngineRequest) -> None:
+        if request in self.transferring:
+            self.transferring.remove(request)
+            self._start_decode(request)
+
+    def _start_decode(self, request: EngineRequest) -> None:
+        request.tokens_left = max(1, request.prompt.tokens_out)
+        self.running.append(request)
+        self.cache.insert(request.prompt.segments)
+        self._wake()
 
     def crash(self) -> None:
-        """End, with all that is here."""
-        lost = [*self.waiting, *self.running, *self.fetching, *([self.reading] if self.reading is not None else [])]
-        self.alive, self.reading = False, None
-        self.waiting, self.running, self.fetching = [], [], []
+        """Crash, and lose all requests."""
+        lost = [
+            *self.queued,
+            *self.running,
+            *self.transferring,
+            *([self.prefilling] if self.prefilling is not None else []),
+        ]
+        self.is_alive = False
+        self.prefilling = None
+        self.queued = []
+        self.running = []
+        self.transferring = []
         for work in lost:
-            work.listener(Event.LOST)
+            work.listener(EngineEvent.LOST)
 
-    def switch(self, stage: str, done: Callable[[], None]) -> None:
-        """Change the stage: what waits is refused, what runs comes to its end."""
-        refused, self.waiting = self.waiting, []
+    def switch(self, stage: str, on_switched: Callable[[], None]) -> None:
+        """Switch the stage: queued requests are rejected, running ones are completed."""
+        rejected = self.queued
+        self.queued = []
         self.stage = ""
-        for work in refused:
-            work.listener(Event.REFUSED)
+        for work in rejected:
+            work.listener(EngineEvent.REJECTED)
 
-        def back() -> None:
+        def finish() -> None:
             self.stage = stage
-            done()
+            on_switched()
 
-        self.clock.after(self.profile.switch_s, back)
+        self.clock.after(self.profile.switch_s, finish)
 
     def report(self) -> EngineReport:
-        """Tell how full the engine is."""
-        waiting = len(self.waiting) + len(self.fetching)
-        return EngineReport(self.identity, waiting, len(self.running), self._held(), self.profile.memory_tokens)
+        """Return the engine's load report."""
+        queued_count = len(self.queued) + len(self.transferring)
+        return EngineReport(
+            self.identity, queued_count, len(self.running), self._pinned_tokens(), self.profile.memory_tokens
+        )
 
     # --- steps ---------------------------------------------------------------------------------------------------
 
-    def _kick(self) -> None:
-        if not self.stepping and self.alive:
+    def _wake(self) -> None:
+        if not self.is_stepping and self.is_alive:
             self._step()
 
     def _step(self) -> None:
-        """Begin a step: a piece of a prompt, and a token for each running request."""
-        if self.reading is None and self.waiting and len(self.running) < self.profile.slots:
-            self.reading = self.waiting.pop(0)
-            self.reading.unread = max(1, self.reading.prompt.tokens_in - self.cache.cached_tokens(self.reading.prompt))
-            self.tokens_read += self.reading.unread
+        """Start a step: a chunk of a prompt, and a token for each running request."""
+        if self.prefilling is None and self.queued and len(self.running) < self.profile.slots:
+            self.prefilling = self.queued.pop(0)
+            self.prefilling.unread_tokens = max(
+                1, self.prefilling.prompt.tokens_in - self.cache.cached_tokens(self.prefilling.prompt)
+            )
+            self.prefilled_tokens += self.prefilling.unread_tokens
         piece, pace = self._piece()
-        lasts = piece / pace + (self.profile.step_s if self.running else 0.0)
-        self.stepping = lasts > 0.0
-        if self.stepping:
+        duration_s = piece / pace + (self.profile.step_s if self.running else 0.0)
+        self.is_stepping = duration_s > 0.0
+        if self.is_stepping:
             batch = tuple(self.running)
-            self.clock.after(lasts, lambda: self._stepped(batch, piece))
+            self.clock.after(duration_s, lambda: self._finish_step(batch, piece))
 
     def _piece(self) -> tuple[float, float]:
         """Tell the tokens of a prompt that the next step reads, and how many it reads a second."""
         apart = self.stage != DECODE
-        pace = self.profile.tokens_read_a_second * (1.0 if apart else DECODE_PACE)
-        most = self.profile.piece_tokens * (1.0 if apart else DECODE_PIECE)
-        return (min(most, float(self.reading.unread)) if self.reading is not None else 0.0), pace
+        pace = self.profile.prefill_tokens_per_s * (1.0 if apart else DECODE_PREFILL_RATE)
+        most = self.profile.chunk_tokens * (1.0 if apart else DECODE_CHUNK_FRACTION)
+        return (min(most, float(self.prefilling.unread_tokens)) if self.prefilling is not None else 0.0), pace
 
-    def _stepped(self, batch: tuple[Work, ...], piece: float) -> None:
-        """End a step."""
-        if not self.alive:
+    def _finish_step(self, batch: tuple[EngineRequest, ...], chunk_tokens: float) -> None:
+        """Finish a step."""
+        if not self.is_alive:
             return
         for work in batch:
-            self._token(work)
-        reading = self.reading
-        if reading is not None and piece:
-            reading.unread -= int(piece)
-            if reading.unread <= 0:
-                self.reading = None
-                self._was_read(reading)
+            self._emit_token(work)
+        reading = self.prefilling
+        if reading is not None and chunk_tokens:
+            reading.unread_tokens -= int(chunk_tokens)
+            if reading.unread_tokens <= 0:
+                self.prefilling = None
+                self._finish_prefill(reading)
         self._step()
 
-    def _was_read(self, work: Work) -> None:
-        self.cache.insert(work.prompt.segments)
-        if work.read_only:
-            work.listener(Event.READ)
+    def _finish_prefill(self, request: EngineRequest) -> None:
+        self.cache.insert(request.prompt.segments)
+        if request.is_prefill_only:
+            request.listener(EngineEvent.PREFILLED)
         else:
-            work.tokens_left = max(1, work.prompt.tokens_out)
-            self.running.append(work)
-
-    def _token(self, work: Work) -> None:
-        work.tokens_left -= 1
-        if not work.begun:
-            work.begun = True
-            work.listener(Event.FIRST)
-        if work.tokens_left <= 0:
-            self.running.remove(work)
-            work.listener(Event.DONE)
+            request.tokens_left = max(1, request.prompt.tokens_out)
+            self.running.append(request)
+
+    def _emit_token(self, request: EngineRequest) -> None:
+        request.tokens_left -= 1
+        if not request.has_started:
+            request.has_started = True
+            request.listener(EngineEvent.FIRST_TOKEN)
+        if request.tokens_left <= 0:
+            self.running.remove(request)
+            request.listener(EngineEvent.COMPLETED)
--- a/hophinge/fleet/emulation/virtual_fleet.py
+++ b/hophinge/fleet/emulation/virtual_fleet.py
@@ -1,7 +1,7 @@
-"""Heads before engines in virtual time: the real placement and the real life of requests, drawn traffic, no sockets.
+"""A simulation of heads and engines in virtual time: the real placement and request lifecycle, without sockets.
 
-Heads hear of each other's placements and of engines' reports after a delay, as they do over the control members. The
-stages of engines follow the real rule. What it is for: to compare ways of placement on the same seeds.
+Heads receive each other's hints and the engines' reports after a delay, as they do over the control members. The stages
+of engines follow the real rule. It serves to compare policies of placement on the same seeds.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from hophinge.fleet.configuration.routes import Route
 from hophinge.fleet.emulation.clock import VirtualClock
 from hophinge.fleet.emulation.traffic import Arrival, TrafficProfile
-from hophinge.fleet.emulation.virtual_engine import EngineProfile, Event, VirtualEngine, Work
+from hophinge.fleet.emulation.virtual_engine import EngineProfile, EngineEvent, VirtualEngine, EngineRequest
 from hophinge.fleet.forwarding.budget import RetryBudget
 from hophinge.fleet.forwarding.life import GiveUp, Life, Pause, Read, Run
 from hophinge.fleet.forwarding.results import Ending, Handle, Result
@@ -25,50 +25,52 @@
 from hophinge.fleet.registry.instance import LOST, READY, SWITCHING, Instance
 
 SERVICE = "models"
-PACES = (0.65, 1.1)  # of the profile's pace at which engines read: those of one service differ
-HINT_S = 0.05  # from a placement until the other heads know of it
-REPORT_S = 0.8  # between an engine's reports
-REPORT_AGE_S = 0.2  # of a report when it reaches the heads
-LINK_S = 0.002  # one way between a head and an engine
-LOST_S = 4.8  # after a crash until all heads know of it
-STAGE_LOOK_S = 0.5
+ENGINE_RATE_RANGE = (0.65, 1.1)  # of the profile's prefill rate: the engines of one service differ
+HINT_DELAY_S = 0.05  # from a placement until the other heads receive it
+REPORT_INTERVAL_S = 0.8
+REPORT_DELAY_S = 0.2  # until a report reaches the heads
+LINK_DELAY_S = 0.002  # one way between a head and an engine
+LOSS_DETECTION_S = 4.8  # after a crash until all heads know of it
+STAGE_CHECK_INTERVAL_S = 0.5
 STAGE_STEADY_S = 1.2
 STAGE_RETRY_INTERVAL_S = 2.5
-BUDGET_RATIO, BUDGET_SLACK, BUDGET_WINDOW_S = 0.2, 60.0, 10.0
-LONGEST_PAUSE_S = 0.3  # between the events of an answer that is in time
+BUDGET_RATIO = 0.2
+BUDGET_SLACK = 60.0
+BUDGET_WINDOW_S = 10.0
+MAX_EVENT_GAP_S = 0.3  # between the events of a response that is in time
 MAX_ATTEMPTS = 2
-RETRIES = 1  # of a client that was refused
+CLIENT_RETRIES = 1  # of a rejected client
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What became of one arrival."""
+class RequestOutcome:
+    """The outcome of one arrival."""
 
     arrival: Arrival
     first_s: float | None = None  # from its arrival to the first token
-    refusals: int = 0
-    failed: bool = False
+    rejections: int = 0
+    has_failed: bool = False
 
-    def worth(self) -> float:
-        """Tell the worth that it earned."""
+    def earned_worth(self) -> float:
+        """Return the worth that it earned."""
         kind = self.arrival.kind
-        if self.failed or self.first_s is None:
+        if self.has_failed or self.first_s is None:
             return 0.0
-        return kind.worth if self.first_s <= kind.aim_s else kind.late_worth
+        return kind.worth if self.first_s <= kind.target_s else kind.late_worth
 
 
 @dataclass(slots=True)
-class Journey:
-    """One try on its way."""
+class ClientAttempt:
+    """One attempt of a client."""
 
-    outcome: Outcome
+    outcome: RequestOutcome
     life: Life
     head: Placement
-    retries: int = field(default=RETRIES)
+    retries: int = field(default=CLIENT_RETRIES)
 
 
 class VirtualFleet:
-    """A service's engines and the heads before them."""
+    """The engines of a service, and the heads in front of them."""
 
     def __init__(
         self,
@@ -82,7 +84,9 @@
         policy: PlacementPolicy = PlacementPolicy(),  # noqa: B008 - frozen
     ) -> None:
         self.policy = policy
-        self.clock, self.random, self.traffic = VirtualClock(), Random(seed), traffic
+        self.clock = VirtualClock()
+        self.random = Random(seed)
+        self.traffic = traffic
         self.zones = [f"z{number}" for number in range(zones)]
         self.loads = StageLoads()
         self.engines: dict[str, VirtualEngine] = {}
@@ -94,8 +98,8 @@
         self.budgets = [
             RetryBudget(BUDGET_RATIO, BUDGET_SLACK, BUDGET_WINDOW_S, -BUDGET_WINDOW_S) for _ in range(heads)
         ]
-        self.outcomes: list[Outcome] = []
-        self.switch_wanted: tuple[str, float] | None = None
+        self.outcomes: list[RequestOutcome] = []
+        self.desired_switch: tuple[str, float] | None = None
         self.switched_at = float("-inf")
         for number in range(prefill + decode):
             self._start_engine(engine, number, "prefill" if number < prefill else "decode")
@@ -106,35 +110,35 @@
 
     def _start_engine(self, profile: EngineProfile, number: int, stage: str) -> None:
         identity, zone = f"i-{number}", self.zones[number % len(self.zones)]
-        pace = profile.tokens_read_a_second * self.random.uniform(*PACES)
-        profile = replace(profile, tokens_read_a_second=pace)
+        rate = profile.prefill_tokens_per_s * self.random.uniform(*ENGINE_RATE_RANGE)
+        profile = replace(profile, prefill_tokens_per_s=rate)
         self.engines[identity] = VirtualEngine(self.clock, profile, identity, stage, zone)
-        self._tell(Instance(identity, SERVICE, identity, zone, "v1", profile.slots, READY, stage, ()))
+        self._publish_instance(Instance(identity, SERVICE, identity, zone, "v1", profile.slots, READY, stage, ()))
 
-    def _tell(self, instance: Instance) -> None:
+    def _publish_instance(self, instance: Instance) -> None:
         self.instances[instance.identity] = instance
         for head in self.heads:
             head.update_instance(instance.identity, instance)
 
-    def crash(self, identity: str, moment: float) -> None:
-        """Have an engine end without a word."""
+    def crash(self, identity: str, time_s: float) -> None:
+        """Crash an engine at a time; heads detect it later."""
 
-        def lost() -> None:
-            self._tell(replace(self.instances[identity], state=LOST))
+        def detect_loss() -> None:
+            self._publish_instance(replace(self.instances[identity], state=LOST))
 
-        self.clock.at(moment, self.engines[identity].crash)
-        self.clock.at(moment + LOST_S, lost)
+        self.clock.at(time_s, self.engines[identity].crash)
+        self.clock.at(time_s + LOSS_DETECTION_S, detect_loss)
 
-    def _report(self) -> None:
-        reports = EngineReports(tuple(engine.report() for engine in self.engines.values() if engine.alive))
-        self.clock.after(REPORT_AGE_S, lambda: self._reported(reports))
+    def _send_reports(self) -> None:
+        reports = EngineReports(tuple(engine.report() for engine in self.engines.values() if engine.is_alive))
+        self.clock.after(REPORT_DELAY_S, lambda: self._deliver_reports(reports))
 
-    def _reported(self, reports: EngineReports) -> None:
+    def _deliver_reports(self, reports: EngineReports) -> None:
         self.loads.record(reports, self.instances)
         for head in self.heads:
             head.receive_reports(self.clock.now, reports)
 
-    def _hint(self) -> None:
+    def _exchange_hints(self) -> None:
         for head in self.heads:
             hints = head.outgoing_hints(self.clock.now)
             if hints is None:
@@ -143,50 +147,50 @@
                 if other is not head:
                     other.receive_hints(self.clock.now, hints)
 
-    def _look_at_stages(self) -> None:
-        """Order a change of stage once it was wanted for a while."""
+    def _plan_switches(self) -> None:
+        """Order a switch of stage once it has been desired for a while."""
         now = self.clock.now
         switches = plan_switches(self.instances.values(), self.loads, self.policy)
         if not switches:
-            self.switch_wanted = None
+            self.desired_switch = None
             return
-        if self.switch_wanted is None or self.switch_wanted[0] != switches[0].stage:
-            self.switch_wanted = switches[0].stage, now
-        steady = now - self.switch_wanted[1] >= STAGE_STEADY_S and now - self.switched_at >= STAGE_RETRY_INTERVAL_S
-        if not steady and not switches[0].is_urgent:
+        if self.desired_switch is None or self.desired_switch[0] != switches[0].stage:
+            self.desired_switch = switches[0].stage, now
+        is_steady = now - self.desired_switch[1] >= STAGE_STEADY_S and now - self.switched_at >= STAGE_RETRY_INTERVAL_S
+        if not is_steady and not switches[0].is_urgent:
             return
         self.switched_at = now
         for switch in switches:
             self._switch(switch)
 
     def _switch(self, switch: StageSwitch) -> None:
-        """Have an engine change its stage."""
+        """Switch the stage of an engine."""
         name = switch.instance.identity
         self.loads.forget(name)
-        self._tell(replace(self.instances[name], state=SWITCHING))
+        self._publish_instance(replace(self.instances[name], state=SWITCHING))
         back = replace(self.instances[name], state=READY, stage=switch.stage)
-        self.engines[name].switch(switch.stage, lambda: self._tell(back))
+        self.engines[name].switch(switch.stage, lambda: self._publish_instance(back))
 
     # --- requests ------------------------------------------------------------------------------------------------
 
-    def play(self, seconds: float, lead_s: float = 2.0) -> list[Outcome]:
-        """Play traffic for so long, and some time more for what is under way."""
-        self.clock.every(HINT_S, self._hint)
-        self.clock.every(REPORT_S, self._report)
-        self.clock.every(STAGE_LOOK_S, self._look_at_stages)
+    def run(self, seconds: float, lead_s: float = 2.0) -> list[RequestOutcome]:
+        """Simulate traffic for a duration, and longer for the requests in flight at its end."""
+        self.clock.every(HINT_DELAY_S, self._exchange_hints)
+        self.clock.every(REPORT_INTERVAL_S, self._send_reports)
+        self.clock.every(STAGE_CHECK_INTERVAL_S, self._plan_switches)
         for arrival in self.traffic.draw(self.random, seconds):
-            self.clock.at(lead_s + arrival.at, self._arriving(Outcome(arrival)))
+            self.clock.at(lead_s + arrival.at, self._arrival_callback(RequestOutcome(arrival)))
         self.clock.run(lead_s + seconds + max(kind.deadline_s for kind in self.traffic.kinds))
         return self.outcomes
 
-    def _arriving(self, outcome: Outcome) -> Callable[[], None]:
+    def _arrival_callback(self, outcome: RequestOutcome) -> Callable[[], None]:
         def arrive() -> None:
             self.outcomes.append(outcome)
-            self._try(outcome, self.clock.now, RETRIES)
+            self._send_request(outcome, self.clock.now, CLIENT_RETRIES)
 
         return arrive
 
-    def _try(self, outcome: Outcome, began: float, retries: int) -> None:
+    def _send_request(self, outcome: RequestOutcome, arrived_at: float, retries: int) -> None:
         kind, now = outcome.arrival.kind, self.clock.now
         number = self.random.randrange(len(self.heads))
         route = Route(
@@ -195,8 +199,8 @@
             "/",
             "streaming",
             kind.deadline_s,
-            kind.aim_s,
-            LONGEST_PAUSE_S,
+            kind.target_s,
+            MAX_EVENT_GAP_S,
             0,
             MAX_ATTEMPTS,
             False,
@@ -211,70 +215,70 @@
             SERVICE,
             outcome.arrival.prompt,
             True,
-            now + kind.aim_s,
-            began + kind.deadline_s,
+            now + kind.target_s,
+            arrived_at + kind.deadline_s,
             self.heads[number],
             budget,
             len(self.heads),
-            RequestTrace(kind.name, now, kind.aim_s),
+            RequestTrace(kind.name, now, kind.target_s),
             now + route.client_timeout_s,
         )
-        self._next(Journey(outcome, life, self.heads[number], retries), began)
+        self._execute_step(ClientAttempt(outcome, life, self.heads[number], retries), arrived_at)
 
-    def _next(self, journey: Journey, began: float) -> None:
-        step = journey.life.next(self.clock.now)
+    def _execute_step(self, attempt: ClientAttempt, arrived_at: float) -> None:
+        step = attempt.life.next(self.clock.now)
         if isinstance(step, GiveUp):
-            self._given_up(journey, step, began)
+            self._give_up(attempt, step, arrived_at)
             return
         if isinstance(step, Pause):
-            self.clock.after(step.seconds, lambda: self._next(journey, began))
+            self.clock.after(step.seconds, lambda: self._execute_step(attempt, arrived_at))
             return
         engine = self.engines[step.placed.node.instance.identity]
         fetched_from = None
         if isinstance(step, Run) and step.handle is not None:
             fetched_from = self.engines[step.handle.instance].zone
-        work = Work(
-            journey.outcome.arrival.prompt,
+        work = EngineRequest(
+            attempt.outcome.arrival.prompt,
             step.priority,
             isinstance(step, Read),
             fetched_from,
-            self._listener(journey, step, began),
+            self._listener(attempt, step, arrived_at),
         )
-        self.clock.after(LINK_S, lambda: engine.submit(work))
+        self.clock.after(LINK_DELAY_S, lambda: engine.submit(work))
 
-    def _given_up(self, journey: Journey, step: GiveUp, began: float) -> None:
-        outcome = journey.outcome
-        outcome.refusals += 1
-        if step.come_back_s is None or journey.retries == 0:
-            outcome.failed = True
+    def _give_up(self, attempt: ClientAttempt, step: GiveUp, arrived_at: float) -> None:
+        outcome = attempt.outcome
+        outcome.rejections += 1
+        if step.come_back_s is None or attempt.retries == 0:
+            outcome.has_failed = True
             return
-        self.clock.after(step.come_back_s, lambda: self._try(outcome, began, journey.retries - 1))
+        self.clock.after(step.come_back_s, lambda: self._send_request(outcome, arrived_at, attempt.retries - 1))
 
-    def _listener(self, journey: Journey, step: Read | Run, began: float) -> Callable[[Event], None]:
-        """Tell a life what its engine says, a link's delay later."""
+    def _listener(self, attempt: ClientAttempt, step: Read | Run, arrived_at: float) -> Callable[[EngineEvent], None]:
+        """Return a listener that delivers the engine's events after the delay of the link."""
 
-        def listen(event: Event) -> None:
-            self.clock.after(LINK_S, lambda: self._heard(journey, step, began, event))
+        def listen(event: EngineEvent) -> None:
+            self.clock.after(LINK_DELAY_S, lambda: self._handle_event(attempt, step, arrived_at, event))
 
         return listen
 
-    def _heard(self, journey: Journey, step: Read | Run, began: float, event: Event) -> None:
-        now, life, outcome = self.clock.now, journey.life, journey.outcome
-        if event is Event.FIRST:
+    def _handle_event(self, attempt: ClientAttempt, step: Read | Run, arrived_at: float, event: EngineEvent) -> None:
+        now, life, outcome = self.clock.now, attempt.life, attempt.outcome
+        if event is EngineEvent.FIRST_TOKEN:
             life.streaming(now, step.placed)
-            outcome.first_s = now - began if outcome.first_s is None else outcome.first_s
+            outcome.first_s = now - arrived_at if outcome.first_s is None else outcome.first_s
             return
         result = Result(_ending(event, life.begun or outcome.first_s is not None))
-        if event is Event.READ:
+        if event is EngineEvent.PREFILLED:
             identity = step.placed.node.instance.identity
             result = Result(Ending.READ, Handle(identity, identity, "h", 0))
         if not life.ended(now, step.placed, result):
-            self._next(journey, began)
+            self._execute_step(attempt, arrived_at)
 
 
-def _ending(event: Event, begun: bool) -> Ending:
-    if event is Event.DONE:
+def _ending(event: EngineEvent, begun: bool) -> Ending:
+    if event is EngineEvent.COMPLETED:
         return Ending.ANSWERED
-    if event is Event.REFUSED:
+    if event is EngineEvent.REJECTED:
         return Ending.REFUSED
     return Ending.BROKEN if begun else Ending.UNKNOWN
--- a/tests/fleet_client.py
+++ b/tests/fleet_client.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from hophinge.fleet.emulation.fleet import FRONT, HOST, LoopbackFleet
+from hophinge.fleet.emulation.loopback_fleet import FRONT_PORT, HOST, LoopbackFleet
 from tests.fleet_requests import BOUND_S, PROMPT
 from tests.soak_client import Answer, read_answer
 
@@ -36,7 +36,7 @@
     @classmethod
     async def open(cls, fleet: LoopbackFleet) -> Client:
         """Connect to the head."""
-        host, port = fleet.address(0, FRONT).rsplit(":", 1)
+        host, port = fleet.address(0, FRONT_PORT).rsplit(":", 1)
         client = cls(*await asyncio.open_connection(host, int(port)))
         CLIENTS.append(client)
         return client
--- a/tests/fleet_faults.py
+++ b/tests/fleet_faults.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from hophinge.fleet.emulation.fleet import LoopbackFleet
+from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet
 
 Step = Callable[[LoopbackFleet, int], Awaitable[None]]
 
@@ -53,7 +53,7 @@
 
 
 async def _cut_off(fleet: LoopbackFleet, number: int) -> None:
-    fleet.cut_off(number)
+    fleet.partition(number)
 
 
 async def _heal(fleet: LoopbackFleet, number: int) -> None:
--- a/tests/fleet_requests.py
+++ b/tests/fleet_requests.py
@@ -5,7 +5,7 @@
 import json
 from collections import Counter
 
-from hophinge.fleet.emulation.fleet import READY, LoopbackFleet, Reply, document
+from hophinge.fleet.emulation.loopback_fleet import READY_PORT, LoopbackFleet, Reply, configuration_document
 from hophinge.load.rig.waiting import Condition, until
 
 BOUND_S = 30.0
@@ -29,9 +29,9 @@
 async def begin(fleet: LoopbackFleet) -> None:
     await fleet.start()
     for identity, service, stage in INSTANCES:
-        await fleet.instance(identity, service, stage)
-    await until([taken(fleet, 0, document(1, ROUTES), 0)], BOUND_S)
-    await until([fleet.ready(number, 1, len(INSTANCES)) for number in range(MACHINES)], BOUND_S)
+        await fleet.start_instance(identity, service, stage)
+    await until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
+    await until([fleet.ready_condition(number, 1, len(INSTANCES)) for number in range(MACHINES)], BOUND_S)
     # A head that doesn't know how many share the retry budget repeats little.
     await until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
 
@@ -45,19 +45,19 @@
 
 
 def runs(fleet: LoopbackFleet) -> Counter[str]:
-    return Counter(run.request for engine in fleet.holders.values() for run in engine.runs)
+    return Counter(run.request for engine in fleet.engines_by_address.values() for run in engine.runs)
 
 
 def streamed(reply: Reply) -> bool:
     ids = [line for line in reply.body.decode().splitlines() if line.startswith("id:")]
-    return reply.status == 200 and reply.whole and ids == [f"id: {number}" for number in range(1, 5)]
+    return reply.status == 200 and reply.is_complete and ids == [f"id: {number}" for number in range(1, 5)]
 
 
 def counts_heads(fleet: LoopbackFleet, number: int) -> Condition:
     """A head has been there for long enough to know how many share the retry budget."""
 
     async def look() -> tuple[bool, str]:
-        reply = await fleet.call(fleet.address(number, READY), "GET", "/v1/member", b"", [(b"Host", b"c")])
+        reply = await fleet.call(fleet.address(number, READY_PORT), "GET", "/v1/member", b"", [(b"Host", b"c")])
         heads = json.loads(reply.body)["heads-for-budgets"]
         return heads >= len(fleet.ips), f"counts {heads}"
 
--- a/tests/soak_checks.py
+++ b/tests/soak_checks.py
@@ -33,13 +33,13 @@
         "restarts": len(soak.exits),
         "hangups": soak.hangups,
         "leavings": soak.instances.leavings,
-        "orders": sum(one.engine.orders for one in soak.instances.all),
+        "orders": sum(one.engine.order_count for one in soak.instances.all),
     }
 
 
 def _requests(soak: Soak) -> Iterator[str]:
     runs = Counter(run.request for one in soak.instances.all for run in one.engine.runs)
-    arrived = {name for one in soak.instances.all for name in one.arrived}
+    arrived = {name for one in soak.instances.all for name in one.received_requests}
     for done in soak.done:
         where = f"{done.kind} {done.name} ({done.manner}) at head {done.head}, {done.over_at - done.sent_at:.3f} s"
         kind = KINDS[done.kind]
@@ -93,7 +93,7 @@
 
 def _rest(soak: Soak) -> Iterator[str]:
     yield from sorted(soak.instances.spared)
-    expected = set(soak.fleet.stand_ins)
+    expected = set(soak.fleet.instances)
     for member in soak.members:
         if set(member["instances"]) != expected:
             yield f"{member['address']} knows other instances: {sorted(set(member['instances']) ^ expected)}"
--- a/tests/soak_document.py
+++ b/tests/soak_document.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from hophinge.fleet.emulation.fleet import ENGINES, HOST
+from hophinge.fleet.emulation.loopback_fleet import ENGINE_SETTINGS, HOST
 from tests.soak_manners import KINDS
 
 ROUTES = {
@@ -58,7 +58,7 @@
             for number in range(self.extra)
         ]
         services: list[dict[str, Any]] = [
-            {"name": "models", "max-connections": 200, "engine": ENGINES},
+            {"name": "models", "max-connections": 200, "engine": ENGINE_SETTINGS},
             {"name": "plain", "max-connections": 200},
         ]
         services += [{"name": "other", "max-connections": 200}] if self.passing else []
--- a/tests/soak_fleet.py
+++ b/tests/soak_fleet.py
@@ -15,8 +15,8 @@
 from random import Random
 from typing import Any
 
-from hophinge.fleet.emulation.fleet import FRONT, READY, STARTED, LoopbackFleet
-from hophinge.fleet.emulation.stand_in import FAILURES
+from hophinge.fleet.emulation.loopback_fleet import FRONT_PORT, READY_PORT, STARTED, LoopbackFleet
+from hophinge.fleet.emulation.instance_server import FAILURES
 from hophinge.load.rig.processes import Process
 from hophinge.load.rig.waiting import until
 from tests.soak_client import Done, SoakClient
@@ -151,7 +151,7 @@
 
     async def _probe(self, number: int) -> None:
         """Ask a head whether it is ready, as the platform does."""
-        address, misses = self.fleet.address(number, READY), 2
+        address, misses = self.fleet.address(number, READY_PORT), 2
         while True:
             try:
                 async with asyncio.timeout(1.0):
@@ -160,7 +160,7 @@
             except (*FAILURES, TimeoutError):
                 misses += 1
             if misses == 0:
-                self.taking[number] = self.fleet.address(number, FRONT)
+                self.taking[number] = self.fleet.address(number, FRONT_PORT)
             elif misses >= 2:
                 self.taking.pop(number, None)
             await asyncio.sleep(PROBE_S)
@@ -177,7 +177,7 @@
             self.draft.version = 1
             await self._push()
             everywhere = range(self.course.machines)
-            await until([fleet.ready(number, 1, len(fleet.stand_ins)) for number in everywhere], START_S)
+            await until([fleet.ready_condition(number, 1, len(fleet.instances)) for number in everywhere], START_S)
             probes = [asyncio.create_task(self._probe(number)) for number in everywhere]
             probes.append(asyncio.create_task(self.instances.report()))
             probes += [asyncio.create_task(self.instances.watch(number)) for number in everywhere]
@@ -193,13 +193,16 @@
             for probe in probes:
                 probe.cancel()
             await until(
-                [fleet.ready(number, self.draft.version, len(fleet.stand_ins)) for number in everywhere], SETTLE_S
+                [fleet.ready_condition(number, self.draft.version, len(fleet.instances)) for number in everywhere],
+                SETTLE_S,
             )
             await until([self.instances.all_ready(number) for number in everywhere], READY_S)
             self.logs = {name: list(process.lines) for name, process in fleet.processes.by_name.items()}
             self.members = [
                 json.loads(
-                    (await fleet.call(fleet.address(number, READY), "GET", "/v1/member", b"", [(b"Host", b"c")])).body
+                    (
+                        await fleet.call(fleet.address(number, READY_PORT), "GET", "/v1/member", b"", [(b"Host", b"c")])
+                    ).body
                 )
                 for number in everywhere
             ]
--- a/tests/soak_instances.py
+++ b/tests/soak_instances.py
@@ -8,8 +8,8 @@
 from collections.abc import Awaitable, Callable
 from random import Random
 
-from hophinge.fleet.emulation.fleet import READY, LoopbackFleet
-from hophinge.fleet.emulation.stand_in import FAILURES, StandIn
+from hophinge.fleet.emulation.loopback_fleet import READY_PORT, LoopbackFleet
+from hophinge.fleet.emulation.instance_server import FAILURES, EmulatedInstance
 from hophinge.load.rig.waiting import Condition
 
 EVENTS = 6  # of each stream
@@ -26,7 +26,7 @@
 
     def __init__(self, fleet: LoopbackFleet, random: Random) -> None:
         self.fleet, self.random = fleet, random
-        self.all: list[StandIn] = []  # that there have been
+        self.all: list[EmulatedInstance] = []  # that there have been
         self.leavings = 0
         self.pressed = ""  # the stage that is short
         self.numbers = iter(range(1_000_000))
@@ -35,12 +35,12 @@
     async def join(self, service: str, stage: str) -> None:
         """Start an instance."""
         identity = f"{service}-{stage or 'x'}-{next(self.numbers)}"
-        engine = await self.fleet.instance(identity, service, stage, self.random.randrange(len(self.fleet.ips)))
+        engine = await self.fleet.start_instance(identity, service, stage, self.random.randrange(len(self.fleet.ips)))
         engine.events = EVENTS
-        stand_in = self.fleet.stand_ins[identity]
-        stand_in.pause = lambda: asyncio.sleep(self.random.choice((0.0, 0.01, 0.05, 0.3)))
-        stand_in.ranked = self._ranked
-        stand_in.delay = lambda: asyncio.sleep(self.random.choice((0.0, 0.0, 0.02, 0.2)))
+        stand_in = self.fleet.instances[identity]
+        stand_in.before_event = lambda: asyncio.sleep(self.random.choice((0.0, 0.01, 0.05, 0.3)))
+        stand_in.order_controls = self._ranked
+        stand_in.before_response = lambda: asyncio.sleep(self.random.choice((0.0, 0.0, 0.02, 0.2)))
         self.all.append(stand_in)
 
     def _ranked(self, controls: list[str]) -> list[str]:
@@ -50,7 +50,7 @@
     async def report(self) -> None:
         """Have each engine report what is pressed upon its stage now, which may be a new one."""
         while True:
-            for stand_in in self.fleet.stand_ins.values():
+            for stand_in in self.fleet.instances.values():
                 engine = stand_in.engine
                 busy = bool(self.pressed) and engine.stage == self.pressed
                 engine.running, engine.waiting = (1, QUEUED) if busy else (0, 0)
@@ -65,31 +65,31 @@
 
     async def leave(self, identity: str) -> None:
         """An instance leaves in one of the ways of the pages, and ends when its last answer is out."""
-        stand_in, fleet = self.fleet.stand_ins.pop(identity), self.fleet
-        stand_in.leaves.set()
-        await fleet.tasks.pop(identity)
-        stand_in.engine.leaving = self.random.random() < 0.5
+        stand_in, fleet = self.fleet.instances.pop(identity), self.fleet
+        stand_in.heartbeats_stopped.set()
+        await fleet.heartbeat_tasks.pop(identity)
+        stand_in.engine.is_draining = self.random.random() < 0.5
         unregisters_first = self.random.random() < 0.5
         if unregisters_first:
             await self._say(lambda: stand_in.unregister(fleet.controls))
         else:
             stand_in.engine.state = "draining"
-            await self._say(lambda: stand_in.beat(fleet.controls))
+            await self._say(lambda: stand_in.send_heartbeat(fleet.controls))
         if unregisters_first and self.random.random() < 0.5:
             await asyncio.sleep(0.3)
-            await stand_in.beat(fleet.controls)  # a heartbeat that comes late
+            await stand_in.send_heartbeat(fleet.controls)  # a heartbeat that comes late
         await asyncio.sleep(SERVED_ON_S + self.random.random())
-        while stand_in.under_way:
+        while stand_in.in_flight:
             await asyncio.sleep(0.02)
         if not unregisters_first:
             await self._say(lambda: stand_in.unregister(fleet.controls))
-        stand_in.end()
+        stand_in.close()
         self.leavings += 1
 
     async def replace_one(self) -> str:
         """Start an instance in place of a drawn one, which is told."""
-        identity = self.random.choice(sorted(self.fleet.stand_ins))
-        engine = self.fleet.stand_ins[identity].engine
+        identity = self.random.choice(sorted(self.fleet.instances))
+        engine = self.fleet.instances[identity].engine
         await self.join(identity.split("-")[0], engine.next_stage or engine.stage)
         await asyncio.sleep(KNOWN_S)
         return identity
@@ -105,13 +105,15 @@
 
     def _keeps(self, identity: str, stage: str) -> bool:
         """Tell whether an instance has a stage and isn't ordered to leave it."""
-        stand_in = self.fleet.stand_ins.get(identity)
+        stand_in = self.fleet.instances.get(identity)
         return stand_in is not None and stand_in.engine.stage == stage and not stand_in.engine.next_stage
 
     async def _seen(self, number: int) -> dict[str, tuple[str, str]]:
         """Tell stage and state of the instances that a head knows."""
-        reply = await self.fleet.call(self.fleet.address(number, READY), "GET", "/v1/member", b"", [(b"Host", b"c")])
-        if reply.status != 200 or not reply.whole:
+        reply = await self.fleet.call(
+            self.fleet.address(number, READY_PORT), "GET", "/v1/member", b"", [(b"Host", b"c")]
+        )
+        if reply.status != 200 or not reply.is_complete:
             return {}
         return {
             identity: (seen["stage"], seen["state"]) for identity, seen in json.loads(reply.body)["instances"].items()
@@ -122,7 +124,7 @@
 
         async def look() -> tuple[bool, str]:
             known = await self._seen(number)
-            there = {identity: (one.engine.stage, "ready") for identity, one in self.fleet.stand_ins.items()}
+            there = {identity: (one.engine.stage, "ready") for identity, one in self.fleet.instances.items()}
             wrong = {
                 identity: (known.get(identity), there.get(identity))
                 for identity in known.keys() | there.keys()
--- a/tests/soak_manners.py
+++ b/tests/soak_manners.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from random import Random
 
-from hophinge.fleet.emulation.fleet import HOST
+from hophinge.fleet.emulation.loopback_fleet import HOST
 from tests.fleet_requests import PROMPT
 
 DEADLINE_MS = 8_000
--- a/tests/test_fleet_capacity.py
+++ b/tests/test_fleet_capacity.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hophinge.fleet.emulation.slopes import fit, sent
-from hophinge.fleet.emulation.sizes import document, instance, placement, replicas
+from hophinge.fleet.emulation.samples import configuration_document, instance, placement, gossip_store
 from hophinge.coordination.dissemination import Digest, Push
 from hophinge.fleet.registry.instance import record_of
 
@@ -17,13 +17,13 @@
 
 
 def test_what_is_measured_can_be_made_at_a_small_size() -> None:
-    assert len(replicas(20).records) == 20
+    assert len(gossip_store(20).records) == 20
     assert len(placement(5).nodes) == 5
-    assert b"/t000013/" in document(20)
+    assert b"/t000013/" in configuration_document(20)
 
 
 def test_a_digest_costs_the_same_at_every_size_and_records_cost_by_their_number() -> None:
-    small, large = replicas(200), replicas(2_000)
+    small, large = gossip_store(200), gossip_store(2_000)
     assert abs(sent(Digest(small.fingerprints(0.0))) - sent(Digest(large.fingerprints(0.0)))) < 20
     sizes = [sent(Push(tuple(record_of(instance(number), 1) for number in range(count)))) for count in (1, 2, 20)]
     each = sizes[1] - sizes[0]
--- a/tests/test_fleet_client_connections.py
+++ b/tests/test_fleet_client_connections.py
@@ -17,7 +17,7 @@
 import pytest
 
 from hophinge.fleet.dataplane.front import MAX_BODIES
-from hophinge.fleet.emulation.fleet import LoopbackFleet, document
+from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, configuration_document
 from hophinge.load.rig.waiting import until
 from tests.fleet_client import CLIENTS, DEADLINE_MS, EVENTS, LATE_S, Client, is_stream, request
 from tests.fleet_requests import BOUND_S, taken
@@ -35,7 +35,7 @@
 
 def configuration(limits: dict[str, int]) -> bytes:
     """A document with some limits for what clients send, and long times for answers."""
-    raw = json.loads(document(1, ROUTES))
+    raw = json.loads(configuration_document(1, ROUTES))
     routes = [{**route, "timeout-ms": DEADLINE_MS} for route in raw["routes"]]
     return json.dumps({**raw, "routes": routes, "limits": limits}).encode()
 
@@ -45,12 +45,12 @@
     async with LoopbackFleet(folder, 1, losses=0, grace_s=GRACE_S) as fleet:
         await fleet.start()
         for identity, service, stage in INSTANCES:
-            await fleet.instance(identity, service, stage)
+            await fleet.start_instance(identity, service, stage)
         await until([taken(fleet, 0, configuration(limits), 0)], BOUND_S)
-        await until([fleet.ready(0, 1, len(INSTANCES))], BOUND_S)
-        maker = fleet.stand_ins["d1"]
+        await until([fleet.ready_condition(0, 1, len(INSTANCES))], BOUND_S)
+        maker = fleet.instances["d1"]
         maker.engine.events = EVENTS
-        maker.pause = lambda: asyncio.sleep(PAUSE_S)
+        maker.before_event = lambda: asyncio.sleep(PAUSE_S)
         try:
             await play(fleet)
         finally:
@@ -101,7 +101,7 @@
             client.send(first + second)
             return
         client.send(first)
-        while not fleet.stand_ins["d1"].under_way:
+        while not fleet.instances["d1"].in_flight:
             await asyncio.sleep(0)
         client.send(second)
 
@@ -148,7 +148,7 @@
         )
         served = await upgrade.answer()
         assert served is not None and served.status == 200 and served.body.endswith(b"upgrade")
-        (run,) = [run for run in fleet.stand_ins["s1"].engine.runs if run.request == "upgrade"]
+        (run,) = [run for run in fleet.instances["s1"].engine.runs if run.request == "upgrade"]
         assert run.body == b"whole body"
 
     asyncio.run(with_head(tmp_path, SHORT, play))
@@ -184,7 +184,7 @@
 
 def test_each_request_that_was_read_whole_is_answered_or_refused_as_the_process_ends(tmp_path: Path) -> None:
     async def play(fleet: LoopbackFleet) -> None:
-        fleet.stand_ins["d1"].pause = lambda: asyncio.sleep(0.75)  # the stream outlasts the head's leaving
+        fleet.instances["d1"].before_event = lambda: asyncio.sleep(0.75)  # the stream outlasts the head's leaving
         client, busy, resting = [await Client.open(fleet) for _ in range(3)]
         client.send(request("/m/q", "long"))
         busy.send(request("/m/q", "busy"))
--- a/tests/test_fleet_cuts.py
+++ b/tests/test_fleet_cuts.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hophinge.fleet.emulation.engine import Fault
-from hophinge.fleet.emulation.fleet import FRONT, HOST, READY, LoopbackFleet, document
+from hophinge.fleet.emulation.loopback_fleet import FRONT_PORT, HOST, READY_PORT, LoopbackFleet, configuration_document
 from hophinge.fleet.forwarding.cuts import Cut, InstanceSeen, Side, Step
 from hophinge.load.rig.waiting import Condition, until
 from tests.fleet_requests import BOUND_S, PROMPT, taken
@@ -47,17 +47,17 @@
         async with LoopbackFleet(tmp_path, 1, losses=0) as fleet:
             await fleet.start()
             for identity, service, stage in INSTANCES:
-                await fleet.instance(identity, service, stage)
-            await until([taken(fleet, 0, document(1, ROUTES), 0)], BOUND_S)
-            await until([fleet.ready(0, 1, len(INSTANCES))], BOUND_S)
-            maker = fleet.stand_ins["d1"]
+                await fleet.start_instance(identity, service, stage)
+            await until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
+            await until([fleet.ready_condition(0, 1, len(INSTANCES))], BOUND_S)
+            maker = fleet.instances["d1"]
             maker.engine.faults.add(Fault.CUT)
             reply = await fleet.request(0, "/m/q", "broken", *PROMPT)
-            assert reply.status == 200 and not reply.whole
+            assert reply.status == 200 and not reply.is_complete
             maker.engine.faults.clear()
-            maker.pause = asyncio.Event().wait
+            maker.before_event = asyncio.Event().wait
             await _leave(fleet, "/m/q", "left-answering")
-            fleet.stand_ins["s1"].delay = asyncio.Event().wait
+            fleet.instances["s1"].before_response = asyncio.Event().wait
             await _leave(fleet, "/p/q", "left-waiting")
             await until(
                 [
@@ -82,14 +82,14 @@
                 lines = [line for line in head.lines if f"response aborted {begin}" in line]
                 assert any(f" error={error}" in line for line in lines), (begin, list(head.lines))
             assert not head.said("Traceback")
-            assert {"left-answering"} <= maker.under_way
+            assert {"left-answering"} <= maker.in_flight
 
     asyncio.run(run())
 
 
 async def _leave(fleet: LoopbackFleet, path: str, name: str) -> None:
     """Make a request and leave once an instance works on it."""
-    host, port = fleet.address(0, FRONT).rsplit(":", 1)
+    host, port = fleet.address(0, FRONT_PORT).rsplit(":", 1)
     _, writer = await asyncio.open_connection(host, int(port))
     fields = [(b"Host", HOST.encode()), (b"Hophinge-Request-Id", name.encode()), (b"Content-Length", b"1"), *PROMPT]
     lines = b"".join(field + b": " + value + b"\r\n" for field, value in fields)
@@ -101,8 +101,8 @@
 
 def _works_on(fleet: LoopbackFleet, name: str) -> Condition:
     async def look() -> tuple[bool, str]:
-        makers = [one for one in fleet.stand_ins.values() if one.engine.stage != "prefill"]
-        begun = any(name in one.under_way for one in makers)
+        makers = [one for one in fleet.instances.values() if one.engine.stage != "prefill"]
+        begun = any(name in one.in_flight for one in makers)
         return begun and any(run.request == name for one in makers for run in one.engine.runs), ""
 
     return Condition(fleet.head(0), f"has {name} under way", look)
@@ -110,7 +110,7 @@
 
 def _counts(fleet: LoopbackFleet, expected: dict[str, int]) -> Condition:
     async def look() -> tuple[bool, str]:
-        reply = await fleet.call(fleet.address(0, READY), "GET", "/v1/member", b"", [(b"Host", b"c")])
+        reply = await fleet.call(fleet.address(0, READY_PORT), "GET", "/v1/member", b"", [(b"Host", b"c")])
         cuts = json.loads(reply.body)["cuts"]
         return cuts == expected, str(cuts)
 
--- a/tests/test_fleet_emulation.py
+++ b/tests/test_fleet_emulation.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from hophinge.fleet.emulation import plays
+from hophinge.fleet.emulation import simulations
 from hophinge.fleet.emulation.clock import VirtualClock
-from hophinge.fleet.emulation.virtual_engine import EngineProfile, Event, VirtualEngine, Work
+from hophinge.fleet.emulation.virtual_engine import EngineProfile, EngineEvent, VirtualEngine, EngineRequest
 from hophinge.fleet.placement.timing import DECODE, PREFILL
 from hophinge.fleet.placement.prompt import Prompt
 
@@ -18,11 +18,13 @@
 
     def __init__(self, clock: VirtualClock) -> None:
         self.clock = clock
-        self.events: list[tuple[str, Event, float]] = []
+        self.events: list[tuple[str, EngineEvent, float]] = []
 
-    def work(self, name: str, tokens: int, priority: int, read_only: bool, fetched_from: str | None = None) -> Work:
+    def work(
+        self, name: str, tokens: int, priority: int, read_only: bool, fetched_from: str | None = None
+    ) -> EngineRequest:
         prompt = Prompt(tokens, 3, ((name, tokens),))
-        return Work(
+        return EngineRequest(
             prompt,
             priority,
             read_only,
@@ -42,7 +44,11 @@
     engine.submit(seen.work("later", 1_000, 5, True))
     clock.after(0.1, lambda: engine.submit(seen.work("urgent", 1_000, 0, True)))
     clock.run(2.0)
-    assert seen.events == [("long", Event.READ, 0.5), ("urgent", Event.READ, 0.6), ("later", Event.READ, 0.7)]
+    assert seen.events == [
+        ("long", EngineEvent.PREFILLED, 0.5),
+        ("urgent", EngineEvent.PREFILLED, 0.6),
+        ("later", EngineEvent.PREFILLED, 0.7),
+    ]
 
 
 def test_a_prompt_that_is_kept_is_not_read_again() -> None:
@@ -51,18 +57,18 @@
     clock.run(1.0)
     engine.submit(seen.work("a", 5_000, 0, True))
     clock.run(1.1)
-    assert [event for _, event, _ in seen.events] == [Event.READ, Event.READ]
-    assert engine.tokens_read == 5_001
+    assert [event for _, event, _ in seen.events] == [EngineEvent.PREFILLED, EngineEvent.PREFILLED]
+    assert engine.prefilled_tokens == 5_001
 
 
 def test_a_decode_engine_reads_at_half_the_pace_between_tokens() -> None:
     clock, engine, seen = _engine(DECODE)
     engine.submit(seen.work("moved", 1_000, 0, False, "z1"))
     clock.run(1.0)
-    assert seen.events == [("moved", Event.FIRST, 0.02), ("moved", Event.DONE, 0.04)]
+    assert seen.events == [("moved", EngineEvent.FIRST_TOKEN, 0.02), ("moved", EngineEvent.COMPLETED, 0.04)]
     engine.submit(seen.work("whole", 1_000, 0, False))
     clock.run(2.0)
-    assert seen.events[2:] == [("whole", Event.FIRST, 1.21), ("whole", Event.DONE, 1.23)]
+    assert seen.events[2:] == [("whole", EngineEvent.FIRST_TOKEN, 1.21), ("whole", EngineEvent.COMPLETED, 1.23)]
 
 
 def test_a_move_between_zones_takes_twice_as_long_and_moves_wait_for_each_other() -> None:
@@ -70,7 +76,7 @@
     engine.submit(seen.work("far", 10_000, 0, False, "z2"))
     engine.submit(seen.work("near", 10_000, 0, False, "z1"))
     clock.run(1.0)
-    assert [(name, moment) for name, event, moment in seen.events if event is Event.FIRST] == [
+    assert [(name, moment) for name, event, moment in seen.events if event is EngineEvent.FIRST_TOKEN] == [
         ("far", 0.21),
         ("near", 0.31),
     ]
@@ -81,7 +87,7 @@
     engine.submit(seen.work("large", 60_000, 0, False))
     engine.submit(seen.work("reading", 10, 0, True))
     clock.run(1.0)
-    assert [event for _, event, _ in seen.events] == [Event.REFUSED, Event.REFUSED]
+    assert [event for _, event, _ in seen.events] == [EngineEvent.REJECTED, EngineEvent.REJECTED]
 
 
 def test_a_crash_loses_all_that_is_there_and_all_that_comes() -> None:
@@ -90,27 +96,31 @@
     clock.after(0.1, engine.crash)
     clock.after(0.2, lambda: engine.submit(seen.work("b", 5_000, 0, True)))
     clock.run(1.0)
-    assert [(name, event) for name, event, _ in seen.events] == [("a", Event.LOST), ("b", Event.LOST)]
+    assert [(name, event) for name, event, _ in seen.events] == [("a", EngineEvent.LOST), ("b", EngineEvent.LOST)]
 
 
 def test_a_change_of_stage_refuses_what_waits_and_takes_its_time() -> None:
     clock, engine, seen = _engine(PREFILL)
     engine.submit(seen.work("under way", 2_000, 0, True))
     engine.submit(seen.work("waiting", 2_000, 0, True))
-    engine.switch(DECODE, lambda: seen.events.append(("", Event.DONE, clock.now)))
+    engine.switch(DECODE, lambda: seen.events.append(("", EngineEvent.COMPLETED, clock.now)))
     clock.run(5.0)
-    assert seen.events == [("waiting", Event.REFUSED, 0.0), ("under way", Event.READ, 0.2), ("", Event.DONE, 2.0)]
+    assert seen.events == [
+        ("waiting", EngineEvent.REJECTED, 0.0),
+        ("under way", EngineEvent.PREFILLED, 0.2),
+        ("", EngineEvent.COMPLETED, 2.0),
+    ]
     assert engine.stage == DECODE
 
 
-@pytest.mark.parametrize("deployment", [plays.SCREENING, plays.RULINGS], ids=lambda one: one.name)
-def test_a_play_repeats_by_its_seed_and_serves_nearly_all_in_time(deployment: plays.Deployment) -> None:
-    first, again = (plays.play(deployment, 1, 1.0) for _ in range(2))
+@pytest.mark.parametrize("deployment", [simulations.SCREENING, simulations.RULINGS], ids=lambda one: one.name)
+def test_a_play_repeats_by_its_seed_and_serves_nearly_all_in_time(deployment: simulations.Deployment) -> None:
+    first, again = (simulations.simulate(deployment, 1, 1.0) for _ in range(2))
     assert first == again
     assert first.day > 0.93
-    assert plays.play(deployment, 2, 1.0) != first
+    assert simulations.simulate(deployment, 2, 1.0) != first
 
 
 def test_a_lost_engine_costs_little_and_a_rate_three_times_the_usual_is_borne() -> None:
-    assert plays.play(plays.SCREENING, 3, 1.0, crash=True).day > 0.9
-    assert plays.play(plays.RULINGS, 3, 3.0).day > 0.6
+    assert simulations.simulate(simulations.SCREENING, 3, 1.0, crash=True).day > 0.9
+    assert simulations.simulate(simulations.RULINGS, 3, 3.0).day > 0.6
--- a/tests/test_fleet_ended_instances.py
+++ b/tests/test_fleet_ended_instances.py
@@ -19,8 +19,8 @@
 
 from hophinge.fleet.dataplane.connections import InstanceEndedError
 from hophinge.fleet.dataplane.upstream import Call, Upstream
-from hophinge.fleet.emulation.fleet import LoopbackFleet, document
-from hophinge.fleet.emulation.stand_in import StandIn
+from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, configuration_document
+from hophinge.fleet.emulation.instance_server import EmulatedInstance
 from hophinge.load.rig.waiting import Condition, until
 from tests.fleet_requests import BOUND_S, INSTANCES, MACHINES, PROMPT, ROUTES, begin, counts_heads, streamed, taken
 
@@ -172,22 +172,22 @@
             await until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
             go_on = asyncio.Event()
             for identity in ("d1", "d2"):
-                fleet.stand_ins[identity].pause = go_on.wait
+                fleet.instances[identity].before_event = go_on.wait
             names = [f"m{number}" for number in range(6)]
             asked = [
                 asyncio.create_task(fleet.request(number % MACHINES, "/m/q", name, *PROMPT))
                 for number, name in enumerate(names)
             ]
-            makers = [fleet.stand_ins["d1"], fleet.stand_ins["d2"]]
+            makers = [fleet.instances["d1"], fleet.instances["d2"]]
             await until([_streaming(fleet, names)], BOUND_S)
             for maker in makers:
-                fleet.tasks.pop(maker.engine.identity).cancel()
+                fleet.heartbeat_tasks.pop(maker.engine.identity).cancel()
                 assert await maker.unregister(fleet.controls)
-            await until([fleet.ready(number, 1, len(INSTANCES) - 2) for number in range(MACHINES)], BOUND_S)
+            await until([fleet.ready_condition(number, 1, len(INSTANCES) - 2) for number in range(MACHINES)], BOUND_S)
             go_on.set()
             replies = await asyncio.gather(*asked)
             assert all(streamed(reply) for reply in replies), [reply.body for reply in replies]
-            assert not makers[0].left | makers[1].left
+            assert not makers[0].abandoned_requests | makers[1].abandoned_requests
             assert not any(fleet.head(number).said("aborted") for number in range(MACHINES))
 
     asyncio.run(run())
@@ -195,7 +195,7 @@
 
 def _streaming(fleet: LoopbackFleet, names: list[str]) -> Condition:
     async def look() -> tuple[bool, str]:
-        under_way = fleet.stand_ins["d1"].under_way | fleet.stand_ins["d2"].under_way
+        under_way = fleet.instances["d1"].in_flight | fleet.instances["d2"].in_flight
         return set(names) <= under_way, f"under way: {sorted(under_way)}"
 
     return Condition(fleet.head(0), "has all streams under way", look)
@@ -208,16 +208,16 @@
         async with LoopbackFleet(tmp_path, 1, losses=0) as fleet:
             await fleet.start()
             for identity in ("s1", "s2"):
-                await fleet.instance(identity, "plain", "")
-            await until([taken(fleet, 0, document(1, ROUTES), 0)], BOUND_S)
-            await until([fleet.ready(0, 1, 2)], BOUND_S)
+                await fleet.start_instance(identity, "plain", "")
+            await until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
+            await until([fleet.ready_condition(0, 1, 2)], BOUND_S)
             for number in range(8):
                 assert (await fleet.request(0, "/p/q", f"before{number}")).status == 200
-            leaving = fleet.stand_ins["s1"]
+            leaving = fleet.instances["s1"]
             assert leaving.engine.runs, "the head has connections to it at rest"
-            leaving.leaves.set()
-            await fleet.tasks.pop("s1")
-            leaving.end()
+            leaving.heartbeats_stopped.set()
+            await fleet.heartbeat_tasks.pop("s1")
+            leaving.close()
             await _closed(leaving)
             replies = [await fleet.request(0, "/p/q", f"after{number}") for number in range(8)]
             assert [reply.status for reply in replies] == [200] * 8
@@ -226,6 +226,6 @@
     asyncio.run(run())
 
 
-async def _closed(stand_in: StandIn) -> None:
+async def _closed(stand_in: EmulatedInstance) -> None:
     while stand_in.writers:
         await asyncio.sleep(0)
--- a/tests/test_fleet_failing_steps.py
+++ b/tests/test_fleet_failing_steps.py
@@ -16,7 +16,7 @@
 from hophinge.fleet import program
 from hophinge.fleet.configuration.routes import RECORD_KEY, configuration_record
 from hophinge.fleet.dataplane.knowledge import Knowledge
-from hophinge.fleet.emulation.fleet import document
+from hophinge.fleet.emulation.loopback_fleet import configuration_document
 from hophinge.fleet.program import Signals, Tasks, every, repeat
 from hophinge.fleet.settings import parse_settings
 from hophinge.fleet.transport.frames import Hello, frame
@@ -122,7 +122,7 @@
 
         knowledge = Knowledge(settings, send, lambda identity, instance: None, lambda table: None, lambda: None)
         knowledge.dissemination.neighbours = ("127.0.0.2:7661",)
-        record = configuration_record(1, document(1, ROUTES))
+        record = configuration_record(1, configuration_document(1, ROUTES))
         assert record.key == RECORD_KEY
         with pytest.raises(ValueError, match="passed on"):
             knowledge.received("127.0.0.3:7661", Push((record,)))
--- a/tests/test_fleet_histories.py
+++ b/tests/test_fleet_histories.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from hophinge.fleet.emulation.fleet import LoopbackFleet, Reply, document
-from hophinge.fleet.emulation.stand_in import FAILURES
+from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, Reply, configuration_document
+from hophinge.fleet.emulation.instance_server import FAILURES
 from hophinge.fleet.forwarding.headers import find
 from hophinge.load.rig.waiting import until
 from tests.fleet_faults import draw_faults
@@ -57,11 +57,13 @@
         version += 1
         routes = (*ROUTES, (f"/v{version}/", "unsafe", "plain"))
         other = (number + random.randrange(1, MACHINES)) % MACHINES
-        await until([taken(fleet, other, document(version, routes), version - 1)], BOUND_S)
-        await until([fleet.ready(one, version, len(INSTANCES)) for one in range(MACHINES) if one != number], BOUND_S)
+        await until([taken(fleet, other, configuration_document(version, routes), version - 1)], BOUND_S)
+        await until(
+            [fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES) if one != number], BOUND_S
+        )
         await fault.mend(fleet, number)
-        await until([fleet.serving(one, version) for one in range(MACHINES)], BOUND_S)
-        await until([fleet.ready(one, version, len(INSTANCES)) for one in range(MACHINES)], BOUND_S)
+        await until([fleet.serving_condition(one, version) for one in range(MACHINES)], BOUND_S)
+        await until([fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES)], BOUND_S)
     return version
 
 
@@ -73,7 +75,7 @@
             assert reply.status != 200 or reply.body.endswith(f" {name}".encode())
             sent_again = find(reply.fields, RETRY_AFTER) is not None
             assert not sent_again or counted[name] == 0, f"{name} ran, and its client was told to send it again"
-        elif reply.status == 200 and reply.whole:
+        elif reply.status == 200 and reply.is_complete:
             assert streamed(reply), f"{name} has a gap or a repeat: {reply.body!r}"
     assert any(reply.status == 200 for reply in seen.replies.values())
     for life, versions in seen.versions.items():
@@ -87,7 +89,9 @@
         random, seen = Random(seed), Seen()
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await begin(fleet)
-            await until([fleet.serving(number, 1) for number in range(MACHINES)], BOUND_S)  # a late seed has joined
+            await until(
+                [fleet.serving_condition(number, 1) for number in range(MACHINES)], BOUND_S
+            )  # a late seed has joined
             asking = asyncio.create_task(_ask(fleet, Random(seed + 1_000), seen))
             try:
                 version = await _faults(fleet, random)
--- a/tests/test_fleet_stage_controller.py
+++ b/tests/test_fleet_stage_controller.py
@@ -15,7 +15,7 @@
 from hophinge.coordination.ownership import Role
 from hophinge.fleet.controlplane import stage_controller
 from hophinge.fleet.controlplane.stage_controller import StageController
-from hophinge.fleet.emulation.stand_in import Taken, read_request
+from hophinge.fleet.emulation.instance_server import ReceivedRequest, read_request
 from hophinge.fleet.forwarding.headers import EXPECTED_INSTANCE, find
 from hophinge.fleet.placement.policy import PlacementPolicy
 from hophinge.fleet.placement.stages import StageSwitch
@@ -29,8 +29,8 @@
 
     def __init__(self, identity: str) -> None:
         self.identity = identity
-        self.orders: list[Taken] = []
-        self.answer: Callable[[Taken], int | None] = lambda taken: 202  # None: no answer comes
+        self.orders: list[ReceivedRequest] = []
+        self.answer: Callable[[ReceivedRequest], int | None] = lambda taken: 202  # None: no answer comes
         self.arrived, self.left = asyncio.Event(), asyncio.Event()
 
     @asynccontextmanager
--- a/tests/test_fleet_streams_outlive.py
+++ b/tests/test_fleet_streams_outlive.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from hophinge.fleet.emulation.fleet import LoopbackFleet, document
+from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, configuration_document
 from hophinge.load.rig.waiting import until
 from tests.fleet_client import CLIENTS, EVENTS, Client, is_stream, request
 from tests.fleet_faults import FAULTS
@@ -31,16 +31,16 @@
 
 def configuration(version: int) -> bytes:
     """A document whose streams may neither be resumed nor tried twice."""
-    raw = json.loads(document(version, ROUTES))
+    raw = json.loads(configuration_document(version, ROUTES))
     routes = [{**route, "resumable": False, "max-attempts": 1, "timeout-ms": LONG_MS} for route in raw["routes"]]
     return json.dumps({**raw, "routes": routes}).encode()
 
 
 async def slow_instance(fleet: LoopbackFleet, identity: str, service: str, stage: str) -> None:
     """Start an instance whose streams last."""
-    engine = await fleet.instance(identity, service, stage)
+    engine = await fleet.start_instance(identity, service, stage)
     engine.events = EVENTS
-    fleet.stand_ins[identity].pause = lambda: asyncio.sleep(PAUSE_S)
+    fleet.instances[identity].before_event = lambda: asyncio.sleep(PAUSE_S)
 
 
 async def faults(fleet: LoopbackFleet, over: asyncio.Event) -> None:
@@ -102,7 +102,7 @@
             for identity, service, stage in INSTANCES:
                 await slow_instance(fleet, identity, service, stage)
             await until([taken(fleet, 0, configuration(1), 0)], BOUND_S)
-            await until([fleet.ready(number, 1, len(INSTANCES)) for number in range(MACHINES)], BOUND_S)
+            await until([fleet.ready_condition(number, 1, len(INSTANCES)) for number in range(MACHINES)], BOUND_S)
             over = asyncio.Event()
             troubles: tuple[Callable[[LoopbackFleet, asyncio.Event], Awaitable[None]], ...] = (
                 faults,
