--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -12,7 +12,7 @@
 
 import cappa
 
-from hophinge.fleet.analysis.cuts import FINDINGS, Cause, causes, cut_answers, read_day
+from hophinge.fleet.analysis.aborts import FINDINGS, AbortCause, count_causes, aborted_responses, read_day
 
 
 @dataclass
@@ -24,13 +24,13 @@
 
 def main() -> None:
     """Print the counts of all days together, and each finding."""
-    counts: Counter[Cause] = Counter()
+    counts: Counter[AbortCause] = Counter()
     found = 0
     options = cappa.parse(Options)
     for path in options.reports:
         day = read_day(path.read_text())
-        cuts = cut_answers(day)
-        counts += causes(cuts)
+        cuts = aborted_responses(day)
+        counts += count_causes(cuts)
         for cut in cuts:
             if cut.cause in FINDINGS:
                 found += 1
--- a/benchmarks/hunts.py
+++ b/benchmarks/hunts.py
@@ -13,7 +13,7 @@
 
 import cappa
 
-from hophinge.fleet.analysis.hunts import Hunt, conspicuous, read_hunt
+from hophinge.fleet.analysis.hunts import Hunt, days_to_review, read_hunt
 
 JOURNAL = Path(__file__).parent.parent / "journal"
 STATE_DIGITS = 7  # of a commit, as hunts are told by
@@ -32,7 +32,7 @@
     """Read the finished hunts that are asked for, the oldest first."""
     for path in sorted(JOURNAL.glob("[0-9]*.json")):
         hunt = read_hunt(path.read_text())
-        if hunt is not None and hunt.state.startswith(options.state[:STATE_DIGITS]) and options.site in hunt.site:
+        if hunt is not None and hunt.commit.startswith(options.state[:STATE_DIGITS]) and options.site in hunt.site:
             yield hunt
 
 
@@ -40,12 +40,13 @@
     """Print a line for each hunt and each conspicuous day."""
     found = 0
     for hunt in hunts(cappa.parse(Options)):
-        mean = sum(day.figure for day in hunt.days) / max(1, len(hunt.days))
-        print(f"{hunt.site} {hunt.state}: {len(hunt.days)} days, mean figure {mean:.3f}")
-        for day, reason in conspicuous(hunt.days):
+        mean = sum(day.score for day in hunt.days) / max(1, len(hunt.days))
+        print(f"{hunt.site} {hunt.commit}: {len(hunt.days)} days, mean figure {mean:.3f}")
+        for day, reason in days_to_review(hunt.days):
             found += 1
             print(
-                f"    {day.name}: served {day.served:.2f}, figure {day.figure:.2f}, orders {day.orders}: {reason.value}"
+                f"    {day.name}: served {day.served:.2f}, figure {day.score:.2f}, "
+                f"orders {day.order_count}: {reason.value}"
             )
     sys.exit(1 if found else 0)
 
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -13,17 +13,17 @@
 from pathlib import Path
 from typing import Any
 
-from hophinge.fleet.analysis.losses import Kind, Loss, losses
-from hophinge.fleet.analysis.traces import Request, read_requests
+from hophinge.fleet.analysis.losses import LossKind, Loss, losses
+from hophinge.fleet.analysis.traces import LoggedRequest, read_requests
 
 SECONDS = 2.0  # of one window
 
 
-def kinds(site: Path) -> list[Kind]:
+def kinds(site: Path) -> list[LossKind]:
     """Read the kinds of requests of a site."""
     raw = tomllib.loads(site.read_text())
     return [
-        Kind(one["name"], float(one["worth"]), float(one["late_worth"]), one.get("kind") == "stream", _tokens(one))
+        LossKind(one["name"], float(one["worth"]), float(one["late_worth"]), one.get("kind") == "stream", _tokens(one))
         for one in raw["classes"]
     ]
 
@@ -52,19 +52,19 @@
     parser.add_argument("log", type=Path, nargs="?")
     arguments = parser.parse_args()
     lines = arguments.log.open() if arguments.log else sys.stdin
-    requests: list[Request] = read_requests(lines)
+    requests: list[LoggedRequest] = read_requests(lines)
     found = losses(requests, kinds(arguments.site))
-    owed = sum(row.owed for row in found)
+    owed = sum(row.offered for row in found)
     print(f"{len(found)} requests, {sum(row.lost for row in found) / owed:.4f} of the worth owed is lost")
     table("by reason", found, lambda row: row.reason.value, owed)
     table("by kind", found, lambda row: row.kind, owed)
     table("by size", found, lambda row: row.size, owed)
     table("by zone", found, lambda row: row.zone, owed)
-    table("by second", found, lambda row: f"{int(row.arrived / SECONDS) * SECONDS:.0f}", owed)
+    table("by second", found, lambda row: f"{int(row.arrived_at / SECONDS) * SECONDS:.0f}", owed)
     for size in ("largest tenth", "fifth beneath", "rest"):
         for kind in sorted({row.kind for row in found}):
             rows = [row for row in found if row.kind == kind and row.size == size]
-            part = sum(row.owed - row.lost for row in rows) / max(1e-9, sum(row.owed for row in rows))
+            part = sum(row.offered - row.lost for row in rows) / max(1e-9, sum(row.offered for row in rows))
             table(f"{kind}, {size}: {part:.3f} of {len(rows)}", rows, lambda row: row.reason.value, owed)
 
 
--- a/hophinge/fleet/analysis/__init__.py
+++ b/hophinge/fleet/analysis/__init__.py
@@ -1,1 +1,1 @@
-"""What operators and developers ask of recorded requests."""
+"""Analysis of recorded requests and simulated days, for operators and developers."""
--- a/hophinge/fleet/analysis/hunts.py
+++ b/hophinge/fleet/analysis/hunts.py
@@ -1,6 +1,6 @@
-"""Which days of a hunt deserve a look though they broke no rule: a collapse of worth breaks none.
+"""The days of a hunt that deserve a review although no rule was broken, as after a collapse of the earned worth.
 
-Reads what the operators' bench writes of a hunt into `journal/`. Worth is told as parts of the worth owed.
+Reads the entries of hunts that the operators' bench writes into `journal/`. Worth is a fraction of the offered worth.
 """
 
 from __future__ import annotations
@@ -12,71 +12,75 @@
 from statistics import median
 from typing import Any
 
-FAR_BELOW = 6.0  # median deviations under the median of a hunt's days
-FREE_PRICE = 0.01  # of the worth owed, for refusals while instances were free
-PRICE_OF_FREE = "worth refused with servers free"
+MAX_DEVIATIONS_BELOW = 6.0  # median absolute deviations below the median of a hunt's days
+MAX_FREE_REJECTION_COST = 0.01  # of the offered worth, for rejections while instances were free
+FREE_REJECTION_NAME = "worth refused with servers free"
 
 
-class Reason(Enum):
-    """Why a day deserves a look."""
+class ReviewReason(Enum):
+    """Why a day deserves a review."""
 
     BROKEN = "a rule was broken, or the play failed"
     LOW = "far less was served than on the others"
-    REFUSED = "much was refused while instances were free"
+    REJECTED = "much was refused while instances were free"
 
 
 @dataclass(frozen=True, slots=True)
-class HuntedDay:
-    """One played day."""
+class HuntDay:
+    """One simulated day."""
 
     name: str  # with its seed
     served: float
-    figure: float
-    refused_free: float  # price of refusals while instances were free
-    orders: int  # to instances
-    broken: bool
+    score: float
+    free_rejection_cost: float  # of rejections while instances were free
+    order_count: int  # to instances
+    is_broken: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Hunt:
-    """A hunt that came to its end."""
+    """A finished hunt."""
 
     site: str
-    state: str  # the commit that was played
-    days: tuple[HuntedDay, ...]
+    commit: str  # abbreviated
+    days: tuple[HuntDay, ...]
 
 
 def read_hunt(text: str) -> Hunt | None:
-    """Read an entry of the journal; None where it is no finished hunt.
+    """Parse an entry of the journal; None where it is no finished hunt.
+
+    Raises:
+        KeyError: a day lacks a value.
 
-    Raises KeyError where a day lacks its figures.
     """
     raw = json.loads(text)
     if not isinstance(raw, dict) or raw.get("cmd") != "hunt" or not raw.get("site"):
         return None
-    return Hunt(raw["site"], raw["head"][:7], tuple(_day(one) for one in raw["days"]))
+    return Hunt(raw["site"], raw["head"][:7], tuple(_day(day) for day in raw["days"]))
 
 
-def _day(raw: dict[str, Any]) -> HuntedDay:
-    broken = bool(raw["rules"]) or bool(raw["fault"])
+def _day(raw: dict[str, Any]) -> HuntDay:
+    is_broken = bool(raw["rules"]) or bool(raw["fault"])
     prices = {name: (amount, price) for name, amount, price in raw.get("prices") or ()}
-    _, free = prices.get(PRICE_OF_FREE, (0.0, 0.0))
+    _, free_rejection_cost = prices.get(FREE_REJECTION_NAME, (0.0, 0.0))
     orders, _ = prices.get("orders", (0.0, 0.0))
-    return HuntedDay(raw["name"], raw.get("served") or 0.0, raw.get("score") or 0.0, free, int(orders), broken)
+    return HuntDay(
+        raw["name"], raw.get("served") or 0.0, raw.get("score") or 0.0, free_rejection_cost, int(orders), is_broken
+    )
 
 
-def conspicuous(days: Sequence[HuntedDay]) -> list[tuple[HuntedDay, Reason]]:
-    """Tell the days of one hunt that deserve a look, each with the first reason that holds."""
+def days_to_review(days: Sequence[HuntDay]) -> list[tuple[HuntDay, ReviewReason]]:
+    """Return the days of one hunt that deserve a review, each with the first reason that holds."""
     if not days:
         return []
-    usual = median(day.served for day in days)
-    deviation = median(abs(day.served - usual) for day in days)
-    found: list[tuple[HuntedDay, Reason]] = []
+    median_served = median(day.served for day in days)
+    deviation = median(abs(day.served - median_served) for day in days)
+    selected: list[tuple[HuntDay, ReviewReason]] = []
     for day in days:
-        if day.broken:
-            found.append((day, Reason.BROKEN))
-        elif day.served < usual - FAR_BELOW * deviation:
-            found.append((day, Reason.LOW))
-        elif day.refused_free > FREE_PRICE:
-            found.append((day, Reason.REFUSED))
-    return found
+        if day.is_broken:
+            selected.append((day, ReviewReason.BROKEN))
+        elif day.served < median_served - MAX_DEVIATIONS_BELOW * deviation:
+            selected.append((day, ReviewReason.LOW))
+        elif day.free_rejection_cost > MAX_FREE_REJECTION_COST:
+            selected.append((day, ReviewReason.REJECTED))
+    return selected
--- a/hophinge/fleet/analysis/recipes.py
+++ b/hophinge/fleet/analysis/recipes.py
@@ -1,4 +1,4 @@
-"""Recipes of deployments of our own: a page's site with other engines, prompts and load, by seed."""
+"""Recipes of deployments: variants of a base site with other engines, prompts and load, by seed."""
 
 from __future__ import annotations
 
@@ -6,21 +6,24 @@
 from random import Random
 from typing import Any
 
-NOISE = 0.1  # by which the seed moves each factor either way
+NOISE = 0.1  # relative deviation of each factor, by the seed
 
 
 @dataclass(frozen=True, slots=True)
 class Recipe:
-    """Factors on a base's values; a part that starts as prefill is given as it is."""
+    """Factors of a base site's values; the fields are the names in files of recipes.
+
+    `prefill` is the initial fraction of prefill instances itself, not a factor.
+    """
 
     name: str
     base: str
     seed: int
-    pace: float = 1.0  # of reading
-    memory: float = 1.0  # of an engine
-    tokens_in: float = 1.0  # of each prompt's own part
-    shared: float = 1.0  # of shared parts
-    openings: float = 1.0  # number of them
+    pace: float = 1.0  # of the prefill rate
+    memory: float = 1.0  # of an engine's KV cache
+    tokens_in: float = 1.0  # of each prompt's own segment
+    shared: float = 1.0  # of the tokens of shared segments
+    openings: float = 1.0  # of the number of different shared segments
     tokens_out: float = 1.0
     rate: float = 1.0
     aims: float = 1.0
@@ -28,7 +31,7 @@
 
 
 def vary(site: dict[str, Any], recipe: Recipe) -> dict[str, Any]:
-    """Put a recipe's values into a site, in place."""
+    """Apply a recipe to a site, in place."""
     random = Random(recipe.seed)
 
     def factor(value: float) -> float:
--- a/hophinge/fleet/analysis/traces.py
+++ b/hophinge/fleet/analysis/traces.py
@@ -1,6 +1,6 @@
-"""Reads the traces of requests from the log of a trial's data planes.
+"""Parses the traces of requests in the logs of a trial's heads.
 
-Times are seconds; `at` is the simulated time that the bench puts before a line, at the end of its request.
+Times are seconds; the simulated time that the bench writes before a log entry is that of the end of its request.
 """
 
 from __future__ import annotations
@@ -9,87 +9,87 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-MARK = " INFO request "
+REQUEST_MARKER = " INFO request "
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptRow:
+class LoggedAttempt:
     """One call of an instance, as it was logged; times are from the request's arrival."""
 
     stage: str
     instance: str
     sent_s: float
-    over_s: float | None
+    ended_s: float | None
     units: float
-    wait_s: float  # reckoned until the instance begins
-    spent_s: float  # reckoned of the instance's time
-    late: bool
-    ending: str
+    wait_s: float  # forecast until the instance starts
+    service_s: float  # forecast service time
+    is_late: bool
+    outcome: str
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class LoggedRequest:
     """One request, as it was logged."""
 
     route: str
     zone: str
-    at: float  # of its arrival
-    aim_s: float
+    arrived_at: float
+    target_s: float
     tokens_in: int
     tokens_out: int
-    parts: tuple[tuple[str, int], ...]
-    attempts: tuple[AttemptRow, ...]
+    segments: tuple[tuple[str, int], ...]
+    attempts: tuple[LoggedAttempt, ...]
     first_s: float | None
-    over_s: float
-    ending: str
+    ended_s: float
+    outcome: str
 
     @property
-    def shared(self) -> tuple[tuple[str, int], ...]:
-        """Tell the parts that other requests share."""
-        return self.parts[:-1]
+    def shared_segments(self) -> tuple[tuple[str, int], ...]:
+        """The segments that other requests share."""
+        return self.segments[:-1]
 
 
-def read_requests(lines: Iterable[str]) -> list[Request]:
-    """Read the traced requests among the lines of a log, in the order of their arrival."""
-    found = []
+def read_requests(lines: Iterable[str]) -> list[LoggedRequest]:
+    """Parse the traced requests among the lines of a log, in the order of their arrival."""
+    requests = []
     for line in lines:
-        before, mark, text = line.partition(MARK)
+        before, mark, text = line.partition(REQUEST_MARKER)
         if mark:
-            found.append(_request(float(before.split()[0]), json.loads(text)))
-    return sorted(found, key=lambda request: request.at)
+            requests.append(_request(float(before.split()[0]), json.loads(text)))
+    return sorted(requests, key=lambda request: request.arrived_at)
 
 
-def _request(ended: float, raw: dict[str, object]) -> Request:
-    over = _number(raw["over_s"])
-    parts = raw.get("parts", [])
+def _request(ended_at: float, raw: dict[str, object]) -> LoggedRequest:
+    ended_s = _number(raw["over_s"])
+    segments = raw.get("parts", [])
     attempts = raw["attempts"]
-    assert isinstance(parts, list)
+    assert isinstance(segments, list)
     assert isinstance(attempts, list)
     first = raw["first_s"]
-    return Request(
+    return LoggedRequest(
         str(raw["route"]),
         str(raw["zone"]),
-        ended - over,
+        ended_at - ended_s,
         _number(raw["aim_s"]),
         int(_number(raw.get("tokens-in", 0))),
         int(_number(raw.get("tokens-out", 0))),
-        tuple((str(name), int(tokens)) for name, tokens in parts),
-        tuple(_attempt(one) for one in attempts),
+        tuple((str(name), int(tokens)) for name, tokens in segments),
+        tuple(_attempt(attempt) for attempt in attempts),
         None if first is None else _number(first),
-        over,
+        ended_s,
         str(raw["ending"]),
     )
 
 
-def _attempt(raw: dict[str, object]) -> AttemptRow:
+def _attempt(raw: dict[str, object]) -> LoggedAttempt:
     forecast = raw["forecast"]
     assert isinstance(forecast, dict)
-    over = raw["over_s"]
-    return AttemptRow(
+    ended_s = raw["over_s"]
+    return LoggedAttempt(
         str(raw["stage"]),
         str(raw["instance"]),
         _number(raw["sent_s"]),
-        None if over is None else _number(over),
+        None if ended_s is None else _number(ended_s),
         _number(raw["units"]),
         _number(forecast["wait_us"]) / 1e6,
         _number(forecast["spent_us"]) / 1e6,
--- a/tests/end_mutants.py
+++ b/tests/end_mutants.py
@@ -182,11 +182,11 @@
         "tests/test_fleet_life_histories.py::test_no_step_of_a_request_fails_whatever_becomes_of_its_instances",
     ),
     Mutant(
-        "a head whose own work failed is taken to have been told to end",
-        "fleet/analysis/cuts",
-        "return told and not failed",
-        "return told",
-        "tests/test_fleet_cut_days.py::test_a_head_may_cut_at_the_end_of_its_grace_and_not_where_its_own_work_failed",
+        "a head that failed counts as shutting down",
+        "fleet/analysis/aborts",
+        "return is_draining and not has_failed",
+        "return is_draining",
+        "tests/test_fleet_aborts.py::test_a_head_may_cut_at_the_end_of_its_grace_and_not_where_its_own_work_failed",
     ),
     Mutant(
         "an answer that has begun is cut by a refusal",
--- a/tests/test_fleet_cut_days.py
+++ b/tests/test_fleet_aborts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hophinge.fleet.analysis.cuts import Cause, causes, cut_answers, read_day
+from hophinge.fleet.analysis.aborts import AbortCause, count_causes, aborted_responses, read_day
 
 HEAD = "  {at:.4f} {machine}/data-plane 18:01:42.600 INFO {text}\n"
 CUT = (
@@ -45,52 +45,52 @@
 @pytest.mark.parametrize(
     ("reason", "cause"),
     [
-        ("instance while answering; after ReadError()", Cause.CONNECTION),
-        ("instance while answering; after RemoteProtocolError(x)", Cause.INSTANCE),
-        ("client while reading", Cause.CLIENT),
-        ("time while waiting; after TimeoutError()", Cause.TIME),
-        ("head while answering; after KeyError('i-1')", Cause.HEAD),
-        ("process while answering", Cause.HEAD),
-        ("nobody while answering", Cause.UNKNOWN),
+        ("instance while answering; after ReadError()", AbortCause.CONNECTION),
+        ("instance while answering; after RemoteProtocolError(x)", AbortCause.INSTANCE),
+        ("client while reading", AbortCause.CLIENT),
+        ("time while waiting; after TimeoutError()", AbortCause.TIMEOUT),
+        ("head while answering; after KeyError('i-1')", AbortCause.HEAD),
+        ("process while answering", AbortCause.HEAD),
+        ("nobody while answering", AbortCause.UNKNOWN),
     ],
 )
-def test_a_head_s_line_tells_what_cut_an_answer(reason: str, cause: Cause) -> None:
+def test_a_head_s_line_tells_what_cut_an_answer(reason: str, cause: AbortCause) -> None:
     old_started = line(-2.0, "head 5a at 10.0.0.1:80")
     new_day = line(-2.0, STARTED.format(identity="5a")) + cut(reason) + CASE
     for day in (new_day, old_started + old_cut(reason) + CASE):
-        (found,) = cut_answers(read_day(day))
+        (found,) = aborted_responses(read_day(day))
         assert (found.request, found.machine, found.cause) == ("aa11", "edge-one", cause)
 
 
 def test_a_head_may_cut_at_the_end_of_its_grace_and_not_where_its_own_work_failed() -> None:
     told = line(-2.0, STARTED.format(identity="5a")) + line(8.0, "draining") + cut("process while answering")
-    assert cut_answers(read_day(told))[0].cause is Cause.GRACE
+    assert aborted_responses(read_day(told))[0].cause is AbortCause.DRAIN_TIMEOUT
     again = line(8.0, "draining") + line(9.0, STARTED.format(identity="5b")) + cut("process while answering")
-    assert cut_answers(read_day(again))[0].cause is Cause.HEAD
+    assert aborted_responses(read_day(again))[0].cause is AbortCause.HEAD
     old_start = line(-2.0, "head 5a at 10.0.0.1:80")
     old_report = old_start + line(8.0, "ending") + old_cut("process while answering")
-    assert cut_answers(read_day(old_report))[0].cause is Cause.GRACE
+    assert aborted_responses(read_day(old_report))[0].cause is AbortCause.DRAIN_TIMEOUT
     failed = read_day(line(7.9, "task failed") + told)
-    assert cut_answers(failed)[0].cause is Cause.HEAD and len(failed.failures()) == 1
+    assert aborted_responses(failed)[0].cause is AbortCause.HEAD and len(failed.failures()) == 1
 
 
 def test_a_case_without_a_line_is_a_killed_head_s_or_a_finding() -> None:
     before = line(-2.0, STARTED.format(identity="5a"))
     start = line(19.0, STARTED.format(identity="5b"))
-    assert cut_answers(read_day(before + start + CASE))[0].cause is Cause.KILLED
-    assert cut_answers(read_day(before + CASE))[0].cause is Cause.UNKNOWN
+    assert aborted_responses(read_day(before + start + CASE))[0].cause is AbortCause.KILLED
+    assert aborted_responses(read_day(before + CASE))[0].cause is AbortCause.UNKNOWN
     lived_on = before + line(16.0, "configuration applied version=3") + start
-    assert cut_answers(read_day(lived_on + CASE))[0].cause is Cause.UNKNOWN
+    assert aborted_responses(read_day(lived_on + CASE))[0].cause is AbortCause.UNKNOWN
     other = before + line(19.0, STARTED.format(identity="5b"), "edge-two")
-    assert cut_answers(read_day(other + CASE))[0].cause is Cause.UNKNOWN
+    assert aborted_responses(read_day(other + CASE))[0].cause is AbortCause.UNKNOWN
 
 
 def test_a_machine_with_one_role_is_told_without_it_and_a_control_member_s_lines_count_for_nothing() -> None:
     """Seen on three days: a head's line was there, and the case was told as left over."""
     lines = (line(-2.0, STARTED.format(identity="5a")) + cut("client while reading")).replace("/data-plane", "")
-    assert cut_answers(read_day(lines + CASE))[0].cause is Cause.CLIENT
+    assert aborted_responses(read_day(lines + CASE))[0].cause is AbortCause.CLIENT
     other = lines.replace("edge-one", "edge-one/control-plane")
-    assert cut_answers(read_day(other + CASE))[0].cause is Cause.UNKNOWN
+    assert aborted_responses(read_day(other + CASE))[0].cause is AbortCause.UNKNOWN
 
 
 @pytest.mark.parametrize(
@@ -113,4 +113,7 @@
 
 def test_a_day_is_counted_by_causes() -> None:
     clients = cut("client while reading", 3.0, "c1") + cut("client while reading", 4.0, "c2")
-    assert causes(cut_answers(read_day(clients + cut("head while waiting") + CASE))) == {Cause.CLIENT: 2, Cause.HEAD: 1}
+    assert count_causes(aborted_responses(read_day(clients + cut("head while waiting") + CASE))) == {
+        AbortCause.CLIENT: 2,
+        AbortCause.HEAD: 1,
+    }
--- a/tests/test_fleet_hunts.py
+++ b/tests/test_fleet_hunts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hophinge.fleet.analysis.hunts import Reason, conspicuous, read_hunt
+from hophinge.fleet.analysis.hunts import ReviewReason, days_to_review, read_hunt
 
 
 def _entry(*days: dict[str, Any], **changes: Any) -> str:
@@ -22,19 +22,19 @@
 @pytest.mark.parametrize(
     ("day", "reason"),
     [
-        ({"served": 0.30}, Reason.LOW),
+        ({"served": 0.30}, ReviewReason.LOW),
         ({"served": 0.75}, None),
-        ({"served": 0.88, "prices": [["worth refused with servers free", 97.1, 0.031]]}, Reason.REFUSED),
+        ({"served": 0.88, "prices": [["worth refused with servers free", 97.1, 0.031]]}, ReviewReason.REJECTED),
         ({"served": 0.88, "prices": [["worth refused with servers free", 3.1, 0.001]]}, None),
-        ({"served": 0.88, "rules": {"LOST": 1}}, Reason.BROKEN),
-        ({"served": None, "score": None, "prices": None, "fault": "given up"}, Reason.BROKEN),
+        ({"served": 0.88, "rules": {"LOST": 1}}, ReviewReason.BROKEN),
+        ({"served": None, "score": None, "prices": None, "fault": "given up"}, ReviewReason.BROKEN),
     ],
 )
-def test_a_day_is_told_by_what_sets_it_apart(day: dict[str, Any], reason: Reason | None) -> None:
+def test_a_day_is_told_by_what_sets_it_apart(day: dict[str, Any], reason: ReviewReason | None) -> None:
     hunt = read_hunt(_entry(*USUAL, day))
     assert hunt is not None
-    assert (hunt.site, hunt.state, hunt.days[0].orders) == ("a-site", "0123456", 2)
-    found = conspicuous(hunt.days)
+    assert (hunt.site, hunt.commit, hunt.days[0].order_count) == ("a-site", "0123456", 2)
+    found = days_to_review(hunt.days)
     assert [(one.name, why) for one, why in found] == ([("mix --seed 6", reason)] if reason else [])
 
 
@@ -42,4 +42,4 @@
     assert read_hunt(_entry(cmd="score")) is None
     assert read_hunt(_entry(site=None)) is None
     assert read_hunt("[]") is None
-    assert conspicuous(()) == []
+    assert days_to_review(()) == []
--- a/tests/test_fleet_losses.py
+++ b/tests/test_fleet_losses.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from hophinge.fleet.analysis.losses import Kind, Loss, Reason, losses
-from hophinge.fleet.analysis.traces import Request, read_requests
+from hophinge.fleet.analysis.losses import LossKind, Loss, LossReason, losses
+from hophinge.fleet.analysis.traces import LoggedRequest, read_requests
 from hophinge.fleet.forwarding.figures import RequestFigures
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.plan import Forecast
 from hophinge.fleet.placement.policy import PrefillOrder, PlacementPolicy
 from hophinge.fleet.trial import trial_policy
 
-KINDS = [Kind("long", 2.0, 0.5, True, 10_000.0), Kind("short", 1.0, 0.25, True, 1_000.0)]
+KINDS = [LossKind("long", 2.0, 0.5, True, 10_000.0), LossKind("short", 1.0, 0.25, True, 1_000.0)]
 AIM_S = 0.3
 
 
@@ -77,32 +77,41 @@
             _read_then_made(1.0, 0.1, 10, 0.05, 0.2),
         ]
     )
-    assert [round(one.at, 3) for one in requests] == [1.0, 2.0]
-    assert requests[0].shared == (("k", 7_000),)
+    assert [round(one.arrived_at, 3) for one in requests] == [1.0, 2.0]
+    assert requests[0].shared_segments == (("k", 7_000),)
 
 
 def test_what_is_in_time_loses_nothing_and_what_is_late_the_rest_of_its_worth() -> None:
     [early, late] = _found(_read_then_made(1.0, 0.1, 3_000, 0.05, 0.2), _read_then_made(2.0, 0.6, 3_000, 0.05, 0.7))
-    assert (early.kind, early.reason, early.lost) == ("long", Reason.NONE, 0.0)
-    assert late.reason is Reason.QUEUE
-    assert [late.owed, late.lost] == pytest.approx([2.0, 1.5])
+    assert (early.kind, early.reason, early.lost) == ("long", LossReason.NONE, 0.0)
+    assert late.reason is LossReason.QUEUE
+    assert [late.offered, late.lost] == pytest.approx([2.0, 1.5])
 
 
 @pytest.mark.parametrize(
     ("lines", "reason"),
     [
-        ((_read_then_made(1.0, 0.5, 10_000, 0.45, 0.55),), Reason.COLD),
-        ((_read_then_made(0.1, 0.2, 10_000, 0.2, 0.25), _read_then_made(1.0, 0.5, 10_000, 0.45, 0.55)), Reason.AGAIN),
-        ((_read_then_made(0.9, 0.3, 10_000, 0.25, 0.29), _read_then_made(1.0, 0.5, 10_000, 0.45, 0.55)), Reason.TWICE),
-        ((_read_then_made(1.0, 0.5, 3_000, 0.45, 0.55),), Reason.OWN),
-        ((_read_then_made(1.0, 0.1, 3_000, 0.05, 0.9),), Reason.MAKING),
-        ((_line(1.0, 0.01, [], None, "refused 503"),), Reason.NO_INSTANCE),
-        ((_line(1.0, 0.2, [_attempt("prefill", 0.0, 0.2, 10, 0.1, "REFUSED")], None, "refused 503"),), Reason.REFUSED),
+        ((_read_then_made(1.0, 0.5, 10_000, 0.45, 0.55),), LossReason.CACHE_MISS),
+        (
+            (_read_then_made(0.1, 0.2, 10_000, 0.2, 0.25), _read_then_made(1.0, 0.5, 10_000, 0.45, 0.55)),
+            LossReason.REREAD,
+        ),
+        (
+            (_read_then_made(0.9, 0.3, 10_000, 0.25, 0.29), _read_then_made(1.0, 0.5, 10_000, 0.45, 0.55)),
+            LossReason.CONCURRENT_REREAD,
+        ),
+        ((_read_then_made(1.0, 0.5, 3_000, 0.45, 0.55),), LossReason.OWN_TOKENS),
+        ((_read_then_made(1.0, 0.1, 3_000, 0.05, 0.9),), LossReason.DECODE),
+        ((_line(1.0, 0.01, [], None, "refused 503"),), LossReason.NO_INSTANCE),
+        (
+            (_line(1.0, 0.2, [_attempt("prefill", 0.0, 0.2, 10, 0.1, "REFUSED")], None, "refused 503"),),
+            LossReason.REJECTED,
+        ),
         (
             (_line(1.0, 2.0, [_attempt("prefill", 0.0, 2.0, 10, 0.1, "UNKNOWN")], None, "client left"),),
-            Reason.CLIENT_LEFT,
+            LossReason.CLIENT_LEFT,
         ),
-        ((_line(1.0, 2.0, [_attempt("decode", 0.0, 2.0, 10, 0.1, "BROKEN")], 0.1, "broken off"),), Reason.FAULT),
+        ((_line(1.0, 2.0, [_attempt("decode", 0.0, 2.0, 10, 0.1, "BROKEN")], 0.1, "broken off"),), LossReason.FAULT),
         (
             (
                 _line(
@@ -115,12 +124,12 @@
                     0.8,
                 ),
             ),
-            Reason.FAULT,
+            LossReason.FAULT,
         ),
     ],
 )
 def test_each_request_that_lost_worth_has_the_longest_part_of_its_time_as_its_reason(
-    lines: tuple[str, ...], reason: Reason
+    lines: tuple[str, ...], reason: LossReason
 ) -> None:
     assert _found(*lines)[-1].reason is reason
 
@@ -128,7 +137,7 @@
 def test_the_largest_tenth_and_the_fifth_beneath_are_told_apart() -> None:
     rows = _found(*(_line(float(own), 0.2, [], None, "refused 503", own=own) for own in range(100, 2_100, 100)))
     assert [sum(row.size == size for row in rows) for size in ("largest tenth", "fifth beneath", "rest")] == [2, 4, 14]
-    assert rows[-1].owed > rows[0].owed
+    assert rows[-1].offered > rows[0].offered
 
 
 def test_a_trace_keeps_the_first_event_and_the_end_of_each_attempt() -> None:
@@ -166,8 +175,8 @@
         "zone": "z",
     }
     [request] = read_requests([f" 1.5 n 20:00 INFO request {json.dumps(raw)}"])
-    assert isinstance(request, Request)
-    assert (request.tokens_in, request.parts, request.shared) == (0, (), ())
+    assert isinstance(request, LoggedRequest)
+    assert (request.tokens_in, request.segments, request.shared_segments) == (0, (), ())
 
 
 def test_operators_are_told_how_requests_ended_why_they_were_refused_and_how_forecasts_held() -> None:
