--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -72,7 +72,7 @@
     run(main())
 
 
-def test_what_a_client_does_wrong_is_told_and_reaches_no_backend(tmp_path: Path) -> None:
+def test_a_client_error_is_answered_and_reaches_no_backend(tmp_path: Path) -> None:
     async def main() -> None:
         async with store(tmp_path) as (made, _, client):
             stranger = books.tenant(tmp_path / "tenants.db", "beith", {})
@@ -99,7 +99,7 @@
     run(main())
 
 
-def test_a_refusal_of_the_core_is_told_at_once_with_when_to_come_back(tmp_path: Path) -> None:
+def test_a_rejection_by_the_core_is_answered_at_once_with_retry_after(tmp_path: Path) -> None:
     async def main() -> None:
         async with store(tmp_path) as (made, _, client):
             assert await client.status("PUT", "/receipts/a", content(PIECE)) == 200
@@ -130,7 +130,7 @@
     run(main())
 
 
-def test_a_damaged_piece_is_no_answer(tmp_path: Path) -> None:
+def test_a_damaged_chunk_is_not_served(tmp_path: Path) -> None:
     async def main() -> None:
         async with store(tmp_path) as (made, _, client):
             assert await client.status("PUT", "/receipts/a", content(3 * PIECE)) == 200
@@ -144,7 +144,7 @@
     run(main())
 
 
-def test_more_requests_than_a_head_takes_are_told_to_come_back(tmp_path: Path) -> None:
+def test_requests_beyond_the_bound_get_retry_after(tmp_path: Path) -> None:
     async def main() -> None:
         async with store(tmp_path, requests=1) as (made, service, client):
             assert service.objects is not None
@@ -180,7 +180,7 @@
     run(main())
 
 
-def test_each_tenant_s_requests_count_on_its_own_plan(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_tenants_requests_count_on_its_own_plan(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with store(tmp_path) as (made, service, client):
             other = Client(made, service, books.tenant(tmp_path / "tenants.db", "beith", {"receipts": "basic"}))
--- a/tests/test_objects_chunk_cache.py
+++ b/tests/test_objects_chunk_cache.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from hophinge.objects import chunk_cache as cache_module
+from hophinge.objects import chunk_cache
 from hophinge.objects.chunk_cache import CHUNK_OVERHEAD_BYTES, ChunkCache
 from hophinge.objects.stored_records import Manifest, ChunkRef, ChunkRun
 from tests.popular import installation
@@ -22,22 +22,22 @@
 EACH = BODY + CHUNK_OVERHEAD_BYTES
 
 
-def a_run(token: int, pieces: int = 1) -> ChunkRun:
-    return ChunkRun(token.to_bytes(8, "big"), [ChunkRef(0, BODY, 0)] * pieces)
+def a_run(token: int, chunks: int = 1) -> ChunkRun:
+    return ChunkRun(token.to_bytes(8, "big"), [ChunkRef(0, BODY, 0)] * chunks)
 
 
 def manifest(*runs: ChunkRun) -> Manifest:
     return Manifest("etag", 1, 0, "", "", list(runs))
 
 
-def held(cache: ChunkCache) -> list[int]:
+def cached_tokens(cache: ChunkCache) -> list[int]:
     return [int.from_bytes(token, "big") for _, token, __ in cache.chunks]
 
 
 # --- by itself
 
 
-def test_pieces_of_a_version_that_is_gone_are_dropped_and_unknown_ones_never_taken() -> None:
+def test_chunks_of_a_replaced_version_are_removed_and_unknown_ones_never_stored() -> None:
     cache, one, two = ChunkCache(100 * EACH), a_run(1, 2), a_run(2)
     assert not cache.put(VOLUME, one, 0, b"x" * BODY)  # its manifest was not seen
     cache.observe_manifest(VOLUME, "m", manifest(one))
@@ -53,7 +53,7 @@
     assert not cache.chunks and not cache.objects and not cache.runs
 
 
-def test_what_is_least_wanted_a_byte_goes_and_the_oldest_where_nothing_is_known() -> None:
+def test_the_chunk_of_least_demand_a_byte_is_evicted_or_else_the_oldest() -> None:
     wanted: dict[str, float] = {}
     cache = ChunkCache(3 * EACH, demand_of=lambda one: wanted.get(one[1], 0.0))
     for at in range(5):
@@ -61,14 +61,14 @@
         if at < 3:
             cache.put(VOLUME, a_run(at), 0, b"x" * BODY)
     cache.get(VOLUME, a_run(0), 0)
-    assert cache.put(VOLUME, a_run(3), 0, b"x" * BODY) and held(cache) == [2, 0, 3]
+    assert cache.put(VOLUME, a_run(3), 0, b"x" * BODY) and cached_tokens(cache) == [2, 0, 3]
     wanted |= {"0": 1.0, "2": 9.0, "3": 8.0, "4": 4.5}
     assert not cache.would_store((VOLUME, "1"), EACH) and not cache.put(VOLUME, a_run(1), 0, b"x" * BODY)
     wanted["4"] = 3.9  # of what nobody asked for, more is wanted than of what it would push out
     assert not cache.would_store((VOLUME, "4"), EACH)
     wanted["4"] = 4.5
     assert cache.would_store((VOLUME, "4"), EACH) and cache.put(VOLUME, a_run(4), 0, b"x" * BODY, is_prefetch=True)
-    assert held(cache) == [2, 3, 4]
+    assert cached_tokens(cache) == [2, 3, 4]
     told: list[tuple[str, bool]] = []
     cache.on_prefetch_outcome = lambda one, useful: told.append((one[1], useful))
     cache.get(VOLUME, a_run(4), 0)
@@ -77,14 +77,14 @@
 
 
 def check_bounds(seed: int) -> None:
-    lots, tenants = random.Random(seed), {"a": "one", "b": "two"}
+    rng, tenants = random.Random(seed), {"a": "one", "b": "two"}
     cache = ChunkCache(10 * EACH, 0.6, lambda volume: tenants[volume], lambda one: float(hash(one) % 3))
     for _ in range(300):
-        volume, name = lots.choice("ab"), str(lots.randrange(12))
-        token = lots.randrange(4) * 100 + int(name)
-        if lots.random() < 0.3:
-            cache.observe_manifest(volume, name, manifest(a_run(token, 3)) if lots.random() < 0.8 else Manifest())
-        cache.put(volume, a_run(token, 3), lots.randrange(3), b"x" * lots.randrange(2 * BODY), lots.random() < 0.5)
+        volume, name = rng.choice("ab"), str(rng.randrange(12))
+        token = rng.randrange(4) * 100 + int(name)
+        if rng.random() < 0.3:
+            cache.observe_manifest(volume, name, manifest(a_run(token, 3)) if rng.random() < 0.8 else Manifest())
+        cache.put(volume, a_run(token, 3), rng.randrange(3), b"x" * rng.randrange(2 * BODY), rng.random() < 0.5)
         assert (
             cache.used_bytes == sum(len(one.body) + CHUNK_OVERHEAD_BYTES for one in cache.chunks.values()) <= 10 * EACH
         )
@@ -106,10 +106,10 @@
     check_bounds(seed)
 
 
-def test_a_tenant_s_bound_that_is_ignored_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_tenants_bound_that_is_ignored_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     make = ChunkCache.__init__
 
-    def unbounded(self: ChunkCache, most: int, part: float, *more: object) -> None:
+    def unbounded(self: ChunkCache, most: int, tenant_fraction: float, *more: object) -> None:
         make(self, most, 1.0, *more)  # type: ignore[arg-type]  # a mutant: the tenant's part is not looked at
 
     monkeypatch.setattr(ChunkCache, "__init__", unbounded)
@@ -119,12 +119,12 @@
 
 
 def test_known_objects_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(cache_module, "MAX_OBJECTS", 3)
+    monkeypatch.setattr(chunk_cache, "MAX_OBJECTS", 3)
     cache = ChunkCache(100 * EACH)
     for at in range(6):
         cache.observe_manifest(VOLUME, str(at), manifest(a_run(at)))
         cache.put(VOLUME, a_run(at), 0, b"x" * BODY)
-    assert held(cache) == [3, 4, 5] and len(cache.runs) == 3
+    assert cached_tokens(cache) == [3, 4, 5] and len(cache.runs) == 3
 
 
 # --- heads on one set of bricks
@@ -132,22 +132,22 @@
 
 async def steps(clients: list[Client], seed: int, count: int = 120) -> None:
     """Read, overwrite and delete at random heads, some of it at once; whatever is read is what was written last."""
-    lots, now, number = random.Random(seed), dict[str, bytes | None](), 0
+    rng, now, number = random.Random(seed), dict[str, bytes | None](), 0
     for _ in range(count):
-        name = f"/receipts/{lots.randrange(4)}"
-        old, act = now.get(name), lots.random()
+        name = f"/receipts/{rng.randrange(4)}"
+        old, act = now.get(name), rng.random()
         if act < 0.3:
             number += 1
-            body = f"{number}:".encode() * lots.randrange(1, 2 * PIECE // 3)
-            reader, writer = lots.sample(clients, 2)
+            body = f"{number}:".encode() * rng.randrange(1, 2 * PIECE // 3)
+            reader, writer = rng.sample(clients, 2)
             (got, before), status = await asyncio.gather(reader.call("GET", name), writer.status("PUT", name, body))
             assert status == 200 and (got.status, before) in ((404, before), (200, old), (200, body))
             now[name] = body
         elif act < 0.4:
-            assert await lots.choice(clients).status("DELETE", name) == 204
+            assert await rng.choice(clients).status("DELETE", name) == 204
             now[name] = None
         else:
-            for client in lots.sample(clients, 2):
+            for client in rng.sample(clients, 2):
                 got, body = await client.call("GET", name)
                 wanted = now.get(name)
                 assert (got.status, body) == (200, wanted) if wanted is not None else got.status == 404
@@ -171,14 +171,14 @@
 
     by_name: dict[tuple[ChunkCache, str, int], bytes] = {}
 
-    def get(self: ChunkCache, volume: str, run: ChunkRun, at: int) -> bytes | None:
+    def get(self: ChunkCache, volume: str, run: ChunkRun, index: int) -> bytes | None:
         one = self.object_of(volume, run)
-        return by_name.get((self, one[1], at)) if one is not None else None
+        return by_name.get((self, one[1], index)) if one is not None else None
 
-    def put(self: ChunkCache, volume: str, run: ChunkRun, at: int, body: bytes, beforehand: bool = False) -> bool:
+    def put(self: ChunkCache, volume: str, run: ChunkRun, index: int, body: bytes, is_prefetch: bool = False) -> bool:
         one = self.object_of(volume, run)
         if one is not None:
-            by_name[self, one[1], at] = body
+            by_name[self, one[1], index] = body
         return True
 
     monkeypatch.setattr(ChunkCache, "get", get)
@@ -187,7 +187,7 @@
         run(main())
 
 
-def test_a_second_read_asks_backends_for_the_manifest_alone(tmp_path: Path) -> None:
+def test_a_second_read_requests_only_the_manifest_from_backends(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path, {"a": ""}, alone=True) as built:
             client, body, seen = built.clients["a"], b"x" * (5 * PIECE), []
--- a/tests/test_objects_drain.py
+++ b/tests/test_objects_drain.py
@@ -61,7 +61,7 @@
         return got, body[500:11500], service.counters.counts
 
 
-def test_a_ranged_read_goes_on_at_the_backend_that_replaces_a_draining_one(tmp_path: Path) -> None:
+def test_a_ranged_read_continues_at_the_backend_that_replaces_a_draining_one(tmp_path: Path) -> None:
     got, wanted, counts = run(_drain_halfway(tmp_path, True))
     assert got == wanted and counts["object_truncated"] == 0
 
--- a/tests/test_objects_uploads.py
+++ b/tests/test_objects_uploads.py
@@ -70,7 +70,7 @@
     run(main())
 
 
-def test_parts_land_on_a_head_that_died_and_returned(tmp_path: Path) -> None:
+def test_parts_are_accepted_by_a_head_that_was_killed_and_restarted(tmp_path: Path) -> None:
     async def main() -> None:
         async with store(tmp_path) as (made, first, client):
             path, parts = "/receipts/file", [content(3 * PIECE), content(2 * PIECE + 1), b"end"]
@@ -131,7 +131,7 @@
     run(main())
 
 
-def test_a_crash_between_manifest_and_upload_state_is_mended_by_a_repeat(tmp_path: Path) -> None:
+def test_a_crash_between_manifest_and_upload_state_is_repaired_by_a_retry(tmp_path: Path) -> None:
     async def main() -> None:
         async with store(tmp_path) as (made, _, client):
             upload = await client.upload("/receipts/file")
