--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -35,7 +35,7 @@
     world = World(seed, 8, 4, Maintenance(Most(3, 0.4, 2), Most(2, -1.0, 1)))
     world.restart_us = 5 * S
     for _ in range(4):
-        world.turn()
+        world.advance()
     history(world, 25)
     rows = world.store.permits.values()
     done = Counter({f"permits for {kind.value}s": sum(row.kind is kind for row in rows) for kind in PermitKind})
@@ -43,7 +43,7 @@
         row.state is not PermitState.GRANTED and bool(row.process or row.kind is PermitKind.BACKEND) for row in rows
     )
     done["drained by all heads' word"] = world.verdicts
-    return len(world.wrong), world.struck, done
+    return len(world.violations), world.struck, done
 
 
 def served(heads_up: int, bad: int) -> float:
@@ -78,16 +78,16 @@
     """Roll build 2 out over forty heads by permits; a bad one is taken back once it has halted."""
     world = World(7, HEADS, 6, RULE)
     for _ in range(5):
-        world.turn()
+        world.advance()
     if bad_build:
         world.failing["2"] = 0.3
     form = Release("r", "2", (), (0.1, 0.5, 1.0), 10 * S, 120 * S, 0.02)
     world.releases["r"] = form
-    world.document()
+    world.apply_configuration()
     tally, lost = Tally(), False
     lots = random.Random(3)
     while tally.turns < 5000:
-        world.turn()
+        world.advance()
         course = world.store.courses["r"]
         up = sum(head.ready for head in world.heads.values())
         bad = [head for head in world.heads.values() if head.build == "2" and bad_build and int(head.name[1:]) % 3 == 0]
@@ -95,7 +95,7 @@
         tally.see(
             up,
             sum(head.ready for head in bad),
-            sum(one.state is not PermitState.GRANTED for one in world.store.held(PermitKind.HEAD).values()),
+            sum(one.state is not PermitState.GRANTED for one in world.store.active_permits(PermitKind.HEAD).values()),
         )
         if losses and not lost and sum(head.build == "2" for head in world.heads.values()) >= 10:
             lost = True
@@ -107,10 +107,10 @@
                 "r", "2", (), (0.1, 0.5, 1.0), 10 * S, 120 * S, 0.02, "back" if bad_build else "go", course.attempt + 1
             )
             world.releases["r"] = form
-            world.document()
+            world.apply_configuration()
         if course.stage in (ReleaseStage.DONE, ReleaseStage.UNDONE):
             break
-    assert world.wrong == [], world.wrong[:3]
+    assert world.violations == [], world.violations[:3]
     name = "agreed" + (", bad build" if bad_build else "") + (", three heads lost" if losses else "")
     return tally.row(name, world.store.courses["r"].stage.value)
 
--- a/benchmarks/maintenance_heads.py
+++ b/benchmarks/maintenance_heads.py
@@ -19,7 +19,7 @@
 from hophinge.load.rig.run import Run
 from hophinge.load.rig.waiting import ConditionError, until
 from hophinge.maintenance.releases import rollout_order
-from tests.maintenance_rig import PLAN, REFUSES, Whole
+from tests.maintenance_rig import PLAN, REFUSES, Installation
 
 TABLE = Path(__file__).with_suffix(".md")
 RATE = 240.0  # requests a second over all heads
@@ -34,7 +34,7 @@
 class Clients:
     """Requests at a steady rate, each to a head in turn and, where that does not answer, once to another."""
 
-    def __init__(self, fleet: Whole) -> None:
+    def __init__(self, fleet: Installation) -> None:
         self.fleet = fleet
         self.asked: Counter[int] = Counter()  # by window
         self.served: Counter[int] = Counter()
@@ -66,7 +66,7 @@
             self.times.append(time.monotonic() - since)
 
 
-async def agreed(fleet: Whole) -> str:
+async def agreed(fleet: Installation) -> str:
     """Push the release; where it halts, take it back."""
     await fleet.push(WORDS.format(MOST, ""))
     ended = fleet.tells("done or halted", lambda told: told["releases"][0]["stage"] in ("done", "halted"))
@@ -80,7 +80,7 @@
     return f"halted with {had} on the build, taken back"
 
 
-async def scripts(fleet: Whole) -> str:
+async def scripts(fleet: Installation) -> str:
     """Restart half of the heads each, so many at a time; neither looks at anything but its own heads' readiness."""
 
     async def one(names: list[str]) -> None:
@@ -107,7 +107,7 @@
 async def play(folder: Path, count: int, way: str, bad: bool) -> list[str]:
     """Play one release; tells its row."""
     async with Run(folder, 1, PLAN) as made:
-        fleet = Whole(made, [f"n{at}" for at in range(count)])
+        fleet = Installation(made, [f"n{at}" for at in range(count)])
         await fleet.start(clustered=False)
         fleet.bad = set(rollout_order(fleet.names)[1::3]) if bad else set()
         clients = Clients(fleet)
--- a/tests/maintenance_struck.py
+++ b/tests/maintenance_fault_injection.py
@@ -16,13 +16,13 @@
 from hophinge.head.maintenance import Answers
 from hophinge.maintenance.permit_holder import PermitHolder
 
-FOLDER, BAD = "STRUCK_FOLDER", "STRUCK_REFUSES"  # BAD: one request in so many is refused
-KILL, STOP = "kill", "stop"  # files: `before` or `after` a store, the process ends; told to go, it stands still
+FOLDER, BAD = "STRUCK_FOLDER", "STRUCK_REFUSES"  # BAD: one request in this many is rejected
+KILL, STOP = "kill", "stop"  # files: the process ends `before` or `after` a save; it stops instead of going offline
 REFUSED = 503
 
 
 def end_at_stores(word: Path) -> None:
-    """End as by SIGKILL before or after the next store of permits, as the file says."""
+    """End as by SIGKILL before or after the next save of permits, as the file says."""
     keep = MaintenanceStore.save
 
     def struck(self: MaintenanceStore, *rows: Any) -> None:
@@ -37,7 +37,7 @@
 
 
 def stand_still_when_let_go(word: Path) -> None:
-    """Stand still between hearing that a begun permit lets this head go and acting on it, while the file is there."""
+    """Stop between the update that requires this head to go offline and acting on it, while the file exists."""
     told = PermitHolder.apply_update
 
     def struck(self: PermitHolder, *words: Any) -> Any:
@@ -50,7 +50,7 @@
 
 
 def refuse_one_in(count: int) -> None:
-    """Refuse one request in so many, as a bad build may."""
+    """Reject one request in this many, as a bad build may."""
     admit = Answers.admit
     asked = [0]
 
--- a/tests/maintenance_faults.py
+++ b/tests/maintenance_faults.py
@@ -1,4 +1,4 @@
-"""What may befall a fleet, by name, and histories of it by lot: for the model, the mutants and the measurement."""
+"""Faults of a fleet by name, and random histories of them, for the model, the mutants and the benchmark."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.maintenance_world import S, World
 
 Fault = Callable[[World], None]
-TOUGH = 8  # turns after which a cut, stopped or lost one comes back at the latest by `mend`
+TOUGH = 8  # steps after which `mend` brings a cut, stopped or lost head back at the latest
 
 
 def _lot(world: World, names: list[str]) -> str:
@@ -17,20 +17,20 @@
 
 
 def cut(world: World) -> None:
-    """Cut some heads' lines to the issuer: a split with the issuer on whichever side."""
+    """Cut some heads off the issuer: a partition with the issuer on either side."""
     world.struck["split"] += 1
     count = world.random.randint(1, len(world.heads) - 1)
     world.cut = set(world.random.sample(sorted(world.heads), count))
 
 
 def lose_head(world: World) -> None:
-    """End a head's process with nobody having let it go."""
+    """Kill a head that no permit lets go."""
     if name := _lot(world, [name for name, head in world.heads.items() if head.alive]):
         world.kill_head(name)
 
 
 def lose_on_the_way(world: World) -> None:
-    """End a head that holds a permit; its place stays taken."""
+    """Kill a head that holds a permit, which stays in force."""
     if name := _lot(
         world,
         [one.name for one in world.store.permits.values() if one.state is PermitState.BACK and one.name in world.heads],
@@ -48,35 +48,35 @@
 
 
 def kill_issuer(world: World) -> None:
-    """Have the issuer end at one of its next stores, before or after it."""
+    """Kill the issuer at one of its next saves, before or after it."""
     if world.issuer is not None and world.store.kill is None:
         world.store.kill = world.store.saves + world.random.randint(1, 3), world.random.random() < 0.5
 
 
 def end_issuer(world: World) -> None:
-    """End the issuer where it is."""
+    """Kill the issuer between steps."""
     if world.issuer is not None:
         world.struck["issuer ended"] += 1
         world.stop_issuer()
 
 
 def lose_backend(world: World) -> None:
-    """Have a brick fail by itself."""
+    """Have a backend fail without a permit."""
     if name := _lot(world, sorted(set(world.backend_zones) - world.backends_down)):
         world.struck["brick lost"] += 1
         world.backends_down.add(name)
 
 
 def weather(world: World) -> None:
-    """Change what messages meet."""
+    """Change the loss and delay of messages."""
     world.lose, world.double, world.late = (world.random.choice((0.0, 0.1, 0.3)) for _ in range(3))
 
 
 def mend(world: World) -> None:
-    """Bring back one thing of each kind."""
+    """Repair one fault of each kind."""
     world.cut = set()
     if world.issuer is None:
-        world.begin()
+        world.start_issuer()
     if name := _lot(world, sorted(world.backends_down)):
         world.backends_down.discard(name)
     for head in world.heads.values():
@@ -87,7 +87,7 @@
 
 
 def outage(world: World) -> None:
-    """Push or take back an outage of a brick, sometimes of a head."""
+    """Push or withdraw an outage of a backend, sometimes of a head."""
     name = f"o{world.random.randint(0, 2)}"
     if name in world.outages:
         del world.outages[name]
@@ -102,11 +102,11 @@
         )
         if form.backends or form.heads:
             world.outages[name] = form
-    world.document()
+    world.apply_configuration()
 
 
 def release(world: World) -> None:
-    """Push a release, or change the word on it."""
+    """Push a release, or change its command."""
     name = f"r{world.random.randint(0, 1)}"
     before = world.releases.get(name)
     if before is None or world.random.random() < 0.1:
@@ -117,11 +117,11 @@
         world.releases[name] = Release(
             name, before.build, (), (0.3, 1.0), 3 * S, 60 * S, 0.02, word, before.again + world.random.randint(0, 1)
         )
-    world.document()
+    world.apply_configuration()
 
 
 def bad_build(world: World) -> None:
-    """Make a build fail at some heads, or be ready nowhere."""
+    """Make a build fail at some heads, or never become ready."""
     build = str(world.random.randint(2, 9))
     world.struck["bad build"] += 1
     if world.random.random() < 0.5:
@@ -131,7 +131,7 @@
 
 
 def wish(world: World) -> None:
-    """Have a head ask to go out by itself, or take that back."""
+    """Have a head request a permit for itself, or withdraw that."""
     if name := _lot(world, [name for name, head in world.heads.items() if head.alive]):
         holder = world.heads[name].holder
         if holder.requested_key:
@@ -141,14 +141,14 @@
 
 
 def lose_after_a_grant(world: World) -> None:
-    """Lose three heads at once just after another was granted its place."""
+    """Lose three heads at once just after another was granted a permit."""
     names = [name for name, head in world.heads.items() if head.linked and not head.frozen]
     if len(names) > 4:
         asker, *lost = world.random.sample(names, 4)
         world.heads[asker].holder.request(
             int(world.now * world.heads[asker].drift), f"own-{world.random.getrandbits(20)}"
         )
-        world.turn()
+        world.advance()
         for name in lost:
             world.kill_head(name)
 
@@ -175,17 +175,17 @@
 
 
 def history(world: World, steps: int = 40) -> World:
-    """Play faults by the world's own lots, with some turns after each; words of operators come among them."""
+    """Inject random faults and operators' commands, with some steps after each."""
     names = [*FAULTS, *["mend"] * 4, *["outage"] * 3, *["release"] * 2]
     for _ in range(steps):
         FAULTS[world.random.choice(names)](world)
         for _ in range(world.random.randint(1, TOUGH)):
-            world.turn(world.random.choice((S // 4, S, 5 * S)))
+            world.advance(world.random.choice((S // 4, S, 5 * S)))
     return world
 
 
 def heal(world: World, turns: int = 40) -> None:
-    """Mend everything, and let the fleet come to rest."""
+    """Repair all faults, and advance until the fleet is stable."""
     world.lose = world.double = world.late = 0.0
     world.store.kill = None
     world.failing.clear()
@@ -197,4 +197,4 @@
     for head in world.heads.values():
         head.frozen = False
     for _ in range(turns):
-        world.turn()
+        world.advance()
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -1,4 +1,4 @@
-"""A control service's process, heads in the test's own, and a line between them that can be cut."""
+"""A control service in its own process, heads in the test's, and a relay between them that can be cut."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Relay:
-    """A line that can be cut: connections end, new ones are turned away."""
+    """A relay that can be cut: connections end, new ones are refused."""
 
     def __init__(self) -> None:
         self.to, self.port, self.cut = 0, 0, False
@@ -54,13 +54,13 @@
                 await writer.drain()
         writer.close()
 
-    def set(self, cut: bool) -> None:
-        self.cut = cut
-        for writer in self.writers if cut else ():
+    def set_cut(self, is_cut: bool) -> None:
+        self.cut = is_cut
+        for writer in self.writers if is_cut else ():
             writer.close()
 
     async def close(self) -> None:
-        self.set(True)
+        self.set_cut(True)
         if self.server is not None:
             self.server.close()
         for task in self.tasks:
@@ -69,7 +69,7 @@
 
 
 class Fleet:
-    """A control service's process, and heads here that come back with the build that their permits tell."""
+    """A control service's process, and heads that come back with the build of their permits."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.port, self.relay = folder, 0, Relay()
@@ -147,7 +147,7 @@
         assert "mistakes" not in await self.staff("Push", text=POOL + words)
 
     async def until(self, state: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """Ask for the status until it is so; the test's own limit ends a wait for what does not come."""
+        """Poll the status until a condition holds; the test's time limit bounds it."""
         while True:
             told: dict[str, Any] = (await self.staff("Status"))["maintenance"]
             if state(told):
--- a/tests/maintenance_head.py
+++ b/tests/maintenance_head.py
@@ -1,4 +1,4 @@
-"""A head in virtual time: its side of permits and drains as the program has it, its requests by lot."""
+"""A head in virtual time: the program's side of permits and drains, with random requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class SimHead:
-    """One head's process, which ends and begins again."""
+    """One head, whose process may end and start again."""
 
     def __init__(self, world: World, name: str, build: str = "1") -> None:
         self.world, self.name, self.build = world, name, build
@@ -76,15 +76,15 @@
         word = self.holder.update
         return self.teller.to_changes(self.world.now, report, word.full_lists_request if word is not None else 0)
 
-    def told(self, word: PermitUpdate) -> None:
-        for go in self.holder.apply_update(int(self.world.now * self.drift), word):
+    def apply_update(self, update: PermitUpdate) -> None:
+        for go in self.holder.apply_update(int(self.world.now * self.drift), update):
             self.world.go(self, go.build)
             return
-        if self.holder.update is word:
-            self.act(self.drains.apply_update(word.ejected, word.restored))
+        if self.holder.update is update:
+            self.perform(self.drains.apply_update(update.ejected, update.restored))
 
-    def work(self) -> None:
-        """Serve for a moment."""
+    def serve_requests(self) -> None:
+        """Serve requests for a step."""
         lots = self.world.random
         for backend in self.world.backend_zones:
             if backend not in self.out and lots.random() < 0.3:
@@ -95,9 +95,9 @@
         self.taken += 20
         self.failed += 20 * bad
         warm = [one for one in self.world.backend_zones if one not in self.out and one not in self.world.backends_down]
-        self.act(self.drains.observe(self.open, self.out, warm))
+        self.perform(self.drains.observe(self.open, self.out, warm))
 
-    def act(self, actions: Sequence[object]) -> None:
+    def perform(self, actions: Sequence[object]) -> None:
         for one in actions:
             if isinstance(one, Eject):
                 self.out.add(one.backend)
--- a/tests/maintenance_process.py
+++ b/tests/maintenance_process.py
@@ -1,4 +1,4 @@
-"""A head without fronts or bricks, for maintenance over real streams: in the test's process, or as one of its own."""
+"""A head without fronts or backends, for maintenance over real streams: in the test's process, or in its own."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Head:
-    """One process of a head; `go` is called when a permit lets it go."""
+    """One process of a head; `go` is called when it has to go offline."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self.tasks += [asyncio.create_task(self.streamed.client.run()), asyncio.create_task(self._work())]
 
     async def _work(self) -> None:
-        """Answer as if there were requests."""
+        """Report answers of backends as if there were requests."""
         while True:
             await asyncio.sleep(0.05)
             counts = self.exchange.counters.counts
@@ -93,7 +93,7 @@
 
 
 async def main(name: str, port: str, build: str, folder: str) -> None:
-    """Be a head until a permit lets it go: say so, wait a moment as one that ends in order does, and end."""
+    """Run a head until it has to go offline: print that, wait as an orderly shutdown does, and end."""
     done = asyncio.Event()
 
     def go(head: Head, one: GoOffline) -> None:
--- a/tests/maintenance_rig.py
+++ b/tests/maintenance_rig.py
@@ -16,7 +16,7 @@
 from hophinge.load.rig.processes import ROOT
 from hophinge.load.rig.run import Run
 from hophinge.load.rig.waiting import Condition, until
-from tests.maintenance_struck import BAD, FOLDER, KILL, STOP
+from tests.maintenance_fault_injection import BAD, FOLDER, KILL, STOP
 from tests.together import BOUND_S, all_see
 
 PLAN = LoadPlan(work_us=2_000, slots=8)
@@ -25,24 +25,24 @@
 AUDIT = re.compile(r"(\S+) for (head|brick) (\S+): (\w+)")
 LOOK_S = 0.02
 RATE = 40.0  # requests a second to each head, where a test asks for load
-REFUSES = 3  # a bad build refuses one request in so many
+REFUSES = 3  # a bad build rejects one request in this many
 
 
-class Whole:
+class Installation:
     """The processes of one installation; `c` is its control service."""
 
     def __init__(self, made: Run, names: Sequence[str]) -> None:
         self.made, self.names = made, list(names)
         self.builds = dict.fromkeys(self.names, "1")
-        self.bad: set[str] = set()  # heads at which build 2 refuses requests
-        self.out: set[str] = set()  # let go by a permit, and not ready again
+        self.bad: set[str] = set()  # heads at which build 2 rejects requests
+        self.out: set[str] = set()  # went offline under a permit, and not ready again
         self.lost: set[str] = set()  # killed by the test, and not ready again
-        self.goes: list[tuple[str, str, int]] = []  # permit, head and its start: all that were ever let go
+        self.goes: list[tuple[str, str, int]] = []  # permit, head and its start: all that ever went offline under one
         self.most_out = 0
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self, clustered: bool = True) -> None:
-        """Start all, and wait until each serves and is heard."""
+        """Start all, and wait until each serves and is connected."""
         rules = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]["Rules"]
         self.made.control("c")
         for name in self.names:
@@ -55,7 +55,7 @@
             )
         for name in ["c", *self.names]:
             process = self.made[name]
-            process.words[0] = "tests.maintenance_struck"
+            process.words[0] = "tests.maintenance_fault_injection"
             process.environ[FOLDER] = str(process.folder)
         await self.made.processes.start("c", *self.names)
         await until([self.made.ready(name) for name in self.names], BOUND_S)
@@ -65,7 +65,7 @@
         self.tasks += [asyncio.create_task(self._watch(name)) for name in self.names]
 
     async def _watch(self, name: str) -> None:
-        """Start a head that has ended, with the build that it was told to come back with."""
+        """Start a head that has ended, with the build of its permit."""
         process, seen = self.made[name], 0
         while True:
             await asyncio.sleep(LOOK_S)
@@ -91,17 +91,17 @@
         await until([self.made.ready(name)], BOUND_S)
 
     async def lose(self, *names: str) -> None:
-        """Kill heads that nobody let go; they stay away."""
+        """Kill heads without a permit; they stay away."""
         self.lost |= set(names)
         await self.made.processes.kill(*names)
 
     async def find(self, *names: str) -> None:
-        """Start heads again that were lost."""
+        """Restart the heads that were lost."""
         await asyncio.gather(*map(self.again, names))
         self.lost -= set(names)
 
     async def load(self) -> None:
-        """Ask all heads for objects until cancelled, whatever becomes of the requests."""
+        """Request objects from all heads until cancelled, whatever the outcome."""
         tasks: set[asyncio.Task[int]] = set()
         number = 0
         while True:
@@ -112,7 +112,7 @@
                 tasks.add(task := asyncio.create_task(self.made.request(name, number, number % 3)))
                 task.add_done_callback(tasks.discard)
 
-    # --- words, and what is told
+    # --- commands and status
 
     async def staff(self, method: str, **body: Any) -> dict[str, Any]:
         told: dict[str, Any] = json.loads(
@@ -123,7 +123,7 @@
         return told
 
     async def push(self, words: str) -> None:
-        """Push a document; a service that has just been killed is asked again."""
+        """Push a document; retried if the service has just been killed."""
 
         async def look() -> tuple[bool, str]:
             told = await self.staff("Push", text=POOL + words)
@@ -132,7 +132,7 @@
         await until([Condition(self.made["c"], "takes the document", look)], BOUND_S)
 
     def tells(self, what: str, good: Callable[[dict[str, Any]], bool]) -> Condition:
-        """Make the condition that the service's status of maintenance is good."""
+        """Return the condition that the service's maintenance status satisfies a predicate."""
 
         async def look() -> tuple[bool, str]:
             told = (await self.staff("Status"))["maintenance"]
@@ -150,12 +150,12 @@
         )
 
     def strike(self, name: str, file: str, word: str) -> None:
-        """Say what strikes a process; an empty word: nothing."""
+        """Set the fault that a process injects; empty: none."""
         path = self.made.folder / name / file
         path.write_text(word) if word else path.unlink(missing_ok=True)
 
     async def audit(self) -> list[tuple[str, str, str, str]]:
-        """Tell all steps of permits, the oldest first: id, kind, name, state."""
+        """Return all transitions of permits, the oldest first: id, kind, name, state."""
         rows = (await self.staff("History", most=500))["audit"]
         assert len(rows) < 500
         return [
@@ -165,18 +165,18 @@
         ]
 
     async def check(self, most: int) -> None:
-        """Check the whole history: places by the audit, who went by the heads' own logs."""
+        """Check the complete history: permits by the audit, restarts by the heads' own logs."""
         assert self.most_out <= most
         rows = await self.audit()
         for kind in ("head", "brick"):
-            assert places(rows, kind) <= most
+            assert max_concurrent_permits(rows, kind) <= most
         begun = {(permit, name) for permit, _, name, state in rows if state == "begun"}
         went = [(permit, name) for permit, name, _ in self.goes]
         assert set(went) <= begun, (went, begun)
 
 
-def places(rows: Sequence[tuple[str, str, str, str]], kind: str) -> int:
-    """Tell the most places of a kind that were taken at once; none may be given twice, nor an id come again."""
+def max_concurrent_permits(rows: Sequence[tuple[str, str, str, str]], kind: str) -> int:
+    """Return the maximum of concurrent permits of a kind; asserts that none is given twice and no id is reused."""
     held: dict[str, str] = {}
     done: set[str] = set()
     most = 0
@@ -195,10 +195,12 @@
 
 
 @asynccontextmanager
-async def whole(folder: Path, count: int, seed: int, clustered: bool = True) -> AsyncIterator[Whole]:
-    """Have an installation of so many heads for a block."""
+async def running_installation(
+    folder: Path, count: int, seed: int, clustered: bool = True
+) -> AsyncIterator[Installation]:
+    """Run an installation with a number of heads for a block."""
     async with Run(folder, seed, PLAN) as made:
-        one = Whole(made, [f"n{at}" for at in range(count)])
+        one = Installation(made, [f"n{at}" for at in range(count)])
         await one.start(clustered)
         try:
             yield one
@@ -210,4 +212,4 @@
             await asyncio.gather(*one.tasks, return_exceptions=True)
 
 
-__all__ = ["KILL", "STOP", "Whole", "places", "whole"]
+__all__ = ["KILL", "STOP", "Installation", "max_concurrent_permits", "running_installation"]
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: heads, bricks, the issuer and its store, with all that can break between them.
+"""A fleet in virtual time: heads, backends, the issuer and its store, with their faults.
 
 The store checks each row as it comes, by its own count and not by the table's code, so that a fault of the table is
 found where it would be believed.
@@ -24,11 +24,11 @@
 
 
 class KilledError(Exception):
-    """The issuer's process ends here."""
+    """The issuer's process was killed here."""
 
 
 class MemoryStore:
-    """What is durable, and the rules that every row has to keep."""
+    """The durable state, and the invariants of every row."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -36,7 +36,7 @@
         self.courses: dict[str, ReleaseProgress] = {}
         self.zones: dict[str, str] = {}
         self.saves = 0
-        self.kill: tuple[int, bool] | None = None  # at which keep, and whether it is stored before
+        self.kill: tuple[int, bool] | None = None  # at which save, and whether it is stored before
 
     def store_zone(self, head: str, zone: str) -> None:
         self.zones[head] = zone
@@ -56,13 +56,13 @@
             self.world.struck["killed between storing and telling"] += 1
             raise KilledError
 
-    def held(self, kind: PermitKind) -> dict[str, Permit]:
+    def active_permits(self, kind: PermitKind) -> dict[str, Permit]:
         return {
             row.name: row for row in self.permits.values() if row.kind is kind and row.state is not PermitState.FREE
         }
 
     def check(self, row: Permit) -> None:
-        wrong, world = self.world.wrong, self.world
+        wrong, world = self.world.violations, self.world
         before = self.permits.get(row.id)
         if (
             before is not None
@@ -81,11 +81,11 @@
             before is not None and before.state is row.state
         ):
             return
-        held = self.held(row.kind)
+        held = self.active_permits(row.kind)
         if row.name in held and held[row.name].id != row.id:
             wrong.append(f"{row.name} has two permits, {row.id} and {held[row.name].id}")
         zones = world.zones if row.kind is PermitKind.HEAD else world.backend_zones
-        out = {*held, row.name, *world.known_out(row.kind)}
+        out = {*held, row.name, *world.known_unavailable(row.kind)}
         most = world.rule.heads if row.kind is PermitKind.HEAD else world.rule.backends
         assert most is not None
         here = [one for one in out if zones[one] == zones[row.name]]
@@ -95,7 +95,7 @@
 
 
 class World:
-    """The fleet; `wrong` holds every breach."""
+    """The fleet; `violations` has every violation of an invariant."""
 
     def __init__(self, seed: int, heads: int, backends: int, rule: Maintenance, zones: int = 4) -> None:
         self.random, self.rule, self.now = random.Random(seed), rule, 1000 * S
@@ -103,12 +103,12 @@
         self.zones = {f"n{at}": f"z{at % zones}" for at in range(heads)}
         self.backend_zones = {f"b{at}": f"z{at % zones}" for at in range(backends)}
         self.backends_down: set[str] = set()
-        self.failing: dict[str, float] = {}  # builds that fail so much at every third head
+        self.failing: dict[str, float] = {}  # failure rates of builds at every third head
         self.never_ready: set[str] = set()
         self.outages: dict[str, Outage] = {}
         self.releases: dict[str, Release] = {}
         self.records: list[Record] = []
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.struck: Counter[str] = Counter()
         self.said: set[tuple[str, str]] = set()
         self.verdicts = 0
@@ -119,21 +119,21 @@
         self.store = MemoryStore(self)
         self.issuer: PermitIssuer | None = None
         self.heads = {name: SimHead(self, name) for name in self.zones}
-        self.cut: set[str] = set()  # heads without a line to the issuer
-        self.begin()
+        self.cut: set[str] = set()  # heads without a stream to the issuer
+        self.start_issuer()
 
     # --- the issuer
 
-    def begin(self) -> None:
+    def start_issuer(self) -> None:
         self.fence += 1
         self.store.kill = None
         rows = [row for row in self.store.permits.values() if row.state is not PermitState.FREE]
         self.issuer = PermitIssuer(
             "store", self.fence, rows, self.store.courses.values(), self.store.zones, self.store, self.now
         )
-        self.document()
+        self.apply_configuration()
 
-    def document(self) -> None:
+    def apply_configuration(self) -> None:
         if self.issuer is not None:
             self.issuer.apply_configuration(
                 [self.rule, *self.outages.values(), *self.releases.values()], self.records, {}
@@ -148,10 +148,10 @@
         if self.issuer is not None:
             self.issuer.head_disconnected(name)
 
-    # --- what the checks rest on
+    # --- what the checks need
 
-    def known_out(self, kind: PermitKind) -> set[str]:
-        """Tell what the issuer can see to be out unplanned, or cannot see at all."""
+    def known_unavailable(self, kind: PermitKind) -> set[str]:
+        """Return what the issuer observes to be out without a permit, or cannot observe at all."""
         if kind is PermitKind.BACKEND:
             return set(self.backends_down)
         return {name for name, head in self.heads.items() if not head.linked}
@@ -160,15 +160,15 @@
         self.verdicts += 1
         for name, head in self.heads.items():
             if head.alive and (name, row.id) not in self.said:
-                self.wrong.append(f"{row.name} is drained, and {name} never said so")
+                self.violations.append(f"{row.name} is drained, and {name} never said so")
             if head.alive and head.open[row.name] and row.name in head.out:
-                self.wrong.append(f"{row.name} is drained, and {name} still has {head.open[row.name]} there")
+                self.violations.append(f"{row.name} is drained, and {name} still has {head.open[row.name]} there")
 
-    # --- what happens
+    # --- events
 
     def go(self, head: SimHead, build: str) -> None:
-        if head.name not in self.store.held(PermitKind.HEAD):
-            self.wrong.append(f"{head.name} goes out without a permit")
+        if head.name not in self.store.active_permits(PermitKind.HEAD):
+            self.violations.append(f"{head.name} goes out without a permit")
         head.end()
         head.build = build or head.build
         head.returns_at = self.now + self.restart_us
@@ -177,14 +177,14 @@
         self.struck["head lost"] += 1
         self.heads[name].end()
 
-    def turn(self, span_us: int = S) -> None:
-        """Let a span of time pass, with all that is due in it."""
+    def advance(self, span_us: int = S) -> None:
+        """Advance the time by a span, with all that is scheduled in it."""
         self.now += span_us
         for head in self.heads.values():
             if not head.alive and head.returns_at and self.now >= head.returns_at:
                 head.start()
             if head.alive and not head.frozen:
-                head.work()
+                head.serve_requests()
         try:
             self._issue()
         except KilledError:
@@ -201,7 +201,7 @@
                     issuer.head_disconnected(name)
                 continue
             if head.frozen:
-                continue  # its line stays up for all that anybody can tell
+                continue  # its stream still seems to be up
             if not head.linked:
                 head.linked, head.teller = True, SnapshotSender()
                 issuer.head_connected(name, True, len(self.heads))
@@ -225,10 +225,12 @@
             head = self.heads[name]
             times = self._times()
             if not times and head.linked:
-                issuer.last_updates.pop(name, None)  # a lost one ends its stream, and the next is told all anew
+                issuer.last_updates.pop(
+                    name, None
+                )  # a lost update ends its stream, and the next one gets a complete update
             for _ in range(times):
                 if head.alive and not head.frozen and name not in self.cut:
-                    head.told(word)
+                    head.apply_update(word)
 
     def _times(self) -> int:
         lot = self.random.random()
@@ -240,9 +242,9 @@
             return 2
         return 1
 
-    def until(self, state: object, most: int = 2000, span_us: int = S) -> None:
-        """Turn until something holds; callers assert that it does."""
-        for _ in range(most):
-            if state():  # type: ignore[operator]
+    def until(self, condition: object, max_steps: int = 2000, span_us: int = S) -> None:
+        """Advance until a condition holds; callers assert that it does."""
+        for _ in range(max_steps):
+            if condition():  # type: ignore[operator]
                 return
-            self.turn(span_us)
+            self.advance(span_us)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""The table of permits, drains and a head's own side as machines."""
+"""The table of permits, drain statements, and a head's side of permits and drains."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return answer.reason
 
 
-def test_the_strictest_of_counts_and_parts_holds_in_all_and_in_a_zone() -> None:
+def test_the_strictest_of_counts_and_fractions_applies_in_total_and_in_a_zone() -> None:
     table = PermitTable((), 1, 0)
     assert granted(table, "n0", sight(), Most(3, 0.3, 1)) == ""
     assert "in zone z0, 1 may" in granted(table, "n3", sight(), Most(3, 0.3, 1))
@@ -54,17 +54,17 @@
 
 
 @pytest.mark.parametrize(("down", "total"), [({"n4": "z1", "n5": "z2", "n8": "z2"}, 9), ({}, 12)])
-def test_what_is_out_unplanned_or_unknown_takes_the_room(down: dict[str, str], total: int) -> None:
+def test_unplanned_and_unknown_outages_count_towards_the_limit(down: dict[str, str], total: int) -> None:
     assert "may" in granted(PermitTable((), 1, 0), "n0", sight(down, total), Most(3))
     assert granted(PermitTable((), 1, 0), "n0", sight(dict(list(down.items())[1:]), max(9, total - 1)), Most(3)) == ""
 
 
-def test_a_member_of_no_known_zone_takes_a_place_in_each() -> None:
+def test_a_process_of_unknown_zone_counts_in_every_zone() -> None:
     assert "zone z0" in granted(PermitTable((), 1, 0), "n0", sight({"n8": ""}), Most(3, -1.0, 1))
     assert granted(PermitTable((), 1, 0), "n0", sight({"n8": "z2"}), Most(3, -1.0, 1)) == ""
 
 
-def test_the_same_ask_gets_the_same_permit_and_no_other_the_same_place() -> None:
+def test_a_repeated_request_gets_the_same_permit_and_no_other_request_does() -> None:
     table = PermitTable((), 7, 0)
     first = table.decide(0, ask("n0"), sight(), Most(3))
     table.apply(0, first.rows)
@@ -73,7 +73,7 @@
     assert "under permit 7.1 of me already" in table.decide(1, ask("n0", "other"), sight(), Most(3)).reason
 
 
-def test_what_is_not_begun_lapses_and_what_is_begun_never_does() -> None:
+def test_a_permit_expires_before_its_begin_and_never_after() -> None:
     table = PermitTable((), 1, 0)
     granted(table, "n0", sight(), Most(3))
     granted(table, "n1", sight(), Most(3))
@@ -82,23 +82,23 @@
     assert [row.id for row in table.expired(LEASE_US)] == ["1.2"]
     assert table.expired(10**15) == table.expired(LEASE_US)
     assert "lapsed" in table.begin(LEASE_US, "1.2", 5, sight(), Most(3)).reason
-    again = PermitTable(table.active.values(), 2, 100 * S)  # granted when? a whole lease from now, then
+    again = PermitTable(table.active.values(), 2, 100 * S)  # the time of the grant is unknown: a full lease from now
     assert again.expired(100 * S + LEASE_US - 1) == () and len(again.expired(100 * S + LEASE_US)) == 1
 
 
-def test_a_begin_is_turned_down_where_losses_have_taken_the_room_meanwhile() -> None:
+def test_a_begin_is_rejected_after_losses_have_used_up_the_limit() -> None:
     table = PermitTable((), 1, 0)
     granted(table, "n0", sight(), Most(2))
     assert "would be out" in table.begin(1, "1.1", 5, sight({"n4": "z1", "n5": "z2"}), Most(2)).reason
     assert table.begin(1, "1.1", 5, sight({"n4": "z1"}), Most(2)).permit is not None
     table.apply(1, table.begin(1, "1.1", 5, sight(), Most(2)).rows)
-    assert table.begin(2, "1.1", 5, sight(), Most(2)).permit is not None  # the same begin, said twice
+    assert table.begin(2, "1.1", 5, sight(), Most(2)).permit is not None  # a repeated begin
     assert "another process" in table.begin(2, "1.1", 6, sight(), Most(2)).reason
     with pytest.raises(PermitError, match="begun, and cannot be granted"):
         table.transition("1.1", PermitState.GRANTED)
 
 
-def test_floors_keep_what_reserves_need() -> None:
+def test_floors_keep_the_capacity_for_reserves() -> None:
     floors = backend_floors(
         [Pool("a", ("z0",), at_least=2), Pool("b", ("z1",)), Route(Scope("t"), ("a",)), Tenant("t", reserve=70.0)],
         {f"b{at}": BackendListing(f"z{at % 2}", "", True) for at in range(10)},
@@ -121,7 +121,7 @@
 # --- drains
 
 
-def test_silence_is_never_yes_and_a_statement_holds_for_its_permit_alone() -> None:
+def test_a_missing_statement_is_no_consent_and_one_counts_for_its_permit_alone() -> None:
     drains = DrainStatements()
     drains.record_statements("n0", [Statement("1.1", "b0", DRAINED), Statement("0.9", "b0", DRAINED)], True, {"1.1"})
     assert drains.verdict("1.1", ["n0", "n1"]).missing == ("n1",)
@@ -129,32 +129,32 @@
     assert not drains.verdict("1.1", ["n0", "n1"]).is_complete
     drains.record_statements("n1", [Statement("1.1", "b0", DRAINED)], False, {"1.1"})
     assert drains.verdict("1.1", ["n0", "n1"]).is_complete
-    drains.record_statements("n0", [], True, {"1.1"})  # taken back
+    drains.record_statements("n0", [], True, {"1.1"})  # withdrawn
     assert drains.verdict("1.1", ["n0", "n1"]).missing == ("n0",)
 
 
-def test_a_head_is_let_off_only_by_all_who_can_tell_or_by_word() -> None:
+def test_a_head_is_exempt_only_by_all_witnesses_or_by_an_operator() -> None:
     known, here = ["n0", "n1", "n2", "n3"], {"n0", "n1"}
-    assert required_heads(known, here, {}, {}) == set(known)  # nobody can tell: silence may be a cut line
+    assert required_heads(known, here, {}, {}) == set(known)  # no witness: silence may be a partition
     assert required_heads(known, here, {"n0": ["n0", "n1"], "n1": ["n1"]}, {"n0": ["n2", "n3"], "n1": ["n2"]}) == {
         "n0",
         "n1",
         "n3",
     }
     assert required_heads(known, here, {"n0": ["n2"]}, {"n0": ["n3"], "n1": ["n2", "n3"]}) == {"n0", "n1", "n2"}
-    assert required_heads(known, here, {}, {"n0": ["n1"]}) == set(known)  # it has a line to here, whatever peers say
+    assert required_heads(known, here, {}, {"n0": ["n1"]}) == set(known)  # it is connected, whatever peers report
     assert required_heads(known, here, {}, {}, ["n2", "n3"]) == here
 
 
-def test_a_head_says_drained_once_nothing_is_there_and_takes_it_back_when_somebody_undoes_it() -> None:
+def test_a_head_states_drained_without_requests_in_flight_and_retracts_it_after_a_manual_restore() -> None:
     head = HeadDrains()
     assert head.apply_update({"1.1": "b0"}, {}) == [Eject("b0")]
     said = Statement("1.1", "b0", DRAINED)
     assert head.observe({"b0": 2}, {"b0"}, ["b0"]) == [] and head.observe({"b0": 0}, {"b0"}, []) == [Announce(said)]
-    assert head.apply_update({"1.1": "b0"}, {}) == [] and head.statements() == [said]  # told again: nothing new
+    assert head.apply_update({"1.1": "b0"}, {}) == [] and head.statements() == [said]  # repeated: nothing changes
     assert head.observe({}, set(), []) == [Retract(said), Eject("b0")]
     assert head.observe({}, {"b0"}, []) == [Announce(said)]
-    again = HeadDrains(head.to_store().items())  # a restart, with no line to the issuer
+    again = HeadDrains(head.to_store().items())  # a restart without a stream to the issuer
     assert again.start() == [Eject("b0")] and again.statements() == []
     assert head.apply_update({}, {"1.1": "b0"}) == [Retract(said), Restore("b0")]
     assert head.observe({}, set(), ["b0"]) == [Announce(Statement("1.1", "b0", SERVED))]
@@ -168,26 +168,26 @@
     return Permit("1.1", PermitKind.HEAD, "n0", "z0", by, key, state, "2", process)
 
 
-def test_a_head_goes_only_when_its_begin_is_stored_and_then_whenever_it_wakes() -> None:
+def test_a_head_goes_offline_only_once_its_begin_is_stored() -> None:
     head = PermitHolder(5, "1")
     assert head.apply_update(0, PermitUpdate("s", 1, 1, own_permit=permit(PermitState.GRANTED))) == []
     assert head.permit_to_begin(1) == "1.1" and head.permit_to_begin(BEGIN_US) == ""
     assert (
         head.permit_to_begin(1, {"r/0"}) == "" and head.permit_to_begin(1, {"r/1", "q/0"}) == "1.1"
-    )  # a halt, as peers have heard it
+    )  # a halt as peers have received it
     assert head.apply_update(10**12, PermitUpdate("s", 1, 2, own_permit=permit(PermitState.BEGUN, 5))) == [
         GoOffline("1.1", "2")
     ]
     assert head.apply_update(10**12, PermitUpdate("s", 1, 3, own_permit=permit(PermitState.OUT, 5))) == []
     assert (
         PermitHolder(6, "2").apply_update(0, PermitUpdate("s", 1, 3, own_permit=permit(PermitState.BACK, 5))) == []
-    )  # back with what is wanted
+    )  # back with the desired build
     assert PermitHolder(6, "3").apply_update(0, PermitUpdate("s", 1, 3, own_permit=permit(PermitState.BACK, 5))) == [
         GoOffline("1.1", "2")
     ]
 
 
-def test_words_that_come_behind_or_of_another_store_change_nothing() -> None:
+def test_stale_updates_and_those_of_another_store_have_no_effect() -> None:
     head = PermitHolder(5, "1")
     head.apply_update(0, PermitUpdate("s", 2, 1, own_permit=permit(PermitState.GRANTED)))
     assert (
@@ -199,7 +199,7 @@
     assert head.permit_to_begin(1) == "1.1"
 
 
-def test_a_wish_of_its_own_counts_from_the_asking() -> None:
+def test_the_deadline_of_an_own_request_counts_from_the_request() -> None:
     head = PermitHolder(5, "1")
     head.request(0, "up")
     head.apply_update(
--- a/tests/test_maintenance_parts.py
+++ b/tests/test_maintenance_integration.py
@@ -1,4 +1,4 @@
-"""What stands round the deciders of maintenance: forms, the store with its fence, a head's rotation, disk and board."""
+"""Maintenance with its surroundings: documents, the fenced store, a head's rotation, disk and entries."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 ROW = Permit("1.1", PermitKind.HEAD, "n0", "z0", "release r", "r/0/2", PermitState.BEGUN, "2", 7)
 
 
-def test_the_example_is_read_as_it_says() -> None:
+def test_the_example_document_is_parsed() -> None:
     document = read(EXAMPLE)
     assert document.lines("f") == []
     assert document.records["maintenance/*"] == Maintenance(Most(3, 0.1, 1), Most(2, -1.0, 1), 3, 25.0)
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "place", "words"),
+    ("text", "position", "words"),
     [
         ("(maintenance (heads (zone-most 1)))", "2:14", "needs (most 3) or (most-part 10 %)"),
         ("(maintenance (heads (most three)))", "2:27", "whole number from 0 to 10000"),
@@ -58,12 +58,12 @@
         (BOUND + "(release r (build 2) (waves 50% 20%))", "2:71", "shares rise and end with 100 %"),
     ],
 )
-def test_a_mistake_is_told_with_its_place(text: str, place: str, words: str) -> None:
+def test_an_invalid_form_is_reported_with_its_position(text: str, position: str, words: str) -> None:
     told = read(("(hophinge 1)\n" + text).encode()).lines("f")
-    assert len(told) == 1 and told[0].startswith(f"f:{place}: ") and words in told[0], told
+    assert len(told) == 1 and told[0].startswith(f"f:{position}: ") and words in told[0], told
 
 
-def test_promises_last_and_ids_of_a_later_start_are_higher(tmp_path: Path) -> None:
+def test_permits_are_durable_and_fencing_tokens_increase_with_each_start(tmp_path: Path) -> None:
     store = ControlStore(tmp_path / "v.db")
     promises = MaintenanceStore(store, lambda: 0)
     promises.save([ROW], [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)])
@@ -84,7 +84,7 @@
     store.close()
 
 
-def test_a_service_whose_store_was_taken_over_can_keep_nothing(tmp_path: Path) -> None:
+def test_a_fenced_service_cannot_save(tmp_path: Path) -> None:
     old = ControlStore(tmp_path / "v.db")
     promises = MaintenanceStore(old, lambda: 0)
     with pytest.raises(StoreError, match="another control service uses this store"):
@@ -103,7 +103,7 @@
     new.close()
 
 
-def test_words_and_reports_pass_the_wire_and_what_is_none_is_told() -> None:
+def test_updates_and_reports_round_trip_and_invalid_ones_are_rejected() -> None:
     word = PermitUpdate("s", 3, 4, {"1.1": "b0"}, {}, ROW, "no room", ("r/0",))
     assert decode_update(decode_response(encode_update(word))) == word
     assert decode_request(
@@ -121,7 +121,7 @@
 
 
 class Peers:
-    """A board and a sight in memory."""
+    """Replicated entries and a membership view in memory."""
 
     own_name = "n0"
 
@@ -160,7 +160,7 @@
         super().write(path, data)
 
 
-def test_a_head_says_drained_only_once_it_is_kept_and_no_other_process_is_there(tmp_path: Path) -> None:
+def test_a_head_states_drained_only_once_it_is_stored_and_no_other_process_of_it_runs(tmp_path: Path) -> None:
     async def main() -> None:
         head = Head("n0", 1, "1", tmp_path / "n0", lambda head, go: None)
         upkeep, peers, disk = head.upkeep, Peers(), FullDisk()
@@ -171,13 +171,13 @@
         looking = asyncio.create_task(upkeep.run())
         response = decode_response(encode_update(PermitUpdate("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
         upkeep._word(response)
-        assert head.rotation.is_ejected("s-0") and "halt/r/0" in peers.own  # before any list names the brick
+        assert head.rotation.is_ejected("s-0") and "halt/r/0" in peers.own  # before any list names the backend
         await until(lambda: any("cannot be kept" in line for line in head.log))
         assert "1.1/s-0" not in peers.own and upkeep.report().statements == ()
         disk.full = False
         await until(lambda: bool(upkeep.saved))
         upkeep.look()
-        assert "1.1/s-0" not in peers.own  # the process before it may have some there
+        assert "1.1/s-0" not in peers.own  # the previous process may have requests in flight there
         alone[0] = True
         await until(lambda: "1.1/s-0" in peers.own)
         report = upkeep.report()
@@ -199,7 +199,7 @@
     run(main())
 
 
-def test_a_halt_that_a_peer_has_heard_of_keeps_a_head_from_beginning() -> None:
+def test_a_halt_received_by_a_peer_prevents_a_begin() -> None:
     holder = PermitHolder(7, "1")
     granted = msgspec.structs.replace(ROW, state=PermitState.GRANTED, process=0)
     holder.apply_update(0, PermitUpdate("s", 1, 1, own_permit=granted))
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -1,4 +1,4 @@
-"""Random steps over permits, drains and releases: never more out than allowed, and each mutant of that is found."""
+"""Random steps over permits, drains and releases: limits always hold, and each mutant is detected."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     world = World(seed, 8, 4, RULE)
     world.restart_us = 5 * S
     for _ in range(4):
-        world.turn()
+        world.advance()
     return world
 
 
@@ -37,27 +37,27 @@
         self.world = world_of(seed)
 
     @rule(name=st.sampled_from(sorted(FAULTS)), turns=st.integers(1, 10))
-    def strikes(self, name: str, turns: int) -> None:
+    def inject_fault(self, name: str, turns: int) -> None:
         FAULTS[name](self.world)
         for _ in range(turns):
-            self.world.turn()
+            self.world.advance()
 
     @rule(spans=st.lists(st.sampled_from([S // 10, S, 60 * S]), max_size=5))
-    def time(self, spans: list[int]) -> None:
+    def advance(self, spans: list[int]) -> None:
         for span in spans:
-            self.world.turn(span)
+            self.world.advance(span)
 
     @rule()
-    def ends_and_finds_all_again(self) -> None:
-        """Whatever was begun is found again after any end."""
+    def restart_issuer(self) -> None:
+        """All begun permits are restored after a restart of the issuer."""
         self.world.stop_issuer()
         held = {one.id: one for one in self.world.store.permits.values() if one.state is not PermitState.FREE}
-        self.world.begin()
+        self.world.start_issuer()
         assert self.world.issuer is not None and self.world.issuer.permits.active == held
 
     @invariant()
-    def nothing_is_wrong(self) -> None:
-        assert self.world.wrong == []
+    def no_invariant_is_violated(self) -> None:
+        assert self.world.violations == []
         for kind in PermitKind:
             rows = [
                 row.name
@@ -67,30 +67,30 @@
             assert len(set(rows)) == len(rows) <= (3 if kind is PermitKind.HEAD else 2)
 
 
-def test_in_no_history_is_more_out_than_allowed() -> None:
+def test_no_history_exceeds_the_limits() -> None:
     from hypothesis.stateful import run_state_machine_as_test
 
     run_state_machine_as_test(Fleet, settings=settings(max_examples=40, stateful_step_count=25, deadline=None))
 
 
-def test_after_all_faults_end_the_places_are_free_again() -> None:
+def test_all_permits_are_freed_once_faults_end() -> None:
     left = 0
     for seed in range(10):
         world = history(world_of(seed), 25)
         heal(world)
         world.outages.clear()
         world.releases.clear()
-        world.document()
+        world.apply_configuration()
         heal(world, 80)
-        assert world.wrong == []
+        assert world.violations == []
         left += sum(row.state is not PermitState.FREE and not row.build for row in world.store.permits.values())
     assert left == 0
 
 
-# --- mutants: each promise, broken
+# --- mutants
 
 
-def lapse_of_a_begun_one(self: PermitTable, now_us: int) -> tuple[Permit, ...]:
+def begun_permits_expire(self: PermitTable, now_us: int) -> tuple[Permit, ...]:
     return tuple(
         msgspec.structs.replace(one, state=PermitState.FREE)
         for one in self.active.values()
@@ -100,11 +100,11 @@
     )
 
 
-def unplanned_not_counted(self: PermitTable, kind: PermitKind, sight: Availability) -> dict[str, str]:
+def ignore_unplanned_outages(self: PermitTable, kind: PermitKind, sight: Availability) -> dict[str, str]:
     return {one.name: one.zone for one in self.of_kind(kind)}
 
 
-def silence_is_yes(
+def require_no_statements(
     known: Iterable[str],
     connected: Iterable[str],
     live: Mapping[str, Any],
@@ -114,11 +114,11 @@
     return set()
 
 
-def forgets_at_start(self: PermitTable, rows: Sequence[Permit], fence: int, now_us: int) -> None:
+def forget_begun_permits_at_start(self: PermitTable, rows: Sequence[Permit], fence: int, now_us: int) -> None:
     permits_begin(self, [row for row in rows if row.state is PermitState.GRANTED], fence, now_us)
 
 
-def begins_whatever_was_lost(
+def skip_limits_at_begin(
     self: PermitTable,
     kind: PermitKind,
     name: str,
@@ -130,48 +130,48 @@
     return "" if self.for_target(kind, name) is not None else permits_lacks(self, kind, name, zone, sight, most, floors)
 
 
-def any_head_will_do(
+def accept_any_statement(
     self: drain_verdicts.DrainStatements, permit: str, wanted: Iterable[str]
 ) -> drain_verdicts.DrainVerdict:
     said = self.heads_by_claim.get((permit, statements.DRAINED), set())
     return drain_verdicts.DrainVerdict(() if said else tuple(wanted))
 
 
-def goes_without_its_begin(self: Any, now_us: int, word: Any) -> list[Any]:
+def go_offline_without_begin(self: Any, now_us: int, word: Any) -> list[Any]:
     self.update = word
     return [GoOffline(word.own_permit.id, word.own_permit.build)] if word.own_permit is not None else []
 
 
 permits_begin, permits_lacks = PermitTable.__init__, PermitTable.rejection_reason
 MUTANTS = {
-    "a begun permit lapses": (permits.PermitTable, "expired", lapse_of_a_begun_one),
-    "what is out unplanned takes no room": (permits.PermitTable, "unavailable", unplanned_not_counted),
-    "silence is taken for yes": (issuer, "required_heads", silence_is_yes),
-    "a promise is forgotten at a start": (permits.PermitTable, "__init__", forgets_at_start),
-    "a begin looks at no losses": (permits.PermitTable, "rejection_reason", begins_whatever_was_lost),
-    "one head's word is all heads'": (drain_verdicts.DrainStatements, "verdict", any_head_will_do),
-    "a head goes without its begin": (PermitHolder, "apply_update", goes_without_its_begin),
+    "a begun permit lapses": (permits.PermitTable, "expired", begun_permits_expire),
+    "what is out unplanned takes no room": (permits.PermitTable, "unavailable", ignore_unplanned_outages),
+    "silence is taken for yes": (issuer, "required_heads", require_no_statements),
+    "a promise is forgotten at a start": (permits.PermitTable, "__init__", forget_begun_permits_at_start),
+    "a begin looks at no losses": (permits.PermitTable, "rejection_reason", skip_limits_at_begin),
+    "one head's word is all heads'": (drain_verdicts.DrainStatements, "verdict", accept_any_statement),
+    "a head goes without its begin": (PermitHolder, "apply_update", go_offline_without_begin),
 }
 
 
-def found(seeds: int) -> list[str]:
+def find_violations(seeds: int) -> list[str]:
     for seed in range(seeds):
         world = world_of(seed)
         try:
             history(world, 60)
         except (permits.PermitError, KeyError, AttributeError) as error:
             return [repr(error)]
-        if world.wrong:
-            return world.wrong
+        if world.violations:
+            return world.violations
     return []
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_mutant_of_each_promise_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_mutant_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     where, what, instead = MUTANTS[name]
     monkeypatch.setattr(where, what, instead)
-    assert found(40), f"nobody noticed that {name}"
+    assert find_violations(40), f"nobody noticed that {name}"
 
 
-def test_without_a_mutant_nothing_is_found() -> None:
-    assert found(8) == []
+def test_without_a_mutant_no_violation_is_found() -> None:
+    assert find_violations(8) == []
--- a/tests/test_maintenance_releases.py
+++ b/tests/test_maintenance_releases.py
@@ -1,4 +1,4 @@
-"""Releases and drains over a fleet in virtual time: the usual course, and each hard case."""
+"""Releases and drains of a fleet in virtual time: the regular case, and each difficult one."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 def rolling(heads: int = 12, rule: Maintenance = RULE, **more: object) -> World:
     world = World(1, heads, 2, rule)
     for _ in range(4):
-        world.turn()
+        world.advance()
     world.releases["r"] = released()
-    world.document()
+    world.apply_configuration()
     return world
 
 
@@ -35,14 +35,14 @@
     return world.issuer.permits.active
 
 
-def test_a_release_goes_wave_by_wave_and_ends() -> None:
+def test_a_release_proceeds_in_waves_until_done() -> None:
     world = rolling()
     world.until(lambda: "r" in world.store.courses and stage(world) is ReleaseStage.DONE)
     assert stage(world) is ReleaseStage.DONE and {head.build for head in world.heads.values()} == {"2"}
-    assert world.wrong == [] and len(world.store.permits) == 12
+    assert world.violations == [] and len(world.store.permits) == 12
 
 
-def test_a_bad_build_halts_at_some_heads_and_the_way_back_keeps_the_bounds() -> None:
+def test_a_bad_build_halts_the_release_and_the_rollback_keeps_the_limits() -> None:
     world = rolling()
     world.failing["2"] = 0.3
     world.until(lambda: "r" in world.store.courses and stage(world) is ReleaseStage.HALTED)
@@ -51,55 +51,61 @@
     there = [head.name for head in world.heads.values() if head.build == "2"]
     assert 0 < len(there) < 12
     for _ in range(60):
-        world.turn()
+        world.advance()
     assert stage(world) is ReleaseStage.HALTED and all(
         one.state is PermitState.FREE for one in world.store.permits.values()
-    )  # who was out is back, nobody else went
+    )  # those that were out are back, no other head went offline
     world.releases["r"] = released("back")
-    world.document()
+    world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.UNDONE)
     assert stage(world) is ReleaseStage.UNDONE and {head.build for head in world.heads.values()} == {"1"}
-    assert world.wrong == []
+    assert world.violations == []
 
 
-def test_a_build_that_never_gets_ready_halts_and_goes_back_under_the_permits_it_holds() -> None:
+def test_a_build_that_never_becomes_ready_halts_and_is_rolled_back_under_its_permits() -> None:
     world = rolling()
     world.never_ready.add("2")
     world.until(lambda: "r" in world.store.courses and stage(world) is ReleaseStage.HALTED)
     assert "is not back after 120 s" in world.store.courses["r"].reason
-    held = set(world.store.held(PermitKind.HEAD))
-    assert held  # what is begun stays taken
+    held = set(world.store.active_permits(PermitKind.HEAD))
+    assert held  # begun permits stay in force
     world.releases["r"] = released("back")
-    world.document()
+    world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.UNDONE)
-    assert stage(world) is ReleaseStage.UNDONE and not world.store.held(PermitKind.HEAD) and world.wrong == []
+    assert (
+        stage(world) is ReleaseStage.UNDONE
+        and not world.store.active_permits(PermitKind.HEAD)
+        and world.violations == []
+    )
 
 
-def test_three_heads_lost_by_themselves_stop_a_release_at_most_3() -> None:
+def test_three_unplanned_losses_stop_a_release_at_a_limit_of_3() -> None:
     world = rolling(rule=Maintenance(Most(3), Most(2)))
-    world.until(lambda: len(world.store.held(PermitKind.HEAD)) == 3 and stage(world) is ReleaseStage.ROLLING)
+    world.until(lambda: len(world.store.active_permits(PermitKind.HEAD)) == 3 and stage(world) is ReleaseStage.ROLLING)
     count = len(world.store.permits)
     lost = [name for name, head in world.heads.items() if head.alive and head.build == "1"][:3]
     for name in lost:
         world.kill_head(name)
     for _ in range(100):
-        world.turn()
-    assert len(world.store.permits) == count and world.wrong == []  # who was out came back, nobody else went
+        world.advance()
+    assert (
+        len(world.store.permits) == count and world.violations == []
+    )  # those that were out came back, no other head went offline
     for name in lost:
         world.heads[name].start()
     assert stage(world) is ReleaseStage.HALTED and "was lost" in world.store.courses["r"].reason
     world.releases["r"] = released(again=1)
-    world.document()
+    world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.DONE)
-    assert stage(world) is ReleaseStage.DONE and world.wrong == []
+    assert stage(world) is ReleaseStage.DONE and world.violations == []
 
 
-def test_a_head_of_the_wave_that_is_lost_halts_it_and_again_lets_it_go_on() -> None:
+def test_a_lost_head_of_the_wave_halts_it_until_a_new_attempt() -> None:
     world = rolling()
     world.until(
         lambda: (
             any(head.build == "2" and head.ready for head in world.heads.values())
-            and not world.store.held(PermitKind.HEAD)
+            and not world.store.active_permits(PermitKind.HEAD)
         )
     )
     lost = next(head for head in world.heads.values() if head.build == "2")
@@ -108,43 +114,45 @@
     assert stage(world) is ReleaseStage.HALTED and lost.name in world.store.courses["r"].reason
     lost.start()
     world.releases["r"] = released(again=1)
-    world.document()
+    world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.DONE)
-    assert stage(world) is ReleaseStage.DONE and world.wrong == []
+    assert stage(world) is ReleaseStage.DONE and world.violations == []
 
 
 def test_a_second_release_waits_for_the_first() -> None:
     world = rolling()
     world.releases["s"] = released(name="s", build="3")
-    world.document()
+    world.apply_configuration()
     world.until(lambda: stage(world, "s") is ReleaseStage.ROLLING if "s" in world.store.courses else False)
     assert stage(world) is ReleaseStage.DONE and {head.build for head in world.heads.values()} == {"2"}
     world.until(lambda: stage(world, "s") is ReleaseStage.DONE)
-    assert {head.build for head in world.heads.values()} == {"3"} and world.wrong == []
+    assert {head.build for head in world.heads.values()} == {"3"} and world.violations == []
 
 
-def test_a_coordinator_on_the_smaller_side_grants_nothing_and_a_halt_holds_on_both() -> None:
+def test_an_issuer_in_the_minority_grants_nothing_and_a_halt_applies_on_both_sides() -> None:
     world = rolling()
-    world.until(lambda: len(world.store.held(PermitKind.HEAD)) >= 1)
+    world.until(lambda: len(world.store.active_permits(PermitKind.HEAD)) >= 1)
     world.cut = {f"n{at}" for at in range(8)}
-    world.turn()
+    world.advance()
     count = len(world.store.permits)
-    world.releases["r"] = released("halt")  # said where the issuer is; who is cut off cannot begin without it
-    world.document()
+    world.releases["r"] = released(
+        "halt"
+    )  # pushed on the issuer's side; heads that are cut off cannot begin without it
+    world.apply_configuration()
     for _ in range(100):
-        world.turn()
+        world.advance()
     assert len(world.store.permits) == count and stage(world) is ReleaseStage.HALTED
     world.cut = set()
     for _ in range(60):
-        world.turn()
-    assert len(world.store.permits) == count and world.wrong == []
+        world.advance()
+    assert len(world.store.permits) == count and world.violations == []
     world.releases["r"] = released()
-    world.document()
+    world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.DONE)
-    assert stage(world) is ReleaseStage.DONE and world.wrong == []
+    assert stage(world) is ReleaseStage.DONE and world.violations == []
 
 
-def test_a_stopped_head_with_a_begun_permit_keeps_its_place_and_goes_on_when_it_wakes() -> None:
+def test_a_stopped_head_keeps_its_begun_permit_and_continues_when_it_resumes() -> None:
     world = rolling()
     world.until(lambda: any(one.state is PermitState.GRANTED for one in world.store.permits.values()))
     held = next(one for one in world.store.permits.values() if one.state is PermitState.GRANTED)
@@ -152,26 +160,26 @@
     assert world.issuer is not None and head.holder.permit_to_begin(int(world.now * head.drift)) == held.id
     world.issuer.apply_report(held.name, head.report())
     world.issuer.tick(world.now)
-    head.frozen = True  # after its begin was stored, before it was told
+    head.frozen = True  # after its begin was stored, before the update arrived
     for _ in range(300):
-        world.turn()
+        world.advance()
     assert (
         world.store.permits[held.id].state is PermitState.BEGUN and stage(world) is ReleaseStage.HALTED
     )  # not back in time
     head.frozen = False
     world.issuer.last_updates.pop(held.name, None)
     world.until(lambda: world.store.permits[held.id].state is PermitState.FREE)
-    assert head.build == "2" and world.store.permits[held.id].state is PermitState.FREE and world.wrong == []
+    assert head.build == "2" and world.store.permits[held.id].state is PermitState.FREE and world.violations == []
 
 
 @pytest.mark.parametrize("stored", [False, True])
-def test_a_coordinator_killed_at_any_keep_goes_on_and_grants_nothing_twice(stored: bool) -> None:
+def test_an_issuer_killed_at_any_save_continues_and_grants_nothing_twice(stored: bool) -> None:
     at = 0
     while True:
         at += 1
         world = rolling(5, Maintenance(Most(2), Most(1)))
         world.outages["o"] = Outage("o", ("b0",))
-        world.document()
+        world.apply_configuration()
         world.store.kill = world.store.saves + at, stored
 
         def killed_or_done(world: World = world) -> bool:
@@ -181,21 +189,21 @@
         if world.issuer is not None:
             break
         before = {one.id: one for one in world.store.permits.values() if one.state is not PermitState.FREE}
-        world.begin()
+        world.start_issuer()
         assert held(world) == before
         world.until(lambda: stage(world) is ReleaseStage.DONE if "r" in world.store.courses else False)  # noqa: B023
-        assert stage(world) is ReleaseStage.DONE and world.wrong == [], f"killed at keep {at}"
+        assert stage(world) is ReleaseStage.DONE and world.violations == [], f"killed at keep {at}"
         heads = [one for one in world.store.permits.values() if one.kind is PermitKind.HEAD]
         assert len(heads) == 5 and len({one.name for one in heads}) == 5
     assert at > 20
 
 
-def test_a_head_that_has_not_told_its_build_yet_is_not_asked_to_go_again() -> None:
-    """A service started anew had heads' streams before their reports, and restarted one that had the build already."""
+def test_a_head_of_unknown_build_is_not_restarted_again() -> None:
+    """A restarted service sees heads' streams before their reports; it must not restart one that has the build."""
     world = rolling(5, Maintenance(Most(2), Most(1)))
     world.until(lambda: "r" in world.store.courses and world.store.courses["r"].wave == 1 and not held(world))
     assert stage(world) is ReleaseStage.ROLLING
-    world.begin()
+    world.start_issuer()
     assert world.issuer is not None
     for name in world.heads:
         world.issuer.head_connected(name, True, len(world.heads))
@@ -204,36 +212,38 @@
     assert len(world.store.permits) == given and "" not in world.store.courses["r"].previous_builds.values()
     world.until(lambda: stage(world) is ReleaseStage.DONE)
     heads = [one.name for one in world.store.permits.values() if one.kind is PermitKind.HEAD]
-    assert stage(world) is ReleaseStage.DONE and sorted(heads) == sorted(world.heads) and world.wrong == []
+    assert stage(world) is ReleaseStage.DONE and sorted(heads) == sorted(world.heads) and world.violations == []
 
 
-def test_an_outage_drains_comes_back_cold_and_frees_by_evidence() -> None:
+def test_an_outage_drains_restores_cold_and_frees_by_evidence() -> None:
     world = rolling()
     del world.releases["r"]
     world.outages["o"] = Outage("o", ("b0", "b1"))
-    world.document()
+    world.apply_configuration()
     world.until(lambda: world.verdicts == 2)
     assert world.verdicts == 2 and world.issuer is not None
     world.backends_down = {"b0", "b1"}
     del world.outages["o"]
-    world.document()
+    world.apply_configuration()
     for _ in range(50):
-        world.turn()
-    assert {one.state for one in world.store.held(PermitKind.BACKEND).values()} == {PermitState.BACK}  # no answer yet
+        world.advance()
+    assert {one.state for one in world.store.active_permits(PermitKind.BACKEND).values()} == {
+        PermitState.BACK
+    }  # no answer yet
     world.backends_down = set()
-    world.until(lambda: not world.store.held(PermitKind.BACKEND))
-    assert not world.store.held(PermitKind.BACKEND) and world.wrong == []
+    world.until(lambda: not world.store.active_permits(PermitKind.BACKEND))
+    assert not world.store.active_permits(PermitKind.BACKEND) and world.violations == []
 
 
-def test_an_operators_word_frees_a_place_whose_head_is_gone_for_good() -> None:
+def test_an_operator_frees_the_permit_of_a_head_that_is_gone_for_good() -> None:
     world = rolling()
     world.until(lambda: any(one.state is PermitState.OUT for one in world.store.permits.values()))
     held = next(one for one in world.store.permits.values() if one.state is PermitState.OUT)
     world.heads[held.name].returns_at = 0
     for _ in range(200):
-        world.turn()
+        world.advance()
     assert world.store.permits[held.id].state is PermitState.OUT
     world.rule = msgspec.structs.replace(RULE, free=(held.id,), retired=(held.name,))
-    world.document()
-    world.turn()
-    assert world.store.permits[held.id].state is PermitState.FREE and world.wrong == []
+    world.apply_configuration()
+    world.advance()
+    assert world.store.permits[held.id].state is PermitState.FREE and world.violations == []
--- a/tests/test_maintenance_retirement.py
+++ b/tests/test_maintenance_retirement.py
@@ -1,4 +1,4 @@
-"""A head named as gone for good: whom that lets off, where it is refused, what its return undoes; older services."""
+"""Retired heads: what they are exempt from, when that is rejected, what a return undoes; older services."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return HeadReport(1, statements=(Statement(permit.id, "b0", DRAINED),), backends=BACKENDS)
 
 
-def test_a_head_named_as_gone_lets_a_drain_end_and_its_return_holds_it_up_again() -> None:
+def test_a_retired_head_does_not_block_a_drain_until_it_returns() -> None:
     world = World(1, 2, 2, RULE)
     issuer = PermitIssuer("store", 9, (), (), {"n0": "", "n1": ""}, MemoryStore(world), world.now)
     forms: list[Record] = [RULE, OUTAGE]
@@ -41,7 +41,7 @@
     issuer.head_connected("n0", True, 2)
     issuer.apply_report("n0", HeadReport(1, backends=BACKENDS))
     issuer.tick(world.now)
-    # n0's cluster still knows n1, and holds it for dead, which is no yes.
+    # n0's cluster still knows n1, and considers it dead, which is no consent.
     issuer.apply_report(
         "n0",
         HeadReport(
@@ -64,14 +64,14 @@
     issuer.apply_configuration(forms, (), {})
     issuer.head_connected("n1", True, 2)
     word = issuer.next_update("n1")
-    assert word is not None and list(word.ejected.values()) == ["b0"]  # the first that it hears
+    assert word is not None and list(word.ejected.values()) == ["b0"]  # its first update
     told = maintenance_status(issuer)
     assert (told["permits"][0]["state"], told["permits"][0]["missing"]) == ("draining again", ["n1"])
     issuer.apply_report("n1", said(issuer))
     assert maintenance_status(issuer)["permits"][0]["state"] == "drained"
 
 
-def test_a_head_that_is_here_is_not_named_as_gone_and_the_mistake_has_its_place() -> None:
+def test_retiring_a_connected_head_is_rejected_with_its_position() -> None:
     text = (
         b"(hophinge 1)\n(pool all (zones z)) (route (pools all))\n(maintenance (bricks (most 1))\n  (retired n7 n8))\n"
     )
@@ -83,7 +83,7 @@
     assert line.startswith("words.sexp:4:15: n8 is not gone") and "take it out of (retired ...)" in line
 
 
-def test_a_head_tells_changes_only_to_a_service_whose_word_says_that_it_takes_them(tmp_path: Path) -> None:
+def test_a_head_sends_list_changes_only_to_a_service_that_accepts_them(tmp_path: Path) -> None:
     async def main() -> None:
         upkeep = Head("n0", 1, "1", tmp_path / "n0", lambda head, go: None).upkeep
         assert upkeep is not None
@@ -94,7 +94,7 @@
             return msgspec.json.decode(request.initial_versions[REPORT_KEY], type=HeadReport)
 
         upkeep.rotation.apply_list(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
-        assert upkeep._due(True) == []  # no word yet
+        assert upkeep._due(True) == []  # no update yet
         older = told(PermitUpdate("s", 1, 1))
         assert list(older.backends) == ["s-0"] and older.list_changes is None
         first = told(PermitUpdate("s", 2, 1, accepts_list_changes=True))  # the service was replaced by a newer one
--- a/tests/test_maintenance_snapshots.py
+++ b/tests/test_maintenance_snapshots.py
@@ -1,4 +1,4 @@
-"""Lists told as changes: what the issuer is sure of is what the head had, whatever was lost, doubled or late."""
+"""Lists sent as changes: synchronized ones are what the head had, despite loss, duplication and reordering."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 NAMES = st.sampled_from(["b-0", "b-1", "b-2", "b-3"])
 
 
-class Line:
-    """A head and an issuer with a line between them that loses, doubles and mixes up; each end starts anew at will."""
+class Stream:
+    """A head and an issuer with a stream that loses, duplicates and reorders; either end may restart."""
 
     def __init__(self) -> None:
         self.now, self.backends, self.live, self.gone = 0, dict[str, BackendListing](), set[str](), set[str]()
@@ -33,10 +33,10 @@
         self.connect()
 
     def connect(self) -> None:
-        """A stream begins: what was on its way on the one before never comes."""
+        """A stream starts: messages in flight on the previous one are lost."""
         self.teller, self.listener = SnapshotSender(), SnapshotReceiver()
         self.way: list[HeadReport] = []
-        self.told: dict[int, HeadReport] = {}  # all reports of this stream, as the head meant them
+        self.told: dict[int, HeadReport] = {}  # all reports of this stream, complete
         self.asked = self.newest = 0
         self.taken: HeadReport | None = None
 
@@ -60,7 +60,7 @@
         if self.way:
             one = self.way[at % len(self.way)] if stays else self.way.pop(at % len(self.way))
             assert one.list_changes is not None
-            self.newest = max(self.newest, one.list_changes.sequence)  # of those that have come
+            self.newest = max(self.newest, one.list_changes.sequence)  # of those that were received
             taken = self.listener.to_full(one)
             self.taken = taken if taken is not None else self.taken
 
@@ -73,64 +73,64 @@
             assert one.backends == meant.backends
         assert set(one.departed_heads) <= set(
             meant.departed_heads
-        )  # nobody is let off whom the head does not hold for gone
+        )  # only heads that the head knows to have left are exempt
         assert all(rows == meant.peer_statements.get(name) for name, rows in one.peer_statements.items())
         if self.listener.is_synchronized:
             assert set(one.live_heads) == set(meant.live_heads) and one.peer_statements == meant.peer_statements
 
 
-class Lines(RuleBasedStateMachine):
+class StreamMachine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
-        self.line = Line()
+        self.stream = Stream()
 
     @rule(name=NAMES, up=st.booleans(), zone=st.sampled_from(["", "z"]))
-    def lists(self, name: str, up: bool, zone: str) -> None:
-        self.line.backends[name] = BackendListing(zone, "", up)
+    def list_backend(self, name: str, up: bool, zone: str) -> None:
+        self.stream.backends[name] = BackendListing(zone, "", up)
 
     @rule(name=NAMES)
-    def forgets(self, name: str) -> None:
-        self.line.backends.pop(name, None)
+    def remove_backend(self, name: str) -> None:
+        self.stream.backends.pop(name, None)
 
     @rule(name=NAMES, what=st.sampled_from(["live", "gone", "unknown"]))
-    def sees(self, name: str, what: str) -> None:
-        self.line.live.discard(name)
-        self.line.gone.discard(name)
+    def set_member(self, name: str, what: str) -> None:
+        self.stream.live.discard(name)
+        self.stream.gone.discard(name)
         if what != "unknown":
-            getattr(self.line, what).add(name)
+            getattr(self.stream, what).add(name)
 
     @rule(name=NAMES, permit=st.integers(0, 3))
-    def hears(self, name: str, permit: int) -> None:
-        self.line.heard[name] = [Statement(f"1.{permit}", "b-0", DRAINED)] if permit else []
+    def receive_statement(self, name: str, permit: int) -> None:
+        self.stream.heard[name] = [Statement(f"1.{permit}", "b-0", DRAINED)] if permit else []
 
     @rule()
-    def reports(self) -> None:
-        self.line.report()
+    def send_report(self) -> None:
+        self.stream.report()
 
     @rule(at=st.integers(0, 9), stays=st.booleans())
-    def arrives(self, at: int, stays: bool) -> None:
-        self.line.arrive(at, stays)
+    def deliver(self, at: int, stays: bool) -> None:
+        self.stream.arrive(at, stays)
 
     @rule(at=st.integers(0, 9))
-    def is_lost(self, at: int) -> None:
-        if self.line.way:
-            self.line.way.pop(at % len(self.line.way))
+    def lose(self, at: int) -> None:
+        if self.stream.way:
+            self.stream.way.pop(at % len(self.stream.way))
 
     @rule()
-    def is_asked(self) -> None:
-        self.line.asked = self.line.listener.full_lists_request
+    def receive_request(self) -> None:
+        self.stream.asked = self.stream.listener.full_lists_request
 
     @rule()
-    def starts_again(self) -> None:
-        self.line.connect()
+    def reconnect(self) -> None:
+        self.stream.connect()
 
     @invariant()
-    def what_it_is_sure_of_is_so(self) -> None:
-        self.line.check()
+    def synchronized_lists_are_right(self) -> None:
+        self.stream.check()
 
     def teardown(self) -> None:
-        """Once nothing is lost any more it is sure of all within some reports."""
-        line = self.line
+        """Without loss all lists are synchronized within some reports."""
+        line = self.stream
         line.way.clear()
         for _ in range(8):
             line.report()
@@ -140,47 +140,47 @@
         assert line.listener.is_synchronized and line.taken is not None and line.taken.backends == line.backends
 
 
-def test_what_the_issuer_is_sure_of_is_what_the_head_told() -> None:
+def test_synchronized_lists_are_what_the_head_reported() -> None:
     run_state_machine_as_test(
-        Lines, settings=settings(max_examples=100, stateful_step_count=40, deadline=None, database=None)
+        StreamMachine, settings=settings(max_examples=100, stateful_step_count=40, deadline=None, database=None)
     )
 
 
-def play(seed: int) -> None:
-    """The machine's steps by lot, without looking for the shortest history: mutants are to be found, not explained."""
-    lots, machine = random.Random(seed), Lines()
+def run_random_steps(seed: int) -> None:
+    """Random steps of the machine without shrinking: mutants are to be detected, not explained."""
+    lots, machine = random.Random(seed), StreamMachine()
     names = ["b-0", "b-1"]
     for _ in range(300):
         step = lots.randrange(8)
         if step == 0:
-            machine.lists(lots.choice(names), lots.random() < 0.5, "")
+            machine.list_backend(lots.choice(names), lots.random() < 0.5, "")
         elif step == 1:
-            machine.sees(lots.choice(names), lots.choice(["live", "gone", "unknown"]))
+            machine.set_member(lots.choice(names), lots.choice(["live", "gone", "unknown"]))
         elif step == 2:
-            machine.hears(lots.choice(names), lots.randrange(3))
+            machine.receive_statement(lots.choice(names), lots.randrange(3))
         elif step in (3, 4):
-            machine.reports()
+            machine.send_report()
         elif step == 5:
-            machine.is_lost(lots.randrange(9))
+            machine.lose(lots.randrange(9))
         else:
-            machine.arrives(lots.randrange(9), lots.random() < 0.3)
+            machine.deliver(lots.randrange(9), lots.random() < 0.3)
         if lots.random() < 0.1:
-            machine.is_asked()
-        machine.what_it_is_sure_of_is_so()
+            machine.receive_request()
+        machine.synchronized_lists_are_right()
     machine.teardown()
 
 
-def takes_any_order(self: SnapshotReceiver, report: HeadReport) -> HeadReport | None:
+def accept_any_order(self: SnapshotReceiver, report: HeadReport) -> HeadReport | None:
     self.sequence = 0
     return take(self, report)
 
 
-def never_doubts(self: Any, part: Any) -> None:
-    take_part(self, part)
+def ignore_digest(self: Any, change: Any) -> None:
+    take_part(self, change)
     self.is_synchronized = True
 
 
-def passes_on_unsure(self: SnapshotReceiver, report: HeadReport) -> HeadReport | None:
+def relay_uncertain_lists(self: SnapshotReceiver, report: HeadReport) -> HeadReport | None:
     found = take(self, report)
     assert report.list_changes is not None
     return (
@@ -196,9 +196,9 @@
 
 take, take_part = SnapshotReceiver.to_full, snapshots.ListReceiver.apply
 MUTANTS = {
-    "reports are taken in any order": (SnapshotReceiver, "to_full", takes_any_order),
-    "a digest that differs is believed": (snapshots.ListReceiver, "apply", never_doubts),
-    "an unsure witness lets heads off": (SnapshotReceiver, "to_full", passes_on_unsure),
+    "reports are taken in any order": (SnapshotReceiver, "to_full", accept_any_order),
+    "a digest that differs is believed": (snapshots.ListReceiver, "apply", ignore_digest),
+    "an unsure witness lets heads off": (SnapshotReceiver, "to_full", relay_uncertain_lists),
     "a question is never answered": (
         SnapshotSender,
         "is_full_due",
@@ -208,21 +208,21 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_mutant_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_mutant_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     where, what, instead = MUTANTS[name]
     monkeypatch.setattr(where, what, instead)
     with pytest.raises((AssertionError, KeyError)):
         for seed in range(100):
-            play(seed)
+            run_random_steps(seed)
 
 
-def test_without_a_mutant_nothing_is_found() -> None:
+def test_without_a_mutant_no_violation_is_found() -> None:
     for seed in range(100):
-        play(seed)
+        run_random_steps(seed)
 
 
-def test_whole_lists_are_seldom_however_often_they_are_asked_for() -> None:
-    line, lots = Line(), random.Random(1)
+def test_full_lists_are_rate_limited() -> None:
+    line, lots = Stream(), random.Random(1)
     for at in range(400):
         line.backends[f"b-{at % 5}"] = BackendListing("", "", lots.random() < 0.5)
         line.report()
@@ -235,7 +235,7 @@
     )
 
 
-def test_of_what_a_head_is_not_sure_nothing_is_granted() -> None:
+def test_no_permit_is_granted_on_uncertain_lists() -> None:
     rule = Maintenance(None, Most(1, -1.0, -1))
     world = World(1, 2, 3, rule)
     issuer = PermitIssuer("store", 9, (), (), {}, MemoryStore(world), world.now)
--- a/tests/test_maintenance_wire.py
+++ b/tests/test_maintenance_streams.py
@@ -21,7 +21,7 @@
     return str(told["releases"][0]["stage"]) if told["releases"] else ""
 
 
-def test_a_release_goes_on_exactly_through_kills_of_the_service(tmp_path: Path) -> None:
+def test_a_release_continues_exactly_through_kills_of_the_service(tmp_path: Path) -> None:
     async def main() -> None:
         async with fleet(tmp_path) as here:
             for at in range(4):
@@ -37,12 +37,12 @@
                 row["detail"] for row in (await here.staff("History", most=500))["audit"] if row["what"] == "permit"
             ]
             begun = sorted(line.split()[3] for line in audit if line.endswith(": begun"))
-            assert begun == ["n0:", "n1:", "n2:", "n3:"], audit  # each once, whatever was killed
+            assert begun == ["n0:", "n1:", "n2:", "n3:"], audit  # each once, despite the kills
 
     run(main())
 
 
-def test_a_bad_build_halts_and_is_taken_back_over_streams(tmp_path: Path) -> None:
+def test_a_bad_build_halts_and_is_rolled_back_over_streams(tmp_path: Path) -> None:
     async def main() -> None:
         async with fleet(tmp_path) as here:
             here.bad = {"n0": 0.5, "n2": 0.5}  # n2 is the first head that a release reaches
@@ -59,7 +59,7 @@
     run(main())
 
 
-def test_a_split_in_a_drain_names_who_is_missing_and_its_healing_ends_it(tmp_path: Path) -> None:
+def test_a_partition_during_a_drain_names_missing_heads_and_its_healing_completes_it(tmp_path: Path) -> None:
     async def main() -> None:
         async with fleet(tmp_path) as here:
             relay = here.relay
@@ -68,7 +68,7 @@
                 here.head(f"n{at}", port=relay.port)
             here.head("n3")
             await here.until(lambda told: told["heads_up"] == 4)
-            relay.set(True)  # the service is on the smaller side
+            relay.set_cut(True)  # the service is in the minority
             await here.until(lambda told: told["heads_up"] == 1)
             await here.push(BOUNDS + "(outage o (bricks s-1)) " + RELEASE.format(""))
             told = await here.until(lambda told: bool(told["permits"]) and "n3" not in told["permits"][0]["missing"])
@@ -77,11 +77,11 @@
             assert [row["name"] for row in told["permits"]] == ["s-1"]
             await here.push(BOUNDS + "(outage o (bricks s-1)) " + RELEASE.format("(word halt)"))
             await here.until(lambda told: stage(told) == "halted")
-            relay.set(False)
+            relay.set_cut(False)
             told = await here.until(lambda told: told["permits"][0]["state"] == "drained")
             assert stage(told) == "halted" and {head.build for head in here.heads.values()} == {"1"}
             assert all(head.rotation.is_ejected("s-1") for head in here.heads.values())
-            await here.kill()  # what is out stays out while nobody is there
+            await here.kill()  # ejected backends stay ejected without a service
             await here.heads["n2"].end()
             again = here.head("n2", port=relay.port)
             assert again.rotation.is_ejected("s-1")
@@ -94,7 +94,7 @@
     run(main())
 
 
-def test_a_head_stopped_with_a_begun_permit_keeps_its_place_and_goes_on(tmp_path: Path) -> None:
+def test_a_head_stopped_with_a_begun_permit_keeps_it_and_continues(tmp_path: Path) -> None:
     async def main() -> None:
         async with fleet(tmp_path) as here:
 
@@ -127,7 +127,7 @@
                 await here.control()
                 await here.push(BOUNDS + "(release r (heads n0) (build 2) (settle 3 s)) (outage o (heads n1)) ")
                 told = await here.until(lambda told: told["heads_up"] == 3 and bool(told["waiting"]))
-                # `begun` until a service that has just started may tell that a head without a stream is away.
+                # `begun` until a service that has just started may conclude that a head without a stream is absent.
                 assert [(row["name"], row["state"] in ("begun", "out")) for row in told["permits"]] == [("n0", True)]
                 assert told["waiting"][0]["name"] == "n1" and "n0" in told["waiting"][0]["why"]
                 process.send_signal(signal.SIGCONT)
@@ -144,7 +144,7 @@
     run(main())
 
 
-def test_a_head_that_does_not_speak_of_permits_is_served_and_left_alone(tmp_path: Path) -> None:
+def test_a_head_without_support_for_permits_is_served_and_not_restarted(tmp_path: Path) -> None:
     async def main() -> None:
         async with fleet(tmp_path) as here:
             old = here.head("n0", speaks=False, heads=1)
--- a/tests/test_together_liars.py
+++ b/tests/test_together_byzantine.py
@@ -47,7 +47,7 @@
     return done[1] >= sum(done[1:]) / (BACKENDS - 1) / 4  # without the trim: 0 to 9 of 240
 
 
-def test_a_liar_with_the_key_moves_no_member_no_share_of_a_backend_and_no_fetch(tmp_path: Path) -> None:
+def test_a_byzantine_member_moves_no_member_no_backend_share_and_no_fetch(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 31, PLAN) as made:
             names = ["n0", "n1", "n2"]
@@ -132,7 +132,7 @@
     run(main())
 
 
-def test_a_flood_of_strangers_gets_no_answer_and_costs_no_byte_above_the_bound(tmp_path: Path) -> None:
+def test_an_unauthenticated_flood_gets_no_answer_and_stays_within_the_byte_limit(tmp_path: Path) -> None:
     """Requests are served meanwhile, what was read is dropped and counted, and the stranger hears nothing."""
 
     async def main() -> None:
--- a/tests/test_together_upkeep.py
+++ b/tests/test_together_drain.py
@@ -62,7 +62,7 @@
         await asyncio.gather(*(made.request(name, 9_000, 0) for name in names))
 
 
-def test_a_drain_waits_for_a_head_that_stands_still_and_outlives_its_coordinator_and_a_cut(tmp_path: Path) -> None:
+def test_a_drain_waits_for_a_stopped_head_and_survives_its_issuer_and_a_partition(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 31, PLAN) as made:
             rules = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]["Rules"]
--- a/tests/test_together_faults.py
+++ b/tests/test_together_faults.py
@@ -34,7 +34,7 @@
     )
 
 
-def test_through_loss_and_reordering_one_stands_still_and_returns_under_a_new_incarnation(tmp_path: Path) -> None:
+def test_a_stopped_head_returns_under_a_new_incarnation_through_loss_and_reordering(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 51, PLAN) as made:
             made.network.set(ROUGH)
@@ -63,7 +63,7 @@
     run(main())
 
 
-def test_of_two_heads_under_one_name_the_younger_steps_back_says_so_and_serves_on(tmp_path: Path) -> None:
+def test_of_two_heads_with_one_name_the_younger_steps_down_and_still_serves(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 52, PLAN) as made:
             names = ["n0", "n1", "n2"]
@@ -90,7 +90,7 @@
     run(main())
 
 
-def test_seven_heads_in_ten_are_killed_at_once_and_come_back_while_all_seeds_are_dead(tmp_path: Path) -> None:
+def test_seven_heads_in_ten_are_killed_at_once_and_rejoin_while_all_seeds_are_dead(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 53, PLAN) as made:
             names = [f"n{at}" for at in range(MANY)]
--- a/tests/test_together_formats.py
+++ b/tests/test_together_formats.py
@@ -29,7 +29,7 @@
     )
 
 
-def test_heads_of_an_older_and_a_newer_format_agree_and_one_beyond_reading_is_left_alone(tmp_path: Path) -> None:
+def test_heads_of_older_and_newer_formats_converge_and_an_unreadable_one_is_ignored(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 41, PLAN) as made:
             together, everyone = ["n0", "n1", "newer", "older"], ["n0", "n1", *FORMATS]
--- a/tests/test_together_heads.py
+++ b/tests/test_together_heads.py
@@ -38,7 +38,7 @@
     return [await made.request(name, first + at, at % backends, TRIES) for at in range(count)].count(200)
 
 
-def test_heads_see_each_other_one_stands_still_and_others_are_killed_and_all_that_run_serve(tmp_path: Path) -> None:
+def test_all_running_heads_serve_while_one_is_stopped_and_others_are_killed(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 21, PLAN) as made:
             names = await heads(made, COUNT, ["n0", "n1"])
@@ -63,7 +63,7 @@
     run(main())
 
 
-def test_a_flood_from_an_unknown_sender_while_a_head_serves(tmp_path: Path) -> None:
+def test_a_head_serves_during_a_flood_from_an_unknown_sender(tmp_path: Path) -> None:
     """Noise, cut-off datagrams of a member, and whole ones again: all are dropped and counted, requests are served."""
 
     async def main() -> None:
@@ -119,7 +119,7 @@
     assert await served(made, "n0", 1, REQUESTS) == REQUESTS
 
 
-def test_heads_whose_seeds_are_all_dead_serve_as_one_without_peers_does(tmp_path: Path) -> None:
+def test_heads_whose_seeds_are_all_dead_serve_like_a_head_without_peers(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, 23, PLAN) as made:
             await made.head("alone", sections={})
--- a/tests/test_together_members.py
+++ b/tests/test_together_members.py
@@ -18,7 +18,7 @@
     return {name: f"{len(name)} of {name}" for name in names}
 
 
-def test_all_seeds_are_dead_at_start_and_then_one_comes(tmp_path: Path) -> None:
+def test_all_seeds_are_dead_at_start_until_one_starts(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, seed=11) as made:
             names = await members(made, 4, ["m0", "gone"])
@@ -33,7 +33,7 @@
     run(main())
 
 
-def test_seven_in_ten_are_killed_in_one_second_and_come_back(tmp_path: Path) -> None:
+def test_seven_in_ten_members_are_killed_within_a_second_and_rejoin(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, seed=12) as made:
             names = await members(made, COUNT, ["m0", "m1"])
@@ -53,7 +53,7 @@
     run(main())
 
 
-def test_a_third_of_all_datagrams_is_lost_and_others_overtake_each_other(tmp_path: Path) -> None:
+def test_membership_converges_with_a_third_of_datagrams_lost_and_others_reordered(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, seed=13) as made:
             made.network.set(ROUGH)
@@ -74,7 +74,7 @@
     run(main())
 
 
-def test_a_split_by_zone_and_its_healing(tmp_path: Path) -> None:
+def test_a_partition_by_zone_heals(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, seed=14) as made:
             names = await members(made, FEW, ["m0", "m1"], zones=("z1", "z2", "z2", "z2"))
@@ -99,7 +99,7 @@
     run(main())
 
 
-def test_a_cut_one_way_costs_nobody_its_place(tmp_path: Path) -> None:
+def test_a_one_way_partition_removes_no_member(tmp_path: Path) -> None:
     """What m2 sends to m3 is lost; others carry its probes and what it tells."""
 
     async def main() -> None:
@@ -122,7 +122,7 @@
     run(main())
 
 
-def test_one_is_stopped_for_seconds_and_woken_and_accuses_nobody(tmp_path: Path) -> None:
+def test_a_member_stopped_for_seconds_suspects_nobody_when_it_resumes(tmp_path: Path) -> None:
     async def main() -> None:
         async with Run(tmp_path, seed=16) as made:
             names = await members(made, 6, ["m0"])
--- a/tests/test_together_release.py
+++ b/tests/test_together_release.py
@@ -9,7 +9,7 @@
 
 from hophinge.load.rig.waiting import ended, until
 from hophinge.maintenance.releases import rollout_order
-from tests.maintenance_rig import KILL, places, whole
+from tests.maintenance_rig import KILL, max_concurrent_permits, running_installation
 from tests.together import BOUND_S, SOAK, run
 
 BOUNDS = "(maintenance (heads (most {})) (served 1 heads)) "
@@ -18,11 +18,11 @@
 
 
 @pytest.mark.skipif(not SOAK, reason="long runs; the next test has two releases as well")
-def test_two_releases_at_once_take_turns_within_one_bound(tmp_path: Path) -> None:
+def test_two_releases_run_one_after_the_other_within_one_limit(tmp_path: Path) -> None:
     async def main() -> None:
         # The first reaches one head alone, then as many at once as may be out; the second wants some of the same.
         count, most = 6, 3
-        async with whole(tmp_path, count, 41, clustered=False) as here:
+        async with running_installation(tmp_path, count, 41, clustered=False) as here:
             first, second = here.names, here.names[2:]
             await here.push(
                 BOUNDS.format(most)
@@ -39,10 +39,10 @@
     run(main())
 
 
-def test_a_build_bad_at_some_heads_halts_goes_back_and_only_then_the_second_release_runs(tmp_path: Path) -> None:
+def test_a_bad_build_halts_and_is_rolled_back_before_the_second_release_runs(tmp_path: Path) -> None:
     async def main() -> None:
         count, most = (6, 2) if SOAK else (3, 1)
-        async with whole(tmp_path, count, 42, clustered=False) as here:
+        async with running_installation(tmp_path, count, 42, clustered=False) as here:
             order = rollout_order(here.names)
             here.bad = {order[1]}  # the one that goes first, alone, is sound
             here.tasks.append(asyncio.create_task(here.load()))
@@ -72,10 +72,10 @@
     run(main())
 
 
-def test_a_service_killed_at_each_store_goes_on_exactly_and_grants_nothing_twice(tmp_path: Path) -> None:
+def test_a_service_killed_at_each_save_continues_and_grants_nothing_twice(tmp_path: Path) -> None:
     async def main() -> None:
         count = 3 if SOAK else 2
-        async with whole(tmp_path, count, 43, clustered=False) as here:
+        async with running_installation(tmp_path, count, 43, clustered=False) as here:
             service = here.made["c"]
             names = " ".join(here.names if SOAK else ["n0"])
             words = BOUNDS.format(1) + RELEASE.format("r", names, "2", "")
@@ -109,7 +109,7 @@
     run(main())
 
 
-def test_the_check_of_a_history_finds_what_it_is_for() -> None:
+def test_the_check_of_a_history_detects_violations() -> None:
     sound = [
         ("1.1", "head", "n0", "granted"),
         ("1.1", "head", "n0", "begun"),
@@ -117,7 +117,7 @@
         ("1.1", "head", "n0", "free"),
         ("1.3", "brick", "n0", "begun"),
     ]
-    assert places(sound, "head") == 2 and places(sound, "brick") == 1
+    assert max_concurrent_permits(sound, "head") == 2 and max_concurrent_permits(sound, "brick") == 1
     for bad in (("1.4", "head", "n1", "granted"), ("1.1", "head", "n0", "begun")):
         with pytest.raises(AssertionError):
-            places([*sound, bad], "head")
+            max_concurrent_permits([*sound, bad], "head")
--- a/tests/test_together_release_faults.py
+++ b/tests/test_together_release_faults.py
@@ -7,7 +7,7 @@
 
 from hophinge.load.rig.waiting import Condition, always, until
 from hophinge.maintenance.releases import rollout_order
-from tests.maintenance_rig import STOP, Whole, whole
+from tests.maintenance_rig import STOP, Installation, running_installation
 from tests.together import BOUND_S, SOAK, holds, run
 
 BOUNDS = "(maintenance (heads (most {})) (bricks (most 1)) (served 1 heads)) "
@@ -16,7 +16,7 @@
 STOPPED_S = 20.0 if SOAK else 4.0  # the issue's time, and a fifth of it in CI
 
 
-def stands(here: Whole, name: str) -> Condition:
+def stands(here: Installation, name: str) -> Condition:
     """A process stands still."""
 
     async def look() -> tuple[bool, str]:
@@ -25,7 +25,7 @@
     return Condition(here.made[name], "stands still", look)
 
 
-def went(here: Whole, count: int) -> Condition:
+def went(here: Installation, count: int) -> Condition:
     """So many have been let go."""
 
     async def look() -> tuple[bool, str]:
@@ -34,14 +34,14 @@
     return Condition(here.made["c"], f"has let {count} go", look)
 
 
-async def granted(here: Whole) -> int:
+async def granted(here: Installation) -> int:
     """How many places were given or begun so far."""
     return sum(row[3] in ("granted", "begun") for row in await here.audit())
 
 
-def test_a_head_stands_still_with_a_begun_permit_three_are_lost_and_nothing_more_is_granted(tmp_path: Path) -> None:
+def test_nothing_is_granted_after_three_losses_while_a_head_is_stopped_with_a_begun_permit(tmp_path: Path) -> None:
     async def main() -> None:
-        async with whole(tmp_path, 5, 51, clustered=False) as here:
+        async with running_installation(tmp_path, 5, 51, clustered=False) as here:
             first, other, *lost = rollout_order(here.names)
             rack = f"(outage rack (heads {other})) "
             here.strike(first, STOP, "yes")
@@ -86,9 +86,9 @@
     run(main())
 
 
-def test_a_halt_holds_on_both_sides_of_a_split_and_the_release_goes_on_by_word(tmp_path: Path) -> None:
+def test_a_halt_applies_on_both_sides_of_a_partition_until_a_command(tmp_path: Path) -> None:
     async def main() -> None:
-        async with whole(tmp_path, 3, 53) as here:
+        async with running_installation(tmp_path, 3, 53) as here:
             order = rollout_order(here.names)
             await here.push(BOUNDS.format(2) + RELEASE.format(""))
             await until([went(here, 1)], BOUND_S)
@@ -113,9 +113,9 @@
     run(main())
 
 
-def test_a_split_in_a_drain_with_the_service_on_the_smaller_side_ends_it_only_once_healed(tmp_path: Path) -> None:
+def test_a_drain_with_the_service_in_the_minority_completes_only_once_the_partition_heals(tmp_path: Path) -> None:
     async def main() -> None:
-        async with whole(tmp_path, 3, 54) as here:
+        async with running_installation(tmp_path, 3, 54) as here:
             made, backend = here.made, here.made.platform.backends[0]
             await until([made.serves(name) for name in here.names], BOUND_S)
             made.network.cut({"c"}, {"n1"}, both=False)  # n1 will not hear of the drain
--- a/tests/test_together_release_gone.py
+++ b/tests/test_together_retirement.py
@@ -5,23 +5,23 @@
 from pathlib import Path
 
 from hophinge.load.rig.waiting import Condition, until
-from tests.maintenance_rig import POOL, Whole, whole
+from tests.maintenance_rig import POOL, Installation, running_installation
 from tests.together import BOUND_S, holds, run
 
 BOUNDS = "(maintenance (heads (most 1)) (bricks (most 1)) (served 1 heads){}) "
 OUTAGE = "(outage disks (bricks load-0)) "
 
 
-def backend(here: Whole, state: str, *missing: str) -> Condition:
+def backend(here: Installation, state: str, *missing: str) -> Condition:
     return here.tells(
         f"{state}, missing {missing}",
         lambda told: [(row["state"], tuple(row["missing"])) for row in told["permits"]] == [(state, missing)],
     )
 
 
-def test_a_head_named_as_gone_lets_a_drain_end_and_is_counted_again_when_it_is_back(tmp_path: Path) -> None:
+def test_a_retired_head_does_not_block_a_drain_and_counts_again_when_it_returns(tmp_path: Path) -> None:
     async def main() -> None:
-        async with whole(tmp_path, 3, 61) as here:
+        async with running_installation(tmp_path, 3, 61) as here:
             made = here.made
             await until([made.serves(name) for name in here.names], BOUND_S)
             await here.lose("n2")
--- a/tests/test_together_sections.py
+++ b/tests/test_together_sections.py
@@ -19,7 +19,7 @@
 KEY = "0123456789abcdef" * 4
 
 
-def test_a_head_with_peers_and_scorers_serves_alone_and_tells_of_them(tmp_path: Path) -> None:
+def test_a_head_with_peers_and_scorers_serves_alone_and_reports_them(tmp_path: Path) -> None:
     (tmp_path / "keys").write_text(KEY + "\n")
     operator = OperatorConfig(
         cluster=ClusterConfig("127.0.0.1:0", ["127.0.0.1:9"], tmp_path / "keys", "n0"),
@@ -42,7 +42,7 @@
     run(main())
 
 
-def test_a_tenant_that_ends_leaves_the_cache_of_pieces(tmp_path: Path) -> None:
+def test_a_removed_tenant_leaves_the_cache(tmp_path: Path) -> None:
     (tmp_path / "secret").write_text(KEY)
     operator = OperatorConfig(
         objects=ObjectConfig("127.0.0.1:0", tmp_path / "tenants.json", "record-read", "transfer-write"),
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "place"),
+    ("text", "position"),
     [
         ("[maintenance]\nzone = 'a'\n", "[maintenance] needs [stream]"),
         ("[popularity]\nsecret_file = 's'\n", "[popularity] needs [objects]"),
@@ -73,18 +73,18 @@
         ("[clutser]\n", "clutser"),
     ],
 )
-def test_a_mistake_in_a_section_is_told_with_its_place(tmp_path: Path, text: str, place: str) -> None:
+def test_an_invalid_section_is_reported_with_its_position(tmp_path: Path, text: str, position: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    with pytest.raises(ValueError, match=re.escape(place)):
+    with pytest.raises(ValueError, match=re.escape(position)):
         load(str(path))
 
 
-def test_the_example_of_the_sections_is_read() -> None:
+def test_the_example_sections_are_parsed() -> None:
     assert load(str(ROOT / "deploy" / "together.toml")).scoring is not None
 
 
-def test_the_platform_s_head_imports_none_of_it() -> None:
+def test_the_platform_head_imports_none_of_the_cluster() -> None:
     """Started by a process of its own, as this one has imported everything."""
     code = "import sys\nfrom hophinge.head.lean import service\nservice({})\nprint(*sys.modules)"
     told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True).stdout
