--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from hophinge.fleet.transport import lean  # isort: skip  # noqa: F401 - before the HTTP libraries
+from hophinge.fleet.transport import unused_imports  # isort: skip  # noqa: F401 - before the HTTP libraries
 
 from loguru import logger
 
@@ -21,7 +21,7 @@
 from hophinge.fleet.trial import trial_policy
 from hophinge.fleet.transport.frames import Hello
 from hophinge.fleet.transport.links import Links
-from hophinge.fleet.transport.server import HttpServer, listening
+from hophinge.fleet.transport.server import HttpServer, bind_listener
 
 CONTROL = "control"
 REQUEST_DRAIN_S = 0.3  # for requests in flight to complete
@@ -46,7 +46,7 @@
         self.report_collector = ReportCollector(self.soft_state, live_replicas, self.host.me.identity)
         api = ControlApi(self.host, self.soft_state)
         self.server = HttpServer(api)
-        api.connection_outcomes = self.server.context.ends
+        api.connection_outcomes = self.server.context.close_reasons
 
     def _send(self, address: str, message: object) -> None:
         self.links.send(address, message)
@@ -83,7 +83,7 @@
         self.tasks.start(every(SOFT_STATE_TICK_S, self.soft_state.tick))
         self.tasks.start(self.stage_controller.run())
         self.tasks.start(self.report_collector.run())
-        self.tasks.start(self.server.serve([listening(self.settings.control)]))
+        self.tasks.start(self.server.serve([bind_listener(self.settings.control)]))
         self.tasks.start(every(REREAD_S, self._maintain))
         logger.info("control member started identity={} address={}", self.host.me.identity, self.settings.control)
         await self.signals.ending.wait()
@@ -91,7 +91,7 @@
 
     def _maintain(self) -> None:
         self._reread()
-        self.links.tidy()
+        self.links.close_idle()
 
     def _reread(self) -> None:
         settings = reread_settings()
@@ -105,7 +105,7 @@
     async def _shut_down(self) -> None:
         logger.info("draining")
         await self._hand_over()
-        await self.server.finish(asyncio.get_running_loop().time() + REQUEST_DRAIN_S, self._reject_pending)
+        await self.server.drain(asyncio.get_running_loop().time() + REQUEST_DRAIN_S, self._reject_pending)
         self.tasks.cancel()
         self.links.close()
         self.signals.close()
--- a/hophinge/fleet/dataplane/__init__.py
+++ b/hophinge/fleet/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The program that carries the traffic."""
+"""The data plane: forwards clients' requests to instances."""
--- a/hophinge/fleet/dataplane/__main__.py
+++ b/hophinge/fleet/dataplane/__main__.py
@@ -1,6 +1,6 @@
-"""Starts a head of the fleet."""
+"""Entry point of a head of the fleet."""
 
-from hophinge.fleet import early_signals  # isort: skip  # noqa: F401 - before all that takes a while
+from hophinge.fleet import early_signals  # isort: skip  # noqa: F401 - before imports that take long
 
 from hophinge.fleet.dataplane.program import serve
 from hophinge.fleet.program import run
--- a/hophinge/fleet/dataplane/client.py
+++ b/hophinge/fleet/dataplane/client.py
@@ -1,4 +1,4 @@
-"""A client while its request is carried: whether it is still there."""
+"""Runs the work on a request until its client disconnects."""
 
 from __future__ import annotations
 
@@ -9,16 +9,28 @@
 from hophinge.fleet.transport.asgi import Receive
 
 
-async def carried(work: asyncio.Task[None], receive: Receive, answered: Callable[[], bool]) -> bool:
-    """Wait for the work on a request; it is cancelled where its client leaves. Tells whether it came to its end.
+async def run_until_disconnect(work: asyncio.Task[None], receive: Receive, is_answered: Callable[[], bool]) -> bool:
+    """Wait for the work on a request, and cancel it where its client disconnects.
+
+    The server reports a complete response in the same way as a disconnect: nothing more is to come. The work then has
+    some cleanup to do, which is not cancelled.
+
+    Args:
+        work: The work on the request.
+        receive: The ASGI channel that reports the disconnect.
+        is_answered: Whether the response is complete.
+
+    Returns:
+        Whether the work was completed.
+
+    Raises:
+        Exception: What the work raises.
 
-    The server says of an answer that has gone out whole what it says of a client that has left: there is nothing more
-    to come. The work has some tidying to do then, which is not cancelled. Raises what the work raises.
     """
     watching = asyncio.get_running_loop().create_task(receive())
     try:
         await asyncio.wait({work, watching}, return_when=asyncio.FIRST_COMPLETED)
-        if work.done() or answered():
+        if work.done() or is_answered():
             await work
             return True
         work.cancel()
--- /dev/null
+++ b/hophinge/fleet/dataplane/cluster_state.py
@@ -0,0 +1,113 @@
+"""A data plane's replicated view of the fleet: routes, instances and its lease, received through dissemination."""
+
+from __future__ import annotations
+
+import asyncio
+import secrets
+from collections.abc import Callable
+from random import Random
+
+from loguru import logger
+
+from hophinge.coordination.dissemination import (
+    Digest,
+    Dissemination,
+    Push,
+    GossipRecord,
+    DigestEntries,
+    DisseminationStep,
+    PullRequest,
+)
+from hophinge.coordination.leases import LEASE_DURATION_S, LeaseGrant, LeaseHolder, RenewLease, LeaseRenewal
+from hophinge.coordination.view import Replica
+from hophinge.fleet.configuration.routes import RECORD_KEY, RouteTable, route_table_of
+from hophinge.fleet.registry.instance import INSTANCE_PREFIX, Instance, instance_of
+from hophinge.fleet.settings import Settings
+
+CLUSTER_STATE_TICK_S = 0.25
+DIGEST_INTERVAL_S = 1.5  # between comparisons of digests with another data plane
+STABILIZATION_S = 0.4  # after the first lease, for records that differ to arrive
+InstanceListener = Callable[[str, Instance | None], None]
+
+
+class ClusterState:
+    """One data plane's view of the fleet."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        send: Callable[[str, object], None],
+        on_instance: InstanceListener,
+        on_configuration: Callable[[RouteTable], None],
+        on_first_lease: Callable[[], None],
+    ) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.settings = settings
+        self.send = send
+        self.on_instance = on_instance
+        self.on_configuration = on_configuration
+        self.on_first_lease = on_first_lease
+        identity = secrets.token_hex(8)
+        self.me = Replica(identity, settings.data_internal, settings.zone)
+        self.lease_holder = LeaseHolder(identity, settings.name, settings.data_internal, settings.zone)
+        self.random = Random()
+        self.dissemination = Dissemination(self.random)
+        self.renewal = LeaseRenewal(settings.zone, settings.seed_members(), self.random)
+        self.route_table: RouteTable | None = None
+        self.route_table_since = self.loop.time()
+        self.first_granted_at: float | None = None
+        self.last_digest_at = self.loop.time()
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether routes and instances are known well enough to serve."""
+        is_stable = self.first_granted_at is not None and self.loop.time() - self.first_granted_at >= STABILIZATION_S
+        return self.route_table is not None and is_stable
+
+    def head_count(self, now: float) -> int:
+        """Return the largest number of heads known at once; 0 while those that started with this one may be missing."""
+        is_known = self.first_granted_at is not None and now - self.first_granted_at >= LEASE_DURATION_S
+        return self.renewal.max_holder_count if is_known else 0
+
+    def receive(self, source: str, message: object) -> None:
+        """Handle another member's message."""
+        now = self.loop.time()
+        match message:
+            case LeaseGrant():
+                self._apply_grant(now, source, message)
+            case Digest() | DigestEntries() | PullRequest() | Push():
+                self._apply_step(self.dissemination.handle(now, source, message))
+
+    def _apply_grant(self, now: float, source: str, grant: LeaseGrant) -> None:
+        self.renewal.handle_grant(now, source, grant)
+        self.dissemination.neighbours = grant.neighbours
+        if self.first_granted_at is None:
+            self.first_granted_at = now
+            self.on_first_lease()
+
+    def _apply_step(self, spread: DisseminationStep) -> None:
+        for record in spread.updates:
+            self._apply_record(record)
+        for address, message in spread.messages:
+            self.send(address, message)
+
+    def _apply_record(self, record: GossipRecord) -> None:
+        if record.key == RECORD_KEY:
+            self.route_table = route_table_of(record)
+            self.route_table_since = self.loop.time()
+            self.on_configuration(self.route_table)
+            logger.info("configuration applied version={}", self.route_table.version)
+        elif record.key.startswith(INSTANCE_PREFIX):
+            self.on_instance(record.key.removeprefix(INSTANCE_PREFIX), instance_of(record))
+
+    def tick(self) -> None:
+        """Renew the lease and exchange digests with another data plane when scheduled."""
+        now = self.loop.time()
+        granter = self.renewal.granter_to_contact(now)
+        if granter is not None:
+            self.send(granter, RenewLease(self.lease_holder, self.dissemination.store.fingerprints(now), now))
+        neighbours = self.dissemination.neighbours
+        if now - self.last_digest_at >= DIGEST_INTERVAL_S and neighbours:
+            self.last_digest_at = now
+            self.send(self.random.choice(neighbours), self.dissemination.digest(now))
+            self.dissemination.store.remove_expired_tombstones(now)
--- a/hophinge/fleet/dataplane/connections.py
+++ b/hophinge/fleet/dataplane/connections.py
@@ -1,4 +1,4 @@
-"""Connections to one instance: how long they rest, which of them may carry another request, and when they close."""
+"""Connections to one instance: how long they stay idle, which may be reused, and when they close."""
 
 from __future__ import annotations
 
@@ -9,118 +9,123 @@
 import httpcore
 
 from hophinge.fleet.forwarding.claims import Claims
-from hophinge.fleet.forwarding.headers import Fields, resting_time
+from hophinge.fleet.forwarding.headers import Fields, keep_alive_timeout_s
 
 MAX_CONNECTIONS = 48  # of one data plane to one instance
-MAX_RESTING = 16
-RESTING_S = 8.0  # until an instance tells how long it keeps resting connections, in seconds
-RESTING_PART = 0.8  # of that time after which a connection is not used again: the close may be on its way
-FORGOTTEN_PART = 0.5  # of the rest after which a connection turned out to be dead: so long may others rest then
-BROKEN = (httpcore.NetworkError, httpcore.RemoteProtocolError)
+MAX_IDLE = 16
+DEFAULT_MAX_IDLE_S = 8.0  # until an instance says how long it keeps idle connections, in seconds
+KEEP_ALIVE_FRACTION = 0.8  # of that time, after which a connection is not reused: its close may be in flight
+DEAD_IDLE_FRACTION = 0.5  # of the idle time after which a connection was dead: the new limit for the others
+CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.RemoteProtocolError)
 
 
 class InstanceEndedError(httpcore.ConnectError):
-    """The instance has unregistered: nothing was sent, and the request goes elsewhere."""
+    """The instance has unregistered: nothing was sent, and the request goes to another."""
 
 
-class AnswerBytes(Protocol):
-    """What the library gives as an answer's bytes."""
+class ResponseStream(Protocol):
+    """The body of a response, as httpcore gives it."""
 
     def __aiter__(self) -> AsyncIterator[bytes]:
-        """Tell the bytes as they come."""
+        """Iterate over the chunks as they arrive."""
 
     async def aclose(self) -> None:
-        """End the answer."""
+        """Close the response."""
 
 
-class ClaimedAnswer:
-    """An answer's bytes; its connection is released with their end, before the pool gives it to another request."""
+class ReleasingStream:
+    """The body of a response; its end releases the connection, before the pool gives it to another request."""
 
-    def __init__(self, answer: AnswerBytes, connection: InstanceConnection) -> None:
-        self.answer, self.connection = answer, connection
+    def __init__(self, stream: ResponseStream, connection: InstanceConnection) -> None:
+        self.stream = stream
+        self.connection = connection
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Pass the bytes on."""
-        async for part in self.answer:
-            yield part
+        """Iterate over the chunks as they arrive."""
+        async for chunk in self.stream:
+            yield chunk
 
     async def aclose(self) -> None:
-        """End the answer; a connection whose answer was not read whole is closed."""
+        """Close the response; a connection whose response was not read completely is closed."""
         try:
-            await self.answer.aclose()
+            await self.stream.aclose()
         finally:
-            await self.connection.released()
+            await self.connection.release()
 
 
 class InstanceConnection(httpcore.AsyncHTTPConnection):
-    """A connection that is used again only where nothing speaks against it, and closes behind what it carries.
+    """A connection that is reused only where that is safe, and closes after the request in flight.
 
-    Bytes that have come behind a whole answer belong to no request. Those that still wait in the socket the library
-    finds itself; those that its parser has read and not used, it would take for the next request's answer.
+    Bytes behind a complete response belong to no request. httpcore itself finds those that are still in the socket;
+    those that its parser has read and not used, it would take for the next request's response.
 
-    The library's pool closes connections whether they are in use or not: when it is closed itself, and when a request
-    was given one that rested, and has not begun on it yet. Here such a close waits for the request's end.
+    httpcore's pool closes connections whether they are in use or not: when it is closed itself, and when a request was
+    assigned an idle one and has not begun on it yet. Here such a close waits for the end of the request.
     """
 
     def __init__(self, pool: InstancePool, origin: httpcore.Origin) -> None:
         super().__init__(origin=origin, retries=0)
         self.pool = pool
-        self.rests_since: float | None = None
+        self.idle_since: float | None = None
         self.claims = Claims()
-        self.claim: int | None = None  # of the request that it carries
+        self.claim_id: int | None = None  # of the request in flight
 
     async def handle_async_request(self, request: httpcore.Request) -> httpcore.Response:
-        """Send a request; one that finds the connection dead tells how long connections may rest.
+        """Send a request; where it finds the connection dead, the pool learns how long connections may be idle.
+
+        Raises:
+            InstanceEndedError: The instance has unregistered.
+            httpcore.ConnectionNotAvailable: The connection is retired or in use; the pool then tries another one.
 
-        Raises InstanceEndedError where the instance has ended, and httpcore.ConnectionNotAvailable where the
-        connection is retired or carries another request: the pool finds another one then.
         """
-        if self.pool.claims.retired:
+        if self.pool.claims.is_retired:
             raise InstanceEndedError("the instance has ended")
         self._claim(request)
-        rested, self.rests_since = self.rested_s(), None
+        was_idle_s = self.idle_s()
+        self.idle_since = None
         try:
             response = await super().handle_async_request(request)
-        except BaseException as error:
-            if isinstance(error, BROKEN) and rested > 0:
-                self.pool.forgotten(rested)
-            await self.released()
+        except BaseException as error:  # broad: the claim is released whatever failed, cancellation included
+            if isinstance(error, CONNECTION_ERRORS) and was_idle_s > 0:
+                self.pool.record_dead_connection(was_idle_s)
+            await self.release()
             raise
-        response.stream = ClaimedAnswer(cast(AnswerBytes, response.stream), self)
+        response.stream = ReleasingStream(cast(ResponseStream, response.stream), self)
         return response
 
     def _claim(self, request: httpcore.Request) -> None:
         left_s = request.extensions["timeout"]["read"]
-        claim = None if self.claims.used else self.claims.claim(asyncio.get_running_loop().time() + left_s)
+        claim = None if self.claims.is_used else self.claims.acquire(asyncio.get_running_loop().time() + left_s)
         if claim is None:
             raise httpcore.ConnectionNotAvailable
-        self.claim = claim
-
-    async def released(self) -> None:
-        """Note that the request is over. What the library left half read, as a second cancellation can, is closed."""
-        self.rests_since = asyncio.get_running_loop().time()
-        claim, self.claim = self.claim, None
-        if claim is None:
+        self.claim_id = claim
+
+    async def release(self) -> None:
+        """Release the connection after its request; one left half read, as by a second cancellation, is closed."""
+        self.idle_since = asyncio.get_running_loop().time()
+        claim_id = self.claim_id
+        self.claim_id = None
+        if claim_id is None:
             return
-        last = self.claims.release(claim)
-        if last or not (super().is_idle() or super().is_closed()):
-            await self.cut()
+        is_last = self.claims.release(claim_id)
+        if is_last or not (super().is_idle() or super().is_closed()):
+            await self.abort()
 
     async def aclose(self) -> None:
-        """Close it, behind the request that it carries where there is one."""
+        """Close the connection, after the request in flight where there is one."""
         if self.claims.retire():
-            await self.cut()
+            await self.abort()
 
-    async def cut(self) -> None:
-        """Close it, with whatever it carries."""
+    async def abort(self) -> None:
+        """Close the connection at once, with the request in flight."""
         await super().aclose()
 
-    def rested_s(self) -> float:
-        """Tell for how long it has rested, in seconds."""
-        return 0.0 if self.rests_since is None else asyncio.get_running_loop().time() - self.rests_since
+    def idle_s(self) -> float:
+        """Return for how long it has been idle, in seconds; 0 while it is in use."""
+        return 0.0 if self.idle_since is None else asyncio.get_running_loop().time() - self.idle_since
 
-    def _unfit(self) -> bool:
-        return self.rested_s() > self.pool.resting_s or self._has_surplus()
+    def _is_unusable(self) -> bool:
+        return self.idle_s() > self.pool.max_idle_s or self._has_surplus()
 
     def _has_surplus(self) -> bool:
         connection = self._connection
@@ -130,48 +135,50 @@
         return bool(surplus)
 
     def is_available(self) -> bool:
-        """Tell whether a request may be given to it."""
-        return super().is_available() and not self.claims.used and not self._unfit()
+        """Return whether a request may be assigned to it."""
+        return super().is_available() and not self.claims.is_used and not self._is_unusable()
 
     def is_idle(self) -> bool:
-        """Tell whether it rests: not from when a request has begun on it, which the library notes later."""
-        return super().is_idle() and not self.claims.used
+        """Return whether it is idle: not from when a request is assigned, which httpcore records later."""
+        return super().is_idle() and not self.claims.is_used
 
     def has_expired(self) -> bool:
-        """Tell whether it is to be closed."""
-        return not self.claims.used and (super().has_expired() or (self.is_idle() and self._unfit()))
+        """Return whether it is to be closed."""
+        return not self.claims.is_used and (super().has_expired() or (self.is_idle() and self._is_unusable()))
 
 
 class InstancePool(httpcore.AsyncConnectionPool):
-    """The connections to one instance, which calls claim as a whole."""
+    """The connections to one instance; each call holds a claim on the pool."""
 
     def __init__(self) -> None:
-        super().__init__(max_connections=MAX_CONNECTIONS, max_keepalive_connections=MAX_RESTING, retries=0)
-        self.resting_s = RESTING_S
-        self.longest_s = float("inf")  # learned from connections that had died at rest
+        super().__init__(max_connections=MAX_CONNECTIONS, max_keepalive_connections=MAX_IDLE, retries=0)
+        self.max_idle_s = DEFAULT_MAX_IDLE_S
+        self.learned_max_idle_s = float("inf")  # learned from connections that were dead when reused
         self.claims = Claims()
-        self.made: set[InstanceConnection] = set()  # that may still be open, those in use after a retirement too
+        self.created: set[InstanceConnection] = (
+            set()
+        )  # that may still be open, including those in use after a retirement
 
     def create_connection(self, origin: httpcore.Origin) -> httpcore.AsyncConnectionInterface:
         """Open a connection."""
-        self.made = {one for one in self.made if not one.is_closed()}
+        self.created = {connection for connection in self.created if not connection.is_closed()}
         connection = InstanceConnection(self, origin)
-        self.made.add(connection)
+        self.created.add(connection)
         return connection
 
-    async def cut(self) -> None:
-        """Close all connections, also those in use."""
+    async def abort(self) -> None:
+        """Close all connections at once, also those in use."""
         await self.aclose()
-        for connection in self.made:
-            await connection.cut()
-
-    def answered(self, fields: Fields) -> None:
-        """Heed the time that an answer's `Keep-Alive` tells."""
-        told = resting_time(fields)
-        if told is not None:
-            self.resting_s = min(RESTING_PART * told, self.longest_s)
-
-    def forgotten(self, rested_s: float) -> None:
-        """A connection that had rested for so long was dead: the instance had dropped it without a word."""
-        self.longest_s = min(self.longest_s, FORGOTTEN_PART * rested_s)
-        self.resting_s = min(self.resting_s, self.longest_s)
+        for connection in self.created:
+            await connection.abort()
+
+    def record_keep_alive(self, fields: Fields) -> None:
+        """Apply the idle time that a response's `Keep-Alive` gives."""
+        timeout_s = keep_alive_timeout_s(fields)
+        if timeout_s is not None:
+            self.max_idle_s = min(KEEP_ALIVE_FRACTION * timeout_s, self.learned_max_idle_s)
+
+    def record_dead_connection(self, idle_s: float) -> None:
+        """Shorten the idle time: the instance had dropped a connection idle for so long without a close."""
+        self.learned_max_idle_s = min(self.learned_max_idle_s, DEAD_IDLE_FRACTION * idle_s)
+        self.max_idle_s = min(self.max_idle_s, self.learned_max_idle_s)
--- a/hophinge/fleet/dataplane/exchange.py
+++ b/hophinge/fleet/dataplane/exchange.py
@@ -1,4 +1,4 @@
-"""Carries one request: does what its life says, and tells how each attempt ended."""
+"""Runs one request: performs the steps of its lifecycle and reports the result of each attempt."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import anyio
 import httpcore
 
-from hophinge.fleet.dataplane.upstream import FAILURES, UNSENT, Call, Upstream
-from hophinge.fleet.forwarding.cuts import Side, Step
+from hophinge.fleet.dataplane.upstream import UPSTREAM_ERRORS, UNSENT_ERRORS, Call, Upstream
+from hophinge.fleet.forwarding.aborted_responses import AbortSide, RequestPhase
 from hophinge.fleet.forwarding.events import EventReader
 from hophinge.fleet.forwarding.headers import (
     DEADLINE,
@@ -20,18 +20,18 @@
     PRIORITY,
     SERVING_STAGE,
     Fields,
-    find,
-    returned,
+    find_field,
+    returned_fields,
 )
-from hophinge.fleet.forwarding.life import GiveUp, Life, Pause, Read, Run
-from hophinge.fleet.forwarding.results import (
-    Ending,
-    Handle,
-    Result,
-    belongs,
-    may_be_passed_on,
-    stamped,
-    unexecuted,
+from hophinge.fleet.forwarding.request_lifecycle import Reject, RequestLifecycle, Backoff, Prefill, Generate
+from hophinge.fleet.forwarding.attempt_results import (
+    AttemptOutcome,
+    KvHandle,
+    AttemptResult,
+    belongs_to_request,
+    may_forward_status,
+    is_signed,
+    unexecuted_outcome,
 )
 from hophinge.fleet.placement.node import Node
 from hophinge.fleet.placement.pool import Reservation
@@ -41,8 +41,8 @@
 EVENT_STREAM = "text/event-stream"
 
 
-class BrokenOffError(Exception):
-    """An answer that was begun cannot be brought to its end: the connection is closed, so that the client sees it."""
+class ResponseAbortedError(Exception):
+    """A started response cannot be completed: the connection is closed, so that the client sees it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,194 +51,209 @@
 
     method: bytes
     target: bytes
-    fields: Fields  # that go on to instances
+    fields: Fields  # that are forwarded to instances
     body: bytes
     request_id: str | None
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """How an attempt failed, for those who look for the cause."""
+    """Why an attempt failed, for the operator's log."""
 
-    side: Side
+    side: AbortSide
     error: str
 
 
-def _failure(error: BaseException) -> AttemptFailure:
-    """Tell who ended an attempt first: an own close shows as a connection that is closed here, not by its peer."""
+def _classify_failure(error: BaseException) -> AttemptFailure:
+    """Return which side ended an attempt first; only a close on this side raises ClosedResourceError."""
     text = f"{type(error).__name__}({error})"
     if isinstance(error, TimeoutError | httpcore.TimeoutException):
-        return AttemptFailure(Side.TIME, text)
+        return AttemptFailure(AbortSide.TIME, text)
     cause: BaseException | None = error
     while cause is not None:
         if isinstance(cause, anyio.ClosedResourceError):
-            return AttemptFailure(Side.HEAD, text)
+            return AttemptFailure(AbortSide.HEAD, text)
         cause = cause.__cause__ or cause.__context__
-    return AttemptFailure(Side.INSTANCE, text)
+    return AttemptFailure(AbortSide.INSTANCE, text)
 
 
 class Exchange:
-    """One request on its way."""
-
-    def __init__(self, inbound: Inbound, life: Life, upstream: Upstream, send: Send, closing: bool) -> None:
-        self.inbound, self.life, self.upstream, self.send = inbound, life, upstream, send
+    """One request in flight."""
+
+    def __init__(
+        self, inbound: Inbound, lifecycle: RequestLifecycle, upstream: Upstream, send: Send, is_shutting_down: bool
+    ) -> None:
+        self.inbound = inbound
+        self.lifecycle = lifecycle
+        self.upstream = upstream
+        self.send = send
         self.loop = asyncio.get_running_loop()
-        self.closing = closing
-        self.started = False  # an answer's head went to the client
-        self.answered = False  # the answer has gone out whole
-        self.ending = ""  # what the client got
-        self.step = Step.CHOOSING
-        self.instance = ""  # of the newest attempt
-        self.failure: AttemptFailure | None = None  # of the newest attempt, where it failed
+        self.is_shutting_down = is_shutting_down
+        self.is_response_started = False  # its head went to the client
+        self.is_response_complete = False  # all of it was sent
+        self.outcome = ""  # what the client got, as in the request log
+        self.phase = RequestPhase.CHOOSING
+        self.instance = ""  # of the latest attempt
+        self.failure: AttemptFailure | None = None  # of the latest attempt
 
     async def run(self) -> None:
-        """Go through attempts until the client has its answer; memory read for nothing is freed."""
+        """Run attempts until the client has its response; then free the KV handles that were not used."""
         try:
-            self.ending = "client left"
-            self.ending = await self._attempts()
+            self.outcome = "client left"
+            self.outcome = await self._run_attempts()
         finally:
-            self.life.trace.ended(self.loop.time(), self.ending)
-            for handle in self.life.leftover():
-                self.upstream.free(handle)
+            self.lifecycle.trace.complete(self.loop.time(), self.outcome)
+            for handle in self.lifecycle.collect_unused_handles():
+                self.upstream.free_handle(handle)
 
-    async def _attempts(self) -> str:
+    async def _run_attempts(self) -> str:
         while True:
-            step = self.life.next(self.loop.time())
-            if isinstance(step, Pause):
+            step = self.lifecycle.next_step(self.loop.time())
+            if isinstance(step, Backoff):
                 await asyncio.sleep(step.seconds)
                 continue
-            if isinstance(step, GiveUp):
+            if isinstance(step, Reject):
                 break
-            result = Result(Ending.UNKNOWN)
-            self.instance, self.failure = step.placed.node.instance.identity, None
-            self._at(Step.READING if isinstance(step, Read) else Step.WAITING)
+            result = AttemptResult(AttemptOutcome.UNKNOWN)
+            self.instance = step.reservation.node.instance.identity
+            self.failure = None
+            self._enter_phase(RequestPhase.READING if isinstance(step, Prefill) else RequestPhase.WAITING)
             try:
-                result = await (self._read(step) if isinstance(step, Read) else self._run(step))
+                result = await (self._prefill(step) if isinstance(step, Prefill) else self._generate(step))
             finally:
-                over = self.life.ended(self.loop.time(), step.placed, result)
-            if over:
-                return result.ending.name
-            self._at(Step.CHOOSING)
-        if self.started:
-            self.ending = "broken off"
-            raise BrokenOffError
-        headers = [] if step.come_back_s is None else [(b"retry-after", f"{step.come_back_s:.2f}".encode())]
-        await self._answer(step.status, b"", [*headers, *self._closing()])
+                is_complete = self.lifecycle.complete_attempt(self.loop.time(), step.reservation, result)
+            if is_complete:
+                return result.outcome.name
+            self._enter_phase(RequestPhase.CHOOSING)
+        if self.is_response_started:
+            self.outcome = "broken off"
+            raise ResponseAbortedError
+        headers = [] if step.retry_after_s is None else [(b"retry-after", f"{step.retry_after_s:.2f}".encode())]
+        await self._answer(step.status, b"", [*headers, *self._close_fields()])
         return f"refused {step.status}"
 
     async def _answer(self, status: int, body: bytes, fields: Fields) -> None:
-        """Answer the client whole."""
+        """Send the complete response to the client."""
         await answer(self.send, status, body, fields)
-        self.answered = True
+        self.is_response_complete = True
 
-    def _at(self, step: Step) -> None:
-        """Note how far the request has got; what has begun to go to the client stays begun."""
-        self.step = Step.ANSWERING if self.started else step
+    def _enter_phase(self, phase: RequestPhase) -> None:
+        """Record the request's phase; once the response has started it stays ANSWERING."""
+        self.phase = RequestPhase.ANSWERING if self.is_response_started else phase
 
-    def _closing(self) -> Fields:
-        return [(b"connection", b"close")] if self.closing else []
+    def _close_fields(self) -> Fields:
+        return [(b"connection", b"close")] if self.is_shutting_down else []
 
-    def _call(self, step: Read | Run, extra: Fields) -> Call:
-        node = step.placed.node
-        left = self.life.deadline - self.loop.time()
+    def _build_call(self, step: Prefill | Generate, extra: Fields) -> Call:
+        node = step.reservation.node
+        remaining_s = self.lifecycle.deadline - self.loop.time()
         fields = [
             *self.inbound.fields,
-            (DEADLINE, str(max(1, int(left * MILLISECONDS))).encode()),
+            (DEADLINE, str(max(1, int(remaining_s * MILLISECONDS))).encode()),
             (EXPECTED_INSTANCE, node.instance.identity.encode()),
             *extra,
         ]
-        if self.life.staged:
+        if self.lifecycle.has_stages:
             fields.append((PRIORITY, str(step.priority).encode()))
-        return Call(node.instance.address, self.inbound.method, self.inbound.target, fields, self.inbound.body, left)
+        inbound = self.inbound
+        return Call(node.instance.address, inbound.method, inbound.target, fields, inbound.body, remaining_s)
 
     # --- prefill -------------------------------------------------------------------------------------------------
 
-    async def _read(self, step: Read) -> Result:
-        node = step.placed.node
-        call = self._call(step, [(SERVING_STAGE, b"prefill")])
+    async def _prefill(self, step: Prefill) -> AttemptResult:
+        node = step.reservation.node
+        call = self._build_call(step, [(SERVING_STAGE, b"prefill")])
         try:
-            async with asyncio.timeout(call.left_s), self.upstream.call(node.instance.identity, call) as response:
-                if not belongs(response.headers, self.inbound.request_id):
-                    return Result(Ending.UNKNOWN)  # unread: its connection is closed, the own answer may be behind
+            async with asyncio.timeout(call.timeout_s), self.upstream.call(node.instance.identity, call) as response:
+                if not belongs_to_request(response.headers, self.inbound.request_id):
+                    # Left unread, so that its connection is closed: this request's response may follow on it.
+                    return AttemptResult(AttemptOutcome.UNKNOWN)
                 body = await response.aread()
-                refused = unexecuted(response.status, response.headers)
+                refused = unexecuted_outcome(response.status, response.headers)
                 if refused is not None:
-                    return Result(refused)
-                return self._handle(node, response.status, body)
-        except UNSENT:
-            return Result(Ending.UNSENT)
-        except (*FAILURES, TimeoutError) as error:
-            self.failure = _failure(error)
-            return Result(Ending.UNKNOWN)
-
-    def _handle(self, node: Node, status: int, body: bytes) -> Result:
+                    return AttemptResult(refused)
+                return self._parse_handle(node, response.status, body)
+        except UNSENT_ERRORS:
+            return AttemptResult(AttemptOutcome.UNSENT)
+        except (*UPSTREAM_ERRORS, TimeoutError) as error:
+            self.failure = _classify_failure(error)
+            return AttemptResult(AttemptOutcome.UNKNOWN)
+
+    def _parse_handle(self, node: Node, status: int, body: bytes) -> AttemptResult:
         if status != 200:
-            return Result(Ending.UNKNOWN)
+            return AttemptResult(AttemptOutcome.UNKNOWN)
         try:
             raw = json.loads(body)
             name, tokens = str(raw["prefill-handle"]), int(raw.get("tokens", 0))
         except (ValueError, KeyError, TypeError):
-            return Result(Ending.UNKNOWN)
-        return Result(Ending.READ, Handle(node.instance.identity, node.instance.address, name, tokens))
+            return AttemptResult(AttemptOutcome.UNKNOWN)
+        return AttemptResult(AttemptOutcome.READ, KvHandle(node.instance.identity, node.instance.address, name, tokens))
 
-    # --- the run -------------------------------------------------------------------------------------------------
+    # --- generation ----------------------------------------------------------------------------------------------
 
-    async def _run(self, step: Run) -> Result:
-        node = step.placed.node
+    async def _generate(self, step: Generate) -> AttemptResult:
+        node = step.reservation.node
         extra: Fields = []
         if step.handle is not None:
             extra.append((KV_FROM, f"{step.handle.address}/{step.handle.identity}".encode()))
-        call = self._call(step, extra)
-        if step.event_id is not None:
+        call = self._build_call(step, extra)
+        if step.last_event_id is not None:
             fields = [field for field in call.fields if field[0].lower() != LAST_EVENT_ID]
-            call.fields[:] = [*fields, (LAST_EVENT_ID, step.event_id.encode())]
+            call.fields[:] = [*fields, (LAST_EVENT_ID, step.last_event_id.encode())]
         reader = EventReader()
         try:
-            async with asyncio.timeout(call.left_s), self.upstream.call(node.instance.identity, call) as response:
-                return await self._answered(step.placed, response, reader)
-        except UNSENT:
-            return Result(Ending.UNSENT)
-        except (*FAILURES, TimeoutError) as error:
-            self.failure = _failure(error)
-            return Result(Ending.BROKEN if self.started else Ending.UNKNOWN, event_id=reader.last_id)
-
-    async def _answered(self, placed: Reservation, response: httpcore.Response, reader: EventReader) -> Result:
+            async with asyncio.timeout(call.timeout_s), self.upstream.call(node.instance.identity, call) as response:
+                return await self._forward_response(step.reservation, response, reader)
+        except UNSENT_ERRORS:
+            return AttemptResult(AttemptOutcome.UNSENT)
+        except (*UPSTREAM_ERRORS, TimeoutError) as error:
+            self.failure = _classify_failure(error)
+            return AttemptResult(
+                AttemptOutcome.BROKEN if self.is_response_started else AttemptOutcome.UNKNOWN,
+                last_event_id=reader.latest_id,
+            )
+
+    async def _forward_response(
+        self, reservation: Reservation, response: httpcore.Response, reader: EventReader
+    ) -> AttemptResult:
         fields = response.headers
-        if not belongs(fields, self.inbound.request_id):
-            return self._unfit("the answer is another request's")
-        refused = unexecuted(response.status, fields)
+        if not belongs_to_request(fields, self.inbound.request_id):
+            return self._reject_response("the answer is another request's")
+        refused = unexecuted_outcome(response.status, fields)
         if refused is not None:
             await response.aread()
-            self.failure = AttemptFailure(Side.INSTANCE, f"not executed, {response.status}")
-            return Result(refused)
-        if not may_be_passed_on(response.status) or (200 <= response.status < 300 and not stamped(fields)):
-            return self._unfit(f"status {response.status} may not be passed on")
-        if response.status == 200 and (find(fields, b"content-type") or "").startswith(EVENT_STREAM):
-            return await self._stream(placed, response, reader)
+            self.failure = AttemptFailure(AbortSide.INSTANCE, f"not executed, {response.status}")
+            return AttemptResult(refused)
+        if not may_forward_status(response.status) or (200 <= response.status < 300 and not is_signed(fields)):
+            return self._reject_response(f"status {response.status} may not be passed on")
+        if response.status == 200 and (find_field(fields, b"content-type") or "").startswith(EVENT_STREAM):
+            return await self._forward_events(reservation, response, reader)
         body = await response.aread()
-        if self.started:
-            return Result(Ending.BROKEN, event_id=reader.last_id)
-        head = [field for field in returned(fields) if field[0].lower() != b"content-length"]
-        await self._answer(response.status, body, [*head, *self._closing()])
-        return Result(Ending.ANSWERED if response.status < 500 else Ending.FAILED)
-
-    def _unfit(self, why: str) -> Result:
-        self.failure = AttemptFailure(Side.INSTANCE, why)
-        return Result(Ending.UNKNOWN)
-
-    async def _stream(self, placed: Reservation, response: httpcore.Response, reader: EventReader) -> Result:
-        """Pass events on as they come; the end is passed on only where the instance's own answer was whole."""
-        if not self.started:
-            head = [*returned(response.headers), *self._closing()]
+        if self.is_response_started:
+            return AttemptResult(AttemptOutcome.BROKEN, last_event_id=reader.latest_id)
+        head = [field for field in returned_fields(fields) if field[0].lower() != b"content-length"]
+        await self._answer(response.status, body, [*head, *self._close_fields()])
+        return AttemptResult(AttemptOutcome.ANSWERED if response.status < 500 else AttemptOutcome.FAILED)
+
+    def _reject_response(self, reason: str) -> AttemptResult:
+        self.failure = AttemptFailure(AbortSide.INSTANCE, reason)
+        return AttemptResult(AttemptOutcome.UNKNOWN)
+
+    async def _forward_events(
+        self, reservation: Reservation, response: httpcore.Response, reader: EventReader
+    ) -> AttemptResult:
+        """Forward events as they arrive; the end is forwarded only where the instance's response was complete."""
+        if not self.is_response_started:
+            head = [*returned_fields(response.headers), *self._close_fields()]
             await self.send({"type": "http.response.start", "status": response.status, "headers": head})
-            self.started = True
-            self.step = Step.ANSWERING
+            self.is_response_started = True
+            self.phase = RequestPhase.ANSWERING
         async for chunk in response.aiter_stream():
-            whole = reader.feed(chunk)
-            if whole:
-                if not placed.is_streaming:
-                    self.life.streaming(self.loop.time(), placed)
-                await self.send({"type": "http.response.body", "body": whole, "more_body": True})
-        await self.send({"type": "http.response.body", "body": reader.rest})
-        self.answered = True
-        return Result(Ending.ANSWERED)
+            events = reader.feed(chunk)
+            if events:
+                if not reservation.is_streaming:
+                    self.lifecycle.record_first_event(self.loop.time(), reservation)
+                await self.send({"type": "http.response.body", "body": events, "more_body": True})
+        await self.send({"type": "http.response.body", "body": reader.buffer})
+        self.is_response_complete = True
+        return AttemptResult(AttemptOutcome.ANSWERED)
--- a/hophinge/fleet/dataplane/program.py
+++ b/hophinge/fleet/dataplane/program.py
@@ -5,13 +5,13 @@
 import asyncio
 from random import Random
 
-from hophinge.fleet.transport import lean  # isort: skip  # noqa: F401 - before the HTTP libraries
+from hophinge.fleet.transport import unused_imports  # isort: skip  # noqa: F401 - before the HTTP libraries
 
 from loguru import logger
 
 from hophinge.fleet.configuration.routes import RouteTable
-from hophinge.fleet.dataplane.front import Front
-from hophinge.fleet.dataplane.knowledge import KNOWLEDGE_TICK_S, Knowledge
+from hophinge.fleet.dataplane.http_frontend import HttpFrontend
+from hophinge.fleet.dataplane.cluster_state import CLUSTER_STATE_TICK_S, ClusterState
 from hophinge.fleet.dataplane.upstream import Upstream
 from hophinge.fleet.placement.hints import PlacementHints, EngineReports, SuspectedInstances, HintsRequest
 from hophinge.fleet.placement.placement import Placement
@@ -22,14 +22,16 @@
 from hophinge.fleet.transport.connection_state import ConnectionBounds
 from hophinge.fleet.transport.frames import Hello
 from hophinge.fleet.transport.links import Links
-from hophinge.fleet.transport.server import HttpServer, listening
+from hophinge.fleet.transport.server import HttpServer, bind_listener
 
 DATA = "data"
-LEAVE_S = 2.6  # the platform needs two misses, a second apart, to send no new connections
-HINT_S = 0.01  # that what was placed here is gathered before others are told
-SLACK_S = 1.0  # beyond the configuration's times: what a client sent in time may be on its way
-RESERVE_S = 0.5  # of the time to end that is left unused, at most
-RESERVE_PART = 1 / 12  # of that time, at most: half of the part in which what is still under way may be cut
+UNREADY_S = 2.6  # the platform sends no new connections after two failed checks, a second apart
+HINT_DELAY_S = 0.01  # for which placements are gathered before they are published
+CLIENT_SLACK_S = 1.0  # beyond the configuration's limits: what a client sent in time may be in flight
+MAX_SHUTDOWN_RESERVE_S = 0.5  # of the grace period that is left unused, at most
+SHUTDOWN_RESERVE_FRACTION = (
+    1 / 12
+)  # of the grace period, at most: half of the part in which requests in flight may be aborted
 
 
 class DataPlane:
@@ -42,19 +44,21 @@
         self.addresses = settings.front, settings.ready
         self.signals = Signals()
         self.tasks = Tasks(self.signals.ending)
-        self.placement = Placement(settings.zone, self._ended, Random(), self._schedule_hints, trial_policy())
-        self.hints_due = False
+        self.placement = Placement(settings.zone, self._retire_instance, Random(), self._schedule_hints, trial_policy())
+        self.are_hints_scheduled = False
         self.upstream = Upstream()
-        self.knowledge = Knowledge(settings, self._send, self._instance, self._configured, self._granted)
-        self.links = Links(self.knowledge.me, DATA, self._received)
-        self.front = Front(settings, self.knowledge, self.placement, self.upstream)
-        self.server = HttpServer(self.front)
-        self.front.connection_ends = self.server.context.ends
+        self.cluster_state = ClusterState(
+            settings, self._send, self._update_instance, self._apply_configuration, self._request_hints
+        )
+        self.links = Links(self.cluster_state.me, DATA, self._receive)
+        self.frontend = HttpFrontend(settings, self.cluster_state, self.placement, self.upstream)
+        self.server = HttpServer(self.frontend)
+        self.frontend.connection_outcomes = self.server.context.close_reasons
 
     def _send(self, address: str, message: object) -> None:
         self.links.send(address, message)
 
-    def _received(self, hello: Hello, message: object) -> None:
+    def _receive(self, hello: Hello, message: object) -> None:
         if isinstance(message, PlacementHints):
             self.placement.receive_hints(asyncio.get_running_loop().time(), message)
         elif isinstance(message, HintsRequest):
@@ -64,81 +68,88 @@
         elif isinstance(message, EngineReports):
             self.placement.receive_reports(asyncio.get_running_loop().time(), message)
         else:
-            self.knowledge.received(hello.sender.address, message)
+            self.cluster_state.receive(hello.sender.address, message)
 
-    def _instance(self, identity: str, instance: Instance | None) -> None:
+    def _update_instance(self, identity: str, instance: Instance | None) -> None:
         if instance is not None:
-            self.upstream.returned(identity)
+            self.upstream.reinstate(identity)
         self.placement.update_instance(identity, instance)
 
-    def _ended(self, identity: str) -> None:
-        self.tasks.start_aside(self.upstream.forget(identity))
+    def _retire_instance(self, identity: str) -> None:
+        self.tasks.start_aside(self.upstream.retire(identity))
 
-    def _configured(self, table: RouteTable) -> None:
+    def _apply_configuration(self, table: RouteTable) -> None:
         limits = table.limits
-        self.server.bound(ConnectionBounds(limits.idle_s + SLACK_S, limits.header_s + SLACK_S, limits.header_bytes))
-        self.front.split.keep({route.name for route in table.routes})
+        self.server.update_bounds(
+            ConnectionBounds(limits.idle_s + CLIENT_SLACK_S, limits.header_s + CLIENT_SLACK_S, limits.header_bytes)
+        )
+        self.frontend.traffic_split.retain_routes({route.name for route in table.routes})
         engines = {name: service.engine for name, service in table.services.items()}
         self.placement.configure({name: engine.memory_tokens for name, engine in engines.items() if engine})
 
-    def _granted(self) -> None:
-        """With the first lease, ask another head what is kept where."""
-        neighbours = self.knowledge.dissemination.neighbours
+    def _request_hints(self) -> None:
+        """Request the hints of another head, with the first lease."""
+        neighbours = self.cluster_state.dissemination.neighbours
         if neighbours:
             self._send(neighbours[0], HintsRequest())
 
     def _schedule_hints(self) -> None:
-        """Have the others told soon: nothing wakes this process while nothing is placed."""
-        if not self.hints_due:
-            self.hints_due = True
-            asyncio.get_running_loop().call_later(HINT_S, self._send_hints)
+        """Schedule the publication of hints: while nothing is placed, no timer wakes this process."""
+        if not self.are_hints_scheduled:
+            self.are_hints_scheduled = True
+            asyncio.get_running_loop().call_later(HINT_DELAY_S, self._send_hints)
 
     def _send_hints(self) -> None:
-        """Tell what was placed here, in small batches, to the control member at which the lease is held."""
-        self.hints_due = False
-        granter = self.knowledge.renewal.granter
+        """Send what was placed here, in small batches, to the control member that granted the lease."""
+        self.are_hints_scheduled = False
+        granter = self.cluster_state.renewal.granter
         now = asyncio.get_running_loop().time()
         for message in (self.placement.outgoing_hints(now), self.placement.outgoing_suspects()):
             if message is not None and granter is not None:
                 self.links.send(granter, message)
 
     async def run(self) -> None:
-        """Serve until told to end."""
+        """Serve until the process is asked to terminate."""
         self.signals.changed = self._reread
         await self.links.listen()
-        self.tasks.start(every(KNOWLEDGE_TICK_S, self.knowledge.tick))
-        self.tasks.start(self.server.serve([listening(address) for address in self.addresses]))
-        self.tasks.start(every(REREAD_S, self._tend))
-        logger.info("head started identity={} address={}", self.knowledge.me.identity, self.settings.front)
+        self.tasks.start(every(CLUSTER_STATE_TICK_S, self.cluster_state.tick))
+        self.tasks.start(self.server.serve([bind_listener(address) for address in self.addresses]))
+        self.tasks.start(every(REREAD_S, self._maintain))
+        logger.info("head started identity={} address={}", self.cluster_state.me.identity, self.settings.front)
         await self.signals.ending.wait()
-        await self._end()
+        await self._shut_down()
 
-    def _tend(self) -> None:
+    def _maintain(self) -> None:
         self._reread()
-        self.links.tidy()
-        self.tasks.start_aside(self.upstream.tend())
+        self.links.close_idle()
+        self.tasks.start_aside(self.upstream.abort_overdue())
 
     def _reread(self) -> None:
         settings = reread_settings()
         if settings is not None:
-            self.knowledge.renewal.seeds = settings.seed_members()
+            self.cluster_state.renewal.seeds = settings.seed_members()
 
-    async def _end(self) -> None:
-        """Leave: not ready at first, then no resting connections, then no work."""
+    async def _shut_down(self) -> None:
+        """Shut down: report not ready first, then close idle connections, then wait for requests in flight."""
         logger.info("draining")
         loop = asyncio.get_running_loop()
         grace_s = self.settings.bounds.grace_s
-        until = loop.time() + grace_s - min(RESERVE_S, RESERVE_PART * grace_s)
-        self.front.ending = True
-        await asyncio.sleep(min(LEAVE_S, grace_s / 3))
-        await self.server.finish(until)
+        deadline = loop.time() + grace_s - min(MAX_SHUTDOWN_RESERVE_S, SHUTDOWN_RESERVE_FRACTION * grace_s)
+        self.frontend.is_shutting_down = True
+        await asyncio.sleep(min(UNREADY_S, grace_s / 3))
+        await self.server.drain(deadline)
         self.tasks.cancel()
         self.links.close()
         self.signals.close()
 
 
 async def serve(settings: Settings) -> None:
-    """Run a head."""
+    """Run a head.
+
+    Raises:
+        SettingsError: The settings name no front or ready address.
+
+    """
     missing = [name for name in ("front", "ready") if getattr(settings, name) is None]
     if missing:
         raise SettingsError([f"listen-addresses.{name}: is missing" for name in missing])
--- a/hophinge/fleet/dataplane/request_log.py
+++ b/hophinge/fleet/dataplane/request_log.py
@@ -10,13 +10,15 @@
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.prompt import Prompt
 
-MARK = "request "  # that such a line begins with
+EVENT_PREFIX = "request "  # of such a line
 
 
-def write(trace: RequestTrace, prompt: Prompt | None, zone: str) -> None:
-    """Write what became of a request."""
+def log_request(trace: RequestTrace, prompt: Prompt | None, zone: str) -> None:
+    """Log the trace of a request; the fields of RequestTrace are keys of the JSON."""
     raw = asdict(trace)
     raw["zone"] = zone
     if prompt is not None:
-        raw["tokens-in"], raw["tokens-out"], raw["parts"] = prompt.tokens_in, prompt.tokens_out, prompt.segments
-    logger.info("{}", MARK + json.dumps(raw, separators=(",", ":")))
+        raw["tokens-in"] = prompt.tokens_in
+        raw["tokens-out"] = prompt.tokens_out
+        raw["parts"] = prompt.segments
+    logger.info("{}", EVENT_PREFIX + json.dumps(raw, separators=(",", ":")))
--- a/hophinge/fleet/dataplane/upstream.py
+++ b/hophinge/fleet/dataplane/upstream.py
@@ -1,4 +1,4 @@
-"""Calls of instances by httpcore: a pool of connections for each, and how far a request got when it failed."""
+"""Calls of instances through httpcore: a connection pool for each, and the errors by how far a request got."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from hophinge.fleet.dataplane.connections import InstanceEndedError, InstancePool
 from hophinge.fleet.forwarding.headers import EXPECTED_INSTANCE, Fields
-from hophinge.fleet.forwarding.results import Handle
+from hophinge.fleet.forwarding.attempt_results import KvHandle
 
-CONNECT_S = 0.4  # for a connection to come up: some thousand times what the network takes
-FREE_S = 0.5  # for an instance to free memory
-REMEMBERED_S = 60.0  # for which an instance that has ended is remembered: longer than any request lasts
-UNSENT = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
-FAILURES = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+CONNECT_TIMEOUT_S = 0.4  # some thousand times what the network takes
+FREE_TIMEOUT_S = 0.5  # for an instance to free a KV handle
+UNREGISTERED_RETENTION_S = 60.0  # for which an unregistered instance is remembered: longer than any request lasts
+UNSENT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
+UPSTREAM_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,21 +29,26 @@
     target: bytes
     fields: Fields
     body: bytes
-    left_s: float  # until the request is given up
+    timeout_s: float  # until the request is cancelled
 
 
 class Upstream:
-    """The pools of one data plane."""
+    """The connection pools of one data plane."""
 
     def __init__(self) -> None:
         self.pools: dict[str, InstancePool] = {}
         self.background: set[asyncio.Task[None]] = set()
-        self.ended: dict[str, float] = {}  # instances that have unregistered, and when this head heard of it
+        self.unregistered: dict[str, float] = {}  # instances, by when this head learned that they unregistered
 
     def _pool(self, identity: str) -> InstancePool:
-        """Tell an instance's pool; raises InstanceEndedError where the instance has ended: it gets nothing new."""
+        """Return an instance's pool.
+
+        Raises:
+            InstanceEndedError: The instance has unregistered and gets no new requests.
+
+        """
         pool = self.pools.get(identity)
-        if identity in self.ended or (pool is not None and pool.claims.retired):
+        if identity in self.unregistered or (pool is not None and pool.claims.is_retired):
             raise InstanceEndedError("the instance has ended")
         if pool is None:
             pool = self.pools[identity] = InstancePool()
@@ -51,97 +56,103 @@
 
     @contextlib.asynccontextmanager
     async def call(self, identity: str, call: Call) -> AsyncIterator[httpcore.Response]:
-        """Send a request; the connection is closed unless the whole answer was read.
+        """Send a request; the connection is closed unless the response was read completely.
+
+        Raises:
+            InstanceEndedError: The instance has unregistered; nothing was sent.
+            httpcore.ConnectError, httpcore.NetworkError, ...: As httpcore raises them.
 
-        Raises InstanceEndedError, with nothing sent, where the instance has ended, and what httpcore raises.
         """
         host, port = call.address.rsplit(":", 1)
         url = httpcore.URL(scheme=b"http", host=host.encode(), port=int(port), target=call.target)
         timeout = {
-            "connect": min(CONNECT_S, call.left_s),
-            "pool": min(CONNECT_S, call.left_s),
-            "read": call.left_s,
-            "write": call.left_s,
+            "connect": min(CONNECT_TIMEOUT_S, call.timeout_s),
+            "pool": min(CONNECT_TIMEOUT_S, call.timeout_s),
+            "read": call.timeout_s,
+            "write": call.timeout_s,
         }
         fields = [*call.fields, (b"content-length", str(len(call.body)).encode())]
         request = httpcore.Request(call.method, url, headers=fields, content=call.body, extensions={"timeout": timeout})
         pool = self._pool(identity)
-        claim = pool.claims.claim(asyncio.get_running_loop().time() + call.left_s)
+        claim = pool.claims.acquire(asyncio.get_running_loop().time() + call.timeout_s)
         assert claim is not None, "no retired pool is given out"
         try:
             response = await pool.handle_async_request(request)
-            pool.answered(response.headers)
+            pool.record_keep_alive(response.headers)
             try:
                 yield response
             finally:
-                await asyncio.shield(self._start(response.aclose()))  # whoever waits may be cancelled once more
+                await asyncio.shield(self._start_background(response.aclose()))  # the caller may be cancelled again
         finally:
             if pool.claims.release(claim):
-                self._drop(identity, pool)
+                self._remove(identity, pool)
 
-    def _drop(self, identity: str, pool: InstancePool) -> None:
-        """Take a pool that nobody uses off the table."""
+    def _remove(self, identity: str, pool: InstancePool) -> None:
+        """Remove an unused pool."""
         if self.pools.get(identity) is pool:
             del self.pools[identity]
 
-    def free(self, handle: Handle) -> None:
-        """Free memory that was read for nothing; nobody waits for it, and it lapses by itself if this fails."""
-        self._start(self._free(handle))
+    def free_handle(self, handle: KvHandle) -> None:
+        """Free a KV handle that was not used, in the background; it expires by itself if this fails."""
+        self._start_background(self._free_handle(handle))
 
-    def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
+    def _start_background(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
         self.background.add(task)
         task.add_done_callback(self.background.discard)
         return task
 
-    async def _free(self, handle: Handle) -> None:
+    async def _free_handle(self, handle: KvHandle) -> None:
         target = f"/v1/kv-handle/{handle.identity}".encode()
         expected = [(EXPECTED_INSTANCE, handle.instance.encode()), (b"host", handle.address.encode())]
-        call = Call(handle.address, b"DELETE", target, expected, b"", FREE_S)
-        with contextlib.suppress(*FAILURES):
+        call = Call(handle.address, b"DELETE", target, expected, b"", FREE_TIMEOUT_S)
+        with contextlib.suppress(*UPSTREAM_ERRORS):
             async with self.call(handle.instance, call) as response:
                 await response.aread()
 
     def unregistered_s(self, now: float, identity: str) -> float | None:
-        """Tell for how long an instance is known to have ended, in seconds; None where it is not."""
-        at = self.ended.get(identity)
+        """Return the seconds since an instance was known to have unregistered; None where it has not."""
+        at = self.unregistered.get(identity)
         return None if at is None else now - at
 
-    def connections(self, identity: str) -> int:
-        """Tell how many connections there are to an instance."""
+    def connection_count(self, identity: str) -> int:
+        """Return the number of open connections to an instance."""
         pool = self.pools.get(identity)
         return len(pool.connections) if pool is not None else 0
 
-    def returned(self, identity: str) -> None:
-        """An instance that was taken to have ended is there: it gets a new pool, beside what is still under way."""
-        if self.ended.pop(identity, None) is not None:
+    def reinstate(self, identity: str) -> None:
+        """Give an instance that was taken for unregistered a new pool, beside the requests still in flight."""
+        if self.unregistered.pop(identity, None) is not None:
             self.pools.pop(identity, None)
 
-    async def forget(self, identity: str) -> None:
-        """Retire an instance that has ended: it gets nothing new, and its connections close behind what they carry.
+    async def retire(self, identity: str) -> None:
+        """Retire an unregistered instance: it gets no new requests, and its connections close after those in flight.
 
-        It may serve on for longer than its streams last, so nothing that is under way there is cut.
+        It may serve on for longer than its streams last, so nothing in flight there is aborted.
         """
         now = asyncio.get_running_loop().time()
-        self.ended = {one: at for one, at in self.ended.items() if now - at < REMEMBERED_S}
-        self.ended[identity] = now
+        self.unregistered = {
+            known: since for known, since in self.unregistered.items() if now - since < UNREGISTERED_RETENTION_S
+        }
+        self.unregistered[identity] = now
         pool = self.pools.get(identity)
         if pool is None:
             return
         if pool.claims.retire():
-            self._drop(identity, pool)
+            self._remove(identity, pool)
         await pool.aclose()
 
-    async def tend(self) -> None:
-        """Close what should have come to its end by now at instances that have ended."""
+    async def abort_overdue(self) -> None:
+        """Abort the connections to unregistered instances whose requests are past their deadlines."""
         now = asyncio.get_running_loop().time()
         for identity, pool in list(self.pools.items()):
-            if pool.claims.overdue(now):
-                self._drop(identity, pool)
-                await pool.cut()
+            if pool.claims.is_overdue(now):
+                self._remove(identity, pool)
+                await pool.abort()
 
     async def close(self) -> None:
         """Close all connections, also those in use."""
-        pools, self.pools = list(self.pools.values()), {}
+        pools = list(self.pools.values())
+        self.pools = {}
         for pool in pools:
-            await pool.cut()
+            await pool.abort()
--- a/hophinge/fleet/emulation/engine.py
+++ b/hophinge/fleet/emulation/engine.py
@@ -17,7 +17,7 @@
     REQUEST_ID,
     SERVING_STAGE,
     Fields,
-    find,
+    find_field,
 )
 
 SIGNATURE_FORMAT = "{identity}.{request}"
@@ -137,15 +137,15 @@
             engines_by_address: the engines from which the KV cache of a prompt may be fetched.
 
         """
-        request = find(fields, REQUEST_ID) or ""
+        request = find_field(fields, REQUEST_ID) or ""
         own = [(b"Hophinge-Request-Id", request.encode())]
         if self.is_draining:
             own.append((b"Connection", b"close"))
-        if find(fields, EXPECTED_INSTANCE) != self.identity:
+        if find_field(fields, EXPECTED_INSTANCE) != self.identity:
             return EngineResponse(421, own)
         if Fault.FULL in self.faults:
             return EngineResponse(503, [*own, (b"Hophinge-Not-Executed", b"1")])
-        if find(fields, SERVING_STAGE) == "prefill":
+        if find_field(fields, SERVING_STAGE) == "prefill":
             return self._prefill(request, own)
         if self.stage == "prefill":
             return EngineResponse(421, own)
@@ -167,7 +167,7 @@
         own: Fields,
         engines_by_address: dict[str, EmulatedEngine],
     ) -> EngineResponse:
-        source = find(fields, KV_FROM)
+        source = find_field(fields, KV_FROM)
         if source is not None and not self._fetch_kv_cache(source, request, engines_by_address):
             return EngineResponse(503, [*own, (b"Hophinge-Not-Executed", b"1")])
         self.runs.append(RunRecord(request, self.identity, target, body, source))
@@ -177,7 +177,7 @@
         stamped = [*own, (b"Hophinge-Server-Signature", signature.encode())]
         if not self.stage:
             return EngineResponse(200, stamped, f"{self.identity} {request}".encode())
-        first = int(find(fields, LAST_EVENT_ID) or 0) + 1
+        first = int(find_field(fields, LAST_EVENT_ID) or 0) + 1
         text = "".join(
             EVENT_FORMAT.format(number=number, identity=self.identity) for number in range(first, self.events + 1)
         ).encode()
--- a/hophinge/fleet/emulation/instance_server.py
+++ b/hophinge/fleet/emulation/instance_server.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hophinge.fleet.transport import lean  # isort: skip  # noqa: F401 - before the HTTP libraries
+from hophinge.fleet.transport import unused_imports  # isort: skip  # noqa: F401 - before the HTTP libraries
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 import httpcore
 
 from hophinge.fleet.emulation.engine import EngineResponse, EmulatedEngine
-from hophinge.fleet.forwarding.headers import REQUEST_ID, SIGNATURE, Fields, find
+from hophinge.fleet.forwarding.headers import REQUEST_ID, SIGNATURE, Fields, find_field
 
 HEARTBEAT_INTERVAL_S = 0.4
 CALL_TIMEOUT_S = 1.0
@@ -107,7 +107,7 @@
         self, received: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         """Serve one request, and return whether its connection stays open."""
-        request = find(received.fields, REQUEST_ID) or ""
+        request = find_field(received.fields, REQUEST_ID) or ""
         self.received_requests.add(request)
         response = self._respond(received)
         self.in_flight.add(request)
@@ -129,7 +129,7 @@
             if streams and not response.is_truncated
             else [data]
         )
-        is_run = find(response.fields, SIGNATURE) is not None
+        is_run = find_field(response.fields, SIGNATURE) is not None
         for number, piece in enumerate(pieces):
             wait = self.before_response if number == 0 and is_run else self.before_event if number else None
             if wait is not None:
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -46,9 +46,9 @@
 from hophinge.fleet.placement.prompt import Prompt
 from hophinge.fleet.registry.instance import record_of
 from hophinge.fleet.registry.registry import Liveness
-from hophinge.fleet.transport.frames import LENGTH
+from hophinge.fleet.transport.frames import LENGTH_PREFIX
 
-FRAME_BYTES = LENGTH.size + 52  # a frame's length and TCP/IP headers, where it goes alone
+FRAME_BYTES = LENGTH_PREFIX.size + 52  # a frame's length and TCP/IP headers, where it goes alone
 MIN_S = 0.03  # a time is taken over repetitions that last so long at least
 FEW = (10, 30, 100)  # sizes at which messages about a few units are measured
 MANY = (100, 300, 1000)  # the same for units of which a fleet has many
--- a/hophinge/fleet/emulation/virtual_fleet.py
+++ b/hophinge/fleet/emulation/virtual_fleet.py
@@ -15,8 +15,8 @@
 from hophinge.fleet.emulation.traffic import Arrival, TrafficProfile
 from hophinge.fleet.emulation.virtual_engine import EngineProfile, EngineEvent, VirtualEngine, EngineRequest
 from hophinge.fleet.forwarding.budget import RetryBudget
-from hophinge.fleet.forwarding.life import GiveUp, Life, Pause, Read, Run
-from hophinge.fleet.forwarding.results import Ending, Handle, Result
+from hophinge.fleet.forwarding.request_lifecycle import Reject, RequestLifecycle, Backoff, Prefill, Generate
+from hophinge.fleet.forwarding.attempt_results import AttemptOutcome, KvHandle, AttemptResult
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.hints import EngineReports
 from hophinge.fleet.placement.placement import Placement
@@ -64,7 +64,7 @@
     """One attempt of a client."""
 
     outcome: RequestOutcome
-    life: Life
+    life: RequestLifecycle
     head: Placement
     retries: int = field(default=CLIENT_RETRIES)
 
@@ -208,8 +208,8 @@
             (1.0,),
         )
         budget = self.budgets[number]
-        budget.requested(now)
-        life = Life(
+        budget.record_request(now)
+        life = RequestLifecycle(
             f"{id(outcome)}-{retries}",
             route,
             SERVICE,
@@ -226,35 +226,37 @@
         self._execute_step(ClientAttempt(outcome, life, self.heads[number], retries), arrived_at)
 
     def _execute_step(self, attempt: ClientAttempt, arrived_at: float) -> None:
-        step = attempt.life.next(self.clock.now)
-        if isinstance(step, GiveUp):
+        step = attempt.life.next_step(self.clock.now)
+        if isinstance(step, Reject):
             self._give_up(attempt, step, arrived_at)
             return
-        if isinstance(step, Pause):
+        if isinstance(step, Backoff):
             self.clock.after(step.seconds, lambda: self._execute_step(attempt, arrived_at))
             return
-        engine = self.engines[step.placed.node.instance.identity]
+        engine = self.engines[step.reservation.node.instance.identity]
         fetched_from = None
-        if isinstance(step, Run) and step.handle is not None:
+        if isinstance(step, Generate) and step.handle is not None:
             fetched_from = self.engines[step.handle.instance].zone
         work = EngineRequest(
             attempt.outcome.arrival.prompt,
             step.priority,
-            isinstance(step, Read),
+            isinstance(step, Prefill),
             fetched_from,
             self._listener(attempt, step, arrived_at),
         )
         self.clock.after(LINK_DELAY_S, lambda: engine.submit(work))
 
-    def _give_up(self, attempt: ClientAttempt, step: GiveUp, arrived_at: float) -> None:
+    def _give_up(self, attempt: ClientAttempt, step: Reject, arrived_at: float) -> None:
         outcome = attempt.outcome
         outcome.rejections += 1
-        if step.come_back_s is None or attempt.retries == 0:
+        if step.retry_after_s is None or attempt.retries == 0:
             outcome.has_failed = True
             return
-        self.clock.after(step.come_back_s, lambda: self._send_request(outcome, arrived_at, attempt.retries - 1))
+        self.clock.after(step.retry_after_s, lambda: self._send_request(outcome, arrived_at, attempt.retries - 1))
 
-    def _listener(self, attempt: ClientAttempt, step: Read | Run, arrived_at: float) -> Callable[[EngineEvent], None]:
+    def _listener(
+        self, attempt: ClientAttempt, step: Prefill | Generate, arrived_at: float
+    ) -> Callable[[EngineEvent], None]:
         """Return a listener that delivers the engine's events after the delay of the link."""
 
         def listen(event: EngineEvent) -> None:
@@ -262,23 +264,25 @@
 
         return listen
 
-    def _handle_event(self, attempt: ClientAttempt, step: Read | Run, arrived_at: float, event: EngineEvent) -> None:
+    def _handle_event(
+        self, attempt: ClientAttempt, step: Prefill | Generate, arrived_at: float, event: EngineEvent
+    ) -> None:
         now, life, outcome = self.clock.now, attempt.life, attempt.outcome
         if event is EngineEvent.FIRST_TOKEN:
-            life.streaming(now, step.placed)
+            life.record_first_event(now, step.reservation)
             outcome.first_s = now - arrived_at if outcome.first_s is None else outcome.first_s
             return
-        result = Result(_ending(event, life.begun or outcome.first_s is not None))
+        result = AttemptResult(_ending(event, life.is_response_started or outcome.first_s is not None))
         if event is EngineEvent.PREFILLED:
-            identity = step.placed.node.instance.identity
-            result = Result(Ending.READ, Handle(identity, identity, "h", 0))
-        if not life.ended(now, step.placed, result):
+            identity = step.reservation.node.instance.identity
+            result = AttemptResult(AttemptOutcome.READ, KvHandle(identity, identity, "h", 0))
+        if not life.complete_attempt(now, step.reservation, result):
             self._execute_step(attempt, arrived_at)
 
 
-def _ending(event: EngineEvent, begun: bool) -> Ending:
+def _ending(event: EngineEvent, begun: bool) -> AttemptOutcome:
     if event is EngineEvent.COMPLETED:
-        return Ending.ANSWERED
+        return AttemptOutcome.ANSWERED
     if event is EngineEvent.REJECTED:
-        return Ending.REFUSED
-    return Ending.BROKEN if begun else Ending.UNKNOWN
+        return AttemptOutcome.REFUSED
+    return AttemptOutcome.BROKEN if begun else AttemptOutcome.UNKNOWN
--- /dev/null
+++ b/hophinge/fleet/forwarding/attempt_results.py
@@ -0,0 +1,74 @@
+"""The outcome of an attempt, and what its response says of whether the request ran."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum, auto
+
+from hophinge.fleet.forwarding.headers import NOT_EXECUTED, REQUEST_ID, SIGNATURE, Fields, find_field
+
+MISDIRECTED = 421
+# To a client these and 421 say that its request has not run and never will.
+NOT_EXECUTED_STATUSES = (408, 429, 503)
+
+
+class AttemptOutcome(Enum):
+    """How an attempt ended. The names are part of the request log and of the status."""
+
+    UNSENT = auto()  # no connection came up: nothing was sent
+    REFUSED = auto()  # the instance says that it did not run the request
+    MISPLACED = auto()  # another instance, or another stage, answers at that address
+    READ = auto()  # the prefill is done, and its handle is known
+    ANSWERED = auto()  # the response went to the client
+    FAILED = auto()  # a response that is the instance's own failure, for the client to see
+    UNKNOWN = auto()  # sent, and it is unknown whether it ran
+    BROKEN = auto()  # the response broke off after some of it went to the client
+
+
+@dataclass(frozen=True, slots=True)
+class KvHandle:
+    """The KV cache of a prompt after prefill: where it is, and under which name."""
+
+    instance: str
+    address: str
+    identity: str
+    tokens: int
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptResult:
+    """The result of one attempt."""
+
+    outcome: AttemptOutcome
+    handle: KvHandle | None = None
+    last_event_id: str | None = None  # the latest event that went to the client
+
+
+def unexecuted_outcome(status: int, fields: Fields) -> AttemptOutcome | None:
+    """Return the outcome of a response that says that the request did not run; None for any other.
+
+    Only `Hophinge-Not-Executed` says so, and 421, which another instance at that address gives (RFC 9110, 15.5.20).
+    """
+    if status == MISDIRECTED:
+        return AttemptOutcome.MISPLACED
+    if status in NOT_EXECUTED_STATUSES and find_field(fields, NOT_EXECUTED) is not None:
+        return AttemptOutcome.REFUSED
+    return None
+
+
+def may_forward_status(status: int) -> bool:
+    """Return whether a client may see this status of an instance that may have run the request.
+
+    Some statuses promise the client that the request has not run and never will.
+    """
+    return status not in NOT_EXECUTED_STATUSES
+
+
+def belongs_to_request(fields: Fields, request_id: str | None) -> bool:
+    """Return whether a response is this request's: a surplus one has another's id."""
+    return request_id is None or find_field(fields, REQUEST_ID) == request_id
+
+
+def is_signed(fields: Fields) -> bool:
+    """Return whether a successful response has the instance's signature."""
+    return find_field(fields, SIGNATURE) is not None
--- a/hophinge/fleet/forwarding/claims.py
+++ b/hophinge/fleet/forwarding/claims.py
@@ -1,8 +1,8 @@
-"""Ends are told apart from what uses them: what has ended is retired, and closes with the last claim on it.
+"""Reference counts with deadlines: a retired resource closes when its last claim is released.
 
-Nothing new goes to what is retired. Each use that is under way keeps its own claim until its own end, at the latest
-until the time that it was made for; the last one that is released closes what was retired. Without this, whoever ends
-one thing cuts what others still have of it: an instance that has unregistered and serves on would lose its streams.
+A retired resource gets no new claims. Each use in flight keeps its claim until it ends, at the latest until its
+deadline; the release of the last one closes the resource. Without this, ending a resource would abort what others
+still do with it: an instance that has unregistered and serves on would lose its streams.
 """
 
 from __future__ import annotations
@@ -11,36 +11,37 @@
 
 
 class Claims:
-    """The uses of one thing that somebody else may end. Times are seconds of one clock."""
+    """The claims on one resource. Times are seconds of one clock."""
 
     def __init__(self) -> None:
-        self.retired = False
-        self._until: dict[int, float] = {}
-        self._numbers = itertools.count()
+        self.is_retired = False
+        self._deadlines: dict[int, float] = {}
+        self._claim_ids = itertools.count()
 
     @property
-    def used(self) -> bool:
-        """Tell whether anybody holds a claim."""
-        return bool(self._until)
+    def is_used(self) -> bool:
+        """Whether a claim is held."""
+        return bool(self._deadlines)
 
-    def claim(self, until: float) -> int | None:
-        """Begin a use that ends at `until` at the latest; None where the thing is retired."""
-        if self.retired:
+    def acquire(self, deadline: float) -> int | None:
+        """Return the id of a new claim that ends at `deadline` at the latest; None where the resource is retired."""
+        if self.is_retired:
             return None
-        number = next(self._numbers)
-        self._until[number] = until
-        return number
+        claim_id = next(self._claim_ids)
+        self._deadlines[claim_id] = deadline
+        return claim_id
 
-    def release(self, number: int) -> bool:
-        """End a use; tells whether the thing is to be closed now. A claim that was released already changes nothing."""
-        held = self._until.pop(number, None) is not None
-        return held and self.retired and not self._until
+    def release(self, claim_id: int) -> bool:
+        """Release a claim; return whether the resource is to be closed now. A second release changes nothing."""
+        was_held = self._deadlines.pop(claim_id, None) is not None
+        return was_held and self.is_retired and not self._deadlines
 
     def retire(self) -> bool:
-        """Begin nothing new; tells whether the thing is to be closed now."""
-        first, self.retired = not self.retired, True
-        return first and not self._until
-
-    def overdue(self, now: float) -> bool:
-        """Tell whether the thing is retired and each use of it should be over: it is closed all the same."""
-        return self.retired and self.used and max(self._until.values()) <= now
+        """Accept no new claims; return whether the resource is to be closed now."""
+        is_first = not self.is_retired
+        self.is_retired = True
+        return is_first and not self._deadlines
+
+    def is_overdue(self, now: float) -> bool:
+        """Return whether the resource is retired and all its claims are past their deadlines."""
+        return self.is_retired and self.is_used and max(self._deadlines.values()) <= now
--- a/hophinge/fleet/forwarding/events.py
+++ b/hophinge/fleet/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events as they pass: only whole events go on, and the newest id is known for a resumption."""
+"""Server-sent events in transit: only complete events are forwarded, and the latest id allows a resumption."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 
 
 class EventReader:
-    """Cuts a stream of bytes behind whole events."""
+    """Splits a byte stream at the ends of events."""
 
     def __init__(self) -> None:
-        self.rest = b""
-        self.last_id: str | None = None
+        self.buffer = b""
+        self.latest_id: str | None = None
         self.events = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and tell those up to the end of the last whole event."""
-        held = self.rest + data
-        end = held.rfind(END)
+        """Add bytes; return those up to the end of the last complete event."""
+        buffered = self.buffer + data
+        end = buffered.rfind(END)
         if end < 0:
-            self.rest = held
+            self.buffer = buffered
             return b""
-        whole, self.rest = held[: end + len(END)], held[end + len(END) :]
-        self._note(whole)
-        return whole
+        complete = buffered[: end + len(END)]
+        self.buffer = buffered[end + len(END) :]
+        self._record(complete)
+        return complete
 
-    def _note(self, whole: bytes) -> None:
-        self.events += whole.count(END)
-        for line in reversed(whole.splitlines()):
+    def _record(self, complete: bytes) -> None:
+        self.events += complete.count(END)
+        for line in reversed(complete.splitlines()):
             if line.startswith(ID_FIELD):
-                self.last_id = line[len(ID_FIELD) :].strip().decode("latin-1")
+                self.latest_id = line[len(ID_FIELD) :].strip().decode("latin-1")
                 return
--- a/hophinge/fleet/forwarding/headers.py
+++ b/hophinge/fleet/forwarding/headers.py
@@ -1,4 +1,4 @@
-"""Header fields on their way through: what concerns one connection stays there, what the system sets is its own."""
+"""Header fields in transit: hop-by-hop fields are dropped (RFC 9110, 7.6.1), the system's own are set by it alone."""
 
 from __future__ import annotations
 
@@ -21,45 +21,45 @@
 
 Fields = list[tuple[bytes, bytes]]
 
-_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     {b"connection", KEEP_ALIVE, b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade", b"expect"}
 )
-_OWN = frozenset({b"content-length", DEADLINE, EXPECTED_INSTANCE, SERVING_STAGE, KV_FROM, PRIORITY})
+_SET_PER_ATTEMPT = frozenset({b"content-length", DEADLINE, EXPECTED_INSTANCE, SERVING_STAGE, KV_FROM, PRIORITY})
 
 
-def find(fields: Iterable[tuple[bytes, bytes]], name: bytes) -> str | None:
-    """Tell the first value of a field; names are compared in lower case."""
+def find_field(fields: Iterable[tuple[bytes, bytes]], name: bytes) -> str | None:
+    """Return the first value of a field, whose `name` is in lower case; None where there is none."""
     for field, value in fields:
         if field.lower() == name:
             return value.decode("latin-1")
     return None
 
 
-def resting_time(fields: Fields) -> float | None:
-    """Tell for how many seconds a resting connection is kept, as `Keep-Alive: timeout=N` says; None where unsaid."""
-    for parameter in (find(fields, KEEP_ALIVE) or "").split(","):
+def keep_alive_timeout_s(fields: Fields) -> float | None:
+    """Return the seconds for which an idle connection is kept, by `Keep-Alive: timeout=N`; None where not given."""
+    for parameter in (find_field(fields, KEEP_ALIVE) or "").split(","):
         name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
             return float(value)
     return None
 
 
-def _named(fields: Fields) -> set[bytes]:
-    """Tell the fields that `Connection` names: they concern this connection only."""
+def _connection_options(fields: Fields) -> set[bytes]:
+    """Return the connection options, which are the names of further hop-by-hop fields."""
     named: set[bytes] = set()
     for name, value in fields:
         if name.lower() == b"connection":
-            named |= {one.strip().lower() for one in value.split(b",")}
+            named |= {option.strip().lower() for option in value.split(b",")}
     return named
 
 
-def forwarded(fields: Fields) -> Fields:
-    """Tell what of a request's fields goes on to an instance; the rest is set for each attempt."""
-    dropped = _CONNECTION | _OWN | _named(fields)
+def forwarded_fields(fields: Fields) -> Fields:
+    """Return the fields of a request that are forwarded to an instance; the others are set for each attempt."""
+    dropped = _HOP_BY_HOP | _SET_PER_ATTEMPT | _connection_options(fields)
     return [(name, value) for name, value in fields if name.lower() not in dropped]
 
 
-def returned(fields: Fields) -> Fields:
-    """Tell what of an instance's fields goes back to the client."""
-    dropped = _CONNECTION | _named(fields)
+def returned_fields(fields: Fields) -> Fields:
+    """Return the fields of an instance's response that are forwarded to the client."""
+    dropped = _HOP_BY_HOP | _connection_options(fields)
     return [(name, value) for name, value in fields if name.lower() not in dropped]
--- /dev/null
+++ b/hophinge/fleet/forwarding/request_lifecycle.py
@@ -0,0 +1,217 @@
+"""The lifecycle of one request, without I/O: the next attempt, or the response where there is none.
+
+503 with `Retry-After`, which promises that nothing ran, is given only where each attempt either was never sent or its
+instance said that it did not run it. A request of which only the prefill was done has not run.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from hophinge.fleet.configuration.routes import Route
+from hophinge.fleet.forwarding.budget import RetryBudget
+from hophinge.fleet.forwarding.attempt_results import AttemptOutcome, KvHandle, AttemptResult
+from hophinge.fleet.forwarding.trace import RequestTrace
+from hophinge.fleet.placement.placement import MIN_RETRY_AFTER_S, Placement
+from hophinge.fleet.placement.plan import PlacementRejection, PlacementPlan, PlacementRequest
+from hophinge.fleet.placement.pool import Reservation
+from hophinge.fleet.placement.timing import DECODE, PLAIN, PREFILL
+from hophinge.fleet.placement.prompt import Prompt
+
+MIN_ATTEMPT_S = 0.02  # no attempt begins with less time left than this
+INITIAL_BACKOFF_S = 0.02  # after the first round in which all instances refused; doubled after each later one
+MAX_BACKOFF_S = 0.32
+MAX_PREFILLS = 4  # for one request
+UNAVAILABLE, BAD_GATEWAY, GATEWAY_TIMEOUT = 503, 502, 504
+
+
+@dataclass(frozen=True, slots=True)
+class Prefill:
+    """Do the prefill of the prompt at an instance."""
+
+    reservation: Reservation
+    priority: int
+
+
+@dataclass(frozen=True, slots=True)
+class Generate:
+    """Generate the response at an instance, from the KV cache of a prefill where there is one."""
+
+    reservation: Reservation
+    priority: int
+    handle: KvHandle | None
+    last_event_id: str | None  # resume after this event, where a stream broke off
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Reject the request; `retry_after_s` promises that nothing ran."""
+
+    status: int
+    retry_after_s: float | None
+
+
+@dataclass(frozen=True, slots=True)
+class Backoff:
+    """Wait before the next round: every instance refused the request in this one."""
+
+    seconds: float
+
+
+NextStep = Prefill | Generate | Reject | Backoff
+
+
+@dataclass
+class RequestLifecycle:
+    """The state of one request. Times are seconds of one clock."""
+
+    name: str
+    route: Route
+    service: str
+    prompt: Prompt | None  # None where the request names none
+    has_stages: bool  # the service has engines for prefill and decode
+    target_at: float  # until when the response has its full value
+    deadline: float
+    placement: Placement
+    budget: RetryBudget
+    heads: int
+    trace: RequestTrace
+    client_deadline: float = float("inf")  # when the client gives up, if nothing has arrived by then
+    may_have_run: bool = False  # an attempt may have run
+    is_response_started: bool = False  # some of a response went to the client
+    prefills: int = 0
+    runs: int = 0
+    possible_runs: int = 0  # attempts that may have run
+    handle: KvHandle | None = None  # of a prefill, not yet used by an attempt
+    requested_handle: KvHandle | None = None  # that the attempt in flight fetches
+    unused_handles: list[KvHandle] = field(default_factory=list)  # of prefills that no attempt will use
+    last_event_id: str | None = None
+    excluded: set[str] = field(default_factory=set)
+    attempts: int = 0
+    retry_rounds: int = 0  # in which every instance refused
+
+    def next_step(self, now: float) -> NextStep:
+        """Return what to do now."""
+        if self.deadline - now < MIN_ATTEMPT_S:
+            return self._reject(GATEWAY_TIMEOUT, "no time left")
+        if self.possible_runs and not self._may_retry():
+            return self._reject(BAD_GATEWAY, "may not run again")
+        if self._is_extra_attempt() and not self.budget.allows_extra_attempt(now, self.heads):
+            return self._reject(BAD_GATEWAY, "retry budget")
+        plan = self._plan(now)
+        if plan is None and self.excluded:
+            return self._begin_retry_round(now)
+        if plan is None:
+            return self._reject(BAD_GATEWAY, "no instance")
+        if isinstance(plan, PlacementRejection):
+            return self._reject(BAD_GATEWAY, "hopeless", plan.retry_after_s)
+        reservation = plan.reservation
+        identity = reservation.node.instance.identity
+        self.trace.record_attempt(now, reservation.pool.stage, identity, reservation.units, plan.forecast)
+        return self._prefill(now, plan) if plan.is_prefill_only else self._generate(now, plan)
+
+    def _begin_retry_round(self, now: float) -> NextStep:
+        """Back off before all instances are tried again: one that has just refused would do so again."""
+        backoff_s = min(INITIAL_BACKOFF_S * 2**self.retry_rounds, MAX_BACKOFF_S)
+        if self.deadline - now < backoff_s + MIN_ATTEMPT_S:
+            return self._reject(BAD_GATEWAY, "no instance")
+        self.excluded.clear()
+        self.retry_rounds += 1
+        return Backoff(backoff_s)
+
+    def _plan(self, now: float) -> PlacementPlan | PlacementRejection | None:
+        """Place the next attempt."""
+        request = PlacementRequest(
+            now,
+            (self.name, self.attempts + 1),
+            self.service,
+            self.excluded,
+            self.route.target_s,
+            self.target_at,
+            float("inf") if self.is_response_started else self.client_deadline,
+        )
+        if self.prompt is None:
+            return self.placement.place_plain(request, DECODE if self.has_stages else PLAIN)
+        if self.handle is None and self.prefills < MAX_PREFILLS:
+            return self.placement.place_generation(request, self.prompt)
+        return self.placement.place_decode(
+            request, self.prompt, self.handle.instance if self.handle is not None else ""
+        )
+
+    def _may_retry(self) -> bool:
+        """Return whether a request that may have run is idempotent and has attempts left."""
+        return self.route.is_idempotent and self.possible_runs < max(1, self.route.max_attempts)
+
+    def _is_extra_attempt(self) -> bool:
+        """Return whether the next attempt is one beyond the first; the first prefill is none."""
+        needs_prefill = self.prompt is not None and self.handle is None
+        return (self.prefills > 0 and needs_prefill) or self.runs > 0
+
+    def _reject(self, status: int, reason: str, retry_after_s: float = MIN_RETRY_AFTER_S) -> Reject:
+        self.trace.refusal = reason
+        may_promise = not self.may_have_run or self.route.is_idempotent
+        return (
+            Reject(UNAVAILABLE, retry_after_s) if may_promise and not self.is_response_started else Reject(status, None)
+        )
+
+    def _prefill(self, now: float, plan: PlacementPlan) -> NextStep:
+        self.attempts += 1
+        if self.prefills:
+            self.budget.record_extra_attempt(now)
+        self.prefills += 1
+        return Prefill(plan.reservation, plan.priority)
+
+    def _generate(self, now: float, plan: PlacementPlan) -> NextStep:
+        self.attempts += 1
+        if self.runs:
+            self.budget.record_extra_attempt(now)
+        self.runs += 1
+        self.requested_handle = self.handle
+        self.handle = None
+        return Generate(plan.reservation, plan.priority, self.requested_handle, self.last_event_id)
+
+    def collect_unused_handles(self) -> list[KvHandle]:
+        """Return the handles that no attempt will use any more, which are to be freed, and forget them."""
+        handles = [*self.unused_handles, *([self.handle] if self.handle is not None else [])]
+        self.unused_handles = []
+        self.handle = None
+        return handles
+
+    def record_first_event(self, now: float, reservation: Reservation) -> None:
+        """Record the first event of a response: from now on the instance generates tokens."""
+        self.placement.record_answer(now, reservation, True)
+        self.trace.record_first_event(now)
+
+    def complete_attempt(self, now: float, reservation: Reservation, result: AttemptResult) -> bool:
+        """Apply the result of an attempt; return whether the request is complete."""
+        outcome = result.outcome
+        self.trace.complete_attempt(now, outcome.name)
+        if outcome in (AttemptOutcome.READ, AttemptOutcome.ANSWERED):
+            self.placement.record_answer(now, reservation, False)
+        self.placement.release(now, reservation)
+        self.last_event_id = result.last_event_id or self.last_event_id
+        if outcome is AttemptOutcome.READ:
+            self.handle = result.handle
+            return False
+        if outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.FAILED):
+            self.trace.record_first_event(now)
+            return True
+        self._record_failure(now, reservation, outcome)
+        return False
+
+    def _record_failure(self, now: float, reservation: Reservation, outcome: AttemptOutcome) -> None:
+        node = reservation.node
+        is_prefill = reservation.pool.stage == PREFILL
+        self.excluded.add(node.instance.identity)
+        if self.requested_handle is not None and not is_prefill:
+            if outcome is AttemptOutcome.UNSENT:
+                self.handle = self.requested_handle
+            elif outcome in (AttemptOutcome.REFUSED, AttemptOutcome.MISPLACED):
+                self.unused_handles.append(self.requested_handle)
+            self.requested_handle = None
+        if outcome in (AttemptOutcome.UNSENT, AttemptOutcome.UNKNOWN, AttemptOutcome.MISPLACED):
+            self.placement.record_failure(node, now)
+        if not is_prefill and outcome in (AttemptOutcome.UNKNOWN, AttemptOutcome.BROKEN):
+            self.may_have_run = True
+            self.possible_runs += 1
+        self.is_response_started = self.is_response_started or outcome is AttemptOutcome.BROKEN
--- a/hophinge/fleet/forwarding/split.py
+++ b/hophinge/fleet/forwarding/split.py
@@ -1,7 +1,8 @@
-"""Which part of a route's `traffic-split` takes the next request: every window of requests is split by the weights.
+"""Traffic split: chooses the service of a route's next request so that every window of requests follows the weights.
 
-Drawn at random, 200 requests over halves stray by 0.035 on average and by 0.1 now and then. Multiples of the golden
-ratio are spread evenly over every window; each head begins at a place of its own, so that their strays do not add up.
+Drawn at random, 200 requests over halves deviate by 0.035 on average and by 0.1 now and then. Multiples of the golden
+ratio are spread evenly over every window (a low-discrepancy sequence); each head begins at a position of its own, so
+that their deviations do not add up.
 """
 
 from __future__ import annotations
@@ -13,22 +14,22 @@
 GOLDEN_RATIO = 0.6180339887498949
 
 
-class SplitDraws:
-    """One head's draws, for each route by itself."""
+class TrafficSplit:
+    """One head's position in the sequence, for each route."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.places: dict[str, float] = {}
+        self.positions: dict[str, float] = {}
 
-    def service(self, route: Route) -> str:
-        """Tell the service that takes the next request of a route."""
+    def choose_service(self, route: Route) -> str:
+        """Return the service for the next request of a route."""
         if len(route.services) == 1:
             return route.services[0]
-        place = self.places.get(route.name)
-        place = self.random.random() if place is None else (place + GOLDEN_RATIO) % 1.0
-        self.places[route.name] = place
-        return route.choose_service(place)
-
-    def keep(self, names: set[str]) -> None:
-        """Forget routes that are no more."""
-        self.places = {name: place for name, place in self.places.items() if name in names}
+        position = self.positions.get(route.name)
+        position = self.random.random() if position is None else (position + GOLDEN_RATIO) % 1.0
+        self.positions[route.name] = position
+        return route.choose_service(position)
+
+    def retain_routes(self, names: set[str]) -> None:
+        """Drop the positions of routes that no longer exist."""
+        self.positions = {name: place for name, place in self.positions.items() if name in names}
--- a/hophinge/fleet/forwarding/trace.py
+++ b/hophinge/fleet/forwarding/trace.py
@@ -1,6 +1,7 @@
-"""What became of one request: its attempts with what was reckoned for each, its first event, its end.
+"""The trace of one request: its attempts with their forecasts, its first event, its outcome.
 
-Times are seconds on the head's clock, from the request's arrival where nothing else is said.
+Times are seconds on the head's clock, from the request's arrival where nothing else is said. The fields' names are the
+keys of the request log's JSON (`request_log.py`), which tools read: they stay.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
     stage: str
     instance: str
     sent_s: float
-    units: float  # tokens to read that are not believed to be kept there
+    units: float  # prompt tokens that are not expected in the instance's cache
     forecast: Forecast
     over_s: float | None = None
     ending: str = ""
@@ -31,25 +32,27 @@
     arrived: float  # on the head's clock
     aim_s: float
     attempts: list[Attempt] = field(default_factory=list)
-    first_s: float | None = None  # its first event, or its whole answer
+    first_s: float | None = None  # its first event, or its complete response
     over_s: float | None = None
     ending: str = ""
-    refusal: str = ""  # why no further attempt was made, where the request was given up
+    refusal: str = ""  # why no further attempt was made, where the request was rejected
 
-    def sent(self, now: float, stage: str, instance: str, units: float, forecast: Forecast) -> None:
-        """An attempt is sent."""
+    def record_attempt(self, now: float, stage: str, instance: str, units: float, forecast: Forecast) -> None:
+        """Record that an attempt is sent."""
         self.attempts.append(Attempt(stage, instance, now - self.arrived, units, forecast))
 
-    def began(self, now: float) -> None:
-        """Some of the answer has come."""
+    def record_first_event(self, now: float) -> None:
+        """Record that some of the response has arrived; the first time counts."""
         if self.first_s is None:
             self.first_s = now - self.arrived
 
-    def attempt_ended(self, now: float, ending: str) -> None:
-        """The newest attempt is over."""
+    def complete_attempt(self, now: float, outcome: str) -> None:
+        """Record the end of the latest attempt."""
         attempt = self.attempts[-1]
-        attempt.over_s, attempt.ending = now - self.arrived, ending
+        attempt.over_s = now - self.arrived
+        attempt.ending = outcome
 
-    def ended(self, now: float, ending: str) -> None:
-        """The request is over."""
-        self.over_s, self.ending = now - self.arrived, ending
+    def complete(self, now: float, outcome: str) -> None:
+        """Record the end of the request."""
+        self.over_s = now - self.arrived
+        self.ending = outcome
--- a/hophinge/fleet/transport/asgi.py
+++ b/hophinge/fleet/transport/asgi.py
@@ -1,4 +1,4 @@
-"""What both programs need of ASGI: reading a body within a bound, and answering."""
+"""ASGI helpers of both programs: reading a body within limits, and sending a response."""
 
 from __future__ import annotations
 
@@ -17,49 +17,60 @@
 
 
 class BodyTooLargeError(Exception):
-    """The body exceeds what is allowed."""
+    """The body exceeds its limit."""
 
 
-class NoRoomError(Exception):
-    """The bodies of all requests together exceed what may be held."""
+class BodyMemoryFullError(Exception):
+    """The bodies of all requests together would exceed the limit."""
 
 
 class BodyMemory:
-    """The bytes of bodies that one process holds: clients that each keep within their bound could end it together."""
+    """The memory for bodies in one process: clients that each keep within their limit could exhaust it together."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.reserved = 0
 
     @contextlib.contextmanager
-    def share(self) -> Iterator[BodyShare]:
-        """Hold one request's part until its end."""
-        share = BodyShare(self)
+    def reserve(self) -> Iterator[BodyReservation]:
+        """Reserve memory for one request until its end."""
+        reservation = BodyReservation(self)
         try:
-            yield share
+            yield reservation
         finally:
-            self.held -= share.held
+            self.reserved -= reservation.reserved
 
 
-class BodyShare:
-    """The part that one request holds."""
+class BodyReservation:
+    """The memory reserved for one request."""
 
     def __init__(self, memory: BodyMemory) -> None:
-        self.memory, self.held = memory, 0
+        self.memory = memory
+        self.reserved = 0
 
-    def take(self, count: int) -> None:
-        """Hold so many bytes more; raises NoRoomError where there is no room for them."""
-        if self.memory.held + count > self.memory.most:
-            raise NoRoomError
-        self.memory.held += count
-        self.held += count
+    def extend(self, count: int) -> None:
+        """Reserve more bytes.
 
+        Raises:
+            BodyMemoryFullError: The limit of the process would be exceeded.
 
-async def read_body(receive: Receive, most: int, share: BodyShare | None = None) -> bytes:
-    """Read a whole body, within a share of what the process holds where one is given.
+        """
+        if self.memory.reserved + count > self.memory.max_bytes:
+            raise BodyMemoryFullError
+        self.memory.reserved += count
+        self.reserved += count
+
+
+async def read_body(receive: Receive, max_bytes: int, reservation: BodyReservation | None = None) -> bytes:
+    """Read a complete body, against a reservation where one is given.
+
+    Raises:
+        ClientGoneError: The client disconnected before the body was complete.
+        BodyTooLargeError: The body exceeds `max_bytes`.
+        BodyMemoryFullError: The bodies of all requests exceed the limit of the process.
 
-    Raises ClientGoneError, BodyTooLargeError and NoRoomError.
     """
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while True:
         message = await receive()
@@ -67,18 +78,18 @@
             raise ClientGoneError
         body = message.get("body", b"")
         size += len(body)
-        if size > most:
+        if size > max_bytes:
             raise BodyTooLargeError
-        if share is not None:
-            share.take(len(body))
+        if reservation is not None:
+            reservation.extend(len(body))
         if body:
-            parts.append(body)
+            chunks.append(body)
         if not message.get("more_body", False):
-            return b"".join(parts)
+            return b"".join(chunks)
 
 
 async def answer(send: Send, status: int, body: bytes = b"", headers: Headers = ()) -> None:
-    """Answer with a whole body."""
+    """Send a response with a complete body."""
     length = (b"content-length", str(len(body)).encode())
     await send({"type": "http.response.start", "status": status, "headers": [length, *headers]})
     await send({"type": "http.response.body", "body": body})
--- a/hophinge/fleet/transport/connection_context.py
+++ b/hophinge/fleet/transport/connection_context.py
@@ -1,4 +1,4 @@
-"""What a server's connections share, and what requests and answers see of theirs."""
+"""The state shared by a server's connections, and the views of a connection that requests and responses have."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from hophinge.fleet.transport.asgi import Scope
 from hophinge.fleet.transport.connection_state import ConnectionBounds, ConnectionState
 
-CONNECTIONS_PART = 0.6  # of the descriptors that a process may have
-CONNECTION = "connection"  # where a request's scope tells the state of its connection
+CONNECTIONS_FRACTION = 0.6  # of the file descriptors that the process may open
+CONNECTION = "connection"  # key of the connection's state in a request's scope
 
 
-def places() -> int:
-    """Tell how many connections may be open: instances, members and files need descriptors, too."""
+def max_connections() -> int:
+    """Return how many connections may be open; instances, members and files need descriptors, too."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return int(CONNECTIONS_PART * soft)
+    return int(CONNECTIONS_FRACTION * soft)
 
 
 @dataclass(slots=True)
 class ConnectionContext:
-    """What the connections of a server share."""
+    """The state shared by the connections of a server."""
 
     bounds: ConnectionBounds = field(default_factory=ConnectionBounds)
-    most_connections: int = field(default_factory=places)
-    ends: Counter[str] = field(default_factory=Counter)  # of connections, where something had been left open
+    max_connections: int = field(default_factory=max_connections)
+    close_reasons: Counter[str] = field(default_factory=Counter)  # of connections that ended with something left open
 
 
 def connection_of(scope: Scope) -> ConnectionState:
-    """Tell the state of the connection that a request came on."""
+    """Return the state of the connection on which a request arrived."""
     state: ConnectionState = scope["state"][CONNECTION]
     return state
 
 
-class AnswerTransport:
-    """What an answer is written to; where it asks to close the connection, this happens behind the last claim."""
+class ResponseTransport:
+    """The transport as responses use it; their `close` takes effect after the last outstanding response."""
 
     def __init__(self, transport: asyncio.Transport, close: Callable[[], None]) -> None:
         self.write = transport.write
--- a/hophinge/fleet/transport/connection_state.py
+++ b/hophinge/fleet/transport/connection_state.py
@@ -1,11 +1,11 @@
-"""The state of a connection that somebody opened, without sockets: what was read, what is owed, and when it closes.
+"""The state of a server's connection, without I/O: what was read, which responses are outstanding, when it closes.
 
-A request is a claim from when its head was read until it is answered; claims are answered in their order. Bytes that
-are no request, a time that runs out, the process's own end and a `Connection: close` take nothing new: the connection
-closes behind the last claim. A client that closes its side has left, also where it could still read: an instance would
-work for an answer that may never be read.
+A request is outstanding from when its header was read until its response is complete; responses go out in the order of
+requests (RFC 9112, 9.3.2). After an invalid request, a timeout, the shutdown of the process or a `Connection: close`
+nothing new is accepted, and the connection closes after the last outstanding response. A client that closes its side
+has disconnected, also where it could still read: an instance would work for a response that may never be read.
 
-Each input returns what is to be done, in order. Times are seconds of one clock.
+Each input returns the actions to perform, in order. Times are seconds of one clock.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from dataclasses import dataclass
 from enum import Enum
 
-BAD_REQUEST, REQUEST_TIMEOUT, LARGE_HEADER = 400, 408, 431
+BAD_REQUEST, REQUEST_TIMEOUT, HEADER_FIELDS_TOO_LARGE = 400, 408, 431
 
 
-class Ending(Enum):
-    """Why a connection takes nothing new."""
+class CloseReason(Enum):
+    """Why a connection accepts nothing new. The values are keys of the status."""
 
     CLIENT_CLOSED = "closed by the client"
     CLIENT_RESET = "reset"
-    REST = "at rest for too long"
-    HEADER_TIME = "a header that did not come in time"
-    BODY_TIME = "a body that did not come in time"
-    BAD_BYTES = "bytes that are no request"
-    LARGE_HEADER = "a header that is too large"
-    SAID_CLOSE = "a request or an answer that said so"
-    BROKEN_ANSWER = "an answer that could not be brought to its end"
-    PROCESS = "the end of the process"
-    NO_ROOM = "more connections than there is room for"
-
-
-class Reading(Enum):
+    IDLE = "at rest for too long"
+    HEADER_TIMEOUT = "a header that did not come in time"
+    BODY_TIMEOUT = "a body that did not come in time"
+    INVALID_REQUEST = "bytes that are no request"
+    HEADER_TOO_LARGE = "a header that is too large"
+    CLOSE_REQUESTED = "a request or an answer that said so"
+    RESPONSE_ABORTED = "an answer that could not be brought to its end"
+    SHUTDOWN = "the end of the process"
+    AT_CAPACITY = "more connections than there is room for"
+
+
+class ReadState(Enum):
     """What is being read."""
 
     NOTHING = "nothing"
@@ -41,19 +41,19 @@
 
 
 class Action(Enum):
-    """What is to be done."""
+    """An action for the connection to perform."""
 
-    BEGIN = "begin the answer to the next request that waits"
-    ABANDON = "give up the newest request: it will not come whole"
-    REFUSE = "answer with the state's `refusal`, then close"
-    CLOSE = "close behind what was written"
+    BEGIN_NEXT_RESPONSE = "start the response to the next request"
+    ABANDON_NEWEST = "cancel the latest request: it will not be completed"
+    REJECT = "send the state's `rejection_status`, then close"
+    CLOSE = "close after flushing what was written"
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBounds:
-    """What a client may leave open, and for how long."""
+    """Limits on what a client may leave open."""
 
-    rest_s: float = 60.0  # without a request, and between pieces of a body
+    idle_s: float = 60.0  # without a request, and between chunks of a body
     header_s: float = 10.0  # from the first byte of a header to its last
     header_bytes: int = 65_536
 
@@ -63,136 +63,150 @@
 
     def __init__(self, bounds: ConnectionBounds, now: float) -> None:
         self.bounds = bounds
-        self.rest_s = bounds.rest_s  # that holds for the present rest
-        self.reading = Reading.NOTHING
-        self.header_bytes = 0  # of the header that is being read
-        self.header_is_new = False  # it has begun with the newest bytes
-        self.completed = 0  # requests that came whole with the newest bytes
-        self.owed = 0  # claims; the first of them is being answered
-        self.taking = True
-        self.ending: Ending | None = None
-        self.refusal = 0  # status that is owed behind the last claim; 0 for none
-        self.since = now  # from when on the client is waited for
-        self.over = False  # the close was asked for, or the connection is gone
+        self.idle_s = bounds.idle_s  # that applies to the present idle time
+        self.read_state = ReadState.NOTHING
+        self.header_bytes = 0  # of the header being read
+        self.is_header_new = False  # it began with the latest bytes
+        self.completed_requests = 0  # with the latest bytes
+        self.outstanding = 0  # requests; the first of them is being answered
+        self.is_accepting = True
+        self.close_reason: CloseReason | None = None
+        self.rejection_status = 0  # to send after the last outstanding response; 0 for none
+        self.waiting_since = now  # since when the client is waited for
+        self.is_closed = False  # or closing
 
     # --- what is read --------------------------------------------------------------------------------------------
 
-    def header_begun(self, now: float) -> None:
-        """Note the first byte of a request."""
-        self.reading, self.header_is_new, self.since = Reading.HEAD, True, now
+    def begin_header(self, now: float) -> None:
+        """Record the first byte of a request."""
+        self.read_state = ReadState.HEAD
+        self.is_header_new = True
+        self.waiting_since = now
 
-    def header_read(self, keeps: bool) -> bool:
-        """Note a whole header, and whether the client keeps the connection behind this request.
+    def complete_header(self, keeps_alive: bool) -> bool:
+        """Record a complete header.
+
+        Args:
+            keeps_alive: Whether the client keeps the connection after this request.
+
+        Returns:
+            Whether the request is to be served. One that arrives once the connection is to close is rejected in turn.
 
-        Tells whether the request is to be served. One that comes behind the connection's end is refused in its turn.
         """
-        self.reading = Reading.BODY
-        self.owed += 1
-        served = self.ending is None
-        if not keeps:
-            self._end(Ending.SAID_CLOSE)
-        return served
-
-    def request_read(self, now: float) -> None:
-        """Note a request's last byte."""
-        self.reading, self.since = Reading.NOTHING, now
-        self.completed += 1
-
-    def bytes_read(self, now: float, count: int) -> list[Action]:
-        """Note that bytes came, behind what they made whole."""
-        if self.reading is Reading.BODY:
-            self.since = now
-        elif self.reading is Reading.HEAD:
-            before = 0 if self.header_is_new else self.header_bytes
-            mixed = self.header_is_new and self.completed > 0  # some of these bytes are of another request
-            self.header_bytes = before + (0 if mixed else count)
-        self.header_is_new, self.completed = False, 0
-        if self.reading is Reading.HEAD and self.header_bytes > self.bounds.header_bytes:
-            return self.unfit(Ending.LARGE_HEADER, LARGE_HEADER)
+        self.read_state = ReadState.BODY
+        self.outstanding += 1
+        is_served = self.close_reason is None
+        if not keeps_alive:
+            self._set_close_reason(CloseReason.CLOSE_REQUESTED)
+        return is_served
+
+    def complete_request(self, now: float) -> None:
+        """Record a request's last byte."""
+        self.read_state = ReadState.NOTHING
+        self.waiting_since = now
+        self.completed_requests += 1
+
+    def receive_bytes(self, now: float, count: int) -> list[Action]:
+        """Record the arrival of bytes, after the events that they completed."""
+        if self.read_state is ReadState.BODY:
+            self.waiting_since = now
+        elif self.read_state is ReadState.HEAD:
+            previous_bytes = 0 if self.is_header_new else self.header_bytes
+            is_shared = (
+                self.is_header_new and self.completed_requests > 0
+            )  # some of these bytes belong to another request
+            self.header_bytes = previous_bytes + (0 if is_shared else count)
+        self.is_header_new = False
+        self.completed_requests = 0
+        if self.read_state is ReadState.HEAD and self.header_bytes > self.bounds.header_bytes:
+            return self.reject(CloseReason.HEADER_TOO_LARGE, HEADER_FIELDS_TOO_LARGE)
         return []
 
-    def unfit(self, ending: Ending, status: int, begun: bool = False) -> list[Action]:
-        """Take nothing new, as what comes is no request or does not come: refused behind the last claim.
+    def reject(self, reason: CloseReason, status: int, is_response_started: bool = False) -> list[Action]:
+        """Accept nothing new after an invalid or late request; `status` follows the last outstanding response.
 
-        A request whose answer has `begun` before it came whole has that answer, and no refusal.
+        A request whose response started before the request was complete gets that response, and no rejection.
         """
-        if not self.taking:
+        if not self.is_accepting:
             return []
-        self.taking = False
-        self._end(ending)
-        abandons = self.reading is Reading.BODY and self.owed > 0 and not begun
-        if abandons or self.reading is not Reading.BODY:  # else it is answered, or was, before it had come whole
-            self.refusal = status
-        self.owed -= abandons
-        return [Action.ABANDON] * abandons + self._behind_the_last()
+        self.is_accepting = False
+        self._set_close_reason(reason)
+        abandons = self.read_state is ReadState.BODY and self.outstanding > 0 and not is_response_started
+        if abandons or self.read_state is not ReadState.BODY:  # else it has a response already
+            self.rejection_status = status
+        self.outstanding -= abandons
+        return [Action.ABANDON_NEWEST] * abandons + self._close_when_answered()
 
     # --- what is answered ----------------------------------------------------------------------------------------
 
-    def answered(self, now: float) -> list[Action]:
-        """Note that the first claim has its whole answer."""
-        self.owed -= 1
-        self.since, self.rest_s = now, self.bounds.rest_s
-        return [Action.BEGIN] if self.owed else self._behind_the_last()
+    def complete_response(self, now: float) -> list[Action]:
+        """Record that the first outstanding response is complete."""
+        self.outstanding -= 1
+        self.waiting_since = now
+        self.idle_s = self.bounds.idle_s
+        return [Action.BEGIN_NEXT_RESPONSE] if self.outstanding else self._close_when_answered()
 
-    def close_asked(self) -> list[Action]:
-        """Close behind the last claim, as an answer said."""
-        self._end(Ending.SAID_CLOSE)
-        return self._behind_the_last()
+    def request_close(self) -> list[Action]:
+        """Close after the last outstanding response, as a response said."""
+        self._set_close_reason(CloseReason.CLOSE_REQUESTED)
+        return self._close_when_answered()
 
     # --- ends ----------------------------------------------------------------------------------------------------
 
-    def process_ends(self) -> list[Action]:
-        """Close behind the last claim. Requests that come until then are refused, as somebody has read them."""
-        self._end(Ending.PROCESS)
-        return self._behind_the_last()
+    def shut_down(self) -> list[Action]:
+        """Close after the last outstanding response; requests read until then are rejected."""
+        self._set_close_reason(CloseReason.SHUTDOWN)
+        return self._close_when_answered()
 
-    def yield_place(self) -> list[Action]:
-        """Close where nothing is owed, as another connection needs the place."""
-        self._end(Ending.NO_ROOM)
-        return self._behind_the_last()
+    def yield_to_another(self) -> list[Action]:
+        """Close once nothing is outstanding, to make room for another connection."""
+        self._set_close_reason(CloseReason.AT_CAPACITY)
+        return self._close_when_answered()
 
     @property
-    def rests(self) -> bool:
-        """Tell whether nothing is owed, and nothing is being read."""
-        return self.owed == 0 and self.reading is Reading.NOTHING and not self.over
-
-    def lost(self, ending: Ending) -> None:
-        """Forget all: the client is gone, or the connection was ended."""
-        self._end(ending)
-        self.taking, self.over = False, True
-
-    def _end(self, ending: Ending) -> None:
-        if self.ending is None:
-            self.ending = ending
-
-    def _behind_the_last(self) -> list[Action]:
-        if self.owed or self.ending is None or self.over:
+    def is_idle(self) -> bool:
+        """Whether nothing is outstanding, and nothing is being read."""
+        return self.outstanding == 0 and self.read_state is ReadState.NOTHING and not self.is_closed
+
+    def abandon(self, reason: CloseReason) -> None:
+        """Record that the client has disconnected or the connection was closed."""
+        self._set_close_reason(reason)
+        self.is_accepting = False
+        self.is_closed = True
+
+    def _set_close_reason(self, reason: CloseReason) -> None:
+        if self.close_reason is None:
+            self.close_reason = reason
+
+    def _close_when_answered(self) -> list[Action]:
+        if self.outstanding or self.close_reason is None or self.is_closed:
             return []
-        self.taking, self.over = False, True
-        return [Action.REFUSE if self.refusal else Action.CLOSE]
+        self.is_accepting = False
+        self.is_closed = True
+        return [Action.REJECT if self.rejection_status else Action.CLOSE]
 
     # --- time ----------------------------------------------------------------------------------------------------
 
     @property
-    def due(self) -> float | None:
-        """Tell until when the client is waited for; None while it is not its turn."""
-        if not self.taking or self.owed > (self.reading is Reading.BODY):
+    def deadline(self) -> float | None:
+        """Until when the client is waited for; None while the client waits for the server."""
+        if not self.is_accepting or self.outstanding > (self.read_state is ReadState.BODY):
             return None
-        return self.since + (self.bounds.header_s if self.reading is Reading.HEAD else self.rest_s)
+        return self.waiting_since + (self.bounds.header_s if self.read_state is ReadState.HEAD else self.idle_s)
 
-    def time(self, now: float, begun: bool = False) -> list[Action]:
-        """End what the client has left open for too long; `begun` as for `unfit`."""
-        due = self.due
-        if due is None or now < due:
+    def check_deadline(self, now: float, is_response_started: bool = False) -> list[Action]:
+        """Reject or close what the client has left open past the deadline; `is_response_started` as for `reject`."""
+        deadline = self.deadline
+        if deadline is None or now < deadline:
             return []
-        if self.reading is Reading.HEAD:
-            return self.unfit(Ending.HEADER_TIME, REQUEST_TIMEOUT)
-        if self.reading is Reading.BODY:
-            return self.unfit(Ending.BODY_TIME, REQUEST_TIMEOUT, begun)
-        self._end(Ending.REST)
-        return self._behind_the_last()
-
-    def bounded_by(self, bounds: ConnectionBounds) -> None:
-        """Take new bounds. A rest that has begun may become longer by them: its client counts on that from now on."""
+        if self.read_state is ReadState.HEAD:
+            return self.reject(CloseReason.HEADER_TIMEOUT, REQUEST_TIMEOUT)
+        if self.read_state is ReadState.BODY:
+            return self.reject(CloseReason.BODY_TIMEOUT, REQUEST_TIMEOUT, is_response_started)
+        self._set_close_reason(CloseReason.IDLE)
+        return self._close_when_answered()
+
+    def update_bounds(self, bounds: ConnectionBounds) -> None:
+        """Apply new bounds. Present idle time may only become longer: its client counts on what it had."""
         self.bounds = bounds
-        self.rest_s = max(self.rest_s, bounds.rest_s)
+        self.idle_s = max(self.idle_s, bounds.idle_s)
--- a/hophinge/fleet/transport/frames.py
+++ b/hophinge/fleet/transport/frames.py
@@ -1,4 +1,4 @@
-"""Frames between members: a length, then one CBOR message; the first frame of a connection tells who sends."""
+"""Frames between members: a length prefix, then one CBOR message; the first one of a connection names the sender."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from hophinge.coordination.codec import CodecError, decode, encode, wire
 from hophinge.coordination.view import Replica
 
-LENGTH = struct.Struct(">I")
-MAX_BYTES = 16 << 20  # of one frame: above the largest configuration with all that is remembered of older ones
+LENGTH_PREFIX = struct.Struct(">I")
+MAX_FRAME_BYTES = 16 << 20  # above the largest configuration with the history that is kept of older ones
 
 
 @wire(40)
@@ -24,28 +24,33 @@
 def frame(message: object) -> bytes:
     """Encode a message as one frame."""
     payload = encode(message)
-    return LENGTH.pack(len(payload)) + payload
+    return LENGTH_PREFIX.pack(len(payload)) + payload
 
 
 class FrameReader:
-    """Cuts a byte stream into messages; raises CodecError for a stream that is none of ours."""
+    """Splits a byte stream into messages."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[object]:
-        """Take bytes and tell the messages that are whole now."""
+        """Add bytes; return the messages that are complete now.
+
+        Raises:
+            CodecError: The stream is not one of frames.
+
+        """
         self.buffer += data
         messages: list[object] = []
         begin = 0
-        while len(self.buffer) - begin >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(self.buffer, begin)
-            if length > MAX_BYTES:
+        while len(self.buffer) - begin >= LENGTH_PREFIX.size:
+            (length,) = LENGTH_PREFIX.unpack_from(self.buffer, begin)
+            if length > MAX_FRAME_BYTES:
                 raise CodecError(f"a frame of {length} bytes")
-            end = begin + LENGTH.size + length
+            end = begin + LENGTH_PREFIX.size + length
             if len(self.buffer) < end:
                 break
-            messages.append(decode(bytes(self.buffer[begin + LENGTH.size : end])))
+            messages.append(decode(bytes(self.buffer[begin + LENGTH_PREFIX.size : end])))
             begin = end
         del self.buffer[:begin]
         return messages
--- a/hophinge/fleet/transport/server.py
+++ b/hophinge/fleet/transport/server.py
@@ -1,4 +1,4 @@
-"""HTTP by uvicorn: one server a process over several listening sockets, started and ended by its program."""
+"""The HTTP server of a process, on uvicorn: several listening sockets, started and drained by the program."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from hophinge.fleet.transport.server_connection import ServerConnection
 
 BACKLOG = 1_024
-LOOK_S = 0.05  # between looks at what is still under way at the end
-LAST_S = 0.2  # for answers of those who have given up to go out
+POLL_INTERVAL_S = 0.05  # between checks for work in flight while draining
+FINAL_FLUSH_S = 0.2  # for responses to be sent after `on_deadline`
 
 
-def listening(address: str) -> socket.socket:
+def bind_listener(address: str) -> socket.socket:
     """Bind a listening socket."""
     host, port = address.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -32,7 +32,7 @@
 
 
 class HttpServer(uvicorn.Server):
-    """A uvicorn server without its own signals, timer and log."""
+    """A uvicorn server without its signal handlers, timer and log."""
 
     def __init__(self, app: Any) -> None:
         self.context = ConnectionContext()
@@ -51,7 +51,7 @@
             backlog=BACKLOG,
         )
         super().__init__(config)
-        self.ended = asyncio.Event()
+        self.shutdown_requested = asyncio.Event()
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -59,56 +59,61 @@
         yield
 
     async def main_loop(self) -> None:
-        """Wait for the end without a timer."""
-        await self.ended.wait()
+        """Wait for the shutdown without a timer."""
+        await self.shutdown_requested.wait()
 
     def _connection(self, **params: Any) -> ServerConnection:
         return ServerConnection(self.context, **params)
 
-    def bound(self, bounds: ConnectionBounds) -> None:
-        """Bound what clients may leave open on their connections, also on those that are open."""
+    def update_bounds(self, bounds: ConnectionBounds) -> None:
+        """Apply new bounds to all connections, also to open ones."""
         self.context.bounds = bounds
         for connection in self.connections():
-            connection.bounded_by(bounds)
+            connection.update_bounds(bounds)
 
     def connections(self) -> list[ServerConnection]:
-        """Tell the connections that are open."""
+        """Return the open connections."""
         return [one for one in self.server_state.connections if isinstance(one, ServerConnection)]
 
     def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Accept no new connections."""
         for server in self.servers:
             server.close()
 
-    def close_resting(self) -> None:
-        """Close connections on which no request is under way; the others close after their answer."""
+    def close_idle(self) -> None:
+        """Close connections without a request in flight; the others close after their response."""
         for connection in list(self.server_state.connections):
             connection.shutdown()
 
-    async def finish(self, until: float, give_up: Callable[[], None] = lambda: None) -> None:
-        """Take nothing new, and close each connection behind what is under way on it, until a time of the loop's clock.
+    async def drain(self, deadline: float, on_deadline: Callable[[], None] = lambda: None) -> None:
+        """Accept nothing new, and close each connection after its requests in flight.
+
+        A response that the program completed may still be in a write buffer, so a connection counts until it closes.
+
+        Args:
+            deadline: Until when to wait, on the loop's clock.
+            on_deadline: Called then if work is left; it has pending requests answered at once, for which FINAL_FLUSH_S
+                is left.
 
-        An answer that is out of the program's hands may still wait to be sent: a connection counts until it is closed.
-        `give_up` has whoever waits for something then answer at once; there is a moment left for that.
         """
         self.stop_listening()
-        await self._come_to_rest(until)
-        if self.under_way:
-            give_up()
-            await self._come_to_rest(asyncio.get_running_loop().time() + LAST_S)
-        for owed in self.owed():
-            logger.info("connection aborted side=process {}", owed)
-
-    async def _come_to_rest(self, until: float) -> None:
-        while self.under_way and asyncio.get_running_loop().time() < until:
-            self.close_resting()
-            await asyncio.sleep(LOOK_S)
+        await self._wait_until_idle(deadline)
+        if self.has_work:
+            on_deadline()
+            await self._wait_until_idle(asyncio.get_running_loop().time() + FINAL_FLUSH_S)
+        for response in self.outstanding_responses():
+            logger.info("connection aborted side=process {}", response)
+
+    async def _wait_until_idle(self, deadline: float) -> None:
+        while self.has_work and asyncio.get_running_loop().time() < deadline:
+            self.close_idle()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     @property
-    def under_way(self) -> bool:
-        """Tell whether a connection is open, or work on a request goes on, be it the tidying behind its answer."""
+    def has_work(self) -> bool:
+        """Whether a connection is open, or work on a request goes on, including the cleanup after its response."""
         return bool(self.server_state.connections or self.server_state.tasks)
 
-    def owed(self) -> list[str]:
-        """Tell each connection on which an answer is owed, or has not gone out whole yet."""
-        return [told for connection in self.connections() for told in connection.owed()]
+    def outstanding_responses(self) -> list[str]:
+        """Return a description of each response that is outstanding or not sent completely."""
+        return [response for connection in self.connections() for response in connection.outstanding_responses()]
--- a/hophinge/fleet/transport/server_connection.py
+++ b/hophinge/fleet/transport/server_connection.py
@@ -1,4 +1,4 @@
-"""The connection of an HTTP server: uvicorn parses and frames, `ConnectionState` says what is owed and what ends."""
+"""A connection of the HTTP server: uvicorn parses and frames, `ConnectionState` decides on responses and closes."""
 
 from __future__ import annotations
 
@@ -11,99 +11,105 @@
 from uvicorn.protocols.http.httptools_impl import STATUS_LINE, HttpToolsProtocol, RequestResponseCycle
 
 from hophinge.fleet.transport.closing import close, linger
-from hophinge.fleet.transport.connection_context import CONNECTION, AnswerTransport, ConnectionContext
+from hophinge.fleet.transport.connection_context import CONNECTION, ResponseTransport, ConnectionContext
 from hophinge.fleet.transport.connection_state import (
     BAD_REQUEST,
     Action,
     ConnectionBounds,
     ConnectionState,
-    Ending,
-    Reading,
+    CloseReason,
+    ReadState,
 )
 from hophinge.fleet.transport.upgrade import without_upgrade
 
-MAX_WAITING = 8  # requests behind the one that is answered, from which on the client is not read
-BY_CLIENT = (Ending.CLIENT_CLOSED, Ending.CLIENT_RESET)
+MAX_PIPELINED = 8  # requests waiting behind the one being answered, from which on reading pauses
+CLOSED_BY_CLIENT = (CloseReason.CLIENT_CLOSED, CloseReason.CLIENT_RESET)
 
 
 class ServerConnection(HttpToolsProtocol):
-    """A connection that somebody opened.
+    """A connection that a client opened.
 
-    The library has one newest request for a connection, and closes, refuses or forgets by it alone. Here every request
-    that was read is kept until it is answered; an answer's bytes are never mixed with another's.
+    uvicorn knows only the latest request of a connection, and closes, rejects or drops by it alone. Here every request
+    that was read is kept until its response is complete; the bytes of responses are never mixed.
     """
 
     def __init__(self, context: ConnectionContext, **params: Any) -> None:
         super().__init__(**params)
         self.context = context
-        self.raw: asyncio.Transport | None = None
-        self.cycles: deque[RequestResponseCycle] = deque()  # that are owed, in their order
+        self.raw_transport: asyncio.Transport | None = None
+        self.cycles: deque[RequestResponseCycle] = deque()  # outstanding, in the order of requests
         self.timer: asyncio.TimerHandle | None = None
         self.state = ConnectionState(context.bounds, self.loop.time())
 
     # --- the connection ------------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Begin."""
+        """Begin the connection, and close an idle one where there are too many."""
         super().connection_made(transport)
-        self.raw = transport
-        self.transport = AnswerTransport(transport, self.close_asked)  # type: ignore[assignment]
-        self._watch_time()
-        if len(self.connections) > self.context.most_connections:
-            self._make_room()
-
-    def _make_room(self) -> None:
-        """Have the connection that rests longest yield its place; this one, where none rests."""
-        resting = [one for one in self.connections if isinstance(one, ServerConnection) and one.state.rests]
-        longest = min(resting, key=lambda one: one.state.since, default=self)
-        longest._do(longest.state.yield_place())
+        self.raw_transport = transport
+        self.transport = ResponseTransport(transport, self.request_close)  # type: ignore[assignment]
+        self._schedule_deadline()
+        if len(self.connections) > self.context.max_connections:
+            self._enforce_capacity()
+
+    def _enforce_capacity(self) -> None:
+        """Close the connection that has been idle longest; this one, where none is idle."""
+        idle = [
+            connection
+            for connection in self.connections
+            if isinstance(connection, ServerConnection) and connection.state.is_idle
+        ]
+        longest_idle = min(idle, key=lambda connection: connection.state.waiting_since, default=self)
+        longest_idle._perform(longest_idle.state.yield_to_another())
 
     def data_received(self, data: bytes) -> None:
-        """Read requests. What comes behind the connection's end, or behind a refusal, is passed over."""
-        if not self.state.taking:
+        """Read requests; what arrives once the connection accepts nothing new is ignored."""
+        if not self.state.is_accepting:
             return
         try:
-            self._read(data)
+            self._feed_parser(data)
         except httptools.HttpParserError:
-            self._do(self.state.unfit(Ending.BAD_BYTES, BAD_REQUEST, self._newest_begun()))
+            self._perform(
+                self.state.reject(CloseReason.INVALID_REQUEST, BAD_REQUEST, self._is_newest_response_started())
+            )
         else:
-            self._do(self.state.bytes_read(self.loop.time(), len(data)))
-        self._watch_time()
+            self._perform(self.state.receive_bytes(self.loop.time(), len(data)))
+        self._schedule_deadline()
 
-    def _read(self, data: bytes) -> None:
+    def _feed_parser(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as upgrade:
             if self.parser.get_method() == b"CONNECT":
                 raise httptools.HttpParserError("CONNECT is not served") from upgrade
-            self._read(self._without_upgrade() + data[upgrade.args[0] :])
+            self._feed_parser(self._without_upgrade() + data[upgrade.args[0] :])
 
     def _without_upgrade(self) -> bytes:
-        """Have a new parser read the newest header anew, as one that wishes for no other protocol."""
+        """Return the latest header without its upgrade, and create a new parser to read it."""
         head = without_upgrade(self.parser.get_method(), self.url, self.parser.get_http_version(), self.headers)
         self.parser = httptools.HttpRequestParser(self)
         self.parser.set_dangerous_leniencies(lenient_data_after_close=True)
         return head
 
     def eof_received(self) -> None:
-        """Give up what is open: a client that closes its side has left."""
-        self.state.lost(Ending.CLIENT_CLOSED)
-        self._give_up()
+        """Cancel what is in flight: a client that closes its side has disconnected."""
+        self.state.abandon(CloseReason.CLIENT_CLOSED)
+        self._disconnect_all()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell all that is under way, and count the end where something had been left open."""
-        self.state.lost(Ending.CLIENT_RESET if exc is not None else Ending.CLIENT_CLOSED)
+        """Cancel the requests in flight, and count the close reason where something had been left open."""
+        self.state.abandon(CloseReason.CLIENT_RESET if exc is not None else CloseReason.CLIENT_CLOSED)
         if self.timer is not None:
             self.timer.cancel()
-        ending = self.state.ending
-        left_open = self.state.owed or self.state.reading is not Reading.NOTHING
-        if ending is not None and (left_open or ending not in (*BY_CLIENT, Ending.SAID_CLOSE)):
-            self.context.ends[ending.value] += 1
-        self._give_up()
+        reason = self.state.close_reason
+        is_left_open = self.state.outstanding or self.state.read_state is not ReadState.NOTHING
+        if reason is not None and (is_left_open or reason not in (*CLOSED_BY_CLIENT, CloseReason.CLOSE_REQUESTED)):
+            self.context.close_reasons[reason.value] += 1
+        self._disconnect_all()
         super().connection_lost(exc)
 
-    def _give_up(self) -> None:
-        """Tell requests that their client has gone; those that wait are not begun."""
+    def _disconnect_all(self) -> None:
+        """Notify the requests that their client has disconnected; those that wait are not begun."""
         self.pipeline.clear()
         for cycle in self.cycles:
             self._disconnect(cycle)
@@ -116,128 +122,128 @@
     # --- requests ------------------------------------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Take the first byte of a request."""
+        """Handle the first byte of a request."""
         super().on_message_begin()
         self.scope["state"][CONNECTION] = self.state
-        self.state.header_begun(self.loop.time())
+        self.state.begin_header(self.loop.time())
 
     def on_headers_complete(self) -> None:
-        """Take a header: its request is owed an answer from now on."""
+        """Handle a complete header: its response is outstanding from now on."""
         if self.parser.should_upgrade():
-            return  # it is read again, without the wish
+            return  # it is read again without its upgrade
         super().on_headers_complete()
         self.cycles.append(self.cycle)
-        served = self.state.header_read(self.cycle.keep_alive)
+        is_served = self.state.complete_header(self.cycle.keep_alive)
         if self.pipeline and self.pipeline[0][0] is self.cycle:
-            if not served:
+            if not is_served:
                 self.pipeline[0] = (self.cycle, service_unavailable)
-            if len(self.pipeline) < MAX_WAITING:
-                self.flow.resume_reading()  # its client's leaving has to be seen
+            if len(self.pipeline) < MAX_PIPELINED:
+                self.flow.resume_reading()  # to detect that its client disconnects
 
     def on_message_complete(self) -> None:
-        """Take a request's last byte."""
+        """Handle a request's last byte."""
         if self.parser.should_upgrade():
             return
         super().on_message_complete()
-        self.state.request_read(self.loop.time())
+        self.state.complete_request(self.loop.time())
 
     def on_response_complete(self) -> None:
-        """Go on behind a whole answer."""
+        """Go on after a complete response."""
         self.server_state.total_requests += 1
         self.cycles.popleft()
         self.flow.resume_reading()
-        self._do(self.state.answered(self.loop.time()))
-        self._watch_time()
+        self._perform(self.state.complete_response(self.loop.time()))
+        self._schedule_deadline()
 
-    def close_asked(self) -> None:
-        """Close behind the last claim; at once where an answer has begun that will not come to its end."""
+    def request_close(self) -> None:
+        """Close after the last outstanding response; at once where a started one cannot be completed."""
         first = self.cycles[0] if self.cycles else None
         if first is not None and first.response_started and not first.response_complete:
-            self.state.lost(Ending.BROKEN_ANSWER)
+            self.state.abandon(CloseReason.RESPONSE_ABORTED)
             self._close()
         else:
-            self._do(self.state.close_asked())
+            self._perform(self.state.request_close())
 
     def shutdown(self) -> None:
-        """Take nothing new, as the process ends; an answer that has not begun says that it is the last."""
-        self._do(self.state.process_ends())
+        """Accept nothing new, as the process shuts down; a response not started yet says that it is the last."""
+        self._perform(self.state.shut_down())
         if self.cycles:
             self.cycles[-1].keep_alive = False
 
     # --- what the state asks for ---------------------------------------------------------------------------------
 
-    def _do(self, actions: list[Action]) -> None:
+    def _perform(self, actions: list[Action]) -> None:
         for action in actions:
-            if action is Action.BEGIN:
+            if action is Action.BEGIN_NEXT_RESPONSE:
                 cycle, app = self.pipeline.pop()
                 self._start_asgi_task(cycle, app)
-            elif action is Action.ABANDON:
-                self._abandon()
-            elif action is Action.REFUSE:
-                self._refuse(self.state.refusal)
-            elif self.state.reading is Reading.BODY:
+            elif action is Action.ABANDON_NEWEST:
+                self._abandon_newest()
+            elif action is Action.REJECT:
+                self._reject(self.state.rejection_status)
+            elif self.state.read_state is ReadState.BODY:
                 self._linger()
             else:
                 self._close()
 
-    def _newest_begun(self) -> bool:
-        """Tell whether the answer to the newest request has begun."""
+    def _is_newest_response_started(self) -> bool:
+        """Return whether the response to the latest request has started."""
         return bool(self.cycles) and self.cycles[-1].response_started
 
-    def _abandon(self) -> None:
+    def _abandon_newest(self) -> None:
         cycle = self.cycles.pop()
         if self.pipeline and self.pipeline[0][0] is cycle:
             self.pipeline.popleft()
         self._disconnect(cycle)
 
-    def _refuse(self, status: int) -> None:
-        assert self.raw is not None
-        self.raw.write(STATUS_LINE[status] + b"content-length: 0\r\nconnection: close\r\n\r\n")
+    def _reject(self, status: int) -> None:
+        assert self.raw_transport is not None
+        self.raw_transport.write(STATUS_LINE[status] + b"content-length: 0\r\nconnection: close\r\n\r\n")
         self._linger()
 
     def _linger(self) -> None:
-        """Close for writing, and read on for a moment."""
-        assert self.raw is not None
+        """Half-close, and read on for a moment."""
+        assert self.raw_transport is not None
         self.flow.resume_reading()
-        linger(self.loop, self.raw)
+        linger(self.loop, self.raw_transport)
 
     def _close(self) -> None:
-        assert self.raw is not None
-        close(self.loop, self.raw)
+        assert self.raw_transport is not None
+        close(self.loop, self.raw_transport)
 
     # --- time ----------------------------------------------------------------------------------------------------
 
-    def bounded_by(self, bounds: ConnectionBounds) -> None:
-        """Take new bounds."""
-        self.state.bounded_by(bounds)
-        self._watch_time()
+    def update_bounds(self, bounds: ConnectionBounds) -> None:
+        """Apply new bounds."""
+        self.state.update_bounds(bounds)
+        self._schedule_deadline()
 
-    def _watch_time(self) -> None:
-        """Have one timer that is due no later than the state; it looks again where there was something meanwhile."""
-        due = self.state.due
-        if due is None or (self.timer is not None and self.timer.when() <= due):
+    def _schedule_deadline(self) -> None:
+        """Keep one timer, no later than the state's deadline; an early one schedules itself again."""
+        deadline = self.state.deadline
+        if deadline is None or (self.timer is not None and self.timer.when() <= deadline):
             return
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.call_at(due, self._on_time)
+        self.timer = self.loop.call_at(deadline, self._on_deadline)
 
-    def _on_time(self) -> None:
+    def _on_deadline(self) -> None:
         self.timer = None
         if self.flow.read_paused:
-            self.state.since = self.loop.time()  # it is not its client that keeps it waiting
-        self._do(self.state.time(self.loop.time(), self._newest_begun()))
-        self._watch_time()
+            self.state.waiting_since = self.loop.time()  # it is the server that does not read
+        self._perform(self.state.check_deadline(self.loop.time(), self._is_newest_response_started()))
+        self._schedule_deadline()
 
-    # --- what is told --------------------------------------------------------------------------------------------
+    # --- descriptions -----------------------------------------------------------------------------------------
 
-    def owed(self) -> list[str]:
-        """Tell the answers that are owed, or have not gone out whole yet."""
-        waiting = self.raw.get_write_buffer_size() if self.raw is not None else 0
-        told = [
-            f"path={cycle.scope['path']} client={self.client} response=incomplete unsent_bytes={waiting}"
+    def outstanding_responses(self) -> list[str]:
+        """Return a description of each response that is outstanding or not sent completely, for the log."""
+        unsent_bytes = self.raw_transport.get_write_buffer_size() if self.raw_transport is not None else 0
+        descriptions = [
+            f"path={cycle.scope['path']} client={self.client} response=incomplete unsent_bytes={unsent_bytes}"
             for cycle in self.cycles
         ]
-        if not told and waiting:
+        if not descriptions and unsent_bytes:
             path = self.cycle.scope["path"] if self.cycle is not None else "?"
-            told.append(f"path={path} client={self.client} response=complete unsent_bytes={waiting}")
-        return told
+            descriptions.append(f"path={path} client={self.client} response=complete unsent_bytes={unsent_bytes}")
+        return descriptions
--- a/hophinge/fleet/transport/lean.py
+++ b/hophinge/fleet/transport/unused_imports.py
@@ -1,7 +1,7 @@
-"""Keeps out what the HTTP libraries load on the chance that somebody uses it: start and memory count on small machines.
+"""Suppresses imports of the HTTP libraries that are not used: start time and memory count on small machines.
 
-httpcore loads `trio` and `sniffio` where they happen to be installed beside, and `certifi` for TLS, which the programs
-do not speak: they run on asyncio alone, in the clear. Imported before it.
+httpcore loads `trio` and `sniffio` where they are installed, and `certifi` for TLS, which the programs do not use: they
+run on asyncio alone, without TLS. Imported before httpcore.
 """
 
 from __future__ import annotations
--- a/hophinge/fleet/transport/upgrade.py
+++ b/hophinge/fleet/transport/upgrade.py
@@ -1,6 +1,6 @@
-"""Requests that wish for another protocol: a server may ignore the wish (RFC 9110, 7.8), and then owes an answer.
+"""Requests with `Upgrade`: a server may ignore it (RFC 9110, 7.8), and then has to send a response.
 
-The parser takes the body of such a request for the other protocol's bytes, so its header is written anew without it.
+The parser takes the body of such a request for the other protocol's bytes, so its header is rewritten without it.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def without_upgrade(method: bytes, target: bytes, version: str, fields: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Write a header without the wish; field names are in small letters."""
+    """Return a request's header without its upgrade; field names are in lower case."""
     lines = [b"%s %s HTTP/%s" % (method, target, version.encode())]
     for name, value in fields:
         if name == CONNECTION:
--- a/tests/connection_wire.py
+++ b/tests/connection_wire.py
@@ -137,7 +137,7 @@
     async def run() -> None:
         wire = Wire()
         server = HttpServer(wire.app)
-        server.bound(ConnectionBounds(rest_s=30.0, header_s=5.0, header_bytes=400))
+        server.update_bounds(ConnectionBounds(idle_s=30.0, header_s=5.0, header_bytes=400))
         server.config.load()
         connection = wire.connection = ServerConnection(
             server.context, config=server.config, server_state=server.server_state, app_state={}
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -16,7 +16,7 @@
 from hophinge.fleet.controlplane.soft_state import SOFT_STATE_TICK_S, SoftState
 from hophinge.fleet.controlplane.replica_host import REPLICA_TICK_S
 from hophinge.fleet.controlplane.hint_relay import HintRelay
-from hophinge.fleet.dataplane.knowledge import KNOWLEDGE_TICK_S, Knowledge
+from hophinge.fleet.dataplane.cluster_state import CLUSTER_STATE_TICK_S, ClusterState
 from hophinge.fleet.registry.instance import DRAINING, READY, Instance
 from hophinge.fleet.settings import Settings, parse_settings
 
@@ -70,7 +70,7 @@
         self.blocked: set[tuple[str, str]] = set()
         self.disturbed = self.loop.time()  # when a core machine or its links were last touched
         self.members: dict[str, ControlMember] = {}
-        self.heads: dict[str, Knowledge] = {}
+        self.heads: dict[str, ClusterState] = {}
         self.known: dict[str, dict[str, Instance | None]] = {}  # by head and instance
         self.acknowledged: list[Acknowledged] = []
         for number in range(1, voters + others + 1):
@@ -137,15 +137,15 @@
         def send(target: str, message: object) -> None:
             self._send(me[0], target, encode(message))
 
-        head = Knowledge(settings, send, known.__setitem__, lambda table: None, lambda: None)
+        head = ClusterState(settings, send, known.__setitem__, lambda table: None, lambda: None)
         me.append(head.me)
         self.heads[address] = head
 
         def again() -> None:
             head.tick()
-            self.loop.call_later(KNOWLEDGE_TICK_S, again)
+            self.loop.call_later(CLUSTER_STATE_TICK_S, again)
 
-        self.loop.call_later(self.random.random() * KNOWLEDGE_TICK_S, again)
+        self.loop.call_later(self.random.random() * CLUSTER_STATE_TICK_S, again)
 
     # --- network -------------------------------------------------------------------------------------------------
 
@@ -156,7 +156,7 @@
     def _deliver(self, source: Replica, target: str, data: bytes) -> None:
         message = decode(data)
         if target in self.heads:
-            self.heads[target].received(source.address, message)
+            self.heads[target].receive(source.address, message)
             return
         member = self.members.get(target)
         if member is None or member.machine is None or member.soft_state is None:
--- a/tests/test_fleet_cuts.py
+++ b/tests/test_fleet_aborted_responses.py
@@ -10,7 +10,7 @@
 
 from hophinge.fleet.emulation.engine import Fault
 from hophinge.fleet.emulation.loopback_fleet import FRONT_PORT, HOST, READY_PORT, LoopbackFleet, configuration_document
-from hophinge.fleet.forwarding.cuts import Cut, InstanceSeen, Side, Step
+from hophinge.fleet.forwarding.aborted_responses import AbortedResponse, ObservedInstance, AbortSide, RequestPhase
 from hophinge.load.rig.waiting import Condition, until
 from tests.fleet_requests import BOUND_S, PROMPT, taken
 
@@ -36,9 +36,9 @@
     ],
 )
 def test_the_line_tells_what_was_known(error: str, unregistered: float | None, line: str) -> None:
-    seen = InstanceSeen("i-1", "", unregistered, 2)
-    cut = Cut("q1", "r", Side.HEAD, Step.ANSWERING, error, seen, 7, 1.5, 4.6)
-    assert cut.log_line() == line
+    seen = ObservedInstance("i-1", "", unregistered, 2)
+    cut = AbortedResponse("q1", "r", AbortSide.HEAD, RequestPhase.ANSWERING, error, seen, 7, 1.5, 4.6)
+    assert cut.event() == line
     assert cut.reason == "head while answering"
 
 
--- a/tests/test_fleet_begun_answers.py
+++ b/tests/test_fleet_begun_answers.py
@@ -22,8 +22,8 @@
         connection = wire.connection
         assert connection is not None and wire.pipe.written.endswith(b"one")
         if ended == "by its time":
-            connection.state.since -= 100.0
-            connection._on_time()
+            connection.state.waiting_since -= 100.0
+            connection._on_deadline()
         elif ended == "by the process's end":
             connection.shutdown()
         else:
--- a/tests/test_fleet_budget.py
+++ b/tests/test_fleet_budget.py
@@ -61,11 +61,11 @@
         for head in heads:
             if random.random() < 0.5:
                 requests.append(now)
-                head.budget.requested(now)
+                head.budget.record_request(now)
             if now - head.started >= COUNTED_S:
                 head.most = max(head.most, known)
-            while head.budget.allows(now, head.most):
-                head.budget.spend(now)
+            while head.budget.allows_extra_attempt(now, head.most):
+                head.budget.record_extra_attempt(now)
                 extras.append(now)
     return judge(requests, extras), len(extras)
 
@@ -80,14 +80,14 @@
 
 def test_a_head_that_has_just_started_repeats_by_its_requests_then_by_a_part_of_its_slack_then_by_all() -> None:
     budget = RetryBudget(RATIO, SLACK, WINDOW_S, 100.0)
-    assert not budget.allows(100.0, 0)
+    assert not budget.allows_extra_attempt(100.0, 0)
     for _ in range(10):
-        budget.requested(101.0)
-    assert budget.allows(101.0, 0), "by its requests"
+        budget.record_request(101.0)
+    assert budget.allows_extra_attempt(101.0, 0), "by its requests"
     for begin, extras in ((103.0, 1), (110.5, 4)):
         budget = RetryBudget(RATIO, SLACK, WINDOW_S, 100.0)
         spent = 0
-        while budget.allows(begin, 12):
-            budget.spend(begin)
+        while budget.allows_extra_attempt(begin, 12):
+            budget.record_extra_attempt(begin)
             spent += 1
         assert spent == extras
--- a/tests/test_fleet_claims.py
+++ b/tests/test_fleet_claims.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hophinge.fleet.dataplane.client import carried
+from hophinge.fleet.dataplane.client import run_until_disconnect
 from hophinge.fleet.forwarding.claims import Claims
 
 STEPS = ("claim 0", "claim 1", "release 0", "release 1", "retire", "retire again")
@@ -30,13 +30,13 @@
     for step in order:
         word, _, which = step.partition(" ")
         if word == "claim":
-            numbers[which] = claims.claim(1.0)
+            numbers[which] = claims.acquire(1.0)
         elif word == "retire":
             closing += [step] * claims.retire()
         elif (number := numbers[which]) is not None:
             closing += [step] * claims.release(number)
             assert not claims.release(number), "a second release changes nothing"
-        assert claims.used == any(
+        assert claims.is_used == any(
             numbers.get(one) is not None and f"release {one}" not in order[: order.index(step) + 1] for one in "01"
         )
     return closing, {which for which, number in numbers.items() if number is not None}
@@ -57,16 +57,16 @@
 
 def test_what_is_retired_is_overdue_once_each_use_should_be_over() -> None:
     claims = Claims()
-    first, second = claims.claim(5.0), claims.claim(9.0)
+    first, second = claims.acquire(5.0), claims.acquire(9.0)
     assert first is not None and second is not None
-    assert not claims.overdue(20.0), "it is not retired"
+    assert not claims.is_overdue(20.0), "it is not retired"
     claims.retire()
-    assert not claims.overdue(8.9)
-    assert claims.overdue(9.0)
+    assert not claims.is_overdue(8.9)
+    assert claims.is_overdue(9.0)
     claims.release(second)
-    assert claims.overdue(5.0)
+    assert claims.is_overdue(5.0)
     claims.release(first)
-    assert not claims.overdue(20.0), "nobody uses it"
+    assert not claims.is_overdue(20.0), "nobody uses it"
 
 
 # --- a client and the work on its request ---------------------------------------------------------------------------
@@ -90,7 +90,7 @@
         tidied = True
 
     answered: Callable[[], bool] = lambda: answers  # noqa: E731
-    told = await carried(asyncio.ensure_future(work()), receive, answered)
+    told = await run_until_disconnect(asyncio.ensure_future(work()), receive, answered)
     return told, tidied
 
 
@@ -116,7 +116,7 @@
         return {}
 
     async def run() -> None:
-        await carried(asyncio.ensure_future(fails()), never, lambda: False)
+        await run_until_disconnect(asyncio.ensure_future(fails()), never, lambda: False)
 
     with pytest.raises(ValueError, match="work"):
         asyncio.run(run())
--- a/tests/test_fleet_client_connections.py
+++ b/tests/test_fleet_client_connections.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from hophinge.fleet.dataplane.front import MAX_BODIES
+from hophinge.fleet.dataplane.http_frontend import MAX_BODY_BYTES
 from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, configuration_document
 from hophinge.load.rig.waiting import until
 from tests.fleet_client import CLIENTS, DEADLINE_MS, EVENTS, LATE_S, Client, is_stream, request
@@ -159,7 +159,7 @@
 
     async def play(fleet: LoopbackFleet) -> None:
         body = bytes(4_000_000)
-        held = [await Client.open(fleet) for _ in range(MAX_BODIES // len(body))]
+        held = [await Client.open(fleet) for _ in range(MAX_BODY_BYTES // len(body))]
         for number, client in enumerate(held):
             client.send(request("/p/q", f"held-{number}", body)[:-1])
             await client.writer.drain()
--- a/tests/test_fleet_connection_state.py
+++ b/tests/test_fleet_connection_state.py
@@ -9,16 +9,16 @@
 
 from hophinge.fleet.transport.connection_state import (
     BAD_REQUEST,
-    LARGE_HEADER,
+    HEADER_FIELDS_TOO_LARGE,
     REQUEST_TIMEOUT,
     Action,
     ConnectionBounds,
     ConnectionState,
-    Ending,
-    Reading,
+    CloseReason,
+    ReadState,
 )
 
-BOUNDS = ConnectionBounds(rest_s=10.0, header_s=2.0, header_bytes=100)
+BOUNDS = ConnectionBounds(idle_s=10.0, header_s=2.0, header_bytes=100)
 LONGEST = 8  # steps of an order
 STEPS = ("byte", "header", "last header", "whole", "bad", "late", "answered", "asked", "process")
 
@@ -41,47 +41,47 @@
             return self.begun > self.answered and self.over is None
         if step in ("asked", "process"):
             return self.over is None
-        if not self.state.taking or self.over is not None:
+        if not self.state.is_accepting or self.over is not None:
             return False
-        reading = self.state.reading
+        reading = self.state.read_state
         return {
-            "byte": reading is Reading.NOTHING,
-            "header": reading is Reading.HEAD,
-            "last header": reading is Reading.HEAD,
-            "whole": reading is Reading.BODY,
+            "byte": reading is ReadState.NOTHING,
+            "header": reading is ReadState.HEAD,
+            "last header": reading is ReadState.HEAD,
+            "whole": reading is ReadState.BODY,
         }.get(step, True)
 
     def play(self, step: str) -> None:
         """Take a step, and keep what has to hold."""
         state, self.now = self.state, self.now + 1.0
         if step == "byte":
-            state.header_begun(self.now)
+            state.begin_header(self.now)
         elif step in ("header", "last header"):
-            waits = state.owed > 0
-            state.header_read(keeps=step == "header")
+            waits = state.outstanding > 0
+            state.complete_header(keeps_alive=step == "header")
             self.read += 1
             self.begun += not waits  # the library begins the first one by itself
         elif step == "whole":
-            state.request_read(self.now)
+            state.complete_request(self.now)
         elif step == "bad":
-            self.act(state.unfit(Ending.BAD_BYTES, BAD_REQUEST))
+            self.act(state.reject(CloseReason.INVALID_REQUEST, BAD_REQUEST))
         elif step == "late":
-            self.now = max(self.now, state.due or 0.0)
-            self.act(state.time(self.now))
+            self.now = max(self.now, state.deadline or 0.0)
+            self.act(state.check_deadline(self.now))
         elif step == "answered":
             self.answered += 1
-            self.act(state.answered(self.now))
+            self.act(state.complete_response(self.now))
         else:
-            self.act(state.close_asked() if step == "asked" else state.process_ends())
+            self.act(state.request_close() if step == "asked" else state.shut_down())
         self.check()
 
     def act(self, actions: list[Action]) -> None:
         """Take what the state asks for."""
         for action in actions:
             assert self.over is None, "nothing follows the close"
-            if action is Action.BEGIN:
+            if action is Action.BEGIN_NEXT_RESPONSE:
                 self.begun += 1
-            elif action is Action.ABANDON:
+            elif action is Action.ABANDON_NEWEST:
                 self.abandoned += 1
                 self.begun = min(self.begun, self.read - self.abandoned)
             else:
@@ -90,13 +90,13 @@
     def check(self) -> None:
         """Claims are begun in order, one at a time; the connection closes behind the last, and never stays open."""
         claims = self.read - self.abandoned
-        assert self.state.owed == claims - self.answered
+        assert self.state.outstanding == claims - self.answered
         assert self.begun == min(self.answered + 1, claims), "the first claim is being answered, and no other"
         if self.over is not None:
-            assert not self.state.owed, "it closes behind the last claim"
-            assert self.over is not Action.REFUSE or self.state.refusal
-        elif not self.state.owed:
-            assert self.state.ending is None and self.state.due is not None, "it ends in time"
+            assert not self.state.outstanding, "it closes behind the last claim"
+            assert self.over is not Action.REJECT or self.state.rejection_status
+        elif not self.state.outstanding:
+            assert self.state.close_reason is None and self.state.deadline is not None, "it ends in time"
 
 
 def orders(played: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
@@ -112,109 +112,115 @@
 
 
 def test_each_claim_is_answered_in_its_order_and_the_connection_closes_behind_the_last() -> None:
-    ends = dict.fromkeys(Ending, 0)
+    ends = dict.fromkeys(CloseReason, 0)
     count = 0
     for order in orders():
         count += 1
         connection = Played()
         for step in order:
             connection.play(step)
-        if connection.state.ending is not None:
-            ends[connection.state.ending] += 1
+        if connection.state.close_reason is not None:
+            ends[connection.state.close_reason] += 1
     assert count > 10_000
     assert all(
         ends[ending]
         for ending in (
-            Ending.BAD_BYTES,
-            Ending.REST,
-            Ending.HEADER_TIME,
-            Ending.BODY_TIME,
-            Ending.SAID_CLOSE,
-            Ending.PROCESS,
+            CloseReason.INVALID_REQUEST,
+            CloseReason.IDLE,
+            CloseReason.HEADER_TIMEOUT,
+            CloseReason.BODY_TIMEOUT,
+            CloseReason.CLOSE_REQUESTED,
+            CloseReason.SHUTDOWN,
         )
     )
 
 
 def test_what_was_read_behind_the_end_is_refused_and_not_served() -> None:
     state = ConnectionState(BOUNDS, 0.0)
-    state.header_begun(0.0)
-    assert state.header_read(keeps=True)
-    state.request_read(0.0)
-    assert state.process_ends() == []
-    state.header_begun(0.1)
-    assert not state.header_read(keeps=True)
-    state.request_read(0.1)
-    assert state.answered(0.2) == [Action.BEGIN] and state.answered(0.3) == [Action.CLOSE]
+    state.begin_header(0.0)
+    assert state.complete_header(keeps_alive=True)
+    state.complete_request(0.0)
+    assert state.shut_down() == []
+    state.begin_header(0.1)
+    assert not state.complete_header(keeps_alive=True)
+    state.complete_request(0.1)
+    assert state.complete_response(0.2) == [Action.BEGIN_NEXT_RESPONSE] and state.complete_response(0.3) == [
+        Action.CLOSE
+    ]
 
 
 @pytest.mark.parametrize(
-    ("behind", "action", "refusal"), [(0, Action.REFUSE, REQUEST_TIMEOUT), (1, Action.REFUSE, REQUEST_TIMEOUT)]
+    ("behind", "action", "refusal"), [(0, Action.REJECT, REQUEST_TIMEOUT), (1, Action.REJECT, REQUEST_TIMEOUT)]
 )
 def test_half_a_header_has_its_time_from_when_its_turn_comes(behind: int, action: Action, refusal: int) -> None:
     state = ConnectionState(BOUNDS, 0.0)
     if behind:
-        state.header_begun(0.0)
-        state.header_read(keeps=True)
-        state.request_read(0.0)
-    state.header_begun(1.0)
+        state.begin_header(0.0)
+        state.complete_header(keeps_alive=True)
+        state.complete_request(0.0)
+    state.begin_header(1.0)
     if behind:
-        assert state.due is None and state.time(100.0) == []
-        assert state.answered(50.0) == []
+        assert state.deadline is None and state.check_deadline(100.0) == []
+        assert state.complete_response(50.0) == []
     begun = 50.0 if behind else 1.0
-    assert state.due == begun + BOUNDS.header_s
-    assert state.time(begun + 1.9) == [] and state.time(begun + 2.0) == [action] and state.refusal == refusal
-    assert state.ending is Ending.HEADER_TIME and state.due is None
+    assert state.deadline == begun + BOUNDS.header_s
+    assert (
+        state.check_deadline(begun + 1.9) == []
+        and state.check_deadline(begun + 2.0) == [action]
+        and state.rejection_status == refusal
+    )
+    assert state.close_reason is CloseReason.HEADER_TIMEOUT and state.deadline is None
 
 
 def test_a_body_has_its_time_from_its_newest_bytes_on() -> None:
     state = ConnectionState(BOUNDS, 0.0)
-    state.header_begun(0.0)
-    state.header_read(keeps=True)
-    assert state.bytes_read(8.0, 10) == [] and state.due == 18.0
-    assert state.time(18.0) == [Action.ABANDON, Action.REFUSE] and state.owed == 0
-    assert state.ending is Ending.BODY_TIME
+    state.begin_header(0.0)
+    state.complete_header(keeps_alive=True)
+    assert state.receive_bytes(8.0, 10) == [] and state.deadline == 18.0
+    assert state.check_deadline(18.0) == [Action.ABANDON_NEWEST, Action.REJECT] and state.outstanding == 0
+    assert state.close_reason is CloseReason.BODY_TIMEOUT
 
 
 def test_a_request_that_was_answered_before_it_came_whole_is_not_answered_twice() -> None:
     state = ConnectionState(BOUNDS, 0.0)
-    state.header_begun(0.0)
-    state.header_read(keeps=True)
-    assert state.answered(1.0) == [] and state.reading is Reading.BODY
-    assert state.time(11.0) == [Action.CLOSE] and not state.refusal
+    state.begin_header(0.0)
+    state.complete_header(keeps_alive=True)
+    assert state.complete_response(1.0) == [] and state.read_state is ReadState.BODY
+    assert state.check_deadline(11.0) == [Action.CLOSE] and not state.rejection_status
 
 
 def test_a_header_is_bounded_by_its_own_bytes() -> None:
     state = ConnectionState(BOUNDS, 0.0)
-    state.header_begun(0.0)
-    assert state.bytes_read(0.0, 60) == [] and state.bytes_read(0.1, 40) == []
-    assert state.bytes_read(0.2, 1) == [Action.REFUSE] and state.refusal == LARGE_HEADER
+    state.begin_header(0.0)
+    assert state.receive_bytes(0.0, 60) == [] and state.receive_bytes(0.1, 40) == []
+    assert state.receive_bytes(0.2, 1) == [Action.REJECT] and state.rejection_status == HEADER_FIELDS_TOO_LARGE
     state = ConnectionState(BOUNDS, 0.0)
-    state.header_begun(0.0)
-    state.header_read(keeps=True)
-    state.request_read(0.0)
-    state.header_begun(0.0)  # behind a long body, in the same bytes
-    assert state.bytes_read(0.0, 5_000) == [] and state.header_bytes == 0
-    assert state.bytes_read(0.1, 101) == [] and state.owed == 1, "it is refused behind the claim"
-    assert state.answered(0.2) == [Action.REFUSE]
+    state.begin_header(0.0)
+    state.complete_header(keeps_alive=True)
+    state.complete_request(0.0)
+    state.begin_header(0.0)  # behind a long body, in the same bytes
+    assert state.receive_bytes(0.0, 5_000) == [] and state.header_bytes == 0
+    assert state.receive_bytes(0.1, 101) == [] and state.outstanding == 1, "it is refused behind the claim"
+    assert state.complete_response(0.2) == [Action.REJECT]
 
 
 def test_longer_bounds_hold_for_a_rest_that_has_begun_and_shorter_ones_from_the_next_on() -> None:
     state = ConnectionState(BOUNDS, 0.0)
-    state.bounded_by(ConnectionBounds(rest_s=60.0))
-    assert state.due == 60.0
-    state.bounded_by(ConnectionBounds(rest_s=1.0))
-    assert state.due == 60.0
-    state.header_begun(5.0)
-    state.header_read(keeps=True)
-    state.request_read(5.0)
-    state.answered(6.0)
-    assert state.due == 7.0
+    state.update_bounds(ConnectionBounds(idle_s=60.0))
+    assert state.deadline == 60.0
+    state.update_bounds(ConnectionBounds(idle_s=1.0))
+    assert state.deadline == 60.0
+    state.begin_header(5.0)
+    state.complete_header(keeps_alive=True)
+    state.complete_request(5.0)
+    state.complete_response(6.0)
+    assert state.deadline == 7.0
 
 
 def test_a_client_that_closes_leaves_nothing_to_be_taken_or_timed() -> None:
     state = ConnectionState(BOUNDS, 0.0)
-    state.header_begun(0.0)
-    state.header_read(keeps=True)
-    state.lost(Ending.CLIENT_CLOSED)
-    assert (state.ending, state.taking, state.due) == (Ending.CLIENT_CLOSED, False, None)
-    assert state.unfit(Ending.BAD_BYTES, BAD_REQUEST) == []
+    state.begin_header(0.0)
+    state.complete_header(keeps_alive=True)
+    state.abandon(CloseReason.CLIENT_CLOSED)
+    assert (state.close_reason, state.is_accepting, state.deadline) == (CloseReason.CLIENT_CLOSED, False, None)
+    assert state.reject(CloseReason.INVALID_REQUEST, BAD_REQUEST) == []
--- a/tests/test_fleet_ended_instances.py
+++ b/tests/test_fleet_ended_instances.py
@@ -79,7 +79,7 @@
 
     calling = asyncio.create_task(answer())
     await instance.taken.wait()
-    await upstream.forget("i-1")
+    await upstream.retire("i-1")
     instance.go_on.set()
     try:
         body = await calling
@@ -102,12 +102,12 @@
         instance, upstream = HeldInstance(before=3), Upstream()
         call = await instance.listen()
         instance.go_on.set()
-        await upstream.forget("i-1")
+        await upstream.retire("i-1")
         with pytest.raises(InstanceEndedError):
             async with upstream.call("i-1", call):
                 pass
         assert not instance.taken.is_set(), "nothing was sent, so that the request may go elsewhere"
-        upstream.returned("i-1")
+        upstream.reinstate("i-1")
         async with upstream.call("i-1", call) as response:
             assert await response.aread() == BODY
         await upstream.close()
@@ -127,10 +127,10 @@
 
         first = asyncio.create_task(answer())
         await instance.taken.wait()
-        await upstream.forget("i-1")
+        await upstream.retire("i-1")
         with pytest.raises(InstanceEndedError):
             await answer()
-        upstream.returned("i-1")
+        upstream.reinstate("i-1")
         second = asyncio.create_task(answer())
         instance.go_on.set()
         assert list(await asyncio.gather(first, second)) == [BODY, BODY]
@@ -147,15 +147,15 @@
 
         async def answer() -> None:
             async with upstream.call("i-1", call) as response:
-                upstream.pools["i-1"].claims._until[0] = 0.0  # its time is over, and it goes on all the same
+                upstream.pools["i-1"].claims._deadlines[0] = 0.0  # its time is over, and it goes on all the same
                 begun.set()
                 await response.aread()
 
         calling = asyncio.create_task(answer())
         await begun.wait()
-        await upstream.forget("i-1")
+        await upstream.retire("i-1")
         assert upstream.pools
-        await upstream.tend()
+        await upstream.abort_overdue()
         with pytest.raises(httpcore.ReadError):
             await calling
         assert not upstream.pools
--- a/tests/test_fleet_failing_steps.py
+++ b/tests/test_fleet_failing_steps.py
@@ -15,12 +15,12 @@
 from hophinge.coordination.view import Replica
 from hophinge.fleet import program
 from hophinge.fleet.configuration.routes import RECORD_KEY, configuration_record
-from hophinge.fleet.dataplane.knowledge import Knowledge
+from hophinge.fleet.dataplane.cluster_state import ClusterState
 from hophinge.fleet.emulation.loopback_fleet import configuration_document
 from hophinge.fleet.program import Signals, Tasks, every, repeat
 from hophinge.fleet.settings import parse_settings
 from hophinge.fleet.transport.frames import Hello, frame
-from hophinge.fleet.transport.links import Incoming, Links
+from hophinge.fleet.transport.links import IncomingLink, Links
 from tests.fleet_requests import ROUTES
 
 BOUND_S = 20.0
@@ -98,7 +98,7 @@
 
     me = Replica("me", "127.0.0.1:1", "z")
     links = Links(me, "data", handler)
-    incoming = Incoming(links)
+    incoming = IncomingLink(links)
     other = Push((GossipRecord("key", (1, 0), b""),))
     incoming.data_received(frame(Hello(me, "data")) + frame(other) + frame(Push(())) + frame(other))
     assert taken == [other, other]
@@ -120,13 +120,13 @@
         def send(address: str, message: object) -> None:
             raise ValueError("it cannot be passed on")
 
-        knowledge = Knowledge(settings, send, lambda identity, instance: None, lambda table: None, lambda: None)
+        knowledge = ClusterState(settings, send, lambda identity, instance: None, lambda table: None, lambda: None)
         knowledge.dissemination.neighbours = ("127.0.0.2:7661",)
         record = configuration_record(1, configuration_document(1, ROUTES))
         assert record.key == RECORD_KEY
         with pytest.raises(ValueError, match="passed on"):
-            knowledge.received("127.0.0.3:7661", Push((record,)))
-        assert knowledge.table is not None and knowledge.table.version == 1
+            knowledge.receive("127.0.0.3:7661", Push((record,)))
+        assert knowledge.route_table is not None and knowledge.route_table.version == 1
 
     asyncio.run(play())
 
--- a/tests/test_fleet_histories.py
+++ b/tests/test_fleet_histories.py
@@ -14,7 +14,7 @@
 
 from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, Reply, configuration_document
 from hophinge.fleet.emulation.instance_server import FAILURES
-from hophinge.fleet.forwarding.headers import find
+from hophinge.fleet.forwarding.headers import find_field
 from hophinge.load.rig.waiting import until
 from tests.fleet_faults import draw_faults
 from tests.fleet_requests import BOUND_S, INSTANCES, MACHINES, PROMPT, ROUTES, begin, runs, streamed, taken
@@ -73,7 +73,7 @@
         if name.startswith("p"):
             assert counted[name] <= 1, f"{name} ran {counted[name]} times"
             assert reply.status != 200 or reply.body.endswith(f" {name}".encode())
-            sent_again = find(reply.fields, RETRY_AFTER) is not None
+            sent_again = find_field(reply.fields, RETRY_AFTER) is not None
             assert not sent_again or counted[name] == 0, f"{name} ran, and its client was told to send it again"
         elif reply.status == 200 and reply.is_complete:
             assert streamed(reply), f"{name} has a gap or a repeat: {reply.body!r}"
--- a/tests/test_fleet_life_histories.py
+++ b/tests/test_fleet_lifecycle_histories.py
@@ -11,8 +11,8 @@
 
 from hophinge.fleet.configuration.routes import Route
 from hophinge.fleet.forwarding.budget import RetryBudget
-from hophinge.fleet.forwarding.life import GiveUp, Life, Pause, Read, Run
-from hophinge.fleet.forwarding.results import Ending, Handle, Result
+from hophinge.fleet.forwarding.request_lifecycle import Reject, RequestLifecycle, Backoff, Prefill, Generate
+from hophinge.fleet.forwarding.attempt_results import AttemptOutcome, KvHandle, AttemptResult
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.hints import (
     PrefillDone,
@@ -50,7 +50,7 @@
         self.now = 0.0
         self.placement = Placement("z", lambda identity: None, Random(seed))
         self.budget = RetryBudget(0.2, 1_000.0, 10.0, -10.0)
-        self.out: list[tuple[Life, Read | Run]] = []
+        self.out: list[tuple[RequestLifecycle, Prefill | Generate]] = []
         self.begun = self.over = 0
 
     def play(self) -> None:
@@ -110,8 +110,8 @@
         self.begun += 1
         prompt = Prompt(300, 50, (("a", 100), ("b", 100), (f"own{self.begun}", 100)))
         route, wanted = self.random.choice(KINDS), self.random.choice((prompt, None))
-        self.budget.requested(self.now)
-        life = Life(
+        self.budget.record_request(self.now)
+        life = RequestLifecycle(
             f"q{self.begun}",
             route,
             "s",
@@ -126,15 +126,15 @@
         )
         self.go_on(life)
 
-    def go_on(self, life: Life) -> None:
+    def go_on(self, life: RequestLifecycle) -> None:
         """Take a life's next step."""
-        step = life.next(self.now)
-        if isinstance(step, Pause):
+        step = life.next_step(self.now)
+        if isinstance(step, Backoff):
             self.now += step.seconds
             self.go_on(life)
-        elif isinstance(step, GiveUp):
+        elif isinstance(step, Reject):
             self.over += 1
-            life.leftover()
+            life.collect_unused_handles()
         else:
             self.out.append((life, step))
 
@@ -143,30 +143,30 @@
         if not self.out:
             return
         life, step = self.out.pop(self.random.randrange(len(self.out)))
-        if isinstance(step, Read):
-            identity = step.placed.node.instance.identity
+        if isinstance(step, Prefill):
+            identity = step.reservation.node.instance.identity
             endings = [
-                Result(Ending.READ, Handle(identity, "10.0.0.1:80", "h", 100)),
-                Result(Ending.UNSENT),
-                Result(Ending.UNKNOWN),
-                Result(Ending.REFUSED),
-                Result(Ending.MISPLACED),
+                AttemptResult(AttemptOutcome.READ, KvHandle(identity, "10.0.0.1:80", "h", 100)),
+                AttemptResult(AttemptOutcome.UNSENT),
+                AttemptResult(AttemptOutcome.UNKNOWN),
+                AttemptResult(AttemptOutcome.REFUSED),
+                AttemptResult(AttemptOutcome.MISPLACED),
             ]
         else:
             if self.random.random() < 0.5:
-                life.streaming(self.now, step.placed)
-            endings = [Result(Ending.ANSWERED)] * 3 + [
-                Result(ending, event_id="3")
+                life.record_first_event(self.now, step.reservation)
+            endings = [AttemptResult(AttemptOutcome.ANSWERED)] * 3 + [
+                AttemptResult(ending, last_event_id="3")
                 for ending in (
-                    Ending.FAILED,
-                    Ending.BROKEN,
-                    Ending.UNKNOWN,
-                    Ending.UNSENT,
-                    Ending.REFUSED,
-                    Ending.MISPLACED,
+                    AttemptOutcome.FAILED,
+                    AttemptOutcome.BROKEN,
+                    AttemptOutcome.UNKNOWN,
+                    AttemptOutcome.UNSENT,
+                    AttemptOutcome.REFUSED,
+                    AttemptOutcome.MISPLACED,
                 )
             ]
-        if life.ended(self.now, step.placed, self.random.choice(endings)):
+        if life.complete_attempt(self.now, step.reservation, self.random.choice(endings)):
             self.over += 1
         else:
             self.go_on(life)
--- a/tests/test_fleet_losses.py
+++ b/tests/test_fleet_losses.py
@@ -9,7 +9,7 @@
 
 from hophinge.fleet.analysis.losses import LossKind, Loss, LossReason, losses
 from hophinge.fleet.analysis.traces import LoggedRequest, read_requests
-from hophinge.fleet.forwarding.figures import RequestFigures
+from hophinge.fleet.forwarding.request_metrics import RequestMetrics
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.plan import Forecast
 from hophinge.fleet.placement.policy import PrefillOrder, PlacementPolicy
@@ -142,11 +142,11 @@
 
 def test_a_trace_keeps_the_first_event_and_the_end_of_each_attempt() -> None:
     trace = RequestTrace("r", 10.0, AIM_S)
-    trace.sent(10.01, "prefill", "i-1", 500.0, Forecast(1.0, 2.0, 3.0, False))
-    trace.attempt_ended(10.2, "READ")
+    trace.record_attempt(10.01, "prefill", "i-1", 500.0, Forecast(1.0, 2.0, 3.0, False))
+    trace.complete_attempt(10.2, "READ")
     for moment in (10.3, 10.5):
-        trace.began(moment)
-    trace.ended(10.6, "ANSWERED")
+        trace.record_first_event(moment)
+    trace.complete(10.6, "ANSWERED")
     assert trace.attempts[0].over_s == pytest.approx(0.2)
     assert trace.first_s == pytest.approx(0.3)
     assert trace.over_s == pytest.approx(0.6)
@@ -180,16 +180,16 @@
 
 
 def test_operators_are_told_how_requests_ended_why_they_were_refused_and_how_forecasts_held() -> None:
-    figures = RequestFigures()
+    figures = RequestMetrics()
     for first_s, took_s in ((0.2, 0.15), (0.4, 0.35)):
         trace = RequestTrace("r", 0.0, AIM_S)
-        trace.sent(0.0, "prefill", "i-1", 500.0, Forecast(50_000.0, 50_000.0, 130_000.0, False))
-        trace.attempt_ended(took_s, "READ")
-        trace.began(first_s)
-        trace.ended(0.5, "ANSWERED")
-        figures.take(trace)
-    figures.take(RequestTrace("r", 0.0, AIM_S, ending="refused 503", refusal="hopeless"))
-    assert figures.told() == {
+        trace.record_attempt(0.0, "prefill", "i-1", 500.0, Forecast(50_000.0, 50_000.0, 130_000.0, False))
+        trace.complete_attempt(took_s, "READ")
+        trace.record_first_event(first_s)
+        trace.complete(0.5, "ANSWERED")
+        figures.record(trace)
+    figures.record(RequestTrace("r", 0.0, AIM_S, ending="refused 503", refusal="hopeless"))
+    assert figures.snapshot() == {
         "endings": {"in time": 1, "late": 1, "refused 503": 1},
         "refusals": {"hopeless": 1},
         "reads": 2,
--- a/tests/test_fleet_process_ends.py
+++ b/tests/test_fleet_process_ends.py
@@ -10,7 +10,7 @@
 
 from hophinge.fleet.transport.asgi import Receive, Scope, Send, answer, read_body
 from hophinge.fleet.transport.connection_state import ConnectionBounds
-from hophinge.fleet.transport.server import HttpServer, listening
+from hophinge.fleet.transport.server import HttpServer, bind_listener
 
 BOUND_S = 20.0
 LARGE = bytes(6 << 20)  # more than the kernel's buffers of one connection take
@@ -25,7 +25,7 @@
 
 
 async def _serve(play: Callable[[HttpServer, str, int], Awaitable[None]], app: App = _app) -> None:
-    server, sock = HttpServer(app), listening("127.0.0.1:0")
+    server, sock = HttpServer(app), bind_listener("127.0.0.1:0")
     host, port = sock.getsockname()
     serving = asyncio.create_task(server.serve([sock]))
     while not server.started:
@@ -33,7 +33,7 @@
     async with asyncio.timeout(BOUND_S):
         await play(server, host, port)
     server.stop_listening()
-    server.close_resting()
+    server.close_idle()
     serving.cancel()
 
 
@@ -46,16 +46,16 @@
         while not server.server_state.total_requests:
             await asyncio.sleep(0)
         assert not server.server_state.tasks or await _idle(server)
-        finishing = asyncio.create_task(server.finish(asyncio.get_running_loop().time() + BOUND_S))
+        finishing = asyncio.create_task(server.drain(asyncio.get_running_loop().time() + BOUND_S))
         for _ in range(50):
             await asyncio.sleep(0)
-        assert not finishing.done() and server.owed()
+        assert not finishing.done() and server.outstanding_responses()
         head = await reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200")
         assert await reader.readexactly(len(LARGE)) == LARGE
         assert await reader.read() == b""
         await finishing
-        assert not server.owed()
+        assert not server.outstanding_responses()
         writer.close()
 
     asyncio.run(_serve(play))
@@ -78,7 +78,7 @@
         writer.write(b"GET /large HTTP/1.1\r\nhost: a\r\n\r\n")
         while not server.server_state.total_requests:
             await asyncio.sleep(0)
-        await server.finish(asyncio.get_running_loop().time())
+        await server.drain(asyncio.get_running_loop().time())
         assert len(events) == 1 and events[0].startswith("connection aborted side=process path=/large client=")
         assert " unsent_bytes=" in events[0]
         writer.close()
@@ -105,7 +105,7 @@
         assert (await reader.read()).endswith(b"small")
         while server.server_state.connections:
             await asyncio.sleep(0)
-        finishing = asyncio.create_task(server.finish(asyncio.get_running_loop().time() + BOUND_S))
+        finishing = asyncio.create_task(server.drain(asyncio.get_running_loop().time() + BOUND_S))
         await asyncio.sleep(0)
         go_on.set()
         await finishing
@@ -129,7 +129,7 @@
         writer.write(b"PUT / HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n")
         while not server.server_state.tasks:
             await asyncio.sleep(0)
-        await server.finish(asyncio.get_running_loop().time(), lambda: known.set_result(503))
+        await server.drain(asyncio.get_running_loop().time(), lambda: known.set_result(503))
         assert (await reader.read()).startswith(b"HTTP/1.1 503")
         writer.close()
 
@@ -138,23 +138,23 @@
 
 def test_a_longer_time_of_rest_holds_for_connections_that_rest_already() -> None:
     async def play(server: HttpServer, host: str, port: int) -> None:
-        server.bound(ConnectionBounds(rest_s=2.0))
+        server.update_bounds(ConnectionBounds(idle_s=2.0))
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(b"GET /small HTTP/1.1\r\nhost: a\r\n\r\n")
         assert (await reader.readuntil(b"small")).startswith(b"HTTP/1.1 200")
         (connection,) = server.connections()
         loop, state = asyncio.get_running_loop(), connection.state
-        due = state.due
+        due = state.deadline
         assert due is not None and due <= loop.time() + 2.0
         assert connection.timer is not None and connection.timer.when() <= due, "a timer looks by then"
-        server.bound(ConnectionBounds(rest_s=60.0))
-        longer = state.due
+        server.update_bounds(ConnectionBounds(idle_s=60.0))
+        longer = state.deadline
         assert longer is not None and longer > loop.time() + 50.0
-        server.bound(ConnectionBounds(rest_s=2.0))
-        assert state.due == longer, "it keeps the time that it began with"
+        server.update_bounds(ConnectionBounds(idle_s=2.0))
+        assert state.deadline == longer, "it keeps the time that it began with"
         writer.write(b"GET /small HTTP/1.1\r\nhost: a\r\n\r\n")
         await reader.readuntil(b"small")
-        due = state.due
+        due = state.deadline
         assert due is not None and due <= loop.time() + 2.0, "the next rest is by the time in force"
         assert connection.timer.when() <= due
         writer.close()
