--- a/tests/test_fleet_life.py
+++ b/tests/test_fleet_request_lifecycle.py
@@ -11,10 +11,10 @@
 from hophinge.fleet.configuration.routes import Route
 from hophinge.fleet.forwarding.budget import RetryBudget
 from hophinge.fleet.forwarding.events import EventReader
-from hophinge.fleet.forwarding.headers import forwarded, returned
-from hophinge.fleet.forwarding.life import GiveUp, Life, Pause, Read, Run
+from hophinge.fleet.forwarding.headers import forwarded_fields, returned_fields
+from hophinge.fleet.forwarding.request_lifecycle import Reject, RequestLifecycle, Backoff, Prefill, Generate
 from hophinge.fleet.forwarding.trace import RequestTrace
-from hophinge.fleet.forwarding.results import Ending, Handle, Result, unexecuted
+from hophinge.fleet.forwarding.attempt_results import AttemptOutcome, KvHandle, AttemptResult, unexecuted_outcome
 from hophinge.fleet.placement.hints import PlacementHint, PlacementHints
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.placement.prompt import Prompt, parse_prompt
@@ -37,141 +37,141 @@
     return placement
 
 
-def _life(route: Route, placement: Placement, prompt: Prompt | None = None, slack: float = 100.0) -> Life:
+def _life(route: Route, placement: Placement, prompt: Prompt | None = None, slack: float = 100.0) -> RequestLifecycle:
     budget = RetryBudget(0.2, slack, 10.0, -10.0)
-    budget.requested(0.0)
-    return Life(
+    budget.record_request(0.0)
+    return RequestLifecycle(
         "q", route, "s", prompt, prompt is not None, 0.5, 4.0, placement, budget, 1, RequestTrace("r", 0.0, 0.5)
     )
 
 
-def _run(life: Life, now: float = 0.0) -> Run:
-    step = life.next(now)
-    assert isinstance(step, Run)
+def _run(life: RequestLifecycle, now: float = 0.0) -> Generate:
+    step = life.next_step(now)
+    assert isinstance(step, Generate)
     return step
 
 
-def _read(life: Life, now: float = 0.0) -> Read:
-    step = life.next(now)
-    assert isinstance(step, Read)
+def _read(life: RequestLifecycle, now: float = 0.0) -> Prefill:
+    step = life.next_step(now)
+    assert isinstance(step, Prefill)
     return step
 
 
-def _handle(step: Read) -> Result:
-    return Result(Ending.READ, Handle("i-0", step.placed.node.instance.address, "h1", 1_000))
+def _handle(step: Prefill) -> AttemptResult:
+    return AttemptResult(AttemptOutcome.READ, KvHandle("i-0", step.reservation.node.instance.address, "h1", 1_000))
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_sent_again_and_gets_no_promise() -> None:
     life = _life(UNSAFE, _placement(0, 0, 3))
-    life.ended(0.1, _run(life).placed, Result(Ending.UNKNOWN))
-    assert life.next(0.1) == GiveUp(502, None)
+    life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
+    assert life.next_step(0.1) == Reject(502, None)
 
 
-@pytest.mark.parametrize("ending", [Ending.UNSENT, Ending.REFUSED, Ending.MISPLACED])
-def test_what_surely_did_not_run_goes_to_another_instance(ending: Ending) -> None:
+@pytest.mark.parametrize("ending", [AttemptOutcome.UNSENT, AttemptOutcome.REFUSED, AttemptOutcome.MISPLACED])
+def test_what_surely_did_not_run_goes_to_another_instance(ending: AttemptOutcome) -> None:
     life = _life(UNSAFE, _placement(0, 0, 3))
     first = _run(life)
-    life.ended(0.1, first.placed, Result(ending))
-    assert _run(life, 0.1).placed.node is not first.placed.node
+    life.complete_attempt(0.1, first.reservation, AttemptResult(ending))
+    assert _run(life, 0.1).reservation.node is not first.reservation.node
 
 
 def test_a_promise_is_given_where_nothing_ran_and_the_budget_is_spent() -> None:
     life = _life(UNSAFE, _placement(0, 0, 3), slack=0.0)
-    life.ended(0.1, _run(life).placed, Result(Ending.REFUSED))
-    answer = life.next(0.1)
-    assert isinstance(answer, GiveUp)
+    life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.REFUSED))
+    answer = life.next_step(0.1)
+    assert isinstance(answer, Reject)
     assert answer.status == 503
-    assert answer.come_back_s is not None
+    assert answer.retry_after_s is not None
 
 
 def test_a_safe_request_goes_on_within_its_attempts() -> None:
     life = _life(SAFE, _placement(0, 0, 5))
     for _ in range(3):
-        life.ended(0.1, _run(life).placed, Result(Ending.UNKNOWN))
-    assert isinstance(life.next(0.1), GiveUp)
+        life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
+    assert isinstance(life.next_step(0.1), Reject)
 
 
 def test_a_service_without_instances_is_refused_at_once() -> None:
-    answer = _life(UNSAFE, _placement(0, 0, 0)).next(0.0)
-    assert isinstance(answer, GiveUp)
+    answer = _life(UNSAFE, _placement(0, 0, 0)).next_step(0.0)
+    assert isinstance(answer, Reject)
     assert answer.status == 503
 
 
 def test_no_attempt_begins_without_time_left() -> None:
-    assert isinstance(_life(UNSAFE, _placement(0, 0, 1)).next(3.999), GiveUp)
+    assert isinstance(_life(UNSAFE, _placement(0, 0, 1)).next_step(3.999), Reject)
 
 
 def test_a_prompt_is_read_apart_and_its_handle_is_taken_once() -> None:
     life = _life(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
-    assert not life.ended(0.1, step.placed, _handle(step))
+    assert not life.complete_attempt(0.1, step.reservation, _handle(step))
     run = _run(life, 0.1)
     assert run.handle is not None
     assert run.handle.identity == "h1"
-    assert run.placed.pool.stage == "decode"
-    life.ended(0.2, run.placed, Result(Ending.REFUSED))  # the memory could not be had
+    assert run.reservation.pool.stage == "decode"
+    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.REFUSED))  # the memory could not be had
     assert life.handle is None
-    assert isinstance(life.next(0.2), Read | Run)
+    assert isinstance(life.next_step(0.2), Prefill | Generate)
 
 
 def test_memory_that_nobody_takes_is_left_over_once() -> None:
     life = _life(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
-    life.ended(0.1, step.placed, _handle(step))
+    life.complete_attempt(0.1, step.reservation, _handle(step))
     run = _run(life, 0.1)
-    life.ended(0.2, run.placed, Result(Ending.UNSENT))
+    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.UNSENT))
     assert _run(life, 0.2).handle == run.handle  # never asked for: it is still there
-    life.ended(0.3, run.placed, Result(Ending.REFUSED))
-    assert life.leftover() == [run.handle]
-    assert life.leftover() == []
+    life.complete_attempt(0.3, run.reservation, AttemptResult(AttemptOutcome.REFUSED))
+    assert life.collect_unused_handles() == [run.handle]
+    assert life.collect_unused_handles() == []
 
 
 def test_a_prompt_that_was_only_read_has_not_run() -> None:
     life = _life(FIXED, _placement(1, 1), PROMPT, slack=0.0)
-    life.ended(0.1, _read(life).placed, Result(Ending.UNKNOWN))
-    answer = life.next(0.1)
-    assert isinstance(answer, GiveUp)
+    life.complete_attempt(0.1, _read(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
+    answer = life.next_step(0.1)
+    assert isinstance(answer, Reject)
     assert answer.status == 503
 
 
 def test_the_first_reading_and_the_first_run_cost_no_budget_but_each_further_arrival_does() -> None:
     life = _life(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
-    life.ended(0.1, step.placed, _handle(step))
+    life.complete_attempt(0.1, step.reservation, _handle(step))
     run = _run(life, 0.1)
-    assert not life.budget.extras
-    life.ended(0.2, run.placed, Result(Ending.REFUSED))
-    life.next(0.2)
-    assert len(life.budget.extras) == 1
+    assert not life.budget.extra_attempts
+    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.REFUSED))
+    life.next_step(0.2)
+    assert len(life.budget.extra_attempts) == 1
 
 
 def test_a_resumable_stream_goes_on_after_its_newest_event() -> None:
     life = _life(STREAM, _placement(0, 2), PROMPT)
     run = _run(life)
-    life.streaming(0.1, run.placed)
-    life.ended(0.2, run.placed, Result(Ending.BROKEN, event_id="12"))
+    life.record_first_event(0.1, run.reservation)
+    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.BROKEN, last_event_id="12"))
     again = _run(life, 0.2)
-    assert again.event_id == "12"
-    assert again.placed.node is not run.placed.node
+    assert again.last_event_id == "12"
+    assert again.reservation.node is not run.reservation.node
 
 
 def test_a_stream_that_may_not_be_resumed_ends_visibly() -> None:
     life = _life(FIXED, _placement(0, 2), PROMPT)
     run = _run(life)
-    life.streaming(0.1, run.placed)
-    life.ended(0.2, run.placed, Result(Ending.BROKEN, event_id="12"))
-    assert life.next(0.2) == GiveUp(502, None)
+    life.record_first_event(0.1, run.reservation)
+    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.BROKEN, last_event_id="12"))
+    assert life.next_step(0.2) == Reject(502, None)
 
 
 def test_nothing_stays_in_the_books_after_the_end() -> None:
     placement = _placement(2, 2)
     life = _life(STREAM, placement, PROMPT)
     read = _read(life)
-    life.ended(0.1, read.placed, _handle(read))
+    life.complete_attempt(0.1, read.reservation, _handle(read))
     run = _run(life, 0.1)
-    life.streaming(0.2, run.placed)
-    assert run.placed.node.outstanding == 1
-    assert life.ended(0.9, run.placed, Result(Ending.ANSWERED))
+    life.record_first_event(0.2, run.reservation)
+    assert run.reservation.node.outstanding == 1
+    assert life.complete_attempt(0.9, run.reservation, AttemptResult(AttemptOutcome.ANSWERED))
     assert all(node.outstanding == 0 for node in placement.nodes.values())
 
 
@@ -180,45 +180,45 @@
     spent = 0
     for budget in heads:
         for _ in range(20):
-            budget.requested(1.0)
-        while budget.allows(1.0, 11):
-            budget.spend(1.0)
+            budget.record_request(1.0)
+        while budget.allows_extra_attempt(1.0, 11):
+            budget.record_extra_attempt(1.0)
             spent += 1
     assert 0.5 * (0.2 * 220 + 60) < spent <= 0.2 * 220 + 60
-    assert heads[0].allows(11.1, 11)
+    assert heads[0].allows_extra_attempt(11.1, 11)
 
 
 def test_instances_that_all_refused_are_asked_again_behind_a_pause_that_grows() -> None:
     """Seen on a drawn day: one request reached the one instance that there was five times in 71 ms."""
     life = _life(SAFE, _placement(0, 0, 2))
     now, asked, pauses = 0.0, [], []
-    while not isinstance(step := life.next(now), GiveUp):
-        if isinstance(step, Pause):
+    while not isinstance(step := life.next_step(now), Reject):
+        if isinstance(step, Backoff):
             pauses.append(step.seconds)
             now += step.seconds
             continue
-        assert isinstance(step, Run)
-        asked.append(step.placed.node.instance.identity)
-        life.ended(now, step.placed, Result(Ending.REFUSED))
+        assert isinstance(step, Generate)
+        asked.append(step.reservation.node.instance.identity)
+        life.complete_attempt(now, step.reservation, AttemptResult(AttemptOutcome.REFUSED))
     assert pauses[:6] == [0.02, 0.04, 0.08, 0.16, 0.32, 0.32] and sum(pauses) < 4.0
     assert len(asked) == 2 * (1 + len(pauses))
     assert all({*asked[at : at + 2]} == {"i-0", "i-1"} for at in range(0, len(asked), 2)), "each once a round"
-    assert step.status == 503 and step.come_back_s is not None
+    assert step.status == 503 and step.retry_after_s is not None
 
 
 def test_only_whole_events_pass() -> None:
     reader = EventReader()
     assert reader.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
-    assert reader.last_id == "1"
+    assert reader.latest_id == "1"
     assert reader.feed(b"ta: b\n\nid: 3") == b"id: 2\ndata: b\n\n"
-    assert (reader.last_id, reader.rest) == ("2", b"id: 3")
+    assert (reader.latest_id, reader.buffer) == ("2", b"id: 3")
 
 
 def test_only_the_instance_itself_says_that_it_did_not_run_a_request() -> None:
-    assert unexecuted(503, [(b"Hophinge-Not-Executed", b"1")]) is Ending.REFUSED
-    assert unexecuted(503, []) is None
-    assert unexecuted(421, []) is Ending.MISPLACED
-    assert unexecuted(500, [(b"Hophinge-Not-Executed", b"1")]) is None
+    assert unexecuted_outcome(503, [(b"Hophinge-Not-Executed", b"1")]) is AttemptOutcome.REFUSED
+    assert unexecuted_outcome(503, []) is None
+    assert unexecuted_outcome(421, []) is AttemptOutcome.MISPLACED
+    assert unexecuted_outcome(500, [(b"Hophinge-Not-Executed", b"1")]) is None
 
 
 def test_what_concerns_a_connection_or_is_the_systems_own_does_not_go_on() -> None:
@@ -231,8 +231,8 @@
         (b"transfer-encoding", b"chunked"),
         (b"priority", b"0"),
     ]
-    assert forwarded(fields) == [(b"host", b"a"), (b"hophinge-request-id", b"q")]
-    assert returned([(b"Keep-Alive", b"timeout=3"), (b"Versions", b"2")]) == [(b"Versions", b"2")]
+    assert forwarded_fields(fields) == [(b"host", b"a"), (b"hophinge-request-id", b"q")]
+    assert returned_fields([(b"Keep-Alive", b"timeout=3"), (b"Versions", b"2")]) == [(b"Versions", b"2")]
 
 
 def test_a_prompt_is_read_from_its_headers() -> None:
@@ -246,16 +246,20 @@
     for begun in (True, False):
         placement = _placement(0, 2)
         life = _life(STREAM, placement, PROMPT)
-        life.gone_at = 2.0
+        life.client_deadline = 2.0
         first = _run(life)
         if begun:
-            life.streaming(0.1, first.placed)
-        life.ended(1.5, first.placed, Result(Ending.BROKEN if begun else Ending.REFUSED, event_id="3"))
+            life.record_first_event(0.1, first.reservation)
+        life.complete_attempt(
+            1.5,
+            first.reservation,
+            AttemptResult(AttemptOutcome.BROKEN if begun else AttemptOutcome.REFUSED, last_event_id="3"),
+        )
         placement.receive_hints(
             1.5,
             PlacementHints(
                 tuple(PlacementHint(name, 90_000, (), 0, 0, number) for number, name in enumerate(placement.nodes, 1))
             ),
         )
-        step = life.next(1.5)
-        assert isinstance(step, Run if begun else GiveUp)
+        step = life.next_step(1.5)
+        assert isinstance(step, Generate if begun else Reject)
--- a/tests/test_fleet_server_connection.py
+++ b/tests/test_fleet_server_connection.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from hophinge.fleet.transport.asgi import BodyMemory, NoRoomError
-from hophinge.fleet.transport.connection_state import Ending
+from hophinge.fleet.transport.asgi import BodyMemory, BodyMemoryFullError
+from hophinge.fleet.transport.connection_state import CloseReason
 from hophinge.fleet.transport.server import HttpServer
-from hophinge.fleet.transport.server_connection import MAX_WAITING
+from hophinge.fleet.transport.server_connection import MAX_PIPELINED
 from tests.connection_wire import CHUNKED, FIRST, GARBAGE, UPGRADE, Wire, cuts, played, settle
 
 
@@ -45,7 +45,7 @@
         assert wire.statuses() == [200, 200, 400] and wire.pipe.eof
         assert wire.connection is not None
         wire.connection.connection_lost(None)
-        assert server.context.ends == {Ending.BAD_BYTES.value: 1}
+        assert server.context.close_reasons == {CloseReason.INVALID_REQUEST.value: 1}
 
     played(play)
 
@@ -94,7 +94,7 @@
         assert wire.pipe.closed and wire.begun == ["/broken"] and wire.pipe.written.endswith(b"onetwo")
         assert wire.connection is not None
         wire.connection.connection_lost(None)
-        assert server.context.ends == {Ending.BROKEN_ANSWER.value: 1}
+        assert server.context.close_reasons == {CloseReason.RESPONSE_ABORTED.value: 1}
 
     played(play)
 
@@ -116,8 +116,8 @@
         wire.go_on["/first"].set()
         await settle()
         assert wire.begun == ["/first"]
-        ending = Ending.CLIENT_CLOSED if error is None else Ending.CLIENT_RESET
-        assert server.context.ends == {ending.value: 1}
+        ending = CloseReason.CLIENT_CLOSED if error is None else CloseReason.CLIENT_RESET
+        assert server.context.close_reasons == {ending.value: 1}
 
     played(play)
 
@@ -126,8 +126,8 @@
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(FIRST[:-2])
         assert wire.connection is not None
-        wire.connection.state.since -= 100.0
-        wire.connection._on_time()
+        wire.connection.state.waiting_since -= 100.0
+        wire.connection._on_deadline()
         await settle()
         assert wire.statuses() == [408] and wire.gone == ["/first"] and wire.pipe.eof and not wire.begun
 
@@ -139,8 +139,8 @@
         await wire.feed(FIRST[:-2])
         assert wire.connection is not None
         wire.connection.flow.pause_reading()
-        wire.connection.state.since -= 100.0
-        wire.connection._on_time()
+        wire.connection.state.waiting_since -= 100.0
+        wire.connection._on_deadline()
         await settle()
         assert not wire.pipe.written and not wire.gone
 
@@ -161,14 +161,14 @@
     async def play(wire: Wire, server: HttpServer) -> None:
         wire.held = True
         await wire.feed(FIRST)
-        for number in range(MAX_WAITING):
+        for number in range(MAX_PIPELINED):
             assert not wire.pipe.paused, number
             await wire.feed(CHUNKED)
         assert wire.pipe.paused
         wire.held = False
         wire.go_on["/first"].set()
         await settle()
-        assert not wire.pipe.paused and wire.statuses() == [200] * (1 + MAX_WAITING)
+        assert not wire.pipe.paused and wire.statuses() == [200] * (1 + MAX_PIPELINED)
 
     played(play)
 
@@ -176,12 +176,14 @@
 def test_a_client_that_reads_nothing_of_what_was_written_is_given_up_and_one_that_reads_slowly_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("hophinge.fleet.transport.closing.FLUSH_S", 0.0)
+    monkeypatch.setattr("hophinge.fleet.transport.closing.FLUSH_CHECK_INTERVAL_S", 0.0)
 
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(FIRST)
         wire.pipe.unsent = 9
-        assert wire.connection is not None and wire.connection.owed()[0].endswith("response=complete unsent_bytes=9")
+        assert wire.connection is not None and wire.connection.outstanding_responses()[0].endswith(
+            "response=complete unsent_bytes=9"
+        )
         looks = 0
 
         def unsent() -> int:
@@ -208,7 +210,7 @@
 
 def test_the_connection_that_rests_longest_yields_where_there_are_too_many() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
-        server.context.most_connections = 2
+        server.context.max_connections = 2
         wire.held = True
         await wire.feed(FIRST)
         resting = [wire.another(server) for _ in range(2)]
@@ -220,21 +222,21 @@
         assert wire.statuses() == [200] and not wire.pipe.closed
         for connection in server.connections():
             connection.connection_lost(None)
-        assert server.context.ends == {Ending.NO_ROOM.value: 2}
+        assert server.context.close_reasons == {CloseReason.AT_CAPACITY.value: 2}
 
     played(play)
 
 
 def test_a_body_is_held_within_the_room_for_all_of_them() -> None:
     memory = BodyMemory(10)
-    with memory.share() as one:
-        one.take(8)
-        with memory.share() as other, pytest.raises(NoRoomError):
-            other.take(3)
-        with memory.share() as third:
-            third.take(2)
-            assert memory.held == 10
-    assert memory.held == 0
+    with memory.reserve() as one:
+        one.extend(8)
+        with memory.reserve() as other, pytest.raises(BodyMemoryFullError):
+            other.extend(3)
+        with memory.reserve() as third:
+            third.extend(2)
+            assert memory.reserved == 10
+    assert memory.reserved == 0
 
 
 def test_a_refusal_to_a_client_that_has_reset_its_connection_fails_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_fleet_split.py
+++ b/tests/test_fleet_split.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hophinge.fleet.configuration.routes import Route
-from hophinge.fleet.forwarding.split import SplitDraws
+from hophinge.fleet.forwarding.split import TrafficSplit
 
 ROUTE = Route("r", "h", "/", "safe", 4.0, 0.5, 0.0, 1, 1, False, ("a", "b", "c"), (0.1, 0.4, 1.0))
 SHARES = {"a": 0.1, "b": 0.3, "c": 0.6}
@@ -18,8 +18,8 @@
 @pytest.mark.parametrize(("heads", "most_off"), [(1, 0.015), (11, 0.06), (95, 0.1)])
 def test_every_window_of_200_requests_is_split_by_the_weights(heads: int, most_off: float) -> None:
     random = Random(5)
-    draws = [SplitDraws(Random(number)) for number in range(heads)]
-    taken = [random.choice(draws).service(ROUTE) for _ in range(3_000)]
+    draws = [TrafficSplit(Random(number)) for number in range(heads)]
+    taken = [random.choice(draws).choose_service(ROUTE) for _ in range(3_000)]
     for begin in range(0, len(taken) - 200, 20):
         counted = Counter(taken[begin : begin + 200])
         for service, share in SHARES.items():
@@ -27,15 +27,15 @@
 
 
 def test_routes_are_split_each_by_itself_and_forgotten_with_their_configuration() -> None:
-    draws = SplitDraws(Random(1))
+    draws = TrafficSplit(Random(1))
     other = replace(ROUTE, name="other")
-    taken = Counter(draws.service(route) for _ in range(100) for route in (ROUTE, other))
+    taken = Counter(draws.choose_service(route) for _ in range(100) for route in (ROUTE, other))
     assert abs(taken["c"] - 120) <= 3
-    draws.keep({"other"})
-    assert set(draws.places) == {"other"}
+    draws.retain_routes({"other"})
+    assert set(draws.positions) == {"other"}
 
 
 def test_a_route_with_one_service_draws_nothing() -> None:
-    draws = SplitDraws(Random(1))
-    assert draws.service(replace(ROUTE, services=("a",), cumulative_weights=(1.0,))) == "a"
-    assert not draws.places
+    draws = TrafficSplit(Random(1))
+    assert draws.choose_service(replace(ROUTE, services=("a",), cumulative_weights=(1.0,))) == "a"
+    assert not draws.positions
--- a/tests/test_fleet_stage_controller.py
+++ b/tests/test_fleet_stage_controller.py
@@ -16,7 +16,7 @@
 from hophinge.fleet.controlplane import stage_controller
 from hophinge.fleet.controlplane.stage_controller import StageController
 from hophinge.fleet.emulation.instance_server import ReceivedRequest, read_request
-from hophinge.fleet.forwarding.headers import EXPECTED_INSTANCE, find
+from hophinge.fleet.forwarding.headers import EXPECTED_INSTANCE, find_field
 from hophinge.fleet.placement.policy import PlacementPolicy
 from hophinge.fleet.placement.stages import StageSwitch
 from hophinge.fleet.registry.instance import READY, Instance
@@ -46,7 +46,7 @@
         assert taken is not None
         self.orders.append(taken)
         self.arrived.set()
-        known = find(taken.fields, EXPECTED_INSTANCE) == self.identity
+        known = find_field(taken.fields, EXPECTED_INSTANCE) == self.identity
         status = self.answer(taken) if known else 421
         if status is None:
             await reader.read()  # until the caller gives up
@@ -121,6 +121,6 @@
             await first
             await instance.left.wait()
         assert switching == [], "neither is taken for done"
-        assert [find(order.fields, EXPECTED_INSTANCE) for order in instance.orders] == ["i-1", "i-1"]
+        assert [find_field(order.fields, EXPECTED_INSTANCE) for order in instance.orders] == ["i-1", "i-1"]
 
     asyncio.run(play())
--- a/tests/test_fleet_upstream.py
+++ b/tests/test_fleet_upstream.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from hophinge.fleet.dataplane.connections import RESTING_PART, RESTING_S
+from hophinge.fleet.dataplane.connections import KEEP_ALIVE_FRACTION, DEFAULT_MAX_IDLE_S
 from hophinge.fleet.dataplane.upstream import Call, Upstream
-from hophinge.fleet.forwarding.headers import Fields, resting_time
+from hophinge.fleet.forwarding.headers import Fields, keep_alive_timeout_s
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
 )
 def test_the_time_of_keep_alive_is_read(value: bytes, told: float | None) -> None:
     fields: Fields = [(b"content-length", b"0"), (b"Keep-Alive", value)]
-    assert resting_time(fields) == told
+    assert keep_alive_timeout_s(fields) == told
 
 
 def test_connections_rest_as_long_as_the_instance_allows_and_are_used_again() -> None:
@@ -51,11 +51,11 @@
         port = server.sockets[0].getsockname()[1]
         upstream = Upstream()
         call = Call(f"127.0.0.1:{port}", b"GET", b"/", [(b"host", b"a")], b"", 5.0)
-        assert upstream._pool("i-1").resting_s == RESTING_S
+        assert upstream._pool("i-1").max_idle_s == DEFAULT_MAX_IDLE_S
         for _ in range(3):
             async with upstream.call("i-1", call) as response:
                 assert await response.aread() == b"ok"
-        assert upstream.pools["i-1"].resting_s == 5.0 * RESTING_PART
+        assert upstream.pools["i-1"].max_idle_s == 5.0 * KEEP_ALIVE_FRACTION
         await upstream.close()
         assert not upstream.pools
         await ended.wait()
--- a/tests/test_worst_days_connections.py
+++ b/tests/test_worst_days_connections.py
@@ -8,8 +8,13 @@
 import httpcore
 import pytest
 
-from hophinge.fleet.dataplane.connections import FORGOTTEN_PART, RESTING_S, InstanceConnection, InstancePool
-from hophinge.fleet.forwarding.headers import DEADLINE, find
+from hophinge.fleet.dataplane.connections import (
+    DEAD_IDLE_FRACTION,
+    DEFAULT_MAX_IDLE_S,
+    InstanceConnection,
+    InstancePool,
+)
+from hophinge.fleet.forwarding.headers import DEADLINE, find_field
 from tests.request_endings import closed_after_the_run, silence
 from tests.scripted_instance import Asked, Connection, Script
 from tests.test_worst_days_requests import BOUND_S, ROUTES, UNSAFE, Play, _playing
@@ -73,21 +78,21 @@
             play.placement.update_instance(play.instances[1].name, None)
             assert (await play.request("warm", replace(UNSAFE, route_type="safe"))).status == 200
             pool = play.upstream.pools[instance.name]
-            assert pool.resting_s == RESTING_S
+            assert pool.max_idle_s == DEFAULT_MAX_IDLE_S
             resting = [one for one in pool.connections if isinstance(one, InstanceConnection)]
             assert len(resting) == 1
-            resting[0].rests_since = asyncio.get_running_loop().time() - 3.0
+            resting[0].idle_since = asyncio.get_running_loop().time() - 3.0
             play.script.ending, play.script.stage, play.script.name = _forgetful, "", "plain-1"
             assert (await play.request("plain-1", UNSAFE)).status == 502
-            assert pool.resting_s == pytest.approx(FORGOTTEN_PART * 3.0, abs=0.3)
+            assert pool.max_idle_s == pytest.approx(DEAD_IDLE_FRACTION * 3.0, abs=0.3)
             assert (await play.request("warm", replace(UNSAFE, route_type="safe"))).status == 200
             kept = next(one for one in pool.connections if isinstance(one, InstanceConnection))
-            kept.rests_since = asyncio.get_running_loop().time() - 2.0
+            kept.idle_since = asyncio.get_running_loop().time() - 2.0
             connections = play.script.connections
             assert (await play.request("plain-3", UNSAFE)).status == 200
             assert play.script.connections == connections + 1, "one that has rested too long is not used again"
-            pool.answered([(b"keep-alive", b"timeout=60")])
-            assert pool.resting_s <= FORGOTTEN_PART * 3.3, "what was learned counts more than what is told"
+            pool.record_keep_alive([(b"keep-alive", b"timeout=60")])
+            assert pool.max_idle_s <= DEAD_IDLE_FRACTION * 3.3, "what was learned counts more than what is told"
 
     asyncio.run(asyncio.wait_for(run(), BOUND_S))
 
@@ -97,7 +102,7 @@
         async with _playing(False) as play:
             play.script.ending, play.script.stage, play.script.name = _forgetful, "", "plain-1"
             await play.request("plain-1", UNSAFE)
-            assert all(pool.resting_s == RESTING_S for pool in play.upstream.pools.values())
+            assert all(pool.max_idle_s == DEFAULT_MAX_IDLE_S for pool in play.upstream.pools.values())
 
     asyncio.run(asyncio.wait_for(run(), BOUND_S))
 
@@ -120,7 +125,7 @@
     call = play.upstream.call
 
     def watched(identity: str, one: object) -> object:
-        seen.append(int(find(one.fields, DEADLINE) or 0))  # type: ignore[attr-defined]
+        seen.append(int(find_field(one.fields, DEADLINE) or 0))  # type: ignore[attr-defined]
         return call(identity, one)  # type: ignore[arg-type]
 
     play.upstream.call = watched  # type: ignore[method-assign, assignment]
--- a/tests/test_worst_days_requests.py
+++ b/tests/test_worst_days_requests.py
@@ -13,11 +13,11 @@
 import pytest
 
 from hophinge.fleet.configuration.routes import Route
-from hophinge.fleet.dataplane.exchange import BrokenOffError, Exchange, Inbound
+from hophinge.fleet.dataplane.exchange import ResponseAbortedError, Exchange, Inbound
 from hophinge.fleet.dataplane.upstream import Upstream
 from hophinge.fleet.forwarding.budget import RetryBudget
-from hophinge.fleet.forwarding.headers import Fields, find
-from hophinge.fleet.forwarding.life import Life
+from hophinge.fleet.forwarding.headers import Fields, find_field
+from hophinge.fleet.forwarding.request_lifecycle import RequestLifecycle
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.placement.prompt import Prompt
@@ -80,7 +80,7 @@
         inbound = Inbound(b"POST", b"/x", [(b"host", b"h"), (b"hophinge-request-id", name.encode())], body, name)
         now = loop.time()
         prompt = Prompt(TOKENS, 80, ((f"{name}-{next(self.numbers)}", TOKENS),)) if self.staged else None
-        life = Life(
+        life = RequestLifecycle(
             name,
             route,
             "s",
@@ -95,7 +95,7 @@
         )
         try:
             await Exchange(inbound, life, self.upstream, client.send, False).run()
-        except BrokenOffError:
+        except ResponseAbortedError:
             client.broken = True
         return client
 
@@ -123,10 +123,10 @@
         assert ran <= 1, f"ran {ran} times"
         assert client.status not in PROMISES or ran == 0, f"{client.status} for what has run"
     assert ran <= route.max_attempts
-    signature = find(client.fields, b"hophinge-server-signature")
+    signature = find_field(client.fields, b"hophinge-server-signature")
     if client.status is not None and 200 <= client.status < 300:
         assert signature is not None
-        assert find(client.fields, b"hophinge-request-id") == name
+        assert find_field(client.fields, b"hophinge-request-id") == name
         if client.whole and kind.startswith("stream"):
             assert client.body == b"".join(b"id: %d\ndata: x\n\n" % number for number in range(1, EVENTS + 1))
         elif client.whole:
