--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -20,19 +20,19 @@
 
 from hophinge.maintenance.permits import PermitKind, PermitState  # noqa: E402
 from hophinge.maintenance.releases import ReleaseStage  # noqa: E402
-from hophinge.routing.bounds import Maintenance, Most, Release  # noqa: E402
+from hophinge.routing.maintenance_records import MaintenanceRule, DisruptionBudget, Release  # noqa: E402
 from tests.maintenance_faults import history  # noqa: E402
 from tests.maintenance_world import S, World  # noqa: E402
 
 HISTORIES = int(sys.argv[1]) if len(sys.argv) > 1 else 1000
 LOGS = min(20, HISTORIES - 1)  # histories that pysyncobj plays: some seconds each
 HEADS, SPARE = 40, 1.1  # what all heads together carry, in parts of the load
-RULE = Maintenance(Most(3, 0.1), Most(2, -1.0, 1))
+RULE = MaintenanceRule(DisruptionBudget(3, 0.1), DisruptionBudget(2, -1.0, 1))
 
 
 def one(seed: int) -> tuple[int, Counter[str], Counter[str]]:
     """Play a history of faults; tell breaches, what struck and what was done."""
-    world = World(seed, 8, 4, Maintenance(Most(3, 0.4, 2), Most(2, -1.0, 1)))
+    world = World(seed, 8, 4, MaintenanceRule(DisruptionBudget(3, 0.4, 2), DisruptionBudget(2, -1.0, 1)))
     world.restart_us = 5 * S
     for _ in range(4):
         world.advance()
--- a/benchmarks/stream_costs.py
+++ b/benchmarks/stream_costs.py
@@ -16,12 +16,12 @@
 
 from hophinge.core.interface import Arrival, ListKind, NodeEntry, NodeList, Phase  # noqa: E402
 from hophinge.core.settings import read_settings  # noqa: E402
-from hophinge.routing.record_reader import read  # noqa: E402
-from hophinge.routing.index import Index  # noqa: E402
-from hophinge.routing.admitted import Pass  # noqa: E402
+from hophinge.routing.document_reader import read_document  # noqa: E402
+from hophinge.routing.scope_index import ScopeIndex  # noqa: E402
+from hophinge.routing.admitted_request import AdmittedRequest  # noqa: E402
 from hophinge.routing.records import Limit, Scope  # noqa: E402
 from hophinge.routing.router import Router  # noqa: E402
-from hophinge.routing.table import EMPTY  # noqa: E402
+from hophinge.routing.routing_table import EMPTY_TABLE  # noqa: E402
 
 
 def quantile(values: Iterable[float], part: float) -> float:
@@ -35,7 +35,7 @@
     rows = []
     for tenants in (10, 1000, 10_000):
         values = [(Scope(f"t{at}", "", klass), at) for at in range(tenants) for klass in ("read", "")]
-        index = Index.of(values)
+        index = ScopeIndex.of(values)
         plain = sorted(
             values, key=lambda row: (bool(row[0].volume), bool(row[0].tenant), bool(row[0].klass)), reverse=True
         )
@@ -48,10 +48,10 @@
                     return value
             return None
 
-        if [index.find(*row) for row in asked] != [scan(*row) for row in asked]:
+        if [index.most_specific(*row) for row in asked] != [scan(*row) for row in asked]:
             raise AssertionError("the index and the list differ")
         times = []
-        for find, turns in ((index.find, 100), (scan, 1)):
+        for find, turns in ((index.most_specific, 100), (scan, 1)):
             best = []
             for _ in range(5):
                 since = time.perf_counter()
@@ -84,17 +84,17 @@
             f"(limit (tenant t{at}) (rate 100000 units/s) (burst 10 s) (open 64 requests))"
             for at in range(tenants)
         )
-        found = read(text.encode())
+        found = read_document(text.encode())
         if found.mistakes:
-            raise AssertionError(found.lines("the document"))
+            raise AssertionError(found.mistake_lines("the document"))
         router = Router(settings)
         router.nodes(1, NodeList(ListKind.FULL, backends))
         since = time.perf_counter()
-        router.take_up(EMPTY.changed((1, 1), found.records, {}), 1)
+        router.activate(EMPTY_TABLE.with_changes((1, 1), found.records, {}), 1)
         taken_up = time.perf_counter() - since
         news = {"limit/t7/*/*": Limit(Scope("t7"), 99_999.0, 10_000_000, 64)}
         since = time.perf_counter()
-        router.take_up(router.table.changed((1, 2), news, found.records), 1)
+        router.activate(router.table.with_changes((1, 2), news, found.records), 1)
         one_more = time.perf_counter() - since
         asks = [Arrival(f"r{at}", 1.0, f"{at % tenants:016x}", 0, -1, 1, "k", 1_000_000, True, 0) for at in range(2000)]
         best = []
@@ -102,7 +102,7 @@
             since = time.perf_counter()
             for ask in asks:
                 bounds = router.admit(1_000_000 * turn + 2, ask)
-                if not isinstance(bounds, Pass):
+                if not isinstance(bounds, AdmittedRequest):
                     raise AssertionError("a request was refused")
                 router.answered(1_000_000 * turn + 3, bounds)
             best.append((time.perf_counter() - since) / len(asks) * 1e6)
--- a/benchmarks/stream_emulated.py
+++ b/benchmarks/stream_emulated.py
@@ -19,14 +19,14 @@
 from hophinge.control.stream_client import StreamClient  # noqa: E402
 from hophinge.control.follower import Follower  # noqa: E402
 from hophinge.control.follower_actions import FollowerState  # noqa: E402
-from hophinge.routing.table import Facts  # noqa: E402
+from hophinge.routing.routing_table import HeadCapabilities  # noqa: E402
 
 sys.path.insert(0, str(ROOT / "benchmarks"))
 from stream_costs import quantile  # noqa: E402
 from stream_processes import TOKEN, control_process, memory_mb, staff, until  # noqa: E402
 
 RECORDS, EMULATED, PROCESSES = 10_000, 200, 4
-FACTS = Facts(frozenset({"hall-a", "hall-b", "hall-c"}), frozenset(), frozenset(), {}, 3, True)
+FACTS = HeadCapabilities(frozenset({"hall-a", "hall-b", "hall-c"}), frozenset(), frozenset(), {}, 3, True)
 
 
 def document(changed: int = 0) -> str:
--- a/hophinge/cli/load.py
+++ b/hophinge/cli/load.py
@@ -36,7 +36,7 @@
         raise fail(f"{path}: {error.strerror}") from error
     if mistakes:
         for one in sorted(set(mistakes)):
-            print(one.at(str(path)), file=sys.stderr)
+            print(one.located_in(str(path)), file=sys.stderr)
         raise typer.Exit(2)
     return plan
 
--- a/hophinge/cli/main.py
+++ b/hophinge/cli/main.py
@@ -68,15 +68,15 @@
 @app.command()
 def check(files: Annotated[list[Path], typer.Argument(help="service documents")]) -> None:
     """Check service documents; each mistake is one line FILE:LINE:COLUMN: what is wrong, and the status is 2."""
-    from hophinge.routing.record_reader import read
+    from hophinge.routing.document_reader import read_document
 
     wrong = False
     for file in files:
         try:
-            document = read(file.read_bytes())
+            document = read_document(file.read_bytes())
         except OSError as error:
             raise fail(f"{file}: {error.strerror}") from error
-        for line in document.lines(str(file)):
+        for line in document.mistake_lines(str(file)):
             wrong = True
             print(line, file=sys.stderr)
         if not document.mistakes:
--- a/hophinge/control/config_replica.py
+++ b/hophinge/control/config_replica.py
@@ -14,7 +14,7 @@
 )
 from hophinge.control.wire import decode_record
 from hophinge.routing import records
-from hophinge.routing.table import EMPTY, Facts, check
+from hophinge.routing.routing_table import EMPTY_TABLE, HeadCapabilities, validate
 
 MAX_REASON_CHARS = 2000
 MAX_REASONS = 5
@@ -30,14 +30,14 @@
 class ConfigReplica:
     """Stored records of one head, complete or not, beside the records of the active version."""
 
-    def __init__(self, facts: Facts) -> None:
+    def __init__(self, facts: HeadCapabilities) -> None:
         self.facts = facts
         self.stored: dict[str, VersionedRecord] = {}  # by name
         self.records: dict[str, records.Record] = {}  # the same, decoded
         self.undecodable: dict[str, str] = {}  # names of records that cannot be decoded, and why
         self.fingerprint_sum = 0
         self.replaced: dict[str, records.Record | None] = {}  # where `records` differs from the active version: its one
-        self.table = EMPTY
+        self.table = EMPTY_TABLE
 
     def store(self, name: str, version: str, body: bytes | None) -> None:
         """Store a record, or with None remove it."""
@@ -46,7 +46,7 @@
             if body == previous.body:
                 self.stored[name] = VersionedRecord(version, previous.fingerprint, previous.body)
                 return
-            self.fingerprint_sum = (self.fingerprint_sum - previous.fingerprint) % records.SUM
+            self.fingerprint_sum = (self.fingerprint_sum - previous.fingerprint) % records.FINGERPRINT_MODULUS
         elif body is None:
             return
         if name not in self.replaced:
@@ -62,7 +62,7 @@
     def _add(self, name: str, version: str, body: bytes) -> None:
         fingerprint = records.fingerprint(name, body)
         self.stored[name] = VersionedRecord(version, fingerprint, body)
-        self.fingerprint_sum = (self.fingerprint_sum + fingerprint) % records.SUM
+        self.fingerprint_sum = (self.fingerprint_sum + fingerprint) % records.FINGERPRINT_MODULUS
         try:
             record = records.decode(body)
             if record.key != name:
@@ -124,7 +124,7 @@
     def validation_errors(self) -> list[str]:
         """Return why the stored records cannot run here; only those that differ from the active version are checked."""
         errors = sorted(self.undecodable.values())
-        return errors or check(self.records, self.replaced, self.facts)
+        return errors or validate(self.records, self.replaced, self.facts)
 
     def activate(self, version: ConfigVersion) -> None:
         """Build the routing table of the stored records, which becomes the active one."""
@@ -134,7 +134,7 @@
             if record is not None or before is not None:
                 changes[name] = record
         previous = {name: record for name, record in self.replaced.items() if record is not None}
-        self.table = self.table.changed(version.id, changes, previous)
+        self.table = self.table.with_changes(version.id, changes, previous)
         self.replaced = {}
 
 
--- a/hophinge/control/follower.py
+++ b/hophinge/control/follower.py
@@ -34,7 +34,7 @@
 )
 from hophinge.control.reconnect_policy import ReconnectPolicy
 from hophinge.control.wire import decode_version
-from hophinge.routing.table import Facts, Table
+from hophinge.routing.routing_table import HeadCapabilities, RoutingTable
 
 CONNECT_TIMEOUT_US = 3_000_000  # from opening a stream to its first response
 MIN_STABLE_STREAM_US = 5_000_000  # a stream that ends sooner counts as a failed attempt, and backoffs go on growing
@@ -60,7 +60,7 @@
         self,
         head: str,
         endpoints: Iterable[str],
-        facts: Facts,
+        facts: HeadCapabilities,
         seed: int,
         idle_timeout_us: int,
         stale_after_us: int,
@@ -320,7 +320,7 @@
         return version_name(self.active_version.id) if self.active_version else "none"
 
     @property
-    def table(self) -> Table:
+    def table(self) -> RoutingTable:
         """The active routing table."""
         return self.replica.table
 
--- a/hophinge/control/follower_actions.py
+++ b/hophinge/control/follower_actions.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from hophinge.control.messages import ConfigVersion, DiscoveryRequest
-from hophinge.routing.table import Table
+from hophinge.routing.routing_table import RoutingTable
 
 
 class FollowerState(Enum):
@@ -41,7 +41,7 @@
 class ApplyTable(Struct, frozen=True):
     """Replace the routing table in one step."""
 
-    table: Table
+    table: RoutingTable
 
 
 class PersistVersion(Struct, frozen=True):
--- a/hophinge/control/last_known_good.py
+++ b/hophinge/control/last_known_good.py
@@ -58,7 +58,9 @@
         good = msgspec.msgpack.decode(file.payload, type=LastKnownGood)
     except msgspec.MsgspecError as error:
         raise files.StateFileError(f"{path}: {error}") from error
-    fingerprint_sum = sum(records.fingerprint(name, body) for name, _, body in good.records) % records.SUM
+    fingerprint_sum = (
+        sum(records.fingerprint(name, body) for name, _, body in good.records) % records.FINGERPRINT_MODULUS
+    )
     if fingerprint_sum != good.version.fingerprint_sum:
         raise files.StateFileError(f"{path}: its records are not those of its version")
     return good
--- a/hophinge/control/maintenance_channel.py
+++ b/hophinge/control/maintenance_channel.py
@@ -23,7 +23,7 @@
 from hophinge.maintenance.retirement import retirement_errors, without_retired
 from hophinge.maintenance.status import maintenance_status
 from hophinge.routing import records
-from hophinge.routing.document import Form
+from hophinge.routing.s_expressions import Form
 from hophinge.routing.records import Record
 
 TICK_INTERVAL_US = 200_000  # where no event causes an earlier tick
--- a/hophinge/control/operator_api.py
+++ b/hophinge/control/operator_api.py
@@ -20,7 +20,7 @@
 from hophinge.control.store import NewVersion, StoreError
 from hophinge.control.tokens import bearer_token
 from hophinge.routing import records
-from hophinge.routing.record_reader import read
+from hophinge.routing.document_reader import read_document
 from hophinge.routing.records import Record
 
 MAX_HISTORY = 1000
@@ -84,26 +84,26 @@
     async def push(self, operator: str, request: JsonObject) -> JsonObject:
         """Validate a document and store it as the next version; with `expect` only if that is the newest version."""
         source = str(request["text"]).encode()
-        document = read(source)
+        document = read_document(source)
         name = str(request.get("name", "the document"))
         note = str(request.get("note", ""))
-        if mistakes := document.lines(name):
+        if mistakes := document.mistake_lines(name):
             return {"mistakes": mistakes}
-        statements = [record for record in document.records.values() if isinstance(record, records.UPKEEP)]
-        if mistakes := self.maintenance.validate(statements, document.places.get("maintenance/*"), name):
+        statements = [record for record in document.records.values() if isinstance(record, records.MAINTENANCE_RECORDS)]
+        if mistakes := self.maintenance.validate(statements, document.forms.get("maintenance/*"), name):
             return {"mistakes": mistakes}
         bodies = {
             key: records.encode(record)
             for key, record in document.records.items()
-            if not isinstance(record, (records.Rollout, *records.UPKEEP))
+            if not isinstance(record, (records.RolloutRule, *records.MAINTENANCE_RECORDS))
         }
         stated = stated_reserves(bodies.values())
         await self.shares.check_reserves({**self.shares.tenant_reserves(), **stated.by_tenant}, stated.head_capacity)
         self._check_expected(request.get("expect"))
         if not request.get("again") and self._is_newest(bodies):
             return self._store_statements(statements, operator, note)
-        rule = document.records.get("rollout/*", records.Rollout())
-        assert isinstance(rule, records.Rollout)
+        rule = document.records.get("rollout/*", records.RolloutRule())
+        assert isinstance(rule, records.RolloutRule)
         version_id = self.runner.push(NewVersion(bodies, rule, operator, note, source, statements))
         return {"version": version_name(version_id)}
 
--- a/hophinge/control/quota_shares.py
+++ b/hophinge/control/quota_shares.py
@@ -188,8 +188,8 @@
     for body in bodies:
         if body.startswith(RESERVE_RECORDS):
             record = records.decode(body)
-            if isinstance(record, records.Tenant) and record.reserve > 0:
+            if isinstance(record, records.TenantRule) and record.reserve > 0:
                 by_tenant[record.name] = record.reserve
-            elif isinstance(record, records.Spare):
-                head_capacity = record.capacity
+            elif isinstance(record, records.SpareSharing):
+                head_capacity = record.head_capacity
     return StatedReserves(by_tenant, head_capacity)
--- a/hophinge/control/rollout.py
+++ b/hophinge/control/rollout.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from hophinge.control.messages import NO_VERSION, VersionId
-from hophinge.routing.records import Rollout as RolloutRule
+from hophinge.routing.records import RolloutRule as RolloutRule
 
 MIN_REQUESTS = 20  # requests of a wave before its failure rate is judged
 FORGET_HEAD_US = 7 * 24 * 3600 * 1_000_000  # a head that was not observed for a week is not counted in a wave's share
@@ -183,7 +183,7 @@
         plan.reason = reason
         plan.stage = RolloutStage.PAUSED
         # A rollback is not rolled back itself: that would go on for ever.
-        if self.rule.on_trouble == "rollback" and any(plan.stable) and not plan.is_rollback:
+        if self.rule.on_failure == "rollback" and any(plan.stable) and not plan.is_rollback:
             return RolloutDecision(True, reason)
         return RolloutDecision(True)
 
@@ -220,7 +220,7 @@
         if not members and not (plan.wave == 0 and self.rule.first):
             return RolloutDecision(is_changed)  # no head is connected that would show whether the version is good
         self.acknowledged_since_us = self.acknowledged_since_us or now_us
-        if members and now_us - self.acknowledged_since_us < self.rule.hold_us:
+        if members and now_us - self.acknowledged_since_us < self.rule.soak_us:
             return RolloutDecision(is_changed)
         self._advance()
         return RolloutDecision(True)
@@ -235,7 +235,7 @@
 
     def _timeout_reason(self, now_us: int) -> str:
         """Return why heads that did not acknowledge in time pause the rollout; empty if none is late."""
-        timeout_us = self.rule.patience_us
+        timeout_us = self.rule.acknowledge_timeout_us
         late = sorted(name for name, since_us in self.unacknowledged.items() if now_us - since_us > timeout_us)
         return f"{', '.join(late[:MAX_NAMED_HEADS])} gave no answer for {timeout_us / 1e6:g} s" if late else ""
 
@@ -245,9 +245,9 @@
         requests = sum(head.requests - head.baseline_requests for head in upgraded)
         failed = sum(head.failed - head.baseline_failed for head in upgraded)
         usual = sum(head.usual_failure_rate * (head.requests - head.baseline_requests) for head in upgraded)
-        if requests >= MIN_REQUESTS and failed > usual + self.rule.failures * requests:
+        if requests >= MIN_REQUESTS and failed > usual + self.rule.max_failure_share * requests:
             return (
                 f"{failed:g} of {requests:g} requests failed where it runs, {usual:.0f} by what was usual there; "
-                f"over the stated {100 * self.rule.failures:g} % more"
+                f"over the stated {100 * self.rule.max_failure_share:g} % more"
             )
         return ""
--- a/hophinge/control/rollout_runner.py
+++ b/hophinge/control/rollout_runner.py
@@ -84,9 +84,9 @@
             is_rollback=True,
         )
 
-    def immediate_rule(self) -> records.Rollout:
+    def immediate_rule(self) -> records.RolloutRule:
         """Return the rule of a rollback: to all heads in one wave, as all but a few run that content already."""
-        return records.Rollout(patience_us=self.rollout.rule.patience_us)
+        return records.RolloutRule(acknowledge_timeout_us=self.rollout.rule.acknowledge_timeout_us)
 
     def push(self, version: NewVersion, is_rollback: bool = False) -> VersionId:
         """Store a version and begin its rollout; `is_rollback`: it restores an earlier version's content."""
--- a/hophinge/control/snapshot.py
+++ b/hophinge/control/snapshot.py
@@ -67,7 +67,7 @@
                 text = version_text(changed_in.get(name, version_id), fingerprint)
                 record = VersionedRecord(text, fingerprint, body)
             built[name] = record
-        fingerprint_sum = sum(record.fingerprint for record in built.values()) % records.SUM
+        fingerprint_sum = sum(record.fingerprint for record in built.values()) % records.FINGERPRINT_MODULUS
         return cls(ConfigVersion(version_id, len(built), fingerprint_sum, pushed_ms), built)
 
     def delta_from(self, stored: Mapping[str, str]) -> Delta:
--- a/hophinge/control/store.py
+++ b/hophinge/control/store.py
@@ -53,7 +53,7 @@
     """A version to be stored: its records as JSON by name, how it is rolled out, and what its history says."""
 
     bodies: Mapping[str, bytes]
-    rule: records.Rollout
+    rule: records.RolloutRule
     author: str
     note: str = ""
     source: bytes = b""  # text of the document
@@ -221,11 +221,11 @@
             if version_id not in in_use:
                 del self.snapshots[version_id]
 
-    def rollout_rule(self, version_id: VersionId) -> records.Rollout:
+    def rollout_rule(self, version_id: VersionId) -> records.RolloutRule:
         """Return how a version is rolled out; the default rule where there is no such version."""
         row = self.db.execute("SELECT rollout FROM version WHERE epoch = ? AND number = ?", version_id).fetchone()
-        rule = records.decode(row[0]) if row else records.Rollout()
-        assert isinstance(rule, records.Rollout)
+        rule = records.decode(row[0]) if row else records.RolloutRule()
+        assert isinstance(rule, records.RolloutRule)
         return rule
 
     def version_records(self, version_id: VersionId) -> dict[str, bytes]:
--- a/hophinge/control/stream_client.py
+++ b/hophinge/control/stream_client.py
@@ -33,7 +33,7 @@
     MalformedMessageError,
     ResourceType,
 )
-from hophinge.routing.table import Table
+from hophinge.routing.routing_table import RoutingTable
 from hophinge.state.files import DISK, Disk, StateFileError, remove_leftovers
 
 CHANNEL_OPTIONS = (
@@ -69,7 +69,7 @@
         follower: Follower,
         token: str,
         path: Path | None,
-        apply_table: Callable[[Table], None],
+        apply_table: Callable[[RoutingTable], None],
         now_us: Callable[[], int],
         log: Callable[[str], None],
         collect_metrics: Callable[[], Mapping[str, float]] = dict,
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -20,7 +20,7 @@
 from hophinge.core.interface import Arrival
 from hophinge.head.operator import StreamConfig
 from hophinge.routing.router import Router
-from hophinge.routing.table import Facts, Table
+from hophinge.routing.routing_table import HeadCapabilities, RoutingTable
 from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
 from hophinge.tenancy.account_replication import AccountChunk, AccountReceiver
 from hophinge.tenancy.share_leases import ShareLeaseHolder, ShareLease
@@ -54,8 +54,8 @@
         self.accounts = accounts
         self.copied: Copied | None = None
         if accounts is not None:
-            self.router.owner = accounts.accounts.owner
-            self.router.account = accounts.accounts.tenants.get
+            self.router.find_owner = accounts.accounts.owner
+            self.router.find_account = accounts.accounts.tenants.get
             accounts.forms = self.forms
             accounts.tenant_ended = self.tenant_ended
             self.copied = Copied(accounts, name) if accounts.copy else None
@@ -63,7 +63,7 @@
         self.follower = Follower(
             name,
             config.endpoints,
-            Facts.of(exchange.settings),
+            HeadCapabilities.from_settings(exchange.settings),
             seed,
             int(config.silence_s * 1e6),
             int(config.stale_s * 1e6),
@@ -90,22 +90,22 @@
             self.client.followup_requests = self.copied.others
         self.client.lease_request_metrics = self.ask_lease
         self.client.on_lease = self.take_lease
-        self.router.part = self.part
+        self.router.reserve_share = self.part
 
     async def pace(self, volume: str, klass: str, way: int, size: int) -> None:
         """Pause for as long as the limits that fit want, after bytes of a long body have moved."""
-        pause_us = self.router.pause_us(self.exchange.now_us(), volume, klass, way, size)
+        pause_us = self.router.pacing_delay_us(self.exchange.now_us(), volume, klass, way, size)
         if pause_us:
             await asyncio.sleep(pause_us / 1e6)
 
     def tenant_ended(self, tenant: str) -> None:
         """Turn away at once what waits of a tenant that is served no more."""
-        if self.router.end(tenant):
+        if self.router.evict_tenant(tenant):
             self.exchange.gate_changed()
 
     def _leases(self) -> bool:
         spare = self.router.table.spare
-        return spare is not None and spare.leases
+        return spare is not None and spare.uses_leases
 
     def part(self, tenant: str) -> float:
         """Tell this head's part of a tenant's reserve."""
@@ -133,15 +133,15 @@
         """Take a lease off the stream."""
         self.holder.accept(self.exchange.now_us(), msgspec.json.decode(json, type=ShareLease))
 
-    def apply(self, table: Table) -> None:
+    def apply(self, table: RoutingTable) -> None:
         """Put a version in force: one step between two turns of the loop."""
-        self.exchange.scheduler.replan(self.router.take_up(table, self.exchange.now_us()))
+        self.exchange.scheduler.replan(self.router.activate(table, self.exchange.now_us()))
 
     def figures(self) -> dict[str, float]:
         """Tell the control service what the rollout is judged by."""
         counts = self.exchange.counters.counts
         # What a limit or a share refuses is meant; what finds no brick, or no time, may be the version's fault.
-        meant = self.router.refused_limit + self.router.refused_share
+        meant = self.router.rejected_by_limit + self.router.rejected_beyond_share
         return {
             "taken": counts["requests_taken"],
             "failed": counts["requests_failed"] + counts["requests_refused"] - meant,
@@ -157,9 +157,9 @@
             "config_connected": follower.is_connected,
             "config_not_kept": bool(follower.persist_error),
             "config_version": follower.active_version.id[1] if follower.active_version else 0,
-            "bricks_resting": len(self.router.ejector.out),
-            "limits_refused_total": self.router.refused_limit,
-            "pools_refused_total": self.router.refused_pools,
+            "bricks_resting": len(self.router.outlier_detector.ejected_until),
+            "limits_refused_total": self.router.rejected_by_limit,
+            "pools_refused_total": self.router.rejected_without_backend,
         }
 
     def tenants(self) -> str:
@@ -167,13 +167,13 @@
         rows = {
             "leases": self._leases(),
             "serial": self.holder.serial,
-            **self.router.usage(MAX_SHOWN, self.exchange.now_us()),
+            **self.router.tenant_usage(MAX_SHOWN, self.exchange.now_us()),
         }
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
     def status(self) -> str:
         """Tell staff what runs here, as JSON."""
-        rows = {**self.follower.status(self.exchange.now_us()), "routing": self.router.figures()}
+        rows = {**self.follower.status(self.exchange.now_us()), "routing": self.router.status()}
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
 
@@ -187,12 +187,12 @@
 
     def owner(self, volume: str) -> str:
         """Tell the tenant of a volume, or nothing."""
-        return self.router.table.owners.get(volume.lower(), "")
+        return self.router.table.tenant_by_volume.get(volume.lower(), "")
 
     def admits(self, connection: object, volume: str) -> bool:
         """Tell whether a request of a volume may come over a connection."""
         form = self.router.table.tenants.get(self.owner(volume))
-        if form is None or self.held.acquire(form.name, connection, form.connections):
+        if form is None or self.held.acquire(form.name, connection, form.max_connections):
             return True
         self.counters.add("tenants_bounded")
         return False
--- a/hophinge/load/plan.py
+++ b/hophinge/load/plan.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-from hophinge.routing.document import Atom, Form, Mistake, Node, decode, parse
-from hophinge.routing.record_reader import Fields
+from hophinge.routing.s_expressions import Atom, Form, Mistake, Node, decode_text, parse
+from hophinge.routing.document_reader import FormReader
 
 VERSION = "1"
 FAULTS = ("fail", "hang", "slow", "cold", "vanish")
@@ -150,7 +150,7 @@
 
 def read(raw: bytes) -> tuple[LoadPlan, list[Mistake]]:
     """Read a plan; its mistakes stand in the result, none is raised."""
-    text, mistakes = decode(raw)
+    text, mistakes = decode_text(raw)
     nodes: list[Node] = []
     if not mistakes:
         nodes, mistakes = parse(text)
@@ -161,7 +161,7 @@
     if not mistakes and (
         not nodes
         or not isinstance(nodes[0], Form)
-        or nodes[0].word != "load"
+        or nodes[0].keyword != "load"
         or [str(item) for item in nodes[0].items[1:]] != [VERSION]
     ):
         wrong(nodes[0] if nodes else Atom("", 1, 1), f"a plan begins with (load {VERSION})")
@@ -170,42 +170,42 @@
         if isinstance(node, Atom):
             wrong(node, f"{node.text!r} stands outside of any form; put it into one or remove it")
             continue
-        part = Fields(node, wrong)
-        if node.word == "run":
+        part = FormReader(node, wrong)
+        if node.keyword == "run":
             plan = _run(part)
-        elif node.word == "client":
+        elif node.keyword == "client":
             client = _client(part)
             if client.name in clients:
                 wrong(node, f"the client {client.name} is given twice; keep one")
             clients[client.name] = client
-        elif node.word == "surge":
-            part.nameless()
+        elif node.keyword == "surge":
+            part.reject_names()
             surges.append(
                 Surge(
-                    part.time("at", needed=True),
-                    part.time("for", needed=True),
-                    part.number("times", 2.0, 0.01, 100),
-                    part.names("clients", "client"),
+                    part.read_time_us("at", is_required=True),
+                    part.read_time_us("for", is_required=True),
+                    part.read_number("times", 2.0, 0.01, 100),
+                    part.read_names("clients", "client"),
                 )
             )
-        elif node.word == "fault":
-            kind = part.name("fault")
+        elif node.keyword == "fault":
+            kind = part.read_name("fault")
             if kind and kind not in FAULTS:
                 wrong(node, f"(fault {kind} ...): there are {', '.join(FAULTS)}")
             faults.append(
                 Fault(
                     kind,
-                    part.time("at", needed=True),
-                    part.time("for", needed=True),
-                    part.quantity("bricks", "share", 0.5, 0.0, 1.0),
-                    part.quantity("requests", "share", 1.0, 0.0, 1.0),
-                    part.number("times", 5.0, 1, 1000),
+                    part.read_time_us("at", is_required=True),
+                    part.read_time_us("for", is_required=True),
+                    part.read_quantity("bricks", "share", 0.5, 0.0, 1.0),
+                    part.read_quantity("requests", "share", 1.0, 0.0, 1.0),
+                    part.read_number("times", 5.0, 1, 1000),
                 )
             )
         else:
-            wrong(node, f"{node.word or 'a form without a word'!r} is no form; there are run, client, surge, fault")
+            wrong(node, f"{node.keyword or 'a form without a word'!r} is no form; there are run, client, surge, fault")
             continue
-        part.end()
+        part.reject_unknown()
     plan = replace(plan, clients=tuple(clients.values()), surges=tuple(surges), faults=tuple(faults))
     if not mistakes:
         for surge in surges:
@@ -220,35 +220,35 @@
     return plan, mistakes
 
 
-def _run(part: Fields) -> LoadPlan:
-    part.nameless()
+def _run(part: FormReader) -> LoadPlan:
+    part.reject_names()
     return LoadPlan(
-        int(part.number("seed", 1, 0, 1e9, whole=True)),
-        int(part.quantity("for", "time", 10e6, 1e6, LONGEST_S * 1e6)),
-        part.time("settle", 2_000_000),
-        int(part.number("bricks", 3, 1, 64, whole=True)),
-        int(part.number("slots", 2, 1, 64, whole=True)),
-        part.time("work", 20_000, 100),
-        int(part.quantity("queue", "requests", 64, 1, 1e6)),
+        int(part.read_number("seed", 1, 0, 1e9, is_integer=True)),
+        int(part.read_quantity("for", "time", 10e6, 1e6, LONGEST_S * 1e6)),
+        part.read_time_us("settle", 2_000_000),
+        int(part.read_number("bricks", 3, 1, 64, is_integer=True)),
+        int(part.read_number("slots", 2, 1, 64, is_integer=True)),
+        part.read_time_us("work", 20_000, 100),
+        int(part.read_quantity("queue", "requests", 64, 1, 1e6)),
     )
 
 
-def _client(part: Fields) -> Client:
-    name, way = part.name("client"), part.choice("way", ("read", "write"))
+def _client(part: FormReader) -> Client:
+    name, way = part.read_name("client"), part.read_choice("way", ("read", "write"))
     return Client(
         name,
-        part.one("class", "class"),
-        part.one("plan", "plan"),
-        part.quantity("rate", "request rate", 1.0, 0.0, MAX_RATE, needed=True),
-        part.quantity("units", "units", 1.0, 0.01, 1e6),
-        int(part.number("volumes", 1, 1, VOLUMES - 1, whole=True)),
+        part.read_optional_name("class", "class"),
+        part.read_optional_name("plan", "plan"),
+        part.read_quantity("rate", "request rate", 1.0, 0.0, MAX_RATE, is_required=True),
+        part.read_quantity("units", "units", 1.0, 0.01, 1e6),
+        int(part.read_number("volumes", 1, 1, VOLUMES - 1, is_integer=True)),
         way == "write",
-        part.time("remaining", 1_000_000, 10_000),
-        part.time("aim", 200_000, 1000),
-        part.number("worth", 1.0, 0.0, 1e6),
-        int(part.number("retries", 0, 0, 10, whole=True)),
-        part.time("pause", 100_000, 1000),
-        part.time("stays"),
-        part.number("heavy", 1.0, 1.0, 1000),
-        part.quantity("heavy-part", "share", 0.0, 0.0, 1.0),
+        part.read_time_us("remaining", 1_000_000, 10_000),
+        part.read_time_us("aim", 200_000, 1000),
+        part.read_number("worth", 1.0, 0.0, 1e6),
+        int(part.read_number("retries", 0, 0, 10, is_integer=True)),
+        part.read_time_us("pause", 100_000, 1000),
+        part.read_time_us("stays"),
+        part.read_number("heavy", 1.0, 1.0, 1000),
+        part.read_quantity("heavy-part", "share", 0.0, 0.0, 1.0),
     )
--- a/hophinge/maintenance/issuer.py
+++ b/hophinge/maintenance/issuer.py
@@ -28,7 +28,7 @@
 from hophinge.maintenance.releases import ReleaseDecision, ReleaseProgress, Releases, ReleaseStage
 from hophinge.maintenance.snapshots import SnapshotReceiver
 from hophinge.maintenance.wave_monitor import DISCONNECT_TIMEOUT_US, HeadStatus
-from hophinge.routing.bounds import Maintenance, Outage, Release
+from hophinge.routing.maintenance_records import MaintenanceRule, Outage, Release
 from hophinge.routing.records import Record
 
 # Prefixes of the requester of a permit.
@@ -69,7 +69,7 @@
         self.drain_statements = DrainStatements()
         self.observations = Observations(zones)
         self.started_us = now_us
-        self.policy = Maintenance()
+        self.policy = MaintenanceRule()
         self.outages: dict[str, Outage] = {}
         self.configured_releases: dict[str, Release] = {}
         self.records: tuple[Record, ...] = ()  # of pools, routes and tenants
@@ -86,7 +86,7 @@
     ) -> None:
         """Apply the maintenance records, and the records that state what pools must carry."""
         rows = list(maintenance_records)
-        self.policy = next((row for row in rows if isinstance(row, Maintenance)), Maintenance())
+        self.policy = next((row for row in rows if isinstance(row, MaintenanceRule)), MaintenanceRule())
         self.outages = {row.name: row for row in rows if isinstance(row, Outage)}
         self.configured_releases = {row.name: row for row in rows if isinstance(row, Release)}
         self.records = tuple(records)
@@ -136,7 +136,7 @@
         """Do all that follows from what is known; raises what the store raises, and is then to be called again."""
         self.backend_availability = None
         self._store(now_us, self.permits.expired(now_us))
-        for permit_id in self.policy.free:
+        for permit_id in self.policy.released_permits:
             if permit_id in self.permits.active:
                 self._store(now_us, self.permits.transition(permit_id, PermitState.FREE))
         self._apply_evidence(now_us)
@@ -186,8 +186,8 @@
     def _backend_permit_state(self, permit: Permit) -> PermitState | None:
         """Return the next state of a backend's permit by heads' statements, None if there is no evidence for one."""
         if permit.state is PermitState.BACK:
-            head_count = self.observations.head_availability(self.policy.retired).total
-            required_count = max(1, min(self.policy.served, head_count))
+            head_count = self.observations.head_availability(self.policy.retired_heads).total
+            required_count = max(1, min(self.policy.min_serving_heads, head_count))
             return PermitState.FREE if self.drain_statements.served_count(permit.id) >= required_count else None
         if not self._is_still_requested(permit):
             return PermitState.BACK
@@ -206,10 +206,10 @@
         """Return which heads' statements that a backend is drained are missing."""
         outage = self.outages.get(permit.requester.removeprefix(OUTAGE))
         connected = self.observations.connected()
-        known = [name for name in self.observations.heads if name not in self.policy.retired]
+        known = [name for name in self.observations.heads if name not in self.policy.retired_heads]
         exempt = {
-            *(outage.without if outage is not None else ()),
-            *(set(self.policy.retired) - connected),
+            *(outage.ignored_heads if outage is not None else ()),
+            *(set(self.policy.retired_heads) - connected),
         }
         required = required_heads(
             known,
@@ -226,11 +226,11 @@
         if kind is PermitKind.HEAD:
             return [head_floor(self.records, self.reserves)]
         listings = {name: listed.listing for name, listed in self.observations.listed_backends.items()}
-        return backend_floors(self.records, listings, self.policy.capacity, self.reserves)
+        return backend_floors(self.records, listings, self.policy.backend_capacity, self.reserves)
 
     def _request(self, now_us: int, request: PermitRequest) -> None:
         if request.kind is PermitKind.HEAD:
-            availability = self.observations.head_availability(self.policy.retired)
+            availability = self.observations.head_availability(self.policy.retired_heads)
             limit = self.policy.heads
         else:
             self.backend_availability = self.backend_availability or self.observations.backend_availability(now_us)
@@ -307,7 +307,7 @@
                 now_us,
                 current.id,
                 report.process,
-                self.observations.head_availability(self.policy.retired),
+                self.observations.head_availability(self.policy.retired_heads),
                 self.policy.heads,
                 self._floors(PermitKind.HEAD),
             )
@@ -317,7 +317,7 @@
         """Return the heads as releases see them, by name."""
         statuses = {}
         for name, head in self.observations.heads.items():
-            if head.is_connected or name not in self.policy.retired:
+            if head.is_connected or name not in self.policy.retired_heads:
                 report = head.report or HeadReport(0)
                 statuses[name] = HeadStatus(
                     head.is_connected,
--- a/hophinge/maintenance/observations.py
+++ b/hophinge/maintenance/observations.py
@@ -12,7 +12,7 @@
 from hophinge.maintenance.messages import BackendListing, HeadReport
 from hophinge.maintenance.permits import Availability, CapacityFloor
 from hophinge.maintenance.snapshots import SnapshotReceiver
-from hophinge.routing.records import Pool, Record, Route, Spare, Tenant
+from hophinge.routing.records import Pool, Record, Route, SpareSharing, TenantRule
 from hophinge.tenancy.share_planner import find_shortfall
 
 BACKEND_RETENTION_US = (
@@ -129,7 +129,7 @@
         CapacityFloor(
             f"the pool {name}",
             frozenset(backend for backend, listing in backends.items() if _belongs(pool, backend, listing)),
-            required_count(by_pool[name], capacity, pool.at_least),
+            required_count(by_pool[name], capacity, pool.min_backends),
         )
         for name, pool in pools.items()
     ]
@@ -140,13 +140,15 @@
 def head_floor(records: Iterable[Record], accounts: Mapping[str, float]) -> CapacityFloor:
     """Return how many heads carry all reserves, by the capacity that the document states for one."""
     rows = list(records)
-    capacity = next((record.capacity for record in rows if isinstance(record, Spare)), 0.0)
+    capacity = next((record.head_capacity for record in rows if isinstance(record, SpareSharing)), 0.0)
     reserves = _all_reserves(rows, accounts)
     return CapacityFloor("the installation", (), required_count(reserves, capacity, 0))
 
 
 def _all_reserves(records: Iterable[Record], accounts: Mapping[str, float]) -> dict[str, float]:
-    stated = {record.name: record.reserve for record in records if isinstance(record, Tenant) and record.reserve > 0}
+    stated = {
+        record.name: record.reserve for record in records if isinstance(record, TenantRule) and record.reserve > 0
+    }
     return {**accounts, **stated}
 
 
--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -19,7 +19,7 @@
 from msgspec import Struct
 
 from hophinge.core.errors import HophingeError
-from hophinge.routing.bounds import Most
+from hophinge.routing.maintenance_records import DisruptionBudget
 
 BEGIN_US = 20_000_000  # by the requester's clock, from its request
 MAX_CLOCK_DRIFT = 0.01  # relative, between two monotonic clocks, as in tenancy/share_leases.py
@@ -161,7 +161,7 @@
         name: str,
         zone: str,
         availability: Availability,
-        limit: Most | None,
+        limit: DisruptionBudget | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> str:
         """Return why no further process may be out; empty if it may."""
@@ -179,7 +179,7 @@
         now_us: int,
         request: PermitRequest,
         availability: Availability,
-        limit: Most | None,
+        limit: DisruptionBudget | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> PermitDecision:
         """Decide on a request; a repeated one gets the same permit."""
@@ -215,7 +215,7 @@
         permit_id: str,
         process: int,
         availability: Availability,
-        limit: Most | None,
+        limit: DisruptionBudget | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> PermitDecision:
         """Begin a permit that was granted, unless processes that went out since then leave no place for it."""
@@ -260,10 +260,10 @@
 
 
 def _total_rejection(
-    kind: PermitKind, name: str, unavailable: Mapping[str, str], availability: Availability, limit: Most
+    kind: PermitKind, name: str, unavailable: Mapping[str, str], availability: Availability, limit: DisruptionBudget
 ) -> str:
     total = max(availability.total, len(availability.up.keys() | availability.down.keys()))
-    allowed = limit.allowed(total)
+    allowed = limit.allowed_out(total)
     if len(unavailable) <= allowed:
         return ""
     return (
@@ -278,7 +278,7 @@
     zone: str,
     unavailable: Mapping[str, str],
     availability: Availability,
-    limit: Most,
+    limit: DisruptionBudget,
 ) -> str:
     # A process whose zone is unknown may be in any zone.
     in_zone = {one: where for one, where in unavailable.items() if not zone or not where or where == zone}
@@ -286,7 +286,7 @@
     zone_sizes = [zones.count(one) for one in set(zones) if one]
     smallest_size = min(zone_sizes, default=max(availability.total, len(zones)))
     size = zones.count(zone) if zone else smallest_size
-    allowed = limit.allowed_zone(size)
+    allowed = limit.allowed_out_of_zone(size)
     if len(in_zone) <= allowed:
         return ""
     return (
--- a/hophinge/maintenance/releases.py
+++ b/hophinge/maintenance/releases.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 from hophinge.maintenance.wave_monitor import HeadStatus, WaveId, WaveMonitor
-from hophinge.routing.bounds import Release
+from hophinge.routing.maintenance_records import Release
 
 # The commands of a `(release ...)` form.
 GO = "go"
@@ -120,7 +120,7 @@
             known = self.progress.get(name)
             if known is None or (known.build != config.build and known.stage in FINAL_STAGES):
                 last_order += 1
-                changes.append(ReleaseProgress(name, config.build, last_order, attempt=config.again))
+                changes.append(ReleaseProgress(name, config.build, last_order, attempt=config.resume_count))
             elif known.build != config.build and known.stage is not ReleaseStage.HALTED:
                 reason = f"its form has another build, {config.build}; give that a name of its own"
                 changes.append(_halted(known, reason))
@@ -147,7 +147,7 @@
     def _release_to_undo(self, configured: Mapping[str, Release]) -> ReleaseProgress | None:
         for release in self.progress.values():
             config = configured.get(release.name)
-            if release.stage is ReleaseStage.DONE and config is not None and config.word == ROLL_BACK:
+            if release.stage is ReleaseStage.DONE and config is not None and config.command == ROLL_BACK:
                 return release
         return None
 
@@ -167,7 +167,7 @@
             monitor.stable_since_us = 0
             return _request_restarts(release, pending, heads)
         monitor.stable_since_us = monitor.stable_since_us or now_us
-        if now_us - monitor.stable_since_us < config.settle_us:
+        if now_us - monitor.stable_since_us < config.soak_us:
             return ReleaseDecision()
         if release.wave < len(config.waves) and len(wave) < len(targets):
             return ReleaseDecision((msgspec.structs.replace(release, wave=release.wave + 1),))
@@ -205,22 +205,22 @@
 def _apply_command(release: ReleaseProgress, config: Release) -> ReleaseProgress:
     """Return the release after the command of its configuration, the same object if that changes nothing."""
     replace = msgspec.structs.replace
-    if config.word == HALT and release.stage in (
+    if config.command == HALT and release.stage in (
         ReleaseStage.WAITING,
         ReleaseStage.ROLLING,
         ReleaseStage.RETURNING,
     ):
         return replace(release, stage=ReleaseStage.HALTED, halted_automatically=False, reason="halted by word")
-    if config.word == ROLL_BACK and release.stage is not ReleaseStage.RETURNING:
-        attempt = max(release.attempt, config.again)
+    if config.command == ROLL_BACK and release.stage is not ReleaseStage.RETURNING:
+        attempt = max(release.attempt, config.resume_count)
         return replace(release, stage=ReleaseStage.RETURNING, reason="", attempt=attempt)
-    if config.word == GO and config.build == release.build:
+    if config.command == GO and config.build == release.build:
         is_halted_by_command = release.stage is ReleaseStage.HALTED and not release.halted_automatically
         if release.stage is ReleaseStage.WAITING or is_halted_by_command:
-            attempt = max(release.attempt, config.again)
+            attempt = max(release.attempt, config.resume_count)
             return replace(release, stage=ReleaseStage.ROLLING, reason="", attempt=attempt)
-        if release.stage in (ReleaseStage.HALTED, ReleaseStage.RETURNING) and config.again > release.attempt:
-            return replace(release, stage=ReleaseStage.ROLLING, reason="", attempt=config.again)
+        if release.stage in (ReleaseStage.HALTED, ReleaseStage.RETURNING) and config.resume_count > release.attempt:
+            return replace(release, stage=ReleaseStage.ROLLING, reason="", attempt=config.resume_count)
     return release
 
 
--- a/hophinge/maintenance/retirement.py
+++ b/hophinge/maintenance/retirement.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from hophinge.routing.bounds import Maintenance
-from hophinge.routing.document import Atom, Form, Mistake
+from hophinge.routing.maintenance_records import MaintenanceRule
+from hophinge.routing.s_expressions import Atom, Form, Mistake
 from hophinge.routing.records import Record
 
 RETIRED = "retired"
@@ -30,8 +30,8 @@
 def without_retired(records: Sequence[Record], head: str) -> list[Record]:
     """Return the records without the declaration that a head is gone; unchanged ones if none declares it."""
     return [
-        msgspec.structs.replace(record, retired=tuple(name for name in record.retired if name != head))
-        if isinstance(record, Maintenance)
+        msgspec.structs.replace(record, retired_heads=tuple(name for name in record.retired_heads if name != head))
+        if isinstance(record, MaintenanceRule)
         else record
         for record in records
     ]
@@ -49,21 +49,21 @@
         document: The name of the document.
 
     """
-    retired = [name for record in records if isinstance(record, Maintenance) for name in record.retired]
+    retired = [name for record in records if isinstance(record, MaintenanceRule) for name in record.retired_heads]
     errors = []
     for head in (name for name in retired if name in connected):
         line, column = _position(form, head)
         error = Mistake(
             line, column, f"{head} is not gone, it has a stream here; take it out of (retired ...), or stop it first"
         )
-        errors.append(error.at(document))
+        errors.append(error.located_in(document))
     return errors
 
 
 def _position(form: Form | None, head: str) -> tuple[int, int]:
     """Return the line and column where a form declares a head as gone; the beginning if it does not."""
     for item in form.items if form is not None else ():
-        if isinstance(item, Form) and item.word == RETIRED:
+        if isinstance(item, Form) and item.keyword == RETIRED:
             for atom in item.items[1:]:
                 if isinstance(atom, Atom) and atom.text == head:
                     return atom.line, atom.column
--- a/hophinge/maintenance/status.py
+++ b/hophinge/maintenance/status.py
@@ -27,7 +27,7 @@
         since_ms: Returns when an absent head was connected last, in milliseconds since 1970; 0: unknown.
 
     """
-    heads = issuer.observations.head_availability(issuer.policy.retired)
+    heads = issuer.observations.head_availability(issuer.policy.retired_heads)
     return {
         "heads_up": len(heads.up),
         "heads": max(heads.total, len(heads.up) + len(heads.down)),
@@ -36,7 +36,7 @@
             for head in absent_heads(
                 issuer.observations.heads,
                 issuer.observations.connected(),
-                issuer.policy.retired,
+                issuer.policy.retired_heads,
                 since_ms,
                 MAX_NAMED,
             )
--- a/hophinge/maintenance/wave_monitor.py
+++ b/hophinge/maintenance/wave_monitor.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from hophinge.maintenance.permits import Permit, PermitState
-from hophinge.routing.bounds import Release
+from hophinge.routing.maintenance_records import Release
 
 MIN_REQUESTS = 50  # before a failure rate is significant
 DISCONNECT_TIMEOUT_US = 10_000_000  # a service that starts has all streams back within five seconds
@@ -106,8 +106,8 @@
             permit = head.permit
             if permit is not None and permit.state in (PermitState.BEGUN, PermitState.OUT, PermitState.BACK):
                 since_us = self.began_us.setdefault(name, now_us)
-                if now_us - since_us > release.patience_us:
-                    return f"{name} is not back after {release.patience_us / 1e6:g} s (permit {permit.id})"
+                if now_us - since_us > release.return_timeout_us:
+                    return f"{name} is not back after {release.return_timeout_us / 1e6:g} s (permit {permit.id})"
             else:
                 self.began_us.pop(name, None)
         return ""
@@ -122,7 +122,7 @@
             others = RequestCounts(
                 sum(row.accepted for row in self.baseline.values()), sum(row.failed for row in self.baseline.values())
             )
-        allowed = (others.failed / others.accepted if others.accepted else 0.0) + release.refused
+        allowed = (others.failed / others.accepted if others.accepted else 0.0) + release.max_failure_share
         groups = [(f"the wave's {len(updated)} heads", sorted(updated)), *((name, [name]) for name in sorted(updated))]
         for label, names in groups:
             accepted, failed = self.count_requests((name, updated[name]) for name in names)
@@ -130,7 +130,7 @@
             if accepted >= MIN_REQUESTS and failed / accepted > allowed + SIGNIFICANCE * error:
                 return (
                     f"{label}: {failed:g} of {accepted:g} requests were refused or failed; "
-                    f"{100 * allowed:.1f} % may, {100 * release.refused:g} % more than elsewhere"
+                    f"{100 * allowed:.1f} % may, {100 * release.max_failure_share:g} % more than elsewhere"
                 )
         return ""
 
--- a/hophinge/routing/admitted.py
+++ b/hophinge/routing/admitted_request.py
@@ -2,33 +2,44 @@
 
 from __future__ import annotations
 
-from hophinge.routing.limits import State
-from hophinge.routing.retries import Budget
-from hophinge.routing.table import Table
-from hophinge.routing.views import View
+from hophinge.routing.limits import LimitState
+from hophinge.routing.retry_budget import RetryBudget
+from hophinge.routing.routing_table import RoutingTable
+from hophinge.routing.failover import BackendView
 from hophinge.tenancy.admission import Ticket
 
 
-class Pass:
+class AdmittedRequest:
     """What one request was given when it came."""
 
-    __slots__ = ("attempts", "budget", "name", "pool", "hedge_delay_us", "since", "states", "table", "ticket", "view")
+    __slots__ = (
+        "attempts",
+        "budget",
+        "name",
+        "pool",
+        "hedge_delay_us",
+        "admitted_us",
+        "states",
+        "table",
+        "ticket",
+        "view",
+    )
 
     def __init__(
         self,
         name: str,
-        table: Table,
-        view: View,
+        table: RoutingTable,
+        view: BackendView,
         pool: str,
-        states: tuple[State, ...],
-        budget: Budget | None,
-        since: int,
+        states: tuple[LimitState, ...],
+        budget: RetryBudget | None,
+        admitted_us: int,
     ) -> None:
         self.name, self.table, self.view, self.pool, self.states, self.budget = name, table, view, pool, states, budget
-        self.since = since
+        self.admitted_us = admitted_us
         self.ticket: Ticket | None = None  # of admission, where heads share what is spare
-        self.attempts = budget.rule.attempts if budget is not None else 0
-        self.hedge_delay_us = budget.rule.second_copy_us if budget is not None else 0
+        self.attempts = budget.rule.max_attempts if budget is not None else 0
+        self.hedge_delay_us = budget.rule.hedge_delay_us if budget is not None else 0
 
     @property
     def version(self) -> int:
@@ -46,7 +57,7 @@
         """Take one attempt beyond the so many that it had from the budget."""
         if self.budget is None:
             return True
-        if 0 < self.attempts <= attempts or not self.budget.allows(now_us):
+        if 0 < self.attempts <= attempts or not self.budget.allows_retry(now_us):
             return False
-        self.budget.repeated(now_us)
+        self.budget.record_retry(now_us)
         return True
--- a/hophinge/routing/quantities.py
+++ b/hophinge/routing/quantities.py
@@ -1,39 +1,47 @@
-"""Quantities of the service document: each has a unit, and each unit belongs to one dimension."""
+"""Quantities of the service document: a number and a unit, which belongs to one dimension."""
 
 from __future__ import annotations
 
 import math
 import re
+from typing import NamedTuple
 
 NUMBER = re.compile(r"[0-9]{1,12}(?:\.[0-9]{1,9})?", re.ASCII)
-GLUED = re.compile(r"([0-9.]+)([a-zA-Z%/]+)", re.ASCII)
+NUMBER_AND_UNIT = re.compile(r"([0-9.]+)([a-zA-Z%/]+)", re.ASCII)
+
+
+class Unit(NamedTuple):
+    """A unit: its dimension, and its factor to the base unit of the dimension."""
+
+    dimension: str
+    factor: float
+
 
-# By unit: its dimension and what one of it is in the dimension's base.
 UNITS = {
-    "us": ("time", 1.0),
-    "ms": ("time", 1e3),
-    "s": ("time", 1e6),
-    "min": ("time", 60e6),
-    "%": ("share", 0.01),
-    "units/s": ("rate", 1.0),
-    "requests/s": ("request rate", 1.0),
-    "units": ("units", 1.0),
-    "requests": ("requests", 1.0),
-    "request": ("requests", 1.0),
-    "connections": ("connections", 1.0),
-    "connection": ("connections", 1.0),
-    "bricks": ("bricks", 1.0),
-    "brick": ("bricks", 1.0),
-    "heads": ("heads", 1.0),
-    "head": ("heads", 1.0),
-    "B/s": ("byte rate", 1.0),
-    "KiB/s": ("byte rate", 1024.0),
-    "MiB/s": ("byte rate", 1024.0**2),
-    "GiB/s": ("byte rate", 1024.0**3),
-    "B": ("size", 1.0),
-    "KiB": ("size", 1024.0),
-    "MiB": ("size", 1024.0**2),
-    "GiB": ("size", 1024.0**3),
+    "us": Unit("time", 1.0),
+    "ms": Unit("time", 1e3),
+    "s": Unit("time", 1e6),
+    "min": Unit("time", 60e6),
+    "%": Unit("share", 0.01),
+    "units/s": Unit("rate", 1.0),
+    "requests/s": Unit("request rate", 1.0),
+    "units": Unit("units", 1.0),
+    "requests": Unit("requests", 1.0),
+    "request": Unit("requests", 1.0),
+    "connections": Unit("connections", 1.0),
+    "connection": Unit("connections", 1.0),
+    "bricks": Unit("bricks", 1.0),
+    "brick": Unit("bricks", 1.0),
+    "heads": Unit("heads", 1.0),
+    "head": Unit("heads", 1.0),
+    "B/s": Unit("byte rate", 1.0),
+    "KiB/s": Unit("byte rate", 1024.0),
+    "MiB/s": Unit("byte rate", 1024.0**2),
+    "GiB/s": Unit("byte rate", 1024.0**3),
+    "B": Unit("size", 1.0),
+    "KiB": Unit("size", 1024.0),
+    "MiB": Unit("size", 1024.0**2),
+    "GiB": Unit("size", 1024.0**3),
 }
 EXAMPLES = {
     "time": "80 ms",
@@ -48,44 +56,60 @@
     "byte rate": "4 MiB/s",
     "connections": "64 connections",
 }
-WHOLE = frozenset({"requests", "connections", "bricks", "heads"})
-MOST = 1e12  # in base units; far beyond any use, far below what a float holds exactly
+INTEGER_DIMENSIONS = frozenset({"requests", "connections", "bricks", "heads"})
+MAX_VALUE = 1e12  # in base units; far beyond any use, far below what a float holds exactly
 
 
 class QuantityError(ValueError):
-    """A quantity that is none of its dimension; its text tells what would be right."""
+    """Words that are no quantity of the dimension; the text says what would be right."""
+
+
+def parse_quantity(words: list[str], dimension: str) -> float:
+    """Parse a number and its unit.
 
+    Args:
+        words: The number and the unit, in one word or two.
+        dimension: One of the dimensions of `UNITS`.
 
-def quantity(words: list[str], dimension: str) -> float:
-    """Read a number and its unit; the result is in the base of `dimension` (us, parts of 1, units/s, bytes)."""
-    right = f"write it like {EXAMPLES[dimension]}"
-    if len(words) == 1 and (glued := GLUED.fullmatch(words[0])):
-        words = [glued[1], glued[2]]
+    Returns:
+        The value in the dimension's base unit: us, a fraction of 1, units/s, requests/s, bytes/s, bytes or a count.
+
+    Raises:
+        QuantityError: The words are no quantity of this dimension, or out of its range.
+
+    """
+    advice = f"write it like {EXAMPLES[dimension]}"
+    if len(words) == 1 and (joined := NUMBER_AND_UNIT.fullmatch(words[0])):
+        words = [joined[1], joined[2]]
     if not words:
-        raise QuantityError(f"a {dimension} is missing; {right}")
+        raise QuantityError(f"a {dimension} is missing; {advice}")
     if not NUMBER.fullmatch(words[0]):
-        raise QuantityError(f"{words[0]!r} is no number from 0 on; {right}")
+        raise QuantityError(f"{words[0]!r} is no number from 0 on; {advice}")
     if len(words) == 1:
-        raise QuantityError(f"{words[0]} has no unit; {right}")
+        raise QuantityError(f"{words[0]} has no unit; {advice}")
     if len(words) > 2:
-        raise QuantityError(f"{' '.join(words[2:])!r} stands after the {dimension}; {right}")
+        raise QuantityError(f"{' '.join(words[2:])!r} stands after the {dimension}; {advice}")
     unit = UNITS.get(words[1])
     if unit is None:
-        raise QuantityError(f"{words[1]!r} is no unit; {right}")
-    if unit[0] != dimension:
-        raise QuantityError(f"{words[1]} measures a {unit[0]}, wanted is a {dimension}; {right}")
-    value = float(words[0]) * unit[1]
-    if not math.isfinite(value) or value > MOST:
-        raise QuantityError(f"{words[0]} {words[1]} is out of range; {right}")
-    if dimension == "share" and value > 1:
-        raise QuantityError(f"{words[0]} % is over 100 %; {right}")
-    if dimension in WHOLE and value != int(value):
-        raise QuantityError(f"{words[0]} {words[1]} must be a whole number; {right}")
+        raise QuantityError(f"{words[1]!r} is no unit; {advice}")
+    if unit.dimension != dimension:
+        raise QuantityError(f"{words[1]} measures a {unit.dimension}, wanted is a {dimension}; {advice}")
+    value = float(words[0]) * unit.factor
+    _check_range(words, value, dimension, advice)
     return value
 
 
-def written(value: float, dimension: str) -> str:
-    """Write a value of a dimension's base with a unit that reads well; reading it gives the value back."""
+def _check_range(words: list[str], value: float, dimension: str, advice: str) -> None:
+    if not math.isfinite(value) or value > MAX_VALUE:
+        raise QuantityError(f"{words[0]} {words[1]} is out of range; {advice}")
+    if dimension == "share" and value > 1:
+        raise QuantityError(f"{words[0]} % is over 100 %; {advice}")
+    if dimension in INTEGER_DIMENSIONS and value != int(value):
+        raise QuantityError(f"{words[0]} {words[1]} must be a whole number; {advice}")
+
+
+def format_quantity(value: float, dimension: str) -> str:
+    """Format a value in the base unit of its dimension with a unit that suits it; parsing it gives the value back."""
     names: tuple[str, ...]
     if dimension == "time":
         names = ("min", "s", "ms", "us") if value else ("ms",)
@@ -94,10 +118,10 @@
     elif dimension == "byte rate":
         names = ("GiB/s", "MiB/s", "KiB/s", "B/s") if value else ("B/s",)
     else:
-        names = tuple(name for name, (kind, _) in UNITS.items() if kind == dimension)[:1]
+        names = tuple(name for name, unit in UNITS.items() if unit.dimension == dimension)[:1]
     for name in names:
-        number = value / UNITS[name][1]
+        number = value / UNITS[name].factor
         text = f"{round(number, 9):.9f}".rstrip("0").rstrip(".")
-        if float(text) * UNITS[name][1] == value and (number >= 1 or name == names[-1] or not value):
+        if float(text) * UNITS[name].factor == value and (number >= 1 or name == names[-1] or not value):
             return f"{text} {name}"
-    return f"{value / UNITS[names[-1]][1]:.9f}".rstrip("0").rstrip(".") + f" {names[-1]}"
+    return f"{value / UNITS[names[-1]].factor:.9f}".rstrip("0").rstrip(".") + f" {names[-1]}"
--- a/hophinge/routing/index.py
+++ b/hophinge/routing/scope_index.py
@@ -15,12 +15,12 @@
 Key = tuple[str, str, str]
 
 
-def mask(scope: Scope) -> int:
+def specificity(scope: Scope) -> int:
     """Tell which parts a scope names; a larger number is more specific."""
     return (4 if scope.volume else 0) | (2 if scope.tenant else 0) | (1 if scope.klass else 0)
 
 
-class Index(Generic[Value]):
+class ScopeIndex(Generic[Value]):
     """Values by scope; never changed once made, so that two versions can share what did not change."""
 
     __slots__ = ("_maps", "_order", "size")
@@ -31,16 +31,16 @@
         self.size = sum(map(len, maps.values()))
 
     @classmethod
-    def of(cls, values: Iterable[tuple[Scope, Value]]) -> Index[Value]:
+    def of(cls, values: Iterable[tuple[Scope, Value]]) -> ScopeIndex[Value]:
         """Make an index of values, each of a scope of its own."""
-        return cls({}).changed((scope, value) for scope, value in values)
+        return cls({}).with_changes((scope, value) for scope, value in values)
 
-    def changed(self, changes: Iterable[tuple[Scope, Value | None]]) -> Index[Value]:
+    def with_changes(self, changes: Iterable[tuple[Scope, Value | None]]) -> ScopeIndex[Value]:
         """Make an index with some scopes set anew or, with None, removed; maps without a change are shared."""
         maps = dict(self._maps)
         own: set[int] = set()
         for scope, value in changes:
-            at = mask(scope)
+            at = specificity(scope)
             if at not in own:
                 own.add(at)
                 maps[at] = dict(maps.get(at, ()))
@@ -49,7 +49,7 @@
                 maps[at].pop(key, None)
             else:
                 maps[at][key] = value
-        return Index({at: rows for at, rows in maps.items() if rows})
+        return ScopeIndex({at: rows for at, rows in maps.items() if rows})
 
     def __iter__(self) -> Iterator[Value]:
         for rows in self._maps.values():
@@ -57,16 +57,16 @@
 
     def get(self, scope: Scope) -> Value | None:
         """Tell the value of just this scope."""
-        return self._maps.get(mask(scope), {}).get((scope.tenant, scope.volume, scope.klass))
+        return self._maps.get(specificity(scope), {}).get((scope.tenant, scope.volume, scope.klass))
 
-    def all(self, tenant: str, volume: str, klass: str) -> Iterator[Value]:
+    def matching(self, tenant: str, volume: str, klass: str) -> Iterator[Value]:
         """Tell every value whose scope fits, the most specific first."""
         for by_tenant, by_volume, by_class, rows in self._order:
             value = rows.get((tenant if by_tenant else "", volume if by_volume else "", klass if by_class else ""))
             if value is not None:
                 yield value
 
-    def find(self, tenant: str, volume: str, klass: str) -> Value | None:
+    def most_specific(self, tenant: str, volume: str, klass: str) -> Value | None:
         """Tell the value of the most specific scope that fits; None where none does."""
         for by_tenant, by_volume, by_class, rows in self._order:
             value = rows.get((tenant if by_tenant else "", volume if by_volume else "", klass if by_class else ""))
--- a/tests/maintenance_faults.py
+++ b/tests/maintenance_faults.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from hophinge.maintenance.permits import PermitState
-from hophinge.routing.bounds import Outage, Release
+from hophinge.routing.maintenance_records import Outage, Release
 from tests.maintenance_world import S, World
 
 Fault = Callable[[World], None]
@@ -115,7 +115,15 @@
     else:
         word = world.random.choice(("go", "go", "halt", "back"))
         world.releases[name] = Release(
-            name, before.build, (), (0.3, 1.0), 3 * S, 60 * S, 0.02, word, before.again + world.random.randint(0, 1)
+            name,
+            before.build,
+            (),
+            (0.3, 1.0),
+            3 * S,
+            60 * S,
+            0.02,
+            word,
+            before.resume_count + world.random.randint(0, 1),
         )
     world.apply_configuration()
 
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -15,7 +15,7 @@
 from hophinge.maintenance.permits import Permit, PermitKind, PermitState
 from hophinge.maintenance.releases import ReleaseProgress
 from hophinge.maintenance.snapshots import SnapshotSender
-from hophinge.routing.bounds import Maintenance, Outage, Release
+from hophinge.routing.maintenance_records import MaintenanceRule, Outage, Release
 from hophinge.routing.records import Record
 from tests.maintenance_head import SimHead
 
@@ -68,7 +68,7 @@
             before is not None
             and row.state is PermitState.FREE
             and before.state in LEAVES
-            and row.id not in world.rule.free
+            and row.id not in world.rule.released_permits
         ):
             wrong.append(f"{row.id} of {row.name} was {before.state.value} and freed by nothing")
         if (
@@ -89,15 +89,15 @@
         most = world.rule.heads if row.kind is PermitKind.HEAD else world.rule.backends
         assert most is not None
         here = [one for one in out if zones[one] == zones[row.name]]
-        limit = min([most.most] + ([int(most.part * len(zones) + 1e-9)] if most.part >= 0 else []))
-        if len(out) > limit or (most.zone_most >= 0 and len(here) > most.zone_most):
+        limit = min([most.max_count] + ([int(most.max_share * len(zones) + 1e-9)] if most.max_share >= 0 else []))
+        if len(out) > limit or (most.max_zone_count >= 0 and len(here) > most.max_zone_count):
             wrong.append(f"{row.state.value} {row.name}: {sorted(out)} out of {len(zones)}, {limit} may")
 
 
 class World:
     """The fleet; `violations` has every violation of an invariant."""
 
-    def __init__(self, seed: int, heads: int, backends: int, rule: Maintenance, zones: int = 4) -> None:
+    def __init__(self, seed: int, heads: int, backends: int, rule: MaintenanceRule, zones: int = 4) -> None:
         self.random, self.rule, self.now = random.Random(seed), rule, 1000 * S
         self.clustered = True
         self.zones = {f"n{at}": f"z{at % zones}" for at in range(heads)}
--- a/tests/routes.py
+++ b/tests/routes.py
@@ -5,11 +5,11 @@
 from dataclasses import replace
 
 from hophinge.core.interface import Arrival, Bounds, ListKind, NodeEntry, NodeList, Phase, WaitAtGate
-from hophinge.routing.record_reader import read
-from hophinge.routing.admitted import Pass
+from hophinge.routing.document_reader import read_document
+from hophinge.routing.admitted_request import AdmittedRequest
 from hophinge.routing.records import Record
 from hophinge.routing.router import Router
-from hophinge.routing.table import EMPTY, Facts, Table, check
+from hophinge.routing.routing_table import EMPTY_TABLE, HeadCapabilities, RoutingTable, validate
 from tests.test_choice import MS, SAFE, SETTINGS, T0
 
 S = 1_000_000
@@ -20,7 +20,7 @@
     classes=tuple(replace(klass, name=f"class-{at}") for at, klass in enumerate(SETTINGS.classes)),
     plans=tuple(replace(plan, name=f"plan-{at}") for at, plan in enumerate(SETTINGS.plans)),
 )
-FACTS = Facts.of(NAMED)
+FACTS = HeadCapabilities.from_settings(NAMED)
 
 
 def backend(number: int, zone: int, phase: Phase = Phase.ON, shard: int | None = None) -> NodeEntry:
@@ -28,13 +28,16 @@
 
 
 def table(
-    text: str, version: tuple[int, int] = (1, 1), of: Table = EMPTY, before: dict[str, Record] | None = None
-) -> Table:
-    document = read(("(hophinge 1)" + text).encode())
-    assert document.lines("f") == []
+    text: str,
+    version: tuple[int, int] = (1, 1),
+    of: RoutingTable = EMPTY_TABLE,
+    before: dict[str, Record] | None = None,
+) -> RoutingTable:
+    document = read_document(("(hophinge 1)" + text).encode())
+    assert document.mistake_lines("f") == []
     gone: dict[str, Record | None] = dict.fromkeys((before or {}).keys() - document.records.keys())
-    assert check(document.records, document.records, FACTS) == []
-    return of.changed(version, {**document.records, **gone}, before or {})
+    assert validate(document.records, document.records, FACTS) == []
+    return of.with_changes(version, {**document.records, **gone}, before or {})
 
 
 def ask(
@@ -50,14 +53,14 @@
 
 def router(text: str, *entries: NodeEntry) -> Router:
     made = Router(NAMED)
-    made.owner = lambda volume: volume if volume in ("alba", "other") else ""
+    made.find_owner = lambda volume: volume if volume in ("alba", "other") else ""
     made.nodes(T0, NodeList(ListKind.FULL, entries or tuple(backend(at, at // 3) for at in range(6))))
-    made.take_up(table(text), T0)
+    made.activate(table(text), T0)
     return made
 
 
 def within(bounds: Bounds | WaitAtGate | int, shard: int = -1) -> set[str]:
-    assert isinstance(bounds, Pass)
+    assert isinstance(bounds, AdmittedRequest)
     return {f"n{at}" for at in range(12) if bounds.allows(f"n{at}", shard)}
 
 
--- a/tests/stream_link.py
+++ b/tests/stream_link.py
@@ -22,18 +22,18 @@
 from hophinge.control.snapshot import Snapshot
 from hophinge.control.messages import ResourceType, VersionId, DiscoveryRequest, DiscoveryResponse
 from hophinge.routing import records
-from hophinge.routing.records import Limit, Plan, Pool, Record, Route, Scope
-from hophinge.routing.table import Facts
+from hophinge.routing.records import Limit, PlanOverride, Pool, Record, Route, Scope
+from hophinge.routing.routing_table import HeadCapabilities
 
 S, MS = 1_000_000, 1000
-FACTS = Facts(frozenset({"hall-a"}), frozenset(), frozenset({"read"}), {"basic": (10.0, 2.0)}, 3, True)
+FACTS = HeadCapabilities(frozenset({"hall-a"}), frozenset(), frozenset({"read"}), {"basic": (10.0, 2.0)}, 3, True)
 HEARTBEAT_FRAME = wire.encode_response(DiscoveryResponse(ResourceType.RECORD, "beat"))
 GOOD: list[Record] = [
     Pool("a", ("hall-a",)),
-    Plan("basic", 5.0, 1.0),
+    PlanOverride("basic", 5.0, 1.0),
     *(Limit(Scope(f"t{at}"), float(at + 1)) for at in range(6)),
 ]
-BAD: list[Record] = [Pool("moon", ("moon",)), Plan("basic", 99.0, 1.0), Route(Scope(klass="none"), ("a",))]
+BAD: list[Record] = [Pool("moon", ("moon",)), PlanOverride("basic", 99.0, 1.0), Route(Scope(klass="none"), ("a",))]
 
 
 def bodies(rows: Iterable[Record]) -> dict[str, bytes]:
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -117,15 +117,19 @@
                 for at in range(500)
             ]
             await until(lambda: head.exchange.unanswered == 500)
-            assert router.versions == {(1, 1): 500}
+            assert router.open_by_version == {(1, 1): 500}
             # The pool that they came under goes, and so does every limit that they hold.
             await here.push("(hophinge 1) (pool other (zones hall-a)) (route (pools other)) (limit (open 1 requests))")
             await here.runs(head, "1.2")
-            assert router.versions[1, 1] == 500 and router.figures()["draining_versions"] == 1
+            assert router.open_by_version[1, 1] == 500 and router.status()["draining_versions"] == 1
             clock.go_on()
             gate.set()
             assert await asyncio.gather(*asked) == [200] * 500
-            assert not router.versions.get((1, 1)) and (1, 1) not in router.views.tables and not router.open
+            assert (
+                not router.open_by_version.get((1, 1))
+                and (1, 1) not in router.failover_levels.tables
+                and not router.open_by_pool
+            )
 
     run(main())
 
--- a/tests/test_control_service_failures.py
+++ b/tests/test_control_service_failures.py
@@ -32,7 +32,7 @@
             assert await write(here, head, 1) == 200
             await here.control()
             await here.runs(head, "1.2")
-            assert head.streamed is not None and [limit.open for limit in head.streamed.router.table.limits] == [99]
+            assert head.streamed is not None and [limit.max_open for limit in head.streamed.router.table.limits] == [99]
 
     run(main())
 
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -11,13 +11,13 @@
 from hophinge.control.rollout import RolloutPlan, RolloutStage
 from hophinge.control.store import ControlStore, NewVersion, StoreError
 from hophinge.control.messages import VersionId
-from hophinge.routing.records import Record, Rollout as Rule
+from hophinge.routing.records import Record, RolloutRule as Rule
 from tests.stream_link import GOOD, bodies
 
 
 def push(store: ControlStore, rows: Iterable[Record], is_rollback: bool = False) -> Snapshot:
     return store.push(
-        NewVersion(bodies(rows), Rule(hold_us=5), "tester", "why", b"(hophinge 1)"),
+        NewVersion(bodies(rows), Rule(soak_us=5), "tester", "why", b"(hophinge 1)"),
         7,
         lambda version_id: RolloutPlan((0, 0), version_id, RolloutStage.ROLLING, is_rollback=is_rollback),
     )
@@ -37,7 +37,7 @@
     }
     assert reopened.newest is not None and reopened.newest.version == two.version
     assert reopened.rollout_plan().target == (1, 2) and reopened.rollout_plan().stage is RolloutStage.ROLLING
-    assert reopened.rollout_rule((1, 2)) == Rule(hold_us=5) and reopened.known_heads() == [("n0", 5)]
+    assert reopened.rollout_rule((1, 2)) == Rule(soak_us=5) and reopened.known_heads() == [("n0", 5)]
     assert reopened.version_records((1, 1)) == bodies(GOOD)
     assert [row["removed"] for row in reopened.history(5)] == [5, 0] and len(reopened.audit_entries(9)) == 2
     with pytest.raises(StoreError, match=r"no version 1\.9"):
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -167,7 +167,7 @@
             assert await ask(99) == 503  # and no new one
             gate.set()
             codes = await asyncio.gather(*tasks)
-            assert codes.count(200) == inside and not router.passes and router.admission.units_in_flight == 0
+            assert codes.count(200) == inside and not router.queued and router.admission.units_in_flight == 0
 
     run(main())
 
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -12,8 +12,8 @@
 from hophinge.control.follower_actions import FollowerState
 from hophinge.control.snapshot import Snapshot
 from hophinge.control.messages import ConfigVersion
-from hophinge.routing.records import Limit, Plan, Pool, Scope
-from hophinge.routing.table import check
+from hophinge.routing.records import Limit, PlanOverride, Pool, Scope
+from hophinge.routing.routing_table import validate
 from tests.stream_link import BAD, FACTS, GOOD, MS, S, StreamLink, follower, snapshot
 
 
@@ -50,7 +50,7 @@
 
 def test_duplicate_and_replayed_responses_change_nothing() -> None:
     link = StreamLink()
-    one, two = snapshot((1, 1), GOOD), snapshot((1, 2), [Plan("basic", 1.0, 1.0), GOOD[0]])
+    one, two = snapshot((1, 1), GOOD), snapshot((1, 2), [PlanOverride("basic", 1.0, 1.0), GOOD[0]])
     link.push(one)
     first = list(link.in_transit)
     link.in_transit.extend(first)
@@ -172,7 +172,7 @@
             link.in_transit.rotate(1)
         assert link.applied == sorted(set(link.applied))  # forward only, each once
         for version_id in link.applied:
-            assert not check(pushed[version_id], pushed[version_id], FACTS)
+            assert not validate(pushed[version_id], pushed[version_id], FACTS)
         if link.applied:
             table, rows = link.head.table, pushed[link.applied[-1]]
             assert table.version == link.applied[-1]
@@ -182,7 +182,7 @@
     link.wait(60 * S)  # the link is healthy again: the head ends with the newest version, or with a reason against it
     if newest is not None:
         rows = pushed[newest.id]
-        if check(rows, rows, FACTS):
+        if validate(rows, rows, FACTS):
             assert link.head.state is FollowerState.REJECTED and link.head.reason
         else:
             assert link.head.active_name == f"1.{newest.id[1]}" and link.head.state is FollowerState.IN_FORCE
--- a/tests/test_discovery_stream.py
+++ b/tests/test_discovery_stream.py
@@ -11,8 +11,8 @@
 from hophinge.control.delta_cache import DeltaCache
 from hophinge.control.snapshot import Snapshot
 from hophinge.routing import records
-from hophinge.routing.records import Plan, Record
-from hophinge.routing.table import Facts
+from hophinge.routing.records import PlanOverride, Record
+from hophinge.routing.routing_table import HeadCapabilities
 from tests.stream_link import BAD, FACTS, GOOD, S, StreamLink, bodies, snapshot
 
 
@@ -72,7 +72,7 @@
 
 
 def test_version_is_validated_against_each_head() -> None:
-    other = Facts(FACTS.zones | {"moon"}, FACTS.kinds, FACTS.classes, FACTS.plans, 3, True)
+    other = HeadCapabilities(FACTS.zones | {"moon"}, FACTS.kinds, FACTS.classes, FACTS.plans, 3, True)
     lines = [StreamLink(), StreamLink(Follower("n1", ["a:1"], other, 1, 6 * S, 60 * S))]
     for link in lines:
         link.push(snapshot((1, 1), [*GOOD, BAD[0]]))
@@ -88,6 +88,6 @@
     link.push(snapshot((1, 2), GOOD))
     link.deliver()
     assert link.head.active_name == "1.2"
-    link.push(Snapshot.create((1, 3), {"plan/basic": records.encode(Plan("other"))}, None, 0))
+    link.push(Snapshot.create((1, 3), {"plan/basic": records.encode(PlanOverride("other"))}, None, 0))
     link.deliver()
     assert "it holds plan/other" in link.head.reason
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -10,20 +10,20 @@
 from hypothesis import strategies as st
 
 from hophinge.routing import records
-from hophinge.routing.record_reader import read
-from hophinge.routing.quantities import EXAMPLES, UNITS, QuantityError, quantity, written
+from hophinge.routing.document_reader import read_document
+from hophinge.routing.quantities import EXAMPLES, UNITS, QuantityError, parse_quantity, format_quantity
 
 EXAMPLE = (Path(__file__).parent.parent / "examples" / "service.sexp").read_bytes()
 HEAD = "(hophinge 1)\n"
 
 
 def lines(text: str) -> list[str]:
-    return read((HEAD + text).encode()).lines("f")
+    return read_document((HEAD + text).encode()).mistake_lines("f")
 
 
 def test_the_example_holds_every_form_and_no_mistake() -> None:
-    document = read(EXAMPLE)
-    assert document.lines("f") == []
+    document = read_document(EXAMPLE)
+    assert document.mistake_lines("f") == []
     assert {key.partition("/")[0] for key in document.records} == {
         "plan",
         "pool",
@@ -37,7 +37,7 @@
     }
     limit = document.records["limit/alba/*/*"]
     assert isinstance(limit, records.Limit)
-    assert (limit.rate, limit.burst_us, limit.open) == (120.0, 2_000_000, 64)
+    assert (limit.rate, limit.burst_us, limit.max_open) == (120.0, 2_000_000, 64)
 
 
 @pytest.mark.parametrize(
@@ -93,19 +93,19 @@
 
 
 def test_a_file_for_another_version_and_an_empty_one() -> None:
-    assert "not 2" in read(b"(hophinge 2)").lines("f")[0]
-    assert "begins with (hophinge 1)" in read(b"").lines("f")[0]
-    assert "begins with (hophinge 1)" in read(b"(plan a)").lines("f")[0]
+    assert "not 2" in read_document(b"(hophinge 2)").mistake_lines("f")[0]
+    assert "begins with (hophinge 1)" in read_document(b"").mistake_lines("f")[0]
+    assert "begins with (hophinge 1)" in read_document(b"(plan a)").mistake_lines("f")[0]
 
 
 def test_bytes_that_are_no_utf_8_and_brackets_without_end() -> None:
-    told = read(b"(hophinge 1)\n(pool \xff)").lines("f")
+    told = read_document(b"(hophinge 1)\n(pool \xff)").mistake_lines("f")
     assert told == ["f:2:7: byte 0xff is no UTF-8; save the file as UTF-8"]
     since = time.perf_counter()
-    told = read(b"(" * 10_000_000).lines("f")
+    told = read_document(b"(" * 10_000_000).mistake_lines("f")
     assert len(told) == 1 and told[0].startswith("f:1:9: brackets are nested deeper than 8")
-    assert len(read(b")" * 1_000_000).lines("f")) == 100
-    assert "at most" in read(b" " * (32 * 1024 * 1024 + 1)).lines("f")[0]
+    assert len(read_document(b")" * 1_000_000).mistake_lines("f")) == 100
+    assert "at most" in read_document(b" " * (32 * 1024 * 1024 + 1)).mistake_lines("f")[0]
     assert time.perf_counter() - since < 10  # bounded work, whatever the size
 
 
@@ -115,17 +115,17 @@
     text = "".join(line for line in whole if not line.startswith(";"))
     before = 0
     for cut in range(len(text)):
-        document = read(text[:cut].encode())
+        document = read_document(text[:cut].encode())
         balanced = text[:cut].count("(") == text[:cut].count(")")
         inside = not balanced and not text[:cut].rstrip().endswith(";")
-        assert bool(document.lines("f")) >= inside, cut
+        assert bool(document.mistake_lines("f")) >= inside, cut
         before += inside
     assert before > 500
 
 
 @given(st.text(alphabet='()"; %ab1.\\\n', max_size=60))
 def test_no_text_raises_and_each_mistake_has_a_place_within_it(text: str) -> None:
-    document = read(text.encode())
+    document = read_document(text.encode())
     rows = text.split("\n")
     for mistake in document.mistakes:
         assert 1 <= mistake.line <= len(rows) and 1 <= mistake.column <= len(rows[mistake.line - 1]) + 1
@@ -133,7 +133,7 @@
 
 @given(st.binary(max_size=40))
 def test_no_bytes_raise(raw: bytes) -> None:
-    assert read(raw).lines("f") or raw.strip().startswith(b"(hophinge")
+    assert read_document(raw).mistake_lines("f") or raw.strip().startswith(b"(hophinge")
 
 
 @given(st.sampled_from(sorted(EXAMPLES)), st.integers(0, 10**7))
@@ -141,19 +141,19 @@
     value = number / 100 if dimension == "share" else float(number)
     if dimension == "share":
         value = min(1.0, value / 100)
-    assert quantity(written(value, dimension).split(), dimension) == pytest.approx(value, rel=1e-9)
+    assert parse_quantity(format_quantity(value, dimension).split(), dimension) == pytest.approx(value, rel=1e-9)
 
 
 def test_units_that_stand_right_after_their_number() -> None:
-    assert quantity(["80ms"], "time") == 80_000 and quantity(["20%"], "share") == 0.2
-    assert quantity(["64", "KiB"], "size") == 65536 and quantity(["2", "MiB"], "size") == 2 * 1024**2
+    assert parse_quantity(["80ms"], "time") == 80_000 and parse_quantity(["20%"], "share") == 0.2
+    assert parse_quantity(["64", "KiB"], "size") == 65536 and parse_quantity(["2", "MiB"], "size") == 2 * 1024**2
     assert {"ms", "s", "%", "units/s", "requests", "bricks", "KiB", "MiB"} <= UNITS.keys()
     with pytest.raises(QuantityError, match="stands after"):
-        quantity(["1", "s", "2"], "time")
+        parse_quantity(["1", "s", "2"], "time")
 
 
 def test_records_come_back_as_they_were_and_hash_alike() -> None:
-    for name, record in read(EXAMPLE).records.items():
+    for name, record in read_document(EXAMPLE).records.items():
         body = records.encode(record)
         assert records.decode(body) == record and records.encode(records.decode(body)) == body
         assert records.fingerprint(name, body) != records.fingerprint(name + "x", body)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -56,7 +56,7 @@
 )
 def test_a_bad_plan_is_told_by_line_and_column(text: str, why: str) -> None:
     _, mistakes = read(text.encode())
-    assert any(why in one.at("x").removeprefix("x:") for one in mistakes), mistakes
+    assert any(why in one.located_in("x").removeprefix("x:") for one in mistakes), mistakes
 
 
 def test_the_repository_s_plans_are_read() -> None:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -22,8 +22,8 @@
     PermitTable,
 )
 from hophinge.maintenance.statements import DRAINED, SERVED, Statement
-from hophinge.routing.bounds import Most
-from hophinge.routing.records import Pool, Route, Scope, Tenant
+from hophinge.routing.maintenance_records import DisruptionBudget
+from hophinge.routing.records import Pool, Route, Scope, TenantRule
 
 S = 1_000_000
 UP = {f"n{at}": f"z{at % 3}" for at in range(9)}
@@ -38,7 +38,7 @@
     return PermitRequest(PermitKind.HEAD, name, "me", key, begin_at_once=begun)
 
 
-def granted(table: PermitTable, name: str, seen: Availability, most: Most, now: int = 0) -> str:
+def granted(table: PermitTable, name: str, seen: Availability, most: DisruptionBudget, now: int = 0) -> str:
     answer = table.decide(now, ask(name), seen, most)
     table.apply(now, answer.rows)
     return answer.reason
@@ -46,61 +46,71 @@
 
 def test_the_strictest_of_counts_and_fractions_applies_in_total_and_in_a_zone() -> None:
     table = PermitTable((), 1, 0)
-    assert granted(table, "n0", sight(), Most(3, 0.3, 1)) == ""
-    assert "in zone z0, 1 may" in granted(table, "n3", sight(), Most(3, 0.3, 1))
-    assert granted(table, "n1", sight(), Most(3, 0.3, 1)) == ""
-    assert "3 heads of 9 would be out, 2 may" in granted(table, "n2", sight(), Most(3, 0.3, 1))
-    assert granted(table, "n2", sight(), Most(3, 0.34, 1)) == ""
+    assert granted(table, "n0", sight(), DisruptionBudget(3, 0.3, 1)) == ""
+    assert "in zone z0, 1 may" in granted(table, "n3", sight(), DisruptionBudget(3, 0.3, 1))
+    assert granted(table, "n1", sight(), DisruptionBudget(3, 0.3, 1)) == ""
+    assert "3 heads of 9 would be out, 2 may" in granted(table, "n2", sight(), DisruptionBudget(3, 0.3, 1))
+    assert granted(table, "n2", sight(), DisruptionBudget(3, 0.34, 1)) == ""
 
 
 @pytest.mark.parametrize(("down", "total"), [({"n4": "z1", "n5": "z2", "n8": "z2"}, 9), ({}, 12)])
 def test_unplanned_and_unknown_outages_count_towards_the_limit(down: dict[str, str], total: int) -> None:
-    assert "may" in granted(PermitTable((), 1, 0), "n0", sight(down, total), Most(3))
-    assert granted(PermitTable((), 1, 0), "n0", sight(dict(list(down.items())[1:]), max(9, total - 1)), Most(3)) == ""
+    assert "may" in granted(PermitTable((), 1, 0), "n0", sight(down, total), DisruptionBudget(3))
+    assert (
+        granted(
+            PermitTable((), 1, 0), "n0", sight(dict(list(down.items())[1:]), max(9, total - 1)), DisruptionBudget(3)
+        )
+        == ""
+    )
 
 
 def test_a_process_of_unknown_zone_counts_in_every_zone() -> None:
-    assert "zone z0" in granted(PermitTable((), 1, 0), "n0", sight({"n8": ""}), Most(3, -1.0, 1))
-    assert granted(PermitTable((), 1, 0), "n0", sight({"n8": "z2"}), Most(3, -1.0, 1)) == ""
+    assert "zone z0" in granted(PermitTable((), 1, 0), "n0", sight({"n8": ""}), DisruptionBudget(3, -1.0, 1))
+    assert granted(PermitTable((), 1, 0), "n0", sight({"n8": "z2"}), DisruptionBudget(3, -1.0, 1)) == ""
 
 
 def test_a_repeated_request_gets_the_same_permit_and_no_other_request_does() -> None:
     table = PermitTable((), 7, 0)
-    first = table.decide(0, ask("n0"), sight(), Most(3))
+    first = table.decide(0, ask("n0"), sight(), DisruptionBudget(3))
     table.apply(0, first.rows)
-    again = table.decide(1, ask("n0"), sight(), Most(3))
+    again = table.decide(1, ask("n0"), sight(), DisruptionBudget(3))
     assert again.permit == first.permit and not again.rows and first.permit is not None and first.permit.id == "7.1"
-    assert "under permit 7.1 of me already" in table.decide(1, ask("n0", "other"), sight(), Most(3)).reason
+    assert "under permit 7.1 of me already" in table.decide(1, ask("n0", "other"), sight(), DisruptionBudget(3)).reason
 
 
 def test_a_permit_expires_before_its_begin_and_never_after() -> None:
     table = PermitTable((), 1, 0)
-    granted(table, "n0", sight(), Most(3))
-    granted(table, "n1", sight(), Most(3))
-    table.apply(0, table.begin(BEGIN_US, "1.1", 5, sight(), Most(3)).rows)
+    granted(table, "n0", sight(), DisruptionBudget(3))
+    granted(table, "n1", sight(), DisruptionBudget(3))
+    table.apply(0, table.begin(BEGIN_US, "1.1", 5, sight(), DisruptionBudget(3)).rows)
     assert BEGIN_US * 1.01 < LEASE_US and table.expired(LEASE_US - 1) == ()
     assert [row.id for row in table.expired(LEASE_US)] == ["1.2"]
     assert table.expired(10**15) == table.expired(LEASE_US)
-    assert "lapsed" in table.begin(LEASE_US, "1.2", 5, sight(), Most(3)).reason
+    assert "lapsed" in table.begin(LEASE_US, "1.2", 5, sight(), DisruptionBudget(3)).reason
     again = PermitTable(table.active.values(), 2, 100 * S)  # the time of the grant is unknown: a full lease from now
     assert again.expired(100 * S + LEASE_US - 1) == () and len(again.expired(100 * S + LEASE_US)) == 1
 
 
 def test_a_begin_is_rejected_after_losses_have_used_up_the_limit() -> None:
     table = PermitTable((), 1, 0)
-    granted(table, "n0", sight(), Most(2))
-    assert "would be out" in table.begin(1, "1.1", 5, sight({"n4": "z1", "n5": "z2"}), Most(2)).reason
-    assert table.begin(1, "1.1", 5, sight({"n4": "z1"}), Most(2)).permit is not None
-    table.apply(1, table.begin(1, "1.1", 5, sight(), Most(2)).rows)
-    assert table.begin(2, "1.1", 5, sight(), Most(2)).permit is not None  # a repeated begin
-    assert "another process" in table.begin(2, "1.1", 6, sight(), Most(2)).reason
+    granted(table, "n0", sight(), DisruptionBudget(2))
+    assert "would be out" in table.begin(1, "1.1", 5, sight({"n4": "z1", "n5": "z2"}), DisruptionBudget(2)).reason
+    assert table.begin(1, "1.1", 5, sight({"n4": "z1"}), DisruptionBudget(2)).permit is not None
+    table.apply(1, table.begin(1, "1.1", 5, sight(), DisruptionBudget(2)).rows)
+    assert table.begin(2, "1.1", 5, sight(), DisruptionBudget(2)).permit is not None  # a repeated begin
+    assert "another process" in table.begin(2, "1.1", 6, sight(), DisruptionBudget(2)).reason
     with pytest.raises(PermitError, match="begun, and cannot be granted"):
         table.transition("1.1", PermitState.GRANTED)
 
 
 def test_floors_keep_the_capacity_for_reserves() -> None:
     floors = backend_floors(
-        [Pool("a", ("z0",), at_least=2), Pool("b", ("z1",)), Route(Scope("t"), ("a",)), Tenant("t", reserve=70.0)],
+        [
+            Pool("a", ("z0",), min_backends=2),
+            Pool("b", ("z1",)),
+            Route(Scope("t"), ("a",)),
+            TenantRule("t", reserve=70.0),
+        ],
         {f"b{at}": BackendListing(f"z{at % 2}", "", True) for at in range(10)},
         25.0,
         {"u": 10.0},
@@ -114,8 +124,8 @@
     table = PermitTable((), 1, 0)
     seen = sight({"n1": "z1"})
     floor = CapacityFloor("the pool a", frozenset({"n0", "n1", "n2"}), 2)
-    assert "the pool a would have 1" in table.decide(0, ask("n0"), seen, Most(9), [floor]).reason
-    assert table.decide(0, ask("n4"), seen, Most(9), [floor]).permit is not None
+    assert "the pool a would have 1" in table.decide(0, ask("n0"), seen, DisruptionBudget(9), [floor]).reason
+    assert table.decide(0, ask("n4"), seen, DisruptionBudget(9), [floor]).permit is not None
 
 
 # --- drains
--- a/tests/test_maintenance_integration.py
+++ b/tests/test_maintenance_integration.py
@@ -23,8 +23,8 @@
 from hophinge.maintenance.releases import ReleaseProgress, ReleaseStage
 from hophinge.maintenance.statements import DRAINED, Statement, encode_statement, statements_by_owner
 from hophinge.routing import records
-from hophinge.routing.bounds import Maintenance, Most, Outage, Release
-from hophinge.routing.record_reader import read
+from hophinge.routing.maintenance_records import MaintenanceRule, DisruptionBudget, Outage, Release
+from hophinge.routing.document_reader import read_document
 from hophinge.state.files import Disk
 from tests.maintenance_process import Head
 from tests.stand_in import run, until
@@ -35,9 +35,11 @@
 
 
 def test_the_example_document_is_parsed() -> None:
-    document = read(EXAMPLE)
-    assert document.lines("f") == []
-    assert document.records["maintenance/*"] == Maintenance(Most(3, 0.1, 1), Most(2, -1.0, 1), 3, 25.0)
+    document = read_document(EXAMPLE)
+    assert document.mistake_lines("f") == []
+    assert document.records["maintenance/*"] == MaintenanceRule(
+        DisruptionBudget(3, 0.1, 1), DisruptionBudget(2, -1.0, 1), 3, 25.0
+    )
     assert document.records["outage/hall-a-disks"] == Outage("hall-a-disks", ("b-0017", "b-0018"))
     assert document.records["release/spring"] == Release("spring", "2.4.1", (), (0.1, 0.5, 1.0))
     assert [records.decode(records.encode(one)) for one in document.records.values()] == [*document.records.values()]
@@ -59,7 +61,7 @@
     ],
 )
 def test_an_invalid_form_is_reported_with_its_position(text: str, position: str, words: str) -> None:
-    told = read(("(hophinge 1)\n" + text).encode()).lines("f")
+    told = read_document(("(hophinge 1)\n" + text).encode()).mistake_lines("f")
     assert len(told) == 1 and told[0].startswith(f"f:{position}: ") and words in told[0], told
 
 
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -14,11 +14,11 @@
 from hophinge.maintenance import drain_verdicts, issuer, permits, statements
 from hophinge.maintenance.permit_holder import GoOffline, PermitHolder
 from hophinge.maintenance.permits import Availability, CapacityFloor, Permit, PermitKind, PermitState, PermitTable
-from hophinge.routing.bounds import Maintenance, Most
+from hophinge.routing.maintenance_records import MaintenanceRule, DisruptionBudget
 from tests.maintenance_faults import FAULTS, heal, history
 from tests.maintenance_world import S, World
 
-RULE = Maintenance(Most(3, 0.4, 2), Most(2, -1.0, 1))
+RULE = MaintenanceRule(DisruptionBudget(3, 0.4, 2), DisruptionBudget(2, -1.0, 1))
 
 
 def world_of(seed: int) -> World:
@@ -124,7 +124,7 @@
     name: str,
     zone: str,
     sight: Availability,
-    most: Most | None,
+    most: DisruptionBudget | None,
     floors: Iterable[CapacityFloor] = (),
 ) -> str:
     return "" if self.for_target(kind, name) is not None else permits_lacks(self, kind, name, zone, sight, most, floors)
--- a/tests/test_maintenance_releases.py
+++ b/tests/test_maintenance_releases.py
@@ -7,17 +7,17 @@
 
 from hophinge.maintenance.permits import Permit, PermitKind, PermitState
 from hophinge.maintenance.releases import ReleaseStage
-from hophinge.routing.bounds import Maintenance, Most, Outage, Release
+from hophinge.routing.maintenance_records import MaintenanceRule, DisruptionBudget, Outage, Release
 from tests.maintenance_world import S, World
 
-RULE = Maintenance(Most(3, -1.0, 1), Most(2, -1.0, 1))
+RULE = MaintenanceRule(DisruptionBudget(3, -1.0, 1), DisruptionBudget(2, -1.0, 1))
 
 
 def released(word: str = "go", again: int = 0, name: str = "r", build: str = "2") -> Release:
     return Release(name, build, (), (0.25, 1.0), 5 * S, 120 * S, 0.02, word, again)
 
 
-def rolling(heads: int = 12, rule: Maintenance = RULE, **more: object) -> World:
+def rolling(heads: int = 12, rule: MaintenanceRule = RULE, **more: object) -> World:
     world = World(1, heads, 2, rule)
     for _ in range(4):
         world.advance()
@@ -80,7 +80,7 @@
 
 
 def test_three_unplanned_losses_stop_a_release_at_a_limit_of_3() -> None:
-    world = rolling(rule=Maintenance(Most(3), Most(2)))
+    world = rolling(rule=MaintenanceRule(DisruptionBudget(3), DisruptionBudget(2)))
     world.until(lambda: len(world.store.active_permits(PermitKind.HEAD)) == 3 and stage(world) is ReleaseStage.ROLLING)
     count = len(world.store.permits)
     lost = [name for name, head in world.heads.items() if head.alive and head.build == "1"][:3]
@@ -177,7 +177,7 @@
     at = 0
     while True:
         at += 1
-        world = rolling(5, Maintenance(Most(2), Most(1)))
+        world = rolling(5, MaintenanceRule(DisruptionBudget(2), DisruptionBudget(1)))
         world.outages["o"] = Outage("o", ("b0",))
         world.apply_configuration()
         world.store.kill = world.store.saves + at, stored
@@ -200,7 +200,7 @@
 
 def test_a_head_of_unknown_build_is_not_restarted_again() -> None:
     """A restarted service sees heads' streams before their reports; it must not restart one that has the build."""
-    world = rolling(5, Maintenance(Most(2), Most(1)))
+    world = rolling(5, MaintenanceRule(DisruptionBudget(2), DisruptionBudget(1)))
     world.until(lambda: "r" in world.store.courses and world.store.courses["r"].wave == 1 and not held(world))
     assert stage(world) is ReleaseStage.ROLLING
     world.start_issuer()
@@ -243,7 +243,7 @@
     for _ in range(200):
         world.advance()
     assert world.store.permits[held.id].state is PermitState.OUT
-    world.rule = msgspec.structs.replace(RULE, free=(held.id,), retired=(held.name,))
+    world.rule = msgspec.structs.replace(RULE, released_permits=(held.id,), retired_heads=(held.name,))
     world.apply_configuration()
     world.advance()
     assert world.store.permits[held.id].state is PermitState.FREE and world.violations == []
--- a/tests/test_maintenance_retirement.py
+++ b/tests/test_maintenance_retirement.py
@@ -15,14 +15,14 @@
 from hophinge.maintenance.retirement import retirement_errors, without_retired
 from hophinge.maintenance.statements import DRAINED, Statement
 from hophinge.maintenance.status import maintenance_status
-from hophinge.routing.bounds import Maintenance, Most, Outage
-from hophinge.routing.record_reader import read
+from hophinge.routing.maintenance_records import MaintenanceRule, DisruptionBudget, Outage
+from hophinge.routing.document_reader import read_document
 from hophinge.routing.records import Record
 from tests.maintenance_process import Head
 from tests.maintenance_world import MemoryStore, S, World
 from tests.stand_in import run
 
-RULE = Maintenance(None, Most(1, -1.0, -1))
+RULE = MaintenanceRule(None, DisruptionBudget(1, -1.0, -1))
 OUTAGE = Outage("o", ("b0",))
 BACKENDS = {"b0": BackendListing("", "", True), "b1": BackendListing("", "", True)}
 
@@ -52,7 +52,7 @@
     told = maintenance_status(issuer, lambda name: 7)
     assert (told["permits"][0]["state"], told["permits"][0]["missing"]) == ("draining", ["n1"])
     assert told["absent"][0]["name"] == "n1" and told["absent"][0]["since_ms"] == 7
-    forms = [Maintenance(None, Most(1, -1.0, -1), retired=("n1",)), OUTAGE]
+    forms = [MaintenanceRule(None, DisruptionBudget(1, -1.0, -1), retired_heads=("n1",)), OUTAGE]
     issuer.apply_configuration(forms, (), {})
     issuer.tick(world.now + 2 * S)
     assert (
@@ -75,9 +75,9 @@
     text = (
         b"(hophinge 1)\n(pool all (zones z)) (route (pools all))\n(maintenance (bricks (most 1))\n  (retired n7 n8))\n"
     )
-    document = read(text)
+    document = read_document(text)
     assert not document.mistakes
-    rows, place = list(document.records.values()), document.places["maintenance/*"]
+    rows, place = list(document.records.values()), document.forms["maintenance/*"]
     assert retirement_errors(rows, {"n1"}, place, "words.sexp") == []
     (line,) = retirement_errors(rows, {"n8", "n1"}, place, "words.sexp")
     assert line.startswith("words.sexp:4:15: n8 is not gone") and "take it out of (retired ...)" in line
--- a/tests/test_maintenance_snapshots.py
+++ b/tests/test_maintenance_snapshots.py
@@ -16,7 +16,7 @@
 from hophinge.maintenance.messages import BackendListing, HeadReport
 from hophinge.maintenance.snapshots import FULL_LISTS_INTERVAL_US, SnapshotReceiver, SnapshotSender
 from hophinge.maintenance.statements import DRAINED, Statement
-from hophinge.routing.bounds import Maintenance, Most, Outage
+from hophinge.routing.maintenance_records import MaintenanceRule, DisruptionBudget, Outage
 from tests.maintenance_world import MemoryStore, World
 
 BEAT_US = 2_000_000
@@ -236,7 +236,7 @@
 
 
 def test_no_permit_is_granted_on_uncertain_lists() -> None:
-    rule = Maintenance(None, Most(1, -1.0, -1))
+    rule = MaintenanceRule(None, DisruptionBudget(1, -1.0, -1))
     world = World(1, 2, 3, rule)
     issuer = PermitIssuer("store", 9, (), (), {}, MemoryStore(world), world.now)
     issuer.apply_configuration([rule, Outage("o", ("b0",))], (), {})
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -40,7 +40,8 @@
 from hophinge.net import discovery
 from hophinge.objects import stored_records as object_records
 from hophinge.objects import account_access
-from hophinge.routing import bounds, records
+from hophinge.routing import records
+from hophinge.routing import maintenance_records
 from hophinge.scoring import encoding, latency, outlook, suspicion
 from hophinge.state import rows
 from hophinge.state.files import load, save
@@ -83,18 +84,18 @@
     "discovery: list": (discovery.Listing, json_bytes),
     "discovery: what leaves": (discovery.DrainingEntry, json_bytes),
     "discovery: list of raw entries": (discovery.RawListing, json_bytes),
-    "document: plan": (records.Plan, json_bytes),
+    "document: plan": (records.PlanOverride, json_bytes),
     "document: pool": (records.Pool, json_bytes),
-    "document: tenant": (records.Tenant, json_bytes),
+    "document: tenant": (records.TenantRule, json_bytes),
     "document: route": (records.Route, json_bytes),
     "document: limit": (records.Limit, json_bytes),
-    "document: retries": (records.Retries, json_bytes),
-    "document: spare": (records.Spare, json_bytes),
-    "document: eject": (records.Eject, json_bytes),
-    "document: rollout": (records.Rollout, json_bytes),
-    "document: maintenance": (bounds.Maintenance, json_bytes),
-    "document: outage": (bounds.Outage, json_bytes),
-    "document: release": (bounds.Release, json_bytes),
+    "document: retries": (records.RetryRule, json_bytes),
+    "document: spare": (records.SpareSharing, json_bytes),
+    "document: eject": (records.EjectionRule, json_bytes),
+    "document: rollout": (records.RolloutRule, json_bytes),
+    "document: maintenance": (maintenance_records.MaintenanceRule, json_bytes),
+    "document: outage": (maintenance_records.Outage, json_bytes),
+    "document: release": (maintenance_records.Release, json_bytes),
     "control store: course of a version": (rollout.RolloutPlan, json_bytes),
     "control store: permit": (permits.Permit, json_bytes),
     "control store: course of a release": (releases.ReleaseProgress, json_bytes),
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,7 @@
 
 from hophinge.control.rollout import RolloutPlan, RolloutController, RolloutStage
 from hophinge.control.messages import VersionId
-from hophinge.routing.records import Rollout as Rule
+from hophinge.routing.records import RolloutRule as Rule
 from tests.stream_link import MS, S
 
 
@@ -60,7 +60,7 @@
         return sum(running == version_id for running in self.running.values())
 
 
-WAVES = Rule(first=("n3",), waves=(0.2, 0.5, 1.0), hold_us=S, failures=0.05, on_trouble="rollback")
+WAVES = Rule(first=("n3",), waves=(0.2, 0.5, 1.0), soak_us=S, max_failure_share=0.05, on_failure="rollback")
 
 
 def test_waves_cover_first_heads_then_shares_then_all() -> None:
@@ -90,7 +90,7 @@
 
 
 def test_paused_rollout_is_resumed_or_superseded_by_operators() -> None:
-    fleet = Fleet(Rule(waves=(0.2, 1.0), hold_us=S))
+    fleet = Fleet(Rule(waves=(0.2, 1.0), soak_us=S))
     first = fleet.push()
     fleet.run(5 * S)
     bad = fleet.push()
@@ -137,7 +137,7 @@
 
 
 def test_reconnected_head_joins_its_wave() -> None:
-    fleet = Fleet(Rule(first=("n0",), waves=(1.0,), hold_us=3 * S))
+    fleet = Fleet(Rule(first=("n0",), waves=(1.0,), soak_us=3 * S))
     first = fleet.push()
     fleet.run(10 * S)
     for name in ("n7", "n8"):
@@ -157,7 +157,7 @@
 
 
 def test_unresponsive_head_pauses_the_rollout_after_the_timeout() -> None:
-    fleet = Fleet(Rule(waves=(1.0,), patience_us=2 * S))
+    fleet = Fleet(Rule(waves=(1.0,), acknowledge_timeout_us=2 * S))
     fleet.push()
     for _ in range(19):
         fleet.step(answer=False)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,11 +11,11 @@
 
 from hophinge.core.choice import Scheduler
 from hophinge.core.interface import ListKind, NodeList, Phase
-from hophinge.routing.record_reader import read
-from hophinge.routing.index import Index
-from hophinge.routing.admitted import Pass
-from hophinge.routing.records import Plan, Record, Scope
-from hophinge.routing.table import EMPTY, check
+from hophinge.routing.document_reader import read_document
+from hophinge.routing.scope_index import ScopeIndex
+from hophinge.routing.admitted_request import AdmittedRequest
+from hophinge.routing.records import PlanOverride, Record, Scope
+from hophinge.routing.routing_table import EMPTY_TABLE, validate
 from tests.routes import FACTS, NAMED, POOLS, ask, backend, router, table, within
 from tests.test_choice import T0
 
@@ -50,7 +50,7 @@
     advice = strict.admit(T0, ask("r1"))
     assert isinstance(advice, int) and advice > 0
     assert within(open_.admit(T0, ask("r1"))) == {"n3", "n4", "n5"}
-    assert not strict.open and not strict.versions
+    assert not strict.open_by_pool and not strict.open_by_version
 
 
 def test_data_is_read_where_it_lies_even_outside_of_the_pools() -> None:
@@ -58,7 +58,7 @@
     inside, outside = made.admit(T0, ask("r1", shard=1)), made.admit(T0, ask("r2", shard=4))
     assert within(inside, 1) == {"n0", "n1", "n2"}
     assert "n4" in within(outside, 4)
-    assert made.followed == 1
+    assert made.followed_shard == 1
 
 
 def test_a_full_pool_spills_over_in_the_route_s_order_and_fills_again_when_answered() -> None:
@@ -66,30 +66,34 @@
         "(pool a (zones hall-a) (open 1 requests)) (pool b (zones hall-b) (open 1 requests))(route (pools a b))"
     )
     held = [made.admit(T0, ask(f"r{at}")) for at in range(7)]
-    pools = [one.pool for one in held if isinstance(one, Pass)]
+    pools = [one.pool for one in held if isinstance(one, AdmittedRequest)]
     assert pools == ["a"] * 3 + ["b"] * 3 + ["a"]  # all full: the first again, where the module decides
     assert made.spilled == 3
     first = held[0]
-    assert isinstance(first, Pass)
+    assert isinstance(first, AdmittedRequest)
     made.answered(T0, first)
-    made.answered(T0, next(one for one in held[1:3] if isinstance(one, Pass)))
+    made.answered(T0, next(one for one in held[1:3] if isinstance(one, AdmittedRequest)))
     again = made.admit(T0, ask("r8"))
-    assert isinstance(again, Pass) and again.pool == "a"
+    assert isinstance(again, AdmittedRequest) and again.pool == "a"
 
 
 def test_a_request_keeps_its_version_and_a_removed_pool_lets_its_requests_end() -> None:
     made = router(POOLS + "(route (pools a))")
     old = made.admit(T0, ask("old"))
-    before = read(("(hophinge 1)" + POOLS + "(route (pools a))").encode()).records
-    made.take_up(table("(pool b (zones hall-b)) (route (pools b))", (1, 2), made.table, before), T0)
+    before = read_document(("(hophinge 1)" + POOLS + "(route (pools a))").encode()).records
+    made.activate(table("(pool b (zones hall-b)) (route (pools b))", (1, 2), made.table, before), T0)
     new = made.admit(T0, ask("new"))
     assert within(old) == {"n0", "n1", "n2"} and within(new) == {"n3", "n4", "n5"}
-    assert made.versions == {(1, 1): 1, (1, 2): 1} and made.figures()["draining_versions"] == 1
+    assert made.open_by_version == {(1, 1): 1, (1, 2): 1} and made.status()["draining_versions"] == 1
     made.nodes(T0, NodeList(ListKind.CHANGES, (backend(0, 0, Phase.GONE),)))
     assert within(old) == {"n1", "n2"}  # an old version's bricks die as well
-    assert isinstance(old, Pass)
+    assert isinstance(old, AdmittedRequest)
     made.answered(T0, old)
-    assert made.versions == {(1, 2): 1} and (1, 1) not in made.views.chains and (1, 1) not in made.views.tables
+    assert (
+        made.open_by_version == {(1, 2): 1}
+        and (1, 1) not in made.failover_levels.levels_by_version
+        and (1, 1) not in made.failover_levels.tables
+    )
 
 
 SCOPES = st.builds(
@@ -99,7 +103,7 @@
 
 @given(st.dictionaries(SCOPES, st.integers(), max_size=20), st.dictionaries(SCOPES, st.none() | st.integers()))
 def test_the_index_finds_what_a_scan_finds(rows: dict[Scope, int], changes: dict[Scope, int | None]) -> None:
-    index = Index.of(rows.items()).changed(changes.items())
+    index = ScopeIndex.of(rows.items()).with_changes(changes.items())
     now = {scope: value for scope, value in {**rows, **changes}.items() if value is not None}
     assert index.size == len(now)
     for tenant, volume, klass in itertools.product(("t1", "t2", "x"), ("v1", "v2", "x"), ("k1", "k2", "x")):
@@ -112,25 +116,29 @@
             key=lambda scope: (bool(scope.volume), bool(scope.tenant), bool(scope.klass)),
             reverse=True,
         )
-        assert list(index.all(tenant, volume, klass)) == [now[scope] for scope in fits]
-        assert index.find(tenant, volume, klass) == (now[fits[0]] if fits else None)
+        assert list(index.matching(tenant, volume, klass)) == [now[scope] for scope in fits]
+        assert index.most_specific(tenant, volume, klass) == (now[fits[0]] if fits else None)
 
 
 def test_a_table_changed_step_by_step_is_the_one_made_at_once() -> None:
-    first = read(
+    first = read_document(
         (
             "(hophinge 1)" + POOLS + "(tenant t (volumes 00000000000000aa 00000000000000bb))"
             "(route (tenant t) (pools a))(plan plan-0 (weight 1))"
         ).encode()
     ).records
-    second = read(
+    second = read_document(
         b"(hophinge 1)(pool b (zones hall-b))(tenant t (volumes 00000000000000bb))"
         b"(tenant u (volumes 00000000000000aa))(limit (open 3 requests))"
     ).records
-    made = EMPTY.changed((1, 1), first, {})
+    made = EMPTY_TABLE.with_changes((1, 1), first, {})
     changes: dict[str, Record | None] = {**dict.fromkeys(first.keys() - second.keys()), **second}
-    stepped, whole = made.changed((1, 2), changes, first), EMPTY.changed((1, 2), second, {})
-    assert (stepped.owners, stepped.pools, stepped.plans) == (whole.owners, whole.pools, whole.plans)
+    stepped, whole = made.with_changes((1, 2), changes, first), EMPTY_TABLE.with_changes((1, 2), second, {})
+    assert (stepped.tenant_by_volume, stepped.pools, stepped.plans) == (
+        whole.tenant_by_volume,
+        whole.pools,
+        whole.plans,
+    )
     assert list(stepped.limits) == list(whole.limits) and not list(stepped.routes)
 
 
@@ -147,17 +155,17 @@
     ],
 )
 def test_a_head_turns_down_what_it_lacks_or_what_the_platform_forbids(text: str, why: str) -> None:
-    found = read(("(hophinge 1)" + text).encode()).records
-    assert any(why in reason for reason in check(found, found, FACTS))
-    found2 = read(b"(hophinge 1)(retries (second-copy 80 ms))").records
-    assert check(found2, found2, replace(FACTS, second_copies=False)) != []
+    found = read_document(("(hophinge 1)" + text).encode()).records
+    assert any(why in reason for reason in validate(found, found, FACTS))
+    found2 = read_document(b"(hophinge 1)(retries (second-copy 80 ms))").records
+    assert validate(found2, found2, replace(FACTS, allows_hedging=False)) != []
 
 
 def test_plans_only_lower_what_the_platform_states_and_the_module_follows() -> None:
     made = router("(plan plan-0 (reserve 1 units/s) (weight 0.5))")
-    plans = made.plans()
+    plans = made.overridden_plans()
     assert plans[0].reserve == min(1.0, NAMED.plans[0].reserve) and plans[0].weight == 0.5
-    assert made.table.plans["plan-0"] == Plan("plan-0", 1.0, 0.5)
+    assert made.table.plans["plan-0"] == PlanOverride("plan-0", 1.0, 0.5)
     module = Scheduler(NAMED, 7)
     module.handle(T0, [NodeList(ListKind.SAVED, (backend(0, 0),)), ask("r1")])
     module.replan(plans)
--- a/tests/test_routing_bounds.py
+++ b/tests/test_routing_bounds.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from hophinge.core.interface import Result
-from hophinge.routing.eject import Ejector
-from hophinge.routing.index import Index
+from hophinge.routing.outlier_detection import OutlierDetector
+from hophinge.routing.scope_index import ScopeIndex
 from hophinge.routing.limits import Limiter
-from hophinge.routing.admitted import Pass
-from hophinge.routing.records import Eject, Limit, Retries, Scope
-from hophinge.routing.retries import Budget
+from hophinge.routing.admitted_request import AdmittedRequest
+from hophinge.routing.records import EjectionRule, Limit, RetryRule, Scope
+from hophinge.routing.retry_budget import RetryBudget
 from tests.routes import S, ask, router, within
 from tests.test_choice import MS, T0
 
@@ -19,18 +19,18 @@
 def test_limits_add_up_over_scopes_and_take_all_or_nothing() -> None:
     made = router("(limit (tenant alba) (rate 10 units/s) (burst 1 s)) (limit (open 3 requests))")
     held = [made.admit(T0, ask(f"r{at}", "alba")) for at in range(3)]
-    assert all(isinstance(one, Pass) for one in held)
+    assert all(isinstance(one, AdmittedRequest) for one in held)
     assert isinstance(made.admit(T0, ask("full", "other")), int)
     alba = made.limiter.states["limit/alba/*/*"]
     level = alba.level
     assert isinstance(made.admit(T0, ask("both", "alba")), int)
     assert alba.level == level  # refused by the open ones: no unit of the rate is gone
     for one in held:
-        assert isinstance(one, Pass)
+        assert isinstance(one, AdmittedRequest)
         made.answered(T0 + 50 * MS, one)
     wait = made.admit(T0 + 50 * MS, ask("big", "alba", units=8.0))
     assert isinstance(wait, int) and 300 * MS < wait < 400 * MS
-    assert isinstance(made.admit(T0 + 50 * MS + wait, ask("big", "alba", units=8.0)), Pass)
+    assert isinstance(made.admit(T0 + 50 * MS + wait, ask("big", "alba", units=8.0)), AdmittedRequest)
 
 
 @given(
@@ -56,11 +56,11 @@
 def test_states_of_removed_limits_are_dropped_once_they_are_many() -> None:
     limiter = Limiter()
     for at in range(600):
-        assert limiter.admit([Limit(Scope(f"t{at}"), open=1)], 1.0, T0)[0]
-    left = Index.of([(Scope("t7"), Limit(Scope("t7"), open=1))])
-    limiter.forget(left.get, left.size)
+        assert limiter.admit([Limit(Scope(f"t{at}"), max_open=1)], 1.0, T0)[0]
+    left = ScopeIndex.of([(Scope("t7"), Limit(Scope("t7"), max_open=1))])
+    limiter.drop_removed(left.get, left.size)
     assert list(limiter.states) == ["limit/t7/*/*"]
-    assert limiter.admit([Limit(Scope("t7"), open=1)], 1.0, T0)[1] > 0  # and it is still full
+    assert limiter.admit([Limit(Scope("t7"), max_open=1)], 1.0, T0)[1] > 0  # and it is still full
 
 
 @given(st.lists(st.tuples(st.integers(0, 300 * MS), st.integers(1, 200_000)), max_size=60))
@@ -69,10 +69,10 @@
     for span, size in steps:
         now += span
         moved += size
-        now += limiter.pause_us([limit, Limit(Scope("t"), 5.0)], 0, size, now)
+        now += limiter.pacing_delay_us([limit, Limit(Scope("t"), 5.0)], 0, size, now)
         # What has moved when the pause is over: a second's worth saved up, and the rate since.
         assert moved <= 100_000 + 100_000 * (now - T0) / S + 1
-    assert limiter.pause_us([limit], 1, 10**9, now) == 0  # the other way has no bound
+    assert limiter.pacing_delay_us([limit], 1, 10**9, now) == 0  # the other way has no bound
 
 
 def test_a_clock_that_goes_back_gives_nothing_and_takes_nothing() -> None:
@@ -84,57 +84,57 @@
 
 @given(st.lists(st.tuples(st.integers(0, 900 * MS), st.booleans()), max_size=120))
 def test_a_budget_never_lets_more_through_than_its_share_of_any_window(steps: list[tuple[int, bool]]) -> None:
-    budget, now = Budget(Retries(budget=0.2, free=1)), T0
+    budget, now = RetryBudget(RetryRule(budget_share=0.2, min_retries=1)), T0
     firsts: list[int] = []
     further: list[int] = []
     for span, first in steps:
         now += span
         if first:
-            budget.took(now)
+            budget.record_first_attempt(now)
             firsts.append(now)
-        elif budget.allows(now):
-            budget.repeated(now)
+        elif budget.allows_retry(now):
+            budget.record_retry(now)
             further.append(now)
             since = (now // S - 9) * S
             assert sum(at >= since for at in further) <= 1 + 0.2 * sum(at >= since for at in firsts)
     assert len(further) <= 1 + len(further) // 2 + 0.2 * len(firsts) + now // S
 
 
-RULE = Eject(0.5, 2 * S, S, 0.3)
+RULE = EjectionRule(0.5, 2 * S, S, 0.3)
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 300 * MS), st.integers(0, 9), st.booleans(), st.integers(0, 30)), max_size=200)
 )
 def test_never_more_backends_rest_than_the_stated_share(steps: list[tuple[int, int, bool, int]]) -> None:
-    ejector, now = Ejector(), T0
-    ejector.change(RULE, now)
-    ejector.list([f"n{at}" for at in range(10)], now)
+    ejector, now = OutlierDetector(), T0
+    ejector.set_rule(RULE, now)
+    ejector.set_live_backends([f"n{at}" for at in range(10)], now)
     for span, at, error, change in steps:
         now += span
-        ejector.lapse(now)
+        ejector.restore_expired(now)
         if change < 10:
-            ejector.list([f"n{one}" for one in range(change)], now)
-        ejector.ended(f"n{at}", error, now)
-        assert len(ejector.out) <= int(0.3 * len(ejector.live) + 1e-9)
-        assert ejector.out.keys() <= ejector.live
+            ejector.set_live_backends([f"n{one}" for one in range(change)], now)
+        ejector.on_attempt_ended(f"n{at}", error, now)
+        assert len(ejector.ejected_until) <= int(0.3 * len(ejector.live) + 1e-9)
+        assert ejector.ejected_until.keys() <= ejector.live
 
 
 def test_an_outlier_rests_longer_each_time_and_comes_back() -> None:
-    ejector, now = Ejector(), T0
-    ejector.change(RULE, now)
-    ejector.list([f"n{at}" for at in range(10)], now)
+    ejector, now = OutlierDetector(), T0
+    ejector.set_rule(RULE, now)
+    ejector.set_live_backends([f"n{at}" for at in range(10)], now)
     rests = []
     for _ in range(3):
-        while not ejector.ended("n3", True, now):
+        while not ejector.on_attempt_ended("n3", True, now):
             now += 10 * MS
-        rests.append(ejector.out["n3"] - now)
-        assert not ejector.lapse(now + rests[-1] - 1) and ejector.lapse(now + rests[-1])
+        rests.append(ejector.ejected_until["n3"] - now)
+        assert not ejector.restore_expired(now + rests[-1] - 1) and ejector.restore_expired(now + rests[-1])
         now += rests[-1]
     assert rests == [S, 2 * S, 4 * S]
     for _ in range(100):
-        assert not ejector.ended("n4", False, now)
-    assert ejector.change(None, now) is False and not ejector.ended("n4", True, now)
+        assert not ejector.on_attempt_ended("n4", False, now)
+    assert ejector.set_rule(None, now) is False and not ejector.on_attempt_ended("n4", True, now)
 
 
 def test_an_ejected_backend_gets_nothing_unless_it_alone_holds_the_data() -> None:
@@ -147,4 +147,4 @@
     full = router("(eject (errors 50 %) (over 2 s) (rest 1 s) (at-most 30 %))")
     for _ in range(20):
         full.ended(T0, "n3", Result.FULL)  # busy is not broken
-    assert not full.ejector.out
+    assert not full.outlier_detector.ejected_until
--- a/tests/test_routing_module.py
+++ b/tests/test_routing_module.py
@@ -23,7 +23,7 @@
     Send,
     TimerExpired,
 )
-from hophinge.routing.admitted import Pass
+from hophinge.routing.admitted_request import AdmittedRequest
 from tests.routes import NAMED, POOLS, ask, backend, router
 from tests.test_choice import MS, T0
 
@@ -33,7 +33,7 @@
 
     def __init__(self, text: str, *entries: NodeEntry) -> None:
         self.router, self.module, self.now = router(text, *entries), Scheduler(NAMED, 7), T0
-        self.module.handle(T0, [NodeList(ListKind.SAVED, tuple(self.router.views.entries.values()))])
+        self.module.handle(T0, [NodeList(ListKind.SAVED, tuple(self.router.failover_levels.entries.values()))])
 
     def at(self, later: int, *events: Event) -> list[Action]:
         self.now += later
@@ -41,7 +41,7 @@
 
     def arrive(self, arrival: Arrival) -> list[Action]:
         bounds = self.router.admit(self.now, arrival)
-        assert isinstance(bounds, Pass)
+        assert isinstance(bounds, AdmittedRequest)
         return self.at(0, structs.replace(arrival, bounds=bounds))
 
     def run(self, span: int, step: int = 5 * MS) -> list[Action]:
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -54,8 +54,8 @@
             await until(lambda: sum(task.done() for task in tasks) == 8)  # seven are refused after 150 ms
             gate.set()
             codes = Counter(await asyncio.gather(*tasks[:11]))
-            assert codes == {200: 4, 503: 7} and not router.passes and not router.open
-            assert router.admission.units_in_flight == 0 and router.figures()["refused_beyond_share"] == 7
+            assert codes == {200: 4, 503: 7} and not router.queued and not router.open_by_pool
+            assert router.admission.units_in_flight == 0 and router.status()["refused_beyond_share"] == 7
             told = (await tenants_of(head, client))["aa"]
             assert (told["spare_units"], told["refused"], told["waiting"]) == (4.0, 7, 0)
             # Without the form nothing waits any more.
@@ -65,7 +65,7 @@
             await here.push(GOOD)
             await here.runs(head, "1.2")
             gate.set()
-            assert set(await asyncio.gather(*tasks)) <= {200, 503} and not router.passes
+            assert set(await asyncio.gather(*tasks)) <= {200, 503} and not router.queued
 
     run(main())
 
@@ -112,7 +112,7 @@
                 await asyncio.sleep(0.01)
             assert most <= 1 + 1e-9 and asyncio.get_running_loop().time() - since < 30  # 6 s on a free machine
             router = heads[0].streamed.router if heads[0].streamed is not None else None
-            assert router is not None and router._shares("aa").reserve > 0.8 * 40
+            assert router is not None and router._tenant_shares("aa").reserve > 0.8 * 40
             asking.cancel()
             await asyncio.gather(asking, return_exceptions=True)
 
@@ -169,7 +169,7 @@
                     assert answer.status == 200 and await answer.read() == long
                 took[name] = asyncio.get_running_loop().time() - since
             assert took["aa"] > 0.4  # 1 MiB was saved up, half of one is paced
-            assert head.streamed is not None and list(head.streamed.router.limiter.paces) == ["limit/aa/*/*"]
+            assert head.streamed is not None and list(head.streamed.router.limiter.byte_rates) == ["limit/aa/*/*"]
 
     run(main())
 
