--- a/hophinge/cli/load.py
+++ b/hophinge/cli/load.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from hophinge.load.clients import Result
+    from hophinge.load.clients import LoadResult
     from hophinge.load.plan import LoadPlan
 
 load = typer.Typer(no_args_is_help=True, help="Open-loop loads by a plan, on loopback.")
@@ -28,10 +28,10 @@
 
 def read_plan(path: Path) -> LoadPlan:
     """Read a plan; each mistake is one line, and the status is 2."""
-    from hophinge.load.plan import read
+    from hophinge.load.plan import read_plan
 
     try:
-        plan, mistakes = read(path.read_bytes())
+        plan, mistakes = read_plan(path.read_bytes())
     except OSError as error:
         raise fail(f"{path}: {error.strerror}") from error
     if mistakes:
@@ -51,7 +51,7 @@
     made = read_plan(plan)
 
     async def main() -> None:
-        platform = Platform(made.at_times(times) if times else made)
+        platform = Platform(made.scaled_to(times) if times else made)
         await platform.start()
         print(f"{HOST}:{platform.port}", flush=True)
         await asyncio.Event().wait()
@@ -67,8 +67,8 @@
     begin: Annotated[str, typer.Option(help="a URL to call when it starts")] = "",
 ) -> None:
     """Play a plan against a head that runs, and print the table."""
-    from hophinge.load.clients import Load
-    from hophinge.load.report import table
+    from hophinge.load.clients import LoadGenerator
+    from hophinge.load.report import render_table
 
     host = head.rpartition(":")[0]
     if not (host == "localhost" or host.startswith("127.") or host == "[::1]"):
@@ -76,8 +76,8 @@
     made = read_plan(plan)
     import uvloop
 
-    result = uvloop.run(Load(made.at_times(times) if times else made, head).run(begin))
-    print(table(str(plan), {f"{times:g}" if times else "as planned": result}))
+    result = uvloop.run(LoadGenerator(made.scaled_to(times) if times else made, head).run(begin))
+    print(render_table(str(plan), {f"{times:g}" if times else "as planned": result}))
 
 
 @asynccontextmanager
@@ -131,14 +131,16 @@
 
 async def _experiment(
     path: Path, plan: LoadPlan, factors: list[float], config: Path, operator: Path | None, program: Path
-) -> dict[str, Result]:
-    from hophinge.load.clients import Load
+) -> dict[str, LoadResult]:
+    from hophinge.load.clients import LoadGenerator
 
-    results: dict[str, Result] = {}
+    results: dict[str, LoadResult] = {}
     for times in factors:
-        made = plan.at_times(times) if times else plan
+        made = plan.scaled_to(times) if times else plan
         async with head_for(path, plan, times, config, operator, program) as (head, discovery):
-            results[f"{times:g}" if times else "as planned"] = await Load(made, head).run(f"http://{discovery}/begin")
+            results[f"{times:g}" if times else "as planned"] = await LoadGenerator(made, head).run(
+                f"http://{discovery}/begin"
+            )
     return results
 
 
@@ -154,19 +156,19 @@
     """Play a plan at several rates, each against a head and bricks that have just started; write table and chart."""
     import uvloop
 
-    from hophinge.load.report import by_second, chart, table
+    from hophinge.load.report import earned_share_by_second, render_chart, render_table
 
     made = read_plan(plan)
     results = uvloop.run(_experiment(plan, made, times or [0.0], config, operator, program.resolve()))
-    text = table(plan.stem, results)
+    text = render_table(plan.stem, results)
     out.print(text, markup=False, soft_wrap=True)
     if out_file is not None:
         out_file.with_suffix(".md").write_text(text)
-        lines = {name: by_second(one) for name, one in results.items()}
+        lines = {name: earned_share_by_second(one) for name, one in results.items()}
         if len(results) > 1:
             lines = {
                 "earned": [(float(name), one.goodput) for name, one in results.items()],
-                "asked for": [(float(name), one.due) for name, one in results.items()],
+                "asked for": [(float(name), one.offered_value_rate) for name, one in results.items()],
             }
         across = "times what the bricks do" if len(results) > 1 else "second of arrival"
-        out_file.with_suffix(".svg").write_bytes(chart(plan.stem, lines, across, "worth"))
+        out_file.with_suffix(".svg").write_bytes(render_chart(plan.stem, lines, across, "worth"))
--- a/hophinge/load/plan.py
+++ b/hophinge/load/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a load, as S-expressions: who asks for what, how often, and what goes wrong with the bricks meanwhile."""
+"""The plan of a load, as S-expressions: classes of clients, surges, and faults of the backends."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 VERSION = "1"
 FAULTS = ("fail", "hang", "slow", "cold", "vanish")
 MAX_RATE = 20_000.0  # requests a second of all clients together
-LONGEST_S = 600.0
-VOLUMES = 0x10_0000  # a client's volumes count from its place, times this
+MAX_DURATION_S = 600.0
+MAX_VOLUMES = 0x10_0000  # a client's volumes count from its place, times this
 
 
 @dataclass(frozen=True)
-class Client:
-    """One sort of requests."""
+class ClientClass:
+    """A class of clients, which send one kind of request."""
 
     name: str
     klass: str
@@ -28,71 +28,71 @@
     volumes: int = 1  # that they are spread over
     write: bool = False
     remaining_us: int = 1_000_000
-    aim_us: int = 200_000  # within which an answer is worth something
-    worth: float = 1.0
+    target_latency_us: int = 200_000  # within which an answer counts
+    value: float = 1.0
     retries: int = 0  # of one request
-    pause_us: int = 100_000  # before one, where the answer names none
-    stays_us: int = 0  # its client leaves then; 0: it stays for its time
-    heavy: float = 1.0  # times the work, of ...
-    heavy_part: float = 0.0
+    retry_interval_us: int = 100_000  # where the answer has no Retry-After
+    leaves_after_us: int = 0  # the client gives up then; 0: at its deadline
+    heavy_factor: float = 1.0  # times the work of a heavy request
+    heavy_share: float = 0.0
 
 
 @dataclass(frozen=True)
 class Surge:
-    """A span in which clients ask more often."""
+    """A span in which clients send more requests."""
 
     at_us: int
-    for_us: int
-    times: float
+    duration_us: int
+    rate_factor: float
     clients: tuple[str, ...] = ()  # none: all
 
 
 @dataclass(frozen=True)
 class Fault:
-    """What goes wrong with some bricks for a span."""
+    """A fault of some backends for a span."""
 
     kind: str
     at_us: int
-    for_us: int
-    part: float = 0.5  # of the bricks, the first ones
-    share: float = 1.0  # of the requests, for fail
-    times: float = 5.0  # the work, for slow
+    duration_us: int
+    backend_share: float = 0.5  # of the backends, the first ones
+    failure_share: float = 1.0  # of the requests, for fail
+    slowdown: float = 5.0  # the work, for slow
 
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """The whole plan."""
+    """A complete plan."""
 
     seed: int = 1
-    for_us: int = 10_000_000
-    settle_us: int = 2_000_000  # at the beginning, not counted
+    duration_us: int = 10_000_000
+    warm_up_us: int = 2_000_000  # at the beginning, not counted
     backends: int = 3
-    slots: int = 2  # of a brick
+    slots: int = 2  # of a backend
     work_us: int = 20_000  # for a unit in a slot
-    queue: int = 64  # requests that wait at a brick; beyond, it turns away
-    clients: tuple[Client, ...] = ()
+    max_queued_requests: int = 64  # at a backend; beyond, it rejects
+    clients: tuple[ClientClass, ...] = ()
     surges: tuple[Surge, ...] = ()
     faults: tuple[Fault, ...] = ()
 
     @property
     def capacity(self) -> float:
-        """Tell the units a second that the bricks do."""
+        """The units a second that the backends serve."""
         return self.backends * self.slots / (self.work_us / 1e6)
 
     @property
     def offered(self) -> float:
-        """Tell the units a second that clients ask for, surges apart."""
-        return sum(one.rate * one.units * (1 + (one.heavy - 1) * one.heavy_part) for one in self.clients)
+        """The units a second that clients request, without surges."""
+        return sum(one.rate * one.units * (1 + (one.heavy_factor - 1) * one.heavy_share) for one in self.clients)
 
-    def at_times(self, times: float) -> LoadPlan:
-        """Tell the plan with all rates so scaled that the bricks are asked for `times` what they do."""
-        scale = times * self.capacity / self.offered
+    def scaled_to(self, utilization: float) -> LoadPlan:
+        """Return the plan with all rates scaled so that it offers `utilization` times the capacity of the backends."""
+        scale = utilization * self.capacity / self.offered
         return replace(self, clients=tuple(replace(one, rate=one.rate * scale) for one in self.clients))
 
 
 @dataclass(frozen=True, order=True)
-class Ask:
-    """One first try."""
+class Arrival:
+    """The first attempt of one request."""
 
     at_us: int
     number: int
@@ -103,152 +103,181 @@
     heavy: bool = field(compare=False)
 
 
-def arrivals(plan: LoadPlan) -> list[Ask]:
-    """Draw all first tries of a plan: the same for the same seed, whatever becomes of them."""
+def arrivals(plan: LoadPlan) -> list[Arrival]:
+    """Draw the first attempts of a plan: the same for the same seed, whatever their outcomes."""
     drawn = [
         (at, client, rng)
         for place, client in enumerate(plan.clients)
         for rng in [random.Random(plan.seed * 1_000_003 + place)]
-        for at in _times(plan, client, rng)
+        for at in _arrival_times(plan, client, rng)
     ]
     places = {client.name: place for place, client in enumerate(plan.clients)}
     found = []
     for number, (at, client, rng) in enumerate(sorted(drawn, key=lambda row: row[0])):
         place = places[client.name]
         found.append(
-            Ask(
+            Arrival(
                 at,
                 number,
                 place,
-                place * VOLUMES + rng.randrange(client.volumes),
+                place * MAX_VOLUMES + rng.randrange(client.volumes),
                 rng.getrandbits(64),
                 client.units,
-                rng.random() < client.heavy_part,
+                rng.random() < client.heavy_share,
             )
         )
     return found
 
 
-def _times(plan: LoadPlan, client: Client, rng: random.Random) -> Iterator[int]:
+def _arrival_times(plan: LoadPlan, client: ClientClass, rng: random.Random) -> Iterator[int]:
     at = 0.0
-    most = max([1.0, *(surge.times for surge in plan.surges)])
+    max_factor = max([1.0, *(surge.rate_factor for surge in plan.surges)])
     if not client.rate:
         return
-    while (at := at + rng.expovariate(client.rate * most) * 1e6) < plan.for_us:
-        times = max(
+    while (at := at + rng.expovariate(client.rate * max_factor) * 1e6) < plan.duration_us:
+        rate_factor = max(
             [
-                surge.times
+                surge.rate_factor
                 for surge in plan.surges
-                if surge.at_us <= at < surge.at_us + surge.for_us
+                if surge.at_us <= at < surge.at_us + surge.duration_us
                 and (not surge.clients or client.name in surge.clients)
             ],
             default=1.0,
         )
-        if rng.random() < times / most:  # thinned: the same draws whatever the surges
+        if rng.random() < rate_factor / max_factor:  # thinned: the same draws whatever the surges
             yield int(at)
 
 
-def read(raw: bytes) -> tuple[LoadPlan, list[Mistake]]:
-    """Read a plan; its mistakes stand in the result, none is raised."""
+class PlanReader:
+    """Reads the forms of a plan and collects their mistakes."""
+
+    def __init__(self, mistakes: list[Mistake]) -> None:
+        self.mistakes = mistakes
+        self.run = LoadPlan()
+        self.clients: dict[str, ClientClass] = {}
+        self.surges: list[Surge] = []
+        self.faults: list[Fault] = []
+
+    def reject(self, node: Node, text: str) -> None:
+        """Record a mistake at a node."""
+        self.mistakes.append(Mistake(node.line, node.column, text))
+
+    def read_form(self, node: Form) -> None:
+        """Read one form of the document."""
+        fields = FormReader(node, self.reject)
+        match node.keyword:
+            case "run":
+                self.run = _run(fields)
+            case "client":
+                client = _client(fields)
+                if client.name in self.clients:
+                    self.reject(node, f"the client {client.name} is given twice; keep one")
+                self.clients[client.name] = client
+            case "surge":
+                self.surges.append(_surge(fields))
+            case "fault":
+                self.faults.append(self._fault(node, fields))
+            case _:
+                word = node.keyword or "a form without a word"
+                self.reject(node, f"{word!r} is no form; there are run, client, surge, fault")
+                return
+        fields.reject_unknown()
+
+    def _fault(self, node: Form, fields: FormReader) -> Fault:
+        kind = fields.read_name("fault")
+        if kind and kind not in FAULTS:
+            self.reject(node, f"(fault {kind} ...): there are {', '.join(FAULTS)}")
+        return Fault(
+            kind,
+            fields.read_time_us("at", is_required=True),
+            fields.read_time_us("for", is_required=True),
+            fields.read_quantity("bricks", "share", 0.5, 0.0, 1.0),
+            fields.read_quantity("requests", "share", 1.0, 0.0, 1.0),
+            fields.read_number("times", 5.0, 1, 1000),
+        )
+
+    def check(self, node: Node) -> None:
+        """Check the forms against each other; mistakes are recorded at a node."""
+        for surge in self.surges:
+            for name in surge.clients:
+                if name not in self.clients:
+                    self.reject(node, f"a surge names the client {name}, which is nowhere defined")
+        if not self.clients:
+            self.reject(node, "a plan needs a (client NAME ...)")
+        max_factor = max([1.0, *(surge.rate_factor for surge in self.surges)])
+        max_rate = sum(client.rate for client in self.clients.values()) * max_factor
+        if max_rate > MAX_RATE:
+            self.reject(node, f"all clients together ask up to {max_rate:g} times a second; at most {MAX_RATE:g}")
+
+    def plan(self) -> LoadPlan:
+        """Return the plan of the forms that were read."""
+        return replace(
+            self.run, clients=tuple(self.clients.values()), surges=tuple(self.surges), faults=tuple(self.faults)
+        )
+
+
+def read_plan(raw: bytes) -> tuple[LoadPlan, list[Mistake]]:
+    """Read a plan and return it with its mistakes; none is raised."""
     text, mistakes = decode_text(raw)
     nodes: list[Node] = []
     if not mistakes:
         nodes, mistakes = parse(text)
-
-    def wrong(node: Node, text: str) -> None:
-        mistakes.append(Mistake(node.line, node.column, text))
-
-    if not mistakes and (
-        not nodes
-        or not isinstance(nodes[0], Form)
-        or nodes[0].keyword != "load"
-        or [str(item) for item in nodes[0].items[1:]] != [VERSION]
-    ):
-        wrong(nodes[0] if nodes else Atom("", 1, 1), f"a plan begins with (load {VERSION})")
-    plan, clients, surges, faults = LoadPlan(), dict[str, Client](), list[Surge](), list[Fault]()
+    reader = PlanReader(mistakes)
+    if not mistakes and not _is_header(nodes[0] if nodes else None):
+        reader.reject(nodes[0] if nodes else Atom("", 1, 1), f"a plan begins with (load {VERSION})")
     for node in nodes[1:]:
         if isinstance(node, Atom):
-            wrong(node, f"{node.text!r} stands outside of any form; put it into one or remove it")
-            continue
-        part = FormReader(node, wrong)
-        if node.keyword == "run":
-            plan = _run(part)
-        elif node.keyword == "client":
-            client = _client(part)
-            if client.name in clients:
-                wrong(node, f"the client {client.name} is given twice; keep one")
-            clients[client.name] = client
-        elif node.keyword == "surge":
-            part.reject_names()
-            surges.append(
-                Surge(
-                    part.read_time_us("at", is_required=True),
-                    part.read_time_us("for", is_required=True),
-                    part.read_number("times", 2.0, 0.01, 100),
-                    part.read_names("clients", "client"),
-                )
-            )
-        elif node.keyword == "fault":
-            kind = part.read_name("fault")
-            if kind and kind not in FAULTS:
-                wrong(node, f"(fault {kind} ...): there are {', '.join(FAULTS)}")
-            faults.append(
-                Fault(
-                    kind,
-                    part.read_time_us("at", is_required=True),
-                    part.read_time_us("for", is_required=True),
-                    part.read_quantity("bricks", "share", 0.5, 0.0, 1.0),
-                    part.read_quantity("requests", "share", 1.0, 0.0, 1.0),
-                    part.read_number("times", 5.0, 1, 1000),
-                )
-            )
+            reader.reject(node, f"{node.text!r} stands outside of any form; put it into one or remove it")
         else:
-            wrong(node, f"{node.keyword or 'a form without a word'!r} is no form; there are run, client, surge, fault")
-            continue
-        part.reject_unknown()
-    plan = replace(plan, clients=tuple(clients.values()), surges=tuple(surges), faults=tuple(faults))
+            reader.read_form(node)
     if not mistakes:
-        for surge in surges:
-            for name in surge.clients:
-                if name not in clients:
-                    wrong(nodes[0], f"a surge names the client {name}, which is nowhere defined")
-        if not clients:
-            wrong(nodes[0], "a plan needs a (client NAME ...)")
-        most = sum(one.rate for one in clients.values()) * max([1.0, *(one.times for one in surges)])
-        if most > MAX_RATE:
-            wrong(nodes[0], f"all clients together ask up to {most:g} times a second; at most {MAX_RATE:g}")
-    return plan, mistakes
-
-
-def _run(part: FormReader) -> LoadPlan:
-    part.reject_names()
+        reader.check(nodes[0])
+    return reader.plan(), mistakes
+
+
+def _is_header(node: Node | None) -> bool:
+    return isinstance(node, Form) and node.keyword == "load" and [str(item) for item in node.items[1:]] == [VERSION]
+
+
+def _surge(fields: FormReader) -> Surge:
+    fields.reject_names()
+    return Surge(
+        fields.read_time_us("at", is_required=True),
+        fields.read_time_us("for", is_required=True),
+        fields.read_number("times", 2.0, 0.01, 100),
+        fields.read_names("clients", "client"),
+    )
+
+
+def _run(fields: FormReader) -> LoadPlan:
+    fields.reject_names()
     return LoadPlan(
-        int(part.read_number("seed", 1, 0, 1e9, is_integer=True)),
-        int(part.read_quantity("for", "time", 10e6, 1e6, LONGEST_S * 1e6)),
-        part.read_time_us("settle", 2_000_000),
-        int(part.read_number("bricks", 3, 1, 64, is_integer=True)),
-        int(part.read_number("slots", 2, 1, 64, is_integer=True)),
-        part.read_time_us("work", 20_000, 100),
-        int(part.read_quantity("queue", "requests", 64, 1, 1e6)),
+        int(fields.read_number("seed", 1, 0, 1e9, is_integer=True)),
+        int(fields.read_quantity("for", "time", 10e6, 1e6, MAX_DURATION_S * 1e6)),
+        fields.read_time_us("settle", 2_000_000),
+        int(fields.read_number("bricks", 3, 1, 64, is_integer=True)),
+        int(fields.read_number("slots", 2, 1, 64, is_integer=True)),
+        fields.read_time_us("work", 20_000, 100),
+        int(fields.read_quantity("queue", "requests", 64, 1, 1e6)),
     )
 
 
-def _client(part: FormReader) -> Client:
-    name, way = part.read_name("client"), part.read_choice("way", ("read", "write"))
-    return Client(
+def _client(fields: FormReader) -> ClientClass:
+    name, direction = fields.read_name("client"), fields.read_choice("way", ("read", "write"))
+    return ClientClass(
         name,
-        part.read_optional_name("class", "class"),
-        part.read_optional_name("plan", "plan"),
-        part.read_quantity("rate", "request rate", 1.0, 0.0, MAX_RATE, is_required=True),
-        part.read_quantity("units", "units", 1.0, 0.01, 1e6),
-        int(part.read_number("volumes", 1, 1, VOLUMES - 1, is_integer=True)),
-        way == "write",
-        part.read_time_us("remaining", 1_000_000, 10_000),
-        part.read_time_us("aim", 200_000, 1000),
-        part.read_number("worth", 1.0, 0.0, 1e6),
-        int(part.read_number("retries", 0, 0, 10, is_integer=True)),
-        part.read_time_us("pause", 100_000, 1000),
-        part.read_time_us("stays"),
-        part.read_number("heavy", 1.0, 1.0, 1000),
-        part.read_quantity("heavy-part", "share", 0.0, 0.0, 1.0),
+        fields.read_optional_name("class", "class"),
+        fields.read_optional_name("plan", "plan"),
+        fields.read_quantity("rate", "request rate", 1.0, 0.0, MAX_RATE, is_required=True),
+        fields.read_quantity("units", "units", 1.0, 0.01, 1e6),
+        int(fields.read_number("volumes", 1, 1, MAX_VOLUMES - 1, is_integer=True)),
+        direction == "write",
+        fields.read_time_us("remaining", 1_000_000, 10_000),
+        fields.read_time_us("aim", 200_000, 1000),
+        fields.read_number("worth", 1.0, 0.0, 1e6),
+        int(fields.read_number("retries", 0, 0, 10, is_integer=True)),
+        fields.read_time_us("pause", 100_000, 1000),
+        fields.read_time_us("stays"),
+        fields.read_number("heavy", 1.0, 1.0, 1000),
+        fields.read_quantity("heavy-part", "share", 0.0, 0.0, 1.0),
     )
--- a/hophinge/load/report.py
+++ b/hophinge/load/report.py
@@ -1,4 +1,4 @@
-"""What a load came to, as a table in Markdown and a chart as SVG."""
+"""The results of load runs, as a table in Markdown and a chart as SVG."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 import jinja2
 import pygal
 
-from hophinge.load.clients import ENDS, Result
+from hophinge.load.clients import OUTCOMES, LoadResult
 
-TEXT = jinja2.Environment(
+TABLE_TEMPLATE = jinja2.Environment(
     autoescape=False, trim_blocks=True, lstrip_blocks=True, undefined=jinja2.StrictUndefined
 ).from_string("""\
 # {{ title }}
 
-Seed {{ plan.seed }}, {{ "%.0f" % (plan.for_us / 1e6) }} s of which the first {{ "%.0f" % (plan.settle_us / 1e6) }} s \
-do not count. {{ plan.backends }} bricks with {{ plan.slots }} slots of {{ "%g" % (plan.work_us / 1000) }} ms a unit: \
+Seed {{ plan.seed }}, {{ "%.0f" % (plan.duration_us / 1e6) }} s of which the first \
+{{ "%.0f" % (plan.warm_up_us / 1e6) }} s do \
+not count. {{ plan.backends }} bricks with {{ plan.slots }} slots of {{ "%g" % (plan.work_us / 1000) }} ms a unit: \
 {{ "%.0f" % plan.capacity }} units/s. Times are counted from when a first try was due.
 
 | load | client | asked | in aim | {{ ends | join(" | ") }} | tries | p50, ms | p99, ms | refusal p99, ms \
@@ -33,34 +34,42 @@
 """)
 
 
-def table(title: str, results: Mapping[str, Result]) -> str:
-    """Write the table of some runs, by what each is called."""
+def render_table(title: str, results: Mapping[str, LoadResult]) -> str:
+    """Return the table of some runs, by name."""
     rows, best = [], max((one.goodput for one in results.values()), default=0.0) or 1.0
     for name, result in results.items():
-        for sort in result.sorts:
-            asked = max(1, sort.asked)
+        for sort in result.client_classes:
+            asked = max(1, sort.requests)
             rows.append(
                 [
                     name,
                     sort.client.name,
-                    sort.asked,
-                    f"{100 * sort.ends['aim'] / asked:.1f} %",
-                    *(sort.ends[end] for end in ENDS[1:]),
-                    sort.tries,
+                    sort.requests,
+                    f"{100 * sort.outcomes['aim'] / asked:.1f} %",
+                    *(sort.outcomes[end] for end in OUTCOMES[1:]),
+                    sort.attempts,
                     *(
                         f"{one.get_value_at_percentile(part) / 1000:.1f}"
-                        for one, part in ((sort.served, 50), (sort.served, 99), (sort.refused, 99), (sort.behind, 99))
+                        for one, part in (
+                            (sort.latencies, 50),
+                            (sort.latencies, 99),
+                            (sort.rejection_times, 99),
+                            (sort.start_delays, 99),
+                        )
                     ),
                 ]
             )
     goodput = [
-        [name, f"{one.due:.0f}", f"{one.goodput:.0f}", f"{one.goodput / best:.2f}"] for name, one in results.items()
+        [name, f"{one.offered_value_rate:.0f}", f"{one.goodput:.0f}", f"{one.goodput / best:.2f}"]
+        for name, one in results.items()
     ]
-    return TEXT.render(title=title, plan=next(iter(results.values())).plan, ends=ENDS[1:], rows=rows, goodput=goodput)
+    return TABLE_TEMPLATE.render(
+        title=title, plan=next(iter(results.values())).plan, ends=OUTCOMES[1:], rows=rows, goodput=goodput
+    )
 
 
-def chart(title: str, lines: Mapping[str, Sequence[tuple[float, float]]], across: str, up: str) -> bytes:
-    """Draw lines of points as SVG."""
+def render_chart(title: str, lines: Mapping[str, Sequence[tuple[float, float]]], across: str, up: str) -> bytes:
+    """Return a chart of lines of points, as SVG."""
     drawn = pygal.XY(
         title=title,
         x_title=across,
@@ -75,6 +84,6 @@
     return bytes(drawn.render())
 
 
-def by_second(result: Result) -> list[tuple[float, float]]:
-    """Tell the part of the worth due that was earned, by second of arrival."""
+def earned_share_by_second(result: LoadResult) -> list[tuple[float, float]]:
+    """Return the share of the offered value that was earned, by second of arrival."""
     return [(at, row["earned"] / row["due"]) for at, row in sorted(result.slices.items()) if row["due"]]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,16 +11,18 @@
 import pytest
 
 from hophinge.load.backends import COLD_SHARE, COLD_US, Platform
-from hophinge.load.clients import Load, Result
-from hophinge.load.plan import Client, Fault, LoadPlan, Surge, arrivals, read
-from hophinge.load.report import by_second, chart, table
+from hophinge.load.clients import LoadGenerator, LoadResult
+from hophinge.load.plan import ClientClass, Fault, LoadPlan, Surge, arrivals, read_plan
+from hophinge.load.report import earned_share_by_second, render_chart, render_table
 from hophinge.net.discovery import Target
 from tests.stand_in import run, setup, world
 from tests.steady import run_steadily
 from tests.test_service import ROOT
 
-READS = Client("reads", "record-read", "priority", 60.0, aim_us=400_000, worth=2.0)
-WRITES = Client("writes", "transfer-write", "priority", 30.0, write=True, remaining_us=1_200_000, aim_us=400_000)
+READS = ClientClass("reads", "record-read", "priority", 60.0, target_latency_us=400_000, value=2.0)
+WRITES = ClientClass(
+    "writes", "transfer-write", "priority", 30.0, write=True, remaining_us=1_200_000, target_latency_us=400_000
+)
 
 
 def test_arrivals_are_the_same_for_a_seed_and_surges_only_add_to_them() -> None:
@@ -35,7 +37,7 @@
     inside = [one for one in surged if 5_000_000 <= one.at_us < 10_000_000 and one.client == 0]
     assert 250 * 5 < len(inside) < 350 * 5
     assert abs(sum(one.client == 1 for one in surged) / 20 - 30) < 5
-    scaled = plan.at_times(2.0)
+    scaled = plan.scaled_to(2.0)
     assert scaled.offered == pytest.approx(2 * scaled.capacity)
 
 
@@ -55,17 +57,17 @@
     ],
 )
 def test_a_bad_plan_is_told_by_line_and_column(text: str, why: str) -> None:
-    _, mistakes = read(text.encode())
+    _, mistakes = read_plan(text.encode())
     assert any(why in one.located_in("x").removeprefix("x:") for one in mistakes), mistakes
 
 
 def test_the_repository_s_plans_are_read() -> None:
     for path in (ROOT / "benchmarks" / "plans").glob("*.sexp"):
-        plan, mistakes = read(path.read_bytes())
+        plan, mistakes = read_plan(path.read_bytes())
         assert not mistakes and plan.clients
 
 
-async def played(plan: LoadPlan, settings: dict[str, Any] | None = None) -> tuple[Result, Platform, Any]:
+async def played(plan: LoadPlan, settings: dict[str, Any] | None = None) -> tuple[LoadResult, Platform, Any]:
     """Play a plan against a head in this process."""
     async with world() as made:
         platform = Platform(plan)
@@ -77,7 +79,7 @@
         }
         head = await made.head(settings=settings or setup(Domain={**setup()["Domain"], "NShards": plan.backends}))
         begin = f"http://127.0.0.1:{platform.port}/begin"
-        result = await Load(plan, made.url(head).removeprefix("http://")).run(begin)
+        result = await LoadGenerator(plan, made.url(head).removeprefix("http://")).run(begin)
         counts = dict(head.counters.counts)
         platform.close()
         return result, platform, counts
@@ -86,31 +88,33 @@
 def test_a_run_without_faults_and_what_is_written_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
     plan = LoadPlan(3, 2_000_000, 500_000, clients=(READS, WRITES))
     result, platform, counts = run_steadily(played(plan), monkeypatch)
-    for sort in result.sorts:
-        assert sort.asked == sum(
+    for sort in result.client_classes:
+        assert sort.requests == sum(
             one.at_us >= 500_000 for one in arrivals(plan) if plan.clients[one.client] is sort.client
         )
-        assert sort.ends["aim"] >= 0.9 * sort.asked and sort.served.get_value_at_percentile(50) >= plan.work_us
-    assert sum(backend.done for backend in platform.backends) == counts["requests_served"] == len(arrivals(plan))
-    text = table("a title", {"1": result})
-    assert text.startswith("# a title") and "| 1 | reads |" in text and f"| {result.due:.0f} |" in text
+        assert (
+            sort.outcomes["aim"] >= 0.9 * sort.requests and sort.latencies.get_value_at_percentile(50) >= plan.work_us
+        )
+    assert sum(backend.served for backend in platform.backends) == counts["requests_served"] == len(arrivals(plan))
+    text = render_table("a title", {"1": result})
+    assert text.startswith("# a title") and "| 1 | reads |" in text and f"| {result.offered_value_rate:.0f} |" in text
     rows = [line for line in text.splitlines() if line.startswith("|")]
     assert len({line.count("|") for line in rows[:4]}) == 1  # as many columns as the header says
-    drawn = ElementTree.fromstring(chart("c", {"earned": by_second(result)}, "s", "worth"))
+    drawn = ElementTree.fromstring(render_chart("c", {"earned": earned_share_by_second(result)}, "s", "worth"))
     assert drawn.tag.endswith("svg") and "earned" in "".join(drawn.itertext())
 
 
 def test_times_count_from_when_a_request_was_due_and_faults_end() -> None:
     hang = Fault("hang", 500_000, 600_000, 1.0)
-    patient = Client(
+    patient = ClientClass(
         "patient",
         "statement-export",
         "priority",
         40.0,
         remaining_us=3_000_000,
-        aim_us=300_000,
+        target_latency_us=300_000,
         retries=3,
-        pause_us=50_000,
+        retry_interval_us=50_000,
     )
     plan = LoadPlan(
         4,
@@ -118,15 +122,15 @@
         0,
         backends=2,
         clients=(patient,),
-        faults=(hang, Fault("fail", 1_500_000, 300_000, 1.0), Fault("slow", 2_000_000, 200_000, 1.0, times=4.0)),
+        faults=(hang, Fault("fail", 1_500_000, 300_000, 1.0), Fault("slow", 2_000_000, 200_000, 1.0, slowdown=4.0)),
     )
     result, platform, _ = run(played(plan))
-    sort = result.sorts[0]
-    assert sort.asked == len(arrivals(plan)) and sort.ends["broken"] == 0
-    assert sort.ends["late"] + sort.ends["timed out"] + sort.ends["failed"] + sort.ends["refused"] > 5
+    sort = result.client_classes[0]
+    assert sort.requests == len(arrivals(plan)) and sort.outcomes["broken"] == 0
+    assert sort.outcomes["late"] + sort.outcomes["timed out"] + sort.outcomes["failed"] + sort.outcomes["refused"] > 5
     assert sum(backend.failed for backend in platform.backends) > 0
     # Whoever waits for its turn to send would have missed these.
-    assert sort.behind.get_value_at_percentile(50) < 100_000
+    assert sort.start_delays.get_value_at_percentile(50) < 100_000
     slices = {at: row["earned"] / row["due"] for at, row in result.slices.items()}
     assert slices[0] < 1.0 or slices[1] < 1.0
 
--- a/tests/test_together_byzantine.py
+++ b/tests/test_together_byzantine.py
@@ -96,7 +96,7 @@
                 ],
                 BOUND_S,
             )
-            made.platform.begin()
+            made.platform.start_clock()
             sent = Bytes(made, names)
             statuses: Counter[int] = Counter()
 
@@ -107,9 +107,11 @@
             shares = list[list[int]]()
             # A stall of the machine makes a brick look slow for a while, accused or not; a lie that moves shares stays.
             while len(shares) < TURNS and not (shares and kept(shares[-1])):
-                before = [backend.done for backend in made.platform.backends]
+                before = [backend.served for backend in made.platform.backends]
                 assert await always(none_dead(made, names), load(len(shares))) > 0
-                shares.append([backend.done - was for backend, was in zip(made.platform.backends, before, strict=True)])
+                shares.append(
+                    [backend.served - was for backend, was in zip(made.platform.backends, before, strict=True)]
+                )
             assert statuses == {200: len(shares) * REQUESTS}, statuses
             assert kept(shares[-1]), shares
             # The member that is accused by ever another name is held dead by nobody, and refutes.
--- a/tests/test_together_drain.py
+++ b/tests/test_together_drain.py
@@ -111,10 +111,10 @@
             await made["n2"].kill()
             await made["n2"].start()
             await until([made.ready("n2")], BOUND_S)
-            done = made.platform.backends[0].done
+            done = made.platform.backends[0].served
             assert [await made.request(name, 8_000, 0) for name in names].count(200) == 0
             await until([serves_beside(made, name) for name in names], BOUND_S)
-            assert made.platform.backends[0].done == done
+            assert made.platform.backends[0].served == done
             made.network.heal()
             await until(
                 [upkeep(made, "drained, all up", lambda told: state(told) == "drained" and told["heads_up"] == 4)],
@@ -129,6 +129,6 @@
             finally:
                 asking.cancel()
                 await asyncio.gather(asking, return_exceptions=True)
-            assert made.platform.backends[0].done > done
+            assert made.platform.backends[0].served > done
 
     run(main())
--- a/tests/test_together_release_faults.py
+++ b/tests/test_together_release_faults.py
@@ -126,9 +126,9 @@
             )
             await until([waits], BOUND_S)
             made.network.split({"c", "n0"}, {"n1", "n2"})
-            done = backend.done
-            assert await made.request("n1", 7_000, 0, 6) == 200 and backend.done > done  # it does use the brick
-            done = backend.done
+            done = backend.served
+            assert await made.request("n1", 7_000, 0, 6) == 200 and backend.served > done  # it does use the brick
+            done = backend.served
             apart = until([holds(made, "n0", ["n1", "n2"], "dead")], BOUND_S)
             still = here.tells(
                 "is not drained",
@@ -137,13 +137,15 @@
                 ),
             )
             await always([still], apart)
-            assert await made.request("n2", 7_001, 0) != 200 and backend.done == done  # it had heard, and keeps to it
+            assert await made.request("n2", 7_001, 0) != 200 and backend.served == done  # it had heard, and keeps to it
             made.network.heal()
             await until(
                 [here.tells("drained", lambda told: [row["state"] for row in told["permits"]] == ["drained"])], BOUND_S
             )
-            done = backend.done
-            assert [await made.request(name, 7_002, 0) for name in here.names].count(200) == 0 and backend.done == done
+            done = backend.served
+            assert [await made.request(name, 7_002, 0) for name in here.names].count(
+                200
+            ) == 0 and backend.served == done
             await here.check(1)
 
     run(main())
--- a/tests/test_together_retirement.py
+++ b/tests/test_together_retirement.py
@@ -48,9 +48,9 @@
             # It was not gone: it counts again, hears of the drain with its stream, and only its word ends that anew.
             await here.find("n2")
             await until([drained, here.up(3)], BOUND_S)
-            done = made.platform.backends[0].done
+            done = made.platform.backends[0].served
             assert [await made.request(name, 7_000, 0) for name in here.names].count(200) == 0
-            assert made.platform.backends[0].done == done
+            assert made.platform.backends[0].served == done
             rows = (await here.staff("History", most=50))["audit"]
             assert any("n2 is back" in row["detail"] for row in rows)
             # Gone once more, the same words still in the document: it is missed, and has to be named anew.
