--- a/hophinge/fleet/emulation/virtual_engine.py
+++ b/hophinge/fleet/emulation/virtual_engine.py
@@ -105,7 +105,7 @@
     def _pinned_tokens(self) -> int:
         """Return the tokens of memory that cannot be evicted."""
         busy = [*self.running, *self.transferring, *([self.prefilling] if self.prefilling is not None else [])]
-        return sum(work.prompt.tokens_in + work.prompt.tokens_out for work in busy)
+        return sum(request.prompt.tokens_in + request.prompt.tokens_out for request in busy)
 
     def _fits(self, request: EngineRequest) -> bool:
         required_tokens = request.prompt.tokens_in + request.prompt.tokens_out
@@ -143,16 +143,16 @@
         self.queued = []
         self.running = []
         self.transferring = []
-        for work in lost:
-            work.listener(EngineEvent.LOST)
+        for request in lost:
+            request.listener(EngineEvent.LOST)
 
     def switch(self, stage: str, on_switched: Callable[[], None]) -> None:
         """Switch the stage: queued requests are rejected, running ones are completed."""
         rejected = self.queued
         self.queued = []
         self.stage = ""
-        for work in rejected:
-            work.listener(EngineEvent.REJECTED)
+        for request in rejected:
+            request.listener(EngineEvent.REJECTED)
 
         def finish() -> None:
             self.stage = stage
@@ -181,32 +181,37 @@
                 1, self.prefilling.prompt.tokens_in - self.cache.cached_tokens(self.prefilling.prompt)
             )
             self.prefilled_tokens += self.prefilling.unread_tokens
-        piece, pace = self._piece()
-        duration_s = piece / pace + (self.profile.step_s if self.running else 0.0)
+        chunk_tokens = self._chunk_tokens()
+        chunk_s = chunk_tokens / self._prefill_rate()
+        duration_s = chunk_s + (self.profile.step_s if self.running else 0.0)
         self.is_stepping = duration_s > 0.0
         if self.is_stepping:
             batch = tuple(self.running)
-            self.clock.after(duration_s, lambda: self._finish_step(batch, piece))
+            self.clock.after(duration_s, lambda: self._finish_step(batch, chunk_tokens))
+
+    def _prefill_rate(self) -> float:
+        """Return the rate of the engine's stage, in tokens a second."""
+        return self.profile.prefill_tokens_per_s * (1.0 if self.stage != DECODE else DECODE_PREFILL_RATE)
 
-    def _piece(self) -> tuple[float, float]:
-        """Tell the tokens of a prompt that the next step reads, and how many it reads a second."""
-        apart = self.stage != DECODE
-        pace = self.profile.prefill_tokens_per_s * (1.0 if apart else DECODE_PREFILL_RATE)
-        most = self.profile.chunk_tokens * (1.0 if apart else DECODE_CHUNK_FRACTION)
-        return (min(most, float(self.prefilling.unread_tokens)) if self.prefilling is not None else 0.0), pace
+    def _chunk_tokens(self) -> float:
+        """Return the number of prompt tokens that the next step reads."""
+        if self.prefilling is None:
+            return 0.0
+        max_tokens = self.profile.chunk_tokens * (1.0 if self.stage != DECODE else DECODE_CHUNK_FRACTION)
+        return min(max_tokens, float(self.prefilling.unread_tokens))
 
     def _finish_step(self, batch: tuple[EngineRequest, ...], chunk_tokens: float) -> None:
         """Finish a step."""
         if not self.is_alive:
             return
-        for work in batch:
-            self._emit_token(work)
-        reading = self.prefilling
-        if reading is not None and chunk_tokens:
-            reading.unread_tokens -= int(chunk_tokens)
-            if reading.unread_tokens <= 0:
+        for request in batch:
+            self._emit_token(request)
+        prefilling = self.prefilling
+        if prefilling is not None and chunk_tokens:
+            prefilling.unread_tokens -= int(chunk_tokens)
+            if prefilling.unread_tokens <= 0:
                 self.prefilling = None
-                self._finish_prefill(reading)
+                self._finish_prefill(prefilling)
         self._step()
 
     def _finish_prefill(self, request: EngineRequest) -> None:
--- a/hophinge/fleet/emulation/virtual_fleet.py
+++ b/hophinge/fleet/emulation/virtual_fleet.py
@@ -7,12 +7,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, replace
 from random import Random
+from typing import NamedTuple
 
 from hophinge.fleet.configuration.routes import Route
 from hophinge.fleet.emulation.clock import VirtualClock
-from hophinge.fleet.emulation.traffic import Arrival, TrafficProfile
+from hophinge.fleet.emulation.traffic import Arrival, RequestKind, TrafficProfile
 from hophinge.fleet.emulation.virtual_engine import EngineProfile, EngineEvent, VirtualEngine, EngineRequest
 from hophinge.fleet.forwarding.budget import RetryBudget
 from hophinge.fleet.forwarding.request_lifecycle import Reject, RequestLifecycle, Backoff, Prefill, Generate
@@ -61,12 +62,19 @@
 
 @dataclass(slots=True)
 class ClientAttempt:
-    """One attempt of a client."""
+    """One attempt of a client, at one head."""
 
     outcome: RequestOutcome
     life: RequestLifecycle
-    head: Placement
-    retries: int = field(default=CLIENT_RETRIES)
+    arrived_at: float  # of the client's first attempt
+    retries_left: int
+
+
+class DesiredSwitch(NamedTuple):
+    """The stage that is short of instances, and since when."""
+
+    stage: str
+    since: float
 
 
 class VirtualFleet:
@@ -99,7 +107,7 @@
             RetryBudget(BUDGET_RATIO, BUDGET_SLACK, BUDGET_WINDOW_S, -BUDGET_WINDOW_S) for _ in range(heads)
         ]
         self.outcomes: list[RequestOutcome] = []
-        self.desired_switch: tuple[str, float] | None = None
+        self.desired_switch: DesiredSwitch | None = None
         self.switched_at = float("-inf")
         for number in range(prefill + decode):
             self._start_engine(engine, number, "prefill" if number < prefill else "decode")
@@ -154,10 +162,11 @@
         if not switches:
             self.desired_switch = None
             return
-        if self.desired_switch is None or self.desired_switch[0] != switches[0].stage:
-            self.desired_switch = switches[0].stage, now
-        is_steady = now - self.desired_switch[1] >= STAGE_STEADY_S and now - self.switched_at >= STAGE_RETRY_INTERVAL_S
-        if not is_steady and not switches[0].is_urgent:
+        if self.desired_switch is None or self.desired_switch.stage != switches[0].stage:
+            self.desired_switch = DesiredSwitch(switches[0].stage, now)
+        is_steady = now - self.desired_switch.since >= STAGE_STEADY_S
+        may_retry = now - self.switched_at >= STAGE_RETRY_INTERVAL_S
+        if not (is_steady and may_retry) and not switches[0].is_urgent:
             return
         self.switched_at = now
         for switch in switches:
@@ -165,11 +174,11 @@
 
     def _switch(self, switch: StageSwitch) -> None:
         """Switch the stage of an engine."""
-        name = switch.instance.identity
-        self.loads.forget(name)
-        self._publish_instance(replace(self.instances[name], state=SWITCHING))
-        back = replace(self.instances[name], state=READY, stage=switch.stage)
-        self.engines[name].switch(switch.stage, lambda: self._publish_instance(back))
+        identity = switch.instance.identity
+        self.loads.forget(identity)
+        self._publish_instance(replace(self.instances[identity], state=SWITCHING))
+        switched = replace(self.instances[identity], state=READY, stage=switch.stage)
+        self.engines[identity].switch(switch.stage, lambda: self._publish_instance(switched))
 
     # --- requests ------------------------------------------------------------------------------------------------
 
@@ -191,98 +200,103 @@
         return arrive
 
     def _send_request(self, outcome: RequestOutcome, arrived_at: float, retries: int) -> None:
-        kind, now = outcome.arrival.kind, self.clock.now
+        kind = outcome.arrival.kind
+        now = self.clock.now
         number = self.random.randrange(len(self.heads))
-        route = Route(
-            kind.name,
-            "h",
-            "/",
-            "streaming",
-            kind.deadline_s,
-            kind.target_s,
-            MAX_EVENT_GAP_S,
-            0,
-            MAX_ATTEMPTS,
-            False,
-            (SERVICE,),
-            (1.0,),
-        )
+        route = _route_of(kind)
         budget = self.budgets[number]
         budget.record_request(now)
         life = RequestLifecycle(
-            f"{id(outcome)}-{retries}",
-            route,
-            SERVICE,
-            outcome.arrival.prompt,
-            True,
-            now + kind.target_s,
-            arrived_at + kind.deadline_s,
-            self.heads[number],
-            budget,
-            len(self.heads),
-            RequestTrace(kind.name, now, kind.target_s),
-            now + route.client_timeout_s,
+            name=f"{id(outcome)}-{retries}",
+            route=route,
+            service=SERVICE,
+            prompt=outcome.arrival.prompt,
+            has_stages=True,
+            target_at=now + kind.target_s,
+            deadline=arrived_at + kind.deadline_s,
+            placement=self.heads[number],
+            budget=budget,
+            heads=len(self.heads),
+            trace=RequestTrace(kind.name, now, kind.target_s),
+            client_deadline=now + route.client_timeout_s,
         )
-        self._execute_step(ClientAttempt(outcome, life, self.heads[number], retries), arrived_at)
+        self._execute_step(ClientAttempt(outcome, life, arrived_at, retries))
 
-    def _execute_step(self, attempt: ClientAttempt, arrived_at: float) -> None:
+    def _execute_step(self, attempt: ClientAttempt) -> None:
         step = attempt.life.next_step(self.clock.now)
         if isinstance(step, Reject):
-            self._give_up(attempt, step, arrived_at)
+            self._give_up(attempt, step)
             return
         if isinstance(step, Backoff):
-            self.clock.after(step.seconds, lambda: self._execute_step(attempt, arrived_at))
+            self.clock.after(step.seconds, lambda: self._execute_step(attempt))
             return
         engine = self.engines[step.reservation.node.instance.identity]
-        fetched_from = None
+        kv_cache_zone = None
         if isinstance(step, Generate) and step.handle is not None:
-            fetched_from = self.engines[step.handle.instance].zone
-        work = EngineRequest(
+            kv_cache_zone = self.engines[step.handle.instance].zone
+        request = EngineRequest(
             attempt.outcome.arrival.prompt,
             step.priority,
             isinstance(step, Prefill),
-            fetched_from,
-            self._listener(attempt, step, arrived_at),
+            kv_cache_zone,
+            self._listener(attempt, step),
         )
-        self.clock.after(LINK_DELAY_S, lambda: engine.submit(work))
+        self.clock.after(LINK_DELAY_S, lambda: engine.submit(request))
 
-    def _give_up(self, attempt: ClientAttempt, step: Reject, arrived_at: float) -> None:
+    def _give_up(self, attempt: ClientAttempt, step: Reject) -> None:
         outcome = attempt.outcome
         outcome.rejections += 1
-        if step.retry_after_s is None or attempt.retries == 0:
+        if step.retry_after_s is None or attempt.retries_left == 0:
             outcome.has_failed = True
             return
-        self.clock.after(step.retry_after_s, lambda: self._send_request(outcome, arrived_at, attempt.retries - 1))
+        self.clock.after(
+            step.retry_after_s, lambda: self._send_request(outcome, attempt.arrived_at, attempt.retries_left - 1)
+        )
 
-    def _listener(
-        self, attempt: ClientAttempt, step: Prefill | Generate, arrived_at: float
-    ) -> Callable[[EngineEvent], None]:
+    def _listener(self, attempt: ClientAttempt, step: Prefill | Generate) -> Callable[[EngineEvent], None]:
         """Return a listener that delivers the engine's events after the delay of the link."""
 
         def listen(event: EngineEvent) -> None:
-            self.clock.after(LINK_DELAY_S, lambda: self._handle_event(attempt, step, arrived_at, event))
+            self.clock.after(LINK_DELAY_S, lambda: self._handle_event(attempt, step, event))
 
         return listen
 
-    def _handle_event(
-        self, attempt: ClientAttempt, step: Prefill | Generate, arrived_at: float, event: EngineEvent
-    ) -> None:
-        now, life, outcome = self.clock.now, attempt.life, attempt.outcome
+    def _handle_event(self, attempt: ClientAttempt, step: Prefill | Generate, event: EngineEvent) -> None:
+        now = self.clock.now
+        life = attempt.life
+        outcome = attempt.outcome
         if event is EngineEvent.FIRST_TOKEN:
             life.record_first_event(now, step.reservation)
-            outcome.first_s = now - arrived_at if outcome.first_s is None else outcome.first_s
+            outcome.first_s = now - attempt.arrived_at if outcome.first_s is None else outcome.first_s
             return
-        result = AttemptResult(_ending(event, life.is_response_started or outcome.first_s is not None))
+        result = AttemptResult(_attempt_outcome(event, life.is_response_started or outcome.first_s is not None))
         if event is EngineEvent.PREFILLED:
             identity = step.reservation.node.instance.identity
             result = AttemptResult(AttemptOutcome.READ, KvHandle(identity, identity, "h", 0))
         if not life.complete_attempt(now, step.reservation, result):
-            self._execute_step(attempt, arrived_at)
-
-
-def _ending(event: EngineEvent, begun: bool) -> AttemptOutcome:
+            self._execute_step(attempt)
+
+
+def _route_of(kind: RequestKind) -> Route:
+    return Route(
+        name=kind.name,
+        host="h",
+        prefix="/",
+        route_type="streaming",
+        timeout_s=kind.deadline_s,
+        target_s=kind.target_s,
+        gap_s=MAX_EVENT_GAP_S,
+        priority=0,
+        max_attempts=MAX_ATTEMPTS,
+        is_resumable=False,
+        services=(SERVICE,),
+        cumulative_weights=(1.0,),
+    )
+
+
+def _attempt_outcome(event: EngineEvent, has_started: bool) -> AttemptOutcome:
     if event is EngineEvent.COMPLETED:
         return AttemptOutcome.ANSWERED
     if event is EngineEvent.REJECTED:
         return AttemptOutcome.REFUSED
-    return AttemptOutcome.BROKEN if begun else AttemptOutcome.UNKNOWN
+    return AttemptOutcome.BROKEN if has_started else AttemptOutcome.UNKNOWN
--- a/tests/decision_mutants.py
+++ b/tests/decision_mutants.py
@@ -99,6 +99,6 @@
         "fleet/trial",
         "    if unknown:\n",
         "    if False:\n",
-        LOSSES + "test_a_trial_gives_a_policy_in_a_file_and_a_deployment_has_none",
+        LOSSES + "test_a_trial_reads_its_policy_from_a_file_and_a_deployment_has_none",
     ),
 )
--- a/tests/end_mutants.py
+++ b/tests/end_mutants.py
@@ -186,7 +186,7 @@
         "fleet/analysis/aborts",
         "return is_draining and not has_failed",
         "return is_draining",
-        "tests/test_fleet_aborts.py::test_a_head_may_cut_at_the_end_of_its_grace_and_not_where_its_own_work_failed",
+        "tests/test_fleet_aborts.py::test_a_head_may_abort_at_its_drain_timeout_and_not_after_a_failure",
     ),
     Mutant(
         "an answer that has begun is cut by a refusal",
--- a/tests/test_fleet_aborts.py
+++ b/tests/test_fleet_aborts.py
@@ -1,4 +1,4 @@
-"""What cut the answers of a played day, from its report with the heads' logs."""
+"""The causes of aborted responses on a simulated day, from its report with the heads' logs."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 """
 
 
-def line(at: float, text: str, machine: str = "edge-one") -> str:
-    """A line of a head in a report."""
+def log_entry(at: float, text: str, machine: str = "edge-one") -> str:
+    """Return a log entry of a head in a report."""
     return HEAD.format(at=at, machine=machine, text=text)
 
 
-def cut(reason: str, at: float = 15.6, request: str = "aa11") -> str:
-    """A head's line of an aborted response; `reason` is "SIDE while PHASE; after ERROR", the last part as needed."""
+def abort(reason: str, at: float = 15.6, request: str = "aa11") -> str:
+    """Return the entry of an aborted response; `reason` is "SIDE while PHASE; after ERROR", the error is optional."""
     ended, _, error = reason.partition("; after ")
     side, _, phase = ended.partition(" while ")
     text = CUT.format(request=request, side=side, phase=phase, error=f" error={error}" if error else "")
-    return line(at, text)
+    return log_entry(at, text)
 
 
-def old_cut(reason: str) -> str:
-    """The same as heads wrote it before events had fields."""
-    return line(15.6, OLD_CUT.format(request="aa11", reason=reason))
+def old_abort(reason: str) -> str:
+    """Return the same entry as heads wrote it before events had fields."""
+    return log_entry(15.6, OLD_CUT.format(request="aa11", reason=reason))
 
 
 @pytest.mark.parametrize(
@@ -54,40 +54,42 @@
         ("nobody while answering", AbortCause.UNKNOWN),
     ],
 )
-def test_a_head_s_line_tells_what_cut_an_answer(reason: str, cause: AbortCause) -> None:
-    old_started = line(-2.0, "head 5a at 10.0.0.1:80")
-    new_day = line(-2.0, STARTED.format(identity="5a")) + cut(reason) + CASE
-    for day in (new_day, old_started + old_cut(reason) + CASE):
+def test_a_log_entry_of_a_head_gives_the_cause_of_an_abort(reason: str, cause: AbortCause) -> None:
+    old_started = log_entry(-2.0, "head 5a at 10.0.0.1:80")
+    new_day = log_entry(-2.0, STARTED.format(identity="5a")) + abort(reason) + CASE
+    for day in (new_day, old_started + old_abort(reason) + CASE):
         (found,) = aborted_responses(read_day(day))
         assert (found.request, found.machine, found.cause) == ("aa11", "edge-one", cause)
 
 
-def test_a_head_may_cut_at_the_end_of_its_grace_and_not_where_its_own_work_failed() -> None:
-    told = line(-2.0, STARTED.format(identity="5a")) + line(8.0, "draining") + cut("process while answering")
-    assert aborted_responses(read_day(told))[0].cause is AbortCause.DRAIN_TIMEOUT
-    again = line(8.0, "draining") + line(9.0, STARTED.format(identity="5b")) + cut("process while answering")
-    assert aborted_responses(read_day(again))[0].cause is AbortCause.HEAD
-    old_start = line(-2.0, "head 5a at 10.0.0.1:80")
-    old_report = old_start + line(8.0, "ending") + old_cut("process while answering")
+def test_a_head_may_abort_at_its_drain_timeout_and_not_after_a_failure() -> None:
+    log = log_entry(-2.0, STARTED.format(identity="5a")) + log_entry(8.0, "draining") + abort("process while answering")
+    assert aborted_responses(read_day(log))[0].cause is AbortCause.DRAIN_TIMEOUT
+    restarted = (
+        log_entry(8.0, "draining") + log_entry(9.0, STARTED.format(identity="5b")) + abort("process while answering")
+    )
+    assert aborted_responses(read_day(restarted))[0].cause is AbortCause.HEAD
+    old_start = log_entry(-2.0, "head 5a at 10.0.0.1:80")
+    old_report = old_start + log_entry(8.0, "ending") + old_abort("process while answering")
     assert aborted_responses(read_day(old_report))[0].cause is AbortCause.DRAIN_TIMEOUT
-    failed = read_day(line(7.9, "task failed") + told)
+    failed = read_day(log_entry(7.9, "task failed") + log)
     assert aborted_responses(failed)[0].cause is AbortCause.HEAD and len(failed.failures()) == 1
 
 
-def test_a_case_without_a_line_is_a_killed_head_s_or_a_finding() -> None:
-    before = line(-2.0, STARTED.format(identity="5a"))
-    start = line(19.0, STARTED.format(identity="5b"))
+def test_a_case_without_an_entry_is_of_a_killed_head_or_a_finding() -> None:
+    before = log_entry(-2.0, STARTED.format(identity="5a"))
+    start = log_entry(19.0, STARTED.format(identity="5b"))
     assert aborted_responses(read_day(before + start + CASE))[0].cause is AbortCause.KILLED
     assert aborted_responses(read_day(before + CASE))[0].cause is AbortCause.UNKNOWN
-    lived_on = before + line(16.0, "configuration applied version=3") + start
+    lived_on = before + log_entry(16.0, "configuration applied version=3") + start
     assert aborted_responses(read_day(lived_on + CASE))[0].cause is AbortCause.UNKNOWN
-    other = before + line(19.0, STARTED.format(identity="5b"), "edge-two")
+    other = before + log_entry(19.0, STARTED.format(identity="5b"), "edge-two")
     assert aborted_responses(read_day(other + CASE))[0].cause is AbortCause.UNKNOWN
 
 
-def test_a_machine_with_one_role_is_told_without_it_and_a_control_member_s_lines_count_for_nothing() -> None:
-    """Seen on three days: a head's line was there, and the case was told as left over."""
-    lines = (line(-2.0, STARTED.format(identity="5a")) + cut("client while reading")).replace("/data-plane", "")
+def test_a_machine_may_lack_its_role_and_entries_of_control_members_are_ignored() -> None:
+    """A regression of three days: a head had logged the abort, and the case counted as one without an entry."""
+    lines = (log_entry(-2.0, STARTED.format(identity="5a")) + abort("client while reading")).replace("/data-plane", "")
     assert aborted_responses(read_day(lines + CASE))[0].cause is AbortCause.CLIENT
     other = lines.replace("edge-one", "edge-one/control-plane")
     assert aborted_responses(read_day(other + CASE))[0].cause is AbortCause.UNKNOWN
@@ -107,13 +109,13 @@
         "a message of 10.0.0.2:80 could not be taken: Push",
     ],
 )
-def test_work_that_failed_in_a_head_is_told(text: str) -> None:
-    assert [found.text for found in read_day(line(3.0, text) + line(4.0, "draining")).failures()] == [text]
+def test_failures_within_a_head_are_found(text: str) -> None:
+    assert [found.text for found in read_day(log_entry(3.0, text) + log_entry(4.0, "draining")).failures()] == [text]
 
 
-def test_a_day_is_counted_by_causes() -> None:
-    clients = cut("client while reading", 3.0, "c1") + cut("client while reading", 4.0, "c2")
-    assert count_causes(aborted_responses(read_day(clients + cut("head while waiting") + CASE))) == {
+def test_a_day_is_counted_by_cause() -> None:
+    clients = abort("client while reading", 3.0, "c1") + abort("client while reading", 4.0, "c2")
+    assert count_causes(aborted_responses(read_day(clients + abort("head while waiting") + CASE))) == {
         AbortCause.CLIENT: 2,
         AbortCause.HEAD: 1,
     }
--- a/tests/test_fleet_emulation.py
+++ b/tests/test_fleet_emulation.py
@@ -1,4 +1,4 @@
-"""Engines and a whole fleet in virtual time: what an engine does, and that a play repeats and loses nobody."""
+"""Engines and a complete fleet in virtual time: the behaviour of an engine, and reproducible simulations."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 PROFILE = EngineProfile(4, 50_000, 0.01, 10_000.0, 1_000, 0.00001, 2.0)
 
 
-class Seen:
-    """Collects what an engine tells, with the moments."""
+class RecordedEvents:
+    """Records the events of an engine with their times."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self.clock = clock
@@ -33,12 +33,12 @@
         )
 
 
-def _engine(stage: str) -> tuple[VirtualClock, VirtualEngine, Seen]:
+def _engine(stage: str) -> tuple[VirtualClock, VirtualEngine, RecordedEvents]:
     clock = VirtualClock()
-    return clock, VirtualEngine(clock, PROFILE, "i-1", stage, "z1"), Seen(clock)
+    return clock, VirtualEngine(clock, PROFILE, "i-1", stage, "z1"), RecordedEvents(clock)
 
 
-def test_prompts_are_read_in_turn_by_priority_and_never_interrupted() -> None:
+def test_prompts_are_read_by_priority_without_preemption() -> None:
     clock, engine, seen = _engine(PREFILL)
     engine.submit(seen.work("long", 5_000, 8, True))
     engine.submit(seen.work("later", 1_000, 5, True))
@@ -51,7 +51,7 @@
     ]
 
 
-def test_a_prompt_that_is_kept_is_not_read_again() -> None:
+def test_a_cached_prompt_is_not_read() -> None:
     clock, engine, seen = _engine(PREFILL)
     engine.submit(seen.work("a", 5_000, 0, True))
     clock.run(1.0)
@@ -61,7 +61,7 @@
     assert engine.prefilled_tokens == 5_001
 
 
-def test_a_decode_engine_reads_at_half_the_pace_between_tokens() -> None:
+def test_a_decode_engine_reads_at_half_the_rate_between_tokens() -> None:
     clock, engine, seen = _engine(DECODE)
     engine.submit(seen.work("moved", 1_000, 0, False, "z1"))
     clock.run(1.0)
@@ -71,7 +71,7 @@
     assert seen.events[2:] == [("whole", EngineEvent.FIRST_TOKEN, 1.21), ("whole", EngineEvent.COMPLETED, 1.23)]
 
 
-def test_a_move_between_zones_takes_twice_as_long_and_moves_wait_for_each_other() -> None:
+def test_a_transfer_between_zones_takes_twice_as_long_and_transfers_share_the_link() -> None:
     clock, engine, seen = _engine(DECODE)
     engine.submit(seen.work("far", 10_000, 0, False, "z2"))
     engine.submit(seen.work("near", 10_000, 0, False, "z1"))
@@ -82,7 +82,7 @@
     ]
 
 
-def test_what_cannot_be_held_and_what_asks_the_wrong_stage_is_refused() -> None:
+def test_requests_without_memory_or_of_the_wrong_stage_are_rejected() -> None:
     clock, engine, seen = _engine(DECODE)
     engine.submit(seen.work("large", 60_000, 0, False))
     engine.submit(seen.work("reading", 10, 0, True))
@@ -90,7 +90,7 @@
     assert [event for _, event, _ in seen.events] == [EngineEvent.REJECTED, EngineEvent.REJECTED]
 
 
-def test_a_crash_loses_all_that_is_there_and_all_that_comes() -> None:
+def test_a_crash_loses_all_requests_and_rejects_later_ones() -> None:
     clock, engine, seen = _engine(PREFILL)
     engine.submit(seen.work("a", 5_000, 0, True))
     clock.after(0.1, engine.crash)
@@ -99,7 +99,7 @@
     assert [(name, event) for name, event, _ in seen.events] == [("a", EngineEvent.LOST), ("b", EngineEvent.LOST)]
 
 
-def test_a_change_of_stage_refuses_what_waits_and_takes_its_time() -> None:
+def test_a_switch_of_stage_rejects_queued_requests_and_takes_time() -> None:
     clock, engine, seen = _engine(PREFILL)
     engine.submit(seen.work("under way", 2_000, 0, True))
     engine.submit(seen.work("waiting", 2_000, 0, True))
@@ -114,13 +114,13 @@
 
 
 @pytest.mark.parametrize("deployment", [simulations.SCREENING, simulations.RULINGS], ids=lambda one: one.name)
-def test_a_play_repeats_by_its_seed_and_serves_nearly_all_in_time(deployment: simulations.Deployment) -> None:
+def test_a_simulation_is_reproducible_and_serves_nearly_all_in_time(deployment: simulations.Deployment) -> None:
     first, again = (simulations.simulate(deployment, 1, 1.0) for _ in range(2))
     assert first == again
     assert first.day > 0.93
     assert simulations.simulate(deployment, 2, 1.0) != first
 
 
-def test_a_lost_engine_costs_little_and_a_rate_three_times_the_usual_is_borne() -> None:
+def test_a_lost_engine_costs_little_and_three_times_the_usual_rate_is_tolerated() -> None:
     assert simulations.simulate(simulations.SCREENING, 3, 1.0, crash=True).day > 0.9
     assert simulations.simulate(simulations.RULINGS, 3, 3.0).day > 0.6
--- a/tests/test_fleet_hunts.py
+++ b/tests/test_fleet_hunts.py
@@ -1,4 +1,4 @@
-"""Days of a hunt that deserve a look, from what the bench writes of them."""
+"""Days of a hunt that deserve a review, from the entries that the bench writes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         ({"served": None, "score": None, "prices": None, "fault": "given up"}, ReviewReason.BROKEN),
     ],
 )
-def test_a_day_is_told_by_what_sets_it_apart(day: dict[str, Any], reason: ReviewReason | None) -> None:
+def test_a_day_is_selected_by_what_distinguishes_it(day: dict[str, Any], reason: ReviewReason | None) -> None:
     hunt = read_hunt(_entry(*USUAL, day))
     assert hunt is not None
     assert (hunt.site, hunt.commit, hunt.days[0].order_count) == ("a-site", "0123456", 2)
@@ -38,7 +38,7 @@
     assert [(one.name, why) for one, why in found] == ([("mix --seed 6", reason)] if reason else [])
 
 
-def test_what_is_no_finished_hunt_is_passed_over() -> None:
+def test_entries_that_are_no_finished_hunt_are_skipped() -> None:
     assert read_hunt(_entry(cmd="score")) is None
     assert read_hunt(_entry(site=None)) is None
     assert read_hunt("[]") is None
--- a/tests/test_fleet_losses.py
+++ b/tests/test_fleet_losses.py
@@ -1,4 +1,4 @@
-"""Traces of requests, where worth was lost by reason, and a trial's policy."""
+"""Traces of requests, the losses of worth by reason, and the policy of a trial."""
 
 from __future__ import annotations
 
@@ -16,39 +16,41 @@
 from hophinge.fleet.trial import trial_policy
 
 KINDS = [LossKind("long", 2.0, 0.5, True, 10_000.0), LossKind("short", 1.0, 0.25, True, 1_000.0)]
-AIM_S = 0.3
+TARGET_S = 0.3
 
 
-def _attempt(stage: str, sent: float, over: float, units: float, spent: float, ending: str) -> dict[str, object]:
-    forecast = {"wait_us": 0.0, "spent_us": spent * 1e6, "done_us": 0.0, "late": False}
+def _attempt(
+    stage: str, sent_s: float, over_s: float, units: float, service_s: float, ending: str
+) -> dict[str, object]:
+    forecast = {"wait_us": 0.0, "spent_us": service_s * 1e6, "done_us": 0.0, "late": False}
     return {
         "stage": stage,
         "instance": "i-1",
-        "sent_s": sent,
-        "over_s": over,
+        "sent_s": sent_s,
+        "over_s": over_s,
         "units": units,
         "forecast": forecast,
         "ending": ending,
     }
 
 
-def _line(
+def _log_entry(
     at: float,
     over: float,
     attempts: list[dict[str, object]],
     first: float | None,
-    ending: str = "ANSWERED",
+    outcome: str = "ANSWERED",
     own: int = 3_000,
     key: str = "k",
 ) -> str:
     raw = {
         "route": "r",
         "arrived": 5.0,
-        "aim_s": AIM_S,
+        "aim_s": TARGET_S,
         "attempts": attempts,
         "first_s": first,
         "over_s": over,
-        "ending": ending,
+        "ending": outcome,
         "zone": "z",
         "tokens-in": 7_000 + own,
         "tokens-out": 10,
@@ -57,32 +59,34 @@
     return f"   {at + over:.4f} edge-z-1 20:01:40.083 INFO request {json.dumps(raw)}\n"
 
 
-def _read_then_made(at: float, read_s: float, units: float, spent: float, first: float, key: str = "k") -> str:
+def _prefill_then_decode(at: float, read_s: float, units: float, spent: float, first: float, key: str = "k") -> str:
     attempts = [
         _attempt("prefill", 0.0, read_s, units, spent, "READ"),
         _attempt("decode", read_s, first + 0.1, 64, 0.01, "ANSWERED"),
     ]
-    return _line(at, first + 0.1, attempts, first, key=key)
+    return _log_entry(at, first + 0.1, attempts, first, key=key)
 
 
-def _found(*lines: str) -> list[Loss]:
+def _losses_of(*lines: str) -> list[Loss]:
     return losses(read_requests(lines), KINDS)
 
 
-def test_other_lines_of_a_log_are_passed_over_and_requests_stand_in_the_order_of_their_arrival() -> None:
+def test_other_log_entries_are_skipped_and_requests_are_in_the_order_of_arrival() -> None:
     requests = read_requests(
         [
             "  1.0 edge-z-1 20:01:40.083 INFO ending\n",
-            _read_then_made(2.0, 0.1, 10, 0.05, 0.2),
-            _read_then_made(1.0, 0.1, 10, 0.05, 0.2),
+            _prefill_then_decode(2.0, 0.1, 10, 0.05, 0.2),
+            _prefill_then_decode(1.0, 0.1, 10, 0.05, 0.2),
         ]
     )
     assert [round(one.arrived_at, 3) for one in requests] == [1.0, 2.0]
     assert requests[0].shared_segments == (("k", 7_000),)
 
 
-def test_what_is_in_time_loses_nothing_and_what_is_late_the_rest_of_its_worth() -> None:
-    [early, late] = _found(_read_then_made(1.0, 0.1, 3_000, 0.05, 0.2), _read_then_made(2.0, 0.6, 3_000, 0.05, 0.7))
+def test_requests_in_time_lose_nothing_and_late_ones_the_rest_of_their_worth() -> None:
+    [early, late] = _losses_of(
+        _prefill_then_decode(1.0, 0.1, 3_000, 0.05, 0.2), _prefill_then_decode(2.0, 0.6, 3_000, 0.05, 0.7)
+    )
     assert (early.kind, early.reason, early.lost) == ("long", LossReason.NONE, 0.0)
     assert late.reason is LossReason.QUEUE
     assert [late.offered, late.lost] == pytest.approx([2.0, 1.5])
@@ -91,30 +95,33 @@
 @pytest.mark.parametrize(
     ("lines", "reason"),
     [
-        ((_read_then_made(1.0, 0.5, 10_000, 0.45, 0.55),), LossReason.CACHE_MISS),
+        ((_prefill_then_decode(1.0, 0.5, 10_000, 0.45, 0.55),), LossReason.CACHE_MISS),
         (
-            (_read_then_made(0.1, 0.2, 10_000, 0.2, 0.25), _read_then_made(1.0, 0.5, 10_000, 0.45, 0.55)),
+            (_prefill_then_decode(0.1, 0.2, 10_000, 0.2, 0.25), _prefill_then_decode(1.0, 0.5, 10_000, 0.45, 0.55)),
             LossReason.REREAD,
         ),
         (
-            (_read_then_made(0.9, 0.3, 10_000, 0.25, 0.29), _read_then_made(1.0, 0.5, 10_000, 0.45, 0.55)),
+            (_prefill_then_decode(0.9, 0.3, 10_000, 0.25, 0.29), _prefill_then_decode(1.0, 0.5, 10_000, 0.45, 0.55)),
             LossReason.CONCURRENT_REREAD,
         ),
-        ((_read_then_made(1.0, 0.5, 3_000, 0.45, 0.55),), LossReason.OWN_TOKENS),
-        ((_read_then_made(1.0, 0.1, 3_000, 0.05, 0.9),), LossReason.DECODE),
-        ((_line(1.0, 0.01, [], None, "refused 503"),), LossReason.NO_INSTANCE),
+        ((_prefill_then_decode(1.0, 0.5, 3_000, 0.45, 0.55),), LossReason.OWN_TOKENS),
+        ((_prefill_then_decode(1.0, 0.1, 3_000, 0.05, 0.9),), LossReason.DECODE),
+        ((_log_entry(1.0, 0.01, [], None, "refused 503"),), LossReason.NO_INSTANCE),
         (
-            (_line(1.0, 0.2, [_attempt("prefill", 0.0, 0.2, 10, 0.1, "REFUSED")], None, "refused 503"),),
+            (_log_entry(1.0, 0.2, [_attempt("prefill", 0.0, 0.2, 10, 0.1, "REFUSED")], None, "refused 503"),),
             LossReason.REJECTED,
         ),
         (
-            (_line(1.0, 2.0, [_attempt("prefill", 0.0, 2.0, 10, 0.1, "UNKNOWN")], None, "client left"),),
+            (_log_entry(1.0, 2.0, [_attempt("prefill", 0.0, 2.0, 10, 0.1, "UNKNOWN")], None, "client left"),),
             LossReason.CLIENT_LEFT,
         ),
-        ((_line(1.0, 2.0, [_attempt("decode", 0.0, 2.0, 10, 0.1, "BROKEN")], 0.1, "broken off"),), LossReason.FAULT),
+        (
+            (_log_entry(1.0, 2.0, [_attempt("decode", 0.0, 2.0, 10, 0.1, "BROKEN")], 0.1, "broken off"),),
+            LossReason.FAULT,
+        ),
         (
             (
-                _line(
+                _log_entry(
                     1.0,
                     0.9,
                     [
@@ -128,20 +135,20 @@
         ),
     ],
 )
-def test_each_request_that_lost_worth_has_the_longest_part_of_its_time_as_its_reason(
-    lines: tuple[str, ...], reason: LossReason
-) -> None:
-    assert _found(*lines)[-1].reason is reason
+def test_the_longest_duration_of_a_late_request_is_its_reason(lines: tuple[str, ...], reason: LossReason) -> None:
+    assert _losses_of(*lines)[-1].reason is reason
 
 
-def test_the_largest_tenth_and_the_fifth_beneath_are_told_apart() -> None:
-    rows = _found(*(_line(float(own), 0.2, [], None, "refused 503", own=own) for own in range(100, 2_100, 100)))
+def test_the_largest_tenth_and_the_fifth_below_are_distinguished() -> None:
+    rows = _losses_of(
+        *(_log_entry(float(own), 0.2, [], None, "refused 503", own=own) for own in range(100, 2_100, 100))
+    )
     assert [sum(row.size == size for row in rows) for size in ("largest tenth", "fifth beneath", "rest")] == [2, 4, 14]
     assert rows[-1].offered > rows[0].offered
 
 
-def test_a_trace_keeps_the_first_event_and_the_end_of_each_attempt() -> None:
-    trace = RequestTrace("r", 10.0, AIM_S)
+def test_a_trace_records_the_first_event_and_the_end_of_each_attempt() -> None:
+    trace = RequestTrace("r", 10.0, TARGET_S)
     trace.record_attempt(10.01, "prefill", "i-1", 500.0, Forecast(1.0, 2.0, 3.0, False))
     trace.complete_attempt(10.2, "READ")
     for moment in (10.3, 10.5):
@@ -152,7 +159,7 @@
     assert trace.over_s == pytest.approx(0.6)
 
 
-def test_a_trial_gives_a_policy_in_a_file_and_a_deployment_has_none(tmp_path: Path) -> None:
+def test_a_trial_reads_its_policy_from_a_file_and_a_deployment_has_none(tmp_path: Path) -> None:
     path = tmp_path / "trial-policy.json"
     assert trial_policy(path) == PlacementPolicy()
     path.write_text('{"order": "arrival", "group": 5}')
@@ -163,7 +170,7 @@
             trial_policy(path)
 
 
-def test_requests_without_prompts_are_read_too() -> None:
+def test_requests_without_prompts_are_parsed() -> None:
     raw = {
         "route": "r",
         "arrived": 0.0,
@@ -179,17 +186,17 @@
     assert (request.tokens_in, request.segments, request.shared_segments) == (0, (), ())
 
 
-def test_operators_are_told_how_requests_ended_why_they_were_refused_and_how_forecasts_held() -> None:
-    figures = RequestMetrics()
+def test_metrics_count_outcomes_reasons_of_rejection_and_errors_of_forecasts() -> None:
+    metrics = RequestMetrics()
     for first_s, took_s in ((0.2, 0.15), (0.4, 0.35)):
-        trace = RequestTrace("r", 0.0, AIM_S)
+        trace = RequestTrace("r", 0.0, TARGET_S)
         trace.record_attempt(0.0, "prefill", "i-1", 500.0, Forecast(50_000.0, 50_000.0, 130_000.0, False))
         trace.complete_attempt(took_s, "READ")
         trace.record_first_event(first_s)
         trace.complete(0.5, "ANSWERED")
-        figures.record(trace)
-    figures.record(RequestTrace("r", 0.0, AIM_S, ending="refused 503", refusal="hopeless"))
-    assert figures.snapshot() == {
+        metrics.record(trace)
+    metrics.record(RequestTrace("r", 0.0, TARGET_S, ending="refused 503", refusal="hopeless"))
+    assert metrics.snapshot() == {
         "endings": {"in time": 1, "late": 1, "refused 503": 1},
         "refusals": {"hopeless": 1},
         "reads": 2,
--- a/tests/test_fleet_variants.py
+++ b/tests/test_fleet_variants.py
@@ -1,4 +1,4 @@
-"""Recipes of deployments: each factor moves what it names, by the seed, and nothing else."""
+"""Recipes of deployments: each factor changes its own values, by the seed, and nothing else."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
     }
 
 
-def test_a_recipe_without_factors_changes_the_name_alone() -> None:
+def test_a_recipe_without_factors_changes_only_the_name() -> None:
     assert vary(_site(), Recipe("same", "b", 1)) == {**_site(), "name": "same"}
 
 
-def test_factors_move_what_they_name_within_the_noise_of_the_seed() -> None:
+def test_factors_apply_to_their_values_within_the_noise_of_the_seed() -> None:
     made = vary(_site(), Recipe("r", "b", 3, pace=0.5, tokens_out=2.0, openings=4.0, rate=2.0, aims=0.5, prefill=0.2))
     engine, stream = made["services"][0]["llm"], made["classes"][0]["stream"]
     for found, wanted in (
@@ -64,14 +64,14 @@
     assert small["things"] == stream["chain"][0]["things"]
 
 
-def test_a_seed_gives_the_same_deployment_again_and_another_gives_another() -> None:
+def test_a_deployment_is_reproducible_by_its_seed() -> None:
     recipes = [Recipe("r", "b", seed, memory=0.3) for seed in (1, 1, 2)]
     first, again, other = (vary(_site(), recipe) for recipe in recipes)
     assert first == again
     assert first != other
 
 
-def test_every_recipe_is_written_with_what_lies_beside_its_base(tmp_path: Path) -> None:
+def test_every_recipe_is_written_with_the_files_of_its_base(tmp_path: Path) -> None:
     for base in {recipe.base for recipe in RECIPES}:
         path = tmp_path / "kit" / base
         path.parent.mkdir(parents=True, exist_ok=True)
