--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -122,11 +122,17 @@
 
 
 @cache
-def sources(place: str) -> str:
-    """Return the text of a file, or of all sources below a folder, for a search of terms."""
+def source(place: str) -> str:
+    """Return the text of a file, or of all sources below a folder."""
     path = ROOT / place
     files = [path] if path.is_file() else sorted(path.rglob("*.py"))
-    return words_of("\n".join(file.read_text() for file in files))
+    return "\n".join(file.read_text() for file in files)
+
+
+@cache
+def words_at(place: str) -> str:
+    """Return the words of a place, for a search of terms."""
+    return words_of(source(place))
 
 
 GLOSSARY = [
@@ -138,13 +144,27 @@
 
 @pytest.mark.parametrize(("word", "term", "places"), GLOSSARY, ids=[word for word, _, _ in GLOSSARY])
 def test_a_row_of_the_glossary_names_a_place_that_has_the_term(word: str, term: str, places: list[str]) -> None:
-    first = re.compile(rf"\b{words_of(term.split(',')[0])}(s|es|d|ed)?\b")
+    words, _, names = term.partition(":")
+    first = re.compile(rf"\b{words_of(words.split(',')[0].split('(')[0]).strip()}(s|es|d|ed)?\b")
     assert places, f"{word}: no place"
     for place in places:
         assert (ROOT / place).exists(), f"{word}: {place} is not there"
-    assert any(first.search(sources(place)) for place in places), f"{word}: no place has {term.split(',')[0]}"
+    assert any(first.search(words_at(place)) for place in places), f"{word}: no place has {words}"
+    for name in CODE.findall(names):
+        used = re.compile(rf"\b{name}\b")
+        assert any(used.search(source(place)) for place in places), f"{word}: no place has {name}"
 
 
 def test_the_glossary_has_its_rows() -> None:
     assert len(GLOSSARY) >= 50
     assert len({word for word, _, _ in GLOSSARY}) == len(GLOSSARY)
+
+
+def test_the_architecture_page_has_every_package() -> None:
+    table = text("docs/architecture.md")
+    packages = [f"hophinge/{name}" for name in PACKAGES] + [f"hophinge/fleet/{name}" for name in FLEET_PACKAGES]
+    with_modules = [
+        package for package in packages if any((ROOT / package).glob("*.py")) and package != "hophinge/fleet"
+    ]
+    missing = [package for package in with_modules if not re.search(rf"^\|[^|]*`{package}`", table, re.MULTILINE)]
+    assert not missing
