--- a/hophinge/fleet/emulation/loopback_fleet.py
+++ b/hophinge/fleet/emulation/loopback_fleet.py
@@ -281,6 +281,6 @@
         """Stop all processes and instances."""
         for task in self.heartbeat_tasks.values():
             task.cancel()
-        for stand_in in self.instances.values():
-            stand_in.close()
+        for instance in self.instances.values():
+            instance.close()
         await self.processes.close()
