--- a/tests/decision_mutants.py
+++ b/tests/decision_mutants.py
@@ -71,14 +71,14 @@
         "fleet/registry/registry",
         "if change is not None and instance.stage != change.old_stage:",
         "if False:",
-        CHANGES + "test_an_instance_that_has_changed_its_stage_is_ready_wherever_it_beats_next",
+        CHANGES + "test_an_instance_with_a_changed_stage_is_ready_at_any_member",
     ),
     Mutant(
         "members prolong a change for one another",
         "fleet/registry/registry",
         "not is_changing and (is_order or not is_timed_out)",
         "not is_changing",
-        CHANGES + "test_a_change_that_was_given_up_is_not_begun_anew_by_a_member_that_gives_it_up_later",
+        CHANGES + "test_a_timed_out_change_is_not_revived_by_another_member",
     ),
     Mutant(
         "a stage falls to one of many",
--- a/tests/test_fleet_aborted_responses.py
+++ b/tests/test_fleet_aborted_responses.py
@@ -35,14 +35,14 @@
         ),
     ],
 )
-def test_the_line_tells_what_was_known(error: str, unregistered: float | None, line: str) -> None:
+def test_the_event_holds_what_was_known(error: str, unregistered: float | None, line: str) -> None:
     seen = ObservedInstance("i-1", "", unregistered, 2)
     cut = AbortedResponse("q1", "r", AbortSide.HEAD, RequestPhase.ANSWERING, error, seen, 7, 1.5, 4.6)
     assert cut.event() == line
     assert cut.reason == "head while answering"
 
 
-def test_a_head_tells_an_instance_that_broke_off_from_a_client_that_left(tmp_path: Path) -> None:
+def test_aborts_by_an_instance_and_by_a_client_are_distinguished(tmp_path: Path) -> None:
     async def run() -> None:
         async with LoopbackFleet(tmp_path, 1, losses=0) as fleet:
             await fleet.start()
--- a/tests/test_fleet_budget.py
+++ b/tests/test_fleet_budget.py
@@ -71,14 +71,14 @@
 
 
 @pytest.mark.parametrize("restarts", [0, 1, 3, 8])
-def test_heads_that_start_anew_take_no_part_that_others_may_have_taken(restarts: int) -> None:
+def test_restarted_heads_spend_no_share_that_others_may_have_spent(restarts: int) -> None:
     for seed in range(40):
         over, extras = play(seed, restarts)
         assert over <= 0.0, f"seed {seed}: {over:.0f} beyond what is allowed"
         assert extras > 50, "it is made use of"
 
 
-def test_a_head_that_has_just_started_repeats_by_its_requests_then_by_a_part_of_its_slack_then_by_all() -> None:
+def test_a_started_head_gets_its_share_of_the_slack_in_steps() -> None:
     budget = RetryBudget(RATIO, SLACK, WINDOW_S, 100.0)
     assert not budget.allows_extra_attempt(100.0, 0)
     for _ in range(10):
--- a/tests/test_fleet_claims.py
+++ b/tests/test_fleet_claims.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("order", ORDERS, ids="-".join)
-def test_it_closes_once_with_its_last_claim_and_gets_nothing_new_once_retired(order: Order) -> None:
+def test_a_retired_resource_closes_once_with_its_last_claim(order: Order) -> None:
     closing, given = _play(order)
     retired = order.index("retire")
     assert given == {which for which in "01" if order.index(f"claim {which}") < retired}
@@ -51,11 +51,11 @@
     assert closing == [order[max(last, retired)]]
 
 
-def test_there_are_all_orders() -> None:
+def test_all_orders_are_enumerated() -> None:
     assert len(ORDERS) == 720 // 8
 
 
-def test_what_is_retired_is_overdue_once_each_use_should_be_over() -> None:
+def test_a_retired_resource_is_overdue_after_all_deadlines() -> None:
     claims = Claims()
     first, second = claims.acquire(5.0), claims.acquire(9.0)
     assert first is not None and second is not None
@@ -94,7 +94,7 @@
     return told, tidied
 
 
-def test_work_whose_answer_has_gone_out_whole_comes_to_its_end() -> None:
+def test_work_with_a_complete_response_is_not_cancelled() -> None:
     """The server told of the answer's end as it tells of a client that left, and the tidying behind it was cancelled.
 
     Seen on ordinary days, about once in 400 answers. By reading, such a cancellation can leave the connection to the
@@ -103,11 +103,11 @@
     assert asyncio.run(_carry(True)) == (True, True)
 
 
-def test_work_for_a_client_that_left_is_cancelled() -> None:
+def test_work_for_a_disconnected_client_is_cancelled() -> None:
     assert asyncio.run(_carry(False)) == (False, False)
 
 
-def test_what_the_work_raises_comes_through() -> None:
+def test_errors_of_the_work_are_raised() -> None:
     async def fails() -> None:
         raise ValueError("work")
 
--- a/tests/test_fleet_client_connections.py
+++ b/tests/test_fleet_client_connections.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-def test_bytes_behind_a_request_have_no_part_in_its_answer(at_once: bool, tmp_path: Path) -> None:
+def test_bytes_behind_a_request_do_not_change_its_response(at_once: bool, tmp_path: Path) -> None:
     async def garbage(fleet: LoopbackFleet) -> None:
         client = await Client.open(fleet)
         await send_two(fleet, client, request("/m/q", "first"), GARBAGE)
@@ -116,7 +116,7 @@
 # --- what comes slowly, or not at all, or without an end -----------------------------------------------------------
 
 
-def test_what_a_client_leaves_open_ends_in_time_and_within_bounds(tmp_path: Path) -> None:
+def test_open_requests_and_idle_connections_are_closed_within_limits(tmp_path: Path) -> None:
     async def status_of(client: Client) -> int:
         refused = await client.answer()
         assert refused is not None and refused.whole and refused.closes
@@ -154,7 +154,7 @@
     asyncio.run(with_head(tmp_path, SHORT, play))
 
 
-def test_bodies_of_many_clients_do_not_take_all_memory(tmp_path: Path) -> None:
+def test_bodies_of_many_clients_do_not_exhaust_memory(tmp_path: Path) -> None:
     """Each client keeps within its bound; together they would end a head with 300 MB, and all its streams with it."""
 
     async def play(fleet: LoopbackFleet) -> None:
@@ -182,7 +182,7 @@
 # --- the end of the process ----------------------------------------------------------------------------------------
 
 
-def test_each_request_that_was_read_whole_is_answered_or_refused_as_the_process_ends(tmp_path: Path) -> None:
+def test_each_complete_request_is_answered_or_rejected_at_shutdown(tmp_path: Path) -> None:
     async def play(fleet: LoopbackFleet) -> None:
         fleet.instances["d1"].before_event = lambda: asyncio.sleep(0.75)  # the stream outlasts the head's leaving
         client, busy, resting = [await Client.open(fleet) for _ in range(3)]
--- a/tests/test_fleet_configuration.py
+++ b/tests/test_fleet_configuration.py
@@ -57,21 +57,21 @@
         ({"services": "s"}, "services"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(changes: dict[str, Any], place: str) -> None:
+def test_each_finding_names_its_path(changes: dict[str, Any], place: str) -> None:
     assert any(finding.startswith(place + ":") for finding in _findings(_document(**changes)))
 
 
-def test_all_findings_are_told_together() -> None:
+def test_all_findings_are_reported_together() -> None:
     found = _findings(_document(routes=[_route(service="one"), _route(service="two", **{"path-prefix": "/y/"})]))
     assert len(found) == 2
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"version": 1', b"\xff"])
-def test_what_cannot_be_read_whole_is_a_finding(data: bytes) -> None:
+def test_a_document_that_cannot_be_parsed_is_a_finding(data: bytes) -> None:
     assert validate_document(data).is_error()
 
 
-def test_the_longest_prefix_of_the_host_is_taken() -> None:
+def test_the_longest_prefix_of_the_host_is_found() -> None:
     routes = [_route(), _route(name="long", **{"path-prefix": "/x/y/"}), _route(name="other", host="b.example")]
     table = parse_route_table(json.dumps(_document(routes=routes)).encode())
 
@@ -95,7 +95,7 @@
     assert [route.choose_service(draw) for draw in (0.0, 0.89, 0.91, 0.9999)] == ["s", "s", "t", "t"]
 
 
-def test_a_record_brings_the_same_table() -> None:
+def test_a_record_holds_the_same_route_table() -> None:
     document = json.dumps(_document()).encode()
     record = configuration_record(4, document)
     assert record.stamp == (4, 0)
--- a/tests/test_fleet_connection_state.py
+++ b/tests/test_fleet_connection_state.py
@@ -111,7 +111,7 @@
         yield from orders((*played, step))
 
 
-def test_each_claim_is_answered_in_its_order_and_the_connection_closes_behind_the_last() -> None:
+def test_responses_go_out_in_order_and_the_connection_closes_after_the_last() -> None:
     ends = dict.fromkeys(CloseReason, 0)
     count = 0
     for order in orders():
@@ -135,7 +135,7 @@
     )
 
 
-def test_what_was_read_behind_the_end_is_refused_and_not_served() -> None:
+def test_requests_read_after_the_close_are_rejected() -> None:
     state = ConnectionState(BOUNDS, 0.0)
     state.begin_header(0.0)
     assert state.complete_header(keeps_alive=True)
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize(
     ("behind", "action", "refusal"), [(0, Action.REJECT, REQUEST_TIMEOUT), (1, Action.REJECT, REQUEST_TIMEOUT)]
 )
-def test_half_a_header_has_its_time_from_when_its_turn_comes(behind: int, action: Action, refusal: int) -> None:
+def test_an_incomplete_header_has_its_timeout_from_its_turn(behind: int, action: Action, refusal: int) -> None:
     state = ConnectionState(BOUNDS, 0.0)
     if behind:
         state.begin_header(0.0)
@@ -172,7 +172,7 @@
     assert state.close_reason is CloseReason.HEADER_TIMEOUT and state.deadline is None
 
 
-def test_a_body_has_its_time_from_its_newest_bytes_on() -> None:
+def test_a_body_has_its_timeout_from_its_latest_bytes() -> None:
     state = ConnectionState(BOUNDS, 0.0)
     state.begin_header(0.0)
     state.complete_header(keeps_alive=True)
@@ -181,7 +181,7 @@
     assert state.close_reason is CloseReason.BODY_TIMEOUT
 
 
-def test_a_request_that_was_answered_before_it_came_whole_is_not_answered_twice() -> None:
+def test_a_request_answered_before_it_was_complete_is_not_answered_twice() -> None:
     state = ConnectionState(BOUNDS, 0.0)
     state.begin_header(0.0)
     state.complete_header(keeps_alive=True)
@@ -189,7 +189,7 @@
     assert state.check_deadline(11.0) == [Action.CLOSE] and not state.rejection_status
 
 
-def test_a_header_is_bounded_by_its_own_bytes() -> None:
+def test_the_size_limit_of_a_header_counts_its_own_bytes() -> None:
     state = ConnectionState(BOUNDS, 0.0)
     state.begin_header(0.0)
     assert state.receive_bytes(0.0, 60) == [] and state.receive_bytes(0.1, 40) == []
@@ -204,7 +204,7 @@
     assert state.complete_response(0.2) == [Action.REJECT]
 
 
-def test_longer_bounds_hold_for_a_rest_that_has_begun_and_shorter_ones_from_the_next_on() -> None:
+def test_longer_bounds_apply_to_present_idle_time_and_shorter_ones_to_the_next() -> None:
     state = ConnectionState(BOUNDS, 0.0)
     state.update_bounds(ConnectionBounds(idle_s=60.0))
     assert state.deadline == 60.0
@@ -217,7 +217,7 @@
     assert state.deadline == 7.0
 
 
-def test_a_client_that_closes_leaves_nothing_to_be_taken_or_timed() -> None:
+def test_after_a_client_closes_nothing_is_accepted_or_timed() -> None:
     state = ConnectionState(BOUNDS, 0.0)
     state.begin_header(0.0)
     state.complete_header(keeps_alive=True)
--- a/tests/test_fleet_failing_steps.py
+++ b/tests/test_fleet_failing_steps.py
@@ -59,18 +59,18 @@
 
 
 @pytest.mark.parametrize("awaited", [False, True])
-def test_a_periodic_step_that_fails_now_and_then_does_not_end_the_program(awaited: bool) -> None:
+def test_occasional_failures_of_a_periodic_step_do_not_end_the_program(awaited: bool) -> None:
     calls, ended = asyncio.run(_failing(3, 4, awaited))
     assert calls >= 7 and not ended
 
 
 @pytest.mark.parametrize("awaited", [False, True])
-def test_one_that_fails_for_ever_does(awaited: bool) -> None:
+def test_consecutive_failures_of_a_periodic_step_end_the_program(awaited: bool) -> None:
     calls, ended = asyncio.run(_failing(1_000, 4, awaited))
     assert (calls, ended) == (4, True)
 
 
-def test_work_aside_that_fails_ends_nothing() -> None:
+def test_failed_background_work_ends_nothing() -> None:
     async def play() -> bool:
         ending, failed = asyncio.Event(), asyncio.Event()
 
@@ -88,7 +88,7 @@
     assert not asyncio.run(play())
 
 
-def test_a_message_that_cannot_be_taken_takes_neither_its_connection_nor_those_behind_it() -> None:
+def test_a_message_that_fails_affects_neither_its_connection_nor_later_messages() -> None:
     taken: list[object] = []
 
     def handler(hello: Hello, message: object) -> None:
@@ -104,7 +104,7 @@
     assert taken == [other, other]
 
 
-def test_a_configuration_is_in_force_even_where_passing_it_on_fails() -> None:
+def test_a_configuration_is_applied_even_where_forwarding_it_fails() -> None:
     async def play() -> None:
         settings = parse_settings(
             {
@@ -141,7 +141,7 @@
 """
 
 
-def test_a_hangup_before_the_handlers_are_there_does_not_end_a_process() -> None:
+def test_a_hangup_before_the_handlers_are_installed_does_not_end_a_process() -> None:
     run = subprocess.run(
         [sys.executable, "-c", HANGUP_AT_ONCE],
         cwd=Path(__file__).parent.parent,
@@ -152,7 +152,7 @@
     assert (run.returncode, run.stdout) == (0, "lives\n")
 
 
-def test_signals_in_the_last_moments_change_nothing() -> None:
+def test_late_signals_do_not_change_the_exit_status() -> None:
     before = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
 
     async def play() -> None:
@@ -170,7 +170,7 @@
             signal.signal(number, handler)
 
 
-def test_the_programs_ignore_hangups_before_anything_that_takes_a_while() -> None:
+def test_the_programs_ignore_hangups_before_slow_imports() -> None:
     for name in ("dataplane", "controlplane"):
         text = (Path(program.__file__).parent / name / "__main__.py").read_text()
         imports = [line for line in text.splitlines() if line.startswith(("import", "from"))]
--- a/tests/test_fleet_failing_work.py
+++ b/tests/test_fleet_failing_work.py
@@ -71,7 +71,7 @@
         raise ValueError("no record")
 
 
-def test_a_write_that_fails_for_an_unknown_reason_is_told_and_the_thread_lives_on() -> None:
+def test_an_unforeseen_write_error_is_reported_and_the_thread_lives_on() -> None:
     async def play() -> list[Exception | None]:
         loop, told = asyncio.get_running_loop(), list[Exception | None]()
         both = asyncio.Event()
@@ -119,7 +119,7 @@
             yield json.dumps(raw).encode()
 
 
-def test_settings_that_cannot_be_used_are_findings_and_nothing_else(tmp_path: Path) -> None:
+def test_invalid_settings_are_findings_and_raise_nothing_else(tmp_path: Path) -> None:
     path, used, refused = tmp_path / "settings.json", 0, 0
     for data in files():
         path.write_bytes(data)
--- a/tests/test_fleet_hint_relay.py
+++ b/tests/test_fleet_hint_relay.py
@@ -38,7 +38,7 @@
         return names
 
 
-def test_each_head_hears_what_the_others_said_and_nothing_of_its_own() -> None:
+def test_each_head_gets_the_hints_of_others_and_none_of_its_own() -> None:
     wire = Wire()
     wire.relay.add("h1", _hint("a"), True)
     wire.relay.add("h2", _hint("b"), True)
@@ -52,14 +52,14 @@
     assert wire.told("c2") == []
 
 
-def test_a_head_that_alone_said_something_is_told_nothing() -> None:
+def test_a_head_that_alone_sent_hints_gets_none() -> None:
     wire = Wire()
     wire.relay.add("h1", _hint("a"), True)
     wire.relay.flush(1.0, ["h1"], [])
     assert wire.frames == []
 
 
-def test_messages_a_second_are_bounded_however_many_heads_there_are() -> None:
+def test_the_message_rate_is_bounded_for_any_number_of_heads() -> None:
     for heads in (10, 100, 1_000):
         wire = Wire()
         now, due, flushes = 0.0, None, 0
@@ -73,14 +73,14 @@
         assert flushes * heads <= 1.2 / FLUSH_INTERVAL_PER_HEAD_S
 
 
-def test_a_word_after_a_rest_is_passed_on_soon() -> None:
+def test_hints_after_an_idle_time_are_relayed_soon() -> None:
     wire = Wire()
     wire.relay.flush(1.0, HEADS, CONTROLS)
     assert wire.relay.delay_s(9.0, 1_000) == MIN_RELAY_DELAY_S
     assert wire.relay.delay_s(1.0, 30) == pytest.approx(MIN_FLUSH_INTERVAL_S + 30 * FLUSH_INTERVAL_PER_HEAD_S)
 
 
-def test_a_word_that_is_not_gathered_goes_at_once() -> None:
+def test_a_message_that_is_not_gathered_is_sent_at_once() -> None:
     wire = Wire()
     wire.relay.send_now(SuspectedInstances(("i",)), HEADS)
     assert [target for target, _ in wire.frames] == HEADS
--- a/tests/test_fleet_instance_service.py
+++ b/tests/test_fleet_instance_service.py
@@ -30,7 +30,7 @@
     return Instance("i", "s", "10.9.0.1:80", "z", "v", 8, state, "", ())
 
 
-def test_a_ready_instance_is_told_of_at_once_and_asked_elsewhere_by_a_member_that_is_cut_off() -> None:
+def test_a_ready_heartbeat_is_published_and_refused_by_a_partitioned_member() -> None:
     service = _service()
     step = service.heartbeat(0.0, CALM, 1, _instance(READY), 1)
     assert step.completed == [(1, True)]
@@ -38,7 +38,7 @@
     assert service.heartbeat(1.0, ALONE, 2, _instance(READY), 2).completed == [(2, False)]
 
 
-def test_a_leaving_is_told_to_the_heads_at_once_and_acknowledged_once_a_quorum_holds_it() -> None:
+def test_draining_is_published_at_once_and_acknowledged_by_a_quorum() -> None:
     service = _service()
     service.heartbeat(0.0, CALM, 1, _instance(READY), 1)
     step = service.heartbeat(1.0, CALM, 2, _instance(DRAINING), 2)
@@ -55,7 +55,7 @@
     )
 
 
-def test_one_that_is_ready_again_leaves_anew() -> None:
+def test_an_instance_ready_again_needs_a_new_quorum_to_drain() -> None:
     service = _service()
     service.heartbeat(1.0, CALM, 1, _instance(DRAINING), 2)
     service.record_replicated(1.1, CALM, "b", RecordReplicated(1, 1))
@@ -65,7 +65,7 @@
     assert service.tick(3.0 + ACKNOWLEDGEMENT_TIMEOUT_S, ALONE, True).completed == [(3, False)]
 
 
-def test_an_end_is_acknowledged_by_the_same_rule_and_an_older_heartbeat_brings_nothing_back() -> None:
+def test_unregistering_needs_a_quorum_and_an_older_heartbeat_reverts_nothing() -> None:
     service = _service()
     service.heartbeat(0.0, CALM, 1, _instance(READY), 1)
     assert service.unregister(1.0, CALM, 2, "i").completed == []
@@ -77,7 +77,7 @@
     assert service.unregister(3.0, ALONE, 4, "i").completed == [(4, True)], "an end that is sent again"
 
 
-def test_an_end_after_an_acknowledged_leaving_needs_a_quorum_of_its_own() -> None:
+def test_unregistering_after_acknowledged_draining_needs_its_own_quorum() -> None:
     service = _service()
     service.heartbeat(1.0, CALM, 1, _instance(DRAINING), 2)
     service.record_replicated(1.1, CALM, "b", RecordReplicated(1, 1))
@@ -86,7 +86,7 @@
     assert service.tick(2.0 + ACKNOWLEDGEMENT_TIMEOUT_S, ALONE, True).completed == [(2, False)]
 
 
-def test_who_holds_a_record_for_another_passes_it_on_before_it_says_so() -> None:
+def test_a_replicated_record_is_forwarded_before_it_is_acknowledged() -> None:
     service = _service()
     record = record_of(_instance(DRAINING), 5)
     step = service.replicate_record(0.0, CALM, B.address, ReplicateRecord(9, record))
@@ -97,7 +97,7 @@
     assert again.messages == [(B.address, RecordReplicated(9, 1))]
 
 
-def test_an_older_word_than_what_is_known_is_not_acknowledged() -> None:
+def test_an_outdated_heartbeat_is_not_acknowledged() -> None:
     service = _service()
     service.heartbeat(0.0, CALM, 1, _instance(READY), 9)
     step = service.heartbeat(0.1, CALM, 2, _instance(DRAINING), 5)
--- a/tests/test_fleet_lifecycle_histories.py
+++ b/tests/test_fleet_lifecycle_histories.py
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, 200, 20))
-def test_no_step_of_a_request_fails_whatever_becomes_of_its_instances(first: int) -> None:
+def test_no_step_of_a_request_raises_whatever_its_instances_do(first: int) -> None:
     for seed in range(first, first + 20):
         history = History(seed)
         history.play()
--- a/tests/test_fleet_process_ends.py
+++ b/tests/test_fleet_process_ends.py
@@ -37,7 +37,7 @@
     serving.cancel()
 
 
-def test_an_answer_that_waits_in_the_buffers_goes_out_before_the_process_ends() -> None:
+def test_a_buffered_response_is_sent_before_the_process_ends() -> None:
     """The head waited for its requests' work alone; an answer that a slow client had not read yet was lost with it."""
 
     async def play(server: HttpServer, host: str, port: int) -> None:
@@ -67,7 +67,7 @@
     return True
 
 
-def test_the_end_does_not_wait_for_longer_than_it_may_and_tells_what_is_owed(
+def test_the_drain_ends_at_its_deadline_and_logs_outstanding_responses(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     events: list[str] = []
@@ -89,7 +89,7 @@
         logger.remove(sink)
 
 
-def test_the_tidying_behind_an_answer_comes_to_its_end_with_the_process() -> None:
+def test_the_cleanup_after_a_response_is_completed_before_the_process_ends() -> None:
     """Seen in a soak beside load: the end cancelled it, and told of a cut answer that its client had got whole."""
     go_on, tidied = asyncio.Event(), False
 
@@ -115,7 +115,7 @@
     asyncio.run(_serve(play, app))
 
 
-def test_whoever_waits_for_others_is_told_before_the_process_ends() -> None:
+def test_pending_requests_are_answered_before_the_process_ends() -> None:
     """Seen in a soak beside load: a change that waited for the chain got no answer as its member ended."""
     known: asyncio.Future[int]
 
@@ -136,7 +136,7 @@
     asyncio.run(_serve(play, app))
 
 
-def test_a_longer_time_of_rest_holds_for_connections_that_rest_already() -> None:
+def test_a_longer_idle_time_applies_to_connections_that_are_idle_already() -> None:
     async def play(server: HttpServer, host: str, port: int) -> None:
         server.update_bounds(ConnectionBounds(idle_s=2.0))
         reader, writer = await asyncio.open_connection(host, port)
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -30,7 +30,7 @@
     return lost
 
 
-def test_only_what_changes_is_told() -> None:
+def test_only_changes_return_a_record() -> None:
     registry = _registry()
     record = registry.record_heartbeat(0.0, ONE, 1)
     assert record is not None
@@ -41,7 +41,7 @@
     assert told.stamp > record.stamp
 
 
-def test_a_late_heartbeat_does_not_bring_a_leaving_instance_back() -> None:
+def test_a_late_heartbeat_does_not_revert_a_draining_instance() -> None:
     registry = _registry()
     registry.record_heartbeat(0.0, ONE, 1)
     registry.record_heartbeat(1.0, replace(ONE, state=DRAINING), 5)
@@ -50,7 +50,7 @@
     assert registry.instances["i-1"].state == DRAINING
 
 
-def test_an_instance_that_unregistered_never_comes_back_under_its_identity() -> None:
+def test_an_unregistered_identity_is_never_registered_again() -> None:
     registry = _registry()
     registry.record_heartbeat(0.0, ONE, 1)
     assert registry.unregister(1.0, "i-1").is_deleted
@@ -58,11 +58,11 @@
     assert "i-1" not in registry.instances
 
 
-def test_unregistering_what_is_not_known_is_told_as_well() -> None:
+def test_unregistering_an_unknown_instance_returns_a_tombstone() -> None:
     assert _registry().unregister(0.0, "i-9").is_deleted
 
 
-def test_a_silent_instance_is_lost_and_found_again() -> None:
+def test_a_silent_instance_is_lost_until_its_next_heartbeat() -> None:
     registry = _registry()
     registry.record_heartbeat(0.0, ONE, 1)
     assert _pass(registry, 0.0, MAX_MISSED_HEARTBEATS * PERIOD_S) == []
@@ -73,7 +73,7 @@
     assert registry.instances["i-1"].state == READY
 
 
-def test_an_instance_that_beats_elsewhere_is_not_lost_here() -> None:
+def test_an_instance_with_heartbeats_to_another_member_is_not_lost() -> None:
     registry = _registry()
     registry.record_heartbeat(0.0, ONE, 1)
     lost = []
@@ -84,7 +84,7 @@
     assert lost == []
 
 
-def test_who_stood_still_or_hears_nobody_accuses_nobody() -> None:
+def test_a_stalled_or_disconnected_member_marks_no_instance_lost() -> None:
     registry = _registry()
     registry.record_heartbeat(0.0, ONE, 1)
     assert registry.expire(20.0, True) == []  # it stood still for 20 s
@@ -92,7 +92,7 @@
     assert registry.expire(23.0, False) == []  # it is cut off from the others
 
 
-def test_an_instance_under_order_is_spared_until_its_stage_has_changed() -> None:
+def test_an_ordered_instance_is_switching_until_its_stage_has_changed() -> None:
     registry = _registry()
     registry.record_heartbeat(0.0, ONE, 1)
     record = registry.begin_stage_change(1.0, "i-1")
@@ -104,7 +104,7 @@
     assert registry.instances["i-1"].state == READY
 
 
-def test_a_lost_instance_is_dropped_in_time_and_its_next_heartbeat_brings_it_back() -> None:
+def test_a_lost_instance_is_purged_and_its_next_heartbeat_registers_it() -> None:
     registry, other = _registry(), _registry()
     first = registry.record_heartbeat(0.0, ONE, 1)
     assert first is not None
@@ -121,7 +121,7 @@
     assert back.stamp > dropped[0].stamp
 
 
-def test_an_end_is_remembered_for_a_while_only() -> None:
+def test_an_unregistered_identity_is_blocked_for_its_retention() -> None:
     registry = _registry()
     registry.unregister(0.0, "i-1")
     registry.purge(UNREGISTERED_RETENTION_S - 1)
@@ -130,7 +130,7 @@
     assert not registry.unregistered
 
 
-def test_another_member_that_hears_of_the_order_spares_it_too() -> None:
+def test_another_member_applies_the_order_of_a_stage_change() -> None:
     registry, other = _registry(), _registry()
     registry.record_heartbeat(0.0, ONE, 1)
     record = registry.begin_stage_change(1.0, "i-1")
@@ -140,7 +140,7 @@
     assert other.instances["i-1"].state == SWITCHING
 
 
-def test_an_instance_that_answers_questions_is_not_lost_and_is_found_again() -> None:
+def test_a_reachable_instance_is_not_lost_and_recovers() -> None:
     registry = Registry(1.0, 0.0)
     registry.record_heartbeat(0.0, ONE, 1)
     _pass(registry, 0.0, 4.0)
@@ -156,7 +156,7 @@
     assert later.stamp > record.stamp, "the next heartbeat counts for more"
 
 
-def test_a_leaving_instance_that_falls_silent_stays_a_leaving_one() -> None:
+def test_a_silent_draining_instance_stays_draining() -> None:
     registry = Registry(1.0, 0.0)
     registry.record_heartbeat(0.0, replace(ONE, state=DRAINING), 1)
     assert _pass(registry, 0.0, 20.0) == []
@@ -164,7 +164,7 @@
     assert registry.mark_reachable(20.0, ["i-1"]) == []
 
 
-def test_what_is_concluded_here_never_hides_a_leaving_that_others_have_heard_of() -> None:
+def test_a_conclusion_never_hides_a_draining_record_of_another_member() -> None:
     elsewhere, here = _registry(), _registry()
     first = elsewhere.record_heartbeat(0.0, ONE, 1)
     assert first is not None
--- a/tests/test_fleet_replica_host.py
+++ b/tests/test_fleet_replica_host.py
@@ -29,7 +29,7 @@
     )
 
 
-def test_the_scrub_tells_of_damage_and_the_state_is_written_anew(tmp_path: Path) -> None:
+def test_the_scrub_logs_damage_and_rewrites_the_state(tmp_path: Path) -> None:
     events: list[str] = []
     sink = logger.add(events.append, format="{message}")
 
@@ -64,7 +64,7 @@
     assert any(event.startswith("scrub found damage") for event in events)
 
 
-def test_who_waits_for_the_chain_is_told_at_the_end_that_nothing_is_known(tmp_path: Path) -> None:
+def test_pending_requests_are_answered_as_unknown_at_shutdown(tmp_path: Path) -> None:
     async def play() -> None:
         host = ReplicaHost(
             replace(_settings(tmp_path), bootstrap=False),
--- a/tests/test_fleet_request_lifecycle.py
+++ b/tests/test_fleet_request_lifecycle.py
@@ -61,21 +61,21 @@
     return AttemptResult(AttemptOutcome.READ, KvHandle("i-0", step.reservation.node.instance.address, "h1", 1_000))
 
 
-def test_an_unsafe_request_that_may_have_run_is_not_sent_again_and_gets_no_promise() -> None:
+def test_an_unsafe_request_that_may_have_run_is_not_retried_and_gets_502() -> None:
     life = _life(UNSAFE, _placement(0, 0, 3))
     life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
     assert life.next_step(0.1) == Reject(502, None)
 
 
 @pytest.mark.parametrize("ending", [AttemptOutcome.UNSENT, AttemptOutcome.REFUSED, AttemptOutcome.MISPLACED])
-def test_what_surely_did_not_run_goes_to_another_instance(ending: AttemptOutcome) -> None:
+def test_a_request_that_did_not_run_is_retried_at_another_instance(ending: AttemptOutcome) -> None:
     life = _life(UNSAFE, _placement(0, 0, 3))
     first = _run(life)
     life.complete_attempt(0.1, first.reservation, AttemptResult(ending))
     assert _run(life, 0.1).reservation.node is not first.reservation.node
 
 
-def test_a_promise_is_given_where_nothing_ran_and_the_budget_is_spent() -> None:
+def test_a_request_gets_503_where_nothing_ran_and_the_budget_is_spent() -> None:
     life = _life(UNSAFE, _placement(0, 0, 3), slack=0.0)
     life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.REFUSED))
     answer = life.next_step(0.1)
@@ -84,7 +84,7 @@
     assert answer.retry_after_s is not None
 
 
-def test_a_safe_request_goes_on_within_its_attempts() -> None:
+def test_a_safe_request_is_retried_within_its_attempts() -> None:
     life = _life(SAFE, _placement(0, 0, 5))
     for _ in range(3):
         life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
@@ -101,7 +101,7 @@
     assert isinstance(_life(UNSAFE, _placement(0, 0, 1)).next_step(3.999), Reject)
 
 
-def test_a_prompt_is_read_apart_and_its_handle_is_taken_once() -> None:
+def test_a_prefill_is_a_separate_attempt_and_its_handle_is_used_once() -> None:
     life = _life(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
     assert not life.complete_attempt(0.1, step.reservation, _handle(step))
@@ -114,7 +114,7 @@
     assert isinstance(life.next_step(0.2), Prefill | Generate)
 
 
-def test_memory_that_nobody_takes_is_left_over_once() -> None:
+def test_an_unused_handle_is_returned_once() -> None:
     life = _life(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
     life.complete_attempt(0.1, step.reservation, _handle(step))
@@ -126,7 +126,7 @@
     assert life.collect_unused_handles() == []
 
 
-def test_a_prompt_that_was_only_read_has_not_run() -> None:
+def test_a_request_with_only_a_prefill_has_not_run() -> None:
     life = _life(FIXED, _placement(1, 1), PROMPT, slack=0.0)
     life.complete_attempt(0.1, _read(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
     answer = life.next_step(0.1)
@@ -134,7 +134,7 @@
     assert answer.status == 503
 
 
-def test_the_first_reading_and_the_first_run_cost_no_budget_but_each_further_arrival_does() -> None:
+def test_only_attempts_beyond_the_first_prefill_and_generation_use_budget() -> None:
     life = _life(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
     life.complete_attempt(0.1, step.reservation, _handle(step))
@@ -145,7 +145,7 @@
     assert len(life.budget.extra_attempts) == 1
 
 
-def test_a_resumable_stream_goes_on_after_its_newest_event() -> None:
+def test_a_resumable_stream_resumes_after_its_latest_event() -> None:
     life = _life(STREAM, _placement(0, 2), PROMPT)
     run = _run(life)
     life.record_first_event(0.1, run.reservation)
@@ -155,7 +155,7 @@
     assert again.reservation.node is not run.reservation.node
 
 
-def test_a_stream_that_may_not_be_resumed_ends_visibly() -> None:
+def test_a_stream_that_may_not_be_resumed_is_aborted() -> None:
     life = _life(FIXED, _placement(0, 2), PROMPT)
     run = _run(life)
     life.record_first_event(0.1, run.reservation)
@@ -163,7 +163,7 @@
     assert life.next_step(0.2) == Reject(502, None)
 
 
-def test_nothing_stays_in_the_books_after_the_end() -> None:
+def test_no_reservation_remains_after_the_end() -> None:
     placement = _placement(2, 2)
     life = _life(STREAM, placement, PROMPT)
     read = _read(life)
@@ -175,7 +175,7 @@
     assert all(node.outstanding == 0 for node in placement.nodes.values())
 
 
-def test_the_parts_of_all_heads_keep_within_the_budget() -> None:
+def test_the_shares_of_all_heads_stay_within_the_budget() -> None:
     heads = [RetryBudget(0.2, 60.0, 10.0, -10.0) for _ in range(11)]
     spent = 0
     for budget in heads:
@@ -188,7 +188,7 @@
     assert heads[0].allows_extra_attempt(11.1, 11)
 
 
-def test_instances_that_all_refused_are_asked_again_behind_a_pause_that_grows() -> None:
+def test_a_retry_round_begins_after_an_exponential_backoff() -> None:
     """Seen on a drawn day: one request reached the one instance that there was five times in 71 ms."""
     life = _life(SAFE, _placement(0, 0, 2))
     now, asked, pauses = 0.0, [], []
@@ -206,7 +206,7 @@
     assert step.status == 503 and step.retry_after_s is not None
 
 
-def test_only_whole_events_pass() -> None:
+def test_only_complete_events_are_forwarded() -> None:
     reader = EventReader()
     assert reader.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
     assert reader.latest_id == "1"
@@ -221,7 +221,7 @@
     assert unexecuted_outcome(500, [(b"Hophinge-Not-Executed", b"1")]) is None
 
 
-def test_what_concerns_a_connection_or_is_the_systems_own_does_not_go_on() -> None:
+def test_hop_by_hop_and_system_fields_are_not_forwarded() -> None:
     fields = [
         (b"host", b"a"),
         (b"connection", b"close, x-hop"),
@@ -235,13 +235,13 @@
     assert returned_fields([(b"Keep-Alive", b"timeout=3"), (b"Versions", b"2")]) == [(b"Versions", b"2")]
 
 
-def test_a_prompt_is_read_from_its_headers() -> None:
+def test_a_prompt_is_parsed_from_its_headers() -> None:
     prompt = parse_prompt("1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
     assert (prompt.tokens_in, prompt.tokens_out, prompt.key, prompt.shared_tokens) == (1460, 80, "91bd3f06", 1210)
     assert parse_prompt("x", None) == Prompt(0, 0, ())
 
 
-def test_a_stream_that_has_begun_is_resumed_also_where_a_new_one_would_be_hopeless() -> None:
+def test_a_started_stream_is_resumed_where_a_new_one_would_be_rejected() -> None:
     """Its client's patience is for the first event; one that has had it waits for the rest."""
     for begun in (True, False):
         placement = _placement(0, 2)
--- a/tests/test_fleet_server_connection.py
+++ b/tests/test_fleet_server_connection.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("behind", [GARBAGE, b""])
-def test_however_requests_are_cut_into_pieces_each_has_its_answer_and_what_is_none_a_400_behind_them(
+def test_requests_in_any_chunks_are_answered_and_invalid_bytes_get_400_after_them(
     behind: bytes,
 ) -> None:
     data = FIRST + UPGRADE + CHUNKED + behind
@@ -30,7 +30,7 @@
         played(play)
 
 
-def test_what_comes_while_an_answer_is_held_back_waits_for_its_end() -> None:
+def test_pipelined_requests_wait_for_a_delayed_response() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         wire.held = True
         await wire.feed(FIRST)
@@ -50,7 +50,7 @@
     played(play)
 
 
-def test_a_request_read_behind_the_process_s_end_is_refused_in_its_turn() -> None:
+def test_a_request_read_during_shutdown_is_rejected_in_turn() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         wire.held = True
         await wire.feed(FIRST)
@@ -65,7 +65,7 @@
     played(play)
 
 
-def test_an_answer_that_has_not_begun_says_that_it_is_the_last_one() -> None:
+def test_a_response_not_started_says_that_it_is_the_last() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         assert wire.connection is not None
         await wire.feed(FIRST[:-1])
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("half", [FIRST[:10], b"\r\n", b""])
-def test_the_process_s_end_closes_a_connection_on_which_nothing_is_owed(half: bytes) -> None:
+def test_shutdown_closes_a_connection_with_nothing_outstanding(half: bytes) -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         assert wire.connection is not None
         await wire.feed(half)
@@ -88,7 +88,7 @@
     played(play)
 
 
-def test_an_answer_that_breaks_off_closes_at_once_and_takes_what_waits_with_it() -> None:
+def test_an_aborted_response_closes_at_once_and_drops_pipelined_requests() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(FIRST.replace(b"/first", b"/broken") + CHUNKED)
         assert wire.pipe.closed and wire.begun == ["/broken"] and wire.pipe.written.endswith(b"onetwo")
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("error", [None, ConnectionResetError()])
-def test_a_client_that_leaves_is_seen_by_what_is_under_way_and_nothing_that_waits_is_begun(
+def test_a_disconnect_reaches_the_request_in_flight_and_no_waiting_one_begins(
     error: Exception | None,
 ) -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
@@ -122,7 +122,7 @@
     played(play)
 
 
-def test_a_body_that_does_not_come_is_given_up_with_408() -> None:
+def test_a_body_that_does_not_arrive_gets_408() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(FIRST[:-2])
         assert wire.connection is not None
@@ -134,7 +134,7 @@
     played(play)
 
 
-def test_a_client_that_is_not_read_for_our_sake_is_not_late() -> None:
+def test_a_client_is_not_late_while_the_server_does_not_read() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(FIRST[:-2])
         assert wire.connection is not None
@@ -147,7 +147,7 @@
     played(play)
 
 
-def test_a_header_without_an_end_is_refused_at_its_bound() -> None:
+def test_an_endless_header_is_rejected_at_its_size_limit() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(b"GET / HTTP/1.1\r\nx: ")
         for _ in range(20):
@@ -157,7 +157,7 @@
     played(play)
 
 
-def test_a_client_that_sends_on_and_on_is_not_read_beyond_some_requests() -> None:
+def test_reading_pauses_at_the_limit_of_pipelined_requests() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         wire.held = True
         await wire.feed(FIRST)
@@ -173,7 +173,7 @@
     played(play)
 
 
-def test_a_client_that_reads_nothing_of_what_was_written_is_given_up_and_one_that_reads_slowly_is_not(
+def test_a_client_that_reads_nothing_is_aborted_and_a_slow_one_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("hophinge.fleet.transport.closing.FLUSH_CHECK_INTERVAL_S", 0.0)
@@ -200,7 +200,7 @@
     played(play)
 
 
-def test_connect_is_no_request_that_is_served() -> None:
+def test_connect_is_rejected() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(b"CONNECT a:1 HTTP/1.1\r\nhost: a\r\n\r\n")
         assert wire.statuses() == [400] and not wire.begun
@@ -208,7 +208,7 @@
     played(play)
 
 
-def test_the_connection_that_rests_longest_yields_where_there_are_too_many() -> None:
+def test_the_longest_idle_connection_is_closed_above_the_limit() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         server.context.max_connections = 2
         wire.held = True
@@ -227,7 +227,7 @@
     played(play)
 
 
-def test_a_body_is_held_within_the_room_for_all_of_them() -> None:
+def test_bodies_are_limited_by_the_memory_for_all_of_them() -> None:
     memory = BodyMemory(10)
     with memory.reserve() as one:
         one.extend(8)
@@ -239,7 +239,7 @@
     assert memory.reserved == 0
 
 
-def test_a_refusal_to_a_client_that_has_reset_its_connection_fails_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rejecting_a_client_that_reset_its_connection_raises_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen in a soak: the refusal raised at the end of another answer, and was told as the head's own fault."""
 
     def gone() -> None:
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -42,7 +42,7 @@
     assert not parse_settings({**FILE, "data-dir": None}).votes
 
 
-def test_all_that_is_wrong_is_told_together() -> None:
+def test_all_faults_of_the_settings_are_reported_together() -> None:
     raw = {**FILE, "ip": "", "bootstrap": "yes", "heartbeat-ms": -1, "internal-port-range": [7660]}
     del raw["zone"]
     with pytest.raises(SettingsError) as error:
@@ -56,7 +56,7 @@
     }
 
 
-def test_a_file_that_cannot_be_read_is_told_of(tmp_path: Path) -> None:
+def test_a_file_that_cannot_be_read_is_reported(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match="No such file"):
         read_settings(str(tmp_path / "none.json"))
     (tmp_path / "half.json").write_text(json.dumps(FILE)[:40])
--- a/tests/test_fleet_split.py
+++ b/tests/test_fleet_split.py
@@ -26,7 +26,7 @@
             assert abs(counted[service] / 200 - share) <= most_off
 
 
-def test_routes_are_split_each_by_itself_and_forgotten_with_their_configuration() -> None:
+def test_each_route_is_split_separately_and_dropped_with_its_configuration() -> None:
     draws = TrafficSplit(Random(1))
     other = replace(ROUTE, name="other")
     taken = Counter(draws.choose_service(route) for _ in range(100) for route in (ROUTE, other))
--- a/tests/test_fleet_stage_changes.py
+++ b/tests/test_fleet_stage_changes.py
@@ -53,7 +53,7 @@
         return {(member.instances["i-1"].state, member.instances["i-1"].stage) for member in self.all}
 
 
-def test_an_instance_that_has_changed_its_stage_is_ready_wherever_it_beats_next() -> None:
+def test_an_instance_with_a_changed_stage_is_ready_at_any_member() -> None:
     members = Members(3)
     members.beat(0.0, 0, READER)
     members.order(1.0, 2)
@@ -67,7 +67,7 @@
     assert members.seen() == {(READY, "decode")}
 
 
-def test_a_change_that_is_done_does_not_come_back_as_heartbeats_go_on_moving() -> None:
+def test_a_completed_change_is_not_revived_by_moving_heartbeats() -> None:
     members = Members(2)
     members.beat(0.0, 0, READER)
     members.order(1.0, 1)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_an_order_that_is_not_carried_out_is_forgotten_once_wherever_the_instance_beats(seed: int) -> None:
+def test_an_order_not_carried_out_times_out_once_at_any_member(seed: int) -> None:
     random, members = Random(seed), Members(3)
     members.beat(0.0, 0, READER)
     members.order(1.0, random.randrange(3))
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_a_second_change_is_told_apart_from_the_first(seed: int) -> None:
+def test_a_second_change_is_distinguished_from_the_first(seed: int) -> None:
     random, members = Random(seed), Members(3)
     members.beat(0.0, 0, READER)
     members.order(1.0, random.randrange(3))
@@ -108,7 +108,7 @@
     assert members.seen() == {(READY, "prefill")}
 
 
-def test_a_member_that_has_just_started_spares_an_instance_that_is_changing() -> None:
+def test_a_restarted_member_learns_that_an_instance_is_switching() -> None:
     members = Members(1)
     members.beat(0.0, 0, READER)
     ordered = members.all[0].begin_stage_change(1.0, "i-1")
@@ -123,7 +123,7 @@
     assert (started.instances["i-1"].state, started.instances["i-1"].stage) == (READY, "decode")
 
 
-def test_a_change_that_was_given_up_is_not_begun_anew_by_a_member_that_gives_it_up_later() -> None:
+def test_a_timed_out_change_is_not_revived_by_another_member() -> None:
     members = Members(2)
     members.beat(0.0, 0, READER)
     ordered = members.all[0].begin_stage_change(1.0, "i-1")
--- a/tests/test_fleet_stage_controller.py
+++ b/tests/test_fleet_stage_controller.py
@@ -72,7 +72,7 @@
     return made, switching
 
 
-def test_an_order_names_its_instance_its_holder_and_its_token() -> None:
+def test_an_order_names_its_instance_its_lease_holder_and_its_fencing_token() -> None:
     async def play() -> None:
         instance, (made, switching) = OrderedInstance("i-1"), _controller()
         async with instance.listening() as switch:
@@ -89,7 +89,7 @@
     ("status", "taken"),
     [(200, True), (202, True), (400, False), (409, False), (412, False), (421, False), (503, False)],
 )
-def test_only_an_order_that_was_taken_has_the_instance_spared(
+def test_only_an_accepted_order_marks_the_instance_switching(
     status: int, taken: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     refused: list[int] = []
@@ -106,7 +106,7 @@
     asyncio.run(play())
 
 
-def test_of_two_orders_over_a_restart_the_second_reaches_no_other_instance(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_second_order_after_a_restart_reaches_no_other_instance(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first gets no answer and may have been taken; the instance restarts under another identity."""
     monkeypatch.setattr(stage_controller, "ORDER_TIMEOUT_S", 0.2)
 
--- a/tests/test_fleet_upstream.py
+++ b/tests/test_fleet_upstream.py
@@ -23,12 +23,12 @@
         (b"timeout=-1", None),
     ],
 )
-def test_the_time_of_keep_alive_is_read(value: bytes, told: float | None) -> None:
+def test_the_timeout_of_keep_alive_is_parsed(value: bytes, told: float | None) -> None:
     fields: Fields = [(b"content-length", b"0"), (b"Keep-Alive", value)]
     assert keep_alive_timeout_s(fields) == told
 
 
-def test_connections_rest_as_long_as_the_instance_allows_and_are_used_again() -> None:
+def test_connections_are_idle_as_long_as_the_instance_allows_and_reused() -> None:
     opened = 0
     ended = asyncio.Event()
 
--- a/tests/test_worst_days_connections.py
+++ b/tests/test_worst_days_connections.py
@@ -23,7 +23,7 @@
 KINDS = tuple(ROUTES)
 
 
-def test_the_library_sends_nothing_again_by_itself() -> None:
+def test_httpcore_retries_nothing_by_itself() -> None:
     pool = InstancePool()
     assert pool._retries == 0
     connection = pool.create_connection(httpcore.Origin(b"http", b"127.0.0.1", 9))
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("stage", ["", "prefill", "decode"])
-def test_the_work_of_a_client_that_has_left_ends_soon(kind: str, stage: str) -> None:
+def test_the_work_of_a_disconnected_client_ends_soon(kind: str, stage: str) -> None:
     async def run() -> None:
         async with _playing(bool(stage)) as play:
             name = f"{'stream' if kind.startswith('stream') else 'plain'}-1"
@@ -69,7 +69,7 @@
 _forgetful.before_body = True  # type: ignore[attr-defined]
 
 
-def test_an_instance_that_drops_resting_connections_silently_is_learned() -> None:
+def test_the_idle_time_of_silently_dropped_connections_is_learned() -> None:
     """The first request that meets it is lost; from then on connections rest for half as long at most."""
 
     async def run() -> None:
@@ -97,7 +97,7 @@
     asyncio.run(asyncio.wait_for(run(), BOUND_S))
 
 
-def test_a_fresh_connection_that_breaks_teaches_nothing() -> None:
+def test_a_new_connection_that_breaks_does_not_change_the_idle_time() -> None:
     async def run() -> None:
         async with _playing(False) as play:
             play.script.ending, play.script.stage, play.script.name = _forgetful, "", "plain-1"
@@ -107,7 +107,7 @@
     asyncio.run(asyncio.wait_for(run(), BOUND_S))
 
 
-def test_deadlines_that_are_handed_on_never_grow() -> None:
+def test_forwarded_deadlines_never_grow() -> None:
     async def run() -> None:
         async with _playing(False) as play:
             seen: list[int] = []
--- a/tests/test_worst_days_requests.py
+++ b/tests/test_worst_days_requests.py
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize(("kind", "ending", "stage", "kept"), CASES)
-def test_every_ending_at_every_step(kind: str, ending: Ending, stage: str, kept: bool) -> None:
+def test_every_outcome_in_every_phase(kind: str, ending: Ending, stage: str, kept: bool) -> None:
     async def run() -> None:
         client, script = await _drive(kind, ending, stage, kept)
         harmless = ROUTES[kind].is_idempotent or stage == "prefill"
--- a/tests/worst_days_mutants.py
+++ b/tests/worst_days_mutants.py
@@ -13,7 +13,7 @@
 DRAINS = "tests/test_control_drains.py::"
 MODEL = "tests/test_coordination_chain_model.py::"
 ROLES = "tests/test_coordination_roles.py::"
-REQUESTS = "tests/test_worst_days_requests.py::test_every_ending_at_every_step"
+REQUESTS = "tests/test_worst_days_requests.py::test_every_outcome_in_every_phase"
 CONNECTIONS = "tests/test_worst_days_connections.py::"
 
 WORST_DAYS = (
@@ -43,21 +43,21 @@
         "fleet/registry/service",
         "        recipients = [*context.heads, *voters]",
         "        recipients = list(context.heads)",
-        SERVICE + "test_who_holds_a_record_for_another_passes_it_on_before_it_says_so",
+        SERVICE + "test_a_replicated_record_is_forwarded_before_it_is_acknowledged",
     ),
     Mutant(
         "an older word than what is known is acknowledged",
         "fleet/registry/service",
         "        elif record is None or not is_draining(record):",
         "        elif record is None:",
-        SERVICE + "test_an_older_word_than_what_is_known_is_not_acknowledged",
+        SERVICE + "test_an_outdated_heartbeat_is_not_acknowledged",
     ),
     Mutant(
         "who is ready again is still taken for held",
         "fleet/registry/service",
         "            if record is not None:\n                self.acknowledged_drains.discard(instance.identity)\n",
         "            if record is not None:\n",
-        SERVICE + "test_one_that_is_ready_again_leaves_anew",
+        SERVICE + "test_an_instance_ready_again_needs_a_new_quorum_to_drain",
     ),
     Mutant(
         "an end counts as held with the leaving before it",
@@ -65,7 +65,7 @@
         "        if identity not in self.registry.unregistered:\n"
         "            self.acknowledged_drains.discard(identity)\n",
         "",
-        SERVICE + "test_an_end_after_an_acknowledged_leaving_needs_a_quorum_of_its_own",
+        SERVICE + "test_unregistering_after_acknowledged_draining_needs_its_own_quorum",
     ),
     Mutant(
         "a draining replica stays in the chain",
@@ -223,7 +223,7 @@
         "            if isinstance(error, CONNECTION_ERRORS) and was_idle_s > 0:\n"
         "                self.pool.record_dead_connection(was_idle_s)\n",
         "",
-        CONNECTIONS + "test_an_instance_that_drops_resting_connections_silently_is_learned",
+        CONNECTIONS + "test_the_idle_time_of_silently_dropped_connections_is_learned",
     ),
     Mutant(
         "a split is drawn by chance",
