--- a/tests/decision_mutants.py
+++ b/tests/decision_mutants.py
@@ -67,14 +67,14 @@
         STAGES + "test_a_switch_that_empties_a_stage_does_not_delay_the_one_that_it_needs",
     ),
     Mutant(
-        "a change lasts at whoever did not hear of its end first",
+        "a stage change lasts at members that did not learn of its end first",
         "fleet/registry/registry",
         "if change is not None and instance.stage != change.old_stage:",
         "if False:",
         CHANGES + "test_an_instance_with_a_changed_stage_is_ready_at_any_member",
     ),
     Mutant(
-        "members prolong a change for one another",
+        "members prolong a timed-out stage change for one another",
         "fleet/registry/registry",
         "not is_changing and (is_order or not is_timed_out)",
         "not is_changing",
--- a/tests/worst_days_mutants.py
+++ b/tests/failure_mutants.py
@@ -1,22 +1,22 @@
-"""One-line mutants of what holds under the worst days: contact before answers, leaving, catching up, fencing."""
+"""One-line mutants of the guarantees in failure scenarios: contact before answers, draining, catch-up, fencing."""
 
 from __future__ import annotations
 
 from tests.mutant import Mutant
 
-CUTS = "tests/test_worst_days_cuts.py::"
-OPERATORS = "tests/test_worst_days_operators.py::"
-LOSSES = "tests/test_worst_days_losses.py::"
-CATCHING_UP = "tests/test_worst_days_catching_up.py::"
+CUTS = "tests/test_failures_partitions.py::"
+OPERATORS = "tests/test_failures_operators.py::"
+LOSSES = "tests/test_failures_losses.py::"
+CATCHING_UP = "tests/test_failures_catch_up.py::"
 HOLD = "tests/test_coordination_quorum_acknowledgements.py::"
 SERVICE = "tests/test_fleet_instance_service.py::"
 DRAINS = "tests/test_control_drains.py::"
 MODEL = "tests/test_coordination_chain_model.py::"
 ROLES = "tests/test_coordination_roles.py::"
-REQUESTS = "tests/test_worst_days_requests.py::test_every_outcome_in_every_phase"
-CONNECTIONS = "tests/test_worst_days_connections.py::"
+REQUESTS = "tests/test_failures_requests.py::test_every_outcome_in_every_phase"
+CONNECTIONS = "tests/test_failures_connections.py::"
 
-WORST_DAYS = (
+FAILURE_MUTANTS = (
     Mutant(
         "two replicas are a quorum",
         "coordination/quorum_acknowledgements",
@@ -39,28 +39,28 @@
         HOLD + "test_a_confirmation_in_another_view_does_not_count_in_this_one",
     ),
     Mutant(
-        "what is held for another is not passed on",
+        "a replicated record is not forwarded",
         "fleet/registry/service",
         "        recipients = [*context.heads, *voters]",
         "        recipients = list(context.heads)",
         SERVICE + "test_a_replicated_record_is_forwarded_before_it_is_acknowledged",
     ),
     Mutant(
-        "an older word than what is known is acknowledged",
+        "an outdated heartbeat is acknowledged",
         "fleet/registry/service",
         "        elif record is None or not is_draining(record):",
         "        elif record is None:",
         SERVICE + "test_an_outdated_heartbeat_is_not_acknowledged",
     ),
     Mutant(
-        "who is ready again is still taken for held",
+        "an instance ready again keeps its acknowledged drain",
         "fleet/registry/service",
         "            if record is not None:\n                self.acknowledged_drains.discard(instance.identity)\n",
         "            if record is not None:\n",
         SERVICE + "test_an_instance_ready_again_needs_a_new_quorum_to_drain",
     ),
     Mutant(
-        "an end counts as held with the leaving before it",
+        "unregistering is acknowledged by the drain before it",
         "fleet/registry/service",
         "        if identity not in self.registry.unregistered:\n"
         "            self.acknowledged_drains.discard(identity)\n",
--- a/tests/worst_days.py
+++ b/tests/failure_scenarios.py
@@ -1,4 +1,4 @@
-"""What the simulated worst days share."""
+"""Helpers of the simulated failure scenarios."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from tests.coordination_world import World, change
 
 A, B, C, D = (f"10.0.0.{number}:7660" for number in range(1, 5))
-CONTACT_S = 3.0
-BACK_S = 3.0  # for changes to be taken again after a loss
+CONTACT_TIMEOUT_S = 3.0
+RECOVERY_S = 3.0  # for changes to be taken again after a loss
 
 
-def formed(seed: int, count: int = 3, others: int = 0) -> World:
+def form_group(seed: int, count: int = 3, others: int = 0) -> World:
     world = World(seed, count)
     for number in range(others):
         world.add(f"10.0.1.{number}:7660", can_vote=False)
@@ -18,20 +18,20 @@
     return world
 
 
-def taken(world: World, address: str, one: Change) -> bool:
-    request = world.request(address, one)
+def is_applied(world: World, address: str, change: Change) -> bool:
+    request = world.request(address, change)
     world.run(2.6)
     return world.responses[request].outcome is Outcome.APPLIED
 
 
-def cut(world: World, inside: set[str], one_way: bool = False) -> None:
+def partition(world: World, inside: set[str], one_way: bool = False) -> None:
     outside = set(world.members) - inside
     world.blocked |= {(one, other) for one in inside for other in outside}
     if not one_way:
         world.blocked |= {(other, one) for one in inside for other in outside}
 
 
-def formed_with_a_change(seed: int, count: int = 3) -> World:
+def form_group_with_a_change(seed: int, count: int = 3) -> World:
     world = World(seed, count)
     world.run(2.0)
     request = world.request(B, change(0, 1, "first"))
@@ -40,7 +40,7 @@
     return world
 
 
-def still_works(world: World, *, within_s: float = BACK_S) -> None:
+def assert_serving(world: World, *, within_s: float = RECOVERY_S) -> None:
     """What was acknowledged is there, and a change is taken, at each member that runs."""
     world.run(within_s)
     running = [address for address in sorted(world.members) if world.members[address].machine is not None]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -8,10 +8,10 @@
 from tests.decision_mutants import DECISIONS
 from tests.end_mutants import ENDS
 from tests.mutant import Mutant, install
-from tests.worst_days_mutants import WORST_DAYS
+from tests.failure_mutants import FAILURE_MUTANTS
 
 CHOSEN = "HOPHINGE_MUTANT"
-MUTANTS = (*COORDINATION, *DECISIONS, *ENDS, *WORST_DAYS)
+MUTANTS = (*COORDINATION, *DECISIONS, *ENDS, *FAILURE_MUTANTS)
 
 
 def chosen() -> Mutant | None:
--- a/tests/test_worst_days_catching_up.py
+++ b/tests/test_failures_catch_up.py
@@ -1,4 +1,4 @@
-"""Worst days, fourth point: members that missed hundreds of changes catch up, in a stated time and with few bytes."""
+"""Failure scenarios: members that missed hundreds of changes catch up, in a stated time and with few bytes."""
 
 from __future__ import annotations
 
--- a/tests/test_worst_days_connections.py
+++ b/tests/test_failures_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections, retries of the library, clients that leave, deadlines that are handed on."""
+"""Kept-alive connections, retries of the HTTP library, disconnected clients, forwarded deadlines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from hophinge.fleet.forwarding.headers import DEADLINE, find_field
 from tests.request_endings import closed_after_the_run, silence
 from tests.scripted_instance import Asked, Connection, Script
-from tests.test_worst_days_requests import BOUND_S, ROUTES, UNSAFE, Play, _playing
+from tests.test_failures_requests import BOUND_S, ROUTES, UNSAFE, Play, _playing
 
 GONE_S = 0.5  # after which no work of a client that has left goes on
 KINDS = tuple(ROUTES)
--- a/tests/test_worst_days_losses.py
+++ b/tests/test_failures_losses.py
@@ -1,4 +1,4 @@
-"""Worst days, third point: a second loss right after a repair or a replacement, and members that leave."""
+"""Failure scenarios: a second loss right after a repair or a replacement, and members that leave."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hophinge.coordination.messages import EntryRecord, SyncedRecord
 from hophinge.coordination.registers import Outcome
 from tests.coordination_world import World, change
-from tests.worst_days import A, B, C, D, formed_with_a_change, still_works
+from tests.failure_scenarios import A, B, C, D, form_group_with_a_change, assert_serving
 
 E = "10.0.0.5:7660"
 CATCH_UP_S = 4.0  # after its start a new machine counts as whole
@@ -53,7 +53,7 @@
     gone: str, next_after_s: float, kind: str
 ) -> None:
     """The new machine has had its time to catch up; then the old one is told to end, and another is lost."""
-    world = formed_with_a_change(41)
+    world = form_group_with_a_change(41)
     world.add(D)
     world.run(2.0)
     world.drain(gone)
@@ -69,7 +69,7 @@
         world.wipe(victim)
         world.run(2.0)
         world.start(victim)
-    still_works(world, within_s=CATCH_UP_S)
+    assert_serving(world, within_s=CATCH_UP_S)
 
 
 @pytest.mark.parametrize("next_after_s", [0.0, 1.0, 3.0, 6.0])
@@ -78,7 +78,7 @@
 def test_a_second_loss_right_after_an_unplanned_replacement_leaves_a_majority(
     place: int, kind: str, next_after_s: float
 ) -> None:
-    world = formed_with_a_change(42)
+    world = form_group_with_a_change(42)
     lost = (A, B, C)[place]
     _remove(world, lost)
     world.run(2.0)
@@ -88,24 +88,24 @@
     for victim in victims:  # the newest disk, then the oldest: one after the other has had its time
         if kind == "gone":
             _remove(world, victim)
-            still_works(world)
+            assert_serving(world)
             world.add(victim.replace("10.0.0", "10.0.2"))
         elif kind == "wiped":
             world.wipe(victim)
-            still_works(world)
+            assert_serving(world)
             world.start(victim)
         else:
             world.kill(victim)
-            still_works(world)
+            assert_serving(world)
             world.start(victim)
         world.run(CATCH_UP_S)
         assert _holders(world) >= 2
-    still_works(world)
+    assert_serving(world)
 
 
 def test_a_member_that_leaves_goes_when_the_others_hold_what_it_holds_and_not_before() -> None:
     """B is back with an empty disk and has taken over nothing yet: A holds the only whole copy but that of C, down."""
-    world = formed_with_a_change(43)
+    world = form_group_with_a_change(43)
     world.kill(C)
     world.run(2.0)
     world.wipe(B)
@@ -122,12 +122,12 @@
         world.run(0.05)
     assert [_on_disk(world, address) for address in (B, C)] == [True, True]
     assert world.members[A].machine is None
-    still_works(world)
+    assert_serving(world)
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations((A, B, C))))
 def test_machines_stopped_and_started_in_turn_interrupt_no_change(order: tuple[str, ...]) -> None:
-    world = formed_with_a_change(44)
+    world = form_group_with_a_change(44)
     version = 1
     for address in order:
         world.drain(address)
@@ -146,7 +146,7 @@
 
 
 def test_a_member_that_is_alone_ends_at_once_and_one_that_is_cut_off_after_its_time() -> None:
-    world = formed_with_a_change(45)
+    world = form_group_with_a_change(45)
     world.cut(C, 60.0)
     world.run(2.0)
     world.drain(C)
@@ -164,19 +164,19 @@
 def test_a_voter_that_leaves_while_it_has_promised_takes_no_majority_with_it() -> None:
     """D comes in while A, which has voted for that view, is told to end, and B stands still."""
     for wait in (0.0, 0.05, 0.1, 0.2, 0.4, 0.8):
-        world = formed_with_a_change(47)
+        world = form_group_with_a_change(47)
         world.add(D)
         world.run(0.6 + wait)
         world.drain(A)
         world.freeze(B, 1.5)
         world.run(8.0)
         _remove(world, A)
-        still_works(world)
+        assert_serving(world)
 
 
 @pytest.mark.parametrize("moment_s", [0.0, 0.3, 0.6, 0.7, 0.8, 0.9, 1.0, 1.2])
 def test_a_wipe_while_a_newcomer_takes_its_snapshot_loses_nothing(moment_s: float) -> None:
-    world = formed_with_a_change(48)
+    world = form_group_with_a_change(48)
     _remove(world, C)
     world.run(1.5)
     world.add(D)
@@ -189,4 +189,4 @@
     world.wipe(A)
     world.run(0.5)
     world.start(A)
-    still_works(world, within_s=CATCH_UP_S)
+    assert_serving(world, within_s=CATCH_UP_S)
--- a/tests/test_worst_days_operators.py
+++ b/tests/test_failures_operators.py
@@ -1,4 +1,4 @@
-"""Worst days, second point: two operators on one version, and changes that are sent again."""
+"""Failure scenarios: two operators on one version, and changes that are sent again."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from hophinge.coordination.registers import MAX_APPLIED_DIGESTS, Change, HistoryEntry, Outcome, Registers
 from tests.coordination_world import change
-from tests.worst_days import CONTACT_S, A, B, C, cut, formed, taken
+from tests.failure_scenarios import CONTACT_TIMEOUT_S, A, B, C, partition, form_group, is_applied
 
 
 def test_two_operators_through_both_ends_of_a_split_are_never_both_told_yes() -> None:
     for seed, (left, right) in enumerate(itertools.product((A, B, C), repeat=2)):
-        world = formed(20 + seed)
-        assert taken(world, B, change(0, 1, "first"))
+        world = form_group(20 + seed)
+        assert is_applied(world, B, change(0, 1, "first"))
         one, two = world.request(left, change(1, 2, "left")), world.request(right, change(1, 2, "right"))
-        cut(world, {left})
+        partition(world, {left})
         world.run(6.0)
         world.blocked.clear()
-        world.run(CONTACT_S)
+        world.run(CONTACT_TIMEOUT_S)
         again = world.request(left, change(1, 2, "left")), world.request(right, change(1, 2, "right"))
         world.run(2.6)
         outcomes = {
@@ -35,7 +35,7 @@
 
 
 def test_the_identical_bytes_of_two_operators_are_one_change() -> None:
-    world = formed(30)
+    world = form_group(30)
     requests = [world.request(address, change(0, 1, "same")) for address in (A, B, C)]
     world.run(0.5)
     assert [world.responses[one].outcome for one in requests] == [Outcome.APPLIED] * 3
@@ -45,8 +45,8 @@
 @pytest.mark.parametrize("further", [0, 1, 300])
 @pytest.mark.parametrize("between", ["nothing", "view", "power", "restart"])
 def test_a_change_that_is_sent_again_is_taken_whatever_came_between(further: int, between: str) -> None:
-    world = formed(31)
-    assert taken(world, A, change(0, 1, "first"))
+    world = form_group(31)
+    assert is_applied(world, A, change(0, 1, "first"))
     for number in range(1, further + 1):
         request = world.request(B, change(number, number + 1, "more"))
         while request not in world.responses:
@@ -67,7 +67,7 @@
             world.start(address)
         world.run(3.0)
     for address in (A, B, C):
-        assert taken(world, address, change(0, 1, "first"))
+        assert is_applied(world, address, change(0, 1, "first"))
     answer = world.read(C)
     assert answer is not None
     assert answer.version == further + 1, "nothing was put in force twice"
@@ -76,24 +76,24 @@
 @pytest.mark.parametrize("survives", [True, False])
 def test_a_change_whose_first_copy_is_in_flight_at_an_old_head_is_taken_once(survives: bool) -> None:
     """Head A has applied the first copy, and passed it on or not, when the rest goes on without A."""
-    world = formed(32)
+    world = form_group(32)
     head = world.machine(A).view.head().address  # type: ignore[union-attr]
     others = [address for address in (A, B, C) if address != head]
     if not survives:
-        cut(world, {head})
+        partition(world, {head})
     first = world.request(head, change(0, 1, "x"))
     if survives:
         world.run(0.0015)
-        cut(world, {head})
+        partition(world, {head})
     world.run(2.0)
     second = world.request(others[0], change(0, 1, "x"))
     world.run(2.6)
     assert world.responses[second].outcome is Outcome.APPLIED
     assert world.responses[first].outcome in (None, Outcome.APPLIED)
     world.blocked.clear()
-    world.run(CONTACT_S)
+    world.run(CONTACT_TIMEOUT_S)
     assert all(world.machine(address).chain.registers.sequence == 1 for address in (A, B, C))
-    assert taken(world, head, change(0, 1, "x"))
+    assert is_applied(world, head, change(0, 1, "x"))
 
 
 def test_the_bound_on_changes_that_are_remembered() -> None:
--- a/tests/test_worst_days_overlaps.py
+++ b/tests/test_failures_overlapping.py
@@ -1,4 +1,4 @@
-"""Worst days, third point: disks lost while all others have no power, and losses that overlap beyond the tolerance."""
+"""Failure scenarios: disks lost while all others have no power, and losses that overlap beyond the tolerance."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hophinge.coordination.registers import Outcome
 from tests.coordination_world import change
-from tests.worst_days import A, B, C, D, formed_with_a_change, still_works
+from tests.failure_scenarios import A, B, C, D, form_group_with_a_change, assert_serving
 
 RECOVERY_S = 12.0
 
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("lost", [A, B, C])
 def test_a_disk_lost_with_all_others_without_power_loses_nothing(lost: str) -> None:
     for seed in range(8):
-        world = formed_with_a_change(50 + seed)
+        world = form_group_with_a_change(50 + seed)
         request = world.request(A, change(1, 2, "last"))
         while request not in world.responses:
             world.run(0.001)
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("cut_s", [1.0, 6.0, 20.0])
 def test_two_halves_of_a_core_lose_nothing_and_go_on_after_the_heal(cut_s: float) -> None:
-    world = formed_with_a_change(60, 4)
+    world = form_group_with_a_change(60, 4)
     left, right = {A, B}, {C, D}
     world.blocked |= {(one, other) for one in left for other in right}
     world.blocked |= {(other, one) for one in left for other in right}
@@ -45,13 +45,13 @@
     world.run(RECOVERY_S)
     taken = [one for one in requests if world.responses[one].outcome is Outcome.APPLIED]
     assert len(taken) <= 1
-    still_works(world)
+    assert_serving(world)
 
 
 def test_losses_that_overlap_beyond_the_tolerance_stop_service_and_lose_nothing() -> None:
     """Two of three are down, cut off or frozen at once; no disk is lost."""
     for seed, (one, two) in enumerate(itertools.permutations((A, B, C), 2)):
-        world = formed_with_a_change(70 + seed)
+        world = form_group_with_a_change(70 + seed)
         world.kill(one)
         world.run(0.7)
         world.cut(two, 4.0)
@@ -60,4 +60,4 @@
         assert world.responses[request].outcome is None
         world.start(one)
         world.run(RECOVERY_S)
-        still_works(world)
+        assert_serving(world)
--- a/tests/test_worst_days_cuts.py
+++ b/tests/test_failures_partitions.py
@@ -1,4 +1,4 @@
-"""Worst days, first point: members cut off for long, and processors that stand still."""
+"""Failure scenarios: members cut off for long, and processors that stand still."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from hophinge.coordination.registers import Outcome
 from tests.coordination_world import World, change
-from tests.worst_days import CONTACT_S, A, B, C, D, cut, formed, taken
+from tests.failure_scenarios import CONTACT_TIMEOUT_S, A, B, C, D, partition, form_group, is_applied
 
 CUT_S = 20.0
 FLAPS = 1  # changes of view that a heal may bring: the member comes back in
@@ -43,9 +43,9 @@
 @pytest.mark.parametrize("one_way", [False, True])
 @pytest.mark.parametrize("cut_off", [{A}, {B}, {C}, {"10.0.1.0:7660"}, {A, "10.0.1.0:7660"}, {C, "10.0.1.1:7660"}])
 def test_a_side_cut_off_for_20_s_answers_nothing_and_is_soon_back(cut_off: set[str], one_way: bool) -> None:
-    world = formed(11, others=2)
-    assert taken(world, B, change(0, 1, "first"))
-    cut(world, cut_off, one_way)
+    world = form_group(11, others=2)
+    assert is_applied(world, B, change(0, 1, "first"))
+    partition(world, cut_off, one_way)
     outside = next(address for address in (A, B, C) if address not in cut_off)
     asked = _ask_of_a_side(world, cut_off, outside, CUT_S)
     late = [one for one in asked if world.responses[one].outcome is not None]
@@ -54,7 +54,7 @@
     assert _newest_view(world) <= 3, "the rest forms one view without it"
     before = _newest_view(world)
     world.blocked.clear()
-    world.run(CONTACT_S)
+    world.run(CONTACT_TIMEOUT_S)
     answers = [world.read(address) for address in sorted(world.members)]
     versions = {answer.version for answer in answers if answer is not None}
     assert len(versions) == 1
@@ -73,15 +73,15 @@
 @pytest.mark.parametrize("cut_off", [A, B, C])
 def test_a_cut_around_a_change_of_view_loses_and_doubles_nothing(cut_off: str, around_s: float) -> None:
     """D comes into the group at about the moment at which another member is cut off, with changes at both sides."""
-    world = formed(12)
-    assert taken(world, B, change(0, 1, "first"))
+    world = form_group(12)
+    assert is_applied(world, B, change(0, 1, "first"))
     world.add(D)
     while world.machine(D).view is None:
         world.run(0.01)
     if around_s < 0:
         world.run(0.6)  # the view that takes D in is some 0.6 s to 1 s off
     world.run(0.4 + around_s)
-    cut(world, {cut_off})
+    partition(world, {cut_off})
     others = [address for address in (A, B, C, D) if address != cut_off]
     inside = world.request(cut_off, change(1, 2, "inside"))
     outside = world.request(others[0], change(1, 3, "outside"))
@@ -89,7 +89,7 @@
     both = [world.responses[one].outcome for one in (inside, outside)]
     assert both.count(Outcome.APPLIED) <= 1
     world.blocked.clear()
-    world.run(CONTACT_S)
+    world.run(CONTACT_TIMEOUT_S)
     answers = [world.read(address) for address in (A, B, C, D)]
     payloads = {answer.payload for answer in answers if answer is not None}
     assert None not in answers
@@ -99,8 +99,8 @@
 
 
 def test_a_member_that_is_cut_off_begins_no_ballot() -> None:
-    world = formed(14)
-    cut(world, {C})
+    world = form_group(14)
+    partition(world, {C})
     world.run(1.5)
     promised = world.machine(C).acceptor.vote.promised
     world.run(CUT_S)
@@ -108,8 +108,8 @@
 
 
 def test_a_member_that_is_cut_off_says_so_at_once() -> None:
-    world = formed(13, others=1)
-    cut(world, {C, "10.0.1.0:7660"})
+    world = form_group(13, others=1)
+    partition(world, {C, "10.0.1.0:7660"})
     world.run(1.1)
     for address in (C, "10.0.1.0:7660"):
         request = world.request(address, None)
@@ -119,7 +119,7 @@
 
 def test_a_processor_quota_looks_like_neither_loss_nor_death() -> None:
     """Each machine runs for a tenth of the time: 10 ms, then nothing for 90 ms, each at moments of its own."""
-    world = formed(15)
+    world = form_group(15)
 
     def stand_still(address: str) -> None:
         world.freeze(address, 0.09)
--- a/tests/test_worst_days_requests.py
+++ b/tests/test_failures_requests.py
@@ -1,4 +1,4 @@
-"""Worst days, fifth point: one request through every ending at every step, for each type of route, on real sockets."""
+"""Failure scenarios: one request through every outcome in every phase, for each type of route, on real sockets."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_configuration.py
+++ b/tests/test_fleet_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's document: every finding with its place, and the routes that follow."""
+"""The operator's document: findings with their paths, and the route table built from it."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, place",
+    ("changes", "path"),
     [
         ({"routes": [_route(service="gone")]}, "routes.0.service"),
         ({"routes": [_route(), _route(name="q")]}, "routes.1"),
@@ -57,8 +57,8 @@
         ({"services": "s"}, "services"),
     ],
 )
-def test_each_finding_names_its_path(changes: dict[str, Any], place: str) -> None:
-    assert any(finding.startswith(place + ":") for finding in _findings(_document(**changes)))
+def test_each_finding_names_its_path(changes: dict[str, Any], path: str) -> None:
+    assert any(finding.startswith(path + ":") for finding in _findings(_document(**changes)))
 
 
 def test_all_findings_are_reported_together() -> None:
--- a/tests/test_fleet_hint_relay.py
+++ b/tests/test_fleet_hint_relay.py
@@ -1,4 +1,4 @@
-"""What heads tell each other over a control member: once each, never back, and a bounded number of messages."""
+"""The relay of hints between heads: each is sent once, never back, in a bounded number of messages."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     return PlacementHints((PlacementHint(name, 1, (), 0, 0, 1),))
 
 
-class Wire:
-    """Keeps what is sent."""
+class FrameRecorder:
+    """Records the frames that a relay sends."""
 
     def __init__(self) -> None:
         self.frames: list[tuple[str, bytes]] = []
         self.relay = HintRelay(lambda address, data: self.frames.append((address, data)))
 
-    def told(self, address: str) -> list[str]:
-        """Tell the instances that an address heard of."""
+    def received_instances(self, address: str) -> list[str]:
+        """Return the instances of the hints that an address received."""
         reader, names = FrameReader(), []
         for target, data in self.frames:
             if target == address:
@@ -39,21 +39,23 @@
 
 
 def test_each_head_gets_the_hints_of_others_and_none_of_its_own() -> None:
-    wire = Wire()
+    wire = FrameRecorder()
     wire.relay.add("h1", _hint("a"), True)
     wire.relay.add("h2", _hint("b"), True)
     wire.relay.add("c2", _hint("c"), False)
     wire.relay.flush(1.0, HEADS, CONTROLS)
-    assert [wire.told(head) for head in HEADS] == [["b", "c"], ["a", "c"], ["a", "b", "c"]]
-    assert [wire.told(control) for control in CONTROLS] == [["a", "b"]] * 2, "what control members said stays here"
+    assert [wire.received_instances(head) for head in HEADS] == [["b", "c"], ["a", "c"], ["a", "b", "c"]]
+    assert [wire.received_instances(control) for control in CONTROLS] == [["a", "b"]] * 2, (
+        "hints of control members are not sent to control members"
+    )
     wire.frames.clear()
     wire.relay.add("c2", _hint("d"), False)
     wire.relay.flush(2.0, HEADS, CONTROLS)
-    assert wire.told("c2") == []
+    assert wire.received_instances("c2") == []
 
 
 def test_a_head_that_alone_sent_hints_gets_none() -> None:
-    wire = Wire()
+    wire = FrameRecorder()
     wire.relay.add("h1", _hint("a"), True)
     wire.relay.flush(1.0, ["h1"], [])
     assert wire.frames == []
@@ -61,7 +63,7 @@
 
 def test_the_message_rate_is_bounded_for_any_number_of_heads() -> None:
     for heads in (10, 100, 1_000):
-        wire = Wire()
+        wire = FrameRecorder()
         now, due, flushes = 0.0, None, 0
         while now < 1.0:
             wire.relay.add("x", _hint("a"), True)
@@ -74,13 +76,13 @@
 
 
 def test_hints_after_an_idle_time_are_relayed_soon() -> None:
-    wire = Wire()
+    wire = FrameRecorder()
     wire.relay.flush(1.0, HEADS, CONTROLS)
     assert wire.relay.delay_s(9.0, 1_000) == MIN_RELAY_DELAY_S
     assert wire.relay.delay_s(1.0, 30) == pytest.approx(MIN_FLUSH_INTERVAL_S + 30 * FLUSH_INTERVAL_PER_HEAD_S)
 
 
 def test_a_message_that_is_not_gathered_is_sent_at_once() -> None:
-    wire = Wire()
+    wire = FrameRecorder()
     wire.relay.send_now(SuspectedInstances(("i",)), HEADS)
     assert [target for target, _ in wire.frames] == HEADS
--- a/tests/test_fleet_instance_service.py
+++ b/tests/test_fleet_instance_service.py
@@ -1,4 +1,4 @@
-"""What a control member does with one instance's words, input by input."""
+"""The instance service of a control member, input by input: heartbeats, drains, quorum acknowledgements."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -1,4 +1,4 @@
-"""Instances by heartbeat: late, doubled and lost ones, drains, ends, changes of stage."""
+"""The instance registry: late, repeated and missed heartbeats, draining, unregistration, changes of stage."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_replica_host.py
+++ b/tests/test_fleet_replica_host.py
@@ -1,4 +1,4 @@
-"""A replica on a real disk: the scrub finds bytes that have changed, and the replica writes its state anew."""
+"""A replica on a real disk: the scrub finds damaged bytes, and the replica rewrites its state."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_stage_changes.py
+++ b/tests/test_fleet_stage_changes.py
@@ -32,63 +32,63 @@
         self.all = [Registry(PERIOD_S, 0.0) for _ in range(count)]
         self.sequence = 0
 
-    def _tell(self, now: float, source: Registry, record: GossipRecord | None) -> None:
+    def _apply_at_others(self, now: float, source: Registry, record: GossipRecord | None) -> None:
         for member in self.all:
             if record is not None and member is not source:
                 member.apply_record(now, record)
 
-    def beat(self, now: float, member: int, instance: Instance) -> None:
+    def heartbeat(self, now: float, member: int, instance: Instance) -> None:
         """An instance beats at a member, which tells the others what changed."""
         self.sequence += 1
         source = self.all[member]
-        self._tell(now, source, source.record_heartbeat(now, instance, self.sequence))
+        self._apply_at_others(now, source, source.record_heartbeat(now, instance, self.sequence))
 
     def order(self, now: float, member: int) -> None:
         """A member has ordered the instance to change its stage."""
         source = self.all[member]
-        self._tell(now, source, source.begin_stage_change(now, READER.identity))
+        self._apply_at_others(now, source, source.begin_stage_change(now, READER.identity))
 
-    def seen(self) -> set[tuple[str, str]]:
+    def observed_states(self) -> set[tuple[str, str]]:
         """Tell state and stage of the instance as the members have them."""
         return {(member.instances["i-1"].state, member.instances["i-1"].stage) for member in self.all}
 
 
 def test_an_instance_with_a_changed_stage_is_ready_at_any_member() -> None:
     members = Members(3)
-    members.beat(0.0, 0, READER)
+    members.heartbeat(0.0, 0, READER)
     members.order(1.0, 2)
-    members.beat(1.5, 0, READER)
-    assert members.seen() == {(SWITCHING, "prefill")}
-    members.beat(5.0, 0, MAKER)
-    assert members.seen() == {(READY, "decode")}
-    members.beat(5.5, 1, MAKER)
-    assert members.seen() == {(READY, "decode")}
-    members.beat(6.0, 2, MAKER)
-    assert members.seen() == {(READY, "decode")}
+    members.heartbeat(1.5, 0, READER)
+    assert members.observed_states() == {(SWITCHING, "prefill")}
+    members.heartbeat(5.0, 0, MAKER)
+    assert members.observed_states() == {(READY, "decode")}
+    members.heartbeat(5.5, 1, MAKER)
+    assert members.observed_states() == {(READY, "decode")}
+    members.heartbeat(6.0, 2, MAKER)
+    assert members.observed_states() == {(READY, "decode")}
 
 
 def test_a_completed_change_is_not_revived_by_moving_heartbeats() -> None:
     members = Members(2)
-    members.beat(0.0, 0, READER)
+    members.heartbeat(0.0, 0, READER)
     members.order(1.0, 1)
-    members.beat(5.0, 0, MAKER)
+    members.heartbeat(5.0, 0, MAKER)
     spared = 0
     for step in range(200):
-        members.beat(5.5 + step * PERIOD_S, (step // 5) % 2, MAKER)
-        spared += members.seen() != {(READY, "decode")}
+        members.heartbeat(5.5 + step * PERIOD_S, (step // 5) % 2, MAKER)
+        spared += members.observed_states() != {(READY, "decode")}
     assert spared == 0
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_an_order_not_carried_out_times_out_once_at_any_member(seed: int) -> None:
     random, members = Random(seed), Members(3)
-    members.beat(0.0, 0, READER)
+    members.heartbeat(0.0, 0, READER)
     members.order(1.0, random.randrange(3))
     now, spared_until = 1.0, 0.0
     while now < 10 * STAGE_CHANGE_TIMEOUT_S:
         now += PERIOD_S
-        members.beat(now, random.randrange(3), READER)
-        if members.seen() != {(READY, "prefill")}:
+        members.heartbeat(now, random.randrange(3), READER)
+        if members.observed_states() != {(READY, "prefill")}:
             spared_until = now
     assert STAGE_CHANGE_TIMEOUT_S - PERIOD_S < spared_until <= 1.0 + STAGE_CHANGE_TIMEOUT_S + 3 * PERIOD_S
 
@@ -96,21 +96,21 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_a_second_change_is_distinguished_from_the_first(seed: int) -> None:
     random, members = Random(seed), Members(3)
-    members.beat(0.0, 0, READER)
+    members.heartbeat(0.0, 0, READER)
     members.order(1.0, random.randrange(3))
-    members.beat(4.0, random.randrange(3), MAKER)
-    assert members.seen() == {(READY, "decode")}
+    members.heartbeat(4.0, random.randrange(3), MAKER)
+    assert members.observed_states() == {(READY, "decode")}
     members.order(6.0, random.randrange(3))
     for step in range(4):
-        members.beat(6.5 + step * PERIOD_S, random.randrange(3), MAKER)
-        assert members.seen() == {(SWITCHING, "decode")}
-    members.beat(9.0, random.randrange(3), READER)
-    assert members.seen() == {(READY, "prefill")}
+        members.heartbeat(6.5 + step * PERIOD_S, random.randrange(3), MAKER)
+        assert members.observed_states() == {(SWITCHING, "decode")}
+    members.heartbeat(9.0, random.randrange(3), READER)
+    assert members.observed_states() == {(READY, "prefill")}
 
 
 def test_a_restarted_member_learns_that_an_instance_is_switching() -> None:
     members = Members(1)
-    members.beat(0.0, 0, READER)
+    members.heartbeat(0.0, 0, READER)
     ordered = members.all[0].begin_stage_change(1.0, "i-1")
     assert ordered is not None
     beaten = members.all[0].record_heartbeat(1.5, replace(READER, slots=65), 2)
@@ -125,16 +125,16 @@
 
 def test_a_timed_out_change_is_not_revived_by_another_member() -> None:
     members = Members(2)
-    members.beat(0.0, 0, READER)
+    members.heartbeat(0.0, 0, READER)
     ordered = members.all[0].begin_stage_change(1.0, "i-1")
     assert ordered is not None
     members.all[1].apply_record(1.4, ordered)  # the order's record came late
-    members.beat(1.0 + STAGE_CHANGE_TIMEOUT_S, 0, READER)
-    assert members.seen() == {(READY, "prefill")}
-    members.beat(1.2 + STAGE_CHANGE_TIMEOUT_S, 1, READER)
-    assert members.seen() == {(SWITCHING, "prefill")}  # for this member it is under way still
-    members.beat(1.5 + STAGE_CHANGE_TIMEOUT_S, 0, READER)
-    assert members.seen() == {(READY, "prefill")}
+    members.heartbeat(1.0 + STAGE_CHANGE_TIMEOUT_S, 0, READER)
+    assert members.observed_states() == {(READY, "prefill")}
+    members.heartbeat(1.2 + STAGE_CHANGE_TIMEOUT_S, 1, READER)
+    assert members.observed_states() == {(SWITCHING, "prefill")}  # for this member it is under way still
+    members.heartbeat(1.5 + STAGE_CHANGE_TIMEOUT_S, 0, READER)
+    assert members.observed_states() == {(READY, "prefill")}
     members.order(30.0, 1)
-    members.beat(30.5, 0, READER)
-    assert members.seen() == {(SWITCHING, "prefill")}, "a new order counts"
+    members.heartbeat(30.5, 0, READER)
+    assert members.observed_states() == {(SWITCHING, "prefill")}, "a new order counts"
--- a/tests/test_fleet_stage_controller.py
+++ b/tests/test_fleet_stage_controller.py
@@ -1,4 +1,4 @@
-"""Orders to instances: whom they are for, and what each answer, or none, is taken for; two in flight over a restart."""
+"""Orders of the stage controller: their instance, the effect of each response or of none, two over a restart."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class OrderedInstance:
-    """An address at which instances take orders, one process after the other; the last one answers."""
+    """An address at which instances accept orders, one process after the other; the latest one answers."""
 
     def __init__(self, identity: str) -> None:
         self.identity = identity
@@ -35,7 +35,7 @@
 
     @asynccontextmanager
     async def listening(self) -> AsyncIterator[StageSwitch]:
-        """Listen; tells the order that is wanted."""
+        """Listen, and yield the order for the instance."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with server:
@@ -59,24 +59,24 @@
 
 
 def _controller() -> tuple[StageController, list[str]]:
-    """Make an owner of the role; tells it, and the instances that it takes to be switching."""
+    """Return a controller that holds the lease, and the list of instances that it marks as switching."""
     switching: list[str] = []
     loads = SimpleNamespace(forget=lambda identity: None)
     soft_state = SimpleNamespace(loads=loads, begin_stage_change=lambda instance: switching.append(instance.identity))
     machine = SimpleNamespace(me=SimpleNamespace(identity="me"))
 
-    async def request(key: str, change: object, patience: float) -> Any:
-        raise AssertionError("nothing is asked of the chain here")
+    async def request(key: str, change: object, timeout_s: float) -> Any:
+        raise AssertionError("no register is read or changed here")
 
-    made = StageController(cast(Any, machine), cast(Any, soft_state), cast(Any, request), 3.0, PlacementPolicy())
-    return made, switching
+    controller = StageController(cast(Any, machine), cast(Any, soft_state), cast(Any, request), 3.0, PlacementPolicy())
+    return controller, switching
 
 
 def test_an_order_names_its_instance_its_lease_holder_and_its_fencing_token() -> None:
     async def play() -> None:
-        instance, (made, switching) = OrderedInstance("i-1"), _controller()
+        instance, (controller, switching) = OrderedInstance("i-1"), _controller()
         async with instance.listening() as switch:
-            await made._order_switch(switch, TOKEN)
+            await controller._order_switch(switch, TOKEN)
         (order,) = instance.orders
         assert (order.method, order.target) == ("POST", "/v1/order")
         assert json.loads(order.body) == {"operation": "stage", "stage": "decode", "holder": "me", "fence-token": TOKEN}
@@ -96,10 +96,10 @@
     monkeypatch.setattr(Role, "reject_token", lambda role, token: refused.append(token))
 
     async def play() -> None:
-        instance, (made, switching) = OrderedInstance("i-1"), _controller()
+        instance, (controller, switching) = OrderedInstance("i-1"), _controller()
         instance.answer = lambda order: status
         async with instance.listening() as switch:
-            await made._order_switch(switch, TOKEN)
+            await controller._order_switch(switch, TOKEN)
         assert switching == ["i-1"] * taken
         assert refused == [TOKEN] * (status == 412)
 
@@ -111,16 +111,16 @@
     monkeypatch.setattr(stage_controller, "ORDER_TIMEOUT_S", 0.2)
 
     async def play() -> None:
-        instance, (made, switching) = OrderedInstance("i-1"), _controller()
+        instance, (controller, switching) = OrderedInstance("i-1"), _controller()
         instance.answer = lambda order: None
         async with instance.listening() as switch:
-            first = asyncio.create_task(made._order_switch(switch, TOKEN))
+            first = asyncio.create_task(controller._order_switch(switch, TOKEN))
             await instance.arrived.wait()
             instance.identity = "i-2"
-            await made._order_switch(switch, TOKEN)
+            await controller._order_switch(switch, TOKEN)
             await first
             await instance.left.wait()
-        assert switching == [], "neither is taken for done"
+        assert switching == [], "neither order is accepted"
         assert [find_field(order.fields, EXPECTED_INSTANCE) for order in instance.orders] == ["i-1", "i-1"]
 
     asyncio.run(play())
