--- a/benchmarks/stream_emulated.py
+++ b/benchmarks/stream_emulated.py
@@ -19,7 +19,7 @@
 from hophinge.control.stream_client import StreamClient  # noqa: E402
 from hophinge.control.follower import Follower  # noqa: E402
 from hophinge.control.follower_actions import FollowerState  # noqa: E402
-from hophinge.routing.routing_table import HeadCapabilities  # noqa: E402
+from hophinge.routing.capabilities import HeadCapabilities  # noqa: E402
 
 sys.path.insert(0, str(ROOT / "benchmarks"))
 from stream_costs import quantile  # noqa: E402
--- a/hophinge/control/config_replica.py
+++ b/hophinge/control/config_replica.py
@@ -14,7 +14,8 @@
 )
 from hophinge.control.wire import decode_record
 from hophinge.routing import records
-from hophinge.routing.routing_table import EMPTY_TABLE, HeadCapabilities, validate
+from hophinge.routing.capabilities import HeadCapabilities, validate
+from hophinge.routing.routing_table import EMPTY_TABLE
 
 MAX_REASON_CHARS = 2000
 MAX_REASONS = 5
--- a/hophinge/control/follower.py
+++ b/hophinge/control/follower.py
@@ -34,7 +34,8 @@
 )
 from hophinge.control.reconnect_policy import ReconnectPolicy
 from hophinge.control.wire import decode_version
-from hophinge.routing.routing_table import HeadCapabilities, RoutingTable
+from hophinge.routing.capabilities import HeadCapabilities
+from hophinge.routing.routing_table import RoutingTable
 
 CONNECT_TIMEOUT_US = 3_000_000  # from opening a stream to its first response
 MIN_STABLE_STREAM_US = 5_000_000  # a stream that ends sooner counts as a failed attempt, and backoffs go on growing
--- a/hophinge/head/streamed.py
+++ b/hophinge/head/streamed.py
@@ -20,7 +20,8 @@
 from hophinge.core.interface import Arrival
 from hophinge.head.operator import StreamConfig
 from hophinge.routing.router import Router
-from hophinge.routing.routing_table import HeadCapabilities, RoutingTable
+from hophinge.routing.capabilities import HeadCapabilities
+from hophinge.routing.routing_table import RoutingTable
 from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
 from hophinge.tenancy.account_replication import AccountChunk, AccountReceiver
 from hophinge.tenancy.share_leases import ShareLeaseHolder, ShareLease
--- a/hophinge/routing/failover.py
+++ b/hophinge/routing/failover.py
@@ -1,4 +1,4 @@
-"""Which bricks each pool may give now: the list, what is ejected, and the order of pools of each version in use."""
+"""Backends that a route may use now: by the node list, ejections, and the order of pools in each version in use."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BackendView:
-    """Bricks that may be used now; changed in place, so that requests which wait see what has become of them."""
+    """Backends that may be used now; updated in place, so that waiting requests see the change."""
 
     __slots__ = ("nodes", "shards", "version")
 
@@ -20,26 +20,28 @@
 
 
 class FailoverLevel:
-    """One step of a route's order: the pool that it begins with, and those that fill it up."""
+    """One step of a route's order: a pool, whose view is filled up from the pools after it."""
 
     __slots__ = ("pool", "view")
 
     def __init__(self, pool: Pool | None) -> None:
-        self.pool, self.view = pool, BackendView()
+        self.pool = pool
+        self.view = BackendView()
 
 
 class FailoverLevels:
-    """The bricks that are listed, and what each level of each order of pools has of them."""
+    """Levels of all orders of pools in use, kept up to date with the node list and ejections."""
 
-    def __init__(self, settings: Settings, ejector: OutlierDetector) -> None:
-        self.settings, self.ejector = settings, ejector
+    def __init__(self, settings: Settings, outlier_detector: OutlierDetector) -> None:
+        self.settings = settings
+        self.outlier_detector = outlier_detector
         self.entries: dict[str, NodeEntry] = {}
-        self.tables: dict[tuple[int, int], RoutingTable] = {}  # versions in use: this one and those that drain
+        self.tables: dict[tuple[int, int], RoutingTable] = {}  # versions in use: the active one and those that drain
         self.levels_by_version: dict[tuple[int, int], dict[tuple[str, ...], list[FailoverLevel]]] = {}
         self.generation = 0
 
     def on_node_list(self, now_us: int, event: NodeList) -> None:
-        """Take a node list, or what changed in it."""
+        """Apply a node list, or changes of it."""
         if event.kind is ListKind.ERROR:
             return
         if event.kind is ListKind.FULL:
@@ -49,21 +51,21 @@
                 self.entries.pop(entry.node, None)
             else:
                 self.entries[entry.node] = entry
-        self.ejector.set_live_backends(
+        self.outlier_detector.set_live_backends(
             (node for node, entry in self.entries.items() if entry.phase is Phase.ON), now_us
         )
         self.refresh()
 
     def refresh(self) -> None:
-        """Bring every view in use up to what is live and sound now."""
+        """Update all views to the backends that are live and not ejected now."""
         self.generation += 1
-        for version, chains in self.levels_by_version.items():
-            for levels in chains.values():
+        for version, levels_by_pools in self.levels_by_version.items():
+            for levels in levels_by_pools.values():
                 self._refresh_levels(self.tables[version], levels)
 
     def _members(self, pool: Pool) -> set[str]:
-        zones = {at for at, name in enumerate(self.settings.zones) if name in pool.zones}
-        kinds = {at for at, name in enumerate(self.settings.kinds) if name in pool.kinds}
+        zones = {index for index, name in enumerate(self.settings.zones) if name in pool.zones}
+        kinds = {index for index, name in enumerate(self.settings.kinds) if name in pool.kinds}
         return {
             node
             for node, entry in self.entries.items()
@@ -74,38 +76,41 @@
         }
 
     def _refresh_levels(self, table: RoutingTable, levels: list[FailoverLevel]) -> None:
-        out = self.ejector.ejected_until
+        ejected = self.outlier_detector.ejected_until
         live = [
             self._members(level.pool)
             if level.pool is not None
             else {node for node, entry in self.entries.items() if entry.phase is Phase.ON}
             for level in levels
         ]
-        for at, level in enumerate(levels):
+        for index, level in enumerate(levels):
             nodes: set[str] = set()
-            least = level.pool.min_backends if level.pool is not None else 1
-            for members in live[at:]:
-                nodes |= {node for node in members if node not in out}
-                if len(nodes) >= least:
+            min_backends = level.pool.min_backends if level.pool is not None else 1
+            for members in live[index:]:
+                nodes |= {node for node in members if node not in ejected}
+                if len(nodes) >= min_backends:
                     break
-            # An ejected brick is better than none: ejecting takes a choice away only where there is another.
-            nodes = nodes or set().union(*live[at:])
+            # An ejected backend is better than none: an ejection counts only where there is another backend.
+            nodes = nodes or set().union(*live[index:])
             shards = {self.entries[node].shard for node in nodes}
             if nodes != level.view.nodes or shards != level.view.shards:
-                level.view.nodes, level.view.shards = frozenset(nodes), frozenset(shards)
+                level.view.nodes = frozenset(nodes)
+                level.view.shards = frozenset(shards)
                 level.view.version = self.generation
 
     def levels_of(self, table: RoutingTable, pools: tuple[str, ...]) -> list[FailoverLevel]:
-        """Tell the levels of an order of pools, the first first; without pools, one with every brick."""
-        chains = self.levels_by_version.setdefault(table.version, {})
-        levels = chains.get(pools)
+        """Return the levels of an order of pools; without pools, one level with all backends."""
+        levels_by_pools = self.levels_by_version.setdefault(table.version, {})
+        levels = levels_by_pools.get(pools)
         if levels is None:
-            levels = chains[pools] = [FailoverLevel(table.pools[name]) for name in pools] or [FailoverLevel(None)]
+            levels = levels_by_pools[pools] = [FailoverLevel(table.pools[name]) for name in pools] or [
+                FailoverLevel(None)
+            ]
             self.tables.setdefault(table.version, table)
             self._refresh_levels(table, levels)
         return levels
 
     def drop_version(self, version: tuple[int, int]) -> None:
-        """Drop a version of which no request is open."""
+        """Drop a version that has no open request."""
         self.tables.pop(version, None)
         self.levels_by_version.pop(version, None)
--- a/hophinge/routing/limits.py
+++ b/hophinge/routing/limits.py
@@ -1,7 +1,9 @@
-"""What scopes may take at this head: rates with a burst, and open requests. Each request passes all limits that fit.
+"""Limits of scopes at this head: rates with a burst (token buckets), and open requests.
 
-A state lives on when a version changes its limit: what was taken stays taken, so a raised limit gives nothing twice
-and a lowered one is owed.
+A request passes all limits that match it.
+
+A state survives a version that changes its limit: what was used stays used, so that a raised limit gives nothing twice
+and a lowered one leaves a debt.
 """
 
 from __future__ import annotations
@@ -10,74 +12,76 @@
 
 from hophinge.routing.records import Limit, Scope
 
-MIN_RETRY_AFTER_US = 10_000  # a refused client is told at least so long, or it would ask again at once
-INITIAL_OPEN_US = 100_000  # a request is open for about so long, until some have ended
-OPEN_TIME_WEIGHT = 0.1  # of the newest in how long requests are open
-MAX_UNUSED_STATES = 256  # of removed limits, before a look for them is worth it
+MIN_RETRY_AFTER_US = 10_000  # a rejected client is advised to wait at least so long, or it would retry at once
+INITIAL_OPEN_US = 100_000  # assumed time that a request is open, until some have ended
+OPEN_TIME_WEIGHT = 0.1  # of the newest request in the mean time that requests are open
+MAX_UNUSED_STATES = 256  # of removed limits, before it is worth a scan to drop them
 
 
 class LimitState:
-    """One limit's bucket and its open requests; a level below 0 is owed."""
+    """Token bucket and open requests of one limit; a level below 0 is a debt."""
 
     __slots__ = ("updated_us", "mean_open_us", "level", "limit", "open", "refused")
 
     def __init__(self, limit: Limit, now_us: int) -> None:
-        self.limit, self.updated_us = limit, now_us
+        self.limit = limit
+        self.updated_us = now_us
         self.level = self.depth
-        self.open = self.refused = 0
+        self.open = 0
+        self.refused = 0
         self.mean_open_us = float(INITIAL_OPEN_US)
 
     @property
     def depth(self) -> float:
-        """Tell how many units may be saved up."""
+        """Units that may be saved up."""
         return self.limit.rate * self.limit.burst_us / 1e6
 
     def refill(self, now_us: int) -> float:
-        """Bring the bucket up to now; a clock that went back adds nothing."""
+        """Refill the bucket up to now and return its level; a clock that went back adds nothing."""
         self.level = min(self.depth, self.level + self.limit.rate * max(0, now_us - self.updated_us) / 1e6)
         self.updated_us = now_us
         return self.level
 
     def set_limit(self, limit: Limit, now_us: int) -> None:
-        """Go on under another version's figures."""
+        """Continue under the limit of another version."""
         self.refill(now_us)
-        grown = not self.limit.rate and limit.rate
+        has_new_rate = not self.limit.rate and limit.rate
         self.limit = limit
-        self.level = self.depth if grown else min(self.level, self.depth)
+        self.level = self.depth if has_new_rate else min(self.level, self.depth)
 
     def wait_us(self, units: float, now_us: int) -> int:
-        """Tell when a request may come; 0: now."""
+        """Return after how many microseconds a request may be admitted; 0: now."""
         wait = 0.0
-        # A request larger than the burst passes a full bucket and leaves it owing, or it would never pass.
-        wanted = min(units, self.depth)
-        if self.limit.rate and self.refill(now_us) < wanted:
-            wait = (wanted - self.level) / self.limit.rate * 1e6
+        # A request larger than the burst passes a full bucket and leaves a debt, or it would never pass.
+        needed = min(units, self.depth)
+        if self.limit.rate and self.refill(now_us) < needed:
+            wait = (needed - self.level) / self.limit.rate * 1e6
         if self.limit.max_open and self.open >= self.limit.max_open:
-            # By Little's law one of them ends about every so often.
+            # By Little's law one of the open requests ends about that often.
             wait = max(wait, self.mean_open_us / self.limit.max_open)
         return max(MIN_RETRY_AFTER_US, int(wait) + 1) if wait > 0 else 0
 
     def acquire(self, units: float) -> None:
-        """Count a request in."""
+        """Count an admitted request."""
         self.level -= units if self.limit.rate else 0.0
         self.open += 1
 
     def refund(self, units: float) -> None:
-        """Undo `take`, for a request that was refused for another reason."""
+        """Undo `acquire`, for a request that is rejected for another reason."""
         self.level += units if self.limit.rate else 0.0
         self.open -= 1
 
     def release(self, open_us: int) -> None:
-        """Count a request out that was open for so long."""
+        """Count the end of a request that was open for `open_us`."""
         self.open -= 1
         self.mean_open_us += (open_us - self.mean_open_us) * OPEN_TIME_WEIGHT
 
 
 class ByteRateState:
-    """Bytes on their way under one limit, in and out: whoever moves some is told how long to pause before the next.
+    """Byte rates of long bodies under one limit, in and out: a transfer is paced by a delay after each chunk.
 
-    What was moved cannot be taken back, so it is owed; the next mover waits until that is worked off, which shares the
-    rate among all that move, in the order in which they come.
+    Bytes that were transferred are a debt; the next chunk waits until it is paid off, which shares the rate among all
+    transfers in the order of their chunks.
     """
 
     __slots__ = ("updated_us", "levels")
@@ -87,35 +91,42 @@
         self.updated_us = [now_us, now_us]
 
     def pacing_delay_us(self, limit: Limit, direction: int, size: int, now_us: int) -> int:
-        """Count bytes and tell the pause; `way` is 0 for in, 1 for out."""
+        """Count transferred bytes and return the delay before more; `direction` is 0 for in, 1 for out."""
         rate = (limit.bytes_in, limit.bytes_out)[direction]
         if not rate:
             return 0
         level = min(rate, self.levels[direction] + rate * max(0, now_us - self.updated_us[direction]) / 1e6) - size
-        self.levels[direction], self.updated_us[direction] = level, now_us
+        self.levels[direction] = level
+        self.updated_us[direction] = now_us
         return max(0, int(-level / rate * 1e6))
 
 
 class Limiter:
-    """The states of all limits in force."""
+    """States of all limits of the active version."""
 
     def __init__(self) -> None:
         self.states: dict[str, LimitState] = {}
         self.byte_rates: dict[str, ByteRateState] = {}
 
     def drop_removed(self, find_limit: Callable[[Scope], Limit | None], size: int) -> None:
-        """Drop states of removed limits, once they are many; requests that are open in those still end there."""
+        """Drop states of removed limits once there are many; open requests still hold and release theirs.
+
+        Args:
+            find_limit: Returns the limit of a scope, if the active version has one.
+            size: Number of limits of the active version.
+
+        """
         if len(self.states) > 2 * size + MAX_UNUSED_STATES:
             self.states = {
                 key: state for key, state in self.states.items() if find_limit(state.limit.scope) is not None
             }
         if len(self.byte_rates) > 2 * size + MAX_UNUSED_STATES:
-            self.byte_rates = {}  # a second's worth more for each at most
+            self.byte_rates = {}  # which grants each at most another second's worth
 
     def state(self, limit: Limit, now_us: int) -> LimitState:
-        """Tell a limit's state; it is made when first asked for, so that quiet tenants cost nothing.
+        """Return a limit's state; it is created on first use, so that idle tenants cost nothing.
 
-        A version that changes a limit costs nothing either: its state goes on under the new figures when next used.
+        A version that changes a limit costs nothing either: the state follows when it is used next.
         """
         state = self.states.get(limit.key)
         if state is None:
@@ -125,25 +136,30 @@
         return state
 
     def pacing_delay_us(self, limits: Iterable[Limit], direction: int, size: int, now_us: int) -> int:
-        """Count bytes under all limits that fit and tell the longest pause."""
-        pause = 0
+        """Count transferred bytes under all matching limits and return the longest delay."""
+        delay_us = 0
         for limit in limits:
             if limit.bytes_in or limit.bytes_out:
                 key = limit.key
-                paces = self.byte_rates.get(key) or self.byte_rates.setdefault(key, ByteRateState(limit, now_us))
-                pause = max(pause, paces.pacing_delay_us(limit, direction, size, now_us))
-        return pause
+                byte_rate = self.byte_rates.get(key) or self.byte_rates.setdefault(key, ByteRateState(limit, now_us))
+                delay_us = max(delay_us, byte_rate.pacing_delay_us(limit, direction, size, now_us))
+        return delay_us
 
     def admit(self, limits: Iterable[Limit], units: float, now_us: int) -> tuple[tuple[LimitState, ...], int]:
-        """Take a request under all of its limits, or under none; the wait is 0 where it is taken."""
+        """Admit a request under all of its limits, or under none.
+
+        Returns:
+            The states that count it, and 0; or no states, and after how many microseconds to retry.
+
+        """
         states = tuple([self.state(limit, now_us) for limit in limits if limit.rate or limit.max_open])
-        wait = 0
+        wait_us = 0
         for state in states:
-            if (own := state.wait_us(units, now_us)) > 0:
+            if (state_wait_us := state.wait_us(units, now_us)) > 0:
                 state.refused += 1
-                wait = max(wait, own)
-        if wait:
-            return (), wait
+                wait_us = max(wait_us, state_wait_us)
+        if wait_us:
+            return (), wait_us
         for state in states:
             state.acquire(units)
         return states, 0
--- a/hophinge/routing/retry_budget.py
+++ b/hophinge/routing/retry_budget.py
@@ -1,15 +1,15 @@
-"""Retry budgets: further attempts as a share of first ones, over a window that slides second by second."""
+"""Retry budgets: retries as a share of first attempts, over a sliding window."""
 
 from __future__ import annotations
 
 from hophinge.routing.records import RetryRule
 
-WINDOW_SLOTS = 10  # slots
+WINDOW_SLOTS = 10
 SLOT_US = 1_000_000
 
 
 class RetryBudget:
-    """First and further attempts of the last ten seconds."""
+    """First attempts and retries of the last `WINDOW_SLOTS` seconds under one rule."""
 
     __slots__ = ("current_slot", "denied", "first_attempts", "retries", "rule")
 
@@ -20,48 +20,50 @@
         self.current_slot = 0
         self.denied = 0
 
-    def _slot(self, now_us: int) -> int:
+    def _advance(self, now_us: int) -> int:
+        """Clear slots that have left the window, and return the index of the current one."""
         slot = now_us // SLOT_US
         if slot > self.current_slot:
-            for gone in range(max(self.current_slot + 1, slot - WINDOW_SLOTS + 1), slot + 1):
-                self.first_attempts[gone % WINDOW_SLOTS] = self.retries[gone % WINDOW_SLOTS] = 0
+            for expired in range(max(self.current_slot + 1, slot - WINDOW_SLOTS + 1), slot + 1):
+                self.first_attempts[expired % WINDOW_SLOTS] = 0
+                self.retries[expired % WINDOW_SLOTS] = 0
             self.current_slot = slot
         return self.current_slot % WINDOW_SLOTS
 
     def record_first_attempt(self, now_us: int) -> None:
         """Count a first attempt."""
-        self.first_attempts[self._slot(now_us)] += 1
+        self.first_attempts[self._advance(now_us)] += 1
 
     def allows_retry(self, now_us: int) -> bool:
-        """Tell whether one more further attempt stays within the share."""
-        self._slot(now_us)
+        """Return whether one more retry is within the budget; a denial is counted."""
+        self._advance(now_us)
         rule = self.rule
-        allowed = rule.budget_share < 0 or sum(self.retries) + 1 <= rule.min_retries + rule.budget_share * sum(
+        is_allowed = rule.budget_share < 0 or sum(self.retries) + 1 <= rule.min_retries + rule.budget_share * sum(
             self.first_attempts
         )
-        self.denied += not allowed
-        return allowed
+        self.denied += not is_allowed
+        return is_allowed
 
     def record_retry(self, now_us: int) -> None:
-        """Count a further attempt."""
-        self.retries[self._slot(now_us)] += 1
+        """Count a retry."""
+        self.retries[self._advance(now_us)] += 1
 
 
 class RetryBudgets:
-    """The budgets by form; their counts live on when a version changes the form's figures."""
+    """Budgets by the key of their rule; counts survive a version that changes the rule."""
 
     def __init__(self) -> None:
         self.budgets: dict[str, RetryBudget] = {}
 
     def for_rule(self, rule: RetryRule) -> RetryBudget:
-        """Tell a form's budget."""
+        """Return the budget of a rule; it is created on first use."""
         budget = self.budgets.get(rule.key)
         if budget is None:
             budget = self.budgets[rule.key] = RetryBudget(rule)
         return budget
 
     def set_rules(self, rules: dict[str, RetryRule]) -> None:
-        """Take up a version's forms."""
+        """Apply the rules of a version, by key."""
         self.budgets = {key: budget for key, budget in self.budgets.items() if key in rules}
         for key, budget in self.budgets.items():
             budget.rule = rules[key]
--- a/hophinge/routing/router.py
+++ b/hophinge/routing/router.py
@@ -1,7 +1,7 @@
-"""The router: what a request may use under the version that it came under. It narrows; the module chooses.
+"""The router: limits a request to what the active version allows; the core chooses a backend among that. No I/O.
 
-Events in, answers out; time is an argument. One step takes up a whole version: a request is looked up in one table,
-and keeps what it was given until its final answer, whatever versions come meanwhile.
+A version is activated in one step: a request is looked up in one table and keeps its bounds until its final answer,
+whatever versions follow meanwhile.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 from hophinge.tenancy.admission import Admission, AdmissionRequest, TenantShares, SpareCapacity, AdmissionDecision
 
 ERROR_RESULTS = frozenset({Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET})
-JUDGED_RESULTS = ERROR_RESULTS | {Result.OK}  # FULL, CANCELLED and MOOT tell nothing of a brick's soundness
-NO_BACKENDS_RETRY_US = 500_000  # advice where no brick of a request's pools is live
-ALL_BACKENDS: tuple[str, ...] = ()  # the pools of a request without a route: every brick
-MAX_WAIT_SHARE = 0.2  # part of its time that a request waits for a turn at most; the module holds it too
+JUDGED_RESULTS = ERROR_RESULTS | {Result.OK}  # FULL, CANCELLED and MOOT say nothing about a backend's health
+NO_BACKENDS_RETRY_US = 500_000  # advice to clients where no backend of a request's pools is live
+ALL_BACKENDS: tuple[str, ...] = ()  # the pools of a request without a route
+MAX_WAIT_SHARE = 0.2  # of the time that a request has left, for its wait for admission
 NO_SHARES = TenantShares()
 
 
@@ -37,26 +37,31 @@
         self.settings = settings
         self.classes = tuple(klass.name for klass in settings.classes)
         self.table = EMPTY_TABLE
-        self.effective_plans = settings.plans  # the platform's plans with what the version in force lowers
-        self.find_owner: Callable[[str], str] = lambda volume: ""  # of a volume that no form gives to a tenant
-        self.find_account: Callable[[str], Account | None] = lambda tenant: None  # of a tenant that no form names
-        self.limiter, self.retry_budgets, self.outlier_detector = Limiter(), RetryBudgets(), OutlierDetector()
+        self.effective_plans = settings.plans  # the platform's plans as the active version lowers them
+        self.find_owner: Callable[[str], str] = lambda volume: ""  # for a volume of no `TenantRule`
+        self.find_account: Callable[[str], Account | None] = lambda tenant: None  # for a tenant without a `TenantRule`
+        self.limiter = Limiter()
+        self.retry_budgets = RetryBudgets()
+        self.outlier_detector = OutlierDetector()
         self.failover_levels = FailoverLevels(settings, self.outlier_detector)
-        self.open_by_pool: dict[str, int] = {}  # requests by pool
-        self.open_by_version: dict[tuple[int, int], int] = {}  # requests by version, this one's and those that drain
+        self.open_by_pool: dict[str, int] = {}  # requests that are not answered yet, by pool
+        self.open_by_version: dict[
+            tuple[int, int], int
+        ] = {}  # the same by version, the active one and those that drain
         self.admission: Admission | None = None
-        self.queued: dict[int, AdmittedRequest] = {}  # that wait, by their ticket
-        self.reserve_share: Callable[[str], float] = lambda tenant: (
-            1 / settings.gateways
-        )  # of its reserve, at this head
-        self.spilled = self.followed_shard = self.rejected_by_limit = self.rejected_without_backend = (
-            self.rejected_beyond_share
-        ) = 0
+        self.queued: dict[int, AdmittedRequest] = {}  # waiting for admission, by the id of their ticket
+        even_share = 1 / settings.gateways
+        self.reserve_share: Callable[[str], float] = lambda tenant: even_share  # of a tenant's reserve, at this head
+        self.spilled = 0  # requests that did not use the first pool of their route
+        self.followed_shard = 0  # requests that left their pools for the shard of their data
+        self.rejected_by_limit = 0
+        self.rejected_without_backend = 0
+        self.rejected_beyond_share = 0
 
     # --- versions
 
     def activate(self, table: RoutingTable, now_us: int) -> tuple[PlatformPlan, ...]:
-        """Put a version in force, in one step; tell the plans as they are now."""
+        """Activate a version in one step; returns the plans as they are from now on."""
         self.limiter.drop_removed(table.limits.get, table.limits.size)
         self.retry_budgets.set_rules({rule.key: rule for rule in table.retries.values()})
         self.table = table
@@ -69,10 +74,10 @@
         return self.effective_plans
 
     def _configure_sharing(self, table: RoutingTable) -> None:
-        """Begin, change or end sharing what is spare."""
+        """Begin, change or end the sharing of spare capacity."""
         if table.spare is None:
             if self.admission is not None:
-                # Nobody waits for a turn that nobody gives any more.
+                # Admit all that wait, as nothing would do so later.
                 self.admission.spare_capacity = SpareCapacity(float("inf"), 1)
             return
         spare = SpareCapacity(table.spare.max_units, table.spare.max_wait_us, table.spare.max_queued)
@@ -81,56 +86,57 @@
         self.admission.spare_capacity = spare
 
     def _tenant_shares(self, tenant: str) -> TenantShares:
-        """Tell what a tenant may count on here: this head's part of its reserve."""
-        form = self.table.tenants.get(tenant)
-        if form is None:
-            held = self.find_account(tenant)
-            return (
-                NO_SHARES
-                if held is None
-                else TenantShares(held.shares.reserve * self.reserve_share(tenant), held.shares.weight)
-            )
-        return TenantShares(form.reserve * self.reserve_share(tenant), form.weight, form.max_queued)
+        """Return a tenant's shares at this head: its part of the reserve, and its weight."""
+        rule = self.table.tenants.get(tenant)
+        if rule is not None:
+            return TenantShares(rule.reserve * self.reserve_share(tenant), rule.weight, rule.max_queued)
+        account = self.find_account(tenant)
+        if account is None:
+            return NO_SHARES
+        return TenantShares(account.shares.reserve * self.reserve_share(tenant), account.shares.weight)
 
     def overridden_plans(self) -> tuple[PlatformPlan, ...]:
-        """Tell the platform's plans with what the version lowers."""
-        made = []
+        """Return the platform's plans as the active version lowers them."""
+        plans = []
         for plan in self.settings.plans:
-            own = self.table.plans.get(plan.name)
-            if own is not None:
+            override = self.table.plans.get(plan.name)
+            if override is not None:
                 plan = replace(
                     plan,
-                    reserve=min(plan.reserve, own.reserve) if own.reserve >= 0 else plan.reserve,
-                    weight=min(plan.weight, own.weight) if own.weight >= 0 else plan.weight,
+                    reserve=min(plan.reserve, override.reserve) if override.reserve >= 0 else plan.reserve,
+                    weight=min(plan.weight, override.weight) if override.weight >= 0 else plan.weight,
                 )
-            made.append(plan)
-        return tuple(made)
+            plans.append(plan)
+        return tuple(plans)
 
     def _drop_unused_versions(self) -> None:
-        """Drop versions of which no request is open."""
-        for version in [
-            one
-            for one in self.failover_levels.tables
-            if one != self.table.version and not self.open_by_version.get(one)
-        ]:
-            self.failover_levels.drop_version(version)
-            self.open_by_version.pop(version, None)
+        """Drop versions that have no open request, but for the active one."""
+        active = self.table.version
+        for version in list(self.failover_levels.tables):
+            if version != active and not self.open_by_version.get(version):
+                self.failover_levels.drop_version(version)
+                self.open_by_version.pop(version, None)
 
-    # --- bricks
+    # --- backends
 
     def nodes(self, now_us: int, event: NodeList) -> None:
-        """Take a node list, or what changed in it."""
+        """Apply a node list, or changes of it."""
         self.failover_levels.on_node_list(now_us, event)
 
     def ended(self, now_us: int, node: str, result: Result) -> None:
-        """Note how an attempt at a node ended."""
+        """Record how an attempt at a backend ended."""
         if result in JUDGED_RESULTS and self.outlier_detector.on_attempt_ended(node, result in ERROR_RESULTS, now_us):
             self.failover_levels.refresh()
 
     # --- requests
 
     def admit(self, now_us: int, ask: Arrival) -> Bounds | WaitAtGate | int:
-        """Tell a request's bounds, or after how many microseconds it may come again where it is refused."""
+        """Admit, queue or reject a request.
+
+        Returns:
+            Its bounds; or a wait for admission, with its bounds; or after how many microseconds to retry, if rejected.
+
+        """
         if self.outlier_detector.restore_expired(now_us):
             self.failover_levels.refresh()
         table, klass, volume = self.table, self.classes[ask.klass], ask.volume.lower()
@@ -140,20 +146,20 @@
         if level is None:
             self.rejected_without_backend += 1
             return NO_BACKENDS_RETRY_US
-        # What it takes is given back by `answered`, or here where the next step refuses.
+        # What the limits count is released by `answered`, or refunded here where admission rejects.
         states, wait_us = self.limiter.admit(table.limits.matching(tenant, volume, klass), ask.units, now_us)
         if wait_us:
             self.rejected_by_limit += 1
             return wait_us
-        ticket, waits = None, False
+        ticket, is_queued = None, False
         if self.admission is not None and table.spare is not None:
-            verdict, ticket, wait_us = self.admission.arrive(now_us, self._admission_request(ask, tenant, volume))
-            if verdict is AdmissionDecision.REJECTED:
+            decision, ticket, wait_us = self.admission.arrive(now_us, self._admission_request(ask, tenant, volume))
+            if decision is AdmissionDecision.REJECTED:
                 for state in states:
                     state.refund(ask.units)
                 self.rejected_beyond_share += 1
                 return wait_us
-            waits = verdict is AdmissionDecision.QUEUED
+            is_queued = decision is AdmissionDecision.QUEUED
         pool = level.pool.name if level.pool is not None else ""
         if route is not None and pool != route.pools[0]:
             self.spilled += 1
@@ -165,15 +171,16 @@
             budget.record_first_attempt(now_us)
         self.open_by_pool[pool] = self.open_by_pool.get(pool, 0) + 1
         self.open_by_version[table.version] = self.open_by_version.get(table.version, 0) + 1
-        made = AdmittedRequest(ask.request, table, level.view, pool, states, budget, now_us)
-        made.ticket = ticket
-        if waits and ticket is not None:
-            self.queued[id(ticket)] = made
-            return WaitAtGate(made)
-        return made
+        admitted = AdmittedRequest(ask.request, table, level.view, pool, states, budget, now_us)
+        admitted.ticket = ticket
+        if is_queued and ticket is not None:
+            self.queued[id(ticket)] = admitted
+            return WaitAtGate(admitted)
+        return admitted
 
     def _admission_request(self, ask: Arrival, tenant: str, volume: str) -> AdmissionRequest:
-        plan, klass = self.effective_plans[ask.plan], self.settings.classes[ask.klass]
+        plan = self.effective_plans[ask.plan]
+        klass = self.settings.classes[ask.klass]
         heads = ask.gateways if ask.gateways > 0 else self.settings.gateways
         return AdmissionRequest(
             tenant,
@@ -186,49 +193,48 @@
         )
 
     def release(self, now_us: int) -> list[tuple[str, int]]:
-        """Tell which requests wait no longer: 0 where one is let in, else after how long it may come again."""
+        """Return the requests that wait no longer, with 0 if admitted, else after how many microseconds to retry."""
         if self.admission is None:
             return []
-        done = [(self.queued.pop(id(ticket), None), wait_us) for ticket, wait_us in self.admission.dispatch(now_us)]
-        self.rejected_beyond_share += sum(wait_us > 0 for _, wait_us in done)
-        # Of one whose tenant has ended the client may have left since.
-        return [(made.name, wait_us) for made, wait_us in done if made is not None]
+        released = [(self.queued.pop(id(ticket), None), wait_us) for ticket, wait_us in self.admission.dispatch(now_us)]
+        self.rejected_beyond_share += sum(wait_us > 0 for _, wait_us in released)
+        # A request is no longer queued if its client left after its tenant was evicted.
+        return [(request.name, wait_us) for request, wait_us in released if request is not None]
 
     def evict_tenant(self, tenant: str) -> bool:
-        """Have all that wait of a tenant turned away at the next turn; tells whether there were any."""
+        """Let the next `release` reject a tenant's waiting requests; returns whether there are any."""
         return self.admission is not None and self.admission.evict_tenant(tenant)
 
     @property
     def next_release_us(self) -> int:
-        """Tell when `turn` is to be called at the latest; 0: nothing waits."""
+        """When `release` is to be called at the latest, in microseconds; 0: no request waits."""
         return self.admission.next_deadline_us if self.admission is not None else 0
 
-    def pacing_delay_us(self, now_us: int, volume: str, klass: str, way: int, size: int) -> int:
-        """Count bytes of a long body, 0 in or 1 out, and tell for how long to move no more of it."""
+    def pacing_delay_us(self, now_us: int, volume: str, klass: str, direction: int, size: int) -> int:
+        """Count transferred bytes of a long body and return the delay before more; `direction`: 0 for in, 1 for out."""
         name = volume.lower()
         tenant = self.table.tenant_by_volume.get(name) or self.find_owner(name)
-        return self.limiter.pacing_delay_us(self.table.limits.matching(tenant, name, klass), way, size, now_us)
+        return self.limiter.pacing_delay_us(self.table.limits.matching(tenant, name, klass), direction, size, now_us)
 
     def _level(self, table: RoutingTable, route: Route | None, shard: int) -> FailoverLevel | None:
-        """Tell where in its route's order a request goes; None: nowhere."""
+        """Return the level of its route that a request goes to; None where no backend is live that it may use."""
         levels = self.failover_levels.levels_of(table, route.pools if route is not None else ALL_BACKENDS)
         if shard >= 0:
             return next((level for level in levels if shard in level.view.shards), levels[0])
         usable = [level for level in levels if level.view.nodes]
         for level in usable:
-            bound = level.pool.max_open if level.pool is not None else 0
-            if not bound or self.open_by_pool.get(level.pool.name if level.pool else "", 0) < bound * len(
-                level.view.nodes
-            ):
+            max_open = level.pool.max_open if level.pool is not None else 0
+            pool = level.pool.name if level.pool else ""
+            if not max_open or self.open_by_pool.get(pool, 0) < max_open * len(level.view.nodes):
                 return level
         if usable:
-            return usable[0]  # all are full: the first one's queue is the module's to keep or to refuse
+            return usable[0]  # all are full: the core decides whether the request waits for the first one
         if route is None or route.otherwise == "any":
             return self.failover_levels.levels_of(table, ALL_BACKENDS)[0]
         return None
 
     def answered(self, now_us: int, bounds: Bounds) -> None:
-        """Give back what an answered request holds."""
+        """Release what an answered request occupies."""
         assert isinstance(bounds, AdmittedRequest)
         if bounds.ticket is not None and self.admission is not None:
             self.queued.pop(id(bounds.ticket), None)
@@ -243,11 +249,11 @@
         if not self.open_by_version[version] and version != self.table.version:
             self._drop_unused_versions()
 
-    def tenant_usage(self, most: int, now_us: int) -> dict[str, Any]:
-        """Tell what the busiest tenants got at this head and which of their volumes owe; of the rest, the sum."""
+    def tenant_usage(self, limit: int, now_us: int) -> dict[str, Any]:
+        """Return what the busiest tenants used at this head, and the sum of the others, as a JSON object."""
         accounts = self.admission.tenants if self.admission is not None else {}
         rows = sorted(accounts.items(), key=lambda row: -(row[1].usage.reserved + row[1].usage.spare))
-        told = {
+        busiest = {
             name or "(none)": {
                 "reserve": round(self._tenant_shares(name).reserve, 3),
                 "reserved_units": round(account.usage.reserved, 3),
@@ -258,20 +264,20 @@
                 "waiting": account.queued_requests,
                 "waited_us": account.usage.waited_us,
             }
-            for name, account in rows[:most]
+            for name, account in rows[:limit]
         }
-        rest = rows[most:]
+        others = rows[limit:]
         return {
-            "tenants": told,
+            "tenants": busiest,
             "others": {
-                "tenants": len(rest),
-                "units": round(sum(one.usage.reserved + one.usage.spare for _, one in rest), 3),
-                "refused": sum(one.usage.rejected for _, one in rest),
+                "tenants": len(others),
+                "units": round(sum(account.usage.reserved + account.usage.spare for _, account in others), 3),
+                "refused": sum(account.usage.rejected for _, account in others),
             },
         }
 
     def status(self) -> Mapping[str, Any]:
-        """Tell what it has done, for staff."""
+        """Return counts for operators, as a JSON object."""
         return {
             "spilled": self.spilled,
             "followed_their_data": self.followed_shard,
--- a/tests/routes.py
+++ b/tests/routes.py
@@ -9,7 +9,8 @@
 from hophinge.routing.admitted_request import AdmittedRequest
 from hophinge.routing.records import Record
 from hophinge.routing.router import Router
-from hophinge.routing.routing_table import EMPTY_TABLE, HeadCapabilities, RoutingTable, validate
+from hophinge.routing.capabilities import HeadCapabilities, validate
+from hophinge.routing.routing_table import EMPTY_TABLE, RoutingTable
 from tests.test_choice import MS, SAFE, SETTINGS, T0
 
 S = 1_000_000
--- a/tests/stream_link.py
+++ b/tests/stream_link.py
@@ -23,10 +23,12 @@
 from hophinge.control.messages import ResourceType, VersionId, DiscoveryRequest, DiscoveryResponse
 from hophinge.routing import records
 from hophinge.routing.records import Limit, PlanOverride, Pool, Record, Route, Scope
-from hophinge.routing.routing_table import HeadCapabilities
+from hophinge.routing.capabilities import HeadCapabilities, PlanBounds
 
 S, MS = 1_000_000, 1000
-FACTS = HeadCapabilities(frozenset({"hall-a"}), frozenset(), frozenset({"read"}), {"basic": (10.0, 2.0)}, 3, True)
+FACTS = HeadCapabilities(
+    frozenset({"hall-a"}), frozenset(), frozenset({"read"}), {"basic": PlanBounds(10.0, 2.0)}, 3, True
+)
 HEARTBEAT_FRAME = wire.encode_response(DiscoveryResponse(ResourceType.RECORD, "beat"))
 GOOD: list[Record] = [
     Pool("a", ("hall-a",)),
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -13,7 +13,7 @@
 from hophinge.control.snapshot import Snapshot
 from hophinge.control.messages import ConfigVersion
 from hophinge.routing.records import Limit, PlanOverride, Pool, Scope
-from hophinge.routing.routing_table import validate
+from hophinge.routing.capabilities import validate
 from tests.stream_link import BAD, FACTS, GOOD, MS, S, StreamLink, follower, snapshot
 
 
--- a/tests/test_discovery_stream.py
+++ b/tests/test_discovery_stream.py
@@ -12,7 +12,7 @@
 from hophinge.control.snapshot import Snapshot
 from hophinge.routing import records
 from hophinge.routing.records import PlanOverride, Record
-from hophinge.routing.routing_table import HeadCapabilities
+from hophinge.routing.capabilities import HeadCapabilities
 from tests.stream_link import BAD, FACTS, GOOD, S, StreamLink, bodies, snapshot
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -15,7 +15,8 @@
 from hophinge.routing.scope_index import ScopeIndex
 from hophinge.routing.admitted_request import AdmittedRequest
 from hophinge.routing.records import PlanOverride, Record, Scope
-from hophinge.routing.routing_table import EMPTY_TABLE, validate
+from hophinge.routing.capabilities import validate
+from hophinge.routing.routing_table import EMPTY_TABLE
 from tests.routes import FACTS, NAMED, POOLS, ask, backend, router, table, within
 from tests.test_choice import T0
 
