--- a/benchmarks/scoring.py
+++ b/benchmarks/scoring.py
@@ -20,7 +20,7 @@
 
 import scoring_model as model  # noqa: E402
 from scoring_costs import TURNS, choices, requests, ticks  # noqa: E402
-from hophinge.scoring.merge import hearsay  # noqa: E402
+from hophinge.scoring.merge import trimmed_mean  # noqa: E402
 
 SEEDS = range(100, 108)
 
@@ -41,7 +41,7 @@
 
 
 MERGES = {
-    "trimmed by thirds, by trust": hearsay,
+    "trimmed by thirds, by trust": trimmed_mean,
     "plain mean": plain_mean,
     "mean by trust": trusted_mean,
     "median": median,
--- a/benchmarks/scoring_costs.py
+++ b/benchmarks/scoring_costs.py
@@ -16,7 +16,7 @@
 from hophinge.core.choice.node_state import NodeState
 from hophinge.head.scoring import usage
 from hophinge.scoring import encoding
-from hophinge.scoring.engine import Engine
+from hophinge.scoring.engine import ScoringEngine
 from hophinge.scoring.interface import Surroundings
 
 TURNS = 15  # pairs, in turn; the table tells their median and how far the middle half spreads
@@ -24,12 +24,12 @@
 ASK = api.Arrival("r", 1.0, "v", 0, -1, 1, "key", 1_000_000, True, 0)
 
 
-def engine(number: int, names: Sequence[str]) -> Engine | None:
+def engine(number: int, names: Sequence[str]) -> ScoringEngine | None:
     """Make a head's scorers, with a history of ends at each brick."""
     made = dict(list(model.scorers().items())[:number])
     if not made:
         return None
-    head = Engine(
+    head = ScoringEngine(
         made,
         {name: model.VERSIONS[name] for name in made},
         75_000.0,
@@ -79,7 +79,7 @@
         for number, book in enumerate(books):
             book.free_at = T0 + number * 37 % 1000
 
-        def choose(head: Engine | None, books: list[NodeState] = books) -> list[NodeState]:
+        def choose(head: ScoringEngine | None, books: list[NodeState] = books) -> list[NodeState]:
             now = T0 + 2
             added = head.added_us(now, ASK, books) if head is not None else {}
             return sorted(
@@ -114,7 +114,7 @@
         module.handle(T0, [model.LIST])
         heads[number] = head, module
 
-    def request(head: Engine | None, module: Scheduler) -> None:
+    def request(head: ScoringEngine | None, module: Scheduler) -> None:
         nonlocal count
         count += 1
         now, name = T0 + count * 1000, f"r{count}"
@@ -138,7 +138,7 @@
     ]
 
 
-def slices(head: Engine, now_us: int, names: Sequence[str], entries: Sequence[Entry]) -> list[float]:
+def slices(head: ScoringEngine, now_us: int, names: Sequence[str], entries: Sequence[Entry]) -> list[float]:
     """Tell the milliseconds of CPU time of each slice of a tick: what a slice waits for its core is not its own."""
     gc.collect()
     gc.disable()
@@ -167,11 +167,11 @@
                     words = {names[at]: rng.random() for at in range(told)}
                     for chunk, value in encoding.encode(model.VERSIONS[scorer], 1, words)[0].items():
                         count += 1
-                        key = encoding.key(scorer, chunk)
+                        key = encoding.entry_key(scorer, chunk)
                         entries.append(Entry(f"p{number}", Topic.WEIGHTS, key, EntryVersion(1, count), value))
             since = T0 + 1_000_000
             first = slices(head, since, names, entries)
-            while head.reader is not None and len(head.reader.versions) < len(entries):  # some are read later
+            while head.reader is not None and len(head.reader.entries_read) < len(entries):  # some are read later
                 slices(head, since, names, entries)
             again = [slices(head, since + at * 1_000_000, names, entries) for at in range(1, 12)]
             rows.append(
--- a/benchmarks/scoring_model.py
+++ b/benchmarks/scoring_model.py
@@ -18,9 +18,9 @@
 from hophinge.core import interface as api
 from hophinge.core.choice import Scheduler
 from hophinge.scoring import encoding, latency, outlook, suspicion
-from hophinge.scoring.engine import Engine, Put
+from hophinge.scoring.engine import ScoringEngine, PutEntry
 from hophinge.scoring.interface import Scorer, Setting, Surroundings
-from hophinge.scoring.sharing import BEAT_US, Merge
+from hophinge.scoring.sharing import HEARTBEAT_US, MergeFunction
 
 S, MS = 1_000_000, 1_000
 HEADS, BACKENDS = 10, 24
@@ -96,13 +96,13 @@
 class Head:
     """One head's module and scorers."""
 
-    def __init__(self, number: int, seed: int, scored: bool, shared: bool, merge: Merge | None) -> None:
+    def __init__(self, number: int, seed: int, scored: bool, shared: bool, merge: MergeFunction | None) -> None:
         self.name, self.number = f"head-{number}", number
         self.module = Scheduler(SETTINGS, seed)
-        self.engine: Engine | None = None
+        self.engine: ScoringEngine | None = None
         if scored:
             more: dict[str, Any] = {} if merge is None else {"merge": merge}
-            self.engine = Engine(
+            self.engine = ScoringEngine(
                 scorers(),
                 VERSIONS,
                 AIM_US * MAX_PART,
@@ -132,7 +132,7 @@
         seconds: int,
         fail_part: float,
         liars: int = 0,
-        merge: Merge | None = None,
+        merge: MergeFunction | None = None,
         restarts: bool = False,
         mended: int = 0,
     ) -> None:
@@ -246,13 +246,15 @@
                 self.heard[at] = entry
                 del self.board[at]
         for action in engine.tick(self.now, frozenset(NAMES), self.heard.values()):
-            engine.done(action)
-            if isinstance(action, Put) and (head.number >= self.liars or self.now < FAIL_FROM):
+            engine.confirm(action)
+            if isinstance(action, PutEntry) and (head.number >= self.liars or self.now < FAIL_FROM):
                 self.put(head, action.key, action.value)
         if head.number < self.liars and self.now >= FAIL_FROM:
             for scorer in ("latency", "suspicion"):
-                for chunk, value in encoding.encode(VERSIONS[scorer], self.now // BEAT_US, {ACCUSED: 1.0})[0].items():
-                    self.put(head, encoding.key(scorer, chunk), value)
+                for chunk, value in encoding.encode(VERSIONS[scorer], self.now // HEARTBEAT_US, {ACCUSED: 1.0})[
+                    0
+                ].items():
+                    self.put(head, encoding.entry_key(scorer, chunk), value)
 
     def put(self, head: Head, key: str, value: bytes) -> None:
         """Set an entry, heard by all a while later."""
--- a/hophinge/head/hanging.py
+++ b/hophinge/head/hanging.py
@@ -53,7 +53,7 @@
     def _watch(self) -> None:
         seen, looks = None, 0
         while not self.ended.wait(EVERY_S):
-            since = self.guard.since
+            since = self.guard.running_since_ns
             looks = looks + 1 if since is not None and since == seen else 0
             seen = since
             if looks >= LOOKS:
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -23,8 +23,8 @@
 from hophinge.head.sections import ScoringConfig
 from hophinge.popularity.interface import Demand
 from hophinge.scoring import latency, outlook, suspicion
-from hophinge.scoring.encoding import MAX_SCORER
-from hophinge.scoring.engine import Drop, Engine, Put
+from hophinge.scoring.encoding import MAX_SCORER_CHARS
+from hophinge.scoring.engine import DeleteEntry, ScoringEngine, PutEntry
 from hophinge.scoring.errors import (
     ScorerInterfaceError,
     ScorerParametersError,
@@ -66,7 +66,7 @@
     if len(kinds) != 1 or not isinstance(kinds[0], Kind):
         raise ScorerUnusableError(f"the package of scorer {name!r} has no hophinge_scorer, or it tells no Kind")
     kind: Kind = kinds[0]
-    if kind.name != name or not 0 < len(name) <= MAX_SCORER or not isinstance(kind.parameters, type):
+    if kind.name != name or not 0 < len(name) <= MAX_SCORER_CHARS or not isinstance(kind.parameters, type):
         raise ScorerUnusableError(f"the plug-in of scorer {name!r} brings {kind.name!r}, or states no parameters")
     if kind.interface != INTERFACE:
         raise ScorerInterfaceError(
@@ -129,7 +129,7 @@
         self.log = log
         self.surroundings = Surroundings(settings.rules.slow_start_us)
         scorers, versions = make(config, setting)
-        self.engine = Engine(
+        self.engine = ScoringEngine(
             scorers, versions, setting.most_us, config.budget_us, clock_ns, log, self.surroundings, usage=usage
         )
         self.board: ReplicatedEntries | None = None
@@ -168,7 +168,7 @@
         try:
             entries = self.board.entries(Topic.WEIGHTS) if self.board is not None else ()
             nodes = frozenset(self.exchange.phases)  # as it is now: it changes between slices
-            actions: list[Put | Drop] = []
+            actions: list[PutEntry | DeleteEntry] = []
             yield from self.engine.slices(self.exchange.now_us(), nodes, entries, actions)
             self._carry_out(actions)
         except Exception as error:
@@ -179,19 +179,19 @@
         for _ in self.slices():
             pass
 
-    def _carry_out(self, actions: Sequence[Put | Drop]) -> None:
+    def _carry_out(self, actions: Sequence[PutEntry | DeleteEntry]) -> None:
         if self.board is None:
             return
         for action in actions:
             try:
-                if isinstance(action, Put):
+                if isinstance(action, PutEntry):
                     self.board.put(Topic.WEIGHTS, action.key, action.value)
                 else:
                     self.board.delete(Topic.WEIGHTS, action.key)
             except HophingeError as error:
                 self._refused(error.one_line())  # tried again with the next tick
                 continue
-            self.engine.done(action)
+            self.engine.confirm(action)
 
     def _refused(self, what: str) -> None:
         if what != self.refused:
@@ -200,21 +200,21 @@
 
     def resume(self) -> None:
         """Take an operator's word that scorers which are left out may be asked again."""
-        self.engine.resume()
+        self.engine.reinstate_all()
 
     def status(self) -> str:
         """Tell staff what scorers do here, as JSON."""
         now, reader = self.exchange.now_us(), self.engine.reader
         rows: dict[str, Any] = {
             "interface": INTERFACE,
-            "most_us": self.engine.guard.most_us,
+            "most_us": self.engine.guard.max_added_us,
             "budget_us": self.config.budget_us,
             "scorers": {
                 one.name: {
-                    "at_work": one.pauses.may(now),
-                    "off_until_told": one.pauses.off,
-                    "back_in_s": max(0, one.pauses.until_us - now) / 1e6,
-                    "mistakes": one.pauses.mistakes,
+                    "at_work": one.exclusion.is_callable(now),
+                    "off_until_told": one.exclusion.is_disabled,
+                    "back_in_s": max(0, one.exclusion.excluded_until_us - now) / 1e6,
+                    "mistakes": one.exclusion.failures,
                     **one.counts,
                 }
                 for one in self.engine.guard.scorers
@@ -226,16 +226,16 @@
                     owner: {
                         "trust": round(peer.agreement.trust, 3),
                         "counts_for": round(peer.freshness(now), 3),
-                        "bricks": len(peer.words),
+                        "bricks": len(peer.weights),
                     }
                     for owner, peer in shared.peers.items()
                 }
                 for name, shared in self.engine.shared.items()
             }
             rows |= {
-                "entries_bad": reader.bad,
+                "entries_bad": reader.invalid_entries,
                 "entries_of_other_versions": reader.other_versions,
-                "bricks_without_room": self.engine.left_out,
+                "bricks_without_room": self.engine.omitted_backends,
             }
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
@@ -244,7 +244,7 @@
         now, reader = self.exchange.now_us(), self.engine.reader
         scorers = self.engine.guard.scorers
         return {
-            "scorers_left_out": sum(not one.pauses.may(now) for one in scorers),
-            "scorers_off": sum(one.pauses.off for one in scorers),
-            "weights_bad_total": sum(reader.bad.values()) if reader is not None else 0,
+            "scorers_left_out": sum(not one.exclusion.is_callable(now) for one in scorers),
+            "scorers_off": sum(one.exclusion.is_disabled for one in scorers),
+            "weights_bad_total": sum(reader.invalid_entries.values()) if reader is not None else 0,
         }
--- a/hophinge/scoring/engine.py
+++ b/hophinge/scoring/engine.py
@@ -1,4 +1,4 @@
-"""Scorers at work in one head: asked at each choice, told of each end, and once a second merged with what peers say."""
+"""The scorers of one head: called for each choice and each result, and once a second merged with peers' weights."""
 
 from __future__ import annotations
 
@@ -11,108 +11,109 @@
 from hophinge.scoring import encoding
 from hophinge.scoring.guard import Guard, Usage
 from hophinge.scoring.interface import Scorer, Surroundings
-from hophinge.scoring.merge import hearsay
-from hophinge.scoring.sharing import BEAT_US, Merge, Reader, Shared
+from hophinge.scoring.merge import trimmed_mean
+from hophinge.scoring.sharing import HEARTBEAT_US, EntryReader, MergeFunction, SharedWeights
 
 
-class Put(Struct, frozen=True):
-    """Set an own entry under the topic of weights."""
+class PutEntry(Struct, frozen=True):
+    """Publish an own entry under the topic of weights."""
 
     key: str
     value: bytes
 
 
-class Drop(Struct, frozen=True):
-    """Take an own entry back."""
+class DeleteEntry(Struct, frozen=True):
+    """Delete an own entry."""
 
     key: str
 
 
-class Engine:
-    """The module's `Scorers`, and whoever hears outcomes; it never raises to either."""
+class ScoringEngine:
+    """The `Scorers` of the choice, and an observer of results; it never raises to either caller."""
 
     def __init__(
         self,
         scorers: Mapping[str, Scorer],
         versions: Mapping[str, str],
-        most_us: float,
+        max_added_us: float,
         budget_us: float,
         clock_ns: Callable[[], int],
         log: Callable[[str], None],
         surroundings: Surroundings,
-        merge: Merge = hearsay,
+        merge: MergeFunction = trimmed_mean,
         usage: Usage = lambda: (0, 0, 0),
     ) -> None:
-        self.guard = Guard(scorers, most_us, budget_us, clock_ns, log, usage)
+        self.guard = Guard(scorers, max_added_us, budget_us, clock_ns, log, usage)
         self.surroundings = surroundings
-        self.shared = {name: Shared(version, merge) for name, version in versions.items() if version}
-        self.reader: Reader | None = None  # where there are peers
-        self.told: dict[str, bytes] = {}  # own entries as they were last set
-        self.left_out = 0  # bricks that an own entry had no room for, lately
+        self.shared = {name: SharedWeights(version, merge) for name, version in versions.items() if version}
+        self.reader: EntryReader | None = None  # set if there are peers
+        self.published: dict[str, bytes] = {}  # own entries as published last
+        self.omitted_backends = 0  # backends that own entries had no space for at the last tick
 
-    def share_as(self, me: str) -> None:
-        """Share weights from now on, as this member."""
-        self.reader = Reader(me, self.shared)
+    def share_as(self, own_name: str) -> None:
+        """Share weights from now on, under this member's name."""
+        self.reader = EntryReader(own_name, self.shared)
 
     def added_us(self, now_us: int, ask: api.Arrival, nodes: Sequence[api.NodeObservation]) -> dict[str, float]:
-        """Tell added microseconds by candidate; see hophinge/core/interface.py."""
+        """Return the added microseconds by candidate; see hophinge/core/interface.py."""
         return self.guard.added_us(now_us, ask, nodes, self.surroundings)
 
     def heard(self, now_us: int, node: str, result: api.Result, elapsed_us: int) -> None:
-        """Take how an attempt ended."""
+        """Pass the result of an attempt on to the scorers."""
         self.guard.heard(now_us, node, result, elapsed_us)
 
-    def tick(self, now_us: int, nodes: Container[str], entries: Iterable[Entry] = ()) -> list[Put | Drop]:
-        """Learn, merge and tell what to set on the board; `nodes` are the bricks that are listed here."""
-        actions: list[Put | Drop] = []
+    def tick(self, now_us: int, nodes: Container[str], entries: Iterable[Entry] = ()) -> list[PutEntry | DeleteEntry]:
+        """Let scorers learn, merge weights, and return what to publish; `nodes` are the listed backends."""
+        actions: list[PutEntry | DeleteEntry] = []
         for _ in self.slices(now_us, nodes, entries, actions):
             pass
         return actions
 
     def slices(
-        self, now_us: int, nodes: Container[str], entries: Iterable[Entry], actions: list[Put | Drop]
+        self, now_us: int, nodes: Container[str], entries: Iterable[Entry], actions: list[PutEntry | DeleteEntry]
     ) -> Iterator[None]:
-        """Do the same in slices: whatever comes in between is served; `actions` are there at the end.
+        """Do the same in slices, between which the head serves requests; `actions` are complete at the end.
 
-        `nodes` must not change meanwhile, and `entries` tells each owner's as they were at one moment. The next tick
-        may begin only after the last slice.
+        `nodes` must not change meanwhile, and `entries` must have each owner's as of one moment. The next tick may
+        begin only after the last slice.
         """
-        for one in self.guard.scorers:
-            self.guard.tick(now_us, nodes, one)
+        for scorer in self.guard.scorers:
+            self.guard.tick(now_us, nodes, scorer)
             yield
         if self.reader is None:
             return
         yield from self.reader.read(now_us, entries)
-        wanted: dict[str, bytes] = {}
-        left_out = 0
+        entries_to_publish: dict[str, bytes] = {}
+        omitted = 0
         for name, shared in self.shared.items():
             own = self.guard.weights(now_us, name)
             if own is None:
-                continue  # who is left out says nothing, rather than that all is well
+                continue  # an excluded scorer publishes nothing, rather than that all backends are healthy
             yield
-            yield from shared.judge(now_us, own)
-            found: dict[str, float] = {}
-            yield from shared.weights(now_us, own, nodes, found)
-            self.guard.merged(now_us, name, found)
+            yield from shared.judge_peers(now_us, own)
+            merged: dict[str, float] = {}
+            yield from shared.merge_weights(now_us, own, nodes, merged)
+            self.guard.merged(now_us, name, merged)
             yield
-            values, more = encoding.encode(
-                shared.version, now_us // BEAT_US, {node: one.value for node, one in own.items() if node in nodes}
-            )
-            left_out += more
-            wanted |= {encoding.key(name, chunk): value for chunk, value in values.items()}
+            listed = {node: weight.value for node, weight in own.items() if node in nodes}
+            values, omitted_now = encoding.encode(shared.version, now_us // HEARTBEAT_US, listed)
+            omitted += omitted_now
+            entries_to_publish |= {encoding.entry_key(name, chunk): value for chunk, value in values.items()}
             yield
-        self.left_out = left_out
-        actions += [Drop(key) for key in self.told.keys() - wanted.keys()]
-        actions += [Put(key, value) for key, value in wanted.items() if self.told.get(key) != value]
-
-    def done(self, action: Put | Drop) -> None:
-        """Take that an action was carried out; one that was not comes again with the next tick."""
-        if isinstance(action, Put):
-            self.told[action.key] = action.value
+        self.omitted_backends = omitted
+        actions += [DeleteEntry(key) for key in self.published.keys() - entries_to_publish.keys()]
+        actions += [
+            PutEntry(key, value) for key, value in entries_to_publish.items() if self.published.get(key) != value
+        ]
+
+    def confirm(self, action: PutEntry | DeleteEntry) -> None:
+        """Record that an action was performed; one that was not is repeated by the next tick."""
+        if isinstance(action, PutEntry):
+            self.published[action.key] = action.value
         else:
-            self.told.pop(action.key, None)
+            self.published.pop(action.key, None)
 
-    def resume(self) -> None:
-        """Take an operator's word that scorers which were left out may be asked again."""
-        for one in self.guard.scorers:
-            one.pauses.told_on()
+    def reinstate_all(self) -> None:
+        """Reinstate all excluded scorers, by an operator's command."""
+        for scorer in self.guard.scorers:
+            scorer.exclusion.reinstate()
--- a/hophinge/scoring/errors.py
+++ b/hophinge/scoring/errors.py
@@ -1,6 +1,6 @@
-"""What can be wrong with a scorer before a head serves, and the one mistake that holds it up while it serves.
+"""Errors of scorers before a head serves, and the one that blocks it while it serves.
 
-All other mistakes of a scorer at work are counted instead.
+All other errors of a scorer in use are counted instead.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 
 
 class ScorerUnknownError(HophingeError, ValueError):
-    """The operator's file names a scorer that is not built in, and that no installed package brings."""
+    """The operator's file names a scorer that is not built in, and that no installed package provides."""
 
     code = "scorer-unknown"
     remedy = "Install the package that brings the scorer, or mend its name under scorers in [scoring]."
 
 
 class ScorerUnusableError(HophingeError, ValueError):
-    """A package's scorer cannot be loaded, or two bear one name."""
+    """A package's scorer cannot be loaded, or two have the same name."""
 
     code = "scorer-unusable"
     remedy = "Mend, upgrade or remove the package that is named, or take its scorer out of [scoring]."
@@ -30,14 +30,14 @@
 
 
 class ScorerParametersError(HophingeError, ValueError):
-    """A scorer's parameters do not have the form that the scorer states."""
+    """A scorer's parameters do not match the schema that the scorer declares."""
 
     code = "scorer-parameters"
     remedy = "Mend the key that is named in the operator's file, or take it out for its default."
 
 
 class ScorerHungError(HophingeError):
-    """A scorer at work did not return; the head stood still until it was interrupted."""
+    """A scorer did not return; the head was blocked until it was interrupted."""
 
     code = "scorer-hung"
     remedy = "Take the scorer out of [scoring], or upgrade its package, and restart the head when it suits."
--- a/hophinge/scoring/merge.py
+++ b/hophinge/scoring/merge.py
@@ -1,8 +1,8 @@
-"""How own weights and peers' words become the weights that are used, and what f liars among n peers can move.
+"""The merge of own weights and peers' reports, and how far f Byzantine members among n peers can influence it.
 
-n words on a brick, one of each peer that speaks at all (one that leaves a brick out says that it is neutral); a third
-of them, g, is taken off at either end, and of the rest the mean is taken by trust. With f <= g liars each word that is
-left lies between honest words, whatever trust says; with more the bound is `most_moved`.
+There are n reports on a backend, one of each live peer (one that omits a backend reports it as neutral); a third of
+them, g, is trimmed at either end, and the rest is averaged by trust. With f <= g Byzantine members each remaining
+report lies between honest ones, whatever the trust; with more, `max_influence` is the bound.
 """
 
 from __future__ import annotations
@@ -14,85 +14,97 @@
 
 from hophinge.scoring.interface import Weight
 
-TRIM = 3  # of so many words one is taken off at either end
-MIN_WORDS = 3  # fewer are filled up with neutral ones: one peer alone moves nothing
-HEARSAY = 3.0  # own answers that all peers' words together count as much as
-OWN_MAX = 8.0  # own answers that count at most: a brick may have failed since many good ones
-MIN_ADDED = 0.05  # less than this peers add nothing: where bricks are idle the least time decides who is chosen
-NEUTRAL = 1.0  # answers that the neutral weight counts as: who knows nothing assumes nothing
-MIN_TRUST = 0.1  # part of full trust that a peer keeps: its word may still be the one honest one
-FADE = 0.98  # part of former agreement that is left at each merge, once a second: half in 35 s
-APART = 0.25  # weights further apart than this disagree; a brick both hold for better than it tells nothing
-SURE = 5.0  # own answers from which one's own weight judges a peer's
+TRIM_DIVISOR = 3  # one report in this many is trimmed at either end
+MIN_REPORTS = 3  # fewer are filled up with neutral ones: one peer alone has no influence
+PEERS_EVIDENCE = 3.0  # the reports of all peers together count as this many own answers
+MAX_OWN_EVIDENCE = 8.0  # own answers that count at most: a backend may have failed since
+MIN_INCREASE = 0.05  # a smaller increase by peers is ignored: among idle backends the least time decides
+NEUTRAL_EVIDENCE = 1.0  # the neutral weight counts as this many answers
+MIN_TRUST = 0.1  # of full trust that a peer keeps: it may still be the only honest one
+AGREEMENT_DECAY = 0.98  # of former agreement at each merge, once a second: it halves in 35 s
+MAX_AGREED_DIFFERENCE = 0.25  # weights that differ by more disagree; a backend that both weight below it proves nothing
+MIN_JUDGING_EVIDENCE = 5.0  # own answers from which an own weight judges a peer's
 
 
-def trimmed(number: int) -> int:
-    """Tell how many words are taken off at either end."""
-    return max(1, number // TRIM)
+def trim_count(reports: int) -> int:
+    """Return how many reports are trimmed at either end."""
+    return max(1, reports // TRIM_DIVISOR)
 
 
-def hearsay(words: Sequence[tuple[float, float]]) -> float:
-    """Tell what peers say together, from (weight, trust) of each."""
-    kept = sorted(words) + [(0.0, 1.0)] * (MIN_WORDS - len(words))
-    if len(words) < MIN_WORDS:
+def trimmed_mean(reports: Sequence[tuple[float, float]]) -> float:
+    """Return the trimmed mean of peers' reports, each a weight and the peer's trust."""
+    kept = sorted(reports) + [(0.0, 1.0)] * (MIN_REPORTS - len(reports))
+    if len(reports) < MIN_REPORTS:
         kept.sort()
-    cut = trimmed(len(kept))
-    kept = kept[cut : len(kept) - cut]
+    trimmed = trim_count(len(kept))
+    kept = kept[trimmed : len(kept) - trimmed]
     total = sum(trust for _, trust in kept)
     return sum(value * trust for value, trust in kept) / total
 
 
-def combined(own: Weight | None, heard: float, peers_part: float) -> float:
-    """Tell the weight to use; peers_part, from 0 to 1, is how much of the peers' word has not aged away.
+def combine(own: Weight | None, reported: float, freshness: float) -> float:
+    """Return the weight to use; `freshness`, from 0 to 1, is the share of the peers' reports that has not expired.
 
-    Peers can accuse, as far as one's own answers leave it open; they cannot praise: what a head has seen fail itself
-    needs no one's leave, and without peers its own weights are used as they are.
+    Peers can raise a weight as far as own answers leave it open; they cannot lower it: what a head has observed itself
+    needs no consent, and without peers its own weights are used unchanged.
     """
-    evidence = min(own.evidence, OWN_MAX) if own is not None else 0.0
+    evidence = min(own.evidence, MAX_OWN_EVIDENCE) if own is not None else 0.0
     value = own.value if own is not None else 0.0
-    told = HEARSAY * peers_part
-    weight = (evidence * value + told * heard) / (evidence + told + NEUTRAL)
-    return weight if weight - value >= MIN_ADDED else value
+    peers_evidence = PEERS_EVIDENCE * freshness
+    weight = (evidence * value + peers_evidence * reported) / (evidence + peers_evidence + NEUTRAL_EVIDENCE)
+    return weight if weight - value >= MIN_INCREASE else value
 
 
-def most_moved(liars: int, peers: int, evidence: float, liars_trust: float = 1.0, others: float = MIN_TRUST) -> float:
-    """Tell by how much so many liars among so many peers raise the weight of a brick that is neutral to all others.
+def max_influence(
+    byzantine: int, peers: int, evidence: float, byzantine_trust: float = 1.0, honest_trust: float = MIN_TRUST
+) -> float:
+    """Return how far Byzantine members among peers can raise the weight of a backend that is neutral to all others.
 
-    Without trusts given it is the worst: liars trusted in full, all others hardly.
+    By default the worst case: Byzantine members have full trust, all others the least.
     """
-    words = max(peers, MIN_WORDS)
-    cut = trimmed(words)
-    part = HEARSAY / (min(evidence, OWN_MAX) + HEARSAY + NEUTRAL)
-    lies, honest = max(0, liars - cut), words - liars - cut
-    most = part * lies * liars_trust / (lies * liars_trust + max(0, honest) * others) if lies else 0.0
-    return most if most >= MIN_ADDED else 0.0
+    words = max(peers, MIN_REPORTS)
+    cut = trim_count(words)
+    part = PEERS_EVIDENCE / (min(evidence, MAX_OWN_EVIDENCE) + PEERS_EVIDENCE + NEUTRAL_EVIDENCE)
+    lies, honest = max(0, byzantine - cut), words - byzantine - cut
+    most = part * lies * byzantine_trust / (lies * byzantine_trust + max(0, honest) * honest_trust) if lies else 0.0
+    return most if most >= MIN_INCREASE else 0.0
 
 
 class Agreement(Struct):
-    """How often a peer's words and one's own agreed, lately."""
+    """How often the reports of a peer and own weights agreed recently."""
 
     agreed: float = 0.0
     differed: float = 0.0
 
     @property
     def trust(self) -> float:
-        """Tell a peer's trust: one that nothing is known of has half of it."""
+        """The trust in a peer, from `MIN_TRUST` to 1; that in an unknown one is one half."""
         return max(MIN_TRUST, (self.agreed + 1.0) / (self.agreed + self.differed + 2.0))
 
     def compare(
-        self, sure: Mapping[str, float], accused: Collection[str], said: Mapping[str, float], most: int = 1_000
+        self,
+        own_weights: Mapping[str, float],
+        accused: Collection[str],
+        reported: Mapping[str, float],
+        max_reports: int = 1_000,
     ) -> None:
-        """Count where one of both accuses; bricks that are well to both would make any liar look honest.
+        """Count backends that either side accuses; those that are healthy to both would make any peer look honest.
+
+        Args:
+            own_weights: Own weights that rest on enough answers.
+            accused: The backends among them with weights above `MAX_AGREED_DIFFERENCE`.
+            reported: The weights that the peer reports.
+            max_reports: How many of these are compared.
 
-        `sure` are own weights that rest on enough answers, `accused` those of them that are above APART; of a
-        peer's words so many are looked at.
         """
-        self.agreed *= FADE
-        self.differed *= FADE
-        for node, word in islice(said.items(), most):
-            if (own := sure.get(node)) is not None and (word > APART or own > APART):
-                if abs(word - own) > APART:
+        self.agreed *= AGREEMENT_DECAY
+        self.differed *= AGREEMENT_DECAY
+        for node, word in islice(reported.items(), max_reports):
+            if (own := own_weights.get(node)) is not None and (
+                word > MAX_AGREED_DIFFERENCE or own > MAX_AGREED_DIFFERENCE
+            ):
+                if abs(word - own) > MAX_AGREED_DIFFERENCE:
                     self.differed += 1.0
                 else:
                     self.agreed += 1.0
-        self.differed += sum(node not in said for node in accused)
+        self.differed += sum(node not in reported for node in accused)
--- a/hophinge/scoring/outlook.py
+++ b/hophinge/scoring/outlook.py
@@ -1,4 +1,4 @@
-"""The scorer `outlook`: new objects stay off bricks that are about to go, and wanted ones off bricks that are cold."""
+"""The scorer `outlook`: new objects avoid backends that are being drained, objects in demand avoid cold ones."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 class Parameters(Struct, forbid_unknown_fields=True):
     """`[scoring.parameters.outlook]`."""
 
-    drain_part: float = 1.0  # of the clamp that a brick in a drain gets
-    cold_part: float = 0.5  # of the clamp that a wholly cold brick gets for a key in full demand
-    demand_s: float = 10.0  # requests a second that count as full demand
+    drain_part: float = 1.0  # of the clamp, for a backend that is being drained
+    cold_part: float = 0.5  # of the clamp, for a completely cold backend and a key in full demand
+    demand_s: float = 10.0  # requests per second that count as full demand
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -21,7 +21,7 @@
 
 
 class Outlook(Scorer):
-    """It learns nothing: what it uses comes from agreed drains and from predicted demand."""
+    """It learns nothing: its inputs are drains that are in force, and predicted demand."""
 
     def __init__(self, parameters: Parameters, setting: Setting) -> None:
         self.drain_us = parameters.drain_part * setting.most_us
@@ -29,7 +29,7 @@
         self.demand_s = parameters.demand_s
 
     def added_us(self, view: View) -> list[float]:
-        """Add for a drain, and for cold by demand."""
+        """Add time for a drain, and for a cold backend by demand."""
         drain_us = self.drain_us
         times = [drain_us if draining else 0.0 for draining in view.draining]
         wanted = min(1.0, view.demand / self.demand_s)
--- a/hophinge/scoring/sharing.py
+++ b/hophinge/scoring/sharing.py
@@ -1,218 +1,247 @@
-"""What peers say of bricks: read from the board, aged, judged by one's own answers, and merged for one scorer."""
+"""The weights of peers: read from replicated entries, aged, judged by own answers, and merged for each scorer."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Container, Iterable, Iterator, Mapping, Sequence
 from itertools import islice
+from typing import NamedTuple
 
 from msgspec import Struct
 
-from hophinge.cluster.interface import Entry, Topic
+from hophinge.cluster.interface import Entry, EntryVersion, Topic
 from hophinge.scoring import encoding
 from hophinge.scoring.interface import Weight
-from hophinge.scoring.merge import APART, MIN_WORDS, SURE, Agreement, combined, hearsay, trimmed
-
-BEAT_US = 5_000_000  # between changes of entry 0, that show that a member still speaks
-FRESH_US = 15_000_000  # three beats, some of which may be lost, before a word begins to age
-HALF_LIFE_US = 5_000_000  # in which it then comes to count for half
-FORGOTTEN_US = 60_000_000  # it has counted for less than a hundredth for ten seconds
-MAX_WORDS = 20_000  # that are looked at for one purpose in one tick: some tens of milliseconds
-MAX_TAKEN = 500  # entries that are read in one tick; others that have changed are read in the next
-SLICE = 500  # looks at entries or words in one go: under a millisecond
-TAKING = 10  # looks that reading an entry counts as, beside one for each ten bytes of it
-MAX_OWNERS = 1_000  # whose words and mistakes are kept, the default bound on members
-
-Merge = Callable[[Sequence[tuple[float, float]]], float]
-
-
-class Peer:
-    """One member's words for one scorer."""
-
-    __slots__ = ("agreement", "chunks", "heard_us", "words")
+from hophinge.scoring.merge import (
+    MAX_AGREED_DIFFERENCE,
+    MIN_JUDGING_EVIDENCE,
+    MIN_REPORTS,
+    Agreement,
+    combine,
+    trim_count,
+    trimmed_mean,
+)
+
+HEARTBEAT_US = 5_000_000  # between changes of entry 0, which show that a member is alive
+FRESH_US = 15_000_000  # three heartbeats, some of which may be lost, before weights begin to age
+HALF_LIFE_US = 5_000_000  # in which they then halve
+FORGOTTEN_US = 60_000_000  # by then they have counted for less than a hundredth for ten seconds
+MAX_REPORTS = 20_000  # processed for one purpose in one tick: some tens of milliseconds
+MAX_ENTRIES_READ = 500  # in one tick; other entries that have changed are read in the next
+SLICE_STEPS = 500  # entries or reports processed at a time: under a millisecond
+READ_STEPS = 10  # that decoding an entry counts as, beside one for each ten bytes of it
+MAX_OWNERS = 1_000  # whose weights and errors are stored: the default limit on members
+
+# From the weights of peers, each with the trust in it, to one weight.
+MergeFunction = Callable[[Sequence[tuple[float, float]]], float]
+
+
+class PeerWeights:
+    """The weights of one member for one scorer."""
+
+    __slots__ = ("agreement", "last_changed_us", "weights", "weights_by_chunk")
 
     def __init__(self, now_us: int) -> None:
-        self.heard_us = now_us  # when anything of it last changed, by the own clock
-        self.chunks: dict[int, dict[str, float]] = {}
-        self.words: dict[str, float] = {}  # all its weights
+        self.last_changed_us = now_us  # when any of its entries last changed, by this head's clock
+        self.weights_by_chunk: dict[int, dict[str, float]] = {}
+        self.weights: dict[str, float] = {}  # of all chunks
         self.agreement = Agreement()
 
-    def say(self, chunk: int, words: dict[str, float] | None) -> None:
-        """Take one entry's weights, or that it is no more."""
-        if words is None:
-            self.chunks.pop(chunk, None)
+    def set_chunk(self, chunk: int, weights: dict[str, float] | None) -> None:
+        """Replace the weights of one chunk; None: its entry was deleted."""
+        if weights is None:
+            self.weights_by_chunk.pop(chunk, None)
         else:
-            self.chunks[chunk] = words
-        self.words = {node: word for part in self.chunks.values() for node, word in part.items()}
+            self.weights_by_chunk[chunk] = weights
+        self.weights = {node: weight for chunk in self.weights_by_chunk.values() for node, weight in chunk.items()}
 
     def freshness(self, now_us: int) -> float:
-        """Tell how much its word still counts, from 1 down to 0."""
-        age = now_us - self.heard_us - FRESH_US
-        return 1.0 if age <= 0 else 0.0 if age > FORGOTTEN_US - FRESH_US else 2.0 ** (-age / HALF_LIFE_US)
+        """Return how much its weights still count, from 1 down to 0."""
+        age = now_us - self.last_changed_us - FRESH_US
+        if age <= 0:
+            return 1.0
+        return 0.0 if age > FORGOTTEN_US - FRESH_US else 2.0 ** (-age / HALF_LIFE_US)
 
 
-class Looks:
-    """How much was done since a tick last stood still."""
+class WorkSlice:
+    """The work that was done since a tick last yielded."""
 
     def __init__(self) -> None:
-        self.done = 0
+        self.steps = 0
 
-    def enough(self, more: int) -> bool:
-        """Count what was done, and once more for having gone there; tells whether the tick should stand still now."""
-        self.done += more + 1
-        if self.done < SLICE:
+    def should_yield(self, steps: int) -> bool:
+        """Count work, and one step for reaching it; returns whether the tick should yield now."""
+        self.steps += steps + 1
+        if self.steps < SLICE_STEPS:
             return False
-        self.done = 0
+        self.steps = 0
         return True
 
 
-class Shared:
-    """All that peers say for one scorer."""
+class PeerReport(NamedTuple):
+    """What one peer contributes to a merge."""
+
+    weights: dict[str, float]
+    freshness: float  # from 0 to 1
+    trust: float
+
+
+class SharedWeights:
+    """The weights of all peers for one scorer."""
 
-    def __init__(self, version: str, merge: Merge = hearsay) -> None:
-        self.version, self.merge = version, merge
-        self.peers: dict[str, Peer] = {}
+    def __init__(self, version: str, merge: MergeFunction = trimmed_mean) -> None:
+        self.version = version
+        self.merge = merge
+        self.peers: dict[str, PeerWeights] = {}
 
-    def take(self, now_us: int, owner: str, chunk: int, version: str, words: dict[str, float]) -> None:
-        """Take a peer's entry as it now is."""
+    def apply_entry(self, now_us: int, owner: str, chunk: int, version: str, weights: dict[str, float]) -> None:
+        """Apply a peer's entry."""
         if owner not in self.peers and len(self.peers) >= MAX_OWNERS:
             return
-        peer = self.peers.setdefault(owner, Peer(now_us))
-        peer.heard_us = now_us
-        peer.say(chunk, words)
+        peer = self.peers.setdefault(owner, PeerWeights(now_us))
+        peer.last_changed_us = now_us
+        peer.set_chunk(chunk, weights)
 
-    def gone(self, owner: str, chunk: int) -> None:
-        """Take that a peer's entry is no more; its judgement stays until the peer is forgotten."""
+    def remove_entry(self, owner: str, chunk: int) -> None:
+        """Remove a peer's entry; the trust in the peer stays until it is forgotten."""
         if (peer := self.peers.get(owner)) is not None:
-            peer.say(chunk, None)
+            peer.set_chunk(chunk, None)
 
-    def begin_anew(self, owner: str) -> None:
-        """Take that a peer which was gone speaks again: what it said before is not its word any more."""
+    def clear_peer(self, owner: str) -> None:
+        """Drop the weights of a peer that was gone and is back: its former entries are not valid any more."""
         if (peer := self.peers.get(owner)) is not None:
-            peer.chunks = {}
-            peer.words = {}
-
-    def judge(self, now_us: int, own: Mapping[str, Weight]) -> Iterator[None]:
-        """Compare fresh words with one's own answers, in slices; forget who has long been silent."""
-        sure = {node: weight.value for node, weight in own.items() if weight.evidence >= SURE}
-        most = MAX_WORDS // max(1, len(self.peers))
-        accused = [node for node, value in sure.items() if value > APART][:most]
-        looks = Looks()
+            peer.weights_by_chunk = {}
+            peer.weights = {}
+
+    def judge_peers(self, now_us: int, own: Mapping[str, Weight]) -> Iterator[None]:
+        """Compare fresh reports with own weights, in slices; forget peers that have been silent for long."""
+        reliable = {node: weight.value for node, weight in own.items() if weight.evidence >= MIN_JUDGING_EVIDENCE}
+        max_reports = MAX_REPORTS // max(1, len(self.peers))
+        accused = [node for node, value in reliable.items() if value > MAX_AGREED_DIFFERENCE][:max_reports]
+        work = WorkSlice()
         for owner, peer in list(self.peers.items()):
-            if now_us - peer.heard_us > FORGOTTEN_US:
+            if now_us - peer.last_changed_us > FORGOTTEN_US:
                 del self.peers[owner]
-            elif peer.chunks and now_us - peer.heard_us <= FRESH_US:
-                peer.agreement.compare(sure, accused, peer.words, most)
-                if looks.enough(min(most, len(peer.words)) + len(accused)):
+            elif peer.weights_by_chunk and now_us - peer.last_changed_us <= FRESH_US:
+                peer.agreement.compare(reliable, accused, peer.weights, max_reports)
+                if work.should_yield(min(max_reports, len(peer.weights)) + len(accused)):
                     yield
 
-    def weights(
-        self, now_us: int, own: Mapping[str, Weight], nodes: Container[str], found: dict[str, float]
+    def merge_weights(
+        self, now_us: int, own: Mapping[str, Weight], nodes: Container[str], merged: dict[str, float]
     ) -> Iterator[None]:
-        """Find the weights to use, in slices, of bricks in this head's own list; neutral ones are left out."""
-        heard: list[tuple[dict[str, float], float, float]] = []
-        named = {node: 0 for node, weight in own.items() if weight.value > 0.0 and node in nodes}
-        fresh, most = 0.0, MAX_WORDS // max(1, len(self.peers))
-        looks = Looks()
+        """Compute the weights to use, in slices, of backends that this head lists; neutral ones are left out."""
+        reports: list[PeerReport] = []
+        report_counts = {node: 0 for node, weight in own.items() if weight.value > 0.0 and node in nodes}
+        total_freshness = 0.0
+        max_reports = MAX_REPORTS // max(1, len(self.peers))
+        work = WorkSlice()
         for peer in self.peers.values():
-            part = peer.freshness(now_us)
-            if peer.chunks and part > 0.0:
-                heard.append((peer.words, part, peer.agreement.trust))
-                fresh += part
-                for node in islice(peer.words, most):
+            freshness = peer.freshness(now_us)
+            if peer.weights_by_chunk and freshness > 0.0:
+                reports.append(PeerReport(peer.weights, freshness, peer.agreement.trust))
+                total_freshness += freshness
+                for node in islice(peer.weights, max_reports):
                     if node in nodes:
-                        named[node] = named.get(node, 0) + 1
-                if looks.enough(min(most, len(peer.words))):
+                        report_counts[node] = report_counts.get(node, 0) + 1
+                if work.should_yield(min(max_reports, len(peer.weights))):
                     yield
-        found |= {node: own[node].value for node in named if node in own and own[node].value > 0.0}
-        # What too few say is cut off by the merge anyway; a flood of accusations must not keep this head from its work.
-        few = trimmed(max(len(heard), MIN_WORDS)) if self.merge is hearsay else 0
-        told = [node for node, number in named.items() if number > few]
-        for node in sorted(told, key=lambda node: (-named[node], node))[: MAX_WORDS // max(1, len(heard))]:
-            words = [(said.get(node, 0.0) * part, trust) for said, part, trust in heard]
-            if (weight := combined(own.get(node), self.merge(words), fresh / len(heard))) > 0.0:
-                found[node] = weight
-            if looks.enough(len(words)):
+        merged |= {node: own[node].value for node in report_counts if node in own and own[node].value > 0.0}
+        # Reports by too few peers are trimmed by the merge anyway; a flood of them must not delay this head's work.
+        trimmed = trim_count(max(len(reports), MIN_REPORTS)) if self.merge is trimmed_mean else 0
+        reported = [node for node, count in report_counts.items() if count > trimmed]
+        reported.sort(key=lambda node: (-report_counts[node], node))
+        for node in reported[: MAX_REPORTS // max(1, len(reports))]:
+            weighted = [(weights.get(node, 0.0) * freshness, trust) for weights, freshness, trust in reports]
+            weight = combine(own.get(node), self.merge(weighted), total_freshness / len(reports))
+            if weight > 0.0:
+                merged[node] = weight
+            if work.should_yield(len(weighted)):
                 yield
 
 
-class Last(Struct, gc=False):
-    """An entry as it was last read, and in which reading it was last there."""
+class ReadEntry(Struct, gc=False):
+    """The version of an entry that was read last, and the pass in which the entry last existed."""
 
-    version: tuple[int, int]
-    held: int
+    version: EntryVersion
+    last_pass: int
 
 
-class Reader:
-    """Entries of the board as they change, sorted to scorers; what is none is dropped and counted by owner."""
+class EntryReader:
+    """Reads entries as they change, and passes them on by scorer; invalid ones are dropped and counted by owner."""
 
-    def __init__(self, me: str, shared: Mapping[str, Shared]) -> None:
-        self.me, self.shared = me, shared
-        self.versions: dict[tuple[str, str], Last] = {}
-        self.reading = 0  # how often all entries were looked at
-        self.left: set[str] = set()  # owners of which all entries are gone
-        self.bad: dict[str, int] = {}  # entries dropped, by owner
+    def __init__(self, own_name: str, shared: Mapping[str, SharedWeights]) -> None:
+        self.own_name = own_name
+        self.shared = shared
+        self.entries_read: dict[tuple[str, str], ReadEntry] = {}
+        self.passes = 0  # over all entries
+        self.departed: set[str] = set()  # owners of which all entries are gone
+        self.invalid_entries: dict[str, int] = {}  # by owner
         self.other_versions: dict[str, int] = {}  # entries of another version of a scorer, by owner
 
     def read(self, now_us: int, entries: Iterable[Entry]) -> Iterator[None]:
-        """Take all entries that are held now, in slices; those that have not changed cost a look."""
-        self.reading += 1
-        speak: set[str] = set()
-        taken, looks = 0, Looks()
+        """Read all current entries, in slices; an unchanged one costs one step."""
+        self.passes += 1
+        present_owners: set[str] = set()
+        read_count = 0
+        work = WorkSlice()
         for entry in entries:
-            cost = 0
-            if entry.owner == self.me or entry.topic is not Topic.WEIGHTS:
+            steps = 0
+            if entry.owner == self.own_name or entry.topic is not Topic.WEIGHTS:
                 continue
-            at = entry.owner, entry.key
-            speak.add(entry.owner)
-            if (last := self.versions.get(at)) is not None:
-                last.held = self.reading
-            if (last is None or last.version != entry.version) and taken < MAX_TAKEN:
-                taken += 1
-                self.versions[at] = Last(entry.version, self.reading)
-                self._take(now_us, entry)
-                cost = TAKING + len(entry.value) // 10
-            if looks.enough(cost):
+            owned_key = entry.owner, entry.key
+            present_owners.add(entry.owner)
+            last_read = self.entries_read.get(owned_key)
+            if last_read is not None:
+                last_read.last_pass = self.passes
+            if (last_read is None or last_read.version != entry.version) and read_count < MAX_ENTRIES_READ:
+                read_count += 1
+                self.entries_read[owned_key] = ReadEntry(entry.version, self.passes)
+                self._read_entry(now_us, entry)
+                steps = READ_STEPS + len(entry.value) // 10
+            if work.should_yield(steps):
                 yield
-        for at in list(self.versions):
-            if looks.enough(0):
+        for owner, key in list(self.entries_read):
+            if work.should_yield(0):
                 yield
-            if self.versions[at].held == self.reading:
+            if self.entries_read[owner, key].last_pass == self.passes:
                 continue
-            del self.versions[at]
-            # Who takes an entry back says so. Of a member that is gone all are; what it said last ages, as of one that
-            # has fallen silent: else a split would make the few that are left the judges of everything at once.
-            if at[0] in speak:
-                self._gone(*at)
+            del self.entries_read[owner, key]
+            # A live owner deletes an entry on purpose. Of a member that is gone all entries are; its last weights age
+            # as those of a silent one: otherwise a partition would leave all judgement to the few that remain.
+            if owner in present_owners:
+                self._remove_entry(owner, key)
             else:
-                self.left.add(at[0])
-        self.left = {owner for owner in self.left if any(owner in shared.peers for shared in self.shared.values())}
-
-    def _take(self, now_us: int, entry: Entry) -> None:
-        if entry.owner in self.left:
-            self.left.discard(entry.owner)
-            for one in self.shared.values():
-                one.begin_anew(entry.owner)
+                self.departed.add(owner)
+        self.departed = {
+            owner for owner in self.departed if any(owner in shared.peers for shared in self.shared.values())
+        }
+
+    def _read_entry(self, now_us: int, entry: Entry) -> None:
+        if entry.owner in self.departed:
+            self.departed.discard(entry.owner)
+            for shared_weights in self.shared.values():
+                shared_weights.clear_peer(entry.owner)
         try:
-            scorer, chunk = encoding.place(entry.key)
-            version, words = encoding.decode(chunk, entry.value)
-        except encoding.UnusableError:
-            self._count(self.bad, entry.owner)
-            return self._gone(entry.owner, entry.key)  # what it said before is not its word any more
+            scorer, chunk = encoding.parse_key(entry.key)
+            version, weights = encoding.decode(chunk, entry.value)
+        except encoding.InvalidEntryError:
+            self._count(self.invalid_entries, entry.owner)
+            return self._remove_entry(entry.owner, entry.key)  # its former content is not valid any more
         shared = self.shared.get(scorer)
         if shared is None:
-            return None  # a scorer that is not at work here
+            return None  # a scorer that is not in use here
         if version != shared.version:
             self._count(self.other_versions, entry.owner)
-            return self._gone(entry.owner, entry.key)
-        return shared.take(now_us, entry.owner, chunk, version, words)
+            return self._remove_entry(entry.owner, entry.key)
+        return shared.apply_entry(now_us, entry.owner, chunk, version, weights)
 
-    def _gone(self, owner: str, key: str) -> None:
+    def _remove_entry(self, owner: str, key: str) -> None:
         try:
-            scorer, chunk = encoding.place(key)
-        except encoding.UnusableError:
+            scorer, chunk = encoding.parse_key(key)
+        except encoding.InvalidEntryError:
             return
         if (shared := self.shared.get(scorer)) is not None:
-            shared.gone(owner, chunk)
+            shared.remove_entry(owner, chunk)
 
     def _count(self, counts: dict[str, int], owner: str) -> None:
         if owner in counts or len(counts) < MAX_OWNERS:
--- a/hophinge/scoring/sketch.py
+++ b/hophinge/scoring/sketch.py
@@ -1,54 +1,56 @@
-"""A sketch of how long a brick's answers take: a histogram in steps of a fixed ratio whose counts decay with time.
+"""A sketch of a backend's latency: a histogram with buckets of a fixed ratio whose counts decay with time.
 
-Quantiles are right to within a tenth. Older answers count for less by forward decay (Cormode and others, 2009): new
-ones are entered with a weight that grows, so that no count is touched until the weights grow too large.
+Quantiles are exact to within a tenth. Older answers count for less by forward decay (Cormode et al., 2009): new ones
+are added with an increasing weight, so that no count is changed until the weights become too large.
 """
 
 from __future__ import annotations
 
 import math
 
-RATIO = 1.2  # between a step's ends: its middle is at most a tenth from any answer in it
-MIN_US = 100.0  # answers below are one step
-STEPS = 80  # up to 100 us * 1.2 ** 79, three minutes; no request lives so long
-LOG_RATIO = math.log(RATIO)
-LARGEST_POWER = 60.0  # half-lives after which counts are brought down, far from where floats end
+BUCKET_RATIO = 1.2  # of a bucket's ends: its middle is at most a tenth from any answer in it
+MIN_US = 100.0  # answers below share one bucket
+BUCKETS = 80  # up to 100 us * 1.2 ** 79, three minutes; no request lives so long
+LOG_RATIO = math.log(BUCKET_RATIO)
+MAX_POWER = 60.0  # half-lives after which counts are scaled down, far below overflow
 
 
-class Sketch:
-    """One brick's answers."""
+class LatencySketch:
+    """The latency of one backend's answers."""
 
     __slots__ = ("counts", "half_life_us", "start_us", "total")
 
     def __init__(self, half_life_us: float, now_us: int) -> None:
-        self.half_life_us, self.start_us = half_life_us, now_us
-        self.counts = [0.0] * STEPS
+        self.half_life_us = half_life_us
+        self.start_us = now_us
+        self.counts = [0.0] * BUCKETS
         self.total = 0.0
 
     def add(self, now_us: int, took_us: float) -> None:
-        """Count one answer."""
+        """Add one answer."""
         power = (now_us - self.start_us) / self.half_life_us
-        if power > LARGEST_POWER:
+        if power > MAX_POWER:
             factor = 2.0 ** -min(power, 1000.0)
             self.counts = [count * factor for count in self.counts]
             self.total = math.fsum(self.counts)
-            self.start_us, power = now_us, 0.0
-        step = int(math.log(took_us / MIN_US) / LOG_RATIO) + 1 if took_us > MIN_US else 0
+            self.start_us = now_us
+            power = 0.0
+        bucket = int(math.log(took_us / MIN_US) / LOG_RATIO) + 1 if took_us > MIN_US else 0
         weight = 2.0**power
-        self.counts[min(step, STEPS - 1)] += weight
+        self.counts[min(bucket, BUCKETS - 1)] += weight
         self.total += weight
 
     def evidence(self, now_us: int) -> float:
-        """Tell how many answers it rests on, older ones counted for less."""
+        """Return how many answers the sketch rests on, older ones counted for less."""
         return self.total * math.pow(2.0, -min((now_us - self.start_us) / self.half_life_us, 1000.0))
 
-    def quantile_us(self, part: float) -> float:
-        """Tell the time below which this part of the answers lies; 0.0 where there is none."""
+    def quantile_us(self, quantile: float) -> float:
+        """Return a quantile of the answers in microseconds; 0.0 without answers."""
         if self.total <= 0.0:
             return 0.0
-        left = part * self.total
-        for step, count in enumerate(self.counts):
-            left -= count
-            if left <= 0.0 and count:
-                return MIN_US * RATIO ** (step - 0.5) if step else MIN_US
-        return MIN_US * RATIO ** (STEPS - 1)
+        remaining = quantile * self.total
+        for bucket, count in enumerate(self.counts):
+            remaining -= count
+            if remaining <= 0.0 and count:
+                return MIN_US * BUCKET_RATIO ** (bucket - 0.5) if bucket else MIN_US
+        return MIN_US * BUCKET_RATIO ** (BUCKETS - 1)
--- a/hophinge/scoring/testing.py
+++ b/hophinge/scoring/testing.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the tests of scorers: candidates and views without a head."""
+"""Test doubles for scorers: candidates and views without a head."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Candidate(Struct, frozen=True):
-    """A candidate as a test wants it; times in microseconds, `free` on the clock of the view."""
+    """A candidate of a test; times in microseconds, `free` on the clock of the view."""
 
     node: str
     zone: int = 0
@@ -23,7 +23,7 @@
 
     @property
     def entry(self) -> api.NodeEntry:
-        """Tell its entry in the node list."""
+        """Its entry in the node list."""
         return api.NodeEntry(self.node, self.zone, 0, api.Phase.ON, 1.0, 0)
 
     @property
@@ -49,7 +49,7 @@
     drains: Collection[str] = (),
     demand: float = 0.0,
 ) -> View:
-    """Make a view of a choice among candidates."""
+    """Create a view of a choice among candidates."""
     around = Surroundings()
     around.drains, around.demand = drains, lambda asked: demand if asked == key else 0.0
     ask = api.Arrival("request", units, "volume", 0, -1, 1, key, 1_000_000, True, 0)
--- a/tests/scoring_parts.py
+++ b/tests/scoring_parts.py
@@ -10,7 +10,7 @@
 from hophinge.core.choice.node_state import NodeState
 from hophinge.core.interface import Arrival, NodeEntry, Phase
 from hophinge.scoring import encoding
-from hophinge.scoring.engine import Engine, Put
+from hophinge.scoring.engine import ScoringEngine, PutEntry
 from hophinge.scoring.interface import GROUP, Scorer, Setting, Surroundings, View
 from hophinge.scoring.suspicion import Parameters, Suspicion
 
@@ -53,9 +53,9 @@
     log: list[str] | None = None,
     versions: Mapping[str, str] | None = None,
     surroundings: Surroundings | None = None,
-) -> Engine:
+) -> ScoringEngine:
     clock = clock or Clock()
-    return Engine(
+    return ScoringEngine(
         scorers,
         versions or {},
         MAX_US,
@@ -67,7 +67,7 @@
     )
 
 
-def sharer(name: str = "me") -> tuple[Engine, Suspicion]:
+def sharer(name: str = "me") -> tuple[ScoringEngine, Suspicion]:
     """A head with one scorer, which shares."""
     scorer = Suspicion(Parameters(), SETTING)
     head = engine({"suspicion": scorer}, versions={"suspicion": VERSION})
@@ -101,15 +101,15 @@
     def say(self, owner: str, beat: int, words: Mapping[str, float], version: str = VERSION) -> None:
         """Put a member's words of suspicion, whatever they are worth."""
         for chunk, value in encoding.encode(version, beat, words)[0].items():
-            self.put(owner, encoding.key("suspicion", chunk), value)
+            self.put(owner, encoding.entry_key("suspicion", chunk), value)
 
     def entries(self) -> Iterable[Entry]:
         return list(self.held.values())
 
-    def tick(self, now_us: int, name: str, head: Engine, nodes: Iterable[str]) -> None:
+    def tick(self, now_us: int, name: str, head: ScoringEngine, nodes: Iterable[str]) -> None:
         for action in head.tick(now_us, set(nodes), self.entries()):
-            if isinstance(action, Put):
+            if isinstance(action, PutEntry):
                 self.put(name, action.key, action.value)
             else:
                 del self.held[name, action.key]
-            head.done(action)
+            head.confirm(action)
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -111,7 +111,7 @@
     "ledger: bucket": (tenancy_records.Bucket, json_bytes),
     "ledger: key": (tenancy_records.Key, json_bytes),
     "board: drain statement": (statements.Statement, msgpack_bytes),
-    "board: scorer's table": (encoding.Table, msgpack_bytes),
+    "board: scorer's table": (encoding.WeightTable, msgpack_bytes),
     "object: manifest": (object_records.Manifest, msgpack_bytes),
     "object: part": (object_records.Part, msgpack_bytes),
     "object: upload": (object_records.Upload, msgpack_bytes),
--- a/tests/test_scoring_pauses.py
+++ b/tests/test_scoring_exclusion.py
@@ -6,14 +6,14 @@
 
 from hophinge.scoring.guard import HungError
 from hophinge.scoring.interface import View
-from hophinge.scoring.pauses import (
-    EXCUSED,
-    FIRST_PAUSE_US,
-    LONGEST_PAUSE_US,
-    OFF_AFTER_SLOW,
-    PROBATION,
-    WATCHED,
-    Pauses,
+from hophinge.scoring.exclusion import (
+    MAX_EXCUSED,
+    INITIAL_BACKOFF_US,
+    MAX_BACKOFF_US,
+    MAX_SLOW_BACKOFFS,
+    PROBATION_CALLS,
+    MEASURED_CALLS,
+    ScorerExclusion,
 )
 from tests.scoring_parts import ASK, Clock, Says, books, engine
 
@@ -41,13 +41,13 @@
     ("calls", "left_out"),
     [
         ([PREEMPTED] * 40, False),
-        ([COLLECTED] * EXCUSED, False),
+        ([COLLECTED] * MAX_EXCUSED, False),
         ([BUSY], False),
         ([BUSY] * 2, True),
         ([SLEEPS] * 2, True),
         ([SLEEPS, PREEMPTED, BUSY], True),
         ([BUSY_AND_COLLECTED] * 2, True),
-        ([COLLECTED] * (EXCUSED + 2), True),
+        ([COLLECTED] * (MAX_EXCUSED + 2), True),
     ],
 )
 def test_a_call_over_its_time_costs_that_choice_alone_unless_the_scorer_itself_was_slow_twice(
@@ -57,7 +57,7 @@
     head = engine({"late": late(used := list(calls), clock)}, clock)
     one = head.guard.scorers[0]
     while used:
-        assert head.added_us(T0, ASK, books("a")) == {} and one.pauses.may(T0) is not (left_out and not used)
+        assert head.added_us(T0, ASK, books("a")) == {} and one.exclusion.is_callable(T0) is not (left_out and not used)
     assert one.counts["slow"] == len(calls)
     assert head.added_us(T0, ASK, books("a")) == ({} if left_out else {"a": 5.0})
 
@@ -65,15 +65,15 @@
 def test_proofs_far_apart_are_chance_and_a_call_is_measured_only_under_watch() -> None:
     clock, used = Clock(), [BUSY]
     head = engine({"late": late(used, clock)}, clock)
-    pauses = head.guard.scorers[0].pauses
-    for wanted in ({}, *[{"a": 5.0}] * WATCHED):
+    pauses = head.guard.scorers[0].exclusion
+    for wanted in ({}, *[{"a": 5.0}] * MEASURED_CALLS):
         assert head.added_us(T0, ASK, books("a")) == wanted
-    assert not pauses.watched
+    assert not pauses.measured_calls_left
     for _ in range(2):  # the first is not measured, and proves nothing; the second is the first proof again
         used.append(BUSY)
-        assert head.added_us(T0, ASK, books("a")) == {} and pauses.may(T0)
+        assert head.added_us(T0, ASK, books("a")) == {} and pauses.is_callable(T0)
     used.append(BUSY)
-    assert head.added_us(T0, ASK, books("a")) == {} and not pauses.may(T0)
+    assert head.added_us(T0, ASK, books("a")) == {} and not pauses.is_callable(T0)
 
 
 def test_a_slow_scorer_is_left_out_by_growing_pauses_comes_back_and_is_off_at_last() -> None:
@@ -81,20 +81,20 @@
     head = engine({"slow": late(used := [BUSY] * 3, clock)}, clock)
     one, now = head.guard.scorers[0], T0
     head.added_us(now, ASK, books("a"))
-    assert head.added_us(now, ASK, books("a")) == {} and not one.pauses.may(now + FIRST_PAUSE_US - 1)
-    now += FIRST_PAUSE_US
-    assert head.added_us(now, ASK, books("a")) == {} and not one.pauses.may(now + 2 * FIRST_PAUSE_US - 1)
-    now += 2 * FIRST_PAUSE_US
-    for _ in range(PROBATION):
+    assert head.added_us(now, ASK, books("a")) == {} and not one.exclusion.is_callable(now + INITIAL_BACKOFF_US - 1)
+    now += INITIAL_BACKOFF_US
+    assert head.added_us(now, ASK, books("a")) == {} and not one.exclusion.is_callable(now + 2 * INITIAL_BACKOFF_US - 1)
+    now += 2 * INITIAL_BACKOFF_US
+    for _ in range(PROBATION_CALLS):
         assert head.added_us(now, ASK, books("a")) == {"a": 5.0}
-    assert one.pauses.mistakes == 0 and one.counts["slow"] == 3
-    used += [BUSY] * (OFF_AFTER_SLOW + 1)
+    assert one.exclusion.failures == 0 and one.counts["slow"] == 3
+    used += [BUSY] * (MAX_SLOW_BACKOFFS + 1)
     while used:
         head.added_us(now, ASK, books("a"))
-        now += LONGEST_PAUSE_US
-    assert one.pauses.off and one.counts["slow"] == 4 + OFF_AFTER_SLOW
-    assert head.added_us(now + 100 * LONGEST_PAUSE_US, ASK, books("a")) == {}
-    head.resume()
+        now += MAX_BACKOFF_US
+    assert one.exclusion.is_disabled and one.counts["slow"] == 4 + MAX_SLOW_BACKOFFS
+    assert head.added_us(now + 100 * MAX_BACKOFF_US, ASK, books("a")) == {}
+    head.reinstate_all()
     assert head.added_us(now, ASK, books("a")) == {"a": 5.0}
 
 
@@ -105,7 +105,7 @@
     def say(view: View) -> object:
         clock.ns += 1_500_000_000
         try:
-            head.guard.interrupt(head.guard.since)
+            head.guard.interrupt(head.guard.running_since_ns)
         except HungError:
             if not swallows:
                 raise
@@ -117,14 +117,14 @@
         assert head.added_us(T0, ASK, books("a")) == {"a": 7.0}
         head.guard.interrupt(began)  # too late: another call, or none, runs now
     one = head.guard.scorers[0]
-    assert one.pauses.off and one.counts["hung"] == one.counts["asked"] == 1 and one.counts["slow"] == 0
+    assert one.exclusion.is_disabled and one.counts["hung"] == one.counts["asked"] == 1 and one.counts["slow"] == 0
     assert len(log) == 1 and "[scorer-hung]" in log[0]
 
 
 def test_pauses_have_a_cap_and_a_scorer_that_raises_is_never_off_for_good() -> None:
-    pauses, now = Pauses(), 0
+    pauses, now = ScorerExclusion(), 0
     for _ in range(40):
-        pauses.went_wrong(now)
-        assert 0 < pauses.until_us - now <= LONGEST_PAUSE_US
-        now = pauses.until_us
-    assert pauses.may(now)
+        pauses.record_failure(now)
+        assert 0 < pauses.excluded_until_us - now <= MAX_BACKOFF_US
+        now = pauses.excluded_until_us
+    assert pauses.is_callable(now)
--- a/tests/test_scoring_guard.py
+++ b/tests/test_scoring_guard.py
@@ -14,7 +14,7 @@
 from hophinge.core.interface import Result
 from hophinge.scoring import guard
 from hophinge.scoring.interface import Scorer, View, Weight
-from hophinge.scoring.pauses import FIRST_PAUSE_US
+from hophinge.scoring.exclusion import INITIAL_BACKOFF_US
 from tests.scoring_parts import ASK, MAX_US, Says, books, engine
 
 T0 = 50_000_000
@@ -109,7 +109,7 @@
         assert added.keys() <= set(NAMES)
         assert all(isinstance(time, float) and 0.0 < time <= MAX_US for time in added.values())
         assert added["a"] >= 10.0 and added["c"] >= 20.0
-    wrong = [one for one in head.guard.scorers if one.pauses.mistakes]
+    wrong = [one for one in head.guard.scorers if one.exclusion.failures]
     assert not any(one.name == "good" for one in wrong)
     if len(wrong) == len(behaviours):
         assert head.added_us(T0 + 4, ASK, books(*NAMES)) == {"a": 10.0, "c": 20.0}
@@ -131,7 +131,7 @@
 
     def unclamped(self: guard.Guard, scorers: Any, most_us: float, *rest: Any) -> None:
         real(self, scorers, most_us, *rest)
-        self.most_us = math.inf
+        self.max_added_us = math.inf
 
     monkeypatch.setattr(guard.Guard, "__init__", unclamped)
     with pytest.raises(AssertionError):
@@ -139,7 +139,7 @@
 
 
 def test_the_check_catches_a_guard_that_looks_at_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(guard, "checked", lambda times, number: list(times))
+    monkeypatch.setattr(guard, "check_times", lambda returned, count: list(returned))
     with pytest.raises((AssertionError, ValueError, TypeError)):
         check([lambda view: [math.nan] * 4, lambda view: [-1.0] * 9])
 
@@ -183,7 +183,7 @@
     head = engine({"bad": BadLearner()}, versions={"bad": "1"})
     head.share_as("me")
     assert head.tick(T0, {"a"}) == [] and head.guard.scorers[0].counts["not_a_number"] == 1
-    now = T0 + FIRST_PAUSE_US
+    now = T0 + INITIAL_BACKOFF_US
     head.heard(now, "a", Result.OK, 5)
     assert head.guard.scorers[0].counts["raised"] == 1
     assert head.added_us(now, ASK, books("a")) == {}
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -19,7 +19,7 @@
 from hophinge.head.scoring import Scoring, usage
 from hophinge.head.sections import ScoringConfig
 from hophinge.scoring import encoding, sharing
-from hophinge.scoring.engine import Engine
+from hophinge.scoring.engine import ScoringEngine
 from hophinge.scoring.interface import Surroundings, View
 from tests.scoring_parts import ASK, Clock, Says, books
 from tests.test_choice import MS, SETTINGS, T0, ask, node
@@ -86,7 +86,7 @@
     exchange.arrive(ask("r", shard=-1), None, answers.append)
     loop.advance(0)
     assert tried == ["n2"] and [answer.verdict for answer in answers] == [Verdict.SERVED]
-    sketch = scoring.engine.guard.named("latency").scorer.sketches["n2"]  # type: ignore[attr-defined]   # of Latency
+    sketch = scoring.engine.guard.find("latency").scorer.sketches["n2"]  # type: ignore[attr-defined]   # of Latency
     assert sketch.total == 1.0 and abs(sketch.quantile_us(0.5) - 5 * MS) < MS
 
 
@@ -101,7 +101,7 @@
     assert not board.values and log == ["no room [test-full] Wait."]
     board.wrong = None
     scoring.tick()
-    key = encoding.key("suspicion", encoding.chunk_of("n0"))
+    key = encoding.entry_key("suspicion", encoding.chunk_of("n0"))
     assert encoding.decode(encoding.chunk_of("n0"), board.values[key]) == ("suspicion-1", {"n0": 1.0})
     assert "outlook/0" not in board.values
     board.wrong = OSError("gone")
@@ -110,19 +110,19 @@
 
 
 def test_a_board_may_change_between_two_slices_of_a_tick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sharing, "SLICE", 1)
+    monkeypatch.setattr(sharing, "SLICE_STEPS", 1)
     _, _, scoring, log = composed()
     board = OneBoard()
     shelf = EntryStore("peer", 1, Limits(), lambda what: None, lambda entry, gone: None, lambda owner: None)
     board.entries = lambda topic: shelf.entries(TOPICS.index(topic), iter(["peer"]))  # type: ignore[method-assign]
     values = encoding.encode("suspicion-1", 1, {f"n{at}": 1.0 for at in range(4)})[0]
     for chunk, value in values.items():
-        shelf.put(Topic.WEIGHTS, encoding.key("suspicion", chunk), value)
+        shelf.put(Topic.WEIGHTS, encoding.entry_key("suspicion", chunk), value)
     scoring.share("me", board)
     for at, _ in enumerate(scoring.slices()):
         shelf.put(Topic.WEIGHTS, f"latency/{at % 8}", b"?")
     assert at > len(values) > 1 and not log
-    assert scoring.engine.shared["suspicion"].peers["peer"].words == {f"n{at}": 1.0 for at in range(4)}
+    assert scoring.engine.shared["suspicion"].peers["peer"].weights == {f"n{at}": 1.0 for at in range(4)}
 
 
 def test_a_head_that_does_not_share_tells_and_hears_nothing() -> None:
@@ -145,9 +145,9 @@
     ]
     scoring.share("me", board)
     scoring.tick()
-    one = scoring.engine.guard.named("latency")
+    one = scoring.engine.guard.find("latency")
     for _ in range(5):
-        one.pauses.went_wrong(T0, slow=True)
+        one.exclusion.record_failure(T0, is_slow=True)
     status = msgspec.json.decode(scoring.status())
     assert status["scorers"]["latency"]["off_until_told"] and status["scorers"]["suspicion"]["at_work"]
     assert status["peers"]["suspicion"] == {"peer": {"trust": 0.5, "counts_for": 1.0, "bricks": 0}}
@@ -172,7 +172,9 @@
 @pytest.mark.parametrize("say", [spin, nap])
 def test_one_that_works_or_waits_too_long_is_proved_slow_by_what_its_thread_used(say: Callable[[View], object]) -> None:
     log: list[str] = []
-    slow = Engine({"slow": Says(say)}, {}, 1e6, 200.0, time.perf_counter_ns, log.append, Surroundings(), usage=usage)
+    slow = ScoringEngine(
+        {"slow": Says(say)}, {}, 1e6, 200.0, time.perf_counter_ns, log.append, Surroundings(), usage=usage
+    )
     for _ in range(3):
         assert slow.added_us(T0, ASK, books("a")) == {}
     assert slow.guard.scorers[0].counts["slow"] == 2 and log == ["scorer slow is left out for 1 s: slow"]
--- a/tests/test_scoring_merge.py
+++ b/tests/test_scoring_merge.py
@@ -12,17 +12,17 @@
 from hophinge.scoring import merge
 from hophinge.scoring.interface import Weight
 from hophinge.scoring.merge import (
-    HEARSAY,
+    PEERS_EVIDENCE,
     MIN_TRUST,
-    NEUTRAL,
-    OWN_MAX,
+    NEUTRAL_EVIDENCE,
+    MAX_OWN_EVIDENCE,
     Agreement,
-    combined,
-    hearsay,
-    most_moved,
-    trimmed,
+    combine,
+    trimmed_mean,
+    max_influence,
+    trim_count,
 )
-from hophinge.scoring.sharing import Shared
+from hophinge.scoring.sharing import SharedWeights
 
 WORD = st.tuples(st.floats(0, 1), st.floats(MIN_TRUST, 1))
 LITTLE = 1e-9
@@ -31,10 +31,10 @@
 def check_liars(honest: list[tuple[float, float]], lies: list[tuple[float, float]]) -> None:
     """The promise: with f <= g what is heard lies between honest words (and neutral ones that fill up)."""
     words = honest + lies
-    fill = [0.0] * (merge.MIN_WORDS - len(words))
+    fill = [0.0] * (merge.MIN_REPORTS - len(words))
     values = [value for value, _ in honest] + fill
-    if values and len(lies) <= trimmed(max(len(words), merge.MIN_WORDS)):
-        assert min(values) - LITTLE <= hearsay(words) <= max(values) + LITTLE
+    if values and len(lies) <= trim_count(max(len(words), merge.MIN_REPORTS)):
+        assert min(values) - LITTLE <= trimmed_mean(words) <= max(values) + LITTLE
 
 
 @given(st.lists(WORD, max_size=20), st.lists(WORD, max_size=6))
@@ -49,7 +49,7 @@
 
 
 def test_the_check_catches_a_merge_without_its_trim(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(globals(), "hearsay", plain)
+    monkeypatch.setitem(globals(), "trimmed_mean", plain)
     with pytest.raises(AssertionError):
         check_liars([(0.0, 0.5)] * 9, [(1.0, 1.0)])
     with pytest.raises(AssertionError):
@@ -59,22 +59,22 @@
 def moved(liars: int, peers: int, evidence: float, honest_trust: float) -> float:
     """By how much liars raise a brick that is neutral to all others."""
     own = Weight(0.0, evidence) if evidence else None
-    return combined(own, hearsay([(1.0, 1.0)] * liars + [(0.0, honest_trust)] * (peers - liars)), 1.0)
+    return combine(own, trimmed_mean([(1.0, 1.0)] * liars + [(0.0, honest_trust)] * (peers - liars)), 1.0)
 
 
 @pytest.mark.parametrize("peers", [1, 2, 3, 5, 9, 19, 39])
 @pytest.mark.parametrize("evidence", [0.0, 1.0, 8.0, 1000.0])
 def test_the_stated_bound_holds_for_each_number_of_liars(peers: int, evidence: float) -> None:
     for liars in range(peers + 1):
-        bound = most_moved(liars, peers, evidence)
+        bound = max_influence(liars, peers, evidence)
         for trust in (MIN_TRUST, 0.3, 1.0):
             assert moved(liars, peers, evidence, trust) <= bound + LITTLE
         assert moved(liars, peers, evidence, MIN_TRUST) == pytest.approx(bound)  # and it is no looser than that
-        caught = most_moved(liars, peers, evidence, MIN_TRUST, 0.5)  # liars that were found out
-        assert caught <= bound + LITTLE and (caught == 0.0 or liars > trimmed(max(peers, merge.MIN_WORDS)))
-        if liars <= trimmed(max(peers, merge.MIN_WORDS)):
+        caught = max_influence(liars, peers, evidence, MIN_TRUST, 0.5)  # liars that were found out
+        assert caught <= bound + LITTLE and (caught == 0.0 or liars > trim_count(max(peers, merge.MIN_REPORTS)))
+        if liars <= trim_count(max(peers, merge.MIN_REPORTS)):
             assert bound == 0.0
-        assert bound <= HEARSAY / (HEARSAY + NEUTRAL + min(evidence, OWN_MAX)) + LITTLE
+        assert bound <= PEERS_EVIDENCE / (PEERS_EVIDENCE + NEUTRAL_EVIDENCE + min(evidence, MAX_OWN_EVIDENCE)) + LITTLE
 
 
 @given(st.floats(0, 1), st.floats(0, 1e6), st.floats(0, 1), st.floats(0, 1))
@@ -84,15 +84,18 @@
 
 def check_own(value: float, evidence: float, heard: float, part: float) -> None:
     """The promise: peers never praise, and accuse by no more than their part against own answers."""
-    weight = combined(Weight(value, evidence), heard, part)
+    weight = combine(Weight(value, evidence), heard, part)
     assert value <= weight <= max(value, heard) + LITTLE
-    assert weight - value <= HEARSAY / (HEARSAY + NEUTRAL + min(evidence, OWN_MAX)) + LITTLE
-    if evidence >= OWN_MAX:
+    assert (
+        weight - value
+        <= PEERS_EVIDENCE / (PEERS_EVIDENCE + NEUTRAL_EVIDENCE + min(evidence, MAX_OWN_EVIDENCE)) + LITTLE
+    )
+    if evidence >= MAX_OWN_EVIDENCE:
         assert weight - value <= (1.0 - value) / 2 + LITTLE  # the larger part is one's own
 
 
 def test_the_check_catches_an_own_word_outweighed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(globals(), "combined", lambda own, heard, part: heard)
+    monkeypatch.setitem(globals(), "combine", lambda own, heard, part: heard)
     with pytest.raises(AssertionError):
         check_own(0.0, 100.0, 1.0, 1.0)
     with pytest.raises(AssertionError):
@@ -100,9 +103,9 @@
 
 
 def test_words_that_have_aged_weigh_less_until_they_weigh_nothing() -> None:
-    weights = [combined(Weight(0.0, 2.0), 1.0 * part, part) for part in (1.0, 0.5, 0.1, 0.0)]
+    weights = [combine(Weight(0.0, 2.0), 1.0 * part, part) for part in (1.0, 0.5, 0.1, 0.0)]
     assert weights == sorted(weights, reverse=True) and weights[0] == 0.5 and weights[-1] == 0.0
-    assert combined(Weight(0.7, 2.0), 0.0, 0.0) == 0.7  # alone, own weights are used as they are
+    assert combine(Weight(0.7, 2.0), 0.0, 0.0) == 0.7  # alone, own weights are used as they are
 
 
 def test_trust_follows_agreement_on_backends_that_one_of_the_two_accuses() -> None:
@@ -112,21 +115,21 @@
     for _ in range(100):
         friend.compare(own, ["n3"], {"n3": 0.8 + 0.1 * rng.random()})
         liar.compare(own, ["n3"], {"n7": 1.0})
-        idle.compare(dict.fromkeys(own, 0.0), [], {"n5": merge.APART / 2})
+        idle.compare(dict.fromkeys(own, 0.0), [], {"n5": merge.MAX_AGREED_DIFFERENCE / 2})
     assert friend.trust > 0.9 and liar.trust == MIN_TRUST and idle.trust == 0.5
 
 
 def test_a_backend_of_which_little_is_known_here_judges_nobody() -> None:
-    shared = Shared("1")
+    shared = SharedWeights("1")
     for owner in ("a", "b"):
-        shared.take(0, owner, 0, "1", {"n": 1.0})
-    list(shared.judge(1, {"n": Weight(0.0, merge.SURE - 1)}))
+        shared.apply_entry(0, owner, 0, "1", {"n": 1.0})
+    list(shared.judge_peers(1, {"n": Weight(0.0, merge.MIN_JUDGING_EVIDENCE - 1)}))
     assert shared.peers["a"].agreement.trust == 0.5
-    list(shared.judge(1, {"n": Weight(0.0, merge.SURE)}))
+    list(shared.judge_peers(1, {"n": Weight(0.0, merge.MIN_JUDGING_EVIDENCE)}))
     assert shared.peers["a"].agreement.trust < 0.5
 
 
 def test_trust_weighs_among_the_words_that_are_left() -> None:
     words = [(0.0, 1.0)] * 4 + [(1.0, MIN_TRUST)] * 4
     believed = [(0.0, MIN_TRUST)] * 4 + [(1.0, 1.0)] * 4
-    assert hearsay(words) < 0.15 and hearsay(believed) > 0.85
+    assert trimmed_mean(words) < 0.15 and trimmed_mean(believed) > 0.85
--- a/tests/test_scoring_model.py
+++ b/tests/test_scoring_model.py
@@ -12,8 +12,8 @@
 
 from hophinge.core.interface import Result
 from hophinge.scoring import sharing
-from hophinge.scoring.engine import Engine
-from hophinge.scoring.merge import most_moved
+from hophinge.scoring.engine import ScoringEngine
+from hophinge.scoring.merge import max_influence
 from hophinge.scoring.suspicion import Suspicion
 from tests.scoring_parts import ASK, MAX_US, VERSION, Wall, books, sharer
 
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.wall, self.beat = T0, Wall(), 0
-        self.heads: dict[str, tuple[Engine, Suspicion]] = {}
+        self.heads: dict[str, tuple[ScoringEngine, Suspicion]] = {}
         for at in range(HEADS):
             self.start(f"h{at}")
 
@@ -78,15 +78,15 @@
         for at in [at for at in self.wall.held if at[0] == f"l{liar}"]:
             del self.wall.held[at]
 
-    def check(self, head: Engine, scorer: Suspicion) -> None:
+    def check(self, head: ScoringEngine, scorer: Suspicion) -> None:
         """The promises on a sound brick's weight and on a failing one's, right after a merge."""
         speak = [
             owner
             for owner, peer in head.shared["suspicion"].peers.items()
-            if peer.chunks and peer.freshness(self.now) > 0.0
+            if peer.weights_by_chunk and peer.freshness(self.now) > 0.0
         ]
         liars = sum(owner.startswith("l") for owner in speak)
-        bound = most_moved(liars, len(speak), 0.0)
+        bound = max_influence(liars, len(speak), 0.0)
         if liars <= max(1, len(speak) // 3):
             assert bound == 0.0
         for backend in SOUND:
@@ -101,7 +101,7 @@
         for head, _ in self.heads.values():
             added = head.added_us(self.now, ASK, books(*BACKENDS))
             assert all(0.0 < time <= MAX_US for time in added.values())
-            assert not any(one.pauses.mistakes for one in head.guard.scorers)
+            assert not any(one.exclusion.failures for one in head.guard.scorers)
 
 
 def run(phases: Sequence[Phase] = tuple(Phase)) -> None:
@@ -130,15 +130,15 @@
     name: str, mutant: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if name == "trim":
-        real = sharing.Shared.__init__
-        monkeypatch.setattr(sharing.Shared, "__init__", lambda self, version, merge: real(self, version, mutant))
+        real = sharing.SharedWeights.__init__
+        monkeypatch.setattr(sharing.SharedWeights, "__init__", lambda self, version, merge: real(self, version, mutant))
     else:
-        monkeypatch.setattr(sharing, "combined", mutant)
+        monkeypatch.setattr(sharing, "combine", mutant)
     with pytest.raises(AssertionError):
         run([Phase.generate])  # nobody reads the smallest history of a mutant
 
 
 def test_the_model_comes_to_histories_where_liars_are_too_many(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(globals(), "most_moved", lambda liars, peers, evidence: 0.0)
+    monkeypatch.setitem(globals(), "max_influence", lambda byzantine, peers, evidence: 0.0)
     with pytest.raises(AssertionError):
         run([Phase.generate])  # nobody reads the smallest history of a mutant
--- a/tests/test_scoring_plugins.py
+++ b/tests/test_scoring_plugins.py
@@ -144,4 +144,4 @@
     install(site, "brought_evil", {"latency": "brought_evil"}, PLUGIN.format(name="latency", interface=1, make="None"))
     scorers, _ = make(ScoringConfig(["latency"]), SETTING)
     assert type(scorers["latency"]).__module__ == "hophinge.scoring.latency" and "brought_evil" not in sys.modules
-    assert engine(scorers).guard.most_us == MAX_US
+    assert engine(scorers).guard.max_added_us == MAX_US
--- a/tests/test_scoring_scorers.py
+++ b/tests/test_scoring_scorers.py
@@ -11,7 +11,7 @@
 from hophinge.core.interface import Result
 from hophinge.scoring import latency, outlook, suspicion
 from hophinge.scoring.interface import Surroundings, View
-from hophinge.scoring.sketch import Sketch
+from hophinge.scoring.sketch import LatencySketch
 from tests.scoring_parts import ASK, MAX_US, SETTING, books
 
 T0 = 50_000_000
@@ -32,17 +32,17 @@
         lambda: 5_000 * rng.random(),
     ]
     for draw in draws:
-        sketch, values = Sketch(1e9, T0), [draw() for _ in range(3_000)]
+        sketch, values = LatencySketch(1e9, T0), [draw() for _ in range(3_000)]
         for value in values:
             sketch.add(T0, value)
         for part in (0.5, 0.9, 0.99):
             exact = float(numpy.quantile(values, part, method="inverted_cdf"))
             assert abs(sketch.quantile_us(part) - exact) <= 0.1 * exact + 100
-    assert Sketch(1e6, T0).quantile_us(0.9) == 0.0
+    assert LatencySketch(1e6, T0).quantile_us(0.9) == 0.0
 
 
 def test_the_sketch_forgets_and_stays_finite_over_years() -> None:
-    sketch = Sketch(S, T0)
+    sketch = LatencySketch(S, T0)
     for _ in range(100):
         sketch.add(T0, 1e6)
     assert sketch.evidence(T0 + S) == 50.0
@@ -101,7 +101,7 @@
     scorer = suspicion.Suspicion(suspicion.Parameters(half_life_s=10.0), SETTING)
     scorer.heard(T0, "n0", Result.RESET, MS)
     first = scorer.added_us(view())[0]
-    assert first == pytest.approx(MAX_US / suspicion.FULL_AT)
+    assert first == pytest.approx(MAX_US / suspicion.FAILURES_TO_FULL)
     scorer.tick(T0 + 10 * S, set(NAMES))
     assert scorer.added_us(view())[0] == pytest.approx(first / 2)
     scorer.tick(T0 + 1000 * S, set(NAMES))
--- a/tests/test_scoring_sharing.py
+++ b/tests/test_scoring_sharing.py
@@ -9,9 +9,9 @@
 from hophinge.cluster.interface import MAX_VALUE_BYTES, Entry, EntryVersion, Topic
 from hophinge.core.interface import Result
 from hophinge.scoring import encoding
-from hophinge.scoring.engine import Engine
-from hophinge.scoring.merge import HEARSAY, NEUTRAL, OWN_MAX, most_moved
-from hophinge.scoring.sharing import BEAT_US, FORGOTTEN_US, FRESH_US, HALF_LIFE_US
+from hophinge.scoring.engine import ScoringEngine
+from hophinge.scoring.merge import PEERS_EVIDENCE, NEUTRAL_EVIDENCE, MAX_OWN_EVIDENCE, max_influence
+from hophinge.scoring.sharing import HEARTBEAT_US, FORGOTTEN_US, FRESH_US, HALF_LIFE_US
 from hophinge.scoring.suspicion import Parameters, Suspicion
 from tests.scoring_parts import ASK, MAX_US, SETTING, VERSION, Wall, books, engine, sharer
 
@@ -21,25 +21,27 @@
 BAD, GOOD = BACKENDS[0], BACKENDS[1]
 
 
-def heads(number: int) -> dict[str, Engine]:
+def heads(number: int) -> dict[str, ScoringEngine]:
     return {f"h{at}": sharer(f"h{at}")[0] for at in range(number)}
 
 
-def added(head: Engine, now: int, node: str) -> float:
+def added(head: ScoringEngine, now: int, node: str) -> float:
     return head.added_us(now, ASK, books(*BACKENDS)).get(node, 0.0)
 
 
-def hear(head: Engine, now: int, node: str, result: Result, times: int) -> None:
+def hear(head: ScoringEngine, now: int, node: str, result: Result, times: int) -> None:
     for _ in range(times):
         head.heard(now, node, result, 10_000)
 
 
-def run(fleet: dict[str, Engine], wall: Wall, now: int, seconds: int, liars: int = 0, accused: str = GOOD) -> int:
+def run(
+    fleet: dict[str, ScoringEngine], wall: Wall, now: int, seconds: int, liars: int = 0, accused: str = GOOD
+) -> int:
     """Go on second by second; liars accuse one brick with all they have."""
     for _ in range(seconds):
         now += S
         for at in range(liars):
-            wall.say(f"liar{at}", now // BEAT_US, {accused: 1.0})
+            wall.say(f"liar{at}", now // HEARTBEAT_US, {accused: 1.0})
         for name, head in fleet.items():
             wall.tick(now, name, head, BACKENDS)
     return now
@@ -67,8 +69,8 @@
                 hear(head, now, GOOD, Result.OK, 10)
         now = run(fleet, wall, now, 1, liars)
     small = 1e-6
-    assert added(knows_not, now, GOOD) <= most_moved(liars, peers, 0.0) * MAX_US + small
-    assert added(knows, now, GOOD) <= most_moved(liars, peers, OWN_MAX) * MAX_US + small
+    assert added(knows_not, now, GOOD) <= max_influence(liars, peers, 0.0) * MAX_US + small
+    assert added(knows, now, GOOD) <= max_influence(liars, peers, MAX_OWN_EVIDENCE) * MAX_US + small
     trust = knows.shared["suspicion"].peers
     assert all(trust[f"liar{at}"].agreement.trust <= 0.1 for at in range(liars))
 
@@ -89,7 +91,7 @@
         assert added(head, now, BAD) >= before * faded - 1e-6
 
 
-def taught() -> tuple[Wall, Engine, int]:
+def taught() -> tuple[Wall, ScoringEngine, int]:
     """A head that has believed nine others on a brick, and when."""
     fleet, wall = heads(10), Wall()
     for head in list(fleet.values())[:9]:
@@ -109,7 +111,7 @@
     assert first > 0.5 * MAX_US and seen[FRESH_US // S - 2] == first
     assert seen == sorted(seen, reverse=True) and seen[-1] == 0.0
     assert seen[(FRESH_US + 2 * HALF_LIFE_US) // S] < first / 2
-    assert quiet.reader is not None and not quiet.reader.left and not quiet.shared["suspicion"].peers
+    assert quiet.reader is not None and not quiet.reader.departed and not quiet.shared["suspicion"].peers
 
 
 def test_members_that_return_begin_anew() -> None:
@@ -138,7 +140,7 @@
         wall.say(f"new{at}", 1, {GOOD: 1.0}, "suspicion-2")
     wall.tick(T0, "h0", head, BACKENDS)
     assert added(head, T0, GOOD) == 0.0 and not head.shared["suspicion"].peers
-    assert head.reader is not None and len(head.reader.other_versions) == 9 and not head.reader.bad
+    assert head.reader is not None and len(head.reader.other_versions) == 9 and not head.reader.invalid_entries
     # One that is upgraded while it runs takes back what it said under the old version.
     for at in range(9):
         wall.say(f"new{at}", 2, {GOOD: 1.0})
@@ -153,7 +155,7 @@
 def test_entries_that_are_none_are_dropped_and_counted_by_their_owner() -> None:
     head, wall = heads(1)["h0"], Wall()
     good = encoding.encode(VERSION, 1, {})[0][0]
-    table = encoding.Table
+    table = encoding.WeightTable
     wrong = [
         b"",
         b"\xc1",
@@ -166,13 +168,13 @@
         encoding.ENCODER.encode([1, VERSION, 0, {}, "more"]),
     ]
     for at, value in enumerate(wrong):
-        wall.put(f"odd{at}", encoding.key("suspicion", encoding.chunk_of(GOOD)), value)
+        wall.put(f"odd{at}", encoding.entry_key("suspicion", encoding.chunk_of(GOOD)), value)
     wall.put("key", "suspicion/99", good)
     wall.tick(T0, "h0", head, BACKENDS)
     assert head.reader is not None
-    assert head.reader.bad == {**{f"odd{at}": 1 for at in range(len(wrong))}, "key": 1}
+    assert head.reader.invalid_entries == {**{f"odd{at}": 1 for at in range(len(wrong))}, "key": 1}
     wall.tick(T0 + S, "h0", head, BACKENDS)  # what has not changed is not counted again
-    assert sum(head.reader.bad.values()) == len(wrong) + 1
+    assert sum(head.reader.invalid_entries.values()) == len(wrong) + 1
 
 
 def test_backends_that_this_head_does_not_list_are_not_taken_up_from_hearsay() -> None:
@@ -180,8 +182,8 @@
     for at in range(9):
         wall.say(f"p{at}", 1, {"elsewhere": 1.0, GOOD: 1.0})
     wall.tick(T0, "h0", head, BACKENDS)
-    levels = head.guard.named("suspicion").scorer.levels  # type: ignore[attr-defined]   # of Suspicion
-    assert levels.keys() == {GOOD} and levels[GOOD] <= HEARSAY / (HEARSAY + NEUTRAL)
+    levels = head.guard.find("suspicion").scorer.levels  # type: ignore[attr-defined]   # of Suspicion
+    assert levels.keys() == {GOOD} and levels[GOOD] <= PEERS_EVIDENCE / (PEERS_EVIDENCE + NEUTRAL_EVIDENCE)
 
 
 def test_an_entry_changes_only_with_its_backends_and_the_beat_only_entry_0() -> None:
@@ -206,13 +208,13 @@
         version, part = encoding.decode(chunk, value)
         assert version == VERSION and not found.keys() & part.keys()
         found |= part
-    told = {node: weight for node, weight in weights.items() if round(weight * encoding.STEPS)}
+    told = {node: weight for node, weight in weights.items() if round(weight * encoding.WEIGHT_STEPS)}
     assert len(found) == len(told) - left_out
-    assert all(abs(told[node] - weight) <= 0.5 / encoding.STEPS + 1e-9 for node, weight in found.items())
+    assert all(abs(told[node] - weight) <= 0.5 / encoding.WEIGHT_STEPS + 1e-9 for node, weight in found.items())
     for node, weight in told.items():
         if node not in found:
             kept = [at for other, at in found.items() if encoding.chunk_of(other) == encoding.chunk_of(node)]
-            assert all(at >= weight - 0.5 / encoding.STEPS - 1e-9 for at in kept)
+            assert all(at >= weight - 0.5 / encoding.WEIGHT_STEPS - 1e-9 for at in kept)
 
 
 @given(st.binary(max_size=MAX_VALUE_BYTES + 10), st.text(max_size=12))
@@ -220,4 +222,7 @@
     head = heads(1)["h0"]
     for at, name in enumerate((key, "suspicion/0")):
         head.tick(T0 + at, set(BACKENDS), [Entry("peer", Topic.WEIGHTS, name, EntryVersion(1, at), value)])
-    assert head.reader is not None and head.reader.bad.get("peer", 0) + len(head.shared["suspicion"].peers) >= 1
+    assert (
+        head.reader is not None
+        and head.reader.invalid_entries.get("peer", 0) + len(head.shared["suspicion"].peers) >= 1
+    )
--- a/tests/test_scoring_slices.py
+++ b/tests/test_scoring_slices.py
@@ -11,7 +11,7 @@
 from hophinge.cluster.interface import Entry
 from hophinge.core.interface import Result
 from hophinge.scoring import sharing
-from hophinge.scoring.engine import Drop, Put
+from hophinge.scoring.engine import DeleteEntry, PutEntry
 from tests.scoring_parts import ASK, Wall, books, sharer
 
 T0, S = 50_000_000, 1_000_000
@@ -46,19 +46,19 @@
             else:
                 wall.say(owner, beat, words)
         entries = wall.entries()
-        with mock.patch.object(sharing, "SLICE", 10**9):
+        with mock.patch.object(sharing, "SLICE_STEPS", 10**9):
             wanted = one_go.tick(now, set(BACKENDS), entries)
-        actions: list[Put | Drop] = []
-        with mock.patch.object(sharing, "SLICE", size):
+        actions: list[PutEntry | DeleteEntry] = []
+        with mock.patch.object(sharing, "SLICE_STEPS", size):
             for _ in sliced.slices(now, set(BACKENDS), counted(entries), actions):
                 assert looked <= size
                 looked = 0
                 sliced.added_us(now, ASK, books(*BACKENDS))  # requests come in between
         assert sorted(map(repr, actions)) == sorted(map(repr, wanted))
         for action in wanted:
-            one_go.done(action)
-            sliced.done(action)
+            one_go.confirm(action)
+            sliced.confirm(action)
         assert one_go.added_us(now, ASK, books(*BACKENDS)) == sliced.added_us(now, ASK, books(*BACKENDS))
-        assert [(owner, peer.words, peer.agreement) for owner, peer in one_go.shared["suspicion"].peers.items()] == [
-            (owner, peer.words, peer.agreement) for owner, peer in sliced.shared["suspicion"].peers.items()
+        assert [(owner, peer.weights, peer.agreement) for owner, peer in one_go.shared["suspicion"].peers.items()] == [
+            (owner, peer.weights, peer.agreement) for owner, peer in sliced.shared["suspicion"].peers.items()
         ]
--- a/tests/test_together_byzantine.py
+++ b/tests/test_together_byzantine.py
@@ -34,7 +34,7 @@
         "accuses": "n1",
         "entries": [
             *(
-                ["weights", encoding.key("suspicion", chunk), [one[chunk].hex() for one in weights]]
+                ["weights", encoding.entry_key("suspicion", chunk), [one[chunk].hex() for one in weights]]
                 for chunk in weights[0]
             ),
             ["popularity", "0", [page.hex() for page in pages]],
