--- a/tests/routes.py
+++ b/tests/routes.py
@@ -1,4 +1,4 @@
-"""Settings, bricks, tables and routers that the tests of routing share."""
+"""Settings, backends, tables and routers for tests of routing."""
 
 from __future__ import annotations
 
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -21,7 +21,7 @@
     return read_document((HEAD + text).encode()).mistake_lines("f")
 
 
-def test_the_example_holds_every_form_and_no_mistake() -> None:
+def test_example_has_every_form_and_no_mistake() -> None:
     document = read_document(EXAMPLE)
     assert document.mistake_lines("f") == []
     assert {key.partition("/")[0] for key in document.records} == {
@@ -81,24 +81,24 @@
         ('(pool a (zones "hall))', "2:16", "does not end on its line"),
     ],
 )
-def test_a_mistake_is_told_with_its_place_and_what_would_be_right(text: str, place: str, words: str) -> None:
+def test_mistake_is_reported_with_position_and_advice(text: str, place: str, words: str) -> None:
     told = lines(text)
     assert len(told) == 1, told
     assert told[0].startswith(f"f:{place}: ") and words in told[0], told
 
 
-def test_all_mistakes_of_a_file_at_once_in_its_order() -> None:
+def test_all_mistakes_are_reported_at_once_in_order() -> None:
     told = lines("(limit (rate 1))\n(pool a (zones x)))\n(shard)\n(retries (budget 200 %))\n(plan b")
     assert [line.split(":")[1] for line in told] == ["2", "3", "4", "5", "6"]
 
 
-def test_a_file_for_another_version_and_an_empty_one() -> None:
+def test_unsupported_version_and_empty_file() -> None:
     assert "not 2" in read_document(b"(hophinge 2)").mistake_lines("f")[0]
     assert "begins with (hophinge 1)" in read_document(b"").mistake_lines("f")[0]
     assert "begins with (hophinge 1)" in read_document(b"(plan a)").mistake_lines("f")[0]
 
 
-def test_bytes_that_are_no_utf_8_and_brackets_without_end() -> None:
+def test_invalid_utf_8_and_unclosed_brackets() -> None:
     told = read_document(b"(hophinge 1)\n(pool \xff)").mistake_lines("f")
     assert told == ["f:2:7: byte 0xff is no UTF-8; save the file as UTF-8"]
     since = time.perf_counter()
@@ -109,7 +109,7 @@
     assert time.perf_counter() - since < 10  # bounded work, whatever the size
 
 
-def test_a_file_cut_anywhere_is_told_or_still_whole() -> None:
+def test_truncated_file_is_reported_or_still_complete() -> None:
     # A cut between two forms leaves a document; each other one has a mistake, and none raises.
     whole = EXAMPLE.decode().splitlines(keepends=True)
     text = "".join(line for line in whole if not line.startswith(";"))
@@ -124,7 +124,7 @@
 
 
 @given(st.text(alphabet='()"; %ab1.\\\n', max_size=60))
-def test_no_text_raises_and_each_mistake_has_a_place_within_it(text: str) -> None:
+def test_arbitrary_text_gives_mistakes_with_positions(text: str) -> None:
     document = read_document(text.encode())
     rows = text.split("\n")
     for mistake in document.mistakes:
@@ -132,19 +132,19 @@
 
 
 @given(st.binary(max_size=40))
-def test_no_bytes_raise(raw: bytes) -> None:
+def test_arbitrary_bytes_do_not_raise(raw: bytes) -> None:
     assert read_document(raw).mistake_lines("f") or raw.strip().startswith(b"(hophinge")
 
 
 @given(st.sampled_from(sorted(EXAMPLES)), st.integers(0, 10**7))
-def test_a_quantity_that_is_written_is_read_back(dimension: str, number: int) -> None:
+def test_formatted_quantity_is_parsed_back(dimension: str, number: int) -> None:
     value = number / 100 if dimension == "share" else float(number)
     if dimension == "share":
         value = min(1.0, value / 100)
     assert parse_quantity(format_quantity(value, dimension).split(), dimension) == pytest.approx(value, rel=1e-9)
 
 
-def test_units_that_stand_right_after_their_number() -> None:
+def test_unit_directly_after_its_number() -> None:
     assert parse_quantity(["80ms"], "time") == 80_000 and parse_quantity(["20%"], "share") == 0.2
     assert parse_quantity(["64", "KiB"], "size") == 65536 and parse_quantity(["2", "MiB"], "size") == 2 * 1024**2
     assert {"ms", "s", "%", "units/s", "requests", "bricks", "KiB", "MiB"} <= UNITS.keys()
@@ -152,7 +152,7 @@
         parse_quantity(["1", "s", "2"], "time")
 
 
-def test_records_come_back_as_they_were_and_hash_alike() -> None:
+def test_records_round_trip_with_equal_fingerprints() -> None:
     for name, record in read_document(EXAMPLE).records.items():
         body = records.encode(record)
         assert records.decode(body) == record and records.encode(records.decode(body)) == body
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""What routing decides: scopes, pools and their order, and versions side by side."""
+"""Routing decisions: scopes, pools and their order, and versions side by side."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from tests.test_choice import T0
 
 
-def test_a_route_narrows_and_the_rest_is_free() -> None:
+def test_route_limits_its_scope_only() -> None:
     made = router(POOLS + "(route (tenant alba) (pools a))")
     assert within(made.admit(T0, ask("r1", "alba"))) == {"n0", "n1", "n2"}
     assert within(made.admit(T0, ask("r2", "other"))) == {f"n{at}" for at in range(6)}
 
 
-def test_a_volume_tells_its_tenant_whatever_its_case() -> None:
+def test_tenant_of_a_volume_is_case_insensitive() -> None:
     made = router(POOLS + "(tenant alba (volumes 00000000000000aa)) (route (tenant alba) (pools b))")
     assert within(made.admit(T0, ask("r1", volume="00000000000000AA"))) == {"n3", "n4", "n5"}
 
 
-def test_a_pool_with_too_few_live_backends_is_filled_up_by_the_next_and_gets_its_own_back() -> None:
+def test_pool_with_too_few_live_backends_is_filled_up_by_the_next() -> None:
     made = router(POOLS + "(route (pools a b))")
     held = made.admit(T0, ask("r1"))
     made.nodes(T0, NodeList(ListKind.CHANGES, (backend(0, 0, Phase.DRAINING),)))
@@ -43,7 +43,7 @@
     assert within(held) == {"n0", "n1", "n2"}
 
 
-def test_no_live_backend_in_any_pool_refuses_with_advice_or_goes_anywhere_as_the_route_says() -> None:
+def test_without_a_live_backend_the_route_rejects_or_allows_any() -> None:
     gone = NodeList(ListKind.CHANGES, tuple(backend(at, 0, Phase.DRAINING) for at in range(3)))
     strict, open_ = router(POOLS + "(route (pools a))"), router(POOLS + "(route (pools a) (else any))")
     for made in (strict, open_):
@@ -54,7 +54,7 @@
     assert not strict.open_by_pool and not strict.open_by_version
 
 
-def test_data_is_read_where_it_lies_even_outside_of_the_pools() -> None:
+def test_data_is_read_at_its_shard_even_outside_of_the_pools() -> None:
     made = router(POOLS + "(route (pools a))")
     inside, outside = made.admit(T0, ask("r1", shard=1)), made.admit(T0, ask("r2", shard=4))
     assert within(inside, 1) == {"n0", "n1", "n2"}
@@ -62,7 +62,7 @@
     assert made.followed_shard == 1
 
 
-def test_a_full_pool_spills_over_in_the_route_s_order_and_fills_again_when_answered() -> None:
+def test_full_pool_spills_over_in_order_until_requests_are_answered() -> None:
     made = router(
         "(pool a (zones hall-a) (open 1 requests)) (pool b (zones hall-b) (open 1 requests))(route (pools a b))"
     )
@@ -78,7 +78,7 @@
     assert isinstance(again, AdmittedRequest) and again.pool == "a"
 
 
-def test_a_request_keeps_its_version_and_a_removed_pool_lets_its_requests_end() -> None:
+def test_request_keeps_its_version_while_a_removed_pool_drains() -> None:
     made = router(POOLS + "(route (pools a))")
     old = made.admit(T0, ask("old"))
     before = read_document(("(hophinge 1)" + POOLS + "(route (pools a))").encode()).records
@@ -103,7 +103,7 @@
 
 
 @given(st.dictionaries(SCOPES, st.integers(), max_size=20), st.dictionaries(SCOPES, st.none() | st.integers()))
-def test_the_index_finds_what_a_scan_finds(rows: dict[Scope, int], changes: dict[Scope, int | None]) -> None:
+def test_scope_index_agrees_with_a_linear_scan(rows: dict[Scope, int], changes: dict[Scope, int | None]) -> None:
     index = ScopeIndex.of(rows.items()).with_changes(changes.items())
     now = {scope: value for scope, value in {**rows, **changes}.items() if value is not None}
     assert index.size == len(now)
@@ -121,7 +121,7 @@
         assert index.most_specific(tenant, volume, klass) == (now[fits[0]] if fits else None)
 
 
-def test_a_table_changed_step_by_step_is_the_one_made_at_once() -> None:
+def test_table_changed_in_steps_equals_one_built_at_once() -> None:
     first = read_document(
         (
             "(hophinge 1)" + POOLS + "(tenant t (volumes 00000000000000aa 00000000000000bb))"
@@ -155,14 +155,14 @@
         ("(plan unknown (weight 1))", "plan/unknown: no such plan here"),
     ],
 )
-def test_a_head_turns_down_what_it_lacks_or_what_the_platform_forbids(text: str, why: str) -> None:
+def test_unsupported_records_are_rejected(text: str, why: str) -> None:
     found = read_document(("(hophinge 1)" + text).encode()).records
     assert any(why in reason for reason in validate(found, found, FACTS))
     found2 = read_document(b"(hophinge 1)(retries (second-copy 80 ms))").records
     assert validate(found2, found2, replace(FACTS, allows_hedging=False)) != []
 
 
-def test_plans_only_lower_what_the_platform_states_and_the_module_follows() -> None:
+def test_plan_overrides_only_lower_the_platform_s_plans() -> None:
     made = router("(plan plan-0 (reserve 1 units/s) (weight 0.5))")
     plans = made.overridden_plans()
     assert plans[0].reserve == min(1.0, NAMED.plans[0].reserve) and plans[0].weight == 0.5
--- a/tests/test_routing_bounds.py
+++ b/tests/test_routing_bounds.py
@@ -1,4 +1,4 @@
-"""Limits, budgets of repeats and outliers: what holds of each whatever comes."""
+"""Limits, retry budgets and outlier detection: what holds of each in any history."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.test_choice import MS, T0
 
 
-def test_limits_add_up_over_scopes_and_take_all_or_nothing() -> None:
+def test_request_is_admitted_under_all_matching_limits_or_none() -> None:
     made = router("(limit (tenant alba) (rate 10 units/s) (burst 1 s)) (limit (open 3 requests))")
     held = [made.admit(T0, ask(f"r{at}", "alba")) for at in range(3)]
     assert all(isinstance(one, AdmittedRequest) for one in held)
@@ -36,7 +36,7 @@
 @given(
     st.lists(st.tuples(st.integers(0, 400 * MS), st.floats(0.5, 8.0), st.sampled_from([5.0, 20.0, 80.0])), max_size=60)
 )
-def test_units_through_a_limit_stay_within_its_rates_whatever_versions_come(
+def test_admitted_units_stay_within_the_rates_of_all_versions(
     steps: list[tuple[int, float, float]],
 ) -> None:
     limiter, now, rate = Limiter(), T0, 20.0
@@ -53,7 +53,7 @@
         assert taken <= bound + 1e-6
 
 
-def test_states_of_removed_limits_are_dropped_once_they_are_many() -> None:
+def test_states_of_removed_limits_are_dropped_once_there_are_many() -> None:
     limiter = Limiter()
     for at in range(600):
         assert limiter.admit([Limit(Scope(f"t{at}"), max_open=1)], 1.0, T0)[0]
@@ -64,7 +64,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 300 * MS), st.integers(1, 200_000)), max_size=60))
-def test_bytes_that_pause_as_told_keep_to_their_rate(steps: list[tuple[int, int]]) -> None:
+def test_paced_transfers_keep_to_their_byte_rate(steps: list[tuple[int, int]]) -> None:
     limiter, limit, now, moved = Limiter(), Limit(Scope(), bytes_in=100_000.0), T0, 0
     for span, size in steps:
         now += span
@@ -75,7 +75,7 @@
     assert limiter.pacing_delay_us([limit], 1, 10**9, now) == 0  # the other way has no bound
 
 
-def test_a_clock_that_goes_back_gives_nothing_and_takes_nothing() -> None:
+def test_clock_that_goes_back_neither_refills_nor_drains_a_bucket() -> None:
     limiter, limit = Limiter(), Limit(Scope(), 10.0, S)
     assert limiter.admit([limit], 10.0, T0)[0]
     assert limiter.admit([limit], 1.0, T0 - 3600 * S)[1] > 0
@@ -83,7 +83,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 900 * MS), st.booleans()), max_size=120))
-def test_a_budget_never_lets_more_through_than_its_share_of_any_window(steps: list[tuple[int, bool]]) -> None:
+def test_retries_never_exceed_their_share_of_any_window(steps: list[tuple[int, bool]]) -> None:
     budget, now = RetryBudget(RetryRule(budget_share=0.2, min_retries=1)), T0
     firsts: list[int] = []
     further: list[int] = []
@@ -106,7 +106,7 @@
 @given(
     st.lists(st.tuples(st.integers(0, 300 * MS), st.integers(0, 9), st.booleans(), st.integers(0, 30)), max_size=200)
 )
-def test_never_more_backends_rest_than_the_stated_share(steps: list[tuple[int, int, bool, int]]) -> None:
+def test_ejected_backends_never_exceed_the_stated_share(steps: list[tuple[int, int, bool, int]]) -> None:
     ejector, now = OutlierDetector(), T0
     ejector.set_rule(RULE, now)
     ejector.set_live_backends([f"n{at}" for at in range(10)], now)
@@ -120,7 +120,7 @@
         assert ejector.ejected_until.keys() <= ejector.live
 
 
-def test_an_outlier_rests_longer_each_time_and_comes_back() -> None:
+def test_ejection_time_doubles_and_backends_return() -> None:
     ejector, now = OutlierDetector(), T0
     ejector.set_rule(RULE, now)
     ejector.set_live_backends([f"n{at}" for at in range(10)], now)
@@ -137,7 +137,7 @@
     assert ejector.set_rule(None, now) is False and not ejector.on_attempt_ended("n4", True, now)
 
 
-def test_an_ejected_backend_gets_nothing_unless_it_alone_holds_the_data() -> None:
+def test_ejected_backend_is_used_only_if_it_alone_holds_the_data() -> None:
     made = router("(eject (errors 50 %) (over 2 s) (rest 1 s) (at-most 30 %))")
     for _ in range(5):
         made.ended(T0, "n3", Result.ERROR)
--- a/tests/test_routing_module.py
+++ b/tests/test_routing_module.py
@@ -1,4 +1,4 @@
-"""Routing before the module: pools, budgets and second copies as requests meet them."""
+"""Router and core together: pools, retry budgets and hedged attempts."""
 
 from __future__ import annotations
 
@@ -52,13 +52,13 @@
     return [one.node for one in actions if isinstance(one, Send)]
 
 
-def test_the_module_sends_new_objects_to_their_pool_alone() -> None:
+def test_new_objects_are_sent_to_their_pool_only() -> None:
     pair = Pair(POOLS + "(route (pools b))", *(backend(at, at // 10) for at in range(20)))
     chosen = [node for at in range(40) for node in sends(pair.arrive(ask(f"r{at}", units=0.1)))]
     assert len(chosen) >= 8 and all(int(node[1:]) >= 10 for node in chosen)
 
 
-def test_a_pool_that_a_list_brings_back_takes_what_waits() -> None:
+def test_waiting_requests_go_to_a_pool_that_returns() -> None:
     pair = Pair(POOLS + "(route (pools a))", backend(0, 0), backend(1, 0), backend(3, 1))
     for number in (0, 1):
         entry = backend(number, 0, Phase.DRAINING)
@@ -73,14 +73,14 @@
     return Outcome(name, attempt, node, result, 10 * MS, False, 0, 0.0, {})
 
 
-def test_attempts_beyond_the_version_s_are_answered_at_once() -> None:
+def test_attempts_above_the_version_s_maximum_are_answered_at_once() -> None:
     pair = Pair("(retries (attempts 1))")
     (node,) = sends(pair.arrive(ask("r1")))
     actions = pair.at(10 * MS, failed("r1", node))
     assert [type(one) for one in actions if isinstance(one, Send | Refuse | Fail)] == [Refuse]
 
 
-def test_a_dry_budget_is_answered_at_once_not_held_to_the_deadline() -> None:
+def test_exhausted_retry_budget_is_answered_at_once() -> None:
     pair = Pair("(retries (budget 50 %))")
     (one,) = sends(pair.arrive(ask("r1")))
     assert any(isinstance(action, Refuse) for action in pair.at(10 * MS, failed("r1", one)))
@@ -89,7 +89,7 @@
     assert len(sends(actions)) == 1 and not any(isinstance(action, Refuse) for action in actions)
 
 
-def test_a_second_copy_goes_elsewhere_after_its_time_and_the_first_answer_cancels_the_other() -> None:
+def test_hedged_attempt_goes_to_another_backend_and_the_first_answer_cancels_the_other() -> None:
     pair = Pair("(retries (second-copy 80 ms))")
     (first,) = sends(pair.arrive(ask("r1")))
     assert sends(pair.run(75 * MS)) == []
@@ -102,7 +102,7 @@
     assert not pair.module.requests and not pair.module.active_nodes
 
 
-def test_a_second_copy_needs_another_backend_with_the_data_and_its_budget() -> None:
+def test_hedged_attempt_needs_another_backend_with_the_data_and_budget() -> None:
     alone = Pair("(retries (second-copy 80 ms))")
     assert len(sends(alone.arrive(ask("r1", shard=1)))) == 1 and sends(alone.run(300 * MS)) == []
     two = Pair("(retries (second-copy 80 ms))", backend(0, 0, shard=1), backend(1, 0, shard=1))
