--- a/hophinge/__main__.py
+++ b/hophinge/__main__.py
@@ -18,6 +18,6 @@
 # What imports make is not garbage; looking for some costs a fifth of them. The service looks once it has started.
 gc.disable()
 
-from hophinge.head.lean import service  # noqa: E402
+from hophinge.head.main_import import import_main  # noqa: E402
 
-sys.exit(service()())
+sys.exit(import_main()())
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -25,13 +25,13 @@
 from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
 from hophinge.tenancy.lifecycle import TenantState
 
-FLUSH_S = 1.0  # of usage; a killed head loses what came since
-MAX_SWEPT = 50  # uploads whose state is looked up when a tenant has its most
+FLUSH_INTERVAL_S = 1.0  # of usage; a killed head loses what came since
+MAX_UPLOADS_CHECKED = 50  # uploads whose state is looked up when a tenant has its most
 RETRY_INTERVAL_S = 1.0  # advice to who has as many connections or requests as it may
 GUESSES_S, GUESSES_BURST = 50.0, 200.0  # wrong keys from one address; beyond, none from there is looked at
 
 
-class FormTenants(Protocol):
+class DocumentTenantChecks(Protocol):
     """Tenants that the service document names, without an account."""
 
     def owner(self, volume: str) -> str:
@@ -57,17 +57,17 @@
     """What both fronts ask about tenants. `copy`: the control service owns the accounts."""
 
     def __init__(
-        self, path: Path, old: Path | None, copy: bool, counters: Counters, log: Callable[[str], None]
+        self, path: Path, old: Path | None, is_replica: bool, counters: Counters, log: Callable[[str], None]
     ) -> None:
         self.started = False
-        super().__init__(path, copy, counters, log, self._became)
+        super().__init__(path, is_replica, counters, log, self._became)
         self.front: ObjectFront | None = None
         self.store: ObjectStore | None = None
         self.tenant_ended: Callable[[str], None] = lambda tenant: None  # told of one that is served no more
         self.connections = ConcurrencyQuota()
         self.requests = ConcurrencyQuota()
         self.guesses = CallerRateLimits(GUESSES_S, GUESSES_BURST)
-        if old is not None and not copy and not self.ledger.seq and old.exists():
+        if old is not None and not is_replica and not self.ledger.seq and old.exists():
             self._take_over(old)
         self.started = True
 
@@ -122,8 +122,8 @@
         """Note the end of a connection or request."""
         self.connections.release(holder)
         self.requests.release(holder)
-        if self.forms is not None:
-            self.forms.dropped(holder)
+        if self.document_tenants is not None:
+            self.document_tenants.dropped(holder)
 
     async def reserve_upload(self, guest: AuthenticatedRequest, name: str) -> None:
         """Ask for room for one more upload; those that other heads ended are found out before it is refused."""
@@ -137,7 +137,7 @@
 
     async def _sweep(self, tenant: str) -> None:
         assert self.store is not None
-        for upload, body in self.ledger.list_uploads(tenant, MAX_SWEPT):
+        for upload, body in self.ledger.list_uploads(tenant, MAX_UPLOADS_CHECKED):
             one = msgspec.json.decode(body, type=Upload)
             if await self.store.is_closed(Volume(one.volume, one.plan), one.name, upload, self._budget()):
                 self.ledger.remove_upload(upload)
@@ -161,7 +161,7 @@
     async def abort(self, tenant: str) -> None:
         """Abort what uploads of a tenant are open here; one at a time, each noted before the next."""
         assert self.store is not None
-        for upload, body in self.ledger.list_uploads(tenant, MAX_SWEPT):
+        for upload, body in self.ledger.list_uploads(tenant, MAX_UPLOADS_CHECKED):
             one = msgspec.json.decode(body, type=Upload)
             with contextlib.suppress(ObjectError):  # it has ended already
                 await self.store.abort(Volume(one.volume, one.plan), one.name, upload, self._budget())
@@ -169,13 +169,13 @@
 
     # --- the platform's front
 
-    forms: FormTenants | None = None  # tenants by the service document
+    document_tenants: DocumentTenantChecks | None = None  # tenants by the service document
 
     def admits(self, connection: object, volume: str) -> bool:
         """Tell whether a request of a volume may come over a connection of the platform's front."""
         tenant = self.accounts.owner(volume.lower())
         if not tenant:
-            return self.forms is None or self.forms.admits(connection, volume)
+            return self.document_tenants is None or self.document_tenants.admits(connection, volume)
         held = self.accounts.tenants.get(tenant)
         if (
             held is None
@@ -189,7 +189,9 @@
     def answered(self, ask: api.Arrival, status: int, bytes_in: int, bytes_out: int) -> None:
         """Count an answer of the platform's front."""
         volume = ask.volume.lower()
-        tenant = self.accounts.owner(volume) or (self.forms.owner(volume) if self.forms is not None else "")
+        tenant = self.accounts.owner(volume) or (
+            self.document_tenants.owner(volume) if self.document_tenants is not None else ""
+        )
         if not tenant:
             return
         end = used.REJECTED if status in (429, 503) else used.SERVED if status in (200, 404) else used.FAILED
@@ -207,14 +209,14 @@
     async def run(self) -> None:
         """Flush usage and hear of other processes' changes until cancelled."""
         while True:
-            await asyncio.sleep(FLUSH_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.flush()
             self.ledger.refresh()
 
     async def end_uploads(self) -> None:
         """At a copy: abort uploads of tenants that are closing or gone, which nobody can go on with."""
         while True:
-            await asyncio.sleep(FLUSH_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             for tenant in self.ledger.tenants_with_uploads():
                 held = self.accounts.tenants.get(tenant)
                 if held is None or held.state in (TenantState.CLOSING, TenantState.CLOSED):
@@ -226,7 +228,7 @@
     def tasks(self) -> list[asyncio.Task[None]]:
         """Start what runs beside."""
         made = [asyncio.create_task(self.run())]
-        if self.copy:
+        if self.is_replica:
             if self.store is not None:
                 made.append(asyncio.create_task(self.end_uploads()))
         else:
--- a/hophinge/head/adapter.py
+++ b/hophinge/head/adapter.py
@@ -33,17 +33,17 @@
     """A line that the wire's page does not allow."""
 
 
-def whole(text: str) -> int:
+def parse_integer(text: str) -> int:
     """Read a whole number; an absent one is 0."""
     return 0 if text == "-" else int(text)
 
 
-def number(text: str) -> float:
+def parse_number(text: str) -> float:
     """Read a number; an absent one is 0."""
     return 0.0 if text == "-" else float(text)
 
 
-def report(text: str) -> Mapping[str, float]:
+def parse_report(text: str) -> Mapping[str, float]:
     """Read a node's load report under the interface's names; unknown values keep theirs."""
     if text == "-":
         return {}
@@ -51,56 +51,66 @@
     return {REPORT_FIELDS.get(name, name): float(value) for name, value in pairs}
 
 
-def entry(line: str) -> api.NodeEntry:
+def parse_entry(line: str) -> api.NodeEntry:
     """Translate one line of a node list."""
     word, node, zone, kind, shard, phase, units, since = line.split("\t")
     if word != "node":
         raise WireError("a list is shorter than it said")
-    return api.NodeEntry(node, whole(zone), whole(shard), PHASES[phase], number(units), whole(since), whole(kind))
+    return api.NodeEntry(
+        node,
+        parse_integer(zone),
+        parse_integer(shard),
+        PHASES[phase],
+        parse_number(units),
+        parse_integer(since),
+        parse_integer(kind),
+    )
 
 
-def arrival(part: list[str]) -> api.Event:
+def parse_arrival(fields: list[str]) -> api.Event:
     """Translate `inbound`."""
     return api.Arrival(
-        request=part[0],
-        units=number(part[1]),
-        volume=part[2],
-        klass=whole(part[3]),
-        shard=int(number(part[4])),
-        gateways=int(number(part[5])),
-        key="" if part[6] == "-" else part[6],
-        time_left_us=whole(part[7]),
-        write=part[8] == "1",
-        plan=whole(part[10]),
+        request=fields[0],
+        units=parse_number(fields[1]),
+        volume=fields[2],
+        klass=parse_integer(fields[3]),
+        shard=int(parse_number(fields[4])),
+        gateways=int(parse_number(fields[5])),
+        key="" if fields[6] == "-" else fields[6],
+        time_left_us=parse_integer(fields[7]),
+        write=fields[8] == "1",
+        plan=parse_integer(fields[10]),
     )
 
 
-def outcome(part: list[str]) -> api.Event:
+def parse_outcome(fields: list[str]) -> api.Event:
     """Translate `completed`."""
     return api.Outcome(
-        request=part[0],
-        attempt=whole(part[1]),
-        node=part[2],
-        result=RESULTS[part[3]],
-        elapsed_us=whole(part[4]),
-        finished=part[5] == "1",
-        used=whole(part[6]),
-        elsewhere=number(part[7]),
-        report=report(part[8]),
+        request=fields[0],
+        attempt=parse_integer(fields[1]),
+        node=fields[2],
+        result=RESULTS[fields[3]],
+        elapsed_us=parse_integer(fields[4]),
+        finished=fields[5] == "1",
+        used=parse_integer(fields[6]),
+        elsewhere=parse_number(fields[7]),
+        report=parse_report(fields[8]),
     )
 
 
 EVENTS: dict[str, Callable[[list[str]], api.Event]] = {
-    "inbound": arrival,
-    "completed": outcome,
-    "first_byte": lambda part: api.StreamStarted(part[0], whole(part[1])),
+    "inbound": parse_arrival,
+    "completed": parse_outcome,
+    "first_byte": lambda part: api.StreamStarted(part[0], parse_integer(part[1])),
     "client_left": lambda part: api.Departure(part[0]),
-    "ping_result": lambda part: api.ProbeResult(part[0], RESULTS[part[1]], whole(part[2]), report(part[3])),
-    "ring": lambda part: api.TimerExpired(whole(part[0])),
+    "ping_result": lambda part: api.ProbeResult(
+        part[0], RESULTS[part[1]], parse_integer(part[2]), parse_report(part[3])
+    ),
+    "ring": lambda part: api.TimerExpired(parse_integer(part[0])),
 }
 
 
-def action_line(action: api.Action) -> str:
+def format_action(action: api.Action) -> str:
     """Format one action."""
     match action:
         case api.Send(request, node, give_up_us):
@@ -121,7 +131,44 @@
             return f"write_log\t{text}"
 
 
-class Host:
+class Batch:
+    """The events of one batch, collected for one instance at a time, and the actions that come of them."""
+
+    def __init__(self, schedulers: dict[int, Scheduler], now_us: int) -> None:
+        self.schedulers = schedulers
+        self.now_us = now_us
+        self.actions: dict[int, list[api.Action]] = {}
+        self.pending: list[api.Event] = []
+        self.instance = -1
+
+    def flush(self) -> None:
+        """Hand the collected events to their instance; raises WireError where that has not started."""
+        if not self.pending:
+            return
+        if self.instance not in self.schedulers:
+            raise WireError(f"an event for instance {self.instance}, which has not started")
+        actions = self.schedulers[self.instance].handle(self.now_us, self.pending)
+        self.actions.setdefault(self.instance, []).extend(actions)
+        self.pending.clear()
+
+    def select(self, instance: int) -> None:
+        """Collect events for another instance from now on."""
+        self.flush()
+        self.instance = instance
+
+    def start(self, seed: int, settings: api.Settings) -> None:
+        """Start the selected instance."""
+        self.flush()
+        self.schedulers[self.instance] = Scheduler(settings, seed)
+
+    def kill(self) -> None:
+        """Kill the selected instance; all that it would have done is void."""
+        self.pending.clear()
+        self.actions.pop(self.instance, None)
+        self.schedulers.pop(self.instance, None)
+
+
+class SchedulerHost:
     """Independent schedulers by instance number, and the process-wide lists of the wire."""
 
     def __init__(self) -> None:
@@ -130,56 +177,50 @@
 
     def reply(self, now_us: int, lines: list[str]) -> list[str]:
         """Answer one batch, given without its first and last line."""
-        out: dict[int, list[api.Action]] = {}
-        pending: list[api.Event] = []
-        who = -1
+        batch = Batch(self.schedulers, now_us)
         at = 0
-
-        def settle() -> None:
-            if pending:
-                if who not in self.schedulers:
-                    raise WireError(f"an event for instance {who}, which has not started")
-                out.setdefault(who, []).extend(self.schedulers[who].handle(now_us, pending))
-                pending.clear()
-
         while at < len(lines):
             line = lines[at]
-            at += 1
             try:
-                word, *part = line.split("\t")
-                if word == "on":
-                    settle()
-                    who = int(part[0])
-                elif word == "start":
-                    settle()
-                    self.schedulers[who] = Scheduler(read_settings("\t".join(part[1:])), int(part[0]))
-                elif word == "halt":
-                    pending.clear()
-                    out.pop(who, None)  # all that the killed instance would have done is void
-                    self.schedulers.pop(who, None)
-                elif word == "register":
-                    count = int(part[1])
-                    self.lists[int(part[0])] = tuple(map(entry, lines[at : at + count]))
-                    at += count
-                elif word == "view":
-                    kind = KINDS[part[0]]
-                    entries = () if kind is api.ListKind.ERROR else self.lists[int(part[2])]
-                    pending.append(api.NodeList(kind, entries))
-                elif word in EVENTS:
-                    pending.append(EVENTS[word](part))
-                elif word != "heard":
-                    raise WireError("an unknown event")
-            except Exception as error:
+                at = self._apply(batch, lines, at)
+            except Exception as error:  # whatever a malformed line raises names the line
                 raise WireError(f"line {line[:120]!r}: {type(error).__name__}: {error}") from error
-        settle()
+        batch.flush()
+        out = batch.actions
         return [
-            line for number, actions in out.items() if actions for line in (f"by\t{number}", *map(action_line, actions))
+            line
+            for number, actions in out.items()
+            if actions
+            for line in (f"by\t{number}", *map(format_action, actions))
         ]
 
+    def _apply(self, batch: Batch, lines: list[str], at: int) -> int:
+        """Apply the line at an index, with those that belong to it; returns the index of the next line."""
+        word, *fields = lines[at].split("\t")
+        if word == "on":
+            batch.select(int(fields[0]))
+        elif word == "start":
+            batch.start(int(fields[0]), read_settings("\t".join(fields[1:])))
+        elif word == "halt":
+            batch.kill()
+        elif word == "register":
+            count = int(fields[1])
+            self.lists[int(fields[0])] = tuple(map(parse_entry, lines[at + 1 : at + 1 + count]))
+            return at + 1 + count
+        elif word == "view":
+            kind = KINDS[fields[0]]
+            entries = () if kind is api.ListKind.ERROR else self.lists[int(fields[2])]
+            batch.pending.append(api.NodeList(kind, entries))
+        elif word in EVENTS:
+            batch.pending.append(EVENTS[word](fields))
+        elif word != "heard":
+            raise WireError("an unknown event")
+        return at + 1
+
 
 def serve(source: TextIO, sink: TextIO) -> int:
     """Answer batches until the input ends."""
-    host = Host()
+    host = SchedulerHost()
     lines: list[str] = []
     clock: int | None = None
     for raw in source:
--- a/hophinge/head/cluster_member.py
+++ b/hophinge/head/cluster_member.py
@@ -21,7 +21,7 @@
         return "source"  # run from a checkout that was never installed
 
 
-class Member:
+class ClusterMember:
     """One process among its peers. `sight` and `board` are what other parts rest on."""
 
     def __init__(
@@ -51,23 +51,23 @@
         )
 
     @property
-    def sight(self) -> MembershipView:
+    def membership(self) -> MembershipView:
         """Tell who the members are."""
         return self.endpoint.machine
 
     @property
-    def board(self) -> ReplicatedEntries:
+    def entries(self) -> ReplicatedEntries:
         """Tell the entries."""
         return self.endpoint.machine
 
-    def hear(self, hearer: Subscriber) -> None:
+    def subscribe(self, hearer: Subscriber) -> None:
         """Tell a hearer of all changes from now on."""
         self.endpoint.subscribers.append(hearer)
 
     def start(self) -> None:
         """Begin to reach others; without any, this process goes on alone."""
         self.endpoint.start()
-        self.say(f"{self.sight.own_name} is a member at {self.endpoint.address}")
+        self.say(f"{self.membership.own_name} is a member at {self.endpoint.address}")
 
     def reload(self) -> None:
         """Read the keys again, at SIGHUP; an unusable file leaves them as they were and is told."""
@@ -85,7 +85,7 @@
         core = self.endpoint.machine.core
         failed = self.endpoint.conflict
         return {
-            "name": self.sight.own_name,
+            "name": self.membership.own_name,
             "address": self.endpoint.address,
             "health": core.health,
             "stepped_back": failed.one_line() if failed is not None else "",
@@ -99,7 +99,7 @@
                     "role": one.role.value,
                     "build": one.build,
                 }
-                for one in self.sight.members()
+                for one in self.membership.members()
             ],
             "counters": dict(sorted(core.counters.items())),
         }
--- a/hophinge/head/cluster_services.py
+++ b/hophinge/head/cluster_services.py
@@ -10,17 +10,17 @@
 
 from hophinge.core.exchange import Exchange
 from hophinge.head.config import Config
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.operator_config import OperatorConfig
 
 if TYPE_CHECKING:
     from hophinge.head.accounts import HeadAccounts
-    from hophinge.head.cluster import Member
+    from hophinge.head.cluster_member import ClusterMember
     from hophinge.head.popularity import HeadPopularity
     from hophinge.head.scoring import Scoring
     from hophinge.objects.object_store import ObjectStore
 
 
-class Together:
+class ClusterServices:
     """A head's place among its peers, its scorers and what it knows of popularity."""
 
     def __init__(
@@ -33,7 +33,7 @@
         accounts: HeadAccounts | None = None,
     ) -> None:
         """Take the member's socket; raises a HophingeError that names the setting. Needs a running loop."""
-        self.member: Member | None = None
+        self.member: ClusterMember | None = None
         self.scoring: Scoring | None = None
         self.popularity: HeadPopularity | None = None
         if operator.scoring is not None:
@@ -41,11 +41,11 @@
 
             self.scoring = Scoring(operator.scoring, exchange, log)
         if operator.cluster is not None:
-            from hophinge.head.cluster import Member
+            from hophinge.head.cluster_member import ClusterMember
 
-            self.member = Member(operator.cluster, config.name or config.listen, log)
+            self.member = ClusterMember(operator.cluster, config.name or config.listen, log)
             if self.scoring is not None:
-                self.scoring.share(self.member.sight.own_name, self.member.board)
+                self.scoring.share(self.member.membership.own_name, self.member.entries)
         if operator.popularity is not None:
             assert store is not None and accounts is not None, "the operator's file is checked"
             from hophinge.head.popularity import HeadPopularity
@@ -54,7 +54,7 @@
                 held = accounts.accounts.volumes.get(volume)
                 return (held.tenant, held.plan) if held is not None else None
 
-            sight, board = (self.member.sight, self.member.board) if self.member is not None else (None, None)
+            sight, board = (self.member.membership, self.member.entries) if self.member is not None else (None, None)
             self.popularity = popularity = HeadPopularity(operator.popularity, store, owner_of, log, sight, board)
             before = accounts.tenant_ended
 
@@ -87,7 +87,7 @@
         """Tell what alerts look at."""
         return self.scoring.gauges() if self.scoring is not None else {}
 
-    def tells(self) -> dict[str, Callable[[], str]]:
+    def operations_calls(self) -> dict[str, Callable[[], str]]:
         """Tell what staff may ask of it at the second address."""
         found: dict[str, Callable[[], str]] = {}
         member = self.member
--- a/hophinge/head/components.py
+++ b/hophinge/head/components.py
@@ -11,22 +11,22 @@
 from hophinge.core.counters import Counters
 from hophinge.core.exchange import Exchange
 from hophinge.head.config import Config
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.operator_config import OperatorConfig
 
 if TYPE_CHECKING:
     from hophinge.admin.front import AdminFront
     from hophinge.head.accounts import HeadAccounts
     from hophinge.head.maintenance import HeadMaintenance
     from hophinge.head.service import Service
-    from hophinge.head.streamed import Streamed
-    from hophinge.head.together import Together
+    from hophinge.head.streamed_configuration import StreamedConfiguration
+    from hophinge.head.cluster_services import ClusterServices
     from hophinge.objects.front import ObjectFront
     from hophinge.net.operations_server import OperationsServer
     from hophinge.net.frontend import Frontend
     from hophinge.telemetry.remote_write import RemoteWrite
 
 
-class Parts:
+class OptionalComponents:
     """What is on; made before a session is opened, as the file can still be refused for any of it."""
 
     def __init__(
@@ -40,8 +40,8 @@
         self.objects: ObjectFront | None = None
         self.admin: AdminFront | None = None
         self.accounts: HeadAccounts | None = None
-        self.streamed: Streamed | None = None
-        self.together: Together | None = None
+        self.streamed: StreamedConfiguration | None = None
+        self.cluster_services: ClusterServices | None = None
         copied = operator.stream is not None and operator.stream.accounts
         if operator.objects is not None or copied:
             from hophinge.head.accounts import HeadAccounts  # SQLite, and what the platform's head has no use for
@@ -57,7 +57,7 @@
             from hophinge.objects.object_store import ObjectStore
 
             store = ObjectStore(ChunkStore(exchange, operator.objects))
-            store.chunk_store.on_served = self.accounts.units
+            store.chunk_store.on_served = self.accounts.count_units
             self.objects = ObjectFront(store, self.accounts, operator.objects, counters, log)
             self.accounts.front = self.objects
             self.accounts.store = store
@@ -66,30 +66,32 @@
 
                 self.admin = administration(self.accounts, operator.admin, exchange.settings, counters, log)
         if operator.stream is not None:
-            from hophinge.head.streamed import Streamed  # its libraries cost memory
+            from hophinge.head.streamed_configuration import StreamedConfiguration  # its libraries cost memory
 
-            self.streamed = Streamed(
+            self.streamed = StreamedConfiguration(
                 operator.stream, config.name or config.listen, exchange, int(config.seed, 16), log, self.accounts
             )
         if operator.cluster is not None or operator.scoring is not None or operator.popularity is not None:
-            from hophinge.head.together import Together
+            from hophinge.head.cluster_services import ClusterServices
 
-            self.together = Together(
+            self.cluster_services = ClusterServices(
                 config, operator, exchange, log, self.objects.store if self.objects is not None else None, self.accounts
             )
 
-    def join(self, front: Frontend, control: OperationsServer | None) -> None:
+    def connect(self, front: Frontend, control: OperationsServer | None) -> None:
         """Have the platform's front keep to the stream's limits, and staff be told of all that is on."""
         if self.streamed is not None:
-            front.rate_limit = self.streamed.pace
+            front.rate_limit = self.streamed.throttle
             if self.objects is not None:
-                self.objects.rate_limit = self.streamed.pace
+                self.objects.rate_limit = self.streamed.throttle
         if control is not None:
-            control.reports |= self.tells()
+            control.reports |= self.operations_calls()
 
-    def tells(self) -> dict[str, Callable[[], str]]:
+    def operations_calls(self) -> dict[str, Callable[[], str]]:
         """Tell what else staff may ask of at the second address, by path."""
-        found: dict[str, Callable[[], str]] = self.together.tells() if self.together is not None else {}
+        found: dict[str, Callable[[], str]] = (
+            self.cluster_services.operations_calls() if self.cluster_services is not None else {}
+        )
         if self.streamed is not None:
             found |= {"/ops/config": self.streamed.status, "/ops/tenants": self.streamed.tenants}
         return found
@@ -124,24 +126,24 @@
     section, stream = head.operator.maintenance, head.operator.stream
     if section is None or stream is None or head.streamed is None:
         return None
-    from hophinge.head.cluster import build_of_program
+    from hophinge.head.cluster_member import build_of_program
     from hophinge.head.maintenance import HeadMaintenance
     from hophinge.maintenance.permit_holder import PermitHolder
 
     name = head.config.name or head.config.listen
-    member = head.together.member if head.together is not None else None
+    member = head.cluster_services.member if head.cluster_services is not None else None
     holder = PermitHolder(secrets.randbits(48) | 1, section.build or build_of_program())
     return HeadMaintenance(
         head.streamed.client,
-        head.rotation,
+        head.ejections,
         head.exchange,
         holder,
         section.zone,
         stream.folder / f"drains-{re.sub(r'[^0-9A-Za-z-]', '_', name)}.state",
         log,
-        head.ready,
+        head.is_ready,
         lambda go: head.stop(),
-        lambda: head.handover is None or not head.handover.others,
-        member.board if member is not None else None,
-        member.sight if member is not None else None,
+        lambda: head.handoff is None or not head.handoff.other_pids,
+        member.entries if member is not None else None,
+        member.membership if member is not None else None,
     )
--- a/hophinge/head/config.py
+++ b/hophinge/head/config.py
@@ -12,8 +12,8 @@
 from hophinge.core.errors import HophingeError
 from hophinge.core.settings import read_settings
 from hophinge.head.environment import CONFIG_FILE, OPERATOR_FILE
-from hophinge.head.operator import OperatorConfig
-from hophinge.head.operator import load as load_operator
+from hophinge.head.operator_config import OperatorConfig
+from hophinge.head.operator_config import load as load_operator
 from hophinge.net.address import split
 from hophinge.net.discovery import Listing, RawListing, parse_listing
 
--- a/hophinge/head/drain_schedule.py
+++ b/hophinge/head/drain_schedule.py
@@ -6,33 +6,37 @@
 
 from hophinge.core import interface as api
 
-LONGEST_US, KILL_US = 3_000_000, 700_000  # SIGKILL follows after the longest deadline, this one at most, and this
-ANSWER_US = 250_000  # before SIGKILL the last answer is out
-NEED = 0.5  # of its aim is what a request of a class usually takes
+MAX_DEADLINE_US, KILL_MARGIN_US = (
+    3_000_000,
+    700_000,
+)  # SIGKILL follows after the longest deadline, this one at most, and this
+ANSWER_MARGIN_US = 250_000  # before SIGKILL the last answer is out
+TYPICAL_FRACTION = 0.5  # of its aim is what a request of a class usually takes
 
 
-class Last:
+class DrainSchedule:
     """Decides from the signal on; times are microseconds of one clock."""
 
-    def __init__(self, classes: Sequence[api.RequestClass], told_us: int) -> None:
+    def __init__(self, classes: Sequence[api.RequestClass], signalled_us: int) -> None:
         longest_us = max(klass.deadline_us for klass in classes)
-        self.until_us = told_us + min(LONGEST_US, longest_us) + KILL_US - ANSWER_US
+        self.answer_by_us = signalled_us + min(MAX_DEADLINE_US, longest_us) + KILL_MARGIN_US - ANSWER_MARGIN_US
         # Who can hardly be answered any more is better told at once.
-        self.needs_us = [
-            int(NEED * min(klass.target_latency_us or klass.deadline_us, klass.deadline_us)) for klass in classes
+        self.min_time_us = [
+            int(TYPICAL_FRACTION * min(klass.target_latency_us or klass.deadline_us, klass.deadline_us))
+            for klass in classes
         ]
-        self.closes_us = max(told_us, self.until_us - min(self.needs_us))
+        self.close_at_us = max(signalled_us, self.answer_by_us - min(self.min_time_us))
 
     def left_us(self, klass: int, time_left_us: int, now_us: int) -> int:
         """Tell how long a request of a class may take; 0 where it can hardly be answered in time.
 
         One whose own client waits no longer than is left keeps its time: the end changes nothing for it.
         """
-        left = self.until_us - now_us
+        left = self.answer_by_us - now_us
         if time_left_us <= left:
             return time_left_us
-        return left if left >= self.needs_us[klass] else 0
+        return left if left >= self.min_time_us[klass] else 0
 
-    def closing(self, now_us: int) -> bool:
+    def rejects_all(self, now_us: int) -> bool:
         """Tell whether no class is taken any more, so that connections end."""
-        return now_us >= self.closes_us
+        return now_us >= self.close_at_us
--- a/hophinge/head/log.py
+++ b/hophinge/head/log.py
@@ -10,17 +10,17 @@
 
 from hophinge.core.errors import one_line
 
-PIECE = select.PIPE_BUF // 4  # characters; their bytes fit into a pipe that has any room
-READ_MS = 50.0  # for a reader that is behind; one that let it pass is not waited for until it has read
+MAX_WRITE = select.PIPE_BUF // 4  # characters; their bytes fit into a pipe that has any room
+READER_TIMEOUT_MS = 50.0  # for a reader that is behind; one that let it pass is not waited for until it has read
 
 
-class Room:
+class StdoutReadiness:
     """Whether the log's reader leaves room for a piece."""
 
     def __init__(self) -> None:
-        self.wait_ms = READ_MS
+        self.wait_ms = READER_TIMEOUT_MS
 
-    def wait(self) -> bool:
+    def is_writable(self) -> bool:
         """Tell whether a piece can be written at once, after a moment at most."""
         try:
             descriptor = sys.stdout.fileno()
@@ -29,35 +29,35 @@
         look = select.poll()
         look.register(descriptor, select.POLLOUT)
         found = bool(look.poll(self.wait_ms))
-        self.wait_ms = READ_MS if found else 0.0
+        self.wait_ms = READER_TIMEOUT_MS if found else 0.0
         return found
 
 
-ROOM = Room()
+STDOUT = StdoutReadiness()
 
 
-def say(text: str) -> None:
+def write_line(text: str) -> None:
     """Write to the log; what can't be written is lost and ends nothing else.
 
     Its reader may have gone or stand still, its disk may be full: a head that waited for that would serve nobody.
     """
     text = text.rstrip("\n") + "\n"
     with contextlib.suppress(OSError):
-        for at in range(0, len(text), PIECE):
-            if not ROOM.wait():
+        for at in range(0, len(text), MAX_WRITE):
+            if not STDOUT.is_writable():
                 return
-            print(text[at : at + PIECE], end="", flush=True)
+            print(text[at : at + MAX_WRITE], end="", flush=True)
 
 
-class Lines(logging.Handler):
+class LibraryLogHandler(logging.Handler):
     """What the libraries log, as lines of the head's."""
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write a record."""
-        say(self.format(record))
+        write_line(self.format(record))
 
 
-def note_end(task: asyncio.Task[None]) -> None:
+def log_task_failure(task: asyncio.Task[None]) -> None:
     """Log the end of a task that should run as long as its head, unless it was cancelled."""
     if not task.cancelled() and (error := task.exception()) is not None:
-        say(f"a part of the head has ended, all else goes on: {one_line(error)}")
+        write_line(f"a part of the head has ended, all else goes on: {one_line(error)}")
--- a/hophinge/head/main.py
+++ b/hophinge/head/main.py
@@ -18,8 +18,8 @@
 from hophinge.core.errors import HophingeError, one_line
 from hophinge.head.config import Config, load
 from hophinge.head.environment import CONFIG_FILE
-from hophinge.head.log import Lines, say
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.log import LibraryLogHandler, write_line
+from hophinge.head.operator_config import OperatorConfig
 from hophinge.head.service import Service
 
 M_MMAP_THRESHOLD, BUFFER_BYTES = -3, 96 * 1024
@@ -49,10 +49,10 @@
 async def run(service: Service) -> None:
     """Serve until a signal ends it."""
     loop = asyncio.get_running_loop()
-    logging.basicConfig(handlers=[Lines()], level=logging.WARNING, format="%(name)s: %(message)s")
+    logging.basicConfig(handlers=[LibraryLogHandler()], level=logging.WARNING, format="%(name)s: %(message)s")
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, service.stop)
-    loop.add_signal_handler(signal.SIGUSR1, service.report)
+    loop.add_signal_handler(signal.SIGUSR1, service.log_counters)
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     try:
@@ -65,7 +65,7 @@
     gc.freeze()  # what start-up made is never garbage; collections stay short
     await service.stopping.wait()
     try:
-        await service.finish()
+        await service.shut_down()
     except Exception as error:  # what does not close cleanly ends with the process
-        say(f"the end was not clean: {one_line(error)}")
-    service.report()
+        write_line(f"the end was not clean: {one_line(error)}")
+    service.log_counters()
--- a/hophinge/head/main_import.py
+++ b/hophinge/head/main_import.py
@@ -14,7 +14,7 @@
 CERTIFICATES = ("SSL_CERT_FILE", "SSL_CERT_DIR")  # OpenSSL's own names
 
 
-def service(environ: MutableMapping[str, str] = os.environ) -> Callable[[], int]:
+def import_main(environ: MutableMapping[str, str] = os.environ) -> Callable[[], int]:
     """Import the service; tells what runs it."""
     kept = {name: environ.get(name) for name in CERTIFICATES}
     if not environ.get(OPERATOR_FILE):
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -38,18 +38,18 @@
 from hophinge.state import files
 
 KIND, FORM = "drains", 1
-LOOK_S = 0.1  # between looks at what is out there
+CHECK_INTERVAL_S = 0.1  # between looks at what is out there
 SAVE_RETRY_INTERVAL_S = 1.0  # after the disk failed; until then nothing is said to be drained
 
 
-class Answers:
+class AnswerTimes:
     """A gate that notes which bricks have answered, before the gate there is."""
 
-    __slots__ = ("gate", "good")
+    __slots__ = ("gate", "last_answer_us")
 
     def __init__(self, gate: Gate) -> None:
         self.gate = gate
-        self.good: dict[str, int] = {}  # by brick: when it answered last
+        self.last_answer_us: dict[str, int] = {}  # by brick: when it answered last
 
     def admit(self, now_us: int, ask: Arrival) -> Bounds | WaitAtGate | int:
         """Pass on."""
@@ -71,7 +71,7 @@
     def ended(self, now_us: int, node: str, result: Result) -> None:
         """Note an answer, and pass on."""
         if result is Result.OK:
-            self.good[node] = now_us
+            self.last_answer_us[node] = now_us
         self.gate.ended(now_us, node, result)
 
     def nodes(self, now_us: int, event: NodeList) -> None:
@@ -99,39 +99,39 @@
         disk: files.Disk = files.DISK,
     ) -> None:
         self.client = client
-        self.rotation = rotation
+        self.ejections = rotation
         self.exchange = exchange
-        self.holder = holder
+        self.permit_holder = holder
         self.zone = zone
         self.path = path
         self.log = log
         self.ready = ready
-        self.go = go
-        self.alone = alone
-        self.board = board
-        self.sight = sight
+        self.on_go_offline = go
+        self.is_alone = alone
+        self.entries = board
+        self.membership = sight
         self.disk = disk
         assert exchange.gate is not None, "a stream's router stands there"
-        self.answers = Answers(exchange.gate)
-        exchange.gate = self.answers
-        self.drains = HeadDrains(self._kept())
-        self.saved = self.drains.to_store()
-        self.born_us = exchange.now_us()
-        self.up_at: dict[str, int] = {}  # by brick: when it was taken up again
-        self.spoken = False  # the service has sent a word on this stream, so it takes reports
-        self.last: HeadReport | None = None  # as reported, with all lists whole
-        self.teller = SnapshotSender()  # of this stream
-        self.parts = False  # the service on this stream takes lists as changes
+        self.answer_times = AnswerTimes(exchange.gate)
+        exchange.gate = self.answer_times
+        self.drains = HeadDrains(self._load_drains())
+        self.stored_drains = self.drains.to_store()
+        self.started_us = exchange.now_us()
+        self.restored_at: dict[str, int] = {}  # by brick: when it was taken up again
+        self.service_has_sent = False  # the service has sent a word on this stream, so it takes reports
+        self.last_report: HeadReport | None = None  # as reported, with all lists whole
+        self.sender = SnapshotSender()  # of this stream
+        self.accepts_changes = False  # the service on this stream takes lists as changes
         self.halted: set[str] = set()  # on the board by this head
         greet, others, figures = client.initial_requests, client.followup_requests, client.collect_metrics
-        client.initial_requests = lambda: self._greet(greet())
-        client.followup_requests = lambda beat: [*others(beat), *self._due(beat)]
+        client.initial_requests = lambda: self._initial_requests(greet())
+        client.followup_requests = lambda beat: [*others(beat), *self._followup_requests(beat)]
         client.collect_metrics = lambda: {**figures(), MAINTENANCE_METRIC: 1.0}
-        client.on_maintenance_response = self._word
+        client.on_maintenance_response = self._apply_update
 
     # --- what a restart finds
 
-    def _kept(self) -> Iterable[tuple[str, str]]:
+    def _load_drains(self) -> Iterable[tuple[str, str]]:
         try:
             found = files.load(self.path, KIND, range(1, FORM + 1))
             return msgspec.json.decode(found.payload, type=dict[str, str]).items() if found is not None else ()
@@ -141,68 +141,68 @@
 
     def begin(self) -> None:
         """Take out what was out when this head ended, whoever can be reached."""
-        self._do(self.drains.start())
+        self._carry_out(self.drains.start())
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             try:
-                if (keeps := self.drains.to_store()) != self.saved:
+                if (keeps := self.drains.to_store()) != self.stored_drains:
                     await asyncio.to_thread(files.save, self.path, KIND, FORM, msgspec.json.encode(keeps), self.disk)
-                    self.saved = keeps
-                self.look()
+                    self.stored_drains = keeps
+                self.check_drains()
             except OSError as error:
                 self.log(f"maintenance: what is out cannot be kept, so no brick is said to be drained: {error}")
                 await asyncio.sleep(SAVE_RETRY_INTERVAL_S)
 
     # --- the stream
 
-    def _greet(self, before: list[DiscoveryRequest]) -> list[DiscoveryRequest]:
-        self.spoken = False
-        self.last = None
-        self.teller = SnapshotSender()
-        self.parts = False
+    def _initial_requests(self, before: list[DiscoveryRequest]) -> list[DiscoveryRequest]:
+        self.service_has_sent = False
+        self.last_report = None
+        self.sender = SnapshotSender()
+        self.accepts_changes = False
         return before
 
-    def _word(self, response: DiscoveryResponse) -> None:
+    def _apply_update(self, response: DiscoveryResponse) -> None:
         """Take a word off the stream."""
         word = decode_update(response)
-        self.spoken = True
-        self.parts = word.accepts_list_changes
+        self.service_has_sent = True
+        self.accepts_changes = word.accepts_list_changes
         try:
-            goes = self.holder.apply_update(self.exchange.now_us(), word)
+            goes = self.permit_holder.apply_update(self.exchange.now_us(), word)
         except HophingeError as error:
             return self.log(f"maintenance: {one_line(error)}")
-        if self.holder.update is word:
-            self._do(self.drains.apply_update(word.ejected, word.restored))
-            self._tell_halts({HALT_KEY_PREFIX + one for one in word.halted_releases})
+        if self.permit_holder.update is word:
+            self._carry_out(self.drains.apply_update(word.ejected, word.restored))
+            self._publish_halts({HALT_KEY_PREFIX + one for one in word.halted_releases})
         for one in goes:
             self.log(
                 f"maintenance: permit {one.permit} lets this head go; it is to come back with "
                 f"{f'build {one.build}' if one.build else 'any build'}"
             )
-            if self.go is not None:
-                self.go(one)
+            if self.on_go_offline is not None:
+                self.on_go_offline(one)
         return None
 
-    def _due(self, beat: bool) -> list[DiscoveryRequest]:
+    def _followup_requests(self, is_heartbeat: bool) -> list[DiscoveryRequest]:
         """Report at each beat, and as soon as something has changed."""
-        if not self.spoken:
+        if not self.service_has_sent:
             return []
         report, now = self.report(), self.exchange.now_us()
-        asked = self.holder.update.full_lists_request if self.holder.update is not None else 0
-        owes = self.parts and self.teller.is_full_due(now, asked)
-        if not beat and not owes and self.last is not None and _same(report, self.last):
+        asked = self.permit_holder.update.full_lists_request if self.permit_holder.update is not None else 0
+        owes = self.accepts_changes and self.sender.is_full_due(now, asked)
+        if not is_heartbeat and not owes and self.last_report is not None and _same(report, self.last_report):
             return []
-        self.last = report
-        if self.parts:
-            report = self.teller.to_changes(now, report, asked)
+        self.last_report = report
+        if self.accepts_changes:
+            report = self.sender.to_changes(now, report, asked)
         return [report_request(self.client.follower.head, report)]
 
     def report(self) -> HeadReport:
         """Tell all that this head says now."""
-        now, listed = self.exchange.now_us(), self.rotation.listed
+        now, listed = self.exchange.now_us(), self.ejections.listed
         settings, counts = self.exchange.settings, self.exchange.counters.counts
         avoided = set(self.exchange.scheduler.avoided(now))
         backends = {
@@ -213,86 +213,88 @@
             )
             for name, one in listed.items()
         }
-        live, gone = head_states(self.sight.members()) if self.sight is not None else ([], [])
-        entries = list(self.board.entries(Topic.DRAINS)) if self.board is not None else []
-        me = self.sight.own_name if self.sight is not None else self.client.follower.head
+        live, gone = head_states(self.membership.members()) if self.membership is not None else ([], [])
+        entries = list(self.entries.entries(Topic.DRAINS)) if self.entries is not None else []
+        me = self.membership.own_name if self.membership is not None else self.client.follower.head
         said = {owner: rows for owner, rows in statements_by_owner(entries).items() if owner != me}
         return HeadReport(
-            self.holder.process,
-            self.holder.build,
+            self.permit_holder.process,
+            self.permit_holder.build,
             self.zone,
             self.ready() and bool(backends),
-            self.holder.pending_key(now),
-            self.holder.permit_to_begin(now, halted_releases(entries)),
+            self.permit_holder.pending_key(now),
+            self.permit_holder.permit_to_begin(now, halted_releases(entries)),
             tuple(self.drains.statements()),
             said,
             backends,
             tuple(live),
             tuple(gone),
-            self.sight is not None,
+            self.membership is not None,
             counts["requests_taken"],
             counts["requests_failed"] + counts["requests_refused"],
         )
 
     # --- rotation and exchange
 
-    def look(self) -> None:
+    def check_drains(self) -> None:
         """See what is out there, and say what follows."""
         if self.drains.drains:
             open_there = Counter(
                 attempt.node for request in self.exchange.open.values() for attempt in request.attempts.values()
             )
-            out = [one.backend for one in self.drains.drains.values() if self.rotation.is_ejected(one.backend)]
+            out = [one.backend for one in self.drains.drains.values() if self.ejections.is_ejected(one.backend)]
             # Another process of this head, before or after it, may still have something there.
-            self._do(self.drains.observe(open_there, out if self.alone() else (), self._warm()))
-        for request in self._due(False):
+            self._carry_out(self.drains.observe(open_there, out if self.is_alone() else (), self._warm_backends()))
+        for request in self._followup_requests(False):
             self.client.outgoing.put_nowait(request)
 
-    def _warm(self) -> list[str]:
+    def _warm_backends(self) -> list[str]:
         """Tell which bricks have answered since they are back, for longer than they count as cold."""
-        now, cold = self.exchange.now_us(), self.rotation.slow_start_us
+        now, cold = self.exchange.now_us(), self.ejections.slow_start_us
         since = {
-            one.backend: self.up_at.get(one.backend, self.born_us)
+            one.backend: self.restored_at.get(one.backend, self.started_us)
             for one in self.drains.drains.values()
             if one.phase is DrainPhase.RESTORED
         }
         return [
-            backend for backend, at in since.items() if self.answers.good.get(backend, -1) > at and now - at >= cold
+            backend
+            for backend, at in since.items()
+            if self.answer_times.last_answer_us.get(backend, -1) > at and now - at >= cold
         ]
 
-    def _do(self, actions: Iterable[Action]) -> None:
+    def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case Eject(backend=backend):
                     # Set also where no list names it yet: it must not come into use when one does.
-                    self._mark(backend, True)
+                    self._set_ejected(backend, True)
                     self.log(f"maintenance: {backend} is taken out")
                 case Restore(backend=backend):
-                    self._mark(backend, False)
-                    self.up_at[backend] = self.exchange.now_us()
+                    self._set_ejected(backend, False)
+                    self.restored_at[backend] = self.exchange.now_us()
                     self.log(f"maintenance: {backend} is taken up again, cold")
                 case Announce(statement=statement):
-                    self._put(statement.key, encode_statement(statement))
+                    self._publish(statement.key, encode_statement(statement))
                 case Retract(statement=statement):
-                    if self.board is not None:
-                        self.board.delete(Topic.DRAINS, statement.key)
+                    if self.entries is not None:
+                        self.entries.delete(Topic.DRAINS, statement.key)
 
-    def _mark(self, backend: str, out: bool) -> None:
-        last = self.rotation.ejections.get(backend)
-        self.rotation.merge({backend: ManualEjection(max(self.exchange.now_us(), last.at_us + 1 if last else 0), out)})
-        self.rotation.on_ejection()
+    def _set_ejected(self, backend: str, out: bool) -> None:
+        last = self.ejections.ejections.get(backend)
+        self.ejections.merge({backend: ManualEjection(max(self.exchange.now_us(), last.at_us + 1 if last else 0), out)})
+        self.ejections.on_ejection()
 
-    def _tell_halts(self, keys: set[str]) -> None:
-        for key in self.halted - keys if self.board is not None else ():
-            self.board.delete(Topic.DRAINS, key)  # type: ignore[union-attr]   # there, by the line before
+    def _publish_halts(self, keys: set[str]) -> None:
+        for key in self.halted - keys if self.entries is not None else ():
+            self.entries.delete(Topic.DRAINS, key)  # type: ignore[union-attr]   # there, by the line before
         for key in keys - self.halted:
-            self._put(key, b"")
+            self._publish(key, b"")
         self.halted = keys
 
-    def _put(self, key: str, body: bytes) -> None:
+    def _publish(self, key: str, body: bytes) -> None:
         try:
-            if self.board is not None:
-                self.board.put(Topic.DRAINS, key, body)
+            if self.entries is not None:
+                self.entries.put(Topic.DRAINS, key, body)
         except HophingeError as error:
             self.log(f"maintenance: peers do not hear of {key}: {one_line(error)}")
 
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -16,9 +16,9 @@
 from hophinge.tenancy.lifecycle import TenantState
 from hophinge.tenancy.slewed_clock import SlewedClock
 
-CLOCK_OFF_MS = 60_000  # staff hear of a clock that is further off
-OUTCOME = {2: used.SERVED, 3: used.SERVED, 4: used.FAILED, 5: used.FAILED}
-HERE = "here"  # the reporter of this head's own usage, in its own ledger
+MAX_CLOCK_OFFSET_MS = 60_000  # staff hear of a clock that is further off
+OUTCOME_BY_STATUS = {2: used.SERVED, 3: used.SERVED, 4: used.FAILED, 5: used.FAILED}
+LOCAL_REPORTER = "here"  # the reporter of this head's own usage, in its own ledger
 
 
 class Metering:
@@ -27,18 +27,18 @@
     def __init__(
         self,
         path: Path,
-        copy: bool,
+        is_replica: bool,
         counters: Counters,
         log: Callable[[str], None],
-        became: Callable[[str, TenantState | None], None],
+        on_state_change: Callable[[str, TenantState | None], None],
     ) -> None:
         self.counters = counters
         self.log = log
-        self.copy = copy
-        self.accounts = Accounts(became)
+        self.is_replica = is_replica
+        self.accounts = Accounts(on_state_change)
         self.ledger = Ledger(path, self.accounts.apply)
         self.time = SlewedClock(wall_ms(), steady_us(), self.ledger.last_change_ms())
-        self.clock_told = False
+        self.clock_offset_logged = False
         self.usage = used.UsageCounter()
         self.reports = used.UsageReports()
         self.exported = used.LabelledTotals()
@@ -46,9 +46,9 @@
     def now_ms(self) -> int:
         """Tell the time that keys end by."""
         now = self.time.now_ms(wall_ms(), steady_us())
-        off = abs(self.time.wall_clock_ahead_ms(wall_ms())) > CLOCK_OFF_MS
-        if off is not self.clock_told:
-            self.clock_told = off
+        off = abs(self.time.wall_clock_ahead_ms(wall_ms())) > MAX_CLOCK_OFFSET_MS
+        if off is not self.clock_offset_logged:
+            self.clock_offset_logged = off
             self.log(
                 f"the clock is {self.time.wall_clock_ahead_ms(wall_ms()) / 1000:.0f} s from the time that keys end by; "
                 "it is followed slowly"
@@ -69,16 +69,16 @@
             for (tenant, field), amount in self.exported.counts.items()
         }
 
-    def moved(self, guest: AuthenticatedRequest, way: int, size: int) -> None:
+    def count_bytes(self, guest: AuthenticatedRequest, way: int, size: int) -> None:
         """Count bytes."""
         self.count(guest.tenant, guest.volume.id, used.BYTES_IN if way == INBOUND else used.BYTES_OUT, size)
 
-    def ended(self, guest: AuthenticatedRequest, status: int) -> None:
+    def count_request(self, guest: AuthenticatedRequest, status: int) -> None:
         """Count a request's end."""
-        end = used.REJECTED if status in (429, 503) else OUTCOME.get(status // 100, used.FAILED)
+        end = used.REJECTED if status in (429, 503) else OUTCOME_BY_STATUS.get(status // 100, used.FAILED)
         self.count(guest.tenant, guest.volume.id, end, 1)
 
-    def units(self, volume: str, units: float) -> None:
+    def count_units(self, volume: str, units: float) -> None:
         """Count units that bricks served."""
         if tenant := self.accounts.owner(volume):
             self.count(tenant, volume, used.UNITS, units)
@@ -88,9 +88,9 @@
         amounts = self.usage.begin_flush()
         try:
             if amounts:
-                self.ledger.add_usage(HERE, amounts)
+                self.ledger.add_usage(LOCAL_REPORTER, amounts)
             self.usage.commit_flush()
-            if self.copy:
+            if self.is_replica:
                 self.reports.add(amounts)
         except LedgerError as error:
             self.usage.abort_flush()
@@ -98,19 +98,19 @@
             if self.counters.counts["usage_not_stored"] == 1:
                 self.log(f"usage waits to be stored: {error}")
 
-    def copied(self, taker: AccountReceiver, part: AccountChunk) -> bool:
+    def replicate(self, receiver: AccountReceiver, chunk: AccountChunk) -> bool:
         """Write a part of the control service's accounts; False: it could not be, and is to be tried again."""
-        rows = taker.receive(part)
+        rows = receiver.receive(chunk)
         if rows is not None:
             try:
-                self.ledger.replicate(part.epoch, rows[0], part.seq, rows[1], self.now_ms())
+                self.ledger.replicate(chunk.epoch, rows[0], chunk.seq, rows[1], self.now_ms())
             except LedgerError as error:
                 self.log(f"accounts are not written yet: {error}")
                 return False
-            taker.commit(part)
+            receiver.commit(chunk)
         return True
 
-    def report(self, most: int) -> tuple[int, Mapping[used.UsageKey, float]]:
+    def next_usage_report(self, most: int) -> tuple[int, Mapping[used.UsageKey, float]]:
         """Tell totals that the control service does not know yet, under a number."""
         number, places = self.reports.next_report(most)
-        return number, self.ledger.reporter_totals(HERE, places)
+        return number, self.ledger.reporter_totals(LOCAL_REPORTER, places)
--- a/hophinge/head/process_handoff.py
+++ b/hophinge/head/process_handoff.py
@@ -12,19 +12,19 @@
 
 from hophinge.core.manual_ejections import ManualEjection, ManualEjections
 
-VERSION = 1
-LOOK_S = 0.05  # between looks; the grace on drains is ten times that
-LIVE, MARKS = "live-", "marks.json"
+FILE_VERSION = 1
+REFRESH_INTERVAL_S = 0.05  # between looks; the grace on drains is ten times that
+LOCK_PREFIX, EJECTIONS_FILE = "live-", "marks.json"
 
 
-class Marks(msgspec.Struct):
+class EjectionFile(msgspec.Struct):
     """The file of marks. A version that is not known is left alone."""
 
     version: int
     marks: dict[str, ManualEjection]
 
 
-class Handover:
+class ProcessHandoff:
     """The files of one process beside the other's.
 
     Each process holds a file locked while it lives; the kernel lets go of it however the process ends. Marks are
@@ -40,37 +40,37 @@
         log: Callable[[str], None],
     ) -> None:
         self.folder = folder
-        self.rotation = rotation
+        self.ejections = rotation
         self.now_us = now_us
-        self.rest_us = rest_us
+        self.overlap_us = rest_us
         self.log = log
         folder.mkdir(mode=0o700, exist_ok=True)
         self.file = open(folder / f"new-{os.getpid()}", "w")  # noqa: SIM115
         fcntl.flock(self.file, fcntl.LOCK_EX)
         # Seen by others only once it is locked: one that can be locked by another is a dead process's.
-        self.path = folder / f"{LIVE}{os.getpid()}"
+        self.path = folder / f"{LOCK_PREFIX}{os.getpid()}"
         os.rename(self.file.name, self.path)
-        self.others: list[int] = []
-        self.other_until = 0  # its last requests still count against the rules until then
-        self.seen: tuple[int, int] | None = None
+        self.other_pids: list[int] = []
+        self.other_counts_until = 0  # its last requests still count against the rules until then
+        self.last_read: tuple[int, int] | None = None
 
     @property
     def processes(self) -> int:
         """How many processes the head's parts are to be shared by."""
-        return max(1 + len(self.others), 2 if self.now_us() < self.other_until else 1)
+        return max(1 + len(self.other_pids), 2 if self.now_us() < self.other_counts_until else 1)
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """See who lives and what was marked."""
-        self.others = [
-            int(name.removeprefix(LIVE))
+        self.other_pids = [
+            int(name.removeprefix(LOCK_PREFIX))
             for name in os.listdir(self.folder)
-            if name.startswith(LIVE) and name != self.path.name and self._lives(name)
+            if name.startswith(LOCK_PREFIX) and name != self.path.name and self._is_alive(name)
         ]
-        if self.others:
-            self.other_until = self.now_us() + self.rest_us
+        if self.other_pids:
+            self.other_counts_until = self.now_us() + self.overlap_us
         self._read()
 
-    def _lives(self, name: str) -> bool:
+    def _is_alive(self, name: str) -> bool:
         try:
             with open(self.folder / name) as file:
                 fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -82,34 +82,36 @@
         return False
 
     def _read(self) -> None:
-        path = self.folder / MARKS
+        path = self.folder / EJECTIONS_FILE
         with contextlib.suppress(FileNotFoundError):
             status = path.stat()
-            if (status.st_mtime_ns, status.st_ino) == self.seen:
+            if (status.st_mtime_ns, status.st_ino) == self.last_read:
                 return
-            self.seen = status.st_mtime_ns, status.st_ino
+            self.last_read = status.st_mtime_ns, status.st_ino
             try:
-                found = msgspec.json.decode(path.read_bytes(), type=Marks)
+                found = msgspec.json.decode(path.read_bytes(), type=EjectionFile)
             except msgspec.MsgspecError as error:
                 self.log(f"{path} is malformed and is written anew: {error}")
-                found = Marks(VERSION, {})
-            if found.version != VERSION:
-                return self.log(f"{path} has version {found.version}, not {VERSION}; bricks out by hand are not shared")
-            self.rotation.merge(found.marks)
-            if any(found.marks.get(node) != mark for node, mark in self.rotation.ejections.items()):
+                found = EjectionFile(FILE_VERSION, {})
+            if found.version != FILE_VERSION:
+                return self.log(
+                    f"{path} has version {found.version}, not {FILE_VERSION}; bricks out by hand are not shared"
+                )
+            self.ejections.merge(found.marks)
+            if any(found.marks.get(node) != mark for node, mark in self.ejections.ejections.items()):
                 self.write()
         return None
 
     def write(self) -> None:
         """Put the marks that this process holds in the file's place."""
         path = self.folder / f"marks-{os.getpid()}"
-        path.write_bytes(msgspec.json.encode(Marks(VERSION, self.rotation.ejections)))
-        os.replace(path, self.folder / MARKS)
+        path.write_bytes(msgspec.json.encode(EjectionFile(FILE_VERSION, self.ejections.ejections)))
+        os.replace(path, self.folder / EJECTIONS_FILE)
 
     def descriptors(self) -> int:
         """Tell how many descriptors the others hold; the limit is on all together."""
         held = 0
-        for process in self.others:
+        for process in self.other_pids:
             with contextlib.suppress(OSError):
                 held += len(os.listdir(f"/proc/{process}/fd"))
         return held
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -19,7 +19,7 @@
 from hophinge.core import interface as api
 from hophinge.core.errors import HophingeError
 from hophinge.core.exchange import Exchange
-from hophinge.head.hanging import Watchdog
+from hophinge.head.watchdog import Watchdog
 from hophinge.head.sections import ScoringConfig
 from hophinge.popularity.interface import Demand
 from hophinge.scoring import latency, outlook, suspicion
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -15,15 +15,15 @@
 from hophinge.net.backend_client import BackendClient
 from hophinge.net.clock import LoopClock
 from hophinge.net.operations_server import OperationsServer
-from hophinge.head import compose, ending, limits
-from hophinge.head.handover import LOOK_S, Handover
+from hophinge.head import components, limits, shutdown
+from hophinge.head.process_handoff import REFRESH_INTERVAL_S, ProcessHandoff
 from hophinge.net.discovery import EndpointDirectory, DiscoveryWatch
 from hophinge.net.acceptor import Acceptor
 from hophinge.net.listener import Listener
 from hophinge.net.frontend import Frontend
 from hophinge.head.config import Config, ConfigError, ReloadError, address, read_config
-from hophinge.head.log import note_end, say
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.log import log_task_failure, write_line
+from hophinge.head.operator_config import OperatorConfig
 from hophinge.core.manual_ejections import ManualEjections
 
 FIRST_LIST_S = 0.4  # ready with the saved list alone if discovery, which answers at once, is silent for so long
@@ -40,49 +40,49 @@
         self.path = path
         self.counters = Counters()
         clock = LoopClock(asyncio.get_running_loop())
-        self.exchange = Exchange(settings, int(config.seed, 16), clock, self.counters, say)
-        parts = compose.Parts(config, operator, self.exchange, self.counters, say)
+        self.exchange = Exchange(settings, int(config.seed, 16), clock, self.counters, write_line)
+        parts = components.OptionalComponents(config, operator, self.exchange, self.counters, write_line)
         self.objects = parts.objects
         self.admin = parts.admin
         self.accounts = parts.accounts
         self.streamed = parts.streamed
-        self.together = parts.together
+        self.cluster_services = parts.cluster_services
         # What the configuration can still be refused for lies above; sessions are opened from here on.
         self.directory = EndpointDirectory(settings)
         self.budget = ByteBudget(0)
-        self.backends = BackendClient(settings, self.directory.endpoint, self.counters, say, self.budget)
+        self.backends = BackendClient(settings, self.directory.endpoint, self.counters, write_line, self.budget)
         self.exchange.start = self.backends.start
         self.exchange.probe = self.backends.probe
         self.front = Frontend(self.exchange, self.counters, self.budget)
-        self.handover: Handover | None = None
-        self.share(0)
-        self.rotation = ManualEjections(self.nodes, clock.now_us, settings.rules.slow_start_us)
+        self.handoff: ProcessHandoff | None = None
+        self.divide_limits(0)
+        self.ejections = ManualEjections(self.apply_node_list, clock.now_us, settings.rules.slow_start_us)
         self.discovery = self._discovery_watch()
-        self.figures = self.exchange.metrics
-        self.figures.current_values = self.backends_now
+        self.metrics = self.exchange.metrics
+        self.metrics.current_values = self.backend_counts
         self.control = (
-            OperationsServer(self.counters, self.figures, self.rotation, self.ready) if config.control else None
+            OperationsServer(self.counters, self.metrics, self.ejections, self.is_ready) if config.control else None
         )
-        parts.join(self.front, self.control)
-        self.remote_write = compose.remote_write(
+        parts.connect(self.front, self.control)
+        self.remote_write = components.remote_write(
             config, operator, self.exchange, self.counters, self.gauges, self.accounts
         )
         self.listeners: list[Acceptor] = []  # of clients
         self.control_listener: Acceptor | None = None
         self.tasks: list[asyncio.Task[None]] = []
         self.stopping = asyncio.Event()
-        self.told_us = 0  # of the end
-        self.maintenance = compose.maintenance(self, say)
+        self.signalled_us = 0  # of the end
+        self.maintenance = components.maintenance(self, write_line)
 
     def _discovery_watch(self) -> DiscoveryWatch:
         return DiscoveryWatch(
             self.config.discovery,
             self.directory,
-            self.rotation.apply_list,
+            self.ejections.apply_list,
             self.counters,
             self.settings.gateways,
             int(self.config.seed, 16),
-            say,
+            write_line,
             self.settings.discovery is api.Discovery.PUSHED,
         )
 
@@ -93,12 +93,12 @@
         if self.maintenance is not None:
             self.maintenance.begin()
             self.tasks.append(asyncio.create_task(self.maintenance.run()))
-        self.rotation.apply_list(self.directory.apply(self.config.known, api.ListKind.SAVED))
+        self.ejections.apply_list(self.directory.apply(self.config.known, api.ListKind.SAVED))
         if self.streamed is not None:
             self.streamed.client.restore()
             self.tasks.append(asyncio.create_task(self.streamed.client.run()))
         if self.config.accept_fd is not None:
-            self._beside_another()
+            self._share_with_other_process()
         known = self.config.known
         self.discovery.follow(self.config.discovery, known.rev if known.targets and known.all else None)
         if self.config.accept_fd is None:
@@ -109,19 +109,19 @@
             self._listen(self.admin, self.operator.admin.listen)
         if self.remote_write is not None:
             self.tasks.append(asyncio.create_task(self.remote_write.run()))
-        if self.together is not None:
-            self.tasks += self.together.start()
+        if self.cluster_services is not None:
+            self.tasks += self.cluster_services.start()
         self._observe_tenants()
         for task in self.tasks:
-            task.add_done_callback(note_end)
-        if not await ending.first_of(FIRST_LIST_S, self.discovery.first_answer, self.stopping):
-            say("discovery is silent; starting from the saved list")
+            task.add_done_callback(log_task_failure)
+        if not await shutdown.wait_for_any(FIRST_LIST_S, self.discovery.first_answer, self.stopping):
+            write_line("discovery is silent; starting from the saved list")
         if self.config.accept_fd is not None:
             # Not before: until then another process may serve what waits there.
             self._listen(self.front, self.config.listen, self.config.accept_fd)
         self.front.ready = True
         limits = self.config.limits
-        say(
+        write_line(
             f"{self.config.name or 'a head'} serves on {self.config.listen}: {limits.cores} cores, "
             f"{limits.memory_mb} MB, {limits.sockets} sockets, {self.front.max_connections} for clients"
         )
@@ -133,70 +133,70 @@
             self.front.on_connection_closed = self.accounts.dropped
             self.tasks += self.accounts.tasks()
         elif self.streamed is not None:
-            self.front.tenant_observer = self.streamed.forms
-            self.front.on_connection_closed = self.streamed.forms.dropped
+            self.front.tenant_observer = self.streamed.document_tenants
+            self.front.on_connection_closed = self.streamed.document_tenants.dropped
 
-    def nodes(self, event: api.NodeList) -> None:
+    def apply_node_list(self, event: api.NodeList) -> None:
         """Take a list of bricks, or what changed in it."""
         self.exchange.nodes(event)
         # Connections to a brick that is out by hand go: it is about to be restarted.
         self.backends.retain(
-            where for node, where in self.directory.endpoints.items() if not self.rotation.is_ejected(node)
+            where for node, where in self.directory.endpoints.items() if not self.ejections.is_ejected(node)
         )
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether this process serves."""
         return self.front.ready and not self.stopping.is_set()
 
-    def backends_now(self) -> dict[str, int]:
+    def backend_counts(self) -> dict[str, int]:
         """Tell how many bricks are listed, and how many of them get nothing now, by hand, list or choice."""
-        listed = self.rotation.listed
+        listed = self.ejections.listed
         avoided = {node for node in listed if self.exchange.phases.get(node) is not api.Phase.ON}
         avoided.update(node for node in self.exchange.scheduler.avoided(self.exchange.now_us()) if node in listed)
         return {"registry_entries": len(listed), "out_of_rotation": len(avoided)}
 
-    def _beside_another(self) -> None:
+    def _share_with_other_process(self) -> None:
         """Share the head's parts and what was set by hand with the process that is replaced, or that replaces this."""
         folder = os.environ.get("TMPDIR")
         if not folder:
-            return say("no TMPDIR: bricks out by hand do not outlive an upgrade")
+            return write_line("no TMPDIR: bricks out by hand do not outlive an upgrade")
         name = re.sub(r"[^0-9A-Za-z-]", "_", self.config.name or self.config.listen)
-        self.handover = Handover(
+        self.handoff = ProcessHandoff(
             Path(folder) / f"hophinge-{name}",
-            self.rotation,
+            self.ejections,
             self.exchange.now_us,
             self.settings.rules.overload_window_us,
-            say,
+            write_line,
         )
-        self.rotation.on_ejection = self.handover.write
-        self._look()
-        self.tasks.append(asyncio.create_task(self._look_on()))
+        self.ejections.on_ejection = self.handoff.write
+        self._refresh_handoff()
+        self.tasks.append(asyncio.create_task(self._refresh_handoff_periodically()))
 
-    def _look(self) -> None:
-        assert self.handover is not None
-        self.handover.look()
-        self.exchange.scheduler.processes = self.handover.processes
-        self.share(self.handover.descriptors())
+    def _refresh_handoff(self) -> None:
+        assert self.handoff is not None
+        self.handoff.refresh()
+        self.exchange.scheduler.processes = self.handoff.processes
+        self.divide_limits(self.handoff.descriptors())
 
-    async def _look_on(self) -> None:
+    async def _refresh_handoff_periodically(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(REFRESH_INTERVAL_S)
             try:
-                self._look()
+                self._refresh_handoff()
             except OSError as error:
-                say(f"cannot look for another process: {one_line(error)}")
+                write_line(f"cannot look for another process: {one_line(error)}")
 
-    def share(self, elsewhere: int) -> None:
+    def divide_limits(self, elsewhere: int) -> None:
         """Take this process's part of sockets and memory when so many descriptors are another process's."""
-        processes = self.handover.processes if self.handover is not None else 1
-        shares = limits.share(
+        processes = self.handoff.processes if self.handoff is not None else 1
+        shares = limits.divide_limits(
             self.config.limits, processes, elsewhere, self.settings.gateways, bool(self.config.control)
         )
-        self.budget.limit = shares.bodies
-        self.backends.max_attempts = self.backends.registry.limit = shares.to_backends
-        self.backends.registry.limit_per_endpoint = shares.idle_each
-        self.front.max_busy = self.front.max_connections = shares.clients
-        self.front.max_idle = shares.resting
+        self.budget.limit = shares.body_bytes
+        self.backends.max_attempts = self.backends.registry.limit = shares.backend_connections
+        self.backends.registry.limit_per_endpoint = shares.idle_per_backend
+        self.front.max_busy = self.front.max_connections = shares.client_connections
+        self.front.max_idle = shares.idle_clients
 
     def _listen(self, front: Listener, where: str, fd: int | None = None) -> None:
         self.listeners.append(self._acceptor(front, where, fd))
@@ -213,12 +213,12 @@
     def stop(self) -> None:
         """Begin the end; what is left of the time counts from the first call."""
         if not self.stopping.is_set():
-            self.told_us = self.exchange.now_us()
+            self.signalled_us = self.exchange.now_us()
             self.stopping.set()
 
-    def report(self) -> None:
+    def log_counters(self) -> None:
         """Print the counters."""
-        say(self.counters.text() + "end of counters")
+        write_line(self.counters.text() + "end of counters")
 
     def reload(self) -> None:
         """Read the configuration file again; open requests, books and connections live on.
@@ -231,28 +231,29 @@
         except ConfigError as error:
             # Somebody's slip, or a file caught half written: the head goes on with what it has.
             self.counters.add("reloads_failed")
-            say(f"the configuration is kept as it was: {one_line(ReloadError(str(error)))}")
+            write_line(f"the configuration is kept as it was: {one_line(ReloadError(str(error)))}")
             return
         self.counters.add("reloads")
         if new.discovery != self.discovery.address:
-            say(f"discovery moves from {self.discovery.address} to {new.discovery}")
+            write_line(f"discovery moves from {self.discovery.address} to {new.discovery}")
             self.discovery.follow(new.discovery)
-        if self.together is not None:
-            self.together.reload()
+        if self.cluster_services is not None:
+            self.cluster_services.reload()
 
-    async def finish(self) -> None:
+    async def shut_down(self) -> None:
         """Answer what has been taken, then close everything."""
         self.stop()
-        await ending.answer_all(
+        open_connections = len(self.front.server.connections)
+        write_line(f"ending with {self.exchange.unanswered} requests open on {open_connections} connections")
+        await shutdown.Shutdown(
             self.exchange,
             self.front,
             self.objects,
             self.admin,
             self.listeners,
             self.config.accept_fd is not None,
-            self.told_us,
-            say,
-        )
+            self.signalled_us,
+        ).run()
         if self.control_listener is not None:
             self.control_listener.close()
         for served in (*self.fronts, self.control):
@@ -273,13 +274,13 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
         if self.control_listener is not None:
             self.control_listener.close()
-        if self.handover is not None:
-            self.handover.close()
+        if self.handoff is not None:
+            self.handoff.close()
         follower = self.streamed.client if self.streamed is not None else None
         for part in (self.discovery, self.backends, self.remote_write, follower):
             if part is not None:
                 await part.close()
-        for held in (self.together, self.accounts):
+        for held in (self.cluster_services, self.accounts):
             if held is not None:
                 held.close()
 
@@ -287,11 +288,11 @@
         """Tell what is now, for remote write."""
         ready = sum(phase is api.Phase.ON for phase in self.exchange.phases.values())
         return {
-            **self.figures.gauges(),
+            **self.metrics.gauges(),
             "requests_open": self.exchange.unanswered,
             "attempts_out": len(self.backends.tasks),
             "bricks_ready": ready,
             "object_requests_open": self.objects.active_requests if self.objects else 0,
             **(self.streamed.gauges() if self.streamed is not None else {}),
-            **(self.together.gauges() if self.together is not None else {}),
+            **(self.cluster_services.gauges() if self.cluster_services is not None else {}),
         }
--- a/hophinge/head/streamed_configuration.py
+++ b/hophinge/head/streamed_configuration.py
@@ -18,7 +18,7 @@
 from hophinge.core.counters import Counters
 from hophinge.core.exchange import Exchange
 from hophinge.core.interface import Arrival
-from hophinge.head.operator import StreamConfig
+from hophinge.head.operator_config import StreamConfig
 from hophinge.routing.router import Router
 from hophinge.routing.capabilities import HeadCapabilities
 from hophinge.routing.routing_table import RoutingTable
@@ -30,11 +30,11 @@
     from hophinge.head.accounts import HeadAccounts
 
 MIN_TOKEN = 16  # characters
-MAX_SHOWN = 100  # tenants in what staff are told; the rest is summed
-MAX_TOLD = 500  # tenants whose demand one ask tells
+MAX_REPORTED_TENANTS = 100  # tenants in what staff are told; the rest is summed
+MAX_DEMAND_ROWS = 500  # tenants whose demand one ask tells
 
 
-class Streamed:
+class StreamedConfiguration:
     """What one head has of it."""
 
     def __init__(
@@ -51,15 +51,15 @@
             raise ValueError(f"{config.token_file}: a token has {MIN_TOKEN} ASCII characters or more")
         self.exchange = exchange
         self.router = Router(exchange.settings)
-        self.forms = Forms(self.router, exchange.counters)
+        self.document_tenants = DocumentTenants(self.router, exchange.counters)
         self.accounts = accounts
-        self.copied: Copied | None = None
+        self.replicated_accounts: ReplicatedAccounts | None = None
         if accounts is not None:
             self.router.find_owner = accounts.accounts.owner
             self.router.find_account = accounts.accounts.tenants.get
-            accounts.forms = self.forms
+            accounts.document_tenants = self.document_tenants
             accounts.tenant_ended = self.tenant_ended
-            self.copied = Copied(accounts, name) if accounts.copy else None
+            self.replicated_accounts = ReplicatedAccounts(accounts, name) if accounts.is_replica else None
         exchange.gate = self.router
         self.follower = Follower(
             name,
@@ -69,7 +69,7 @@
             int(config.silence_s * 1e6),
             int(config.stale_s * 1e6),
         )
-        self.holder = ShareLeaseHolder(exchange.settings.gateways, secrets.randbits(48), exchange.now_us())
+        self.lease_holder = ShareLeaseHolder(exchange.settings.gateways, secrets.randbits(48), exchange.now_us())
         self.demand_since = exchange.now_us()
         path = config.folder / f"last-good-{re.sub(r'[^0-9A-Za-z-]', '_', name)}.state"
         self.client = StreamClient(
@@ -79,21 +79,21 @@
             self.apply,
             exchange.now_us,
             lambda text: log(f"configuration: {text}"),
-            self.figures,
+            self.rollout_metrics,
         )
         self._set_hooks()
 
     def _set_hooks(self) -> None:
         """Let accounts, leases and the router's shares use the stream."""
-        if self.copied is not None:
-            self.client.initial_requests = self.copied.greet
-            self.client.on_account_response = self.copied.take
-            self.client.followup_requests = self.copied.others
-        self.client.lease_request_metrics = self.ask_lease
+        if self.replicated_accounts is not None:
+            self.client.initial_requests = self.replicated_accounts.initial_requests
+            self.client.on_account_response = self.replicated_accounts.receive
+            self.client.followup_requests = self.replicated_accounts.followup_requests
+        self.client.lease_request_metrics = self.lease_request
         self.client.on_lease = self.take_lease
-        self.router.reserve_share = self.part
+        self.router.reserve_share = self.quota_share
 
-    async def pace(self, volume: str, klass: str, way: int, size: int) -> None:
+    async def throttle(self, volume: str, klass: str, way: int, size: int) -> None:
         """Pause for as long as the limits that fit want, after bytes of a long body have moved."""
         pause_us = self.router.pacing_delay_us(self.exchange.now_us(), volume, klass, way, size)
         if pause_us:
@@ -104,26 +104,30 @@
         if self.router.evict_tenant(tenant):
             self.exchange.gate_changed()
 
-    def _leases(self) -> bool:
+    def _has_leases(self) -> bool:
         spare = self.router.table.spare
         return spare is not None and spare.uses_leases
 
-    def part(self, tenant: str) -> float:
+    def quota_share(self, tenant: str) -> float:
         """Tell this head's part of a tenant's reserve."""
-        return self.holder.share(tenant, self.exchange.now_us()) if self._leases() else self.holder.even_share
+        return (
+            self.lease_holder.share(tenant, self.exchange.now_us())
+            if self._has_leases()
+            else self.lease_holder.even_share
+        )
 
-    def ask_lease(self) -> dict[str, float]:
+    def lease_request(self) -> dict[str, float]:
         """Tell the figures of an ask for shares; none where the version in force has no leases."""
-        if not self._leases() or self.router.admission is None:
+        if not self._has_leases() or self.router.admission is None:
             return {}
         now = self.exchange.now_us()
-        asked, held = self.holder.next_request(now)
+        asked, held = self.lease_holder.next_request(now)
         span_s, self.demand_since = max(0.1, (now - self.demand_since) / 1e6), now
         # The largest are told; for the others the even part will do.
-        largest = sorted(self.router.admission.take_demand().items(), key=lambda row: -row[1])[:MAX_TOLD]
+        largest = sorted(self.router.admission.take_demand().items(), key=lambda row: -row[1])[:MAX_DEMAND_ROWS]
         return {
             "heads": self.exchange.settings.gateways,
-            "process": self.holder.process,
+            "process": self.lease_holder.process,
             "asked": asked,
             "held": held,
             "span_s": span_s,
@@ -132,13 +136,13 @@
 
     def take_lease(self, json: bytes) -> None:
         """Take a lease off the stream."""
-        self.holder.accept(self.exchange.now_us(), msgspec.json.decode(json, type=ShareLease))
+        self.lease_holder.accept(self.exchange.now_us(), msgspec.json.decode(json, type=ShareLease))
 
     def apply(self, table: RoutingTable) -> None:
         """Put a version in force: one step between two turns of the loop."""
         self.exchange.scheduler.replan(self.router.activate(table, self.exchange.now_us()))
 
-    def figures(self) -> dict[str, float]:
+    def rollout_metrics(self) -> dict[str, float]:
         """Tell the control service what the rollout is judged by."""
         counts = self.exchange.counters.counts
         # What a limit or a share refuses is meant; what finds no brick, or no time, may be the version's fault.
@@ -166,9 +170,9 @@
     def tenants(self) -> str:
         """Tell staff what tenants get here, as JSON."""
         rows = {
-            "leases": self._leases(),
-            "serial": self.holder.serial,
-            **self.router.tenant_usage(MAX_SHOWN, self.exchange.now_us()),
+            "leases": self._has_leases(),
+            "serial": self.lease_holder.serial,
+            **self.router.tenant_usage(MAX_REPORTED_TENANTS, self.exchange.now_us()),
         }
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
@@ -178,13 +182,13 @@
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
 
-class Forms:
+class DocumentTenants:
     """Tenants of the service document at the platform's front: a bound on connections of each."""
 
     def __init__(self, router: Router, counters: Counters) -> None:
         self.router = router
         self.counters = counters
-        self.held = ConcurrencyQuota()
+        self.connections = ConcurrencyQuota()
 
     def owner(self, volume: str) -> str:
         """Tell the tenant of a volume, or nothing."""
@@ -193,7 +197,7 @@
     def admits(self, connection: object, volume: str) -> bool:
         """Tell whether a request of a volume may come over a connection."""
         form = self.router.table.tenants.get(self.owner(volume))
-        if form is None or self.held.acquire(form.name, connection, form.max_connections):
+        if form is None or self.connections.acquire(form.name, connection, form.max_connections):
             return True
         self.counters.add("tenants_bounded")
         return False
@@ -203,50 +207,52 @@
 
     def dropped(self, holder: object) -> None:
         """Note the end of a connection."""
-        self.held.release(holder)
+        self.connections.release(holder)
 
 
-class Copied:
+class ReplicatedAccounts:
     """Accounts as the control service tells them, and usage as this head tells it."""
 
     def __init__(self, accounts: HeadAccounts, name: str) -> None:
         self.accounts = accounts
         self.name = name
-        self.taker = AccountReceiver(accounts.ledger.epoch, accounts.ledger.seq)
-        self.owed: AccountChunk | None = None  # taken off the stream, and not written yet
-        self.ack: list[DiscoveryRequest] = []
+        self.receiver = AccountReceiver(accounts.ledger.epoch, accounts.ledger.seq)
+        self.pending_chunk: AccountChunk | None = None  # taken off the stream, and not written yet
+        self.pending_acknowledgements: list[DiscoveryRequest] = []
 
-    def greet(self) -> list[DiscoveryRequest]:
+    def initial_requests(self) -> list[DiscoveryRequest]:
         """Say what is held; whatever was on its way comes anew."""
-        self.owed = None
-        self.ack = []
-        self.taker.discard_staged()
+        self.pending_chunk = None
+        self.pending_acknowledgements = []
+        self.receiver.discard_staged()
         self.accounts.reports.retry_unacknowledged()
         return [
             DiscoveryRequest(
                 ResourceType.ACCOUNT,
                 subscribe=True,
                 head=self.name,
-                metrics={"epoch": self.taker.epoch, "seq": self.taker.seq},
+                metrics={"epoch": self.receiver.epoch, "seq": self.receiver.seq},
             )
         ]
 
-    def take(self, response: DiscoveryResponse) -> None:
+    def receive(self, response: DiscoveryResponse) -> None:
         """Take a part of the accounts, or the acknowledgement of a report."""
         if response.resource_type is ResourceType.USAGE:
             self.accounts.reports.acknowledge(int(response.nonce))
         else:
-            self.owed = decode_account_chunk(response)
+            self.pending_chunk = decode_account_chunk(response)
 
-    def others(self, beat: bool) -> list[DiscoveryRequest]:
+    def followup_requests(self, is_heartbeat: bool) -> list[DiscoveryRequest]:
         """Write what is owed and tell what to say; a ledger that is busy or full is tried again at the next beat."""
-        part = self.owed
-        if part is not None and self.accounts.copied(self.taker, part):
-            self.owed = None
-            self.ack.append(DiscoveryRequest(ResourceType.ACCOUNT, f"{part.epoch}.{part.seq}", head=self.name))
-        said, self.ack = self.ack, []
-        if beat and self.accounts.reports.unreported:
-            number, totals = self.accounts.report(MAX_TOLD)
+        part = self.pending_chunk
+        if part is not None and self.accounts.replicate(self.receiver, part):
+            self.pending_chunk = None
+            self.pending_acknowledgements.append(
+                DiscoveryRequest(ResourceType.ACCOUNT, f"{part.epoch}.{part.seq}", head=self.name)
+            )
+        said, self.pending_acknowledgements = self.pending_acknowledgements, []
+        if is_heartbeat and self.accounts.reports.unreported:
+            number, totals = self.accounts.next_usage_report(MAX_DEMAND_ROWS)
             said.append(
                 DiscoveryRequest(
                     ResourceType.USAGE,
--- a/hophinge/objects/account_access.py
+++ b/hophinge/objects/account_access.py
@@ -47,10 +47,10 @@
     def forget_upload(self, upload: str) -> None:
         """Record that an upload was completed or aborted."""
 
-    def moved(self, guest: AuthenticatedRequest, direction: int, size: int) -> None:
+    def count_bytes(self, guest: AuthenticatedRequest, direction: int, size: int) -> None:
         """Count bytes of a body; the direction is `INBOUND` or `OUTBOUND`."""
 
-    def ended(self, guest: AuthenticatedRequest, status: int) -> None:
+    def count_request(self, guest: AuthenticatedRequest, status: int) -> None:
         """Count the end of a request, by its HTTP status."""
 
 
--- a/hophinge/objects/front.py
+++ b/hophinge/objects/front.py
@@ -62,7 +62,7 @@
                     self._record_answer_start(request)
                     self.accounts.dropped(task)
             if AUTHENTICATED in request:
-                self.accounts.ended(request[AUTHENTICATED], response.status)
+                self.accounts.count_request(request[AUTHENTICATED], response.status)
         self.counters.add(f"object_answers_{response.status // 100}xx")
         return response
 
--- a/hophinge/objects/request_handlers.py
+++ b/hophinge/objects/request_handlers.py
@@ -143,7 +143,7 @@
                 break
             buffer += data
             if AUTHENTICATED in request:
-                self.accounts.moved(request[AUTHENTICATED], INBOUND, len(data))
+                self.accounts.count_bytes(request[AUTHENTICATED], INBOUND, len(data))
             if self.rate_limit is not None and volume is not None:
                 await self.rate_limit(volume.id, self.config.write_class, INBOUND, len(data))
             while len(buffer) >= size:
@@ -212,7 +212,7 @@
                 if not response.prepared:
                     self._record_answer_start(request)
                     await response.prepare(request)
-                self.accounts.moved(request[AUTHENTICATED], OUTBOUND, len(chunk))
+                self.accounts.count_bytes(request[AUTHENTICATED], OUTBOUND, len(chunk))
                 async with asyncio.timeout(self.config.idle_s):
                     await response.write(chunk)
                 if self.rate_limit is not None:
--- a/tests/administrator.py
+++ b/tests/administrator.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.operator_config import OperatorConfig
 from hophinge.head.service import Service
 from hophinge.objects.config import AdminConfig, ObjectConfig
 from tests.stand_in import Backend, World, world
--- a/tests/byzantine_member.py
+++ b/tests/byzantine_member.py
@@ -15,13 +15,13 @@
 from hophinge.cluster.datagram import seal_datagram
 from hophinge.cluster.interface import Topic
 from hophinge.cluster.messages import DEAD, SUSPECT, MemberRecord, encode_message
-from hophinge.head.cluster import Member
+from hophinge.head.cluster_member import ClusterMember
 from hophinge.head.sections import ClusterConfig
 
 BETWEEN_S = 0.3
 
 
-def accuse(member: Member, victim: str, number: int) -> None:
+def accuse(member: ClusterMember, victim: str, number: int) -> None:
     """Tell everybody that a member is suspect, and that it is dead, by one accuser and another."""
     machine, socket = member.endpoint.machine, member.endpoint.socket
     own = machine.core.members.record(victim)
@@ -41,7 +41,7 @@
 
 async def main() -> None:
     told, lies = json.loads(sys.argv[2]), json.loads(sys.argv[3])
-    member = Member(
+    member = ClusterMember(
         ClusterConfig(**{**told, "key_file": Path(told["key_file"])}), "", lambda text: print(text, flush=True)
     )
     host, _, port = sys.argv[1].rpartition(":")
@@ -59,7 +59,7 @@
     while True:
         number = next(numbers)
         for topic, key, values in lies["entries"]:  # in turn, so that the word stays fresh
-            member.board.put(Topic(topic), key, bytes.fromhex(values[number // 4 % len(values)]))
+            member.entries.put(Topic(topic), key, bytes.fromhex(values[number // 4 % len(values)]))
         accuse(member, lies["accuses"], number)
         await asyncio.sleep(BETWEEN_S)
 
--- a/tests/cluster_member.py
+++ b/tests/cluster_member.py
@@ -22,13 +22,13 @@
     from hophinge.cluster.interface import Topic
     from hophinge.cluster.tuning import Tuning
     from hophinge.core.errors import HophingeError
-    from hophinge.head.cluster import Member
+    from hophinge.head.cluster_member import ClusterMember
     from hophinge.head.sections import ClusterConfig
 
     tuning = Tuning(**settings.pop("tuning", {}))
     settings["key_file"] = Path(settings["key_file"])
     try:
-        member = Member(ClusterConfig(**settings), "", lambda text: print(text, file=sys.stderr), tuning=tuning)
+        member = ClusterMember(ClusterConfig(**settings), "", lambda text: print(text, file=sys.stderr), tuning=tuning)
     except HophingeError as error:
         print(json.dumps({"error": error.one_line()}), flush=True)
         return
@@ -45,13 +45,13 @@
     print(json.dumps({"address": member.endpoint.address}), flush=True)
     while (word := await words.get()) != ["end"]:
         if word[0] == "put":
-            member.board.put(Topic(word[1]), word[2], word[3].encode())
+            member.entries.put(Topic(word[1]), word[2], word[3].encode())
         elif word[0] == "leave":
             member.leave()
         said = member.status() | {
             "cpu_s": time.process_time(),
             "entries": sorted(
-                [one.owner, one.key, one.value.decode()] for topic in Topic for one in member.board.entries(topic)
+                [one.owner, one.key, one.value.decode()] for topic in Topic for one in member.entries.entries(topic)
             ),
         }
         print(json.dumps(said), flush=True)
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -13,7 +13,7 @@
 from hophinge.control import service as control_service
 from hophinge.control.store import ControlStore
 from hophinge.head.accounts import HeadAccounts
-from hophinge.head.operator import OperatorConfig, StreamConfig
+from hophinge.head.operator_config import OperatorConfig, StreamConfig
 from hophinge.head.service import Service
 from hophinge.objects.config import ObjectConfig
 from hophinge.state.ledger import Ledger
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -16,7 +16,7 @@
 from hophinge.control.follower import Follower
 from hophinge.control.service import ControlService
 from hophinge.control.store import ControlStore
-from hophinge.head.operator import OperatorConfig, StreamConfig
+from hophinge.head.operator_config import OperatorConfig, StreamConfig
 from hophinge.head.service import Service
 from tests.stand_in import Backend, World, headers, setup, until, world
 from tests.test_service import ROOT
--- a/tests/maintenance_fault_injection.py
+++ b/tests/maintenance_fault_injection.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from hophinge.control.maintenance_store import MaintenanceStore
-from hophinge.head.maintenance import Answers
+from hophinge.head.maintenance import AnswerTimes
 from hophinge.maintenance.permit_holder import PermitHolder
 
 FOLDER, BAD = "STRUCK_FOLDER", "STRUCK_REFUSES"  # BAD: one request in this many is rejected
@@ -51,14 +51,14 @@
 
 def refuse_one_in(count: int) -> None:
     """Reject one request in this many, as a bad build may."""
-    admit = Answers.admit
+    admit = AnswerTimes.admit
     asked = [0]
 
-    def struck(self: Answers, *words: Any) -> Any:
+    def struck(self: AnswerTimes, *words: Any) -> Any:
         asked[0] += 1
         return REFUSED if asked[0] % count == 0 else admit(self, *words)
 
-    setattr(Answers, "admit", struck)  # noqa: B010
+    setattr(AnswerTimes, "admit", struck)  # noqa: B010
 
 
 if __name__ == "__main__":
--- a/tests/maintenance_process.py
+++ b/tests/maintenance_process.py
@@ -15,8 +15,8 @@
 from hophinge.core.manual_ejections import ManualEjections
 from hophinge.core.settings import read_settings
 from hophinge.head.maintenance import HeadMaintenance
-from hophinge.head.operator import StreamConfig
-from hophinge.head.streamed import Streamed
+from hophinge.head.operator_config import StreamConfig
+from hophinge.head.streamed_configuration import StreamedConfiguration
 from hophinge.maintenance.permit_holder import GoOffline, PermitHolder
 from hophinge.net.clock import LoopClock
 from tests.stand_in import setup
@@ -46,7 +46,7 @@
         folder.mkdir(exist_ok=True)
         (folder / "token").write_text(TOKEN)
         stream = StreamConfig([f"127.0.0.1:{port}"], folder / "token", folder / "state")
-        self.streamed = Streamed(stream, name, self.exchange, hash(name), self.log.append, None)
+        self.streamed = StreamedConfiguration(stream, name, self.exchange, hash(name), self.log.append, None)
         self.fails = 0.0
         self.tasks: list[asyncio.Task[None]] = []
         self.upkeep: HeadMaintenance | None = None
@@ -82,7 +82,7 @@
             counts["requests_failed"] += int(100 * self.fails)
             for backend in BACKENDS if self.upkeep is not None else ():
                 if not self.rotation.is_ejected(backend):
-                    self.upkeep.answers.ended(self.exchange.now_us(), backend, Result.OK)  # type: ignore[union-attr]
+                    self.upkeep.answer_times.ended(self.exchange.now_us(), backend, Result.OK)  # type: ignore[union-attr]
 
     async def end(self) -> None:
         tasks, self.tasks = self.tasks, []
--- a/tests/objects_client.py
+++ b/tests/objects_client.py
@@ -11,7 +11,7 @@
 from aiohttp import ClientResponse
 
 from hophinge.head.service import Service
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.operator_config import OperatorConfig
 from hophinge.objects.config import ObjectConfig
 from tests import books
 from tests.stand_in import Backend, World, world
--- a/tests/stand_in.py
+++ b/tests/stand_in.py
@@ -16,7 +16,7 @@
 from hophinge.net.discovery import Listing, Target
 from hophinge.head.config import Config
 from hophinge.head.service import Service
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.operator_config import OperatorConfig
 from hophinge.core.settings import read_settings
 from tests.servers import Behaviour, Backend, DiscoveryAgent, Server, held_by
 from tests.steady import LIMIT_S, run_steadily
--- a/tests/standalone_member.py
+++ b/tests/standalone_member.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 
 from hophinge.cluster.interface import Topic
-from hophinge.head.cluster import Member
+from hophinge.head.cluster_member import ClusterMember
 from hophinge.head.sections import ClusterConfig
 
 
 async def main() -> None:
     host, _, port = sys.argv[1].rpartition(":")
     told = json.loads(sys.argv[2])
-    member = Member(
+    member = ClusterMember(
         ClusterConfig(**{**told, "key_file": Path(told["key_file"])}), "", lambda text: print(text, flush=True)
     )
     entry = f"{len(told['name'])} of {told['name']}".encode()
@@ -28,10 +28,10 @@
         line = (await reader.readuntil(b"\r\n\r\n")).split()
         said = {
             **member.status(),
-            "entries": {one.owner: one.value.decode() for one in member.board.entries(Topic.DRAINS)},
+            "entries": {one.owner: one.value.decode() for one in member.entries.entries(Topic.DRAINS)},
         }
         if line[1].startswith(b"/put/"):
-            member.board.put(Topic.DRAINS, "own", line[1][5:])
+            member.entries.put(Topic.DRAINS, "own", line[1][5:])
         body = b"ready\n" if line[1] == b"/ops/readiness" else json.dumps(said).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         await writer.drain()
@@ -39,7 +39,7 @@
 
     server = await asyncio.start_server(answer, host, int(port))
     member.start()
-    member.board.put(Topic.DRAINS, "own", entry)
+    member.entries.put(Topic.DRAINS, "own", entry)
     ending = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ending.set)
     await ending.wait()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -216,7 +216,7 @@
 
 @pytest.mark.parametrize("text", ["[admin]\nlisten='a:1'\ntoken_file='t'\ncalls_s=0"])
 def test_bad_settings_are_told(text: str, tmp_path: Path) -> None:
-    from hophinge.head.operator import load
+    from hophinge.head.operator_config import load
 
     (tmp_path / "op.toml").write_text(text)
     with pytest.raises((ValueError, msgspec.ValidationError), match="calls_s"):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -97,10 +97,10 @@
             made.backends[0].behave = held_by(gate)
             wire = await made.wire(service)
             wire.send(READ, headers())
-            await until(lambda: service.figures.open == 1)
+            await until(lambda: service.metrics.open == 1)
             wire.close()
-            await until(lambda: service.figures.open == 0)
-            assert not any(service.figures.ended.values()) and (await desk.figures())["edge.open_requests"] == 0
+            await until(lambda: service.metrics.open == 0)
+            assert not any(service.metrics.ended.values()) and (await desk.figures())["edge.open_requests"] == 0
             gate.set()
 
     run(main())
@@ -119,7 +119,7 @@
             told = backend.target()
             told.boot_ms = service.exchange.now_us() // 1000
             await made.agent.tell(told)
-            await until(lambda: service.rotation.listed["s-0"].started_us > 0)
+            await until(lambda: service.ejections.listed["s-0"].started_us > 0)
             assert (await desk.figures())["edge.out_of_rotation"] == 1
             wire.send(READ, headers(2, X_Remaining_Ms="200"))
             assert (await wire.receive())[0] == 503 and len(backend.seen) == 1
@@ -140,7 +140,7 @@
             assert start is not None
 
             def late(attempt):  # type: ignore[no-untyped-def]
-                service.rotation.eject("s-0")  # the call comes between decision and write
+                service.ejections.eject("s-0")  # the call comes between decision and write
                 return start(attempt)
 
             service.exchange.start = late
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hophinge.control.tokens import read_tokens
-from hophinge.head.operator import load
+from hophinge.head.operator_config import load
 from tests.installation import STAFF, serving
 from tests.test_service import ROOT
 
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -83,7 +83,7 @@
                 await here.staff("Resume")
             stranger = await here.head("n0", token="a-token-of-strangers")
             await until(lambda: follower(stranger).counters["connects"] >= 2)
-            assert follower(stranger).active_name == "none" and stranger.ready()  # it serves without
+            assert follower(stranger).active_name == "none" and stranger.is_ready()  # it serves without
 
     run(main())
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from hophinge.head.operator import load
+from hophinge.head.operator_config import load
 from hophinge.state.rows import Row
 from hophinge.tenancy.records import Bucket, row_of
 from tests import books
@@ -86,8 +86,8 @@
             await until(
                 lambda: (
                     head.streamed is not None
-                    and head.streamed.copied is not None
-                    and head.streamed.copied.owed is not None
+                    and head.streamed.replicated_accounts is not None
+                    and head.streamed.replicated_accounts.pending_chunk is not None
                 )
             )
             assert accounts_of(head).accounts.owner("f" * 16) == "alba"
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -58,7 +58,7 @@
                     number += 1
                     plan = ("t", "t-2", "t2")[at % 3]
                     assert await asked(wire, f"/{name}/{VOLUME}/{OBJECT}", number, X_Qos_Policy=plan) == 200
-            figures = service.figures.ended
+            figures = service.metrics.ended
             assert [figures[name, "fulfilled"] for name in names] == [1, 2, 3, 4]
             for name in ("get-", "ge", "get-many-", "GET"):
                 assert await asked(wire, f"/{name}/{VOLUME}/{OBJECT}", 99) == 404
--- a/tests/test_gone_attempts.py
+++ b/tests/test_gone_attempts.py
@@ -47,7 +47,7 @@
         await goes(service, wire)
         gate.set()
         await until(lambda: service.counters.counts["attempts_moot"] == 1)
-        assert not backend.seen and service.figures.relayed == 0 and service.counters.counts["attempts_sent"] == 1
+        assert not backend.seen and service.metrics.relayed == 0 and service.counters.counts["attempts_sent"] == 1
         wire = await made.wire(service)
         wire.send(READ, headers(2))  # its connection serves the next one
         assert (await wire.receive())[0] == 404 and backend.connections == len(begun)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 
 from hophinge.core.choice import MAX_IN_FLIGHT, Scheduler
 from hophinge.core.interface import ListKind, NodeEntry, NodeList, Phase, Send
-from hophinge.head.handover import LIVE, MARKS, VERSION, Handover, Marks
+from hophinge.head.process_handoff import LOCK_PREFIX, EJECTIONS_FILE, FILE_VERSION, ProcessHandoff, EjectionFile
 from hophinge.core.manual_ejections import ManualEjection, ManualEjections
 from tests.stand_in import OBJECT, VOLUME, Backend, Wire, headers, held_by, run, until, world
 from tests.test_choice import SETTINGS, T0, ask
@@ -33,48 +33,54 @@
         self.now, self.lines, self.folder = 1_000_000, list[str](), folder / "hophinge-n0"
         self.rotation = ManualEjections(lambda _: None, lambda: self.now, 17_000_000)
         self.rotation.apply_list(NodeList(ListKind.FULL, (NodeEntry("a", 0, 0, Phase.ON, 1.0, 0),)))
-        self.handover = Handover(self.folder, self.rotation, lambda: self.now, REST_US, self.lines.append)
+        self.handover = ProcessHandoff(self.folder, self.rotation, lambda: self.now, REST_US, self.lines.append)
         self.rotation.on_ejection = self.handover.write
 
-    def marks(self) -> Marks:
-        return msgspec.json.decode((self.folder / MARKS).read_bytes(), type=Marks)
+    def marks(self) -> EjectionFile:
+        return msgspec.json.decode((self.folder / EJECTIONS_FILE).read_bytes(), type=EjectionFile)
 
     def put(self, content: bytes) -> None:
         (self.folder / "elsewhere").write_bytes(content)
-        os.replace(self.folder / "elsewhere", self.folder / MARKS)
+        os.replace(self.folder / "elsewhere", self.folder / EJECTIONS_FILE)
 
 
 def test_who_lives_is_counted_and_who_died_is_not(tmp_path: Path) -> None:
     desk = Desk(tmp_path)
-    desk.handover.look()
+    desk.handover.refresh()
     assert desk.handover.processes == 1 and desk.handover.descriptors() == 0
-    (desk.folder / f"{LIVE}1").touch()  # left by a process that was killed
-    with open(desk.folder / f"{LIVE}{os.getppid()}", "w") as other:
+    (desk.folder / f"{LOCK_PREFIX}1").touch()  # left by a process that was killed
+    with open(desk.folder / f"{LOCK_PREFIX}{os.getppid()}", "w") as other:
         fcntl.flock(other, fcntl.LOCK_EX)
-        desk.handover.look()
+        desk.handover.refresh()
         assert desk.handover.processes == 2 and desk.handover.descriptors() > 0
-        assert not (desk.folder / f"{LIVE}1").exists()
-    desk.handover.look()
+        assert not (desk.folder / f"{LOCK_PREFIX}1").exists()
+    desk.handover.refresh()
     assert desk.handover.processes == 2  # its last requests still count
     desk.now += REST_US
     assert desk.handover.processes == 1 and desk.handover.descriptors() == 0
     desk.handover.close()
-    assert not list(desk.folder.glob(f"{LIVE}*"))
+    assert not list(desk.folder.glob(f"{LOCK_PREFIX}*"))
 
 
 def test_marks_are_shared_and_none_is_lost_when_both_write_at_once(tmp_path: Path) -> None:
     desk = Desk(tmp_path)
     assert desk.rotation.eject("a")
-    assert desk.marks() == Marks(VERSION, {"a": ManualEjection(1_000_000, True)})
-    desk.put(msgspec.json.encode(Marks(VERSION, {"b": ManualEjection(5, True)})))  # the other had not seen it
-    desk.handover.look()
+    assert desk.marks() == EjectionFile(FILE_VERSION, {"a": ManualEjection(1_000_000, True)})
+    desk.put(
+        msgspec.json.encode(EjectionFile(FILE_VERSION, {"b": ManualEjection(5, True)}))
+    )  # the other had not seen it
+    desk.handover.refresh()
     assert (
         desk.rotation.is_ejected("a")
         and desk.rotation.is_ejected("b")
         and desk.marks().marks == desk.rotation.ejections
     )
-    desk.put(msgspec.json.encode(Marks(VERSION, {"a": ManualEjection(1_000_001, False), "b": ManualEjection(5, True)})))
-    desk.handover.look()
+    desk.put(
+        msgspec.json.encode(
+            EjectionFile(FILE_VERSION, {"a": ManualEjection(1_000_001, False), "b": ManualEjection(5, True)})
+        )
+    )
+    desk.handover.refresh()
     assert not desk.rotation.is_ejected("a")
     desk.handover.close()
 
@@ -89,10 +95,14 @@
     desk = Desk(tmp_path)
     desk.rotation.eject("a")
     desk.put(content)
-    desk.handover.look()
+    desk.handover.refresh()
     assert desk.rotation.is_ejected("a") and len(desk.lines) == 1
     # One that is malformed is written anew; another version's belongs to a newer program and is left alone.
-    assert (desk.folder / MARKS).read_bytes() != content if after else (desk.folder / MARKS).read_bytes() == content
+    assert (
+        (desk.folder / EJECTIONS_FILE).read_bytes() != content
+        if after
+        else (desk.folder / EJECTIONS_FILE).read_bytes() == content
+    )
     desk.handover.close()
 
 
--- a/tests/test_maintenance_integration.py
+++ b/tests/test_maintenance_integration.py
@@ -168,17 +168,17 @@
         upkeep, peers, disk = head.upkeep, Peers(), FullDisk()
         assert upkeep is not None
         alone = [False]
-        upkeep.board = upkeep.sight = peers
-        upkeep.disk, upkeep.alone = disk, lambda: alone[0]
+        upkeep.entries = upkeep.membership = peers
+        upkeep.disk, upkeep.is_alone = disk, lambda: alone[0]
         looking = asyncio.create_task(upkeep.run())
         response = decode_response(encode_update(PermitUpdate("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
-        upkeep._word(response)
+        upkeep._apply_update(response)
         assert head.rotation.is_ejected("s-0") and "halt/r/0" in peers.own  # before any list names the backend
         await until(lambda: any("cannot be kept" in line for line in head.log))
         assert "1.1/s-0" not in peers.own and upkeep.report().statements == ()
         disk.full = False
-        await until(lambda: bool(upkeep.saved))
-        upkeep.look()
+        await until(lambda: bool(upkeep.stored_drains))
+        upkeep.check_drains()
         assert "1.1/s-0" not in peers.own  # the previous process may have requests in flight there
         alone[0] = True
         await until(lambda: "1.1/s-0" in peers.own)
@@ -186,10 +186,10 @@
         assert report.statements == (Statement("1.1", "s-0", DRAINED),) and report.is_clustered
         assert (report.live_heads, report.departed_heads, report.peer_statements) == (("n0", "n1", "n2"), ("n3",), {})
         peers.full = True
-        upkeep._word(decode_response(encode_update(PermitUpdate("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {}))))
+        upkeep._apply_update(decode_response(encode_update(PermitUpdate("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {}))))
         await until(lambda: any("peers do not hear" in line for line in head.log))
         assert len(upkeep.report().statements) == 2 and "halt/r/0" not in peers.own
-        upkeep._word(decode_response(encode_update(PermitUpdate("other", 9, 9))))
+        upkeep._apply_update(decode_response(encode_update(PermitUpdate("other", 9, 9))))
         assert any("permit-issuer-unknown" in line for line in head.log) and head.rotation.is_ejected("s-1")
         looking.cancel()
         await asyncio.gather(looking, return_exceptions=True)
--- a/tests/test_maintenance_retirement.py
+++ b/tests/test_maintenance_retirement.py
@@ -89,19 +89,19 @@
         assert upkeep is not None
 
         def told(word: PermitUpdate) -> HeadReport:
-            upkeep._word(decode_response(encode_update(word)))
-            (request,) = upkeep._due(True)
+            upkeep._apply_update(decode_response(encode_update(word)))
+            (request,) = upkeep._followup_requests(True)
             return msgspec.json.decode(request.initial_versions[REPORT_KEY], type=HeadReport)
 
-        upkeep.rotation.apply_list(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
-        assert upkeep._due(True) == []  # no update yet
+        upkeep.ejections.apply_list(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
+        assert upkeep._followup_requests(True) == []  # no update yet
         older = told(PermitUpdate("s", 1, 1))
         assert list(older.backends) == ["s-0"] and older.list_changes is None
         first = told(PermitUpdate("s", 2, 1, accepts_list_changes=True))  # the service was replaced by a newer one
         assert not first.backends and first.list_changes is not None and first.list_changes.backends.is_full
         second = told(PermitUpdate("s", 2, 2, accepts_list_changes=True)).list_changes
         assert second is not None and (second.sequence, second.backends.is_full, second.backends.rows) == (2, False, {})
-        upkeep._greet([])
+        upkeep._initial_requests([])
         assert told(PermitUpdate("s", 3, 1)).backends.keys() == {"s-0"}  # and by an older one again
 
     run(main())
--- a/tests/test_net_end.py
+++ b/tests/test_net_end.py
@@ -17,7 +17,7 @@
             wire, kept = await made.wire(service), await made.wire(service)
             wire.send(READ, headers(1, X_Remaining_Ms="3000"))
             await until(lambda: len(backend.seen) == 1)
-            ending = asyncio.create_task(service.finish())
+            ending = asyncio.create_task(service.shut_down())
             await until(lambda: service.front.final_drain is not None)
             backend.behave = None
             late = await made.wire(service)
@@ -51,7 +51,7 @@
             made.backends[0].behave = held_by(gate)
             wire.send(READ, headers(1, X_Remaining_Ms="20000"))
             await until(lambda: len(made.backends[0].seen) == 1)
-            ending = asyncio.create_task(service.finish())
+            ending = asyncio.create_task(service.shut_down())
             assert await idle.ended() and service.exchange.unanswered == 1  # long before it is answered
             gate.set()
             assert (await wire.receive())[0] == 404 and await wire.ended()
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -34,7 +34,7 @@
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.policy import fields_by_trial_name
 from hophinge.fleet.settings import parse_settings
-from hophinge.head import accounts, config, handover, operator
+from hophinge.head import accounts, config, operator_config, process_handoff
 from hophinge.head.environment import CONFIG_FILE
 from hophinge.maintenance import messages, permits, releases, statements
 from hophinge.net import discovery
@@ -103,7 +103,7 @@
     "control stream: word": (messages.PermitUpdate, json_bytes),
     "control stream: lease": (share_leases.ShareLease, json_bytes),
     "head file: last good": (last_known_good.LastKnownGood, msgpack_bytes),
-    "head file: marks": (handover.Marks, json_bytes),
+    "head file: marks": (process_handoff.EjectionFile, json_bytes),
     "head file: mark": (ManualEjection, json_bytes),
     "ledger: audit entry": (rows.AuditEntry, json_bytes),
     "ledger: open upload": (accounts.Upload, json_bytes),
@@ -119,7 +119,7 @@
     **{f"cluster: part {number}": (kind, msgpack_bytes) for number, kind in cluster_messages.MESSAGE_TYPES.items()},
 }
 CONFIGURATIONS: dict[str, Any] = {
-    "operator's file": operator.OperatorConfig,
+    "operator's file": operator_config.OperatorConfig,
     "head's configuration": config.Config,
     "scorer outlook": outlook.Parameters,
     "scorer latency": latency.Parameters,
@@ -424,7 +424,7 @@
     else:
         path = tmp_path / "operator.toml"
         path.write_text(text)
-        assert msgspec.to_builtins(operator.load(str(path)), enc_hook=str).keys() >= parsed.keys()
+        assert msgspec.to_builtins(operator_config.load(str(path)), enc_hook=str).keys() >= parsed.keys()
 
 
 def write_fixtures(folder: Path) -> None:
--- a/tests/test_peers_endpoint.py
+++ b/tests/test_peers_endpoint.py
@@ -8,11 +8,11 @@
 
 import pytest
 
+from hophinge.head import operator_config
 from hophinge.cluster.datagram import DatagramOpener, seal_datagram
 from hophinge.cluster.errors import ClusterUnusableError, KeysUnusableError
 from hophinge.cluster.interface import Entry, Member, Topic
 from hophinge.cluster.messages import Ack, MemberRecord, Message, Ping, encode_message
-from hophinge.head import operator
 from hophinge.head.sections import ClusterConfig
 from hophinge.peers import endpoint
 from hophinge.peers.endpoint import MemberEndpoint
@@ -176,6 +176,6 @@
 
 def test_the_example_of_an_operators_file_is_read_and_has_the_defaults() -> None:
     path = Path(__file__).parent.parent / "deploy" / "cluster.toml"
-    config = operator.load(str(path)).cluster
+    config = operator_config.load(str(path)).cluster
     assert config is not None
     assert config == ClusterConfig(config.listen, config.seeds, path.parent / "../cluster.key")
--- a/tests/test_remote_write.py
+++ b/tests/test_remote_write.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from hophinge.core.counters import Counters
-from hophinge.head.operator import OperatorConfig, StreamConfig
+from hophinge.head.operator_config import OperatorConfig, StreamConfig
 from hophinge.tenancy.usage import FIELDS
 from hophinge.telemetry.config import RemoteWriteConfig
 from hophinge.telemetry.remote_write import PREFIX, RemoteWrite, WriteRequest, metrics
--- a/tests/test_restart_bodies.py
+++ b/tests/test_restart_bodies.py
@@ -20,16 +20,16 @@
 
             made.backends[0].behave = note
             one = await made.wire(service)
-            ending = asyncio.create_task(service.finish())
+            ending = asyncio.create_task(service.shut_down())
             await until(lambda: service.front.final_drain is not None)
             fields = headers(next(NUMBERS), X_Remaining_Ms="3000") | {"Content-Length": "2"}
             one.writer.write(one.head(READ, fields, "PUT") + b"a")
             await until(lambda: bool(service.front.busy))
             last: Any = service.front.final_drain
-            await until(lambda: service.exchange.now_us() > last.until_us - 2_500_000)
+            await until(lambda: service.exchange.now_us() > last.answer_by_us - 2_500_000)
             one.writer.write(b"b")
             assert (await one.receive())[0] == 200
-            assert promised[0] <= last.until_us + 20_000
+            assert promised[0] <= last.answer_by_us + 20_000
             await ending
             made.services.remove(service)
 
--- a/tests/test_restart_crossings.py
+++ b/tests/test_restart_crossings.py
@@ -53,7 +53,7 @@
         async with world(Backend(0)) as made:
             service = await made.head(settings=lasting(1000))  # connections rest for no longer than it ends
             body, rests = await kept(made, True), await kept(made, True)
-            ending = asyncio.create_task(service.finish())
+            ending = asyncio.create_task(service.shut_down())
             await until(lambda: service.front.final_drain is not None)  # from here on silent ones are accepted at once
             whole = [await kept(made, answered) for answered in (True, False)]
             half = [await kept(made, answered) for answered in HALF]
--- a/tests/test_restart_hangups.py
+++ b/tests/test_restart_hangups.py
@@ -104,7 +104,7 @@
             assert set(service.directory.endpoints) == {backend.name for backend in backends}
             other.gate.set()
             await until(lambda: set(service.directory.endpoints) == {backends[1].name})
-            service.share(0)
+            service.divide_limits(0)
             assert before == (
                 service.settings,
                 service.config.listen,
--- a/tests/test_restart_last.py
+++ b/tests/test_restart_last.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from hophinge.core.interface import RequestClass
-from hophinge.head.last import Last
+from hophinge.head.drain_schedule import DrainSchedule
 from tests.test_choice import SETTINGS
 
 MS = 1000
@@ -29,7 +29,7 @@
 def test_nothing_is_taken_that_outlasts_the_head_and_all_that_fits_is(
     classes: list[tuple[int, int]], after_ms: int, wants_ms: int
 ) -> None:
-    last = Last([of(*one) for one in classes], TOLD)
+    last = DrainSchedule([of(*one) for one in classes], TOLD)
     kill = TOLD + min(3000, max(deadline for _, deadline in classes)) * MS + 700 * MS  # the protocol's
     now = TOLD + after_ms * MS
     taken = False
@@ -38,11 +38,11 @@
         assert 0 <= left <= wants_ms * MS and (not left or now + left <= kill - 250 * MS)
         need = min(aim or deadline, deadline) * MS // 2
         if now + need <= kill - 250 * MS:
-            assert left == min(wants_ms * MS, kill - 250 * MS - now) and not last.closing(now)
+            assert left == min(wants_ms * MS, kill - 250 * MS - now) and not last.rejects_all(now)
         taken = taken or left >= need > 0
-    if last.closing(now):
-        assert not taken or now == last.closes_us  # what ends has no class left that it could serve
-    assert TOLD <= last.closes_us <= kill
+    if last.rejects_all(now):
+        assert not taken or now == last.close_at_us  # what ends has no class left that it could serve
+    assert TOLD <= last.close_at_us <= kill
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     ],
 )
 def test_classes_end_one_after_another_the_one_that_takes_longest_first(after_ms: int, taken: tuple[bool, ...]) -> None:
-    last = Last([of(120, 750), of(200, 1200), of(1000, 3000)], TOLD)
+    last = DrainSchedule([of(120, 750), of(200, 1200), of(1000, 3000)], TOLD)
     now = TOLD + after_ms * MS
     assert tuple(last.left_us(number, 3000 * MS, now) > 0 for number in range(3)) == taken
-    assert last.closing(now) is not any(taken)
+    assert last.rejects_all(now) is not any(taken)
--- a/tests/test_restart_moments.py
+++ b/tests/test_restart_moments.py
@@ -16,9 +16,9 @@
 import pytest
 from aiohttp import web
 
-from hophinge.head import ending as ending_module
+from hophinge.head import shutdown
 from hophinge.head import service as service_module
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.operator_config import OperatorConfig
 from hophinge.net.acceptor import Acceptor
 from hophinge.telemetry.config import RemoteWriteConfig
 from hophinge.telemetry.remote_write import RemoteWrite
@@ -47,7 +47,7 @@
             for one in wires:
                 one.send(READ, headers(next(NUMBERS), X_Remaining_Ms="100"))
             monkeypatch.setattr(Acceptor, "_connect", late)
-            await service.finish()
+            await service.shut_down()
             made.services.remove(service)
             assert service.counters.counts["requests_taken"] == len(wires)  # before the process would exit
             assert [(await one.receive())[0] for one in wires] == [503] * len(wires)
@@ -58,7 +58,7 @@
 def test_a_client_that_reads_no_answer_keeps_no_head_from_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
-            monkeypatch.setattr(ending_module, "UNREAD_S", 0.2)
+            monkeypatch.setattr(shutdown, "UNREAD_TIMEOUT_S", 0.2)
             monkeypatch.setattr(service_module, "SHUTDOWN_S", 0.2)
             service, backend, large = await made.head(settings=lasting(300)), made.backends[0], b"x" * 60_000
 
@@ -85,7 +85,7 @@
                 asked += 1
                 await until(lambda: len(backend.seen) == asked)  # noqa: B023
             async with asyncio.timeout(20.0):
-                await service.finish()
+                await service.shut_down()
             made.services.remove(service)
 
     run(main())
@@ -98,10 +98,10 @@
             told_us = service.exchange.now_us()
             service.stop()
             time.sleep(0.05)  # the loop stands still: a signal's handler ran, what waits for it has not
-            ending = asyncio.create_task(service.finish())
+            ending = asyncio.create_task(service.shut_down())
             await until(lambda: service.front.final_drain is not None)
             last: Any = service.front.final_drain
-            assert last.until_us <= told_us + LONGEST_US + KILL_US - MARGIN_US + 10_000
+            assert last.answer_by_us <= told_us + LONGEST_US + KILL_US - MARGIN_US + 10_000
             await ending
             made.services.remove(service)
 
--- a/tests/test_scoring_plugins.py
+++ b/tests/test_scoring_plugins.py
@@ -13,7 +13,7 @@
 import pytest
 
 from hophinge.core.errors import HophingeError
-from hophinge.head.operator import OperatorConfig
+from hophinge.head.operator_config import OperatorConfig
 from hophinge.head.scoring import find, make, parameters
 from hophinge.head.sections import ScoringConfig
 from hophinge.scoring.errors import (
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from hophinge.head.operator import load
+from hophinge.head.operator_config import load
 from tests.stand_in import Backend, DiscoveryAgent, Wire, headers, held_by, run, setup, until, world
 from tests.test_net import READ
 
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("operated", [False, True])
 def test_a_head_on_its_own_settings_reads_no_certificates(operated: bool) -> None:
     code = (
-        "import os\nfrom hophinge.head.lean import service\nservice()\nimport aiohttp.connector as c\n"
+        "import os\nfrom hophinge.head.main_import import import_main\nimport_main()\nimport aiohttp.connector as c\n"
         "print(c._SSL_CONTEXT_VERIFIED.cert_store_stats()['x509'], os.environ.get('SSL_CERT_DIR'),\n"
         "      c.ssl.create_default_context().cert_store_stats()['x509'])"
     )
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -64,10 +64,10 @@
         head = await wire.reader.readuntil(b"\r\n\r\n")
         assert b" 200 " in head and await wire.reader.readexactly(1000) == LONG[:1000]
         await asyncio.sleep(0.75)  # past its client's time: the answer's first byte was in it
-        assert service.figures.open == 1 and not any(service.figures.ended.values())
+        assert service.metrics.open == 1 and not any(service.metrics.ended.values())
         gate.set()
         assert await wire.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
-        await until(lambda: service.figures.ended["record-read", "fulfilled"] == 1)
+        await until(lambda: service.metrics.ended["record-read", "fulfilled"] == 1)
         wire.send(READ, headers(2))  # the connections on both sides go on
         assert (await wire.receive())[2] == LONG and backend.connections == 1
 
@@ -102,7 +102,7 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await wire.receive()
         assert len(backend.seen) == 1
-        await until(lambda: service.figures.ended["record-read", "faulted"] == 1)
+        await until(lambda: service.metrics.ended["record-read", "faulted"] == 1)
 
     with_head(test)
 
@@ -143,7 +143,7 @@
         await wire.reader.readuntil(b"\r\n\r\n")
         wire.close()
         await ended.wait()
-        await until(lambda: service.figures.open == 0)
+        await until(lambda: service.metrics.open == 0)
 
     with_head(test)
 
@@ -192,7 +192,7 @@
             wire.writer.write(b"0\r\n\r\n")
         assert (await wire.receive())[0] == 200
         assert backend.objects[f"{VOLUME}/{OBJECT}"] == LONG
-        assert service.counters.counts["bodies_streamed"] == 1 and service.figures.relayed == 1
+        assert service.counters.counts["bodies_streamed"] == 1 and service.metrics.relayed == 1
         assert not any(book.is_unresponsive for book in service.exchange.scheduler.nodes.values())
 
     with_head(test)
@@ -205,8 +205,8 @@
         wire.writer.write(wire.head(WRITE, {**headers(), "Content-Length": str(len(LONG))}, "PUT") + LONG[:200_000])
         await until(lambda: service.counters.counts["attempts_sent"] == 1)
         wire.close()
-        await until(lambda: not service.exchange.open and service.figures.open == 0)
-        assert not backend.seen and service.figures.relayed == 0
+        await until(lambda: not service.exchange.open and service.metrics.open == 0)
+        assert not backend.seen and service.metrics.relayed == 0
 
     with_head(test)
 
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -88,7 +88,7 @@
             await here.push(GOOD + spare + tenant.format(40))
             for head in heads:
                 await here.runs(head, "1.1")
-            holders = [head.streamed.holder for head in heads if head.streamed is not None]
+            holders = [head.streamed.lease_holder for head in heads if head.streamed is not None]
 
             def shares() -> list[float]:
                 return [holder.share("aa", heads[0].exchange.now_us()) for holder in holders]
@@ -188,7 +188,7 @@
             assert codes == [404, 404, 503, 404] and await wires[2].ended()  # it is told, and its connection ends
             wires[0].close()
             assert head.streamed is not None
-            held = head.streamed.forms.held
+            held = head.streamed.document_tenants.connections
             await until(lambda: held.open_counts["aa"] == 1)
             # A connection stands for whom its last request was of: the other volume's may ask for this one now.
             wires[3].send("/record-read/00000000000000aa/7f3a9c21e0b4d655", headers(9))
--- a/tests/test_together_sections.py
+++ b/tests/test_together_sections.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from hophinge.head.operator import OperatorConfig, load
+from hophinge.head.operator_config import OperatorConfig, load
 from hophinge.head.sections import ClusterConfig, PopularityConfig, ScoringConfig
 from hophinge.objects.config import ObjectConfig
 from tests.stand_in import Backend, headers, run, world
@@ -52,8 +52,8 @@
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head(operator)
-            assert service.accounts is not None and service.together is not None
-            popularity = service.together.popularity
+            assert service.accounts is not None and service.cluster_services is not None
+            popularity = service.cluster_services.popularity
             assert popularity is not None
             gone: list[str] = []
             popularity.cache.remove_tenant = gone.append  # type: ignore[method-assign, assignment]     # in place of its own
@@ -86,7 +86,7 @@
 
 def test_the_platform_head_imports_none_of_the_cluster() -> None:
     """Started by a process of its own, as this one has imported everything."""
-    code = "import sys\nfrom hophinge.head.lean import service\nservice({})\nprint(*sys.modules)"
+    code = "import sys\nfrom hophinge.head.main_import import import_main\nimport_main({})\nprint(*sys.modules)"
     told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True).stdout
     parts = ("cluster", "peers", "maintenance", "scoring", "popularity")
     found = [name for name in told.split() if name.startswith("hophinge.") and any(part in name for part in parts)]
