--- a/hophinge/fleet/cli/commands.py
+++ b/hophinge/fleet/cli/commands.py
@@ -1,4 +1,4 @@
-"""`python -m hophinge.fleet.cli`: check files before they are used, show what a member knows, start a program."""
+"""`python -m hophinge.fleet.cli`: validates files before they are used, shows a member's status, starts a program."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 from hophinge.fleet.configuration.document import validate_document
 from hophinge.fleet.settings import SettingsError, read_settings
 
-FOUND, UNREACHABLE = 1, 2  # exit statuses: something is wrong with the file; the member does not answer
-SHOW_S = 2.0  # for a member to answer
-FAILURES = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
+EXIT_FINDINGS = 1  # the file is invalid
+EXIT_UNREACHABLE = 2  # the member does not answer
+SHOW_TIMEOUT_S = 2.0
+REQUEST_ERRORS = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
 
 
-def _findings(name: str, findings: list[str]) -> None:
+def _report_findings(name: str, findings: list[str]) -> None:
     for finding in findings:
         print(f"{name}: {finding}")
     if findings:
-        raise cappa.Exit(code=FOUND)
+        raise cappa.Exit(code=EXIT_FINDINGS)
     print(f"{name}: nothing found")
 
 
@@ -39,10 +40,10 @@
         try:
             data = self.file.read_bytes()
         except OSError as error:
-            _findings(str(self.file), [str(error.strerror)])
+            _report_findings(str(self.file), [str(error.strerror)])
             return
         checked = validate_document(data)
-        _findings(str(self.file), [str(finding) for finding in checked.error] if checked.is_error() else [])
+        _report_findings(str(self.file), [str(finding) for finding in checked.error] if checked.is_error() else [])
 
 
 @cappa.command(name="check-settings", help="Check a process's settings file and tell all that is wrong.")
@@ -57,9 +58,9 @@
         try:
             read_settings(str(self.file))
         except SettingsError as error:
-            _findings(str(self.file), error.findings)
+            _report_findings(str(self.file), error.findings)
             return
-        _findings(str(self.file), [])
+        _report_findings(str(self.file), [])
 
 
 @cappa.command(name="show", help="Show how a member stands: view, chain, lag, leases, instances, digests.")
@@ -71,13 +72,13 @@
 
     def __call__(self) -> None:
         """Run the command."""
-        timeout = {"connect": SHOW_S, "read": SHOW_S, "write": SHOW_S, "pool": SHOW_S}
+        timeout = dict.fromkeys(("connect", "read", "write", "pool"), SHOW_TIMEOUT_S)
         try:
             with httpcore.ConnectionPool() as pool:
                 response = pool.request("GET", f"http://{self.address}/v1/member", extensions={"timeout": timeout})
-        except FAILURES as error:
+        except REQUEST_ERRORS as error:
             print(f"{self.address} does not answer: {type(error).__name__}", file=sys.stderr)
-            raise cappa.Exit(code=UNREACHABLE) from error
+            raise cappa.Exit(code=EXIT_UNREACHABLE) from error
         print(json.dumps(json.loads(response.content), indent=2))
 
 
--- a/hophinge/fleet/controlplane/disk_writer.py
+++ b/hophinge/fleet/controlplane/disk_writer.py
@@ -35,7 +35,7 @@
     def run(self) -> None:
         """Write batches in order, forever.
 
-        Any error is passed on with its batch: were the thread to end, nothing would be written any more.
+        Any error is reported with its batch: were the thread to end, nothing would be written any more.
         """
         while True:
             batch = self.batches.get()
--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -16,7 +16,7 @@
 from hophinge.fleet.controlplane.report_collector import ReportCollector
 from hophinge.fleet.controlplane.soft_state import SOFT_STATE_TICK_S, SoftState
 from hophinge.fleet.controlplane.stage_controller import StageController
-from hophinge.fleet.program import REREAD_S, Signals, Tasks, every, reread_settings
+from hophinge.fleet.program import SETTINGS_REREAD_INTERVAL_S, Signals, Tasks, call_periodically, reread_settings
 from hophinge.fleet.settings import Settings, SettingsError
 from hophinge.fleet.trial import trial_policy
 from hophinge.fleet.transport.frames import Hello
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.signals = Signals()
-        self.tasks = Tasks(self.signals.ending)
+        self.tasks = Tasks(self.signals.shutdown_requested)
         self.host = ReplicaHost(settings, ReplicaEffects(self._send, self._publish))
         machine = self.host.machine
         self.links = Links(self.host.me, CONTROL, self._receive)
@@ -71,22 +71,24 @@
         try:
             self.host.receive(hello.sender, message)
         except Exception:  # broad: the replica's state may be inconsistent, whatever failed
-            self.signals.ending.set()
+            self.signals.shutdown_requested.set()
             raise
 
     async def run(self) -> None:
         """Serve until the process is asked to terminate."""
-        assert self.settings.control is not None
-        self.signals.changed = self._reread
+        assert self.settings.control_address is not None
+        self.signals.on_hangup = self._reread
         await self.links.listen()
-        self.tasks.start(every(REPLICA_TICK_S, self.host.tick, most_failures=1))
-        self.tasks.start(every(SOFT_STATE_TICK_S, self.soft_state.tick))
+        self.tasks.start(call_periodically(REPLICA_TICK_S, self.host.tick, max_failures=1))
+        self.tasks.start(call_periodically(SOFT_STATE_TICK_S, self.soft_state.tick))
         self.tasks.start(self.stage_controller.run())
         self.tasks.start(self.report_collector.run())
-        self.tasks.start(self.server.serve([bind_listener(self.settings.control)]))
-        self.tasks.start(every(REREAD_S, self._maintain))
-        logger.info("control member started identity={} address={}", self.host.me.identity, self.settings.control)
-        await self.signals.ending.wait()
+        self.tasks.start(self.server.serve([bind_listener(self.settings.control_address)]))
+        self.tasks.start(call_periodically(SETTINGS_REREAD_INTERVAL_S, self._maintain))
+        logger.info(
+            "control member started identity={} address={}", self.host.me.identity, self.settings.control_address
+        )
+        await self.signals.shutdown_requested.wait()
         await self._shut_down()
 
     def _maintain(self) -> None:
@@ -132,6 +134,6 @@
         SettingsError: The settings name no address for the control API.
 
     """
-    if settings.control is None:
+    if settings.control_address is None:
         raise SettingsError(["listen-addresses.control: is missing"])
     await ControlPlane(settings).run()
--- a/hophinge/fleet/controlplane/recipients.py
+++ b/hophinge/fleet/controlplane/recipients.py
@@ -22,7 +22,7 @@
         self.random = random
 
     def control_members(self) -> list[str]:
-        """Return the other control members that were heard from lately, and the voters."""
+        """Return the other control members whose heartbeats arrived lately, and the voters."""
         view = self.machine.view
         addresses = {peer.replica.address for peer in self.machine.peers.known.values()}
         if view is not None:
@@ -35,7 +35,7 @@
         return RegistryContext(core, tuple(self.direct_heads()), tuple(self.control_members()))
 
     def lease_granters(self, now: float) -> tuple[Replica, ...]:
-        """Return the core's replicas heard from lately, which grant leases; without any, this member does."""
+        """Return the core's replicas with recent heartbeats, which grant leases; without any, this member does."""
         peers = self.machine.peers.known.values()
         granters = [
             peer.replica
--- a/hophinge/fleet/controlplane/replica_host.py
+++ b/hophinge/fleet/controlplane/replica_host.py
@@ -50,14 +50,14 @@
     def __init__(self, settings: Settings, effects: ReplicaEffects) -> None:
         self.loop = asyncio.get_running_loop()
         self.effects = effects
-        self.store = DurableStore(FileVolume(settings.data_dir)) if settings.votes and settings.data_dir else None
+        self.store = DurableStore(FileVolume(settings.data_dir)) if settings.can_vote and settings.data_dir else None
         recovered = self.store.recover() if self.store is not None else None
         if recovered is not None and recovered.is_damaged:
             logger.info("disk state unreadable, treated as a new disk")
         identity = recovered.state.identity if recovered and recovered.state else secrets.token_hex(8)
-        self.me = Replica(identity, settings.control_internal, settings.zone)
+        self.me = Replica(identity, settings.internal_control_address, settings.zone)
         membership = ReplicaConfig(
-            self.me, settings.seed_members(), settings.bootstrap, settings.votes, settings.losses
+            self.me, settings.seed_members(), settings.bootstrap, settings.can_vote, settings.max_machine_losses
         )
         self.machine = ReplicaStateMachine(membership, Random(), self.loop.time())
         if recovered is not None and recovered.state is not None:
--- a/hophinge/fleet/controlplane/report_collector.py
+++ b/hophinge/fleet/controlplane/report_collector.py
@@ -15,7 +15,7 @@
 from hophinge.coordination.ownership import rendezvous
 from hophinge.fleet.controlplane.soft_state import SoftState
 from hophinge.fleet.placement.hints import EngineReport, EngineReports
-from hophinge.fleet.program import repeat
+from hophinge.fleet.program import run_periodically
 from hophinge.fleet.registry.instance import Instance
 
 COLLECTION_INTERVAL_S = 0.8  # between two requests to one instance
@@ -69,7 +69,7 @@
 
     async def run(self) -> None:
         """Collect periodically, forever."""
-        await repeat(COLLECTION_INTERVAL_S, self.collect_once)
+        await run_periodically(COLLECTION_INTERVAL_S, self.collect_once)
 
     async def collect_once(self) -> None:
         """Request the report of each assigned instance and publish those that came."""
--- a/hophinge/fleet/controlplane/stage_controller.py
+++ b/hophinge/fleet/controlplane/stage_controller.py
@@ -18,7 +18,7 @@
 from hophinge.fleet.controlplane.soft_state import SoftState
 from hophinge.fleet.placement.policy import PlacementPolicy
 from hophinge.fleet.placement.stages import StageSwitch, plan_switches
-from hophinge.fleet.program import repeat
+from hophinge.fleet.program import run_periodically
 
 RECONCILE_INTERVAL_S = 0.5
 STABILIZATION_S = 1.2  # for which a change is desired before it is ordered: instances come and go in between
@@ -67,7 +67,7 @@
         self.lease.handle_committed_owner(self.loop.time(), register)
 
     def live_replicas(self) -> set[str]:
-        """Return the replicas of the chain that were heard from lately, this one among them."""
+        """Return the replicas of the chain whose heartbeats arrived lately, this one among them."""
         now = self.loop.time()
         view = self.machine.view
         if view is None:
@@ -78,7 +78,7 @@
 
     async def run(self) -> None:
         """Reconcile periodically, forever; a reconciliation that fails does not end the member."""
-        await repeat(RECONCILE_INTERVAL_S, self._reconcile)
+        await run_periodically(RECONCILE_INTERVAL_S, self._reconcile)
 
     async def _reconcile(self) -> None:
         now = self.loop.time()
--- a/hophinge/fleet/controlplane/status.py
+++ b/hophinge/fleet/controlplane/status.py
@@ -10,7 +10,7 @@
 
 
 def member_status(machine: ReplicaStateMachine, soft_state: SoftState, now: float) -> dict[str, Any]:
-    """Return the body of the member's status; its keys are read by operators' tools and tests."""
+    """Return the JSON object of the member's status; its keys are read by operators' tools and tests."""
     view, chain = machine.view, machine.chain
     peers = machine.peers.known.values()
     record = soft_state.dissemination.store.get(RECORD_KEY)
--- a/hophinge/fleet/dataplane/cluster_state.py
+++ b/hophinge/fleet/dataplane/cluster_state.py
@@ -48,8 +48,8 @@
         self.on_configuration = on_configuration
         self.on_first_lease = on_first_lease
         identity = secrets.token_hex(8)
-        self.me = Replica(identity, settings.data_internal, settings.zone)
-        self.lease_holder = LeaseHolder(identity, settings.name, settings.data_internal, settings.zone)
+        self.me = Replica(identity, settings.internal_data_address, settings.zone)
+        self.lease_holder = LeaseHolder(identity, settings.name, settings.internal_data_address, settings.zone)
         self.random = Random()
         self.dissemination = Dissemination(self.random)
         self.renewal = LeaseRenewal(settings.zone, settings.seed_members(), self.random)
--- a/hophinge/fleet/dataplane/http_frontend.py
+++ b/hophinge/fleet/dataplane/http_frontend.py
@@ -76,7 +76,7 @@
         self.body_memory = BodyMemory(MAX_BODY_BYTES)
         self.metrics = RequestMetrics()
         self.abort_log = AbortLog(cluster_state, placement, upstream)
-        self.ready_port = int(settings.ready.rsplit(":", 1)[1]) if settings.ready else 0
+        self.ready_port = int(settings.ready_address.rsplit(":", 1)[1]) if settings.ready_address else 0
         self.is_shutting_down = False
         self.connection_outcomes: Mapping[str, int] = {}  # the server's counts of connections that ended early
 
@@ -105,11 +105,11 @@
             await answer(send, 200, json.dumps(self.status()).encode(), [(b"content-type", b"application/json")])
             return
         is_ready_path = scope["path"] == READY_PATH
-        ready = is_ready_path and self.cluster_state.is_ready and not self.is_shutting_down
-        await answer(send, 200 if ready else 503 if is_ready_path else 404)
+        is_ready = is_ready_path and self.cluster_state.is_ready and not self.is_shutting_down
+        await answer(send, 200 if is_ready else 503 if is_ready_path else 404)
 
     def status(self) -> dict[str, object]:
-        """Return this head's status; its keys are read by operators' tools and tests."""
+        """Return the JSON object of this head's status; its keys are read by operators' tools and tests."""
         cluster_state = self.cluster_state
         now = self.loop.time()
         table = cluster_state.route_table
@@ -158,8 +158,8 @@
         if sum(len(name) + len(value) + 4 for name, value in fields) > limits.header_bytes:
             await answer(send, 431, b"", [CLOSE])
             return
-        with self.body_memory.reserve() as share:
-            body = await read_body(receive, limits.body_bytes, share)
+        with self.body_memory.reserve() as reservation:
+            body = await read_body(receive, limits.body_bytes, reservation)
             await self._route(arrived, scope, receive, send, body)
 
     async def _route(self, arrived: float, scope: Scope, receive: Receive, send: Send, body: bytes) -> None:
--- a/hophinge/fleet/dataplane/program.py
+++ b/hophinge/fleet/dataplane/program.py
@@ -15,7 +15,7 @@
 from hophinge.fleet.dataplane.upstream import Upstream
 from hophinge.fleet.placement.hints import PlacementHints, EngineReports, SuspectedInstances, HintsRequest
 from hophinge.fleet.placement.placement import Placement
-from hophinge.fleet.program import REREAD_S, Signals, Tasks, every, reread_settings
+from hophinge.fleet.program import SETTINGS_REREAD_INTERVAL_S, Signals, Tasks, call_periodically, reread_settings
 from hophinge.fleet.registry.instance import Instance
 from hophinge.fleet.settings import Settings, SettingsError
 from hophinge.fleet.trial import trial_policy
@@ -38,12 +38,12 @@
     """One head of the fleet."""
 
     def __init__(self, settings: Settings) -> None:
-        assert settings.front is not None
-        assert settings.ready is not None
+        assert settings.front_address is not None
+        assert settings.ready_address is not None
         self.settings = settings
-        self.addresses = settings.front, settings.ready
+        self.addresses = settings.front_address, settings.ready_address
         self.signals = Signals()
-        self.tasks = Tasks(self.signals.ending)
+        self.tasks = Tasks(self.signals.shutdown_requested)
         self.placement = Placement(settings.zone, self._retire_instance, Random(), self._schedule_hints, trial_policy())
         self.are_hints_scheduled = False
         self.upstream = Upstream()
@@ -76,7 +76,7 @@
         self.placement.update_instance(identity, instance)
 
     def _retire_instance(self, identity: str) -> None:
-        self.tasks.start_aside(self.upstream.retire(identity))
+        self.tasks.start_background(self.upstream.retire(identity))
 
     def _apply_configuration(self, table: RouteTable) -> None:
         limits = table.limits
@@ -110,19 +110,19 @@
 
     async def run(self) -> None:
         """Serve until the process is asked to terminate."""
-        self.signals.changed = self._reread
+        self.signals.on_hangup = self._reread
         await self.links.listen()
-        self.tasks.start(every(CLUSTER_STATE_TICK_S, self.cluster_state.tick))
+        self.tasks.start(call_periodically(CLUSTER_STATE_TICK_S, self.cluster_state.tick))
         self.tasks.start(self.server.serve([bind_listener(address) for address in self.addresses]))
-        self.tasks.start(every(REREAD_S, self._maintain))
-        logger.info("head started identity={} address={}", self.cluster_state.me.identity, self.settings.front)
-        await self.signals.ending.wait()
+        self.tasks.start(call_periodically(SETTINGS_REREAD_INTERVAL_S, self._maintain))
+        logger.info("head started identity={} address={}", self.cluster_state.me.identity, self.settings.front_address)
+        await self.signals.shutdown_requested.wait()
         await self._shut_down()
 
     def _maintain(self) -> None:
         self._reread()
         self.links.close_idle()
-        self.tasks.start_aside(self.upstream.abort_overdue())
+        self.tasks.start_background(self.upstream.abort_overdue())
 
     def _reread(self) -> None:
         settings = reread_settings()
@@ -150,7 +150,8 @@
         SettingsError: The settings name no front or ready address.
 
     """
-    missing = [name for name in ("front", "ready") if getattr(settings, name) is None]
+    addresses = {"front": settings.front_address, "ready": settings.ready_address}
+    missing = [name for name, address in addresses.items() if address is None]
     if missing:
         raise SettingsError([f"listen-addresses.{name}: is missing" for name in missing])
     await DataPlane(settings).run()
--- a/hophinge/fleet/program.py
+++ b/hophinge/fleet/program.py
@@ -14,24 +14,24 @@
 from hophinge.fleet.log import configure_log
 from hophinge.fleet.settings import Settings, SettingsError, read_settings
 
-FAILED = 1  # exit status where the settings are invalid
+EXIT_INVALID_SETTINGS = 1  # exit status where the settings are invalid
 MAX_FAILURES = 20  # consecutive, of a periodic step, before the process ends to be restarted
-REREAD_S = 3.0  # between reads of the settings file: it may change without a signal
+SETTINGS_REREAD_INTERVAL_S = 3.0  # between reads of the settings file: it may change without a signal
 
 
 class Signals:
     """The signals that the platform sends: SIGTERM and SIGINT to shut down, SIGHUP to reread the settings."""
 
     def __init__(self) -> None:
-        self.ending = asyncio.Event()
-        self.changed: Callable[[], None] = lambda: None
+        self.shutdown_requested = asyncio.Event()
+        self.on_hangup: Callable[[], None] = lambda: None
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.ending.set)
-        loop.add_signal_handler(signal.SIGINT, self.ending.set)
+        loop.add_signal_handler(signal.SIGTERM, self.shutdown_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self.shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._hangup)
 
     def _hangup(self) -> None:
-        self.changed()
+        self.on_hangup()
 
     def close(self) -> None:
         """Ignore signals from now on: one that comes late must not change the exit status."""
@@ -44,32 +44,32 @@
 class Tasks:
     """Tasks that run as long as the program; the failure of one is logged and ends the program."""
 
-    def __init__(self, ending: asyncio.Event) -> None:
-        self.ending = ending
+    def __init__(self, shutdown_requested: asyncio.Event) -> None:
+        self.shutdown_requested = shutdown_requested
         self.running: set[asyncio.Task[Any]] = set()
 
     def start(self, work: Coroutine[Any, Any, Any]) -> None:
         """Run a task."""
         task = asyncio.get_running_loop().create_task(work)
         self.running.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_done)
 
-    def start_aside(self, work: Coroutine[Any, Any, Any]) -> None:
+    def start_background(self, work: Coroutine[Any, Any, Any]) -> None:
         """Run a background task whose failure is logged and ends nothing else."""
         task = asyncio.get_running_loop().create_task(work)
         self.running.add(task)
-        task.add_done_callback(self._done_aside)
+        task.add_done_callback(self._on_background_done)
 
-    def _done_aside(self, task: asyncio.Task[Any]) -> None:
+    def _on_background_done(self, task: asyncio.Task[Any]) -> None:
         self.running.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.opt(exception=task.exception()).error("background work failed")
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self.running.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.opt(exception=task.exception()).error("task failed")
-            self.ending.set()
+            self.shutdown_requested.set()
 
     def cancel(self) -> None:
         """Cancel all tasks."""
@@ -77,7 +77,9 @@
             task.cancel()
 
 
-async def repeat(period_s: float, work: Callable[[], Awaitable[None]], most_failures: int = MAX_FAILURES) -> None:
+async def run_periodically(
+    period_s: float, work: Callable[[], Awaitable[None]], max_failures: int = MAX_FAILURES
+) -> None:
     """Run a step forever, sleeping after each.
 
     The failure of a step is logged and the next one is run all the same: the process has responses in flight that do
@@ -86,7 +88,7 @@
     Args:
         period_s: How long to sleep after each step.
         work: The step.
-        most_failures: How many consecutive failures end the repetition. 1 is for a state that must not go on from
+        max_failures: How many consecutive failures end the repetition. 1 is for a state that must not go on from
             half a step, as what is on disk may lack what is in memory.
 
     Raises:
@@ -101,18 +103,18 @@
         except Exception:  # broad: a step may fail for any reason and must not end the process
             failures += 1
             logger.exception("periodic step failed consecutive_failures={}", failures)
-            if failures >= most_failures:
+            if failures >= max_failures:
                 raise
         await asyncio.sleep(period_s)
 
 
-async def every(period_s: float, action: Callable[[], None], most_failures: int = MAX_FAILURES) -> None:
+async def call_periodically(period_s: float, action: Callable[[], None], max_failures: int = MAX_FAILURES) -> None:
     """Call a function forever, as `repeat` does."""
 
     async def call() -> None:
         action()
 
-    await repeat(period_s, call, most_failures)
+    await run_periodically(period_s, call, max_failures)
 
 
 def reread_settings() -> Settings | None:
@@ -132,7 +134,7 @@
     except SettingsError as error:
         for finding in error.findings:
             logger.error("settings invalid: {}", finding)
-        sys.exit(FAILED)
+        sys.exit(EXIT_INVALID_SETTINGS)
     gc.freeze()
     asyncio.run(_main(program, settings))
 
--- a/hophinge/fleet/registry/service.py
+++ b/hophinge/fleet/registry/service.py
@@ -32,7 +32,7 @@
 
 
 class CompletedRequest(NamedTuple):
-    """A caller's request that has come to its end."""
+    """A caller's completed request."""
 
     request_id: int
     is_acknowledged: bool
--- a/hophinge/fleet/settings.py
+++ b/hophinge/fleet/settings.py
@@ -9,12 +9,12 @@
 from pathlib import Path
 from typing import Any
 
-VARIABLE = "HOPHINGE_CONFIG"
-DEFAULT_PATH = "/etc/hophinge/local.json"
+SETTINGS_VARIABLE = "HOPHINGE_CONFIG"
+DEFAULT_SETTINGS_PATH = "/etc/hophinge/local.json"
 MAX_NUMBER = 1e12  # the largest number that a setting may be
 # Offsets into the internal port range:
-CONTROL_PORT = 0
-DATA_PORT = 1
+CONTROL_PORT_OFFSET = 0
+DATA_PORT_OFFSET = 1
 
 
 class SettingsError(ValueError):
@@ -48,22 +48,22 @@
     zone: str
     region: str
     zones: dict[str, str]
-    front: str | None
-    ready: str | None
-    control: str | None
-    control_internal: str
-    data_internal: str
+    front_address: str | None
+    ready_address: str | None
+    control_address: str | None
+    internal_control_address: str
+    internal_data_address: str
     seeds: tuple[str, ...]  # control addresses, as the file names them
     bootstrap: bool
-    votes: bool
+    can_vote: bool
     data_dir: Path | None
     heartbeat_s: float
-    losses: int  # machines whose loss at the same time must be tolerated
+    max_machine_losses: int  # machines whose loss at the same time must be tolerated
     bounds: Bounds
 
     def seed_members(self) -> tuple[str, ...]:
         """Return the seeds' internal addresses; ports are the same on all machines."""
-        port = self.control_internal.rsplit(":", 1)[1]
+        port = self.internal_control_address.rsplit(":", 1)[1]
         return tuple(f"{seed.rsplit(':', 1)[0]}:{port}" for seed in self.seeds)
 
 
@@ -123,7 +123,7 @@
         SettingsError: The file cannot be read or is invalid; it holds every fault.
 
     """
-    file = path or os.environ.get(VARIABLE, DEFAULT_PATH)
+    file = path or os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
     try:
         raw = json.loads(Path(file).read_bytes())
     except (OSError, ValueError) as error:
@@ -153,17 +153,17 @@
         zone=top.text("zone"),
         region=top.text("region", "-"),
         zones={str(zone): str(region) for zone, region in top.section("zones").raw.items()},
-        front=addresses.optional("front"),
-        ready=addresses.optional("ready"),
-        control=addresses.optional("control"),
-        control_internal=f"{ip}:{first_port + CONTROL_PORT}",
-        data_internal=f"{ip}:{first_port + DATA_PORT}",
+        front_address=addresses.optional("front"),
+        ready_address=addresses.optional("ready"),
+        control_address=addresses.optional("control"),
+        internal_control_address=f"{ip}:{first_port + CONTROL_PORT_OFFSET}",
+        internal_data_address=f"{ip}:{first_port + DATA_PORT_OFFSET}",
         seeds=tuple(str(seed) for seed in top.items("seed-nodes")),
         bootstrap=top.flag("bootstrap", False),
-        votes=top.flag("counts-for-quorum", False) and folder is not None,
+        can_vote=top.flag("counts-for-quorum", False) and folder is not None,
         data_dir=Path(folder) if folder else None,
         heartbeat_s=top.number("heartbeat-ms", 1_000) / 1_000,
-        losses=int(top.section("fault-tolerance").number("machines", 0)),
+        max_machine_losses=int(top.section("fault-tolerance").number("machines", 0)),
         bounds=_parse_bounds(bounds),
     )
     if findings:
@@ -174,7 +174,7 @@
 def _parse_first_port(top: SettingsReader) -> int:
     """Return the first port of the internal range; 0 where the range is invalid."""
     ports = top.items("internal-port-range")
-    if len(ports) != 2 or not all(isinstance(port, int) for port in ports) or ports[1] - ports[0] < DATA_PORT:
+    if len(ports) != 2 or not all(isinstance(port, int) for port in ports) or ports[1] - ports[0] < DATA_PORT_OFFSET:
         top.findings.append("internal-port-range: is not a first and a last port")
         return 0
     first_port: int = ports[0]
--- a/hophinge/fleet/transport/server_connection.py
+++ b/hophinge/fleet/transport/server_connection.py
@@ -109,7 +109,7 @@
         super().connection_lost(exc)
 
     def _disconnect_all(self) -> None:
-        """Notify the requests that their client has disconnected; those that wait are not begun."""
+        """Notify the requests that their client has disconnected; those that wait are not started."""
         self.pipeline.clear()
         for cycle in self.cycles:
             self._disconnect(cycle)
@@ -170,7 +170,7 @@
         if self.cycles:
             self.cycles[-1].keep_alive = False
 
-    # --- what the state asks for ---------------------------------------------------------------------------------
+    # --- actions of the state ------------------------------------------------------------------------------
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -75,8 +75,8 @@
         self.acknowledged: list[Acknowledged] = []
         for number in range(1, voters + others + 1):
             settings = _settings(f"10.0.0.{number}", f"z{number % 3}", number <= voters, number <= voters)
-            self.members[settings.control_internal] = ControlMember(settings)
-            self.start(settings.control_internal)
+            self.members[settings.internal_control_address] = ControlMember(settings)
+            self.start(settings.internal_control_address)
         for number in range(1, heads + 1):
             self._add_head(_settings(f"10.0.1.{number}", f"z{number % 3}", False, False))
 
@@ -86,9 +86,11 @@
         """Start a member's process with what its disk holds."""
         member = self.members[address]
         settings = member.settings
-        me = Replica(f"disk-{address}" if settings.votes else f"soft-{self.random.random()}", address, settings.zone)
+        me = Replica(f"disk-{address}" if settings.can_vote else f"soft-{self.random.random()}", address, settings.zone)
         bootstrap = settings.bootstrap and not member.records
-        membership = ReplicaConfig(me, settings.seed_members(), bootstrap, settings.votes, settings.losses)
+        membership = ReplicaConfig(
+            me, settings.seed_members(), bootstrap, settings.can_vote, settings.max_machine_losses
+        )
         machine = ReplicaStateMachine(membership, Random(self.random.random()), self.loop.time())
         machine.restore(list(member.records))
         member.machine = machine
@@ -130,7 +132,7 @@
                 self._send(machine.me, address, encode(message))
 
     def _add_head(self, settings: Settings) -> None:
-        address = settings.data_internal
+        address = settings.internal_data_address
         known = self.known.setdefault(address, {})
         me: list[Replica] = []
 
--- a/tests/end_mutants.py
+++ b/tests/end_mutants.py
@@ -86,7 +86,7 @@
     Mutant(
         "one failing step ends the program",
         "fleet/program",
-        "if failures >= most_failures:",
+        "if failures >= max_failures:",
         "if failures:",
         STEPS + "test_occasional_failures_of_a_periodic_step_do_not_end_the_program",
     ),
--- a/tests/test_control_drains.py
+++ b/tests/test_control_drains.py
@@ -143,7 +143,7 @@
         await asyncio.sleep(random.uniform(0.1, 3.0))
         world.start(victim)
         return
-    voters = {address for address, member in world.members.items() if member.settings.votes}
+    voters = {address for address, member in world.members.items() if member.settings.can_vote}
     world.cut(inside, (everybody if kind == "all" else voters) - inside, kind == "one_way")
     await asyncio.sleep(random.choice([0.1, 0.4, 2.0, 6.0, 20.0]))
     world.heal()
--- a/tests/test_fleet_failing_steps.py
+++ b/tests/test_fleet_failing_steps.py
@@ -17,7 +17,7 @@
 from hophinge.fleet.configuration.routes import RECORD_KEY, configuration_record
 from hophinge.fleet.dataplane.cluster_state import ClusterState
 from hophinge.fleet.emulation.loopback_fleet import configuration_document
-from hophinge.fleet.program import Signals, Tasks, every, repeat
+from hophinge.fleet.program import Signals, Tasks, call_periodically, run_periodically
 from hophinge.fleet.settings import parse_settings
 from hophinge.fleet.transport.frames import Hello, frame
 from hophinge.fleet.transport.links import IncomingLink, Links
@@ -49,7 +49,7 @@
         step()
 
     tasks = Tasks(ending)
-    tasks.start(repeat(0.0, work, most) if awaited else every(0.0, step, most))
+    tasks.start(run_periodically(0.0, work, most) if awaited else call_periodically(0.0, step, most))
     waits = [asyncio.create_task(one.wait()) for one in (ending, enough)]
     await asyncio.wait(waits, timeout=BOUND_S, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
@@ -79,7 +79,7 @@
             raise ValueError("work")
 
         tasks = Tasks(ending)
-        tasks.start_aside(work())
+        tasks.start_background(work())
         await failed.wait()
         while tasks.running:
             await asyncio.sleep(0)
@@ -158,7 +158,7 @@
     async def play() -> None:
         signals = Signals()
         os.kill(os.getpid(), signal.SIGTERM)
-        await signals.ending.wait()
+        await signals.shutdown_requested.wait()
         signals.close()
 
     try:
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -32,14 +32,14 @@
 
 def test_a_file_is_read() -> None:
     settings = parse_settings(FILE)
-    assert settings.control_internal == "10.1.0.35:7660"
-    assert settings.data_internal == "10.1.0.35:7661"
+    assert settings.internal_control_address == "10.1.0.35:7660"
+    assert settings.internal_data_address == "10.1.0.35:7661"
     assert settings.seed_members() == ("10.1.0.35:7660", "10.2.0.28:7660")
-    assert (settings.losses, settings.votes, settings.heartbeat_s) == (2, True, 1.2)
+    assert (settings.max_machine_losses, settings.can_vote, settings.heartbeat_s) == (2, True, 1.2)
 
 
 def test_without_a_disk_a_member_does_not_vote() -> None:
-    assert not parse_settings({**FILE, "data-dir": None}).votes
+    assert not parse_settings({**FILE, "data-dir": None}).can_vote
 
 
 def test_all_faults_of_the_settings_are_reported_together() -> None:
