--- a/hophinge/scoring/outlook.py
+++ b/hophinge/scoring/outlook.py
@@ -41,5 +41,5 @@
 
 @scorer_impl
 def hophinge_scorer() -> Kind:
-    """Tell this scorer."""
+    """Return this scorer."""
     return Kind("outlook", INTERFACE, Parameters, Outlook)
--- a/tests/scoring_parts.py
+++ b/tests/scoring_fixtures.py
@@ -1,4 +1,4 @@
-"""Stand-ins for tests of scorers: a clock, candidates, a board that several heads share."""
+"""Test doubles for scorers: a clock, candidates, entries that several heads share."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hophinge.core.choice.node_state import NodeState
 from hophinge.core.interface import Arrival, NodeEntry, Phase
 from hophinge.scoring import encoding
-from hophinge.scoring.engine import ScoringEngine, PutEntry
+from hophinge.scoring.engine import PutEntry, ScoringEngine
 from hophinge.scoring.interface import GROUP, Scorer, Setting, Surroundings, View
 from hophinge.scoring.suspicion import Parameters, Suspicion
 
@@ -21,7 +21,7 @@
 
 
 class Clock:
-    """Nanoseconds that stand still but for what a slow scorer takes, and what it used of them itself."""
+    """A clock in nanoseconds that only a slow scorer advances, with the scorer's own usage."""
 
     def __init__(self) -> None:
         self.ns = self.cpu_ns = self.waits = self.collections = 0
@@ -33,18 +33,18 @@
         return self.cpu_ns, self.waits, self.collections
 
 
-def books(*names: str, started_us: int = 0) -> list[NodeState]:
+def observations(*names: str, started_us: int = 0) -> list[NodeState]:
     return [NodeState(NodeEntry(name, at % 3, at, Phase.ON, 1.0, started_us)) for at, name in enumerate(names)]
 
 
 class Says(Scorer):
-    """A scorer that does as it is told."""
+    """A scorer that behaves as a test defines."""
 
     def __init__(self, say: Callable[[View], object]) -> None:
         self.say = say
 
     def added_us(self, view: View) -> list[float]:
-        return self.say(view)  # type: ignore[return-value]    # what misbehaves keeps to no type
+        return self.say(view)  # type: ignore[return-value]    # misbehaviour includes wrong types
 
 
 def engine(
@@ -68,7 +68,7 @@
 
 
 def sharer(name: str = "me") -> tuple[ScoringEngine, Suspicion]:
-    """A head with one scorer, which shares."""
+    """A head with one scorer that shares its weights."""
     scorer = Suspicion(Parameters(), SETTING)
     head = engine({"suspicion": scorer}, versions={"suspicion": VERSION})
     head.share_as(name)
@@ -76,7 +76,7 @@
 
 
 def install(site: Path, package: str, points: Mapping[str, str], text: str | None = None) -> None:
-    """Lay out a package as if it were installed in a folder; `points` are its scorers' modules by name."""
+    """Create a package as if it were installed in a directory; `points` are its scorers' modules by name."""
     folder = site / f"{package}-1.0.dist-info"
     folder.mkdir(parents=True)
     (folder / "METADATA").write_text(f"Metadata-Version: 2.1\nName: {package}\nVersion: 1.0\n")
@@ -88,7 +88,7 @@
 
 
 class Wall:
-    """What all boards of a fleet hold; each change is heard at once."""
+    """The replicated entries of a fleet; each change is visible at once."""
 
     def __init__(self) -> None:
         self.held: dict[tuple[str, str], Entry] = {}
@@ -99,7 +99,7 @@
         self.held[owner, key] = Entry(owner, Topic.WEIGHTS, key, EntryVersion(1, self.count), value)
 
     def say(self, owner: str, beat: int, words: Mapping[str, float], version: str = VERSION) -> None:
-        """Put a member's words of suspicion, whatever they are worth."""
+        """Publish a member's weights of the scorer `suspicion`, valid or not."""
         for chunk, value in encoding.encode(version, beat, words)[0].items():
             self.put(owner, encoding.entry_key("suspicion", chunk), value)
 
--- a/tests/test_scoring_choice.py
+++ b/tests/test_scoring_choice.py
@@ -1,4 +1,4 @@
-"""Scorers at the real module: they move a choice among those that may be taken, and bring in nobody."""
+"""Scorers with the real choice: they move it among permissible backends, and never add one."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     ListKind,
     NodeEntry,
     NodeList,
+    NodeObservation,
     Outcome,
     Phase,
     Refuse,
     Result,
-    NodeObservation,
     Send,
 )
 from hophinge.scoring.interface import View
-from tests.scoring_parts import MAX_US, Says, engine
+from tests.scoring_fixtures import MAX_US, Says, engine
 from tests.test_choice import MS, SETTINGS, T0, ask
 
 NAMES = [f"n{at}" for at in range(6)]
@@ -34,7 +34,7 @@
 
 @dataclass
 class Only:
-    """Bounds that leave some bricks."""
+    """Bounds that permit some backends."""
 
     left: frozenset[str]
     attempts: int = 0
@@ -49,7 +49,7 @@
 
 
 class Raw:
-    """A `Scorers` without any guard, which names whom it likes."""
+    """A `Scorers` without a guard, which may name any backend."""
 
     def __init__(self, added: Mapping[str, float]) -> None:
         self.added = added
@@ -83,20 +83,20 @@
     return [action.node for action in actions if isinstance(action, Send)]
 
 
-@pytest.mark.parametrize("wanted", NAMES)
-def test_the_backend_without_added_time_is_chosen(wanted: str) -> None:
+@pytest.mark.parametrize("expected", NAMES)
+def test_the_backend_without_added_time_is_chosen(expected: str) -> None:
     one = module()
-    one.scorers = engine({"but": Says(lambda view: [0.0 if node == wanted else MAX_US for node in view.nodes])})
-    assert sent(one.handle(T0 + MS, [fresh("r")])) == [wanted]
+    one.scorers = engine({"but": Says(lambda view: [0.0 if node == expected else MAX_US for node in view.nodes])})
+    assert sent(one.handle(T0 + MS, [fresh("r")])) == [expected]
 
 
-def test_earliest_free_stays_the_choice_where_the_added_time_is_shorter_than_the_book() -> None:
+def test_the_earliest_free_backend_is_chosen_if_added_times_are_shorter_than_the_estimate() -> None:
     one = module()
     first = sent(one.handle(T0 + MS, [fresh("r0")]))[0]
     one.handle(T0 + 21 * MS, [Outcome("r0", 0, first, Result.OK, 20 * MS, True, 0, 0.0, {})])
     second = sent(one.handle(T0 + 21 * MS, [fresh("r1")]))[0]
 
-    # The second's brick is busy for some 20 ms by the book: less than that, added to all others, moves nobody there.
+    # The second's backend is busy for an estimated 20 ms: a shorter time added to all others moves no request there.
     def but(time: float) -> Says:
         return Says(lambda view: [0.0 if node == second else time for node in view.nodes])
 
@@ -106,7 +106,7 @@
     assert sent(one.handle(T0 + 21 * MS, [fresh("r3")])) == [second]
 
 
-def test_a_request_whose_backend_is_given_asks_no_scorer() -> None:
+def test_a_request_for_a_given_backend_calls_no_scorer() -> None:
     one, asked = module(), []
 
     def say(view: View) -> object:
@@ -117,7 +117,7 @@
     assert sent(one.handle(T0 + MS, [ask("r", shard=2)])) == ["n2"] and not asked
 
 
-def test_a_name_that_is_no_candidate_does_nothing() -> None:
+def test_a_name_that_is_not_a_candidate_is_ignored() -> None:
     one, plain = module(), module()
     one.scorers = Raw({"n9": 0.0, "elsewhere": 1.0, "": 5.0})
     assert one.handle(T0 + MS, [fresh("r")]) == plain.handle(T0 + MS, [fresh("r")])
@@ -137,7 +137,7 @@
     WILD,
     st.lists(STEP, min_size=1, max_size=8),
 )
-def test_whatever_scorers_say_only_backends_that_may_be_taken_get_a_request(
+def test_only_permissible_backends_get_a_request_whatever_scorers_return(
     phases: list[Phase],
     first: Callable[[View], object],
     second: Callable[[View], object],
--- a/tests/test_scoring_exclusion.py
+++ b/tests/test_scoring_exclusion.py
@@ -1,21 +1,21 @@
-"""A scorer that takes too long is left out for what it did itself, not for what the machine did to it."""
+"""A slow scorer is excluded for its own usage, not for delays by the machine."""
 
 from __future__ import annotations
 
 import pytest
 
-from hophinge.scoring.guard import HungError
-from hophinge.scoring.interface import View
 from hophinge.scoring.exclusion import (
-    MAX_EXCUSED,
     INITIAL_BACKOFF_US,
     MAX_BACKOFF_US,
+    MAX_EXCUSED,
     MAX_SLOW_BACKOFFS,
-    PROBATION_CALLS,
     MEASURED_CALLS,
+    PROBATION_CALLS,
     ScorerExclusion,
 )
-from tests.scoring_parts import ASK, Clock, Says, books, engine
+from hophinge.scoring.guard import HungError
+from hophinge.scoring.interface import View
+from tests.scoring_fixtures import ASK, Clock, Says, engine, observations
 
 T0 = 50_000_000
 # What a call over its time used itself: CPU and waits of its own, and whether the collector ran.
@@ -24,7 +24,7 @@
 
 
 def late(used: list[tuple[int, int, int]], clock: Clock) -> Says:
-    """Make a scorer whose next calls are all too late, by what they use; without any it is quick."""
+    """Make a scorer whose next calls are all too slow, with the given usage; without any it is fast."""
 
     def say(view: View) -> object:
         if used:
@@ -50,56 +50,62 @@
         ([COLLECTED] * (MAX_EXCUSED + 2), True),
     ],
 )
-def test_a_call_over_its_time_costs_that_choice_alone_unless_the_scorer_itself_was_slow_twice(
+def test_a_slow_call_costs_one_choice_unless_the_scorer_itself_was_slow_twice(
     calls: list[tuple[int, int, int]], left_out: bool
 ) -> None:
     clock = Clock()
     head = engine({"late": late(used := list(calls), clock)}, clock)
     one = head.guard.scorers[0]
     while used:
-        assert head.added_us(T0, ASK, books("a")) == {} and one.exclusion.is_callable(T0) is not (left_out and not used)
+        assert head.added_us(T0, ASK, observations("a")) == {} and one.exclusion.is_callable(T0) is not (
+            left_out and not used
+        )
     assert one.counts["slow"] == len(calls)
-    assert head.added_us(T0, ASK, books("a")) == ({} if left_out else {"a": 5.0})
+    assert head.added_us(T0, ASK, observations("a")) == ({} if left_out else {"a": 5.0})
 
 
-def test_proofs_far_apart_are_chance_and_a_call_is_measured_only_under_watch() -> None:
+def test_distant_proofs_are_chance_and_only_some_calls_are_measured() -> None:
     clock, used = Clock(), [BUSY]
     head = engine({"late": late(used, clock)}, clock)
     pauses = head.guard.scorers[0].exclusion
     for wanted in ({}, *[{"a": 5.0}] * MEASURED_CALLS):
-        assert head.added_us(T0, ASK, books("a")) == wanted
+        assert head.added_us(T0, ASK, observations("a")) == wanted
     assert not pauses.measured_calls_left
-    for _ in range(2):  # the first is not measured, and proves nothing; the second is the first proof again
+    for _ in range(2):  # the first is not measured, and proves nothing; the second is a first proof
         used.append(BUSY)
-        assert head.added_us(T0, ASK, books("a")) == {} and pauses.is_callable(T0)
+        assert head.added_us(T0, ASK, observations("a")) == {} and pauses.is_callable(T0)
     used.append(BUSY)
-    assert head.added_us(T0, ASK, books("a")) == {} and not pauses.is_callable(T0)
+    assert head.added_us(T0, ASK, observations("a")) == {} and not pauses.is_callable(T0)
 
 
-def test_a_slow_scorer_is_left_out_by_growing_pauses_comes_back_and_is_off_at_last() -> None:
+def test_a_slow_scorer_is_excluded_with_backoff_returns_and_is_finally_disabled() -> None:
     clock = Clock()
     head = engine({"slow": late(used := [BUSY] * 3, clock)}, clock)
     one, now = head.guard.scorers[0], T0
-    head.added_us(now, ASK, books("a"))
-    assert head.added_us(now, ASK, books("a")) == {} and not one.exclusion.is_callable(now + INITIAL_BACKOFF_US - 1)
+    head.added_us(now, ASK, observations("a"))
+    assert head.added_us(now, ASK, observations("a")) == {} and not one.exclusion.is_callable(
+        now + INITIAL_BACKOFF_US - 1
+    )
     now += INITIAL_BACKOFF_US
-    assert head.added_us(now, ASK, books("a")) == {} and not one.exclusion.is_callable(now + 2 * INITIAL_BACKOFF_US - 1)
+    assert head.added_us(now, ASK, observations("a")) == {} and not one.exclusion.is_callable(
+        now + 2 * INITIAL_BACKOFF_US - 1
+    )
     now += 2 * INITIAL_BACKOFF_US
     for _ in range(PROBATION_CALLS):
-        assert head.added_us(now, ASK, books("a")) == {"a": 5.0}
+        assert head.added_us(now, ASK, observations("a")) == {"a": 5.0}
     assert one.exclusion.failures == 0 and one.counts["slow"] == 3
     used += [BUSY] * (MAX_SLOW_BACKOFFS + 1)
     while used:
-        head.added_us(now, ASK, books("a"))
+        head.added_us(now, ASK, observations("a"))
         now += MAX_BACKOFF_US
     assert one.exclusion.is_disabled and one.counts["slow"] == 4 + MAX_SLOW_BACKOFFS
-    assert head.added_us(now + 100 * MAX_BACKOFF_US, ASK, books("a")) == {}
+    assert head.added_us(now + 100 * MAX_BACKOFF_US, ASK, observations("a")) == {}
     head.reinstate_all()
-    assert head.added_us(now, ASK, books("a")) == {"a": 5.0}
+    assert head.added_us(now, ASK, observations("a")) == {"a": 5.0}
 
 
 @pytest.mark.parametrize("swallows", [False, True])
-def test_a_call_that_was_broken_is_the_scorer_s_last_whatever_it_makes_of_that(swallows: bool) -> None:
+def test_an_interrupted_call_is_the_scorer_s_last_even_if_it_swallows_the_exception(swallows: bool) -> None:
     clock, log = Clock(), list[str]()
 
     def say(view: View) -> object:
@@ -114,14 +120,14 @@
     head = engine({"hangs": Says(say), "good": Says(lambda view: [7.0] * len(view))}, clock, log)
     began = clock.ns
     for _ in range(3):
-        assert head.added_us(T0, ASK, books("a")) == {"a": 7.0}
-        head.guard.interrupt(began)  # too late: another call, or none, runs now
+        assert head.added_us(T0, ASK, observations("a")) == {"a": 7.0}
+        head.guard.interrupt(began)  # too late: another call, or none, is in progress
     one = head.guard.scorers[0]
     assert one.exclusion.is_disabled and one.counts["hung"] == one.counts["asked"] == 1 and one.counts["slow"] == 0
     assert len(log) == 1 and "[scorer-hung]" in log[0]
 
 
-def test_pauses_have_a_cap_and_a_scorer_that_raises_is_never_off_for_good() -> None:
+def test_backoff_is_capped_and_a_scorer_that_raises_is_never_disabled() -> None:
     pauses, now = ScorerExclusion(), 0
     for _ in range(40):
         pauses.record_failure(now)
--- a/tests/test_scoring_guard.py
+++ b/tests/test_scoring_guard.py
@@ -1,4 +1,4 @@
-"""Whatever a scorer does, a choice gets times within the clamp, of candidates alone, and the others' word stands."""
+"""Whatever a scorer does, a choice gets times of candidates alone within the clamp, and other scorers' count."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 from hophinge.core.interface import Result
 from hophinge.scoring import guard
-from hophinge.scoring.interface import Scorer, View, Weight
 from hophinge.scoring.exclusion import INITIAL_BACKOFF_US
-from tests.scoring_parts import ASK, MAX_US, Says, books, engine
+from hophinge.scoring.interface import Scorer, View, Weight
+from tests.scoring_fixtures import ASK, MAX_US, Says, engine, observations
 
 T0 = 50_000_000
 NAMES = ("a", "b", "c", "d")
@@ -100,19 +100,19 @@
 
 
 def check(behaviours: list[Callable[[View], object]]) -> None:
-    """The promise: never raises, names candidates alone, within the clamp; the good scorer's word stands."""
+    """Assert that nothing raises, only candidates are named, within the clamp, and the good scorer counts."""
     good = Says(lambda view: [{"a": 10.0, "c": 20.0}.get(node, 0.0) for node in view.nodes])
     scorers: dict[str, Scorer] = {f"s{at}": Says(say) for at, say in enumerate(behaviours)}
     head = engine(scorers | {"good": good})
     for step in range(3):
-        added = head.added_us(T0 + step, ASK, books(*NAMES))
+        added = head.added_us(T0 + step, ASK, observations(*NAMES))
         assert added.keys() <= set(NAMES)
         assert all(isinstance(time, float) and 0.0 < time <= MAX_US for time in added.values())
         assert added["a"] >= 10.0 and added["c"] >= 20.0
     wrong = [one for one in head.guard.scorers if one.exclusion.failures]
     assert not any(one.name == "good" for one in wrong)
     if len(wrong) == len(behaviours):
-        assert head.added_us(T0 + 4, ASK, books(*NAMES)) == {"a": 10.0, "c": 20.0}
+        assert head.added_us(T0 + 4, ASK, observations(*NAMES)) == {"a": 10.0, "c": 20.0}
 
 
 @given(st.lists(BEHAVIOUR, max_size=3))
@@ -120,7 +120,7 @@
 @example([lambda view: [10**400, 1.0, 1.0, 1.0]])
 @example([lambda view: [1e308, 1e308, 1e308, 1e308]])
 @example([lambda view: [MAX_US, MAX_US, MAX_US, MAX_US], lambda view: [MAX_US] * 4])
-def test_no_misbehaviour_raises_brings_a_backend_in_or_leaves_the_clamp(
+def test_no_misbehaviour_raises_adds_a_backend_or_exceeds_the_clamp(
     behaviours: list[Callable[[View], object]],
 ) -> None:
     check(behaviours)
@@ -138,7 +138,7 @@
         check([lambda view: [MAX_US * 2] * 4])
 
 
-def test_the_check_catches_a_guard_that_looks_at_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_check_catches_a_guard_without_validation(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(guard, "check_times", lambda returned, count: list(returned))
     with pytest.raises((AssertionError, ValueError, TypeError)):
         check([lambda view: [math.nan] * 4, lambda view: [-1.0] * 9])
@@ -157,17 +157,19 @@
         ("negative", lambda view: [0.0, 0.0, 5.0, -1.0]),
     ],
 )
-def test_mistakes_are_counted_by_reason_and_logged_once_a_pause(reason: str, say: Callable[[View], object]) -> None:
+def test_failures_are_counted_by_reason_and_logged_once_an_exclusion(
+    reason: str, say: Callable[[View], object]
+) -> None:
     log: list[str] = []
     head = engine({"odd": Says(say)}, log=log)
     for step in range(5):
-        assert head.added_us(T0 + step, ASK, books(*NAMES)) == {}
+        assert head.added_us(T0 + step, ASK, observations(*NAMES)) == {}
     counts = head.guard.scorers[0].counts
     assert counts[reason] == 1 and counts["left_out"] == 4 and len(log) == 1 and "odd" in log[0]
 
 
 class BadLearner(Scorer):
-    """One that errs wherever it is not asked for times."""
+    """A scorer that fails in every call but `added_us`."""
 
     def added_us(self, view: View) -> list[float]:
         return [1.0] * len(view)
@@ -179,11 +181,11 @@
         return {"a": Weight(math.nan, 1.0)}
 
 
-def test_mistakes_beside_a_choice_are_guarded_too_and_who_is_left_out_tells_peers_nothing() -> None:
+def test_failures_outside_a_choice_are_guarded_and_an_excluded_scorer_shares_nothing() -> None:
     head = engine({"bad": BadLearner()}, versions={"bad": "1"})
     head.share_as("me")
     assert head.tick(T0, {"a"}) == [] and head.guard.scorers[0].counts["not_a_number"] == 1
     now = T0 + INITIAL_BACKOFF_US
     head.heard(now, "a", Result.OK, 5)
     assert head.guard.scorers[0].counts["raised"] == 1
-    assert head.added_us(now, ASK, books("a")) == {}
+    assert head.added_us(now, ASK, observations("a")) == {}
--- a/tests/test_scoring_hanging.py
+++ b/tests/test_scoring_hanging.py
@@ -1,4 +1,4 @@
-"""Scorers that do not return, in a head of its own: it is held up for a stated time, once, and goes on without them."""
+"""Scorers that do not return, in a head's own process: it is blocked once, for a documented time, and continues."""
 
 from __future__ import annotations
 
@@ -7,12 +7,10 @@
 import textwrap
 from pathlib import Path
 
-
 from hophinge.load.plan import LoadPlan
 from hophinge.load.rig.run import Run
 from hophinge.load.rig.waiting import until
-
-from tests.scoring_parts import install
+from tests.scoring_fixtures import install
 from tests.together import BOUND_S, run
 
 HANGS = {
@@ -38,7 +36,7 @@
     """
 
 
-def test_a_head_whose_scorers_hang_breaks_each_once_and_serves_on_without_them(tmp_path: Path) -> None:
+def test_a_head_interrupts_each_hanging_scorer_once_and_serves_without_it(tmp_path: Path) -> None:
     async def main() -> None:
         for name, body in HANGS.items():
             module = f"hanging_{name.replace('-', '_')}"
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -1,4 +1,4 @@
-"""Scorers composed with a real exchange: outcomes reach them, weights reach the board, its troubles reach nobody."""
+"""Scorers with a real exchange: results reach them, weights are published, failures to publish reach no request."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import msgspec
 import pytest
 
+from hophinge.cluster.entry_store import EntryStore
 from hophinge.cluster.interface import Entry, EntryVersion, Topic
 from hophinge.cluster.messages import TOPICS
-from hophinge.cluster.entry_store import EntryStore
 from hophinge.cluster.tuning import Limits
 from hophinge.core.counters import Counters
 from hophinge.core.errors import HophingeError
@@ -21,7 +21,7 @@
 from hophinge.scoring import encoding, sharing
 from hophinge.scoring.engine import ScoringEngine
 from hophinge.scoring.interface import Surroundings, View
-from tests.scoring_parts import ASK, Clock, Says, books
+from tests.scoring_fixtures import ASK, Clock, Says, observations
 from tests.test_choice import MS, SETTINGS, T0, ask, node
 from tests.test_exchange import Loop
 
@@ -32,8 +32,8 @@
     code, remedy = "test-full", "Wait."
 
 
-class OneBoard:
-    """A board that may be full, or fail altogether."""
+class InMemoryEntries:
+    """Entries that may be full, or fail altogether."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -69,7 +69,7 @@
         scoring.heard(where, Result.ERROR, MS)
 
 
-def test_a_request_is_served_round_a_backend_that_failed_before_and_its_end_is_heard() -> None:
+def test_a_request_avoids_a_backend_that_failed_and_its_result_is_observed() -> None:
     loop, exchange, scoring, _ = composed()
     for where in ("n0", "n1", "n3"):
         fail(scoring, where, 3)
@@ -90,9 +90,9 @@
     assert sketch.total == 1.0 and abs(sketch.quantile_us(0.5) - 5 * MS) < MS
 
 
-def test_weights_go_to_the_board_and_what_it_refuses_comes_again() -> None:
+def test_weights_are_published_and_rejected_entries_are_retried() -> None:
     _, _, scoring, log = composed()
-    board = OneBoard()
+    board = InMemoryEntries()
     scoring.share("me", board)
     board.wrong = FullError("no room")
     fail(scoring, "n0", 3)
@@ -109,10 +109,10 @@
     assert log[-1] == "scorers' tick failed: OSError: gone"
 
 
-def test_a_board_may_change_between_two_slices_of_a_tick(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_entries_may_change_between_two_slices_of_a_tick(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sharing, "SLICE_STEPS", 1)
     _, _, scoring, log = composed()
-    board = OneBoard()
+    board = InMemoryEntries()
     shelf = EntryStore("peer", 1, Limits(), lambda what: None, lambda entry, gone: None, lambda owner: None)
     board.entries = lambda topic: shelf.entries(TOPICS.index(topic), iter(["peer"]))  # type: ignore[method-assign]
     values = encoding.encode("suspicion-1", 1, {f"n{at}": 1.0 for at in range(4)})[0]
@@ -125,20 +125,20 @@
     assert scoring.engine.shared["suspicion"].peers["peer"].weights == {f"n{at}": 1.0 for at in range(4)}
 
 
-def test_a_head_that_does_not_share_tells_and_hears_nothing() -> None:
+def test_a_head_that_does_not_share_publishes_and_reads_nothing() -> None:
     loop, log = Loop(), list[str]()
     config = ScoringConfig(["suspicion"], share=False)
     scoring = Scoring(config, Exchange(SETTINGS, 1, loop, Counters(), log.append), log.append, Clock())
-    board = OneBoard()
+    board = InMemoryEntries()
     scoring.share("me", board)
     fail(scoring, "n0", 3)
     scoring.tick()
     assert not board.values and scoring.engine.reader is None
 
 
-def test_status_and_gauges_tell_what_is_left_out_and_who_says_what() -> None:
+def test_status_and_gauges_show_exclusions_and_peers() -> None:
     _, _, scoring, _ = composed()
-    board = OneBoard()
+    board = InMemoryEntries()
     board.others = [
         Entry("peer", Topic.WEIGHTS, "suspicion/0", EntryVersion(1, 1), encoding.encode("suspicion-1", 1, {})[0][0]),
         Entry("odd", Topic.WEIGHTS, "suspicion/0", EntryVersion(1, 1), b"?"),
@@ -170,11 +170,13 @@
 
 
 @pytest.mark.parametrize("say", [spin, nap])
-def test_one_that_works_or_waits_too_long_is_proved_slow_by_what_its_thread_used(say: Callable[[View], object]) -> None:
+def test_a_scorer_that_works_or_waits_too_long_is_proved_slow_by_its_thread_s_usage(
+    say: Callable[[View], object],
+) -> None:
     log: list[str] = []
     slow = ScoringEngine(
         {"slow": Says(say)}, {}, 1e6, 200.0, time.perf_counter_ns, log.append, Surroundings(), usage=usage
     )
     for _ in range(3):
-        assert slow.added_us(T0, ASK, books("a")) == {}
+        assert slow.added_us(T0, ASK, observations("a")) == {}
     assert slow.guard.scorers[0].counts["slow"] == 2 and log == ["scorer slow is left out for 1 s: slow"]
--- a/tests/test_scoring_model.py
+++ b/tests/test_scoring_model.py
@@ -1,4 +1,4 @@
-"""Random steps over a fleet with liars: weights stay inside their bounds in every history."""
+"""Random steps of a fleet with Byzantine members: weights stay within their bounds in every history."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from hophinge.scoring.engine import ScoringEngine
 from hophinge.scoring.merge import max_influence
 from hophinge.scoring.suspicion import Suspicion
-from tests.scoring_parts import ASK, MAX_US, VERSION, Wall, books, sharer
+from tests.scoring_fixtures import ASK, MAX_US, VERSION, Wall, observations, sharer
 
 T0, S = 50_000_000, 1_000_000
 BACKENDS = [f"brick-{number}" for number in range(6)]
@@ -26,7 +26,7 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Honest heads never fail at a sound brick; liars put what they like, at most four of them among ten."""
+    """Honest heads never fail at a healthy backend; at most four of ten are Byzantine and publish anything."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
 
     @rule(seconds=st.sampled_from([0, 1, 1, 1, 5, 20, 70]), who=SOME_HEADS)
     def tick(self, seconds: int, who: frozenset[int]) -> None:
-        """Time passes; some heads tick, others have stopped or are cut off."""
+        """Advance the time; some heads tick, others are stopped or cut off."""
         self.now += seconds * S
         for at in sorted(who):
             name = f"h{at}"
@@ -79,7 +79,7 @@
             del self.wall.held[at]
 
     def check(self, head: ScoringEngine, scorer: Suspicion) -> None:
-        """The promises on a sound brick's weight and on a failing one's, right after a merge."""
+        """Assert the bounds on the weights of a healthy and of a failing backend, right after a merge."""
         speak = [
             owner
             for owner, peer in head.shared["suspicion"].peers.items()
@@ -99,7 +99,7 @@
     @invariant()
     def clamped(self) -> None:
         for head, _ in self.heads.values():
-            added = head.added_us(self.now, ASK, books(*BACKENDS))
+            added = head.added_us(self.now, ASK, observations(*BACKENDS))
             assert all(0.0 < time <= MAX_US for time in added.values())
             assert not any(one.exclusion.failures for one in head.guard.scorers)
 
@@ -113,7 +113,7 @@
     )
 
 
-def test_weights_stay_inside_their_bounds_in_every_history() -> None:
+def test_weights_stay_within_their_bounds_in_every_history() -> None:
     run()
 
 
@@ -121,12 +121,12 @@
     return sum(value * trust for value, trust in words) / sum(trust for _, trust in words)
 
 
-def outweighed(own: Any, heard: float, part: float) -> float:
+def only_reports(own: Any, heard: float, part: float) -> float:
     return heard
 
 
-@pytest.mark.parametrize(("name", "mutant"), [("trim", untrimmed), ("own", outweighed)])
-def test_the_model_catches_a_merge_without_trim_and_an_own_word_outweighed(
+@pytest.mark.parametrize(("name", "mutant"), [("trim", untrimmed), ("own", only_reports)])
+def test_the_model_catches_a_merge_without_trim_and_an_outweighed_own_weight(
     name: str, mutant: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if name == "trim":
@@ -135,10 +135,10 @@
     else:
         monkeypatch.setattr(sharing, "combine", mutant)
     with pytest.raises(AssertionError):
-        run([Phase.generate])  # nobody reads the smallest history of a mutant
+        run([Phase.generate])  # the history of a mutant need not be shrunk
 
 
-def test_the_model_comes_to_histories_where_liars_are_too_many(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_model_reaches_histories_with_too_many_byzantine_peers(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(globals(), "max_influence", lambda byzantine, peers, evidence: 0.0)
     with pytest.raises(AssertionError):
-        run([Phase.generate])  # nobody reads the smallest history of a mutant
+        run([Phase.generate])  # the history of a mutant need not be shrunk
--- a/tests/test_scoring_plugins.py
+++ b/tests/test_scoring_plugins.py
@@ -1,4 +1,4 @@
-"""Scorers found by name, checked with place and key, and the example package as if it were installed."""
+"""Scorers found by name and validated with section and key, and the example package as if it were installed."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ScorerUnusableError,
 )
 from hophinge.scoring.interface import GROUP
-from tests.scoring_parts import ASK, MAX_US, SETTING, books, engine, install
+from tests.scoring_fixtures import ASK, MAX_US, SETTING, engine, install, observations
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "scorer"
 PLUGIN = """
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def site(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Path]:
-    """A folder of installed packages."""
+    """A directory of installed packages."""
     monkeypatch.syspath_prepend(str(tmp_path))
     before = set(sys.modules)
     yield tmp_path
@@ -60,7 +60,7 @@
     scorers, versions = make(config, SETTING)
     assert versions == {"suspicion": "suspicion-1", "own-zone": ""}
     head = engine(scorers)
-    assert head.added_us(0, ASK, books("a", "b", "c")) == {"b": 1_500.0, "c": 1_500.0}
+    assert head.added_us(0, ASK, observations("a", "b", "c")) == {"b": 1_500.0, "c": 1_500.0}
     with pytest.raises(ScorerParametersError, match=r"\[scoring.parameters.own-zone\] .*`zone`"):
         make(ScoringConfig(["own-zone"]), SETTING)
     with pytest.raises(ScorerParametersError, match="beyond_us must be from 0 to 1000000"):
@@ -72,7 +72,7 @@
         check()
 
 
-def test_the_three_built_in_are_made_from_an_operators_file() -> None:
+def test_the_built_in_scorers_are_created_from_an_operators_file() -> None:
     text = """
         [scoring]
         scorers = ["latency", "suspicion", "outlook"]
@@ -86,7 +86,7 @@
     assert config is not None
     scorers, versions = make(config, SETTING)
     assert list(scorers) == ["latency", "suspicion", "outlook"] and versions["latency"] == "latency-1"
-    assert engine(scorers).added_us(0, ASK, books("a")) == {}
+    assert engine(scorers).added_us(0, ASK, observations("a")) == {}
 
 
 @pytest.mark.parametrize(
@@ -100,13 +100,13 @@
         ({"quantile": 1.5}, "[scoring.parameters.latency] quantile must be between 0 and 1"),
     ],
 )
-def test_a_mistake_in_parameters_names_section_and_key(rows: dict[str, Any], said: str) -> None:
+def test_an_invalid_parameter_is_reported_with_section_and_key(rows: dict[str, Any], said: str) -> None:
     with pytest.raises(ScorerParametersError) as caught:
         parameters(find("latency"), rows)
     assert caught.value.what == said
 
 
-def test_names_that_do_not_fit_are_told(site: Path) -> None:
+def test_invalid_names_are_reported(site: Path) -> None:
     install(site, "brought_old", {"old": "brought_old"}, PLUGIN.format(name="old", interface=0, make="None"))
     install(site, "brought_other", {"other": "brought_other"}, PLUGIN.format(name="x", interface=1, make="None"))
     install(site, "brought_broken", {"broken": "brought_broken"}, "raise SystemError('boom')")
@@ -140,7 +140,7 @@
     assert find("suspicion").name == "suspicion" and "brought_idle" not in sys.modules
 
 
-def test_a_package_cannot_take_a_built_in_ones_place(site: Path) -> None:
+def test_a_package_cannot_replace_a_built_in_scorer(site: Path) -> None:
     install(site, "brought_evil", {"latency": "brought_evil"}, PLUGIN.format(name="latency", interface=1, make="None"))
     scorers, _ = make(ScoringConfig(["latency"]), SETTING)
     assert type(scorers["latency"]).__module__ == "hophinge.scoring.latency" and "brought_evil" not in sys.modules
--- a/tests/test_scoring_scorers.py
+++ b/tests/test_scoring_scorers.py
@@ -1,4 +1,4 @@
-"""The three scorers at work, each driven by ends and views alone."""
+"""The three built-in scorers, each driven by results and views alone."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hophinge.scoring import latency, outlook, suspicion
 from hophinge.scoring.interface import Surroundings, View
 from hophinge.scoring.sketch import LatencySketch
-from tests.scoring_parts import ASK, MAX_US, SETTING, books
+from tests.scoring_fixtures import ASK, MAX_US, SETTING, observations
 
 T0 = 50_000_000
 S = 1_000_000
@@ -21,10 +21,10 @@
 
 
 def view(now: int = T0, surroundings: Surroundings | None = None, started_us: int = 0) -> View:
-    return View.of(now, ASK, books(*NAMES, started_us=started_us), surroundings or Surroundings(10 * S))
+    return View.of(now, ASK, observations(*NAMES, started_us=started_us), surroundings or Surroundings(10 * S))
 
 
-def test_the_sketch_tells_quantiles_to_a_tenth() -> None:
+def test_the_sketch_has_quantiles_exact_to_a_tenth() -> None:
     rng = random.Random(3)
     draws: list[Callable[[], float]] = [
         lambda: rng.expovariate(1 / 20_000),
@@ -54,7 +54,7 @@
     assert sketch.evidence(later) == 1.0 and abs(sketch.quantile_us(0.5) - 2_000) < 200
 
 
-def test_latency_adds_what_a_slow_backend_takes_beyond_what_is_usual() -> None:
+def test_latency_adds_the_excess_of_a_slow_backend_over_the_median() -> None:
     scorer = latency.Latency(latency.Parameters(), SETTING)
     for at, node in enumerate(NAMES):
         for _ in range(20):
@@ -71,7 +71,7 @@
     assert scorer.added_us(view())[1] == MAX_US
 
 
-def test_latency_counts_what_was_given_up_and_not_what_failed_at_once() -> None:
+def test_latency_counts_timeouts_and_no_immediate_failures() -> None:
     scorer = latency.Latency(latency.Parameters(), SETTING)
     for node in NAMES:
         for _ in range(5):
@@ -84,7 +84,7 @@
     assert [at for at, time in enumerate(scorer.added_us(view())) if time] == [1]
 
 
-def test_suspicion_grows_with_a_part_of_failures_that_stays_and_not_with_a_lone_one() -> None:
+def test_suspicion_grows_with_a_lasting_failure_rate_and_not_with_one_failure() -> None:
     scorer, rng = suspicion.Suspicion(suspicion.Parameters(), SETTING), random.Random(9)
     for turn in range(200):
         for node, part in (("n0", 0.5), ("n1", 0.003), ("n2", 0.0)):
@@ -97,7 +97,7 @@
     assert scorer.added_us(view())[2] == 0.0
 
 
-def test_suspicion_moves_at_the_end_itself_and_fades_while_nothing_is_heard() -> None:
+def test_suspicion_changes_with_each_result_and_decays_without_results() -> None:
     scorer = suspicion.Suspicion(suspicion.Parameters(half_life_s=10.0), SETTING)
     scorer.heard(T0, "n0", Result.RESET, MS)
     first = scorer.added_us(view())[0]
@@ -108,7 +108,7 @@
     assert scorer.added_us(view())[0] == 0.0 and not scorer.records
 
 
-def test_outlook_keeps_off_drains_and_wanted_objects_off_cold_backends() -> None:
+def test_outlook_avoids_drains_and_cold_backends_for_objects_in_demand() -> None:
     scorer = outlook.Outlook(outlook.Parameters(drain_part=0.8, cold_part=0.5, demand_s=10.0), SETTING)
     around = Surroundings(10 * S)
     assert scorer.added_us(view(surroundings=around)) == [0.0] * 10
@@ -120,8 +120,8 @@
     assert scorer.added_us(view(surroundings=around)) == [0.0] * 10  # all are warm
 
 
-def test_a_view_tells_what_the_books_hold_and_makes_each_column_once() -> None:
-    seen = books("a", "b")
+def test_a_view_has_the_observations_and_computes_each_property_once() -> None:
+    seen = observations("a", "b")
     seen[0].reserve(("r", 0), 2.0, 1_000.0, T0)
     seen[1].failures, seen[1].recent_latency = 3, 7_000.0
     asked: list[str] = []
--- a/tests/test_scoring_sharing.py
+++ b/tests/test_scoring_sharing.py
@@ -1,4 +1,4 @@
-"""Heads that share weights through a board: accusers, liars, silence, other versions, entries that are none."""
+"""Heads that share weights as entries: accusations, Byzantine members, silence, other versions, invalid entries."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from hophinge.core.interface import Result
 from hophinge.scoring import encoding
 from hophinge.scoring.engine import ScoringEngine
-from hophinge.scoring.merge import PEERS_EVIDENCE, NEUTRAL_EVIDENCE, MAX_OWN_EVIDENCE, max_influence
-from hophinge.scoring.sharing import HEARTBEAT_US, FORGOTTEN_US, FRESH_US, HALF_LIFE_US
+from hophinge.scoring.merge import MAX_OWN_EVIDENCE, NEUTRAL_EVIDENCE, PEERS_EVIDENCE, max_influence
+from hophinge.scoring.sharing import FORGOTTEN_US, FRESH_US, HALF_LIFE_US, HEARTBEAT_US
 from hophinge.scoring.suspicion import Parameters, Suspicion
-from tests.scoring_parts import ASK, MAX_US, SETTING, VERSION, Wall, books, engine, sharer
+from tests.scoring_fixtures import ASK, MAX_US, SETTING, VERSION, Wall, engine, observations, sharer
 
 T0 = 50_000_000
 S = 1_000_000
@@ -26,7 +26,7 @@
 
 
 def added(head: ScoringEngine, now: int, node: str) -> float:
-    return head.added_us(now, ASK, books(*BACKENDS)).get(node, 0.0)
+    return head.added_us(now, ASK, observations(*BACKENDS)).get(node, 0.0)
 
 
 def hear(head: ScoringEngine, now: int, node: str, result: Result, times: int) -> None:
@@ -37,7 +37,7 @@
 def run(
     fleet: dict[str, ScoringEngine], wall: Wall, now: int, seconds: int, liars: int = 0, accused: str = GOOD
 ) -> int:
-    """Go on second by second; liars accuse one brick with all they have."""
+    """Advance second by second; Byzantine members accuse one backend as far as they can."""
     for _ in range(seconds):
         now += S
         for at in range(liars):
@@ -47,7 +47,7 @@
     return now
 
 
-def test_a_head_learns_of_a_failing_backend_that_it_has_never_asked() -> None:
+def test_a_head_learns_of_a_failing_backend_that_it_has_never_used() -> None:
     fleet, wall = heads(10), Wall()
     asked = list(fleet.values())[:7]
     for head in asked:
@@ -59,7 +59,7 @@
 
 
 def check_liars(liars: int, peers: int) -> None:
-    """The promise, through the whole: liars add to a healthy brick no more than the bound, for who knows it and not."""
+    """Assert end to end that Byzantine members raise a healthy backend no more than the bound, known here or not."""
     fleet, wall = heads(peers + 1 - liars), Wall()
     knows, knows_not = list(fleet.values())[:2]
     now = T0
@@ -75,12 +75,12 @@
     assert all(trust[f"liar{at}"].agreement.trust <= 0.1 for at in range(liars))
 
 
-def test_liars_move_a_healthy_backend_by_no_more_than_the_bound() -> None:
+def test_byzantine_peers_move_a_healthy_backend_by_no_more_than_the_bound() -> None:
     for liars in (1, 2, 3, 5, 8):
         check_liars(liars, 9)
 
 
-def test_a_liar_that_praises_a_dead_backend_moves_nothing() -> None:
+def test_a_byzantine_peer_that_praises_a_dead_backend_moves_nothing() -> None:
     honest, wall = heads(6), Wall()
     for head in honest.values():
         hear(head, T0, BAD, Result.CONNECT_FAILED, 5)
@@ -92,7 +92,7 @@
 
 
 def taught() -> tuple[Wall, ScoringEngine, int]:
-    """A head that has believed nine others on a brick, and when."""
+    """Return a head that has merged the reports of nine others on a backend, and the time."""
     fleet, wall = heads(10), Wall()
     for head in list(fleet.values())[:9]:
         hear(head, T0, BAD, Result.ERROR, 6)
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("gone", [False, True])
-def test_what_peers_said_ages_to_neutral_when_they_are_silent_or_gone(gone: bool) -> None:
+def test_weights_of_silent_or_departed_peers_age_to_neutral(gone: bool) -> None:
     wall, quiet, now = taught()
     first, seen = added(quiet, now, BAD), []
     if gone:
@@ -114,7 +114,7 @@
     assert quiet.reader is not None and not quiet.reader.departed and not quiet.shared["suspicion"].peers
 
 
-def test_members_that_return_begin_anew() -> None:
+def test_members_that_return_start_without_weights() -> None:
     wall, quiet, now = taught()
     wall.held.clear()
     now = run({"h9": quiet}, wall, now, 5)
@@ -124,7 +124,7 @@
     assert added(quiet, now, BAD) == 0.0 and len(quiet.shared["suspicion"].peers) == 9
 
 
-def test_a_head_whose_peers_are_all_gone_uses_its_own_weights_as_they_are() -> None:
+def test_a_head_without_peers_uses_its_own_weights_unchanged() -> None:
     shared, alone = heads(1)["h0"], engine({"suspicion": Suspicion(Parameters(), SETTING)})
     for head in (shared, alone):
         hear(head, T0, BAD, Result.ERROR, 2)
@@ -134,14 +134,14 @@
     assert added(shared, T0 + S, BAD) == added(alone, T0 + S, BAD) > 0.0
 
 
-def test_words_of_another_version_are_ignored_and_counted_not_mixed() -> None:
+def test_weights_of_another_version_are_ignored_and_counted() -> None:
     head, wall = heads(1)["h0"], Wall()
     for at in range(9):
         wall.say(f"new{at}", 1, {GOOD: 1.0}, "suspicion-2")
     wall.tick(T0, "h0", head, BACKENDS)
     assert added(head, T0, GOOD) == 0.0 and not head.shared["suspicion"].peers
     assert head.reader is not None and len(head.reader.other_versions) == 9 and not head.reader.invalid_entries
-    # One that is upgraded while it runs takes back what it said under the old version.
+    # A member that is upgraded deletes its entries of the old version.
     for at in range(9):
         wall.say(f"new{at}", 2, {GOOD: 1.0})
     wall.tick(T0 + S, "h0", head, BACKENDS)
@@ -152,7 +152,7 @@
     assert added(head, T0 + 2 * S, GOOD) == 0.0
 
 
-def test_entries_that_are_none_are_dropped_and_counted_by_their_owner() -> None:
+def test_invalid_entries_are_dropped_and_counted_by_owner() -> None:
     head, wall = heads(1)["h0"], Wall()
     good = encoding.encode(VERSION, 1, {})[0][0]
     table = encoding.WeightTable
@@ -173,11 +173,11 @@
     wall.tick(T0, "h0", head, BACKENDS)
     assert head.reader is not None
     assert head.reader.invalid_entries == {**{f"odd{at}": 1 for at in range(len(wrong))}, "key": 1}
-    wall.tick(T0 + S, "h0", head, BACKENDS)  # what has not changed is not counted again
+    wall.tick(T0 + S, "h0", head, BACKENDS)  # an unchanged entry is not counted again
     assert sum(head.reader.invalid_entries.values()) == len(wrong) + 1
 
 
-def test_backends_that_this_head_does_not_list_are_not_taken_up_from_hearsay() -> None:
+def test_reports_on_backends_that_this_head_does_not_list_are_ignored() -> None:
     head, wall = heads(1)["h0"], Wall()
     for at in range(9):
         wall.say(f"p{at}", 1, {"elsewhere": 1.0, GOOD: 1.0})
@@ -186,7 +186,7 @@
     assert levels.keys() == {GOOD} and levels[GOOD] <= PEERS_EVIDENCE / (PEERS_EVIDENCE + NEUTRAL_EVIDENCE)
 
 
-def test_an_entry_changes_only_with_its_backends_and_the_beat_only_entry_0() -> None:
+def test_an_entry_changes_only_with_its_backends_and_the_heartbeat_only_entry_0() -> None:
     head, wall = heads(1)["h0"], Wall()
     wall.tick(T0, "h0", head, BACKENDS)
     hear(head, T0, BAD, Result.ERROR, 1)
@@ -197,11 +197,11 @@
 
 
 @given(st.dictionaries(st.text(min_size=1, max_size=128), st.floats(0, 1), max_size=120), st.integers(0, 2**40))
-def test_entries_fit_come_back_as_they_were_and_keep_the_worst(weights: dict[str, float], beat: int) -> None:
+def test_entries_fit_round_trip_and_keep_the_worst_backends(weights: dict[str, float], heartbeat: int) -> None:
     try:
-        values, left_out = encoding.encode(VERSION, beat, weights)
+        values, left_out = encoding.encode(VERSION, heartbeat, weights)
     except UnicodeEncodeError:
-        return  # no name of a brick: the list's decoder takes no lone surrogates
+        return  # not a backend's name: the list's decoder accepts no lone surrogates
     assert all(len(value) <= MAX_VALUE_BYTES for value in values.values()) and 0 in values
     found: dict[str, float] = {}
     for chunk, value in values.items():
@@ -218,7 +218,7 @@
 
 
 @given(st.binary(max_size=MAX_VALUE_BYTES + 10), st.text(max_size=12))
-def test_no_bytes_of_a_peer_raise(value: bytes, key: str) -> None:
+def test_arbitrary_bytes_of_a_peer_never_raise(value: bytes, key: str) -> None:
     head = heads(1)["h0"]
     for at, name in enumerate((key, "suspicion/0")):
         head.tick(T0 + at, set(BACKENDS), [Entry("peer", Topic.WEIGHTS, name, EntryVersion(1, at), value)])
--- a/tests/test_scoring_slices.py
+++ b/tests/test_scoring_slices.py
@@ -1,4 +1,4 @@
-"""A tick in slices: none does more than a bounded part, and together they do what one go does."""
+"""A tick in slices: each does a bounded amount of work, and together they give the result of one pass."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hophinge.core.interface import Result
 from hophinge.scoring import sharing
 from hophinge.scoring.engine import DeleteEntry, PutEntry
-from tests.scoring_parts import ASK, Wall, books, sharer
+from tests.scoring_fixtures import ASK, Wall, observations, sharer
 
 T0, S = 50_000_000, 1_000_000
 BACKENDS = [f"brick-{number}" for number in range(5)]
@@ -23,7 +23,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(PEERS, OWN, st.sampled_from([1, 5, 40])), min_size=1, max_size=4), st.integers(1, 30))
-def test_slices_do_what_one_go_does_and_each_a_bounded_part(
+def test_slices_give_the_same_result_as_one_pass_and_are_bounded(
     ticks: list[tuple[dict[str, dict[str, float] | bytes], list[tuple[str, Result]], int]], size: int
 ) -> None:
     (one_go, _), (sliced, _), wall = sharer(), sharer(), Wall()
@@ -53,12 +53,12 @@
             for _ in sliced.slices(now, set(BACKENDS), counted(entries), actions):
                 assert looked <= size
                 looked = 0
-                sliced.added_us(now, ASK, books(*BACKENDS))  # requests come in between
+                sliced.added_us(now, ASK, observations(*BACKENDS))  # requests come in between
         assert sorted(map(repr, actions)) == sorted(map(repr, wanted))
         for action in wanted:
             one_go.confirm(action)
             sliced.confirm(action)
-        assert one_go.added_us(now, ASK, books(*BACKENDS)) == sliced.added_us(now, ASK, books(*BACKENDS))
+        assert one_go.added_us(now, ASK, observations(*BACKENDS)) == sliced.added_us(now, ASK, observations(*BACKENDS))
         assert [(owner, peer.weights, peer.agreement) for owner, peer in one_go.shared["suspicion"].peers.items()] == [
             (owner, peer.weights, peer.agreement) for owner, peer in sliced.shared["suspicion"].peers.items()
         ]
