--- a/hophinge/fleet/dataplane/program.py
+++ b/hophinge/fleet/dataplane/program.py
@@ -60,20 +60,20 @@
 
     def _receive(self, hello: Hello, message: object) -> None:
         if isinstance(message, PlacementHints):
-            self.placement.receive_hints(asyncio.get_running_loop().time(), message)
+            self.placement.exchange.receive_hints(asyncio.get_running_loop().time(), message)
         elif isinstance(message, HintsRequest):
-            self._send(hello.sender.address, self.placement.cache_snapshot())
+            self._send(hello.sender.address, self.placement.exchange.cache_snapshot())
         elif isinstance(message, SuspectedInstances):
-            self.placement.receive_suspects(asyncio.get_running_loop().time(), message)
+            self.placement.exchange.receive_suspects(asyncio.get_running_loop().time(), message)
         elif isinstance(message, EngineReports):
-            self.placement.receive_reports(asyncio.get_running_loop().time(), message)
+            self.placement.exchange.receive_reports(asyncio.get_running_loop().time(), message)
         else:
             self.cluster_state.receive(hello.sender.address, message)
 
     def _update_instance(self, identity: str, instance: Instance | None) -> None:
         if instance is not None:
             self.upstream.reinstate(identity)
-        self.placement.update_instance(identity, instance)
+        self.placement.instances.update_instance(identity, instance)
 
     def _retire_instance(self, identity: str) -> None:
         self.tasks.start_background(self.upstream.retire(identity))
@@ -85,7 +85,7 @@
         )
         self.frontend.traffic_split.retain_routes({route.name for route in table.routes})
         engines = {name: service.engine for name, service in table.services.items()}
-        self.placement.configure({name: engine.memory_tokens for name, engine in engines.items() if engine})
+        self.placement.instances.configure({name: engine.memory_tokens for name, engine in engines.items() if engine})
 
     def _request_hints(self) -> None:
         """Request the hints of another head, with the first lease."""
@@ -104,7 +104,7 @@
         self.are_hints_scheduled = False
         granter = self.cluster_state.renewal.granter
         now = asyncio.get_running_loop().time()
-        for message in (self.placement.outgoing_hints(now), self.placement.outgoing_suspects()):
+        for message in (self.placement.exchange.outgoing_hints(now), self.placement.exchange.outgoing_suspects()):
             if message is not None and granter is not None:
                 self.links.send(granter, message)
 
--- a/hophinge/fleet/emulation/samples.py
+++ b/hophinge/fleet/emulation/samples.py
@@ -87,6 +87,6 @@
     placement = Placement("zone-1", lambda identity: None, Random(1))
     for number in range(count):
         member = instance(number * 22)
-        placement.update_instance(member.identity, member)
-    placement.configure({"service0": 441_937})
+        placement.instances.update_instance(member.identity, member)
+    placement.instances.configure({"service0": 441_937})
     return placement
--- a/hophinge/fleet/emulation/slopes.py
+++ b/hophinge/fleet/emulation/slopes.py
@@ -116,7 +116,7 @@
         plan = placement.place_generation(
             PlacementRequest(0.0, (str(random.random()), 1), "service0", set(), 0.72, 0.72), prompt
         )
-        placement.outgoing_hints(0.0)
+        placement.exchange.outgoing_hints(0.0)
         for node in placement.nodes.values():
             node.in_flight.reservations.clear()
             node.in_flight.free_at = 0.0
--- a/hophinge/fleet/emulation/virtual_fleet.py
+++ b/hophinge/fleet/emulation/virtual_fleet.py
@@ -112,7 +112,7 @@
         for number in range(prefill + decode):
             self._start_engine(engine, number, "prefill" if number < prefill else "decode")
         for head in self.heads:
-            head.configure({SERVICE: engine.memory_tokens})
+            head.instances.configure({SERVICE: engine.memory_tokens})
 
     # --- engines -------------------------------------------------------------------------------------------------
 
@@ -126,7 +126,7 @@
     def _publish_instance(self, instance: Instance) -> None:
         self.instances[instance.identity] = instance
         for head in self.heads:
-            head.update_instance(instance.identity, instance)
+            head.instances.update_instance(instance.identity, instance)
 
     def crash(self, identity: str, time_s: float) -> None:
         """Crash an engine at a time; heads detect it later."""
@@ -144,16 +144,16 @@
     def _deliver_reports(self, reports: EngineReports) -> None:
         self.loads.record(reports, self.instances)
         for head in self.heads:
-            head.receive_reports(self.clock.now, reports)
+            head.exchange.receive_reports(self.clock.now, reports)
 
     def _exchange_hints(self) -> None:
         for head in self.heads:
-            hints = head.outgoing_hints(self.clock.now)
+            hints = head.exchange.outgoing_hints(self.clock.now)
             if hints is None:
                 continue
             for other in self.heads:
                 if other is not head:
-                    other.receive_hints(self.clock.now, hints)
+                    other.exchange.receive_hints(self.clock.now, hints)
 
     def _plan_switches(self) -> None:
         """Order a switch of stage once it has been desired for a while."""
--- /dev/null
+++ b/hophinge/fleet/placement/instance_table.py
@@ -0,0 +1,56 @@
+"""The instances that a head knows, by identity and by stage."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from hophinge.fleet.placement.node import Node, PrefixCache
+from hophinge.fleet.placement.policy import PlacementPolicy
+from hophinge.fleet.placement.pool import InstancePool
+from hophinge.fleet.registry.instance import Instance
+
+
+class InstanceTable:
+    """The instances of all services, each in the pool of its service and stage."""
+
+    def __init__(self, policy: PlacementPolicy, on_instance_removed: Callable[[str], None]) -> None:
+        self.policy = policy
+        self.on_instance_removed = on_instance_removed
+        self.pools: dict[tuple[str, str], InstancePool] = {}
+        self.nodes: dict[str, Node] = {}
+        self.cache_tokens: dict[str, int] = {}  # by service: that an instance has for cached segments
+
+    def update_instance(self, identity: str, instance: Instance | None) -> None:
+        """Record an instance; None where it has ended."""
+        node = self.nodes.get(identity)
+        if node is not None and (instance is None or instance.stage != node.instance.stage):
+            self.pool_of(node).nodes.pop(identity, None)
+        if instance is None:
+            if self.nodes.pop(identity, None) is not None:
+                self.on_instance_removed(identity)
+            return
+        if node is None:
+            node = self.nodes[identity] = Node(instance)
+            node.cache = PrefixCache(self.cache_tokens.get(instance.service, 0))
+        node.instance = instance
+        self.pool_of(node).nodes[identity] = node
+
+    def configure(self, memory_tokens: dict[str, int]) -> None:
+        """Set the memory of each service's instances in tokens, some of which is for running requests."""
+        self.cache_tokens = {
+            service: int(tokens * self.policy.cache_fraction) for service, tokens in memory_tokens.items()
+        }
+        for node in self.nodes.values():
+            node.cache.capacity_tokens = self.cache_tokens.get(node.instance.service, 0)
+
+    def pool(self, service: str, stage: str) -> InstancePool:
+        """Return the instances of a stage of a service."""
+        key = service, stage
+        pool = self.pools.get(key)
+        if pool is None:
+            pool = self.pools[key] = InstancePool(stage, self.policy)
+        return pool
+
+    def pool_of(self, node: Node) -> InstancePool:
+        """Return the pool that an instance belongs to."""
+        return self.pool(node.instance.service, node.instance.stage)
--- a/hophinge/fleet/placement/placement.py
+++ b/hophinge/fleet/placement/placement.py
@@ -13,36 +13,26 @@
 from collections.abc import Callable
 from random import Random
 
-from hophinge.fleet.placement.hints import (
-    PrefillDone,
-    PrefillDropped,
-    FinishedPrefill,
-    PlacementHint,
-    PlacementHints,
-    EngineReports,
-    SuspectedInstances,
-)
+from hophinge.fleet.placement.hint_exchange import MIN_TOKENS, HintExchange
+from hophinge.fleet.placement.hints import FinishedPrefill, PlacementHint, PrefillDropped
+from hophinge.fleet.placement.instance_table import InstanceTable
 from hophinge.core.choice.gateway_state import MAX_IN_FLIGHT
-from hophinge.fleet.placement.node import MICROSECONDS, PrefixCache, Node
+from hophinge.fleet.placement.node import MICROSECONDS, Node
 from hophinge.fleet.placement.plan import Forecast, PlacementRejection, PlacementPlan, PlacementRequest
 from hophinge.fleet.placement.policy import PlacementPolicy
 from hophinge.fleet.placement.pool import Candidate, Reservation, InstancePool
 from hophinge.fleet.placement.timing import DECODE, PLAIN, PREFILL
-from hophinge.fleet.placement.prompt import Prompt, PromptSegment
+from hophinge.fleet.placement.prompt import Prompt
 from hophinge.fleet.placement.scoring import PlacementChoice, PlacementScorer
-from hophinge.fleet.registry.instance import Instance
 
-MILLISECONDS = 1_000
 MIN_RETRY_AFTER_S = 0.25  # of a rejected client, at least
 MAX_RETRY_JITTER_S = 1.0  # over which the retries of such clients are spread, at most
-MEAN_RELAY_DELAY_S = 0.03  # of a hint from one head to another
 JOB_ID_BITS = 40  # of a random job id: collisions in one queue are next to impossible
-MIN_TOKENS = 64  # charged for a request that needs no prefill
 FAILURE_SILENCE_S = 0.6  # since its last answer, before a failure ejects an instance
 
 
 class Placement:
-    """The placement of one head: its instances, their estimated load, and pending messages to the other heads."""
+    """The placement of one head's requests, and what it learns from their results."""
 
     def __init__(
         self,
@@ -54,157 +44,14 @@
     ) -> None:
         self.policy = policy
         self.zone = zone
-        self.on_instance_removed = on_instance_removed
         self.random = random
-        self.on_update_pending = on_update_pending
-        self.pools: dict[tuple[str, str], InstancePool] = {}
-        self.nodes: dict[str, Node] = {}
-        self.cache_tokens: dict[str, int] = {}  # by service: that an instance has for cached segments
-        self.pending_hints: list[PlacementHint] = []
-        self.pending_finished: list[FinishedPrefill] = []
-        self.pending_drops: list[PrefillDropped] = []
-        self.suspects: set[str] = set()
-
-    # --- instances -----------------------------------------------------------------------------------------------
-
-    def update_instance(self, identity: str, instance: Instance | None) -> None:
-        """Record an instance; None where it has ended."""
-        node = self.nodes.get(identity)
-        if node is not None and (instance is None or instance.stage != node.instance.stage):
-            self.pool(node.instance.service, node.instance.stage).nodes.pop(identity, None)
-        if instance is None:
-            if self.nodes.pop(identity, None) is not None:
-                self.on_instance_removed(identity)
-            return
-        if node is None:
-            node = self.nodes[identity] = Node(instance)
-            node.cache = PrefixCache(self.cache_tokens.get(instance.service, 0))
-        node.instance = instance
-        self.pool(instance.service, instance.stage).nodes[identity] = node
-
-    def configure(self, memory_tokens: dict[str, int]) -> None:
-        """Set the memory of each service's instances in tokens, some of which is for running requests."""
-        self.cache_tokens = {
-            service: int(tokens * self.policy.cache_fraction) for service, tokens in memory_tokens.items()
-        }
-        for node in self.nodes.values():
-            node.cache.capacity_tokens = self.cache_tokens.get(node.instance.service, 0)
-
-    def pool(self, service: str, stage: str) -> InstancePool:
-        """Return the instances of a stage of a service."""
-        key = service, stage
-        pool = self.pools.get(key)
-        if pool is None:
-            pool = self.pools[key] = InstancePool(stage, self.policy)
-        return pool
-
-    # --- hints ---------------------------------------------------------------------------------------------------
-
-    def outgoing_hints(self, now: float) -> PlacementHints | None:
-        """Return the hints since the last call, or None without any."""
-        done = tuple(
-            PrefillDone(finished.instance, finished.job_id, int((now - finished.ended_at) * MILLISECONDS))
-            for finished in self.pending_finished
-        )
-        hints = PlacementHints(tuple(self.pending_hints), done, tuple(self.pending_drops))
-        self.pending_hints = []
-        self.pending_finished = []
-        self.pending_drops = []
-        return None if hints.is_empty else hints
-
-    def receive_hints(self, now: float, hints: PlacementHints) -> None:
-        """Apply the hints of another head."""
-        for hint in hints.hints:
-            node = self.nodes.get(hint.instance)
-            if node is not None:
-                pool = self.pool(node.instance.service, node.instance.stage)
-                pool.record_remote_placement(now, node, hint)
-                self._record_segments(node, hint.segments, hint.units, hint.job_id)
-                node.tokens_since_report += hint.memory_tokens
-        for done in hints.done:
-            node = self.nodes.get(done.instance)
-            job = node.queue.find(done.job_id) if node is not None else None
-            if node is not None and job is not None:
-                pool = self.pool(node.instance.service, node.instance.stage)
-                pool.finish_job(now, node, job, now - MEAN_RELAY_DELAY_S - done.age_ms / MILLISECONDS)
-                node.cache.confirm(done.job_id)
-        for dropped in hints.dropped:
-            node = self.nodes.get(dropped.instance)
-            if node is not None:
-                node.drop_job(dropped.job_id)
-
-    def _record_segments(self, node: Node, segments: tuple[PromptSegment, ...], units: int, job_id: int) -> None:
-        """Record that an instance will have segments: at once where they are transferred, so that little is read."""
-        if units > MIN_TOKENS and self.policy.shares_drops:
-            node.cache.insert_pending(segments, job_id)
-        else:
-            node.cache.insert(segments)
-
-    def record_answer(self, now: float, reservation: Reservation, is_streaming: bool) -> None:
-        """Record the answer to an attempt; where its prompt was read, the other heads are notified."""
-        if reservation.attempt_id not in reservation.node.in_flight.reservations:
-            return
-        reservation.record_answer(now, is_streaming)
-        if reservation.pool.timing.is_sequential and reservation.units > MIN_TOKENS:
-            reservation.pool.finish_job(now, reservation.node, reservation.job, now)
-            reservation.node.cache.confirm(reservation.job.job_id)
-            self.pending_finished.append(
-                FinishedPrefill(reservation.node.instance.identity, reservation.job.job_id, now)
-            )
-            self.on_update_pending()
-
-    def release(self, now: float, reservation: Reservation) -> None:
-        """Release an attempt; where its prompt was not read, the other heads are notified."""
-        is_unfinished = reservation.attempt_id in reservation.node.in_flight.reservations
-        reservation.release(now)
-        if is_unfinished and reservation.units > MIN_TOKENS and self.policy.shares_drops:
-            reservation.node.drop_job(reservation.job.job_id)
-            self.pending_drops.append(PrefillDropped(reservation.node.instance.identity, reservation.job.job_id))
-            self.on_update_pending()
-
-    def record_failure(self, node: Node, now: float) -> None:
-        """Eject an instance after a failed attempt and notify the other heads, unless it has answered lately."""
-        if now - node.last_answer_at > FAILURE_SILENCE_S:
-            node.record_failure(now)
-            self.suspects.add(node.instance.identity)
-            self.on_update_pending()
-
-    def outgoing_suspects(self) -> SuspectedInstances | None:
-        """Return the instances that failed here since the last call, or None without any."""
-        suspects = tuple(self.suspects)
-        self.suspects = set()
-        return SuspectedInstances(suspects) if suspects else None
-
-    def receive_suspects(self, now: float, suspects: SuspectedInstances) -> None:
-        """Record instances that failed at another head."""
-        for identity in suspects.instances:
-            node = self.nodes.get(identity)
-            if node is not None:
-                node.record_suspicion(now)
-
-    def receive_reports(self, now: float, reports: EngineReports) -> None:
-        """Record the reports of engines."""
-        for report in reports.reports:
-            node = self.nodes.get(report.instance)
-            if node is not None:
-                pool = self.pool(node.instance.service, node.instance.stage)
-                node.apply_report(now * MICROSECONDS, report, pool.mean_service_us(node))
-
-    def cache_snapshot(self) -> PlacementHints:
-        """Return all segments believed to be cached, for a head that has just started."""
-        return PlacementHints(
-            tuple(
-                PlacementHint(identity, 0, tuple(node.cache.segments.items()), 0, 0, 0)
-                for identity, node in self.nodes.items()
-                if node.cache.segments
-            )
-        )
-
-    # --- choice --------------------------------------------------------------------------------------------------
+        self.instances = InstanceTable(policy, on_instance_removed)
+        self.exchange = HintExchange(self.instances, policy, on_update_pending)
+        self.nodes = self.instances.nodes
 
     def place_plain(self, request: PlacementRequest, stage: str) -> PlacementPlan | None:
         """Place a request without a prompt, which counts as one unit; None where no instance has capacity."""
-        pool = self.pool(request.service, stage)
+        pool = self.instances.pool(request.service, stage)
         units = 1.0 if stage == PLAIN else float(MIN_TOKENS)
 
         def choose(is_late: bool) -> PlacementChoice | None:
@@ -222,8 +69,8 @@
             capacity.
 
         """
-        prefill = self.pool(request.service, PREFILL)
-        decode = self.pool(request.service, DECODE)
+        prefill = self.instances.pool(request.service, PREFILL)
+        decode = self.instances.pool(request.service, DECODE)
         scorer = PlacementScorer(prompt, self.zone, prefill, decode, self.policy)
 
         def units(node: Node) -> float:
@@ -247,8 +94,8 @@
 
     def place_decode(self, request: PlacementRequest, prompt: Prompt, prefill_identity: str) -> PlacementPlan | None:
         """Place the decoding of a request whose prompt was read at an instance; None where no instance has capacity."""
-        decode = self.pool(request.service, DECODE)
-        scorer = PlacementScorer(prompt, self.zone, self.pool(request.service, PREFILL), decode, self.policy)
+        decode = self.instances.pool(request.service, DECODE)
+        scorer = PlacementScorer(prompt, self.zone, self.instances.pool(request.service, PREFILL), decode, self.policy)
 
         def choose(is_late: bool) -> PlacementChoice | None:
             candidates = self._candidates(decode, request, prompt.key, lambda node: float(MIN_TOKENS), is_late)
@@ -288,12 +135,12 @@
         memory_tokens = prompt.tokens_in + prompt.tokens_out if prompt is not None and not choice.is_prefill_only else 0
         candidate.node.tokens_since_report += memory_tokens
         job_id = self.random.getrandbits(JOB_ID_BITS)
-        self._record_segments(candidate.node, segments, int(candidate.units), job_id)
+        self.exchange.record_segments(candidate.node, segments, int(candidate.units), job_id)
         identity = candidate.node.instance.identity
-        self.pending_hints.append(
+        self.exchange.pending_hints.append(
             PlacementHint(identity, int(candidate.units), segments, candidate.priority, memory_tokens, job_id)
         )
-        self.on_update_pending()
+        self.exchange.on_update_pending()
         forecast = Forecast(
             candidate.wait_us,
             candidate.service_us,
@@ -302,3 +149,34 @@
         )
         reservation = choice.pool.reserve(request.now, candidate, request.attempt_id, job_id)
         return PlacementPlan(reservation, choice.is_prefill_only, candidate.priority, forecast)
+
+    # --- results of attempts ----------------------------------------------------------------------------------------
+
+    def record_answer(self, now: float, reservation: Reservation, is_streaming: bool) -> None:
+        """Record the answer to an attempt; where its prompt was read, the other heads are notified."""
+        if reservation.attempt_id not in reservation.node.in_flight.reservations:
+            return
+        reservation.record_answer(now, is_streaming)
+        if reservation.pool.timing.is_sequential and reservation.units > MIN_TOKENS:
+            reservation.pool.finish_job(now, reservation.node, reservation.job, now)
+            reservation.node.cache.confirm(reservation.job.job_id)
+            finished = FinishedPrefill(reservation.node.instance.identity, reservation.job.job_id, now)
+            self.exchange.pending_finished.append(finished)
+            self.exchange.on_update_pending()
+
+    def release(self, now: float, reservation: Reservation) -> None:
+        """Release an attempt; where its prompt was not read, the other heads are notified."""
+        is_unfinished = reservation.attempt_id in reservation.node.in_flight.reservations
+        reservation.release(now)
+        if is_unfinished and reservation.units > MIN_TOKENS and self.policy.shares_drops:
+            reservation.node.drop_job(reservation.job.job_id)
+            dropped = PrefillDropped(reservation.node.instance.identity, reservation.job.job_id)
+            self.exchange.pending_drops.append(dropped)
+            self.exchange.on_update_pending()
+
+    def record_failure(self, node: Node, now: float) -> None:
+        """Eject an instance after a failed attempt and notify the other heads, unless it has answered lately."""
+        if now - node.last_answer_at > FAILURE_SILENCE_S:
+            node.record_failure(now)
+            self.exchange.suspects.add(node.instance.identity)
+            self.exchange.on_update_pending()
--- a/tests/decision_mutants.py
+++ b/tests/decision_mutants.py
@@ -34,7 +34,7 @@
     Mutant(
         "a dropped prefill is not shared",
         "fleet/placement/placement",
-        "self.pending_drops.append(PrefillDropped(reservation.node.instance.identity, reservation.job.job_id))",
+        "self.exchange.pending_drops.append(dropped)",
         "pass",
         OVERLOAD + "test_segments_of_a_prompt_that_was_not_read_do_not_count_as_cached",
     ),
--- a/tests/fleet_placement_fixtures.py
+++ b/tests/fleet_placement_fixtures.py
@@ -17,8 +17,8 @@
 def placement_of(prefill: int, decode: int, plain: int = 0) -> Placement:
     placement = Placement("z", lambda identity: None, Random(1))
     for number, stage in enumerate(["prefill"] * prefill + ["decode"] * decode + [""] * plain):
-        placement.update_instance(f"i-{number}", instance(number, stage))
-    placement.configure({"s": 200_000})
+        placement.instances.update_instance(f"i-{number}", instance(number, stage))
+    placement.instances.configure({"s": 200_000})
     return placement
 
 
--- a/tests/test_failures_connections.py
+++ b/tests/test_failures_connections.py
@@ -75,7 +75,7 @@
     async def run() -> None:
         async with _playing(False) as play:
             instance = play.instances[0]
-            play.placement.update_instance(play.instances[1].name, None)
+            play.placement.instances.update_instance(play.instances[1].name, None)
             assert (await play.request("warm", replace(UNSAFE, route_type="safe"))).status == 200
             pool = play.upstream.pools[instance.name]
             assert pool.max_idle_s == DEFAULT_MAX_IDLE_S
--- a/tests/test_failures_requests.py
+++ b/tests/test_failures_requests.py
@@ -66,10 +66,10 @@
         self.script, self.instances, self.upstream = script, instances, Upstream()
         self.placement = Placement("z", lambda identity: None, Random(1))
         for one in instances:
-            self.placement.update_instance(
+            self.placement.instances.update_instance(
                 one.name, Instance(one.name, "s", one.address, "z", "v", 8, READY, one.stage, ())
             )
-        self.placement.configure({"s": 100_000})
+        self.placement.instances.configure({"s": 100_000})
         self.staged = any(one.stage for one in instances)
         self.budget = RetryBudget(0.2, 100.0, 10.0, -10.0)
         self.numbers = itertools.count()
--- a/tests/test_fleet_lifecycle_histories.py
+++ b/tests/test_fleet_lifecycle_histories.py
@@ -66,12 +66,12 @@
         """An instance comes, changes, or goes; or the configuration does."""
         identity = self.random.choice(IDENTITIES)
         if self.random.random() < 0.3:
-            self.placement.update_instance(identity, None)
+            self.placement.instances.update_instance(identity, None)
         elif self.random.random() < 0.1:
-            self.placement.configure(self.random.choice(({}, {"s": 100_000}, {"other": 5})))
+            self.placement.instances.configure(self.random.choice(({}, {"s": 100_000}, {"other": 5})))
         else:
             stage, state = self.random.choice(STAGES), self.random.choice(STATES)
-            self.placement.update_instance(
+            self.placement.instances.update_instance(
                 identity,
                 Instance(
                     identity,
@@ -90,7 +90,7 @@
         """Another head, or a control member, tells something of an instance that may be gone."""
         identity, job = self.random.choice([*IDENTITIES, "nobody"]), self.random.randrange(4)
         parts = (("a", 100), ("b", self.random.randrange(3) * 50))
-        self.placement.receive_hints(
+        self.placement.exchange.receive_hints(
             self.now,
             PlacementHints(
                 (PlacementHint(identity, self.random.randrange(90_000), parts, 1, self.random.randrange(500), job),),
@@ -98,12 +98,12 @@
                 (PrefillDropped(identity, job),),
             ),
         )
-        self.placement.receive_suspects(self.now, SuspectedInstances((identity,)))
+        self.placement.exchange.receive_suspects(self.now, SuspectedInstances((identity,)))
         report = EngineReport(identity, 3, 2, 500, self.random.choice((0, 1_000)))
-        self.placement.receive_reports(self.now, EngineReports((report,)))
-        self.placement.outgoing_hints(self.now)
-        self.placement.outgoing_suspects()
-        self.placement.cache_snapshot()
+        self.placement.exchange.receive_reports(self.now, EngineReports((report,)))
+        self.placement.exchange.outgoing_hints(self.now)
+        self.placement.exchange.outgoing_suspects()
+        self.placement.exchange.cache_snapshot()
 
     def begin(self) -> None:
         """A request comes."""
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -14,10 +14,12 @@
     """Return a placement whose instances have a backlog of this length."""
     placement = placement_of(1, 1)
     jobs = tuple(
-        PlacementHint(name, int(seconds * 1e6 / placement.pool("s", stage).timing.typical_unit_us), (), 0, 0, number)
+        PlacementHint(
+            name, int(seconds * 1e6 / placement.instances.pool("s", stage).timing.typical_unit_us), (), 0, 0, number
+        )
         for number, (name, stage) in enumerate((("i-0", "prefill"), ("i-1", "decode")), 1)
     )
-    placement.receive_hints(0.0, PlacementHints(jobs))
+    placement.exchange.receive_hints(0.0, PlacementHints(jobs))
     return placement
 
 
@@ -46,7 +48,7 @@
         placement.place_generation(replace(request_of("a", 0.0, 0.5), client_deadline=2.0), prompt_of("key")),
         PlacementRejection,
     )
-    assert placement.outgoing_hints(0.0) is None
+    assert placement.exchange.outgoing_hints(0.0) is None
     assert not any(node.outstanding or node.cache.segments for node in placement.nodes.values())
 
 
@@ -80,6 +82,6 @@
 
 
 def _exchange_hints(placement: Placement, other: Placement) -> None:
-    hints = placement.outgoing_hints(0.1)
+    hints = placement.exchange.outgoing_hints(0.1)
     assert hints is not None
-    other.receive_hints(0.1, hints)
+    other.exchange.receive_hints(0.1, hints)
--- a/tests/test_fleet_placement.py
+++ b/tests/test_fleet_placement.py
@@ -25,7 +25,7 @@
 
 def test_a_key_is_spread_over_its_group_when_members_are_busy() -> None:
     placement = placement_of(8, 1)
-    for node in placement.pool("s", "decode").nodes.values():
+    for node in placement.instances.pool("s", "decode").nodes.values():
         node.last_report = EngineReport(node.instance.identity, 9, 60, 190_000, 200_000)
     prompts = [prompt_of("key", 3_000, 3_000, str(number)) for number in range(9)]
     used = {
@@ -51,13 +51,13 @@
     alone = generation(placement, "a", prompt).reservation.node.instance.identity
     other = placement_of(2, 1)
     elsewhere = next(name for name in ("i-0", "i-1") if name != alone)
-    other.receive_hints(0.0, PlacementHints((PlacementHint(elsewhere, 100, prompt.segments, 0, 0, 1),)))
+    other.exchange.receive_hints(0.0, PlacementHints((PlacementHint(elsewhere, 100, prompt.segments, 0, 0, 1),)))
     assert generation(other, "a", prompt).reservation.node.instance.identity == elsewhere
 
 
 def test_outstanding_units_at_an_instance_stay_under_the_bound() -> None:
     placement = placement_of(0, 0, 1)
-    pool = placement.pool("s", "")
+    pool = placement.instances.pool("s", "")
     node = next(iter(pool.nodes.values()))
     for number in range(MIN_OUTSTANDING):
         assert pool.has_capacity(node, 1.0, 0.001), number
@@ -78,7 +78,7 @@
     prompt = prompt_of("key", 40_000, 4_000)
     assert generation(placement, "a", prompt, target_s=10.0).priority < LATE_PRIORITY
     assert generation(placement, "b", prompt_of("other", 40_000, 4_000), target_s=0.1).priority == LATE_PRIORITY
-    hints = placement.outgoing_hints(0.0)
+    hints = placement.exchange.outgoing_hints(0.0)
     assert hints is not None
     assert [hint.priority == LATE_PRIORITY for hint in hints.hints] == [False, True]
 
@@ -87,7 +87,7 @@
     placement = placement_of(1, 1)
     under_way = [PlacementHint(name, 1_000, (), 0, 0, 1) for name in ("i-0", "i-1")]
     late = [PlacementHint(name, 900_000, (), LATE_PRIORITY, 0, 2) for name in ("i-0", "i-1")]
-    placement.receive_hints(0.0, PlacementHints((*under_way, *late)))
+    placement.exchange.receive_hints(0.0, PlacementHints((*under_way, *late)))
     assert generation(placement, "a", prompt_of("key"), target_s=1.0).priority < LATE_PRIORITY
 
 
@@ -96,7 +96,7 @@
     prompt = prompt_of("key", 100, 100)
     alone = generation(placement, "a", prompt).reservation.node.instance.identity
     other = placement_of(2, 1)
-    other.receive_hints(0.0, PlacementHints((PlacementHint(alone, 900_000, (), LATE_PRIORITY, 0, 2),)))
+    other.exchange.receive_hints(0.0, PlacementHints((PlacementHint(alone, 900_000, (), LATE_PRIORITY, 0, 2),)))
     assert generation(other, "a", prompt).reservation.node.instance.identity != alone
 
 
@@ -111,28 +111,28 @@
     gone: list[str] = []
     placement = Placement("z", gone.append, Random(1))
     for number in range(2):
-        placement.update_instance(f"i-{number}", instance(number, ""))
-    placement.update_instance("i-0", instance(0, "", DRAINING))
+        placement.instances.update_instance(f"i-{number}", instance(number, ""))
+    placement.instances.update_instance("i-0", instance(0, "", DRAINING))
     for number in range(4):
         plan = placement.place_plain(request_of(str(number)), "")
         assert plan is not None
         assert plan.reservation.node.instance.identity == "i-1"
-    placement.update_instance("i-0", None)
+    placement.instances.update_instance("i-0", None)
     assert gone == ["i-0"]
 
 
 def test_an_instance_that_changes_its_stage_moves_to_the_other_pool() -> None:
     placement = placement_of(2, 1)
-    placement.update_instance("i-0", instance(0, "decode"))
-    assert set(placement.pool("s", "prefill").nodes) == {"i-1"}
-    assert set(placement.pool("s", "decode").nodes) == {"i-0", "i-2"}
+    placement.instances.update_instance("i-0", instance(0, "decode"))
+    assert set(placement.instances.pool("s", "prefill").nodes) == {"i-1"}
+    assert set(placement.instances.pool("s", "decode").nodes) == {"i-0", "i-2"}
 
 
 def test_a_full_decode_instance_is_avoided() -> None:
     placement = placement_of(0, 2)
     prompt = prompt_of("key", 100, 100)
     first = generation(placement, "a", prompt).reservation.node.instance.identity
-    placement.receive_reports(0.0, EngineReports((EngineReport(first, 12, 60, 199_000, 200_000),)))
+    placement.exchange.receive_reports(0.0, EngineReports((EngineReport(first, 12, 60, 199_000, 200_000),)))
     assert generation(placement, "b", prompt).reservation.node.instance.identity != first
 
 
@@ -142,13 +142,13 @@
         plan = generation(placement, str(number), prompt_of(f"key-{number}", 2_000, 100))
         placement.record_answer(0.0, plan.reservation, False)
         plan.reservation.release(0.0)
-    assert all(pool.unit_us(node) > 0 for pool in placement.pools.values() for node in pool.nodes.values())
+    assert all(pool.unit_us(node) > 0 for pool in placement.instances.pools.values() for node in pool.nodes.values())
     assert placement.place_generation(request_of("last"), prompt_of("key")) is not None
 
 
 def test_the_time_per_unit_follows_the_durations_of_answers() -> None:
     placement = placement_of(1, 1)
-    pool = placement.pool("s", "prefill")
+    pool = placement.instances.pool("s", "prefill")
     node = pool.nodes["i-0"]
     for number in range(60):
         offer = pool.candidates(0.0, [node], lambda one: 10_000.0, False)[0]
@@ -165,7 +165,7 @@
     answering = plan.reservation.node.instance.identity
     placement.record_answer(0.1, plan.reservation, False)
     for number in range(2):
-        placement.update_instance(f"i-{number}", instance(number, "", LOST))
+        placement.instances.update_instance(f"i-{number}", instance(number, "", LOST))
     for number in range(3):
         plan = placement.place_plain(request_of(str(number), 1.0), "")
         assert plan is not None
@@ -174,9 +174,9 @@
 
 def test_a_lost_instance_is_tried_where_there_is_no_other() -> None:
     placement = placement_of(0, 0, 1)
-    placement.update_instance("i-0", instance(0, "", LOST))
+    placement.instances.update_instance("i-0", instance(0, "", LOST))
     assert placement.place_plain(request_of("a"), "") is not None
-    placement.update_instance("i-1", instance(1, ""))
+    placement.instances.update_instance("i-1", instance(1, ""))
     plan = placement.place_plain(request_of("b"), "")
     assert plan is not None
     assert plan.reservation.node.instance.identity == "i-1"
@@ -184,7 +184,7 @@
 
 def test_a_draining_instance_is_never_tried() -> None:
     placement = placement_of(0, 0, 1)
-    placement.update_instance("i-0", instance(0, "", DRAINING))
+    placement.instances.update_instance("i-0", instance(0, "", DRAINING))
     assert placement.place_plain(request_of("a"), "") is None
 
 
@@ -205,9 +205,9 @@
     for share in (PlacementPolicy().stream_weight, 4.0):
         placement = Placement("z", lambda identity: None, Random(1), policy=PlacementPolicy(stream_weight=share))
         for number, stage in enumerate(("prefill", "decode")):
-            placement.update_instance(f"i-{number}", instance(number, stage))
-        placement.configure({"s": 200_000})
-        placement.receive_hints(
+            placement.instances.update_instance(f"i-{number}", instance(number, stage))
+        placement.instances.configure({"s": 200_000})
+        placement.exchange.receive_hints(
             0.0, PlacementHints((PlacementHint("i-0", 20_000, (), 0, 0, 1),))
         )  # the prefill instance is busy
         placement.nodes["i-1"].last_report = EngineReport("i-1", 0, 8, 100, 200_000)
--- a/tests/test_fleet_request_lifecycle.py
+++ b/tests/test_fleet_request_lifecycle.py
@@ -32,8 +32,8 @@
     stages = ["prefill"] * prefill + ["decode"] * decode + [""] * plain
     for number, stage in enumerate(stages):
         instance = Instance(f"i-{number}", "s", f"10.0.0.{number}:80", "z", "v", 8, READY, stage, ())
-        placement.update_instance(instance.identity, instance)
-    placement.configure({"s": 100_000})
+        placement.instances.update_instance(instance.identity, instance)
+    placement.instances.configure({"s": 100_000})
     return placement
 
 
@@ -255,7 +255,7 @@
             first.reservation,
             AttemptResult(AttemptOutcome.BROKEN if begun else AttemptOutcome.REFUSED, last_event_id="3"),
         )
-        placement.receive_hints(
+        placement.exchange.receive_hints(
             1.5,
             PlacementHints(
                 tuple(PlacementHint(name, 90_000, (), 0, 0, number) for number, name in enumerate(placement.nodes, 1))
