--- a/benchmarks/maintenance_heads.py
+++ b/benchmarks/maintenance_heads.py
@@ -16,8 +16,8 @@
 
 import uvloop
 
-from hophinge.load.rig.run import Run
-from hophinge.load.rig.waiting import ConditionError, until
+from hophinge.load.rig.run import RigRun
+from hophinge.load.rig.conditions import ConditionError, wait_until
 from hophinge.maintenance.releases import rollout_order
 from tests.maintenance_rig import PLAN, REFUSES, Installation
 
@@ -70,13 +70,13 @@
     """Push the release; where it halts, take it back."""
     await fleet.push(WORDS.format(MOST, ""))
     ended = fleet.tells("done or halted", lambda told: told["releases"][0]["stage"] in ("done", "halted"))
-    await until([ended], BOUND_S)
+    await wait_until([ended], BOUND_S)
     course = (await fleet.staff("Status"))["maintenance"]["releases"][0]
     if course["stage"] == "done":
         return "done"
     had = list(fleet.builds.values()).count("2")
     await fleet.push(WORDS.format(MOST, "(word back)"))
-    await until([fleet.stage("taken back")], BOUND_S)
+    await wait_until([fleet.stage("taken back")], BOUND_S)
     return f"halted with {had} on the build, taken back"
 
 
@@ -106,7 +106,7 @@
 
 async def play(folder: Path, count: int, way: str, bad: bool) -> list[str]:
     """Play one release; tells its row."""
-    async with Run(folder, 1, PLAN) as made:
+    async with RigRun(folder, 1, PLAN) as made:
         fleet = Installation(made, [f"n{at}" for at in range(count)])
         await fleet.start(clustered=False)
         fleet.bad = set(rollout_order(fleet.names)[1::3]) if bad else set()
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(ROOT))
 
 from hophinge.load.plan import LoadPlan  # noqa: E402
-from hophinge.load.rig.run import Run  # noqa: E402
+from hophinge.load.rig.run import RigRun  # noqa: E402
 
 BEFORE = "24e5f03"  # the last commit without any of it
 ROUNDS = 11  # pairs of starts, in turn
@@ -38,9 +38,9 @@
     return f"{statistics.median(rows):.{digits}f} ({rows[0]:.{digits}f} to {rows[-1]:.{digits}f})"
 
 
-async def start_once(made: Run, program: Path, name: str) -> dict[str, float]:
+async def start_once(made: RigRun, program: Path, name: str) -> dict[str, float]:
     """Start a platform's head of a checkout; tells its seconds until it was ready, memory, and modules."""
-    process = await made.head(name)
+    process = await made.add_head(name)
     begun = time.monotonic()
     child = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -55,7 +55,7 @@
         async with asyncio.timeout(30):
             while True:
                 try:
-                    if (await made.ask(name, "/ops/readiness"))[0] == 200:
+                    if (await made.get(name, "/ops/readiness"))[0] == 200:
                         break
                 except (OSError, aiohttp.ClientError):
                     pass
@@ -82,7 +82,7 @@
     packed = subprocess.run(["git", "archive", BEFORE], cwd=ROOT, capture_output=True, check=True).stdout
     subprocess.run(["tar", "xf", "-", "-C", str(old)], input=packed, check=True)
     found: dict[str, list[dict[str, float]]] = {"before": [], "after": []}
-    async with Run(folder / "starts", plan=plan) as made:
+    async with RigRun(folder / "starts", plan=plan) as made:
         for turn in range(ROUNDS + 1):
             for name, program in (("before", old), ("after", ROOT))[:: 1 if turn % 2 else -1]:
                 row = await start_once(made, program, f"{name}{turn}")
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -25,9 +25,9 @@
 sys.path.insert(0, str(ROOT))
 
 from hophinge.load.plan import LoadPlan  # noqa: E402
-from hophinge.load.rig.datagrams import CLEAR, Rule  # noqa: E402
-from hophinge.load.rig.run import Run  # noqa: E402
-from hophinge.load.rig.waiting import Condition, until  # noqa: E402
+from hophinge.load.rig.link_rules import PERFECT_LINK, LinkRule  # noqa: E402
+from hophinge.load.rig.run import RigRun  # noqa: E402
+from hophinge.load.rig.conditions import Condition, wait_until  # noqa: E402
 from startup import ROUNDS, spread, starts  # noqa: E402
 
 SIZES = (10, 40)
@@ -37,7 +37,7 @@
 KILLS = 2
 RATE = 2.0  # requests a second to each head
 HEADER = 28  # bytes of IPv4 and UDP
-ROUGH = Rule(loss=0.2, twice=0.05, late=0.2, delay_us=1_000, spread_us=4_000)
+ROUGH = LinkRule(loss=0.2, duplicate=0.05, reorder=0.2, delay_us=1_000, jitter_us=4_000)
 PLAN = LoadPlan(work_us=2_000, slots=16)
 TABLE = Path(__file__).with_suffix(".md")
 
@@ -47,9 +47,9 @@
     return {row["name"]: row["standing"] for row in json.loads(text)["members"]}
 
 
-def holds(made: Run, name: str, others: list[str], standing: str) -> Condition:
+def holds(made: RigRun, name: str, others: list[str], standing: str) -> Condition:
     """One holds others so."""
-    return made.tells(
+    return made.answers(
         name,
         "/ops/cluster",
         f"{standing}: {others}",
@@ -69,7 +69,7 @@
 class Fleet:
     """So many heads, with a light load on all that run."""
 
-    def __init__(self, made: Run, count: int) -> None:
+    def __init__(self, made: RigRun, count: int) -> None:
         self.made, self.names = made, [f"n{at}" for at in range(count)]
         self.out: set[str] = set()  # killed or stopped: nothing is asked of it
         self.asked = self.served = 0
@@ -78,16 +78,16 @@
     async def start(self) -> None:
         """Start all, and wait until each sees all."""
         for name in self.names:
-            await self.made.head(name, seeds=self.names[:2], zone="z" + str(int(name[1:]) % 4))
+            await self.made.add_head(name, seeds=self.names[:2], zone="z" + str(int(name[1:]) % 4))
         for at in range(0, len(self.names), BATCH):
             batch = self.names[at : at + BATCH]
             await self.made.processes.start(*batch)
-            await until([self.made.ready(name) for name in batch], BOUND_S)
+            await wait_until([self.made.is_ready(name) for name in batch], BOUND_S)
         self.rows["all see all after the last is ready, s"] = f"{await self.together():.1f}"
 
     async def together(self) -> float:
         """Wait until all hold all alive."""
-        return await until([holds(self.made, name, self.names, "alive") for name in self.names], BOUND_S)
+        return await wait_until([holds(self.made, name, self.names, "alive") for name in self.names], BOUND_S)
 
     async def load(self) -> None:
         """Ask all that run, in turn, until cancelled."""
@@ -110,17 +110,21 @@
     async def bytes_s(self, what: str, while_: Awaitable[Any]) -> None:
         """Tell bytes a second of each process while something goes on."""
         relay = self.made.relay
-        before = {name: relay.sent[name] + HEADER * relay.datagrams[name] for name in self.names}
+        before = {name: relay.sent_bytes[name] + HEADER * relay.sent_datagrams[name] for name in self.names}
         begun = time.monotonic()
         await while_
         span = time.monotonic() - begun
         self.rows[f"bytes/s sent by a process, {what}"] = spread(
-            ((relay.sent[name] + HEADER * relay.datagrams[name] - before[name]) / span for name in self.names), 0
+            (
+                (relay.sent_bytes[name] + HEADER * relay.sent_datagrams[name] - before[name]) / span
+                for name in self.names
+            ),
+            0,
         )
 
     async def counted(self, counter: str, names: list[str] | None = None) -> int:
         """Sum a counter over some, or all."""
-        told = [json.loads((await self.made.ask(name, "/ops/cluster"))[1]) for name in names or self.names]
+        told = [json.loads((await self.made.get(name, "/ops/cluster"))[1]) for name in names or self.names]
         return sum(int(one["counters"].get(counter, 0)) for one in told)
 
     async def kills(self) -> None:
@@ -134,7 +138,7 @@
             seen: list[float] = []
 
             async def found(other: str, victim: str = name, since: float = begun, into: list[float] = seen) -> None:
-                await until([holds(self.made, other, [victim], "dead")], BOUND_S)
+                await wait_until([holds(self.made, other, [victim], "dead")], BOUND_S)
                 into.append(time.monotonic() - since)
 
             await asyncio.gather(*map(found, rest))
@@ -142,7 +146,7 @@
             last.append(max(seen))
             begun = time.monotonic()
             await self.made[name].start()
-            await until([self.made.ready(name)], BOUND_S)
+            await wait_until([self.made.is_ready(name)], BOUND_S)
             self.out.discard(name)
             await self.together()
             back.append(time.monotonic() - begun)
@@ -156,17 +160,17 @@
         await self.bytes_s("at rest", asyncio.sleep(STEADY_S))
         await self.bytes_s("while two are killed and come back", self.kills())
         deaths, suspicions = await self.counted("deaths"), await self.counted("suspicions")
-        network.set(ROUGH)
+        network.set_rule(ROUGH)
         await self.bytes_s("20 % loss, a fifth late", asyncio.sleep(ROUGH_S))
-        network.set(CLEAR)
+        network.set_rule(PERFECT_LINK)
         await self.together()
         self.rows[f"false deaths, false suspicions in {ROUGH_S:g} s of that"] = (
             f"{await self.counted('deaths') - deaths}, {await self.counted('suspicions') - suspicions}"
         )
         side = self.names[: len(self.names) // 4]
         rest = self.names[len(side) :]
-        network.split(side, rest)
-        await until([holds(self.made, name, side, "dead") for name in rest], BOUND_S)
+        network.partition(side, rest)
+        await wait_until([holds(self.made, name, side, "dead") for name in rest], BOUND_S)
         network.heal()
         healed: list[float] = []
 
@@ -181,10 +185,10 @@
         """Stop one, wake it, and tell whom it and others held dead that lived."""
         own, theirs = await self.counted("deaths", [name]), await self.counted("deaths", others)
         self.out.add(name)
-        await self.made[name].stop()
+        await self.made[name].suspend()
         await asyncio.sleep(STOPPED_S)
-        dead = [standings((await self.made.ask(other, "/ops/cluster"))[1])[name] for other in others].count("dead")
-        self.made[name].wake()
+        dead = [standings((await self.made.get(other, "/ops/cluster"))[1])[name] for other in others].count("dead")
+        self.made[name].resume()
         self.out.discard(name)
         self.rows[f"stopped for {STOPPED_S:g} s and woken: all see all, s"] = f"{await self.together():.1f}"
         self.rows["the living that it held dead; that others did"] = (
@@ -194,7 +198,7 @@
 
 async def fleet(folder: Path, count: int) -> dict[str, str]:
     """Measure a fleet of so many."""
-    async with Run(folder, seed=count, plan=PLAN) as made:
+    async with RigRun(folder, seed=count, plan=PLAN) as made:
         one = Fleet(made, count)
         begun = time.monotonic()
         await one.start()
--- a/hophinge/fleet/emulation/loopback_fleet.py
+++ b/hophinge/fleet/emulation/loopback_fleet.py
@@ -17,8 +17,8 @@
 from hophinge.fleet.emulation.engine import EmulatedEngine
 from hophinge.fleet.emulation.instance_server import FAILURES, EmulatedInstance
 from hophinge.fleet.forwarding.headers import Fields
-from hophinge.load.rig.processes import USUAL_MAX, Process, Processes
-from hophinge.load.rig.waiting import Condition, until
+from hophinge.load.rig.processes import DEFAULT_MAX_PROCESSES, Process, Processes
+from hophinge.load.rig.conditions import Condition, wait_until
 
 # Ports of a machine, as offsets from the first port of the fleet.
 FRONT_PORT = 0
@@ -77,7 +77,7 @@
         self.folder = folder
         self.losses = losses
         self.grace_s = grace_s
-        self.processes = Processes(folder, max(USUAL_MAX, PROGRAMS_PER_MACHINE * machines))
+        self.processes = Processes(folder, max(DEFAULT_MAX_PROCESSES, PROGRAMS_PER_MACHINE * machines))
         net = secrets.randbelow(200) + 20
         self.ips = [f"127.{net}.{secrets.randbelow(250) + 1}.{number + 1}" for number in range(machines)]
         self.port = secrets.choice(FIRST_PORTS)
@@ -93,7 +93,7 @@
         for program in ("control", "head"):
             name = f"{program}-{number}"
             words = [f"hophinge.fleet.{'controlplane' if program == 'control' else 'dataplane'}"]
-            process = self.processes.make(name, words)
+            process = self.processes.create(name, words)
             process.environ["HOPHINGE_CONFIG"] = str(process.folder / "settings.json")
 
     def address(self, number: int, port: int) -> str:
@@ -150,7 +150,9 @@
         """Start all processes for the first time."""
         self.write_settings()
         await self.processes.start(*self.processes.by_name)
-        await until([self.started_condition(process) for process in self.processes.by_name.values()], START_TIMEOUT_S)
+        await wait_until(
+            [self.started_condition(process) for process in self.processes.by_name.values()], START_TIMEOUT_S
+        )
         self.bootstrap = False
         self.write_settings()
 
@@ -159,7 +161,7 @@
         """Return the condition that a process has read its settings and started."""
 
         async def look() -> tuple[bool, str]:
-            return process.said(STARTED), ""
+            return process.has_logged(STARTED), ""
 
         return Condition(process, "has read its settings", look)
 
@@ -222,14 +224,14 @@
         others = [ip for ip in self.ips if ip != self.ips[number]]
         for machine in range(len(self.ips)):
             unreachable = others if machine == number else [self.ips[number]]
-            self.control(machine).cut(unreachable)
-            self.head(machine).cut(unreachable)
+            self.control(machine).block_hosts(unreachable)
+            self.head(machine).block_hosts(unreachable)
 
     def heal(self) -> None:
         """End all partitions."""
         for machine in range(len(self.ips)):
-            self.control(machine).cut([])
-            self.head(machine).cut([])
+            self.control(machine).block_hosts([])
+            self.head(machine).block_hosts([])
 
     def _response_condition(
         self, process: Process, address: str, target: str, description: str, expected: dict[str, Any]
--- a/hophinge/load/rig/view.py
+++ b/hophinge/load/rig/discovery_view.py
@@ -1,4 +1,4 @@
-"""Discovery as one head sees it: the same bricks, each behind a stream of the relay that is this head's alone."""
+"""Discovery as one head sees it: the same backends, each behind a stream of the relay that is this head's alone."""
 
 from __future__ import annotations
 
@@ -11,31 +11,35 @@
 from hophinge.load.rig.relay import Relay
 
 
-class View:
+class DiscoveryView:
     """A server of discovery for one head."""
 
     def __init__(self, platform: Platform, relay: Relay, name: str) -> None:
-        self.platform, self.relay, self.name = platform, relay, name
+        self.platform = platform
+        self.relay = relay
+        self.name = name
         self.rows: list[dict[str, object]] = []
         self.server = web.Server(self.handle, access_log=None, handler_cancellation=True)
         self.listener: asyncio.Server | None = None
 
     async def start(self) -> str:
-        """Listen; tells where."""
+        """Listen, and return the address."""
         for backend in self.platform.backends:
             row = backend.target()
-            self.rows.append({**row, "endpoint": await self.relay.stream(self.name, row["uid"], row["endpoint"])})
+            self.rows.append(
+                {**row, "endpoint": await self.relay.open_stream_address(self.name, row["uid"], row["endpoint"])}
+            )
         self.listener = await asyncio.get_running_loop().create_server(self.server, HOST, 0)
         return f"{HOST}:{self.listener.sockets[0].getsockname()[1]}"
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Give the list; a watch waits as the platform's own does."""
+        """Answer with the list; a watch waits as the platform's own does."""
         if "since" in request.query:
             return await self.platform.discover(request)
         return web.Response(body=msgspec.json.encode({"rev": 1, "all": True, "targets": self.rows}))
 
     async def close(self) -> None:
-        """End."""
+        """Stop serving."""
         if self.listener is not None:
             self.listener.close()
         await self.server.shutdown(0.1)
--- a/hophinge/load/rig/launch.py
+++ b/hophinge/load/rig/launch.py
@@ -1,7 +1,7 @@
 """Runs a module as `python -m` does, in a process whose wall clock, disk and network may have faults.
 
-Read here alone, from the environment: the program itself knows of none of it. `python -m hophinge.load.rig.launch
-MODULE WORDS...` ends with whoever started it.
+The faults are read from the environment here alone: the program itself knows none of them.
+`python -m hophinge.load.rig.launch MODULE ARGUMENTS...` ends with the process that started it.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 from pathlib import Path
 from typing import Any
 
-from hophinge.load.rig.cuts import Cuts
+from hophinge.load.rig.socket_partition import SocketPartition
 
-CLOCK, DISK, PARENT, MEMORY = "RIG_CLOCK_OFF_S", "RIG_DISK", "RIG_PARENT", "RIG_MEMORY_MB"
-CUTS, BEGUN = "RIG_CUTS", "RIG_BEGUN"
-ERRORS = {"full": errno.ENOSPC, "failing": errno.EIO}
+CLOCK_OFFSET, DISK, PARENT, MEMORY = "RIG_CLOCK_OFF_S", "RIG_DISK", "RIG_PARENT", "RIG_MEMORY_MB"
+BLOCKED_HOSTS, STARTED_FILE = "RIG_CUTS", "RIG_BEGUN"
+DISK_ERRORS = {"full": errno.ENOSPC, "failing": errno.EIO}
 PR_SET_PDEATHSIG = 1
 
 
-def clock_off(seconds: float) -> None:
-    """Set the wall clock off; what counts spans, the monotonic clock, goes on as it was."""
+def shift_wall_clock(seconds: float) -> None:
+    """Shift the wall clock by seconds; the monotonic clock stays as it is."""
     true, true_ns = time.time, time.time_ns
     setattr(time, "time", lambda: true() + seconds)  # noqa: B010
     setattr(time, "time_ns", lambda: true_ns() + int(seconds * 1e9))  # noqa: B010
 
 
-def disk_by(word: Path) -> None:
-    """Let writes to files fail while the file `word` says `full` or `failing`; pipes and sockets go on."""
+def install_disk_faults(fault_file: Path) -> None:
+    """Make writes to files fail while the fault file has `full` or `failing`; pipes and sockets are not affected."""
     real_open, real_read, real_close = os.open, os.read, os.close
 
     def fault() -> int:
         try:
-            handle = real_open(word, os.O_RDONLY)
+            handle = real_open(fault_file, os.O_RDONLY)
         except OSError:
             return 0
         try:
-            return ERRORS.get(real_read(handle, 32).decode().strip(), 0)
+            return DISK_ERRORS.get(real_read(handle, 32).decode().strip(), 0)
         finally:
             real_close(handle)
 
@@ -66,34 +66,34 @@
         setattr(os, name, failing(getattr(os, name), wrong))
 
 
-def limit(memory_mb: int) -> None:
-    """Bound this process's own memory; what it asks for beyond is refused."""
+def limit_memory(memory_mb: int) -> None:
+    """Limit this process's memory; allocations beyond it fail."""
     _, hard = resource.getrlimit(resource.RLIMIT_DATA)
     resource.setrlimit(resource.RLIMIT_DATA, (memory_mb * 1024 * 1024, hard))
 
 
 def prepare(environ: Mapping[str, str]) -> bool:
-    """Set up what the environment asks for; tells whether the parent is still there."""
+    """Install the faults of the environment; returns whether the parent process still runs."""
     if parent := environ.get(PARENT):
-        # A test that is killed leaves nothing behind: the kernel ends its processes with it.
+        # A test that is killed leaves no process behind: the kernel ends them with it.
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL))
         if os.getppid() != int(parent):
             return False
     if memory := environ.get(MEMORY):
-        limit(int(memory))
-    if seconds := environ.get(CLOCK):
-        clock_off(float(seconds))
+        limit_memory(int(memory))
+    if seconds := environ.get(CLOCK_OFFSET):
+        shift_wall_clock(float(seconds))
     if word := environ.get(DISK):
-        disk_by(Path(word))
-    if word := environ.get(CUTS):
-        Cuts(Path(word)).install()
-    if word := environ.get(BEGUN):
+        install_disk_faults(Path(word))
+    if word := environ.get(BLOCKED_HOSTS):
+        SocketPartition(Path(word)).install()
+    if word := environ.get(STARTED_FILE):
         Path(word).touch()
     return True
 
 
 def main() -> int:
-    """Become the module that the words name."""
+    """Run the module that the arguments name."""
     if not prepare(os.environ):
         return 1
     module = sys.argv[1]
--- a/hophinge/load/rig/relay.py
+++ b/hophinge/load/rig/relay.py
@@ -1,9 +1,9 @@
-"""The relay between processes: each is told its peers at addresses of the relay, which carries by the network's word.
+"""The relay between processes: each knows its peers at addresses of the relay, which forwards by the network's rules.
 
-A name's datagram socket is its address for others. What a peer sends there goes on to the name's real address, and
-leaves from the *sender's* socket of the relay: so whoever answers the address that a datagram came from goes through
-the relay too. A peer is known by its real address, from which it has to send. Streams have a socket for each ordered
-pair, as the port that a client connects from tells nothing.
+A name's datagram socket is its address for others. What a peer sends there is forwarded to the name's real address, and
+leaves from the *sender's* socket of the relay: so an answer to the address that a datagram came from goes through the
+relay too. A peer is known by its real address, from which it has to send. Streams have a socket for each ordered pair,
+as the port that a client connects from identifies nobody.
 """
 
 from __future__ import annotations
@@ -13,108 +13,110 @@
 from collections import Counter
 from typing import cast
 
-from hophinge.load.rig.datagrams import STRANGER, Network
+from hophinge.load.rig.link_rules import UNKNOWN_SENDER, Network
 from hophinge.net.address import split
 
-MAX_WAITING = 50_000  # datagrams under way; what comes beyond is lost, and counted
-CHUNK = 16_384  # bytes of a stream that travel together
+MAX_DELAYED = 50_000  # datagrams; beyond, they are dropped and counted
+CHUNK = 16_384  # bytes of a stream that are forwarded together
 Address = tuple[str, int]
 
 
-class Port(asyncio.DatagramProtocol):
+class RelayPort(asyncio.DatagramProtocol):
     """A name's socket at the relay."""
 
     def __init__(self, relay: Relay, name: str) -> None:
-        self.relay, self.name = relay, name
+        self.relay = relay
+        self.name = name
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's is no subclass of it
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Take what is for this name."""
-        self.relay.carry(addr, self.name, data)
+        """Forward a datagram to this name."""
+        self.relay.forward(addr, self.name, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Count what the kernel says of a process that is gone; a sender on the network would not hear it."""
-        self.relay.network.figures["refused"] += 1
+        """Count what the kernel reports of a process that has exited; a sender on a network would not learn it."""
+        self.relay.network.counts["refused"] += 1
 
 
 class Relay:
     """All datagram sockets and streams between the processes of one run."""
 
     def __init__(self, network: Network, host: str) -> None:
-        self.network, self.host = network, host
-        self.ports: dict[str, Port] = {}
-        self.real: dict[str, Address] = {}
-        self.names: dict[Address, str] = {}
-        self.sent: Counter[str] = Counter()  # bytes by sender, as they came, headers not counted
-        self.datagrams: Counter[str] = Counter()
-        self.waiting = 0
+        self.network = network
+        self.host = host
+        self.ports: dict[str, RelayPort] = {}
+        self.real_addresses: dict[str, Address] = {}
+        self.names_by_address: dict[Address, str] = {}
+        self.sent_bytes: Counter[str] = Counter()  # by sender, without headers
+        self.sent_datagrams: Counter[str] = Counter()
+        self.delayed = 0
         self.servers: list[asyncio.Server] = []
         self.streams: set[asyncio.Task[None]] = set()
-        self.news = asyncio.Event()
-        network.changed.append(self._changed)
-
-    async def member(self, name: str, real: str) -> str:
-        """Give a name its address at the relay; `real`, where it listens and sends from, may be told anew."""
-        if STRANGER not in self.ports and name != STRANGER:
-            await self.member(STRANGER, f"{self.host}:0")
-        if (before := self.real.get(name)) is not None:
-            self.names.pop(before, None)
-        self.real[name] = split(real)
-        if name != STRANGER:
-            self.names[self.real[name]] = name
+        self.links_changed = asyncio.Event()
+        network.listeners.append(self._on_links_changed)
+
+    async def register(self, name: str, real: str) -> str:
+        """Return a name's address at the relay; `real`, where it listens and sends from, may change."""
+        if UNKNOWN_SENDER not in self.ports and name != UNKNOWN_SENDER:
+            await self.register(UNKNOWN_SENDER, f"{self.host}:0")
+        if (before := self.real_addresses.get(name)) is not None:
+            self.names_by_address.pop(before, None)
+        self.real_addresses[name] = split(real)
+        if name != UNKNOWN_SENDER:
+            self.names_by_address[self.real_addresses[name]] = name
         if name not in self.ports:
             _, port = await asyncio.get_running_loop().create_datagram_endpoint(
-                lambda: Port(self, name), local_addr=(self.host, 0)
+                lambda: RelayPort(self, name), local_addr=(self.host, 0)
             )
             self.ports[name] = port
         return self.address(name)
 
     def address(self, name: str) -> str:
-        """Tell a name's address at the relay."""
+        """Return a name's address at the relay."""
         transport = self.ports[name].transport
         assert transport is not None
         host, port = transport.get_extra_info("sockname")[:2]
         return f"{host}:{port}"
 
-    def carry(self, came_from: Address, target: str, data: bytes) -> None:
-        """Let a datagram come as often and as late as the network says."""
-        source = self.names.get(came_from[:2], STRANGER)
-        self.sent[source] += len(data)
-        self.datagrams[source] += 1
-        if target == STRANGER:
+    def forward(self, came_from: Address, target: str, data: bytes) -> None:
+        """Forward a datagram as often and as late as the network's rules say."""
+        source = self.names_by_address.get(came_from[:2], UNKNOWN_SENDER)
+        self.sent_bytes[source] += len(data)
+        self.sent_datagrams[source] += 1
+        if target == UNKNOWN_SENDER:
             return
-        for after_us in self.network.fate(source, target):
+        for after_us in self.network.next_datagram(source, target):
             if not after_us:
-                self._put(source, target, data)
-            elif self.waiting >= MAX_WAITING:
-                self.network.figures["too many"] += 1
+                self._deliver(source, target, data)
+            elif self.delayed >= MAX_DELAYED:
+                self.network.counts["too many"] += 1
             else:
-                self.waiting += 1
-                asyncio.get_running_loop().call_later(after_us / 1e6, self._late, source, target, data)
+                self.delayed += 1
+                asyncio.get_running_loop().call_later(after_us / 1e6, self._deliver_delayed, source, target, data)
 
-    def _late(self, source: str, target: str, data: bytes) -> None:
-        self.waiting -= 1
-        # What was on its way when the link was cut does not come either.
-        if (source, target) not in self.network.cuts:
-            self._put(source, target, data)
+    def _deliver_delayed(self, source: str, target: str, data: bytes) -> None:
+        self.delayed -= 1
+        # What was in flight when the link was blocked is lost as well.
+        if (source, target) not in self.network.blocked_links:
+            self._deliver(source, target, data)
 
-    def _put(self, source: str, target: str, data: bytes) -> None:
+    def _deliver(self, source: str, target: str, data: bytes) -> None:
         transport = self.ports[source].transport
         if transport is not None and not transport.is_closing():
-            transport.sendto(data, self.real[target])
+            transport.sendto(data, self.real_addresses[target])
 
-    def _changed(self) -> None:
-        news, self.news = self.news, asyncio.Event()
+    def _on_links_changed(self) -> None:
+        news, self.links_changed = self.links_changed, asyncio.Event()
         news.set()
 
     # --- streams
 
-    async def stream(self, source: str, target: str, real: str) -> str:
-        """Tell an address at which `source` reaches `target`, whose streams listen at `real`."""
+    async def open_stream_address(self, source: str, target: str, real: str) -> str:
+        """Return an address at which `source` reaches `target`, whose streams listen at `real`."""
         host, port = split(real)
 
         def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -133,7 +135,7 @@
         other: asyncio.StreamWriter | None = None
         pumps: list[asyncio.Task[None]] = []
         try:
-            while await self._held(source, target) is None:  # a connection does not come through a cut either
+            while await self._segment_delay_us(source, target) is None:  # a blocked link delays a connection too
                 pass
             back, other = await asyncio.open_connection(*real)
             pumps = [
@@ -150,17 +152,17 @@
                 if one is not None:
                     one.transport.abort()
 
-    async def _held(self, source: str, target: str) -> int | None:
-        """Wait while the link is cut; tells how late the next segment comes, or None to ask again."""
-        found = self.network.stream(source, target)
+    async def _segment_delay_us(self, source: str, target: str) -> int | None:
+        """Return the delay of the next segment; waits while the link is blocked, and then returns None."""
+        found = self.network.next_segment(source, target)
         if found is None:
-            await self.news.wait()
+            await self.links_changed.wait()
         return found
 
     async def _pump(self, source: str, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             data = await reader.read(CHUNK)
-            while (after_us := await self._held(source, target)) is None:
+            while (after_us := await self._segment_delay_us(source, target)) is None:
                 pass
             if after_us:
                 await asyncio.sleep(after_us / 1e6)
@@ -173,7 +175,7 @@
             await writer.drain()
 
     async def close(self) -> None:
-        """Carry no more."""
+        """Stop forwarding."""
         for server in self.servers:
             server.close()
         for task in list(self.streams):
--- a/hophinge/load/rig/run.py
+++ b/hophinge/load/rig/run.py
@@ -1,4 +1,4 @@
-"""One run: bricks and discovery here, heads and control services as processes, and the relay between all of them."""
+"""One run: backends and discovery here, heads and control services as processes, and the relay between all of them."""
 
 from __future__ import annotations
 
@@ -19,70 +19,73 @@
 from hophinge.core.errors import HophingeError
 from hophinge.load.backends import HOST, Platform
 from hophinge.load.plan import LoadPlan
-from hophinge.load.rig.datagrams import Network
-from hophinge.load.rig.launch import CLOCK
-from hophinge.load.rig.processes import USUAL_MAX, ROOT, Process, Processes
+from hophinge.load.rig.link_rules import Network
+from hophinge.load.rig.launch import CLOCK_OFFSET
+from hophinge.load.rig.processes import DEFAULT_MAX_PROCESSES, ROOT, Process, Processes
 from hophinge.load.rig.relay import Relay
-from hophinge.load.rig.view import View
-from hophinge.load.rig.waiting import Condition
+from hophinge.load.rig.discovery_view import DiscoveryView
+from hophinge.load.rig.conditions import Condition
 
-NETS = itertools.count()
+HOST_NUMBERS = itertools.count()
 KEY_BYTES = 32
-# Chosen ahead of the processes that listen there: none that the system gives to connections on their way out (from
-# 32768 on), one of which took such a port in one of 120 starts.
+# Chosen before the processes listen there: below the range of ephemeral ports (from 32768 on), of which an outgoing
+# connection took one in one of 120 starts.
 PORTS = range(10_000, 30_000)
-REMAINING_S, PAUSE_S = 0.75, 0.1  # a request's time, and a client's pause before it asks again
-TRIES = 3
+REMAINING_S = 0.75  # a request's deadline
+RETRY_INTERVAL_S = 0.1  # of a client
+MAX_ATTEMPTS = 3
 Sections = Mapping[str, Mapping[str, Any]]
 
 
 class LeftoverError(HophingeError):
-    """Processes that a run started are still there after its end."""
+    """Processes that a run started still exist after its end."""
 
     code = "rig-leftover"
     remedy = "End the processes whose ids are named, and look why they could not be killed."
 
 
-class NoPortError(HophingeError):
-    """A run has used up the ports that it may choose from."""
+class NoFreePortError(HophingeError):
+    """A run has used up its ports."""
 
     code = "rig-no-port"
     remedy = "End the run and begin another; each has an address and ports of its own."
 
 
-class Where(Struct):
-    """Where a process of the run listens, in truth and not through the relay."""
+class ProcessEndpoints(Struct):
+    """Where a process of the run listens, not through the relay."""
 
     listen: str
     control: str = ""
     peers: str = ""  # for datagrams
 
 
-def own_host() -> str:
-    """Tell a loopback address that no other run uses: ports are chosen on it ahead and then listened on."""
+def unused_loopback_host() -> str:
+    """Return a loopback address that no other run uses: ports are chosen on it before they are listened on."""
     pid = os.getpid()
-    return f"127.{72 + next(NETS) % 180}.{pid % 250}.{pid // 250 % 250 + 1}"
+    return f"127.{72 + next(HOST_NUMBERS) % 180}.{pid % 250}.{pid // 250 % 250 + 1}"
 
 
-def toml(sections: Sections) -> str:
-    """Write an operator's file; TOML takes JSON's texts, numbers, lists and truths."""
+def render_toml(sections: Sections) -> str:
+    """Return an operator's file; TOML accepts JSON's texts, numbers, lists and booleans."""
     return "".join(
         f"[{name}]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
         for name, rows in sections.items()
     )
 
 
-class Run:
-    """The processes of one run by name, its network and its stand-ins; all of it ends with the block that it is in."""
+class RigRun:
+    """The processes of one run by name, its network and its stand-ins; they end with the context manager."""
 
-    def __init__(self, folder: Path, seed: int = 1, plan: LoadPlan | None = None, most: int = USUAL_MAX) -> None:
-        self.folder, self.host = folder, own_host()
+    def __init__(
+        self, folder: Path, seed: int = 1, plan: LoadPlan | None = None, most: int = DEFAULT_MAX_PROCESSES
+    ) -> None:
+        self.folder, self.host = folder, unused_loopback_host()
         self.network = Network(seed)
         self.relay = Relay(self.network, self.host)
         self.platform = Platform(plan or LoadPlan(seed=seed))
         self.processes = Processes(folder, most)
-        self.where: dict[str, Where] = {}
-        self.views: dict[str, View] = {}
+        self.endpoints: dict[str, ProcessEndpoints] = {}
+        self.discovery_views: dict[str, DiscoveryView] = {}
         self.session: aiohttp.ClientSession | None = None
         self.ports = iter(PORTS)
         self.key_file = folder / "keys"
@@ -102,7 +105,7 @@
         await self.relay.close()
         if self.session is not None:
             await self.session.close()
-        for view in self.views.values():
+        for view in self.discovery_views.values():
             await view.close()
         self.platform.close()
         if left:
@@ -112,7 +115,7 @@
         return self.processes.by_name[name]
 
     def port(self) -> int:
-        """Find a port of this run's own address that is free for both streams and datagrams; none is told twice."""
+        """Return a port of this run's address that is free for streams and datagrams; none is returned twice."""
         for found in self.ports:
             with socket.socket() as one, socket.socket(type=socket.SOCK_DGRAM) as other:
                 try:
@@ -121,21 +124,21 @@
                 except OSError:
                     continue
             return found
-        raise NoPortError(f"{self.host} has no port left of {PORTS.start} to {PORTS.stop - 1}")
+        raise NoFreePortError(f"{self.host} has no port left of {PORTS.start} to {PORTS.stop - 1}")
 
     def address(self) -> str:
-        """Find a free address."""
+        """Return a free address."""
         return f"{self.host}:{self.port()}"
 
-    # --- what is started
+    # --- processes
 
-    async def member(self, name: str, seeds: Sequence[str], zone: str = "", **more: Any) -> dict[str, Any]:
-        """Give a name its place among peers; tells its `[cluster]`, in which all addresses are the relay's."""
+    async def cluster_section(self, name: str, seeds: Sequence[str], zone: str = "", **more: Any) -> dict[str, Any]:
+        """Register a name among peers; returns its `[cluster]` section, in which all addresses are the relay's."""
         real = self.address()
-        advertise = await self.relay.member(name, real)
+        advertise = await self.relay.register(name, real)
         for seed in seeds:
             if seed not in self.relay.ports:
-                await self.relay.member(seed, self.address())  # told anew when that one is made
+                await self.relay.register(seed, self.address())  # changed when that process is created
         return {
             "name": name,
             "listen": real,
@@ -146,7 +149,7 @@
             **more,
         }
 
-    async def head(
+    async def add_head(
         self,
         name: str,
         seeds: Sequence[str] | None = None,
@@ -154,68 +157,82 @@
         sections: Sections | None = None,
         settings: Mapping[str, Any] | None = None,
         clock_off_s: float = 0.0,
-        relayed: bool = False,
+        is_relayed: bool = False,
         stream: str = "",
         cluster: Mapping[str, Any] | None = None,
     ) -> Process:
-        """Make a head, not yet started; `seeds` put it among peers, `stream` names its control service.
+        """Create a head, not yet started.
+
+        Args:
+            name: Its name in the run.
+            seeds: Names of the members that it joins; None: it is no member of a cluster.
+            zone: Its zone among members.
+            sections: Of its operator's file; a head without any section has no such file.
+            settings: In place of those of the example's configuration.
+            clock_off_s: Seconds by which its wall clock is ahead.
+            is_relayed: Whether it reaches backends through the relay as well, each under its uid.
+            stream: The name of its control service.
+            cluster: Settings of its `[cluster]` section, in place of those of the run.
 
-        `relayed`: it reaches bricks through the relay as well, each under its uid. Without any sections it has no
-        operator's file.
         """
-        told: dict[str, Mapping[str, Any]] = dict(sections or {})
-        where = Where(self.address(), self.address())
-        if seeds is not None:
-            told["cluster"] = {**await self.member(name, seeds, zone), **(cluster or {})}
-            where.peers = told["cluster"]["listen"]
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
+        operator_sections: dict[str, Mapping[str, Any]] = dict(sections or {})
+        endpoints = ProcessEndpoints(self.address(), self.address())
+        if seeds is not None:
+            operator_sections["cluster"] = {**await self.cluster_section(name, seeds, zone), **(cluster or {})}
+            endpoints.peers = operator_sections["cluster"]["listen"]
         if stream:
-            (folder / "token").write_text(self.tokens["heads"])
-            told["stream"] = {
-                "endpoints": [await self.relay.stream(name, stream, self.where[stream].listen)],
-                "token_file": "token",
-                "folder": "state",
-                **told.get("stream", {}),
-            }
+            section = await self._stream_section(name, folder, stream)
+            operator_sections["stream"] = {**section, **operator_sections.get("stream", {})}
         discovery = f"{HOST}:{self.platform.port}"
-        if relayed:
-            self.views[name] = view = View(self.platform, self.relay, name)
+        if is_relayed:
+            self.discovery_views[name] = view = DiscoveryView(self.platform, self.relay, name)
             discovery = await view.start()
-        example = json.loads((ROOT / "examples" / "config.json").read_text())
-        ruled = {**example["settings"], **(settings or {})}
-        ruled["Domain"] = {**ruled["Domain"], "NShards": len(self.platform.backends)}
-        (folder / "config.json").write_text(
-            json.dumps(
-                {
-                    **example,
-                    "name": name,
-                    "listen": where.listen,
-                    "control": where.control,
-                    "discovery": discovery,
-                    "settings": ruled,
-                }
-            )
-        )
+        self._write_config(name, folder, endpoints, discovery, settings or {})
         environ = {"EDGE_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder), "GRPC_VERBOSITY": "ERROR"}
-        if told:
-            (folder / "operator.toml").write_text(toml(told))
+        if operator_sections:
+            (folder / "operator.toml").write_text(render_toml(operator_sections))
             environ["HOPHINGE_OPERATOR_FILE"] = str(folder / "operator.toml")
         if clock_off_s:
-            environ[CLOCK] = str(clock_off_s)
-        made = self.processes.make(name, ["hophinge"], environ)
-        made.zone, self.where[name] = zone, where
-        return made
+            environ[CLOCK_OFFSET] = str(clock_off_s)
+        process = self.processes.create(name, ["hophinge"], environ)
+        process.zone = zone
+        self.endpoints[name] = endpoints
+        return process
+
+    async def _stream_section(self, name: str, folder: Path, stream: str) -> dict[str, Any]:
+        """Write a head's token, and return its `[stream]` section."""
+        (folder / "token").write_text(self.tokens["heads"])
+        endpoint = await self.relay.open_stream_address(name, stream, self.endpoints[stream].listen)
+        return {"endpoints": [endpoint], "token_file": "token", "folder": "state"}
+
+    def _write_config(
+        self, name: str, folder: Path, endpoints: ProcessEndpoints, discovery: str, settings: Mapping[str, Any]
+    ) -> None:
+        """Write a head's configuration file: the example's, with the run's addresses and number of shards."""
+        example = json.loads((ROOT / "examples" / "config.json").read_text())
+        head_settings = {**example["settings"], **settings}
+        head_settings["Domain"] = {**head_settings["Domain"], "NShards": len(self.platform.backends)}
+        config = {
+            **example,
+            "name": name,
+            "listen": endpoints.listen,
+            "control": endpoints.control,
+            "discovery": discovery,
+            "settings": head_settings,
+        }
+        (folder / "config.json").write_text(json.dumps(config))
 
-    def control(self, name: str, *words: str, clock_off_s: float = 0.0) -> Process:
-        """Make a control service, not yet started; its store lies in its folder."""
+    def add_control_service(self, name: str, *words: str, clock_off_s: float = 0.0) -> Process:
+        """Create a control service, not yet started; its store is in its folder."""
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
         for group, token in self.tokens.items():
             (folder / group).write_text(f"{group} {token}\n")
-        where = Where(self.address())
-        environ = {"GRPC_VERBOSITY": "ERROR", **({CLOCK: str(clock_off_s)} if clock_off_s else {})}
-        made = self.processes.make(
+        endpoints = ProcessEndpoints(self.address())
+        environ = {"GRPC_VERBOSITY": "ERROR", **({CLOCK_OFFSET: str(clock_off_s)} if clock_off_s else {})}
+        process = self.processes.create(
             name,
             [
                 "hophinge",
@@ -228,44 +245,44 @@
                 "--staff",
                 str(folder / "staff"),
                 "--listen",
-                where.listen,
+                endpoints.listen,
                 "--json",
                 *words,
             ],
             environ,
         )
-        self.where[name] = where
-        return made
+        self.endpoints[name] = endpoints
+        return process
 
     def zones(self) -> dict[str, str]:
-        """Tell each process's zone, for a split by zone."""
+        """Return each process's zone, for a partition by zone."""
         return {name: one.zone for name, one in self.processes.by_name.items()}
 
-    # --- what they tell
+    # --- requests
 
-    async def ask(self, name: str, path: str) -> tuple[int, str]:
-        """Ask a head's control address."""
+    async def get(self, name: str, path: str) -> tuple[int, str]:
+        """Send a GET to a head's control address; returns status and body."""
         assert self.session is not None
-        async with self.session.get(f"http://{self.where[name].control}{path}") as answer:
+        async with self.session.get(f"http://{self.endpoints[name].control}{path}") as answer:
             return answer.status, await answer.text()
 
-    def tells(self, name: str, path: str, what: str, good: Callable[[str], bool]) -> Condition:
-        """Make the condition that a head's answer to a path is good."""
+    def answers(self, name: str, path: str, what: str, good: Callable[[str], bool]) -> Condition:
+        """Return the condition that a head's answer to a path is as expected."""
 
         async def look() -> tuple[bool, str]:
-            status, text = await self.ask(name, path)
+            status, text = await self.get(name, path)
             return status == 200 and good(text), f"{status} {text}"
 
         return Condition(self[name], f"{path}: {what}", look)
 
-    def ready(self, name: str) -> Condition:
-        """Make the condition that a head serves."""
-        return self.tells(name, "/ops/readiness", "ready", lambda text: text == "ready\n")
+    def is_ready(self, name: str) -> Condition:
+        """Return the condition that a head is ready."""
+        return self.answers(name, "/ops/readiness", "ready", lambda text: text == "ready\n")
 
-    async def request(self, name: str, number: int, shard: int = 0, tries: int = 1) -> int:
-        """Ask a head for an object as a client of the platform does; tells the last status, 0 where none came.
+    async def request(self, name: str, number: int, shard: int = 0, attempts: int = 1) -> int:
+        """Request an object of a head as a client of the platform does; returns the last status, 0 for none.
 
-        `tries`: a refusal or a silence is asked again so often, as the platform's clients do.
+        A rejection or a timeout is retried, up to `attempts` in all, as the platform's clients do.
         """
         fields = {
             "X-Txn": f"{number:016x}",
@@ -273,10 +290,10 @@
             "X-Remaining-Ms": f"{REMAINING_S * 1e3:.0f}",
             "X-Placement": f"units=1,shard={shard},hosts=1",
         }
-        url = f"http://{self.where[name].listen}/record-read/{number:016x}/{number:016x}"
+        url = f"http://{self.endpoints[name].listen}/record-read/{number:016x}/{number:016x}"
         assert self.session is not None
         status = 0
-        for _ in range(tries):
+        for _ in range(attempts):
             try:
                 async with asyncio.timeout(REMAINING_S + 0.5), self.session.get(url, headers=fields) as answer:
                     await answer.read()
@@ -285,17 +302,17 @@
                 status = 0
             if status not in (0, 429, 503):
                 return status
-            await asyncio.sleep(PAUSE_S if tries > 1 else 0)
+            await asyncio.sleep(RETRY_INTERVAL_S if attempts > 1 else 0)
             fields["X-Resent"] = "1"
         return status
 
-    def serves(self, name: str) -> Condition:
-        """Make the condition that a head answers a request with what a brick gave."""
+    def is_serving(self, name: str) -> Condition:
+        """Return the condition that a head serves a request from a backend."""
         numbers = itertools.count(1)
 
         async def look() -> tuple[bool, str]:
             number = next(numbers)
-            status = await self.request(name, number, number % len(self.platform.backends), TRIES)
+            status = await self.request(name, number, number % len(self.platform.backends), MAX_ATTEMPTS)
             return status == 200, f"status {status}"
 
         return Condition(self[name], "a request is served", look)
--- a/hophinge/load/rig/cuts.py
+++ b/hophinge/load/rig/socket_partition.py
@@ -1,8 +1,8 @@
-"""Cuts a process off from some addresses: what it sends there is lost without an error, and it cannot connect there.
+"""Partitions a process from some hosts: what it sends there is lost without an error, and it cannot connect there.
 
-The addresses stand in a file, one a line, which is read at each call, so that a test cuts and heals while the process
-runs. A connection that lost bytes is reset at its next use after the cut, as the kernel would have ended it. Only what
-this process sends is lost: a cut of both directions needs the file of both processes.
+The hosts stand in a file, one a line, which is read at each call, so that a test partitions and heals while the process
+runs. A connection that lost bytes is reset at its next use afterwards, as the kernel would have ended it. Only what
+this process sends is lost: a partition in both directions needs the file of both processes.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from weakref import WeakSet
 
 
-class Cuts:
-    """The sockets of one process, as the file of cut addresses has them."""
+class SocketPartition:
+    """The sockets of one process, and the file of the hosts that are blocked."""
 
-    def __init__(self, word: Path) -> None:
-        self.word = word
-        self.damaged: WeakSet[socket.socket] = WeakSet()
+    def __init__(self, blocked_hosts_file: Path) -> None:
+        self.blocked_hosts_file = blocked_hosts_file
+        self.damaged_sockets: WeakSet[socket.socket] = WeakSet()
         self.real_connect = socket.socket.connect
         self.real_send = socket.socket.send
 
     def install(self) -> None:
-        """Have all sockets of this process ask here first."""
+        """Replace `connect` and `send` of all sockets of this process."""
         cuts = self
 
         def connect(sock: socket.socket, address: Any) -> None:
@@ -37,24 +37,24 @@
         setattr(socket.socket, "connect", connect)  # noqa: B010 - the type has no place for it
         setattr(socket.socket, "send", send)  # noqa: B010
 
-    def _cut(self, host: str) -> bool:
+    def _is_blocked(self, host: str) -> bool:
         try:
-            return host in self.word.read_text().split()
+            return host in self.blocked_hosts_file.read_text().split()
         except OSError:
             return False
 
     def connect(self, sock: socket.socket, address: Any) -> None:
-        """Connect, where the address is not cut off."""
-        if isinstance(address, tuple) and self._cut(address[0]):
+        """Connect; raises OSError where the host is blocked."""
+        if isinstance(address, tuple) and self._is_blocked(address[0]):
             raise OSError(errno.EHOSTUNREACH, os.strerror(errno.EHOSTUNREACH))
         self.real_connect(sock, address)
 
     def send(self, sock: socket.socket, data: Any, *flags: int) -> int:
-        """Send, lose what is sent to an address that is cut off, or reset a connection that lost something."""
-        if sock.family == socket.AF_INET and sock.type == socket.SOCK_STREAM and self._cut(_peer(sock)):
-            self.damaged.add(sock)
+        """Send; drop what is sent to a blocked host, and reset a connection that lost bytes."""
+        if sock.family == socket.AF_INET and sock.type == socket.SOCK_STREAM and self._is_blocked(_peer(sock)):
+            self.damaged_sockets.add(sock)
             return len(data)
-        if sock in self.damaged:
+        if sock in self.damaged_sockets:
             raise ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
         return self.real_send(sock, data, *flags)
 
--- a/tests/fleet_faults.py
+++ b/tests/fleet_faults.py
@@ -43,13 +43,13 @@
 
 
 async def _freeze(fleet: LoopbackFleet, number: int) -> None:
-    await fleet.control(number).stop()
-    await fleet.head(number).stop()
+    await fleet.control(number).suspend()
+    await fleet.head(number).suspend()
 
 
 async def _wake(fleet: LoopbackFleet, number: int) -> None:
-    fleet.control(number).wake()
-    fleet.head(number).wake()
+    fleet.control(number).resume()
+    fleet.head(number).resume()
 
 
 async def _cut_off(fleet: LoopbackFleet, number: int) -> None:
--- a/tests/fleet_requests.py
+++ b/tests/fleet_requests.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from hophinge.fleet.emulation.loopback_fleet import READY_PORT, LoopbackFleet, Reply, configuration_document
-from hophinge.load.rig.waiting import Condition, until
+from hophinge.load.rig.conditions import Condition, wait_until
 
 BOUND_S = 30.0
 MACHINES = 3
@@ -30,10 +30,10 @@
     await fleet.start()
     for identity, service, stage in INSTANCES:
         await fleet.start_instance(identity, service, stage)
-    await until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
-    await until([fleet.ready_condition(number, 1, len(INSTANCES)) for number in range(MACHINES)], BOUND_S)
+    await wait_until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
+    await wait_until([fleet.ready_condition(number, 1, len(INSTANCES)) for number in range(MACHINES)], BOUND_S)
     # A head that doesn't know how many share the retry budget repeats little.
-    await until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
+    await wait_until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
 
 
 def taken(fleet: LoopbackFleet, number: int, data: bytes, base: int) -> Condition:
--- a/tests/maintenance_rig.py
+++ b/tests/maintenance_rig.py
@@ -14,8 +14,8 @@
 from hophinge.control.operator_client import call_operator_api
 from hophinge.load.plan import LoadPlan
 from hophinge.load.rig.processes import ROOT
-from hophinge.load.rig.run import Run
-from hophinge.load.rig.waiting import Condition, until
+from hophinge.load.rig.run import RigRun
+from hophinge.load.rig.conditions import Condition, wait_until
 from tests.maintenance_fault_injection import BAD, FOLDER, KILL, STOP
 from tests.together import BOUND_S, all_see
 
@@ -31,7 +31,7 @@
 class Installation:
     """The processes of one installation; `c` is its control service."""
 
-    def __init__(self, made: Run, names: Sequence[str]) -> None:
+    def __init__(self, made: RigRun, names: Sequence[str]) -> None:
         self.made, self.names = made, list(names)
         self.builds = dict.fromkeys(self.names, "1")
         self.bad: set[str] = set()  # heads at which build 2 rejects requests
@@ -44,9 +44,9 @@
     async def start(self, clustered: bool = True) -> None:
         """Start all, and wait until each serves and is connected."""
         rules = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]["Rules"]
-        self.made.control("c")
+        self.made.add_control_service("c")
         for name in self.names:
-            await self.made.head(
+            await self.made.add_head(
                 name,
                 ["n0"] if clustered else None,
                 stream="c",
@@ -55,13 +55,13 @@
             )
         for name in ["c", *self.names]:
             process = self.made[name]
-            process.words[0] = "tests.maintenance_fault_injection"
+            process.command[0] = "tests.maintenance_fault_injection"
             process.environ[FOLDER] = str(process.folder)
         await self.made.processes.start("c", *self.names)
-        await until([self.made.ready(name) for name in self.names], BOUND_S)
+        await wait_until([self.made.is_ready(name) for name in self.names], BOUND_S)
         if clustered:
-            await until(all_see(self.made, self.names), BOUND_S)
-        await until([self.up(len(self.names))], BOUND_S)
+            await wait_until(all_see(self.made, self.names), BOUND_S)
+        await wait_until([self.up(len(self.names))], BOUND_S)
         self.tasks += [asyncio.create_task(self._watch(name)) for name in self.names]
 
     async def _watch(self, name: str) -> None:
@@ -69,13 +69,13 @@
         process, seen = self.made[name], 0
         while True:
             await asyncio.sleep(LOOK_S)
-            lines = [found for line in list(process.lines)[process.since :] if (found := GOES.search(line))]
+            lines = [found for line in list(process.lines)[process.start_line :] if (found := GOES.search(line))]
             if lines and seen != process.starts:
                 seen = process.starts
                 self.goes.append((lines[-1][1], name, process.starts))
                 self.out.add(name)
                 self.most_out = max(self.most_out, len(self.out))
-            if process.running or name in self.lost:
+            if process.is_running or name in self.lost:
                 continue
             if lines and lines[-1][2]:
                 self.builds[name] = lines[-1][2]
@@ -88,7 +88,7 @@
         path.write_text(re.sub(r"(?m)^build = .*$", f'build = "{self.builds[name]}"', path.read_text()))
         wrong = name in self.bad and self.builds[name] == "2"
         await self.made[name].start(**{BAD: str(REFUSES) if wrong else ""})
-        await until([self.made.ready(name)], BOUND_S)
+        await wait_until([self.made.is_ready(name)], BOUND_S)
 
     async def lose(self, *names: str) -> None:
         """Kill heads without a permit; they stay away."""
@@ -108,7 +108,7 @@
             await asyncio.sleep(1 / (RATE * len(self.names)))
             number += 1
             name = self.names[number % len(self.names)]
-            if self.made[name].running and not self.made[name].stopped:
+            if self.made[name].is_running and not self.made[name].is_suspended:
                 tasks.add(task := asyncio.create_task(self.made.request(name, number, number % 3)))
                 task.add_done_callback(tasks.discard)
 
@@ -117,7 +117,7 @@
     async def staff(self, method: str, **body: Any) -> dict[str, Any]:
         told: dict[str, Any] = json.loads(
             await call_operator_api(
-                self.made.where["c"].listen, self.made.tokens["staff"], method, json.dumps(body).encode(), 2.0
+                self.made.endpoints["c"].listen, self.made.tokens["staff"], method, json.dumps(body).encode(), 2.0
             )
         )
         return told
@@ -129,7 +129,7 @@
             told = await self.staff("Push", text=POOL + words)
             return "mistakes" not in told, str(told)
 
-        await until([Condition(self.made["c"], "takes the document", look)], BOUND_S)
+        await wait_until([Condition(self.made["c"], "takes the document", look)], BOUND_S)
 
     def tells(self, what: str, good: Callable[[dict[str, Any]], bool]) -> Condition:
         """Return the condition that the service's maintenance status satisfies a predicate."""
@@ -199,7 +199,7 @@
     folder: Path, count: int, seed: int, clustered: bool = True
 ) -> AsyncIterator[Installation]:
     """Run an installation with a number of heads for a block."""
-    async with Run(folder, seed, PLAN) as made:
+    async with RigRun(folder, seed, PLAN) as made:
         one = Installation(made, [f"n{at}" for at in range(count)])
         await one.start(clustered)
         try:
--- a/tests/soak_fleet.py
+++ b/tests/soak_fleet.py
@@ -18,7 +18,7 @@
 from hophinge.fleet.emulation.loopback_fleet import FRONT_PORT, READY_PORT, STARTED, LoopbackFleet
 from hophinge.fleet.emulation.instance_server import FAILURES
 from hophinge.load.rig.processes import Process
-from hophinge.load.rig.waiting import until
+from hophinge.load.rig.conditions import wait_until
 from tests.soak_client import Done, SoakClient
 from tests.soak_document import Draft
 from tests.soak_instances import SoakInstances
@@ -132,8 +132,8 @@
         while not self.over:
             await asyncio.sleep(self.random.random() * self.course.roll_s)
             process = self.fleet.processes.by_name[f"{program}-{self.random.randrange(self.course.machines)}"]
-            served = process.said(STARTED)
-            if not process.running:
+            served = process.has_logged(STARTED)
+            if not process.is_running:
                 await self._restart(process, asked=False, served=served)
                 continue
             process.send(signal.SIGTERM)
@@ -177,7 +177,7 @@
             self.draft.version = 1
             await self._push()
             everywhere = range(self.course.machines)
-            await until([fleet.ready_condition(number, 1, len(fleet.instances)) for number in everywhere], START_S)
+            await wait_until([fleet.ready_condition(number, 1, len(fleet.instances)) for number in everywhere], START_S)
             probes = [asyncio.create_task(self._probe(number)) for number in everywhere]
             probes.append(asyncio.create_task(self.instances.report()))
             probes += [asyncio.create_task(self.instances.watch(number)) for number in everywhere]
@@ -192,11 +192,11 @@
             await asyncio.gather(*asking)
             for probe in probes:
                 probe.cancel()
-            await until(
+            await wait_until(
                 [fleet.ready_condition(number, self.draft.version, len(fleet.instances)) for number in everywhere],
                 SETTLE_S,
             )
-            await until([self.instances.all_ready(number) for number in everywhere], READY_S)
+            await wait_until([self.instances.all_ready(number) for number in everywhere], READY_S)
             self.logs = {name: list(process.lines) for name, process in fleet.processes.by_name.items()}
             self.members = [
                 json.loads(
@@ -222,7 +222,7 @@
             await asyncio.sleep(self.course.play_s)
             self.over = True
         for process in self.fleet.processes.by_name.values():
-            if not process.running:
-                await self._restart(process, asked=False, served=process.said(STARTED))
+            if not process.is_running:
+                await self._restart(process, asked=False, served=process.has_logged(STARTED))
         self.draft.passing, self.draft.version = True, self.draft.version + 1
         await self._push()
--- a/tests/soak_instances.py
+++ b/tests/soak_instances.py
@@ -10,7 +10,7 @@
 
 from hophinge.fleet.emulation.loopback_fleet import READY_PORT, LoopbackFleet
 from hophinge.fleet.emulation.instance_server import FAILURES, EmulatedInstance
-from hophinge.load.rig.waiting import Condition
+from hophinge.load.rig.conditions import Condition
 
 EVENTS = 6  # of each stream
 SERVED_ON_S = 2.0  # by an instance after its leaving was acknowledged, at least: the operators' `drain-ms`
--- a/tests/test_fleet_aborted_responses.py
+++ b/tests/test_fleet_aborted_responses.py
@@ -11,7 +11,7 @@
 from hophinge.fleet.emulation.engine import Fault
 from hophinge.fleet.emulation.loopback_fleet import FRONT_PORT, HOST, READY_PORT, LoopbackFleet, configuration_document
 from hophinge.fleet.forwarding.aborted_responses import AbortedResponse, ObservedInstance, AbortSide, RequestPhase
-from hophinge.load.rig.waiting import Condition, until
+from hophinge.load.rig.conditions import Condition, wait_until
 from tests.fleet_requests import BOUND_S, PROMPT, taken
 
 ROUTES = (("/m/", "streaming", "models"), ("/p/", "unsafe", "plain"))
@@ -48,8 +48,8 @@
             await fleet.start()
             for identity, service, stage in INSTANCES:
                 await fleet.start_instance(identity, service, stage)
-            await until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
-            await until([fleet.ready_condition(0, 1, len(INSTANCES))], BOUND_S)
+            await wait_until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
+            await wait_until([fleet.ready_condition(0, 1, len(INSTANCES))], BOUND_S)
             maker = fleet.instances["d1"]
             maker.engine.faults.add(Fault.CUT)
             reply = await fleet.request(0, "/m/q", "broken", *PROMPT)
@@ -59,7 +59,7 @@
             await _leave(fleet, "/m/q", "left-answering")
             fleet.instances["s1"].before_response = asyncio.Event().wait
             await _leave(fleet, "/p/q", "left-waiting")
-            await until(
+            await wait_until(
                 [
                     _counts(
                         fleet, {"instance while answering": 1, "client while answering": 1, "client while waiting": 1}
@@ -81,7 +81,7 @@
             ):
                 lines = [line for line in head.lines if f"response aborted {begin}" in line]
                 assert any(f" error={error}" in line for line in lines), (begin, list(head.lines))
-            assert not head.said("Traceback")
+            assert not head.has_logged("Traceback")
             assert {"left-answering"} <= maker.in_flight
 
     asyncio.run(run())
@@ -94,7 +94,7 @@
     fields = [(b"Host", HOST.encode()), (b"Hophinge-Request-Id", name.encode()), (b"Content-Length", b"1"), *PROMPT]
     lines = b"".join(field + b": " + value + b"\r\n" for field, value in fields)
     writer.write(b"POST %s HTTP/1.1\r\n%s\r\nx" % (path.encode(), lines))
-    await until([_works_on(fleet, name)], BOUND_S)
+    await wait_until([_works_on(fleet, name)], BOUND_S)
     writer.close()
     await writer.wait_closed()
 
--- a/tests/test_fleet_client_connections.py
+++ b/tests/test_fleet_client_connections.py
@@ -18,7 +18,7 @@
 
 from hophinge.fleet.dataplane.http_frontend import MAX_BODY_BYTES
 from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, configuration_document
-from hophinge.load.rig.waiting import until
+from hophinge.load.rig.conditions import wait_until
 from tests.fleet_client import CLIENTS, DEADLINE_MS, EVENTS, LATE_S, Client, is_stream, request
 from tests.fleet_requests import BOUND_S, taken
 
@@ -46,8 +46,8 @@
         await fleet.start()
         for identity, service, stage in INSTANCES:
             await fleet.start_instance(identity, service, stage)
-        await until([taken(fleet, 0, configuration(limits), 0)], BOUND_S)
-        await until([fleet.ready_condition(0, 1, len(INSTANCES))], BOUND_S)
+        await wait_until([taken(fleet, 0, configuration(limits), 0)], BOUND_S)
+        await wait_until([fleet.ready_condition(0, 1, len(INSTANCES))], BOUND_S)
         maker = fleet.instances["d1"]
         maker.engine.events = EVENTS
         maker.before_event = lambda: asyncio.sleep(PAUSE_S)
@@ -108,7 +108,7 @@
     async def play(fleet: LoopbackFleet) -> None:
         for scenario in (garbage, requests, half_a_request, body_that_cannot_be_read):
             await scenario(fleet)
-        assert not fleet.head(0).said("aborted")
+        assert not fleet.head(0).has_logged("aborted")
 
     asyncio.run(with_head(tmp_path, SHORT, play))
 
@@ -203,7 +203,7 @@
         assert answer is not None and answer.closes and await client.ends()
         await last_event(busy)
         assert await busy.ends()
-        assert not fleet.head(0).said("aborted")
+        assert not fleet.head(0).has_logged("aborted")
 
     async def last_event(client: Client) -> None:
         async with asyncio.timeout(BOUND_S):
--- a/tests/test_fleet_ended_instances.py
+++ b/tests/test_fleet_ended_instances.py
@@ -21,7 +21,7 @@
 from hophinge.fleet.dataplane.upstream import Call, Upstream
 from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, configuration_document
 from hophinge.fleet.emulation.instance_server import EmulatedInstance
-from hophinge.load.rig.waiting import Condition, until
+from hophinge.load.rig.conditions import Condition, wait_until
 from tests.fleet_requests import BOUND_S, INSTANCES, MACHINES, PROMPT, ROUTES, begin, counts_heads, streamed, taken
 
 EVENTS = [b"id: %d\ndata: x\n\n" % number for number in range(1, 7)]
@@ -169,7 +169,7 @@
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await begin(fleet)
             # A head that doesn't know how many share the budget repeats little.
-            await until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
+            await wait_until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
             go_on = asyncio.Event()
             for identity in ("d1", "d2"):
                 fleet.instances[identity].before_event = go_on.wait
@@ -179,16 +179,18 @@
                 for number, name in enumerate(names)
             ]
             makers = [fleet.instances["d1"], fleet.instances["d2"]]
-            await until([_streaming(fleet, names)], BOUND_S)
+            await wait_until([_streaming(fleet, names)], BOUND_S)
             for maker in makers:
                 fleet.heartbeat_tasks.pop(maker.engine.identity).cancel()
                 assert await maker.unregister(fleet.controls)
-            await until([fleet.ready_condition(number, 1, len(INSTANCES) - 2) for number in range(MACHINES)], BOUND_S)
+            await wait_until(
+                [fleet.ready_condition(number, 1, len(INSTANCES) - 2) for number in range(MACHINES)], BOUND_S
+            )
             go_on.set()
             replies = await asyncio.gather(*asked)
             assert all(streamed(reply) for reply in replies), [reply.body for reply in replies]
             assert not makers[0].abandoned_requests | makers[1].abandoned_requests
-            assert not any(fleet.head(number).said("aborted") for number in range(MACHINES))
+            assert not any(fleet.head(number).has_logged("aborted") for number in range(MACHINES))
 
     asyncio.run(run())
 
@@ -209,8 +211,8 @@
             await fleet.start()
             for identity in ("s1", "s2"):
                 await fleet.start_instance(identity, "plain", "")
-            await until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
-            await until([fleet.ready_condition(0, 1, 2)], BOUND_S)
+            await wait_until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
+            await wait_until([fleet.ready_condition(0, 1, 2)], BOUND_S)
             for number in range(8):
                 assert (await fleet.request(0, "/p/q", f"before{number}")).status == 200
             leaving = fleet.instances["s1"]
@@ -221,7 +223,7 @@
             await _closed(leaving)
             replies = [await fleet.request(0, "/p/q", f"after{number}") for number in range(8)]
             assert [reply.status for reply in replies] == [200] * 8
-            assert not fleet.head(0).said("aborted")
+            assert not fleet.head(0).has_logged("aborted")
 
     asyncio.run(run())
 
--- a/tests/test_fleet_histories.py
+++ b/tests/test_fleet_histories.py
@@ -15,7 +15,7 @@
 from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, Reply, configuration_document
 from hophinge.fleet.emulation.instance_server import FAILURES
 from hophinge.fleet.forwarding.headers import find_field
-from hophinge.load.rig.waiting import until
+from hophinge.load.rig.conditions import wait_until
 from tests.fleet_faults import draw_faults
 from tests.fleet_requests import BOUND_S, INSTANCES, MACHINES, PROMPT, ROUTES, begin, runs, streamed, taken
 
@@ -57,13 +57,13 @@
         version += 1
         routes = (*ROUTES, (f"/v{version}/", "unsafe", "plain"))
         other = (number + random.randrange(1, MACHINES)) % MACHINES
-        await until([taken(fleet, other, configuration_document(version, routes), version - 1)], BOUND_S)
-        await until(
+        await wait_until([taken(fleet, other, configuration_document(version, routes), version - 1)], BOUND_S)
+        await wait_until(
             [fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES) if one != number], BOUND_S
         )
         await fault.mend(fleet, number)
-        await until([fleet.serving_condition(one, version) for one in range(MACHINES)], BOUND_S)
-        await until([fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES)], BOUND_S)
+        await wait_until([fleet.serving_condition(one, version) for one in range(MACHINES)], BOUND_S)
+        await wait_until([fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES)], BOUND_S)
     return version
 
 
@@ -89,7 +89,7 @@
         random, seen = Random(seed), Seen()
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await begin(fleet)
-            await until(
+            await wait_until(
                 [fleet.serving_condition(number, 1) for number in range(MACHINES)], BOUND_S
             )  # a late seed has joined
             asking = asyncio.create_task(_ask(fleet, Random(seed + 1_000), seen))
--- a/tests/test_fleet_streams_outlive.py
+++ b/tests/test_fleet_streams_outlive.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, configuration_document
-from hophinge.load.rig.waiting import until
+from hophinge.load.rig.conditions import wait_until
 from tests.fleet_client import CLIENTS, EVENTS, Client, is_stream, request
 from tests.fleet_faults import FAULTS
 from tests.fleet_requests import BOUND_S, INSTANCES, MACHINES, ROUTES, taken
@@ -101,8 +101,8 @@
             await fleet.start()
             for identity, service, stage in INSTANCES:
                 await slow_instance(fleet, identity, service, stage)
-            await until([taken(fleet, 0, configuration(1), 0)], BOUND_S)
-            await until([fleet.ready_condition(number, 1, len(INSTANCES)) for number in range(MACHINES)], BOUND_S)
+            await wait_until([taken(fleet, 0, configuration(1), 0)], BOUND_S)
+            await wait_until([fleet.ready_condition(number, 1, len(INSTANCES)) for number in range(MACHINES)], BOUND_S)
             over = asyncio.Event()
             troubles: tuple[Callable[[LoopbackFleet, asyncio.Event], Awaitable[None]], ...] = (
                 faults,
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -10,7 +10,7 @@
 from hophinge.fleet.emulation.engine import Fault
 from hophinge.fleet.emulation.loopback_fleet import LoopbackFleet, configuration_document
 from hophinge.fleet.emulation.instance_server import call_any
-from hophinge.load.rig.waiting import Condition, until
+from hophinge.load.rig.conditions import Condition, wait_until
 from tests.fleet_requests import (
     BOUND_S,
     INSTANCES,
@@ -56,7 +56,7 @@
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await begin(fleet)
             # A head that doesn't know how many share the budget repeats little.
-            await until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
+            await wait_until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
             engines = {engine.identity: engine for engine in fleet.engines_by_address.values()}
             engines["s1"].faults.add(Fault.FULL)
             for number in range(6):
@@ -93,18 +93,20 @@
                 alive = (number + 1) % MACHINES
                 routes = (*ROUTES, *((f"/v{one}/", "unsafe", "plain") for one in range(version)))
                 data = configuration_document(version + 1, routes)
-                await until([taken(fleet, alive, data, version)], BOUND_S)
+                await wait_until([taken(fleet, alive, data, version)], BOUND_S)
                 version += 1
-                await until([fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES)], BOUND_S)
+                await wait_until(
+                    [fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES)], BOUND_S
+                )
                 shutil.rmtree(fleet.data_folder(number))
                 await fleet.processes.start(f"control-{number}")
-                await until([fleet.serving_condition(one, version) for one in range(MACHINES)], BOUND_S)
+                await wait_until([fleet.serving_condition(one, version) for one in range(MACHINES)], BOUND_S)
                 assert await fleet.configure(number, data, version - 1) == 200, "sent again, it is acknowledged again"
                 assert await fleet.configure(alive, configuration_document(version + 5, ROUTES), version - 1) == 412
                 assert await fleet.configure(alive, configuration_document(version, ROUTES), version) == 400
             await fleet.processes.kill(*(f"control-{number}" for number in range(MACHINES)))
             await fleet.processes.start(*(f"control-{number}" for number in range(MACHINES)))
-            await until([fleet.serving_condition(one, version) for one in range(MACHINES)], BOUND_S)
+            await wait_until([fleet.serving_condition(one, version) for one in range(MACHINES)], BOUND_S)
             assert (await fleet.request(0, "/v0/q", "after")).status == 200
 
     asyncio.run(run())
@@ -114,11 +116,11 @@
     async def run() -> None:
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await begin(fleet)
-            await fleet.control(0).stop()
-            await until([taken(fleet, 1, configuration_document(2, ROUTES), 1)], BOUND_S)
-            await until([fleet.ready_condition(one, 2, len(INSTANCES)) for one in range(MACHINES)], BOUND_S)
-            fleet.control(0).wake()
-            await until([fleet.serving_condition(one, 2) for one in range(MACHINES)], BOUND_S)
+            await fleet.control(0).suspend()
+            await wait_until([taken(fleet, 1, configuration_document(2, ROUTES), 1)], BOUND_S)
+            await wait_until([fleet.ready_condition(one, 2, len(INSTANCES)) for one in range(MACHINES)], BOUND_S)
+            fleet.control(0).resume()
+            await wait_until([fleet.serving_condition(one, 2) for one in range(MACHINES)], BOUND_S)
             assert await fleet.configure(0, configuration_document(3, ROUTES), 2) == 200
 
     asyncio.run(run())
@@ -132,13 +134,13 @@
             assert await fleet.configure(2, configuration_document(2, ROUTES), 1) != 200, (
                 "a minority takes no configuration"
             )
-            await until([taken(fleet, 0, configuration_document(2, ROUTES), 1)], BOUND_S)
-            await until([fleet.ready_condition(one, 2, len(INSTANCES)) for one in range(2)], BOUND_S)
+            await wait_until([taken(fleet, 0, configuration_document(2, ROUTES), 1)], BOUND_S)
+            await wait_until([fleet.ready_condition(one, 2, len(INSTANCES)) for one in range(2)], BOUND_S)
             assert (await fleet.request(0, "/p/q", "beside")).status == 200
             assert (await fleet.request(2, "/p/q", "alone")).status == 200
             assert await _configuration(fleet, 2) == 1, "nothing comes through the cut"
             fleet.heal()
-            await until([fleet.ready_condition(2, 2, len(INSTANCES)), fleet.serving_condition(2, 2)], BOUND_S)
+            await wait_until([fleet.ready_condition(2, 2, len(INSTANCES)), fleet.serving_condition(2, 2)], BOUND_S)
 
     asyncio.run(run())
 
@@ -156,13 +158,13 @@
             fleet.heartbeat_tasks.pop("s1").cancel()
             leaving.engine.state = "draining"
             assert await leaving.send_heartbeat(fleet.controls)
-            await until([_draining(fleet, number, "s1") for number in range(MACHINES)], BOUND_S)
+            await wait_until([_draining(fleet, number, "s1") for number in range(MACHINES)], BOUND_S)
             leaving.engine.runs.clear()
             for number in range(12):
                 assert (await fleet.request(number % MACHINES, "/p/q", f"d{number}")).status == 200
             assert not leaving.engine.runs
             assert await call_any(fleet.controls, "DELETE", "/v1/instances/s1", b"")
-            await until([fleet.ready_condition(one, 1, len(INSTANCES) - 1) for one in range(MACHINES)], BOUND_S)
+            await wait_until([fleet.ready_condition(one, 1, len(INSTANCES) - 1) for one in range(MACHINES)], BOUND_S)
 
     asyncio.run(run())
 
--- a/tests/test_popularity_processes.py
+++ b/tests/test_popularity_processes.py
@@ -11,8 +11,8 @@
 from aiohttp import ClientError, web
 
 from hophinge.load.plan import LoadPlan
-from hophinge.load.rig.run import Run
-from hophinge.load.rig.waiting import until
+from hophinge.load.rig.run import RigRun
+from hophinge.load.rig.conditions import wait_until
 from tests import books
 from tests.popular import SECRET
 from tests.stand_in import Backend, DiscoveryAgent
@@ -25,7 +25,7 @@
 class Heads:
     """Two heads as processes on stand-in bricks that keep what is put."""
 
-    def __init__(self, made: Run, backends: list[Backend], token: str) -> None:
+    def __init__(self, made: RigRun, backends: list[Backend], token: str) -> None:
         self.made, self.backends, self.token, self.front = made, backends, token, dict[str, str]()
 
     async def call(self, name: str, method: str, body: bytes | None = None) -> tuple[int, bytes]:
@@ -45,7 +45,7 @@
 
     async def cached(self, name: str) -> tuple[int, int]:
         """Tell a head's hits and kept pieces."""
-        told = json.loads((await self.made.ask(name, "/ops/popularity"))[1])
+        told = json.loads((await self.made.get(name, "/ops/popularity"))[1])
         return told["hits"], told["kept_pieces"]
 
 
@@ -53,7 +53,7 @@
 async def heads(folder: Path) -> AsyncIterator[Heads]:
     token, agent, backends = books.tenant(folder / "tenants.db"), DiscoveryAgent(), [Backend(at) for at in range(3)]
     (folder / "key").write_bytes(SECRET)
-    async with Run(folder / "run", 41, LoadPlan(backends=3)) as made:
+    async with RigRun(folder / "run", 41, LoadPlan(backends=3)) as made:
         built = Heads(made, backends, token)
         try:
             for server in (*backends, agent):
@@ -62,7 +62,7 @@
             made.platform.port = agent.port
             for name in ("a", "b"):
                 built.front[name] = made.address()
-                await made.head(
+                await made.add_head(
                     name,
                     sections={
                         "objects": {
@@ -76,7 +76,7 @@
                     },
                 )
             await made.processes.start("a", "b")
-            await until([made.ready("a"), made.ready("b")], BOUND_S)
+            await wait_until([made.is_ready("a"), made.is_ready("b")], BOUND_S)
             yield built
         finally:
             for server in (*backends, agent):
@@ -113,7 +113,7 @@
                 backend.behave = None
             gate.set()
             await built.made["a"].start()
-            await until([built.made.ready("a")], BOUND_S)
+            await wait_until([built.made.is_ready("a")], BOUND_S)
             assert await built.cached("a") == (0, 0)  # one that was killed starts empty
             # The store has said that it is overwritten, then deleted: no head serves what it had kept, from then on.
             assert await built.call("a", "GET") in ((200, OLD), (200, NEW))
@@ -125,7 +125,7 @@
             await built.made["b"].kill()
             assert (await built.call("a", "DELETE"))[0] == 204
             await built.made["b"].start()
-            await until([built.made.ready("b")], BOUND_S)
+            await wait_until([built.made.is_ready("b")], BOUND_S)
             assert [(await built.call(name, "GET"))[0] for name in "ab"] == [404, 404]
             assert [(await built.cached(name))[1] for name in "ab"] == [0, 0]
 
--- a/tests/test_rig_cuts.py
+++ b/tests/test_rig_cuts.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hophinge.load.rig.cuts import Cuts
+from hophinge.load.rig.socket_partition import SocketPartition
 
 HOST, OTHER = "127.0.0.1", "127.0.0.2"
 
@@ -19,8 +19,8 @@
 
 
 @pytest.fixture
-def cuts(word: Path) -> Cuts:
-    return Cuts(word)
+def cuts(word: Path) -> SocketPartition:
+    return SocketPartition(word)
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
 
 
 def test_what_is_sent_into_a_cut_is_lost_and_the_connection_is_reset_after_it(
-    word: Path, cuts: Cuts, server: socket.socket
+    word: Path, cuts: SocketPartition, server: socket.socket
 ) -> None:
     with socket.create_connection(server.getsockname()) as sock:
         accepted, _ = server.accept()
@@ -47,7 +47,7 @@
                 accepted.recv(100)
 
 
-def test_nobody_connects_through_a_cut(word: Path, cuts: Cuts, server: socket.socket) -> None:
+def test_nobody_connects_through_a_cut(word: Path, cuts: SocketPartition, server: socket.socket) -> None:
     word.write_text(HOST)
     with socket.socket() as sock, pytest.raises(OSError, match="No route to host"):
         cuts.connect(sock, server.getsockname())
--- a/tests/test_rig_network.py
+++ b/tests/test_rig_network.py
@@ -11,22 +11,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hophinge.load.rig.datagrams import CLEAR, RETRANSMIT_US, Network, Rule, fate, lots
+from hophinge.load.rig.link_rules import PERFECT_LINK, RETRANSMIT_US, Network, LinkRule, arrival_delays_us, draws
 from hophinge.load.rig.relay import Relay
-from hophinge.load.rig.run import own_host
+from hophinge.load.rig.run import unused_loopback_host
 from tests.stand_in import run, until
 
-ROUGH = Rule(loss=0.3, twice=0.1, late=0.2, delay_us=1000, spread_us=4000)
+ROUGH = LinkRule(loss=0.3, duplicate=0.1, reorder=0.2, delay_us=1000, jitter_us=4000)
 NAMES = ["a", "b", "c", "d", "e"]
 
 
 def history(seed: int, order: list[tuple[str, str]]) -> dict[tuple[str, str], list[tuple[int, ...]]]:
     """The fates of each link's datagrams when links carry in some order."""
     network = Network(seed)
-    network.set(ROUGH)
+    network.set_rule(ROUGH)
     found: dict[tuple[str, str], list[tuple[int, ...]]] = {}
     for link in order:
-        found.setdefault(link, []).append(network.fate(*link))
+        found.setdefault(link, []).append(network.next_datagram(*link))
     return found
 
 
@@ -38,52 +38,58 @@
 
 
 def test_another_seed_or_link_has_other_fates_and_shares_are_as_the_rule_says() -> None:
-    drawn = [fate(ROUGH, lots(1, ("a", "b"), at)) for at in range(20_000)]
-    assert drawn != [fate(ROUGH, lots(2, ("a", "b"), at)) for at in range(20_000)]
-    assert drawn != [fate(ROUGH, lots(1, ("b", "a"), at)) for at in range(20_000)]
+    drawn = [arrival_delays_us(ROUGH, draws(1, ("a", "b"), at)) for at in range(20_000)]
+    assert drawn != [arrival_delays_us(ROUGH, draws(2, ("a", "b"), at)) for at in range(20_000)]
+    assert drawn != [arrival_delays_us(ROUGH, draws(1, ("b", "a"), at)) for at in range(20_000)]
     counts = Counter(map(len, drawn))
     assert abs(counts[0] / 20_000 - 0.3) < 0.02 and abs(counts[2] / (20_000 - counts[0]) - 0.1) < 0.02
-    assert all(1000 <= one <= 5000 + ROUGH.late_us for row in drawn for one in row)
-    assert fate(CLEAR, lots(1, ("a", "b"), 0)) == (0,)
+    assert all(1000 <= one <= 5000 + ROUGH.reorder_delay_us for row in drawn for one in row)
+    assert arrival_delays_us(PERFECT_LINK, draws(1, ("a", "b"), 0)) == (0,)
 
 
 def test_what_a_rule_loses_a_milder_one_loses_no_more_of() -> None:
     """A rule moves the mark, not the lots: so that two runs with more and less loss can be compared."""
     for at in range(2000):
-        if not fate(Rule(loss=0.1), lots(3, ("a", "b"), at)):
-            assert not fate(ROUGH, lots(3, ("a", "b"), at))
+        if not arrival_delays_us(LinkRule(loss=0.1), draws(3, ("a", "b"), at)):
+            assert not arrival_delays_us(ROUGH, draws(3, ("a", "b"), at))
 
 
-@pytest.mark.parametrize("wrong", [{"loss": 1.1}, {"twice": -0.1}, {"delay_us": -1}, {"spread_us": 10**9}])
+@pytest.mark.parametrize("wrong", [{"loss": 1.1}, {"duplicate": -0.1}, {"delay_us": -1}, {"jitter_us": 10**9}])
 def test_a_rule_out_of_range_is_refused(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError, match="from 0 to"):
-        Rule(**wrong)  # type: ignore[arg-type]  # the wrong values are the point
+        LinkRule(**wrong)  # type: ignore[arg-type]  # the wrong values are the point
 
 
 @given(st.lists(st.sets(st.sampled_from(NAMES), min_size=1), min_size=2, max_size=3))
 def test_a_split_cuts_between_sides_alone_and_a_heal_undoes_it(sides: list[set[str]]) -> None:
     network = Network()
-    network.split(*sides)
+    network.partition(*sides)
     for one in NAMES:
         for other in NAMES:
             apart = any(one in left and other in right for left in sides for right in sides if left is not right)
-            assert (network.fate(one, other) == ()) == (apart and one != other)
+            assert (network.next_datagram(one, other) == ()) == (apart and one != other)
     network.heal()
-    assert all(network.fate(one, other) for one in NAMES for other in NAMES)
+    assert all(network.next_datagram(one, other) for one in NAMES for other in NAMES)
 
 
 def test_a_split_by_zone_and_a_cut_one_way() -> None:
     network = Network()
-    network.split_zones({"a": "z1", "b": "z1", "c": "z2", "d": "z3"}, "z2")
-    assert network.cuts == {(one, other) for one in "abcd" for other in "abcd" if (one == "c") != (other == "c")}
+    network.partition_zones({"a": "z1", "b": "z1", "c": "z2", "d": "z3"}, "z2")
+    assert network.blocked_links == {
+        (one, other) for one in "abcd" for other in "abcd" if (one == "c") != (other == "c")
+    }
     network.heal({"a"}, {"c"})
-    assert ("a", "c") not in network.cuts and ("c", "b") in network.cuts
+    assert ("a", "c") not in network.blocked_links and ("c", "b") in network.blocked_links
     network.heal()
-    network.cut({"a"}, {"b"}, both=False)
-    assert network.fate("a", "b") == () and network.fate("b", "a") and network.stream("a", "b") is None
-    network.set(Rule(loss=1.0), [("b", "a")])
-    late = network.stream("b", "a")
-    assert network.fate("b", "a") == () and late is not None and late >= RETRANSMIT_US
+    network.block({"a"}, {"b"}, both=False)
+    assert (
+        network.next_datagram("a", "b") == ()
+        and network.next_datagram("b", "a")
+        and network.next_segment("a", "b") is None
+    )
+    network.set_rule(LinkRule(loss=1.0), [("b", "a")])
+    late = network.next_segment("b", "a")
+    assert network.next_datagram("b", "a") == () and late is not None and late >= RETRANSMIT_US
 
 
 class Peer(asyncio.DatagramProtocol):
@@ -118,20 +124,20 @@
 
 def test_datagrams_pass_the_relay_both_ways_and_a_cut_holds_one_way() -> None:
     async def main() -> None:
-        network, host = Network(), own_host()
+        network, host = Network(), unused_loopback_host()
         relay = Relay(network, host)
         (one, where_one), (other, where_other) = await peer(host), await peer(host)
-        await relay.member("one", where_one)
-        to_other = await relay.member("other", where_other)
+        await relay.register("one", where_one)
+        to_other = await relay.register("other", where_other)
         one.send(b"ask1", to_other)
         await until(lambda: one.heard == [b"answer1"])
-        assert other.heard == [b"ask1"] and relay.sent == {"one": 4, "other": 7}
-        network.cut({"other"}, {"one"}, both=False)
+        assert other.heard == [b"ask1"] and relay.sent_bytes == {"one": 4, "other": 7}
+        network.block({"other"}, {"one"}, both=False)
         one.send(b"ask2", to_other)
-        await until(lambda: network.figures["cut"] == 1)
+        await until(lambda: network.counts["cut"] == 1)
         assert other.heard == [b"ask1", b"ask2"] and one.heard == [b"answer1"]
         network.heal()
-        network.set(Rule(twice=1.0, delay_us=500), [("one", "other")])
+        network.set_rule(LinkRule(duplicate=1.0, delay_us=500), [("one", "other")])
         one.send(b"tell3", to_other)
         await until(lambda: other.heard.count(b"tell3") == 2)
         # A stranger is heard, and is cut off by its own name.
@@ -141,7 +147,7 @@
         assert network.ordinals["?", "other"] == 1
         # A process that was started again at another address keeps its name.
         again, where_again = await peer(host)
-        assert await relay.member("other", where_again) == to_other
+        assert await relay.register("other", where_again) == to_other
         one.send(b"tell5", to_other)
         await until(lambda: b"tell5" in again.heard)
         assert b"tell5" not in other.heard
@@ -154,7 +160,7 @@
 
 def test_a_stream_is_held_by_a_cut_and_comes_whole_and_in_order_after_it() -> None:
     async def main() -> None:
-        network, host = Network(5), own_host()
+        network, host = Network(5), unused_loopback_host()
         relay = Relay(network, host)
         got = bytearray()
 
@@ -166,15 +172,15 @@
 
         server = await asyncio.start_server(serve, host, 0)
         real = "{}:{}".format(*server.sockets[0].getsockname())
-        address, port = (await relay.stream("a", "b", real)).rsplit(":", 1)
+        address, port = (await relay.open_stream_address("a", "b", real)).rsplit(":", 1)
         reader, writer = await asyncio.open_connection(address, int(port))
         writer.write(b"first")
         assert await reader.readexactly(5) == b"first"
-        network.cut({"b"}, {"a"}, both=False)
+        network.block({"b"}, {"a"}, both=False)
         writer.write(b"second")
         await until(lambda: got == b"firstsecond")
-        network.cut({"a"}, {"b"}, both=False)
-        network.set(Rule(loss=0.1, late=0.5, late_us=2000))
+        network.block({"a"}, {"b"}, both=False)
+        network.set_rule(LinkRule(loss=0.1, reorder=0.5, reorder_delay_us=2000))
         writer.write(b"third" * 2000)
         for _ in range(50):
             await asyncio.sleep(0)
@@ -195,18 +201,20 @@
     """Lots drawn in turn by all links; a cut that does not count what it takes; a cut one way that cuts both."""
     if mutant == "lots in turn":
         dice = random.Random(1)
-        monkeypatch.setattr("hophinge.load.rig.datagrams.lots", lambda *_: tuple(dice.random() for _ in range(5)))
+        monkeypatch.setattr("hophinge.load.rig.link_rules.draws", lambda *_: tuple(dice.random() for _ in range(5)))
         order = [("a", "b"), ("a", "c")] * 20
         assert history(1, order) != history(1, sorted(order))
     elif mutant == "a cut forgets":
-        real = Network.fate
-        monkeypatch.setattr(Network, "fate", lambda self, *link: () if link in self.cuts else real(self, *link))
+        real = Network.next_datagram
+        monkeypatch.setattr(
+            Network, "next_datagram", lambda self, *link: () if link in self.blocked_links else real(self, *link)
+        )
         assert fates_round_a_cut() != fates_without()
     else:
         monkeypatch.setattr(
             Network,
-            "cut",
-            lambda self, one, other, both=True: self.cuts.update(
+            "block",
+            lambda self, one, other, both=True: self.blocked_links.update(
                 {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}
             ),
         )
@@ -216,18 +224,18 @@
 
 def fates_without() -> list[tuple[int, ...]]:
     network = Network(4)
-    network.set(ROUGH)
-    return [network.fate("a", "b") for _ in range(40)][20:]
+    network.set_rule(ROUGH)
+    return [network.next_datagram("a", "b") for _ in range(40)][20:]
 
 
 def fates_round_a_cut() -> list[tuple[int, ...]]:
     """The fates after a cut that took the first twenty."""
     network = Network(4)
-    network.set(ROUGH)
-    network.cut({"a"}, {"b"})
-    assert not any(network.fate("a", "b") for _ in range(20))
+    network.set_rule(ROUGH)
+    network.block({"a"}, {"b"})
+    assert not any(network.next_datagram("a", "b") for _ in range(20))
     network.heal()
-    return [network.fate("a", "b") for _ in range(20)]
+    return [network.next_datagram("a", "b") for _ in range(20)]
 
 
 def test_a_cut_counts_on_so_that_what_comes_after_it_is_the_same() -> None:
--- a/tests/test_rig_processes.py
+++ b/tests/test_rig_processes.py
@@ -13,9 +13,17 @@
 import pytest
 
 from hophinge.load.rig import child
-from hophinge.load.rig.launch import CLOCK, MEMORY
-from hophinge.load.rig.processes import LAUNCH, ROOT, Process, Processes, TooManyError
-from hophinge.load.rig.waiting import Condition, ConditionError, NeverBeganError, always, ended, said, until
+from hophinge.load.rig.launch import CLOCK_OFFSET, MEMORY
+from hophinge.load.rig.processes import LAUNCH, ROOT, Process, Processes, TooManyProcessesError
+from hophinge.load.rig.conditions import (
+    Condition,
+    ConditionError,
+    NeverStartedError,
+    holds_while,
+    has_exited,
+    has_logged,
+    wait_until,
+)
 from tests.stand_in import run
 
 BOUND_S = 30.0
@@ -47,7 +55,7 @@
 def module(made: Processes, name: str, **environ: str) -> Process:
     (made.folder / "worker_of_rig.py").write_text(MODULE)
     (made.folder / name).mkdir()
-    return made.make(
+    return made.create(
         name, ["worker_of_rig", str(made.folder / name)], {"PYTHONPATH": f"{made.folder}:{ROOT}", **environ}
     )
 
@@ -67,19 +75,19 @@
         one = module(made, "one")
         try:
             await made.start("one")
-            await until([said(one, "file written"), said(one, "ledger written")], BOUND_S)
+            await wait_until([has_logged(one, "file written"), has_logged(one, "ledger written")], BOUND_S)
             for word, text in (("full", "No space left"), ("failing", "Input/output error")):
-                one.disk(word)
-                await until(
+                one.set_disk_fault(word)
+                await wait_until(
                     [newer(one, text, len(one.lines)), newer(one, "ledger not written: FullError", len(one.lines))],
                     BOUND_S,
                 )
-                one.disk("")
-                await until(
+                one.set_disk_fault("")
+                await wait_until(
                     [newer(one, "file written", len(one.lines)), newer(one, "ledger written", len(one.lines))], BOUND_S
                 )
             (one.folder / "go").touch()
-            await until([ended(one, 0)], BOUND_S)
+            await wait_until([has_exited(one, 0)], BOUND_S)
         finally:
             assert await made.close() == []
 
@@ -89,10 +97,10 @@
 def test_a_wall_clock_is_off_and_the_monotonic_one_is_not(tmp_path: Path) -> None:
     async def main() -> None:
         made = Processes(tmp_path)
-        right, wrong = module(made, "right"), module(made, "wrong", **{CLOCK: "-3600"})
+        right, wrong = module(made, "right"), module(made, "wrong", **{CLOCK_OFFSET: "-3600"})
         try:
             await made.start("right", "wrong")
-            await until([said(right, "clock"), said(wrong, "clock")], BOUND_S)
+            await wait_until([has_logged(right, "clock"), has_logged(wrong, "clock")], BOUND_S)
             found = [
                 [float(text) for text in line.split()[1:]]
                 for one in (right, wrong)
@@ -108,29 +116,29 @@
 
 def test_a_process_is_stopped_woken_killed_and_started_again_and_only_by_its_own_id(tmp_path: Path) -> None:
     async def main() -> None:
-        made = Processes(tmp_path, most=2)
+        made = Processes(tmp_path, max_processes=2)
         one, other = module(made, "one"), module(made, "other")
         module(made, "third")
         try:
             await made.start("one", "other")
-            with pytest.raises(TooManyError):
+            with pytest.raises(TooManyProcessesError):
                 await made.start("third")
-            await until([said(one, "file written"), said(other, "file written")], BOUND_S)
-            await one.stop()
-            assert one.stopped and not other.stopped and one.running
-            await until([newer(other, "file written", len(other.lines))], BOUND_S)  # the pipes are empty now
+            await wait_until([has_logged(one, "file written"), has_logged(other, "file written")], BOUND_S)
+            await one.suspend()
+            assert one.is_suspended and not other.is_suspended and one.is_running
+            await wait_until([newer(other, "file written", len(other.lines))], BOUND_S)  # the pipes are empty now
             seen = len(one.lines)
-            await until([newer(other, "file written", len(other.lines))], BOUND_S)
+            await wait_until([newer(other, "file written", len(other.lines))], BOUND_S)
             assert len(one.lines) == seen
-            one.wake()
-            await until([newer(one, "file written", len(one.lines))], BOUND_S)
-            await one.stop()
+            one.resume()
+            await wait_until([newer(one, "file written", len(one.lines))], BOUND_S)
+            await one.suspend()
             await one.kill()  # one that stands still too
-            assert not one.running and other.running
+            assert not one.is_running and other.is_running
             with pytest.raises(ProcessLookupError):
                 one.send(signal.SIGTERM)  # nobody else's id is ever taken
             await one.start()
-            await until([said(one, "file written")], BOUND_S)
+            await wait_until([has_logged(one, "file written")], BOUND_S)
             assert one.starts == 2 and await other.end() == -signal.SIGTERM
         finally:
             assert await made.close() == []
@@ -144,17 +152,17 @@
         one, other = module(made, "one"), module(made, "other")
         try:
             await made.start("one", "other")
-            await until([said(one, "file written")], BOUND_S)
+            await wait_until([has_logged(one, "file written")], BOUND_S)
             with pytest.raises(ConditionError) as caught:
-                await until([said(one, "file written"), said(other, "what never comes")], 0.2)
+                await wait_until([has_logged(one, "file written"), has_logged(other, "what never comes")], 0.2)
             text = str(caught.value)
             assert "other (running): says 'what never comes'" in text and "one (running)" not in text
-            await until([said(other, "file written")], BOUND_S)
+            await wait_until([has_logged(other, "file written")], BOUND_S)
             with pytest.raises(ConditionError, match=r"(?s)other.*written"):
-                await always([said(one, "clock"), said(other, "what never comes")], asyncio.sleep(60))
-            assert await always([said(other, "clock")], asyncio.sleep(0.1)) > 0
+                await holds_while([has_logged(one, "clock"), has_logged(other, "what never comes")], asyncio.sleep(60))
+            assert await holds_while([has_logged(other, "clock")], asyncio.sleep(0.1)) > 0
             with pytest.raises(ValueError, match="nothing is waited for"):
-                await until([], 1.0)
+                await wait_until([], 1.0)
         finally:
             assert await made.close() == []
 
@@ -194,17 +202,17 @@
 def test_a_child_that_dies_before_its_program_begins_is_told_as_such(tmp_path: Path) -> None:
     async def main() -> None:
         made = Processes(tmp_path)
-        one = made.make("one", ["no_such_module_of_rig"], {MEMORY: "not a number"})
+        one = made.create("one", ["no_such_module_of_rig"], {MEMORY: "not a number"})
         await one.start()
-        with pytest.raises(NeverBeganError, match="one"):
-            await until([said(one, "hello")], BOUND_S)
-        assert one.never_began
+        with pytest.raises(NeverStartedError, match="one"):
+            await wait_until([has_logged(one, "hello")], BOUND_S)
+        assert one.never_started
         other = module(made, "other")
         await other.start()
-        await until([said(other, "clock")], BOUND_S)
-        assert not other.never_began
+        await wait_until([has_logged(other, "clock")], BOUND_S)
+        assert not other.never_started
         await other.kill()
-        assert not other.never_began
+        assert not other.never_started
         assert await made.close() == []
 
     run(main())
--- a/tests/test_scoring_hanging.py
+++ b/tests/test_scoring_hanging.py
@@ -8,8 +8,9 @@
 from pathlib import Path
 
 from hophinge.load.plan import LoadPlan
-from hophinge.load.rig.run import Run
-from hophinge.load.rig.waiting import until
+from hophinge.load.rig.run import RigRun
+from hophinge.load.rig.conditions import wait_until
+
 from tests.scoring_fixtures import install
 from tests.together import BOUND_S, run
 
@@ -46,18 +47,18 @@
                 {name: module},
                 textwrap.dedent(PACKAGE).format(name=name, body=textwrap.indent(body, " " * 8)),
             )
-        async with Run(tmp_path, 31, LoadPlan(work_us=2_000, slots=8)) as made:
-            head = await made.head("n0", sections={"scoring": {"scorers": [*HANGS, "latency"]}})
+        async with RigRun(tmp_path, 31, LoadPlan(work_us=2_000, slots=8)) as made:
+            head = await made.add_head("n0", sections={"scoring": {"scorers": [*HANGS, "latency"]}})
             await head.start(PYTHONPATH=str(tmp_path / "site"))
-            await until([made.ready("n0")], BOUND_S)
+            await wait_until([made.is_ready("n0")], BOUND_S)
 
             async def place(number: int) -> int:
                 return await made.request("n0", number, -1, 1)
 
             first = [asyncio.create_task(place(number)) for number in range(1, 4)]
-            await until(
+            await wait_until(
                 [
-                    made.tells(
+                    made.answers(
                         "n0",
                         "/ops/scorers",
                         "all are broken",
@@ -68,8 +69,10 @@
             )
             await asyncio.gather(*first)
             for name in HANGS:
-                assert head.said(f"scorer {name} did not return") and head.said("[scorer-hung] Take the scorer out")
-            told = json.loads((await made.ask("n0", "/ops/scorers"))[1])["scorers"]
+                assert head.has_logged(f"scorer {name} did not return") and head.has_logged(
+                    "[scorer-hung] Take the scorer out"
+                )
+            told = json.loads((await made.get("n0", "/ops/scorers"))[1])["scorers"]
             assert all(told[name]["off_until_told"] and told[name]["asked"] == 1 for name in HANGS)
             assert told["latency"]["at_work"]
             assert [await place(number) for number in range(10, 20)] == [200] * 10
--- a/tests/test_together_byzantine.py
+++ b/tests/test_together_byzantine.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 from hophinge.load.plan import Fault, LoadPlan
-from hophinge.load.rig.run import Run, Where
-from hophinge.load.rig.waiting import always, until
+from hophinge.load.rig.run import RigRun, ProcessEndpoints
+from hophinge.load.rig.conditions import holds_while, wait_until
 from hophinge.popularity import rumour
 from hophinge.popularity.keys import KEY_BYTES, SEALED_BYTES
 from hophinge.scoring import encoding
@@ -49,11 +49,11 @@
 
 def test_a_byzantine_member_moves_no_member_no_backend_share_and_no_fetch(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Run(tmp_path, 31, PLAN) as made:
+        async with RigRun(tmp_path, 31, PLAN) as made:
             names = ["n0", "n1", "n2"]
             (tmp_path / "secret").write_text("0123456789abcdef")
             for name in names:
-                await made.head(
+                await made.add_head(
                     name,
                     seeds=["n0", "liar"],
                     sections={
@@ -67,19 +67,19 @@
                         "popularity": {"secret_file": str(tmp_path / "secret")},
                     },
                 )
-            member = await made.member("liar", ["n0"])
-            where = Where("", made.address(), member["listen"])
-            made.processes.make(
+            member = await made.cluster_section("liar", ["n0"])
+            where = ProcessEndpoints("", made.address(), member["listen"])
+            made.processes.create(
                 "liar", ["tests.byzantine_member", where.control, json.dumps(member), json.dumps(lies())]
             )
-            made.where["liar"] = where
+            made.endpoints["liar"] = where
             await made.processes.start(*names, "liar")
-            await until([made.ready(name) for name in names], BOUND_S)
-            await until(all_see(made, names, [*names, "liar"]), BOUND_S)
+            await wait_until([made.is_ready(name) for name in names], BOUND_S)
+            await wait_until(all_see(made, names, [*names, "liar"]), BOUND_S)
             # All have heard the lies about the brick and the object.
-            await until(
+            await wait_until(
                 [
-                    made.tells(
+                    made.answers(
                         name,
                         "/ops/scorers",
                         "the liar's word on a brick",
@@ -89,9 +89,11 @@
                 ],
                 BOUND_S,
             )
-            await until(
+            await wait_until(
                 [
-                    made.tells(name, "/ops/popularity", "the liar's page", lambda text: json.loads(text)["peers"] >= 1)
+                    made.answers(
+                        name, "/ops/popularity", "the liar's page", lambda text: json.loads(text)["peers"] >= 1
+                    )
                     for name in names
                 ],
                 BOUND_S,
@@ -108,16 +110,16 @@
             # A stall of the machine makes a brick look slow for a while, accused or not; a lie that moves shares stays.
             while len(shares) < TURNS and not (shares and kept(shares[-1])):
                 before = [backend.served for backend in made.platform.backends]
-                assert await always(none_dead(made, names), load(len(shares))) > 0
+                assert await holds_while(none_dead(made, names), load(len(shares))) > 0
                 shares.append(
                     [backend.served - was for backend, was in zip(made.platform.backends, before, strict=True)]
                 )
             assert statuses == {200: len(shares) * REQUESTS}, statuses
             assert kept(shares[-1]), shares
             # The member that is accused by ever another name is held dead by nobody, and refutes.
-            await until(
+            await wait_until(
                 [
-                    made.tells(
+                    made.answers(
                         "n1",
                         "/ops/cluster",
                         "it has refuted",
@@ -127,7 +129,7 @@
                 BOUND_S,
             )
             assert {await counted(made, name, "deaths") for name in names} == {0}
-            popularity = json.loads((await made.ask("n0", "/ops/popularity"))[1])
+            popularity = json.loads((await made.get("n0", "/ops/popularity"))[1])
             assert popularity["fetched_objects"] == 0 and popularity["kept_bytes"] == 0, popularity
             sent.within(BYTES_S)
 
@@ -138,11 +140,11 @@
     """Requests are served meanwhile, what was read is dropped and counted, and the stranger hears nothing."""
 
     async def main() -> None:
-        async with Run(tmp_path, 32, LoadPlan(work_us=2_000, slots=8)) as made:
+        async with RigRun(tmp_path, 32, LoadPlan(work_us=2_000, slots=8)) as made:
             names = ["n0", "n1", "n2"]
             await heads(made, names, ["n0"])
-            await until(all_see(made, names), BOUND_S)
-            host, _, port = made.where["n0"].peers.rpartition(":")
+            await wait_until(all_see(made, names), BOUND_S)
+            host, _, port = made.endpoints["n0"].peers.rpartition(":")
             sent, flooding, flooded = Bytes(made, names), True, 0
             with socket.socket(type=socket.SOCK_DGRAM) as stranger:
                 stranger.setblocking(False)
@@ -161,7 +163,7 @@
 
                 task = asyncio.create_task(flood())
                 try:
-                    assert await always(none_dead(made, names), load()) > 0
+                    assert await holds_while(none_dead(made, names), load()) > 0
                 finally:
                     flooding = False
                     await task
@@ -174,6 +176,6 @@
                 assert heard == b""
             sent.within(BYTES_S)
             assert (await counted(made, "n0", "deaths"), made[names[0]].resident_mb() < 400) == (0, True)
-            await until(all_see(made, names), BOUND_S)
+            await wait_until(all_see(made, names), BOUND_S)
 
     run(main())
--- a/tests/test_together_formats.py
+++ b/tests/test_together_formats.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from hophinge.load.plan import LoadPlan
-from hophinge.load.rig.run import Run
-from hophinge.load.rig.waiting import Condition, always, until
+from hophinge.load.rig.run import RigRun
+from hophinge.load.rig.conditions import Condition, holds_while, wait_until
 from tests.together import BOUND_S, Bytes, all_see, counted, holds, incarnation, none_dead, run, told
 
 PLAN = LoadPlan(work_us=2_000, slots=8)
@@ -16,9 +16,9 @@
 BYTES_S = 20_000
 
 
-def hears(made: Run, name: str, owners: set[str]) -> Condition:
+def hears(made: RigRun, name: str, owners: set[str]) -> Condition:
     """A head's scorers hold words of just these peers: entries of each have arrived."""
-    return made.tells(
+    return made.answers(
         name,
         "/ops/scorers",
         f"words of {owners}",
@@ -31,16 +31,16 @@
 
 def test_heads_of_older_and_newer_formats_converge_and_an_unreadable_one_is_ignored(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Run(tmp_path, 41, PLAN) as made:
+        async with RigRun(tmp_path, 41, PLAN) as made:
             together, everyone = ["n0", "n1", "newer", "older"], ["n0", "n1", *FORMATS]
             for name in everyone:
-                await made.head(name, seeds=["n0", "older"], zone=f"zone of {name}", sections=SECTIONS)
+                await made.add_head(name, seeds=["n0", "older"], zone=f"zone of {name}", sections=SECTIONS)
                 if name in FORMATS:
-                    made[name].words = ["tests.head_of_format", FORMATS[name]]
+                    made[name].command = ["tests.head_of_format", FORMATS[name]]
             await made.processes.start(*everyone)
-            await until([made.ready(name) for name in everyone], BOUND_S)
+            await wait_until([made.is_ready(name) for name in everyone], BOUND_S)
             sent = Bytes(made, everyone)
-            await until(
+            await wait_until(
                 [*all_see(made, together), *(hears(made, name, set(together) - {name}) for name in together)], BOUND_S
             )
             for name in together:  # what all formats have in common arrives whole, also by way of another format
@@ -49,9 +49,9 @@
             # Parts that a reader does not know are passed over and counted; what none can read is dropped and counted.
             for name in ("n0", "n1", "older"):
                 assert await counted(made, name, "unknown_kinds") > 0
-            await until(
+            await wait_until(
                 [
-                    made.tells(
+                    made.answers(
                         "n0",
                         "/ops/cluster",
                         "dropped what it cannot read",
@@ -66,23 +66,23 @@
             await made["older"].kill()
             rest = [name for name in together if name != "older"]
             dead = [holds(made, name, ["older"], "dead") for name in rest]
-            found = until([*map(made.serves, [*rest, "beyond"]), *dead], BOUND_S)
-            assert await always(none_dead(made, rest), found) > 0
+            found = wait_until([*map(made.is_serving, [*rest, "beyond"]), *dead], BOUND_S)
+            assert await holds_while(none_dead(made, rest), found) > 0
             await made["older"].start()
-            await until(
+            await wait_until(
                 [
                     *all_see(made, together),
                     *(
-                        made.tells(name, "/ops/cluster", "a new start", incarnation("older", before["older"]))
+                        made.answers(name, "/ops/cluster", "a new start", incarnation("older", before["older"]))
                         for name in rest
                     ),
-                    made.serves("older"),
+                    made.is_serving("older"),
                 ],
                 BOUND_S,
             )
             for name in everyone:
                 assert await counted(made, name, "dropped_malformed") == 0
-                assert made[name].running and await counted(made, name, "hearers_failed") == 0
+                assert made[name].is_running and await counted(made, name, "hearers_failed") == 0
             sent.within(BYTES_S)
 
     run(main())
--- a/tests/test_together_heads.py
+++ b/tests/test_together_heads.py
@@ -10,8 +10,8 @@
 
 from hophinge.load.plan import LoadPlan
 from hophinge.load.rig.relay import Address
-from hophinge.load.rig.run import Run
-from hophinge.load.rig.waiting import Condition, always, until
+from hophinge.load.rig.run import RigRun
+from hophinge.load.rig.conditions import Condition, holds_while, wait_until
 from tests.together import BOUND_S, SOAK, all_see, counted, holds, none_dead, run, standings
 
 COUNT = 12 if SOAK else 4
@@ -23,16 +23,16 @@
 KINDS = ("dropped_unknown", "dropped_unauthentic", "dropped_too_long", "dropped_replayed")
 
 
-async def heads(made: Run, count: int, seeds: list[str]) -> list[str]:
+async def heads(made: RigRun, count: int, seeds: list[str]) -> list[str]:
     names = [f"n{at}" for at in range(count)]
     for at, name in enumerate(names):
-        await made.head(name, seeds=seeds, zone=f"z{at % 2}")
+        await made.add_head(name, seeds=seeds, zone=f"z{at % 2}")
     await made.processes.start(*names)
-    await until([made.ready(name) for name in names], BOUND_S)
+    await wait_until([made.is_ready(name) for name in names], BOUND_S)
     return names
 
 
-async def served(made: Run, name: str, first: int, count: int) -> int:
+async def served(made: RigRun, name: str, first: int, count: int) -> int:
     """How many of some requests a head answered with what a brick gave, each after the one before."""
     backends = len(made.platform.backends)
     return [await made.request(name, first + at, at % backends, TRIES) for at in range(count)].count(200)
@@ -40,25 +40,25 @@
 
 def test_all_running_heads_serve_while_one_is_stopped_and_others_are_killed(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Run(tmp_path, 21, PLAN) as made:
+        async with RigRun(tmp_path, 21, PLAN) as made:
             names = await heads(made, COUNT, ["n0", "n1"])
-            await until(all_see(made, names), BOUND_S)
-            await until([made.serves(name) for name in names], BOUND_S)
-            await made["n2"].stop()
+            await wait_until(all_see(made, names), BOUND_S)
+            await wait_until([made.is_serving(name) for name in names], BOUND_S)
+            await made["n2"].suspend()
             awake = [name for name in names if name != "n2"]
             standing = ("dead",) if SOAK else ("suspect", "dead")  # members alone wait for death in CI too
-            found = until([holds(made, name, ["n2"], *standing) for name in awake], BOUND_S)
-            serving = [*none_dead(made, awake), *map(made.serves, awake)]
-            assert await always(serving, found) > 0
-            made["n2"].wake()
-            assert await always(serving, until([*all_see(made, names), made.serves("n2")], BOUND_S)) > 0
+            found = wait_until([holds(made, name, ["n2"], *standing) for name in awake], BOUND_S)
+            serving = [*none_dead(made, awake), *map(made.is_serving, awake)]
+            assert await holds_while(serving, found) > 0
+            made["n2"].resume()
+            assert await holds_while(serving, wait_until([*all_see(made, names), made.is_serving("n2")], BOUND_S)) > 0
             assert await counted(made, "n2", "deaths") == 0
             # All but one are killed within a moment: it serves as before, whatever it holds of them.
             await made.processes.kill(*names[1:])
             assert await served(made, "n0", 1_000, REQUESTS) == REQUESTS
             # One that hears of nobody doubts itself first, so this takes longer the more there were.
-            await until([holds(made, "n0", names[1:], "suspect", "dead")], (8 if SOAK else 2) * BOUND_S)
-            await until([made.serves("n0"), made.ready("n0")], BOUND_S)
+            await wait_until([holds(made, "n0", names[1:], "suspect", "dead")], (8 if SOAK else 2) * BOUND_S)
+            await wait_until([made.is_serving("n0"), made.is_ready("n0")], BOUND_S)
 
     run(main())
 
@@ -67,23 +67,23 @@
     """Noise, cut-off datagrams of a member, and whole ones again: all are dropped and counted, requests are served."""
 
     async def main() -> None:
-        async with Run(tmp_path, 22, PLAN) as made:
+        async with RigRun(tmp_path, 22, PLAN) as made:
             names = await heads(made, 3, ["n0"])
             heard: list[bytes] = []
-            carry: Callable[[Address, str, bytes], None] = made.relay.carry
+            carry: Callable[[Address, str, bytes], None] = made.relay.forward
 
             def tapped(source: Address, target: str, data: bytes) -> None:
                 if target == "n0" and len(heard) < 50:
                     heard.append(data)
                 carry(source, target, data)
 
-            made.relay.carry = tapped  # type: ignore[method-assign, assignment]  # listens to what is carried
+            made.relay.forward = tapped  # type: ignore[method-assign, assignment]  # listens to what is carried
 
             async def enough() -> tuple[bool, str]:
                 return len(heard) >= 5, f"{len(heard)} datagrams"
 
-            await until([*all_see(made, names), Condition(made["n0"], "was sent five datagrams", enough)], BOUND_S)
-            host, _, port = made.where["n0"].peers.rpartition(":")
+            await wait_until([*all_see(made, names), Condition(made["n0"], "was sent five datagrams", enough)], BOUND_S)
+            host, _, port = made.endpoints["n0"].peers.rpartition(":")
             sent, flooding = 0, True
 
             async def flood() -> None:
@@ -103,34 +103,34 @@
 
             task = asyncio.create_task(flood())
             try:
-                assert await always(none_dead(made, names), served_all(made)) > 0
+                assert await holds_while(none_dead(made, names), served_all(made)) > 0
             finally:
                 flooding = False
                 await task
             dropped = {kind: await counted(made, "n0", kind) for kind in KINDS}
             assert sent > 1_000 and min(dropped.values()) > 10, dropped
-            assert standings((await made.ask("n0", "/ops/cluster"))[1]).keys() == set(names)
-            await until(all_see(made, names), BOUND_S)
+            assert standings((await made.get("n0", "/ops/cluster"))[1]).keys() == set(names)
+            await wait_until(all_see(made, names), BOUND_S)
 
     run(main())
 
 
-async def served_all(made: Run) -> None:
+async def served_all(made: RigRun) -> None:
     assert await served(made, "n0", 1, REQUESTS) == REQUESTS
 
 
 def test_heads_whose_seeds_are_all_dead_serve_like_a_head_without_peers(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Run(tmp_path, 23, PLAN) as made:
-            await made.head("alone", sections={})
-            await made.head("n0", seeds=["gone", "gone-too"])
+        async with RigRun(tmp_path, 23, PLAN) as made:
+            await made.add_head("alone", sections={})
+            await made.add_head("n0", seeds=["gone", "gone-too"])
             await made.processes.start("alone", "n0")
-            await until([made.ready("alone"), made.ready("n0")], BOUND_S)
-            await until([made.serves("alone"), made.serves("n0")], BOUND_S)
+            await wait_until([made.is_ready("alone"), made.is_ready("n0")], BOUND_S)
+            await wait_until([made.is_serving("alone"), made.is_serving("n0")], BOUND_S)
             found = await asyncio.gather(served(made, "alone", 1, REQUESTS), served(made, "n0", 1, REQUESTS))
             assert list(found) == [REQUESTS, REQUESTS]
-            assert standings((await made.ask("n0", "/ops/cluster"))[1]) == {"n0": "alive"}
-            assert (await made.ask("alone", "/ops/cluster"))[0] == 404
+            assert standings((await made.get("n0", "/ops/cluster"))[1]) == {"n0": "alive"}
+            assert (await made.get("alone", "/ops/cluster"))[0] == 404
             # Its memory is bounded, and it ends in order.
             assert made["n0"].resident_mb() < 4 * made["alone"].resident_mb()
             assert [await made[name].end() for name in ("alone", "n0")] == [0, 0]
--- a/tests/test_together_release.py
+++ b/tests/test_together_release.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hophinge.load.rig.waiting import ended, until
+from hophinge.load.rig.conditions import has_exited, wait_until
 from hophinge.maintenance.releases import rollout_order
 from tests.maintenance_rig import KILL, max_concurrent_permits, running_installation
 from tests.together import BOUND_S, SOAK, run
@@ -29,7 +29,7 @@
                 + RELEASE.format("r", " ".join(first), "2", "")
                 + RELEASE.format("s", " ".join(second), "3", "")
             )
-            await until([here.stage("done", "r"), here.stage("done", "s")], 2 * BOUND_S)
+            await wait_until([here.stage("done", "r"), here.stage("done", "s")], 2 * BOUND_S)
             assert here.builds == {**dict.fromkeys(first, "2"), **dict.fromkeys(second, "3")}
             await here.check(most)
             rows = [row[2] for row in await here.audit() if row[3] == "begun"]
@@ -59,13 +59,13 @@
                     )
                 ),
             )
-            await until([halted], 2 * BOUND_S)
+            await wait_until([halted], 2 * BOUND_S)
             assert here.builds[order[1]] == "2" and "3" not in here.builds.values()
             await here.push(words.format("(word back)") + other)
-            await until([here.stage("taken back"), here.stage("done" if SOAK else "rolling", "s")], 2 * BOUND_S)
+            await wait_until([here.stage("taken back"), here.stage("done" if SOAK else "rolling", "s")], 2 * BOUND_S)
             assert set(here.builds.values()) <= {"1", "3"} and {here.builds[name] for name in order[:-1]} == {"1"}
             if SOAK:
-                await until([here.up(count), here.made.serves(order[1])], BOUND_S)
+                await wait_until([here.up(count), here.made.is_serving(order[1])], BOUND_S)
                 assert here.builds[order[-1]] == "3"
             await here.check(most)
 
@@ -85,8 +85,8 @@
                 # Just after each store, before anybody is told; longer runs meet it just before each as well.
                 when = "before" if SOAK and struck["after"] == struck["before"] else "after"
                 here.strike("c", KILL, when)
-                dying = asyncio.create_task(until([ended(service)], BOUND_S))
-                finished = asyncio.create_task(until([done], BOUND_S))
+                dying = asyncio.create_task(wait_until([has_exited(service)], BOUND_S))
+                finished = asyncio.create_task(wait_until([done], BOUND_S))
                 await asyncio.wait([dying, finished], return_when=asyncio.FIRST_COMPLETED)
                 for task in (dying, finished):
                     task.cancel()
@@ -98,7 +98,7 @@
                 here.strike("c", KILL, "")
                 await service.start()
             here.strike("c", KILL, "")
-            await until([done, here.up(count)], BOUND_S)
+            await wait_until([done, here.up(count)], BOUND_S)
             assert struck["after"] >= 6 * len(names.split()) and (struck["before"] or not SOAK), struck
             assert {here.builds[name] for name in names.split()} == {"2"}
             await here.check(1)
--- a/tests/test_together_retirement.py
+++ b/tests/test_together_retirement.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from hophinge.load.rig.waiting import Condition, until
+from hophinge.load.rig.conditions import Condition, wait_until
 from tests.maintenance_rig import POOL, Installation, running_installation
 from tests.together import BOUND_S, holds, run
 
@@ -23,10 +23,10 @@
     async def main() -> None:
         async with running_installation(tmp_path, 3, 61) as here:
             made = here.made
-            await until([made.serves(name) for name in here.names], BOUND_S)
+            await wait_until([made.is_serving(name) for name in here.names], BOUND_S)
             await here.lose("n2")
             await here.push(BOUNDS.format("") + OUTAGE)
-            await until(
+            await wait_until(
                 [backend(here, "draining", "n2"), *(holds(made, name, ["n2"], "dead") for name in ("n0", "n1"))],
                 BOUND_S,
             )
@@ -37,17 +37,17 @@
             refused = await here.staff("Push", text=POOL + BOUNDS.format(" (retired n1)"))
             column = (POOL + BOUNDS.format(" (retired n1)")).index("n1)") + 1
             assert [line.startswith(f"the document:1:{column}: n1 ") for line in refused["mistakes"]] == [True], refused
-            await until([backend(here, "draining", "n2")], BOUND_S)
+            await wait_until([backend(here, "draining", "n2")], BOUND_S)
             await here.push(BOUNDS.format(" (retired n2)") + OUTAGE)
             drained = backend(here, "drained")
-            await until([drained], BOUND_S)
+            await wait_until([drained], BOUND_S)
             # The word is in the store: a service that was killed goes by it as well.
             await made["c"].kill()
             await made["c"].start()
-            await until([drained, here.tells("two up", lambda told: told["heads_up"] == 2)], BOUND_S)
+            await wait_until([drained, here.tells("two up", lambda told: told["heads_up"] == 2)], BOUND_S)
             # It was not gone: it counts again, hears of the drain with its stream, and only its word ends that anew.
             await here.find("n2")
-            await until([drained, here.up(3)], BOUND_S)
+            await wait_until([drained, here.up(3)], BOUND_S)
             done = made.platform.backends[0].served
             assert [await made.request(name, 7_000, 0) for name in here.names].count(200) == 0
             assert made.platform.backends[0].served == done
@@ -56,12 +56,12 @@
             # Gone once more, the same words still in the document: it is missed, and has to be named anew.
             await here.lose("n2")
             missed = here.tells("n2 is missed", lambda told: [row["name"] for row in told["absent"]] == ["n2"])
-            await until([missed, drained], BOUND_S)
+            await wait_until([missed, drained], BOUND_S)
             await made["c"].kill()
             await made["c"].start()
-            await until([missed, drained, here.tells("two up", lambda told: told["heads_up"] == 2)], BOUND_S)
+            await wait_until([missed, drained, here.tells("two up", lambda told: told["heads_up"] == 2)], BOUND_S)
             await here.push(BOUNDS.format(" (retired n2)") + OUTAGE)
-            await until([drained, here.tells("nobody is missed", lambda told: not told["absent"])], BOUND_S)
+            await wait_until([drained, here.tells("nobody is missed", lambda told: not told["absent"])], BOUND_S)
             await here.check(1)
 
     run(main())
