--- a/hophinge/admin/openapi.py
+++ b/hophinge/admin/openapi.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from hophinge.admin.api import LONGEST_PAGE, OPERATIONS, PAGE, TITLES, Operation
-from hophinge.admin.shapes import Problem
+from hophinge.admin.api import MAX_PAGE, OPERATIONS, DEFAULT_PAGE, PROBLEM_TITLES, Operation
+from hophinge.admin.schemas import Problem
 
-REF = "#/components/schemas/{name}"
+SCHEMA_REF = "#/components/schemas/{name}"
 
 
 def _statuses(operation: Operation) -> list[int]:
@@ -20,9 +20,9 @@
         found |= {413}
     if operation.method != "GET":
         found |= {409, 503, 507}
-    if operation.guarded or operation.name == "put_volume":
+    if operation.requires_if_match or operation.name == "put_volume":
         found |= {412, 428}
-    if operation.repeatable:
+    if operation.accepts_idempotency_key:
         found |= {422}
     return sorted(found)
 
@@ -32,26 +32,26 @@
         {"name": name, "in": "path", "required": True, "schema": {"type": "string"}}
         for name in re.findall(r"\{(\w+)\}", operation.path)
     ]
-    if operation.paged:
+    if operation.is_paged:
         rows += [
             {
                 "name": "limit",
                 "in": "query",
-                "schema": {"type": "integer", "minimum": 1, "maximum": LONGEST_PAGE, "default": PAGE},
+                "schema": {"type": "integer", "minimum": 1, "maximum": MAX_PAGE, "default": DEFAULT_PAGE},
             },
             {"name": "after", "in": "query", "schema": {"type": "string"}},
         ]
-    if operation.guarded or operation.name == "put_volume":
+    if operation.requires_if_match or operation.name == "put_volume":
         rows.append(
             {
                 "name": "If-Match",
                 "in": "header",
-                "required": operation.guarded,
+                "required": operation.requires_if_match,
                 "schema": {"type": "string"},
                 "description": "the ETag of the version that is to be changed, or *",
             }
         )
-    if operation.repeatable:
+    if operation.accepts_idempotency_key:
         rows.append(
             {
                 "name": "Idempotency-Key",
@@ -65,31 +65,36 @@
 
 @cache
 def description() -> dict[str, Any]:
-    """Tell the whole description."""
+    """Return the OpenAPI description as JSON values."""
     types = [one for operation in OPERATIONS for one in (operation.body, operation.answer) if one is not None]
-    _, schemas = msgspec.json.schema_components([*dict.fromkeys(types), Problem], ref_template=REF)
+    _, schemas = msgspec.json.schema_components([*dict.fromkeys(types), Problem], ref_template=SCHEMA_REF)
     paths: dict[str, dict[str, Any]] = {}
-    problem = {"application/problem+json": {"schema": {"$ref": REF.format(name="Problem")}}}
+    problem = {"application/problem+json": {"schema": {"$ref": SCHEMA_REF.format(name="Problem")}}}
     for operation in OPERATIONS:
-        good: dict[str, Any] = {"description": "done"}
+        success: dict[str, Any] = {"description": "done"}
         if operation.answer is not None:
-            good["content"] = {"application/json": {"schema": {"$ref": REF.format(name=operation.answer.__name__)}}}
+            success["content"] = {
+                "application/json": {"schema": {"$ref": SCHEMA_REF.format(name=operation.answer.__name__)}}
+            }
         elif operation.name == "describe":
-            good["content"] = {"application/json": {"schema": {"type": "object"}}}
-        made: dict[str, Any] = {
+            success["content"] = {"application/json": {"schema": {"type": "object"}}}
+        described: dict[str, Any] = {
             "operationId": operation.name,
             "parameters": _parameters(operation),
             "description": f"for {', '.join(sorted(operation.roles))}",
             "responses": {
-                str(operation.status): good,
-                **{str(status): {"description": TITLES[status], "content": problem} for status in _statuses(operation)},
+                str(operation.status): success,
+                **{
+                    str(status): {"description": PROBLEM_TITLES[status], "content": problem}
+                    for status in _statuses(operation)
+                },
             },
         }
         if operation.body is not None:
-            made["requestBody"] = {
-                "content": {"application/json": {"schema": {"$ref": REF.format(name=operation.body.__name__)}}}
+            described["requestBody"] = {
+                "content": {"application/json": {"schema": {"$ref": SCHEMA_REF.format(name=operation.body.__name__)}}}
             }
-        paths.setdefault(operation.path, {})[operation.method.lower()] = made
+        paths.setdefault(operation.path, {})[operation.method.lower()] = described
     return {
         "openapi": "3.1.0",
         "info": {"title": "hophinge administration", "version": "1"},
@@ -101,6 +106,6 @@
 
 
 @cache
-def text() -> bytes:
-    """Write it as JSON."""
+def encoded_description() -> bytes:
+    """Return the OpenAPI description as JSON."""
     return msgspec.json.encode(description())
--- a/hophinge/admin/operations.py
+++ b/hophinge/admin/operations.py
@@ -1,4 +1,4 @@
-"""Which calls the administration API has, who may make each, and the shapes of a call and its answer."""
+"""Operations of the administration API: their paths, roles and schemas; requests, responses and problems."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 from msgspec import Struct
 
-from hophinge.admin import shapes
+from hophinge.admin import schemas
 from hophinge.tenancy.records import Role
 
-PAGE, LONGEST_PAGE = 100, 500
-TITLES = {
+DEFAULT_PAGE = 100  # entries
+MAX_PAGE = 500
+PROBLEM_TITLES = {
     400: "The call is malformed",
     401: "A valid bearer token is needed",
     403: "This key may not do that",
@@ -26,25 +27,27 @@
     503: "Busy",
     507: "There is no room",
 }
-OPERATOR, ADMINISTRATOR, READER = "operator", Role.ADMINISTRATOR.value, Role.READER.value
-STAFF = frozenset({OPERATOR})
-OWNERS = frozenset({OPERATOR, ADMINISTRATOR})
-ALL = frozenset({OPERATOR, ADMINISTRATOR, READER})
+OPERATOR = "operator"
+ADMINISTRATOR = Role.ADMINISTRATOR.value
+READER = Role.READER.value
+OPERATOR_ONLY = frozenset({OPERATOR})
+TENANT_WRITERS = frozenset({OPERATOR, ADMINISTRATOR})
+TENANT_READERS = frozenset({OPERATOR, ADMINISTRATOR, READER})
 
 
-class Call(Struct, frozen=True):
-    """A request, as any front may give it; names of headers are in lower case."""
+class ApiRequest(Struct, frozen=True):
+    """A request, independent of the HTTP server; header names are in lower case."""
 
     method: str
     path: str
     query: Mapping[str, str] = {}
     headers: Mapping[str, str] = {}
     body: bytes = b""
-    peer: str = ""  # where it comes from
+    peer: str = ""  # address of the client
 
 
-class Reply(Struct):
-    """An answer."""
+class ApiResponse(Struct):
+    """A response, independent of the HTTP server."""
 
     status: int
     body: bytes = b""
@@ -52,23 +55,34 @@
 
 
 class Principal(Struct, frozen=True):
-    """Who calls."""
+    """The authenticated caller."""
 
-    name: str  # operator, or the key's id
+    name: str  # "operator", or the id of a key
     role: str
-    tenant: str = ""  # of a key; an operator has none
+    tenant: str = ""  # of a key; empty for the operator
 
 
 class ProblemError(Exception):
-    """A call that gets no good answer."""
+    """A request that is answered with a problem document (RFC 9457).
 
-    def __init__(self, status: int, detail: str = "", kind: str = "", wait_us: int = 0) -> None:
+    Args:
+        status: HTTP status.
+        detail: What is wrong with this request.
+        kind: Last part of the problem's type; empty: `status-` and the status.
+        retry_after_us: Advice for the Retry-After header; 0: none.
+
+    """
+
+    def __init__(self, status: int, detail: str = "", kind: str = "", retry_after_us: int = 0) -> None:
         super().__init__(detail)
-        self.status, self.detail, self.kind, self.wait_us = status, detail, kind or f"status-{status}", wait_us
+        self.status = status
+        self.detail = detail
+        self.kind = kind or f"status-{status}"
+        self.retry_after_us = retry_after_us
 
 
 class Operation(Struct, frozen=True):
-    """One call: its path has names in braces."""
+    """One operation; its path has parameters in braces."""
 
     name: str
     method: str
@@ -77,78 +91,94 @@
     answer: type | None
     status: int = 200
     body: type | None = None
-    paged: bool = False
-    guarded: bool = False  # wants If-Match
-    repeatable: bool = False  # takes Idempotency-Key
+    is_paged: bool = False
+    requires_if_match: bool = False  # a change of a version that the caller names
+    accepts_idempotency_key: bool = False
 
 
 OPERATIONS = (
-    Operation("list_tenants", "GET", "/v1/tenants", STAFF, shapes.TenantPage, paged=True),
+    Operation("list_tenants", "GET", "/v1/tenants", OPERATOR_ONLY, schemas.TenantPage, is_paged=True),
     Operation(
         "create_tenant",
         "PUT",
         "/v1/tenants/{tenant}",
-        STAFF,
-        shapes.TenantShown,
+        OPERATOR_ONLY,
+        schemas.TenantShown,
         201,
-        shapes.NewTenant,
-        repeatable=True,
+        schemas.NewTenant,
+        accepts_idempotency_key=True,
     ),
-    Operation("show_tenant", "GET", "/v1/tenants/{tenant}", ALL, shapes.TenantShown),
+    Operation("show_tenant", "GET", "/v1/tenants/{tenant}", TENANT_READERS, schemas.TenantShown),
     Operation(
         "change_tenant",
         "PATCH",
         "/v1/tenants/{tenant}",
-        STAFF,
-        shapes.TenantShown,
+        OPERATOR_ONLY,
+        schemas.TenantShown,
         200,
-        shapes.TenantChange,
-        guarded=True,
-        repeatable=True,
+        schemas.TenantChange,
+        requires_if_match=True,
+        accepts_idempotency_key=True,
     ),
     Operation(
-        "close_tenant", "DELETE", "/v1/tenants/{tenant}", STAFF, shapes.TenantShown, 202, guarded=True, repeatable=True
+        "close_tenant",
+        "DELETE",
+        "/v1/tenants/{tenant}",
+        OPERATOR_ONLY,
+        schemas.TenantShown,
+        202,
+        requires_if_match=True,
+        accepts_idempotency_key=True,
     ),
-    Operation("list_volumes", "GET", "/v1/tenants/{tenant}/volumes", ALL, shapes.VolumePage, paged=True),
+    Operation("list_volumes", "GET", "/v1/tenants/{tenant}/volumes", TENANT_READERS, schemas.VolumePage, is_paged=True),
     Operation(
         "put_volume",
         "PUT",
         "/v1/tenants/{tenant}/volumes/{bucket}",
-        OWNERS,
-        shapes.VolumeShown,
+        TENANT_WRITERS,
+        schemas.VolumeShown,
         200,
-        shapes.VolumeBody,
-        repeatable=True,
+        schemas.VolumeBody,
+        accepts_idempotency_key=True,
     ),
-    Operation("show_volume", "GET", "/v1/tenants/{tenant}/volumes/{bucket}", ALL, shapes.VolumeShown),
+    Operation("show_volume", "GET", "/v1/tenants/{tenant}/volumes/{bucket}", TENANT_READERS, schemas.VolumeShown),
     Operation(
         "remove_volume",
         "DELETE",
         "/v1/tenants/{tenant}/volumes/{bucket}",
-        OWNERS,
+        TENANT_WRITERS,
         None,
         204,
-        guarded=True,
-        repeatable=True,
+        requires_if_match=True,
+        accepts_idempotency_key=True,
     ),
-    Operation("list_keys", "GET", "/v1/tenants/{tenant}/keys", ALL, shapes.KeyPage, paged=True),
+    Operation("list_keys", "GET", "/v1/tenants/{tenant}/keys", TENANT_READERS, schemas.KeyPage, is_paged=True),
     Operation(
-        "create_key", "POST", "/v1/tenants/{tenant}/keys", OWNERS, shapes.KeyMade, 201, shapes.NewKey, repeatable=True
+        "create_key",
+        "POST",
+        "/v1/tenants/{tenant}/keys",
+        TENANT_WRITERS,
+        schemas.KeyMade,
+        201,
+        schemas.NewKey,
+        accepts_idempotency_key=True,
     ),
-    Operation("show_key", "GET", "/v1/tenants/{tenant}/keys/{key}", ALL, shapes.KeyShown),
+    Operation("show_key", "GET", "/v1/tenants/{tenant}/keys/{key}", TENANT_READERS, schemas.KeyShown),
     Operation(
         "rotate_key",
         "POST",
         "/v1/tenants/{tenant}/keys/{key}/rotate",
-        OWNERS,
-        shapes.KeyMade,
+        TENANT_WRITERS,
+        schemas.KeyMade,
         201,
-        shapes.Rotation,
-        repeatable=True,
+        schemas.Rotation,
+        accepts_idempotency_key=True,
+    ),
+    Operation(
+        "end_key", "DELETE", "/v1/tenants/{tenant}/keys/{key}", TENANT_WRITERS, None, 204, accepts_idempotency_key=True
     ),
-    Operation("end_key", "DELETE", "/v1/tenants/{tenant}/keys/{key}", OWNERS, None, 204, repeatable=True),
-    Operation("show_usage", "GET", "/v1/tenants/{tenant}/usage", ALL, shapes.UsageShown),
-    Operation("list_plans", "GET", "/v1/plans", ALL, shapes.Plans),
-    Operation("read_audit", "GET", "/v1/audit", STAFF, shapes.AuditPage, paged=True),
-    Operation("describe", "GET", "/v1/openapi.json", ALL, None),
+    Operation("show_usage", "GET", "/v1/tenants/{tenant}/usage", TENANT_READERS, schemas.UsageShown),
+    Operation("list_plans", "GET", "/v1/plans", TENANT_READERS, schemas.Plans),
+    Operation("read_audit", "GET", "/v1/audit", OPERATOR_ONLY, schemas.AuditPage, is_paged=True),
+    Operation("describe", "GET", "/v1/openapi.json", TENANT_READERS, None),
 )
--- a/hophinge/admin/shapes.py
+++ b/hophinge/admin/schemas.py
@@ -1,4 +1,8 @@
-"""Bodies and answers of the administration API; the description that clients get is made of these."""
+"""Bodies and answers of the administration API.
+
+The published description is generated from these classes: their names, their docstrings and their fields are part of
+the API and stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -155,16 +159,18 @@
     detail: str = ""
 
 
-def tenant_shown(held: Account, volumes: int, keys: int) -> TenantShown:
-    """Show a tenant."""
-    return TenantShown(held.name, held.state.value, held.quotas, held.shares, held.created_ms, held.note, volumes, keys)
+def tenant_answer(tenant: Account, volumes: int, keys: int) -> TenantShown:
+    """Return a tenant as the API shows it."""
+    return TenantShown(
+        tenant.name, tenant.state.value, tenant.quotas, tenant.shares, tenant.created_ms, tenant.note, volumes, keys
+    )
 
 
-def volume_shown(held: Bucket) -> VolumeShown:
-    """Show a bucket."""
-    return VolumeShown(held.name, held.id, held.plan, held.created_ms)
+def volume_answer(bucket: Bucket) -> VolumeShown:
+    """Return a bucket as the API shows it."""
+    return VolumeShown(bucket.name, bucket.id, bucket.plan, bucket.created_ms)
 
 
-def key_shown(held: Key) -> KeyShown:
-    """Show a key; never its digest."""
-    return KeyShown(held.id, held.role, held.created_ms, held.expires_ms, held.note)
+def key_answer(key: Key) -> KeyShown:
+    """Return a key as the API shows it, without its digest."""
+    return KeyShown(key.id, key.role, key.created_ms, key.expires_ms, key.note)
--- a/hophinge/cli/service.py
+++ b/hophinge/cli/service.py
@@ -9,8 +9,10 @@
 from pathlib import Path
 
 from hophinge.admin import openapi
-from hophinge.admin.api import Api
-from hophinge.admin.front import AdminFront, Purger, read_token, steady_us, wall_ms
+from hophinge.admin.api import AdminApi
+from hophinge.admin.clock import steady_us, wall_ms
+from hophinge.admin.listener import AdminListener, read_token
+from hophinge.admin.purger import Purger
 from hophinge.control.service import ControlService
 from hophinge.control.store import ControlStore
 from hophinge.core.counters import Counters
@@ -43,7 +45,7 @@
         self.time = SlewedClock(wall_ms(), steady_us(), self.ledger.last_change_ms())
         self.token = read_token(self.token_file)
         self.acceptor: Acceptor | None = None
-        self.front: AdminFront | None = None
+        self.front: AdminListener | None = None
         self.purging: asyncio.Task[None] | None = None
 
     def _take(self, rows: Iterable[Row]) -> None:
@@ -57,18 +59,18 @@
     def start(self, service: ControlService) -> None:
         """Listen; heads hear of changes through the service."""
         self.heard = service.streams.on_accounts_changed
-        api = Api(
+        api = AdminApi(
             self.ledger,
             self.accounts,
             lambda: self.plans,
             self.token,
             self.now_ms,
             steady_us,
-            openapi.text,
+            openapi.encoded_description,
             service.shares.reserves_shortfall,
             self.calls_s,
         )
-        self.front = AdminFront(api, Counters(), self.log)
+        self.front = AdminListener(api, Counters(), self.log)
         self.acceptor = Acceptor(*address(self.listen), self.front)
         # Heads abort what uploads are open at them; here there is nothing to abort.
         self.purging = asyncio.create_task(Purger(self.ledger, self.accounts, self.now_ms, self.log).run())
--- a/hophinge/control/quota_shares.py
+++ b/hophinge/control/quota_shares.py
@@ -105,7 +105,7 @@
             StoreError: They cannot, or no head has reported how many there are.
 
         """
-        if not head_capacity or _shortfall(reserves, 1, head_capacity) is None:
+        if not head_capacity or find_shortfall(reserves, {"one": head_capacity}) is None:
             return
         if not self.head_count:
             with contextlib.suppress(TimeoutError):
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -10,7 +10,8 @@
 
 import msgspec
 
-from hophinge.admin.front import Purger, steady_us
+from hophinge.admin.clock import steady_us
+from hophinge.admin.purger import Purger
 from hophinge.core import interface as api
 from hophinge.core.counters import Counters
 from hophinge.head.metering import Metering
--- a/hophinge/head/administration.py
+++ b/hophinge/head/administration.py
@@ -5,8 +5,9 @@
 from collections.abc import Callable
 
 from hophinge.admin import openapi
-from hophinge.admin.api import Api
-from hophinge.admin.front import AdminFront, read_token, steady_us
+from hophinge.admin.api import AdminApi
+from hophinge.admin.clock import steady_us
+from hophinge.admin.listener import AdminListener, read_token
 from hophinge.core.counters import Counters
 from hophinge.core.interface import Settings
 from hophinge.head.accounts import HeadAccounts
@@ -15,17 +16,17 @@
 
 def administration(
     accounts: HeadAccounts, config: AdminConfig, settings: Settings, counters: Counters, log: Callable[[str], None]
-) -> AdminFront:
+) -> AdminListener:
     """Make the listener; raises OSError and ValueError where its token cannot be used."""
     plans = frozenset(plan.name for plan in settings.plans)
-    made = Api(
+    made = AdminApi(
         accounts.ledger,
         accounts.accounts,
         lambda: plans,
         read_token(config.token_file),
         accounts.now_ms,
         steady_us,
-        openapi.text,
+        openapi.encoded_description,
         calls_s=config.calls_s,
     )
-    return AdminFront(made, counters, log)
+    return AdminListener(made, counters, log)
--- a/hophinge/head/components.py
+++ b/hophinge/head/components.py
@@ -14,7 +14,7 @@
 from hophinge.head.operator_config import OperatorConfig
 
 if TYPE_CHECKING:
-    from hophinge.admin.front import AdminFront
+    from hophinge.admin.listener import AdminListener
     from hophinge.head.accounts import HeadAccounts
     from hophinge.head.maintenance import HeadMaintenance
     from hophinge.head.service import Service
@@ -38,7 +38,7 @@
         log: Callable[[str], None],
     ) -> None:
         self.objects: ObjectFront | None = None
-        self.admin: AdminFront | None = None
+        self.admin: AdminListener | None = None
         self.accounts: HeadAccounts | None = None
         self.streamed: StreamedConfiguration | None = None
         self.cluster_services: ClusterServices | None = None
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from hophinge.admin.front import steady_us, wall_ms
+from hophinge.admin.clock import steady_us, wall_ms
 from hophinge.core.counters import Counters
 from hophinge.net.listener import INBOUND
 from hophinge.objects.account_access import AuthenticatedRequest
--- a/hophinge/telemetry/__init__.py
+++ b/hophinge/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What a head tells about itself beside the serving."""
+"""Export of a head's metrics."""
--- a/hophinge/telemetry/config.py
+++ b/hophinge/telemetry/config.py
@@ -1,4 +1,4 @@
-"""The settings of remote write, a part of the operator's file."""
+"""Settings of remote write, a section of the operator's file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RemoteWriteConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """Where counters are pushed."""
+    """Receiver of the metrics, and how they are pushed."""
 
     url: str
     interval_s: float = 15.0
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -162,7 +162,7 @@
 
 def test_the_description_of_the_api_is_the_recorded_one() -> None:
     """Names of shapes and their docstrings stand in it: a change of either is a change of what clients read."""
-    assert openapi.text() == (Path(__file__).parent / "fixtures" / "openapi.json").read_bytes()
+    assert openapi.encoded_description() == (Path(__file__).parent / "fixtures" / "openapi.json").read_bytes()
 
 
 def test_the_description_is_sound_and_the_server_answers_as_it_says(tmp_path: Path) -> None:
--- a/tests/test_admin_keys.py
+++ b/tests/test_admin_keys.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from hophinge.admin.api import OPERATIONS, Call
+from hophinge.admin.api import OPERATIONS, ApiRequest
 from tests import books
 from tests.administrator import TOKEN, caller
 from tests.stand_in import Wire, run
@@ -84,7 +84,7 @@
             assert int(to.answered.headers["Retry-After"]) >= 1
             assert to.service.admin is not None
             api, looked = to.service.admin.api, 0
-            assert len(api.guesses.buckets) == 1  # one place, whatever it makes up
+            assert len(api.failed_logins.buckets) == 1  # one place, whatever it makes up
             authenticate, now = api.accounts.authenticate, 10**12
             api.now_us = lambda: now
 
@@ -96,10 +96,12 @@
             api.accounts.authenticate = counting  # type: ignore[method-assign]
             for at in range(100_000):  # in ten seconds of its clock, by the same way without sockets
                 now += 100
-                call = Call("GET", "/v1/tenants", {}, {"authorization": f"Bearer hk{at:016x}.{at}"}, b"", "127.9.9.9")
+                call = ApiRequest(
+                    "GET", "/v1/tenants", {}, {"authorization": f"Bearer hk{at:016x}.{at}"}, b"", "127.9.9.9"
+                )
                 assert api.answer(call).status in (401, 429)
-            assert 20 <= looked <= 31 and len(api.guesses.buckets) == 2
-            good = Call("GET", "/v1/tenants", {}, {"authorization": f"Bearer {TOKEN}"}, b"", "127.8.8.8")
+            assert 20 <= looked <= 31 and len(api.failed_logins.buckets) == 2
+            good = ApiRequest("GET", "/v1/tenants", {}, {"authorization": f"Bearer {TOKEN}"}, b"", "127.8.8.8")
             assert api.answer(good).status == 200  # from elsewhere
 
     run(main())
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -19,7 +19,7 @@
 import pytest
 import typer
 
-from hophinge.admin import shapes
+from hophinge.admin import schemas
 from hophinge.cli import main
 from hophinge.cluster import messages as cluster_messages
 from hophinge.control import rollout
@@ -64,22 +64,22 @@
 
 # By a label that no rename touches: the class, and how it is written.
 STRUCTS: dict[str, tuple[Any, Encode]] = {
-    "admin: new tenant": (shapes.NewTenant, json_bytes),
-    "admin: tenant change": (shapes.TenantChange, json_bytes),
-    "admin: volume body": (shapes.VolumeBody, json_bytes),
-    "admin: new key": (shapes.NewKey, json_bytes),
-    "admin: rotation": (shapes.Rotation, json_bytes),
-    "admin: tenant": (shapes.TenantShown, json_bytes),
-    "admin: volume": (shapes.VolumeShown, json_bytes),
-    "admin: key": (shapes.KeyShown, json_bytes),
-    "admin: made key": (shapes.KeyMade, json_bytes),
-    "admin: page of tenants": (shapes.TenantPage, json_bytes),
-    "admin: page of volumes": (shapes.VolumePage, json_bytes),
-    "admin: page of keys": (shapes.KeyPage, json_bytes),
-    "admin: plans": (shapes.Plans, json_bytes),
-    "admin: usage": (shapes.UsageShown, json_bytes),
-    "admin: audit row": (shapes.AuditRow, json_bytes),
-    "admin: audit page": (shapes.AuditPage, json_bytes),
+    "admin: new tenant": (schemas.NewTenant, json_bytes),
+    "admin: tenant change": (schemas.TenantChange, json_bytes),
+    "admin: volume body": (schemas.VolumeBody, json_bytes),
+    "admin: new key": (schemas.NewKey, json_bytes),
+    "admin: rotation": (schemas.Rotation, json_bytes),
+    "admin: tenant": (schemas.TenantShown, json_bytes),
+    "admin: volume": (schemas.VolumeShown, json_bytes),
+    "admin: key": (schemas.KeyShown, json_bytes),
+    "admin: made key": (schemas.KeyMade, json_bytes),
+    "admin: page of tenants": (schemas.TenantPage, json_bytes),
+    "admin: page of volumes": (schemas.VolumePage, json_bytes),
+    "admin: page of keys": (schemas.KeyPage, json_bytes),
+    "admin: plans": (schemas.Plans, json_bytes),
+    "admin: usage": (schemas.UsageShown, json_bytes),
+    "admin: audit row": (schemas.AuditRow, json_bytes),
+    "admin: audit page": (schemas.AuditPage, json_bytes),
     "discovery: target": (discovery.Target, json_bytes),
     "discovery: list": (discovery.Listing, json_bytes),
     "discovery: what leaves": (discovery.DrainingEntry, json_bytes),
--- a/tests/test_remote_write.py
+++ b/tests/test_remote_write.py
@@ -16,7 +16,7 @@
 from hophinge.head.operator_config import OperatorConfig, StreamConfig
 from hophinge.tenancy.usage import FIELDS
 from hophinge.telemetry.config import RemoteWriteConfig
-from hophinge.telemetry.remote_write import PREFIX, RemoteWrite, WriteRequest, metrics
+from hophinge.telemetry.remote_write import PREFIX, RemoteWrite, WriteRequest, collect_metrics
 from tests.stand_in import Backend, Server, headers, run, until, world
 from tests.test_net import READ
 
@@ -109,7 +109,7 @@
 def test_what_may_pass_is_sent_again_and_what_may_not_is_dropped(
     status: int, tries: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("hophinge.telemetry.remote_write.FIRST_PAUSE_S", 0.01)
+    monkeypatch.setattr("hophinge.telemetry.remote_write.INITIAL_BACKOFF_S", 0.01)
 
     async def main() -> None:
         receiver, counters = Receiver(), Counters()
@@ -117,7 +117,7 @@
         receiver.answers = [status]
         push = RemoteWrite(RemoteWriteConfig(f"http://{receiver.endpoint}/"), "n", counters, dict, lambda: 1_000)
         push.sample()
-        task = asyncio.create_task(push._push())
+        task = asyncio.create_task(push._send_queued())
         await until(lambda: len(receiver.got) == tries and not push.queue)
         assert len(set(receiver.got)) == 1
         assert counters.counts["remote_write_sent"] == tries - 1
@@ -133,7 +133,7 @@
     async def main() -> None:
         counters = Counters()
         push = RemoteWrite(RemoteWriteConfig("http://127.0.0.1:9/", queue=3), "n", counters, dict, lambda: 1_000)
-        task = asyncio.create_task(push._push())
+        task = asyncio.create_task(push._send_queued())
         for number in range(5):
             counters.counts["requests_taken"] = number
             push.sample()
@@ -156,7 +156,7 @@
 
     exported = {
         name
-        for name, _ in metrics(
+        for name, _ in collect_metrics(
             Counters(), run(gauges()), None, {(f"tenant_{field}_total", (("tenant", "alba"),)): 0.0 for field in FIELDS}
         )
     }
--- a/tests/test_tenancy_usage.py
+++ b/tests/test_tenancy_usage.py
@@ -11,7 +11,7 @@
 
 from hophinge.core.counters import Counters
 from hophinge.state.ledger import Ledger
-from hophinge.telemetry.remote_write import metrics
+from hophinge.telemetry.remote_write import collect_metrics
 from hophinge.tenancy.accounts import Accounts
 from hophinge.tenancy.caller_rate_limits import CallerRateLimits
 from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
@@ -114,7 +114,7 @@
     }
     name, found = (
         "hophinge_tenant_served_total",
-        metrics(Counters(), {}, None, {("tenant_served_total", (("tenant", "t0"),)): 1.0}),
+        collect_metrics(Counters(), {}, None, {("tenant_served_total", (("tenant", "t0"),)): 1.0}),
     )
     assert found[name, (("tenant", "t0"),)] == 1.0
 
