--- a/tests/end_mutants.py
+++ b/tests/forwarding_mutants.py
@@ -1,4 +1,4 @@
-"""One-line mutants of how what ends keeps what it owes."""
+"""One-line mutants of request forwarding: drains, connection reuse, outstanding responses, retry budgets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 BUDGET = "tests/test_fleet_budget.py::"
 STEPS = "tests/test_fleet_failing_steps.py::"
 
-ENDS = (
+FORWARDING_MUTANTS = (
     Mutant(
         "a connection in use is closed with its pool",
         "fleet/dataplane/connections",
@@ -21,63 +21,63 @@
         ENDED + "test_an_answer_under_way_comes_whole_and_its_connection_closes_behind_it",
     ),
     Mutant(
-        "a retired connection stays open behind its last answer",
+        "a retired connection stays open after its last response",
         "fleet/dataplane/connections",
         "if is_last or not (super()",
         "if not (super()",
         ENDED + "test_an_answer_under_way_comes_whole_and_its_connection_closes_behind_it",
     ),
     Mutant(
-        "a pool of an ended instance stays for ever",
+        "the pool of an unregistered instance is never removed",
         "fleet/dataplane/upstream",
         "            if pool.claims.release(claim):\n                self._remove(identity, pool)",
         "            pool.claims.release(claim)",
         ENDED + "test_a_request_whose_answer_has_not_begun_is_answered",
     ),
     Mutant(
-        "what is retired is claimed anew",
+        "a retired resource gets a new claim",
         "fleet/forwarding/claims",
         "        if self.is_retired:\n            return None\n",
         "",
         CLAIMS + "test_a_retired_resource_closes_once_with_its_last_claim",
     ),
     Mutant(
-        "it closes with its first claim",
+        "a retired resource closes with its first claim",
         "fleet/forwarding/claims",
         "return was_held and self.is_retired and not self._deadlines",
         "return was_held and self.is_retired",
         CLAIMS + "test_a_retired_resource_closes_once_with_its_last_claim",
     ),
     Mutant(
-        "an answer that is out is taken for a client that left",
+        "a complete response counts as a disconnect",
         "fleet/dataplane/client",
         "if work.done() or is_answered():",
         "if work.done():",
         CLAIMS + "test_work_with_a_complete_response_is_not_cancelled",
     ),
     Mutant(
-        "an ended instance gets new requests",
+        "an unregistered instance gets new requests",
         "fleet/dataplane/upstream",
         "if identity in self.unregistered or (pool is not None and pool.claims.is_retired):",
         "if False:",
         ENDED + "test_an_instance_that_has_ended_gets_nothing_new_and_one_that_is_back_does",
     ),
     Mutant(
-        "the end waits for work and not for bytes",
+        "the drain waits for work and not for buffers",
         "fleet/transport/server",
         "bool(self.server_state.connections or self.server_state.tasks)",
         "bool(self.server_state.tasks)",
         PROCESS + "test_a_buffered_response_is_sent_before_the_process_ends",
     ),
     Mutant(
-        "the end cancels the tidying behind an answer",
+        "the drain cancels the cleanup after a response",
         "fleet/transport/server",
         "bool(self.server_state.connections or self.server_state.tasks)",
         "bool(self.server_state.connections)",
         PROCESS + "test_the_cleanup_after_a_response_is_completed_before_the_process_ends",
     ),
     Mutant(
-        "who waits is not told at the end",
+        "pending requests are not answered at the drain's deadline",
         "fleet/transport/server",
         "            on_deadline()\n",
         "",
@@ -91,84 +91,84 @@
         STEPS + "test_occasional_failures_of_a_periodic_step_do_not_end_the_program",
     ),
     Mutant(
-        "rests that have begun stay short",
+        "present idle time is not extended by longer bounds",
         "fleet/transport/connection_state",
         "self.idle_s = max(self.idle_s, bounds.idle_s)",
         "pass",
         PROCESS + "test_a_longer_idle_time_applies_to_connections_that_are_idle_already",
     ),
     Mutant(
-        "a refusal is written into an answer",
+        "a rejection is written into a response",
         "fleet/transport/connection_state",
         "if self.outstanding or self.close_reason is None or self.is_closed:",
         "if self.close_reason is None or self.is_closed:",
         STATE + "test_responses_go_out_in_order_and_the_connection_closes_after_the_last",
     ),
     Mutant(
-        "what is read behind the end is served",
+        "a request read after the close is served",
         "fleet/transport/connection_state",
         "is_served = self.close_reason is None",
         "is_served = True",
         WIRE + "test_a_request_read_during_shutdown_is_rejected_in_turn",
     ),
     Mutant(
-        "a close that an answer asks for waits for nobody",
+        "a close requested by a response does not wait",
         "fleet/transport/server_connection",
         "            self._perform(self.state.request_close())",
         "            self._close()",
         WIRE + "test_a_request_read_during_shutdown_is_rejected_in_turn",
     ),
     Mutant(
-        "only the newest request learns that its client left",
+        "only the latest request is notified of a disconnect",
         "fleet/transport/server_connection",
         "        for cycle in self.cycles:\n            self._disconnect(cycle)",
         "        self._disconnect(self.cycle)",
         WIRE + "test_a_disconnect_reaches_the_request_in_flight_and_no_waiting_one_begins",
     ),
     Mutant(
-        "a header is bounded once it is whole",
+        "the size of an incomplete header is not limited",
         "fleet/transport/connection_state",
         "self.header_bytes > self.bounds.header_bytes",
         "False",
         WIRE + "test_an_endless_header_is_rejected_at_its_size_limit",
     ),
     Mutant(
-        "a body behind a wish for an upgrade is lost",
+        "the body of a request with an upgrade is lost",
         "fleet/transport/server_connection",
         " + data[upgrade.args[0] :])",
         ")",
         WIRE + "test_requests_in_any_chunks_are_answered_and_invalid_bytes_get_400_after_them",
     ),
     Mutant(
-        "half a body is waited for",
+        "an incomplete body has no timeout",
         "fleet/transport/connection_state",
         "if not self.is_accepting or self.outstanding > (self.read_state is ReadState.BODY):",
         "if not self.is_accepting or self.outstanding:",
         WIRE + "test_a_body_that_does_not_arrive_gets_408",
     ),
     Mutant(
-        "a head that knows nobody takes the whole slack",
+        "a head without known heads gets the complete slack",
         "fleet/forwarding/budget",
         "self.slack / heads if heads else 0.0",
         "self.slack / max(1, heads)",
         BUDGET + "test_restarted_heads_spend_no_share_that_others_may_have_spent",
     ),
     Mutant(
-        "a life forgets what the one before it spent",
+        "a restarted head forgets what its predecessor spent",
         "fleet/forwarding/budget",
         "            slack *= STARTUP_FRACTION\n",
         "            pass\n",
         BUDGET + "test_restarted_heads_spend_no_share_that_others_may_have_spent",
     ),
     Mutant(
-        "instances that refuse are asked again at once",
+        "instances that refuse are retried without backoff",
         "fleet/forwarding/request_lifecycle",
         "min(INITIAL_BACKOFF_S * 2**self.retry_rounds, MAX_BACKOFF_S)",
         "0.0",
         "tests/test_fleet_request_lifecycle.py::test_a_retry_round_begins_after_an_exponential_backoff",
     ),
     Mutant(
-        "bodies have no bound together",
+        "bodies have no common limit",
         "fleet/transport/asgi",
         "            raise BodyMemoryFullError\n",
         "            pass\n",
@@ -189,7 +189,7 @@
         "tests/test_fleet_aborts.py::test_a_head_may_abort_at_its_drain_timeout_and_not_after_a_failure",
     ),
     Mutant(
-        "an answer that has begun is cut by a refusal",
+        "a started response is aborted by a rejection",
         "fleet/transport/connection_state",
         "self.outstanding > 0 and not is_response_started",
         "self.outstanding > 0",
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -6,12 +6,12 @@
 
 from tests.coordination_mutants import COORDINATION
 from tests.decision_mutants import DECISIONS
-from tests.end_mutants import ENDS
+from tests.forwarding_mutants import FORWARDING_MUTANTS
 from tests.mutant import Mutant, install
 from tests.failure_mutants import FAILURE_MUTANTS
 
 CHOSEN = "HOPHINGE_MUTANT"
-MUTANTS = (*COORDINATION, *DECISIONS, *ENDS, *FAILURE_MUTANTS)
+MUTANTS = (*COORDINATION, *DECISIONS, *FORWARDING_MUTANTS, *FAILURE_MUTANTS)
 
 
 def chosen() -> Mutant | None:
