--- a/hophinge/head/cluster_member.py
+++ b/hophinge/head/cluster_member.py
@@ -1,4 +1,4 @@
-"""Composition of a member from `[cluster]`: its endpoint, its hearers, and what is told of it to operators."""
+"""A cluster member made from the `[cluster]` section: its endpoint, its subscribers and its status."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def build_of_program() -> str:
-    """Tell this program's version as members show it."""
+    """Return this program's version as members publish it."""
     try:
         return importlib.metadata.version("hophinge")
     except importlib.metadata.PackageNotFoundError:
@@ -22,7 +22,7 @@
 
 
 class ClusterMember:
-    """One process among its peers. `sight` and `board` are what other parts rest on."""
+    """One process among its peers."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         build: str = "",
         tuning: Tuning | None = None,
     ) -> None:
-        """Take the socket and read the keys; raises a HophingeError that names the setting. Needs a running loop."""
+        """Bind the socket and read the keys, in a running event loop; raises HophingeError naming the setting."""
         self.say = say
         self.endpoint = MemberEndpoint(
             config.name or name,
@@ -52,36 +52,36 @@
 
     @property
     def membership(self) -> MembershipView:
-        """Tell who the members are."""
+        """The members as this process knows them."""
         return self.endpoint.machine
 
     @property
     def entries(self) -> ReplicatedEntries:
-        """Tell the entries."""
+        """The replicated entries."""
         return self.endpoint.machine
 
     def subscribe(self, hearer: Subscriber) -> None:
-        """Tell a hearer of all changes from now on."""
+        """Notify a subscriber of all changes from now on."""
         self.endpoint.subscribers.append(hearer)
 
     def start(self) -> None:
-        """Begin to reach others; without any, this process goes on alone."""
+        """Join the cluster; without peers the process runs alone."""
         self.endpoint.start()
         self.say(f"{self.membership.own_name} is a member at {self.endpoint.address}")
 
     def reload(self) -> None:
-        """Read the keys again, at SIGHUP; an unusable file leaves them as they were and is told."""
+        """Reload the keys, at SIGHUP; an unusable file is logged and changes nothing."""
         try:
             self.endpoint.reload()
         except HophingeError as error:
             self.say(f"the cluster's keys are kept as they were: {one_line(error)}")
 
     def leave(self) -> None:
-        """Tell others that this process leaves, at its end."""
+        """Announce that this process leaves."""
         self.endpoint.leave()
 
     def status(self) -> dict[str, Any]:
-        """Tell members and counters, for `/ops/cluster`."""
+        """Return members and counters, for `/ops/cluster`."""
         core = self.endpoint.machine.core
         failed = self.endpoint.conflict
         return {
--- a/hophinge/head/cluster_services.py
+++ b/hophinge/head/cluster_services.py
@@ -1,4 +1,4 @@
-"""Makes what a head does together with other processes; each part is off, and not imported, without its section."""
+"""The services that a head shares with its peers; each is disabled, and not imported, without its section."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 
 if TYPE_CHECKING:
     from hophinge.head.accounts import HeadAccounts
+    from hophinge.head.sections import PopularityConfig
     from hophinge.head.cluster_member import ClusterMember
     from hophinge.head.popularity import HeadPopularity
     from hophinge.head.scoring import Scoring
@@ -21,7 +22,7 @@
 
 
 class ClusterServices:
-    """A head's place among its peers, its scorers and what it knows of popularity."""
+    """A head's cluster membership, its scorers and its popularity prediction."""
 
     def __init__(
         self,
@@ -32,7 +33,12 @@
         store: ObjectStore | None = None,
         accounts: HeadAccounts | None = None,
     ) -> None:
-        """Take the member's socket; raises a HophingeError that names the setting. Needs a running loop."""
+        """Bind the member's socket, in a running event loop.
+
+        Raises:
+            HophingeError: a setting cannot be used; its text names the setting.
+
+        """
         self.member: ClusterMember | None = None
         self.scoring: Scoring | None = None
         self.popularity: HeadPopularity | None = None
@@ -48,47 +54,55 @@
                 self.scoring.share(self.member.membership.own_name, self.member.entries)
         if operator.popularity is not None:
             assert store is not None and accounts is not None, "the operator's file is checked"
-            from hophinge.head.popularity import HeadPopularity
+            self.popularity = self._popularity(operator.popularity, store, accounts, log)
+            if self.scoring is not None:
+                self.scoring.expect(self.popularity)
 
-            def owner_of(volume: str) -> tuple[str, str] | None:
-                held = accounts.accounts.volumes.get(volume)
-                return (held.tenant, held.plan) if held is not None else None
+    def _popularity(
+        self, config: PopularityConfig, store: ObjectStore, accounts: HeadAccounts, log: Callable[[str], None]
+    ) -> HeadPopularity:
+        """Create the prediction; a tenant that ends is dropped from its cache, too."""
+        from hophinge.head.popularity import HeadPopularity
 
-            sight, board = (self.member.membership, self.member.entries) if self.member is not None else (None, None)
-            self.popularity = popularity = HeadPopularity(operator.popularity, store, owner_of, log, sight, board)
-            before = accounts.tenant_ended
+        def owner_of(volume: str) -> tuple[str, str] | None:
+            bucket = accounts.accounts.volumes.get(volume)
+            return (bucket.tenant, bucket.plan) if bucket is not None else None
 
-            def tenant_ended(tenant: str) -> None:
-                before(tenant)
-                popularity.cache.remove_tenant(tenant)
+        membership = self.member.membership if self.member is not None else None
+        entries = self.member.entries if self.member is not None else None
+        popularity = HeadPopularity(config, store, owner_of, log, membership, entries)
+        previous_hook = accounts.tenant_ended
 
-            accounts.tenant_ended = tenant_ended
-            if self.scoring is not None:
-                self.scoring.expect(self.popularity)
+        def tenant_ended(tenant: str) -> None:
+            previous_hook(tenant)
+            popularity.cache.remove_tenant(tenant)
+
+        accounts.tenant_ended = tenant_ended
+        return popularity
 
     def start(self) -> list[asyncio.Task[None]]:
-        """Reach others, and tell what runs on until it is cancelled."""
+        """Join the cluster; returns the tasks that run until they are cancelled."""
         if self.member is not None:
             self.member.start()
         return [asyncio.create_task(part.run()) for part in (self.scoring, self.popularity) if part is not None]
 
     def reload(self) -> None:
-        """Read the keys of the cluster again."""
+        """Reload the cluster's keys."""
         if self.member is not None:
             self.member.reload()
 
     def close(self) -> None:
-        """Leave."""
+        """Leave the cluster and close its socket."""
         if self.member is not None:
             self.member.leave()
             self.member.endpoint.close()
 
     def gauges(self) -> dict[str, float]:
-        """Tell what alerts look at."""
+        """Return the metrics that alerts use."""
         return self.scoring.gauges() if self.scoring is not None else {}
 
     def operations_calls(self) -> dict[str, Callable[[], str]]:
-        """Tell what staff may ask of it at the second address."""
+        """Return the services' calls at the operators' server, by path."""
         found: dict[str, Callable[[], str]] = {}
         member = self.member
         if member is not None:
--- a/hophinge/head/components.py
+++ b/hophinge/head/components.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a head that the operator's file switches on; what is off is not even imported."""
+"""Creates the optional components of a head that the operator's file enables; a disabled one is not imported."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
     from hophinge.head.service import Service
     from hophinge.head.streamed_configuration import StreamedConfiguration
     from hophinge.head.cluster_services import ClusterServices
+    from hophinge.objects.config import ObjectConfig
     from hophinge.objects.front import ObjectFront
     from hophinge.net.operations_server import OperationsServer
     from hophinge.net.frontend import Frontend
@@ -27,7 +28,7 @@
 
 
 class OptionalComponents:
-    """What is on; made before a session is opened, as the file can still be refused for any of it."""
+    """The enabled components, created before any session is opened, as the file may still be rejected."""
 
     def __init__(
         self,
@@ -42,25 +43,11 @@
         self.accounts: HeadAccounts | None = None
         self.streamed: StreamedConfiguration | None = None
         self.cluster_services: ClusterServices | None = None
-        copied = operator.stream is not None and operator.stream.accounts
-        if operator.objects is not None or copied:
-            from hophinge.head.accounts import HeadAccounts  # SQLite, and what the platform's head has no use for
-
-            folder = operator.stream.folder if operator.stream is not None else Path()
-            ledger = operator.objects.tenants.with_suffix(".db") if operator.objects else folder / "accounts.db"
-            self.accounts = HeadAccounts(
-                ledger, operator.objects.tenants if operator.objects else None, copied, counters, log
-            )
+        replicates_accounts = operator.stream is not None and operator.stream.accounts
+        if operator.objects is not None or replicates_accounts:
+            self.accounts = _accounts(operator, replicates_accounts, counters, log)
         if operator.objects is not None and self.accounts is not None:
-            from hophinge.objects.front import ObjectFront
-            from hophinge.objects.chunk_store import ChunkStore
-            from hophinge.objects.object_store import ObjectStore
-
-            store = ObjectStore(ChunkStore(exchange, operator.objects))
-            store.chunk_store.on_served = self.accounts.count_units
-            self.objects = ObjectFront(store, self.accounts, operator.objects, counters, log)
-            self.accounts.front = self.objects
-            self.accounts.store = store
+            self.objects = _object_front(operator.objects, self.accounts, exchange, counters, log)
             if operator.admin is not None:
                 from hophinge.head.administration import administration
 
@@ -79,7 +66,7 @@
             )
 
     def connect(self, front: Frontend, control: OperationsServer | None) -> None:
-        """Have the platform's front keep to the stream's limits, and staff be told of all that is on."""
+        """Apply the stream's limits to the frontends, and add the components' calls to the operators' server."""
         if self.streamed is not None:
             front.rate_limit = self.streamed.throttle
             if self.objects is not None:
@@ -88,7 +75,7 @@
             control.reports |= self.operations_calls()
 
     def operations_calls(self) -> dict[str, Callable[[], str]]:
-        """Tell what else staff may ask of at the second address, by path."""
+        """Return the components' calls at the operators' server, by path."""
         found: dict[str, Callable[[], str]] = (
             self.cluster_services.operations_calls() if self.cluster_services is not None else {}
         )
@@ -97,6 +84,35 @@
         return found
 
 
+def _accounts(
+    operator: OperatorConfig, is_replica: bool, counters: Counters, log: Callable[[str], None]
+) -> HeadAccounts:
+    from hophinge.head.accounts import HeadAccounts  # SQLite, which the platform's head has no use for
+
+    folder = operator.stream.folder if operator.stream is not None else Path()
+    ledger = operator.objects.tenants.with_suffix(".db") if operator.objects else folder / "accounts.db"
+    return HeadAccounts(ledger, operator.objects.tenants if operator.objects else None, is_replica, counters, log)
+
+
+def _object_front(
+    config: ObjectConfig,
+    accounts: HeadAccounts,
+    exchange: Exchange,
+    counters: Counters,
+    log: Callable[[str], None],
+) -> ObjectFront:
+    from hophinge.objects.chunk_store import ChunkStore
+    from hophinge.objects.front import ObjectFront
+    from hophinge.objects.object_store import ObjectStore
+
+    store = ObjectStore(ChunkStore(exchange, config))
+    store.chunk_store.on_served = accounts.count_units
+    front = ObjectFront(store, accounts, config, counters, log)
+    accounts.front = front
+    accounts.store = store
+    return front
+
+
 def remote_write(
     config: Config,
     operator: OperatorConfig,
--- a/hophinge/head/drain_schedule.py
+++ b/hophinge/head/drain_schedule.py
@@ -1,4 +1,4 @@
-"""What a head still takes once it has been told to end, class by class, by what can be answered before it is killed."""
+"""Which requests a draining head still accepts, by class: those it can answer before SIGKILL."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DrainSchedule:
-    """Decides from the signal on; times are microseconds of one clock."""
+    """The deadlines of a shutdown, in microseconds of one clock, counted from the signal."""
 
     def __init__(self, classes: Sequence[api.RequestClass], signalled_us: int) -> None:
         longest_us = max(klass.deadline_us for klass in classes)
@@ -28,7 +28,7 @@
         self.close_at_us = max(signalled_us, self.answer_by_us - min(self.min_time_us))
 
     def left_us(self, klass: int, time_left_us: int, now_us: int) -> int:
-        """Tell how long a request of a class may take; 0 where it can hardly be answered in time.
+        """Return the microseconds that a request of a class may take; 0 where it cannot be answered in time.
 
         One whose own client waits no longer than is left keeps its time: the end changes nothing for it.
         """
@@ -38,5 +38,5 @@
         return left if left >= self.min_time_us[klass] else 0
 
     def rejects_all(self, now_us: int) -> bool:
-        """Tell whether no class is taken any more, so that connections end."""
+        """Return whether no class is accepted any more, so that connections are closed."""
         return now_us >= self.close_at_us
--- a/hophinge/head/limits.py
+++ b/hophinge/head/limits.py
@@ -1,4 +1,4 @@
-"""How what the machine allows is divided: sockets between bricks and clients, memory for bodies on their way."""
+"""Divides the machine's limits: sockets between backends and clients, memory for bodies in flight."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ProcessLimits(NamedTuple):
-    """What one process may use."""
+    """The limits of one process."""
 
     body_bytes: int  # bytes on their way
     backend_connections: int  # connections to all bricks
@@ -32,7 +32,7 @@
 
 
 def divide_limits(limits: Limits, processes: int, used_elsewhere: int, gateways: int, control: bool) -> ProcessLimits:
-    """Divide memory for bodies, and what is left of the descriptors when so many are another process's.
+    """Return the limits of a process when another process uses so many of the descriptors.
 
     A connection carries one request, so these bound busy ones; idle ones are among them. Clients that say nothing
     need room besides those that ask, bricks do not.
--- a/hophinge/head/log.py
+++ b/hophinge/head/log.py
@@ -1,4 +1,4 @@
-"""The head's log: lines on standard output, which nothing else waits for."""
+"""The head's log: lines on standard output, which never block the head."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class StdoutReadiness:
-    """Whether the log's reader leaves room for a piece."""
+    """Whether standard output accepts a write, as its reader keeps up."""
 
     def __init__(self) -> None:
         self.wait_ms = READER_TIMEOUT_MS
 
     def is_writable(self) -> bool:
-        """Tell whether a piece can be written at once, after a moment at most."""
+        """Return whether a write would not block, waiting briefly for a reader that is behind."""
         try:
             descriptor = sys.stdout.fileno()
         except (OSError, ValueError):  # no file of the system's: it keeps nobody waiting
@@ -37,7 +37,7 @@
 
 
 def write_line(text: str) -> None:
-    """Write to the log; what can't be written is lost and ends nothing else.
+    """Write a line to the log; one that cannot be written is dropped.
 
     Its reader may have gone or stand still, its disk may be full: a head that waited for that would serve nobody.
     """
@@ -50,7 +50,7 @@
 
 
 class LibraryLogHandler(logging.Handler):
-    """What the libraries log, as lines of the head's."""
+    """Writes the libraries' log records as lines of the head's log."""
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write a record."""
@@ -58,6 +58,6 @@
 
 
 def log_task_failure(task: asyncio.Task[None]) -> None:
-    """Log the end of a task that should run as long as its head, unless it was cancelled."""
+    """Log the failure of a task that should run as long as its head."""
     if not task.cancelled() and (error := task.exception()) is not None:
         write_line(f"a part of the head has ended, all else goes on: {one_line(error)}")
--- a/hophinge/head/main_import.py
+++ b/hophinge/head/main_import.py
@@ -1,4 +1,4 @@
-"""The import of the service, without what a head on its own settings never uses.
+"""Imports the head's main function without what a head without an operator's file never uses.
 
 aiohttp makes a TLS context as it is imported, and reading the machine's certificates for it is a sixth of a start. A
 head without an operator's file speaks plain HTTP alone, so its context holds none: it would trust nobody.
@@ -15,7 +15,7 @@
 
 
 def import_main(environ: MutableMapping[str, str] = os.environ) -> Callable[[], int]:
-    """Import the service; tells what runs it."""
+    """Import and return the main function."""
     kept = {name: environ.get(name) for name in CERTIFICATES}
     if not environ.get(OPERATOR_FILE):
         environ.update(dict.fromkeys(CERTIFICATES, os.devnull))
--- a/hophinge/head/metering.py
+++ b/hophinge/head/metering.py
@@ -1,4 +1,4 @@
-"""Accounts' rows at a head, the clock that keys end by, and usage: counted, stored, reported and exported."""
+"""The accounts' rows at a head, the clock by which keys expire, and usage: counted, stored, reported, exported."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Metering:
-    """The accounts' rows as this head has them, and the usage that it counts by them."""
+    """The replica of the accounts at this head, and the usage that it counts by tenant."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.exported = used.LabelledTotals()
 
     def now_ms(self) -> int:
-        """Tell the time that keys end by."""
+        """Return the time by which keys expire, in milliseconds since the Unix epoch."""
         now = self.time.now_ms(wall_ms(), steady_us())
         off = abs(self.time.wall_clock_ahead_ms(wall_ms())) > MAX_CLOCK_OFFSET_MS
         if off is not self.clock_offset_logged:
@@ -63,7 +63,7 @@
         self.exported.add(tenant, field, amount)
 
     def series(self) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
-        """Tell what tenants used since the start, for remote write."""
+        """Return the usage of tenants since the start, for remote write."""
         return {
             (f"tenant_{field}_total", (("tenant", tenant),)): amount
             for (tenant, field), amount in self.exported.counts.items()
@@ -79,12 +79,12 @@
         self.count(guest.tenant, guest.volume.id, end, 1)
 
     def count_units(self, volume: str, units: float) -> None:
-        """Count units that bricks served."""
+        """Count units that backends served."""
         if tenant := self.accounts.owner(volume):
             self.count(tenant, volume, used.UNITS, units)
 
     def flush(self) -> None:
-        """Store what was counted; what cannot be stored now comes with the next flush."""
+        """Store the counted usage; what cannot be stored is part of the next flush."""
         amounts = self.usage.begin_flush()
         try:
             if amounts:
@@ -99,7 +99,7 @@
                 self.log(f"usage waits to be stored: {error}")
 
     def replicate(self, receiver: AccountReceiver, chunk: AccountChunk) -> bool:
-        """Write a part of the control service's accounts; False: it could not be, and is to be tried again."""
+        """Store a chunk of the control service's accounts; returns False where that has to be retried."""
         rows = receiver.receive(chunk)
         if rows is not None:
             try:
@@ -111,6 +111,6 @@
         return True
 
     def next_usage_report(self, most: int) -> tuple[int, Mapping[used.UsageKey, float]]:
-        """Tell totals that the control service does not know yet, under a number."""
+        """Return the number and the totals of the next report to the control service."""
         number, places = self.reports.next_report(most)
         return number, self.ledger.reporter_totals(LOCAL_REPORTER, places)
--- a/hophinge/head/process_handoff.py
+++ b/hophinge/head/process_handoff.py
@@ -1,4 +1,4 @@
-"""What the two processes of an upgrade share by files: how many live, and which bricks are out by hand."""
+"""State that the two processes of an upgrade share by files: which are alive, and the manual ejections."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class EjectionFile(msgspec.Struct):
-    """The file of marks. A version that is not known is left alone."""
+    """The file of manual ejections; one of an unknown version is left alone."""
 
     version: int
     marks: dict[str, ManualEjection]
 
 
 class ProcessHandoff:
-    """The files of one process beside the other's.
+    """The shared files of one process.
 
     Each process holds a file locked while it lives; the kernel lets go of it however the process ends. Marks are
     merged, the newer counts; who finds that the file lacks a mark writes it whole again, so no write is lost for long.
@@ -56,11 +56,11 @@
 
     @property
     def processes(self) -> int:
-        """How many processes the head's parts are to be shared by."""
+        """The number of processes that share the head's limits."""
         return max(1 + len(self.other_pids), 2 if self.now_us() < self.other_counts_until else 1)
 
     def refresh(self) -> None:
-        """See who lives and what was marked."""
+        """Refresh which other processes are alive, and the ejections."""
         self.other_pids = [
             int(name.removeprefix(LOCK_PREFIX))
             for name in os.listdir(self.folder)
@@ -103,13 +103,13 @@
         return None
 
     def write(self) -> None:
-        """Put the marks that this process holds in the file's place."""
+        """Replace the file by the ejections of this process."""
         path = self.folder / f"marks-{os.getpid()}"
         path.write_bytes(msgspec.json.encode(EjectionFile(FILE_VERSION, self.ejections.ejections)))
         os.replace(path, self.folder / EJECTIONS_FILE)
 
     def descriptors(self) -> int:
-        """Tell how many descriptors the others hold; the limit is on all together."""
+        """Return the number of file descriptors of the other processes; the limit covers all together."""
         held = 0
         for process in self.other_pids:
             with contextlib.suppress(OSError):
@@ -117,6 +117,6 @@
         return held
 
     def close(self) -> None:
-        """Be seen no more."""
+        """Release the lock file."""
         self.path.unlink(missing_ok=True)
         self.file.close()
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -1,4 +1,4 @@
-"""One head: what it is made of, its start, when it is ready, and its end."""
+"""One head: its composition, start, readiness and shutdown."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
         )
 
     async def start(self) -> None:
-        """Listen, and be ready once there is a list."""
+        """Listen, and become ready once there is a list of backends."""
         if self.control is not None:
             self.control_listener = self._acceptor(self.control, self.config.control)
         if self.maintenance is not None:
@@ -127,7 +127,7 @@
         )
 
     def _observe_tenants(self) -> None:
-        """Have whoever knows the tenants decide on connections and count requests."""
+        """Let the accounts, or the document's tenants, decide on connections and count requests."""
         if self.accounts is not None:
             self.front.tenant_observer = self.accounts
             self.front.on_connection_closed = self.accounts.dropped
@@ -137,7 +137,7 @@
             self.front.on_connection_closed = self.streamed.document_tenants.dropped
 
     def apply_node_list(self, event: api.NodeList) -> None:
-        """Take a list of bricks, or what changed in it."""
+        """Apply a list of backends, or changes to it."""
         self.exchange.nodes(event)
         # Connections to a brick that is out by hand go: it is about to be restarted.
         self.backends.retain(
@@ -145,18 +145,18 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether this process serves."""
+        """Return whether this process serves."""
         return self.front.ready and not self.stopping.is_set()
 
     def backend_counts(self) -> dict[str, int]:
-        """Tell how many bricks are listed, and how many of them get nothing now, by hand, list or choice."""
+        """Return how many backends are listed, and how many of them get no requests now, for whatever reason."""
         listed = self.ejections.listed
         avoided = {node for node in listed if self.exchange.phases.get(node) is not api.Phase.ON}
         avoided.update(node for node in self.exchange.scheduler.avoided(self.exchange.now_us()) if node in listed)
         return {"registry_entries": len(listed), "out_of_rotation": len(avoided)}
 
     def _share_with_other_process(self) -> None:
-        """Share the head's parts and what was set by hand with the process that is replaced, or that replaces this."""
+        """Share limits and manual ejections with the process that is replaced, or that replaces this one."""
         folder = os.environ.get("TMPDIR")
         if not folder:
             return write_line("no TMPDIR: bricks out by hand do not outlive an upgrade")
@@ -187,7 +187,7 @@
                 write_line(f"cannot look for another process: {one_line(error)}")
 
     def divide_limits(self, elsewhere: int) -> None:
-        """Take this process's part of sockets and memory when so many descriptors are another process's."""
+        """Set the limits of this process, given the descriptors that another process uses."""
         processes = self.handoff.processes if self.handoff is not None else 1
         shares = limits.divide_limits(
             self.config.limits, processes, elsewhere, self.settings.gateways, bool(self.config.control)
@@ -211,17 +211,17 @@
             raise ConfigError(f"cannot listen on {where}: {error}") from error
 
     def stop(self) -> None:
-        """Begin the end; what is left of the time counts from the first call."""
+        """Begin the shutdown; its deadlines count from the first call."""
         if not self.stopping.is_set():
             self.signalled_us = self.exchange.now_us()
             self.stopping.set()
 
     def log_counters(self) -> None:
-        """Print the counters."""
+        """Log the counters."""
         write_line(self.counters.text() + "end of counters")
 
     def reload(self) -> None:
-        """Read the configuration file again; open requests, books and connections live on.
+        """Reload the configuration file; open requests, reservations and connections stay.
 
         The address of discovery takes effect, and the cluster's keys; all else is what this process was started with.
         The file rules, as it is what was replaced: a variable that overrides it was set once, at the start.
@@ -241,7 +241,7 @@
             self.cluster_services.reload()
 
     async def shut_down(self) -> None:
-        """Answer what has been taken, then close everything."""
+        """Answer what has been accepted, then close everything."""
         self.stop()
         open_connections = len(self.front.server.connections)
         write_line(f"ending with {self.exchange.unanswered} requests open on {open_connections} connections")
@@ -268,7 +268,7 @@
         return [front for front in (self.front, self.objects, self.admin) if front is not None]
 
     async def close(self) -> None:
-        """End what runs beside the serving, and the connections of the server side."""
+        """Cancel the background tasks and close the connections to backends."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -285,7 +285,7 @@
                 held.close()
 
     def gauges(self) -> dict[str, float]:
-        """Tell what is now, for remote write."""
+        """Return the current values, for remote write."""
         ready = sum(phase is api.Phase.ON for phase in self.exchange.phases.values())
         return {
             **self.metrics.gauges(),
--- a/hophinge/head/streamed_configuration.py
+++ b/hophinge/head/streamed_configuration.py
@@ -1,4 +1,4 @@
-"""Streamed configuration at a head: the router before its module, and the stream that tells it what to do."""
+"""Streamed configuration at a head: the router in front of the scheduler, and the stream that configures it."""
 
 from __future__ import annotations
 
@@ -34,8 +34,15 @@
 MAX_DEMAND_ROWS = 500  # tenants whose demand one ask tells
 
 
+def _read_token(config: StreamConfig) -> str:
+    token = config.token_file.read_text().strip()
+    if len(token) < MIN_TOKEN or not token.isascii():
+        raise ValueError(f"{config.token_file}: a token has {MIN_TOKEN} ASCII characters or more")
+    return token
+
+
 class StreamedConfiguration:
-    """What one head has of it."""
+    """The router, the stream's client and the lease holder of one head."""
 
     def __init__(
         self,
@@ -46,9 +53,7 @@
         log: Callable[[str], None],
         accounts: HeadAccounts | None,
     ) -> None:
-        token = config.token_file.read_text().strip()
-        if len(token) < MIN_TOKEN or not token.isascii():
-            raise ValueError(f"{config.token_file}: a token has {MIN_TOKEN} ASCII characters or more")
+        token = _read_token(config)
         self.exchange = exchange
         self.router = Router(exchange.settings)
         self.document_tenants = DocumentTenants(self.router, exchange.counters)
@@ -94,13 +99,13 @@
         self.router.reserve_share = self.quota_share
 
     async def throttle(self, volume: str, klass: str, way: int, size: int) -> None:
-        """Pause for as long as the limits that fit want, after bytes of a long body have moved."""
+        """Wait as the limits require after bytes of a long body were transferred."""
         pause_us = self.router.pacing_delay_us(self.exchange.now_us(), volume, klass, way, size)
         if pause_us:
             await asyncio.sleep(pause_us / 1e6)
 
     def tenant_ended(self, tenant: str) -> None:
-        """Turn away at once what waits of a tenant that is served no more."""
+        """Reject at once what a tenant that is served no more has queued."""
         if self.router.evict_tenant(tenant):
             self.exchange.gate_changed()
 
@@ -109,7 +114,7 @@
         return spare is not None and spare.uses_leases
 
     def quota_share(self, tenant: str) -> float:
-        """Tell this head's part of a tenant's reserve."""
+        """Return this head's share of a tenant's reserve, from 0 to 1."""
         return (
             self.lease_holder.share(tenant, self.exchange.now_us())
             if self._has_leases()
@@ -117,7 +122,7 @@
         )
 
     def lease_request(self) -> dict[str, float]:
-        """Tell the figures of an ask for shares; none where the version in force has no leases."""
+        """Return the metrics of a lease request; empty where the version in force has no leases."""
         if not self._has_leases() or self.router.admission is None:
             return {}
         now = self.exchange.now_us()
@@ -135,15 +140,15 @@
         }
 
     def take_lease(self, json: bytes) -> None:
-        """Take a lease off the stream."""
+        """Apply a lease, given as JSON."""
         self.lease_holder.accept(self.exchange.now_us(), msgspec.json.decode(json, type=ShareLease))
 
     def apply(self, table: RoutingTable) -> None:
-        """Put a version in force: one step between two turns of the loop."""
+        """Apply a version, in one step between two iterations of the event loop."""
         self.exchange.scheduler.replan(self.router.activate(table, self.exchange.now_us()))
 
     def rollout_metrics(self) -> dict[str, float]:
-        """Tell the control service what the rollout is judged by."""
+        """Return the metrics by which the control service judges a rollout."""
         counts = self.exchange.counters.counts
         # What a limit or a share refuses is meant; what finds no brick, or no time, may be the version's fault.
         meant = self.router.rejected_by_limit + self.router.rejected_beyond_share
@@ -154,7 +159,7 @@
         }
 
     def gauges(self) -> dict[str, float]:
-        """Tell what alerts look at."""
+        """Return the metrics that alerts use."""
         follower = self.follower
         return {
             "config_stale": follower.is_stale,
@@ -168,7 +173,7 @@
         }
 
     def tenants(self) -> str:
-        """Tell staff what tenants get here, as JSON."""
+        """Return the tenants' quotas and use here, as JSON for operators."""
         rows = {
             "leases": self._has_leases(),
             "serial": self.lease_holder.serial,
@@ -177,13 +182,13 @@
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
     def status(self) -> str:
-        """Tell staff what runs here, as JSON."""
+        """Return the version in force and the stream's state, as JSON for operators."""
         rows = {**self.follower.status(self.exchange.now_us()), "routing": self.router.status()}
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
 
 class DocumentTenants:
-    """Tenants of the service document at the platform's front: a bound on connections of each."""
+    """The tenants of the service document at the platform's frontend, each with a bound on its connections."""
 
     def __init__(self, router: Router, counters: Counters) -> None:
         self.router = router
@@ -191,11 +196,11 @@
         self.connections = ConcurrencyQuota()
 
     def owner(self, volume: str) -> str:
-        """Tell the tenant of a volume, or nothing."""
+        """Return the tenant of a volume; empty where there is none."""
         return self.router.table.tenant_by_volume.get(volume.lower(), "")
 
     def admits(self, connection: object, volume: str) -> bool:
-        """Tell whether a request of a volume may come over a connection."""
+        """Return whether a connection may carry a request of a volume."""
         form = self.router.table.tenants.get(self.owner(volume))
         if form is None or self.connections.acquire(form.name, connection, form.max_connections):
             return True
@@ -203,15 +208,15 @@
         return False
 
     def answered(self, ask: Arrival, status: int, bytes_in: int, bytes_out: int) -> None:
-        """Note an answer: without accounts there is nobody to tell usage to."""
+        """Ignore an answer: without accounts, usage is not recorded."""
 
     def dropped(self, holder: object) -> None:
-        """Note the end of a connection."""
+        """Release the connection's capacity."""
         self.connections.release(holder)
 
 
 class ReplicatedAccounts:
-    """Accounts as the control service tells them, and usage as this head tells it."""
+    """Replication of accounts from the control service, and of this head's usage to it."""
 
     def __init__(self, accounts: HeadAccounts, name: str) -> None:
         self.accounts = accounts
@@ -221,7 +226,7 @@
         self.pending_acknowledgements: list[DiscoveryRequest] = []
 
     def initial_requests(self) -> list[DiscoveryRequest]:
-        """Say what is held; whatever was on its way comes anew."""
+        """Return the subscription with the position of this replica; chunks in flight are sent anew."""
         self.pending_chunk = None
         self.pending_acknowledgements = []
         self.receiver.discard_staged()
@@ -236,14 +241,14 @@
         ]
 
     def receive(self, response: DiscoveryResponse) -> None:
-        """Take a part of the accounts, or the acknowledgement of a report."""
+        """Record a chunk of the accounts, or the acknowledgement of a usage report."""
         if response.resource_type is ResourceType.USAGE:
             self.accounts.reports.acknowledge(int(response.nonce))
         else:
             self.pending_chunk = decode_account_chunk(response)
 
     def followup_requests(self, is_heartbeat: bool) -> list[DiscoveryRequest]:
-        """Write what is owed and tell what to say; a ledger that is busy or full is tried again at the next beat."""
+        """Store the pending chunk and return the requests to send; a busy ledger is retried at the next heartbeat."""
         part = self.pending_chunk
         if part is not None and self.accounts.replicate(self.receiver, part):
             self.pending_chunk = None
--- a/hophinge/head/watchdog.py
+++ b/hophinge/head/watchdog.py
@@ -1,4 +1,4 @@
-"""Breaks the call of a scorer that does not return: a thread looks on, a signal's handler raises in the call.
+"""Interrupts a scorer's call that does not return: a thread watches, a signal handler raises in the call.
 
 It ends loops in Python, and what waits in the kernel (sleep, a lock, a socket) as well, which an exception set by
 another thread does not. Nothing is done at a call itself. Nothing here ends C code that keeps the interpreter.
@@ -22,13 +22,13 @@
 
 
 def interrupt(number: int, frame: FrameType | None) -> None:
-    """Break the call that hangs, if it still runs; the handler of the signal."""
+    """Interrupt the hung call, if it still runs; the signal's handler."""
     for dog in tuple(ACTIVE_WATCHDOGS):
         dog.guard.interrupt(dog.hung_call)
 
 
 class Watchdog:
-    """One guard's; the guard's calls have to come from the main thread, where Python runs handlers of signals."""
+    """Watches the calls of one guard, which must run on the main thread, where Python runs signal handlers."""
 
     def __init__(self, guard: Guard, log: Callable[[str], None]) -> None:
         self.guard = guard
@@ -38,7 +38,7 @@
         self.thread = threading.Thread(target=self._watch, name="scorers", daemon=True)
 
     def start(self) -> None:
-        """Watch from now on."""
+        """Start watching."""
         if threading.current_thread() is not threading.main_thread():
             return self.log("scorers run beside the main thread: one that hangs is not interrupted")
         signal.signal(signal.SIGALRM, interrupt)
@@ -46,7 +46,7 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop watching."""
         ACTIVE_WATCHDOGS.discard(self)
         self.ended.set()
 
