--- a/benchmarks/popularity.py
+++ b/benchmarks/popularity.py
@@ -21,8 +21,8 @@
 sys.path.insert(0, str(ROOT / "benchmarks"))
 
 from hophinge.popularity.predict import Predictor  # noqa: E402
-from hophinge.popularity.rumour import Hearsay, Item, pages  # noqa: E402
-from hophinge.popularity.sketch import Sketch  # noqa: E402
+from hophinge.popularity.peer_demand import PeerDemand, DemandItem, encode_pages  # noqa: E402
+from hophinge.popularity.frequency_sketch import FrequencySketch  # noqa: E402
 from popularity_latency import latency  # noqa: E402
 from popularity_others import others  # noqa: E402
 from popularity_replay import AGEING, prewarming  # noqa: E402
@@ -47,7 +47,7 @@
 
     for counters in (250, 1000, 4000):
         tracemalloc.start()
-        sketch = Sketch(counters, 10**15)
+        sketch = FrequencySketch(counters, 10**15)
         for at in stream:
             sketch.add(0, int(at).to_bytes(8, "big"), "t")
         memory = tracemalloc.get_traced_memory()[0]
@@ -110,14 +110,14 @@
 
 def doubled() -> str:
     """Show what a rumour that comes twice does to both."""
-    hearsay, items = Hearsay(10**9), datasketches.frequent_items_sketch(8)
+    hearsay, items = PeerDemand(10**9), datasketches.frequent_items_sketch(8)
     told = datasketches.frequent_items_sketch(8)
     told.update(1, 100)
-    page = pages(0, 100.0, [Item(bytes(8), b"", 100.0)])[0]
+    page = encode_pages(0, 100.0, [DemandItem(bytes(8), b"", 100.0)])[0]
     for _ in range(2):
-        hearsay.take(0, "peer", "", (1, 1), page)
+        hearsay.apply_page(0, "peer", "", (1, 1), page)
         items.merge(told)
-    own = math.fsum(one for zone in hearsay.sums().values() for one in zone.values())
+    own = math.fsum(one for zone in hearsay.sums_by_zone().values() for one in zone.values())
     return f"A count of 100 that comes twice is {own:.0f} here and {items.get_estimate(1)} in a merged datasketches."
 
 
--- a/benchmarks/popularity_replay.py
+++ b/benchmarks/popularity_replay.py
@@ -13,9 +13,9 @@
 
 from hophinge.objects.chunk_cache import ChunkCache  # noqa: E402
 from hophinge.objects.stored_records import Manifest, ChunkRef, ChunkRun  # noqa: E402
-from hophinge.popularity.keys import Keys, Locator  # noqa: E402
+from hophinge.popularity.object_keys import ObjectKeys, Locator  # noqa: E402
 from hophinge.popularity.planner import Facts, Planner, Source  # noqa: E402
-from hophinge.popularity.rumour import ITEMS_EACH, MAX_PAGES, Item, pages  # noqa: E402
+from hophinge.popularity.peer_demand import ITEMS_PER_PAGE, MAX_PAGES, DemandItem, encode_pages  # noqa: E402
 from hophinge.popularity.site import Site  # noqa: E402
 from popularity_traces import SHAPES, SPANS_A_DAY, Trace  # noqa: E402
 
@@ -46,7 +46,7 @@
             ChunkRun(at.to_bytes(8, "big"), [ChunkRef(at % 8, int(size), 0)]) for at, size in enumerate(trace.sizes)
         ]
         self.bodies = [bytes(int(size)) for size in trace.sizes]
-        keys = Keys(b"x" * 16)
+        keys = ObjectKeys(b"x" * 16)
         self.most, self.met = most, np.zeros(objects, bool)
         self.keys = [keys.of(one) for one in self.locators]
         self.number = {key: at for at, key in enumerate(self.keys)}
@@ -59,7 +59,7 @@
 
     def restart(self) -> None:
         """Begin as a head does that was killed: with no cache and no counts."""
-        self.site = Site(Keys(b"x" * 16), 4_000_000, 1.0, "me", "here", SPAN_US, SPAN_US * SPANS_A_DAY)
+        self.site = Site(ObjectKeys(b"x" * 16), 4_000_000, 1.0, "me", "here", SPAN_US, SPAN_US * SPANS_A_DAY)
         self.cache = ChunkCache(self.most, 1.0, demand_of=lambda one: self.worth(int(one[1], 16)))
         self.cache.on_prefetch_outcome = self.told
 
@@ -135,10 +135,10 @@
         keys = self.site.keys
         for site in range(1, self.trace.counts.shape[0]):
             counts = self.trace.counts[site, span]
-            top = [int(at) for at in np.argsort(-counts)[: ITEMS_EACH * MAX_PAGES] if counts[at] > 0]
-            items = [Item(self.keys[at], keys.seal(self.locators[at]), float(counts[at])) for at in top]
-            for number, page in enumerate(pages(span, float(counts.sum()), items)):
-                self.site.hearsay.take(now, f"peer-{site}", f"site-{site}", (1, span * 10 + number), page)
+            top = [int(at) for at in np.argsort(-counts)[: ITEMS_PER_PAGE * MAX_PAGES] if counts[at] > 0]
+            items = [DemandItem(self.keys[at], keys.seal(self.locators[at]), float(counts[at])) for at in top]
+            for number, page in enumerate(encode_pages(span, float(counts.sum()), items)):
+                self.site.hearsay.apply_page(now, f"peer-{site}", f"site-{site}", (1, span * 10 + number), page)
 
     def fetch(self, now: int, counted: bool) -> None:
         """Fetch what the planner says, all of it; each brick has 64 units to spare in a span."""
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -16,7 +16,7 @@
 from hophinge.objects.stored_records import Manifest, manifest_id, shard_of
 from hophinge.objects.object_store import ObjectStore
 from hophinge.objects.account_access import Volume
-from hophinge.popularity.keys import Keys, Locator
+from hophinge.popularity.object_keys import ObjectKeys, Locator
 from hophinge.popularity.planner import Facts, Planner, Source
 from hophinge.popularity.site import DAY_US, SPAN_US, Site
 
@@ -46,7 +46,7 @@
     try:
         with path.open("rb") as file:
             secret = file.read(MAX_SECRET).strip()
-        Keys(secret)
+        ObjectKeys(secret)
     except (OSError, ValueError) as error:
         raise SecretUnusableError(f"[popularity] secret_file {str(path)!r}: {error}") from error
     return secret
@@ -84,9 +84,8 @@
         self.exchange = store.chunk_store.exchange
         me = sight.own_name if sight is not None else ""
         zone = next((one.zone for one in sight.members() if one.name == me), "") if sight is not None else ""
-        self.site = Site(
-            Keys(read_secret(config.secret_file)), config.count_bytes, config.tenant_part, me, zone, span_us, day_us
-        )
+        object_keys = ObjectKeys(read_secret(config.secret_file))
+        self.site = Site(object_keys, config.count_bytes, config.tenant_part, me, zone, span_us, day_us)
         self.cache = ChunkCache(
             config.cache_bytes,
             config.tenant_part,
@@ -128,7 +127,7 @@
         if key is not None:
             self.site.asked(self.exchange.now_us(), key)
 
-    def wanted(self, key: str) -> float:
+    def requests_per_second(self, key: str) -> float:
         """Tell predicted requests a second for what a brick is asked for; 0.0 where nothing is known."""
         return self.site.wanted(key)
 
@@ -197,10 +196,10 @@
             place = entry.owner, entry.key
             seen[place] = entry.version
             if self.taken.get(place) != entry.version:
-                self.site.hearsay.take(now_us, entry.owner, zones[entry.owner], entry.version, entry.value)
+                self.site.hearsay.apply_page(now_us, entry.owner, zones[entry.owner], entry.version, entry.value)
         self.taken = seen
         for owner in self.site.hearsay.owners.keys() - zones.keys():
-            self.site.hearsay.drop(owner)
+            self.site.hearsay.forget(owner)
 
     def _tell(self, made: list[bytes]) -> None:
         if self.board is None:
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -145,7 +145,7 @@
 
     def expect(self, demand: Demand) -> None:
         """Use predicted demand."""
-        self.surroundings.demand = demand.wanted
+        self.surroundings.demand = demand.requests_per_second
 
     def heard(self, node: str, result: api.Result, elapsed_us: int) -> None:
         """Take how an attempt ended; the exchange's hook."""
--- a/hophinge/objects/prefetch.py
+++ b/hophinge/objects/prefetch.py
@@ -14,7 +14,7 @@
 from hophinge.objects.chunk_store import ChunkStore
 from hophinge.objects.core_client import CoreFailedError, RejectedError, TimeBudget
 from hophinge.objects.stored_records import Manifest
-from hophinge.popularity.keys import Locator
+from hophinge.popularity.object_keys import Locator
 from hophinge.popularity.planner import Candidate, Facts, Planner, Why
 
 RECORD_BYTES = 4096  # charged to budgets for a manifest, whose size is not known before it is read
--- /dev/null
+++ b/hophinge/popularity/frequency_sketch.py
@@ -0,0 +1,185 @@
+"""Decayed counts of requested keys in bounded memory: the space-saving algorithm with forward decay, by tenant.
+
+A counter never underestimates, and has a bound on its overestimate (its error). A tenant has a bounded share of the
+counters and its own floor, so one that requests millions of objects evicts its own counters and no other's.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+from msgspec import Struct
+
+MAX_POWER = 60.0  # half-lives after which weights are scaled down: 2 ** 60 keeps doubles exact enough
+
+EVICTIONS_PER_SEARCH = 64  # between searches for the largest tenant; shares differ little after so few
+
+
+class KeyCount(Struct, frozen=True):
+    """The count of a key: between `count - error` and `count` decayed requests."""
+
+    key: bytes
+    tenant: str
+    count: float
+    error: float
+
+
+class KeyCounter(Struct):
+    """The counter of a key; `count` and `error` are weights relative to the landmark, `span_requests` is undecayed."""
+
+    tenant: str
+    count: float
+    error: float
+    span_requests: float = 0.0
+
+
+class TenantCounters(Struct):
+    """The counters of one tenant: a heap by count, which may have stale counts, and the floor of evicted keys."""
+
+    heap: list[tuple[float, bytes]]
+    live_count: int = 0
+    floor: float = 0.0  # upper bound for keys of the tenant without a counter
+    weight: float = 0.0  # of all its requests
+
+
+class FrequencySketch:
+    """Decayed counts of one process.
+
+    Args:
+        counters: The limit on counters.
+        half_life_us: In which a count halves.
+        tenant_fraction: Of the counters that one tenant may have.
+
+    """
+
+    def __init__(self, counters: int, half_life_us: int, tenant_fraction: float = 1.0) -> None:
+        if counters < 1 or half_life_us < 1 or not 0.0 < tenant_fraction <= 1.0:
+            raise ValueError("counters and half_life_us are at least 1, tenant_part is above 0 and at most 1")
+        self.max_counters, self.half_life_us = counters, half_life_us
+        self.max_tenant_counters = max(1, int(counters * tenant_fraction))
+        self.counters: dict[bytes, KeyCounter] = {}
+        self.tenants: dict[str, TenantCounters] = {}
+        self.landmark_us = 0
+        self.weight = 0.0
+        self.largest: TenantCounters | None = None
+        self.evictions_until_search = 0  # until the tenant with most counters is searched again
+
+    def __len__(self) -> int:
+        return len(self.counters)
+
+    def __contains__(self, key: object) -> bool:
+        return key in self.counters
+
+    def _growth(self, now_us: int) -> float:
+        """Return the weight of a request now; a clock that goes back counts as stopped."""
+        power = (now_us - self.landmark_us) / self.half_life_us
+        if power > MAX_POWER:
+            self._rescale(now_us, power)
+            power = 0.0
+        return math.exp2(power) if power > 0.0 else 1.0
+
+    def _rescale(self, now_us: int, power: float) -> None:
+        scale = 2.0 ** -min(power, 1000.0)
+        self.landmark_us, self.weight = now_us, self.weight * scale
+        for counter in self.counters.values():
+            counter.count *= scale
+            counter.error *= scale
+        for part in self.tenants.values():
+            part.floor *= scale
+            part.weight *= scale
+            part.heap = [(count * scale, key) for count, key in part.heap]
+        for name in [name for name, part in self.tenants.items() if not part.live_count and part.floor < 1e-9]:
+            del self.tenants[name]  # a tenant without requests for long
+
+    def add(self, now_us: int, key: bytes, tenant: str, requests: float = 1.0) -> None:
+        """Count requests for a key."""
+        weight = requests * self._growth(now_us)
+        self.weight += weight
+        counter = self.counters.get(key)
+        if counter is not None:
+            counter.count += weight
+            counter.span_requests += requests
+            self.tenants[counter.tenant].weight += weight
+            return
+        part = self.tenants.get(tenant)
+        if part is None:
+            part = self.tenants[tenant] = TenantCounters([])
+        part.weight += weight
+        if part.live_count >= self.max_tenant_counters:
+            self._evict(part)
+        elif len(self.counters) >= self.max_counters:
+            self._evict(self._largest())
+        self.counters[key] = KeyCounter(tenant, part.floor + weight, part.floor, requests)
+        part.live_count += 1
+        heapq.heappush(part.heap, (part.floor + weight, key))
+
+    def _largest(self) -> TenantCounters:
+        """Return the tenant with most counters, searched only now and then as there may be many tenants."""
+        if self.evictions_until_search <= 0 or self.largest is None or not self.largest.live_count:
+            self.evictions_until_search, self.largest = (
+                EVICTIONS_PER_SEARCH,
+                max(self.tenants.values(), key=lambda one: one.live_count),
+            )
+        self.evictions_until_search -= 1
+        return self.largest
+
+    def _evict(self, part: TenantCounters) -> None:
+        """Evict a tenant's least counter, and raise its floor to that count."""
+        heap = part.heap
+        while True:
+            noted, key = heap[0]
+            count = self.counters[key].count
+            if count <= noted:
+                break
+            heapq.heapreplace(heap, (count, key))  # it was counted since it was pushed
+        heapq.heappop(heap)
+        del self.counters[key]
+        part.live_count -= 1
+        part.floor = max(part.floor, count)
+
+    def forget(self, key: bytes) -> None:
+        """Drop a key that was deleted; the floor need not rise, as it is not requested again."""
+        counter = self.counters.pop(key, None)
+        if counter is not None:
+            part = self.tenants[counter.tenant]
+            part.live_count -= 1
+            part.heap = [place for place in part.heap if place[1] != key]
+            heapq.heapify(part.heap)
+
+    def count(self, now_us: int, key: bytes, tenant: str) -> KeyCount:
+        """Return the count of a key, and its error."""
+        growth = self._growth(now_us)
+        counter = self.counters.get(key)
+        if counter is not None:
+            return KeyCount(key, counter.tenant, counter.count / growth, counter.error / growth)
+        floor = self.tenants[tenant].floor / growth if tenant in self.tenants else 0.0
+        return KeyCount(key, tenant, floor, floor)
+
+    def top(self, now_us: int, max_keys: int, tenant: str | None = None) -> list[KeyCount]:
+        """Return the keys with the highest counts, of one tenant or all; ties are ordered by key."""
+        growth = self._growth(now_us)
+        found = (
+            (-(one.count - one.error), key)
+            for key, one in self.counters.items()
+            if tenant is None or one.tenant == tenant
+        )
+        return [
+            KeyCount(
+                key, self.counters[key].tenant, self.counters[key].count / growth, self.counters[key].error / growth
+            )
+            for _, key in heapq.nsmallest(max_keys, found)
+        ]
+
+    def total(self, now_us: int, tenant: str | None = None) -> float:
+        """Return the decayed sum of requests, of one tenant or all."""
+        growth = self._growth(now_us)
+        if tenant is None:
+            return self.weight / growth
+        return self.tenants[tenant].weight / growth if tenant in self.tenants else 0.0
+
+    def close_span(self) -> list[tuple[bytes, str, float]]:
+        """Return key, tenant and undecayed requests since the last call for each counter, and reset the latter."""
+        found = [(key, one.tenant, one.span_requests) for key, one in self.counters.items()]
+        for counter in self.counters.values():
+            counter.span_requests = 0.0
+        return found
--- a/hophinge/popularity/interface.py
+++ b/hophinge/popularity/interface.py
@@ -1,4 +1,4 @@
-"""What other parts may ask about demand."""
+"""What other packages may query of predicted demand."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Demand(Protocol):
-    """Predicted demand, as this process reckons it."""
+    """Demand as this process predicts it."""
 
-    def wanted(self, key: str) -> float:
-        """Tell a key's predicted requests a second at this site; 0.0 where nothing is known."""
+    def requests_per_second(self, key: str) -> float:
+        """Return the predicted requests per second for a key at this site; 0.0 if unknown."""
--- a/hophinge/popularity/interval.py
+++ b/hophinge/popularity/interval.py
@@ -1,8 +1,8 @@
-"""How wide an interval is: a site's own past errors say it, by how much was expected and how young the object was.
+"""Prediction intervals, calibrated by a site's own past errors, by the expected count and the age of the object.
 
-The model gives a centre and a spread; how many spreads hold nine counts in ten is tracked at each bound by itself, a
-small step outwards after each miss and a smaller one inwards after each hit, so that misses come as often as they are
-meant to whatever the model believed (adaptive conformal inference, Gibbs and Candes, 2021).
+The model gives a mean and a variance; how many standard deviations hold nine counts in ten is tracked for each bound
+separately: a small step outwards after each miss and a smaller one inwards after each hit, so that the miss rate is
+the intended one whatever the model assumes (adaptive conformal inference, Gibbs and Candes, 2021).
 """
 
 from __future__ import annotations
@@ -11,50 +11,50 @@
 
 from msgspec import Struct
 
-MISSES = 0.1  # part of counts that may lie outside: half on each side, all above where the low bound is 0
-STEP = 0.02  # of spreads, for a miss; a hit steps back in proportion
-Z90 = 1.645  # spreads to begin with: those of a normal error
+MISS_RATE = 0.1  # of counts outside the interval: half on each side, all above it if the low bound is 0
+ADAPTATION_STEP = 0.02  # in standard deviations, for a miss; a hit steps back in proportion
+INITIAL_Z = 1.645  # standard deviations at the start: those of a normal error
 MAX_Z = 4.0
-CLASSES = 6  # of means: below 1/4, 1, 4, 16, 64, and above
-YOUNG = 4  # spans of age below which an object is judged among the young
+MEAN_CLASSES = 6  # of predicted means: below 1/4, 1, 4, 16, 64, and above
+MAX_YOUNG_AGE = 4  # in spans; younger objects have classes of their own
 
 
 class Prediction(Struct, frozen=True):
-    """Requests in the next span: the mean, and bounds that hold nine times in ten."""
+    """The requests in the next span: the mean, and bounds that hold nine times in ten."""
 
     mean: float
     low: float
     high: float
 
 
-def place(mean: float, age: int) -> int:
-    """Tell the class of a prediction; young and old have their own."""
-    power = min(CLASSES - 1, max(0, math.floor(math.log(max(mean, 1e-9), 4.0)) + 2))
-    return power + (CLASSES if age < YOUNG else 0)
+def prediction_class(mean: float, age: int) -> int:
+    """Return the class of a prediction by its mean and the object's age in spans."""
+    power = min(MEAN_CLASSES - 1, max(0, math.floor(math.log(max(mean, 1e-9), 4.0)) + 2))
+    return power + (MEAN_CLASSES if age < MAX_YOUNG_AGE else 0)
 
 
 class Calibration:
-    """Spreads below and above by class: twenty-four numbers, however many objects."""
+    """Standard deviations below and above the mean by class: a constant size, however many objects."""
 
     def __init__(self) -> None:
-        self.below, self.above = [Z90] * (2 * CLASSES), [Z90] * (2 * CLASSES)
+        self.below, self.above = [INITIAL_Z] * (2 * MEAN_CLASSES), [INITIAL_Z] * (2 * MEAN_CLASSES)
 
-    def take(self, at: int, low: float, high: float, count: float) -> None:
-        """Take what became of a prediction of a class."""
-        allowed = MISSES if low <= 0.0 else MISSES / 2
-        self.above[at] = _step(self.above[at], count > high, allowed)
-        if low > 0.0:  # at 0 none can miss: the bound is judged where it says something
-            self.below[at] = _step(self.below[at], count < low, allowed)
+    def record_outcome(self, class_index: int, low: float, high: float, count: float) -> None:
+        """Record the actual count of a prediction."""
+        allowed = MISS_RATE if low <= 0.0 else MISS_RATE / 2
+        self.above[class_index] = _step(self.above[class_index], count > high, allowed)
+        if low > 0.0:  # no count misses a bound of 0, which therefore says nothing
+            self.below[class_index] = _step(self.below[class_index], count < low, allowed)
 
-    def interval(self, at: int, mean: float, variance: float) -> Prediction:
-        """Tell a skewed interval: the logarithm of the count and a half is taken for normal, by its moments."""
+    def interval(self, class_index: int, mean: float, variance: float) -> Prediction:
+        """Return a skewed interval: the logarithm of the count plus a half is assumed normal, by its moments."""
         shifted = mean + 0.5
         spread = math.sqrt(math.log1p(variance / (shifted * shifted)))
         centre = math.log(shifted) - spread * spread / 2.0
-        low = math.exp(centre - self.below[at] * spread) - 0.5
-        high = math.exp(centre + self.above[at] * spread) - 0.5
+        low = math.exp(centre - self.below[class_index] * spread) - 0.5
+        high = math.exp(centre + self.above[class_index] * spread) - 0.5
         return Prediction(mean, float(max(0, round(low))), float(max(0, round(high))))
 
 
 def _step(spreads: float, missed: bool, allowed: float) -> float:
-    return min(MAX_Z, max(0.0, spreads + STEP * ((1.0 if missed else 0.0) - allowed)))
+    return min(MAX_Z, max(0.0, spreads + ADAPTATION_STEP * ((1.0 if missed else 0.0) - allowed)))
--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -13,8 +13,8 @@
 
 from msgspec import Struct, field
 
-from hophinge.popularity.interval import Calibration, Prediction, place
-from hophinge.popularity.season import MIN_GROWTH, MAX_GROWTH, PHASES, Season
+from hophinge.popularity.interval import Calibration, Prediction, prediction_class
+from hophinge.popularity.season import MIN_GROWTH, MAX_GROWTH, BUCKETS_PER_DAY, DailySeason
 
 LAST, STEADY, EXPONENTIAL, POWER, DAILY = range(5)
 COURSES = ("last", "steady", "exponential", "power", "daily")
@@ -81,7 +81,7 @@
     """Predictions of one site, over spans of one length."""
 
     def __init__(self, spans_a_day: int) -> None:
-        self.season = Season(spans_a_day)
+        self.season = DailySeason(spans_a_day)
         self.growth = 1.0  # that the daily wave alone lets expect from the closed span to the next
         self.grown = 1.0  # the same for the span that has closed
         self.courses: dict[bytes, Course] = {}
@@ -92,7 +92,7 @@
     def begin(self, total: float) -> None:
         """Close a span whose requests were so many; `observe` then takes them by key."""
         self.here, self.then = self.season.bucket(), self.season.bucket(1)
-        self.grown, self.growth = self.growth, self.season.close(total)
+        self.grown, self.growth = self.growth, self.season.close_span(total)
 
     def predict(self, key: bytes) -> Prediction | None:
         """Tell the next span's requests for a key; nothing where it is not followed."""
@@ -107,7 +107,9 @@
     def new(self, tenant: str) -> Prediction:
         """Tell the first span's requests for an object that its publisher has just made."""
         usual = self.usual.get(tenant, Usual())
-        return self.calibration.interval(place(usual.first, 0), usual.first, usual.first + usual.first**2 / PRIOR_FIRST)
+        return self.calibration.interval(
+            prediction_class(usual.first, 0), usual.first, usual.first + usual.first**2 / PRIOR_FIRST
+        )
 
     def bound(self, most: int) -> None:
         """Follow at most so many objects, those with the largest means."""
@@ -131,7 +133,7 @@
         if course is None:
             course = self.courses[key] = self._made(tenant, count, usual)
         else:
-            self.calibration.take(place(course.mean, course.age), course.low, course.high, count)
+            self.calibration.record_outcome(prediction_class(course.mean, course.age), course.low, course.high, count)
             self._weigh(course, usual, count)
             self._fit(course, usual, count)
             course.age += 1
@@ -189,11 +191,11 @@
 
     def _day(self, course: Course, count: float) -> None:
         if course.day is None:
-            if course.age * PHASES < self.season.spans_a_day:
+            if course.age * BUCKETS_PER_DAY < self.season.spans_a_day:
                 return  # most objects do not live for an hour: they keep no day
-            course.day = [-1.0] * PHASES
+            course.day = [-1.0] * BUCKETS_PER_DAY
         known = course.day[self.here]
-        part = min(1.0, 2.0 * PHASES / self.season.spans_a_day)
+        part = min(1.0, 2.0 * BUCKETS_PER_DAY / self.season.spans_a_day)
         course.day[self.here] = count if known < 0.0 else known + part * (count - known)
 
     def _foretell(self, course: Course, usual: Usual) -> None:
@@ -227,7 +229,7 @@
             weight * (one + one * one / shape + one * one)
             for weight, one, shape in zip(weights, course.means, course.shapes, strict=True)
         )
-        found = self.calibration.interval(place(mean, course.age), mean, max(mean, square - mean * mean))
+        found = self.calibration.interval(prediction_class(mean, course.age), mean, max(mean, square - mean * mean))
         course.mean, course.low, course.high = found.mean, found.low, found.high
 
 
--- a/hophinge/popularity/site.py
+++ b/hophinge/popularity/site.py
@@ -6,11 +6,11 @@
 
 from msgspec import Struct
 
-from hophinge.popularity.keys import Keys, Locator
+from hophinge.popularity.object_keys import ObjectKeys, Locator
 from hophinge.popularity.planner import Candidate
 from hophinge.popularity.predict import Predictor
-from hophinge.popularity.rumour import ITEMS_EACH, MAX_PAGES, Hearsay, Item, pages
-from hophinge.popularity.sketch import Sketch
+from hophinge.popularity.peer_demand import ITEMS_PER_PAGE, MAX_PAGES, PeerDemand, DemandItem, encode_pages
+from hophinge.popularity.frequency_sketch import FrequencySketch
 
 SPAN_US = 60_000_000  # of one prediction: long enough for some requests, short enough for a flash crowd
 DAY_US = 86_400_000_000
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        keys: Keys,
+        keys: ObjectKeys,
         count_bytes: int,
         tenant_part: float,
         me: str = "",
@@ -48,9 +48,9 @@
     ) -> None:
         self.keys, self.me, self.zone, self.span_us = keys, me, zone, span_us
         counters = max(16, count_bytes // BYTES_EACH)
-        self.sketch = Sketch(counters, HALF_LIFE_SPANS * span_us, tenant_part)
+        self.sketch = FrequencySketch(counters, HALF_LIFE_SPANS * span_us, tenant_part)
         self.predictor = Predictor(max(1, day_us // span_us))
-        self.hearsay = Hearsay(KEEP_SPANS * span_us)
+        self.hearsay = PeerDemand(KEEP_SPANS * span_us)
         self.known: dict[bytes, Known] = {}
         self.by_object: dict[tuple[str, str], bytes] = {}  # by volume and id of the manifest
         self.by_manifest: dict[str, bytes] = {}  # two volumes may have one name: a hint, and never whose count it is
@@ -67,7 +67,7 @@
         key = self.keys.of(locator)
         held = self.known.get(key)
         if held is None:
-            if len(self.known) >= 2 * self.sketch.most:
+            if len(self.known) >= 2 * self.sketch.max_counters:
                 self._prune()
             self._know(key, Known(locator, tenant, size, self.span))
         else:
@@ -113,20 +113,20 @@
     def close(self, now_us: int, owner_of: Callable[[str], tuple[str, str] | None]) -> list[bytes]:
         """Close a span; tells the pages for the peers. `step` then takes its counts a few at a time."""
         self.step(len(self.due))
-        self.hearsay.lapse(now_us)
+        self.hearsay.expire(now_us)
         own = self.sketch.close_span()
         self.usual_served = max(SERVED_MEMORY * self.usual_served, self.served)
         trust = {
             owner: 1.0 if told.zone == self.zone else self.trusted(owner) for owner, told in self.hearsay.owners.items()
         }
-        sums = self.hearsay.sums(self.usual_served, trust)
+        sums = self.hearsay.sums_by_zone(self.usual_served, trust)
         here, others = sums.pop(self.zone, {}), sums
-        self._learn(owner_of, self.hearsay.sealed())
+        self._learn(owner_of, self.hearsay.sealed_locators())
         self.elsewhere = {}
         for zone in others.values():
             for key, count in zone.items():
                 self.elsewhere[key] = self.elsewhere.get(key, 0.0) + count / len(others)
-        self.predictor.bound(self.sketch.most)
+        self.predictor.bound(self.sketch.max_counters)
         counts = {key: (tenant, count) for key, tenant, count in own}
         for key, course in self.predictor.courses.items():
             counts.setdefault(key, (course.tenant, 0.0))
@@ -138,9 +138,11 @@
         told = sorted(
             ((count, key) for key, _, count in own if count > 0 and key in self.known),
             key=lambda row: (-row[0], row[1]),
-        )[: ITEMS_EACH * MAX_PAGES]
-        made = pages(
-            self.span, self.served, [Item(key, self.keys.seal(self.known[key].locator), count) for count, key in told]
+        )[: ITEMS_PER_PAGE * MAX_PAGES]
+        made = encode_pages(
+            self.span,
+            self.served,
+            [DemandItem(key, self.keys.seal(self.known[key].locator), count) for count, key in told],
         )
         self.span += 1
         self.served = 0.0
@@ -158,7 +160,9 @@
         for key, hidden in sealed.items():
             if key in self.known:
                 self.known[key].span = self.span
-            elif len(self.known) < 2 * self.sketch.most and (locator := self.keys.open(key, hidden)) is not None:
+            elif (
+                len(self.known) < 2 * self.sketch.max_counters and (locator := self.keys.open(key, hidden)) is not None
+            ):
                 owner = owner_of(locator.volume)
                 if owner is not None:
                     self._know(key, Known(locator, owner[0], UNKNOWN_BYTES, self.span))
@@ -181,7 +185,7 @@
             for key, held in self.known.items()
             if key not in self.sketch and key not in self.predictor.courses
         )
-        for _, key in loose[: max(1, self.sketch.most // 2)]:
+        for _, key in loose[: max(1, self.sketch.max_counters // 2)]:
             self._forget(key)
 
     # --- what is asked
@@ -193,7 +197,7 @@
         """
         course, counter = self.predictor.courses.get(key), self.sketch.counters.get(key)
         found = course.mean if course is not None else self.elsewhere.get(key, 0.0)
-        return found if counter is None else max(found, counter.span)
+        return found if counter is None else max(found, counter.span_requests)
 
     def wanted(self, key: str) -> float:
         """Tell predicted requests a second for the id of an object's manifest, which is what bricks are asked for."""
--- a/tests/test_popularity_course.py
+++ b/tests/test_popularity_course.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hophinge.popularity.predict import Predictor
-from hophinge.popularity.season import Season
+from hophinge.popularity.season import DailySeason
 
 DAY = 48  # spans
 
@@ -108,14 +108,14 @@
 
 
 def test_a_wave_is_told_only_after_a_whole_day() -> None:
-    season, found = Season(DAY), []
+    season, found = DailySeason(DAY), []
     for span in range(3 * DAY):
-        found.append(season.close(100 * (1.5 + math.sin(2 * math.pi * span / DAY))))
+        found.append(season.close_span(100 * (1.5 + math.sin(2 * math.pi * span / DAY))))
     assert set(found[:DAY]) == {1.0} and max(found[2 * DAY :]) > 1.1 and min(found[2 * DAY :]) < 0.9
 
 
 def test_a_crowd_of_yesterday_is_no_wave() -> None:
-    season, found = Season(DAY), []
+    season, found = DailySeason(DAY), []
     for span in range(4 * DAY):
-        found.append(season.close(1000.0 if 20 <= span < 26 else 100.0))
+        found.append(season.close_span(1000.0 if 20 <= span < 26 else 100.0))
     assert max(found[2 * DAY :]) < 1.15 and min(found[2 * DAY :]) > 0.85  # the first day after it may show it
--- a/tests/test_popularity_head.py
+++ b/tests/test_popularity_head.py
@@ -15,7 +15,7 @@
 from hophinge.objects.core_client import PREFETCH_VOLUME
 from hophinge.objects.stored_records import manifest_id
 from hophinge.popularity.planner import QUIET, Planner, owner
-from hophinge.popularity.rumour import Item, pages
+from hophinge.popularity.peer_demand import DemandItem, encode_pages
 from tests import books
 from tests.stand_in import run
 from tests.test_objects import PIECE, Client
@@ -60,7 +60,7 @@
                 assert body == path.encode() * (3 * PIECE // len(path))
             assert sum(len(backend.seen) for backend in built.world.backends) - before == 2  # its manifests alone
             assert west.cache.used_prefetches == 6 and west.site.trusted("a") > 0.5
-            assert west.wanted(manifest_id("one")) > 0 and west.wanted("f" * 16) == 0.0
+            assert west.requests_per_second(manifest_id("one")) > 0 and west.requests_per_second("f" * 16) == 0.0
             count = len(asks)
             await west.fetch()
             assert len(asks) == count  # nothing is fetched twice
@@ -104,7 +104,11 @@
             built.close_own("a")
             await built.fetch("a", 1)
             assert await client.status("DELETE", paths[0]) == 204
-            assert not popular.cache.chunks and not popular.site.known and popular.wanted(manifest_id("one")) == 0.0
+            assert (
+                not popular.cache.chunks
+                and not popular.site.known
+                and popular.requests_per_second(manifest_id("one")) == 0.0
+            )
 
     run(main())
 
@@ -142,9 +146,11 @@
             popular.cache.remove_tenant("beith")
             site = popular.site
             items = [
-                Item(key, site.keys.seal(one.locator), 1e6) for key, one in site.known.items() if one.tenant == "alba"
+                DemandItem(key, site.keys.seal(one.locator), 1e6)
+                for key, one in site.known.items()
+                if one.tenant == "alba"
             ]
-            View(built.peers, "liar").put(Topic.POPULARITY, "0", pages(1, 1e9, items)[0])
+            View(built.peers, "liar").put(Topic.POPULARITY, "0", encode_pages(1, 1e9, items)[0])
             built.close_own("a")
             believed = sum(site.expected(one.key) for one in items)
             assert 0 < believed <= 4 * 12 * 1.5  # four times what this head served, and what a first span foretells
--- a/tests/test_together_byzantine.py
+++ b/tests/test_together_byzantine.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 
 from hophinge.load.plan import Fault, LoadPlan
-from hophinge.load.rig.run import RigRun, ProcessEndpoints
 from hophinge.load.rig.conditions import holds_while, wait_until
-from hophinge.popularity import rumour
-from hophinge.popularity.keys import KEY_BYTES, SEALED_BYTES
+from hophinge.load.rig.run import ProcessEndpoints, RigRun
+from hophinge.popularity import peer_demand
+from hophinge.popularity.object_keys import KEY_BYTES, SEALED_BYTES
 from hophinge.scoring import encoding
 from tests.together import BOUND_S, SOAK, Bytes, all_see, counted, heads, none_dead, run
 
@@ -29,7 +29,10 @@
 def lies() -> dict[str, object]:
     """It accuses a healthy brick, praises one that fails by naming it nowhere, and counts an object a million times."""
     weights = [encoding.encode("suspicion-1", beat, {ACCUSED: 1.0})[0] for beat in (1, 2)]
-    pages = [rumour.pages(span, 1e6, [rumour.Item(b"k" * KEY_BYTES, bytes(SEALED_BYTES), 1e6)])[0] for span in (1, 2)]
+    pages = [
+        peer_demand.encode_pages(span, 1e6, [peer_demand.DemandItem(b"k" * KEY_BYTES, bytes(SEALED_BYTES), 1e6)])[0]
+        for span in (1, 2)
+    ]
     return {
         "accuses": "n1",
         "entries": [
