--- a/tests/fleet_faults.py
+++ b/tests/fleet_faults.py
@@ -18,7 +18,7 @@
 
     name: str
     begin: Step
-    mend: Step
+    repair: Step
 
 
 async def _kill_control(fleet: LoopbackFleet, number: int) -> None:
--- a/tests/forwarding_mutants.py
+++ b/tests/forwarding_mutants.py
@@ -18,14 +18,14 @@
         "fleet/dataplane/connections",
         "if self.claims.retire():\n            await self.abort()",
         "self.claims.retire()\n        await self.abort()",
-        ENDED + "test_an_answer_under_way_comes_whole_and_its_connection_closes_behind_it",
+        ENDED + "test_a_response_in_flight_is_complete_and_its_connection_closes_after_it",
     ),
     Mutant(
         "a retired connection stays open after its last response",
         "fleet/dataplane/connections",
         "if is_last or not (super()",
         "if not (super()",
-        ENDED + "test_an_answer_under_way_comes_whole_and_its_connection_closes_behind_it",
+        ENDED + "test_a_response_in_flight_is_complete_and_its_connection_closes_after_it",
     ),
     Mutant(
         "the pool of an unregistered instance is never removed",
@@ -193,6 +193,6 @@
         "fleet/transport/connection_state",
         "self.outstanding > 0 and not is_response_started",
         "self.outstanding > 0",
-        "tests/test_fleet_begun_answers.py::test_an_answer_that_has_begun_goes_out_whole_whatever_ends_its_request",
+        "tests/test_fleet_begun_answers.py::test_a_started_response_is_complete_whatever_ends_its_request",
     ),
 )
--- a/tests/request_endings.py
+++ b/tests/request_endings.py
@@ -8,7 +8,7 @@
     EXTRA,
     NOT_EXECUTED,
     STAMP,
-    Asked,
+    ReceivedCall,
     Connection,
     Ending,
     Script,
@@ -24,64 +24,64 @@
 
 
 @before_body
-async def reset_before_the_body(script: Script, connection: Connection, asked: Asked) -> bool:
+async def reset_before_the_body(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     await connection.reset()
     return False
 
 
 @before_body
-async def closed_before_the_body(script: Script, connection: Connection, asked: Asked) -> bool:
+async def closed_before_the_body(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     return False
 
 
-async def reset_after_the_run(script: Script, connection: Connection, asked: Asked) -> bool:
+async def reset_after_the_run(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     await connection.reset()
     return False
 
 
-async def closed_after_the_run(script: Script, connection: Connection, asked: Asked) -> bool:
+async def closed_after_the_run(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     return False
 
 
-async def silence(script: Script, connection: Connection, asked: Asked) -> bool:
+async def silence(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     return await left(script, connection)
 
 
-async def answer_for_another(script: Script, connection: Connection, asked: Asked) -> bool:
+async def answer_for_another(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(EXTRA)
     return await left(script, connection)
 
 
-async def answer_for_another_first(script: Script, connection: Connection, asked: Asked) -> bool:
+async def answer_for_another_first(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(EXTRA)
     connection.say(script.answer(asked, more=STAMP))
     return True
 
 
-async def two_answers(script: Script, connection: Connection, asked: Asked) -> bool:
+async def two_answers(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(script.answer(asked, more=STAMP) + EXTRA)
     return True
 
 
-async def surplus_bytes(script: Script, connection: Connection, asked: Asked) -> bool:
+async def surplus_bytes(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(script.answer(asked, more=STAMP) + b"no answer at all")
     return True
 
 
-async def garbage(script: Script, connection: Connection, asked: Asked) -> bool:
+async def garbage(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(b"this is no answer\r\n\r\n")
     return await left(script, connection)
 
 
-async def no_length(script: Script, connection: Connection, asked: Asked) -> bool:
+async def no_length(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     """An answer that ends with its connection: it is whole."""
     script.ran(asked)
     script.given.append((200, sound_body(asked)))
@@ -93,7 +93,7 @@
     return False
 
 
-async def no_length_and_reset(script: Script, connection: Connection, asked: Asked) -> bool:
+async def no_length_and_reset(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     """The same, reset on the way: it is not whole, and must not look so."""
     script.ran(asked)
     kind = b"Content-Type: text/event-stream\r\n" if asked.name.startswith("stream") and not asked.reads else b""
@@ -107,14 +107,14 @@
     return False
 
 
-async def half_an_answer(script: Script, connection: Connection, asked: Asked) -> bool:
+async def half_an_answer(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(script.answer(asked, more=STAMP)[:-7])
     script.given.pop()
     return False
 
 
-async def half_an_answer_and_silence(script: Script, connection: Connection, asked: Asked) -> bool:
+async def half_an_answer_and_silence(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(script.answer(asked, more=STAMP)[:-7])
     script.given.pop()
@@ -122,20 +122,20 @@
 
 
 @before_body
-async def refused_before_the_body(script: Script, connection: Connection, asked: Asked) -> bool:
+async def refused_before_the_body(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     """An early refusal; the body is read on later, and has to come whole."""
     connection.say(script.answer(asked, 503, NOT_EXECUTED, b""))
     return False
 
 
-async def interim_answers(script: Script, connection: Connection, asked: Asked) -> bool:
+async def interim_answers(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
     connection.say(script.answer(asked, more=STAMP))
     return True
 
 
-async def unstamped(script: Script, connection: Connection, asked: Asked) -> bool:
+async def unstamped(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     script.ran(asked)
     connection.say(script.answer(asked))
     return True
@@ -144,7 +144,7 @@
 def status(number: int, *, executed: bool, more: bytes = b"") -> Ending:
     """An answer with a status; one that is not executed says so, where `more` has it."""
 
-    async def ending(script: Script, connection: Connection, asked: Asked) -> bool:
+    async def ending(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
         if executed:
             script.ran(asked)
         connection.say(script.answer(asked, number, more, b"status"))
--- a/tests/scripted_instance.py
+++ b/tests/scripted_instance.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ReceivedCall:
     """One request as an instance read it."""
 
     instance: str
@@ -58,16 +58,16 @@
     name: str | None = None  # to which request
     struck: str | None = None  # the request that met the ending
     runs: Counter[str] = field(default_factory=Counter)
-    arrivals: list[Asked] = field(default_factory=list)
+    arrivals: list[ReceivedCall] = field(default_factory=list)
     given: list[tuple[int, bytes]] = field(default_factory=list)
     connections: int = 0
     left: asyncio.Event = field(default_factory=asyncio.Event)  # a caller closed a connection with work on it
 
-    def ran(self, asked: Asked) -> None:
+    def ran(self, asked: ReceivedCall) -> None:
         """An instance took the request up; a prompt that is only read is no run."""
         self.runs[asked.name] += not asked.reads
 
-    def answer(self, asked: Asked, status: int = 200, more: bytes = b"", body: bytes | None = None) -> bytes:
+    def answer(self, asked: ReceivedCall, status: int = 200, more: bytes = b"", body: bytes | None = None) -> bytes:
         """Tell a whole answer's bytes."""
         whole = sound_body(asked) if body is None else body
         self.given.append((status, whole))
@@ -82,12 +82,12 @@
         )
 
 
-Ending = Callable[[Script, Connection, Asked], Coroutine[Any, Any, bool]]
+Ending = Callable[[Script, Connection, ReceivedCall], Coroutine[Any, Any, bool]]
 STAMP = b"Hophinge-Server-Signature: sig\r\n"
 NOT_EXECUTED = b"Hophinge-Not-Executed: 1\r\n"
 
 
-def sound_body(asked: Asked) -> bytes:
+def sound_body(asked: ReceivedCall) -> bytes:
     """Tell the body of a sound answer."""
     if asked.reads:
         return json.dumps({"prefill-handle": f"h-{asked.name}", "tokens": 9, "version": 1}).encode()
@@ -138,10 +138,10 @@
         due = script.ending is not None and script.struck is None
         struck = due and (script.stage, script.name) == (self.stage, name)
         if struck and getattr(script.ending, "before_body", False):
-            asked = Asked(self.name, name, reads, 1, b"")
+            asked = ReceivedCall(self.name, name, reads, 1, b"")
         else:
             body = await connection.reader.readexactly(length)
-            asked = Asked(self.name, name, reads, int(fields.get("last-event-id", 0)) + 1, body)
+            asked = ReceivedCall(self.name, name, reads, int(fields.get("last-event-id", 0)) + 1, body)
         script.arrivals.append(asked)
         if struck:
             assert script.ending is not None
--- a/tests/soak_checks.py
+++ b/tests/soak_checks.py
@@ -12,7 +12,7 @@
 from tests.soak_instances import EVENTS
 from tests.soak_manners import KINDS
 
-SERVED_PART = 0.97  # of requests whose route is always there, so that refusing everything does not pass
+SERVED_FRACTION = 0.97  # of requests whose route is always there, so that refusing everything does not pass
 BY_CLIENT = re.compile(r"response aborted request=(\S+) route=\S+ side=client ")
 BAD_WORDS = ("aborted", "Traceback", "failed", "Error", "Exception")
 
@@ -54,16 +54,16 @@
         if runs[done.name] > 1 and not kind.idempotent:
             yield f"ran {runs[done.name]} times: {where}"
         if done.outcome is Outcome.WHOLE:
-            yield from _whole(done, where)
+            yield from _complete(done, where)
     always = [done for done in soak.done if not KINDS[done.kind].may_be_unknown and done.outcome is not Outcome.LEFT]
     served = sum(done.outcome is Outcome.WHOLE for done in always)
-    if served < SERVED_PART * len(always) or len(always) < 20:
+    if served < SERVED_FRACTION * len(always) or len(always) < 20:
         yield f"only {served} of {len(always)} requests were served"
     if len({done.name for done in soak.done}) != len(soak.done):
         yield "two requests bear one name"
 
 
-def _whole(done: Done, where: str) -> Iterator[str]:
+def _complete(done: Done, where: str) -> Iterator[str]:
     if KINDS[done.kind].streams:
         ids = [line for line in done.body.decode().splitlines() if line.startswith("id:")]
         if ids != [f"id: {number}" for number in range(1, EVENTS + 1)]:
@@ -81,11 +81,15 @@
     left = {done.name for done in soak.done if done.outcome is Outcome.LEFT}
     for name, lines in soak.logs.items():
         for line in lines:
-            if any(word in line for word in BAD_WORDS) and "Fatal" not in line and not _leaves(line, left):
+            if (
+                any(word in line for word in BAD_WORDS)
+                and "Fatal" not in line
+                and not _is_client_disconnect(line, left)
+            ):
                 yield f"{name} says: {line}"
 
 
-def _leaves(line: str, left: set[str]) -> bool:
+def _is_client_disconnect(line: str, left: set[str]) -> bool:
     """Tell whether a line is about a request whose client left, and says so."""
     found = BY_CLIENT.search(line)
     return found is not None and found[1] in left
--- a/tests/soak_client.py
+++ b/tests/soak_client.py
@@ -10,7 +10,7 @@
 
 from tests.soak_manners import KINDS, LAST, TWOS, Manner, draw, send, written
 
-PAUSES_S = (0.0, 0.0, 0.01, 0.05, 0.05, 0.05, 2.0)  # between turns; the last outlasts the shortest resting time
+BACKOFFS_S = (0.0, 0.0, 0.01, 0.05, 0.05, 0.05, 2.0)  # between turns; the last outlasts the shortest resting time
 GIVE_UP_S = 12.0  # well behind the deadline: by then an answer of some kind has to be there
 CONNECT_S = 2.0
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SentRequest:
     """A request that is about to be sent."""
 
     name: str
@@ -118,7 +118,7 @@
         first = True
         while not self.stopping and await self._turn(head, first, reader, writer):
             first = False
-            await asyncio.sleep(self.random.choice(PAUSES_S))
+            await asyncio.sleep(self.random.choice(BACKOFFS_S))
 
     async def _turn(self, head: int, first: bool, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Make requests in one manner; tells whether the connection may be used again."""
@@ -133,7 +133,7 @@
             await asyncio.gather(sending, return_exceptions=True)  # what failed in it shows as nothing to read
 
     async def _read_all(
-        self, head: int, first: bool, reader: asyncio.StreamReader, manner: Manner, asked: list[Asked]
+        self, head: int, first: bool, reader: asyncio.StreamReader, manner: Manner, asked: list[SentRequest]
     ) -> bool:
         """Read an answer to each request, while they are being sent."""
         sent_at = asyncio.get_running_loop().time()
@@ -154,9 +154,9 @@
             goes_on = answer is not None and answer.whole
         return goes_on and manner not in LAST and answer is not None and not answer.closes
 
-    def _ask(self) -> Asked:
+    def _ask(self) -> SentRequest:
         self.number += 1
-        return Asked(f"{self.name}-{self.number}", self.random.choice(sorted(KINDS)))
+        return SentRequest(f"{self.name}-{self.number}", self.random.choice(sorted(KINDS)))
 
     async def _read(self, reader: asyncio.StreamReader) -> tuple[Outcome, Answer | None]:
         try:
@@ -167,7 +167,7 @@
         return _outcome(answer), answer
 
     async def _refused(
-        self, head: int, first: bool, asked: Asked, sent_at: float, reader: asyncio.StreamReader
+        self, head: int, first: bool, asked: SentRequest, sent_at: float, reader: asyncio.StreamReader
     ) -> bool:
         """Wait for the end of a connection on which half a header was sent: a refusal, or nothing at all."""
         outcome, answer = await self._read(reader)
@@ -179,7 +179,7 @@
         self,
         head: int,
         first: bool,
-        asked: Asked,
+        asked: SentRequest,
         outcome: Outcome,
         answer: Answer | None,
         sent_at: float,
--- a/tests/soak_fleet.py
+++ b/tests/soak_fleet.py
@@ -26,7 +26,7 @@
 GRACE_S = 6.0
 PROBE_S = 0.25  # between questions whether a head is ready; two misses take it out
 START_S, SETTLE_S = 40.0, 30.0
-TRIES = 40
+MAX_ATTEMPTS = 40
 READY_S = 8.0  # after which heads take all instances for ready, at rest
 
 
@@ -104,7 +104,7 @@
     async def _push(self) -> None:
         """Have the draft acknowledged, by whichever member answers."""
         data, base = self.draft.data(), self.draft.version - 1
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             number = self.random.randrange(self.course.machines)
             if await self.fleet.configure(number, data, base) == 200:
                 return
--- a/tests/soak_instances.py
+++ b/tests/soak_instances.py
@@ -14,7 +14,7 @@
 
 EVENTS = 6  # of each stream
 SERVED_ON_S = 2.0  # by an instance after its leaving was acknowledged, at least: the operators' `drain-ms`
-TRIES = 40
+MAX_ATTEMPTS = 40
 MOVED = 0.3  # of heartbeats, that go to another control member than the first
 QUEUED = 4  # requests that a busy instance reports as waiting
 WATCH_S = 0.3  # between looks at what heads take instances for
@@ -57,7 +57,7 @@
             await asyncio.sleep(0.1)
 
     async def _say(self, what: Callable[[], Awaitable[bool]]) -> None:
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             if await what():
                 return
             await asyncio.sleep(0.05)
--- a/tests/test_failures_catch_up.py
+++ b/tests/test_failures_catch_up.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("megabits", [100, 60])
-def test_the_largest_document_is_taken_over_a_slow_link_once(megabits: int) -> None:
+def test_the_largest_document_is_transferred_once_over_a_slow_link(megabits: int) -> None:
     world = _formed(82)
     _take(world, B, _large(0, 1, DOCUMENT))
     world.kill(C)
@@ -161,7 +161,7 @@
     return chain, successor
 
 
-def test_a_copy_is_sent_again_only_after_the_time_it_may_take_and_twice_that_each_further_time() -> None:
+def test_a_sync_is_retried_with_exponential_backoff() -> None:
     chain, successor = _pair()
     chain.registers.apply(_entry(DOCUMENT))
     wait = SYNC_RETRY_INTERVAL_S + (DOCUMENT + APPLIED_DIGEST_BYTES) / SYNC_BYTES_PER_S
@@ -177,7 +177,7 @@
         assert pause == pytest.approx(wait * 2 ** min(number, MAX_SYNC_BACKOFF_DOUBLINGS), abs=0.11)
 
 
-def test_a_successor_that_has_caught_up_is_sent_the_next_copy_without_the_doubled_wait() -> None:
+def test_the_backoff_of_syncs_ends_once_the_successor_has_caught_up() -> None:
     chain, successor = _pair()
     chain.registers.apply(_entry(10))
     for moment in (0.4, 1.2):
@@ -190,7 +190,7 @@
     assert again.messages
 
 
-def test_copies_that_differ_are_found_and_mended() -> None:
+def test_replicas_that_differ_are_found_and_repaired() -> None:
     """The same number of changes is held by both, but one has another history: no lag would tell of it."""
     world = _formed(85)
     _take(world, A, change(0, 1, "first"))
--- a/tests/test_failures_connections.py
+++ b/tests/test_failures_connections.py
@@ -16,7 +16,7 @@
 )
 from hophinge.fleet.forwarding.headers import DEADLINE, find_field
 from tests.request_endings import closed_after_the_run, silence
-from tests.scripted_instance import Asked, Connection, Script
+from tests.scripted_instance import ReceivedCall, Connection, Script
 from tests.test_failures_requests import BOUND_S, ROUTES, UNSAFE, Play, _playing
 
 GONE_S = 0.5  # after which no work of a client that has left goes on
@@ -60,7 +60,7 @@
     asyncio.run(asyncio.wait_for(run(), BOUND_S))
 
 
-async def _forgetful(script: Script, connection: Connection, asked: Asked) -> bool:
+async def _forgetful(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
     """An instance that has dropped the connection without a word: it resets what comes on it."""
     await connection.reset()
     return False
--- a/tests/test_failures_losses.py
+++ b/tests/test_failures_losses.py
@@ -13,7 +13,7 @@
 
 E = "10.0.0.5:7660"
 CATCH_UP_S = 4.0  # after its start a new machine counts as whole
-HELD_UP_S = 0.45  # that a change may take while a member leaves: it may be sent once more
+MAX_DELAY_S = 0.45  # that a change may take while a member leaves: it may be sent once more
 
 
 def _holders(world: World, sequence: int = 1) -> int:
@@ -103,7 +103,7 @@
     assert_serving(world)
 
 
-def test_a_member_that_leaves_goes_when_the_others_hold_what_it_holds_and_not_before() -> None:
+def test_a_draining_member_ends_once_the_others_have_its_records() -> None:
     """B is back with an empty disk and has taken over nothing yet: A holds the only whole copy but that of C, down."""
     world = form_group_with_a_change(43)
     world.kill(C)
@@ -134,7 +134,7 @@
         for _ in range(10):
             asked = next(one for one in (A, B, C) if one != address)
             request = world.request(asked, change(version, version + 1, "more"))
-            world.run(HELD_UP_S)
+            world.run(MAX_DELAY_S)
             assert world.responses.get(request) is not None, f"a planned end of {address} held a change up"
             assert world.responses[request].outcome is Outcome.APPLIED
             version += 1
@@ -145,7 +145,7 @@
     assert views == {7}, "one view to leave and one to come back, for each"
 
 
-def test_a_member_that_is_alone_ends_at_once_and_one_that_is_cut_off_after_its_time() -> None:
+def test_a_lone_member_ends_at_once_and_a_partitioned_one_after_its_timeout() -> None:
     world = form_group_with_a_change(45)
     world.cut(C, 60.0)
     world.run(2.0)
@@ -161,7 +161,7 @@
     assert alone.members[A].machine is None
 
 
-def test_a_voter_that_leaves_while_it_has_promised_takes_no_majority_with_it() -> None:
+def test_a_voter_draining_after_a_promise_does_not_cost_the_majority() -> None:
     """D comes in while A, which has voted for that view, is told to end, and B stands still."""
     for wait in (0.0, 0.05, 0.1, 0.2, 0.4, 0.8):
         world = form_group_with_a_change(47)
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("moment_s", [0.0, 0.3, 0.6, 0.7, 0.8, 0.9, 1.0, 1.2])
-def test_a_wipe_while_a_newcomer_takes_its_snapshot_loses_nothing(moment_s: float) -> None:
+def test_a_wipe_during_the_snapshot_of_a_new_member_loses_nothing(moment_s: float) -> None:
     world = form_group_with_a_change(48)
     _remove(world, C)
     world.run(1.5)
--- a/tests/test_failures_operators.py
+++ b/tests/test_failures_operators.py
@@ -11,7 +11,7 @@
 from tests.failure_scenarios import CONTACT_TIMEOUT_S, A, B, C, partition, form_group, is_applied
 
 
-def test_two_operators_through_both_ends_of_a_split_are_never_both_told_yes() -> None:
+def test_two_operators_in_a_partition_are_never_both_acknowledged() -> None:
     for seed, (left, right) in enumerate(itertools.product((A, B, C), repeat=2)):
         world = form_group(20 + seed)
         assert is_applied(world, B, change(0, 1, "first"))
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("further", [0, 1, 300])
 @pytest.mark.parametrize("between", ["nothing", "view", "power", "restart"])
-def test_a_change_that_is_sent_again_is_taken_whatever_came_between(further: int, between: str) -> None:
+def test_a_retried_change_is_acknowledged_whatever_came_between(further: int, between: str) -> None:
     world = form_group(31)
     assert is_applied(world, A, change(0, 1, "first"))
     for number in range(1, further + 1):
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("survives", [True, False])
-def test_a_change_whose_first_copy_is_in_flight_at_an_old_head_is_taken_once(survives: bool) -> None:
+def test_a_change_in_flight_at_an_old_head_is_applied_once(survives: bool) -> None:
     """Head A has applied the first copy, and passed it on or not, when the rest goes on without A."""
     world = form_group(32)
     head = world.machine(A).view.head().address  # type: ignore[union-attr]
@@ -96,7 +96,7 @@
     assert is_applied(world, head, change(0, 1, "x"))
 
 
-def test_the_bound_on_changes_that_are_remembered() -> None:
+def test_the_limit_of_remembered_changes() -> None:
     """The newest 4,096 are known again; one that is older is refused like any that builds on an old version."""
     registers, count = Registers(), MAX_APPLIED_DIGESTS + 1
     changes = [Change("k", number, number + 1, b"%d" % number, b"") for number in range(count)]
--- a/tests/test_failures_overlapping.py
+++ b/tests/test_failures_overlapping.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("cut_s", [1.0, 6.0, 20.0])
-def test_two_halves_of_a_core_lose_nothing_and_go_on_after_the_heal(cut_s: float) -> None:
+def test_two_halves_of_a_core_lose_nothing_and_continue_after_the_heal(cut_s: float) -> None:
     world = form_group_with_a_change(60, 4)
     left, right = {A, B}, {C, D}
     world.blocked |= {(one, other) for one in left for other in right}
@@ -48,7 +48,7 @@
     assert_serving(world)
 
 
-def test_losses_that_overlap_beyond_the_tolerance_stop_service_and_lose_nothing() -> None:
+def test_losses_beyond_the_tolerance_stop_service_and_lose_nothing() -> None:
     """Two of three are down, cut off or frozen at once; no disk is lost."""
     for seed, (one, two) in enumerate(itertools.permutations((A, B, C), 2)):
         world = form_group_with_a_change(70 + seed)
--- a/tests/test_failures_partitions.py
+++ b/tests/test_failures_partitions.py
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("one_way", [False, True])
 @pytest.mark.parametrize("cut_off", [{A}, {B}, {C}, {"10.0.1.0:7660"}, {A, "10.0.1.0:7660"}, {C, "10.0.1.1:7660"}])
-def test_a_side_cut_off_for_20_s_answers_nothing_and_is_soon_back(cut_off: set[str], one_way: bool) -> None:
+def test_a_side_partitioned_for_20_s_answers_nothing_and_recovers_soon(cut_off: set[str], one_way: bool) -> None:
     world = form_group(11, others=2)
     assert is_applied(world, B, change(0, 1, "first"))
     partition(world, cut_off, one_way)
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("around_s", [-0.4, -0.2, -0.05, 0.0, 0.05, 0.2, 0.4])
 @pytest.mark.parametrize("cut_off", [A, B, C])
-def test_a_cut_around_a_change_of_view_loses_and_doubles_nothing(cut_off: str, around_s: float) -> None:
+def test_a_partition_around_a_view_change_loses_and_repeats_nothing(cut_off: str, around_s: float) -> None:
     """D comes into the group at about the moment at which another member is cut off, with changes at both sides."""
     world = form_group(12)
     assert is_applied(world, B, change(0, 1, "first"))
@@ -98,7 +98,7 @@
         assert payloads == {(b"2:inside", b"3:outside")[both.index(Outcome.APPLIED)]}
 
 
-def test_a_member_that_is_cut_off_begins_no_ballot() -> None:
+def test_a_partitioned_member_begins_no_ballot() -> None:
     world = form_group(14)
     partition(world, {C})
     world.run(1.5)
@@ -107,7 +107,7 @@
     assert world.machine(C).acceptor.vote.promised == promised
 
 
-def test_a_member_that_is_cut_off_says_so_at_once() -> None:
+def test_a_partitioned_member_rejects_requests_at_once() -> None:
     world = form_group(13, others=1)
     partition(world, {C, "10.0.1.0:7660"})
     world.run(1.1)
@@ -117,7 +117,7 @@
         assert world.responses[request].outcome is None
 
 
-def test_a_processor_quota_looks_like_neither_loss_nor_death() -> None:
+def test_a_processor_quota_counts_as_neither_loss_nor_failure() -> None:
     """Each machine runs for a tenth of the time: 10 ms, then nothing for 90 ms, each at moments of its own."""
     world = form_group(15)
 
--- a/tests/test_fleet_begun_answers.py
+++ b/tests/test_fleet_begun_answers.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("ended", ["by its time", "by bytes that are none of a body", "by the process's end"])
-def test_an_answer_that_has_begun_goes_out_whole_whatever_ends_its_request(ended: str) -> None:
+def test_a_started_response_is_complete_whatever_ends_its_request(ended: str) -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         wire.held = True
         await wire.feed(CHUNKED)
--- a/tests/test_fleet_ended_instances.py
+++ b/tests/test_fleet_ended_instances.py
@@ -29,7 +29,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncontent-length: %d\r\n\r\n" % len(BODY)
 
 
-class HeldInstance:
+class PausedInstance:
     """An instance that answers with a stream, of which it holds back a part until it is told to go on."""
 
     def __init__(self, before: int) -> None:
@@ -70,7 +70,7 @@
 
 async def _call_across_the_end(before: int) -> tuple[bytes, bool]:
     """Call an instance that unregisters while it answers; tells what came, and whether no pool is left."""
-    instance, upstream = HeldInstance(before), Upstream()
+    instance, upstream = PausedInstance(before), Upstream()
     call = await instance.listen()
 
     async def answer() -> bytes:
@@ -89,7 +89,7 @@
     return body, not upstream.pools
 
 
-def test_an_answer_under_way_comes_whole_and_its_connection_closes_behind_it() -> None:
+def test_a_response_in_flight_is_complete_and_its_connection_closes_after_it() -> None:
     assert asyncio.run(_call_across_the_end(before=3)) == (BODY, True)
 
 
@@ -99,7 +99,7 @@
 
 def test_an_instance_that_has_ended_gets_nothing_new_and_one_that_is_back_does() -> None:
     async def play() -> None:
-        instance, upstream = HeldInstance(before=3), Upstream()
+        instance, upstream = PausedInstance(before=3), Upstream()
         call = await instance.listen()
         instance.go_on.set()
         await upstream.retire("i-1")
@@ -118,7 +118,7 @@
 
 def test_an_instance_that_is_back_is_called_while_an_answer_from_before_is_under_way() -> None:
     async def play() -> None:
-        instance, upstream = HeldInstance(before=3), Upstream()
+        instance, upstream = PausedInstance(before=3), Upstream()
         call = await instance.listen()
 
         async def answer() -> bytes:
@@ -142,7 +142,7 @@
 
 def test_what_outlasts_its_time_at_an_ended_instance_is_closed() -> None:
     async def play() -> None:
-        instance, upstream = HeldInstance(before=3), Upstream()
+        instance, upstream = PausedInstance(before=3), Upstream()
         call, begun = await instance.listen(), asyncio.Event()
 
         async def answer() -> None:
--- a/tests/test_fleet_histories.py
+++ b/tests/test_fleet_histories.py
@@ -61,7 +61,7 @@
         await wait_until(
             [fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES) if one != number], BOUND_S
         )
-        await fault.mend(fleet, number)
+        await fault.repair(fleet, number)
         await wait_until([fleet.serving_condition(one, version) for one in range(MACHINES)], BOUND_S)
         await wait_until([fleet.ready_condition(one, version, len(INSTANCES)) for one in range(MACHINES)], BOUND_S)
     return version
--- a/tests/test_fleet_request_lifecycle.py
+++ b/tests/test_fleet_request_lifecycle.py
@@ -37,7 +37,9 @@
     return placement
 
 
-def _life(route: Route, placement: Placement, prompt: Prompt | None = None, slack: float = 100.0) -> RequestLifecycle:
+def _lifecycle(
+    route: Route, placement: Placement, prompt: Prompt | None = None, slack: float = 100.0
+) -> RequestLifecycle:
     budget = RetryBudget(0.2, slack, 10.0, -10.0)
     budget.record_request(0.0)
     return RequestLifecycle(
@@ -62,21 +64,21 @@
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_retried_and_gets_502() -> None:
-    life = _life(UNSAFE, _placement(0, 0, 3))
+    life = _lifecycle(UNSAFE, _placement(0, 0, 3))
     life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
     assert life.next_step(0.1) == Reject(502, None)
 
 
 @pytest.mark.parametrize("ending", [AttemptOutcome.UNSENT, AttemptOutcome.REFUSED, AttemptOutcome.MISPLACED])
 def test_a_request_that_did_not_run_is_retried_at_another_instance(ending: AttemptOutcome) -> None:
-    life = _life(UNSAFE, _placement(0, 0, 3))
+    life = _lifecycle(UNSAFE, _placement(0, 0, 3))
     first = _run(life)
     life.complete_attempt(0.1, first.reservation, AttemptResult(ending))
     assert _run(life, 0.1).reservation.node is not first.reservation.node
 
 
 def test_a_request_gets_503_where_nothing_ran_and_the_budget_is_spent() -> None:
-    life = _life(UNSAFE, _placement(0, 0, 3), slack=0.0)
+    life = _lifecycle(UNSAFE, _placement(0, 0, 3), slack=0.0)
     life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.REFUSED))
     answer = life.next_step(0.1)
     assert isinstance(answer, Reject)
@@ -85,24 +87,24 @@
 
 
 def test_a_safe_request_is_retried_within_its_attempts() -> None:
-    life = _life(SAFE, _placement(0, 0, 5))
+    life = _lifecycle(SAFE, _placement(0, 0, 5))
     for _ in range(3):
         life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
     assert isinstance(life.next_step(0.1), Reject)
 
 
 def test_a_service_without_instances_is_refused_at_once() -> None:
-    answer = _life(UNSAFE, _placement(0, 0, 0)).next_step(0.0)
+    answer = _lifecycle(UNSAFE, _placement(0, 0, 0)).next_step(0.0)
     assert isinstance(answer, Reject)
     assert answer.status == 503
 
 
 def test_no_attempt_begins_without_time_left() -> None:
-    assert isinstance(_life(UNSAFE, _placement(0, 0, 1)).next_step(3.999), Reject)
+    assert isinstance(_lifecycle(UNSAFE, _placement(0, 0, 1)).next_step(3.999), Reject)
 
 
 def test_a_prefill_is_a_separate_attempt_and_its_handle_is_used_once() -> None:
-    life = _life(STREAM, _placement(2, 2), PROMPT)
+    life = _lifecycle(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
     assert not life.complete_attempt(0.1, step.reservation, _handle(step))
     run = _run(life, 0.1)
@@ -115,7 +117,7 @@
 
 
 def test_an_unused_handle_is_returned_once() -> None:
-    life = _life(STREAM, _placement(2, 2), PROMPT)
+    life = _lifecycle(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
     life.complete_attempt(0.1, step.reservation, _handle(step))
     run = _run(life, 0.1)
@@ -127,7 +129,7 @@
 
 
 def test_a_request_with_only_a_prefill_has_not_run() -> None:
-    life = _life(FIXED, _placement(1, 1), PROMPT, slack=0.0)
+    life = _lifecycle(FIXED, _placement(1, 1), PROMPT, slack=0.0)
     life.complete_attempt(0.1, _read(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
     answer = life.next_step(0.1)
     assert isinstance(answer, Reject)
@@ -135,7 +137,7 @@
 
 
 def test_only_attempts_beyond_the_first_prefill_and_generation_use_budget() -> None:
-    life = _life(STREAM, _placement(2, 2), PROMPT)
+    life = _lifecycle(STREAM, _placement(2, 2), PROMPT)
     step = _read(life)
     life.complete_attempt(0.1, step.reservation, _handle(step))
     run = _run(life, 0.1)
@@ -146,7 +148,7 @@
 
 
 def test_a_resumable_stream_resumes_after_its_latest_event() -> None:
-    life = _life(STREAM, _placement(0, 2), PROMPT)
+    life = _lifecycle(STREAM, _placement(0, 2), PROMPT)
     run = _run(life)
     life.record_first_event(0.1, run.reservation)
     life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.BROKEN, last_event_id="12"))
@@ -156,7 +158,7 @@
 
 
 def test_a_stream_that_may_not_be_resumed_is_aborted() -> None:
-    life = _life(FIXED, _placement(0, 2), PROMPT)
+    life = _lifecycle(FIXED, _placement(0, 2), PROMPT)
     run = _run(life)
     life.record_first_event(0.1, run.reservation)
     life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.BROKEN, last_event_id="12"))
@@ -165,7 +167,7 @@
 
 def test_no_reservation_remains_after_the_end() -> None:
     placement = _placement(2, 2)
-    life = _life(STREAM, placement, PROMPT)
+    life = _lifecycle(STREAM, placement, PROMPT)
     read = _read(life)
     life.complete_attempt(0.1, read.reservation, _handle(read))
     run = _run(life, 0.1)
@@ -190,7 +192,7 @@
 
 def test_a_retry_round_begins_after_an_exponential_backoff() -> None:
     """Seen on a drawn day: one request reached the one instance that there was five times in 71 ms."""
-    life = _life(SAFE, _placement(0, 0, 2))
+    life = _lifecycle(SAFE, _placement(0, 0, 2))
     now, asked, pauses = 0.0, [], []
     while not isinstance(step := life.next_step(now), Reject):
         if isinstance(step, Backoff):
@@ -245,7 +247,7 @@
     """Its client's patience is for the first event; one that has had it waits for the rest."""
     for begun in (True, False):
         placement = _placement(0, 2)
-        life = _life(STREAM, placement, PROMPT)
+        life = _lifecycle(STREAM, placement, PROMPT)
         life.client_deadline = 2.0
         first = _run(life)
         if begun:
--- a/tests/test_fleet_soak.py
+++ b/tests/test_fleet_soak.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_each_request_that_was_read_whole_ends_in_one_whole_answer_or_a_refusal(seed: int, tmp_path: Path) -> None:
+def test_each_complete_request_gets_one_complete_response_or_a_rejection(seed: int, tmp_path: Path) -> None:
     soak = Soak(tmp_path, seed)
     asyncio.run(soak.run())
     assert not findings(soak), "\n".join([str(summary(soak)), *findings(soak)[:40]])
--- a/tests/test_fleet_streams_outlive.py
+++ b/tests/test_fleet_streams_outlive.py
@@ -18,7 +18,7 @@
 from tests.fleet_faults import FAULTS
 from tests.fleet_requests import BOUND_S, INSTANCES, MACHINES, ROUTES, taken
 
-PAUSE_S = 0.9  # between events: a stream lasts 6.3 s
+EVENT_INTERVAL_S = 0.9  # between events: a stream lasts 6.3 s
 HEAD = 0  # whose streams are looked at; what happens, happens to the other machines
 STREAMS = 6
 LONG_MS = 30_000
@@ -40,7 +40,7 @@
     """Start an instance whose streams last."""
     engine = await fleet.start_instance(identity, service, stage)
     engine.events = EVENTS
-    fleet.instances[identity].before_event = lambda: asyncio.sleep(PAUSE_S)
+    fleet.instances[identity].before_event = lambda: asyncio.sleep(EVENT_INTERVAL_S)
 
 
 async def faults(fleet: LoopbackFleet, over: asyncio.Event) -> None:
@@ -51,7 +51,7 @@
         number += 1
         await fault.begin(fleet, machine)
         await asyncio.sleep(0.3)
-        await fault.mend(fleet, machine)
+        await fault.repair(fleet, machine)
         await asyncio.sleep(0.3)
 
 
@@ -95,7 +95,7 @@
     return is_stream(await client.answer())
 
 
-def test_streams_come_whole_while_all_else_goes_wrong(tmp_path: Path) -> None:
+def test_streams_are_complete_under_all_faults(tmp_path: Path) -> None:
     async def run() -> None:
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await fleet.start()
