--- a/hophinge/admin/operation_handlers.py
+++ b/hophinge/admin/operation_handlers.py
@@ -6,10 +6,9 @@
 import secrets
 from collections.abc import Callable, Collection, Iterable
 from heapq import nsmallest
-from typing import Any
 
 import msgspec
-from msgspec import UNSET, Struct
+from msgspec import UNSET, Struct, UnsetType
 
 from hophinge.admin import schemas
 from hophinge.admin.operations import MAX_PAGE, DEFAULT_PAGE, ApiRequest, Principal, ProblemError, ApiResponse
@@ -26,10 +25,10 @@
     """Result of a change: rows to write, its answer, the answer to a retry if it differs, and what the audit says."""
 
     rows: list[Row]
-    answer: Any
+    answer: Struct | None
     target: str
     detail: dict[str, object] = {}
-    stored_answer: Any = UNSET
+    stored_answer: Struct | UnsetType | None = UNSET
 
 
 class OperationHandlers:
@@ -70,9 +69,9 @@
 
     # --- tenants
 
-    def _tenant_answer(self, held: Account) -> schemas.TenantShown:
+    def _tenant_answer(self, account: Account) -> schemas.TenantShown:
         return schemas.tenant_answer(
-            held, len(self.accounts.buckets.get(held.name, {})), len(self.accounts.key_ids.get(held.name, ()))
+            account, len(self.accounts.buckets.get(account.name, {})), len(self.accounts.key_ids.get(account.name, ()))
         )
 
     def _list_tenants(self, caller: Principal, call: ApiRequest, names: dict[str, str]) -> ApiResponse:
@@ -81,10 +80,10 @@
         return _ok(schemas.TenantPage(rows, after))
 
     def _show_tenant(self, caller: Principal, call: ApiRequest, names: dict[str, str]) -> ApiResponse:
-        held = self.accounts.tenants.get(names["tenant"])  # also a closed one, so that its end is visible
-        if held is None:
+        account = self.accounts.tenants.get(names["tenant"])  # also a closed one, so that its end is visible
+        if account is None:
             raise AccountError("missing", f"no tenant {names['tenant']}")
-        return _ok(self._tenant_answer(held), self.accounts.seq(TENANT_KIND, held.name))
+        return _ok(self._tenant_answer(account), self.accounts.seq(TENANT_KIND, account.name))
 
     def _check_reserve(self, name: str, reserve: float) -> None:
         """Reject a reserve that the installation cannot guarantee beside all others."""
@@ -99,71 +98,73 @@
     def _create_tenant(
         self, caller: Principal, call: ApiRequest, names: dict[str, str], body: schemas.NewTenant, now_ms: int
     ) -> ChangeResult:
-        made = self.accounts.create(names["tenant"], body.quotas, body.shares, body.note, now_ms)
-        self._check_reserve(made.name, body.shares.reserve)
-        return ChangeResult([row_of(made)], schemas.tenant_answer(made, 0, 0), made.name, msgspec.to_builtins(body))
+        account = self.accounts.create(names["tenant"], body.quotas, body.shares, body.note, now_ms)
+        self._check_reserve(account.name, body.shares.reserve)
+        return ChangeResult(
+            [row_of(account)], schemas.tenant_answer(account, 0, 0), account.name, msgspec.to_builtins(body)
+        )
 
     def _change_tenant(
         self, caller: Principal, call: ApiRequest, names: dict[str, str], body: schemas.TenantChange, now_ms: int
     ) -> ChangeResult:
-        held = self.accounts.tenant(names["tenant"])
-        self._check_if_match(call, TENANT_KIND, held.name)
+        before = self.accounts.tenant(names["tenant"])
+        self._check_if_match(call, TENANT_KIND, before.name)
         quotas = None if body.quotas is UNSET else body.quotas
         shares = None if body.shares is UNSET else body.shares
-        made = self.accounts.change(held.name, quotas, shares, None if body.note is UNSET else body.note)
+        after = self.accounts.change(before.name, quotas, shares, None if body.note is UNSET else body.note)
         if shares is not None:
-            self._check_reserve(held.name, shares.reserve)
+            self._check_reserve(before.name, shares.reserve)
         if body.state is not UNSET:
             action = TenantAction.RESUME if body.state == TenantState.ACTIVE.value else TenantAction.SUSPEND
-            made = msgspec.structs.replace(made, state=self.accounts.transition(held.name, action).state)
-        return ChangeResult([row_of(made)], self._tenant_answer(made), made.name, msgspec.to_builtins(body))
+            after = msgspec.structs.replace(after, state=self.accounts.transition(before.name, action).state)
+        return ChangeResult([row_of(after)], self._tenant_answer(after), after.name, msgspec.to_builtins(body))
 
     def _close_tenant(
         self, caller: Principal, call: ApiRequest, names: dict[str, str], body: None, now_ms: int
     ) -> ChangeResult:
-        held = self.accounts.tenant(names["tenant"])
-        self._check_if_match(call, TENANT_KIND, held.name)
-        made = self.accounts.transition(held.name, TenantAction.CLOSE)
-        return ChangeResult([row_of(made)], self._tenant_answer(made), made.name)
+        before = self.accounts.tenant(names["tenant"])
+        self._check_if_match(call, TENANT_KIND, before.name)
+        after = self.accounts.transition(before.name, TenantAction.CLOSE)
+        return ChangeResult([row_of(after)], self._tenant_answer(after), after.name)
 
     # --- buckets
 
     def _list_volumes(self, caller: Principal, call: ApiRequest, names: dict[str, str]) -> ApiResponse:
         self.accounts.tenant(names["tenant"])
-        mine = self.accounts.buckets.get(names["tenant"], {})
-        page, after = _page(call, mine)
-        return _ok(schemas.VolumePage([schemas.volume_answer(mine[name]) for name in page], after))
+        buckets = self.accounts.buckets.get(names["tenant"], {})
+        page, after = _page(call, buckets)
+        return _ok(schemas.VolumePage([schemas.volume_answer(buckets[name]) for name in page], after))
 
     def _show_volume(self, caller: Principal, call: ApiRequest, names: dict[str, str]) -> ApiResponse:
-        held = self.accounts.bucket(names["tenant"], names["bucket"])
-        return _ok(schemas.volume_answer(held), self.accounts.seq(BUCKET_KIND, f"{held.tenant}/{held.name}"))
+        bucket = self.accounts.bucket(names["tenant"], names["bucket"])
+        return _ok(schemas.volume_answer(bucket), self.accounts.seq(BUCKET_KIND, f"{bucket.tenant}/{bucket.name}"))
 
     def _put_volume(
         self, caller: Principal, call: ApiRequest, names: dict[str, str], body: schemas.VolumeBody, now_ms: int
     ) -> ChangeResult:
         tenant, name = names["tenant"], names["bucket"]
-        held = self.accounts.buckets.get(tenant, {}).get(name)
-        if held is not None:
+        before = self.accounts.buckets.get(tenant, {}).get(name)
+        if before is not None:
             self._check_if_match(call, BUCKET_KIND, f"{tenant}/{name}")
         plans = frozenset(self.plans()) or frozenset({body.plan})
-        made = self.accounts.put_bucket(tenant, name, body.plan, plans, secrets.token_hex(8), now_ms)
+        after = self.accounts.put_bucket(tenant, name, body.plan, plans, secrets.token_hex(8), now_ms)
         return ChangeResult(
-            [row_of(made)],
-            schemas.volume_answer(made),
+            [row_of(after)],
+            schemas.volume_answer(after),
             f"{tenant}/{name}",
-            {"plan": made.plan, "before": held.plan if held else ""},
+            {"plan": after.plan, "before": before.plan if before else ""},
         )
 
     def _remove_volume(
         self, caller: Principal, call: ApiRequest, names: dict[str, str], body: None, now_ms: int
     ) -> ChangeResult:
-        held = self.accounts.bucket(names["tenant"], names["bucket"])
-        self._check_if_match(call, BUCKET_KIND, f"{held.tenant}/{held.name}")
+        bucket = self.accounts.bucket(names["tenant"], names["bucket"])
+        self._check_if_match(call, BUCKET_KIND, f"{bucket.tenant}/{bucket.name}")
         return ChangeResult(
-            [Row(BUCKET_KIND, f"{held.tenant}/{held.name}", None)],
+            [Row(BUCKET_KIND, f"{bucket.tenant}/{bucket.name}", None)],
             None,
-            f"{held.tenant}/{held.name}",
-            {"volume": held.id},
+            f"{bucket.tenant}/{bucket.name}",
+            {"volume": bucket.id},
         )
 
     # --- keys
@@ -174,21 +175,21 @@
         return _ok(schemas.KeyPage([schemas.key_answer(self.accounts.keys[name]) for name in page], after))
 
     def _show_key(self, caller: Principal, call: ApiRequest, names: dict[str, str]) -> ApiResponse:
-        held = self.accounts.key(names["tenant"], names["key"])
-        return _ok(schemas.key_answer(held), self.accounts.seq(KEY_KIND, held.id))
+        key = self.accounts.key(names["tenant"], names["key"])
+        return _ok(schemas.key_answer(key), self.accounts.seq(KEY_KIND, key.id))
 
     def _key_result(self, rows: list[Row], key: Key, secret: str, detail: dict[str, object]) -> ChangeResult:
-        told = schemas.KeyMade(key.id, f"{key.id}.{secret}", key.role, key.expires_ms)
+        answer = schemas.KeyMade(key.id, f"{key.id}.{secret}", key.role, key.expires_ms)
         return ChangeResult(
-            rows, told, f"{key.tenant}/{key.id}", detail, schemas.KeyMade(key.id, None, key.role, key.expires_ms)
+            rows, answer, f"{key.tenant}/{key.id}", detail, schemas.KeyMade(key.id, None, key.role, key.expires_ms)
         )
 
     def _create_key(
         self, caller: Principal, call: ApiRequest, names: dict[str, str], body: schemas.NewKey, now_ms: int
     ) -> ChangeResult:
-        ends = now_ms + body.expires_s * 1000 if body.expires_s else 0
+        expires_ms = now_ms + body.expires_s * 1000 if body.expires_s else 0
         secret = secrets.token_urlsafe(32)
-        key = self.accounts.add_key(names["tenant"], _key_id(), secret, body.role, ends, body.note, now_ms)
+        key = self.accounts.add_key(names["tenant"], _key_id(), secret, body.role, expires_ms, body.note, now_ms)
         return self._key_result([row_of(key)], key, secret, {"role": key.role.value, "ends_ms": key.expires_ms})
 
     def _rotate_key(
@@ -208,17 +209,17 @@
     # --- usage, plans, audit, description
 
     def _show_usage(self, caller: Principal, call: ApiRequest, names: dict[str, str]) -> ApiResponse:
-        held = self.accounts.tenant(names["tenant"])
+        account = self.accounts.tenant(names["tenant"])
         volumes: dict[str, dict[str, float]] = {}
         removed: dict[str, float] = {}
         total: dict[str, float] = {}
-        for volume, fields in self.ledger.usage_by_volume(held.name).items():
+        for volume, fields in self.ledger.usage_by_volume(account.name).items():
             bucket: Bucket | None = self.accounts.volumes.get(volume)
             amounts = volumes.setdefault(bucket.name, {}) if bucket is not None else removed
             for field, amount in fields.items():
                 amounts[field] = amounts.get(field, 0.0) + amount
                 total[field] = total.get(field, 0.0) + amount
-        return _ok(schemas.UsageShown(held.name, volumes, removed, total))
+        return _ok(schemas.UsageShown(account.name, volumes, removed, total))
 
     def _list_plans(self, caller: Principal, call: ApiRequest, names: dict[str, str]) -> ApiResponse:
         return _ok(schemas.Plans(sorted(self.plans())))
@@ -257,5 +258,5 @@
     return page[:limit], page[limit - 1] if len(page) > limit else None
 
 
-def _ok(answer: Any, seq: int = 0) -> ApiResponse:
+def _ok(answer: Struct, seq: int = 0) -> ApiResponse:
     return ApiResponse(200, msgspec.json.encode(answer), {"ETag": f'"{seq}"'} if seq else {})
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -21,7 +21,7 @@
 from tests.test_service import ROOT
 
 
-def test_a_tenant_from_its_making_to_its_end(tmp_path: Path) -> None:
+def test_lifecycle_of_a_tenant(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             assert await to.call("GET", "/v1/plans", status=200) == {"plans": ["basic", "priority"]}
@@ -90,7 +90,7 @@
     run(main())
 
 
-def test_calls_that_are_not_allowed_change_nothing(tmp_path: Path) -> None:
+def test_rejected_calls_change_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             for token in ("", "wrong", TOKEN[:-1]):
@@ -116,7 +116,7 @@
     run(main())
 
 
-def test_of_two_administrators_at_once_the_second_sees_what_the_first_did(tmp_path: Path) -> None:
+def test_concurrent_administrators_do_not_lose_updates(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             await to.call("PUT", "/v1/tenants/alba", status=201)
@@ -137,7 +137,7 @@
     run(main())
 
 
-def test_pages_of_tenants_and_of_the_audit_lead_through_all(tmp_path: Path) -> None:
+def test_pagination_of_tenants_and_of_the_audit_is_complete(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             names = [f"tenant-{at:02}" for at in range(23)]
@@ -160,12 +160,12 @@
     run(main())
 
 
-def test_the_description_of_the_api_is_the_recorded_one() -> None:
+def test_description_of_the_api_is_the_recorded_one() -> None:
     """Names of shapes and their docstrings stand in it: a change of either is a change of what clients read."""
     assert openapi.encoded_description() == (Path(__file__).parent / "fixtures" / "openapi.json").read_bytes()
 
 
-def test_the_description_is_sound_and_the_server_answers_as_it_says(tmp_path: Path) -> None:
+def test_description_is_valid_and_the_server_conforms_to_it(tmp_path: Path) -> None:
     described = openapi.description()
     validate(described)
     resolver = jsonschema.validators.validator_for({"$schema": "https://json-schema.org/draft/2020-12/schema"})
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("text", ["[admin]\nlisten='a:1'\ntoken_file='t'\ncalls_s=0"])
-def test_bad_settings_are_told(text: str, tmp_path: Path) -> None:
+def test_invalid_settings_are_reported(text: str, tmp_path: Path) -> None:
     from hophinge.head.operator_config import load
 
     (tmp_path / "op.toml").write_text(text)
--- a/tests/test_admin_bounds.py
+++ b/tests/test_admin_bounds.py
@@ -12,7 +12,7 @@
 from tests.stand_in import Backend, Wire, headers, held_by, run, until, world
 
 
-def test_bounds_of_a_tenant_on_connections_requests_and_uploads(tmp_path: Path) -> None:
+def test_quotas_on_connections_requests_and_uploads(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             quotas = {"connections": 2, "requests": 2, "uploads": 2}
@@ -64,7 +64,7 @@
     run(main())
 
 
-def test_usage_is_exact_over_restarts_and_told_to_its_tenant_alone(tmp_path: Path) -> None:
+def test_usage_is_exact_over_restarts_and_visible_to_its_tenant_only(tmp_path: Path) -> None:
     async def main() -> None:
         async with world(Backend(0), Backend(1), Backend(2)) as made:
             to = Caller(made, await made.head(operator(tmp_path)))
--- a/tests/test_admin_ends.py
+++ b/tests/test_admin_ends.py
@@ -14,7 +14,7 @@
 from tests.stand_in import Backend, run, until, world
 
 
-def test_a_tenant_deleted_while_its_requests_wait_stream_and_upload(tmp_path: Path) -> None:
+def test_tenant_is_closed_while_its_requests_wait_stream_and_upload(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             await to.call("PUT", "/v1/tenants/alba", status=201)
@@ -79,7 +79,7 @@
         return int(answer.status)
 
 
-def test_a_purge_that_was_cut_off_goes_on_after_a_restart(tmp_path: Path) -> None:
+def test_interrupted_purge_continues_after_a_restart(tmp_path: Path) -> None:
     async def main() -> None:
         async with world(Backend(0), Backend(1), Backend(2)) as made:
             to = Caller(made, await made.head(operator(tmp_path)))
--- a/tests/test_admin_keys.py
+++ b/tests/test_admin_keys.py
@@ -12,7 +12,7 @@
 from tests.stand_in import Wire, run
 
 
-def test_a_tenant_s_key_reaches_nothing_of_another_and_a_foreign_name_looks_like_none(tmp_path: Path) -> None:
+def test_key_of_a_tenant_cannot_access_or_detect_another_tenant(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             keys = {}
@@ -76,7 +76,7 @@
     run(main())
 
 
-def test_a_million_keys_tried_in_a_row_cost_little_and_lock_nobody_else_out(tmp_path: Path) -> None:
+def test_a_million_wrong_keys_cost_little_and_lock_no_other_client_out(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             codes = [await to.call("GET", "/v1/tenants", token=f"hk{at:016x}.guess") for at in range(60)]
@@ -107,7 +107,7 @@
     run(main())
 
 
-def test_who_guesses_at_object_keys_is_told_to_wait_and_owes_nothing_for_asking_again(tmp_path: Path) -> None:
+def test_wrong_object_keys_are_rate_limited_without_a_debt(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             key, accounts = books.tenant(tmp_path / "tenants.db"), to.service.accounts
--- a/tests/test_admin_store.py
+++ b/tests/test_admin_store.py
@@ -14,7 +14,7 @@
 from tests.test_service import ROOT
 
 
-def test_a_store_that_is_locked_or_full_changes_nothing_and_says_so(tmp_path: Path) -> None:
+def test_locked_or_full_ledger_changes_nothing_and_reports_it(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             await to.call("PUT", "/v1/tenants/alba", status=201)
@@ -38,7 +38,7 @@
     run(main())
 
 
-def test_the_old_file_is_taken_over_once_and_can_be_written_again(tmp_path: Path) -> None:
+def test_old_accounts_file_is_imported_once_and_can_be_exported(tmp_path: Path) -> None:
     old = {
         "tenants": {
             "alba": {
@@ -72,7 +72,7 @@
     assert {name: found[name] for name in old["tenants"]} == old["tenants"] and "carluke" in found
 
 
-def test_another_process_s_change_is_seen_at_once(tmp_path: Path) -> None:
+def test_change_of_another_process_is_visible_at_once(tmp_path: Path) -> None:
     async def main() -> None:
         async with caller(tmp_path) as to:
             key = books.tenant(tmp_path / "tenants.db")
--- a/tests/test_remote_write.py
+++ b/tests/test_remote_write.py
@@ -82,7 +82,7 @@
         return found
 
 
-def test_counters_arrive_by_the_protocol_with_labels_and_time() -> None:
+def test_metrics_are_sent_by_the_protocol_with_labels_and_time() -> None:
     async def main() -> None:
         receiver = Receiver()
         await receiver.open()
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize(("status", "tries"), [(500, 2), (503, 2), (429, 2), (400, 1), (404, 1)])
-def test_what_may_pass_is_sent_again_and_what_may_not_is_dropped(
+def test_temporary_errors_are_retried_and_final_ones_dropped(
     status: int, tries: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("hophinge.telemetry.remote_write.INITIAL_BACKOFF_S", 0.01)
@@ -129,7 +129,7 @@
     run(main())
 
 
-def test_a_receiver_that_is_down_costs_the_oldest_samples_only() -> None:
+def test_unreachable_receiver_costs_only_the_oldest_samples() -> None:
     async def main() -> None:
         counters = Counters()
         push = RemoteWrite(RemoteWriteConfig("http://127.0.0.1:9/", queue=3), "n", counters, dict, lambda: 1_000)
@@ -147,7 +147,7 @@
     run(main())
 
 
-def test_alert_rules_name_metrics_that_are_exported(tmp_path: Path) -> None:
+def test_alert_rules_name_exported_metrics(tmp_path: Path) -> None:
     async def gauges() -> dict[str, float]:
         async with world() as made:
             (tmp_path / "token").write_text("a-token-of-heads-1")
