--- a/hophinge/cli/console.py
+++ b/hophinge/cli/console.py
@@ -1,4 +1,4 @@
-"""What all commands of the command line share: the console, and how a mistake is told."""
+"""The console of all commands, and how a command fails."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 def fail(text: str, status: int = 2) -> typer.Exit:
-    """Say what is wrong in one line on standard error; the result is to be raised."""
+    """Print an error as one line on standard error; the result is to be raised."""
     print(f"hophinge: {' '.join(text.split())}", file=sys.stderr)
     return typer.Exit(status)
--- a/hophinge/cli/service.py
+++ b/hophinge/cli/control_service.py
@@ -27,8 +27,8 @@
 
 
 @dataclass
-class Owner:
-    """The accounts of an installation: the ledger, the API, and the purge of what closes."""
+class AccountsService:
+    """The accounts of an installation: the ledger, the administration API, and the purge of closing tenants."""
 
     path: Path
     listen: str
@@ -37,28 +37,28 @@
     log: Log
     calls_s: float = 20.0
     accounts: Accounts = field(default_factory=Accounts)
-    heard: Callable[[], None] = lambda: None
+    on_rows_changed: Callable[[], None] = lambda: None
 
     def __post_init__(self) -> None:
-        """Open the ledger; raises LedgerError, OSError and ValueError where that or the token cannot be used."""
-        self.ledger = Ledger(self.path, self._take)
-        self.time = SlewedClock(wall_ms(), steady_us(), self.ledger.last_change_ms())
+        """Open the ledger; raises LedgerError, OSError or ValueError where it or the token cannot be used."""
+        self.ledger = Ledger(self.path, self._apply)
+        self.clock = SlewedClock(wall_ms(), steady_us(), self.ledger.last_change_ms())
         self.token = read_token(self.token_file)
         self.acceptor: Acceptor | None = None
         self.front: AdminListener | None = None
-        self.purging: asyncio.Task[None] | None = None
+        self.purge_task: asyncio.Task[None] | None = None
 
-    def _take(self, rows: Iterable[Row]) -> None:
+    def _apply(self, rows: Iterable[Row]) -> None:
         self.accounts.apply(rows)
-        self.heard()
+        self.on_rows_changed()
 
     def now_ms(self) -> int:
-        """Tell the time that keys end by."""
-        return self.time.now_ms(wall_ms(), steady_us())
+        """Return the time by which keys expire, in milliseconds since 1970."""
+        return self.clock.now_ms(wall_ms(), steady_us())
 
     def start(self, service: ControlService) -> None:
-        """Listen; heads hear of changes through the service."""
-        self.heard = service.streams.on_accounts_changed
+        """Listen; heads are notified of changes through the control service."""
+        self.on_rows_changed = service.streams.on_accounts_changed
         api = AdminApi(
             self.ledger,
             self.accounts,
@@ -72,14 +72,14 @@
         )
         self.front = AdminListener(api, Counters(), self.log)
         self.acceptor = Acceptor(*address(self.listen), self.front)
-        # Heads abort what uploads are open at them; here there is nothing to abort.
-        self.purging = asyncio.create_task(Purger(self.ledger, self.accounts, self.now_ms, self.log).run())
+        # Heads abort the uploads that are open at them; here there is nothing to abort.
+        self.purge_task = asyncio.create_task(Purger(self.ledger, self.accounts, self.now_ms, self.log).run())
 
     async def stop(self) -> None:
-        """End."""
-        if self.purging is not None:
-            self.purging.cancel()
-            await asyncio.gather(self.purging, return_exceptions=True)
+        """Stop listening, and close the ledger."""
+        if self.purge_task is not None:
+            self.purge_task.cancel()
+            await asyncio.gather(self.purge_task, return_exceptions=True)
         if self.acceptor is not None:
             self.acceptor.close()
         if self.front is not None:
@@ -88,28 +88,33 @@
         self.ledger.close()
 
 
-async def serve(
+async def serve_control(
     store: ControlStore,
     heads: dict[str, str],
     staff: dict[str, str],
-    where: str,
+    listen_address: str,
     log: Log,
     stopping: asyncio.Event,
-    owner: Owner | None = None,
+    accounts_service: AccountsService | None = None,
 ) -> None:
-    """Serve until told to stop."""
+    """Serve until `stopping` is set."""
     service = ControlService(
-        store, frozenset(heads), staff, log, owner.ledger if owner else None, owner.accounts if owner else None
+        store,
+        frozenset(heads),
+        staff,
+        log,
+        accounts_service.ledger if accounts_service else None,
+        accounts_service.accounts if accounts_service else None,
     )
     try:
-        await service.start(where)
-        if owner is not None:
-            owner.start(service)
-            log(f"the administration API listens on {owner.listen}")
-        log(f"the control service listens on {where} (port {service.port}); epoch {store.epoch}")
+        await service.start(listen_address)
+        if accounts_service is not None:
+            accounts_service.start(service)
+            log(f"the administration API listens on {accounts_service.listen}")
+        log(f"the control service listens on {listen_address} (port {service.port}); epoch {store.epoch}")
         await stopping.wait()
     finally:
         with contextlib.suppress(asyncio.CancelledError):
-            if owner is not None:
-                await owner.stop()
+            if accounts_service is not None:
+                await accounts_service.stop()
             await service.stop()
--- a/hophinge/cli/demo.py
+++ b/hophinge/cli/demo.py
@@ -17,19 +17,20 @@
 from rich.console import Console
 
 ROOT = Path(__file__).parent.parent.parent
-LIMIT_S = 60.0
-VOLUME, OBJECT = "00000003b4d60021", "7f3a9c21e0b4d655"
+LIMIT_S = 60.0  # of the whole demo
+VOLUME = "00000003b4d60021"
+OBJECT = "7f3a9c21e0b4d655"
 
 
 def free_port() -> int:
-    """Find a loopback port that nobody uses."""
+    """Return a free port of loopback."""
     with socket.socket() as one:
         one.bind(("127.0.0.1", 0))
         return int(one.getsockname()[1])
 
 
 async def main(out: Console) -> int:
-    """Play it; tells the exit status."""
+    """Run the demo and return the exit status."""
     toy = ROOT / "examples" / "toy_server.py"
     if not toy.exists():
         out.print("the demo needs the repository: examples/toy_server.py is not beside the package")
@@ -50,111 +51,140 @@
                 await process.wait()
 
 
-async def _play(out: Console, folder: Path, processes: list[asyncio.subprocess.Process]) -> int:
-    toy = _toy()
-    ports = {name: free_port() for name in ("client", "staff", "stream", "discovery", "a", "b", "c")}
+class Demo:
+    """The processes of a demo, its ports and tokens, and its steps."""
+
+    def __init__(self, out: Console, folder: Path, processes: list[asyncio.subprocess.Process]) -> None:
+        self.out = out
+        self.folder = folder
+        self.processes = processes
+        self.ports = {name: free_port() for name in ("client", "staff", "stream", "discovery", "a", "b", "c")}
+        self.head_token = secrets.token_hex(16)
+        self.operator_token = secrets.token_hex(16)
+        self.client_url = f"http://127.0.0.1:{self.ports['client']}"
+        self.operations_url = f"http://127.0.0.1:{self.ports['staff']}"
 
-    async def start(*words: str, **environ: str) -> None:
-        processes.append(
+    async def start(self, *arguments: str, **environ: str) -> None:
+        """Start a Python process, with its output in the log of the demo."""
+        self.processes.append(
             await asyncio.create_subprocess_exec(
                 sys.executable,
-                *words,
+                *arguments,
                 cwd=ROOT,
                 env={**os.environ, **environ},
-                stdout=(folder / "log").open("ab"),
+                stdout=(self.folder / "log").open("ab"),
                 stderr=asyncio.subprocess.STDOUT,
             )
         )
 
-    backends = [toy.Backend(at, ports[name]) for at, name in enumerate("abc")]
-    platform = await toy.serve(backends, ports["discovery"])
+    async def start_control_service(self) -> None:
+        """Start a control service with tokens of its own."""
+        (self.folder / "heads").write_text(f"heads {self.head_token}\n")
+        (self.folder / "staff").write_text(f"you {self.operator_token}\n")
+        await self.start(
+            "-m",
+            "hophinge",
+            "control",
+            "serve",
+            "--store",
+            str(self.folder / "versions.db"),
+            "--heads",
+            str(self.folder / "heads"),
+            "--staff",
+            str(self.folder / "staff"),
+            "--listen",
+            f"127.0.0.1:{self.ports['stream']}",
+        )
+
+    async def start_head(self) -> None:
+        """Start a head on the example's configuration, which follows the control service."""
+        config = json.loads((ROOT / "examples" / "config.json").read_text())
+        config.update(
+            listen=f"127.0.0.1:{self.ports['client']}",
+            control=f"127.0.0.1:{self.ports['staff']}",
+            discovery=f"127.0.0.1:{self.ports['discovery']}",
+        )
+        (self.folder / "config.json").write_text(json.dumps(config))
+        (self.folder / "token").write_text(self.head_token)
+        (self.folder / "operator.toml").write_text(
+            f'[stream]\nendpoints = ["127.0.0.1:{self.ports["stream"]}"]\ntoken_file = "token"\nfolder = "state"\n'
+        )
+        await self.start(
+            "-m",
+            "hophinge",
+            EDGE_CONFIG=str(self.folder / "config.json"),
+            HOPHINGE_OPERATOR_FILE=str(self.folder / "operator.toml"),
+        )
+
+    async def write_and_read(self, session: aiohttp.ClientSession, backends: list[Any]) -> bool:
+        """Write an object and read it; returns whether both succeeded."""
+        headers = {"X-Qos-Policy": "priority", "X-Remaining-Ms": "700"}
+        async with session.put(
+            f"{self.client_url}/transfer-write/{VOLUME}/{OBJECT}",
+            data=b"a transfer\n",
+            headers={**headers, "X-Txn": f"{1:016x}", "X-Placement": "units=1,shard=-1,hosts=1"},
+        ) as answer:
+            self.out.print(f"3. an object is written: {answer.status}")
+            write_status = answer.status
+        shard = next(backend.shard for backend in backends if backend.objects)
+        async with session.get(
+            f"{self.client_url}/record-read/{VOLUME}/{OBJECT}",
+            headers={**headers, "X-Txn": f"{2:016x}", "X-Placement": f"units=1,shard={shard},hosts=1"},
+        ) as answer:
+            body = await answer.read()
+            self.out.print(f"4. it is read from brick {shard}: {answer.status}, {body!r}")
+        return write_status == 200 and body == b"a transfer\n"
+
+    async def push(self, text: str) -> dict[str, Any]:
+        """Push a service document, and return the control service's answer."""
+        from hophinge.control.operator_client import call_operator_api
+
+        address = f"127.0.0.1:{self.ports['stream']}"
+        body = json.dumps({"text": text}).encode()
+        answer: dict[str, Any] = json.loads(await call_operator_api(address, self.operator_token, "Push", body))
+        return answer
+
+    async def push_versions(self, session: aiohttp.ClientSession) -> bool:
+        """Push a good version and one that the head rejects; returns whether it goes on with the good one."""
+        url = f"{self.operations_url}/ops/config"
+        # Without its waves, which take seconds, and with which a version that is rejected is rolled back.
+        good = (ROOT / "examples" / "service.sexp").read_text().partition("(rollout")[0]
+        await _until(session, url, lambda text: json.loads(text)["connected"])
+        pushed = await self.push(good)
+        state = json.loads(await _until(session, url, lambda text: json.loads(text)["running"] == pushed["version"]))
+        self.out.print(
+            f"5. examples/service.sexp is pushed as version {pushed['version']}; the head runs it "
+            f"({state['records']} records)"
+        )
+        rejected = await self.push(good + "(pool moon (zones the-moon))\n")
+        state = json.loads(await _until(session, url, lambda text: json.loads(text)["state"] == "turned down"))
+        self.out.print(
+            f"6. version {rejected['version']} names a zone that is not there: the head turns it down "
+            f"({state['reason']}) and goes on with {state['running']}",
+            markup=False,
+        )
+        return bool(state["running"] == pushed["version"])
+
+
+async def _play(out: Console, folder: Path, processes: list[asyncio.subprocess.Process]) -> int:
+    toy = _toy()
+    demo = Demo(out, folder, processes)
+    backends = [toy.Backend(at, demo.ports[name]) for at, name in enumerate("abc")]
+    platform = await toy.serve(backends, demo.ports["discovery"])
     out.print("1. three bricks and discovery serve")
-    head_token, staff_token = secrets.token_hex(16), secrets.token_hex(16)
-    (folder / "heads").write_text(f"heads {head_token}\n")
-    (folder / "staff").write_text(f"you {staff_token}\n")
-    (folder / "token").write_text(head_token)
-    await start(
-        "-m",
-        "hophinge",
-        "control",
-        "serve",
-        "--store",
-        str(folder / "versions.db"),
-        "--heads",
-        str(folder / "heads"),
-        "--staff",
-        str(folder / "staff"),
-        "--listen",
-        f"127.0.0.1:{ports['stream']}",
-    )
-    config = json.loads((ROOT / "examples" / "config.json").read_text())
-    config.update(
-        listen=f"127.0.0.1:{ports['client']}",
-        control=f"127.0.0.1:{ports['staff']}",
-        discovery=f"127.0.0.1:{ports['discovery']}",
-    )
-    (folder / "config.json").write_text(json.dumps(config))
-    (folder / "operator.toml").write_text(
-        f'[stream]\nendpoints = ["127.0.0.1:{ports["stream"]}"]\ntoken_file = "token"\nfolder = "state"\n'
-    )
-    await start(
-        "-m", "hophinge", EDGE_CONFIG=str(folder / "config.json"), HOPHINGE_OPERATOR_FILE=str(folder / "operator.toml")
-    )
-    base, staff = f"http://127.0.0.1:{ports['client']}", f"http://127.0.0.1:{ports['staff']}"
+    await demo.start_control_service()
+    await demo.start_head()
     try:
         async with aiohttp.ClientSession() as session:
-            await _until(session, f"{staff}/ops/readiness", lambda text: text == "ready\n")
+            await _until(session, f"{demo.operations_url}/ops/readiness", lambda text: text == "ready\n")
             out.print("2. a head and a control service serve")
-            path = f"{base}/transfer-write/{VOLUME}/{OBJECT}"
-            headers = {"X-Qos-Policy": "priority", "X-Remaining-Ms": "700"}
-            async with session.put(
-                path,
-                data=b"a transfer\n",
-                headers={**headers, "X-Txn": f"{1:016x}", "X-Placement": "units=1,shard=-1,hosts=1"},
-            ) as answer:
-                out.print(f"3. an object is written: {answer.status}")
-                written = answer.status
-            shard = next(backend.shard for backend in backends if backend.objects)
-            async with session.get(
-                f"{base}/record-read/{VOLUME}/{OBJECT}",
-                headers={**headers, "X-Txn": f"{2:016x}", "X-Placement": f"units=1,shard={shard},hosts=1"},
-            ) as answer:
-                body = await answer.read()
-                out.print(f"4. it is read from brick {shard}: {answer.status}, {body!r}")
-            from hophinge.control.operator_client import call_operator_api
-
-            async def push(text: str) -> dict[str, Any]:
-                address, body = f"127.0.0.1:{ports['stream']}", json.dumps({"text": text}).encode()
-                made: dict[str, Any] = json.loads(await call_operator_api(address, staff_token, "Push", body))
-                return made
-
-            # Without its waves, which take seconds, and with which a version that is turned down is rolled back.
-            good = (ROOT / "examples" / "service.sexp").read_text().partition("(rollout")[0]
-            await _until(session, f"{staff}/ops/config", lambda text: json.loads(text)["connected"])
-            done = await push(good)
-            told = json.loads(
-                await _until(
-                    session, f"{staff}/ops/config", lambda text: json.loads(text)["running"] == done["version"]
-                )
-            )
-            out.print(
-                f"5. examples/service.sexp is pushed as version {done['version']}; the head runs it "
-                f"({told['records']} records)"
-            )
-            bad = await push(good + "(pool moon (zones the-moon))\n")
-            told = json.loads(
-                await _until(session, f"{staff}/ops/config", lambda text: json.loads(text)["state"] == "turned down")
-            )
-            out.print(
-                f"6. version {bad['version']} names a zone that is not there: the head turns it down "
-                f"({told['reason']}) and goes on with {told['running']}",
-                markup=False,
-            )
+            is_read = await demo.write_and_read(session, backends)
+            is_running = await demo.push_versions(session)
     finally:
         platform.close()
-    good_end = written == 200 and body == b"a transfer\n" and told["running"] == done["version"]
-    out.print("7. everything ends" if good_end else "something went wrong")
-    return 0 if good_end else 1
+    is_good = is_read and is_running
+    out.print("7. everything ends" if is_good else "something went wrong")
+    return 0 if is_good else 1
 
 
 def _toy() -> Any:
@@ -166,7 +196,7 @@
 
 
 async def _until(session: aiohttp.ClientSession, url: str, good: Any) -> str:
-    """Ask until an answer is good; the demo's own limit ends it."""
+    """Send a GET until the answer is good, and return its text; the demo's own limit ends it."""
     while True:
         try:
             async with session.get(url) as answer:
--- a/hophinge/cli/load.py
+++ b/hophinge/cli/load_commands.py
@@ -1,4 +1,4 @@
-"""Words for loads: bricks, one run, and an experiment over several rates, each with processes of its own."""
+"""Commands for loads: backends, one run, and an experiment over several rates, each with processes of its own."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
     from hophinge.load.plan import LoadPlan
 
 load = typer.Typer(no_args_is_help=True, help="Open-loop loads by a plan, on loopback.")
-READY_S = 30.0
+READY_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 PlanFile = Annotated[Path, typer.Argument(help="the load's plan, S-expressions")]
 
 
-def read_plan(path: Path) -> LoadPlan:
-    """Read a plan; each mistake is one line, and the status is 2."""
+def plan_of(path: Path) -> LoadPlan:
+    """Return the plan of a file; prints each mistake as one line and exits with status 2."""
     from hophinge.load.plan import read_plan
 
     try:
@@ -48,7 +49,7 @@
 
     from hophinge.load.backends import HOST, Platform
 
-    made = read_plan(plan)
+    made = plan_of(plan)
 
     async def main() -> None:
         platform = Platform(made.scaled_to(times) if times else made)
@@ -73,37 +74,56 @@
     host = head.rpartition(":")[0]
     if not (host == "localhost" or host.startswith("127.") or host == "[::1]"):
         raise fail(f"{head} is not on loopback: loads are for this machine alone")
-    made = read_plan(plan)
+    made = plan_of(plan)
     import uvloop
 
     result = uvloop.run(LoadGenerator(made.scaled_to(times) if times else made, head).run(begin))
     print(render_table(str(plan), {f"{times:g}" if times else "as planned": result}))
 
 
-@asynccontextmanager
-async def head_for(
-    plan_path: Path, plan: LoadPlan, times: float, config: Path, operator: Path | None, program: Path
-) -> AsyncIterator[tuple[str, str]]:
-    """Start bricks and a head in processes of their own; tells the head's address and discovery's."""
+def _head_config(example: Path, port: int, discovery: str, backends: int) -> str:
+    """Return the configuration of a head on a port of loopback, with the discovery and backends of a load."""
+    body: dict[str, Any] = json_.loads(example.read_text())
+    body.update(listen=f"127.0.0.1:{port}", discovery=discovery, known={"rev": 0, "all": True, "targets": []})
+    body.pop("control", None)
+    body["settings"]["Domain"]["NShards"] = backends
+    return json_.dumps(body)
+
+
+async def _wait_until_ready(url: str) -> None:
+    """Wait until a head is ready; raises TimeoutError after `READY_TIMEOUT_S`."""
     import aiohttp
 
+    async with aiohttp.ClientSession() as session, asyncio.timeout(READY_TIMEOUT_S):
+        while True:
+            try:
+                async with session.get(url) as answer:
+                    if answer.status == 200:
+                        return
+            except aiohttp.ClientError:
+                pass
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+
+@asynccontextmanager
+async def running_head(
+    plan_path: Path, plan: LoadPlan, utilization: float, config: Path, operator: Path | None, program: Path
+) -> AsyncIterator[tuple[str, str]]:
+    """Start backends and a head in processes of their own; yields the addresses of the head and of discovery."""
     from hophinge.cli.demo import free_port
 
     processes: list[asyncio.subprocess.Process] = []
     with tempfile.TemporaryDirectory(prefix="hophinge-load-") as folder:
         try:
-            words = [sys.executable, "-m", "hophinge", "load", "bricks", str(plan_path), "--times", str(times)]
+            words = [sys.executable, "-m", "hophinge", "load", "bricks", str(plan_path), "--times", str(utilization)]
             made = await asyncio.create_subprocess_exec(*words, stdout=asyncio.subprocess.PIPE)
             processes.append(made)
             assert made.stdout is not None
             discovery = (await made.stdout.readline()).decode().strip()
             port = free_port()
-            body: dict[str, Any] = json_.loads(config.read_text())
-            body.update(listen=f"127.0.0.1:{port}", discovery=discovery, known={"rev": 0, "all": True, "targets": []})
-            body.pop("control", None)
-            body["settings"]["Domain"]["NShards"] = plan.backends
-            (Path(folder) / "config.json").write_text(json_.dumps(body))
-            environ = {**os.environ, "EDGE_CONFIG": str(Path(folder) / "config.json")}
+            config_path = Path(folder) / "config.json"
+            config_path.write_text(_head_config(config, port, discovery, plan.backends))
+            environ = {**os.environ, "EDGE_CONFIG": str(config_path)}
             if operator is not None:
                 environ["HOPHINGE_OPERATOR_FILE"] = str(operator.resolve())
             with (Path(folder) / "log").open("wb") as log:
@@ -112,15 +132,7 @@
                         sys.executable, "-m", "hophinge", cwd=program, env=environ, stdout=log, stderr=log
                     )
                 )
-            async with aiohttp.ClientSession() as session, asyncio.timeout(READY_S):
-                while True:
-                    try:
-                        async with session.get(f"http://127.0.0.1:{port}/healthz") as answer:
-                            if answer.status == 200:
-                                break
-                    except aiohttp.ClientError:
-                        pass
-                    await asyncio.sleep(0.05)
+            await _wait_until_ready(f"http://127.0.0.1:{port}/healthz")
             yield f"127.0.0.1:{port}", discovery
         finally:
             for process in reversed(processes):
@@ -137,7 +149,7 @@
     results: dict[str, LoadResult] = {}
     for times in factors:
         made = plan.scaled_to(times) if times else plan
-        async with head_for(path, plan, times, config, operator, program) as (head, discovery):
+        async with running_head(path, plan, times, config, operator, program) as (head, discovery):
             results[f"{times:g}" if times else "as planned"] = await LoadGenerator(made, head).run(
                 f"http://{discovery}/begin"
             )
@@ -158,7 +170,7 @@
 
     from hophinge.load.report import earned_share_by_second, render_chart, render_table
 
-    made = read_plan(plan)
+    made = plan_of(plan)
     results = uvloop.run(_experiment(plan, made, times or [0.0], config, operator, program.resolve()))
     text = render_table(plan.stem, results)
     out.print(text, markup=False, soft_wrap=True)
--- a/hophinge/cli/main.py
+++ b/hophinge/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: words, tables and logs. Each word imports what it needs, so that a mistake is told at once."""
+"""The command line: commands, tables and logs. Each command imports what it needs, so that mistakes show at once."""
 
 from __future__ import annotations
 
@@ -7,16 +7,22 @@
 import signal
 import sys
 from pathlib import Path
-from typing import Annotated, Any
+from typing import TYPE_CHECKING, Annotated, Any
 
 import msgspec
 import structlog
 import typer
 from rich.table import Table
 
-from hophinge.cli import load, tenants, upkeep
+from hophinge.cli import load_commands, maintenance_status, tenant_commands
 from hophinge.cli.console import fail, out
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from hophinge.cli.control_service import AccountsService
+    from hophinge.control.store import ControlStore
+
 app = typer.Typer(
     no_args_is_help=True,
     add_completion=False,
@@ -25,20 +31,21 @@
 )
 control = typer.Typer(no_args_is_help=True, help="The control service and what staff ask of it.")
 app.add_typer(control, name="control")
-app.add_typer(tenants.tenant, name="tenant")
-app.add_typer(tenants.audit, name="audit")
-app.add_typer(load.load, name="load")
+app.add_typer(tenant_commands.tenant, name="tenant")
+app.add_typer(tenant_commands.audit, name="audit")
+app.add_typer(load_commands.load, name="load")
 
 Address = Annotated[str, typer.Option(help="host:port of the control service", envvar="HOPHINGE_CONTROL")]
 TokenFile = Annotated[
     Path,
     typer.Option("--token-file", help="holds the token of staff, alone or as NAME TOKEN", envvar="HOPHINGE_TOKEN_FILE"),
 ]
-DEFAULT_ADDRESS, ADMIN = "127.0.0.1:9700", "127.0.0.1:9081"
+DEFAULT_CONTROL_ADDRESS = "127.0.0.1:9700"
+DEFAULT_ADMIN_ADDRESS = "127.0.0.1:9081"
 
 
-def logging(as_json: bool) -> Any:
-    """Set structured logs up, as JSON lines or for a person, and tell the logger."""
+def configure_logging(as_json: bool) -> Any:
+    """Configure structured logs, as JSON lines or for a terminal, and return the logger."""
     renderer: Any = (
         structlog.processors.JSONRenderer() if as_json else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
@@ -101,44 +108,60 @@
     store: Annotated[Path, typer.Option(help="the file that holds all versions; made where there is none")],
     heads: Annotated[Path, typer.Option(help="tokens of heads, NAME TOKEN a line")],
     staff: Annotated[Path, typer.Option(help="tokens of staff, NAME TOKEN a line")],
-    listen: Annotated[str, typer.Option(help="host:port")] = DEFAULT_ADDRESS,
+    listen: Annotated[str, typer.Option(help="host:port")] = DEFAULT_CONTROL_ADDRESS,
     new_epoch: Annotated[bool, typer.Option(help="after the store was restored from a backup")] = False,
     accounts: Annotated[Path | None, typer.Option(help="the ledger of tenants, which heads then copy")] = None,
-    admin: Annotated[str, typer.Option(help="host:port of the administration API, with --accounts")] = ADMIN,
+    admin: Annotated[
+        str, typer.Option(help="host:port of the administration API, with --accounts")
+    ] = DEFAULT_ADMIN_ADDRESS,
     admin_token: Annotated[Path | None, typer.Option(help="holds the operator's token for it")] = None,
     plan: Annotated[list[str] | None, typer.Option(help="a plan of the platform; once for each")] = None,
     json: Annotated[bool, typer.Option(help="logs as JSON lines")] = False,
 ) -> None:
     """Serve versions to heads until SIGTERM."""
-    import uvloop
-
-    from hophinge.cli.service import Owner
-    from hophinge.cli.service import serve as main_
-    from hophinge.control.tokens import read_tokens
     from hophinge.control.store import ControlStore, StoreError
-    from hophinge.head.config import ConfigError
+    from hophinge.control.tokens import read_tokens
     from hophinge.state.ledger import LedgerError
 
-    log = logging(json)
+    log = configure_logging(json)
     try:
-        of_heads, of_staff = read_tokens(heads), read_tokens(staff)
-        if of_heads.keys() & of_staff.keys():
+        head_tokens, operator_tokens = read_tokens(heads), read_tokens(staff)
+        if head_tokens.keys() & operator_tokens.keys():
             raise fail("a token stands among those of heads and those of staff")
-        owner = None
+        accounts_service = None
         if accounts is not None:
             if admin_token is None or not plan:
                 raise fail("--accounts needs --admin-token, and --plan for each plan that there is")
-            owner = Owner(accounts, admin, admin_token, frozenset(plan), lambda text: log.info(text))
-        held = ControlStore(store, new_epoch)
+            from hophinge.cli.control_service import AccountsService
+
+            plans = frozenset(plan)
+            accounts_service = AccountsService(accounts, admin, admin_token, plans, lambda text: log.info(text))
+        control_store = ControlStore(store, new_epoch)
     except (OSError, ValueError, StoreError, LedgerError) as error:
         raise fail(str(error)) from error
+    _run_service(control_store, head_tokens, operator_tokens, listen, lambda text: log.info(text), accounts_service)
+
+
+def _run_service(
+    store: ControlStore,
+    head_tokens: dict[str, str],
+    operator_tokens: dict[str, str],
+    listen: str,
+    log: Callable[[str], None],
+    accounts_service: AccountsService | None,
+) -> None:
+    """Run the control service until SIGTERM or SIGINT."""
+    import uvloop
+
+    from hophinge.cli.control_service import serve_control
+    from hophinge.head.config import ConfigError
 
     async def main() -> None:
         stopping = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stopping.set)
-        await main_(held, of_heads, of_staff, listen, lambda text: log.info(text), stopping, owner)
+        await serve_control(store, head_tokens, operator_tokens, listen, log, stopping, accounts_service)
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -147,8 +170,8 @@
         raise fail(str(error)) from error
 
 
-def ask(address: str, token_file: Path, method: str, **body: Any) -> dict[str, Any]:
-    """Make one call of staff."""
+def call_operator(address: str, token_file: Path, method: str, **body: Any) -> dict[str, Any]:
+    """Make one call of the operators' API; exits with status 1 where it fails."""
     from hophinge.control.operator_client import call_operator_api
 
     try:
@@ -165,7 +188,7 @@
 def push(
     file: Path,
     token_file: TokenFile,
-    address: Address = DEFAULT_ADDRESS,
+    address: Address = DEFAULT_CONTROL_ADDRESS,
     note: Annotated[str, typer.Option(help="why, for the history")] = "",
     expect: Annotated[str, typer.Option(help="only if this is the newest version, as in 1.17")] = "",
 ) -> None:
@@ -177,7 +200,7 @@
     except UnicodeDecodeError:
         check([file])
         raise
-    done = ask(address, token_file, "Push", text=text, name=str(file), note=note, expect=expect)
+    done = call_operator(address, token_file, "Push", text=text, name=str(file), note=note, expect=expect)
     if mistakes := done.get("mistakes"):
         for line in mistakes:
             print(line, file=sys.stderr)
@@ -188,22 +211,22 @@
 @control.command()
 def status(
     token_file: TokenFile,
-    address: Address = DEFAULT_ADDRESS,
+    address: Address = DEFAULT_CONTROL_ADDRESS,
     json: Annotated[bool, typer.Option(help="as JSON")] = False,
 ) -> None:
     """Tell which head runs what, and where the rollout stands; status 3 while a rollout is held."""
-    told = ask(address, token_file, "Status")
+    answer = call_operator(address, token_file, "Status")
     if json:
-        print(msgspec.json.format(msgspec.json.encode(told), indent=1).decode())
+        print(msgspec.json.format(msgspec.json.encode(answer), indent=1).decode())
     else:
-        reason = f": {told['reason']}" if told["reason"] else ""
+        reason = f": {answer['reason']}" if answer["reason"] else ""
         out.print(
-            f"version {told['target']} is {told['stage']}, wave {told['wave']} of {told['last_wave']}{reason}; "
-            f"stable is {told['stable']}, epoch {told['epoch']}",
+            f"version {answer['target']} is {answer['stage']}, wave {answer['wave']} of {answer['last_wave']}{reason}; "
+            f"stable is {answer['stable']}, epoch {answer['epoch']}",
             markup=False,
         )
         table = Table("head", "here", "runs", "wanted", "requests", "failed", "turned down")
-        for head in told["heads"]:
+        for head in answer["heads"]:
             table.add_row(
                 head["name"],
                 "yes" if head["connected"] else "no",
@@ -214,37 +237,37 @@
                 f"{head['turned_down']}: {head['reason']}" if head["reason"] else "",
             )
         out.print(table)
-        upkeep.show(told["maintenance"])
-    if told["stage"] == "held":
+        maintenance_status.print_maintenance(answer["maintenance"])
+    if answer["stage"] == "held":
         raise typer.Exit(3)
 
 
 @control.command()
 def history(
     token_file: TokenFile,
-    address: Address = DEFAULT_ADDRESS,
+    address: Address = DEFAULT_CONTROL_ADDRESS,
     most: Annotated[int, typer.Option(help="rows")] = 20,
     json: Annotated[bool, typer.Option(help="as JSON")] = False,
 ) -> None:
     """Tell the newest versions and what was done with them."""
     import datetime
 
-    told = ask(address, token_file, "History", most=most)
+    answer = call_operator(address, token_file, "History", most=most)
     if json:
-        print(msgspec.json.format(msgspec.json.encode(told), indent=1).decode())
+        print(msgspec.json.format(msgspec.json.encode(answer), indent=1).decode())
         return
 
     def when(ms: int) -> str:
         return datetime.datetime.fromtimestamp(ms / 1000, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
 
     table = Table("version", "pushed (UTC)", "by", "changed", "removed", "note")
-    for row in told["versions"]:
+    for row in answer["versions"]:
         table.add_row(
             row["version"], when(row["pushed_ms"]), row["who"], str(row["changed"]), str(row["removed"]), row["note"]
         )
     out.print(table)
     table = Table("at (UTC)", "by", "what", "detail")
-    for row in told["audit"]:
+    for row in answer["audit"]:
         table.add_row(when(row["at_ms"]), row["who"], row["what"], row["detail"])
     out.print(table)
 
@@ -253,22 +276,22 @@
 def rollback(
     to: Annotated[str, typer.Argument(help="a former version, as in 1.17")],
     token_file: TokenFile,
-    address: Address = DEFAULT_ADDRESS,
+    address: Address = DEFAULT_CONTROL_ADDRESS,
     at_once: Annotated[bool, typer.Option(help="to all heads, without waves")] = False,
 ) -> None:
     """Push the content of a former version as the next one."""
-    done = ask(address, token_file, "Rollback", to=to, at_once=at_once)
+    done = call_operator(address, token_file, "Rollback", to=to, at_once=at_once)
     print(f"version {done['version']} has the content of {to}")
 
 
 @control.command()
-def resume(token_file: TokenFile, address: Address = DEFAULT_ADDRESS) -> None:
+def resume(token_file: TokenFile, address: Address = DEFAULT_CONTROL_ADDRESS) -> None:
     """Go on with a held rollout."""
-    print(f"version {ask(address, token_file, 'Resume')['version']} goes on")
+    print(f"version {call_operator(address, token_file, 'Resume')['version']} goes on")
 
 
 def main() -> int:
-    """Run the command line; tells the exit status."""
+    """Run the command line and return the exit status."""
     try:
         app(prog_name="hophinge", standalone_mode=True)
     except SystemExit as end:
--- a/hophinge/cli/upkeep.py
+++ b/hophinge/cli/maintenance_status.py
@@ -1,4 +1,4 @@
-"""What `hophinge control status` tells of maintenance: permits, who waits for one, and releases."""
+"""Maintenance in `hophinge control status`: permits, requests that wait for one, and releases."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from hophinge.cli.console import out
 
 
-def show(told: dict[str, Any]) -> None:
-    """Print it, where there is any."""
-    if told.get("failing"):
-        out.print(f"maintenance stands still: {told['failing']}", markup=False)
-    if told["permits"] or told["waiting"]:
-        out.print(f"{told['heads_up']} of {told['heads']} heads are up", markup=False)
-    if told["permits"]:
+def print_maintenance(status: dict[str, Any]) -> None:
+    """Print the status of maintenance, where there is any."""
+    if status.get("failing"):
+        out.print(f"maintenance stands still: {status['failing']}", markup=False)
+    if status["permits"] or status["waiting"]:
+        out.print(f"{status['heads_up']} of {status['heads']} heads are up", markup=False)
+    if status["permits"]:
         table = Table("permit", "what", "name", "zone", "for", "state", "build", "missing")
-        for row in told["permits"]:
+        for row in status["permits"]:
             named = ", ".join(row["missing"]) + (" ..." if row["missing_count"] > len(row["missing"]) else "")
             table.add_row(
                 row["id"],
@@ -30,12 +30,12 @@
                 f"{row['missing_count']}: {named}" if row["missing_count"] else "",
             )
         out.print(table)
-    for row in told["waiting"]:
+    for row in status["waiting"]:
         out.print(f"{row['kind']} {row['name']} waits: {row['why']}", markup=False)
-    for row in told.get("absent", ()) if told["permits"] or told["waiting"] else ():
-        since = f"for {(told['now_ms'] - row['since_ms']) / 1000:.0f} s" if row["since_ms"] else "never heard of"
+    for row in status.get("absent", ()) if status["permits"] or status["waiting"] else ():
+        since = f"for {(status['now_ms'] - row['since_ms']) / 1000:.0f} s" if row["since_ms"] else "never heard of"
         out.print(f"{row['name']} is away {since}: {row['word']}", markup=False)
-    for row in told["releases"]:
+    for row in status["releases"]:
         reason = f": {row['reason']}" if row["reason"] else ""
         out.print(
             f"release {row['name']} of build {row['build']} is {row['stage']}, wave {row['wave']}, "
--- a/hophinge/cli/tenants.py
+++ b/hophinge/cli/tenant_commands.py
@@ -1,4 +1,4 @@
-"""Words of the command line for tenants' accounts: they speak the administration API, but for what reads a file."""
+"""Commands for tenants' accounts: they call the administration API, except those that read a file."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 PAGE = 500
 
 
-def call(url: str, token_file: Path, method: str, path: str, body: Any = None, match: str = "") -> Any:
-    """Make one call; what is wrong is one line and status 1."""
+def call_admin_api(url: str, token_file: Path, method: str, path: str, body: Any = None, match: str = "") -> Any:
+    """Make one call of the administration API; exits with status 1 where it fails."""
     import aiohttp
 
     async def main() -> tuple[int, bytes]:
@@ -53,16 +53,16 @@
         raise fail(f"{token_file}: no token") from error
     except (OSError, aiohttp.ClientError, TimeoutError) as error:
         raise fail(f"{url}: {error}", 1) from error
-    told = msgspec.json.decode(text) if text else None
+    answer_body = msgspec.json.decode(text) if text else None
     if status >= 400:
-        problem = told if isinstance(told, dict) else {}
+        problem = answer_body if isinstance(answer_body, dict) else {}
         raise fail(f"{problem.get('title', 'the call failed')} ({status}): {problem.get('detail', '')}", 1)
-    return told
+    return answer_body
 
 
-def show(told: Any) -> None:
+def print_json(answer: Any) -> None:
     """Print an answer as JSON."""
-    print(msgspec.json.format(msgspec.json.encode(told), indent=1).decode())
+    print(msgspec.json.format(msgspec.json.encode(answer), indent=1).decode())
 
 
 @tenant.command("list")
@@ -72,7 +72,7 @@
 
     table, after = Table("tenant", "state", "buckets", "keys", "reserve, units/s", "note"), ""
     while after is not None:
-        page = call(url, token_file, "GET", f"/v1/tenants?limit={PAGE}&after={after}")
+        page = call_admin_api(url, token_file, "GET", f"/v1/tenants?limit={PAGE}&after={after}")
         for row in page["tenants"]:
             table.add_row(
                 row["name"],
@@ -89,7 +89,7 @@
 @tenant.command("show")
 def show_(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL) -> None:
     """Show a tenant."""
-    show(call(url, token_file, "GET", f"/v1/tenants/{name}"))
+    print_json(call_admin_api(url, token_file, "GET", f"/v1/tenants/{name}"))
 
 
 @tenant.command()
@@ -102,8 +102,8 @@
     note: str = "",
 ) -> None:
     """Make a tenant."""
-    show(
-        call(
+    print_json(
+        call_admin_api(
             url,
             token_file,
             "PUT",
@@ -116,13 +116,13 @@
 @tenant.command()
 def suspend(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL) -> None:
     """Serve a tenant no more; everything of it is kept."""
-    show(call(url, token_file, "PATCH", f"/v1/tenants/{name}", {"state": "suspended"}, "*"))
+    print_json(call_admin_api(url, token_file, "PATCH", f"/v1/tenants/{name}", {"state": "suspended"}, "*"))
 
 
 @tenant.command()
 def resume(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL) -> None:
     """Serve a suspended tenant again."""
-    show(call(url, token_file, "PATCH", f"/v1/tenants/{name}", {"state": "active"}, "*"))
+    print_json(call_admin_api(url, token_file, "PATCH", f"/v1/tenants/{name}", {"state": "active"}, "*"))
 
 
 @tenant.command()
@@ -135,13 +135,13 @@
     """Close a tenant: keys, uploads and buckets go, and its name is free once they have."""
     if not yes:
         raise fail("a closed tenant does not come back: say --yes")
-    show(call(url, token_file, "DELETE", f"/v1/tenants/{name}", match="*"))
+    print_json(call_admin_api(url, token_file, "DELETE", f"/v1/tenants/{name}", match="*"))
 
 
 @tenant.command()
 def usage(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL) -> None:
     """Tell what a tenant used."""
-    show(call(url, token_file, "GET", f"/v1/tenants/{name}/usage"))
+    print_json(call_admin_api(url, token_file, "GET", f"/v1/tenants/{name}/usage"))
 
 
 @tenant.command()
@@ -162,19 +162,19 @@
 @volume.command("list")
 def list_volumes(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL) -> None:
     """List a tenant's buckets."""
-    show(call(url, token_file, "GET", f"/v1/tenants/{name}/volumes?limit={PAGE}"))
+    print_json(call_admin_api(url, token_file, "GET", f"/v1/tenants/{name}/volumes?limit={PAGE}"))
 
 
 @volume.command("put")
 def put_volume(name: Name, bucket: str, plan: str, token_file: TokenFile, url: Url = DEFAULT_URL) -> None:
     """Make a bucket, or move it to another plan."""
-    show(call(url, token_file, "PUT", f"/v1/tenants/{name}/volumes/{bucket}", {"plan": plan}, "*"))
+    print_json(call_admin_api(url, token_file, "PUT", f"/v1/tenants/{name}/volumes/{bucket}", {"plan": plan}, "*"))
 
 
 @key.command("list")
 def list_keys(name: Name, token_file: TokenFile, url: Url = DEFAULT_URL) -> None:
     """List a tenant's keys."""
-    show(call(url, token_file, "GET", f"/v1/tenants/{name}/keys?limit={PAGE}"))
+    print_json(call_admin_api(url, token_file, "GET", f"/v1/tenants/{name}/keys?limit={PAGE}"))
 
 
 @key.command("create")
@@ -187,8 +187,10 @@
     note: str = "",
 ) -> None:
     """Make a key; it is told this once."""
-    show(
-        call(url, token_file, "POST", f"/v1/tenants/{name}/keys", {"role": role, "expires_s": expires_s, "note": note})
+    print_json(
+        call_admin_api(
+            url, token_file, "POST", f"/v1/tenants/{name}/keys", {"role": role, "expires_s": expires_s, "note": note}
+        )
     )
 
 
@@ -201,13 +203,15 @@
     overlap_s: Annotated[int, typer.Option(help="for how long the old one lives on")] = 3600,
 ) -> None:
     """Make the key that replaces one."""
-    show(call(url, token_file, "POST", f"/v1/tenants/{name}/keys/{key_id}/rotate", {"overlap_s": overlap_s}))
+    print_json(
+        call_admin_api(url, token_file, "POST", f"/v1/tenants/{name}/keys/{key_id}/rotate", {"overlap_s": overlap_s})
+    )
 
 
 @key.command("end")
 def end_key(name: Name, key_id: str, token_file: TokenFile, url: Url = DEFAULT_URL) -> None:
     """End a key."""
-    call(url, token_file, "DELETE", f"/v1/tenants/{name}/keys/{key_id}")
+    call_admin_api(url, token_file, "DELETE", f"/v1/tenants/{name}/keys/{key_id}")
 
 
 @audit.command("verify")
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hophinge.cli.service import Owner
+from hophinge.cli.control_service import AccountsService
 from hophinge.control import service as control_service
 from hophinge.control.store import ControlStore
 from hophinge.head.accounts import HeadAccounts
@@ -26,11 +26,11 @@
 class Hosted(Installation):
     """An installation whose control service owns the accounts."""
 
-    owner: Owner | None = None
+    owner: AccountsService | None = None
 
     async def control(self, **options: Any) -> Any:
         (self.folder / "operator").write_text(TOKEN)
-        self.owner = Owner(
+        self.owner = AccountsService(
             self.folder / "accounts.db",
             "127.0.0.1:0",
             self.folder / "operator",
