--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -54,11 +54,11 @@
 
 
 @dataclass
-class Acknowledged:
+class AcknowledgedDrain:
     """An instance's leaving that a member acknowledged."""
 
     instance: str
-    giver: str
+    member: str
     at: float
 
 
@@ -72,7 +72,7 @@
         self.members: dict[str, ControlMember] = {}
         self.heads: dict[str, ClusterState] = {}
         self.known: dict[str, dict[str, Instance | None]] = {}  # by head and instance
-        self.acknowledged: list[Acknowledged] = []
+        self.acknowledged: list[AcknowledgedDrain] = []
         for number in range(1, voters + others + 1):
             settings = _settings(f"10.0.0.{number}", f"z{number % 3}", number <= voters, number <= voters)
             self.members[settings.internal_control_address] = ControlMember(settings)
@@ -114,18 +114,18 @@
     def _every(
         self, period: float, action: Callable[[], None], machine: ReplicaStateMachine, member: ControlMember
     ) -> None:
-        def again() -> None:
+        def run_again() -> None:
             if member.machine is machine:
                 action()
-                self.loop.call_later(period, again)
+                self.loop.call_later(period, run_again)
 
-        self.loop.call_later(period * self.random.random(), again)
+        self.loop.call_later(period * self.random.random(), run_again)
 
     def _handle(self, member: ControlMember, machine: ReplicaStateMachine, event: MessageReceived | Tick) -> None:
         outputs = machine.handle(self.loop.time(), event)
-        self.loop.call_later(SYNC_S if outputs.records else 0.0, self._let_out, member, machine, outputs)
+        self.loop.call_later(SYNC_S if outputs.records else 0.0, self._release_outputs, member, machine, outputs)
 
-    def _let_out(self, member: ControlMember, machine: ReplicaStateMachine, outputs: Outputs) -> None:
+    def _release_outputs(self, member: ControlMember, machine: ReplicaStateMachine, outputs: Outputs) -> None:
         if member.machine is machine:
             member.records += outputs.records
             for address, message in outputs.messages:
@@ -143,11 +143,11 @@
         me.append(head.me)
         self.heads[address] = head
 
-        def again() -> None:
+        def run_again() -> None:
             head.tick()
-            self.loop.call_later(CLUSTER_STATE_TICK_S, again)
+            self.loop.call_later(CLUSTER_STATE_TICK_S, run_again)
 
-        self.loop.call_later(self.random.random() * CLUSTER_STATE_TICK_S, again)
+        self.loop.call_later(self.random.random() * CLUSTER_STATE_TICK_S, run_again)
 
     # --- network -------------------------------------------------------------------------------------------------
 
@@ -182,7 +182,7 @@
 
     # --- instances -----------------------------------------------------------------------------------------------
 
-    async def beat(self, address: str, name: str, state: str, sequence: int) -> bool:
+    async def send_heartbeat(self, address: str, name: str, state: str, sequence: int) -> bool:
         """Send an instance's heartbeat to a member; notes a leaving that it acknowledges."""
         soft_state = self.members[address].soft_state
         if soft_state is None:
@@ -190,7 +190,7 @@
         instance = Instance(name, "s", f"10.9.0.{len(name)}:80", "z1", "v", 8, state, "", ())
         acknowledged = await soft_state.heartbeat(instance, sequence)
         if acknowledged and state == DRAINING:
-            self.acknowledged.append(Acknowledged(name, address, self.loop.time()))
+            self.acknowledged.append(AcknowledgedDrain(name, address, self.loop.time()))
         return acknowledged
 
     def ready_at(self, name: str) -> list[str]:
@@ -209,4 +209,4 @@
         cut_off = {one for pair in self.blocked for one in pair if one in self.heads}
         for one in self.acknowledged:
             late = set(self.ready_at(one.instance)) - cut_off if now - one.at > DRAIN_S else set()
-            assert not late, f"{one.giver} acknowledged {one.instance} at {one.at:.2f}: {late} send there at {now:.2f}"
+            assert not late, f"{one.member} acknowledged {one.instance} at {one.at:.2f}: {late} send there at {now:.2f}"
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -17,7 +17,7 @@
 from hophinge.head.service import Service
 from hophinge.objects.config import ObjectConfig
 from hophinge.state.ledger import Ledger
-from tests.installation import HEADS, SETTINGS, Installation
+from tests.installation import HEAD_TOKEN, SETTINGS, Installation
 from tests.stand_in import Backend, world
 
 TOKEN = "a-token-of-the-operator"
@@ -40,7 +40,7 @@
         )
         self.service = control_service.ControlService(
             ControlStore(self.folder / "versions.db", **options),
-            frozenset({HEADS}),
+            frozenset({HEAD_TOKEN}),
             {"a-token-of-staff-1": "tester"},
             self.log.append,
             self.owner.ledger,
@@ -58,7 +58,7 @@
         self.service = None
 
     async def hosted(self, name: str, settings: dict[str, Any] | None = None) -> Service:
-        (self.folder / "token").write_text(HEADS)
+        (self.folder / "token").write_text(HEAD_TOKEN)
         stream = StreamConfig(
             [f"127.0.0.1:{self.port}"], self.folder / "token", self.folder / f"state-{name}", accounts=True
         )
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -21,7 +21,7 @@
 from tests.stand_in import Backend, World, headers, setup, until, world
 from tests.test_service import ROOT
 
-HEADS, STAFF = "a-token-of-heads-1", "a-token-of-staff-1"
+HEAD_TOKEN, OPERATOR_TOKEN = "a-token-of-heads-1", "a-token-of-staff-1"
 GOOD = "(hophinge 1) (pool all (zones hall-a)) (route (pools all))"
 MOON = "(hophinge 1) (pool moon (zones the-moon)) (route (pools moon))"
 SETTINGS = setup(Caps={**setup()["Caps"], "SecondCopies": True})
@@ -39,23 +39,30 @@
 
     async def control(self, **options: Any) -> ControlService:
         self.service = ControlService(
-            ControlStore(self.folder / "versions.db", **options), frozenset({HEADS}), {STAFF: "tester"}, self.log.append
+            ControlStore(self.folder / "versions.db", **options),
+            frozenset({HEAD_TOKEN}),
+            {OPERATOR_TOKEN: "tester"},
+            self.log.append,
         )
         await self.service.start(f"127.0.0.1:{self.port}")
         self.port = self.service.port
         return self.service
 
     async def head(
-        self, name: str, settings: dict[str, Any] | None = None, token: str = HEADS, endpoints: list[str] | None = None
+        self,
+        name: str,
+        settings: dict[str, Any] | None = None,
+        token: str = HEAD_TOKEN,
+        endpoints: list[str] | None = None,
     ) -> Service:
         (self.folder / "token").write_text(token)
         stream = StreamConfig(endpoints or [f"127.0.0.1:{self.port}"], self.folder / "token", self.folder / "state")
         return await self.made.head(OperatorConfig(stream=stream), settings or SETTINGS, name=name)
 
     async def push(self, text: str, **more: Any) -> dict[str, Any]:
-        return await self.staff("Push", text=text, **more)
+        return await self.call_operator_api("Push", text=text, **more)
 
-    async def staff(self, method: str, token: str = STAFF, **body: Any) -> dict[str, Any]:
+    async def call_operator_api(self, method: str, token: str = OPERATOR_TOKEN, **body: Any) -> dict[str, Any]:
         answer = await call_operator_api(f"127.0.0.1:{self.port}", token, method, msgspec.json.encode(body))
         return msgspec.json.decode(answer, type=dict[str, Any])
 
@@ -101,8 +108,8 @@
 
 
 def serving(tmp_path: Path, port: int = 0) -> tuple[subprocess.Popen[str], int]:
-    (tmp_path / "heads").write_text(f"# of heads\nheads {HEADS}\n")
-    (tmp_path / "staff").write_text(f"tester {STAFF}\n")
+    (tmp_path / "heads").write_text(f"# of heads\nheads {HEAD_TOKEN}\n")
+    (tmp_path / "staff").write_text(f"tester {OPERATOR_TOKEN}\n")
     process = started(
         tmp_path,
         "control",
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -11,7 +11,7 @@
 
 from hophinge.control.tokens import read_tokens
 from hophinge.head.operator_config import load
-from tests.installation import STAFF, serving
+from tests.installation import OPERATOR_TOKEN, serving
 from tests.test_service import ROOT
 
 
@@ -33,7 +33,7 @@
     ]
     assert command("check", str(tmp_path / "none")).returncode == 2
     token = tmp_path / "token"
-    token.write_text(STAFF)
+    token.write_text(OPERATOR_TOKEN)
     away = command("control", "status", "--token-file", str(token), "--address", "127.0.0.1:9")
     assert away.returncode == 1 and away.stderr.count("\n") == 1 and "127.0.0.1:9" in away.stderr
     (tmp_path / "t").write_text("x short\n")
@@ -46,7 +46,7 @@
 def test_push_status_and_rollback_by_command(tmp_path: Path) -> None:
     process, port = serving(tmp_path)
     token = tmp_path / "token"
-    token.write_text(STAFF)
+    token.write_text(OPERATOR_TOKEN)
     reach = ("--token-file", str(token), "--address", f"127.0.0.1:{port}")
     try:
         assert command("control", "push", "examples/service.sexp", *reach, "--note", "first").stdout == "version 1.1\n"
@@ -68,7 +68,11 @@
 
 def test_token_files_are_validated(tmp_path: Path) -> None:
     path = tmp_path / "t"
-    for text, why in (("a short", "16"), ("", "no token"), (f"a {STAFF}\nb {STAFF}", "stands here again")):
+    for text, why in (
+        ("a short", "16"),
+        ("", "no token"),
+        (f"a {OPERATOR_TOKEN}\nb {OPERATOR_TOKEN}", "stands here again"),
+    ):
         path.write_text(text)
         with pytest.raises(ValueError, match=why):
             read_tokens(path)
--- a/tests/test_control_drains.py
+++ b/tests/test_control_drains.py
@@ -20,7 +20,7 @@
     """A fleet that has stood for some seconds and knows an instance."""
     world = ControlWorld(seed, voters, 5 - voters)
     await asyncio.sleep(FORMED_S)
-    assert await world.beat(ONE, "i", READY, 1)
+    assert await world.send_heartbeat(ONE, "i", READY, 1)
     await asyncio.sleep(0.5)
     assert len(world.ready_at("i")) == len(world.heads)
     return world
@@ -38,11 +38,11 @@
     async def run() -> None:
         world = await _formed(1)
         asked = world.loop.time()
-        assert await world.beat(FIVE, "i", DRAINING, 2)
+        assert await world.send_heartbeat(FIVE, "i", DRAINING, 2)
         assert world.loop.time() - asked < 0.1
         await asyncio.sleep(0.1)
         assert not world.ready_at("i")
-        await world.beat(ONE, "i", READY, 1)
+        await world.send_heartbeat(ONE, "i", READY, 1)
         await asyncio.sleep(0.1)
         assert not world.ready_at("i"), "a late heartbeat brings nothing back"
 
@@ -55,13 +55,13 @@
         world = await _formed(2)
         world.cut(cut_off, (set(world.members) | set(world.heads)) - cut_off)
         for moment in range(6):
-            assert not await world.beat(min(cut_off), "i", DRAINING, 2 + moment)
+            assert not await world.send_heartbeat(min(cut_off), "i", DRAINING, 2 + moment)
             await asyncio.sleep(HEARTBEAT_S)
-        assert await world.beat(TWO, "i", DRAINING, 9), "the majority's side acknowledges"
+        assert await world.send_heartbeat(TWO, "i", DRAINING, 9), "the majority's side acknowledges"
         await _watch(world, CONTACT_S + DRAIN_S + 1.0)
         world.heal()
         await _watch(world, CONTACT_S + DRAIN_S + 1.0)
-        assert await world.beat(ONE, "i", DRAINING, 10)
+        assert await world.send_heartbeat(ONE, "i", DRAINING, 10)
 
     play(run())
 
@@ -70,7 +70,7 @@
 def test_a_leaving_is_known_though_its_giver_is_lost_or_cut_off_right_after_it_acknowledged(giver: str) -> None:
     async def run() -> None:
         world = await _formed(3)
-        assert await world.beat(giver, "i", DRAINING, 2)
+        assert await world.send_heartbeat(giver, "i", DRAINING, 2)
         world.cut({giver}, (set(world.members) | set(world.heads)) - {giver})
         await _watch(world, 6.0)
         assert not world.ready_at("i")
@@ -90,8 +90,8 @@
         world.cut(pair, (set(world.members) | set(world.heads)) - pair)
         await asyncio.sleep(1.2)
         for moment in range(4):
-            assert not await world.beat(min(pair), "i", DRAINING, 2 + moment)
-        assert await world.beat(THREE, "i", DRAINING, 9)
+            assert not await world.send_heartbeat(min(pair), "i", DRAINING, 2 + moment)
+        assert await world.send_heartbeat(THREE, "i", DRAINING, 9)
         await _watch(world, CONTACT_S + DRAIN_S + 1.0)
 
     play(run())
@@ -102,7 +102,7 @@
         world = await _formed(7)
         world.cut({ONE}, {THREE})  # each of them reaches the third voter
         await asyncio.sleep(1.2)
-        assert await world.beat(ONE, "i", DRAINING, 2)
+        assert await world.send_heartbeat(ONE, "i", DRAINING, 2)
         await asyncio.sleep(0.05)
         assert not world.ready_at("i")
 
@@ -114,8 +114,8 @@
         world = await _formed(4)
         world.cut({THREE}, {ONE, TWO})  # as the core is cut: heads and other members reach both sides
         await asyncio.sleep(1.2)
-        assert await world.beat(TWO, "i", DRAINING, 2)
-        assert not await world.beat(THREE, "i", DRAINING, 3)
+        assert await world.send_heartbeat(TWO, "i", DRAINING, 2)
+        assert not await world.send_heartbeat(THREE, "i", DRAINING, 3)
         await _watch(world, 6.0)
         assert not world.ready_at("i")
 
@@ -125,9 +125,9 @@
 def test_an_older_word_than_what_is_known_acknowledges_nothing() -> None:
     async def run() -> None:
         world = await _formed(5)
-        await world.beat(TWO, "i", READY, 9)
+        await world.send_heartbeat(TWO, "i", READY, 9)
         await asyncio.sleep(1.0)
-        assert not await world.beat(ONE, "i", DRAINING, 5), "it said since that it is ready"
+        assert not await world.send_heartbeat(ONE, "i", DRAINING, 5), "it said since that it is ready"
 
     play(run())
 
@@ -157,7 +157,7 @@
         state = READY if sequence < asked else DRAINING
         members = random.sample(sorted(world.members), len(world.members))
         for address in members[:3]:
-            if await world.beat(address, name, state, sequence):
+            if await world.send_heartbeat(address, name, state, sequence):
                 break
             sequence += 1
         await asyncio.sleep(HEARTBEAT_S / 2)
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -14,7 +14,7 @@
 from tests.held_clock import HeldClock
 from tests.installation import (
     GOOD as GOOD,
-    HEADS as HEADS,
+    HEAD_TOKEN as HEAD_TOKEN,
     MOON,
     SETTINGS as SETTINGS,
     TARGET as TARGET,
@@ -38,11 +38,11 @@
             assert (await here.push(MOON))["version"] == "1.2"  # good for one of them
             await here.runs(two, "1.2")
             await until(lambda: follower(one).state.value == "turned down")
-            status_now, rows = await here.staff("Status"), dict[str, Any]()
+            status_now, rows = await here.call_operator_api("Status"), dict[str, Any]()
             while (
                 rows.get("n1", {}).get("runs") != "1.2"
             ):  # a head runs a version before the service gets its acknowledgement
-                status_now = await here.staff("Status")
+                status_now = await here.call_operator_api("Status")
                 rows = {row["name"]: row for row in status_now["heads"]}
             assert (rows["n0"]["runs"], rows["n1"]["runs"]) == ("1.1", "1.2")
             assert "no zone the-moon here" in rows["n0"]["reason"] and status_now["stage"] == "held"
@@ -51,14 +51,14 @@
             async with here.made.client.get(f"http://{host}:{port}/ops/config") as answer:
                 shown = json.loads(await answer.text())
             assert shown["running"] == "1.1" and "the-moon" in shown["reason"]
-            back = await here.staff("Rollback", to="1.1", at_once=True)
+            back = await here.call_operator_api("Rollback", to="1.1", at_once=True)
             assert back["version"] == "1.3"
             await here.runs(one, "1.3")
             await here.runs(two, "1.3")
             assert here.service is not None
             rollout = here.service.rollout
             await until(lambda: rollout.plan.stage.value == "done")
-            history = await here.staff("History")
+            history = await here.call_operator_api("History")
             assert [row["version"] for row in history["versions"]] == ["1.3", "1.2", "1.1"]
             assert {row["what"] for row in history["audit"]} >= {"push", "hold", "done"}
 
@@ -72,15 +72,15 @@
                 "x.sexp:1:27: (rate ...): 5 has no unit; write it like 120 units/s"
             ]
             with pytest.raises(ConnectionError, match="not one of staff"):
-                await here.staff("Push", token=HEADS, text=GOOD)
+                await here.call_operator_api("Push", token=HEAD_TOKEN, text=GOOD)
             with pytest.raises(ConnectionError, match=r"newest version is none, not 1\.7"):
                 await here.push(GOOD, expect="1.7")
             await here.push(GOOD, expect="none")
             assert (await here.push(GOOD)) == {"version": "1.1", "unchanged": True}
             with pytest.raises(ConnectionError, match=r"no version 9\.9"):
-                await here.staff("Rollback", to="9.9")
+                await here.call_operator_api("Rollback", to="9.9")
             with pytest.raises(ConnectionError, match="no rollout is held"):
-                await here.staff("Resume")
+                await here.call_operator_api("Resume")
             stranger = await here.head("n0", token="a-token-of-strangers")
             await until(lambda: follower(stranger).counters["connects"] >= 2)
             assert follower(stranger).active_name == "none" and stranger.is_ready()  # it serves without
@@ -168,7 +168,7 @@
             two = await here.head("n0")
             await here.runs(two, "1.1")
             await until(lambda: follower(one).counters["connects"] >= 2)
-            status_now = await here.staff("Status")
+            status_now = await here.call_operator_api("Status")
             assert [row["name"] for row in status_now["heads"]] == ["n0"]
 
     run(main())
--- a/tests/test_control_service_failures.py
+++ b/tests/test_control_service_failures.py
@@ -161,6 +161,6 @@
             assert "No space left" in str(status["keep_error"]) and status["kept"] == "1.1"
             stored = last_known_good.load(tmp_path / "state" / "last-good-n0.state")
             assert stored is not None and stored.version_id == (1, 1)
-            assert [row["runs"] for row in (await here.staff("Status"))["heads"]] == ["1.2"]
+            assert [row["runs"] for row in (await here.call_operator_api("Status"))["heads"]] == ["1.2"]
 
     run(main())
--- a/tests/test_control_service_kills.py
+++ b/tests/test_control_service_kills.py
@@ -15,7 +15,7 @@
 from hophinge.control import last_known_good
 from hophinge.control.operator_client import call_operator_api
 from hophinge.control.store import ControlStore
-from tests.installation import GOOD, HEADS, SETTINGS, STAFF, Installation, follower, serving
+from tests.installation import GOOD, HEAD_TOKEN, SETTINGS, OPERATOR_TOKEN, Installation, follower, serving
 from tests.stand_in import Backend, run, until, world
 from tests.test_service import ROOT, config
 
@@ -27,7 +27,7 @@
         try:
             for at in range(3):
                 body = msgspec.json.encode({"text": GOOD + f"(limit (open {turn * 10 + at + 1} requests))"})
-                answer = run(call_operator_api(f"127.0.0.1:{port}", STAFF, "Push", body))
+                answer = run(call_operator_api(f"127.0.0.1:{port}", OPERATOR_TOKEN, "Push", body))
                 acknowledged.append(msgspec.json.decode(answer)["version"])
         finally:
             process.kill()
@@ -83,7 +83,7 @@
 
 def test_head_killed_during_many_versions_restarts_from_a_complete_one(tmp_path: Path) -> None:
     process, port = serving(tmp_path)
-    (tmp_path / "token").write_text(HEADS)
+    (tmp_path / "token").write_text(HEAD_TOKEN)
     (tmp_path / "op.toml").write_text(
         f'[stream]\nendpoints = ["127.0.0.1:{port}"]\ntoken_file = "token"\nfolder = "state"\n'
     )
@@ -107,7 +107,11 @@
                     text = GOOD + "".join(
                         f"(limit (tenant t{at}) (open {turn * 1000 + number} requests))" for at in range(200)
                     )
-                    run(call_operator_api(f"127.0.0.1:{port}", STAFF, "Push", msgspec.json.encode({"text": text})))
+                    run(
+                        call_operator_api(
+                            f"127.0.0.1:{port}", OPERATOR_TOKEN, "Push", msgspec.json.encode({"text": text})
+                        )
+                    )
             finally:
                 head.send_signal(signal.SIGKILL)
                 head.wait()
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "place", "words"),
+    ("text", "position", "words"),
     [
         ("(limit (rate 120))", "2:14", "120 has no unit; write it like 120 units/s"),
         ("(limit (rate 120 ms))", "2:14", "ms measures a time, wanted is a rate"),
@@ -81,10 +81,10 @@
         ('(pool a (zones "hall))', "2:16", "does not end on its line"),
     ],
 )
-def test_mistake_is_reported_with_position_and_advice(text: str, place: str, words: str) -> None:
+def test_mistake_is_reported_with_position_and_advice(text: str, position: str, words: str) -> None:
     told = lines(text)
     assert len(told) == 1, told
-    assert told[0].startswith(f"f:{place}: ") and words in told[0], told
+    assert told[0].startswith(f"f:{position}: ") and words in told[0], told
 
 
 def test_all_mistakes_are_reported_at_once_in_order() -> None:
--- a/tests/test_remote_write.py
+++ b/tests/test_remote_write.py
@@ -105,9 +105,9 @@
     run(main())
 
 
-@pytest.mark.parametrize(("status", "tries"), [(500, 2), (503, 2), (429, 2), (400, 1), (404, 1)])
+@pytest.mark.parametrize(("status", "attempts"), [(500, 2), (503, 2), (429, 2), (400, 1), (404, 1)])
 def test_temporary_errors_are_retried_and_final_ones_dropped(
-    status: int, tries: int, monkeypatch: pytest.MonkeyPatch
+    status: int, attempts: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("hophinge.telemetry.remote_write.INITIAL_BACKOFF_S", 0.01)
 
@@ -118,10 +118,10 @@
         push = RemoteWrite(RemoteWriteConfig(f"http://{receiver.endpoint}/"), "n", counters, dict, lambda: 1_000)
         push.sample()
         task = asyncio.create_task(push._send_queued())
-        await until(lambda: len(receiver.got) == tries and not push.queue)
+        await until(lambda: len(receiver.got) == attempts and not push.queue)
         assert len(set(receiver.got)) == 1
-        assert counters.counts["remote_write_sent"] == tries - 1
-        assert counters.counts["remote_write_rejected"] == 2 - tries
+        assert counters.counts["remote_write_sent"] == attempts - 1
+        assert counters.counts["remote_write_rejected"] == 2 - attempts
         task.cancel()
         await push.close()
         await receiver.close()
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -138,7 +138,7 @@
             assert here.service is not None
             await here.service.stop()
             await here.control()  # nobody is connected, and it is known all the same
-            assert (await here.staff("Status"))["size"] == 2
+            assert (await here.call_operator_api("Status"))["size"] == 2
             with pytest.raises(ConnectionError, match=r"with 2 heads .* lower reserves by 1 units/s"):
                 await here.push(GOOD + form.format(101))
             # A head that is alone now: what is in force is told to be too much, and goes on.
