--- a/hophinge/coordination/events.py
+++ b/hophinge/coordination/events.py
@@ -76,5 +76,5 @@
     log_lines: list[str] = field(default_factory=list)
 
     def send(self, address: str, message: ReplicaMessage) -> None:
-        """Have a message sent to an address."""
+        """Add a message to an address."""
         self.messages.append(AddressedMessage(address, message))
--- a/hophinge/coordination/message_router.py
+++ b/hophinge/coordination/message_router.py
@@ -26,7 +26,7 @@
     def register(
         self, message_type: type[MessageT], handler: Callable[[float, Replica, MessageT, Outputs], None]
     ) -> None:
-        """Have messages of a type handled by a function that takes the time, the source, the message and outputs."""
+        """Register the handler of a message type: it gets the time, the source, the message and the outputs."""
         self._handlers[message_type] = handler
 
     def has_handler(self, message: object) -> bool:
--- a/hophinge/coordination/peers.py
+++ b/hophinge/coordination/peers.py
@@ -55,7 +55,7 @@
             del self.known[peer.replica.identity]
 
     def extend_after_stall(self, now: float, stalled_since: float) -> None:
-        """Give the others time after the local process stood still.
+        """Excuse the silence of others while the local process stood still.
 
         Heartbeats of that time were not received: their absence makes nobody suspect, and nobody steady.
         """
--- a/hophinge/coordination/replica.py
+++ b/hophinge/coordination/replica.py
@@ -75,7 +75,7 @@
         self.chain.resume(self.view if self.view is not None and self.view.number else None)
 
     def begin_drain(self) -> None:
-        """Have the other replicas do without this one, which goes on until they do (see `is_required`)."""
+        """Ask the others to do without this replica, which serves until they do (see `is_required`)."""
         self.peers.is_draining = True
         self.heartbeat_sent_at = float("-inf")  # the next tick sends the heartbeat that says so
 
--- a/hophinge/fleet/analysis/hunts.py
+++ b/hophinge/fleet/analysis/hunts.py
@@ -59,6 +59,7 @@
     return Hunt(raw["site"], raw["head"][:7], tuple(_day(day) for day in raw["days"]))
 
 
+# Any: an entry of the journal as JSON, whose values are checked as they are read.
 def _day(raw: dict[str, Any]) -> HuntDay:
     is_broken = bool(raw["rules"]) or bool(raw["fault"])
     prices = {name: (amount, price) for name, amount, price in raw.get("prices") or ()}
--- a/hophinge/fleet/analysis/recipes.py
+++ b/hophinge/fleet/analysis/recipes.py
@@ -30,6 +30,7 @@
     prefill: float = 0.41
 
 
+# Any: a site is the JSON of the operators' kit, of which only some values are changed.
 def vary(site: dict[str, Any], recipe: Recipe) -> dict[str, Any]:
     """Apply a recipe to a site, in place."""
     random = Random(recipe.seed)
--- a/hophinge/fleet/analysis/traces.py
+++ b/hophinge/fleet/analysis/traces.py
@@ -9,6 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from hophinge.fleet.placement.prompt import PromptSegment
+
 REQUEST_MARKER = " INFO request "
 
 
@@ -37,14 +39,14 @@
     target_s: float
     tokens_in: int
     tokens_out: int
-    segments: tuple[tuple[str, int], ...]
+    segments: tuple[PromptSegment, ...]
     attempts: tuple[LoggedAttempt, ...]
     first_s: float | None
     ended_s: float
     outcome: str
 
     @property
-    def shared_segments(self) -> tuple[tuple[str, int], ...]:
+    def shared_segments(self) -> tuple[PromptSegment, ...]:
         """The segments that other requests share."""
         return self.segments[:-1]
 
