--- a/hophinge/load/__init__.py
+++ b/hophinge/load/__init__.py
@@ -1,1 +1,1 @@
-"""A small load tool: open-loop arrivals of a seeded plan, bricks with faults, histograms, a table and a chart."""
+"""A small load tool: open-loop arrivals of a seeded plan, backends with faults, histograms, a table and a chart."""
--- a/hophinge/load/rig/launch.py
+++ b/hophinge/load/rig/launch.py
@@ -49,12 +49,12 @@
             real_close(handle)
 
     def failing(call: Callable[..., Any], wrong: Callable[..., bool]) -> Callable[..., Any]:
-        def tried(*args: Any, **named: Any) -> Any:
+        def attempted(*args: Any, **named: Any) -> Any:
             if wrong(*args) and (number := fault()):
                 raise OSError(number, os.strerror(number))
             return call(*args, **named)
 
-        return tried
+        return attempted
 
     def plain(handle: int, *_: Any) -> bool:
         return stat.S_ISREG(os.fstat(handle).st_mode)
