--- a/hophinge/popularity/frequency_sketch.py
+++ b/hophinge/popularity/frequency_sketch.py
@@ -84,11 +84,15 @@
         for counter in self.counters.values():
             counter.count *= scale
             counter.error *= scale
-        for part in self.tenants.values():
-            part.floor *= scale
-            part.weight *= scale
-            part.heap = [(count * scale, key) for count, key in part.heap]
-        for name in [name for name, part in self.tenants.items() if not part.live_count and part.floor < 1e-9]:
+        for tenant_counters in self.tenants.values():
+            tenant_counters.floor *= scale
+            tenant_counters.weight *= scale
+            tenant_counters.heap = [(count * scale, key) for count, key in tenant_counters.heap]
+        for name in [
+            name
+            for name, tenant_counters in self.tenants.items()
+            if not tenant_counters.live_count and tenant_counters.floor < 1e-9
+        ]:
             del self.tenants[name]  # a tenant without requests for long
 
     def add(self, now_us: int, key: bytes, tenant: str, requests: float = 1.0) -> None:
@@ -101,17 +105,17 @@
             counter.span_requests += requests
             self.tenants[counter.tenant].weight += weight
             return
-        part = self.tenants.get(tenant)
-        if part is None:
-            part = self.tenants[tenant] = TenantCounters([])
-        part.weight += weight
-        if part.live_count >= self.max_tenant_counters:
-            self._evict(part)
+        tenant_counters = self.tenants.get(tenant)
+        if tenant_counters is None:
+            tenant_counters = self.tenants[tenant] = TenantCounters([])
+        tenant_counters.weight += weight
+        if tenant_counters.live_count >= self.max_tenant_counters:
+            self._evict(tenant_counters)
         elif len(self.counters) >= self.max_counters:
             self._evict(self._largest())
-        self.counters[key] = KeyCounter(tenant, part.floor + weight, part.floor, requests)
-        part.live_count += 1
-        heapq.heappush(part.heap, (part.floor + weight, key))
+        self.counters[key] = KeyCounter(tenant, tenant_counters.floor + weight, tenant_counters.floor, requests)
+        tenant_counters.live_count += 1
+        heapq.heappush(tenant_counters.heap, (tenant_counters.floor + weight, key))
 
     def _largest(self) -> TenantCounters:
         """Return the tenant with most counters, searched only now and then as there may be many tenants."""
@@ -123,9 +127,9 @@
         self.evictions_until_search -= 1
         return self.largest
 
-    def _evict(self, part: TenantCounters) -> None:
+    def _evict(self, tenant_counters: TenantCounters) -> None:
         """Evict a tenant's least counter, and raise its floor to that count."""
-        heap = part.heap
+        heap = tenant_counters.heap
         while True:
             noted, key = heap[0]
             count = self.counters[key].count
@@ -134,17 +138,17 @@
             heapq.heapreplace(heap, (count, key))  # it was counted since it was pushed
         heapq.heappop(heap)
         del self.counters[key]
-        part.live_count -= 1
-        part.floor = max(part.floor, count)
+        tenant_counters.live_count -= 1
+        tenant_counters.floor = max(tenant_counters.floor, count)
 
     def forget(self, key: bytes) -> None:
         """Drop a key that was deleted; the floor need not rise, as it is not requested again."""
         counter = self.counters.pop(key, None)
         if counter is not None:
-            part = self.tenants[counter.tenant]
-            part.live_count -= 1
-            part.heap = [place for place in part.heap if place[1] != key]
-            heapq.heapify(part.heap)
+            tenant_counters = self.tenants[counter.tenant]
+            tenant_counters.live_count -= 1
+            tenant_counters.heap = [place for place in tenant_counters.heap if place[1] != key]
+            heapq.heapify(tenant_counters.heap)
 
     def count(self, now_us: int, key: bytes, tenant: str) -> KeyCount:
         """Return the count of a key, and its error."""
