--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -168,3 +168,19 @@
     ]
     missing = [package for package in with_modules if not re.search(rf"^\|[^|]*`{package}`", table, re.MULTILINE)]
     assert not missing
+
+
+@cache
+def names_of_tests() -> frozenset[str]:
+    """Return the names of the test files, and of the tests in them."""
+    paths = sorted((ROOT / "tests").rglob("*.py"))
+    defined = re.compile(r"^\s*(?:async )?def (test_\w+)|^(test_\w+) = ", re.MULTILINE)
+    names = {match[0] or match[1] for path in paths for match in defined.findall(path.read_text())}
+    return frozenset(names | {path.name for path in paths} | {path.stem for path in paths})
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_tests_that_a_page_names_are_there(page: str) -> None:
+    spans = CODE.findall(FENCE.sub("", text(page)))
+    named = [name for span in spans for name in re.findall(r"^(?:tests/\w+\.py::)?(test_\w+(?:\.py)?)$", span)]
+    assert not [name for name in named if name not in names_of_tests()]
