--- a/hophinge/core/choice/scheduler.py
+++ b/hophinge/core/choice/scheduler.py
@@ -54,7 +54,7 @@
             volume.reserve.depth = volume.plan.reserve + self.settings.max_units
 
     def avoided(self, now: int) -> list[str]:
-        """Tell which listed nodes get nothing now by choice: they rest, or have gone silent."""
+        """Return which listed nodes get nothing now by choice: they rest, or have gone silent."""
         return [
             node
             for node, book in self.nodes.items()
--- a/hophinge/core/choice/volume_state.py
+++ b/hophinge/core/choice/volume_state.py
@@ -67,7 +67,7 @@
         self.limit.fill(now, self.plan.limit / shares)
 
     def within_limit(self, units: float, now: int) -> bool:
-        """Tell whether the limit's part of this gateway has these units."""
+        """Return whether the limit's part of this gateway has these units."""
         return self.plan.limit <= 0 or self.limit.fill(now, self.limit.rate) >= units
 
     def reserve_left(self, now: int) -> float:
--- a/hophinge/core/errors.py
+++ b/hophinge/core/errors.py
@@ -19,12 +19,12 @@
         self.what = what
 
     def one_line(self) -> str:
-        """Tell all of it as one line, for the log and the command line."""
+        """Return the error as one line, for the log and the command line."""
         return one_line(self)
 
 
 def one_line(error: BaseException) -> str:
-    """Tell any error as one line; one of another library's bears no code and no remedy."""
+    """Return any error as one line; one of another library has no code and no remedy."""
     what = " ".join(str(error).split()) or type(error).__name__
     if isinstance(error, HophingeError):
         return f"{what} [{error.code}] {error.remedy}"
@@ -32,7 +32,7 @@
 
 
 def error_types() -> list[type[HophingeError]]:
-    """Tell all types of errors that are loaded, by code."""
+    """Return all loaded error types, sorted by code."""
     found: set[type[HophingeError]] = set()
     open_types = [HophingeError]
     while open_types:
--- a/hophinge/core/exchange/attempts.py
+++ b/hophinge/core/exchange/attempts.py
@@ -18,19 +18,19 @@
 
     @property
     def metrics(self) -> RequestMetrics:
-        """Tell where work is counted."""
+        """The metrics of the requests."""
 
     @property
     def phases(self) -> dict[str, api.Phase]:
-        """Tell the phase of each node listed."""
+        """Return the phase of each node listed."""
 
     @property
     def shards(self) -> dict[str, int]:
-        """Tell the shard of each node listed."""
+        """Return the shard of each node listed."""
 
     @property
     def now_us(self) -> Callable[[], int]:
-        """Tell the clock."""
+        """The clock, in microseconds."""
 
     def attempt_streams(self, attempt: Attempt, body: bytes, rest: AnswerStream, heard_us: int) -> bool:
         """Take the first part of an answer that is too long to be held."""
--- a/hophinge/core/exchange/types.py
+++ b/hophinge/core/exchange/types.py
@@ -23,7 +23,7 @@
     """Time as the exchange needs it; every wait is a timer of its own."""
 
     def now_us(self) -> int:
-        """Tell the time on the one clock."""
+        """Return the time on the one clock."""
 
     def call_at(self, when_us: int, callback: Callable[[], None]) -> Timer:
         """Call back at a time."""
@@ -46,7 +46,7 @@
 
     @property
     def length(self) -> int | None:
-        """Tell how long the whole body is, first part included, where its node said so."""
+        """Return how long the whole body is, first part included, where its node said so."""
 
     async def read(self) -> bytes:
         """Read on; nothing at the end, an error where the answer is spoilt."""
@@ -93,14 +93,14 @@
     """Whoever stands before the module: it turns requests away and narrows what the module may choose from."""
 
     def admit(self, now_us: int, ask: api.Arrival) -> api.Bounds | api.WaitAtGate | int:
-        """Tell a request's bounds, or after how many microseconds it may come again where it is refused."""
+        """Return a request's bounds, or after how many microseconds it may come again where it is refused."""
 
     def release(self, now_us: int) -> list[tuple[str, int]]:
-        """Tell which requests wait no longer: 0 where one is let in, else after how long it may come again."""
+        """Return which requests wait no longer: 0 where one is let in, else after how long it may come again."""
 
     @property
     def next_release_us(self) -> int:
-        """Tell when `turn` is to be called at the latest; 0: nothing waits."""
+        """Return when `turn` is to be called at the latest; 0: nothing waits."""
 
     def answered(self, now_us: int, bounds: api.Bounds) -> None:
         """Note that a request has its final answer, or that its client has gone."""
--- a/hophinge/core/interface/protocols.py
+++ b/hophinge/core/interface/protocols.py
@@ -16,18 +16,18 @@
 
     @property
     def attempts(self) -> int:
-        """Tell how many attempts it may have, the first among them; 0: as the deployment allows."""
+        """Return how many attempts it may have, the first among them; 0: as the deployment allows."""
 
     @property
     def hedge_delay_us(self) -> int:
-        """Tell after how long a second copy may go while the first is out; 0: none."""
+        """Return after how long a second copy may go while the first is out; 0: none."""
 
     @property
     def version(self) -> int:
-        """Tell a number that changes with the nodes that may be taken."""
+        """Return a number that changes with the nodes that may be taken."""
 
     def allows(self, node: str, shard: int) -> bool:
-        """Tell whether a node may be used; shard is negative where any will do."""
+        """Return whether a node may be used; shard is negative where any will do."""
 
     def take_retry(self, now_us: int, attempts: int) -> bool:
         """Take one attempt beyond the so many that it had from its budget; False: there is none left."""
@@ -38,30 +38,30 @@
 
     @property
     def entry(self) -> NodeEntry:
-        """Tell its entry in the list."""
+        """Return its entry in the list."""
 
     @property
     def free_at(self) -> float:
-        """Tell when what was sent to it from here should be done, in microseconds."""
+        """Return when what was sent to it from here should be done, in microseconds."""
 
     @property
     def units_out(self) -> float:
-        """Tell the units sent to it from here and not answered."""
+        """Return the units sent to it from here and not answered."""
 
     @property
     def recent_latency(self) -> float:
-        """Tell what its answers took lately, in microseconds."""
+        """Return what its answers took lately, in microseconds."""
 
     @property
     def failures(self) -> int:
-        """Tell its trials in a row that failed."""
+        """Return its trials in a row that failed."""
 
     def warmth(self, now: int, slow_start_us: int) -> float:
-        """Tell how far it has warmed up since it started, from 0 to 1."""
+        """Return how far it has warmed up since it started, from 0 to 1."""
 
 
 class Scorers(Protocol):
     """Whoever adds times to nodes before the one that frees earliest is chosen; it can bring in none."""
 
     def added_us(self, now_us: int, ask: Arrival, nodes: Sequence[NodeObservation]) -> Mapping[str, float]:
-        """Tell added microseconds by node, 0 or more; a node that is not named gets none. It never raises."""
+        """Return added microseconds by node, 0 or more; a node that is not named gets none. It never raises."""
--- a/hophinge/core/manual_ejections.py
+++ b/hophinge/core/manual_ejections.py
@@ -1,4 +1,4 @@
-"""Bricks taken out by hand: an overlay over what discovery lists, so that no list, change or restart undoes it."""
+"""Backends that operators ejected: an overlay over discovery's list, so that no list, change or restart undoes it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ManualEjection(Struct, frozen=True):
-    """The last call for a brick: when it came, and whether it took the brick out."""
+    """The last call for a backend: when it came, and whether it ejected the backend."""
 
     at_us: int
     out: bool
 
 
 class ManualEjections:
-    """The list as discovery told it, the marks set by hand, and their sum, which is what the core is told."""
+    """Discovery's list, the manual ejections, and the list that results for the core."""
 
     def __init__(self, on_change: Callable[[NodeList], None], now_us: Callable[[], int], slow_start_us: int) -> None:
         self.on_change = on_change
@@ -29,7 +29,7 @@
         self.on_ejection: Callable[[], None] = lambda: None  # called when a call has set a mark
 
     def apply_list(self, event: NodeList) -> None:
-        """Take a list, or what changed in it, and pass it on with the marks laid over it."""
+        """Apply a list, or changes to one, and pass it on with the ejections applied."""
         if event.kind is ListKind.FULL:
             self.listed = {}
         for entry in event.entries:
@@ -50,23 +50,23 @@
         return replace(entry, started_us=max(entry.started_us, mark.at_us))
 
     def _forget(self) -> None:
-        """Drop the marks of bricks that are back for so long that they count as warm."""
+        """Drop the entries of backends that have been back for so long that they count as warm."""
         then = self.now_us() - self.slow_start_us
         self.ejections = {node: mark for node, mark in self.ejections.items() if mark.out or mark.at_us > then}
 
     def is_ejected(self, node: str) -> bool:
-        """Tell whether a brick is out by hand."""
+        """Return whether operators have ejected a backend."""
         mark = self.ejections.get(node)
         return mark is not None and mark.out
 
     def eject(self, node: str) -> bool:
-        """Take a brick out; False: no such brick. Twice is as good as once."""
+        """Eject a backend; returns False for an unknown one. Idempotent."""
         if self.is_ejected(node):
             return True
         return node in self.listed and self._set(node, True)
 
     def restore(self, node: str) -> bool:
-        """Use a brick again, however often it was taken out; False: no such brick."""
+        """Restore a backend, however often it was ejected; returns False for an unknown one."""
         if self.is_ejected(node):
             return self._set(node, False)
         return node in self.listed
@@ -80,7 +80,7 @@
         return done
 
     def merge(self, ejections: Mapping[str, ManualEjection]) -> bool:
-        """Take marks that are newer than those held; tell whether there were any."""
+        """Apply ejections that are newer than the known ones; returns whether there were any."""
         newer = {
             node: mark
             for node, mark in ejections.items()
--- a/hophinge/core/request_metrics.py
+++ b/hophinge/core/request_metrics.py
@@ -1,4 +1,4 @@
-"""The figures that operators read: one owner, whose counts run from the start of the process and only grow."""
+"""The metrics that operators read; counters start with the process and only grow."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OpenRequestCount:
-    """A request from when it is taken until its true end; whatever comes after the first end is void."""
+    """Counts a request from its acceptance to its end; only the first end counts."""
 
     __slots__ = ("metrics", "klass", "is_ended")
 
@@ -20,7 +20,7 @@
         metrics.open += 1
 
     def end(self, outcome: str | None) -> None:
-        """Count the end; None: its client had left, and it stands under no count."""
+        """Count the end; None where the client had left, which is not counted."""
         if self.is_ended:
             return
         self.is_ended = True
@@ -30,7 +30,7 @@
 
 
 class RequestMetrics:
-    """Requests by class and end, attempts written whole to bricks, and what is now."""
+    """Requests by class and outcome, attempts completely sent to backends, and current values."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.ended = {(klass, outcome): 0 for klass in classes for outcome in OUTCOMES}
@@ -38,15 +38,15 @@
         self.current_values: Callable[[], Mapping[str, int]] = dict  # figures that others hold; asked at each reading
 
     def open_request(self, klass: str) -> OpenRequestCount:
-        """Note a request that is taken."""
+        """Return the count of a newly accepted request."""
         return OpenRequestCount(self, klass)
 
     def gauges(self) -> dict[str, int]:
-        """Tell what is now."""
+        """Return the current values."""
         return {"open_requests": self.open, **self.current_values()}
 
     def text(self) -> str:
-        """All figures, one `name=value` a line."""
+        """Return all metrics, one `name=value` a line."""
         rows = [(f"operations.{klass}.{outcome}", value) for (klass, outcome), value in self.ended.items()]
         rows += [("relayed", self.relayed), *self.gauges().items()]
         return "".join(f"{PREFIX}{name}={value}\n" for name, value in rows)
--- a/hophinge/core/write_locations.py
+++ b/hophinge/core/write_locations.py
@@ -1,4 +1,4 @@
-"""Where the objects lie that this head wrote lately: which shard answered for each, by volume and key; no I/O."""
+"""Where objects were written lately by this head: the shard that answered for each, by volume and key; no I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.locations: OrderedDict[tuple[str, str], tuple[int, int]] = OrderedDict()
 
     def record(self, now_us: int, volume: str, key: str, shard: int) -> None:
-        """Note that a shard has answered for a write of an object; an earlier place of it is void."""
+        """Record the shard that answered for a write of an object; an earlier location is replaced."""
         self.locations.pop((volume, key), None)
         while self.locations:
             oldest = next(iter(self.locations))
@@ -31,6 +31,6 @@
         self.locations[volume, key] = shard, now_us
 
     def find(self, now_us: int, volume: str, key: str) -> int | None:
-        """Tell the shard where an object was written; None where that is not known or too long ago."""
+        """Return the shard where an object was written; None where that is not known or too long ago."""
         place = self.locations.get((volume, key))
         return place[0] if place is not None and now_us - place[1] <= self.max_age_us else None
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -36,10 +36,10 @@
     """Tenants that the service document names, without an account."""
 
     def owner(self, volume: str) -> str:
-        """Tell the tenant of a volume, or nothing."""
+        """Return the tenant of a volume, or nothing."""
 
     def admits(self, connection: object, volume: str) -> bool:
-        """Tell whether a request of a volume may come over a connection."""
+        """Return whether a request of a volume may come over a connection."""
 
     def dropped(self, holder: object) -> None:
         """Note the end of a connection."""
@@ -92,7 +92,7 @@
     # --- the object front
 
     def admit(self, token: str, bucket: str, request: object, connection: object) -> AuthenticatedRequest:
-        """Tell whose key this is and its bucket's volume; raises ObjectError, also where a bound is reached."""
+        """Authenticate a request; returns its tenant and volume, raises ObjectError, also where a bound is reached."""
         self.ledger.refresh()
         peer, now_us = _peer(connection), steady_us()
         if wait_us := self.guesses.wait_us(peer, now_us):
@@ -173,7 +173,7 @@
     document_tenants: DocumentTenantChecks | None = None  # tenants by the service document
 
     def admits(self, connection: object, volume: str) -> bool:
-        """Tell whether a request of a volume may come over a connection of the platform's front."""
+        """Return whether a request of a volume may come over a connection of the platform's front."""
         tenant = self.accounts.owner(volume.lower())
         if not tenant:
             return self.document_tenants is None or self.document_tenants.admits(connection, volume)
@@ -223,7 +223,7 @@
                 if held is None or held.state in (TenantState.CLOSING, TenantState.CLOSED):
                     try:
                         await self.abort(tenant)
-                    except Exception as error:  # bricks refuse or are away: the next turn tries again
+                    except Exception as error:  # backends refuse or are away: the next turn tries again
                         self.log(f"uploads of {tenant} are not aborted yet: {error!r}")
 
     def tasks(self) -> list[asyncio.Task[None]]:
--- a/hophinge/head/components.py
+++ b/hophinge/head/components.py
@@ -138,7 +138,7 @@
 
 
 def maintenance(head: Service, log: Callable[[str], None]) -> HeadMaintenance | None:
-    """Make a head's part in agreed drains and releases, where it is on; begun before the head lists any brick."""
+    """Make a head's part in agreed drains and releases, where it is on; begun before the head lists any backend."""
     section, stream = head.operator.maintenance, head.operator.stream
     if section is None or stream is None or head.streamed is None:
         return None
--- a/hophinge/head/config.py
+++ b/hophinge/head/config.py
@@ -102,7 +102,7 @@
             address(one)
         int(config.seed, 16)
         settings = read_settings(bytes(config.settings))
-        # Shares of descriptors that the system does not give would leave none for bricks and discovery.
+        # Shares of descriptors that the system does not give would leave none for backends and discovery.
         most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         if most != resource.RLIM_INFINITY:
             config.limits.sockets = min(config.limits.sockets, most)
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -1,6 +1,6 @@
 """A head's part in agreed maintenance: its rotation, exchange, stream and board round the deciders of `maintenance/`.
 
-Whether all of a brick is quiet is looked at on a timer; nothing here stands in a request's way but one call where an
+Whether all of a backend is quiet is looked at on a timer; nothing here stands in a request's way but one call where an
 attempt has ended.
 """
 
@@ -43,13 +43,13 @@
 
 
 class AnswerTimes:
-    """A gate that notes which bricks have answered, before the gate there is."""
+    """A gate that notes which backends have answered, before the gate there is."""
 
     __slots__ = ("gate", "last_answer_us")
 
     def __init__(self, gate: Gate) -> None:
         self.gate = gate
-        self.last_answer_us: dict[str, int] = {}  # by brick: when it answered last
+        self.last_answer_us: dict[str, int] = {}  # by backend: when it answered last
 
     def admit(self, now_us: int, ask: Arrival) -> Bounds | WaitAtGate | int:
         """Pass on."""
@@ -80,7 +80,7 @@
 
 
 class HeadMaintenance:
-    """One head's; to be made after its stream and before it starts, `begin` called before it lists any brick."""
+    """One head's; to be made after its stream and before it starts, `begin` called before it lists any backend."""
 
     def __init__(
         self,
@@ -117,7 +117,7 @@
         self.drains = HeadDrains(self._load_drains())
         self.stored_drains = self.drains.to_store()
         self.started_us = exchange.now_us()
-        self.restored_at: dict[str, int] = {}  # by brick: when it was taken up again
+        self.restored_at: dict[str, int] = {}  # by backend: when it was taken up again
         self.service_has_sent = False  # the service has sent a word on this stream, so it takes reports
         self.last_report: HeadReport | None = None  # as reported, with all lists whole
         self.sender = SnapshotSender()  # of this stream
@@ -201,7 +201,7 @@
         return [report_request(self.client.follower.head, report)]
 
     def report(self) -> HeadReport:
-        """Tell all that this head says now."""
+        """Return this head's report as it stands now."""
         now, listed = self.exchange.now_us(), self.ejections.listed
         settings, counts = self.exchange.settings, self.exchange.counters.counts
         avoided = set(self.exchange.scheduler.avoided(now))
@@ -249,7 +249,7 @@
             self.client.outgoing.put_nowait(request)
 
     def _warm_backends(self) -> list[str]:
-        """Tell which bricks have answered since they are back, for longer than they count as cold."""
+        """Return which backends have answered since they are back, for longer than they count as cold."""
         now, cold = self.exchange.now_us(), self.ejections.slow_start_us
         since = {
             one.backend: self.restored_at.get(one.backend, self.started_us)
@@ -300,7 +300,7 @@
 
 
 def _same(one: HeadReport, other: HeadReport) -> bool:
-    """Tell whether two reports differ in counts of requests alone, which a beat brings."""
+    """Return whether two reports differ in request counts alone, which a heartbeat carries."""
     return (
         msgspec.structs.replace(one, accepted_requests=other.accepted_requests, failed_requests=other.failed_requests)
         == other
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -24,8 +24,8 @@
 STEP, REST_S = 25, 0.02  # predictions made at once, and the rest after: a millisecond in twenty, so that nobody waits
 PLAN_TICKS = 4  # between plans, where the last one was carried out
 FETCH_US = 2_000_000  # of one plan: peers are to be heard and spans closed in time
-# Tightest aims of others' work at a brick beyond which it has nothing to spare: the module's own bound for what is late
-# and beyond each reserve and fair part, by the settings' usual worths (0.75 sqrt(0.1 x 0.2)).
+# Tightest aims of others' work at a backend beyond which it has nothing to spare: the scheduler's own bound for what is
+# late and beyond each reserve and fair part, by the settings' usual worths (0.75 sqrt(0.1 x 0.2)).
 SPARE_WAIT = 0.1
 WAIT_FADES = 4.0  # tightest aims after which a wait that was seen says nothing
 MAX_SECRET = 4096  # bytes of the file
@@ -53,7 +53,7 @@
 
 
 def drained(board: ReplicatedEntries | None) -> frozenset[str]:
-    """Tell the bricks that some member's statement names; one that is back counts until its permit is free."""
+    """Return the backends that some member's statement names; one that is back counts until its permit is free."""
     if board is None:
         return frozenset()
     return frozenset(one.backend for rows in statements_by_owner(board.entries(Topic.DRAINS)).values() for one in rows)
@@ -128,7 +128,7 @@
             self.site.asked(self.exchange.now_us(), key)
 
     def requests_per_second(self, key: str) -> float:
-        """Tell predicted requests a second for what a brick is asked for; 0.0 where nothing is known."""
+        """Return predicted requests a second for what a backend is asked for; 0.0 where nothing is known."""
         return self.site.wanted(key)
 
     def _asked_for(self, one: ObjectKey, useful: bool) -> None:
@@ -139,7 +139,7 @@
     # --- facts
 
     def facts(self) -> Facts:
-        """Tell what this head sees now; a brick has to spare what a full body takes, less what is out there."""
+        """Return what this head observes now; a backend has capacity for a full body, less what is in flight there."""
         now_us, exchange = self.exchange.now_us(), self.exchange
         refused = exchange.counters.counts["requests_refused"] - self.fetcher.rejected_reads
         overloaded, self.refusals = refused > self.refusals, refused
@@ -253,7 +253,7 @@
     # --- what operators and tenants see
 
     def status(self) -> dict[str, object]:
-        """Tell operators how it goes; no object is named."""
+        """Return the status for operators; no object is named."""
         cache, fetcher = self.cache, self.fetcher
         return {
             "span": self.site.span,
@@ -276,7 +276,7 @@
         }
 
     def tenant(self, tenant: str) -> dict[str, float]:
-        """Tell a tenant its own figures."""
+        """Return a tenant's own metrics."""
         return {
             **self.site.tenant(self.exchange.now_us(), tenant),
             "kept_bytes": self.cache.tenant_bytes.get(tenant, 0),
--- a/hophinge/head/scoring.py
+++ b/hophinge/head/scoring.py
@@ -38,7 +38,7 @@
 
 
 def usage() -> tuple[int, int, int]:
-    """Tell what this thread has used so far, as hophinge/scoring/guard.py wants it; takes 1.5 us.
+    """Return what this thread has used so far, as hophinge/scoring/guard.py wants it; takes 1.5 us.
 
     The collector's third count changes with each collection but those of the youngest objects, which take less than a
     call may: only these are an excuse.
@@ -203,7 +203,7 @@
         self.engine.reinstate_all()
 
     def status(self) -> str:
-        """Tell staff what scorers do here, as JSON."""
+        """Return the scorers' state, as JSON for operators."""
         now, reader = self.exchange.now_us(), self.engine.reader
         rows: dict[str, Any] = {
             "interface": INTERFACE,
@@ -240,7 +240,7 @@
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
     def gauges(self) -> dict[str, float]:
-        """Tell what alerts look at."""
+        """Return the metrics that alerts use."""
         now, reader = self.exchange.now_us(), self.engine.reader
         scorers = self.engine.guard.scorers
         return {
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -139,7 +139,7 @@
     def apply_node_list(self, event: api.NodeList) -> None:
         """Apply a list of backends, or changes to it."""
         self.exchange.nodes(event)
-        # Connections to a brick that is out by hand go: it is about to be restarted.
+        # Connections to a backend that is out by hand go: it is about to be restarted.
         self.backends.retain(
             where for node, where in self.directory.endpoints.items() if not self.ejections.is_ejected(node)
         )
--- a/hophinge/head/streamed_configuration.py
+++ b/hophinge/head/streamed_configuration.py
@@ -150,7 +150,7 @@
     def rollout_metrics(self) -> dict[str, float]:
         """Return the metrics by which the control service judges a rollout."""
         counts = self.exchange.counters.counts
-        # What a limit or a share refuses is meant; what finds no brick, or no time, may be the version's fault.
+        # What a limit or a share refuses is meant; what finds no backend, or no time, may be the version's fault.
         meant = self.router.rejected_by_limit + self.router.rejected_beyond_share
         return {
             "taken": counts["requests_taken"],
--- a/hophinge/load/backends.py
+++ b/hophinge/load/backends.py
@@ -23,7 +23,9 @@
     """One backend of one shard; `now_us` counts from the start of the load."""
 
     def __init__(self, shard: int, plan: LoadPlan, now_us: Callable[[], int]) -> None:
-        self.shard, self.plan, self.now_us = shard, plan, now_us
+        self.shard = shard
+        self.plan = plan
+        self.now_us = now_us
         self.port = 0
         self.slots = asyncio.Semaphore(plan.slots)
         self.queued = 0
@@ -102,7 +104,8 @@
     """All backends and discovery, in this process."""
 
     def __init__(self, plan: LoadPlan) -> None:
-        self.plan, self.started_us = plan, 0
+        self.plan = plan
+        self.started_us = 0
         self.backends = [Backend(shard, plan, self.now_us) for shard in range(plan.backends)]
         self.servers: list[asyncio.Server] = []
         self.port = 0
--- a/hophinge/load/clients.py
+++ b/hophinge/load/clients.py
@@ -82,7 +82,8 @@
     """One run of a plan against one head."""
 
     def __init__(self, plan: LoadPlan, head: str) -> None:
-        self.plan, self.head = plan, head
+        self.plan = plan
+        self.head = head
         self.result = LoadResult(plan, [ClientClassResult(one) for one in plan.clients])
         self.random = random.Random(plan.seed * 31)
         self.request_count = 0
--- a/hophinge/load/rig/processes.py
+++ b/hophinge/load/rig/processes.py
@@ -77,7 +77,8 @@
         if self.reader is not None:
             await self.reader
         self.environ.update(changes)
-        self.start_line, self.starts = len(self.lines), self.starts + 1
+        self.start_line = len(self.lines)
+        self.starts = self.starts + 1
         environ = {
             **os.environ,
             "PYTHONUNBUFFERED": "1",
@@ -188,7 +189,8 @@
     """All processes of one run, at most so many at once."""
 
     def __init__(self, folder: Path, max_processes: int = DEFAULT_MAX_PROCESSES) -> None:
-        self.folder, self.max_processes = folder, min(max_processes, MAX_PROCESSES)
+        self.folder = folder
+        self.max_processes = min(max_processes, MAX_PROCESSES)
         self.by_name: dict[str, Process] = {}
 
     def running(self) -> list[Process]:
--- a/hophinge/load/rig/run.py
+++ b/hophinge/load/rig/run.py
@@ -79,7 +79,8 @@
     def __init__(
         self, folder: Path, seed: int = 1, plan: LoadPlan | None = None, most: int = DEFAULT_MAX_PROCESSES
     ) -> None:
-        self.folder, self.host = folder, unused_loopback_host()
+        self.folder = folder
+        self.host = unused_loopback_host()
         self.network = Network(seed)
         self.relay = Relay(self.network, self.host)
         self.platform = Platform(plan or LoadPlan(seed=seed))
--- a/hophinge/net/backend_answer.py
+++ b/hophinge/net/backend_answer.py
@@ -72,8 +72,8 @@
 async def read_first(stream: StreamReader, protocol: BackendConnection, length: int | None) -> tuple[bytes, bool]:
     """Read a body up to the buffering limits; returns the bytes and whether they are the complete body.
 
-    Bricks may take seconds over a long one, and its client waits for the first bytes. One of unknown length that still
-    comes after a moment is no spoilt one, which stands still or ends.
+    Backends may take seconds over a long one, and its client waits for the first bytes. One of unknown length that
+    still arrives after a moment is not a broken one, which stalls or ends.
     """
     loop = asyncio.get_running_loop()
     body, since = b"", loop.time()
--- a/hophinge/net/clock.py
+++ b/hophinge/net/clock.py
@@ -6,13 +6,13 @@
 import time
 from collections.abc import Callable
 
-# Started from the system's time, so that a brick's boot_ms needs no conversion but its unit; a later step of the
+# Started from the system's time, so that a backend's boot_ms needs no conversion but its unit; a later step of the
 # system's time moves no deadline.
 OFFSET_US = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
 
 def now_us() -> int:
-    """Tell the time."""
+    """Return the time, in microseconds since the Unix epoch."""
     return time.monotonic_ns() // 1000 + OFFSET_US
 
 
@@ -50,7 +50,7 @@
         self.loop = loop
 
     def now_us(self) -> int:
-        """Tell the time."""
+        """Return the time, in microseconds since the Unix epoch."""
         return now_us()
 
     def call_at(self, when_us: int, callback: Callable[[], None]) -> Timer:
--- a/hophinge/net/connection_attempts.py
+++ b/hophinge/net/connection_attempts.py
@@ -1,8 +1,8 @@
 """Decides when connections to a backend are opened and how many, without I/O; times are seconds, given as arguments.
 
-A connection that comes up late says little about its brick: the next one is as likely in time as any. So beside one
-that takes longer than connects usually do, another goes out while somebody waits. Each costs the brick a handshake,
-so they are bounded by what is opened anyway, by brick, and by the part of the brick's connections that is this head's.
+A late connect says little about its backend: the next one is as likely to be in time as any. So a connect that takes
+longer than typical is hedged while a request waits. Each costs the backend a handshake, so hedges are bounded by the
+connects that are started anyway, for each backend, and by this head's share of the backend's connections.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 MIN_LATE_S = 0.01  # a busy machine's turns, which are no lateness
 LATE_LIMIT_FRACTION = 1 / 3  # of the connect limit: what is late is found within it, with time for another
 ADJUSTMENT_STEP = 0.1  # part by which one connect moves the usual time
-MAX_HEDGED_CONNECTS = 3  # connects to one brick beyond those that wait for one
+MAX_HEDGED_CONNECTS = 3  # connects to one backend beyond those that wait for one
 HEDGE_RATIO = 0.5  # connects beside late ones for each other: up to a third late, and a third of those
 HEDGE_BURST = 8.0  # of them at once, when many come late together
 
--- a/hophinge/net/connection_registry.py
+++ b/hophinge/net/connection_registry.py
@@ -14,7 +14,7 @@
 class ConnectionRegistry:
     """All open connections to backends, ordered by when each became idle.
 
-    The pool keeps a connection to a brick that is gone, and all that a busy moment opened, until their time is over.
+    The pool keeps a connection to a backend that is gone, and all that a busy moment opened, until their time is over.
     """
 
     def __init__(self, limit: int, counters: Counters) -> None:
@@ -33,10 +33,10 @@
             and self.endpoints_in_use is not None
             and connection.endpoint not in self.endpoints_in_use
         ):
-            self._evict(connection)  # its brick went out of use while it was busy
+            self._evict(connection)  # its backend went out of use while it was busy
             return
         if connection.is_idle:
-            # What a brick holds is shared by all heads, and long answers take part of that: while this head has its
+            # What a backend holds is shared by all heads, and long answers take part of that: while this head has its
             # part, idle ones go, the one that is idle longest first, but for one.
             there = [one for one in self.open if one.endpoint == connection.endpoint]
             resting = [one for one in there if one.is_idle]
--- a/hophinge/net/request_parser.py
+++ b/hophinge/net/request_parser.py
@@ -17,7 +17,7 @@
 TARGET = re.compile(r"/([^/?#]+)/([0-9a-fA-F]{16})/([0-9a-fA-F]{16})(?:\?[!-\"$-~]*)?", re.ASCII)
 PLACEMENT = re.compile(r"units=([0-9]{1,6}(?:\.[0-9]{1,6})?),shard=(-1|[0-9]{1,6}),hosts=([0-9]{1,6})", re.ASCII)
 REMAINING = re.compile(r"[0-9]{1,9}", re.ASCII)
-# What a header may hold as it stands: no control characters, and so no end of a line that a brick might see one in.
+# What a header may hold as it stands: no control characters, and so no end of a line that a backend might see one in.
 KEY_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]{0,1024}")
 SINGLE_HEADERS = ("X-Txn", "X-Qos-Policy", "X-Remaining-Ms", "X-Placement", IDEMPOTENCY_KEY)
 
--- a/hophinge/objects/chunk_cache.py
+++ b/hophinge/objects/chunk_cache.py
@@ -53,8 +53,10 @@
         tenant_of: Callable[[str], str] = lambda volume: "",
         demand_of: Callable[[ObjectKey], float] = lambda one: 0.0,
     ) -> None:
-        self.max_bytes, self.max_tenant_bytes = max_bytes, int(max_bytes * tenant_fraction)
-        self.tenant_of, self.demand_of = tenant_of, demand_of
+        self.max_bytes = max_bytes
+        self.max_tenant_bytes = int(max_bytes * tenant_fraction)
+        self.tenant_of = tenant_of
+        self.demand_of = demand_of
         self.chunks: OrderedDict[ChunkKey, CachedChunk] = OrderedDict()
         self.objects: OrderedDict[ObjectKey, KnownObject] = OrderedDict()
         self.runs: dict[tuple[str, bytes], ObjectKey] = {}
--- a/hophinge/objects/front.py
+++ b/hophinge/objects/front.py
@@ -32,7 +32,8 @@
         log: Callable[[str], None],
     ) -> None:
         super().__init__(store, accounts, config, counters)
-        self.log, self.on_connection_closed = log, accounts.dropped
+        self.log = log
+        self.on_connection_closed = accounts.dropped
         self.active_requests = 0
         self.evicted: set[asyncio.Task[Any]] = set()
 
--- a/hophinge/objects/prefetch.py
+++ b/hophinge/objects/prefetch.py
@@ -28,7 +28,10 @@
     def __init__(
         self, chunk_store: ChunkStore, cache: ChunkCache, planner: Planner, facts: Callable[[], Facts]
     ) -> None:
-        self.chunk_store, self.cache, self.planner, self.facts = chunk_store, cache, planner, facts
+        self.chunk_store = chunk_store
+        self.cache = cache
+        self.planner = planner
+        self.facts = facts
         self.reads_in_flight = 0  # its own reads, which do not count as other requests
         self.fetched_objects = self.fetched_bytes = self.rejected_reads = 0
 
--- a/hophinge/objects/request_handlers.py
+++ b/hophinge/objects/request_handlers.py
@@ -40,7 +40,9 @@
 
     def __init__(self, store: ObjectStore, accounts: AccountAccess, config: ObjectConfig, counters: Counters) -> None:
         super().__init__(counters, config.connections, config.idle_s, config.idle_s)
-        self.store, self.accounts, self.config = store, accounts, config
+        self.store = store
+        self.accounts = accounts
+        self.config = config
         # By tenant, the requests whose answer has not begun; they are cancelled where the tenant is evicted.
         self.unanswered: dict[str, set[asyncio.Task[Any]]] = {}
         self.rate_limit: RateLimit | None = None  # of bodies, both ways
--- a/hophinge/popularity/frequency_sketch.py
+++ b/hophinge/popularity/frequency_sketch.py
@@ -55,7 +55,8 @@
     def __init__(self, counters: int, half_life_us: int, tenant_fraction: float = 1.0) -> None:
         if counters < 1 or half_life_us < 1 or not 0.0 < tenant_fraction <= 1.0:
             raise ValueError("counters and half_life_us are at least 1, tenant_part is above 0 and at most 1")
-        self.max_counters, self.half_life_us = counters, half_life_us
+        self.max_counters = counters
+        self.half_life_us = half_life_us
         self.max_tenant_counters = max(1, int(counters * tenant_fraction))
         self.counters: dict[bytes, KeyCounter] = {}
         self.tenants: dict[str, TenantCounters] = {}
@@ -80,7 +81,8 @@
 
     def _rescale(self, now_us: int, power: float) -> None:
         scale = 2.0 ** -min(power, 1000.0)
-        self.landmark_us, self.weight = now_us, self.weight * scale
+        self.landmark_us = now_us
+        self.weight = self.weight * scale
         for counter in self.counters.values():
             counter.count *= scale
             counter.error *= scale
@@ -120,10 +122,8 @@
     def _largest(self) -> TenantCounters:
         """Return the tenant with most counters, searched only now and then as there may be many tenants."""
         if self.evictions_until_search <= 0 or self.largest is None or not self.largest.live_count:
-            self.evictions_until_search, self.largest = (
-                EVICTIONS_PER_SEARCH,
-                max(self.tenants.values(), key=lambda one: one.live_count),
-            )
+            self.evictions_until_search = EVICTIONS_PER_SEARCH
+            self.largest = max(self.tenants.values(), key=lambda one: one.live_count)
         self.evictions_until_search -= 1
         return self.largest
 
--- a/hophinge/popularity/interval.py
+++ b/hophinge/popularity/interval.py
@@ -37,7 +37,8 @@
     """Standard deviations below and above the mean by class: a constant size, however many objects."""
 
     def __init__(self) -> None:
-        self.below, self.above = [INITIAL_Z] * (2 * MEAN_CLASSES), [INITIAL_Z] * (2 * MEAN_CLASSES)
+        self.below = [INITIAL_Z] * (2 * MEAN_CLASSES)
+        self.above = [INITIAL_Z] * (2 * MEAN_CLASSES)
 
     def record_outcome(self, class_index: int, low: float, high: float, count: float) -> None:
         """Record the actual count of a prediction."""
--- a/hophinge/popularity/planner.py
+++ b/hophinge/popularity/planner.py
@@ -1,7 +1,7 @@
 """What is fetched beforehand: the budgets, and what they are spent on. Facts come in, fetches go out.
 
 A fetch only moves work from a busy time to a spare one, so it has the least right to anything: it goes where a site's
-and a tenant's bytes allow it, to bricks that are warm, not in a drain and have units to spare, and not at all while
+and a tenant's bytes allow it, to backends that are warm, not in a drain and have units to spare, and not at all while
 requests wait. Two heads that each think they own an object cost a fetch and no wrong answer.
 """
 
@@ -22,8 +22,8 @@
 QUIET = 8  # requests unanswered at this head from which nothing is fetched: two objects' reads at once
 REST_US = 50_000  # after so many were seen
 PAUSE_US = 2_000_000  # after overload was seen; a queue that has just emptied fills again
-# Of what a shard's bricks have idle, for the fetches of all heads. A read takes its work over the idle part of its
-# brick, so one in so many times what the last one took adds at most this part to the mean wait of others there.
+# Of what a shard's backends have idle, for the fetches of all heads. A read takes its work over the idle part of its
+# backend, so one in so many times what the last one took adds at most this part to the mean wait of others there.
 IDLE_PART = 0.04
 LONGEST_REST_US = 30_000_000  # one read that hung says little about the next minute
 MAX_SHARDS = 4096  # whose rests are kept before those that are over are dropped
@@ -31,10 +31,10 @@
 
 
 class Why(Enum):
-    """Why nothing may go to a brick's shard, or at all, now."""
+    """Why nothing may go to a backend's shard, or at all, now."""
 
     BUSY = "busy"  # requests wait here, or did a moment ago
-    UNKNOWN = "unknown"  # no brick of the shard is known
+    UNKNOWN = "unknown"  # no backend of the shard is known
     REST = "rest"  # the last fetch from there was too short a while ago
     DRAIN = "drain"
     COLD = "cold"
@@ -44,7 +44,7 @@
 
 
 class Source(Struct, frozen=True):
-    """A brick as this head sees it now."""
+    """A backend as this head sees it now."""
 
     node: str
     shard: int
@@ -69,7 +69,7 @@
     tenant: str
     shard: int  # of its manifest
     size: int  # bytes, as far as is known
-    units: float  # that its reading costs bricks
+    units: float  # that its reading costs backends
     expected: float  # requests in the next span at this site
 
 
@@ -77,11 +77,13 @@
     """A budget of bytes: a rate, and what was saved up of it."""
 
     def __init__(self, rate: float, now_us: int) -> None:
-        self.rate, self.most = rate, rate * BURST_S
-        self.left, self.at_us = self.most, now_us
+        self.rate = rate
+        self.most = rate * BURST_S
+        self.left = self.most
+        self.at_us = now_us
 
     def fill(self, now_us: int) -> float:
-        """Tell what is left now."""
+        """Return what is left now."""
         if now_us > self.at_us:
             self.left = min(self.most, self.left + self.rate * (now_us - self.at_us) / 1e6)
             self.at_us = now_us
@@ -89,7 +91,7 @@
 
 
 def owner(key: bytes, members: Iterable[Member], zone: str) -> str:
-    """Tell which head of a site fetches an object: the highest hash among heads that live; empty where there is none.
+    """Return which head of a site fetches an object: the highest hash among heads that live; empty where there is none.
 
     Members that come and go move only the keys that they win or had won.
     """
@@ -100,7 +102,7 @@
 
 
 def chance(expected: float) -> float:
-    """Tell the chance of at least one request; one fetch saves one, whatever the number that then come."""
+    """Return the chance of at least one request; one fetch saves one, whatever the number that then come."""
     return -math.expm1(-max(0.0, expected))
 
 
@@ -108,22 +110,25 @@
     """One head's fetches beforehand."""
 
     def __init__(self, me: str, zone: str, bytes_s: float, tenant_part: float, now_us: int) -> None:
-        self.me, self.zone = me, zone
-        self.bytes_s, self.tenant_part = bytes_s, tenant_part
+        self.me = me
+        self.zone = zone
+        self.bytes_s = bytes_s
+        self.tenant_part = tenant_part
         self.site = Bytes(bytes_s, now_us)
         self.tenants: dict[str, Bytes] = {}
-        self.heads = 1  # that live, at all sites: all of them fetch from the same bricks
+        self.heads = 1  # that live, at all sites: all of them fetch from the same backends
         self.rests: dict[int, int] = {}  # by shard, until when
         self.paused_us = 0
         self.held_back: dict[Why, int] = dict.fromkeys(Why, 0)
 
     def share(self, now_us: int, heads: int, everywhere: int = 1) -> None:
-        """Divide the site's bytes among so many live heads there, and bricks' idle time among those everywhere."""
+        """Divide the site's bytes among so many live heads there, and backends' idle time among those everywhere."""
         self.heads = max(1, heads, everywhere)
         rate = self.bytes_s / max(1, heads)
         if rate != self.site.rate:
             self.site.fill(now_us)
-            self.site.rate, self.site.most = rate, rate * BURST_S
+            self.site.rate = rate
+            self.site.most = rate * BURST_S
             self.site.left = min(self.site.left, self.site.most)
             for budget in self.tenants.values():
                 budget.fill(now_us)
@@ -145,7 +150,7 @@
         self.paused_us = now_us + PAUSE_US
 
     def busy(self, now_us: int, facts: Facts) -> bool:
-        """Tell whether fetches are to rest because of others' requests."""
+        """Return whether fetches are to rest because of others' requests."""
         if facts.overloaded:
             self.paused_us = now_us + PAUSE_US
         elif facts.unanswered >= QUIET:
@@ -159,14 +164,14 @@
         self.rests[shard] = now_us + min(LONGEST_REST_US, int(max(0, took_us) * self.heads / IDLE_PART))
 
     def rest_us(self, now_us: int, shard: int) -> int:
-        """Tell how long to wait before a read from a shard; 0 also where that is too long to wait for."""
+        """Return how long to wait before a read from a shard; 0 also where that is too long to wait for."""
         left = self.rests.get(shard, 0) - now_us
         return left if 0 < left <= MAX_REST_US else 0
 
     def source(self, shard: int, units: float, facts: Facts) -> Why | None:
-        """Tell what speaks against a read from a shard now.
+        """Return what speaks against a read from a shard now.
 
-        The module chooses among a shard's bricks, so each that it might choose must be fit for it.
+        The module chooses among a shard's backends, so each that it might choose must be fit for it.
         """
         backends = [one for one in facts.sources.get(shard, ()) if one.on]
         if any(one.draining for one in facts.sources.get(shard, ())):
@@ -180,7 +185,7 @@
         return None
 
     def may(self, now_us: int, tenant: str, shard: int, size: int, units: float, facts: Facts) -> Why | None:
-        """Tell what speaks against one read now; asked before each, for facts change while an object is fetched."""
+        """Return what speaks against one read now; asked before each, for facts change while an object is fetched."""
         why: Why | None
         if self.busy(now_us, facts):
             why = Why.BUSY
@@ -197,14 +202,14 @@
         return why
 
     def spend(self, now_us: int, tenant: str, size: int) -> None:
-        """Take bytes from both budgets: before the read, whatever becomes of it, for the brick's work is done."""
+        """Take bytes from both budgets: before the read, whatever becomes of it, for the backend's work is done."""
         self.site.left -= size
         self._of(tenant, now_us).left -= size
 
     def plan(
         self, now_us: int, members: Iterable[Member], facts: Facts, candidates: Iterable[Candidate], most: int = 64
     ) -> list[Candidate]:
-        """Tell what to fetch, in order: what saves most work a byte first, as far as the budgets reach.
+        """Return what to fetch, in order: what saves most work a byte first, as far as the budgets reach.
 
         Budgets are looked at and not taken here: `spend` does that for each read.
         """
--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -67,7 +67,7 @@
 
 
 def _log_likelihood(count: float, shape: float, exposure: float) -> float:
-    """Tell a negative binomial's log probability of a count."""
+    """Return a negative binomial's log probability of a count."""
     return (
         math.lgamma(count + shape)
         - math.lgamma(shape)
@@ -91,21 +91,23 @@
 
     def begin(self, total: float) -> None:
         """Close a span whose requests were so many; `observe` then takes them by key."""
-        self.here, self.then = self.season.bucket(), self.season.bucket(1)
-        self.grown, self.growth = self.growth, self.season.close_span(total)
+        self.here = self.season.bucket()
+        self.then = self.season.bucket(1)
+        self.grown = self.growth
+        self.growth = self.season.close_span(total)
 
     def predict(self, key: bytes) -> Prediction | None:
-        """Tell the next span's requests for a key; nothing where it is not followed."""
+        """Return the next span's requests for a key; nothing where it is not followed."""
         course = self.courses.get(key)
         return None if course is None else Prediction(course.mean, course.low, course.high)
 
     def weights(self, key: bytes) -> dict[str, float]:
-        """Tell how much each course counts for a key."""
+        """Return how much each course counts for a key."""
         course = self.courses.get(key)
         return {} if course is None else dict(zip(COURSES, _weights(course.evidence), strict=True))
 
     def new(self, tenant: str) -> Prediction:
-        """Tell the first span's requests for an object that its publisher has just made."""
+        """Return the first span's requests for an object that its publisher has just made."""
         usual = self.usual.get(tenant, Usual())
         return self.calibration.interval(
             prediction_class(usual.first, 0), usual.first, usual.first + usual.first**2 / PRIOR_FIRST
@@ -186,8 +188,10 @@
         usual.pow_ratio += weight * ratio * step
         usual.pow_weight += weight * step * step
         if usual.exp_weight > 1e4:  # so that a publisher's ways may change
-            usual.exp_ratio, usual.exp_weight = usual.exp_ratio / 2, usual.exp_weight / 2
-            usual.pow_ratio, usual.pow_weight = usual.pow_ratio / 2, usual.pow_weight / 2
+            usual.exp_ratio = usual.exp_ratio / 2
+            usual.exp_weight = usual.exp_weight / 2
+            usual.pow_ratio = usual.pow_ratio / 2
+            usual.pow_weight = usual.pow_weight / 2
 
     def _day(self, course: Course, count: float) -> None:
         if course.day is None:
@@ -230,7 +234,9 @@
             for weight, one, shape in zip(weights, course.means, course.shapes, strict=True)
         )
         found = self.calibration.interval(prediction_class(mean, course.age), mean, max(mean, square - mean * mean))
-        course.mean, course.low, course.high = found.mean, found.low, found.high
+        course.mean = found.mean
+        course.low = found.low
+        course.high = found.high
 
 
 def _weights(evidence: list[float]) -> list[float]:
--- a/hophinge/popularity/site.py
+++ b/hophinge/popularity/site.py
@@ -46,7 +46,10 @@
         span_us: int = SPAN_US,
         day_us: int = DAY_US,
     ) -> None:
-        self.keys, self.me, self.zone, self.span_us = keys, me, zone, span_us
+        self.keys = keys
+        self.me = me
+        self.zone = zone
+        self.span_us = span_us
         counters = max(16, count_bytes // BYTES_EACH)
         self.sketch = FrequencySketch(counters, HALF_LIFE_SPANS * span_us, tenant_part)
         self.predictor = Predictor(max(1, day_us // span_us))
@@ -54,7 +57,8 @@
         self.known: dict[bytes, Known] = {}
         self.by_object: dict[tuple[str, str], bytes] = {}  # by volume and id of the manifest
         self.by_manifest: dict[str, bytes] = {}  # two volumes may have one name: a hint, and never whose count it is
-        self.span, self.served = 0, 0.0
+        self.span = 0
+        self.served = 0.0
         self.usual_served = 0.0  # requests a span of late, which peers' claims are held to
         self.due: list[tuple[bytes, str, float]] = []  # counts of the closed span that are not looked at yet
         self.elsewhere: dict[bytes, float] = {}  # a key's mean requests a span at other sites
@@ -71,7 +75,8 @@
                 self._prune()
             self._know(key, Known(locator, tenant, size, self.span))
         else:
-            held.size, held.tenant = size, tenant
+            held.size = size
+            held.tenant = tenant
         return key
 
     def asked(self, now_us: int, key: bytes) -> None:
@@ -97,12 +102,12 @@
         self.trusts[owner] = (hits + useful) * part, (all_of + 1.0) * part
 
     def trusted(self, owner: str) -> float:
-        """Tell how far an owner's word counts for what was never asked for here."""
+        """Return how far an owner's report counts for what was never requested here."""
         hits, all_of = self.trusts.get(owner, (0.0, 0.0))
         return (FIRST_TRUST * TRUST_WEIGHT + hits) / (TRUST_WEIGHT + all_of)
 
     def tenant(self, now_us: int, tenant: str) -> dict[str, float]:
-        """Tell one tenant's own figures: they hold nothing of others'."""
+        """Return one tenant's own metrics, which hold nothing of others'."""
         return {
             "requests": self.sketch.total(now_us, tenant),
             "followed": sum(1 for one in self.predictor.courses.values() if one.tenant == tenant),
@@ -191,7 +196,7 @@
     # --- what is asked
 
     def expected(self, key: bytes) -> float:
-        """Tell the requests in the next span. What was asked for here goes by that; only else others' word counts.
+        """Return the requests in the next span. What was asked for here goes by that; only else others' word counts.
 
         What came in the open span is the least that is expected, or a crowd would be seen a span late.
         """
@@ -200,28 +205,28 @@
         return found if counter is None else max(found, counter.span_requests)
 
     def wanted(self, key: str) -> float:
-        """Tell predicted requests a second for the id of an object's manifest, which is what bricks are asked for."""
+        """Return predicted requests a second for the id of an object's manifest, by which backends know it."""
         found = self.by_manifest.get(key)
         return self.expected(found) * 1e6 / self.span_us if found is not None else 0.0
 
     def wanted_object(self, one: tuple[str, str]) -> float:
-        """Tell predicted requests a second for an object by its volume and the id of its manifest."""
+        """Return predicted requests a second for an object by its volume and the id of its manifest."""
         found = self.by_object.get(one)
         return self.expected(found) * 1e6 / self.span_us if found is not None else 0.0
 
     def by_word(self, key: bytes) -> str:
-        """Tell on whose word alone an object is expected; empty where it was asked for here."""
+        """Return on whose report alone an object is expected; empty where it was requested here."""
         if key in self.predictor.courses:
             return ""
         return next(iter(self.hearsay.claimants(key)), "")
 
     def object(self, key: bytes) -> tuple[str, str]:
-        """Tell a known key's volume and the id of its manifest."""
+        """Return a known key's volume and the id of its manifest."""
         locator = self.known[key].locator
         return locator.volume, locator.manifest
 
     def candidates(self, units: Callable[[int], float]) -> Iterable[Candidate]:
-        """Tell what is worth a fetch; whoever asks knows what is kept already.
+        """Return what is worth a fetch; whoever asks knows what is kept already.
 
         What was asked for here of late is kept as a rule, so of what is not, only what nine times in ten will be asked
         for: the rest of it is overrated more often than not. What is known by peers' word alone goes by its mean.
--- a/hophinge/scoring/testing.py
+++ b/hophinge/scoring/testing.py
@@ -51,6 +51,7 @@
 ) -> View:
     """Create a view of a choice among candidates."""
     around = Surroundings()
-    around.drains, around.demand = drains, lambda asked: demand if asked == key else 0.0
+    around.drains = drains
+    around.demand = lambda asked: demand if asked == key else 0.0
     ask = api.Arrival("request", units, "volume", 0, -1, 1, key, 1_000_000, True, 0)
     return View.of(now_us, ask, candidates, around)
--- a/hophinge/tenancy/usage.py
+++ b/hophinge/tenancy/usage.py
@@ -44,7 +44,8 @@
     def begin_flush(self) -> Mapping[UsageKey, float]:
         """Return the amounts to store; `commit_flush` or `abort_flush` has to follow before the next flush."""
         if self.flushing is None:
-            self.flushing, self.amounts = self.amounts, {}
+            self.flushing = self.amounts
+            self.amounts = {}
         return self.flushing
 
     def commit_flush(self) -> None:
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -11,6 +11,7 @@
 import json
 import pkgutil
 import tomllib
+import warnings
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
@@ -20,7 +21,6 @@
 import typer
 
 from hophinge.admin import schemas
-from hophinge.cli import main
 from hophinge.cluster import messages as cluster_messages
 from hophinge.control import rollout
 from hophinge.control import last_known_good
@@ -322,6 +322,9 @@
 
 def command_lines() -> dict[str, Any]:
     """The words of the command line of what is in service."""
+    with warnings.catch_warnings():
+        warnings.simplefilter("ignore", ImportWarning)  # of the import hook that the charts' library leaves behind
+        from hophinge.cli import main
     return commands(typer.main.get_command(main.app))
 
 
