--- a/hophinge/load/report.py
+++ b/hophinge/load/report.py
@@ -16,7 +16,7 @@
 
 Seed {{ plan.seed }}, {{ "%.0f" % (plan.duration_us / 1e6) }} s of which the first \
 {{ "%.0f" % (plan.warm_up_us / 1e6) }} s do \
-not count. {{ plan.backends }} backends with {{ plan.slots }} slots of {{ "%g" % (plan.work_us / 1000) }} ms a unit: \
+not count. {{ plan.backends }} bricks with {{ plan.slots }} slots of {{ "%g" % (plan.work_us / 1000) }} ms a unit: \
 {{ "%.0f" % plan.capacity }} units/s. Times are counted from when a first try was due.
 
 | load | client | asked | in aim | {{ ends | join(" | ") }} | tries | p50, ms | p99, ms | refusal p99, ms \
