--- a/hophinge/coordination/registers.py
+++ b/hophinge/coordination/registers.py
@@ -126,8 +126,3 @@
         self.history_digest = snapshot.history_digest
         self.values = dict(snapshot.registers)
         self.applied_digests = {key: dict(digests) for key, digests in snapshot.applied_digests}
-
-
-def rebase(change: Change, base: int) -> Change:
-    """Return a change that builds on another version: only for owners that count a register's versions themselves."""
-    return replace(change, base=base, version=base + 1)
--- a/hophinge/fleet/configuration/document.py
+++ b/hophinge/fleet/configuration/document.py
@@ -44,12 +44,6 @@
     max_attempts: int = Field(default=1, ge=0)
 
 
-class ModelModel(ConfigurationModel):
-    """A model of a service."""
-
-    name: str
-
-
 class ServiceModel(ConfigurationModel):
     """One service."""
 
