--- a/benchmarks/popularity.py
+++ b/benchmarks/popularity.py
@@ -98,7 +98,7 @@
                     if one is not None:
                         seen += 1
                         errors["held"] += one.low <= counts[span, at] <= one.high
-            predictor.begin(float(counts[span].sum()))
+            predictor.begin_interval(float(counts[span].sum()))
             for at in range(160):
                 predictor.observe(bytes([at]), str(trace.publisher[at]), float(counts[span, at]))
             aged = AGEING * aged + (1 - AGEING) * counts[span]
--- a/benchmarks/popularity_latency.py
+++ b/benchmarks/popularity_latency.py
@@ -51,7 +51,7 @@
     popular = built.popular["a"]
     while True:
         popular.cache.remove_tenant("alba")
-        popular.tried.clear()
+        popular.attempted.clear()
         await popular.fetch()
         await asyncio.sleep(0.05)
 
@@ -79,7 +79,7 @@
                     await client.status("GET", path)
             popular.closes_us = 0
             popular.tick()
-            while popular.site.step(100):
+            while popular.site.process_pending(100):
                 pass
             popular.store.chunk_store.cache = None  # others' reads go to bricks whether or not a piece is kept
             for backend in built.world.backends:
--- a/benchmarks/popularity_model.py
+++ b/benchmarks/popularity_model.py
@@ -206,7 +206,7 @@
         """Fetch objects again and again; their pieces are dropped, so that there is always something to fetch."""
         while True:
             self.popular.cache.remove_tenant("alba")
-            self.popular.tried.clear()
+            self.popular.attempted.clear()
             await self.popular.fetch()
             await asyncio.sleep(0.05)
 
--- a/benchmarks/popularity_others.py
+++ b/benchmarks/popularity_others.py
@@ -58,7 +58,7 @@
         popular = model.popular
         popular.closes_us = 0
         popular.tick()
-        while popular.site.step(100):
+        while popular.site.process_pending(100):
             pass
         popular.store.chunk_store.cache = None  # others' reads go to bricks whether or not a piece is kept
         beside = [asyncio.create_task(model.others(others))]
--- a/benchmarks/popularity_replay.py
+++ b/benchmarks/popularity_replay.py
@@ -14,9 +14,9 @@
 from hophinge.objects.chunk_cache import ChunkCache  # noqa: E402
 from hophinge.objects.stored_records import Manifest, ChunkRef, ChunkRun  # noqa: E402
 from hophinge.popularity.object_keys import ObjectKeys, Locator  # noqa: E402
-from hophinge.popularity.planner import Facts, Planner, Source  # noqa: E402
+from hophinge.popularity.planner import LoadSnapshot, PrefetchPlanner, BackendObservation  # noqa: E402
 from hophinge.popularity.peer_demand import ITEMS_PER_PAGE, MAX_PAGES, DemandItem, encode_pages  # noqa: E402
-from hophinge.popularity.site import Site  # noqa: E402
+from hophinge.popularity.site import SiteDemand  # noqa: E402
 from popularity_traces import SHAPES, SPANS_A_DAY, Trace  # noqa: E402
 
 SPAN_US = 10_000_000  # of the replay's clock: a span's bytes are what a planner may save up
@@ -51,7 +51,7 @@
         self.keys = [keys.of(one) for one in self.locators]
         self.number = {key: at for at, key in enumerate(self.keys)}
         self.restart()
-        self.planner = Planner("me", "here", bytes_span / (SPAN_US / 1e6), 0.5, 0)
+        self.planner = PrefetchPlanner("me", "here", bytes_span / (SPAN_US / 1e6), 0.5, 0)
         self.values = np.zeros(objects)
         self.words: dict[int, str] = {}
         self.hits = self.requests = self.hit_bytes = self.all_bytes = self.fetched = self.useful = 0
@@ -59,7 +59,7 @@
 
     def restart(self) -> None:
         """Begin as a head does that was killed: with no cache and no counts."""
-        self.site = Site(ObjectKeys(b"x" * 16), 4_000_000, 1.0, "me", "here", SPAN_US, SPAN_US * SPANS_A_DAY)
+        self.site = SiteDemand(ObjectKeys(b"x" * 16), 4_000_000, 1.0, "me", "here", SPAN_US, SPAN_US * SPANS_A_DAY)
         self.cache = ChunkCache(self.most, 1.0, demand_of=lambda one: self.worth(int(one[1], 16)))
         self.cache.on_prefetch_outcome = self.told
 
@@ -68,13 +68,13 @@
         at = int(one[1], 16)
         self.useful += int(self.trace.sizes[at]) if useful else 0
         if word := self.words.pop(at, ""):
-            self.site.trust(word, useful)
+            self.site.record_outcome(word, useful)
 
     def worth(self, at: int) -> float:
         """Tell what eviction goes by."""
         if self.policy in (POLICIES[1], POLICIES[5]):
             return float(self.values[at])
-        return self.site.expected(self.keys[at])
+        return self.site.expected_requests(self.keys[at])
 
     def run(self, counted_from: int) -> None:
         """Go through all spans; once a day the head is killed, and hears its peers before it is asked again."""
@@ -109,7 +109,7 @@
                 self.firsts, self.first_hits = self.firsts + 1, self.first_hits + hit
         self.met[at] = True
         if self.policy.startswith("prewarming") or "prediction" in self.policy:
-            self.site.asked(now, self.site.note(locator, locator.volume, len(self.bodies[at])))
+            self.site.record_request(now, self.site.record_object(locator, locator.volume, len(self.bodies[at])))
         return hit
 
     def close(self, span: int, now: int, counted: bool) -> None:
@@ -125,8 +125,8 @@
             return self.fetch(now, counted)
         if self.policy == POLICIES[4]:
             self.hear(span, now)
-        self.site.close(now, lambda volume: (volume, "basic"))
-        self.site.step(10**9)
+        self.site.close_interval(now, lambda volume: (volume, "basic"))
+        self.site.process_pending(10**9)
         if "prewarming" in self.policy:
             self.fetch(now, counted)
 
@@ -138,15 +138,17 @@
             top = [int(at) for at in np.argsort(-counts)[: ITEMS_PER_PAGE * MAX_PAGES] if counts[at] > 0]
             items = [DemandItem(self.keys[at], keys.seal(self.locators[at]), float(counts[at])) for at in top]
             for number, page in enumerate(encode_pages(span, float(counts.sum()), items)):
-                self.site.hearsay.apply_page(now, f"peer-{site}", f"site-{site}", (1, span * 10 + number), page)
+                self.site.peer_demand.apply_page(now, f"peer-{site}", f"site-{site}", (1, span * 10 + number), page)
 
     def fetch(self, now: int, counted: bool) -> None:
         """Fetch what the planner says, all of it; each brick has 64 units to spare in a span."""
-        facts = Facts(0, False, {shard: [Source(f"s-{shard}", shard, True, True, 64.0)] for shard in range(8)})
+        facts = LoadSnapshot(
+            0, False, {shard: [BackendObservation(f"s-{shard}", shard, True, True, 64.0)] for shard in range(8)}
+        )
         if self.policy == POLICIES[5]:
             for at in map(int, np.flatnonzero(self.values > 0.2)):
-                key = self.site.note(self.locators[at], self.locators[at].volume, int(self.trace.sizes[at]))
-                self.site.elsewhere[key] = float(self.values[at])
+                key = self.site.record_object(self.locators[at], self.locators[at].volume, int(self.trace.sizes[at]))
+                self.site.demand_elsewhere[key] = float(self.values[at])
         wanted = [
             one
             for one in self.site.candidates(lambda size: 1.0)
@@ -159,10 +161,10 @@
             size = len(self.bodies[at])
             if (
                 not self.cache.would_store(place, size + 200)
-                or self.planner.may(now, one.tenant, one.shard, size, 1.0, facts) is not None
+                or self.planner.hold_reason(now, one.tenant, one.shard, size, 1.0, facts) is not None
             ):
                 continue
-            if word := self.site.by_word(one.key):
+            if word := self.site.sole_reporter(one.key):
                 self.words[at] = word
             self.planner.spend(now, one.tenant, size)
             self.cache.put(place[0], self.runs[at], 0, self.bodies[at], True)
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -17,8 +17,8 @@
 from hophinge.objects.object_store import ObjectStore
 from hophinge.objects.account_access import Volume
 from hophinge.popularity.object_keys import ObjectKeys, Locator
-from hophinge.popularity.planner import Facts, Planner, Source
-from hophinge.popularity.site import DAY_US, SPAN_US, Site
+from hophinge.popularity.planner import LoadSnapshot, PrefetchPlanner, BackendObservation
+from hophinge.popularity.site import DAY_US, INTERVAL_US, SiteDemand
 
 TICK_S = 0.5  # between looks at peers, spans and what might be fetched
 STEP, REST_S = 25, 0.02  # predictions made at once, and the rest after: a millisecond in twenty, so that nobody waits
@@ -26,7 +26,7 @@
 FETCH_US = 2_000_000  # of one plan: peers are to be heard and spans closed in time
 # Tightest aims of others' work at a backend beyond which it has nothing to spare: the scheduler's own bound for what is
 # late and beyond each reserve and fair part, by the settings' usual worths (0.75 sqrt(0.1 x 0.2)).
-SPARE_WAIT = 0.1
+MAX_IDLE_WAIT = 0.1
 WAIT_FADES = 4.0  # tightest aims after which a wait that was seen says nothing
 MAX_SECRET = 4096  # bytes of the file
 
@@ -70,7 +70,7 @@
         log: Callable[[str], None],
         sight: MembershipView | None = None,
         board: ReplicatedEntries | None = None,
-        span_us: int = SPAN_US,
+        span_us: int = INTERVAL_US,
         day_us: int = DAY_US,
     ) -> None:
         """`owner_of` tells a volume's tenant and plan; it knows the volumes that this head serves."""
@@ -78,31 +78,31 @@
         self.store = store
         self.owner_of = owner_of
         self.log = log
-        self.faults = self.untold = 0  # of this part, and pages that the board had no room for
+        self.faults = self.failed_publications = 0  # of this part, and pages that the board had no room for
         self.sight = sight
         self.board = board
         self.exchange = store.chunk_store.exchange
         me = sight.own_name if sight is not None else ""
         zone = next((one.zone for one in sight.members() if one.name == me), "") if sight is not None else ""
         object_keys = ObjectKeys(read_secret(config.secret_file))
-        self.site = Site(object_keys, config.count_bytes, config.tenant_part, me, zone, span_us, day_us)
+        self.site = SiteDemand(object_keys, config.count_bytes, config.tenant_part, me, zone, span_us, day_us)
         self.cache = ChunkCache(
             config.cache_bytes,
             config.tenant_part,
             lambda volume: (owner_of(volume) or ("",))[0],
-            lambda one: self.site.wanted_object(one),
+            lambda one: self.site.object_request_rate(one),
         )
-        self.cache.on_prefetch_outcome = self._asked_for
+        self.cache.on_prefetch_outcome = self._record_request
         now_us = self.exchange.now_us()
-        self.planner = Planner(me, zone, config.fetch_bytes_s, config.tenant_part, now_us)
-        self.fetcher = Prefetcher(store.chunk_store, self.cache, self.planner, self.facts)
+        self.planner = PrefetchPlanner(me, zone, config.fetch_bytes_s, config.tenant_part, now_us)
+        self.fetcher = Prefetcher(store.chunk_store, self.cache, self.planner, self.load_snapshot)
         store.watcher = self
         store.chunk_store.cache = self.cache
         self.closes_us = now_us + span_us
         self.words: dict[ObjectKey, str] = {}  # of what was fetched on a peer's word: whose
         self.taken: dict[tuple[str, str], EntryVersion] = {}  # versions of pages that were looked at
-        self.told = 0  # pages that are on the board
-        self.tried: dict[bytes, int] = {}  # in which span a fetch was tried
+        self.published_pages = 0  # pages that are on the board
+        self.attempted: dict[bytes, int] = {}  # in which span a fetch was tried
         self.unfinished: set[bytes] = set()  # whose fetch broke off
         self.refusals = 0
 
@@ -116,44 +116,46 @@
         locator = self._locator(volume, name)
         self.cache.observe_manifest(volume.id, locator.manifest, manifest)
         if manifest.etag:
-            self.site.note(locator, (self.owner_of(volume.id) or ("",))[0], manifest.size)
+            self.site.record_object(locator, (self.owner_of(volume.id) or ("",))[0], manifest.size)
         else:
-            self.site.gone(locator)
+            self.site.record_deletion(locator)
 
     def read_started(self, volume: Volume, manifest: Manifest, first: int, last: int) -> None:
         """Count a read that begins."""
         one = self.cache.object_of(volume.id, manifest.runs[0]) if manifest.runs else None
         key = self.site.by_object.get(one) if one is not None else None
         if key is not None:
-            self.site.asked(self.exchange.now_us(), key)
+            self.site.record_request(self.exchange.now_us(), key)
 
     def requests_per_second(self, key: str) -> float:
         """Return predicted requests a second for what a backend is asked for; 0.0 where nothing is known."""
-        return self.site.wanted(key)
+        return self.site.request_rate(key)
 
-    def _asked_for(self, one: ObjectKey, useful: bool) -> None:
+    def _record_request(self, one: ObjectKey, useful: bool) -> None:
         owner = self.words.pop(one, "")
         if owner:
-            self.site.trust(owner, useful)
+            self.site.record_outcome(owner, useful)
 
     # --- facts
 
-    def facts(self) -> Facts:
+    def load_snapshot(self) -> LoadSnapshot:
         """Return what this head observes now; a backend has capacity for a full body, less what is in flight there."""
         now_us, exchange = self.exchange.now_us(), self.exchange
         refused = exchange.counters.counts["requests_refused"] - self.fetcher.rejected_reads
         overloaded, self.refusals = refused > self.refusals, refused
-        sources, draining = dict[int, list[Source]](), drained(self.board)
+        sources, draining = dict[int, list[BackendObservation]](), drained(self.board)
         aim = exchange.scheduler.target_us
         for name, book in exchange.scheduler.nodes.items():
-            queued = book.queue_delay > SPARE_WAIT * aim and now_us - book.queue_delay_at < WAIT_FADES * aim
+            queued = book.queue_delay > MAX_IDLE_WAIT * aim and now_us - book.queue_delay_at < WAIT_FADES * aim
             waits = book.queued or book.is_blocked or book.failures or queued
             spare = 0.0 if waits else exchange.settings.max_units - book.units_out
             warm = book.warmth(now_us, exchange.settings.rules.slow_start_us) >= 1.0
             sources.setdefault(book.entry.shard, []).append(
-                Source(name, book.entry.shard, book.entry.phase is api.Phase.ON, warm, spare, name in draining)
+                BackendObservation(
+                    name, book.entry.shard, book.entry.phase is api.Phase.ON, warm, spare, name in draining
+                )
             )
-        return Facts(max(0, exchange.unanswered - self.fetcher.reads_in_flight), overloaded, sources)
+        return LoadSnapshot(max(0, exchange.unanswered - self.fetcher.reads_in_flight), overloaded, sources)
 
     # --- the loop
 
@@ -164,7 +166,7 @@
             await asyncio.sleep(TICK_S)
             try:
                 self.tick()
-                while self.site.step(STEP):
+                while self.site.process_pending(STEP):
                     await asyncio.sleep(REST_S)
                 ticks += 1
                 if ticks % PLAN_TICKS == 0:
@@ -176,43 +178,43 @@
     def tick(self) -> None:
         """Hear peers, and close a span that is over; `Site.step` then foretells."""
         now_us = self.exchange.now_us()
-        self._hear(now_us)
+        self._receive_peer_demand(now_us)
         if now_us >= self.closes_us:
             self.closes_us = max(self.closes_us + self.site.span_us, now_us)
-            self.tried = {key: span for key, span in self.tried.items() if span >= self.site.span}
-            self._tell(self.site.close(now_us, self.owner_of))
+            self.attempted = {key: span for key, span in self.attempted.items() if span >= self.site.span}
+            self._publish(self.site.close_interval(now_us, self.owner_of))
 
-    def _hear(self, now_us: int) -> None:
+    def _receive_peer_demand(self, now_us: int) -> None:
         if self.board is None or self.sight is None:
             return
         members = self.sight.members()
         zones = {one.name: one.zone for one in members if one.is_live}
         live = [one.zone for one in members if one.role is Role.HEAD and one.state is MemberState.ALIVE]
-        self.planner.share(now_us, live.count(self.site.zone), len(live))
+        self.planner.divide(now_us, live.count(self.site.zone), len(live))
         seen = {}
         for entry in self.board.entries(Topic.POPULARITY):
-            if entry.owner == self.site.me or entry.owner not in zones:
+            if entry.owner == self.site.own_name or entry.owner not in zones:
                 continue
             place = entry.owner, entry.key
             seen[place] = entry.version
             if self.taken.get(place) != entry.version:
-                self.site.hearsay.apply_page(now_us, entry.owner, zones[entry.owner], entry.version, entry.value)
+                self.site.peer_demand.apply_page(now_us, entry.owner, zones[entry.owner], entry.version, entry.value)
         self.taken = seen
-        for owner in self.site.hearsay.owners.keys() - zones.keys():
-            self.site.hearsay.forget(owner)
+        for owner in self.site.peer_demand.owners.keys() - zones.keys():
+            self.site.peer_demand.forget(owner)
 
-    def _tell(self, made: list[bytes]) -> None:
+    def _publish(self, made: list[bytes]) -> None:
         if self.board is None:
             return
         try:
             for number, page in enumerate(made):
                 self.board.put(Topic.POPULARITY, str(number), page)
-            for number in range(len(made), self.told):
+            for number in range(len(made), self.published_pages):
                 self.board.delete(Topic.POPULARITY, str(number))
-            self.told = len(made)
+            self.published_pages = len(made)
         except HophingeError as error:
             # Peers then go by what they have; it is only a hint.
-            self.untold += 1
+            self.failed_publications += 1
             self.log(f"popularity is not told: {one_line(error)}")
 
     async def fetch(self) -> None:
@@ -224,17 +226,17 @@
         fresh = (
             one
             for one in self.site.candidates(self.store.chunk_store.units)
-            if one.key not in self.tried
+            if one.key not in self.attempted
             and (one.key in self.unfinished or not self.cache.has_chunks(self.site.object(one.key)))
         )
         until_us = self.exchange.now_us() + FETCH_US
-        for one in self.planner.plan(self.exchange.now_us(), members, self.facts(), fresh):
+        for one in self.planner.plan(self.exchange.now_us(), members, self.load_snapshot(), fresh):
             known = self.site.known.get(one.key)
             owner = self.owner_of(known.locator.volume) if known is not None else None
             if known is None or owner is None:
                 continue
-            self.tried[one.key] = self.site.span
-            if word := self.site.by_word(one.key):
+            self.attempted[one.key] = self.site.span
+            if word := self.site.sole_reporter(one.key):
                 self.words[known.locator.volume, known.locator.manifest] = word
             manifest, whole = await self.fetcher.fetch(
                 one, known.locator, Volume(known.locator.volume, owner[1]), until_us
@@ -243,11 +245,11 @@
             if manifest is not None and manifest.etag:
                 known.size = manifest.size
             elif manifest is not None:
-                self.site.gone(known.locator)
+                self.site.record_deletion(known.locator)
             over = self.exchange.now_us() >= until_us
             if over and not whole:
-                self.tried.pop(one.key, None)  # a long object goes on with the next plan
-            if over or self.planner.busy(self.exchange.now_us(), self.facts()):
+                self.attempted.pop(one.key, None)  # a long object goes on with the next plan
+            if over or self.planner.is_backing_off(self.exchange.now_us(), self.load_snapshot()):
                 break
 
     # --- what operators and tenants see
@@ -258,9 +260,9 @@
         return {
             "span": self.site.span,
             "counters": len(self.site.sketch),
-            "followed": len(self.site.predictor.courses),
-            "peers": len(self.site.hearsay.owners),
-            "malformed": self.site.hearsay.malformed,
+            "followed": len(self.site.predictor.forecasts),
+            "peers": len(self.site.peer_demand.owners),
+            "malformed": self.site.peer_demand.malformed,
             "kept_bytes": cache.used_bytes,
             "kept_pieces": len(cache.chunks),
             "hits": cache.hits,
@@ -269,15 +271,15 @@
             "fetched_bytes": fetcher.fetched_bytes,
             "fetches_refused": fetcher.rejected_reads,
             "faults": self.faults,
-            "untold": self.untold,
+            "untold": self.failed_publications,
             "useful": cache.used_prefetches,
             "useless": cache.wasted_prefetches,
-            "held_back": {why.value: count for why, count in self.planner.held_back.items()},
+            "held_back": {why.value: count for why, count in self.planner.hold_counts.items()},
         }
 
     def tenant(self, tenant: str) -> dict[str, float]:
         """Return a tenant's own metrics."""
         return {
-            **self.site.tenant(self.exchange.now_us(), tenant),
+            **self.site.tenant_metrics(self.exchange.now_us(), tenant),
             "kept_bytes": self.cache.tenant_bytes.get(tenant, 0),
         }
--- a/hophinge/objects/prefetch.py
+++ b/hophinge/objects/prefetch.py
@@ -15,18 +15,24 @@
 from hophinge.objects.core_client import CoreFailedError, RejectedError, TimeBudget
 from hophinge.objects.stored_records import Manifest
 from hophinge.popularity.object_keys import Locator
-from hophinge.popularity.planner import Candidate, Facts, Planner, Why
+from hophinge.popularity.planner import PrefetchCandidate, LoadSnapshot, PrefetchPlanner, HoldReason
 
 RECORD_BYTES = 4096  # charged to budgets for a manifest, whose size is not known before it is read
 # These concern one backend: other chunks may lie elsewhere.
-BACKEND_REASONS = (Why.REST, Why.DRAIN, Why.COLD, Why.UNITS, Why.UNKNOWN)
+BACKEND_REASONS = (
+    HoldReason.SHARD_BACKOFF,
+    HoldReason.DRAINING,
+    HoldReason.WARMING_UP,
+    HoldReason.UNITS,
+    HoldReason.UNKNOWN,
+)
 
 
 class Prefetcher:
     """Carries out a plan; consults the planner before each read, as facts change while an object is fetched."""
 
     def __init__(
-        self, chunk_store: ChunkStore, cache: ChunkCache, planner: Planner, facts: Callable[[], Facts]
+        self, chunk_store: ChunkStore, cache: ChunkCache, planner: PrefetchPlanner, facts: Callable[[], LoadSnapshot]
     ) -> None:
         self.chunk_store = chunk_store
         self.cache = cache
@@ -36,7 +42,7 @@
         self.fetched_objects = self.fetched_bytes = self.rejected_reads = 0
 
     async def fetch(
-        self, candidate: Candidate, locator: Locator, volume: Volume, until_us: int
+        self, candidate: PrefetchCandidate, locator: Locator, volume: Volume, until_us: int
     ) -> tuple[Manifest | None, bool]:
         """Fetch an object as far as budgets and backends allow, until a time of the exchange's clock.
 
@@ -81,12 +87,14 @@
         return b"" if answer.verdict is Verdict.ABSENT else answer.body
 
     async def _read(
-        self, candidate: Candidate, shard: int, size: int, read: Callable[[], Awaitable[bytes]]
-    ) -> bytes | Why:
-        if rest_us := self.planner.rest_us(self.chunk_store.exchange.now_us(), shard):
+        self, candidate: PrefetchCandidate, shard: int, size: int, read: Callable[[], Awaitable[bytes]]
+    ) -> bytes | HoldReason:
+        if rest_us := self.planner.wait_us(self.chunk_store.exchange.now_us(), shard):
             await asyncio.sleep(rest_us / 1e6)
         now_us = self.chunk_store.exchange.now_us()
-        why = self.planner.may(now_us, candidate.tenant, shard, size, self.chunk_store.units(size), self.facts())
+        why = self.planner.hold_reason(
+            now_us, candidate.tenant, shard, size, self.chunk_store.units(size), self.facts()
+        )
         if why is not None:
             return why
         self.planner.spend(now_us, candidate.tenant, size)
@@ -95,10 +103,10 @@
             body = await read()
         except (RejectedError, CoreFailedError):
             self.rejected_reads += 1
-            self.planner.refused(self.chunk_store.exchange.now_us())
-            return Why.BUSY
+            self.planner.record_rejection(self.chunk_store.exchange.now_us())
+            return HoldReason.BUSY
         finally:
             self.reads_in_flight -= 1
             done_us = self.chunk_store.exchange.now_us()
-            self.planner.took(done_us, shard, done_us - now_us)
+            self.planner.record_read(done_us, shard, done_us - now_us)
         return body
--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -16,42 +16,42 @@
 from hophinge.popularity.interval import Calibration, Prediction, prediction_class
 from hophinge.popularity.season import MIN_GROWTH, MAX_GROWTH, BUCKETS_PER_DAY, DailySeason
 
-LAST, STEADY, EXPONENTIAL, POWER, DAILY = range(5)
-COURSES = ("last", "steady", "exponential", "power", "daily")
+LAST_VALUE, STEADY, EXPONENTIAL, POWER, DAILY = range(5)
+TREND_MODELS = ("last", "steady", "exponential", "power", "daily")
 DISCOUNTS = (0.3, 0.9, 0.8, 0.8, 0.3)  # of what was known, each span; by trying out on the tuning seeds
 MIN_SHAPE = 0.002  # of a belief that nothing comes: one that is surer would be a course that nothing refutes
 MAX_SHAPE = 60.0  # a belief is never surer than this: sources change faster than a filter would have it
-FORGET = 0.95  # of evidence for courses, each span: twenty spans say which course an object takes
-RATE_FORGET = 0.93  # of what an object's own decay was reckoned from
-PRIOR_RATIOS = 60.0  # of such evidence that the publisher's usual decay counts for
-PRIOR_FIRST = 1.0  # shape of what a publisher's new object is held for
-FIRST_OF_ALL = 0.5  # requests in its first span, where a publisher is not known at all
-MIN_LIKELIHOOD = -30.0  # of one span, logarithmic: no course is ruled out for ever by one odd count
-YOUNG = 4  # spans of age up to which an object shows how its publisher's objects begin
-YOUNG_WORTH = 8.0  # spans' evidence that this counts for at first
-YOUNG_PART = 0.03  # of each such span's word in it
-IDLE_RATE = 0.02  # requests a span below which an object is not followed on
-
-
-class Usual(Struct):
+EVIDENCE_DECAY = 0.95  # of evidence for courses, each span: twenty spans say which course an object takes
+RATE_DECAY = 0.93  # of what an object's own decay was reckoned from
+PRIOR_RATE_WEIGHT = 60.0  # of such evidence that the publisher's usual decay counts for
+PRIOR_SHAPE = 1.0  # shape of what a publisher's new object is held for
+DEFAULT_FIRST_REQUESTS = 0.5  # requests in its first span, where a publisher is not known at all
+MIN_LOG_LIKELIHOOD = -30.0  # of one span, logarithmic: no course is ruled out for ever by one odd count
+MAX_NEW_AGE = 4  # spans of age up to which an object shows how its publisher's objects begin
+PRIOR_EVIDENCE_WEIGHT = 8.0  # spans' evidence that this counts for at first
+NEW_OBJECT_LEARNING_RATE = 0.03  # of each such span's word in it
+MIN_FOLLOWED_RATE = 0.02  # requests a span below which an object is not followed on
+
+
+class PublisherPattern(Struct):
     """How a publisher's objects go as a rule: their first span, and both kinds of decay."""
 
-    first: float = FIRST_OF_ALL
-    seen: float = 1.0
+    first_requests: float = DEFAULT_FIRST_REQUESTS
+    observed_objects: float = 1.0
     exp_ratio: float = 0.0
     exp_weight: float = 1.0
     pow_ratio: float = 0.0
     pow_weight: float = 1.0
     # The mean log likelihood of each course while objects are young.
-    evidence: list[float] = field(default_factory=lambda: [0.0] * len(COURSES))
+    evidence: list[float] = field(default_factory=lambda: [0.0] * len(TREND_MODELS))
 
 
-class Course(Struct):
+class DemandForecast(Struct):
     """One object's beliefs."""
 
     tenant: str
     age: int
-    last: float
+    last_count: float
     shapes: list[float]
     exposures: list[float]
     evidence: list[float]
@@ -63,7 +63,7 @@
     exp_weight: float = 0.0
     pow_ratio: float = 0.0
     pow_weight: float = 0.0
-    day: list[float] | None = None  # by bucket, the rate when it was met last; below 0: not met yet
+    daily_rates: list[float] | None = None  # by bucket, the rate when it was met last; below 0: not met yet
 
 
 def _log_likelihood(count: float, shape: float, exposure: float) -> float:
@@ -84,12 +84,12 @@
         self.season = DailySeason(spans_a_day)
         self.growth = 1.0  # that the daily wave alone lets expect from the closed span to the next
         self.grown = 1.0  # the same for the span that has closed
-        self.courses: dict[bytes, Course] = {}
-        self.usual: dict[str, Usual] = {}
+        self.forecasts: dict[bytes, DemandForecast] = {}
+        self.usual: dict[str, PublisherPattern] = {}
         self.here = self.then = 0
         self.calibration = Calibration()
 
-    def begin(self, total: float) -> None:
+    def begin_interval(self, total: float) -> None:
         """Close a span whose requests were so many; `observe` then takes them by key."""
         self.here = self.season.bucket()
         self.then = self.season.bucket(1)
@@ -98,91 +98,93 @@
 
     def predict(self, key: bytes) -> Prediction | None:
         """Return the next span's requests for a key; nothing where it is not followed."""
-        course = self.courses.get(key)
+        course = self.forecasts.get(key)
         return None if course is None else Prediction(course.mean, course.low, course.high)
 
-    def weights(self, key: bytes) -> dict[str, float]:
+    def model_weights(self, key: bytes) -> dict[str, float]:
         """Return how much each course counts for a key."""
-        course = self.courses.get(key)
-        return {} if course is None else dict(zip(COURSES, _weights(course.evidence), strict=True))
+        course = self.forecasts.get(key)
+        return {} if course is None else dict(zip(TREND_MODELS, _weights(course.evidence), strict=True))
 
-    def new(self, tenant: str) -> Prediction:
+    def predict_new(self, tenant: str) -> Prediction:
         """Return the first span's requests for an object that its publisher has just made."""
-        usual = self.usual.get(tenant, Usual())
+        usual = self.usual.get(tenant, PublisherPattern())
         return self.calibration.interval(
-            prediction_class(usual.first, 0), usual.first, usual.first + usual.first**2 / PRIOR_FIRST
+            prediction_class(usual.first_requests, 0),
+            usual.first_requests,
+            usual.first_requests + usual.first_requests**2 / PRIOR_SHAPE,
         )
 
-    def bound(self, most: int) -> None:
+    def evict_to(self, limit: int) -> None:
         """Follow at most so many objects, those with the largest means."""
-        if len(self.courses) > most:
-            least = sorted((course.mean, key) for key, course in self.courses.items())
-            for _, key in least[: len(least) - most]:
-                del self.courses[key]
+        if len(self.forecasts) > limit:
+            least = sorted((course.mean, key) for key, course in self.forecasts.items())
+            for _, key in least[: len(least) - limit]:
+                del self.forecasts[key]
 
-    def forget(self, key: bytes) -> None:
+    def remove(self, key: bytes) -> None:
         """Follow a key no longer."""
-        self.courses.pop(key, None)
+        self.forecasts.pop(key, None)
 
     def observe(self, key: bytes, tenant: str, count: float) -> Prediction:
         """Take a key's requests in the span that has closed, and foretell its next."""
-        course = self.courses.get(key)
+        course = self.forecasts.get(key)
         if course is None and count <= 0.0:
             return Prediction(0.0, 0.0, 0.0)  # quiet, and not followed: nothing to learn from
         usual = self.usual.get(tenant)
         if usual is None:
-            usual = self.usual[tenant] = Usual()
+            usual = self.usual[tenant] = PublisherPattern()
         if course is None:
-            course = self.courses[key] = self._made(tenant, count, usual)
+            course = self.forecasts[key] = self._create(tenant, count, usual)
         else:
             self.calibration.record_outcome(prediction_class(course.mean, course.age), course.low, course.high, count)
-            self._weigh(course, usual, count)
-            self._fit(course, usual, count)
+            self._update_evidence(course, usual, count)
+            self._fit_decay(course, usual, count)
             course.age += 1
-        self._day(course, count)
-        course.last = count
-        self._foretell(course, usual)
-        if course.mean < IDLE_RATE and count <= 0.0:
-            del self.courses[key]
+        self._update_daily_rates(course, count)
+        course.last_count = count
+        self._forecast(course, usual)
+        if course.mean < MIN_FOLLOWED_RATE and count <= 0.0:
+            del self.forecasts[key]
         return Prediction(course.mean, course.low, course.high)
 
-    def _made(self, tenant: str, count: float, usual: Usual) -> Course:
-        usual.seen = min(50.0, usual.seen + 1.0)
-        usual.first += (count - usual.first) / usual.seen
-        exposure = PRIOR_FIRST / max(usual.first, 0.01)
-        return Course(
+    def _create(self, tenant: str, count: float, usual: PublisherPattern) -> DemandForecast:
+        usual.observed_objects = min(50.0, usual.observed_objects + 1.0)
+        usual.first_requests += (count - usual.first_requests) / usual.observed_objects
+        exposure = PRIOR_SHAPE / max(usual.first_requests, 0.01)
+        return DemandForecast(
             tenant,
             0,
             count,
-            [PRIOR_FIRST + count] * len(COURSES),
-            [exposure + 1.0] * len(COURSES),
-            [YOUNG_WORTH * one for one in usual.evidence],
-            [0.0] * len(COURSES),
+            [PRIOR_SHAPE + count] * len(TREND_MODELS),
+            [exposure + 1.0] * len(TREND_MODELS),
+            [PRIOR_EVIDENCE_WEIGHT * one for one in usual.evidence],
+            [0.0] * len(TREND_MODELS),
         )
 
-    def _weigh(self, course: Course, usual: Usual, count: float) -> None:
+    def _update_evidence(self, course: DemandForecast, usual: PublisherPattern, count: float) -> None:
         """Weigh the courses by what each foretold, then take the count into their beliefs."""
-        for at in range(len(COURSES)):
+        for at in range(len(TREND_MODELS)):
             shape, exposure = course.shapes[at], course.exposures[at]
-            likelihood = max(MIN_LIKELIHOOD, _log_likelihood(count, shape, exposure))
-            course.evidence[at] = FORGET * course.evidence[at] + likelihood
-            if course.age < YOUNG:
-                usual.evidence[at] += YOUNG_PART * (likelihood - usual.evidence[at])
+            likelihood = max(MIN_LOG_LIKELIHOOD, _log_likelihood(count, shape, exposure))
+            course.evidence[at] = EVIDENCE_DECAY * course.evidence[at] + likelihood
+            if course.age < MAX_NEW_AGE:
+                usual.evidence[at] += NEW_OBJECT_LEARNING_RATE * (likelihood - usual.evidence[at])
             course.shapes[at], course.exposures[at] = shape + count, exposure + 1.0
 
-    def _fit(self, course: Course, usual: Usual, count: float) -> None:
+    def _fit_decay(self, course: DemandForecast, usual: PublisherPattern, count: float) -> None:
         """Reckon decay from the last two counts: its own, and what its publisher's objects do as a rule."""
-        both = course.last + count
+        both = course.last_count + count
         if both <= 0.0:
             return
         # A ratio of counts is known as well as the smaller allows; the site's own wave is taken out first.
-        ratio = math.log((count + 0.5) / (course.last + 0.5) / self.grown)
-        weight = min(50.0, (course.last + 0.5) * (count + 0.5) / (both + 1.0))
+        ratio = math.log((count + 0.5) / (course.last_count + 0.5) / self.grown)
+        weight = min(50.0, (course.last_count + 0.5) * (count + 0.5) / (both + 1.0))
         step = math.log((course.age + 2.0) / (course.age + 1.0))
-        course.exp_ratio = RATE_FORGET * course.exp_ratio + weight * ratio
-        course.exp_weight = RATE_FORGET * course.exp_weight + weight
-        course.pow_ratio = RATE_FORGET * course.pow_ratio + weight * ratio * step
-        course.pow_weight = RATE_FORGET * course.pow_weight + weight * step * step
+        course.exp_ratio = RATE_DECAY * course.exp_ratio + weight * ratio
+        course.exp_weight = RATE_DECAY * course.exp_weight + weight
+        course.pow_ratio = RATE_DECAY * course.pow_ratio + weight * ratio * step
+        course.pow_weight = RATE_DECAY * course.pow_weight + weight * step * step
         usual.exp_ratio += weight * ratio
         usual.exp_weight += weight
         usual.pow_ratio += weight * ratio * step
@@ -193,17 +195,17 @@
             usual.pow_ratio = usual.pow_ratio / 2
             usual.pow_weight = usual.pow_weight / 2
 
-    def _day(self, course: Course, count: float) -> None:
-        if course.day is None:
+    def _update_daily_rates(self, course: DemandForecast, count: float) -> None:
+        if course.daily_rates is None:
             if course.age * BUCKETS_PER_DAY < self.season.spans_a_day:
                 return  # most objects do not live for an hour: they keep no day
-            course.day = [-1.0] * BUCKETS_PER_DAY
-        known = course.day[self.here]
+            course.daily_rates = [-1.0] * BUCKETS_PER_DAY
+        known = course.daily_rates[self.here]
         part = min(1.0, 2.0 * BUCKETS_PER_DAY / self.season.spans_a_day)
-        course.day[self.here] = count if known < 0.0 else known + part * (count - known)
+        course.daily_rates[self.here] = count if known < 0.0 else known + part * (count - known)
 
-    def _foretell(self, course: Course, usual: Usual) -> None:
-        drawn = PRIOR_RATIOS
+    def _forecast(self, course: DemandForecast, usual: PublisherPattern) -> None:
+        drawn = PRIOR_RATE_WEIGHT
         exp_rate = (course.exp_ratio + drawn * usual.exp_ratio / usual.exp_weight) / (course.exp_weight + drawn)
         step = math.log((course.age + 2.0) / (course.age + 1.0))
         drawn_pow = drawn * step * step
@@ -219,9 +221,9 @@
             growth = min(MAX_GROWTH, max(MIN_GROWTH, growth))
             shape = DISCOUNTS[at] * course.shapes[at]
             exposure = DISCOUNTS[at] * course.exposures[at]
-            if at == DAILY and course.day is not None and course.day[self.then] >= 0.0:
+            if at == DAILY and course.daily_rates is not None and course.daily_rates[self.then] >= 0.0:
                 shape = 5.0
-                exposure = shape / max(0.05, course.day[self.then])
+                exposure = shape / max(0.05, course.daily_rates[self.then])
                 growth = 1.0
             most = min(1.0, MAX_SHAPE / max(shape, 1e-9))
             course.shapes[at] = max(MIN_SHAPE, shape * most)
--- a/tests/popular.py
+++ b/tests/popular.py
@@ -85,10 +85,10 @@
             one.closes_us = 0
             one.tick()
         for one in self.popular.values():
-            one._hear(one.exchange.now_us())
+            one._receive_peer_demand(one.exchange.now_us())
         for one in self.popular.values():
-            one.site.close(one.exchange.now_us(), one.owner_of)
-            while one.site.step(10):
+            one.site.close_interval(one.exchange.now_us(), one.owner_of)
+            while one.site.process_pending(10):
                 pass
 
     def close_own(self, name: str) -> None:
@@ -96,7 +96,7 @@
         one = self.popular[name]
         one.closes_us = 0
         one.tick()
-        while one.site.step(10):
+        while one.site.process_pending(10):
             pass
 
     async def fetch(self, name: str, whole: int) -> None:
@@ -111,9 +111,9 @@
             )
 
         while done() < whole:
-            one.tried.clear()
-            one.planner.paused_us = 0
-            one.planner.rests.clear()
+            one.attempted.clear()
+            one.planner.backoff_until_us = 0
+            one.planner.shard_backoff_until.clear()
             await one.fetch()
             await asyncio.sleep(0.005)
 
--- a/tests/test_popularity_course.py
+++ b/tests/test_popularity_course.py
@@ -49,7 +49,7 @@
                 last += abs(before[at] - shape(span))
                 held += found.low <= count <= found.high
                 total += 1
-        predictor.begin(float(sum(counts)))
+        predictor.begin_interval(float(sum(counts)))
         for at, count in enumerate(counts):
             predictor.observe(bytes([at]), "publisher", count)
         before = counts
@@ -69,19 +69,19 @@
 def test_the_course_is_chosen_by_evidence() -> None:
     rng, predictor = random.Random(2), Predictor(DAY)
     for span in range(40):
-        predictor.begin(0.0)
+        predictor.begin_interval(0.0)
         predictor.observe(b"steady", "a", poisson(rng, 30.0))
         predictor.observe(b"falling", "b", poisson(rng, 900 * math.exp(-span / 8)))
-    assert predictor.weights(b"steady")["last"] < 0.2 < predictor.weights(b"steady")["steady"]
-    falling = predictor.weights(b"falling")
-    assert falling["exponential"] + falling["power"] > 0.8 and predictor.weights(b"none") == {}
+    assert predictor.model_weights(b"steady")["last"] < 0.2 < predictor.model_weights(b"steady")["steady"]
+    falling = predictor.model_weights(b"falling")
+    assert falling["exponential"] + falling["power"] > 0.8 and predictor.model_weights(b"none") == {}
 
 
 def test_a_young_object_is_drawn_towards_its_publisher_s_usual_course() -> None:
     rng, predictor = random.Random(3), Predictor(DAY)
     for made in range(30):
         for span in range(8):
-            predictor.begin(0.0)
+            predictor.begin_interval(0.0)
             predictor.observe(bytes([made]), "falls", poisson(rng, 100 * math.exp(-span / 2)))
             predictor.observe(bytes([100 + made]), "lasts", poisson(rng, 100))
     for name in ("falls", "lasts"):
@@ -89,7 +89,7 @@
     falls, lasts = predictor.predict(b"falls"), predictor.predict(b"lasts")
     assert falls is not None and lasts is not None
     assert falls.mean < 0.85 * lasts.mean and 80 < lasts.mean < 120
-    assert 60 < predictor.new("falls").mean < 140 and predictor.new("unknown").mean < 1
+    assert 60 < predictor.predict_new("falls").mean < 140 and predictor.predict_new("unknown").mean < 1
 
 
 def test_what_is_quiet_is_followed_no_more_and_others_are_bounded() -> None:
@@ -98,13 +98,13 @@
     assert predictor.predict(b"a") is None
     predictor.observe(b"a", "t", 3)
     for _ in range(60):
-        predictor.begin(0.0)
+        predictor.begin_interval(0.0)
         predictor.observe(b"a", "t", 0)
     assert predictor.predict(b"a") is None
     for number in range(20):
         predictor.observe(bytes([number]), "t", number + 1)
-    predictor.bound(5)
-    assert sorted(predictor.courses) == [bytes([number]) for number in range(15, 20)]
+    predictor.evict_to(5)
+    assert sorted(predictor.forecasts) == [bytes([number]) for number in range(15, 20)]
 
 
 def test_a_wave_is_told_only_after_a_whole_day() -> None:
--- a/tests/test_popularity_drains.py
+++ b/tests/test_popularity_drains.py
@@ -13,7 +13,7 @@
 from hophinge.objects.core_client import TimeBudget
 from hophinge.objects.stored_records import shard_of
 from hophinge.objects.account_access import Volume
-from hophinge.popularity.planner import Why
+from hophinge.popularity.planner import HoldReason
 from tests.popular import Installation, Peers, View, installation, put
 from tests.stand_in import Backend, run
 
@@ -28,7 +28,7 @@
     if any(name == backend.name for name, _ in built.beforehand()):
         return True
     now_us = head.exchange.now_us()
-    return head.planner.may(now_us, "alba", backend.shard, 0, 1.0, head.facts()) is Why.DRAIN
+    return head.planner.hold_reason(now_us, "alba", backend.shard, 0, 1.0, head.load_snapshot()) is HoldReason.DRAINING
 
 
 async def flash_crowd_in_a_drain(folder: Path) -> tuple[list[tuple[str, str]], str]:
@@ -50,9 +50,9 @@
         # Which brick holds what is drawn by the volume's random id, so a few fetches may need none of the drained
         # one's pieces. It goes on until the drain was met: the planner stands back from it, or has asked there.
         while len(west.cache.chunks) < fit or not drain_was_met(built, west, drained):
-            west.tried.clear()
-            west.planner.paused_us = 0
-            west.planner.rests.clear()
+            west.attempted.clear()
+            west.planner.backoff_until_us = 0
+            west.planner.shard_backoff_until.clear()
             await west.fetch()
             await asyncio.sleep(0.005)
         kept, fetched = len(west.cache.chunks), built.beforehand()
@@ -60,7 +60,7 @@
         await built.crowd("b", paths, 12)
         assert west.cache.hits >= kept
         built.peers.held.clear()
-        west.tried.clear()
+        west.attempted.clear()
         west.cache.remove_tenant("alba")
         built.close_own("b")
         assert built.beforehand() == fetched
--- a/tests/test_popularity_head.py
+++ b/tests/test_popularity_head.py
@@ -14,7 +14,7 @@
 from hophinge.head.popularity import SecretUnusableError, read_secret
 from hophinge.objects.core_client import PREFETCH_VOLUME
 from hophinge.objects.stored_records import manifest_id
-from hophinge.popularity.planner import QUIET, Planner, owner
+from hophinge.popularity.planner import MAX_UNANSWERED, PrefetchPlanner, owner_of_key
 from hophinge.popularity.peer_demand import DemandItem, encode_pages
 from tests import books
 from tests.stand_in import run
@@ -59,7 +59,7 @@
                 _, body = await built.clients["b"].call("GET", path)
                 assert body == path.encode() * (3 * PIECE // len(path))
             assert sum(len(backend.seen) for backend in built.world.backends) - before == 2  # its manifests alone
-            assert west.cache.used_prefetches == 6 and west.site.trusted("a") > 0.5
+            assert west.cache.used_prefetches == 6 and west.site.trust_in("a") > 0.5
             assert west.requests_per_second(manifest_id("one")) > 0 and west.requests_per_second("f" * 16) == 0.0
             count = len(asks)
             await west.fetch()
@@ -80,7 +80,7 @@
             built.close_spans()
             mine = {
                 name: sum(
-                    owner(key, View(built.peers, name).members(), "west") == name
+                    owner_of_key(key, View(built.peers, name).members(), "west") == name
                     for key in built.popular[name].site.known
                 )
                 for name in "abc"
@@ -152,14 +152,14 @@
             ]
             View(built.peers, "liar").put(Topic.POPULARITY, "0", encode_pages(1, 1e9, items)[0])
             built.close_own("a")
-            believed = sum(site.expected(one.key) for one in items)
+            believed = sum(site.expected_requests(one.key) for one in items)
             assert 0 < believed <= 4 * 12 * 1.5  # four times what this head served, and what a first span foretells
             since = popular.exchange.now_us()
-            popular.planner = popular.fetcher.planner = Planner("", "none", 6000.0, 0.5, since)  # owns all
+            popular.planner = popular.fetcher.planner = PrefetchPlanner("", "none", 6000.0, 0.5, since)  # owns all
             while popular.cache.tenant_bytes.get("beith", 0) < 2 * PIECE:  # the honest tenant's is fetched too
-                popular.tried.clear()
-                popular.planner.paused_us = 0
-                popular.planner.rests.clear()
+                popular.attempted.clear()
+                popular.planner.backoff_until_us = 0
+                popular.planner.shard_backoff_until.clear()
                 await popular.fetch()
                 await asyncio.sleep(0.005)
             most = 6000.0 * (10 + (popular.exchange.now_us() - since) / 1e6)
@@ -176,18 +176,18 @@
             built.close_spans()
             built.peers.full = True
             west = built.popular["b"]
-            west.exchange.unanswered += QUIET
+            west.exchange.unanswered += MAX_UNANSWERED
             await west.fetch()
             assert not built.beforehand()  # requests wait here
-            west.exchange.unanswered -= QUIET
+            west.exchange.unanswered -= MAX_UNANSWERED
             monkeypatch.setattr("hophinge.head.popularity.FETCH_US", 0)
             while not built.beforehand():
-                west.planner.paused_us = 0
+                west.planner.backoff_until_us = 0
                 await west.fetch()
-            assert len(built.beforehand()) == 1 and not west.cache.chunks and not west.tried  # it goes on later
+            assert len(built.beforehand()) == 1 and not west.cache.chunks and not west.attempted  # it goes on later
             await built.crowd("b", await put(built.clients["b"], "two"))
             built.close_spans()
-            assert west.untold >= 1
+            assert west.failed_publications >= 1
 
     run(main())
 
