--- a/tests/restarting.py
+++ b/tests/restarting.py
@@ -50,7 +50,7 @@
     def __init__(self, tally: Tally, target: str = READ, pause_s: float = 0.0, **fields: str) -> None:
         self.tally, self.target, self.pause_s, self.fields = tally, target, pause_s, fields
         self.wire: Wire | None = None
-        self.asked = 0          # on this connection
+        self.asked = 0  # on this connection
 
     async def open(self) -> bool:
         """Connect; False where nobody listens any more."""
--- a/tests/servers.py
+++ b/tests/servers.py
@@ -45,6 +45,7 @@
 
 def held_by(gate: asyncio.Event) -> Behaviour:
     """Make a brick take requests and say nothing before the gate opens; then it answers as usual."""
+
     async def hold(_: web.BaseRequest, __: bytes) -> None:
         await gate.wait()
 
@@ -58,9 +59,9 @@
         super().__init__()
         self.shard, self.name = shard, name or f"s-{shard}"
         self.objects: dict[str, bytes] = {}
-        self.seen: list[tuple[str, str]] = []           # method and target of all that came
+        self.seen: list[tuple[str, str]] = []  # method and target of all that came
         self.headers: list[dict[str, str]] = []
-        self.behave: Behaviour | None = None            # in place of the usual, unless it returns None
+        self.behave: Behaviour | None = None  # in place of the usual, unless it returns None
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.read()
@@ -91,7 +92,7 @@
         self.asked: list[str] = []
         self.news = asyncio.Condition()
         self.silent, self.watching = False, 0
-        self.away = ""                  # callers are turned away with this Retry-After
+        self.away = ""  # callers are turned away with this Retry-After
 
     async def tell(self, *targets: Target) -> None:
         async with self.news:
--- a/tests/steady.py
+++ b/tests/steady.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-LONGEST_STEP_S = 0.02       # between two looks at the clock while the process works; what is beyond is a stall
-LIMIT_S = 90.0              # of a test, by this clock
+LONGEST_STEP_S = 0.02  # between two looks at the clock while the process works; what is beyond is a stall
+LIMIT_S = 90.0  # of a test, by this clock
 Value = TypeVar("Value")
 
 
@@ -66,5 +66,6 @@
     async def limited() -> Value:
         async with asyncio.timeout(LIMIT_S):
             return await main
+
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(SteadySelector(clock))) as runner:
         return runner.run(limited())
--- a/tests/test_control_drains.py
+++ b/tests/test_control_drains.py
@@ -100,7 +100,7 @@
 def test_a_leaving_reaches_those_whom_its_giver_cannot_reach() -> None:
     async def run() -> None:
         world = await _formed(7)
-        world.cut({ONE}, {THREE})               # each of them reaches the third voter
+        world.cut({ONE}, {THREE})  # each of them reaches the third voter
         await asyncio.sleep(1.2)
         assert await world.beat(ONE, "i", DRAINING, 2)
         await asyncio.sleep(0.05)
@@ -112,7 +112,7 @@
 def test_a_member_that_reaches_the_core_acknowledges_while_another_is_cut_off() -> None:
     async def run() -> None:
         world = await _formed(4)
-        world.cut({THREE}, {ONE, TWO})          # as the core is cut: heads and other members reach both sides
+        world.cut({THREE}, {ONE, TWO})  # as the core is cut: heads and other members reach both sides
         await asyncio.sleep(1.2)
         assert await world.beat(TWO, "i", DRAINING, 2)
         assert not await world.beat(THREE, "i", DRAINING, 3)
--- a/tests/test_coordination_roles.py
+++ b/tests/test_coordination_roles.py
@@ -143,4 +143,4 @@
     assert not role.may_act(10.0 + 3.0)
     assert role.may_act(10.0 + 3.0 + MARGIN_S)
     assert role.confirmed(register.version)
-    assert not role.confirmed(register.version + 1)     # another owns it by now
+    assert not role.confirmed(register.version + 1)  # another owns it by now
--- a/tests/test_fleet_budget.py
+++ b/tests/test_fleet_budget.py
@@ -16,8 +16,8 @@
 STEP_S = 0.25
 LENGTH_S = 45.0
 HEADS = 12
-KNOWN_S = 2.0               # until a head is known to the others, at the latest
-COUNTED_S = 3.0             # from a start until a head counts the others
+KNOWN_S = 2.0  # until a head is known to the others, at the latest
+COUNTED_S = 3.0  # from a start until a head counts the others
 
 
 class Head:
@@ -26,11 +26,12 @@
     def __init__(self, now: float) -> None:
         self.budget = RetryBudget(RATIO, SLACK, WINDOW_S, now)
         self.started = now
-        self.most = 0           # heads that it has known at once
+        self.most = 0  # heads that it has known at once
 
 
 def judge(requests: list[float], extras: list[float]) -> float:
     """Tell by how much the worst window is over what is allowed, as the operators count it."""
+
     def within(times: list[float], begin: float) -> int:
         return sum(begin <= at < begin + WINDOW_S for at in times)
 
