--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -7,10 +7,12 @@
 from __future__ import annotations
 
 import ast
+import builtins
 import importlib
 import json
 import pkgutil
 import tomllib
+import types
 import warnings
 from dataclasses import fields
 from collections.abc import Callable
@@ -21,7 +23,8 @@
 import pytest
 import typer
 
-from hophinge.admin import schemas
+from hophinge.admin import openapi, schemas
+from hophinge.admin.api import OPERATIONS
 from hophinge.cluster import messages as cluster_messages
 from hophinge.control import rollout
 from hophinge.control import last_known_good
@@ -29,10 +32,15 @@
 from hophinge.coordination import codec
 from hophinge.coordination.messages import LogRecord, StateRecord
 from hophinge.coordination.storage.stores import replica_store
+from hophinge.core.interface import Result
 from hophinge.core.manual_ejections import ManualEjection
+from hophinge.fleet.analysis import recipes
 from hophinge.fleet.configuration.document import validate_document
+from hophinge.fleet.controlplane import counter_host
 from hophinge.fleet.controlplane.schemas import HeartbeatBody
+from hophinge.fleet.forwarding import attempt_results, trace
 from hophinge.fleet.forwarding.trace import RequestTrace
+from hophinge.fleet.placement import plan
 from hophinge.fleet.placement.policy import PlacementPolicy
 from hophinge.fleet.settings import parse_settings
 from hophinge.head import accounts, config, operator_config, process_handoff
@@ -43,6 +51,7 @@
 from hophinge.objects import account_access
 from hophinge.routing import records
 from hophinge.routing import maintenance_records
+from hophinge.scoring import interface as scoring_interface
 from hophinge.scoring import encoding, latency, outlook, suspicion
 from hophinge.state import rows
 from hophinge.state.files import load, save
@@ -288,6 +297,50 @@
     }
 
 
+def public_names(module: Any) -> list[str]:
+    """The public names of a module and of its classes, with their fields and parameters."""
+    found: set[str] = set()
+    for name, value in vars(module).items():
+        is_imported = isinstance(value, (type, types.FunctionType)) and value.__module__ != module.__name__
+        if name.startswith("_") or is_imported or isinstance(value, (types.ModuleType, type(annotations))):
+            continue
+        found.add(name)
+        if isinstance(value, type):
+            members = [member for member in vars(value) if not member.startswith("_")]
+            found |= {f"{name}.{member}" for member in members}
+            public_fields = [field for field in getattr(value, "__struct_fields__", ()) if not field.startswith("_")]
+            found |= {f"{name}.{field}" for field in public_fields}
+    return sorted(found)
+
+
+def exception_names() -> list[str]:
+    """The exception classes of the program: log lines and statuses show their names."""
+    trees = [ast.parse(path.read_text()) for path in (ROOT / "hophinge").rglob("*.py")]
+    classes = [node for tree in trees for node in ast.walk(tree) if isinstance(node, ast.ClassDef)]
+    parents = {node.name: {ast.unparse(base).split(".")[-1] for base in node.bases} for node in classes}
+    known = {name for name, value in vars(builtins).items() if isinstance(value, type) and issubclass(value, Exception)}
+    found: set[str] = set()
+    while more := {name for name, bases in parents.items() if name not in found and bases & (known | found)}:
+        found |= more
+    return sorted(found)
+
+
+def reflected_names() -> dict[str, list[str]]:
+    """The names that are written out by reflection: Python names that leave the process as they are."""
+    return {
+        "counter status": [field.name for field in fields(counter_host.CounterStatus)],
+        "recipe": [field.name for field in fields(recipes.Recipe)],
+        "attempt of a trace": [field.name for field in fields(trace.Attempt)],
+        "forecast of an attempt": [field.name for field in fields(plan.Forecast)],
+        "ending of an attempt": [outcome.name for outcome in attempt_results.AttemptOutcome],
+        "operation of the administration API": sorted(operation.name for operation in OPERATIONS),
+        "schema of the administration API": sorted(openapi.description()["components"]["schemas"]),
+        "plug-in interface": public_names(scoring_interface),
+        "result in the plug-in interface": [result.name for result in Result],
+        "exception": exception_names(),
+    }
+
+
 def key_strings() -> list[str]:
     """The strings by which the program writes or reads mappings: names of statuses, figures, headers and fields."""
     found: set[str] = set()
@@ -403,6 +456,10 @@
     assert trial_names() == recorded("trials")
 
 
+def test_names_written_by_reflection_are_those_recorded() -> None:
+    assert reflected_names() == recorded("reflected")
+
+
 def test_command_lines_have_the_recorded_words() -> None:
     assert command_lines() == recorded("commands")
 
@@ -448,6 +505,7 @@
         "heartbeat": HEARTBEAT,
         "configurations": {label: class_fields(kind) for label, kind in CONFIGURATIONS.items()},
         "trials": trial_names(),
+        "reflected": reflected_names(),
         "keys": key_strings(),
         "commands": command_lines(),
         "deployed": deployed(),
