--- a/benchmarks/popularity_model.py
+++ b/benchmarks/popularity_model.py
@@ -104,7 +104,7 @@
 
     def start(self, attempt: Attempt) -> Callable[[], None]:
         """Take an attempt."""
-        ask, payload = attempt.request.ask, attempt.request.payload
+        ask, payload = attempt.request.arrival, attempt.request.payload
         if ask.write:
             self.kept[payload.target.split("/", 2)[2]] = payload.body
         else:
--- a/hophinge/core/choice/dispatcher.py
+++ b/hophinge/core/choice/dispatcher.py
@@ -23,11 +23,11 @@
     def _value_factor(self, request: RequestState, queue_key: str, wait: float) -> float:
         """Part of its full worth that a unit of the request earns now."""
         volume, factor = request.volume, 1.0
-        if request.ask.is_background or volume.reserve_left(self.now) < request.ask.units:
+        if request.arrival.is_background or volume.reserve_left(self.now) < request.arrival.units:
             own = volume.excess_use.get(queue_key)
             within = own is None or own.rate(self.now) <= self._fair_use_per_weight(queue_key) * volume.plan.weight
             factor = (
-                self.settings.share_value if within and not request.ask.is_background else self.settings.spare_value
+                self.settings.share_value if within and not request.arrival.is_background else self.settings.spare_value
             )
         return factor if self.now + wait <= request.target_at else factor * request.klass.late_value
 
@@ -44,7 +44,7 @@
 
     def _candidates(self, request: RequestState) -> list[NodeState]:
         """The group of a key: the nodes of least rendezvous hash with it, which also settles ties."""
-        key, free = request.ask.key or request.ask.request, request.ask.bounds is None
+        key, free = request.arrival.key or request.arrival.request, request.arrival.bounds is None
         books = [
             book for line in self.shards.values() for book in line if free or self._is_within_bounds(request, book)
         ]
@@ -72,7 +72,7 @@
             for name, request in held.items():
                 if self._may_send(request):
                     # Worth of serving a unit now: class, price, what is still due, whether in time.
-                    factor = self._value_factor(request, place, wait + request.ask.units * unit_us)
+                    factor = self._value_factor(request, place, wait + request.arrival.units * unit_us)
                     value = request.klass.value * request.volume.plan.price * factor
                     ready.append((-value, request.target_at, name, request, book))
         for _, _, _, request, chosen in self._shed(sorted(ready, key=lambda row: row[:3])):
@@ -82,7 +82,7 @@
                 if not self.new_objects_blocked and not self._place_new_object(request):
                     self.new_objects_blocked = True
             elif not chosen.is_blocked and not self._send(request, chosen):
-                chosen.is_blocked = not self._has_capacity(chosen, request.ask.units)
+                chosen.is_blocked = not self._has_capacity(chosen, request.arrival.units)
         for place, _, held in queues:
             if held and place not in self.recheck_at:
                 rests = [rest for rest in self.key_blocked_until.values() if rest > self.now]
@@ -95,7 +95,7 @@
             request, book = row[3], row[4]
             place = book.entry.node if book is not None else ""
             unit_us = self._unit_us(book) if book is not None else self._mean_unit_us / max(1, len(self.shards))
-            wait = ahead[place] = ahead.get(place, 0.0) + request.ask.units * unit_us
+            wait = ahead[place] = ahead.get(place, 0.0) + request.arrival.units * unit_us
             if self.now + wait > request.deadline and not request.attempts:
                 self._answer(request)
                 then = self.now - UNLEARN_AFTER * self.target_us * self.settings.gateways
@@ -110,8 +110,8 @@
 
     def _place_new_object(self, request: RequestState) -> bool:
         """A new object goes to the member of its key's group whose book, with it, frees earliest."""
-        units, now = request.ask.units, self.now
-        version = self.node_list_version, request.ask.bounds.version if request.ask.bounds is not None else 0
+        units, now = request.arrival.units, self.now
+        version = self.node_list_version, request.arrival.bounds.version if request.arrival.bounds is not None else 0
         if request.candidates_version != version or request.is_hedged:
             request.candidates_version, request.candidates = version, self._candidates(request)
         members = [
@@ -119,7 +119,7 @@
             for book in request.candidates
             if not book.is_blocked and not book.is_unresponsive and self._accepts_work(book)
         ]
-        added = self.scorers.added_us(now, request.ask, members) if self.scorers is not None else None
+        added = self.scorers.added_us(now, request.arrival, members) if self.scorers is not None else None
         members.sort(
             key=lambda book: (
                 book.failures > 0,
@@ -132,9 +132,9 @@
 
     def _send(self, request: RequestState, node: NodeState) -> bool:
         """The one place that sends: every rule is a guard here."""
-        ask, now = request.ask, self.now
+        arrival, now = request.arrival, self.now
         if (
-            not self._has_capacity(node, ask.units)
+            not self._has_capacity(node, arrival.units)
             or not self._may_send(request)
             or not self._may_send_to(request, node)
         ):
@@ -142,32 +142,32 @@
         # Others' work: what earns less leaves only for a shorter wait at the node. All gateways see that
         # wait, so reserve goes before share before spare without a word between them.
         wait = self._queue_delay(node)
-        factor = self._value_factor(request, node.entry.node, wait + ask.units * self._nominal_us(node))
+        factor = self._value_factor(request, node.entry.node, wait + arrival.units * self._nominal_us(node))
         if wait > MAX_QUEUE_DELAY * self.target_us * factor**DELAY_EXPONENT:
             return False
         if not request.is_charged:
             request.is_charged = True
-            request.volume.limit.level -= ask.units
+            request.volume.limit.level -= arrival.units
         volume = request.volume
-        if volume.reserve_left(now) >= ask.units:
-            volume.reserve.level -= ask.units
-        elif not ask.is_background:
+        if volume.reserve_left(now) >= arrival.units:
+            volume.reserve.level -= arrival.units
+        elif not arrival.is_background:
             for place in (node.entry.node, ""):
-                volume.excess_use.setdefault(place, DecayingRate()).add(now, ask.units)
-        volume.local_use.add(now, ask.units)
+                volume.excess_use.setdefault(place, DecayingRate()).add(now, arrival.units)
+        volume.local_use.add(now, arrival.units)
         if request.attempts:
             self.retry_times.append(now)
-        request.queue.pop(ask.request, None)
+        request.queue.pop(arrival.request, None)
         until = self._retry_deadline(request)
         request.may_have_run_since = now if request.may_have_run_on is None else request.may_have_run_since
-        node.reserve((ask.request, request.attempts), ask.units, self._unit_us(node), now)
-        node.recent_units = node.units_since(now - self.rules.overload_window_us) + ask.units
-        node.recent_sends.append((now, ask.units))
+        node.reserve((arrival.request, request.attempts), arrival.units, self._unit_us(node), now)
+        node.recent_units = node.units_since(now - self.rules.overload_window_us) + arrival.units
+        node.recent_sends.append((now, arrival.units))
         self.active_nodes[node.entry.node] = node
         request.in_flight[request.attempts] = node
         request.attempts += 1
         copies = self.settings.allowed.hedging and request.klass.effect is api.Effect.SAFE
-        if copies and ask.bounds is not None and ask.bounds.hedge_delay_us and not request.klass.in_order:
-            heapq.heappush(self.hedge_times, (now + ask.bounds.hedge_delay_us, ask.request))
-        self.actions.append(api.Send(ask.request, node.entry.node, 0, until))
+        if copies and arrival.bounds is not None and arrival.bounds.hedge_delay_us and not request.klass.in_order:
+            heapq.heappush(self.hedge_times, (now + arrival.bounds.hedge_delay_us, arrival.request))
+        self.actions.append(api.Send(arrival.request, node.entry.node, 0, until))
         return True
--- a/hophinge/core/choice/node_state.py
+++ b/hophinge/core/choice/node_state.py
@@ -94,7 +94,7 @@
 
     __slots__ = (
         "target_at",
-        "ask",
+        "arrival",
         "attempts",
         "is_charged",
         "is_hedged",
@@ -116,16 +116,22 @@
     )
 
     def __init__(
-        self, ask: api.Arrival, klass: api.RequestClass, volume: VolumeState, now: int, waited: int, random_draw: float
+        self,
+        arrival: api.Arrival,
+        klass: api.RequestClass,
+        volume: VolumeState,
+        now: int,
+        waited: int,
+        random_draw: float,
     ) -> None:
-        self.ask = ask
+        self.arrival = arrival
         self.klass = klass
         self.volume = volume
         self.queue: dict[str, RequestState] = {}  # where it is held
         self.queue_key = ""
         self.target_at = now - waited + klass.target_latency_us
-        self.deadline = now + ask.time_left_us
-        self.queue_until = now + int(MAX_QUEUE_FRACTION * ask.time_left_us)
+        self.deadline = now + arrival.time_left_us
+        self.queue_until = now + int(MAX_QUEUE_FRACTION * arrival.time_left_us)
         self.attempts = self.may_have_run_since = 0
         self.random_draw = random_draw  # from 0 to 1, drawn once
         self.in_flight: dict[int, NodeState] = {}
--- a/hophinge/core/choice/request_lifecycle.py
+++ b/hophinge/core/choice/request_lifecycle.py
@@ -62,39 +62,43 @@
         for request in waiting:
             self._enqueue(request)
 
-    def _arrival(self, ask: api.Arrival) -> None:
+    def _arrival(self, arrival: api.Arrival) -> None:
         self.arrival_times.append(self.now)
         while self.arrival_times and self.arrival_times[0] <= self.now - self.rules.budget_us:
             self.arrival_times.popleft()
-        if (volume := self.volumes.get(ask.volume)) is None or volume.plan_number != ask.plan:
+        if (volume := self.volumes.get(arrival.volume)) is None or volume.plan_number != arrival.plan:
             for name in [name for name, one in self.volumes.items() if self.now - one.last_observed > VOLUME_IDLE_US]:
                 del self.volumes[name]
-            volume = self.volumes[ask.volume] = VolumeState(self.settings, ask.plan, self.now)
-        volume.share_limit(ask.gateways if ask.gateways > 0 else self.settings.gateways, self.now, self.processes)
-        klass = self.settings.classes[ask.klass]
-        left = min(ask.time_left_us, klass.deadline_us)  # what one client says makes no other one late
-        longest = self.longest_deadlines[ask.klass] = max(self.longest_deadlines.get(ask.klass, 0), left)
+            volume = self.volumes[arrival.volume] = VolumeState(self.settings, arrival.plan, self.now)
+        volume.share_limit(
+            arrival.gateways if arrival.gateways > 0 else self.settings.gateways, self.now, self.processes
+        )
+        klass = self.settings.classes[arrival.klass]
+        left = min(arrival.time_left_us, klass.deadline_us)  # what one client says makes no other one late
+        longest = self.longest_deadlines[arrival.klass] = max(self.longest_deadlines.get(arrival.klass, 0), left)
         waited = (
             longest - left if left > klass.target_latency_us else 0
         )  # else an impatient client: nothing was late already
-        request = RequestState(ask, klass, volume, self.now, waited, self.random.random())
-        self.requests[ask.request] = request
-        heapq.heappush(self.deadlines, (request.queue_until + self.answer_lead_us, ask.request))
-        if klass.in_order and ask.key:
-            self.key_order.setdefault((ask.volume, ask.key), []).append(request)
+        request = RequestState(arrival, klass, volume, self.now, waited, self.random.random())
+        self.requests[arrival.request] = request
+        heapq.heappush(self.deadlines, (request.queue_until + self.answer_lead_us, arrival.request))
+        if klass.in_order and arrival.key:
+            self.key_order.setdefault((arrival.volume, arrival.key), []).append(request)
         self._enqueue(request)
 
     def _enqueue(self, request: RequestState) -> None:
-        ask, bound = request.ask, request.may_have_run_on
-        request.queue.pop(ask.request, None)
-        if ask.shard < 0 and bound is None:
+        arrival, bound = request.arrival, request.may_have_run_on
+        request.queue.pop(arrival.request, None)
+        if arrival.shard < 0 and bound is None:
             request.queue = self.queued_new_objects
         else:
-            there = self.shards.get(bound.entry.shard if ask.shard < 0 and bound else ask.shard, [])
-            books = there if ask.bounds is None else [book for book in there if self._is_within_bounds(request, book)]
+            there = self.shards.get(bound.entry.shard if arrival.shard < 0 and bound else arrival.shard, [])
+            books = (
+                there if arrival.bounds is None else [book for book in there if self._is_within_bounds(request, book)]
+            )
             request.queue = books[-1].queued if books else self.unplaced_reads
             request.queue_key = books[-1].entry.node if books else "?"
-        request.queue[ask.request] = request
+        request.queue[arrival.request] = request
         self.changed_queues[request.queue_key] = None
 
     def _enqueue_hedges(self) -> None:
@@ -178,7 +182,7 @@
             request.may_have_run_on = node
         if event.result in MAY_RUN_ON and request.klass.in_order and self.rules.key_block_us:
             self.key_blocked_until = {key: until for key, until in self.key_blocked_until.items() if until > now}
-            self.key_blocked_until[request.ask.volume, request.ask.key] = now + self.rules.key_block_us
+            self.key_blocked_until[request.arrival.volume, request.arrival.key] = now + self.rules.key_block_us
 
     def _retry_or_answer(self, request: RequestState, event: api.Outcome) -> None:
         """Queue a request for another attempt, or answer it where that could not end in time or is not allowed."""
@@ -187,7 +191,7 @@
         else:
             # Another connection that takes as long to fail would leave its client unanswered past half of its time.
             retry_before = request.queue_until - event.elapsed_us
-        request.ask = event.moved or request.ask
+        request.arrival = event.moved or request.arrival
         # Where nobody knows where it lies, its client asks again elsewhere, the sooner the better.
         away = event.result is api.Result.MISPLACED and event.moved is None
         in_time = self.now < retry_before
@@ -198,7 +202,7 @@
 
     def _answer(self, request: RequestState, retry_after: float = RETRY_AFTER) -> None:
         """Refuse where a repeat is harmless, else fail; `rest`: aims after which a refused client may come back."""
-        name, until = request.ask.request, self._retry_deadline(request)
+        name, until = request.arrival.request, self._retry_deadline(request)
         advice = min(int(retry_after * self.target_us), self.settings.allowed.retry_after_us)
         harmless = not until or (request.klass.scope is api.DedupScope.ALL and self.now + advice < until)
         self.actions.append(api.Refuse(name, advice) if harmless else api.Fail(name))
@@ -213,13 +217,13 @@
         if request.in_flight:
             return
         del self.requests[name]
-        line = self.key_order.get((request.ask.volume, request.ask.key))
+        line = self.key_order.get((request.arrival.volume, request.arrival.key))
         if line and request in line:
             line.remove(request)
             if line:
                 self.changed_queues[line[0].queue_key] = None
             else:
-                del self.key_order[request.ask.volume, request.ask.key]
+                del self.key_order[request.arrival.volume, request.arrival.key]
 
     def _expire(self) -> None:
         """Answer what can no longer be served, before its client gives up."""
--- a/hophinge/core/choice/send_rules.py
+++ b/hophinge/core/choice/send_rules.py
@@ -14,7 +14,7 @@
 
     def _may_send(self, request: RequestState) -> bool:
         """The rules that look at the request alone; none looks at what a send would be worth."""
-        ask, klass, rules, now = request.ask, request.klass, self.rules, self.now
+        arrival, klass, rules, now = request.arrival, request.klass, self.rules, self.now
         # Answered once: nothing is sent for a request that has its answer, or whose client gives up.
         # One attempt at a time but for a second copy, which also keeps within what forbids those.
         if (
@@ -37,15 +37,15 @@
         # Order: a key's requests one at a time, and a rest after an attempt that may still run.
         elif (
             klass.in_order
-            and ask.key
+            and arrival.key
             and (
-                self.key_order[ask.volume, ask.key][0] is not request
-                or self.key_blocked_until.get((ask.volume, ask.key), 0) > now
+                self.key_order[arrival.volume, arrival.key][0] is not request
+                or self.key_blocked_until.get((arrival.volume, arrival.key), 0) > now
             )
         ):
             return False
         # The plan's limit.
-        return request.is_charged or request.volume.within_limit(ask.units, now)
+        return request.is_charged or request.volume.within_limit(arrival.units, now)
 
     def _may_retry(self, request: RequestState) -> bool:
         """Whether any further attempt could ever pass the gate."""
@@ -53,29 +53,29 @@
         return not 0 < self.settings.allowed.attempts <= request.attempts and (not until or self.now < until)
 
     def _takes_retry_budget(self, request: RequestState) -> bool:
-        return request.ask.bounds is None or request.ask.bounds.take_retry(self.now, request.attempts)
+        return request.arrival.bounds is None or request.arrival.bounds.take_retry(self.now, request.attempts)
 
     def _retry_deadline(self, request: RequestState) -> int:
         """Until when a request may run again, by its class's effect and since when it may have run; 0: no end."""
         if request.klass.effect is api.Effect.SAFE or (request.may_have_run_on is None and not request.in_flight):
             return 0
-        keyed = request.klass.effect is api.Effect.KEYED and not request.ask.keyless
+        keyed = request.klass.effect is api.Effect.KEYED and not request.arrival.keyless
         return (
             max(1, request.may_have_run_since + request.klass.dedup_window_us - self.settings.tick_us) if keyed else 1
         )
 
     def _is_within_bounds(self, request: RequestState, node: NodeState) -> bool:
         """Whether a request's bounds, and its copy that is out, leave it a node."""
-        ask, ran_on = request.ask, request.may_have_run_on
+        arrival, ran_on = request.arrival, request.may_have_run_on
         if node in request.in_flight.values():
             return False
-        shard = ask.shard if ask.shard >= 0 or ran_on is None else ran_on.entry.shard
-        return ask.bounds is None or ask.bounds.allows(node.entry.node, shard)
+        shard = arrival.shard if arrival.shard >= 0 or ran_on is None else ran_on.entry.shard
+        return arrival.bounds is None or arrival.bounds.allows(node.entry.node, shard)
 
     def _may_send_to(self, request: RequestState, node: NodeState) -> bool:
         """The rules that look at the node."""
         rules, now = self.rules, self.now
-        if request.ask.bounds is not None and not self._is_within_bounds(request, node):
+        if request.arrival.bounds is not None and not self._is_within_bounds(request, node):
             return False
         # No double effect: a keyed request that may have run stays with the nodes that drop its repeat.
         if request.may_have_run_on is not None and request.klass.effect is not api.Effect.SAFE:
@@ -85,7 +85,7 @@
             ):
                 return False
         # Drains, and the shard that holds the data.
-        if node.entry.phase is not api.Phase.ON or 0 <= request.ask.shard != node.entry.shard:
+        if node.entry.phase is not api.Phase.ON or 0 <= request.arrival.shard != node.entry.shard:
             return False
         # Cold nodes: this gateway's even part of what a starting node bears within the rule's time.
         warm = node.warmth(now, rules.slow_start_us)
@@ -95,7 +95,7 @@
 
     def _is_within_slow_start(self, request: RequestState, node: NodeState, warm: float) -> bool:
         """Whether a starting node bears a request, of all that may come to it from other gateways."""
-        rules, now, units, heads = self.rules, self.now, request.ask.units, self.settings.gateways
+        rules, now, units, heads = self.rules, self.now, request.arrival.units, self.settings.gateways
         sent = node.units_since(now - rules.overload_window_us)
         usual = rules.overload_window_us / unit_us if (unit_us := self._unit_us(node)) > 0 else 0.0
         bears = rules.overload_multiple * warm
@@ -106,6 +106,6 @@
         # which sums up however many ask and however unevenly: one in the rule's time, a lesser chance where one each is
         # more than the node bears, and more once it has answered soon, as a volume's surge comes through few gateways.
         soon = node.served_units > 0 and node.queue_delay <= MAX_QUEUE_DELAY * self.target_us
-        few = sent + units <= most / max(1, request.ask.gateways) if soon else not sent
+        few = sent + units <= most / max(1, request.arrival.gateways) if soon else not sent
         chance = (1.0 if soon else SLOW_START_FRACTION * (1.0 if heads <= most else 0.8)) * bears / self.processes
-        return few and request.random_draw < chance and (request.ask.shard >= 0 or soon) and now < request.target_at
+        return few and request.random_draw < chance and (request.arrival.shard >= 0 or soon) and now < request.target_at
--- a/hophinge/core/exchange/__init__.py
+++ b/hophinge/core/exchange/__init__.py
@@ -47,31 +47,33 @@
 class Exchange(EventLoopDriver):
     """The open requests of one head, and what its fronts, its back and its list of nodes tell of."""
 
-    def arrive(self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], complete: bool = True) -> None:
+    def arrive(
+        self, arrival: api.Arrival, payload: Any, answer: Callable[[Answer], None], complete: bool = True
+    ) -> None:
         """Take a request; ``answer`` is called once, never within this call, unless its client departs.
 
         Where it is not `whole`, its body is still on its way: its one attempt may take that on, and its client's time
         runs from the body's last byte, less what the body waited before that attempt.
         """
-        if ask.request in self.open:
-            raise ValueError(f"request {ask.request} is open already")
-        request = self.open[ask.request] = OpenRequest(ask, payload, answer, self.now_us(), complete)
+        if arrival.request in self.open:
+            raise ValueError(f"request {arrival.request} is open already")
+        request = self.open[arrival.request] = OpenRequest(arrival, payload, answer, self.now_us(), complete)
         if complete:
             self._limit(request)
         self.unanswered += 1
         self.counters.add("requests_taken")
         if self.gate is not None:
-            bounds = self.gate.admit(self.now_us(), ask)
+            bounds = self.gate.admit(self.now_us(), arrival)
             if isinstance(bounds, int):
                 advice = bounds
                 self.loop.call_soon(lambda: self._reject(request, advice))
                 return
             if isinstance(bounds, api.WaitAtGate):
                 self.counters.add("requests_waited")
-                request.ask = structs.replace(ask, bounds=bounds.bounds)
+                request.arrival = structs.replace(arrival, bounds=bounds.bounds)
                 return self._gate_timer()
-            ask = request.ask = structs.replace(ask, bounds=bounds)
-        self._event(ask)
+            arrival = request.arrival = structs.replace(arrival, bounds=bounds)
+        self._event(arrival)
 
     def body_complete(self, name: str) -> None:
         """Take the last byte of a request's body."""
@@ -79,7 +81,7 @@
         if request is None or request.is_complete or request.answer is None:
             return
         request.is_complete = True
-        request.deadline = self.now_us() + max(0, request.ask.time_left_us - request.waited_us)
+        request.deadline = self.now_us() + max(0, request.arrival.time_left_us - request.waited_us)
         self._limit(request)
         for attempt in request.attempts.values():
             attempt.give_up_at = request.deadline
@@ -98,9 +100,11 @@
         """Give each request that still waits its final answer: who answers will be there no longer."""
         for request in [one for one in self.open.values() if one.answer is not None]:
             self.counters.add("requests_cut_off")
-            harmless = not request.attempts_sent or self.settings.classes[request.ask.klass].effect is api.Effect.SAFE
+            harmless = (
+                not request.attempts_sent or self.settings.classes[request.arrival.klass].effect is api.Effect.SAFE
+            )
             self._answer(request, Answer(Verdict.REFUSED if harmless else Verdict.FAILED))
-            self._event(api.Departure(request.ask.request))
+            self._event(api.Departure(request.arrival.request))
 
     def nodes(self, event: api.NodeList) -> None:
         """Take a node list, or what changed in it."""
--- a/hophinge/core/exchange/attempts.py
+++ b/hophinge/core/exchange/attempts.py
@@ -44,7 +44,7 @@
 
     __slots__ = (
         "answer",
-        "ask",
+        "arrival",
         "attempts",
         "backstop",
         "deadline",
@@ -57,13 +57,13 @@
     )
 
     def __init__(
-        self, ask: api.Arrival, payload: Any, answer: Callable[[Answer], None], arrived_at: int, is_complete: bool
+        self, arrival: api.Arrival, payload: Any, answer: Callable[[Answer], None], arrived_at: int, is_complete: bool
     ) -> None:
-        self.ask = ask
+        self.arrival = arrival
         self.payload = payload
         self.is_complete = is_complete
         self.arrived_at = arrived_at
-        self.deadline = arrived_at + ask.time_left_us
+        self.deadline = arrived_at + arrival.time_left_us
         self.single_attempt = not is_complete  # its body is held only until an attempt takes it, whole by then or not
         self.waited_us = 0  # while nobody took a body that is on its way; its last byte may have come since then
         self.answer: Callable[[Answer], None] | None = answer  # None once the one answer is given
@@ -135,19 +135,19 @@
             return max(0, self.give_up_at - now)
         # What has come and was not taken is not seen: the client's time may have run since the body's beginning.
         request.waited_us = now - request.arrived_at
-        return max(0, request.ask.time_left_us - request.waited_us)
+        return max(0, request.arrival.time_left_us - request.waited_us)
 
     def redirected(self, write_locations: WriteLocations, result: api.Result) -> api.Arrival | None:
         """Note where a write went; tell the request that finds a read's object, if this head wrote it elsewhere."""
-        ask, nodes, now = self.request.ask, self.exchange.phases, self.exchange.now_us()
-        if result is api.Result.OK and ask.write and ask.key and self.shard >= 0:
-            write_locations.record(now, ask.volume, ask.key, self.shard)
-        if result is not api.Result.MISPLACED or ask.write:
+        arrival, nodes, now = self.request.arrival, self.exchange.phases, self.exchange.now_us()
+        if result is api.Result.OK and arrival.write and arrival.key and self.shard >= 0:
+            write_locations.record(now, arrival.volume, arrival.key, self.shard)
+        if result is not api.Result.MISPLACED or arrival.write:
             return None
-        shard = write_locations.find(now, ask.volume, ask.key)
+        shard = write_locations.find(now, arrival.volume, arrival.key)
         # Turned away at the same shard, it is over. A shard that no node in use holds is asked for in vain.
         held = {self.exchange.shards.get(node) for node, phase in nodes.items() if phase is api.Phase.ON}
-        return None if shard is None or shard not in held - {self.shard} else structs.replace(ask, shard=shard)
+        return None if shard is None or shard not in held - {self.shard} else structs.replace(arrival, shard=shard)
 
     def end(self, end: AttemptResult) -> None:
         """Report the end; whatever comes after the first one is void."""
--- a/hophinge/core/exchange/event_loop_driver.py
+++ b/hophinge/core/exchange/event_loop_driver.py
@@ -80,8 +80,8 @@
                 continue
             if request.is_complete:
                 # What it waited is gone from its client's time; a body on its way has all of that before it.
-                request.ask = structs.replace(request.ask, time_left_us=max(0, request.deadline - now))
-            self._event(request.ask)
+                request.arrival = structs.replace(request.arrival, time_left_us=max(0, request.deadline - now))
+            self._event(request.arrival)
         self._gate_timer()
 
     def _limit(self, request: OpenRequest) -> None:
@@ -104,7 +104,7 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         self.counters.add("answers_streamed")
-        self._event(api.StreamStarted(request.ask.request, attempt.number, heard_us - attempt.sent_at))
+        self._event(api.StreamStarted(request.arrival.request, attempt.number, heard_us - attempt.sent_at))
         self._answer(request, Answer(Verdict.SERVED, body, shard=attempt.shard, stream=rest))
         return True
 
@@ -129,10 +129,10 @@
         moved = attempt.redirected(self.write_locations, end.result)
         if moved is not None and not finished:
             self.counters.add("reads_moved")
-            request.ask = moved
+            request.arrival = moved
         self._event(
             api.Outcome(
-                request.ask.request,
+                request.arrival.request,
                 attempt.number,
                 attempt.node,
                 end.result,
@@ -208,8 +208,8 @@
         attempt = Attempt(self, request, request.attempts_sent, action.node, now, give_up, action.until_us)
         request.attempts_sent += 1
         request.attempts[attempt.number] = attempt
-        shard, most = request.ask.shard, self.settings.allowed.attempts
-        if (bounds := request.ask.bounds) is not None and 0 < bounds.attempts < (most or request.attempts_sent):
+        shard, most = request.arrival.shard, self.settings.allowed.attempts
+        if (bounds := request.arrival.bounds) is not None and 0 < bounds.attempts < (most or request.attempts_sent):
             most = bounds.attempts
         if (
             not attempt.may_send()
@@ -240,7 +240,7 @@
         if request.answer is not None:
             self.counters.add("requests_overdue")
             self._answer(request, Answer(Verdict.FAILED))
-            self._event(api.Departure(request.ask.request))
+            self._event(api.Departure(request.arrival.request))
 
     def _answer(self, request: OpenRequest, answer: Answer) -> None:
         if request.answer is None:
@@ -253,8 +253,8 @@
 
     def _close(self, request: OpenRequest) -> None:
         request.answer = None
-        if self.gate is not None and request.ask.bounds is not None:
-            self.gate.answered(self.now_us(), request.ask.bounds)
+        if self.gate is not None and request.arrival.bounds is not None:
+            self.gate.answered(self.now_us(), request.arrival.bounds)
             if self.gate.next_release_us:
                 self.gate_changed()
         if request.backstop is not None:
@@ -263,4 +263,4 @@
 
     def _forget(self, request: OpenRequest) -> None:
         if request.answer is None and not request.attempts:
-            self.open.pop(request.ask.request, None)
+            self.open.pop(request.arrival.request, None)
--- a/hophinge/core/exchange/types.py
+++ b/hophinge/core/exchange/types.py
@@ -92,7 +92,7 @@
 class Gate(Protocol):
     """Whoever stands before the module: it turns requests away and narrows what the module may choose from."""
 
-    def admit(self, now_us: int, ask: api.Arrival) -> api.Bounds | api.WaitAtGate | int:
+    def admit(self, now_us: int, arrival: api.Arrival) -> api.Bounds | api.WaitAtGate | int:
         """Return a request's bounds, or after how many microseconds it may come again where it is refused."""
 
     def release(self, now_us: int) -> list[tuple[str, int]]:
--- a/hophinge/core/interface/protocols.py
+++ b/hophinge/core/interface/protocols.py
@@ -63,5 +63,5 @@
 class Scorers(Protocol):
     """Whoever adds times to nodes before the one that frees earliest is chosen; it can bring in none."""
 
-    def added_us(self, now_us: int, ask: Arrival, nodes: Sequence[NodeObservation]) -> Mapping[str, float]:
+    def added_us(self, now_us: int, arrival: Arrival, nodes: Sequence[NodeObservation]) -> Mapping[str, float]:
         """Return added microseconds by node, 0 or more; a node that is not named gets none. It never raises."""
--- a/hophinge/net/backend_client.py
+++ b/hophinge/net/backend_client.py
@@ -168,7 +168,9 @@
             if endpoint is None:
                 raise AttemptWithdrawnError
             answer = await self._exchange(endpoint, request_head, progress, attempt)
-            outcome = attempt_outcome(answer, self.reads_load_reports, self.counters, attempt.request.ask.shard >= 0)
+            outcome = attempt_outcome(
+                answer, self.reads_load_reports, self.counters, attempt.request.arrival.shard >= 0
+            )
             if answer.rest is not None:
                 outcome = AttemptResult(await answer.rest.done, b"", outcome.used, outcome.elsewhere, outcome.report)
         except asyncio.CancelledError:
--- a/hophinge/scoring/engine.py
+++ b/hophinge/scoring/engine.py
@@ -54,9 +54,9 @@
         """Share weights from now on, under this member's name."""
         self.reader = EntryReader(own_name, self.shared)
 
-    def added_us(self, now_us: int, ask: api.Arrival, nodes: Sequence[api.NodeObservation]) -> dict[str, float]:
+    def added_us(self, now_us: int, arrival: api.Arrival, nodes: Sequence[api.NodeObservation]) -> dict[str, float]:
         """Return the added microseconds by candidate; see hophinge/core/interface.py."""
-        return self.guard.added_us(now_us, ask, nodes, self.surroundings)
+        return self.guard.added_us(now_us, arrival, nodes, self.surroundings)
 
     def heard(self, now_us: int, node: str, result: api.Result, elapsed_us: int) -> None:
         """Pass the result of an attempt on to the scorers."""
--- a/hophinge/scoring/guard.py
+++ b/hophinge/scoring/guard.py
@@ -92,10 +92,10 @@
         self.was_interrupted = False  # the call in progress was interrupted
 
     def added_us(
-        self, now_us: int, ask: api.Arrival, nodes: Sequence[api.NodeObservation], surroundings: Surroundings
+        self, now_us: int, arrival: api.Arrival, nodes: Sequence[api.NodeObservation], surroundings: Surroundings
     ) -> dict[str, float]:
         """Return the added microseconds by candidate, of all scorers together, from 0 to the clamp."""
-        view = View.of(now_us, ask, nodes, surroundings)
+        view = View.of(now_us, arrival, nodes, surroundings)
         names = view.nodes  # read before the calls: a scorer cannot change the candidates
         most = self.max_added_us
         sums: Sequence[float] | None = None
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -215,7 +215,7 @@
             self.push(when + action.delay_us, head, TimerExpired(action.token))
         if isinstance(action, Send):
             backend, request = self.by_name[action.node], self.heads[head].requests[action.request]
-            work, attempt = request.ask.units * self.noise(), request.attempts - 1
+            work, attempt = request.arrival.units * self.noise(), request.attempts - 1
             told = when >= self.hears.get((head, backend.name), 0)
             free = backend.take(when, work, told)
             ok = free < request.deadline
--- a/tests/test_choice_rules.py
+++ b/tests/test_choice_rules.py
@@ -179,7 +179,7 @@
         for one in list(gate.scheduler.requests.values()):
             for attempt, book in list(one.in_flight.items()):
                 further += attempt > 0
-                gate.at(0, end(one.ask.request, Result.ERROR, book.entry.node, attempt))
+                gate.at(0, end(one.arrival.request, Result.ERROR, book.entry.node, attempt))
         rules = SETTINGS.rules
         assert further <= rules.budget_free + rules.budget_share * (number + 1)
     assert further > 0
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -80,7 +80,7 @@
         if isinstance(action, SetTimer):
             self.push(when + action.delay_us, head, TimerExpired(action.token))
         if isinstance(action, Send):
-            ask = self.heads[head].requests[action.request].ask
+            ask = self.heads[head].requests[action.request].arrival
             units = ask.units
             cold = action.node == "cold"
             if cold:
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -123,12 +123,12 @@
         if number == 0:
             read(desk, shard)
         attempt = next(
-            one for one in desk.out if one.request.ask.request == "r" and one in one.request.attempts.values()
+            one for one in desk.out if one.request.arrival.request == "r" and one in one.request.attempts.values()
         )
         assert attempt.node == f"n{shard}"
         attempt.end(AWAY)
         desk.loop.advance(0)
-    assert sum(one.request.ask.request == "r" for one in desk.out) == 3 and verdicts(desk) == [Verdict.REFUSED]
+    assert sum(one.request.arrival.request == "r" for one in desk.out) == 3 and verdicts(desk) == [Verdict.REFUSED]
 
 
 def test_through_sockets_the_second_attempt_finds_it() -> None:
