--- a/hophinge/core/__init__.py
+++ b/hophinge/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every front shares: the decision module, the exchange and the types between them."""
+"""The core shared by all frontends: the scheduler, the exchange and the types between them."""
--- a/hophinge/core/counters.py
+++ b/hophinge/core/counters.py
@@ -1,12 +1,13 @@
-"""What a head has taken, sent and answered."""
+"""Counters of a head: requests, attempts, connections and faults."""
 
 from __future__ import annotations
 
 from hophinge.core.interface import Result
 
-# Every counter there is; one that is not named here cannot be counted, so alerts never wait for a name in vain.
+# All counters. Each is exported from the start with 0, and counting under another name raises KeyError, so that an
+# alert never refers to a name that does not appear.
 NAMES = (
-    # the core: requests by how they were answered, attempts by how they ended
+    # the core: requests by answer, attempts by result
     "requests_taken",
     "requests_served",
     "requests_absent",
@@ -25,12 +26,12 @@
     "attempts_without_socket",
     "probes_sent",
     *(f"attempts_{result.value}" for result in Result),
-    # faults that must not happen; each has a traceback in the log
+    # internal faults; each has a traceback in the log
     "module_faults",
     "client_faults",
     "object_faults",
     "admin_faults",
-    # the wires
+    # connections to clients, backends and discovery
     "requests_malformed",
     "requests_unreadable",
     "requests_too_many",
@@ -46,10 +47,10 @@
     "discovery_entries_left_out",
     "reloads",
     "reloads_failed",
-    # the second address
+    # the listener for operations
     "control_calls",
     "control_denied",
-    # the object front and the administration API
+    # the object frontend and the administration API
     "object_requests",
     "object_answers_2xx",
     "object_answers_3xx",
@@ -70,15 +71,15 @@
 
 
 class Counters:
-    """Counts by name; ``text`` is what is printed on request and at exit."""
+    """Counts by name; ``text`` is printed on request and at exit."""
 
     def __init__(self) -> None:
         self.counts = dict.fromkeys(NAMES, 0)
 
     def add(self, name: str, number: int = 1) -> None:
-        """Count something."""
+        """Increase a counter; raises KeyError for a name that is not in `NAMES`."""
         self.counts[name] += number
 
     def text(self) -> str:
-        """All counts, one `name value` a line, by name."""
+        """Return all counts, one `name value` per line, sorted by name."""
         return "".join(f"{name} {value}\n" for name, value in sorted(self.counts.items()))
--- a/hophinge/core/errors.py
+++ b/hophinge/core/errors.py
@@ -1,6 +1,6 @@
-"""What every error of this program tells: a code that stays, what happened, and what an operator can do about it.
+"""The base of the program's errors: each has a stable code, a message and a remedy for the operator.
 
-Each kind of error is a type of its own below `HophingeError`; `docs/operate/errors.md` lists them all by their code.
+Each kind of error is a subclass of `HophingeError`; `docs/operate/errors.md` lists all of them by code.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class HophingeError(Exception):
-    """Base of the program's errors. `code` never changes once released; `remedy` is one sentence for an operator."""
+    """Base class of the program's errors. A released `code` never changes; `remedy` is one sentence for an operator."""
 
     code: ClassVar[str] = ""
     remedy: ClassVar[str] = ""
@@ -24,7 +24,7 @@
 
 
 def one_line(error: BaseException) -> str:
-    """Return any error as one line; one of another library has no code and no remedy."""
+    """Return any error as one line, with code and remedy if it is a `HophingeError`."""
     what = " ".join(str(error).split()) or type(error).__name__
     if isinstance(error, HophingeError):
         return f"{what} [{error.code}] {error.remedy}"
@@ -34,10 +34,10 @@
 def error_types() -> list[type[HophingeError]]:
     """Return all loaded error types, sorted by code."""
     found: set[type[HophingeError]] = set()
-    open_types = [HophingeError]
-    while open_types:
-        for kind in open_types.pop().__subclasses__():
-            if kind not in found:
-                found.add(kind)
-                open_types.append(kind)
-    return sorted(found, key=lambda kind: kind.code)
+    unvisited = [HophingeError]
+    while unvisited:
+        for error_type in unvisited.pop().__subclasses__():
+            if error_type not in found:
+                found.add(error_type)
+                unvisited.append(error_type)
+    return sorted(found, key=lambda error_type: error_type.code)
--- a/hophinge/core/interface/__init__.py
+++ b/hophinge/core/interface/__init__.py
@@ -1,6 +1,6 @@
-"""The interface of hophinge: settings, events and actions, in whole microseconds. Nothing is decided.
+"""The data types of the core: settings, events and actions; times are whole microseconds.
 
-A figure that a deployment does not state is 0, a list that it does not state is empty.
+A number that a deployment does not configure is 0, a list that it does not configure is empty.
 """
 
 from hophinge.core.interface.events import (
--- a/hophinge/core/interface/events.py
+++ b/hophinge/core/interface/events.py
@@ -1,6 +1,7 @@
-"""Events that come in and actions that go out, made by the thousand a second, hence msgspec's types.
+"""The events that the scheduler handles and the actions that it returns.
 
-Those that hold no container are of no interest to the collector.
+Thousands are created per second, hence msgspec structs; those without containers are not tracked by the garbage
+collector.
 """
 
 from __future__ import annotations
@@ -14,13 +15,18 @@
 
 
 class WaitAtGate(Struct, frozen=True):
-    """A request that is not let in yet; the gate's `turn` tells what becomes of it."""
+    """The gate has queued a request; a later `Gate.release` admits or rejects it."""
 
     bounds: Bounds
 
 
 class Arrival(Struct, frozen=True, gc=False):
-    """A client's request; shard is negative for a new object, time_left_us is what its client still waits."""
+    """A client's request.
+
+    `shard` is negative for a new object, which any shard may take. `time_left_us` is how long the client still waits.
+    `gateways` is how many gateways send requests of the volume, 0 if unknown. `klass` and `plan` are indexes into the
+    settings.
+    """
 
     request: str
     units: float
@@ -33,14 +39,16 @@
     write: bool
     plan: int
     bounds: Bounds | None = None
-    keyless: bool = False  # bears no key that nodes could drop a repeat by, whatever its class says
-    is_background: bool = False  # nobody waits for it: it has no reserve, and counts in nobody's fair part
+    keyless: bool = False  # without an idempotency key, so that nodes cannot drop a repeat, whatever its class
+    is_background: bool = False  # no client waits for it: it uses no reserve and does not count in any fair share
 
 
 class Outcome(Struct, frozen=True):
-    """The one end of an attempt; used is 1 + percent of the plan's rate in a finished meter period, or 0.
+    """The end of an attempt, reported once.
 
-    `moved` is the request as it stands from here, where its data have turned out to lie at another shard.
+    `used` is 1 + the percentage of the plan's rate that the volume used in a finished meter period; 0 if not reported.
+    `finished` is true if the request needs no further answer. `moved` is the request with the shard corrected, if its
+    data turned out to be at another shard.
     """
 
     request: str
@@ -56,7 +64,7 @@
 
 
 class StreamStarted(Struct, frozen=True, gc=False):
-    """An attempt's answer has begun to reach the client; upward: its request's body is still on its way instead."""
+    """An attempt began to stream: its answer to the client, or with `upward` the request body to the backend."""
 
     request: str
     attempt: int
@@ -65,13 +73,13 @@
 
 
 class Departure(Struct, frozen=True, gc=False):
-    """The client is gone; no answer is owed."""
+    """The client has disconnected; no answer is needed."""
 
     request: str
 
 
 class ProbeResult(Struct, frozen=True):
-    """The end of a probe."""
+    """The result of a probe."""
 
     node: str
     result: Result
@@ -80,7 +88,7 @@
 
 
 class TimerExpired(Struct, frozen=True, gc=False):
-    """A timer that the scheduler set."""
+    """A timer that the scheduler set has expired."""
 
     token: int
 
@@ -89,7 +97,7 @@
 
 
 class Send(Struct, frozen=True, gc=False, repr_omit_defaults=True):
-    """Start an attempt, before until_us (0: whenever), given up at give_up_us (0: when the client gives up)."""
+    """Start an attempt, not after `until_us` (0: no limit); it times out at `give_up_us` (0: client's deadline)."""
 
     request: str
     node: str
@@ -98,21 +106,21 @@
 
 
 class Cancel(Struct, frozen=True, gc=False):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
 
 
 class Refuse(Struct, frozen=True, gc=False):
-    """Final answer: refused, a retry is harmless after retry_after_us (0: no advice)."""
+    """Final answer: refused; the client may safely retry after `retry_after_us` (0: no advice)."""
 
     request: str
     retry_after_us: int
 
 
 class Fail(Struct, frozen=True, gc=False):
-    """Final answer: failed, no promise about the effect."""
+    """Final answer: failed; the request may have had an effect."""
 
     request: str
 
@@ -124,18 +132,18 @@
 
 
 class SetTimer(Struct, frozen=True, gc=False):
-    """Ask for a TimerDue after delay_us."""
+    """Request a `TimerExpired` after `delay_us`."""
 
     token: int
     delay_us: int
 
 
 class Watch(Struct, frozen=True, gc=False):
-    """Ask for node list changes from now on."""
+    """Subscribe to node list changes."""
 
 
 class Log(Struct, frozen=True, gc=False):
-    """A line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/hophinge/core/interface/nodes.py
+++ b/hophinge/core/interface/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes as a list tells of them, and how what was sent to one ended."""
+"""Nodes as discovery lists them, and the results of attempts and probes at them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Phase(Enum):
-    """What the node list says of a node."""
+    """The state of a node in the node list."""
 
     ON = "on"
     DRAINING = "draining"
@@ -15,7 +15,7 @@
 
 
 class ListKind(Enum):
-    """What a node list event holds."""
+    """The kind of a node list event."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -34,12 +34,12 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
-    MISPLACED = "misplaced"  # turned away unrun: over, or not held there; nothing against the node
+    MISPLACED = "misplaced"  # rejected unexecuted: its time is over or its data are elsewhere; no fault of the node
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
-    """One node of a list; started_us is 0 when it started long ago, kind is its machine kind's number."""
+    """One node of a list; `started_us` is 0 if it started long ago, `kind` is the number of its machine type."""
 
     node: str
     zone: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeList:
-    """A node list, or what changed in it."""
+    """A complete node list, or changes to it."""
 
     kind: ListKind
     entries: tuple[NodeEntry, ...]
--- a/hophinge/core/interface/protocols.py
+++ b/hophinge/core/interface/protocols.py
@@ -1,4 +1,4 @@
-"""What others bring to the decisions: bounds of one request, and times added to nodes."""
+"""What other components provide to the scheduler: the bounds of a request, and times added to nodes."""
 
 from __future__ import annotations
 
@@ -12,56 +12,56 @@
 
 
 class Bounds(Protocol):
-    """What one request may use, as whoever narrows the module's choice has it; the module never goes beyond."""
+    """The nodes and attempts that one request may use, as set by the gate; the scheduler stays within them."""
 
     @property
     def attempts(self) -> int:
-        """Return how many attempts it may have, the first among them; 0: as the deployment allows."""
+        """The maximum number of attempts, including the first; 0: as the deployment allows."""
 
     @property
     def hedge_delay_us(self) -> int:
-        """Return after how long a second copy may go while the first is out; 0: none."""
+        """The microseconds after which a hedged second attempt may be sent while the first is in flight; 0: none."""
 
     @property
     def version(self) -> int:
-        """Return a number that changes with the nodes that may be taken."""
+        """A number that changes whenever the set of allowed nodes changes."""
 
     def allows(self, node: str, shard: int) -> bool:
-        """Return whether a node may be used; shard is negative where any will do."""
+        """Return whether a node may be used; `shard` is negative if any shard is suitable."""
 
     def take_retry(self, now_us: int, attempts: int) -> bool:
-        """Take one attempt beyond the so many that it had from its budget; False: there is none left."""
+        """Take a retry, after `attempts` attempts, from the retry budget; returns False if the budget is used up."""
 
 
 class NodeObservation(Protocol):
-    """A node as the module's book has it, to be read and never written."""
+    """The scheduler's state of a node, read-only."""
 
     @property
     def entry(self) -> NodeEntry:
-        """Return its entry in the list."""
+        """Its entry in the node list."""
 
     @property
     def free_at(self) -> float:
-        """Return when what was sent to it from here should be done, in microseconds."""
+        """When the work that this gateway sent to it should be done, in microseconds."""
 
     @property
     def units_out(self) -> float:
-        """Return the units sent to it from here and not answered."""
+        """The units that this gateway sent to it and that are not answered."""
 
     @property
     def recent_latency(self) -> float:
-        """Return what its answers took lately, in microseconds."""
+        """The recent latency of its answers, in microseconds."""
 
     @property
     def failures(self) -> int:
-        """Return its trials in a row that failed."""
+        """The number of attempts that failed in a row."""
 
     def warmth(self, now: int, slow_start_us: int) -> float:
         """Return how far it has warmed up since it started, from 0 to 1."""
 
 
 class Scorers(Protocol):
-    """Whoever adds times to nodes before the one that frees earliest is chosen; it can bring in none."""
+    """Adds times to candidate nodes before the one that is free earliest is chosen; it cannot add a candidate."""
 
     def added_us(self, now_us: int, arrival: Arrival, nodes: Sequence[NodeObservation]) -> Mapping[str, float]:
-        """Return added microseconds by node, 0 or more; a node that is not named gets none. It never raises."""
+        """Return the added microseconds by node, 0 or more; a missing node gets none. It never raises."""
--- a/hophinge/core/interface/settings.py
+++ b/hophinge/core/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings: classes, plans, rules and what a deployment allows; 0 or empty where it states nothing."""
+"""Settings: classes, plans, rules and what a deployment allows; 0 or empty where not configured."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request of this class would do."""
+    """Whether a request of a class may be repeated."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -15,7 +15,7 @@
 
 
 class DedupScope(Enum):
-    """Which nodes drop a keyed request's repeats."""
+    """The nodes that deduplicate the repeats of a keyed request: all, those of its zone, or those of its shard."""
 
     ALL = "all"
     ZONE = "zone"
@@ -23,7 +23,7 @@
 
 
 class Discovery(Enum):
-    """Whether node lists come unasked."""
+    """Whether node lists are pushed or have to be requested."""
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; worth counts per request, aim and deadline from its first arrival."""
+    """A class of requests; its value is per request, target latency and deadline count from the first arrival."""
 
     target_latency_us: int
     deadline_us: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's figures for each of its volumes, in units a second over all gateways and nodes."""
+    """A plan's rates for each of its volumes, in units per second over all gateways and nodes."""
 
     rate: float
     reserve: float
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules."""
+    """The parameters of the rules."""
 
     answer_grace_us: int
     drain_grace_us: int
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at start."""
+    """The whole configuration that a gateway gets at its start."""
 
     me: int
     gateways: int
--- a/hophinge/core/manual_ejections.py
+++ b/hophinge/core/manual_ejections.py
@@ -1,4 +1,4 @@
-"""Backends that operators ejected: an overlay over discovery's list, so that no list, change or restart undoes it."""
+"""Backends that operators ejected, kept beside discovery's list so that no list or restart undoes an ejection."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ManualEjection(Struct, frozen=True):
-    """The last call for a backend: when it came, and whether it ejected the backend."""
+    """The last operator command for a backend: when it was given, and whether it ejected or restored the backend."""
 
     at_us: int
     out: bool
 
 
 class ManualEjections:
-    """Discovery's list, the manual ejections, and the list that results for the core."""
+    """Combines discovery's list with the manual ejections and passes the result to `on_change`."""
 
     def __init__(self, on_change: Callable[[NodeList], None], now_us: Callable[[], int], slow_start_us: int) -> None:
         self.on_change = on_change
@@ -26,7 +26,9 @@
         self.slow_start_us = slow_start_us
         self.listed: dict[str, NodeEntry] = {}
         self.ejections: dict[str, ManualEjection] = {}
-        self.on_ejection: Callable[[], None] = lambda: None  # called when a call has set a mark
+        self.on_ejection: Callable[[], None] = lambda: (
+            None
+        )  # called after an operator's command has changed an ejection
 
     def apply_list(self, event: NodeList) -> None:
         """Apply a list, or changes to one, and pass it on with the ejections applied."""
@@ -41,23 +43,25 @@
         self.on_change(NodeList(event.kind, tuple(map(self._with_ejection, event.entries))))
 
     def _with_ejection(self, entry: NodeEntry) -> NodeEntry:
-        mark = self.ejections.get(entry.node)
-        if mark is None or entry.phase is Phase.GONE:
+        ejection = self.ejections.get(entry.node)
+        if ejection is None or entry.phase is Phase.GONE:
             return entry
-        if mark.out:
+        if ejection.out:
             return replace(entry, phase=Phase.DRAINING)
-        # Whoever took it out has had it restarted as a rule, and discovery may not have told yet: it counts as cold.
-        return replace(entry, started_us=max(entry.started_us, mark.at_us))
+        # An ejected backend has usually been restarted, which discovery may not have reported yet: it counts as cold.
+        return replace(entry, started_us=max(entry.started_us, ejection.at_us))
 
     def _forget(self) -> None:
-        """Drop the entries of backends that have been back for so long that they count as warm."""
-        then = self.now_us() - self.slow_start_us
-        self.ejections = {node: mark for node, mark in self.ejections.items() if mark.out or mark.at_us > then}
+        """Drop the records of backends that were restored so long ago that they count as warm."""
+        warm_since = self.now_us() - self.slow_start_us
+        self.ejections = {
+            node: ejection for node, ejection in self.ejections.items() if ejection.out or ejection.at_us > warm_since
+        }
 
     def is_ejected(self, node: str) -> bool:
-        """Return whether operators have ejected a backend."""
-        mark = self.ejections.get(node)
-        return mark is not None and mark.out
+        """Return whether operators have ejected a backend and not restored it."""
+        ejection = self.ejections.get(node)
+        return ejection is not None and ejection.out
 
     def eject(self, node: str) -> bool:
         """Eject a backend; returns False for an unknown one. Idempotent."""
@@ -72,19 +76,18 @@
         return node in self.listed
 
     def _set(self, node: str, out: bool) -> bool:
-        last = self.ejections.get(
-            node
-        )  # a call that follows within one tick of the clock is the later one all the same
-        done = self.merge({node: ManualEjection(max(self.now_us(), last.at_us + 1 if last else 0), out)})
+        # A command within the same clock tick as the last one still counts as the later one.
+        last = self.ejections.get(node)
+        is_changed = self.merge({node: ManualEjection(max(self.now_us(), last.at_us + 1 if last else 0), out)})
         self.on_ejection()
-        return done
+        return is_changed
 
     def merge(self, ejections: Mapping[str, ManualEjection]) -> bool:
         """Apply ejections that are newer than the known ones; returns whether there were any."""
         newer = {
-            node: mark
-            for node, mark in ejections.items()
-            if node not in self.ejections or mark.at_us > self.ejections[node].at_us
+            node: ejection
+            for node, ejection in ejections.items()
+            if node not in self.ejections or ejection.at_us > self.ejections[node].at_us
         }
         self.ejections.update(newer)
         changed = tuple(self._with_ejection(self.listed[node]) for node in newer if node in self.listed)
--- a/hophinge/core/request_metrics.py
+++ b/hophinge/core/request_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that operators read; counters start with the process and only grow."""
+"""The request metrics for operators; counters start at zero with the process and only increase."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OpenRequestCount:
-    """Counts a request from its acceptance to its end; only the first end counts."""
+    """Counts one request as open until its first `end`; later calls have no effect."""
 
     __slots__ = ("metrics", "klass", "is_ended")
 
@@ -20,7 +20,7 @@
         metrics.open += 1
 
     def end(self, outcome: str | None) -> None:
-        """Count the end; None where the client had left, which is not counted."""
+        """Count the outcome; None if the client had disconnected, which is not counted."""
         if self.is_ended:
             return
         self.is_ended = True
@@ -30,15 +30,15 @@
 
 
 class RequestMetrics:
-    """Requests by class and outcome, attempts completely sent to backends, and current values."""
+    """Counts of requests by class and outcome and of attempts completely sent to backends, and current values."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.ended = {(klass, outcome): 0 for klass in classes for outcome in OUTCOMES}
         self.relayed = self.open = 0
-        self.current_values: Callable[[], Mapping[str, int]] = dict  # figures that others hold; asked at each reading
+        self.current_values: Callable[[], Mapping[str, int]] = dict  # gauges of other components, called at each read
 
     def open_request(self, klass: str) -> OpenRequestCount:
-        """Return the count of a newly accepted request."""
+        """Count a newly accepted request as open; the caller ends it."""
         return OpenRequestCount(self, klass)
 
     def gauges(self) -> dict[str, int]:
@@ -46,7 +46,7 @@
         return {"open_requests": self.open, **self.current_values()}
 
     def text(self) -> str:
-        """Return all metrics, one `name=value` a line."""
+        """Return all metrics, one `name=value` per line."""
         rows = [(f"operations.{klass}.{outcome}", value) for (klass, outcome), value in self.ended.items()]
         rows += [("relayed", self.relayed), *self.gauges().items()]
         return "".join(f"{PREFIX}{name}={value}\n" for name, value in rows)
--- a/hophinge/core/settings.py
+++ b/hophinge/core/settings.py
@@ -1,4 +1,4 @@
-"""The one reader of settings: the JSON that an instance or a head is given, as the interface's own types."""
+"""Reads the JSON settings of an instance or a head into the types of `hophinge.core.interface`."""
 
 from __future__ import annotations
 
@@ -24,21 +24,26 @@
 
 
 class SettingsError(HophingeError, ValueError):
-    """Settings that do not have the form that their page gives."""
+    """The settings do not have the documented form."""
 
     code = "settings-unreadable"
-    remedy = "Mend the value that is named in the configuration's settings; the running process keeps what it has."
+    remedy = (
+        "Correct the named value in the settings of the configuration; the running process keeps its current settings."
+    )
 
 
 class Table:
-    """An object of the settings; an absent or null value is 0, false or empty, a value of another type an error."""
+    """A JSON object of the settings; a missing or null value reads as 0, false or empty.
+
+    A value of another type raises SettingsError with the path of its key.
+    """
 
     def __init__(self, rows: Mapping[str, Any], name: str) -> None:
         self.rows = rows
         self.name = name
 
     def get(self, key: str, kind: type[Value], default: Value) -> Value:
-        """Read one value of a type."""
+        """Read a value of a type; the default if it is missing or null."""
         value = self.rows.get(key)
         try:
             return default if value is None else msgspec.convert(value, kind)
@@ -46,7 +51,7 @@
             raise SettingsError(f"{self.name}{key}: {error}") from error
 
     def whole(self, key: str) -> int:
-        """Read a whole number; one written with a decimal point is cut."""
+        """Read an integer; decimal places are truncated."""
         return int(self.get(key, float, 0.0))
 
     def number(self, key: str) -> float:
@@ -54,15 +59,15 @@
         return self.get(key, float, 0.0)
 
     def flag(self, key: str) -> bool:
-        """Read a truth value."""
+        """Read a boolean."""
         return self.get(key, bool, False)
 
     def text(self, key: str, default: str = "") -> str:
-        """Read a text; an empty one counts as absent."""
+        """Read a string; an empty one counts as missing."""
         return self.get(key, str, "") or default
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """Read a list of texts."""
+        """Read a list of strings."""
         return tuple(self.get(key, list[str], []))
 
     def part(self, key: str) -> Table:
@@ -76,7 +81,7 @@
 
 
 def read_settings(text: str | bytes) -> api.Settings:
-    """Read the settings from JSON."""
+    """Read the settings from JSON; raises SettingsError."""
     try:
         rows = msgspec.json.decode(text, type=dict[str, Any])
     except msgspec.MsgspecError as error:
@@ -85,7 +90,7 @@
 
 
 def from_table(setup: Table) -> api.Settings:
-    """Translate the settings object of a start."""
+    """Convert the JSON object of the settings."""
     rules, caps, domain, load = (setup.part(name) for name in ("Rules", "Caps", "Domain", "Report"))
     try:
         return api.Settings(
@@ -136,7 +141,7 @@
 
 
 def request_class(row: Table) -> api.RequestClass:
-    """Translate one class of the settings."""
+    """Convert one request class."""
     return api.RequestClass(
         target_latency_us=row.whole("GoalTimeUs"),
         deadline_us=row.whole("DeadlineUs"),
@@ -152,7 +157,7 @@
 
 
 def plan(row: Table) -> api.Plan:
-    """Translate one plan of the settings."""
+    """Convert one plan."""
     return api.Plan(
         rate=row.number("BaseRate"),
         reserve=row.number("Reserve"),
