--- a/hophinge/routing/__init__.py
+++ b/hophinge/routing/__init__.py
@@ -1,1 +1,1 @@
-"""What decides beside the module: routes, pools, limits, retry budgets, outliers. No I/O, no clock, no asyncio."""
+"""Policy around backend selection: routes, pools, limits, retry budgets, outlier ejection. No I/O, clock or asyncio."""
--- a/hophinge/routing/admitted_request.py
+++ b/hophinge/routing/admitted_request.py
@@ -1,4 +1,4 @@
-"""Bounds of one admitted request, which it keeps until its final answer."""
+"""The bounds that apply to one admitted request until its final response."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AdmittedRequest:
-    """What one request may use, and what it occupies until it is answered; implements `Bounds` of the core."""
+    """What one request may use, and the counters that it holds until it is answered; implements the core's `Bounds`."""
 
     __slots__ = (
         "admitted_us",
@@ -42,24 +42,25 @@
         self.states = states
         self.budget = budget
         self.admitted_us = admitted_us
-        self.ticket: Ticket | None = None  # of admission, where heads share spare capacity
+        self.ticket: Ticket | None = None  # admission ticket; None unless the head shares spare capacity
         self.attempts = budget.rule.max_attempts if budget is not None else 0
         self.hedge_delay_us = budget.rule.hedge_delay_us if budget is not None else 0
 
     @property
     def version(self) -> int:
-        """A number that changes with the backends that may be used."""
+        """Version of the set of usable backends; it changes whenever the set does."""
         return self.view.version
 
     def allows(self, node: str, shard: int) -> bool:
-        """Return whether a backend may be used.
+        """Return whether the request may be sent to a backend.
 
-        A request for a shard that no backend of its pools holds may leave them: its data is where it is.
+        If no backend of the request's pools holds its shard, backends outside the pools are allowed too, since only
+        a backend that holds the shard has the data.
         """
         return node in self.view.nodes or (shard >= 0 and shard not in self.view.shards)
 
     def take_retry(self, now_us: int, attempts: int) -> bool:
-        """Take a further attempt from the budget, after `attempts`; returns False if none is left."""
+        """Charge one retry to the budget, after `attempts` attempts; return False if no retry is allowed."""
         if self.budget is None:
             return True
         if 0 < self.attempts <= attempts or not self.budget.allows_retry(now_us):
--- a/hophinge/routing/capabilities.py
+++ b/hophinge/routing/capabilities.py
@@ -1,4 +1,4 @@
-"""What one head offers, and why it cannot run a version that needs more."""
+"""Capabilities of a head, and the reasons why it cannot run a version that requires more."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from hophinge.routing.records import Limit, PlanOverride, Pool, Record, RetryRule, Route
 
 PLATFORM = "the platform"
-REFERENCED_RECORDS = ("pool/", "tenant/")  # keys of records that others depend on
+REFERENCED_RECORDS = ("pool/", "tenant/")  # key prefixes of records that other records depend on
 
 
 class PlanBounds(NamedTuple):
-    """What the platform states for a plan, which a version can only lower."""
+    """Reserve and weight that the platform sets for a plan; a version can only lower them."""
 
     reserve: float  # units/s
     weight: float
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True)
 class HeadCapabilities:
-    """What one head offers: a version that needs more is rejected there."""
+    """What one head supports; it rejects a version that requires more."""
 
     zones: frozenset[str]
     kinds: frozenset[str]
     classes: frozenset[str]
     plans: Mapping[str, PlanBounds]
-    max_attempts: int  # 0: no bound
+    max_attempts: int  # 0: unlimited
     allows_hedging: bool
 
     @classmethod
     def from_settings(cls, settings: Settings) -> HeadCapabilities:
-        """Return the capabilities of a head with these settings."""
+        """Return the capabilities of a head that runs with these settings."""
         return cls(
             frozenset(settings.zones),
             frozenset(settings.kinds),
@@ -46,21 +46,22 @@
 
 
 def validate(records: Mapping[str, Record], changed: Iterable[str], capabilities: HeadCapabilities) -> list[str]:
-    """Return why a head cannot run a set of records.
+    """Return the reasons why a head cannot run a set of records.
 
     Args:
         records: All records by key.
-        changed: Keys of records that are new or have gone; only these, and records that refer to them, are checked.
-        capabilities: What the head offers.
+        changed: Keys of records that were added, changed or removed; only these and records that refer to them are
+            checked.
+        capabilities: What the head supports.
 
     Returns:
-        Reasons, each beginning with the key of its record; none if the head can run them.
+        Reasons, each beginning with the key of its record; empty if the head can run the records.
 
     """
     keys = set(changed)
     checked = [records[key] for key in keys if key in records]
     reasons = unsupported_reasons(checked, capabilities)
-    # A pool that went, or a tenant that changed, can invalidate any other record; such changes are rare.
+    # A removed pool or a changed tenant can invalidate any other record, so all are checked; such changes are rare.
     if any(key.startswith(REFERENCED_RECORDS) for key in keys):
         checked = list(records.values())
     reasons += [f"{mistake.key}: {mistake.text}" for mistake in reference_mistakes(checked, records)]
@@ -68,7 +69,7 @@
 
 
 def unsupported_reasons(checked: Iterable[Record], capabilities: HeadCapabilities) -> list[str]:
-    """Return what records need and a head does not offer, each reason beginning with the key of its record."""
+    """Return what records require and a head does not support; each reason begins with the key of its record."""
     reasons: list[str] = []
     for record in checked:
         reasons += [f"{record.key}: {reason}" for reason in _unsupported(record, capabilities)]
@@ -78,8 +79,8 @@
 def _unsupported(record: Record, capabilities: HeadCapabilities) -> list[str]:
     match record:
         case Pool():
-            zones = [f"no zone {zone} here" for zone in record.zones if zone not in capabilities.zones]
-            return zones + [f"no machine kind {kind} here" for kind in record.kinds if kind not in capabilities.kinds]
+            zones = [f"unknown zone {zone}" for zone in record.zones if zone not in capabilities.zones]
+            return zones + [f"unknown machine kind {kind}" for kind in record.kinds if kind not in capabilities.kinds]
         case Route() | Limit():
             return _unsupported_class(record.scope.klass, capabilities)
         case RetryRule():
@@ -91,23 +92,23 @@
 
 
 def _unsupported_class(klass: str, capabilities: HeadCapabilities) -> list[str]:
-    return [f"no class {klass} here"] if klass and klass not in capabilities.classes else []
+    return [f"unknown request class {klass}"] if klass and klass not in capabilities.classes else []
 
 
 def _unsupported_retries(rule: RetryRule, capabilities: HeadCapabilities) -> list[str]:
     reasons = []
     if 0 < capabilities.max_attempts < rule.max_attempts:
-        reasons.append(f"{rule.max_attempts} attempts; {PLATFORM} allows {capabilities.max_attempts}")
+        reasons.append(f"{rule.max_attempts} attempts, but {PLATFORM} allows at most {capabilities.max_attempts}")
     if rule.hedge_delay_us and not capabilities.allows_hedging:
-        reasons.append(f"a second copy; {PLATFORM} allows none")
+        reasons.append(f"hedged attempts, but {PLATFORM} does not allow them")
     return reasons
 
 
 def _unsupported_plan(plan: PlanOverride, bounds: PlanBounds | None) -> list[str]:
     if bounds is None:
-        return ["no such plan here"]
+        return ["unknown plan"]
     if plan.reserve > bounds.reserve:
-        return [f"reserves {plan.reserve:g} units/s; {PLATFORM} states {bounds.reserve:g}"]
+        return [f"reserves {plan.reserve:g} units/s, but {PLATFORM} allows at most {bounds.reserve:g}"]
     if plan.weight > bounds.weight:
-        return [f"has weight {plan.weight:g}; {PLATFORM} states {bounds.weight:g}"]
+        return [f"has weight {plan.weight:g}, but {PLATFORM} allows at most {bounds.weight:g}"]
     return []
--- a/hophinge/routing/document_reader.py
+++ b/hophinge/routing/document_reader.py
@@ -1,4 +1,4 @@
-"""Reader of the service document: its records, and all mistakes that need nothing but the document to be found."""
+"""Reader of the service document: its records, and all mistakes that can be found from the document alone."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 from hophinge.routing.s_expressions import MAX_MISTAKES, Atom, Form, Mistake, Node, decode_text, parse
 
 HEADER = "hophinge"
-FORMAT_VERSION = "1"  # a document begins with (hophinge 1)
+FORMAT_VERSION = "1"  # a document must begin with (hophinge 1)
 MAX_ATTEMPTS = 10
-MIN_BYTE_RATE = 64 * 1024  # bytes/s; clients that are slower than a quarter of it are disconnected
+MIN_BYTE_RATE = 64 * 1024  # bytes/s; clients that transfer at less than a quarter of it are disconnected
 
 
 @dataclass
 class Document:
-    """A document: its records and their forms by record key, and all mistakes."""
+    """A parsed document: its records and the forms that define them, by record key, and all mistakes."""
 
     records: dict[str, Record] = field(default_factory=dict)
     forms: dict[str, Form] = field(default_factory=dict)
     mistakes: list[Mistake] = field(default_factory=list)
 
     def mistake_lines(self, name: str) -> list[str]:
-        """Return the mistakes as lines about a file of this name, in order of position."""
+        """Return the mistakes as `name:line:column: text`, sorted by position and at most `MAX_MISTAKES` of them."""
         return [mistake.located_in(name) for mistake in sorted(set(self.mistakes))[:MAX_MISTAKES]]
 
 
@@ -61,7 +61,7 @@
     )
     reader.require(
         bool(pool.zones or pool.kinds or pool.backends),
-        "a pool needs (zones ...), (kinds ...) or (bricks ...) to tell which bricks are its own",
+        "a pool needs (zones ...), (kinds ...) or (bricks ...) to select its bricks",
     )
     return pool
 
@@ -82,7 +82,7 @@
     route = Route(
         reader.read_scope(), reader.read_names("pools", "pool"), reader.read_choice("else", ("refuse", "any"))
     )
-    reader.require(bool(route.pools), "a route needs (pools NAME ...), first choice first")
+    reader.require(bool(route.pools), "a route needs (pools NAME ...), in order of preference")
     return route
 
 
@@ -102,7 +102,7 @@
     )
     reader.require(
         bool(limit.rate or not limit.burst_us),
-        "(burst ...) is saved up from a rate; add (rate 120 units/s) or remove it",
+        "(burst ...) requires a rate; add (rate 120 units/s) or remove (burst ...)",
     )
     return limit
 
@@ -168,7 +168,7 @@
 
 
 def read_document(raw: bytes) -> Document:
-    """Read a document; its mistakes are in the result, none is raised."""
+    """Read a document; mistakes are returned in the result and never raised."""
     document = Document()
     text, document.mistakes = decode_text(raw)
     if document.mistakes:
@@ -188,10 +188,10 @@
     def read(self, nodes: list[Node]) -> None:
         if not nodes or not isinstance(nodes[0], Form) or nodes[0].keyword != HEADER:
             first = nodes[0] if nodes else Atom("", 1, 1)
-            self.report(first, f"a document begins with ({HEADER} {FORMAT_VERSION})")
+            self.report(first, f"a document must begin with ({HEADER} {FORMAT_VERSION})")
         for index, node in enumerate(nodes):
             if isinstance(node, Atom):
-                self.report(node, f"{node.text!r} stands outside of any form; put it into one or remove it")
+                self.report(node, f"{node.text!r} is outside any form; move it into a form or remove it")
             elif node.keyword == HEADER:
                 self._check_header(node, is_first=index == 0)
             else:
@@ -201,24 +201,24 @@
             self.report(self.document.forms[mistake.key], mistake.text)
 
     def report(self, node: Node, text: str) -> None:
-        """Add a mistake; a bound keeps a file that is no document from taking all memory."""
+        """Record a mistake; their number is bounded so that a file in another format does not exhaust memory."""
         if len(self.document.mistakes) < 10 * MAX_MISTAKES:
             self.document.mistakes.append(Mistake(node.line, node.column, text))
 
     def _check_header(self, form: Form, is_first: bool) -> None:
         words = [str(item) for item in form.items[1:]]
         if not is_first:
-            self.report(form, f"({HEADER} {FORMAT_VERSION}) stands once, at the beginning")
+            self.report(form, f"({HEADER} {FORMAT_VERSION}) must appear only once, at the beginning")
         elif words != [FORMAT_VERSION]:
-            version = " ".join(words) or "no version"
+            version = " ".join(words) or "a header without a version"
             self.report(form, f"this program reads ({HEADER} {FORMAT_VERSION}), not {version}")
 
     def _read_form(self, form: Form) -> None:
         if not form.keyword:
-            self.report(form, "a form begins with its word, like (pool hall-a (zones hall-a))")
+            self.report(form, "a form must begin with a keyword, like (pool hall-a (zones hall-a))")
             return
         if form.keyword not in READERS:
-            self.report(form, f"{form.keyword!r} is no form; there are {', '.join(READERS)}")
+            self.report(form, f"unknown form {form.keyword!r}; known forms: {', '.join(READERS)}")
             return
         mistakes_before = len(self.document.mistakes)
         reader = FormReader(form, self.report)
@@ -229,15 +229,15 @@
             self.document.forms[record.key] = form
         elif len(self.document.mistakes) == mistakes_before:
             line = self.document.forms[record.key].line
-            self.report(form, f"{record.key} is given twice, first in line {line}; keep one")
+            self.report(form, f"{record.key} is defined twice, first on line {line}; keep one")
 
 
 def reference_mistakes(checked: Iterable[Record], records: Mapping[str, Record]) -> list[RecordMistake]:
-    """Return what records state wrongly about each other.
+    """Return the mistakes in how records refer to each other.
 
     Args:
         checked: The records to check.
-        records: All records by key, which they may refer to.
+        records: All records by key, including those that the checked ones may refer to.
 
     """
     mistakes: list[RecordMistake] = []
@@ -252,18 +252,18 @@
 
 def _undefined_pools(route: Route, records: Mapping[str, Record]) -> list[RecordMistake]:
     return [
-        RecordMistake(route.key, f"the pool {pool} is nowhere defined; add (pool {pool} ...) or name another")
+        RecordMistake(route.key, f"the pool {pool} is not defined; add (pool {pool} ...) or name another pool")
         for pool in route.pools
         if f"pool/{pool}" not in records
     ]
 
 
 def _shared_volumes(tenant: TenantRule, owners: dict[str, str]) -> list[RecordMistake]:
-    """Return volumes that another tenant has, and add the others to `owners`, the tenant by volume."""
+    """Return mistakes for volumes that another tenant owns; adds the other volumes to `owners`, tenants by volume."""
     mistakes = []
     for volume in tenant.volumes:
         if volume in owners:
-            text = f"the volume {volume} belongs to {owners[volume]} already; a volume has one tenant"
+            text = f"the volume {volume} already belongs to {owners[volume]}; a volume has one tenant"
             mistakes.append(RecordMistake(tenant.key, text))
         owners.setdefault(volume, tenant.name)
     return mistakes
--- a/hophinge/routing/failover.py
+++ b/hophinge/routing/failover.py
@@ -1,4 +1,4 @@
-"""Backends that a route may use now: by the node list, ejections, and the order of pools in each version in use."""
+"""Failover between pools: the backends that each route may use now, given the node list and the current ejections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BackendView:
-    """Backends that may be used now; updated in place, so that waiting requests see the change."""
+    """The backends that may be used now and their shards; updated in place, so that waiting requests see changes."""
 
     __slots__ = ("nodes", "shards", "version")
 
@@ -20,7 +20,7 @@
 
 
 class FailoverLevel:
-    """One step of a route's order: a pool, whose view is filled up from the pools after it."""
+    """One level of a route: a pool, with backends of later pools added while it has too few of its own."""
 
     __slots__ = ("pool", "view")
 
@@ -30,18 +30,18 @@
 
 
 class FailoverLevels:
-    """Levels of all orders of pools in use, kept up to date with the node list and ejections."""
+    """Failover levels of all pool lists in use, kept up to date with the node list and ejections."""
 
     def __init__(self, settings: Settings, outlier_detector: OutlierDetector) -> None:
         self.settings = settings
         self.outlier_detector = outlier_detector
         self.entries: dict[str, NodeEntry] = {}
-        self.tables: dict[tuple[int, int], RoutingTable] = {}  # versions in use: the active one and those that drain
+        self.tables: dict[tuple[int, int], RoutingTable] = {}  # versions in use: the active one and draining ones
         self.levels_by_version: dict[tuple[int, int], dict[tuple[str, ...], list[FailoverLevel]]] = {}
         self.generation = 0
 
     def on_node_list(self, now_us: int, event: NodeList) -> None:
-        """Apply a node list, or changes of it."""
+        """Apply a full node list, or changes to it."""
         if event.kind is ListKind.ERROR:
             return
         if event.kind is ListKind.FULL:
@@ -57,7 +57,7 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Update all views to the backends that are live and not ejected now."""
+        """Recompute all views from the backends that are live and not ejected now."""
         self.generation += 1
         for version, levels_by_pools in self.levels_by_version.items():
             for levels in levels_by_pools.values():
@@ -90,7 +90,7 @@
                 nodes |= {node for node in members if node not in ejected}
                 if len(nodes) >= min_backends:
                     break
-            # An ejected backend is better than none: an ejection counts only where there is another backend.
+            # Ejections are ignored if they would leave no backend at all: an ejected backend is better than none.
             nodes = nodes or set().union(*live[index:])
             shards = {self.entries[node].shard for node in nodes}
             if nodes != level.view.nodes or shards != level.view.shards:
@@ -99,7 +99,7 @@
                 level.view.version = self.generation
 
     def levels_of(self, table: RoutingTable, pools: tuple[str, ...]) -> list[FailoverLevel]:
-        """Return the levels of an order of pools; without pools, one level with all backends."""
+        """Return the failover levels of an ordered list of pools; without pools, a single level with all backends."""
         levels_by_pools = self.levels_by_version.setdefault(table.version, {})
         levels = levels_by_pools.get(pools)
         if levels is None:
@@ -111,6 +111,6 @@
         return levels
 
     def drop_version(self, version: tuple[int, int]) -> None:
-        """Drop a version that has no open request."""
+        """Drop a version that has no open requests."""
         self.tables.pop(version, None)
         self.levels_by_version.pop(version, None)
--- a/hophinge/routing/form_reader.py
+++ b/hophinge/routing/form_reader.py
@@ -1,4 +1,4 @@
-"""Reader of one form of the service document: typed values of its subforms, and mistakes for whatever is invalid."""
+"""Reader of one form of the service document: reads its subforms as typed values and reports invalid ones."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 VOLUME_NAME = re.compile(r"[0-9a-f]{16}|[a-z0-9][a-z0-9.-]{0,62}", re.ASCII)
 INTEGER = re.compile(r"[0-9]{1,9}", re.ASCII)
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
-MAX_TIME_US = 3_600_000_000  # no wait or window is longer than an hour
+MAX_TIME_US = 3_600_000_000  # one hour, the longest wait or window that a form may state
 
 
 class FormReader:
-    """Subforms of one form, by keyword; each is read once, and what is left unread is a mistake."""
+    """Subforms of one form, by keyword; each is read once, and those that are never read are reported as unknown."""
 
     def __init__(self, form: Form, report: Callable[[Node, str], None]) -> None:
-        """Sort the items of a form; `report` takes the position and text of each mistake."""
+        """Split a form into its leading atoms and its subforms; `report` gets the node and text of each mistake."""
         self.form = form
         self._report = report
         self.is_valid = True
@@ -31,24 +31,26 @@
             if isinstance(item, Atom):
                 self.leading_atoms.append(item)
             elif not item.keyword:
-                self.report(item, f"a part of ({form.keyword} ...) begins with its word, like (rate 120 units/s)")
+                self.report(
+                    item, f"each part of ({form.keyword} ...) must begin with a keyword, like (rate 120 units/s)"
+                )
             elif item.keyword in self.subforms:
-                self.report(item, f"({item.keyword} ...) stands twice in one form; keep one")
+                self.report(item, f"({item.keyword} ...) appears twice in one form; keep one")
             else:
                 self.subforms[item.keyword] = item
 
     def report(self, node: Node, text: str) -> None:
-        """Report a mistake."""
+        """Report a mistake and mark the form as invalid."""
         self.is_valid = False
         self._report(node, text)
 
     def require(self, condition: bool, text: str) -> None:
-        """Report a mistake of the form as a whole, unless a subform already has one that may have caused it."""
+        """Report a mistake of the whole form if a condition fails, unless an earlier mistake may have caused it."""
         if not condition and self.is_valid:
             self.report(self.form, text)
 
     def read_name(self, kind: str) -> str:
-        """Read the single name after the form's keyword; `kind` says in mistakes what is named."""
+        """Read the single name after the form's keyword; returns "" if it is invalid. `kind` is used in error texts."""
         if len(self.leading_atoms) != 1:
             position = self.leading_atoms[1] if len(self.leading_atoms) > 1 else self.form
             keyword = self.form.keyword
@@ -57,7 +59,7 @@
         return self._checked_name(self.leading_atoms[0], kind)
 
     def reject_names(self) -> None:
-        """Report names after the form's keyword, for a form that has none."""
+        """Report names after the form's keyword, for a form that takes none."""
         if self.leading_atoms:
             self.report(
                 self.leading_atoms[0],
@@ -67,7 +69,7 @@
     def _checked_name(self, atom: Atom, kind: str, pattern: re.Pattern[str] = NAME) -> str:
         if not pattern.fullmatch(atom.text):
             self.report(
-                atom, f"{atom.text!r} is no name of a {kind}; use letters, digits, '.', '_' and '-', at most 63"
+                atom, f"{atom.text!r} is not a valid {kind} name; use at most 63 letters, digits, '.', '_' and '-'"
             )
             return ""
         return atom.text
@@ -86,29 +88,29 @@
         return form, atoms
 
     def read_names(self, keyword: str, kind: str, pattern: re.Pattern[str] = NAME) -> tuple[str, ...]:
-        """Read a list of distinct names."""
+        """Read a list of distinct names; empty if the subform is missing."""
         _, atoms = self._take_atoms(keyword)
-        names: dict[str, None] = {}  # in their order
+        names: dict[str, None] = {}  # an ordered set
         for atom in atoms:
             name = self._checked_name(atom, kind, pattern)
             if name in names:
-                self.report(atom, f"{name} stands twice; name each {kind} once")
+                self.report(atom, f"{name} appears twice; list each {kind} once")
             if name:
                 names[name] = None
         return tuple(names)
 
     def read_optional_name(self, keyword: str, kind: str, pattern: re.Pattern[str] = NAME) -> str:
-        """Read one name; empty where the subform is missing."""
+        """Read one name; returns "" if the subform is missing or invalid."""
         form, atoms = self._take_atoms(keyword)
         if form is not None and len(atoms) > 1:
             self.report(atoms[1], f"({keyword} ...) takes one {kind}")
         return self._checked_name(atoms[0], kind, pattern) if atoms else ""
 
     def read_choice(self, keyword: str, choices: tuple[str, ...]) -> str:
-        """Read one of several words; the first is the default."""
+        """Read one of several keywords; the first is the default."""
         _, atoms = self._take_atoms(keyword)
         if atoms and (len(atoms) > 1 or atoms[0].text not in choices):
-            self.report(atoms[0], f"({keyword} ...) is one of {', '.join(choices)}")
+            self.report(atoms[0], f"({keyword} ...) must be one of {', '.join(choices)}")
         return atoms[0].text if atoms and atoms[0].text in choices else choices[0]
 
     def read_quantity(
@@ -120,7 +122,7 @@
         max_value: float = 1e12,
         is_required: bool = False,
     ) -> float:
-        """Read a quantity with its unit, in the base unit of its dimension."""
+        """Read a quantity; return it in the base unit of its dimension, or the default if it is missing or invalid."""
         form, atoms = self._take_atoms(keyword)
         if form is None:
             if is_required:
@@ -143,7 +145,7 @@
     def read_number(
         self, keyword: str, default: float, min_value: float, max_value: float, is_integer: bool = False
     ) -> float:
-        """Read a number without unit, as of weights and counts of attempts."""
+        """Read a number without a unit, such as a weight or a number of attempts."""
         form, atoms = self._take_atoms(keyword)
         if form is None or not atoms:
             return default
@@ -151,7 +153,9 @@
         is_number = (INTEGER if is_integer else DECIMAL).fullmatch(text) is not None
         if len(atoms) > 1 or not is_number or not min_value <= float(text) <= max_value:
             kind = "whole number" if is_integer else "number"
-            self.report(atoms[0], f"({keyword} ...) is one {kind} from {min_value:g} to {max_value:g}, without unit")
+            self.report(
+                atoms[0], f"({keyword} ...) must be one {kind} from {min_value:g} to {max_value:g}, without a unit"
+            )
             return default
         return float(text)
 
@@ -168,7 +172,7 @@
         )
 
     def read_subform(self, keyword: str) -> FormReader | None:
-        """Return the reader of a subform that has subforms of its own; None where it is missing."""
+        """Return a reader for a subform that has subforms of its own; None if it is missing."""
         self.known_keywords.append(keyword)
         form = self.subforms.pop(keyword, None)
         if form is None:
@@ -178,24 +182,24 @@
         return reader
 
     def read_shares(self, keyword: str) -> tuple[float, ...]:
-        """Read rising shares that end with 100 %; where the subform is missing, just 100 %."""
+        """Read increasing shares that end with 100 % as fractions of 1; (1.0,) if the subform is missing or invalid."""
         self.known_keywords.append(keyword)
         form = self.subforms.pop(keyword, None)
         if form is None:
             return (1.0,)
         words = [item.text for item in form.items[1:] if isinstance(item, Atom)]
         try:
-            words = " ".join(words).replace("%", " % ").split()  # 10% and 10 % alike
-            shares = [parse_quantity(words[at : at + 2], "share") for at in range(0, len(words), 2)]
+            words = " ".join(words).replace("%", " % ").split()  # accepts both 10% and 10 %
+            shares = [parse_quantity(words[index : index + 2], "share") for index in range(0, len(words), 2)]
             if not shares or shares != sorted(set(shares)) or shares[-1] != 1.0 or shares[0] <= 0:
-                raise QuantityError(f"shares rise and end with 100 %, like ({keyword} 10 % 50 % 100 %)")
+                raise QuantityError(f"shares must increase and end with 100 %, like ({keyword} 10 % 50 % 100 %)")
         except QuantityError as error:
             self.report(form, f"({keyword} ...): {error}")
             return (1.0,)
         return tuple(shares)
 
     def reject_unknown(self) -> None:
-        """Report subforms that were not read: this kind of form has none of their keywords."""
+        """Report subforms that were not read, because this kind of form has no such subform."""
         known = ", ".join(self.known_keywords)
         for keyword, subform in self.subforms.items():
             self.report(subform, f"({self.form.keyword} ...) has no part ({keyword} ...); it may have {known}")
--- a/hophinge/routing/limits.py
+++ b/hophinge/routing/limits.py
@@ -1,9 +1,9 @@
-"""Limits of scopes at this head: rates with a burst (token buckets), and open requests.
+"""Limits by scope at this head: request rates with a burst (token buckets), and the number of open requests.
 
-A request passes all limits that match it.
+A request is open until it is answered. It must be within all limits that match it.
 
-A state survives a version that changes its limit: what was used stays used, so that a raised limit gives nothing twice
-and a lowered one leaves a debt.
+A limit's state survives a version that changes the limit, so that units which were already used stay used: raising a
+limit does not grant them a second time, and lowering it leaves a debt.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from hophinge.routing.records import Limit, Scope
 
-MIN_RETRY_AFTER_US = 10_000  # a rejected client is advised to wait at least so long, or it would retry at once
-INITIAL_OPEN_US = 100_000  # assumed time that a request is open, until some have ended
-OPEN_TIME_WEIGHT = 0.1  # of the newest request in the mean time that requests are open
-MAX_UNUSED_STATES = 256  # of removed limits, before it is worth a scan to drop them
+MIN_RETRY_AFTER_US = 10_000  # shortest retry advice to a rejected client, which would otherwise retry at once
+INITIAL_OPEN_US = 100_000  # initial estimate of how long a request stays open
+OPEN_TIME_WEIGHT = 0.1  # weight of the newest request in the moving average of open times
+MAX_UNUSED_STATES = 256  # states of removed limits that are kept before a scan drops them
 
 
 class LimitState:
-    """Token bucket and open requests of one limit; a level below 0 is a debt."""
+    """Token bucket and open requests of one limit; a negative level is a debt."""
 
     __slots__ = ("updated_us", "mean_open_us", "level", "limit", "open", "refused")
 
@@ -33,31 +33,31 @@
 
     @property
     def depth(self) -> float:
-        """Units that may be saved up."""
+        """Capacity of the bucket, in units."""
         return self.limit.rate * self.limit.burst_us / 1e6
 
     def refill(self, now_us: int) -> float:
-        """Refill the bucket up to now and return its level; a clock that went back adds nothing."""
+        """Refill the bucket up to now and return its level; a clock that steps back adds nothing."""
         self.level = min(self.depth, self.level + self.limit.rate * max(0, now_us - self.updated_us) / 1e6)
         self.updated_us = now_us
         return self.level
 
     def set_limit(self, limit: Limit, now_us: int) -> None:
-        """Continue under the limit of another version."""
+        """Replace the limit by that of another version, and keep what was used."""
         self.refill(now_us)
         has_new_rate = not self.limit.rate and limit.rate
         self.limit = limit
         self.level = self.depth if has_new_rate else min(self.level, self.depth)
 
     def wait_us(self, units: float, now_us: int) -> int:
-        """Return after how many microseconds a request may be admitted; 0: now."""
+        """Return the microseconds until a request may be admitted; 0 means now."""
         wait = 0.0
-        # A request larger than the burst passes a full bucket and leaves a debt, or it would never pass.
+        # A request larger than the burst is admitted by a full bucket and leaves a debt; it could never pass otherwise.
         needed = min(units, self.depth)
         if self.limit.rate and self.refill(now_us) < needed:
             wait = (needed - self.level) / self.limit.rate * 1e6
         if self.limit.max_open and self.open >= self.limit.max_open:
-            # By Little's law one of the open requests ends about that often.
+            # By Little's law, one of the open requests ends in each such interval on average.
             wait = max(wait, self.mean_open_us / self.limit.max_open)
         return max(MIN_RETRY_AFTER_US, int(wait) + 1) if wait > 0 else 0
 
@@ -67,12 +67,12 @@
         self.open += 1
 
     def refund(self, units: float) -> None:
-        """Undo `acquire`, for a request that is rejected for another reason."""
+        """Undo `acquire` for a request that was rejected by a later check."""
         self.level += units if self.limit.rate else 0.0
         self.open -= 1
 
     def release(self, open_us: int) -> None:
-        """Count the end of a request that was open for `open_us`."""
+        """Record the end of a request that was open for `open_us` microseconds."""
         self.open -= 1
         self.mean_open_us += (open_us - self.mean_open_us) * OPEN_TIME_WEIGHT
 
@@ -80,8 +80,8 @@
 class ByteRateState:
     """Byte rates of long bodies under one limit, in and out: a transfer is paced by a delay after each chunk.
 
-    Bytes that were transferred are a debt; the next chunk waits until it is paid off, which shares the rate among all
-    transfers in the order of their chunks.
+    Transferred bytes are taken from a bucket that may become negative; a transfer waits until that debt is refilled.
+    All transfers share the bucket, and so the rate, in the order of their chunks.
     """
 
     __slots__ = ("updated_us", "levels")
@@ -91,7 +91,7 @@
         self.updated_us = [now_us, now_us]
 
     def pacing_delay_us(self, limit: Limit, direction: int, size: int, now_us: int) -> int:
-        """Count transferred bytes and return the delay before more; `direction` is 0 for in, 1 for out."""
+        """Count `size` transferred bytes; return the delay before the next chunk. `direction`: 0 for in, 1 for out."""
         rate = (limit.bytes_in, limit.bytes_out)[direction]
         if not rate:
             return 0
@@ -109,10 +109,10 @@
         self.byte_rates: dict[str, ByteRateState] = {}
 
     def drop_removed(self, find_limit: Callable[[Scope], Limit | None], size: int) -> None:
-        """Drop states of removed limits once there are many; open requests still hold and release theirs.
+        """Drop the states of removed limits once there are many; open requests keep references to theirs.
 
         Args:
-            find_limit: Returns the limit of a scope, if the active version has one.
+            find_limit: Returns the limit of a scope, or None if the active version has none.
             size: Number of limits of the active version.
 
         """
@@ -121,12 +121,13 @@
                 key: state for key, state in self.states.items() if find_limit(state.limit.scope) is not None
             }
         if len(self.byte_rates) > 2 * size + MAX_UNUSED_STATES:
-            self.byte_rates = {}  # which grants each at most another second's worth
+            self.byte_rates = {}  # each limit is granted at most one more second's worth of bytes
 
     def state(self, limit: Limit, now_us: int) -> LimitState:
-        """Return a limit's state; it is created on first use, so that idle tenants cost nothing.
+        """Return a limit's state.
 
-        A version that changes a limit costs nothing either: the state follows when it is used next.
+        The state is created on first use and adopts a changed limit on its next use, so that neither idle tenants nor
+        the activation of a version cost anything.
         """
         state = self.states.get(limit.key)
         if state is None:
@@ -136,7 +137,7 @@
         return state
 
     def pacing_delay_us(self, limits: Iterable[Limit], direction: int, size: int, now_us: int) -> int:
-        """Count transferred bytes under all matching limits and return the longest delay."""
+        """Count transferred bytes under all matching limits; return the longest delay, in microseconds."""
         delay_us = 0
         for limit in limits:
             if limit.bytes_in or limit.bytes_out:
@@ -146,10 +147,10 @@
         return delay_us
 
     def admit(self, limits: Iterable[Limit], units: float, now_us: int) -> tuple[tuple[LimitState, ...], int]:
-        """Admit a request under all of its limits, or under none.
+        """Admit a request if all of its limits allow it; otherwise count it under none of them.
 
         Returns:
-            The states that count it, and 0; or no states, and after how many microseconds to retry.
+            The states that count the request, and 0; or no states, and the microseconds to wait before a retry.
 
         """
         states = tuple([self.state(limit, now_us) for limit in limits if limit.rate or limit.max_open])
--- a/hophinge/routing/maintenance_reader.py
+++ b/hophinge/routing/maintenance_reader.py
@@ -1,4 +1,4 @@
-"""Readers of the forms on maintenance: what may be out of service, outages and releases."""
+"""Readers of the maintenance forms: disruption budgets, outages and releases."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hophinge.routing.records import Record, RecordMistake
 
 BUILD_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.+-]{0,63}", re.ASCII)
-MIN_SOAK_US = 3_000_000  # heads report their counts every two seconds: sooner nothing is known of a wave
+MIN_SOAK_US = 3_000_000  # heads report their counts every two seconds; a shorter soak would see no report
 RELEASE_COMMANDS = ("go", "halt", "back")
 
 
@@ -26,7 +26,7 @@
     )
     reader.require(
         budget.max_count >= 0 or budget.max_share >= 0,
-        f"({reader.form.keyword} ...) needs (most 3) or (most-part 10 %), or both: the stricter counts",
+        f"({reader.form.keyword} ...) needs (most 3) or (most-part 10 %), or both: the stricter applies",
     )
     reader.reject_unknown()
     return budget
@@ -67,12 +67,14 @@
         reader.read_choice("word", RELEASE_COMMANDS),
         int(reader.read_number("again", 0, 0, 1_000_000, is_integer=True)),
     )
-    reader.require(bool(release.build), "a release needs (build NAME): the build that its heads come back with")
+    reader.require(
+        bool(release.build), "a release needs (build NAME): the build that its heads run after their restart"
+    )
     return release
 
 
 class Target(NamedTuple):
-    """A backend (`brick` in the document) or head that is to be out of service."""
+    """A backend (`brick` in the document) or head that a record takes out of service."""
 
     kind: str
     name: str
@@ -86,11 +88,11 @@
 
 
 def reference_mistakes(checked: Sequence[Record], records: Mapping[str, Record]) -> list[RecordMistake]:
-    """Return what outages and releases state wrongly about each other and about what may be out.
+    """Return outages and releases that overlap with each other or that no disruption budget allows.
 
     Args:
         checked: The records to check.
-        records: All records by key, which they may refer to.
+        records: All records by key, including those that the checked ones may refer to.
 
     """
     mistakes: list[RecordMistake] = []
@@ -101,19 +103,19 @@
         targets = _targets(record)
         for kind in sorted({target.kind for target in targets}):
             if (bounds.heads if kind == "head" else bounds.backends) is None:
-                text = f"no {kind} may be out: add (maintenance ({kind}s (most 1)))"
+                text = f"no {kind} may be out of service: add (maintenance ({kind}s (most 1)))"
                 mistakes.append(RecordMistake(record.key, text))
         if isinstance(record, Outage):
             for target in targets:
                 if target in outage_of:
-                    text = f"the {target.kind} {target.name} is in {outage_of[target]} already; keep one"
+                    text = f"the {target.kind} {target.name} is already in {outage_of[target]}; keep one"
                     mistakes.append(RecordMistake(record.key, text))
                 outage_of.setdefault(target, record.key)
     return mistakes
 
 
 def _targets(record: Record) -> list[Target]:
-    """Return what a record takes out of service; a head without a name stands for all heads."""
+    """Return what a record takes out of service; a head target with an empty name means all heads."""
     if isinstance(record, Outage):
         backends = [Target("brick", name) for name in record.backends]
         return backends + [Target("head", name) for name in record.heads]
--- a/hophinge/routing/maintenance_records.py
+++ b/hophinge/routing/maintenance_records.py
@@ -1,6 +1,6 @@
-"""Records on maintenance: how much may be out of service, what is to be out, and which build heads are to run.
+"""Maintenance records: disruption budgets, outages, and releases of new builds to heads.
 
-The control service keeps them; heads are not told of them. Field names of the JSON are given where they differ.
+Only the control service uses them; they are not sent to heads. JSON field names are given where they differ.
 """
 
 from __future__ import annotations
@@ -12,7 +12,10 @@
 
 
 class DisruptionBudget(Struct, frozen=True):
-    """How many of a kind may be out at once, in all and in one zone; negative: no bound. The strictest bound counts."""
+    """How many heads or backends may be out of service at once, in total and per zone.
+
+    A negative value means no bound; if several bounds apply, the strictest one counts.
+    """
 
     max_count: int = msgspec.field(default=-1, name="most")
     max_share: float = msgspec.field(default=-1.0, name="part")
@@ -20,11 +23,11 @@
     max_zone_share: float = msgspec.field(default=-1.0, name="zone_part")
 
     def allowed_out(self, total: int) -> int:
-        """Return how many of `total` may be out."""
+        """Return how many of `total` may be out of service at once."""
         return _strictest(self.max_count, self.max_share, total)
 
     def allowed_out_of_zone(self, size: int) -> int:
-        """Return how many may be out of a zone that has `size`."""
+        """Return how many may be out of service at once in a zone of `size`."""
         return _strictest(self.max_zone_count, self.max_zone_share, size)
 
 
@@ -36,16 +39,20 @@
 
 
 class MaintenanceRule(Struct, frozen=True, tag="maintenance"):
-    """What may be out of service on purpose."""
+    """Limits on planned maintenance: how much may be out of service deliberately."""
 
-    heads: DisruptionBudget | None = None  # None: none may be out
+    heads: DisruptionBudget | None = None  # None: no head may be out of service
     backends: DisruptionBudget | None = msgspec.field(default=None, name="bricks")
-    # Heads that must send requests to a warm backend again before another one may go out in its place.
+    # Heads that must send requests to a returned, warm backend before its permit is released for another one.
     min_serving_heads: int = msgspec.field(default=2, name="served")
-    # Units/s of one backend, for the capacity that pools must keep for reserves; 0: unknown.
+    # Capacity of one backend in units/s, to check that pools keep enough capacity for reserves; 0: unknown.
     backend_capacity: float = msgspec.field(default=0.0, name="capacity")
-    retired_heads: tuple[str, ...] = msgspec.field(default=(), name="retired")  # gone for good, says an operator
-    released_permits: tuple[str, ...] = msgspec.field(default=(), name="free")  # by an operator, not by evidence
+    retired_heads: tuple[str, ...] = msgspec.field(
+        default=(), name="retired"
+    )  # declared by an operator to be gone for good
+    released_permits: tuple[str, ...] = msgspec.field(
+        default=(), name="free"
+    )  # permits released by an operator, without evidence of the return
 
     @property
     def key(self) -> str:
@@ -54,12 +61,12 @@
 
 
 class Outage(Struct, frozen=True, tag="outage"):
-    """Backends and heads that are to be out for as long as the record is there."""
+    """Backends and heads that are to be out of service for as long as the record exists."""
 
     name: str
     backends: tuple[str, ...] = msgspec.field(default=(), name="bricks")
     heads: tuple[str, ...] = ()
-    ignored_heads: tuple[str, ...] = msgspec.field(default=(), name="without")  # whose confirmation is not awaited
+    ignored_heads: tuple[str, ...] = msgspec.field(default=(), name="without")  # their confirmation is not awaited
 
     @property
     def key(self) -> str:
@@ -68,18 +75,22 @@
 
 
 class Release(Struct, frozen=True, tag="release"):
-    """A build that heads are to run, introduced in waves of restarts."""
+    """A build that heads are to run, rolled out by restarts in waves."""
 
     name: str
     build: str
     heads: tuple[str, ...] = ()  # empty: all
-    waves: tuple[float, ...] = (1.0,)  # rising shares of the heads; the very first head goes alone
+    waves: tuple[float, ...] = (
+        1.0,
+    )  # increasing cumulative shares of the heads; the very first head is restarted alone
     soak_us: int = msgspec.field(default=30_000_000, name="settle_us")  # between waves
-    return_timeout_us: int = msgspec.field(default=300_000_000, name="patience_us")  # from a head's stop to its return
-    # Share of a wave's requests that may fail beyond the share of the other heads; above it the release halts.
+    return_timeout_us: int = msgspec.field(
+        default=300_000_000, name="patience_us"
+    )  # from the stop of a head until it is back
+    # The release halts if the failure share of a wave exceeds that of the other heads by more than this.
     max_failure_share: float = msgspec.field(default=0.02, name="refused")
-    command: str = msgspec.field(default="go", name="word")  # or "halt", or "back"
-    resume_count: int = msgspec.field(default=0, name="again")  # raised by operators to resume a halted release
+    command: str = msgspec.field(default="go", name="word")  # "go", "halt" or "back"
+    resume_count: int = msgspec.field(default=0, name="again")  # incremented by an operator to resume a halted release
 
     @property
     def key(self) -> str:
--- a/hophinge/routing/outlier_detection.py
+++ b/hophinge/routing/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: a backend that fails too large a share of its attempts is ejected for a time.
+"""Outlier detection: a backend whose share of failed attempts is too large is ejected for a time.
 
-At most a stated share of the live backends is ejected at once. A backend that is ejected again soon after its return
-stays out twice as long each time.
+The rule bounds the share of live backends that are ejected at once. A backend that is ejected again soon after its
+return stays ejected twice as long each time.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from hophinge.routing.records import EjectionRule
 
 WINDOW_SLOTS = 8
-MAX_DOUBLINGS = 5  # of the time out
-CALM_PERIODS = 8  # times out without a new ejection, after which a backend starts over with the shortest one
+MAX_DOUBLINGS = 5  # of the ejection time
+BACKOFF_RESET_PERIODS = 8  # ejection times without a new ejection, after which the doublings start over
 ROUNDING = 1e-9
 
 
 class EjectionHistory(NamedTuple):
-    """How often a backend was ejected in a row, and when last."""
+    """How many times a backend was ejected in a row, and the time of the last ejection."""
 
     in_a_row: int
     last_us: int
 
 
 class ErrorWindow:
-    """Attempts at one backend and their errors, in slots of a sliding window."""
+    """Attempts at one backend and their errors, counted in the slots of a sliding window."""
 
     __slots__ = ("attempts", "current_slot", "errors")
 
@@ -47,7 +47,7 @@
 
 
 class OutlierDetector:
-    """Ejected backends; `ejected_until` (microseconds by backend) changes only within its calls."""
+    """Ejects failing backends; `ejected_until` (microseconds, by backend) changes only during calls of its methods."""
 
     def __init__(self) -> None:
         self.rule: EjectionRule | None = None
@@ -55,9 +55,9 @@
         self.windows: dict[str, ErrorWindow] = {}
         self.ejected_until: dict[str, int] = {}
         self.ejections: dict[str, EjectionHistory] = {}
-        self.next_return_us = 0  # when the next backend returns; 0: none is ejected
+        self.next_return_us = 0  # when the next ejection ends; 0: no backend is ejected
         self.ejected_count = 0
-        self.suppressed_count = 0  # ejections that the bound on their share prevented
+        self.suppressed_count = 0  # ejections that `max_ejected` prevented
 
     @property
     def max_ejected(self) -> int:
@@ -65,14 +65,14 @@
         return int(self.rule.max_ejected_share * len(self.live) + ROUNDING) if self.rule is not None else 0
 
     def set_rule(self, rule: EjectionRule | None, now_us: int) -> bool:
-        """Apply a version's rule; returns whether backends have returned."""
+        """Apply a version's rule (None: no ejections); return whether the set of ejected backends has changed."""
         if rule != self.rule and (rule is None or self.rule is None or rule.window_us != self.rule.window_us):
-            self.windows = {}  # slots have another length now
+            self.windows = {}  # the length of a slot has changed
         self.rule = rule
         return self._restore_backends(now_us)
 
     def set_live_backends(self, live: Iterable[str], now_us: int) -> bool:
-        """Set the backends that may be sent to; returns whether the set of ejected ones has changed."""
+        """Set the live backends; return whether the set of ejected ones has changed."""
         self.live = frozenset(live)
         for state_by_backend in (self.windows, self.ejections):
             for node in state_by_backend.keys() - self.live:
@@ -83,7 +83,7 @@
         return self._restore_backends(now_us) or bool(removed)
 
     def _restore_backends(self, now_us: int) -> bool:
-        """Let backends return whose time is over, and the next ones due while too many are ejected."""
+        """End expired ejections, and the ones that expire next while too many backends are ejected."""
         before = len(self.ejected_until)
         self.ejected_until = {node: until_us for node, until_us in self.ejected_until.items() if until_us > now_us}
         by_return = sorted(self.ejected_until.items(), key=lambda item: (item[1], item[0]))
@@ -93,11 +93,11 @@
         return len(self.ejected_until) != before
 
     def restore_expired(self, now_us: int) -> bool:
-        """Let backends return whose time is over; returns whether there were any."""
+        """End expired ejections; return whether there were any."""
         return 0 < self.next_return_us <= now_us and self._restore_backends(now_us)
 
     def on_attempt_ended(self, node: str, error: bool, now_us: int) -> bool:
-        """Record the end of an attempt; returns whether its backend is ejected for it."""
+        """Record the end of an attempt; return whether its backend was ejected because of it."""
         rule = self.rule
         if rule is None or node not in self.live or node in self.ejected_until:
             return False
@@ -116,10 +116,10 @@
 
     def _eject(self, node: str, rule: EjectionRule, now_us: int) -> None:
         count, last_us = self.ejections.get(node, (0, now_us))
-        if now_us - last_us > CALM_PERIODS * rule.ejection_us * 2 ** min(count, MAX_DOUBLINGS):
+        if now_us - last_us > BACKOFF_RESET_PERIODS * rule.ejection_us * 2 ** min(count, MAX_DOUBLINGS):
             count = 0
         self.ejections[node] = EjectionHistory(count + 1, now_us)
         self.ejected_until[node] = now_us + rule.ejection_us * 2 ** min(count, MAX_DOUBLINGS)
         self.next_return_us = min(self.ejected_until.values())
-        del self.windows[node]  # once it has returned, it is judged by its attempts from then on
+        del self.windows[node]  # after its return, only new attempts count
         self.ejected_count += 1
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -53,7 +53,7 @@
         assert "holds this already" in command("control", "push", "examples/service.sexp", *reach).stdout
         (tmp_path / "b.sexp").write_text("(hophinge 1)(odd)")
         bad = command("control", "push", str(tmp_path / "b.sexp"), *reach)
-        assert bad.returncode == 2 and "b.sexp:1:13: 'odd' is no form" in bad.stderr
+        assert bad.returncode == 2 and "b.sexp:1:13: unknown form 'odd'" in bad.stderr
         assert "version 1.2 has the content of 1.1" in command("control", "rollback", "1.1", *reach).stdout
         shown = command("control", "status", *reach)
         assert shown.returncode == 0 and "version 1.2 is rolling" in shown.stdout
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -45,7 +45,7 @@
                 status_now = await here.call_operator_api("Status")
                 rows = {row["name"]: row for row in status_now["heads"]}
             assert (rows["n0"]["runs"], rows["n1"]["runs"]) == ("1.1", "1.2")
-            assert "no zone the-moon here" in rows["n0"]["reason"] and status_now["stage"] == "held"
+            assert "unknown zone the-moon" in rows["n0"]["reason"] and status_now["stage"] == "held"
             assert one.control_listener is not None
             host, port = one.control_listener.sockets[0].getsockname()
             async with here.made.client.get(f"http://{host}:{port}/ops/config") as answer:
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -49,33 +49,33 @@
         ("(limit (rate -1 units/s))", "2:14", "no number"),
         ("(limit (rate 1e9 units/s))", "2:14", "no number"),
         ("(limit (open 1.5 requests))", "2:14", "whole number"),
-        ("(limit (burst 1 s) (open 2 requests))", "2:1", "saved up from a rate"),
+        ("(limit (burst 1 s) (open 2 requests))", "2:1", "(burst ...) requires a rate"),
         ("(limit)", "2:1", "needs (rate 120 units/s)"),
         ("(limit (in 1 KiB/s))", "2:12", "from 64 KiB/s"),
         ("(limit (out 4 MiB))", "2:13", "MiB measures a size, wanted is a byte rate"),
         ("(limit x (open 2 requests))", "2:8", "bracketed parts only"),
         ("(retries (budget 120 %))", "2:18", "over 100 %"),
-        ("(retries (attempts 2 requests))", "2:20", "without unit"),
-        ("(shard a)", "2:1", "'shard' is no form; there are plan, pool"),
-        ("(plan a)\n (plan a)", "3:2", "plan/a is given twice, first in line 2"),
-        ("(route (pools gone))", "2:1", "the pool gone is nowhere defined"),
+        ("(retries (attempts 2 requests))", "2:20", "without a unit"),
+        ("(shard a)", "2:1", "unknown form 'shard'; known forms: plan, pool"),
+        ("(plan a)\n (plan a)", "3:2", "plan/a is defined twice, first on line 2"),
+        ("(route (pools gone))", "2:1", "the pool gone is not defined"),
         ("(pool a (zones x) (zones y))", "2:19", "twice in one form"),
-        ("(pool a (zones x x))", "2:18", "x stands twice"),
+        ("(pool a (zones x x))", "2:18", "x appears twice"),
         ("(pool a (zones x) (colour red))", "2:19", "has no part (colour ...); it may have zones, kinds"),
         ("(pool a)", "2:1", "needs (zones ...)"),
         ("(pool a b (zones x))", "2:9", "takes one name"),
         ("(pool (zones x))", "2:1", "takes one name"),
-        ("(pool a/b (zones x))", "2:7", "no name of a pool"),
+        ("(pool a/b (zones x))", "2:7", "not a valid pool name"),
         ("(pool a (zones))", "2:9", "(zones) is empty"),
         ("(pool a (zones (x)))", "2:9", "takes words, not forms"),
-        ("(pool a ((x)))", "2:9", "begins with its word"),
-        ("()", "2:1", "a form begins with its word"),
-        ("stray", "2:1", "stands outside of any form"),
-        ("(hophinge 1)", "2:1", "stands once"),
+        ("(pool a ((x)))", "2:9", "must begin with a keyword"),
+        ("()", "2:1", "a form must begin with a keyword"),
+        ("stray", "2:1", "is outside any form"),
+        ("(hophinge 1)", "2:1", "must appear only once"),
         ("(eject (errors 50 %) (over 2 s) (rest 1 s))", "2:1", "needs (at-most 20 %)"),
         ("(eject (errors 50 %) (over 2 s) (rest 2 min) (at-most 30 %) (least 0 requests))", "2:68", "from 1 requests"),
-        ("(rollout (waves 50 % 10 % 100 %))", "2:10", "shares rise and end with 100 %"),
-        ("(tenant a (volumes 0000000000000001))(tenant b (volumes 0000000000000001))", "2:38", "belongs to a already"),
+        ("(rollout (waves 50 % 10 % 100 %))", "2:10", "shares must increase and end with 100 %"),
+        ("(tenant a (volumes 0000000000000001))(tenant b (volumes 0000000000000001))", "2:38", "already belongs to a"),
         ("(pool a (zones hall-a)", "2:1", "the file ends within this form; close it with ')'"),
         ("(pool a (zones hall-a)))", "2:24", "closes nothing"),
         ('(pool a (zones "hall))', "2:16", "does not end on its line"),
@@ -94,8 +94,8 @@
 
 def test_unsupported_version_and_empty_file() -> None:
     assert "not 2" in read_document(b"(hophinge 2)").mistake_lines("f")[0]
-    assert "begins with (hophinge 1)" in read_document(b"").mistake_lines("f")[0]
-    assert "begins with (hophinge 1)" in read_document(b"(plan a)").mistake_lines("f")[0]
+    assert "must begin with (hophinge 1)" in read_document(b"").mistake_lines("f")[0]
+    assert "must begin with (hophinge 1)" in read_document(b"(plan a)").mistake_lines("f")[0]
 
 
 def test_invalid_utf_8_and_unclosed_brackets() -> None:
--- a/tests/test_maintenance_integration.py
+++ b/tests/test_maintenance_integration.py
@@ -52,12 +52,12 @@
         ("(maintenance (heads (most three)))", "2:27", "whole number from 0 to 10000"),
         ("(maintenance (heads (most 1) (mots 2)))", "2:30", "has no part (mots ...)"),
         ("(outage o)", "2:1", "needs (bricks NAME ...) or (heads NAME ...)"),
-        ("(outage o (bricks a))", "2:1", "no brick may be out: add (maintenance (bricks (most 1)))"),
-        (BOUND + "(outage o (bricks a)) (outage p (bricks a))", "2:72", "the brick a is in outage/o already"),
+        ("(outage o (bricks a))", "2:1", "no brick may be out of service: add (maintenance (bricks (most 1)))"),
+        (BOUND + "(outage o (bricks a)) (outage p (bricks a))", "2:72", "the brick a is already in outage/o"),
         (BOUND + "(release r)", "2:50", "needs (build NAME)"),
         (BOUND + "(release r (build 2) (word stop))", "2:77", "one of go, halt, back"),
         (BOUND + "(release r (build 2) (settle 1 s))", "2:79", "must be from 3 s to 60 min"),
-        (BOUND + "(release r (build 2) (waves 50% 20%))", "2:71", "shares rise and end with 100 %"),
+        (BOUND + "(release r (build 2) (waves 50% 20%))", "2:71", "shares must increase and end with 100 %"),
     ],
 )
 def test_an_invalid_form_is_reported_with_its_position(text: str, position: str, words: str) -> None:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -146,13 +146,13 @@
 @pytest.mark.parametrize(
     ("text", "why"),
     [
-        ("(pool x (zones mars))", "pool/x: no zone mars here"),
-        ("(pool x (kinds odd))", "pool/x: no machine kind odd here"),
-        ("(pool b (zones hall-b))(route (class gone) (pools b))", "route/*/*/gone: no class gone here"),
-        ("(limit (class gone) (open 1 requests))", "no class gone here"),
-        ("(retries (attempts 9))", "retries/*: 9 attempts; the platform allows 3"),
+        ("(pool x (zones mars))", "pool/x: unknown zone mars"),
+        ("(pool x (kinds odd))", "pool/x: unknown machine kind odd"),
+        ("(pool b (zones hall-b))(route (class gone) (pools b))", "route/*/*/gone: unknown request class gone"),
+        ("(limit (class gone) (open 1 requests))", "unknown request class gone"),
+        ("(retries (attempts 9))", "retries/*: 9 attempts, but the platform allows at most 3"),
         ("(plan plan-0 (reserve 9999 units/s))", "plan/plan-0: reserves 9999 units/s"),
-        ("(plan unknown (weight 1))", "plan/unknown: no such plan here"),
+        ("(plan unknown (weight 1))", "plan/unknown: unknown plan"),
     ],
 )
 def test_unsupported_records_are_rejected(text: str, why: str) -> None:
