--- a/hophinge/popularity/__init__.py
+++ b/hophinge/popularity/__init__.py
@@ -1,1 +1,1 @@
-"""Popularity that decays, and what it is worth to fetch beforehand; decided without I/O."""
+"""Predicts the demand for objects and plans prefetches; decided without I/O."""
--- a/hophinge/popularity/frequency_sketch.py
+++ b/hophinge/popularity/frequency_sketch.py
@@ -1,7 +1,8 @@
 """Decayed counts of requested keys in bounded memory: the space-saving algorithm with forward decay, by tenant.
 
-A counter never underestimates, and has a bound on its overestimate (its error). A tenant has a bounded share of the
-counters and its own floor, so one that requests millions of objects evicts its own counters and no other's.
+A counter never underestimates, and has a bound on its overestimate (its error). Each tenant has a bounded share of the
+counters and a floor of its own, the upper bound for its keys without a counter. So a tenant that requests millions of
+objects evicts its own counters and not those of others.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 import math
 from msgspec import Struct
 
-MAX_POWER = 60.0  # half-lives after which weights are scaled down: 2 ** 60 keeps doubles exact enough
+MAX_POWER = 60.0  # half-lives after which all weights are scaled down: up to 2 ** 60 doubles are exact enough
 
-EVICTIONS_PER_SEARCH = 64  # between searches for the largest tenant; shares differ little after so few
+EVICTIONS_PER_SEARCH = 64  # between searches for the tenant with most counters; shares change little in between
 
 
 class KeyCount(Struct, frozen=True):
@@ -34,7 +35,7 @@
 
 
 class TenantCounters(Struct):
-    """The counters of one tenant: a heap by count, which may have stale counts, and the floor of evicted keys."""
+    """The counters of one tenant: a heap by count, which may hold stale counts, and the floor of evicted keys."""
 
     heap: list[tuple[float, bytes]]
     live_count: int = 0
@@ -43,18 +44,18 @@
 
 
 class FrequencySketch:
-    """Decayed counts of one process.
+    """The decayed request counts of one process.
 
     Args:
-        counters: The limit on counters.
-        half_life_us: In which a count halves.
-        tenant_fraction: Of the counters that one tenant may have.
+        counters: The maximum number of counters.
+        half_life_us: The time in which a count decays to half.
+        tenant_fraction: The share of the counters that one tenant may have.
 
     """
 
     def __init__(self, counters: int, half_life_us: int, tenant_fraction: float = 1.0) -> None:
         if counters < 1 or half_life_us < 1 or not 0.0 < tenant_fraction <= 1.0:
-            raise ValueError("counters and half_life_us are at least 1, tenant_part is above 0 and at most 1")
+            raise ValueError("counters and half_life_us must be at least 1, tenant_fraction above 0 and at most 1")
         self.max_counters = counters
         self.half_life_us = half_life_us
         self.max_tenant_counters = max(1, int(counters * tenant_fraction))
@@ -72,7 +73,7 @@
         return key in self.counters
 
     def _growth(self, now_us: int) -> float:
-        """Return the weight of a request now; a clock that goes back counts as stopped."""
+        """Return the weight of a request now; a clock that goes back is treated as stopped."""
         power = (now_us - self.landmark_us) / self.half_life_us
         if power > MAX_POWER:
             self._rescale(now_us, power)
@@ -95,7 +96,7 @@
             for name, tenant_counters in self.tenants.items()
             if not tenant_counters.live_count and tenant_counters.floor < 1e-9
         ]:
-            del self.tenants[name]  # a tenant without requests for long
+            del self.tenants[name]  # without requests for a long time
 
     def add(self, now_us: int, key: bytes, tenant: str, requests: float = 1.0) -> None:
         """Count requests for a key."""
@@ -120,34 +121,34 @@
         heapq.heappush(tenant_counters.heap, (tenant_counters.floor + weight, key))
 
     def _largest(self) -> TenantCounters:
-        """Return the tenant with most counters, searched only now and then as there may be many tenants."""
+        """Return the tenant with most counters, searched only at intervals, as there may be many tenants."""
         if self.evictions_until_search <= 0 or self.largest is None or not self.largest.live_count:
             self.evictions_until_search = EVICTIONS_PER_SEARCH
-            self.largest = max(self.tenants.values(), key=lambda one: one.live_count)
+            self.largest = max(self.tenants.values(), key=lambda tenant_counters: tenant_counters.live_count)
         self.evictions_until_search -= 1
         return self.largest
 
     def _evict(self, tenant_counters: TenantCounters) -> None:
-        """Evict a tenant's least counter, and raise its floor to that count."""
+        """Evict the smallest counter of a tenant, and raise the tenant's floor to its count."""
         heap = tenant_counters.heap
         while True:
-            noted, key = heap[0]
+            heap_count, key = heap[0]
             count = self.counters[key].count
-            if count <= noted:
+            if count <= heap_count:
                 break
-            heapq.heapreplace(heap, (count, key))  # it was counted since it was pushed
+            heapq.heapreplace(heap, (count, key))  # the count has grown since it was pushed
         heapq.heappop(heap)
         del self.counters[key]
         tenant_counters.live_count -= 1
         tenant_counters.floor = max(tenant_counters.floor, count)
 
     def forget(self, key: bytes) -> None:
-        """Drop a key that was deleted; the floor need not rise, as it is not requested again."""
+        """Drop a deleted key; the floor stays as it is, since the key is not requested again."""
         counter = self.counters.pop(key, None)
         if counter is not None:
             tenant_counters = self.tenants[counter.tenant]
             tenant_counters.live_count -= 1
-            tenant_counters.heap = [place for place in tenant_counters.heap if place[1] != key]
+            tenant_counters.heap = [entry for entry in tenant_counters.heap if entry[1] != key]
             heapq.heapify(tenant_counters.heap)
 
     def count(self, now_us: int, key: bytes, tenant: str) -> KeyCount:
@@ -162,16 +163,16 @@
     def top(self, now_us: int, max_keys: int, tenant: str | None = None) -> list[KeyCount]:
         """Return the keys with the highest counts, of one tenant or all; ties are ordered by key."""
         growth = self._growth(now_us)
-        found = (
-            (-(one.count - one.error), key)
-            for key, one in self.counters.items()
-            if tenant is None or one.tenant == tenant
+        ranked = (
+            (-(counter.count - counter.error), key)
+            for key, counter in self.counters.items()
+            if tenant is None or counter.tenant == tenant
         )
         return [
             KeyCount(
                 key, self.counters[key].tenant, self.counters[key].count / growth, self.counters[key].error / growth
             )
-            for _, key in heapq.nsmallest(max_keys, found)
+            for _, key in heapq.nsmallest(max_keys, ranked)
         ]
 
     def total(self, now_us: int, tenant: str | None = None) -> float:
@@ -182,8 +183,10 @@
         return self.tenants[tenant].weight / growth if tenant in self.tenants else 0.0
 
     def close_span(self) -> list[tuple[bytes, str, float]]:
-        """Return key, tenant and undecayed requests since the last call for each counter, and reset the latter."""
-        found = [(key, one.tenant, one.span_requests) for key, one in self.counters.items()]
+        """Return key, tenant and undecayed requests since the last call for each counter; starts a new span."""
+        span_counts = [
+            (key, key_counter.tenant, key_counter.span_requests) for key, key_counter in self.counters.items()
+        ]
         for counter in self.counters.values():
             counter.span_requests = 0.0
-        return found
+        return span_counts
--- a/hophinge/popularity/interface.py
+++ b/hophinge/popularity/interface.py
@@ -1,4 +1,4 @@
-"""What other packages may query of predicted demand."""
+"""The interface by which other packages query predicted demand."""
 
 from __future__ import annotations
 
--- a/hophinge/popularity/object_keys.py
+++ b/hophinge/popularity/object_keys.py
@@ -1,10 +1,10 @@
-"""Object names as they may leave a process: hashed and encrypted with a secret of the installation.
+"""Object identifiers that may leave a process: hashed and encrypted with a secret of the installation.
 
-A key lets heads sum their counts, and reveals nothing without the secret. The locator, which backends are asked for
-and which has no name either, is sent encrypted, so that a site can fetch an object that it never served. Key and
-ciphertext are the synthetic-IV construction (the idea of RFC 5297, with BLAKE2b): the key is the locator's keyed hash,
-and the pad follows from the key, so the same object gives the same bytes everywhere and no pad is used for two
-locators.
+A key lets heads sum their counts, and reveals nothing without the secret. The locator, which identifies the object to
+backends and contains no names either, is sent encrypted, so that a site can fetch an object that it never served. Key
+and ciphertext are a synthetic-IV construction (the idea of RFC 5297, with BLAKE2b): the key is a keyed hash of the
+locator, and the pad is derived from the key. So the same object gives the same bytes everywhere, and no pad is used for
+two locators.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from msgspec import Struct
 
-KEY_BYTES = 8  # 64 bits: among a million objects two share a key once in 37 million installations
-SEALED_BYTES = 20  # volume and manifest, 8 each, and the shard
-MIN_SECRET_BYTES = 16  # shorter ones can be guessed
+KEY_BYTES = 8  # 64 bits: two of a million objects share a key in one of 37 million installations
+SEALED_BYTES = 20  # volume and manifest, 8 bytes each, and the shard, 4 bytes
+MIN_SECRET_BYTES = 16  # a shorter secret can be guessed
 HEX_DIGITS = frozenset("0123456789abcdef")
 
 
@@ -36,7 +36,7 @@
 
     def __init__(self, secret: bytes) -> None:
         if len(secret) < MIN_SECRET_BYTES:
-            raise ValueError(f"a secret has at least {MIN_SECRET_BYTES} bytes")
+            raise ValueError(f"the secret must have at least {MIN_SECRET_BYTES} bytes")
         self.secret = blake2b(secret, digest_size=32).digest()
 
     def of(self, locator: Locator) -> bytes:
@@ -45,7 +45,7 @@
         return blake2b(text, digest_size=KEY_BYTES, key=self.secret, person=b"object").digest()
 
     def seal(self, locator: Locator) -> bytes:
-        """Encrypt a locator; empty if its volume or manifest is not a number in hexadecimal, as it then stays local."""
+        """Encrypt a locator; empty if its volume or manifest is not 16 hexadecimal digits, as it then stays local."""
         volume, manifest = _decode_hex(locator.volume), _decode_hex(locator.manifest)
         if volume is None or manifest is None or not 0 <= locator.shard < 1 << 32:
             return b""
@@ -62,4 +62,4 @@
 
     def _apply_pad(self, key: bytes, data: bytes) -> bytes:
         pad = blake2b(key, digest_size=SEALED_BYTES, key=self.secret, person=b"locator").digest()
-        return bytes(one ^ other for one, other in zip(data, pad, strict=True))
+        return bytes(data_byte ^ pad_byte for data_byte, pad_byte in zip(data, pad, strict=True))
--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -1,9 +1,9 @@
-"""What will be asked for in the next span: several courses an object may take, weighed by how well each foretold it.
+"""Predicts the requests of the next span: several trend models per object, weighted by how well each has predicted.
 
-Each course is a gamma filter: it holds a rate's belief as a shape and a sum of exposure, discounts it each span, moves
-it by its growth, and so foretells the next count as a negative binomial. What the count then was is the evidence by
-which courses are weighed. The rates of decay are an object's own, drawn towards its publisher's usual ones while it is
-young and its own counts say little.
+Each model is a gamma filter: its belief about the request rate is a gamma distribution with a shape and an exposure,
+which it discounts each span and scales by its growth. So it predicts the next count as a negative binomial. The
+likelihood of the actual count is the evidence by which the models are weighted. The decay rates are estimated for each
+object, and shrunk towards the usual rates of its publisher while the object is young and its own counts tell little.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 LAST_VALUE, STEADY, EXPONENTIAL, POWER, DAILY = range(5)
 TREND_MODELS = ("last", "steady", "exponential", "power", "daily")
-DISCOUNTS = (0.3, 0.9, 0.8, 0.8, 0.3)  # of what was known, each span; by trying out on the tuning seeds
-MIN_SHAPE = 0.002  # of a belief that nothing comes: one that is surer would be a course that nothing refutes
-MAX_SHAPE = 60.0  # a belief is never surer than this: sources change faster than a filter would have it
-EVIDENCE_DECAY = 0.95  # of evidence for courses, each span: twenty spans say which course an object takes
-RATE_DECAY = 0.93  # of what an object's own decay was reckoned from
-PRIOR_RATE_WEIGHT = 60.0  # of such evidence that the publisher's usual decay counts for
-PRIOR_SHAPE = 1.0  # shape of what a publisher's new object is held for
-DEFAULT_FIRST_REQUESTS = 0.5  # requests in its first span, where a publisher is not known at all
-MIN_LOG_LIKELIHOOD = -30.0  # of one span, logarithmic: no course is ruled out for ever by one odd count
-MAX_NEW_AGE = 4  # spans of age up to which an object shows how its publisher's objects begin
-PRIOR_EVIDENCE_WEIGHT = 8.0  # spans' evidence that this counts for at first
-NEW_OBJECT_LEARNING_RATE = 0.03  # of each such span's word in it
-MIN_FOLLOWED_RATE = 0.02  # requests a span below which an object is not followed on
+DISCOUNTS = (0.3, 0.9, 0.8, 0.8, 0.3)  # share of shape and exposure that each model keeps per span
+MIN_SHAPE = 0.002  # of a model that expects no requests: a smaller one would be too certain to be refuted
+MAX_SHAPE = 60.0  # limit for the certainty of a model: real rates change faster than the filter would assume
+EVIDENCE_DECAY = 0.95  # of the evidence for models, per span: the last twenty spans or so decide
+RATE_DECAY = 0.93  # of the evidence for an object's own decay rates, per observation
+PRIOR_RATE_WEIGHT = 60.0  # weight of the publisher's usual decay rates, in units of that evidence
+PRIOR_SHAPE = 1.0  # of the prior belief about a publisher's new object
+DEFAULT_FIRST_REQUESTS = 0.5  # of an object in its first span, if its publisher is unknown
+MIN_LOG_LIKELIHOOD = -30.0  # of one span: a single unusual count does not rule out a model for ever
+MAX_NEW_AGE = 4  # in spans; younger objects are evidence for how their publisher's objects begin
+PRIOR_EVIDENCE_WEIGHT = 8.0  # weight of this evidence in a new object, in spans
+NEW_OBJECT_LEARNING_RATE = 0.03  # weight in this evidence of one span of a new object
+MIN_FOLLOWED_RATE = 0.02  # requests per span; an object without requests is dropped below this prediction
 
 
 class PublisherPattern(Struct):
-    """How a publisher's objects go as a rule: their first span, and both kinds of decay."""
+    """The usual demand for a publisher's objects: in their first span, and both kinds of decay."""
 
     first_requests: float = DEFAULT_FIRST_REQUESTS
     observed_objects: float = 1.0
@@ -42,12 +42,12 @@
     exp_weight: float = 1.0
     pow_ratio: float = 0.0
     pow_weight: float = 1.0
-    # The mean log likelihood of each course while objects are young.
+    # The mean log likelihood of each model while objects are young.
     evidence: list[float] = field(default_factory=lambda: [0.0] * len(TREND_MODELS))
 
 
 class DemandForecast(Struct):
-    """One object's beliefs."""
+    """The state of the models of one object, and the prediction of its next span."""
 
     tenant: str
     age: int
@@ -63,11 +63,11 @@
     exp_weight: float = 0.0
     pow_ratio: float = 0.0
     pow_weight: float = 0.0
-    daily_rates: list[float] | None = None  # by bucket, the rate when it was met last; below 0: not met yet
+    daily_rates: list[float] | None = None  # by bucket of the day, averaged; below 0: unknown
 
 
 def _log_likelihood(count: float, shape: float, exposure: float) -> float:
-    """Return a negative binomial's log probability of a count."""
+    """Return the log probability of a count under a negative binomial distribution."""
     return (
         math.lgamma(count + shape)
         - math.lgamma(shape)
@@ -78,171 +78,181 @@
 
 
 class Predictor:
-    """Predictions of one site, over spans of one length."""
+    """The predictions of one site, over spans of a fixed length."""
 
     def __init__(self, spans_a_day: int) -> None:
         self.season = DailySeason(spans_a_day)
-        self.growth = 1.0  # that the daily wave alone lets expect from the closed span to the next
-        self.grown = 1.0  # the same for the span that has closed
+        self.growth = 1.0  # expected from the closed span to the next by the daily season alone
+        self.last_growth = 1.0  # that was expected for the closed span
         self.forecasts: dict[bytes, DemandForecast] = {}
-        self.usual: dict[str, PublisherPattern] = {}
-        self.here = self.then = 0
+        self.publisher_patterns: dict[str, PublisherPattern] = {}
+        self.current_bucket = self.next_bucket = 0
         self.calibration = Calibration()
 
     def begin_interval(self, total: float) -> None:
-        """Close a span whose requests were so many; `observe` then takes them by key."""
-        self.here = self.season.bucket()
-        self.then = self.season.bucket(1)
-        self.grown = self.growth
+        """Close a span with its total requests; `observe` is then called with the count of each key."""
+        self.current_bucket = self.season.bucket()
+        self.next_bucket = self.season.bucket(1)
+        self.last_growth = self.growth
         self.growth = self.season.close_span(total)
 
     def predict(self, key: bytes) -> Prediction | None:
-        """Return the next span's requests for a key; nothing where it is not followed."""
-        course = self.forecasts.get(key)
-        return None if course is None else Prediction(course.mean, course.low, course.high)
+        """Return the prediction for a key in the next span; None if the key has no forecast."""
+        forecast = self.forecasts.get(key)
+        return None if forecast is None else Prediction(forecast.mean, forecast.low, forecast.high)
 
     def model_weights(self, key: bytes) -> dict[str, float]:
-        """Return how much each course counts for a key."""
-        course = self.forecasts.get(key)
-        return {} if course is None else dict(zip(TREND_MODELS, _weights(course.evidence), strict=True))
+        """Return the weight of each model for a key; empty if the key has no forecast."""
+        forecast = self.forecasts.get(key)
+        return {} if forecast is None else dict(zip(TREND_MODELS, _weights(forecast.evidence), strict=True))
 
     def predict_new(self, tenant: str) -> Prediction:
-        """Return the first span's requests for an object that its publisher has just made."""
-        usual = self.usual.get(tenant, PublisherPattern())
+        """Return the prediction for the first span of a publisher's new object."""
+        pattern = self.publisher_patterns.get(tenant, PublisherPattern())
         return self.calibration.interval(
-            prediction_class(usual.first_requests, 0),
-            usual.first_requests,
-            usual.first_requests + usual.first_requests**2 / PRIOR_SHAPE,
+            prediction_class(pattern.first_requests, 0),
+            pattern.first_requests,
+            pattern.first_requests + pattern.first_requests**2 / PRIOR_SHAPE,
         )
 
     def evict_to(self, limit: int) -> None:
-        """Follow at most so many objects, those with the largest means."""
+        """Keep the forecasts of at most `limit` objects, those with the largest means."""
         if len(self.forecasts) > limit:
-            least = sorted((course.mean, key) for key, course in self.forecasts.items())
+            least = sorted((forecast.mean, key) for key, forecast in self.forecasts.items())
             for _, key in least[: len(least) - limit]:
                 del self.forecasts[key]
 
     def remove(self, key: bytes) -> None:
-        """Follow a key no longer."""
+        """Remove the forecast of a key."""
         self.forecasts.pop(key, None)
 
     def observe(self, key: bytes, tenant: str, count: float) -> Prediction:
-        """Take a key's requests in the span that has closed, and foretell its next."""
-        course = self.forecasts.get(key)
-        if course is None and count <= 0.0:
-            return Prediction(0.0, 0.0, 0.0)  # quiet, and not followed: nothing to learn from
-        usual = self.usual.get(tenant)
-        if usual is None:
-            usual = self.usual[tenant] = PublisherPattern()
-        if course is None:
-            course = self.forecasts[key] = self._create(tenant, count, usual)
+        """Record the requests for a key in the closed span, and predict its next span."""
+        forecast = self.forecasts.get(key)
+        if forecast is None and count <= 0.0:
+            return Prediction(0.0, 0.0, 0.0)  # neither requests nor a forecast: nothing to learn
+        pattern = self.publisher_patterns.get(tenant)
+        if pattern is None:
+            pattern = self.publisher_patterns[tenant] = PublisherPattern()
+        if forecast is None:
+            forecast = self.forecasts[key] = self._create(tenant, count, pattern)
         else:
-            self.calibration.record_outcome(prediction_class(course.mean, course.age), course.low, course.high, count)
-            self._update_evidence(course, usual, count)
-            self._fit_decay(course, usual, count)
-            course.age += 1
-        self._update_daily_rates(course, count)
-        course.last_count = count
-        self._forecast(course, usual)
-        if course.mean < MIN_FOLLOWED_RATE and count <= 0.0:
+            self.calibration.record_outcome(
+                prediction_class(forecast.mean, forecast.age), forecast.low, forecast.high, count
+            )
+            self._update_evidence(forecast, pattern, count)
+            self._fit_decay(forecast, pattern, count)
+            forecast.age += 1
+        self._update_daily_rates(forecast, count)
+        forecast.last_count = count
+        self._forecast(forecast, pattern)
+        if forecast.mean < MIN_FOLLOWED_RATE and count <= 0.0:
             del self.forecasts[key]
-        return Prediction(course.mean, course.low, course.high)
+        return Prediction(forecast.mean, forecast.low, forecast.high)
 
-    def _create(self, tenant: str, count: float, usual: PublisherPattern) -> DemandForecast:
-        usual.observed_objects = min(50.0, usual.observed_objects + 1.0)
-        usual.first_requests += (count - usual.first_requests) / usual.observed_objects
-        exposure = PRIOR_SHAPE / max(usual.first_requests, 0.01)
+    def _create(self, tenant: str, count: float, pattern: PublisherPattern) -> DemandForecast:
+        pattern.observed_objects = min(50.0, pattern.observed_objects + 1.0)
+        pattern.first_requests += (count - pattern.first_requests) / pattern.observed_objects
+        exposure = PRIOR_SHAPE / max(pattern.first_requests, 0.01)
         return DemandForecast(
             tenant,
             0,
             count,
             [PRIOR_SHAPE + count] * len(TREND_MODELS),
             [exposure + 1.0] * len(TREND_MODELS),
-            [PRIOR_EVIDENCE_WEIGHT * one for one in usual.evidence],
+            [PRIOR_EVIDENCE_WEIGHT * log_likelihood for log_likelihood in pattern.evidence],
             [0.0] * len(TREND_MODELS),
         )
 
-    def _update_evidence(self, course: DemandForecast, usual: PublisherPattern, count: float) -> None:
-        """Weigh the courses by what each foretold, then take the count into their beliefs."""
-        for at in range(len(TREND_MODELS)):
-            shape, exposure = course.shapes[at], course.exposures[at]
+    def _update_evidence(self, forecast: DemandForecast, pattern: PublisherPattern, count: float) -> None:
+        """Update the evidence of each model by the likelihood of the count, then its belief by the count."""
+        for model in range(len(TREND_MODELS)):
+            shape, exposure = forecast.shapes[model], forecast.exposures[model]
             likelihood = max(MIN_LOG_LIKELIHOOD, _log_likelihood(count, shape, exposure))
-            course.evidence[at] = EVIDENCE_DECAY * course.evidence[at] + likelihood
-            if course.age < MAX_NEW_AGE:
-                usual.evidence[at] += NEW_OBJECT_LEARNING_RATE * (likelihood - usual.evidence[at])
-            course.shapes[at], course.exposures[at] = shape + count, exposure + 1.0
-
-    def _fit_decay(self, course: DemandForecast, usual: PublisherPattern, count: float) -> None:
-        """Reckon decay from the last two counts: its own, and what its publisher's objects do as a rule."""
-        both = course.last_count + count
-        if both <= 0.0:
+            forecast.evidence[model] = EVIDENCE_DECAY * forecast.evidence[model] + likelihood
+            if forecast.age < MAX_NEW_AGE:
+                pattern.evidence[model] += NEW_OBJECT_LEARNING_RATE * (likelihood - pattern.evidence[model])
+            forecast.shapes[model], forecast.exposures[model] = shape + count, exposure + 1.0
+
+    def _fit_decay(self, forecast: DemandForecast, pattern: PublisherPattern, count: float) -> None:
+        """Update the decay rates of the object and of its publisher from the last two counts."""
+        count_sum = forecast.last_count + count
+        if count_sum <= 0.0:
             return
-        # A ratio of counts is known as well as the smaller allows; the site's own wave is taken out first.
-        ratio = math.log((count + 0.5) / (course.last_count + 0.5) / self.grown)
-        weight = min(50.0, (course.last_count + 0.5) * (count + 0.5) / (both + 1.0))
-        step = math.log((course.age + 2.0) / (course.age + 1.0))
-        course.exp_ratio = RATE_DECAY * course.exp_ratio + weight * ratio
-        course.exp_weight = RATE_DECAY * course.exp_weight + weight
-        course.pow_ratio = RATE_DECAY * course.pow_ratio + weight * ratio * step
-        course.pow_weight = RATE_DECAY * course.pow_weight + weight * step * step
-        usual.exp_ratio += weight * ratio
-        usual.exp_weight += weight
-        usual.pow_ratio += weight * ratio * step
-        usual.pow_weight += weight * step * step
-        if usual.exp_weight > 1e4:  # so that a publisher's ways may change
-            usual.exp_ratio = usual.exp_ratio / 2
-            usual.exp_weight = usual.exp_weight / 2
-            usual.pow_ratio = usual.pow_ratio / 2
-            usual.pow_weight = usual.pow_weight / 2
-
-    def _update_daily_rates(self, course: DemandForecast, count: float) -> None:
-        if course.daily_rates is None:
-            if course.age * BUCKETS_PER_DAY < self.season.spans_a_day:
-                return  # most objects do not live for an hour: they keep no day
-            course.daily_rates = [-1.0] * BUCKETS_PER_DAY
-        known = course.daily_rates[self.here]
-        part = min(1.0, 2.0 * BUCKETS_PER_DAY / self.season.spans_a_day)
-        course.daily_rates[self.here] = count if known < 0.0 else known + part * (count - known)
-
-    def _forecast(self, course: DemandForecast, usual: PublisherPattern) -> None:
-        drawn = PRIOR_RATE_WEIGHT
-        exp_rate = (course.exp_ratio + drawn * usual.exp_ratio / usual.exp_weight) / (course.exp_weight + drawn)
-        step = math.log((course.age + 2.0) / (course.age + 1.0))
-        drawn_pow = drawn * step * step
-        power = (course.pow_ratio + drawn_pow * usual.pow_ratio / usual.pow_weight) / (course.pow_weight + drawn_pow)
+        # The smaller count limits the precision of the ratio; the growth of the site's total is divided out.
+        ratio = math.log((count + 0.5) / (forecast.last_count + 0.5) / self.last_growth)
+        weight = min(50.0, (forecast.last_count + 0.5) * (count + 0.5) / (count_sum + 1.0))
+        step = math.log((forecast.age + 2.0) / (forecast.age + 1.0))
+        forecast.exp_ratio = RATE_DECAY * forecast.exp_ratio + weight * ratio
+        forecast.exp_weight = RATE_DECAY * forecast.exp_weight + weight
+        forecast.pow_ratio = RATE_DECAY * forecast.pow_ratio + weight * ratio * step
+        forecast.pow_weight = RATE_DECAY * forecast.pow_weight + weight * step * step
+        pattern.exp_ratio += weight * ratio
+        pattern.exp_weight += weight
+        pattern.pow_ratio += weight * ratio * step
+        pattern.pow_weight += weight * step * step
+        if pattern.exp_weight > 1e4:  # limits old evidence, as a publisher's pattern may change
+            pattern.exp_ratio = pattern.exp_ratio / 2
+            pattern.exp_weight = pattern.exp_weight / 2
+            pattern.pow_ratio = pattern.pow_ratio / 2
+            pattern.pow_weight = pattern.pow_weight / 2
+
+    def _update_daily_rates(self, forecast: DemandForecast, count: float) -> None:
+        if forecast.daily_rates is None:
+            if forecast.age * BUCKETS_PER_DAY < self.season.spans_a_day:
+                return  # younger than an hour, as most objects stay: they need no daily rates
+            forecast.daily_rates = [-1.0] * BUCKETS_PER_DAY
+        last_rate = forecast.daily_rates[self.current_bucket]
+        weight = min(1.0, 2.0 * BUCKETS_PER_DAY / self.season.spans_a_day)
+        forecast.daily_rates[self.current_bucket] = (
+            count if last_rate < 0.0 else last_rate + weight * (count - last_rate)
+        )
+
+    def _forecast(self, forecast: DemandForecast, pattern: PublisherPattern) -> None:
+        prior_weight = PRIOR_RATE_WEIGHT
+        exp_rate = (forecast.exp_ratio + prior_weight * pattern.exp_ratio / pattern.exp_weight) / (
+            forecast.exp_weight + prior_weight
+        )
+        step = math.log((forecast.age + 2.0) / (forecast.age + 1.0))
+        pow_prior_weight = prior_weight * step * step
+        pow_rate = (forecast.pow_ratio + pow_prior_weight * pattern.pow_ratio / pattern.pow_weight) / (
+            forecast.pow_weight + pow_prior_weight
+        )
         growths: Sequence[float] = (
             1.0,
             self.growth,
             math.exp(exp_rate) * self.growth,
-            math.exp(power * step) * self.growth,
+            math.exp(pow_rate * step) * self.growth,
             self.growth,
         )
-        for at, growth in enumerate(growths):
+        for model, growth in enumerate(growths):
             growth = min(MAX_GROWTH, max(MIN_GROWTH, growth))
-            shape = DISCOUNTS[at] * course.shapes[at]
-            exposure = DISCOUNTS[at] * course.exposures[at]
-            if at == DAILY and course.daily_rates is not None and course.daily_rates[self.then] >= 0.0:
+            shape = DISCOUNTS[model] * forecast.shapes[model]
+            exposure = DISCOUNTS[model] * forecast.exposures[model]
+            if model == DAILY and forecast.daily_rates is not None and forecast.daily_rates[self.next_bucket] >= 0.0:
                 shape = 5.0
-                exposure = shape / max(0.05, course.daily_rates[self.then])
+                exposure = shape / max(0.05, forecast.daily_rates[self.next_bucket])
                 growth = 1.0
-            most = min(1.0, MAX_SHAPE / max(shape, 1e-9))
-            course.shapes[at] = max(MIN_SHAPE, shape * most)
-            course.exposures[at] = max(1e-6, exposure * most / growth)
-            course.means[at] = course.shapes[at] / course.exposures[at]
-        weights = _weights(course.evidence)
-        mean = sum(weight * one for weight, one in zip(weights, course.means, strict=True))
+            scale = min(1.0, MAX_SHAPE / max(shape, 1e-9))
+            forecast.shapes[model] = max(MIN_SHAPE, shape * scale)
+            forecast.exposures[model] = max(1e-6, exposure * scale / growth)
+            forecast.means[model] = forecast.shapes[model] / forecast.exposures[model]
+        weights = _weights(forecast.evidence)
+        mean = sum(weight * model_mean for weight, model_mean in zip(weights, forecast.means, strict=True))
         square = sum(
-            weight * (one + one * one / shape + one * one)
-            for weight, one, shape in zip(weights, course.means, course.shapes, strict=True)
+            weight * (model_mean + model_mean * model_mean / shape + model_mean * model_mean)
+            for weight, model_mean, shape in zip(weights, forecast.means, forecast.shapes, strict=True)
+        )
+        prediction = self.calibration.interval(
+            prediction_class(mean, forecast.age), mean, max(mean, square - mean * mean)
         )
-        found = self.calibration.interval(prediction_class(mean, course.age), mean, max(mean, square - mean * mean))
-        course.mean = found.mean
-        course.low = found.low
-        course.high = found.high
+        forecast.mean = prediction.mean
+        forecast.low = prediction.low
+        forecast.high = prediction.high
 
 
 def _weights(evidence: list[float]) -> list[float]:
-    most = max(evidence)
-    parts = [math.exp(one - most) for one in evidence]
-    total = sum(parts)
-    return [one / total for one in parts]
+    maximum = max(evidence)
+    likelihoods = [math.exp(log_likelihood - maximum) for log_likelihood in evidence]
+    total = sum(likelihoods)
+    return [likelihood / total for likelihood in likelihoods]
--- a/hophinge/popularity/site.py
+++ b/hophinge/popularity/site.py
@@ -1,4 +1,4 @@
-"""Demand at one site as one of its heads estimates it: own counts, peers' reports, forecasts, prefetch candidates."""
+"""The demand at a site as one of its heads estimates it, from its own counts and peers' reports."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from hophinge.popularity.peer_demand import ITEMS_PER_PAGE, MAX_PAGES, PeerDemand, DemandItem, encode_pages
 from hophinge.popularity.frequency_sketch import FrequencySketch
 
-INTERVAL_US = 60_000_000  # of one prediction: long enough for some requests, short enough for a flash crowd
+INTERVAL_US = 60_000_000  # of one span: long enough for some requests, short enough to notice a flash crowd
 DAY_US = 86_400_000_000
-HALF_LIFE_INTERVALS = 10  # of counts: what was asked for an hour ago counts a sixtieth
-RETENTION_INTERVALS = 3  # what a peer said counts so long without a new word
-BYTES_PER_COUNTER = 2500  # of memory for a counter with its course and two known objects
-SERVED_DECAY = 0.9  # a span: a quiet minute must not make peers' claims look large, or count without bound
-FIRST_TRUST = 0.5  # of another site's demand that is expected here, before experience
-TRUST_WEIGHT = 4.0  # fetches that this first guess counts for
-MAX_TRUST_SAMPLES = 200.0  # fetches that experience with one owner reaches back
-DEFAULT_OBJECT_BYTES = 64 * 1024  # taken for the size of an object that was never seen here
+HALF_LIFE_INTERVALS = 10  # of counts: a request an hour ago counts about a sixtieth
+RETENTION_INTERVALS = 3  # after which a peer's report expires without a newer one
+BYTES_PER_COUNTER = 2500  # of memory for a counter with its forecast and two known objects
+SERVED_DECAY = 0.9  # per span: a quiet minute must not make peers' claims look large or count without a limit
+FIRST_TRUST = 0.5  # share of another site's demand that is expected here, before any experience
+TRUST_WEIGHT = 4.0  # number of fetches that `FIRST_TRUST` counts for
+MAX_TRUST_SAMPLES = 200.0  # number of past fetches on one owner's reports that count
+DEFAULT_OBJECT_BYTES = 64 * 1024  # assumed size of an object that was never served here
 
 
 class KnownObject(Struct):
-    """The metadata of an object, beside its counts."""
+    """The metadata of an object; its counts are kept in the sketch."""
 
     locator: Locator
     tenant: str
     size: int
-    last_interval: int  # when it was last asked for or told of
+    last_interval: int  # the span in which it was last requested, or reported by a peer
 
 
 class SiteDemand:
@@ -55,39 +55,39 @@
         self.predictor = Predictor(max(1, day_us // span_us))
         self.peer_demand = PeerDemand(RETENTION_INTERVALS * span_us)
         self.known: dict[bytes, KnownObject] = {}
-        self.by_object: dict[tuple[str, str], bytes] = {}  # by volume and id of the manifest
-        self.by_manifest: dict[str, bytes] = {}  # two volumes may have one name: a hint, and never whose count it is
+        self.by_object: dict[tuple[str, str], bytes] = {}  # by volume and manifest id
+        self.by_manifest: dict[str, bytes] = {}  # by manifest id; not unique across volumes, so only used as a hint
         self.span = 0
         self.served = 0.0
-        self.typical_served = 0.0  # requests a span of late, which peers' claims are held to
-        self.pending_counts: list[tuple[bytes, str, float]] = []  # counts of the closed span that are not looked at yet
-        self.demand_elsewhere: dict[bytes, float] = {}  # a key's mean requests a span at other sites
-        self.trust_by_owner: dict[
-            str, tuple[float, float]
-        ] = {}  # by owner: fetches on its word that were asked for, and all
+        self.typical_served = 0.0  # recent requests per span, by which peers' claims are limited
+        # Key, tenant and count of the closed span, as far as they are not forecast yet.
+        self.pending_counts: list[tuple[bytes, str, float]] = []
+        self.demand_elsewhere: dict[bytes, float] = {}  # mean requests per span at other sites, by key
+        # Fetches on an owner's report alone: those that were requested later, and all of them.
+        self.trust_by_owner: dict[str, tuple[float, float]] = {}
 
     # --- inputs
 
     def record_object(self, locator: Locator, tenant: str, size: int) -> bytes:
         """Record that an object exists; returns its key."""
         key = self.keys.of(locator)
-        held = self.known.get(key)
-        if held is None:
+        known_object = self.known.get(key)
+        if known_object is None:
             if len(self.known) >= 2 * self.sketch.max_counters:
                 self._prune()
             self._add(key, KnownObject(locator, tenant, size, self.span))
         else:
-            held.size = size
-            held.tenant = tenant
+            known_object.size = size
+            known_object.tenant = tenant
         return key
 
     def record_request(self, now_us: int, key: bytes) -> None:
         """Count a request for a recorded object."""
-        held = self.known.get(key)
-        if held is not None:
-            held.last_interval = self.span
+        known_object = self.known.get(key)
+        if known_object is not None:
+            known_object.last_interval = self.span
             self.served += 1.0
-            self.sketch.add(now_us, key, held.tenant)
+            self.sketch.add(now_us, key, known_object.tenant)
 
     def record_deletion(self, locator: Locator) -> None:
         """Remove a deleted object."""
@@ -98,87 +98,96 @@
             self.predictor.remove(key)
 
     def record_outcome(self, owner: str, useful: bool) -> None:
-        """Record whether an object prefetched on an owner's report was requested."""
-        hits, all_of = self.trust_by_owner.get(owner, (0.0, 0.0))
-        part = min(1.0, MAX_TRUST_SAMPLES / (all_of + 1.0))
-        self.trust_by_owner[owner] = (hits + useful) * part, (all_of + 1.0) * part
+        """Record whether an object that was prefetched on an owner's report was requested later."""
+        hits, total = self.trust_by_owner.get(owner, (0.0, 0.0))
+        scale = min(1.0, MAX_TRUST_SAMPLES / (total + 1.0))
+        self.trust_by_owner[owner] = (hits + useful) * scale, (total + 1.0) * scale
 
     def trust_in(self, owner: str) -> float:
-        """Return how far an owner's report counts for what was never requested here."""
-        hits, all_of = self.trust_by_owner.get(owner, (0.0, 0.0))
-        return (FIRST_TRUST * TRUST_WEIGHT + hits) / (TRUST_WEIGHT + all_of)
+        """Return the factor from 0 to 1 for an owner's reports of objects that were never requested here."""
+        hits, total = self.trust_by_owner.get(owner, (0.0, 0.0))
+        return (FIRST_TRUST * TRUST_WEIGHT + hits) / (TRUST_WEIGHT + total)
 
     def tenant_metrics(self, now_us: int, tenant: str) -> dict[str, float]:
-        """Return one tenant's own metrics, which hold nothing of others'."""
+        """Return the metrics of one tenant, without anything of other tenants."""
         return {
             "requests": self.sketch.total(now_us, tenant),
-            "followed": sum(1 for one in self.predictor.forecasts.values() if one.tenant == tenant),
+            "followed": sum(1 for forecast in self.predictor.forecasts.values() if forecast.tenant == tenant),
         }
 
     # --- intervals
 
     def close_interval(self, now_us: int, owner_of: Callable[[str], tuple[str, str] | None]) -> list[bytes]:
-        """Close an interval; returns the pages for the peers. `process_pending` then handles its counts in batches."""
+        """Close a span; returns the pages for the peers. `process_pending` then forecasts its counts in batches.
+
+        `owner_of` returns the tenant and plan of a volume that this head serves, None for others.
+        """
         self.process_pending(len(self.pending_counts))
         self.peer_demand.expire(now_us)
-        own = self.sketch.close_span()
+        own_counts = self.sketch.close_span()
         self.typical_served = max(SERVED_DECAY * self.typical_served, self.served)
         trust = {
-            owner: 1.0 if told.zone == self.zone else self.trust_in(owner)
-            for owner, told in self.peer_demand.owners.items()
+            owner: 1.0 if owner_pages.zone == self.zone else self.trust_in(owner)
+            for owner, owner_pages in self.peer_demand.owners.items()
         }
         sums = self.peer_demand.sums_by_zone(self.typical_served, trust)
-        here, others = sums.pop(self.zone, {}), sums
+        site_sums, other_zones = sums.pop(self.zone, {}), sums
         self._add_peer_objects(owner_of, self.peer_demand.sealed_locators())
         self.demand_elsewhere = {}
-        for zone in others.values():
-            for key, count in zone.items():
-                self.demand_elsewhere[key] = self.demand_elsewhere.get(key, 0.0) + count / len(others)
+        for zone_sums in other_zones.values():
+            for key, count in zone_sums.items():
+                self.demand_elsewhere[key] = self.demand_elsewhere.get(key, 0.0) + count / len(other_zones)
         self.predictor.evict_to(self.sketch.max_counters)
-        counts = {key: (tenant, count) for key, tenant, count in own}
-        for key, course in self.predictor.forecasts.items():
-            counts.setdefault(key, (course.tenant, 0.0))
-        for key in here:
+        counts = {key: (tenant, count) for key, tenant, count in own_counts}
+        for key, forecast in self.predictor.forecasts.items():
+            counts.setdefault(key, (forecast.tenant, 0.0))
+        for key in site_sums:
             if key in self.known:
                 counts.setdefault(key, (self.known[key].tenant, 0.0))
-        self.pending_counts = [(key, tenant, count + here.get(key, 0.0)) for key, (tenant, count) in counts.items()]
-        self.predictor.begin_interval(self.served + sum(here.values()))
-        told = sorted(
-            ((count, key) for key, _, count in own if count > 0 and key in self.known),
+        self.pending_counts = [
+            (key, tenant, count + site_sums.get(key, 0.0)) for key, (tenant, count) in counts.items()
+        ]
+        self.predictor.begin_interval(self.served + sum(site_sums.values()))
+        reported = sorted(
+            ((count, key) for key, _, count in own_counts if count > 0 and key in self.known),
             key=lambda row: (-row[0], row[1]),
         )[: ITEMS_PER_PAGE * MAX_PAGES]
-        made = encode_pages(
+        pages = encode_pages(
             self.span,
             self.served,
-            [DemandItem(key, self.keys.seal(self.known[key].locator), count) for count, key in told],
+            [DemandItem(key, self.keys.seal(self.known[key].locator), count) for count, key in reported],
         )
         self.span += 1
         self.served = 0.0
-        return made
+        return pages
 
     def process_pending(self, limit: int) -> bool:
-        """Forecast at most `limit` of the closed counts, so as not to delay requests; returns whether more are left."""
+        """Forecast at most `limit` counts of the closed span; returns whether more are left.
+
+        The limit keeps the event loop free for requests.
+        """
         for _ in range(min(limit, len(self.pending_counts))):
             key, tenant, count = self.pending_counts.pop()
             self.predictor.observe(key, tenant, count)
         return bool(self.pending_counts)
 
     def _add_peer_objects(self, owner_of: Callable[[str], tuple[str, str] | None], sealed: dict[bytes, bytes]) -> None:
-        """Add objects that peers reported where their tenant is known; others cannot be fetched."""
-        for key, hidden in sealed.items():
+        """Add the objects reported by peers whose tenant is known; the others cannot be fetched."""
+        for key, sealed_locator in sealed.items():
             if key in self.known:
                 self.known[key].last_interval = self.span
             elif (
-                len(self.known) < 2 * self.sketch.max_counters and (locator := self.keys.open(key, hidden)) is not None
+                len(self.known) < 2 * self.sketch.max_counters
+                and (locator := self.keys.open(key, sealed_locator)) is not None
             ):
                 owner = owner_of(locator.volume)
                 if owner is not None:
                     self._add(key, KnownObject(locator, owner[0], DEFAULT_OBJECT_BYTES, self.span))
 
-    def _add(self, key: bytes, one: KnownObject) -> None:
-        self.known[key] = one
-        self.by_object[one.locator.volume, one.locator.manifest] = key
-        self.by_manifest[one.locator.manifest] = key
+    def _add(self, key: bytes, known_object: KnownObject) -> None:
+        self.known[key] = known_object
+        self.by_object[known_object.locator.volume, known_object.locator.manifest] = key
+        self.by_manifest[known_object.locator.manifest] = key
 
     def _remove(self, key: bytes) -> None:
         locator = self.known.pop(key).locator
@@ -187,55 +196,67 @@
             del self.by_manifest[locator.manifest]
 
     def _prune(self) -> None:
-        """Remove objects that are neither counted nor forecast, the least recent first, down to three quarters."""
-        loose = sorted(
-            (held.last_interval, key)
-            for key, held in self.known.items()
+        """Remove objects that are neither counted nor forecast, the least recent first, down to 3/4 of the limit."""
+        unused = sorted(
+            (known_object.last_interval, key)
+            for key, known_object in self.known.items()
             if key not in self.sketch and key not in self.predictor.forecasts
         )
-        for _, key in loose[: max(1, self.sketch.max_counters // 2)]:
+        for _, key in unused[: max(1, self.sketch.max_counters // 2)]:
             self._remove(key)
 
     # --- queries
 
     def expected_requests(self, key: bytes) -> float:
-        """Return the expected requests in the next interval, by own requests, or else by peers' reports.
+        """Return the expected requests in the next span, by own requests, or else by peers' reports.
 
-        The count of the open interval is a lower bound, or a flash crowd would be noticed an interval late.
+        The count of the current span is a lower bound, as a flash crowd would otherwise be noticed a span late.
         """
-        course, counter = self.predictor.forecasts.get(key), self.sketch.counters.get(key)
-        found = course.mean if course is not None else self.demand_elsewhere.get(key, 0.0)
-        return found if counter is None else max(found, counter.span_requests)
+        forecast, counter = self.predictor.forecasts.get(key), self.sketch.counters.get(key)
+        expected = forecast.mean if forecast is not None else self.demand_elsewhere.get(key, 0.0)
+        return expected if counter is None else max(expected, counter.span_requests)
 
     def request_rate(self, key: str) -> float:
-        """Return predicted requests a second for the id of an object's manifest, by which backends know it."""
-        found = self.by_manifest.get(key)
-        return self.expected_requests(found) * 1e6 / self.span_us if found is not None else 0.0
+        """Return the predicted requests per second for the id of a manifest, by which backends know an object."""
+        object_key = self.by_manifest.get(key)
+        return self.expected_requests(object_key) * 1e6 / self.span_us if object_key is not None else 0.0
 
-    def object_request_rate(self, one: tuple[str, str]) -> float:
-        """Return predicted requests a second for an object by its volume and the id of its manifest."""
-        found = self.by_object.get(one)
-        return self.expected_requests(found) * 1e6 / self.span_us if found is not None else 0.0
+    def object_request_rate(self, volume_and_manifest: tuple[str, str]) -> float:
+        """Return the predicted requests per second for an object by its volume and manifest id."""
+        object_key = self.by_object.get(volume_and_manifest)
+        return self.expected_requests(object_key) * 1e6 / self.span_us if object_key is not None else 0.0
 
     def sole_reporter(self, key: bytes) -> str:
-        """Return on whose report alone an object is expected; empty where it was requested here."""
+        """Return the owner on whose report alone an object is expected; empty if the site has its own forecast."""
         if key in self.predictor.forecasts:
             return ""
         return next(iter(self.peer_demand.claimants(key)), "")
 
     def object(self, key: bytes) -> tuple[str, str]:
-        """Return a known key's volume and the id of its manifest."""
+        """Return the volume and manifest id of a known key."""
         locator = self.known[key].locator
         return locator.volume, locator.manifest
 
     def candidates(self, units: Callable[[int], float]) -> Iterable[PrefetchCandidate]:
-        """Return the prefetch candidates; the caller knows what is cached already.
+        """Return the prefetch candidates, whether or not they are cached already.
+
+        An object that was requested here recently is usually cached. So an object with a forecast is a candidate only
+        if its lower bound is at least one request: the others that are not cached are overestimated more often than
+        not. An object known from reports alone counts by its mean.
+
+        Args:
+            units: Returns the cost of a read by its size in bytes.
 
-        An object requested here lately is usually cached, so one that is not counts only where its lower bound is at
-        least one request: the others are overestimated more often than not. One known by reports counts by its mean.
         """
-        for key, one in self.known.items():
-            course = self.predictor.forecasts.get(key)
-            expected = self.expected_requests(key) if course is None or course.low >= 1.0 else 0.0
+        for key, known_object in self.known.items():
+            forecast = self.predictor.forecasts.get(key)
+            expected = self.expected_requests(key) if forecast is None or forecast.low >= 1.0 else 0.0
             if expected > 0.0:
-                yield PrefetchCandidate(key, one.tenant, one.locator.shard, one.size, units(one.size), expected)
+                yield PrefetchCandidate(
+                    key,
+                    known_object.tenant,
+                    known_object.locator.shard,
+                    known_object.size,
+                    units(known_object.size),
+                    expected,
+                )
