--- a/hophinge/fleet/configuration/__init__.py
+++ b/hophinge/fleet/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: its schema and validation, and the route table built from it."""
+"""The operator's configuration: schema, validation, and the route table built from it."""
--- a/hophinge/fleet/configuration/document.py
+++ b/hophinge/fleet/configuration/document.py
@@ -1,7 +1,7 @@
-"""Schema and validation of the operator's document; all findings are collected with their paths.
+"""Schema and validation of the operator's configuration document; each finding has the path of its field.
 
-A document is stored and disseminated as it was sent, and the heads build their route tables from that text. So types
-are strict here, with nothing converted, and a document is valid only if the heads' reader finds nothing either.
+A document is stored and disseminated byte for byte, and the heads build their route tables from that text. Therefore
+validation converts no types, and a document is valid only if the heads' reader reports no findings either.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
     read_parsed_document,
 )
 
-MAX_FINDINGS = 50  # reported of one document
+MAX_FINDINGS = 50  # reported for one document
 MAX_DURATION_MS = 1e9
 MAX_DURATION_S = MAX_DURATION_MS / 1_000
 MAX_NUMBER = 1e12
 MAX_HOST_CHARACTERS = 253  # of a domain name (RFC 1035, section 2.3.4)
 MAX_PREFIX_CHARACTERS = 1_024
-MIN_TIMEOUT_MS = 50.0  # a head keeps 30 ms of it to answer in time, so that a shorter one never serves a request
-MIN_LIMIT_BYTES = 1_024  # every request with a smaller bound on its header would be rejected
+MIN_TIMEOUT_MS = 50.0  # a head reserves 30 ms of it to answer in time; a shorter one would leave too little
+MIN_LIMIT_BYTES = 1_024  # a lower limit on header bytes would reject every request
 
-VALUE_ERROR_PREFIX = "Value error, "  # that pydantic puts before the message of a validator
+VALUE_ERROR_PREFIX = "Value error, "  # added by pydantic to the message of a validator
 
 _HOST = re.compile(r"[A-Za-z0-9_]([A-Za-z0-9_.-]*)|\[[0-9A-Fa-f:.]+\]")
 # A path, and a path with a query (RFC 3986, sections 3.3 and 3.4).
 _PATH = re.compile(r"/(?:[A-Za-z0-9._~!$&'()*+,;=:@/-]|%[0-9A-Fa-f]{2})*")
 _PATH_AND_QUERY = re.compile(_PATH.pattern + r"(?:\?(?:[A-Za-z0-9._~!$&'()*+,;=:@/?-]|%[0-9A-Fa-f]{2})*)?")
 _DOT_SEGMENTS = {".", ".."}
-# The prefixes of nearly all routes, so that they are found valid in one step.
+# Matches the prefixes of nearly all routes, so that these are validated with a single match.
 _PLAIN_PREFIX = re.compile(r"/(?:[A-Za-z0-9_-]+/)*")
 
 
-@lru_cache(maxsize=64)  # most routes of a document have one of a few hosts
+@lru_cache(maxsize=64)  # most routes of a document share a few hosts
 def _validate_host(host: str) -> str:
     if not _HOST.fullmatch(host):
-        raise ValueError("is not a host name or address without a port")
+        raise ValueError("is not a host name or an IP address, without a port")
     return host
 
 
@@ -56,10 +56,10 @@
     if not (prefix.startswith("/") and prefix.endswith("/")):
         raise ValueError("does not begin and end with a slash")
     if not _PATH.fullmatch(prefix):
-        raise ValueError("holds a character that a path cannot have")
+        raise ValueError("contains a character that is not allowed in a path")
     segments = prefix.split("/")[1:-1]
     if "" in segments or _DOT_SEGMENTS.intersection(segments):
-        raise ValueError("holds an empty segment, or one of dots")
+        raise ValueError("contains an empty segment or a dot segment")
     return prefix
 
 
@@ -91,13 +91,13 @@
 
 
 class ConfigurationModel(BaseModel):
-    """Base of the document's models: field names with hyphens, strict types; unknown fields are ignored."""
+    """Base of the document's models: field names with hyphens and strict types; unknown fields are ignored."""
 
     model_config = ConfigDict(alias_generator=_alias, strict=True, extra="ignore")
 
 
 class WeightedServiceModel(ConfigurationModel):
-    """A service that gets a weighted share of a route's requests."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: str
     weight: Number
@@ -141,7 +141,7 @@
 
 
 class ServiceModel(ConfigurationModel):
-    """One service. Instances are called over HTTP/1.1 without TLS: nothing else could be put in force."""
+    """One service. Only HTTP/1.1 without TLS is accepted, because instances are called over nothing else."""
 
     name: str
     health_check_path: Annotated[str, AfterValidator(_validate_target)] = "/health"
@@ -154,7 +154,7 @@
 
 
 class LimitsModel(ConfigurationModel):
-    """Limits on what a client may send, and how long it may take."""
+    """Limits on the size of a client's request and on its duration."""
 
     max_header_bytes: Bytes = 16_384
     max_body_bytes: Bytes = 4_194_304
@@ -171,12 +171,12 @@
     limits: LimitsModel = LimitsModel()
 
 
-class NotANumber(str):
-    """A constant that some writers use for a number, as in `NaN`; JSON does not have it."""
+class NonJsonConstant(str):
+    """A numeric constant that is not valid JSON, such as `NaN`, but that some programs write."""
 
 
 class AmbiguousJsonError(ValueError):
-    """JSON that readers take in different ways; `field` is the name of the field."""
+    """JSON that parsers interpret differently; `field` is the name of the field."""
 
     def __init__(self, field: str, message: str) -> None:
         super().__init__(message)
@@ -184,7 +184,7 @@
 
 
 def validate_document(data: bytes) -> Result[DocumentModel, Findings]:
-    """Parse a document and validate it; an error holds the findings, at most MAX_FINDINGS."""
+    """Parse and validate a document; an error holds the findings, at most `MAX_FINDINGS`."""
     try:
         document = DocumentModel.model_validate_json(data)
     except ValidationError as error:
@@ -203,28 +203,28 @@
         yield Finding(".".join(map(str, detail["loc"])) or "document", message)
 
 
-class StrictObjects:
-    """Builds the objects of one JSON text, and rejects what readers take in different ways."""
+class StrictObjectBuilder:
+    """Builds the objects of one JSON text, and rejects JSON that parsers interpret differently."""
 
     def __init__(self) -> None:
         self.has_constants = False
 
-    def constant(self, text: str) -> NotANumber:
-        """Return a constant that is not JSON; the object that holds it is rejected, as its name is known there."""
+    def wrap_constant(self, text: str) -> NonJsonConstant:
+        """Wrap a constant that is not valid JSON; `build` rejects its object, because the field name is known there."""
         self.has_constants = True
-        return NotANumber(text)
+        return NonJsonConstant(text)
 
     def build(self, pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-        """Return an object.
+        """Build an object from its names and values.
 
         Raises:
-            AmbiguousJsonError: A name stands there twice, or a value is no number in JSON.
+            AmbiguousJsonError: A name occurs more than once, or a value is not a valid JSON number.
 
         """
         fields = dict(pairs)
         if len(fields) < len(pairs):
             name = Counter(name for name, _ in pairs).most_common(1)[0][0]
-            raise AmbiguousJsonError(name, "stands more than once in an object")
+            raise AmbiguousJsonError(name, "occurs more than once in an object")
         if self.has_constants:
             self._reject_constants(pairs)
         return fields
@@ -232,17 +232,17 @@
     def _reject_constants(self, pairs: list[tuple[str, Any]]) -> None:
         for name, value in pairs:
             values = value if isinstance(value, list) else [value]
-            if any(isinstance(one, NotANumber) for one in values):
-                raise AmbiguousJsonError(name, "is not a number in JSON")
+            if any(isinstance(item, NonJsonConstant) for item in values):
+                raise AmbiguousJsonError(name, "is not a valid JSON number")
 
 
 def _parse_strictly(data: bytes) -> Any:
-    objects = StrictObjects()
-    return json.loads(data, object_pairs_hook=objects.build, parse_constant=objects.constant)
+    builder = StrictObjectBuilder()
+    return json.loads(data, object_pairs_hook=builder.build, parse_constant=builder.wrap_constant)
 
 
 def _check_reader(raw: object) -> Findings:
-    """Return what the heads' reader does not take as it stands."""
+    """Return the findings of the heads' reader: fields that it would convert, replace by a default or leave out."""
     try:
         return read_parsed_document(raw).findings
     except UnreadableDocumentError as error:
@@ -253,7 +253,7 @@
     service_indexes: dict[str, int] = {}
     for index, service in enumerate(document.services):
         if service.name in service_indexes:
-            yield Finding(f"services.{index}.name", f"is that of services.{service_indexes[service.name]}")
+            yield Finding(f"services.{index}.name", f"is also the name of services.{service_indexes[service.name]}")
         service_indexes.setdefault(service.name, index)
     route_indexes: dict[tuple[str, str], int] = {}
     for index, route in enumerate(document.routes):
@@ -261,18 +261,18 @@
         yield from _check_targets(route, path, service_indexes.keys())
         key = route.host.lower(), route.path_prefix
         if key in route_indexes:
-            yield Finding(path, f"host and path-prefix are those of routes.{route_indexes[key]}")
+            yield Finding(path, f"host and path-prefix are the same as in routes.{route_indexes[key]}")
         route_indexes.setdefault(key, index)
 
 
 def _check_targets(route: RouteModel, path: str, services: Set[str]) -> Iterator[Finding]:
     split = route.traffic_split
     if route.service is None and not split:
-        yield Finding(path, "names no service")
+        yield Finding(path, "has neither a service nor a traffic-split")
     if route.service is not None and route.service not in services:
         yield Finding(f"{path}.service", f"unknown service {route.service!r}")
     for index, weight in enumerate(split or []):
         if weight.service not in services:
             yield Finding(f"{path}.traffic-split.{index}.service", f"unknown service {weight.service!r}")
     if split and sum(weight.weight for weight in split) <= 0:
-        yield Finding(f"{path}.traffic-split", "the weights add up to 0")
+        yield Finding(f"{path}.traffic-split", "the weights sum to 0")
--- a/hophinge/fleet/configuration/evacuations.py
+++ b/hophinge/fleet/configuration/evacuations.py
@@ -1,6 +1,6 @@
-"""Evacuated zones: nothing is sent to their instances until the operator takes the evacuation back.
+"""Evacuated zones: no requests are sent to their instances until the operator ends the evacuation.
 
-Each zone has a register in the chain, and a gossip record under the same key once a value is committed.
+Each zone has a register in the chain and, once a value is committed, a gossip record with the same key.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from hophinge.coordination.dissemination import GossipRecord, GossipStore
 from hophinge.coordination.registers import Change, Register
 
-EVACUATION_PREFIX = "evacuation/"  # of the keys of registers and records; the zone follows
+EVACUATION_PREFIX = "evacuation/"  # prefix of the keys of registers and records, followed by the zone
 EVACUATED = b"evacuated"
 IN_SERVICE = b"in service"
 DIGEST_BYTES = 16
@@ -22,15 +22,15 @@
 
 
 def is_evacuated(payload: bytes) -> bool:
-    """Return whether a register's payload, or a record's value, says that the zone is evacuated."""
+    """Return whether the payload of a register, or the value of a record, marks its zone as evacuated."""
     return payload == EVACUATED
 
 
 def evacuation_change(zone: str, base_version: int, should_evacuate: bool) -> Change:
-    """Return the change that evacuates a zone or takes that back, on a version of its register.
+    """Return the change to a zone's register that begins or ends an evacuation, based on a version of the register.
 
-    The digest covers the base version: a zone that is evacuated a second time is another change, which does not count
-    as applied.
+    The digest covers the base version. Otherwise a second evacuation of the same zone would have the digest of the
+    first and be taken for a change that is already applied.
     """
     key = evacuation_key(zone)
     payload = EVACUATED if should_evacuate else IN_SERVICE
@@ -39,11 +39,11 @@
 
 
 def evacuation_record(key: str, register: Register) -> GossipRecord:
-    """Return the record of a committed register; versions of a register rise, so they order its records."""
+    """Return the record of a committed register, stamped with the register's version, which only increases."""
     return GossipRecord(key, (register.version, 0), register.payload)
 
 
 def evacuated_zones(store: GossipStore) -> frozenset[str]:
-    """Return the zones that are evacuated by the records of a member."""
+    """Return the zones that are evacuated according to the records of a member."""
     records = [stored.record for key, stored in store.records.items() if key.startswith(EVACUATION_PREFIX)]
     return frozenset(record.key.removeprefix(EVACUATION_PREFIX) for record in records if is_evacuated(record.value))
--- a/hophinge/fleet/configuration/findings.py
+++ b/hophinge/fleet/configuration/findings.py
@@ -1,4 +1,4 @@
-"""Faults of a configuration document, each with the path of its field."""
+"""Errors in a configuration document, each with the path of its field."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One fault of the document, with the path of the field."""
+    """One error in the document, with the path of the field."""
 
     path: str
     message: str
--- a/hophinge/fleet/configuration/judged_documents.py
+++ b/hophinge/fleet/configuration/judged_documents.py
@@ -1,4 +1,4 @@
-"""Remembers documents that were judged: one that is sent again, or that is committed, is known by its digest."""
+"""Caches validation results by the digest of the document: a document sent again need not be validated again."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from hophinge.fleet.configuration.document import validate_document
 from hophinge.fleet.configuration.findings import Findings
 
-MAX_DOCUMENTS = 16  # the operator sends at most eight at once
+MAX_DOCUMENTS = 16  # the operator sends at most 8 documents at once
 DIGEST_BYTES = 16
 
-Judgement = Result[int, Findings]  # the version of a valid document
+ValidationResult = Result[int, Findings]  # the version of a valid document, or its findings
 
 
-class JudgedDocuments:
-    """The judgements of the latest documents at one control member."""
+class ValidationCache:
+    """The validation results of the documents last used at one control member."""
 
     def __init__(self) -> None:
-        self._judgements: OrderedDict[bytes, Judgement] = OrderedDict()
+        self._results: OrderedDict[bytes, ValidationResult] = OrderedDict()
 
-    def judge(self, document: bytes) -> Judgement:
-        """Return the version of a document, or what is wrong with it."""
+    def validate(self, document: bytes) -> ValidationResult:
+        """Return the version of a document, or the findings that make it invalid."""
         digest = _digest(document)
-        judgement = self._judgements.get(digest)
-        if judgement is None:
-            judgement = validate_document(document).map(lambda valid: valid.version)
-        self._remember(digest, judgement)
-        return judgement
-
-    def record_committed(self, document: bytes, version: int) -> None:
-        """Record a document that a control member, of whatever version of this program, judged as valid."""
-        self._remember(_digest(document), Ok(version))
-
-    def _remember(self, digest: bytes, judgement: Judgement) -> None:
-        self._judgements[digest] = judgement
-        self._judgements.move_to_end(digest)
-        if len(self._judgements) > MAX_DOCUMENTS:
-            self._judgements.popitem(last=False)
+        result = self._results.get(digest)
+        if result is None:
+            result = validate_document(document).map(lambda valid: valid.version)
+        self._store(digest, result)
+        return result
+
+    def add_committed(self, document: bytes, version: int) -> None:
+        """Add a committed document as valid: a control member accepted it, maybe under the rules of another release."""
+        self._store(_digest(document), Ok(version))
+
+    def _store(self, digest: bytes, result: ValidationResult) -> None:
+        self._results[digest] = result
+        self._results.move_to_end(digest)
+        if len(self._results) > MAX_DOCUMENTS:
+            self._results.popitem(last=False)
 
 
 def _digest(document: bytes) -> bytes:
--- a/hophinge/fleet/configuration/record.py
+++ b/hophinge/fleet/configuration/record.py
@@ -1,4 +1,4 @@
-"""The replicated record of the configuration in force: the operator's document, compressed."""
+"""The replicated record of the committed configuration: the operator's document, compressed."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from hophinge.coordination.dissemination import GossipRecord
 from hophinge.fleet.configuration.route_table_reader import ReadRouteTable, UnreadableDocumentError, read_route_table
 
-RECORD_KEY = "configuration"  # the key of the replicated record of the applied configuration
-COMPRESSION_LEVEL = 1  # of zlib: documents are repetitive, and time counts more than bytes
+RECORD_KEY = "configuration"  # key of the configuration's register in the chain and of its replicated record
+COMPRESSION_LEVEL = 1  # of zlib; documents compress well at any level, so speed matters more than size
 
 
 def compress_document(document: bytes) -> bytes:
-    """Return a document as its record holds it."""
+    """Return a document in the compressed form that its record contains."""
     return zlib.compress(document, COMPRESSION_LEVEL)
 
 
 def configuration_record(sequence: int, document: bytes) -> GossipRecord:
-    """Return the replicated record of a committed document, stamped with its sequence in the chain's history."""
+    """Return the replicated record of a committed document, stamped with its sequence number in the chain."""
     return GossipRecord(RECORD_KEY, (sequence, 0), compress_document(document))
 
 
 def read_configuration_record(record: GossipRecord) -> ReadRouteTable:
-    """Read the route table of a configuration's record.
+    """Read the route table from the configuration's record.
 
     Raises:
-        UnreadableDocumentError: Nothing of the configuration can be read.
+        UnreadableDocumentError: The document cannot be decompressed, or is not a JSON object with a version.
 
     """
     try:
         document = zlib.decompress(record.value)
     except zlib.error as error:
-        raise UnreadableDocumentError(f"not compressed: {error}") from error
+        raise UnreadableDocumentError(f"cannot be decompressed: {error}") from error
     return read_route_table(document)
--- a/hophinge/fleet/configuration/route_table_reader.py
+++ b/hophinge/fleet/configuration/route_table_reader.py
@@ -1,9 +1,9 @@
-"""Builds the route table from the text of a document: the one reader, of new documents and of stored ones.
+"""Builds the route table from the text of a document, for new documents and for stored ones alike.
 
-`validate_document` runs it too, and accepts only documents in which it finds nothing. What it reads beyond these was
-accepted by an older version, by other rules. It is read as far as possible: a number that is given as text is
-converted, an optional field that cannot be read has its default, and a route or service that cannot be read is left
-out, so that the rest is served.
+`validate_document` runs this reader as well, and accepts only documents for which it reports no findings. A stored
+document with findings was accepted by an older release under other rules. The reader uses as much of it as possible:
+a number given as text is converted, an unreadable optional field gets its default, and an unreadable route or service
+is left out, so that the other routes are served.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 from hophinge.fleet.configuration.findings import Finding, Findings
 from hophinge.fleet.configuration.routes import EngineSettings, Limits, Route, RouteTable, Service
 
-MAX_INTEGER = 2**53 - 1  # the largest that all JSON readers agree on (RFC 8259, section 6)
+MAX_INTEGER = 2**53 - 1  # the largest integer that all JSON parsers read exactly (RFC 8259, section 6)
 MILLISECONDS = 1_000
 DEFAULT_TARGET_MS = 1_000.0
 DEFAULT_LIMITS = Limits()
 
 
 class UnreadableDocumentError(ValueError):
-    """Nothing of a document can be read."""
+    """No route table can be built from a document."""
 
 
 class UnreadablePartError(Exception):
-    """A required field of a route or service cannot be read; its finding is recorded."""
+    """An object or a required field of it cannot be read; the finding has been recorded."""
 
 
 class ReadRouteTable(NamedTuple):
-    """A route table, and what of its document was converted or left out."""
+    """A route table, and the findings on fields of its document that were converted, replaced or left out."""
 
     table: RouteTable
     findings: Findings
 
 
 class WeightedServices(NamedTuple):
-    """The services of a route, and the running sums of their weights."""
+    """The services of a route, and the cumulative sums of their weights."""
 
     names: tuple[str, ...]
     cumulative_weights: tuple[float, ...]
@@ -54,7 +54,7 @@
 
 
 def _to_number(value: Any) -> float | None:
-    """Return the finite number that a value stands for; None where it stands for none."""
+    """Convert a value to a finite number; return None if that is not possible."""
     try:
         number = float(value)
     except (TypeError, ValueError, OverflowError):
@@ -63,13 +63,13 @@
 
 
 class ObjectReader:
-    """Reads the fields of one JSON object by type, and collects what is wrong with them."""
+    """Reads the typed fields of one JSON object, and collects findings on those that are invalid."""
 
     __slots__ = ("fields", "findings", "index", "parent_path")
 
     def __init__(self, raw: object, parent_path: str, findings: list[Finding], index: int | None = None) -> None:
         self.parent_path = parent_path
-        self.index = index  # of the object, where the parent is a list
+        self.index = index  # of the object within its parent, if that is a list
         self.findings = findings
         if not isinstance(raw, dict):
             self.add_finding("", "is not an object")
@@ -82,15 +82,15 @@
         return self.parent_path if self.index is None else f"{self.parent_path}.{self.index}"
 
     def path_of(self, name: str) -> str:
-        """Return the path of a field; with an empty name, that of the object itself."""
+        """Return the path of a field; an empty name gives the path of the object itself."""
         return ".".join(part for part in (self.path, name) if part)
 
     def add_finding(self, name: str, message: str) -> None:
-        """Record a fault of a field."""
+        """Record a finding on a field."""
         self.findings.append(Finding(self.path_of(name) or "document", message))
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Read a string."""
+        """Read a string; without a default, an invalid one raises `UnreadablePartError`."""
         value = self.fields.get(name, default)
         if type(value) is str:
             return value
@@ -100,23 +100,25 @@
         return default
 
     def number(self, name: str, default: float | None = None) -> float:
-        """Read a number; null is as good as nothing where there is a default."""
+        """Read a number; where there is a default, null counts as missing."""
         value: Any = self.fields.get(name)
         kind = type(value)
-        if (kind is int or kind is float) and -MAX_INTEGER <= value <= MAX_INTEGER:  # documents have many numbers
+        if (
+            kind is int or kind is float
+        ) and -MAX_INTEGER <= value <= MAX_INTEGER:  # fast path: documents have many numbers
             return float(value)
         if value is None and default is not None:
             return default
         return float(self._numeric(name, default, _is_number, "is not a number"))
 
     def integer(self, name: str, default: int | None = None) -> int:
-        """Read a whole number; null is as good as nothing where there is a default."""
+        """Read an integer; where there is a default, null counts as missing."""
         value: Any = self.fields.get(name)
         if type(value) is int and -MAX_INTEGER <= value <= MAX_INTEGER:
             return value
         if value is None and default is not None:
             return default
-        return int(self._numeric(name, default, _is_integer, "is not a whole number"))
+        return int(self._numeric(name, default, _is_integer, "is not an integer"))
 
     def _numeric(
         self, name: str, default: float | None, is_valid: Callable[[object], bool], message: str
@@ -134,14 +136,14 @@
         return number
 
     def flag(self, name: str) -> bool:
-        """Read true or false; anything else is false."""
+        """Read a Boolean; any other value is recorded and read as false."""
         value = self.fields.get(name, False)
         if not isinstance(value, bool):
             self.add_finding(name, "is not true or false")
         return value is True
 
     def items(self, name: str) -> list[Any]:
-        """Read a list; anything else is an empty one."""
+        """Read a list; any other value is recorded and read as an empty list."""
         value = self.fields.get(name)
         if isinstance(value, list):
             return value
@@ -159,12 +161,12 @@
     try:
         raw = json.loads(document)
     except (ValueError, RecursionError) as error:
-        raise UnreadableDocumentError(f"not readable as JSON: {error}") from error
+        raise UnreadableDocumentError(f"is not valid JSON: {error}") from error
     return read_parsed_document(raw)
 
 
 def read_parsed_document(raw: object) -> ReadRouteTable:
-    """Read the route table of a document that was parsed as JSON.
+    """Read the route table of a document that is already parsed.
 
     Raises:
         UnreadableDocumentError: The document is not an object with a version.
@@ -186,7 +188,7 @@
 
 
 def _read_services(document: ObjectReader) -> list[Service]:
-    """Read the services, leaving out those that cannot be read."""
+    """Read the services; those that cannot be read are left out."""
     services: list[Service] = []
     for index, raw in enumerate(document.items("services")):
         try:
@@ -223,8 +225,8 @@
 def _read_routes(document: ObjectReader, services: Set[str]) -> list[Route]:
     """Read the routes.
 
-    One that cannot be read stays without services where its host and prefix are known: its requests are refused, as
-    another route with a shorter prefix is not theirs.
+    An unreadable route whose host and prefix are known is kept without services, so that its requests are rejected.
+    Without it, they would match another route with a shorter prefix.
     """
     routes: list[Route] = []
     for index, raw in enumerate(document.items("routes")):
@@ -276,7 +278,7 @@
 
 
 def _read_targets(route: ObjectReader, services: Set[str]) -> WeightedServices:
-    """Read the services of a route with their weights: those of its split, or else its only one."""
+    """Read the services of a route with their weights: those of its traffic split, or else its single service."""
     if not route.fields.get("traffic-split"):
         service = route.text("service")
         if service in services:
@@ -284,7 +286,7 @@
     weights = _read_split(route) if route.fields.get("traffic-split") else []
     known = [(service, weight) for service, weight in weights if weight > 0 and service in services]
     if not known:
-        route.add_finding("", "leads to no service that can be read")
+        route.add_finding("", "has no readable service")
         raise UnreadablePartError
     return WeightedServices(
         names=tuple(service for service, _ in known),
@@ -307,7 +309,7 @@
 
 
 def _read_limits(document: ObjectReader) -> Limits:
-    """Read the limits; where they are no object, all have their defaults."""
+    """Read the limits; if they are not an object, all limits have their defaults."""
     try:
         reader = ObjectReader(document.fields.get("limits", {}), "limits", document.findings)
     except UnreadablePartError:
--- a/hophinge/fleet/controlplane/api.py
+++ b/hophinge/fleet/controlplane/api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of a control member: the operator's configuration and the instances' heartbeats."""
+"""The HTTP API of a control member: the operator's configuration, instance heartbeats and the member's status."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from hophinge.coordination.registers import Change, Outcome
 from hophinge.fleet.configuration.findings import Findings
-from hophinge.fleet.configuration.judged_documents import JudgedDocuments, Judgement
+from hophinge.fleet.configuration.judged_documents import ValidationCache, ValidationResult
 from hophinge.fleet.configuration.record import RECORD_KEY, compress_document, read_configuration_record
 from hophinge.fleet.controlplane.replica_host import ReplicaHost
 from hophinge.fleet.controlplane.schemas import HeartbeatBody
@@ -25,15 +25,15 @@
 CONFIGURATION_PATH = "/v1/config"
 INSTANCES_PATH = "/v1/instances/"
 MEMBER_PATH = "/v1/member"  # for operators: this member's status
-MAX_CONFIGURATION_BYTES = 8 << 20  # above the operator's bound on a configuration
+MAX_CONFIGURATION_BYTES = 8 << 20  # above the operator's own limit on a configuration
 MAX_HEARTBEAT_BYTES = 64 << 10
-CHANGE_TIMEOUT_S = 2.5  # for a change to complete, within the operator's bound on an acknowledgement
+CHANGE_TIMEOUT_S = 2.5  # for a change to complete, shorter than the operator waits for an acknowledgement
 READ_TIMEOUT_S = 2.0
 MILLISECONDS = 1_000
 JSON_TYPE = (b"content-type", b"application/json")
 RETRY_AFTER = (b"retry-after", b"0.2")
 
-# Serves a request whose path begins with the prefix of the handler: the method, the rest of the path, receive, send.
+# Serves a request. Arguments: method, remainder of the path after the registered prefix, receive, send.
 PathHandler = Callable[[str, str, Receive, Send], Awaitable[None]]
 
 
@@ -47,22 +47,22 @@
     def __init__(self, host: ReplicaHost, soft_state: SoftState) -> None:
         self.host = host
         self.soft_state = soft_state
-        self.judged_documents = JudgedDocuments()
+        self.validation_cache = ValidationCache()
         self.handlers: dict[str, PathHandler] = {}  # by path prefix
         self.path_handlers: dict[str, PathHandler] = {}  # by complete path
-        self.status_sections: dict[str, Callable[[], object]] = {}  # further keys of the status
-        self.connection_outcomes: Mapping[str, int] = {}  # the server's counts of connections that ended early
+        self.status_sections: dict[str, Callable[[], object]] = {}  # additional keys of the status object
+        self.connection_outcomes: Mapping[str, int] = {}  # counts by close reason; orderly closes are left out
 
     def register(self, prefix: str, handler: PathHandler) -> None:
-        """Have a handler serve all paths with a prefix."""
+        """Register a handler for all paths that begin with a prefix."""
         self.handlers[prefix] = handler
 
     def register_path(self, path: str, handler: PathHandler) -> None:
-        """Have a handler serve one path."""
+        """Register a handler for one path."""
         self.path_handlers[path] = handler
 
     def _handler(self, path: str) -> tuple[str, PathHandler] | None:
-        """Return the handler of a path with the rest of the path behind its prefix."""
+        """Return the remainder of a path after the registered prefix, with its handler; None if there is none."""
         if path in self.path_handlers:
             return "", self.path_handlers[path]
         for prefix, handler in self.handlers.items():
@@ -89,7 +89,7 @@
                 name, handler = found
                 await handler(method, name, receive, send)
             else:
-                await answer(send, 404, _body(error="there is no such resource"), (JSON_TYPE,))
+                await answer(send, 404, _body(error="the resource does not exist"), (JSON_TYPE,))
         except ClientGoneError:
             logger.info("upload aborted side=client phase=arriving method={} path={}", method, path)
         except BodyTooLargeError:
@@ -105,7 +105,9 @@
         if is_acknowledged:
             await answer(send, 200, b"{}", (JSON_TYPE,))
         else:
-            await answer(send, 503, _body(error="too few control members hold this yet"), (JSON_TYPE, RETRY_AFTER))
+            await answer(
+                send, 503, _body(error="not yet replicated to enough control members; retry"), (JSON_TYPE, RETRY_AFTER)
+            )
 
     # --- instances -----------------------------------------------------------------------------------------------
 
@@ -136,10 +138,10 @@
     async def _put_configuration(self, scope: Scope, receive: Receive, send: Send) -> None:
         body = await read_body(receive, MAX_CONFIGURATION_BYTES)
         base_version = _if_match(scope)
-        judgement = self._judge(body)
-        version = self._version_in_force(body) if judgement.is_error() else judgement.ok
+        validation = self._validate(body)
+        version = self._committed_version(body) if validation.is_error() else validation.ok
         if version is None:
-            await _reject_configuration(send, judgement.error)
+            await _reject_configuration(send, validation.error)
             return
         if base_version is None:
             await answer(send, 400, _body(error="If-Match is missing or is not a version"), (JSON_TYPE,))
@@ -151,28 +153,28 @@
             case Outcome.APPLIED:
                 await answer(send, 200, _body(version=change.version), (JSON_TYPE,))
             case Outcome.CONFLICT:
-                text = f"version {result.version} is in place"
+                text = f"the current version is {result.version}"
                 await answer(send, 412, _body(error=text, version=result.version), (JSON_TYPE,))
             case Outcome.OUTDATED:
-                text = f"version: is not above {result.version}, which is in place"
+                text = f"version: is not above the current version {result.version}"
                 await answer(send, 400, _body(error=text, version=result.version), (JSON_TYPE,))
             case _:
-                text = "nobody knows yet whether the change was taken: send it again"
+                text = "it is unknown whether the change was applied; retry it"
                 await answer(send, 503, _body(error=text), (JSON_TYPE, RETRY_AFTER))
 
-    def _judge(self, body: bytes) -> Judgement:
-        """Judge a document, and log how long the event loop stood still for it."""
+    def _validate(self, body: bytes) -> ValidationResult:
+        """Validate a document, and log for how long that blocked the event loop."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        judgement = self.judged_documents.judge(body)
-        took_ms = (loop.time() - began) * MILLISECONDS
-        logger.info("configuration judged valid={} bytes={} took_ms={:.1f}", judgement.is_ok(), len(body), took_ms)
-        return judgement
+        started_at = loop.time()
+        validation = self.validation_cache.validate(body)
+        took_ms = (loop.time() - started_at) * MILLISECONDS
+        logger.info("configuration validated valid={} bytes={} took_ms={:.1f}", validation.is_ok(), len(body), took_ms)
+        return validation
 
-    def _version_in_force(self, body: bytes) -> int | None:
-        """Return the version of a document that is in force already; None for any other one.
+    def _committed_version(self, body: bytes) -> int | None:
+        """Return the version of a document that is the committed configuration; None for any other document.
 
-        It was taken, maybe by an older version of this program by other rules: sent again, it is not refused.
+        An older release may have accepted it under other rules, and sending it again must not be rejected.
         """
         record = self.soft_state.dissemination.store.get(RECORD_KEY)
         if record is None or record.value != compress_document(body):
@@ -182,9 +184,14 @@
     async def _get_configuration(self, send: Send) -> None:
         result = await self.host.request(RECORD_KEY, None, READ_TIMEOUT_S)
         if result.outcome is not Outcome.VALUE:
-            await answer(send, 503, _body(error="the newest version is not known here now"), (JSON_TYPE, RETRY_AFTER))
+            await answer(
+                send,
+                503,
+                _body(error="this member cannot determine the current version now; retry"),
+                (JSON_TYPE, RETRY_AFTER),
+            )
         elif not result.version:
-            await answer(send, 404, _body(error="there is no configuration yet"), (JSON_TYPE,))
+            await answer(send, 404, _body(error="no configuration has been set yet"), (JSON_TYPE,))
         else:
             await answer(send, 200, result.payload, (JSON_TYPE,))
 
@@ -195,7 +202,7 @@
 
 
 def _if_match(scope: Scope) -> int | None:
-    """Return the version in the If-Match header; None where there is none or it is not a version."""
+    """Return the version in the If-Match header; None if the header is missing or is not a version."""
     for name, value in scope["headers"]:
         if name == b"if-match":
             return parse_decimal(value.decode("latin-1").strip().strip('"'))
--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -107,7 +107,7 @@
                 self.stage_controller.apply_lease(update.register)
             if update.key == RECORD_KEY:
                 logger.info("configuration applied version={}", update.register.version)
-                self.api.judged_documents.record_committed(update.register.payload, update.register.version)
+                self.api.validation_cache.add_committed(update.register.payload, update.register.version)
                 record = configuration_record(update.sequence, update.register.payload)
                 self.soft_state.publish_register(record)
             if update.key.startswith(EVACUATION_PREFIX):
--- a/hophinge/fleet/early_signals.py
+++ b/hophinge/fleet/early_signals.py
@@ -1,6 +1,7 @@
-"""Ignores SIGHUP from the first moment of a process: until its handler is there, the default would end the process.
+"""Ignores SIGHUP while the process starts: its default action would end the process before a handler is installed.
 
-Imported before modules that take long to load. The settings are reread every few seconds, so nothing is missed.
+Import this module before modules that take long to load. A SIGHUP ignored here loses nothing, because the settings
+are also reread every few seconds.
 """
 
 from __future__ import annotations
--- a/hophinge/fleet/event_loop.py
+++ b/hophinge/fleet/event_loop.py
@@ -1,17 +1,17 @@
-"""How long the event loop of a process stands still: lateness of its periodic steps, in the log."""
+"""Logs stalls of the event loop, measured as the delay of a periodic step."""
 
 from __future__ import annotations
 
 from loguru import logger
 
-STALL_S = 0.1  # of lateness, from which it is logged
+STALL_S = 0.1  # the shortest delay that is logged
 MILLISECONDS = 1_000
 
 
 def log_stall(late_s: float) -> None:
-    """Log how much later than due a step begins, where that is long.
+    """Log the delay of a periodic step, in seconds after it was due, if it is at least `STALL_S`.
 
-    The loop ran other work for so long, or the process had no processor.
+    The event loop was busy with other work for that time, or the process got no CPU time.
     """
     if late_s >= STALL_S:
         logger.info("event loop stalled late_ms={:.0f}", late_s * MILLISECONDS)
--- a/hophinge/fleet/log.py
+++ b/hophinge/fleet/log.py
@@ -1,4 +1,4 @@
-"""The log of the two programs: an event a line, with its fields as `name=value` behind it."""
+"""Logging of the data plane and the control plane: one event per line, followed by its fields as `name=value`."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 def configure_log(level: str = "INFO") -> None:
-    """Write the log to standard error, from this level up."""
+    """Log messages of at least this level to standard error."""
     logger.remove()
     logger.add(sys.stderr, level=level, format=FORMAT, colorize=False, backtrace=False, diagnose=False)
--- a/hophinge/fleet/numerals.py
+++ b/hophinge/fleet/numerals.py
@@ -1,12 +1,12 @@
-"""Whole numbers in header fields."""
+"""Parses decimal integers in header fields."""
 
 from __future__ import annotations
 
-MAX_DIGITS = 18  # a number with more of them exceeds 64 bits, and is no quantity of this protocol
+MAX_DIGITS = 18  # the most digits that always fit in a signed 64-bit integer
 
 
 def parse_decimal(text: str) -> int | None:
-    """Return the number that a text of ASCII digits stands for, spaces around it aside; None for any other text."""
+    """Parse a non-negative integer in ASCII digits, ignoring surrounding whitespace; return None for any other text."""
     digits = text.strip()
     is_decimal = digits.isascii() and digits.isdigit() and len(digits) <= MAX_DIGITS
     return int(digits) if is_decimal else None
--- a/hophinge/fleet/program.py
+++ b/hophinge/fleet/program.py
@@ -1,4 +1,4 @@
-"""Start and shutdown of both programs: settings, signals, and tasks whose failure ends the process."""
+"""Startup and shutdown of the data plane and the control plane: settings, signals and long-running tasks."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 Program = Callable[[Settings, PlacementPolicy], Awaitable[None]]
 
-EXIT_INVALID_SETTINGS = 1  # exit status where the settings are invalid
-MAX_FAILURES = 20  # consecutive, of a periodic step, before the process ends to be restarted
-SETTINGS_REREAD_INTERVAL_S = 3.0  # between reads of the settings file: it may change without a signal
+EXIT_INVALID_SETTINGS = 1  # exit status for invalid settings or an invalid command line
+MAX_FAILURES = 20  # consecutive failures of a periodic step after which the process ends, to be restarted
+SETTINGS_REREAD_INTERVAL_S = 3.0  # the settings file may change without a signal
 
 
 class Signals:
-    """The signals that the platform sends: SIGTERM and SIGINT to shut down, SIGHUP to reread the settings."""
+    """Handles SIGTERM and SIGINT as requests to shut down, and SIGHUP as a request to reread the settings."""
 
     def __init__(self) -> None:
         self.shutdown_requested = asyncio.Event()
@@ -38,7 +38,7 @@
         self.on_hangup()
 
     def close(self) -> None:
-        """Ignore signals from now on: one that comes late must not change the exit status."""
+        """Ignore these signals from now on: a late signal must not change the exit status."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             loop.remove_signal_handler(number)
@@ -46,20 +46,20 @@
 
 
 class Tasks:
-    """Tasks that run as long as the program; the failure of one is logged and ends the program."""
+    """The running tasks of the program. A failed task is logged; unless it is a background task, the program ends."""
 
     def __init__(self, shutdown_requested: asyncio.Event) -> None:
         self.shutdown_requested = shutdown_requested
         self.running: set[asyncio.Task[Any]] = set()
 
     def start(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a task."""
+        """Run a task whose failure is logged and ends the program."""
         task = asyncio.get_running_loop().create_task(work)
         self.running.add(task)
         task.add_done_callback(self._on_done)
 
     def start_background(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a background task whose failure is logged and ends nothing else."""
+        """Run a background task whose failure is only logged."""
         task = asyncio.get_running_loop().create_task(work)
         self.running.add(task)
         task.add_done_callback(self._on_background_done)
@@ -87,20 +87,20 @@
     max_failures: int = MAX_FAILURES,
     on_late: Callable[[float], None] = lambda late_s: None,
 ) -> None:
-    """Run a step forever, sleeping after each.
+    """Run a step repeatedly, forever, with a pause after each run.
 
-    The failure of a step is logged and the next one is run all the same: the process has responses in flight that do
-    not depend on it.
+    A failed step is logged and run again after the pause, because the process has responses in flight that do not
+    depend on the step.
 
     Args:
-        period_s: How long to sleep after each step.
+        period_s: The length of the pause, in seconds.
         work: The step.
-        max_failures: How many consecutive failures end the repetition. 1 is for a state that must not go on from
-            half a step, as what is on disk may lack what is in memory.
-        on_late: Is told before each further step by how many seconds it is late.
+        max_failures: The number of consecutive failures after which no further step is run. Use 1 where a step that
+            fails half way leaves inconsistent state, for example state in memory that is missing on the disk.
+        on_late: Called before each step except the first, with the step's delay in seconds.
 
     Raises:
-        Exception: What the last step raised, after so many consecutive failures.
+        Exception: The exception of the last step, after `max_failures` consecutive failures.
 
     """
     failures = 0
@@ -109,7 +109,7 @@
         try:
             await work()
             failures = 0
-        except Exception:  # broad: a step may fail for any reason and must not end the process
+        except Exception:  # broad: no kind of failure in a step may end the process
             failures += 1
             logger.exception("periodic step failed consecutive_failures={}", failures)
             if failures >= max_failures:
@@ -125,7 +125,7 @@
     max_failures: int = MAX_FAILURES,
     on_late: Callable[[float], None] = lambda late_s: None,
 ) -> None:
-    """Call a function forever, as `run_periodically` does."""
+    """Call a function repeatedly, forever; see `run_periodically` for the arguments."""
 
     async def call() -> None:
         action()
@@ -134,7 +134,7 @@
 
 
 def reread_settings() -> Settings | None:
-    """Read the settings again; return None, and log why, where they are invalid."""
+    """Read the settings again; if they are invalid, log the reason and return None."""
     try:
         return read_settings()
     except SettingsError as error:
@@ -143,13 +143,13 @@
 
 
 def run(program: Program) -> None:
-    """Read the settings and run a program to its end; exit with EXIT_INVALID_SETTINGS where they are invalid."""
+    """Read the command line and the settings, then run a program; exit with `EXIT_INVALID_SETTINGS` if invalid."""
     configure_log()
     try:
         policy = requested_policy(sys.argv[1:])
         settings = read_settings()
     except TrialError as error:
-        logger.error("trial invalid: {}", error)
+        logger.error("trial policy invalid: {}", error)
         sys.exit(EXIT_INVALID_SETTINGS)
     except SettingsError as error:
         for finding in error.findings:
--- a/hophinge/fleet/settings.py
+++ b/hophinge/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process; all faults are collected and reported with the paths of their fields."""
+"""The settings file of a process. All errors in it are collected and reported with the paths of their fields."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 SETTINGS_VARIABLE = "HOPHINGE_CONFIG"
 DEFAULT_SETTINGS_PATH = "/etc/hophinge/local.json"
-MAX_NUMBER = 1e12  # the largest number that a setting may be
+MAX_NUMBER = 1e12  # the largest number accepted in a setting
 # Offsets into the internal port range:
 CONTROL_PORT_OFFSET = 0
 DATA_PORT_OFFSET = 1
 
 
 class SettingsError(ValueError):
-    """The settings file is invalid; `findings` holds every fault."""
+    """The settings file is invalid; `findings` lists every error in it."""
 
     def __init__(self, findings: list[str]) -> None:
         super().__init__("; ".join(findings))
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds set by the operators: times in seconds, ratios as fractions."""
+    """Limits set by the operators; times are in seconds, ratios are fractions."""
 
     config_apply_s: float
     drain_s: float
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a process: its machine, its addresses, and the other members."""
+    """The settings of a process: its machine, its addresses and the other members."""
 
     name: str
     ip: str
@@ -57,31 +57,31 @@
     control_address: str | None
     internal_control_address: str
     internal_data_address: str
-    seeds: tuple[str, ...]  # control addresses, as the file names them
+    seeds: tuple[str, ...]  # control addresses, as written in the file
     bootstrap: bool
     can_vote: bool
     data_dir: Path | None
     heartbeat_s: float
-    max_machine_losses: int  # machines whose loss at the same time must be tolerated
+    max_machine_losses: int  # the number of simultaneous machine losses to tolerate
     bounds: Bounds
 
     def seed_members(self) -> tuple[str, ...]:
-        """Return the seeds' internal addresses; ports are the same on all machines."""
+        """Return the seeds' internal control addresses; the port is the same on all machines."""
         port = self.internal_control_address.rsplit(":", 1)[1]
         return tuple(f"{seed.rsplit(':', 1)[0]}:{port}" for seed in self.seeds)
 
 
 def _is_number(value: Any) -> bool:
-    """Return whether a value is a finite number from 0 to MAX_NUMBER; neither NaN nor infinity is."""
+    """Return whether a value is a number from 0 to `MAX_NUMBER`; this excludes NaN and infinity."""
     return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MAX_NUMBER
 
 
 class SettingsReader:
-    """Reads the fields of a mapping and collects their faults."""
+    """Reads the fields of a JSON object and collects their errors."""
 
     def __init__(self, raw: dict[str, Any], path: str, findings: list[str]) -> None:
         self.raw = raw
-        self.path = path  # of the mapping, with a dot behind it; empty at the top
+        self.path = path  # of the object, followed by a dot; empty for the outermost object
         self.findings = findings
 
     def _read(self, name: str, kind: str, is_valid: Callable[[Any], bool], default: Any) -> Any:
@@ -98,24 +98,24 @@
         return str(self._read(name, "a string", lambda value: isinstance(value, str) and bool(value), default))
 
     def number(self, name: str, default: float | None = None) -> float:
-        """Read a number that is not below 0."""
-        return float(self._read(name, "a number from 0", _is_number, default) or 0.0)
+        """Read a non-negative number; return 0 where it is invalid and there is no default."""
+        return float(self._read(name, "a non-negative number", _is_number, default) or 0.0)
 
     def flag(self, name: str, default: bool) -> bool:
-        """Read true or false."""
+        """Read a Boolean."""
         return bool(self._read(name, "true or false", lambda value: isinstance(value, bool), default))
 
     def section(self, name: str) -> SettingsReader:
-        """Read a nested mapping; a missing one is empty."""
-        value = self._read(name, "a mapping", lambda value: isinstance(value, dict), {})
+        """Return a reader of a nested object; a missing object is read as empty."""
+        value = self._read(name, "an object", lambda value: isinstance(value, dict), {})
         return SettingsReader(value, f"{self.path}{name}.", self.findings)
 
     def items(self, name: str) -> list[Any]:
-        """Read a list."""
+        """Read a list; a missing list is read as empty."""
         return list(self._read(name, "a list", lambda value: isinstance(value, list), []))
 
     def optional(self, name: str) -> str | None:
-        """Read an optional string."""
+        """Read an optional string; return None where it is missing, empty or not a string."""
         value = self.raw.get(name)
         return value if isinstance(value, str) and value else None
 
@@ -124,7 +124,7 @@
     """Read the settings file.
 
     Raises:
-        SettingsError: The file cannot be read or is invalid; it holds every fault.
+        SettingsError: The file cannot be read or is invalid; the exception lists every error in it.
 
     """
     file = path or os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
@@ -133,15 +133,15 @@
     except (OSError, ValueError) as error:
         raise SettingsError([f"{file}: {error}"]) from error
     if not isinstance(raw, dict):
-        raise SettingsError([f"{file}: is not a mapping"])
+        raise SettingsError([f"{file}: is not a JSON object"])
     return parse_settings(raw)
 
 
 def parse_settings(raw: dict[str, Any]) -> Settings:
-    """Validate the fields of a settings file; unknown ones are ignored.
+    """Validate the fields of a settings file; unknown fields are ignored.
 
     Raises:
-        SettingsError: Fields are missing or invalid; it holds every fault.
+        SettingsError: Fields are missing or invalid; the exception lists every error.
 
     """
     findings: list[str] = []
@@ -176,10 +176,10 @@
 
 
 def _parse_first_port(top: SettingsReader) -> int:
-    """Return the first port of the internal range; 0 where the range is invalid."""
+    """Return the first port of the internal range; record an error and return 0 if the range is invalid."""
     ports = top.items("internal-port-range")
     if len(ports) != 2 or not all(isinstance(port, int) for port in ports) or ports[1] - ports[0] < DATA_PORT_OFFSET:
-        top.findings.append("internal-port-range: is not a first and a last port")
+        top.findings.append("internal-port-range: is not a list of the first and the last port")
         return 0
     first_port: int = ports[0]
     return first_port
--- a/hophinge/fleet/trial.py
+++ b/hophinge/fleet/trial.py
@@ -1,6 +1,6 @@
-"""The policy of a trial, read from the file that `--trial FILE` on a program's command line names.
+"""Reads an experimental placement policy from the file given as `--trial FILE` on the command line.
 
-Deployments name none. The file is a JSON object of fields of `PlacementPolicy`.
+The file is a JSON object with fields of `PlacementPolicy`. Deployments run without this option.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 
 
 class TrialError(Exception):
-    """The command line or the trial's file cannot be used: a trial must not run with less than was asked for."""
+    """The command line or the policy file is invalid: a trial must not run with another policy than requested."""
 
 
 def requested_policy(arguments: Sequence[str]) -> PlacementPolicy:
-    """Return the policy of the trial that a command line asks for, or the one in service where it asks for none.
+    """Return the policy requested on the command line, or the default policy if there are no arguments.
 
     Raises:
-        TrialError: The command line has other words, or the file cannot be used.
+        TrialError: The command line has other arguments, or the file is invalid.
 
     """
     if not arguments:
         return PlacementPolicy()
     if len(arguments) != 2 or arguments[0] != TRIAL_OPTION:
-        raise TrialError(f"unknown arguments: {' '.join(arguments)}; only {TRIAL_OPTION} FILE is possible")
+        raise TrialError(f"unknown arguments: {' '.join(arguments)}; only {TRIAL_OPTION} FILE is supported")
     path = Path(arguments[1])
     policy = read_policy(path)
     logger.info("trial policy in force file={} policy={}", path, policy)
@@ -40,25 +40,25 @@
 
 
 def read_policy(path: Path) -> PlacementPolicy:
-    """Read a trial's file.
+    """Read a policy file.
 
     Raises:
-        TrialError: It cannot be read, belongs to another user, or names what does not exist.
+        TrialError: The file cannot be read, belongs to another user, has unknown fields or invalid values.
 
     """
-    from pydantic import TypeAdapter, ValidationError  # loaded only in trials: the import takes long
+    from pydantic import TypeAdapter, ValidationError  # imported only in trials, because the import is slow
 
     try:
         if path.stat().st_uid != os.geteuid():
-            raise TrialError(f"{path}: belongs to another user")
+            raise TrialError(f"{path}: the file belongs to another user")
         values = json.loads(path.read_bytes())
     except (OSError, ValueError) as error:
         raise TrialError(f"{path}: {error}") from error
     if not isinstance(values, dict):
-        raise TrialError(f"{path}: is no JSON object")
+        raise TrialError(f"{path}: the file is not a JSON object")
     unknown = values.keys() - {field.name for field in fields(PlacementPolicy)}
     if unknown:
-        raise TrialError(f"{path}: no such mechanism: {', '.join(sorted(unknown))}")
+        raise TrialError(f"{path}: unknown fields: {', '.join(sorted(unknown))}")
     try:
         return TypeAdapter(PlacementPolicy).validate_json(json.dumps(values))
     except ValidationError as error:
--- a/tests/acknowledgement_mutants.py
+++ b/tests/acknowledgement_mutants.py
@@ -45,8 +45,8 @@
     Mutant(
         "a change that an older version took is refused when it is sent again",
         "fleet/controlplane/api",
-        "self._version_in_force(body) if judgement.is_error() else judgement.ok",
-        "None if judgement.is_error() else judgement.ok",
+        "self._committed_version(body) if validation.is_error() else validation.ok",
+        "None if validation.is_error() else validation.ok",
         API + "test_a_change_that_an_older_version_took_is_not_refused_when_it_is_sent_again",
     ),
     Mutant(
--- a/tests/test_fleet_judged_documents.py
+++ b/tests/test_fleet_judged_documents.py
@@ -12,7 +12,7 @@
 
 from hophinge.fleet.configuration import judged_documents
 from hophinge.fleet.configuration.document import validate_document
-from hophinge.fleet.configuration.judged_documents import MAX_DOCUMENTS, JudgedDocuments
+from hophinge.fleet.configuration.judged_documents import MAX_DOCUMENTS, ValidationCache
 from hophinge.fleet.event_loop import STALL_S, log_stall
 from hophinge.fleet.program import call_periodically
 from tests.odd_documents import proper_document
@@ -50,8 +50,8 @@
 def test_a_document_that_is_sent_again_is_not_judged_again(
     timeout_ms: object, is_valid: bool, judged: list[bytes]
 ) -> None:
-    documents = JudgedDocuments()
-    judgements = [documents.judge(_document(7, timeout_ms)) for _ in range(3)]
+    documents = ValidationCache()
+    judgements = [documents.validate(_document(7, timeout_ms)) for _ in range(3)]
     assert [judgement.is_ok() for judgement in judgements] == [is_valid] * 3
     assert len(judged) == 1
     if is_valid:
@@ -61,8 +61,8 @@
 
 
 def test_documents_that_differ_in_one_byte_are_judged_each(judged: list[bytes]) -> None:
-    documents = JudgedDocuments()
-    assert [documents.judge(_document(7, timeout_ms)).is_ok() for timeout_ms in (4_000, 4_001, "4000")] == [
+    documents = ValidationCache()
+    assert [documents.validate(_document(7, timeout_ms)).is_ok() for timeout_ms in (4_000, 4_001, "4000")] == [
         True,
         True,
         False,
@@ -72,23 +72,23 @@
 
 def test_a_committed_document_is_known_also_where_this_version_would_not_take_it(judged: list[bytes]) -> None:
     """Another member judged it, maybe by older rules; sent again to this one, it is not refused."""
-    documents = JudgedDocuments()
+    documents = ValidationCache()
     odd = _document(7, "4000")
-    assert documents.judge(odd).is_error()
-    documents.record_committed(odd, 7)
-    assert documents.judge(odd).ok == 7
-    documents.record_committed(_document(8), 8)
-    assert documents.judge(_document(8)).ok == 8
+    assert documents.validate(odd).is_error()
+    documents.add_committed(odd, 7)
+    assert documents.validate(odd).ok == 7
+    documents.add_committed(_document(8), 8)
+    assert documents.validate(_document(8)).ok == 8
     assert judged == [odd]
 
 
 def test_as_many_judgements_as_the_bound_are_remembered_the_latest_ones(judged: list[bytes]) -> None:
-    documents = JudgedDocuments()
+    documents = ValidationCache()
     for version in range(1, MAX_DOCUMENTS + 2):
-        documents.judge(_document(version))
-    documents.judge(_document(2))
+        documents.validate(_document(version))
+    documents.validate(_document(2))
     assert len(judged) == MAX_DOCUMENTS + 1, "version 2 is remembered"
-    documents.judge(_document(1))
+    documents.validate(_document(1))
     assert len(judged) == MAX_DOCUMENTS + 2, "version 1 was forgotten"
 
 
--- a/tests/test_fleet_odd_documents.py
+++ b/tests/test_fleet_odd_documents.py
@@ -70,7 +70,7 @@
     if not _is_json(document.write(VERSION)):
         return "JSON" in text
     is_reference = path[0] == "services" and (len(path) <= 2 or path[2:] == ["name"])
-    return is_reference and ("unknown service" in text or "is that of services" in text)
+    return is_reference and ("unknown service" in text or "is also the name of services" in text)
 
 
 def _is_json(data: bytes) -> bool:
