--- a/hophinge/fleet/placement/__init__.py
+++ b/hophinge/fleet/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which instance takes a request: groups by key, books by size, bounds on what is out."""
+"""Placement: chooses the instance for each attempt by the request's key, its size, and the load of the instances."""
--- a/hophinge/fleet/placement/hint_exchange.py
+++ b/hophinge/fleet/placement/hint_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange of hints, suspicions and reports by which heads know the load of all instances."""
+"""Exchanges hints, suspicions and reports with the other heads, so that each knows the load of all instances."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from hophinge.fleet.placement.prompt import PromptSegment
 
 MILLISECONDS = 1_000
-MEAN_RELAY_DELAY_S = 0.03  # of a hint from one head to another
-MIN_TOKENS = 64  # charged for a request that needs no prefill
+MEAN_RELAY_DELAY_S = 0.03  # of a hint on its way from one head to another
+MIN_TOKENS = 64  # charged for each request, even if it needs no prefill
 
 
 class HintExchange:
-    """What this head has to send to the others, and the application of what they sent."""
+    """Collects the messages that this head has to send to other heads, and applies those received from them."""
 
     def __init__(
         self, instances: InstanceTable, policy: PlacementPolicy, on_update_pending: Callable[[], None]
@@ -38,7 +38,7 @@
         self.suspects: set[str] = set()
 
     def outgoing_hints(self, now: float) -> PlacementHints | None:
-        """Return the hints since the last call, or None without any."""
+        """Return the hints collected since the last call, or None if there are none."""
         done = tuple(
             PrefillDone(finished.instance, finished.job_id, int((now - finished.ended_at) * MILLISECONDS))
             for finished in self.pending_finished
@@ -71,20 +71,24 @@
                 node.drop_job(dropped.job_id)
 
     def record_segments(self, node: Node, segments: tuple[PromptSegment, ...], units: int, job_id: int) -> None:
-        """Record that an instance will have segments: at once where they are transferred, so that little is read."""
+        """Record the prompt segments that an instance will have cached.
+
+        They stay pending until the job has prefilled them. They count as cached at once if the instance has at most
+        MIN_TOKENS to prefill, since the KV cache is then there or transferred, or if heads do not share dropped jobs.
+        """
         if units > MIN_TOKENS and self.policy.shares_drops:
             node.cache.insert_pending(segments, job_id)
         else:
             node.cache.insert(segments)
 
     def outgoing_suspects(self) -> SuspectedInstances | None:
-        """Return the instances that failed here since the last call, or None without any."""
+        """Return the instances that failed at this head since the last call, or None if there are none."""
         suspects = tuple(self.suspects)
         self.suspects = set()
         return SuspectedInstances(suspects) if suspects else None
 
     def receive_suspects(self, now: float, suspects: SuspectedInstances) -> None:
-        """Record instances that failed at another head."""
+        """Apply the suspicions of another head."""
         for identity in suspects.instances:
             node = self.instances.nodes.get(identity)
             if node is None:
@@ -94,7 +98,7 @@
             self.instances.admission.reachability.record_suspicion(now, node.instance)
 
     def receive_reports(self, now: float, reports: EngineReports) -> None:
-        """Record the reports of engines."""
+        """Apply the load reports of engines."""
         known = [
             self.instances.nodes[report.instance].instance
             for report in reports.reports
@@ -109,7 +113,7 @@
                 node.apply_report(now * MICROSECONDS, report, pool.mean_service_us(node))
 
     def cache_snapshot(self) -> PlacementHints:
-        """Return all segments believed to be cached, for a head that has just started."""
+        """Return all segments that are assumed to be cached, for a head that has just started."""
         return PlacementHints(
             tuple(
                 PlacementHint(identity, 0, tuple(node.cache.segments.items()), 0, 0, 0)
--- a/hophinge/fleet/placement/hints.py
+++ b/hophinge/fleet/placement/hints.py
@@ -1,7 +1,7 @@
 """Messages by which heads exchange their placements, so that each knows the load and the caches of all instances.
 
-A head sees a small fraction of the traffic; without these messages it knows next to nothing of an instance's queue.
-They are hints: one that is lost makes a choice worse and breaks nothing.
+A head handles a small fraction of the traffic; without these messages it could hardly estimate an instance's queue.
+They are only hints: a lost message makes placement less accurate and breaks nothing.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 @wire(80)
 @dataclass(frozen=True, slots=True)
 class PlacementHint:
-    """Units of work that were sent to an instance, and the prompt segments that it has cached from then on."""
+    """Work that a head sent to an instance, and the prompt segments that the instance will have cached."""
 
     instance: str
     units: int
     segments: tuple[PromptSegment, ...]
-    priority: int  # at the instance: 0 first
-    memory_tokens: int  # that the request occupies there while it runs; 0 where its prompt is only read
-    job_id: int  # in the instance's queue, random
+    priority: int  # in the instance's queue; 0 is the highest
+    memory_tokens: int  # that the request occupies while it runs; 0 if the instance only prefills it
+    job_id: int  # random identifier in the instance's queue
 
 
 @wire(86)
 @dataclass(frozen=True, slots=True)
 class PrefillDone:
-    """A prompt has been read, and the instance has started its next job."""
+    """An instance has finished the prefill of a prompt, and has started its next job."""
 
     instance: str
     job_id: int
-    age_ms: int  # since then, when this was sent
+    age_ms: int  # time between the end of the prefill and the sending of this message
 
 
 @wire(87)
 @dataclass(frozen=True, slots=True)
 class PrefillDropped:
-    """A prompt will not be read: its client has disconnected, or the attempt failed."""
+    """A prompt will not be prefilled: its client has disconnected, or the attempt failed."""
 
     instance: str
     job_id: int
@@ -47,14 +47,14 @@
 @wire(81)
 @dataclass(frozen=True, slots=True)
 class PlacementHints:
-    """The placements, and the jobs that finished or were dropped, since the last message."""
+    """The placements, finished jobs and dropped jobs since the last message."""
 
     hints: tuple[PlacementHint, ...]
     done: tuple[PrefillDone, ...] = ()
     dropped: tuple[PrefillDropped, ...] = ()
 
     def __add__(self, other: PlacementHints) -> PlacementHints:
-        """Combine two messages."""
+        """Concatenate two messages."""
         return PlacementHints(self.hints + other.hints, self.done + other.done, self.dropped + other.dropped)
 
     @property
@@ -66,7 +66,7 @@
 @wire(85)
 @dataclass(frozen=True, slots=True)
 class SuspectedInstances:
-    """Instances that did not answer in time."""
+    """Instances at which an attempt failed, and which may have ended."""
 
     instances: tuple[str, ...]
 
@@ -74,7 +74,7 @@
 @wire(84)
 @dataclass(frozen=True, slots=True)
 class HintsRequest:
-    """A head that has just started asks another which segments are cached where."""
+    """Request of a head that has just started: which segments are cached at which instances."""
 
 
 @wire(82)
@@ -85,21 +85,21 @@
     instance: str
     waiting: int
     running: int
-    used: int  # tokens of memory that cannot be evicted
-    total: int
+    used: int  # KV cache memory in use that cannot be evicted, in tokens
+    total: int  # KV cache memory, in tokens
 
 
 @wire(83)
 @dataclass(frozen=True, slots=True)
 class EngineReports:
-    """The reports of some engines."""
+    """The load reports of several engines."""
 
     reports: tuple[EngineReport, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedPrefill:
-    """A prompt that was read here, and of which the other heads are not yet notified."""
+    """A finished prefill that this head placed and has not yet announced to the other heads."""
 
     instance: str
     job_id: int
--- a/hophinge/fleet/placement/instance_table.py
+++ b/hophinge/fleet/placement/instance_table.py
@@ -1,4 +1,4 @@
-"""The instances that a head knows, by identity and by stage."""
+"""The instances that a head knows, indexed by identity and by service and stage."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
         self.on_instance_removed = on_instance_removed
         self.pools: dict[tuple[str, str], InstancePool] = {}
         self.nodes: dict[str, Node] = {}
-        self.cache_tokens: dict[str, int] = {}  # by service: that an instance has for cached segments
-        self.stage_switch_s: dict[str, float | None] = {}  # by service: that a change of stage takes
+        self.cache_tokens: dict[str, int] = {}  # by service: an instance's memory for cached segments
+        self.stage_switch_s: dict[str, float | None] = {}  # by service: the duration of a stage change
 
     def update_instance(self, identity: str, instance: Instance | None, now: float = 0.0) -> None:
-        """Record an instance at a time of the caller's clock; None where it has ended."""
+        """Add or update an instance, or remove it if it has ended (None). `now` is seconds on the caller's clock."""
         node = self.nodes.get(identity)
         if node is not None and (instance is None or instance.stage != node.instance.stage):
             self.pool_of(node).nodes.pop(identity, None)
@@ -49,12 +49,12 @@
         self.pool_of(node).nodes[identity] = node
 
     def update_evacuation(self, zone: str, is_evacuated: bool, now: float) -> None:
-        """Record that a zone is evacuated, or that this was taken back: its instances may have turned cold by then."""
+        """Record that a zone is evacuated or in use again; instances may have become cold during the evacuation."""
         if is_evacuated:
             self.admission.evacuated_zones.add(zone)
             return
         if zone not in self.admission.evacuated_zones:
-            return  # an old one, of which a head learns as it starts: the warmup records tell it the rest
+            return  # an evacuation that ended before this head started: the warmup records say which instances are cold
         self.admission.evacuated_zones.discard(zone)
         for identity, node in self.nodes.items():
             if node.instance.zone == zone:
@@ -66,7 +66,7 @@
         return node is not None and self.admission.is_evacuated(node.instance)
 
     def configure(self, memory_tokens: dict[str, int]) -> None:
-        """Set the memory of each service's instances in tokens, some of which is for running requests."""
+        """Set the memory of each service's instances, in tokens; a fraction of it holds cached segments."""
         self.cache_tokens = {
             service: int(tokens * self.policy.cache_fraction) for service, tokens in memory_tokens.items()
         }
@@ -74,7 +74,7 @@
             node.cache.capacity_tokens = self.cache_tokens.get(node.instance.service, 0)
 
     def predict_stage(self, now: float, service: str, stage: str) -> StageOutlook:
-        """Predict when a stage of a service takes requests that it does not take now."""
+        """Predict when a stage of a service that rejects requests now will accept them."""
         members = self.pool(service, stage).available_nodes()
         other_stage = OTHER_STAGE.get(stage)
         others = self.pool(service, other_stage).available_nodes() if other_stage is not None else []
--- a/hophinge/fleet/placement/node.py
+++ b/hophinge/fleet/placement/node.py
@@ -13,27 +13,27 @@
 from hophinge.fleet.registry.instance import LOST, READY, Instance
 
 MICROSECONDS = 1_000_000
-BASE_EJECTION_S = 0.15  # after a failure; doubles with each further one
+BASE_EJECTION_S = 0.15  # after a failure; doubles with each consecutive failure
 MAX_EJECTION_S = 2.4
-SUSPICION_EJECTION_S = 0.7  # of an instance that did not answer another head
-SUSPICION_IMMUNITY_S = 0.3  # an instance that answered here so lately is not suspected
-LIVENESS_EVIDENCE_S = 5.0  # an answer here so lately shows that an instance is live
-FREE_ADMISSION_FRACTION = 0.6  # of its memory, up to which an instance admits requests without a wait
-FULL_MEMORY_WAIT_US = 3_000_000.0  # expected wait for memory, for each multiple of it that is used beyond that
-QUEUED_REQUEST_WAIT_US = 40_000.0  # expected wait for each request that is queued there
+SUSPICION_EJECTION_S = 0.7  # of an instance that did not respond to another head
+SUSPICION_IMMUNITY_S = 0.3  # after a response to this head, in which suspicions of other heads are ignored
+LIVENESS_EVIDENCE_S = 5.0  # for which a response to this head shows that the instance is live
+FREE_ADMISSION_FRACTION = 0.6  # of an instance's memory, up to which it admits requests without a wait
+FULL_MEMORY_WAIT_US = 3_000_000.0  # expected wait per unit of the used fraction above FREE_ADMISSION_FRACTION
+QUEUED_REQUEST_WAIT_US = 40_000.0  # expected wait for each request that is queued at the instance
 
 
 class PrefixCache:
-    """The prompt segments that an instance is believed to have cached, least recently used first."""
+    """The prompt segments that an instance is assumed to have cached, least recently used first."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self.capacity_tokens = capacity_tokens
         self.used_tokens = 0
         self.segments: OrderedDict[str, int] = OrderedDict()
-        self.pending_jobs: dict[str, int] = {}  # by segment that is not read yet: the job that will read it
+        self.pending_jobs: dict[str, int] = {}  # by segment without a finished prefill: the job that will prefill it
 
     def insert(self, segments: tuple[PromptSegment, ...]) -> None:
-        """Insert segments, and evict the least recently used ones where they do not fit."""
+        """Insert segments, and evict the least recently used ones if the capacity is exceeded."""
         for segment, tokens in segments:
             self.used_tokens += tokens - self.segments.pop(segment, 0)
             self.segments[segment] = tokens
@@ -43,23 +43,23 @@
             self.used_tokens -= tokens
 
     def insert_pending(self, segments: tuple[PromptSegment, ...], job_id: int) -> None:
-        """Insert segments that a job is going to read."""
+        """Insert segments that a job will prefill."""
         new_segments = [segment for segment, _ in segments if segment not in self.segments]
         self.insert(segments)
         self.pending_jobs.update((segment, job_id) for segment in new_segments if segment in self.segments)
 
     def confirm(self, job_id: int) -> None:
-        """Record that a job has read its segments."""
+        """Record that a job has prefilled its segments."""
         self.pending_jobs = {segment: reader for segment, reader in self.pending_jobs.items() if reader != job_id}
 
     def cancel(self, job_id: int) -> None:
-        """Remove the segments that a job will not read, unless they were cached before."""
+        """Remove the segments that a job was to prefill, except those that were cached before it."""
         for segment in [segment for segment, reader in self.pending_jobs.items() if reader == job_id]:
             del self.pending_jobs[segment]
             self.used_tokens -= self.segments.pop(segment, 0)
 
     def cached_tokens(self, prompt: Prompt) -> int:
-        """Return how many of a prompt's first tokens are cached."""
+        """Return the number of tokens in the longest cached prefix of a prompt."""
         cached = 0
         for segment, tokens in prompt.segments:
             if segment not in self.segments:
@@ -69,14 +69,14 @@
 
 
 class Node:
-    """An instance, with the load and the health that this head observes."""
+    """An instance, with its load and health as this head observes them."""
 
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
-        self.switching_since: float | None = None  # since this head learned that it changes its stage
+        self.switching_since: float | None = None  # when this head learned that the instance is changing its stage
         self.in_flight = NodeState(NodeEntry(instance.identity, 0, 0, Phase.ON, 1.0, 0))
-        self.queue = WorkQueue()  # the jobs of all heads there
-        self.open_streams = 0  # answers to this head that are being streamed
+        self.queue = WorkQueue()  # jobs of all heads at this instance
+        self.open_streams = 0  # responses that are being streamed to this head
         self.cache = PrefixCache(0)
         self.unit_us: float | None = None  # learned service time per unit
         self.consecutive_failures = 0
@@ -84,10 +84,13 @@
         self.surplus_rate = SurplusRate()
         self.last_answer_at = float("-inf")
         self.last_report: EngineReport | None = None
-        self.tokens_since_report = 0  # of memory, for requests placed since the last report
+        self.tokens_since_report = 0  # memory of the requests placed since the last report
 
     def is_serving(self, now: float) -> bool:
-        """Return whether it accepts new requests; one that answers here counts as live though the registry lost it."""
+        """Return whether the instance accepts new requests.
+
+        An instance that the registry marked lost still counts as live if it responded to this head recently.
+        """
         state = self.instance.state
         return state == READY or (state == LOST and now - self.last_answer_at <= LIVENESS_EVIDENCE_S)
 
@@ -100,7 +103,7 @@
 
     @property
     def outstanding(self) -> int:
-        """The number of requests of this head that are outstanding there."""
+        """The number of this head's requests that are outstanding at the instance."""
         return len(self.in_flight.reservations) + self.open_streams
 
     def apply_report(self, now_us: float, report: EngineReport, mean_us: float) -> None:
@@ -110,11 +113,11 @@
         self.queue.apply_queue_length(now_us, report.waiting, mean_us)
 
     def running_decodes(self) -> int:
-        """Return the number of answers being decoded there, as reported by an instance of the decode stage."""
+        """Return the number of responses that the instance reports as being decoded; 0 outside the decode stage."""
         return self.last_report.running if self.last_report is not None and self.instance.stage == "decode" else 0
 
     def memory_wait_us(self, tokens: int) -> float:
-        """Return the expected wait for memory of a request that needs this many tokens."""
+        """Return how long a request that needs memory for this many tokens is expected to wait for it."""
         report = self.last_report
         if report is None or report.total <= 0:
             return 0.0
@@ -125,24 +128,27 @@
         )
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether it gets no requests for now, after a failure or many surplus responses."""
+        """Return whether the instance is ejected, after a failure or many surplus responses."""
         return now < self.ejected_until or self.surplus_rate.is_avoided(now)
 
     def record_failure(self, now: float) -> None:
-        """Eject the instance after a failed attempt, for longer with each; earlier answers no longer count."""
+        """Eject the instance after a failed attempt, longer each time; earlier responses no longer prove liveness."""
         self.last_answer_at = float("-inf")
         self.ejected_until = now + min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.consecutive_failures)
         self.consecutive_failures += 1
 
     def record_suspicion(self, now: float) -> bool:
-        """Eject the instance as another head had no answer, unless it has answered here lately; return whether."""
+        """Eject the instance as it did not respond to another head; return whether the suspicion was applied.
+
+        It is ignored if the instance responded to this head recently.
+        """
         is_silent = now - self.last_answer_at > SUSPICION_IMMUNITY_S
         if is_silent:
             self.ejected_until = max(self.ejected_until, now + SUSPICION_EJECTION_S)
         return is_silent
 
     def record_answer(self, now: float) -> None:
-        """Record an answer, which ends the ejection."""
+        """Record a response, which ends the ejection."""
         self.consecutive_failures = 0
         self.ejected_until = 0.0
         self.last_answer_at = now
--- a/hophinge/fleet/placement/placement.py
+++ b/hophinge/fleet/placement/placement.py
@@ -1,11 +1,11 @@
-"""Placement of requests: one instance to read the prompt and one to decode the tokens, or one for both.
+"""Places requests: on one instance for prefill and another for decode, or on one instance for both.
 
-The ordinary path: the prompt's last shared segment is the key; it is hashed to a group of prefill instances and to one
-of decode instances, and in each group the instance that would be done first gets the request. Requests are charged by
-their tokens to read that are not believed to be cached there.
+Normally, the prompt's last shared segment is the key. It is hashed to a group of prefill instances and a group of
+decode instances, and the instance of each group that is estimated to finish first gets the request. A request is
+charged for the tokens of its prompt that are not assumed to be cached at the instance.
 
-Reading at the decode instance itself needs no transfer and is scored against that, with the service time per token that
-was learned for decode instances.
+Prefill at the decode instance itself needs no transfer of the KV cache. Both variants are scored against each other;
+prefill at a decode instance is estimated with the service time per token learned for decode instances.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from hophinge.fleet.placement.warmup import WarmupLimits
 from hophinge.fleet.placement.scoring import PlacementChoice, PlacementScorer
 
-MIN_RETRY_AFTER_S = 0.25  # of a rejected client, at least
-MAX_RETRY_JITTER_S = 1.0  # over which the retries of such clients are spread, at most
-JOB_ID_BITS = 40  # of a random job id: collisions in one queue are next to impossible
-FAILURE_SILENCE_S = 0.6  # since its last answer, before a failure ejects an instance
+MIN_RETRY_AFTER_S = 0.25  # returned to a rejected client
+MAX_RETRY_JITTER_S = 1.0  # spreads the retries of rejected clients
+JOB_ID_BITS = 40  # of a random job id, enough to make collisions in one queue very unlikely
+FAILURE_SILENCE_S = 0.6  # since an instance's last response, before a failure ejects it
 
 
 class Placement:
-    """The placement of one head's requests, and what it learns from their results."""
+    """Places the requests of one head, and learns from their results."""
 
     def __init__(
         self,
@@ -57,10 +57,10 @@
         self.instances = InstanceTable(policy, on_instance_removed, self.admission)
         self.exchange = HintExchange(self.instances, policy, on_update_pending)
         self.nodes = self.instances.nodes
-        self.pending_requests: set[str] = set()  # that wait for a stage without an instance
+        self.pending_requests: set[str] = set()  # waiting for a stage without an instance
 
     def place_plain(self, request: PlacementRequest, stage: str) -> PlacementPlan | None:
-        """Place a request without a prompt, which counts as one unit; None where no instance has capacity."""
+        """Place a request without a prompt; return None if no instance has capacity."""
         pool = self.instances.pool(request.service, stage)
         units = 1.0 if stage == PLAIN else float(MIN_TOKENS)
 
@@ -72,11 +72,10 @@
         return self._place(request, choose, None)
 
     def place_generation(self, request: PlacementRequest, prompt: Prompt) -> PlacementPlan | PlacementRejection | None:
-        """Place a request whose prompt is to be read, at a prefill or at a decode instance.
+        """Place a request with a prompt, with its prefill at a prefill or a decode instance.
 
         Returns:
-            The plan; a rejection where it could not start before its client gives up; None where no instance has
-            capacity.
+            The plan; a rejection if its wait is too long for its client's timeout; None if no instance has capacity.
 
         """
         prefill = self.instances.pool(request.service, PREFILL)
@@ -89,8 +88,8 @@
         def choose(is_late: bool) -> PlacementChoice | None:
             decode_candidates = self._candidates(decode, request, prompt.key, units, is_late)
             decode_nodes = [candidate.node for candidate in decode_candidates]
-            nearer = self._without_failing_transfers(request, prefill, decode_nodes)
-            return scorer.choose(self._candidates(prefill, nearer, prompt.key, units, is_late), decode_candidates)
+            narrowed = self._without_failing_transfers(request, prefill, decode_nodes)
+            return scorer.choose(self._candidates(prefill, narrowed, prompt.key, units, is_late), decode_candidates)
 
         choice = self._choose_in_time(request, choose)
         if choice is None:
@@ -103,21 +102,21 @@
         return self._reserve(choice, request, prompt)
 
     def retry_after_s(self, wait_s: float) -> float:
-        """Return after how long a client may retry what can be served after a wait, spread over a while."""
+        """Return the seconds, with jitter, after which a client may retry if it can be served after `wait_s`."""
         return self._jittered_s(max(MIN_RETRY_AFTER_S, wait_s), wait_s)
 
-    def _jittered_s(self, least_s: float, max_jitter_s: float) -> float:
-        return least_s + self.random.random() * min(MAX_RETRY_JITTER_S, max_jitter_s)
+    def _jittered_s(self, min_s: float, max_jitter_s: float) -> float:
+        return min_s + self.random.random() * min(MAX_RETRY_JITTER_S, max_jitter_s)
 
     def place_decode(self, request: PlacementRequest, prompt: Prompt, prefill_identity: str) -> PlacementPlan | None:
-        """Place the decoding of a request whose prompt was read at an instance; None where no instance has capacity."""
+        """Place the decode of a request with a finished prefill; return None if no instance has capacity."""
         decode = self.instances.pool(request.service, DECODE)
         scorer = PlacementScorer(prompt, self.zone, self.instances.pool(request.service, PREFILL), decode, self.policy)
         prefill_node = self.nodes.get(prefill_identity)
-        nearer = self._without_failing_transfers(request, decode, [prefill_node] if prefill_node is not None else [])
+        narrowed = self._without_failing_transfers(request, decode, [prefill_node] if prefill_node is not None else [])
 
         def choose(is_late: bool) -> PlacementChoice | None:
-            candidates = self._candidates(decode, nearer, prompt.key, lambda node: float(MIN_TOKENS), is_late)
+            candidates = self._candidates(decode, narrowed, prompt.key, lambda node: float(MIN_TOKENS), is_late)
             if not candidates:
                 candidates = self._candidates(decode, request, prompt.key, lambda node: float(MIN_TOKENS), is_late)
             return scorer.choose_decode(prefill_node, candidates)
@@ -125,7 +124,7 @@
         return self._place(request, choose, prompt)
 
     def _transfer_check(self, now: float) -> Callable[[Node, Node], bool]:
-        """Return whether a KV cache can be moved from one instance to another, as far as this head knows."""
+        """Return a function that tells whether a KV cache can be transferred between two instances, as known here."""
 
         def can_transfer(source: Node, target: Node) -> bool:
             return not self.transfers.is_avoided(now, source.instance.zone, target.instance.zone)
@@ -135,7 +134,7 @@
     def _without_failing_transfers(
         self, request: PlacementRequest, pool: InstancePool, partners: list[Node]
     ) -> PlacementRequest:
-        """Exclude the instances of a stage that can exchange KV caches with none of some of the other stage."""
+        """Exclude the instances of a pool that cannot exchange KV caches with any partner of the other stage."""
         can_transfer = self._transfer_check(request.now)
         failing = {
             identity
@@ -153,7 +152,7 @@
     def _choose_in_time(
         self, request: PlacementRequest, choose: Callable[[bool], PlacementChoice | None]
     ) -> PlacementChoice | None:
-        """Choose as if the request could be in time; where it cannot, choose again as a late one."""
+        """Choose instances for the request; if it cannot meet its target, choose again as for a late request."""
         choice = choose(False)
         is_late = choice is not None and choice.first_token_at_us > request.target_at * MICROSECONDS
         return choose(True) if is_late else choice
@@ -161,7 +160,7 @@
     def _candidates(
         self, pool: InstancePool, request: PlacementRequest, key: str, units: Callable[[Node], float], is_late: bool
     ) -> list[Candidate]:
-        """Return the candidates of a key's group with capacity; where no instance has any, those that are not full."""
+        """Return the candidates for a key: instances with capacity, or if there are none, those below MAX_IN_FLIGHT."""
         nodes = pool.key_group(
             request.now, key, request.excluded, lambda node: pool.has_capacity(node, units(node), request.target_s)
         )
@@ -170,7 +169,7 @@
         return pool.candidates(request.now, nodes, units, is_late)
 
     def _reserve(self, choice: PlacementChoice, request: PlacementRequest, prompt: Prompt | None) -> PlacementPlan:
-        """Reserve a candidate, and notify the other heads."""
+        """Reserve the chosen instance, and notify the other heads."""
         candidate = choice.candidate
         segments = prompt.segments if prompt is not None else ()
         memory_tokens = prompt.tokens_in + prompt.tokens_out if prompt is not None and not choice.is_prefill_only else 0
@@ -194,7 +193,7 @@
     # --- results of attempts ----------------------------------------------------------------------------------------
 
     def record_answer(self, now: float, reservation: Reservation, is_streaming: bool) -> None:
-        """Record the answer to an attempt; where its prompt was read, the other heads are notified."""
+        """Record the response to an attempt; if it finished a prefill, notify the other heads."""
         if reservation.attempt_id not in reservation.node.in_flight.reservations:
             return
         reservation.record_answer(now, is_streaming)
@@ -206,7 +205,7 @@
             self.exchange.on_update_pending()
 
     def release(self, now: float, reservation: Reservation) -> None:
-        """Release an attempt; where its prompt was not read, the other heads are notified."""
+        """Release the reservation of an attempt; if its prefill had not finished, notify the other heads."""
         is_unfinished = reservation.attempt_id in reservation.node.in_flight.reservations
         reservation.release(now)
         if is_unfinished and reservation.units > MIN_TOKENS and self.policy.shares_drops:
@@ -216,10 +215,10 @@
             self.exchange.on_update_pending()
 
     def record_failure(self, node: Node, now: float, is_abandoned: bool = False) -> None:
-        """Eject an instance after a failed attempt and notify the other heads, unless it has answered lately.
+        """Eject an instance after a failed attempt and notify the other heads, unless it responded recently.
 
-        An attempt that was abandoned here shows that the instance is slow, not that it has ended: only this head avoids
-        it for a moment, and nobody takes it for cold.
+        An attempt that this head abandoned shows that the instance is slow, not that it has ended: only this head
+        avoids it for a moment, and no head treats it as cold.
         """
         if now - node.last_answer_at <= FAILURE_SILENCE_S:
             return
@@ -230,15 +229,15 @@
             self.exchange.on_update_pending()
 
     def record_silence(self, node: Node, now: float) -> None:
-        """Record that an instance could not be reached, which is evidence about its zone."""
+        """Record that an instance could not be reached, as evidence that its zone is unreachable."""
         self.reachability.record_failure(now, node.instance)
 
     def record_contact(self, node: Node, now: float) -> None:
-        """Record that an instance answered, whatever it said."""
+        """Record any response of an instance, also an error: its zone is reachable."""
         self.reachability.record_answer(now, node.instance)
 
     def record_transfer(self, now: float, prefill_identity: str, decode_node: Node, has_succeeded: bool) -> None:
-        """Record whether an instance could fetch the KV cache of a prompt that was read at another."""
+        """Record whether an instance could fetch a KV cache from the instance of the prefill."""
         prefill_node = self.nodes.get(prefill_identity)
         if prefill_node is None:
             return
--- a/hophinge/fleet/placement/policy.py
+++ b/hophinge/fleet/placement/policy.py
@@ -1,7 +1,6 @@
-"""The mechanisms of placement that can be turned off one by one, and the values that they work with.
+"""The tunable values of placement, and the switches that disable its mechanisms one by one.
 
-The defaults are what is in service. Trials give other values in a file (`hophinge/fleet/trial.py`); no deployment sets
-any of them.
+Deployments always run with the defaults. Trials override values by a file (`hophinge/fleet/trial.py`).
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 
 
 class PrefillOrder(Enum):
-    """The order in which instances are asked to read the prompts that can be in time."""
+    """The order in which an instance prefills the prompts that can meet their target."""
 
     SHORTEST = "shortest"  # the shortest service time first
     ARRIVAL = "arrival"
@@ -19,26 +18,29 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementPolicy:
-    """The values of placement. Fractions are between 0 and 1; weights are factors of a time.
+    """The values of placement. Fractions are between 0 and 1; weights multiply a time.
 
     Attributes:
-        order: the order in which prompts that can be in time are read.
-        defers_late: requests that cannot be in time wait behind all others.
-        group_size: instances that a key is hashed to.
-        cache_fraction: of an instance's memory, believed to hold cached segments.
-        others_weight: of an instance's service time, which others wait for, beside the request's own time.
-        stream_weight: added to it for each answer that the instance is decoding.
-        reread_us: the cost of each token that is read again though another instance has it cached.
-        assumed_reuse_fraction: of a shared segment's service time, saved at the first member of its group where no
-            instance has it cached.
-        outstanding_fraction: of the route's latency target, that the units outstanding at an instance may take.
-        shares_drops: heads inform each other of prompts that will not be read.
-        rejects_hopeless: a request that cannot begin before its client gives up is rejected at once.
-        client_timeout_fraction: of a client's timeout, beyond which a request is hopeless.
-        switches_by_load: instances change their stage by the reported load.
-        prefill_utilization: of their time, that prefill instances are to be busy.
-        decode_utilization: of their slots or memory, that decode instances are to use.
-        trace: a line of the log for each request.
+        order: the order in which an instance prefills the prompts that can meet their target.
+        defers_late: requests that cannot meet their target wait behind all others.
+        group_size: the number of instances that a key is hashed to.
+        cache_fraction: the fraction of an instance's memory that is assumed to hold cached segments.
+        others_weight: the weight of a request's service time as the cost for the requests that wait behind it; the
+            request's own time has weight 1.
+        stream_weight: added to `others_weight` for each response that the instance is decoding.
+        reread_us: the cost, in microseconds, of each token that is prefilled although another instance has it cached.
+        assumed_reuse_fraction: the fraction of the shared segments' service time that is credited to the first member
+            of the key's group if no instance has them cached: later requests will reuse them there.
+        outstanding_fraction: the fraction of the route's latency target that the units outstanding at an instance may
+            take.
+        shares_drops: heads notify each other of prompts that will not be prefilled.
+        rejects_hopeless: hopeless requests are rejected at once, see `client_timeout_fraction`.
+        client_timeout_fraction: a request that has to wait is hopeless if its first token is expected after this
+            fraction of the client's remaining timeout.
+        switches_by_load: instances change their stage according to the reported load.
+        prefill_utilization: the target fraction of time that prefill instances are busy.
+        decode_utilization: the target fraction of slots or memory that decode instances use.
+        trace: each request is logged.
 
     """
 
--- a/hophinge/fleet/placement/pool.py
+++ b/hophinge/fleet/placement/pool.py
@@ -1,7 +1,7 @@
-"""The instances of one stage of one service, and what each of them would make of a request.
+"""The instances of one stage of one service, with the estimates by which one of them is chosen for a request.
 
-A key is hashed to a group of instances; of its members with capacity, the one that would be done first gets the
-request.
+A key is hashed to a group of instances. Of the members with capacity, the one that is estimated to finish first gets
+the request.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     is_streaming: bool = False
 
     def record_answer(self, now: float, is_streaming: bool) -> None:
-        """Record an answer: its duration is a sample of the time per unit. A stream stays open."""
+        """Record a response: its duration is a sample of the service time. A streaming response stays open."""
         node = self.node
         now_us = int(now * MICROSECONDS)
         if self.attempt_id not in node.in_flight.reservations:
@@ -50,7 +50,7 @@
             node.open_streams += 1
 
     def release(self, now: float) -> None:
-        """Release what the attempt still occupies at its instance."""
+        """Release the capacity that the attempt still occupies at its instance."""
         if self.attempt_id in self.node.in_flight.reservations:
             self.node.in_flight.release(self.attempt_id, int(now * MICROSECONDS))
             self.node.queue.drop(self.job)
@@ -61,19 +61,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An instance that could take a request, with the estimate for it there."""
+    """An instance that could serve a request, with the estimate for the request there."""
 
     node: Node
     units: float
-    done_at_us: float  # absolute
+    done_at_us: float  # on the head's clock
     service_us: float
-    priority: int  # that the request would have there: 0 first
-    wait_us: float  # until it would start
-    is_late: bool  # it is placed as one that cannot be in time
+    priority: int  # in the instance's queue; 0 is the highest
+    wait_us: float  # until the request would start
+    is_late: bool  # placed as a request that cannot meet its target
 
 
 def rendezvous_weight(key: str, node: Node) -> bytes:
-    """Return the weight by which a key's group is chosen (rendezvous hashing): the lowest ones are its members."""
+    """Return the weight for rendezvous hashing: a key's group are the instances with the lowest weights."""
     return blake2b(f"{key}\0{node.instance.identity}".encode(), digest_size=8).digest()
 
 
@@ -89,7 +89,7 @@
 
     @property
     def parallelism(self) -> int:
-        """The number of units that an instance executes at once: engines execute prompts one at a time."""
+        """The number of units that an instance executes in parallel: engines execute prompts one at a time."""
         if self.stage != PLAIN:
             return 1
         return max(1, *(node.instance.slots for node in self.nodes.values())) if self.nodes else 1
@@ -103,11 +103,11 @@
         return self.timing.mean_units * self.unit_us(node) / self.parallelism
 
     def available_nodes(self) -> list[Node]:
-        """Return the instances outside evacuated zones, whatever their state."""
+        """Return the instances outside evacuated zones, in any state."""
         return [node for node in self.nodes.values() if not self.admission.is_evacuated(node.instance)]
 
     def _serving_nodes(self, now: float, excluded: set[str]) -> list[Node]:
-        """Return the instances that accept requests, or those that the registry has lost where there are none."""
+        """Return the instances that accept requests; if there are none, those that the registry marked lost."""
         others = [
             node
             for node in self.nodes.values()
@@ -117,19 +117,23 @@
         return serving or [node for node in others if node.instance.state == LOST]
 
     def _usable_nodes(self, now: float, excluded: set[str]) -> list[Node]:
-        """Return the instances that should answer; where there are none, those that may.
+        """Return the instances that are expected to respond; if there are none, those that might.
 
-        Prompts that no reachable instance of the prefill stage can read are read at a decode instance.
+        Instances in unreachable zones are left out of the prefill stage in any case: if it has no reachable instance, a
+        decode instance does the prefill.
         """
         ready = self._serving_nodes(now, excluded)
-        may_test = not excluded
-        reachable = [node for node in ready if not self.admission.is_unreachable(now, node.instance, may_test)]
+        may_probe = not excluded
+        reachable = [node for node in ready if not self.admission.is_unreachable(now, node.instance, may_probe)]
         if not reachable and self.stage != PREFILL:
             reachable = ready
         return [node for node in reachable if not node.is_ejected(now)] or reachable
 
     def key_group(self, now: float, key: str, excluded: set[str], fits: Callable[[Node], bool]) -> list[Node]:
-        """Return the members of a key's group that fit a request, or any others that do where none of them does."""
+        """Return the members of a key's group that fit a request.
+
+        If none does, return the other instances that fit; and if there are none, the rate-limited ones that fit.
+        """
         usable = self._usable_nodes(now, excluded)
         limited = [node for node in usable if self.admission.is_limited(now, node.instance)]
         ranked = sorted((node for node in usable if node not in limited), key=lambda node: rendezvous_weight(key, node))
@@ -141,7 +145,7 @@
         )
 
     def has_capacity(self, node: Node, units: float, target_s: float) -> bool:
-        """Return whether this head may send more units to an instance: the units outstanding there are bounded."""
+        """Return whether the units outstanding at an instance, with these, stay within the bound for this head."""
         if len(node.in_flight.reservations) < MIN_OUTSTANDING:
             return True
         bound = self.policy.outstanding_fraction * target_s * MICROSECONDS / self.unit_us(node) * self.parallelism
@@ -150,7 +154,7 @@
     def candidates(
         self, now: float, nodes: Iterable[Node], units: Callable[[Node], float], is_late: bool
     ) -> list[Candidate]:
-        """Return the estimates of some instances for a request; one that is late waits behind all others."""
+        """Return the estimates of some instances for a request; a late request is queued behind all others."""
         candidates: list[Candidate] = []
         now_us = now * MICROSECONDS
         for node in nodes:
@@ -165,7 +169,7 @@
         return candidates
 
     def reserve(self, now: float, candidate: Candidate, attempt_id: tuple[str, int], job_id: int) -> Reservation:
-        """Reserve an instance for an attempt, and queue its job."""
+        """Reserve capacity at an instance for an attempt, and add its job to the estimated queue."""
         unit_us = self.unit_us(candidate.node) / self.parallelism
         self.admission.record_sent(now, candidate.node.instance)
         candidate.node.in_flight.reserve(attempt_id, candidate.units, unit_us, int(now * MICROSECONDS))
@@ -176,7 +180,7 @@
         return Reservation(candidate.node, attempt_id, candidate.units, self, job)
 
     def record_remote_placement(self, now: float, node: Node, hint: PlacementHint) -> None:
-        """Queue a job that another head sent to an instance."""
+        """Add a job that another head sent to an instance to the estimated queue."""
         if not hint.units:
             return
         self.timing.record_placement(hint.units)
@@ -184,7 +188,7 @@
         node.queue.add(now * MICROSECONDS, hint.priority, service_us, hint.job_id, hint.units)
 
     def finish_job(self, now: float, node: Node, job: Job, ended_at: float) -> None:
-        """Record the end of a job: the queue continues from there, and its service time is a sample."""
+        """Record the end of a job: correct the estimated queue, and learn from the job's service time."""
         ended_at_us = ended_at * MICROSECONDS
         self.timing.learn_from_job(node, job.units, node.queue.service_us(job, ended_at_us))
         node.queue.finish(now * MICROSECONDS, job, ended_at_us)
--- a/hophinge/fleet/placement/priority.py
+++ b/hophinge/fleet/placement/priority.py
@@ -1,4 +1,4 @@
-"""The priority at an instance of a prompt that is to be read: 0 is the highest, equals are in the order of arrival.
+"""The priority of a prompt in an instance's queue: 0 is the highest, equal priorities are in order of arrival.
 
 Times are microseconds.
 """
@@ -9,13 +9,13 @@
 
 from hophinge.fleet.placement.policy import PrefillOrder, PlacementPolicy
 
-LATE_PRIORITY = 8  # of requests that cannot be in time: an instance admits all others first
-DEFAULT_PRIORITY = 4  # of all others where only the arrival counts
+LATE_PRIORITY = 8  # of requests that cannot meet their target: an instance admits all others first
+DEFAULT_PRIORITY = 4  # of all other requests under PrefillOrder.ARRIVAL
 SERVICE_TIME_CLASSES_US = (40_000.0, 100_000.0, 200_000.0, 400_000.0, 800_000.0)  # upper bounds of priorities 0, 1, ...
 
 
 def priority_of(policy: PlacementPolicy, service_us: float, is_late: bool) -> int:
-    """Return the priority of a prompt by its service time, and by whether it cannot be in time."""
+    """Return the priority of a prompt from its service time, and from whether it is too late for its target."""
     if is_late and policy.defers_late:
         return LATE_PRIORITY
     if policy.order is PrefillOrder.SHORTEST:
--- a/hophinge/fleet/placement/prompt.py
+++ b/hophinge/fleet/placement/prompt.py
@@ -6,7 +6,7 @@
 
 from hophinge.fleet.numerals import parse_decimal
 
-PromptSegment = tuple[str, int]  # name, and tokens: a plain tuple, as placement compares many for each request
+PromptSegment = tuple[str, int]  # name and tokens: a plain tuple, as placement compares many of them for each request
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,18 +19,18 @@
 
     @property
     def key(self) -> str:
-        """The last shared segment: requests with the same one share all segments before it too."""
+        """The name of the last shared segment: requests with the same key also share all segments before it."""
         shared = self.segments[:-1] or self.segments
         return shared[-1][0] if shared else ""
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens that other requests share."""
+        """The number of tokens that other requests may share: those of all segments but the last."""
         return sum(tokens for _, tokens in self.segments[:-1])
 
 
 def parse_prompt(usage: str | None, prefix: str | None) -> Prompt:
-    """Parse the usage and prefix headers; what is malformed counts as absent."""
+    """Parse the usage and prefix headers; a malformed number counts as 0, a segment without a colon is ignored."""
     tokens_in = 0
     tokens_out = 0
     if usage:
--- a/hophinge/fleet/placement/scoring.py
+++ b/hophinge/fleet/placement/scoring.py
@@ -1,6 +1,6 @@
-"""Scores where a prompt is read: at a prefill instance, or at the instance that decodes its tokens.
+"""Scores the instances for the prefill of a prompt: a prefill instance, or the instance that decodes the tokens.
 
-All costs are microseconds: the time until the first token, and equivalents of what a choice costs other requests or
+All costs are in microseconds: the time until the first token, plus equivalents of what a choice costs other requests or
 the operator.
 """
 
@@ -17,21 +17,21 @@
 
 KV_TRANSFER_US = 15_000.0  # from the end of prefill to the first token at another instance
 CROSS_ZONE_BODY_US = 1.0  # for each prompt token of a request that is sent to another zone
-CROSS_ZONE_KV_US = 3.0  # for each prompt token whose KV cache is moved to another zone
+CROSS_ZONE_KV_US = 3.0  # for each prompt token whose KV cache is transferred to another zone
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementChoice:
-    """The best candidate."""
+    """The best candidate, with the pool that it belongs to."""
 
     pool: InstancePool
     candidate: Candidate
     is_prefill_only: bool
-    first_token_at_us: float  # estimated
+    first_token_at_us: float  # estimated, on the head's clock
 
 
 def memory_wait_us(candidate: Candidate, prompt: Prompt) -> float:
-    """Return the expected wait of a request for memory at a candidate."""
+    """Return how long a request is expected to wait for memory at a candidate."""
     return candidate.node.memory_wait_us(prompt.tokens_in + prompt.tokens_out)
 
 
@@ -62,19 +62,19 @@
         return CROSS_ZONE_BODY_US * self.prompt.tokens_in if node.instance.zone != self.zone else 0.0
 
     def cross_zone_kv_us(self, prefill_node: Node, decode_node: Node) -> float:
-        """Return the cost of moving the prompt's KV cache between two instances beyond that within a zone."""
+        """Return the additional cost of transferring the prompt's KV cache if two instances are in different zones."""
         is_same_zone = prefill_node.instance.zone == decode_node.instance.zone
         return 0.0 if is_same_zone else CROSS_ZONE_KV_US * self.prompt.tokens_in
 
     def _prefill_cost_us(self, candidate: Candidate) -> float:
-        """Return the cost of reading the prompt at an instance."""
+        """Return the cost of the prefill at an instance."""
         node = candidate.node
         weight = self.policy.others_weight + self.policy.stream_weight * node.running_decodes()
         reread_us = self.policy.reread_us * max(0, self.reusable_tokens - node.cache.cached_tokens(self.prompt))
         return candidate.done_at_us + weight * candidate.service_us + reread_us + self._cross_zone_body_us(node)
 
     def _decode_cost_us(self, prefill_node: Node, candidate: Candidate) -> float:
-        """Return the cost of decoding at an instance, once the prompt is read at another."""
+        """Return the cost of decoding at an instance after the prefill at another; infinite without a KV transfer."""
         node = candidate.node
         if not self.can_transfer(prefill_node, node):
             return float("inf")
@@ -85,10 +85,10 @@
         )
 
     def choose(self, prefill_candidates: list[Candidate], decode_candidates: list[Candidate]) -> PlacementChoice | None:
-        """Choose between one instance for both stages and one for each.
+        """Choose between one instance for both stages and one instance for each stage.
 
-        The first of `prefill_candidates` is the first member of the key's group with capacity. None without a decode
-        candidate.
+        The first of `prefill_candidates` is the first member of the key's group with capacity. Return None if there is
+        no decode candidate.
         """
         if not decode_candidates:
             return None
@@ -115,7 +115,7 @@
         return PlacementChoice(self.decode, combined, False, first_token_at_us)
 
     def choose_decode(self, prefill_node: Node | None, candidates: list[Candidate]) -> PlacementChoice | None:
-        """Choose the instance that decodes the tokens of a prompt that was read."""
+        """Choose the instance that decodes after a finished prefill; None if there is no candidate."""
 
         def cost_us(candidate: Candidate) -> float:
             node = candidate.node
--- a/hophinge/fleet/placement/stage_outlook.py
+++ b/hophinge/fleet/placement/stage_outlook.py
@@ -1,4 +1,4 @@
-"""What a stage of a service will have: when one without an instance that takes requests has one again.
+"""Predicts when a stage without serving instances will accept requests again.
 
 Without I/O; times are seconds on the caller's clock.
 """
@@ -12,23 +12,23 @@
 from hophinge.fleet.placement.node import Node
 from hophinge.fleet.registry.instance import READY, SWITCHING
 
-ORDER_DELAY_S = 0.8  # from the loss of a stage's last instance until another one switches
-SWITCH_SLACK_S = 0.3  # that a switch takes beyond the configured time: requests in flight end first
-OVERDUE_RETRY_S = 0.3  # until a switch that takes longer than expected is looked at again
-MAX_OVERDUE_S = 4.0  # after which it is no longer expected
+ORDER_DELAY_S = 0.8  # from the loss of a stage's last instance until another instance starts to switch
+SWITCH_SLACK_S = 0.3  # beyond the configured duration of a switch: requests in flight end first
+OVERDUE_RETRY_S = 0.3  # before an overdue switch is checked again
+MAX_OVERDUE_S = 4.0  # after which an overdue switch is no longer expected to finish
 
 
 class StageState(Enum):
-    """Why a stage takes no request. The values are part of the reasons of rejections."""
+    """Why a stage accepts no requests. The values appear in the reasons of rejections."""
 
-    FULL = "stage full"  # its instances have no capacity for this head
-    SWITCHING = "stage switching"  # it has none, and one is on its way
-    EMPTY = "stage empty"  # it has none
+    FULL = "stage full"  # the instances of the stage have no capacity for this head
+    SWITCHING = "stage switching"  # the stage has no instance, and one is switching to it
+    EMPTY = "stage empty"  # the stage has no instance
 
 
 @dataclass(frozen=True, slots=True)
 class StageOutlook:
-    """The state of a stage, and when its first instance is expected; None where none is."""
+    """The state of a stage, and when its first instance is expected; None if none is expected."""
 
     state: StageState
     ready_at: float | None = None
@@ -37,13 +37,13 @@
 def predict_stage(
     now: float, members: Collection[Node], others: Collection[Node], stage_switch_s: float | None
 ) -> StageOutlook:
-    """Predict when a stage takes requests.
+    """Predict when a stage will accept requests.
 
     Args:
-        now: The time.
+        now: The current time.
         members: The instances of the stage.
         others: The instances of the other stage, from which the stage can be refilled.
-        stage_switch_s: What a change of stage takes; None where it is not known.
+        stage_switch_s: The duration of a stage change; None if it is not known.
 
     """
     if any(node.is_serving(now) for node in members):
--- a/hophinge/fleet/placement/stage_planner.py
+++ b/hophinge/fleet/placement/stage_planner.py
@@ -1,4 +1,4 @@
-"""When a planned switch of stage is ordered: how long it is desired first, and how soon it is repeated.
+"""Decides when a planned stage switch is ordered: how long it has to be desired first, and how soon it is repeated.
 
 Without I/O; times are seconds on the caller's clock.
 """
@@ -12,9 +12,10 @@
 from hophinge.fleet.placement.stages import StageLoads, StageSwitch, SwitchReason, plan_switches
 from hophinge.fleet.registry.instance import Instance
 
-# For how long a switch is desired before it is ordered: instances come and go in between.
+# How long a switch has to be desired before it is ordered: instances may join or leave in the meantime.
 STABILIZATION_S = {SwitchReason.EMPTY: 0.0, SwitchReason.MINIMUM: 1.2, SwitchReason.LOAD: 1.2}
-# Between two orders: the effect of the last one has to show. One for an empty stage may have been lost or refused.
+# Between two orders, so that the effect of the last one shows. For an empty stage it is shorter: the order may have
+# been lost or refused.
 RETRY_INTERVAL_S = {SwitchReason.EMPTY: 1.0, SwitchReason.MINIMUM: 2.5, SwitchReason.LOAD: 2.5}
 
 
@@ -26,7 +27,7 @@
 
 
 class StagePlanner:
-    """Plans switches, and returns them once they are due."""
+    """Plans stage switches, and returns them when they are due."""
 
     def __init__(self, loads: StageLoads, policy: PlacementPolicy) -> None:
         self.loads = loads
--- a/hophinge/fleet/placement/stages.py
+++ b/hophinge/fleet/placement/stages.py
@@ -1,9 +1,9 @@
-"""The numbers of prefill and decode instances of a service, and which instances should switch their stage.
+"""Plans how many prefill and decode instances a service needs, and which instances should switch their stage.
 
-Both follow the load that instances report. A prefill instance is busy or idle, so the fraction of reports that find it
-busy is its load; the load of a decode instance is the fraction of its slots or of its memory that is used, whichever is
-higher. Where one stage is short and the other has spare capacity, several instances switch at once. Where a stage has
-no instance left, one switches at once.
+The plan follows the load that instances report. A prefill instance is either busy or idle, so its load is the fraction
+of reports in which it is busy. The load of a decode instance is the used fraction of its slots or of its memory,
+whichever is higher. If one stage is short of instances and the other has spare capacity, several instances may switch
+together. If a stage has no instance left, one instance switches immediately.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 
 SMOOTHING = 0.4  # weight of the newest report in an instance's moving averages
 QUEUED_WEIGHT = 0.25  # load that each queued request adds, in instances
-MAX_QUEUED = 4  # of one instance that count
-MIN_STAGE_INSTANCES = 2  # where there are twice as many in all: so one may be lost
-MAX_SWITCHED_FRACTION = 0.17  # of a service's instances that switch together, at most
+MAX_QUEUED = 4  # queued requests of one instance that count as load
+MIN_STAGE_INSTANCES = 2  # if the service has twice as many: a stage then survives the loss of one instance
+MAX_SWITCHED_FRACTION = 0.17  # of a service's instances that may switch together
 
 
 class SwitchReason(Enum):
-    """Why an instance should switch its stage. The values are part of log lines."""
+    """Why an instance should switch its stage. The values appear in log lines."""
 
     EMPTY = "empty"  # the new stage has no instance left
-    MINIMUM = "minimum"  # the new stage has fewer instances than it is to have at any load
+    MINIMUM = "minimum"  # the new stage has fewer instances than the minimum at any load
     LOAD = "load"  # the new stage is short of instances for its load
 
 
@@ -44,7 +44,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether the stage has no instance left."""
+        """Whether the new stage has no instance left."""
         return self.reason is SwitchReason.EMPTY
 
 
@@ -52,7 +52,7 @@
 class InstanceLoad:
     """Moving averages over the reports of one instance."""
 
-    prefill_load: float = 0.0  # fraction of its time that it is busy, plus its queue
+    prefill_load: float = 0.0  # fraction of time that it is busy, plus the load of its queue
     decode_load: float = 0.0  # used fraction of its slots or of its memory
 
     def record(self, report: EngineReport, slots: int) -> None:
@@ -79,28 +79,31 @@
                 self.by_instance.setdefault(report.instance, InstanceLoad()).record(report, instance.slots)
 
     def retain(self, identities: Set[str]) -> None:
-        """Remove all instances but these."""
+        """Remove all instances except these."""
         self.by_instance = {identity: load for identity, load in self.by_instance.items() if identity in identities}
 
     def forget(self, identity: str) -> None:
-        """Remove an instance that switches: its reports say nothing of its new stage."""
+        """Remove an instance that switches: its earlier reports do not apply to its new stage."""
         self.by_instance.pop(identity, None)
 
     def prefill_load(self, members: Iterable[Instance]) -> float:
-        """Return the total prefill load of some instances, in instances."""
+        """Return the total prefill load of some instances; 1 is one fully busy instance."""
         return sum(
             self.by_instance[member.identity].prefill_load for member in members if member.identity in self.by_instance
         )
 
     def decode_load(self, members: Iterable[Instance]) -> float:
-        """Return the total decode load of some instances, in instances."""
+        """Return the total decode load of some instances; 1 is one fully used instance."""
         return sum(
             self.by_instance[member.identity].decode_load for member in members if member.identity in self.by_instance
         )
 
 
 def plan_switches(instances: Iterable[Instance], loads: StageLoads, policy: PlacementPolicy) -> tuple[StageSwitch, ...]:
-    """Return the switches of the first service that needs some; none while one is in progress there."""
+    """Return the switches of the first service that needs any.
+
+    While a service has a switch in progress, only a stage without any present or arriving instance gets one.
+    """
     services: dict[str, list[Instance]] = {}
     for instance in instances:
         if instance.stage:
@@ -131,14 +134,18 @@
     to_decode = min(decode_needed - len(decode), len(prefill) - prefill_needed, max_switches)
     to_prefill = min(prefill_needed - len(prefill), len(decode) - decode_needed, max_switches)
     if to_decode >= 1:
-        return tuple(StageSwitch(one, DECODE, SwitchReason.LOAD) for one in _least_needed(prefill, loads, to_decode))
+        return tuple(
+            StageSwitch(chosen, DECODE, SwitchReason.LOAD) for chosen in _least_needed(prefill, loads, to_decode)
+        )
     if to_prefill >= 1:
-        return tuple(StageSwitch(one, PREFILL, SwitchReason.LOAD) for one in _least_needed(decode, loads, to_prefill))
+        return tuple(
+            StageSwitch(chosen, PREFILL, SwitchReason.LOAD) for chosen in _least_needed(decode, loads, to_prefill)
+        )
     return ()
 
 
 def _missing_stage(prefill: list[Instance], decode: list[Instance], arriving_stages: set[str]) -> str:
-    """Return the stage that has no instance and gets none, though the other could give one; else an empty name."""
+    """Return the stage that has no instance and none arriving while the other has several; else an empty name."""
     if len(prefill) > 1 and not decode and DECODE not in arriving_stages:
         return DECODE
     if len(decode) > 1 and not prefill and PREFILL not in arriving_stages:
@@ -149,7 +156,7 @@
 def _restore_minimum(
     prefill: list[Instance], decode: list[Instance], loads: StageLoads, min_instances: int
 ) -> tuple[StageSwitch, ...]:
-    """Return the switch that restores the minimum of a stage, whatever the load."""
+    """Return the switch that restores the minimum of a stage, regardless of load."""
     if len(decode) < min_instances:
         return (StageSwitch(_least_needed(prefill, loads, 1)[0], DECODE, SwitchReason.MINIMUM),)
     if len(prefill) < min_instances:
@@ -158,12 +165,12 @@
 
 
 def _instances_needed(load: float, utilization: float) -> int:
-    """Return how many instances a load needs at a target utilization."""
+    """Return how many instances a load needs at a target utilization; at least 1."""
     return max(1, ceil(load / utilization))
 
 
 def _least_needed(members: list[Instance], loads: StageLoads, count: int) -> list[Instance]:
-    """Return the members to switch: from the zones that have most of them, the least loaded first."""
+    """Return the members to switch: from the zones with the most members, and there the least loaded first."""
     in_zone = Counter(member.zone for member in members)
     remaining = list(members)
     chosen: list[Instance] = []
--- a/hophinge/fleet/placement/surplus_rate.py
+++ b/hophinge/fleet/placement/surplus_rate.py
@@ -1,15 +1,15 @@
-"""How often an instance sends responses once more, and whether it is avoided for that."""
+"""Tracks how often an instance sends surplus responses, and whether it is avoided because of them."""
 
 from __future__ import annotations
 
 WINDOW_S = 10.0
 MIN_SURPLUS = 5  # in a window, before an instance is avoided
 MAX_SURPLUS_FRACTION = 0.15  # of the attempts in a window
-AVOIDANCE_S = 1.2  # for which it gets requests only where there is no other instance
+AVOIDANCE_S = 1.2  # for which the instance gets requests only if there is no other
 
 
 class SurplusRate:
-    """The attempts at one instance in the current window, and the surplus responses that they met."""
+    """The attempts at one instance in the current window, and the surplus responses received during them."""
 
     def __init__(self) -> None:
         self.window_end = float("-inf")
@@ -18,7 +18,7 @@
         self.avoided_until = float("-inf")
 
     def record_attempt(self, now: float, surplus: int) -> None:
-        """Record an attempt that has ended, and the surplus responses before its own."""
+        """Record an attempt that has ended, and the number of surplus responses before its own response."""
         if now >= self.window_end:
             self.window_end = now + WINDOW_S
             self.attempts = self.surplus = 0
@@ -28,5 +28,5 @@
             self.avoided_until = now + AVOIDANCE_S
 
     def is_avoided(self, now: float) -> bool:
-        """Return whether requests go to other instances where there are any."""
+        """Return whether requests prefer other instances."""
         return now < self.avoided_until
--- a/hophinge/fleet/placement/warmup.py
+++ b/hophinge/fleet/placement/warmup.py
@@ -1,13 +1,13 @@
-"""Rate limits of instances that are cold: a cold instance bears few requests a second, summed over all heads.
+"""Rate limits for cold instances: a cold instance can handle only few requests a second, summed over all heads.
 
-Heads do not count together: by the time that a count had arrived, the next requests would be on their way. Each head
-decides by itself whether it is one of the few that may send to a cold instance at all, by hashing the names of both,
-and each of these keeps an interval between its requests. The sum stays below what the instance bears however many heads
-there are, also while some of them are cut off from the others.
+Heads do not share a counter: by the time a count arrived, the next requests would already be on their way. Instead,
+each head decides independently, by hashing its own name with the instance's, whether it has a permit to send to a cold
+instance at all; each head with a permit keeps an interval between its requests. So the sum stays below the rate that
+the instance can handle for any number of heads, also while some of them are partitioned from the others.
 
-An instance is taken for cold while it says so, and also while this head cannot know: it is new, it did not answer, or
-the evacuation of its zone was taken back. That ends with a record which follows from a later heartbeat, or where the
-instance has been alive for longer than it can be cold.
+An instance is treated as cold while it reports so, and also while its state is unconfirmed: it is new, it did not
+respond, or the evacuation of its zone has ended. An unconfirmed state ends with a warmup record from a later heartbeat,
+or when the instance has been alive for longer than it can be cold.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from hophinge.fleet.registry.instance import LOST, Instance
 from hophinge.fleet.registry.warmup import Warmup
 
-SEND_WINDOW_S = 1.4  # the second that is counted, and the longest time from a decision until its request is sent
-HEARTBEATS_TO_CONFIRM = 2.5  # intervals after a sign of life, by which a record has arrived where one is sent
-MAX_UNCONFIRMED_S = 15.0  # without any sign of life, and while the instance is not lost
-MAX_ALIVE_GAP_S = 2.0  # between two signs of life; after a longer pause the instance may have started anew
-RECENT_ANSWER_S = 0.3  # an answer here so lately shows that the instance serves, whatever others observed
-SURPLUS_HEADS = 2.0  # how many more heads there may be than are known, as a ratio
-MAX_EXCESS_PROBABILITY = 1e-6  # that so many heads have a permit for an instance that they could exceed its limit
-EXPECTATION_STEP = 0.05  # of heads with a permit
+SEND_WINDOW_S = 1.4  # the second for which the limit holds, plus the longest delay from placing a request to sending it
+HEARTBEATS_TO_CONFIRM = 2.5  # heartbeat intervals after a sign of life, in which any confirming record arrives
+MAX_UNCONFIRMED_S = 15.0  # for an instance without a sign of life that is not marked lost
+MAX_ALIVE_GAP_S = 2.0  # between two signs of life; after a longer gap the instance may have restarted
+RECENT_ANSWER_S = 0.3  # for which a response to this head outweighs what others observed of the instance
+HEAD_COUNT_MARGIN = 2.0  # maximum ratio of the actual number of heads to the known number
+MAX_EXCESS_PROBABILITY = 1e-6  # that enough heads have a permit for an instance to exceed its limit
+EXPECTATION_STEP = 0.05  # in the search for the expected number of heads with a permit
 HASH_BYTES = 8
 HASH_RANGE = 1 << (8 * HASH_BYTES)
 
 
 def poisson_excess(expected: float, limit: int) -> float:
-    """Return the probability that a Poisson variable is above a limit: at least that of a sum of independent draws."""
+    """Return the probability that a Poisson variable exceeds a limit: an upper bound for a sum of independent draws."""
     term = exp(-expected)
     total = term
     for count in range(1, limit + 1):
@@ -42,7 +42,7 @@
 
 
 def expected_permits(limit: int) -> float:
-    """Return how many heads may have a permit on average, so that next to never more than `limit` have one."""
+    """Return how many heads may have a permit on average, so that hardly ever more than `limit` have one."""
     steps = 0
     while poisson_excess((steps + 1) * EXPECTATION_STEP, limit) <= MAX_EXCESS_PROBABILITY:
         steps += 1
@@ -51,24 +51,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitPlan:
-    """Which heads may send to a cold instance of a service, and how often each of them."""
+    """How many heads may send to a cold instance of a service, and how often."""
 
-    fraction: float  # of the heads that have a permit
-    interval_s: float  # between two requests of one of them
+    fraction: float  # of heads that have a permit
+    interval_s: float  # between two requests of one head with a permit
 
 
 def permit_plan(head_count: int, cold_per_s: float, limit: int) -> PermitPlan:
-    """Return the plan for a number of heads.
+    """Return the permit plan for a number of heads.
 
     Args:
-        head_count: The number of heads; 0 where it is not known, and none has a permit.
-        cold_per_s: The requests a second that a cold instance bears.
-        limit: The largest number of requests in any second.
+        head_count: The number of heads; 0 if it is not known: then no head has a permit.
+        cold_per_s: The requests per second that a cold instance can handle.
+        limit: The maximum number of requests in any second.
 
     """
     if head_count <= 0 or limit <= 0:
         return PermitPlan(0.0, SEND_WINDOW_S)
-    requests_each = floor(limit / SURPLUS_HEADS / head_count)  # in any window, of each head
+    requests_each = floor(limit / HEAD_COUNT_MARGIN / head_count)  # per head in any window of SEND_WINDOW_S
     if requests_each >= 1:
         return PermitPlan(1.0, max(head_count / cold_per_s, SEND_WINDOW_S / requests_each))
     expected = min(cold_per_s * SEND_WINDOW_S, expected_permits(limit))
@@ -77,24 +77,24 @@
 
 @dataclass(slots=True)
 class WarmupState:
-    """What this head knows of one instance's warmth."""
+    """What this head knows about whether one instance is cold. Times are seconds on the caller's clock."""
 
-    cold_until: float = float("-inf")  # as the instance said
-    unconfirmed_since: float | None = None  # since when this head cannot know
-    alive_since: float = float("-inf")  # the first sign of life after that, without a pause since
+    cold_until: float = float("-inf")  # as the instance reported
+    unconfirmed_since: float | None = None  # since when its state is unconfirmed; None if it is confirmed
+    alive_since: float = float("-inf")  # the first sign of life after the last gap of more than MAX_ALIVE_GAP_S
     last_alive_at: float = float("-inf")
-    last_answer_at: float = float("-inf")  # to this head
+    last_answer_at: float = float("-inf")  # the last response to this head
     is_lost: bool = False
     last_sent_at: float = float("-inf")
 
 
 class WarmupLimits:
-    """The instances that this head takes for cold. Times are seconds of the caller's clock."""
+    """The instances that this head treats as cold, and their limits. Times are seconds on the caller's clock."""
 
     def __init__(self, head_name: str) -> None:
         self.head_name = head_name
-        self.head_count = 0  # the largest number of heads known; 0 where it is not known yet
-        self.is_serving = False  # an instance that is new from now on has started while traffic runs
+        self.head_count = 0  # the largest number of heads seen; 0 until it is known
+        self.is_serving = False  # this head has traffic: an instance that is new from now on may be cold
         self.heartbeat_s = 0.0
         self.overshoot = 1.0
         self.slack = 0.0
@@ -103,10 +103,10 @@
         self.states: dict[str, WarmupState] = {}  # by instance
         self.plans: dict[tuple[int, float], PermitPlan] = {}  # by the number of heads and the rate
 
-    # --- what is known of an instance ------------------------------------------------------------------------------
+    # --- state of instances ----------------------------------------------------------------------------------------
 
     def apply_record(self, now: float, identity: str, warmup: Warmup | None) -> None:
-        """Apply an instance's record: how long it stays cold, or that nobody knows; None where it has ended."""
+        """Apply an instance's warmup record: how long it stays cold or that this is unconfirmed; None if it ended."""
         if warmup is None:
             self.remove(identity)
             return
@@ -119,13 +119,13 @@
         state.unconfirmed_since = None
 
     def limit_until_confirmed(self, now: float, identity: str) -> None:
-        """Take an instance for cold until a record that follows from a later heartbeat."""
+        """Treat an instance as cold until a record from a later heartbeat arrives."""
         state = self.states.setdefault(identity, WarmupState())
         state.unconfirmed_since = now
         state.last_alive_at = float("-inf")
 
     def update_instance(self, now: float, instance: Instance, is_new: bool) -> None:
-        """Apply an instance's record: one that starts while traffic runs, or was lost, may be cold."""
+        """Apply an instance's record: an instance that starts under traffic, or that was marked lost, may be cold."""
         identity = instance.identity
         if is_new and self.is_serving and identity not in self.states:
             self.limit_until_confirmed(now, identity)
@@ -139,14 +139,14 @@
         state.is_lost = is_lost
 
     def record_answer(self, now: float, identity: str) -> None:
-        """Record an answer to this head."""
+        """Record a response to this head."""
         state = self.states.get(identity)
         if state is not None:
             state.last_answer_at = now
             self.record_alive(now, identity)
 
     def record_alive(self, now: float, identity: str) -> None:
-        """Record a sign of life: an answer to this head, or a report."""
+        """Record a sign of life: a response to this head, or a load report."""
         state = self.states.get(identity)
         if state is None:
             return
@@ -155,20 +155,20 @@
         state.last_alive_at = now
 
     def remove(self, identity: str) -> None:
-        """Forget an instance that has ended."""
+        """Remove an instance that has ended."""
         self.states.pop(identity, None)
 
     # --- limits ----------------------------------------------------------------------------------------------------
 
     def is_limited(self, now: float, instance: Instance) -> bool:
-        """Return whether an instance is taken for cold."""
+        """Return whether an instance is treated as cold, and its requests are limited."""
         state = self.states.get(instance.identity)
         if state is None or self.cold_per_s.get(instance.service, 0.0) <= 0.0:
             return False
         return now < state.cold_until or self._is_unconfirmed(now, instance.service, state)
 
     def _is_unconfirmed(self, now: float, service: str, state: WarmupState) -> bool:
-        """Return whether this head cannot know that an instance is warm; forget it where it can by now."""
+        """Return whether an instance may be cold though no record says so; clear this state once it is over."""
         if state.unconfirmed_since is None:
             return False
         if now - state.last_alive_at <= MAX_ALIVE_GAP_S:
@@ -189,7 +189,7 @@
         return now - last_sent_at >= plan.interval_s and self._draw(instance) < plan.fraction
 
     def limit_per_s(self, cold_per_s: float) -> int:
-        """Return the largest number of requests that a cold instance may get in any second."""
+        """Return the maximum number of requests that a cold instance may get in any second."""
         return floor(cold_per_s * self.overshoot + self.slack)
 
     def _plan(self, cold_per_s: float) -> PermitPlan:
@@ -201,12 +201,12 @@
         return plan
 
     def _draw(self, instance: Instance) -> float:
-        """Return this head's draw for an instance, from 0 to 1: the same in each of its processes."""
+        """Return this head's draw for an instance, in [0, 1): a hash, so that all processes of the head agree."""
         digest = blake2b(f"{instance.identity}\0{self.head_name}".encode(), digest_size=HASH_BYTES).digest()
         return int.from_bytes(digest) / HASH_RANGE
 
     def record_sent(self, now: float, instance: Instance) -> None:
-        """Record that a request of this head goes to an instance."""
+        """Record that this head sends a request to an instance."""
         state = self.states.get(instance.identity)
         if state is not None:
             state.last_sent_at = now
--- a/tests/acknowledgement_mutants.py
+++ b/tests/acknowledgement_mutants.py
@@ -94,8 +94,8 @@
     Mutant(
         "a queue takes any number that is told",
         "fleet/placement/queue",
-        "min(missing, MAX_PHANTOM_JOBS - len(self.queued))",
-        "min(missing, 4 * MAX_PHANTOM_JOBS)",
+        "min(missing_count, MAX_PHANTOM_JOBS - len(self.queued))",
+        "min(missing_count, 4 * MAX_PHANTOM_JOBS)",
         REPORTS + "test_a_queue_that_is_told_as_very_long_stays_bounded",
     ),
 )
--- a/tests/forwarding_mutants.py
+++ b/tests/forwarding_mutants.py
@@ -70,8 +70,8 @@
     Mutant(
         "a prompt is read by a decode instance where its group cannot pass it on",
         "fleet/placement/placement",
-        "nearer = self._without_failing_transfers(request, prefill, decode_nodes)",
-        "nearer = request",
+        "narrowed = self._without_failing_transfers(request, prefill, decode_nodes)",
+        "narrowed = request",
         TRANSFERS + "test_a_prompt_is_read_outside_its_group_where_the_group_cannot_pass_it_on",
     ),
     Mutant(
@@ -98,8 +98,8 @@
     Mutant(
         "one request tests several zones",
         "fleet/placement/pool",
-        "may_test = not excluded",
-        "may_test = True",
+        "may_probe = not excluded",
+        "may_probe = True",
         REACHABILITY + "test_a_request_that_has_failed_tests_no_further_zone",
     ),
     Mutant(
@@ -126,7 +126,7 @@
     Mutant(
         "an unreachable zone is tested by many requests at once",
         "fleet/placement/reachability",
-        "            zone.avoided_until = max(zone.avoided_until, now + TEST_S)",
+        "            zone.avoided_until = max(zone.avoided_until, now + PROBE_TIMEOUT_S)",
         "            pass",
         REACHABILITY + "test_one_request_tests_the_zone_and_each_failed_test_doubles_the_pause",
     ),
--- a/tests/test_fleet_reachability.py
+++ b/tests/test_fleet_reachability.py
@@ -15,8 +15,8 @@
     BASE_PAUSE_S,
     FIRST_PAUSE_S,
     MAX_PAUSE_S,
+    PROBE_TIMEOUT_S,
     REPORT_GAP_S,
-    TEST_S,
     ZoneReachability,
 )
 from hophinge.fleet.registry.instance import Instance
@@ -73,7 +73,7 @@
     for pause_s in (2 * BASE_PAUSE_S, 4 * BASE_PAUSE_S, MAX_PAUSE_S, MAX_PAUSE_S):
         assert not reachability.is_avoided(now, FAR[0])
         reachability.record_sent(now, FAR[0])
-        assert reachability.is_avoided(now + TEST_S - 0.01, FAR[1]), "others wait for the result"
+        assert reachability.is_avoided(now + PROBE_TIMEOUT_S - 0.01, FAR[1]), "others wait for the result"
         reachability.record_failure(now + 0.25, FAR[0])
         assert reachability.is_avoided(now + 0.25 + pause_s - 0.01, FAR[1])
         now += 0.25 + pause_s
--- a/tests/warmup_mutants.py
+++ b/tests/warmup_mutants.py
@@ -175,7 +175,7 @@
     Mutant(
         "few heads leave no room for those that are not known",
         "fleet/placement/warmup",
-        "floor(limit / SURPLUS_HEADS / head_count)",
+        "floor(limit / HEAD_COUNT_MARGIN / head_count)",
         "floor(limit / head_count)",
         LIMITS + "test_next_to_never_more_heads_have_a_permit_than_the_limit_allows",
     ),
