--- a/hophinge/fleet/registry/__init__.py
+++ b/hophinge/fleet/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Instance registry: instances register by heartbeat, and members learn of changes through anti-entropy."""
+"""The instance registry: instances register by heartbeat, and changes spread to all members by anti-entropy."""
--- a/hophinge/fleet/registry/departures.py
+++ b/hophinge/fleet/registry/departures.py
@@ -1,8 +1,8 @@
-"""The records of departures that a member keeps on its disk, without I/O.
+"""The departure records that a control member keeps on its disk, without I/O.
 
-An acknowledged departure must outlive the processes that acknowledged it: a heartbeat that was sent before it may
-arrive after all of them have been killed and started again, and would bring the instance back. So a member confirms
-such a record once it is synced, and restores the records before it takes heartbeats.
+An acknowledged departure must survive a restart of all processes that acknowledged it: a heartbeat sent before the
+departure may arrive after the restart, and would register the instance again. So a member confirms a departure record
+only after it is synced to disk, and restores the records before it accepts heartbeats.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 @wire(110)
 @dataclass(frozen=True, slots=True)
 class DepartureState:
-    """All records that a disk holds."""
+    """The snapshot of all departure records on a disk."""
 
     records: tuple[GossipRecord, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRequest:
-    """A record to be synced before it is confirmed.
+    """A record that has to be synced to disk before it is confirmed.
 
     Attributes:
-        record: The record.
-        token: The token under which it is replicated.
-        requester: The address of the member that replicates it; None where that is this member itself.
+        record: The departure record.
+        token: The token of its replication.
+        requester: The address of the member that replicates it; None if that is this member.
 
     """
 
@@ -41,17 +41,17 @@
 
 
 class DepartureStorage(Protocol):
-    """A disk that keeps departures."""
+    """A disk that stores departure records."""
 
     @property
     def recovered(self) -> list[GossipRecord]:
-        """The records that it held at the start."""
+        """The records that were on the disk at the start."""
 
     def store(self, request: StoreRequest) -> None:
-        """Sync a record, then have it confirmed; at once, where the disk takes no writes."""
+        """Sync a record, then have it confirmed. If the disk cannot be written to, it is confirmed at once."""
 
     def tick(self) -> None:
-        """Retry a disk that failed."""
+        """Retry a disk that has failed."""
 
 
 @dataclass(slots=True)
@@ -61,19 +61,19 @@
 
 
 class DepartureLog:
-    """The newest record of each departed instance, for as long as a late heartbeat of it may come."""
+    """The newest record of each departed instance, retained for as long as a late heartbeat may arrive."""
 
     def __init__(self) -> None:
         self.departures: dict[str, _StoredDeparture] = {}  # by key
 
     def restore(self, now: float, state: DepartureState, records: Iterable[GossipRecord]) -> list[GossipRecord]:
-        """Apply what a disk holds; return the newest record of each key."""
+        """Apply the snapshot and the further records of a disk; return the newest record of each key."""
         for record in (*state.records, *records):
             self.add(now, record)
         return [stored.record for stored in self.departures.values()]
 
     def add(self, now: float, record: GossipRecord) -> bool:
-        """Add a record; return whether it is newer than the one of its key, and has to be written."""
+        """Add a record; return whether it is newer than the stored record of its key, and has to be written."""
         stored = self.departures.get(record.key)
         if stored is not None and stored.record.stamp >= record.stamp:
             return False
@@ -81,7 +81,7 @@
         return True
 
     def state(self, now: float) -> DepartureState:
-        """Return all records, without those whose retention has passed."""
+        """Return a snapshot of all records, and remove those whose retention has passed."""
         self.departures = {
             key: stored for key, stored in self.departures.items() if now - stored.stored_at < UNREGISTERED_RETENTION_S
         }
--- a/hophinge/fleet/registry/instance.py
+++ b/hophinge/fleet/registry/instance.py
@@ -10,8 +10,8 @@
 INSTANCE_PREFIX = "instance/"
 READY = "ready"
 DRAINING = "draining"
-LOST = "lost"  # silent for longer than the registry allows
-SWITCHING = "switching"  # ordered to change its stage, and gets no requests meanwhile
+LOST = "lost"  # no heartbeat for longer than the registry allows
+SWITCHING = "switching"  # ordered to change its stage; gets no requests until it has
 
 
 @wire(70)
@@ -26,7 +26,7 @@
 @wire(71)
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One incarnation of an instance. `stage` is empty for a service without prefill and decode."""
+    """One incarnation of an instance. `stage` is empty for a service without prefill and decode stages."""
 
     identity: str
     service: str
@@ -43,9 +43,9 @@
     """Return the record of an instance.
 
     Args:
-        instance: What is recorded.
-        sequence: The sequence of the heartbeat that the record follows from.
-        minor: 0 for the heartbeat itself; above for each conclusion that the registry drew after it.
+        instance: The instance to record.
+        sequence: The sequence number of the heartbeat that the record is based on.
+        minor: 0 for the heartbeat itself; increases with each state change that the registry derives after it.
 
     """
     return GossipRecord(INSTANCE_PREFIX + instance.identity, (sequence, minor), encode(instance))
--- a/hophinge/fleet/registry/registry.py
+++ b/hophinge/fleet/registry/registry.py
@@ -1,7 +1,7 @@
-"""The instance registry of one control member, without I/O: heartbeats in, records of changes out.
+"""The instance registry of one control member, without I/O: it turns heartbeats into records of changes.
 
-Only changes are published to the data planes. Control members exchange the sequence of each instance's last heartbeat,
-so that none marks an instance lost that sends its heartbeats to another member.
+Only changes are published to the data planes. Control members exchange the sequence number of each instance's last
+heartbeat, so that no member marks an instance lost that sends its heartbeats to another member.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from hophinge.fleet.registry.warmup import WarmupTable, warmup_tombstone
 
 MAX_MISSED_HEARTBEATS = 4.0  # heartbeat intervals of silence before an instance is marked lost
-STAGE_CHANGE_TIMEOUT_S = 12.0  # an instance ordered to change its stage gets no requests for so long at most
-SILENT_RETENTION_S = 600.0  # silence after which a lost or draining instance is dropped, until its next heartbeat
-UNREGISTERED_RETENTION_S = 600.0  # how long the identity of an unregistered instance stays blocked
-UNREGISTERED_SEQUENCE = 1 << 62  # the sequence of an instance that has unregistered: above any heartbeat
+STAGE_CHANGE_TIMEOUT_S = 12.0  # longest time for which an instance ordered to change its stage gets no requests
+SILENT_RETENTION_S = 600.0  # silence after which a lost or draining instance is removed, until its next heartbeat
+UNREGISTERED_RETENTION_S = 600.0  # for which heartbeats of an unregistered identity are ignored
+UNREGISTERED_SEQUENCE = 1 << 62  # of the record of an unregistered instance: above the sequence of any heartbeat
 
 
 @wire(72)
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Heartbeat:
-    """The newest heartbeat known of an instance."""
+    """The newest known heartbeat of an instance."""
 
     sequence: int
     last_observed: float  # seconds on the caller's clock
@@ -50,15 +50,15 @@
 class StageChange:
     """An ordered change of an instance's stage.
 
-    It is kept after its timeout, until the instance is ordered again or reports another stage.
+    It is retained after its timeout, until the instance gets another order or reports another stage.
     """
 
     old_stage: str
-    expires_at: float  # when it counts as not carried out, in seconds on the caller's clock
+    expires_at: float  # when the change counts as failed, in seconds on the caller's clock
 
 
 class Registry:
-    """What one control member knows of instances; the records themselves live in its dissemination."""
+    """The instances known to one control member; their records are stored by its `Dissemination`."""
 
     def __init__(self, heartbeat_s: float, now: float) -> None:
         self.heartbeat_s = heartbeat_s
@@ -75,8 +75,8 @@
         """Record a heartbeat.
 
         Returns:
-            The instance's new record where the heartbeat changes it. None where it changes nothing, is older than the
-            newest one known, or comes from an identity that has unregistered.
+            The instance's new record if the heartbeat changes it. None if it changes nothing, is not newer than the
+            newest known heartbeat, or comes from an identity that has unregistered.
 
         """
         identity = instance.identity
@@ -93,9 +93,10 @@
         return self._update(instance, (sequence, 0))
 
     def record_warmup(self, now: float, identity: str, remaining_s: float, sequence: int) -> GossipRecord | None:
-        """Record how long an instance stays cold by a heartbeat that is recorded next; return what to publish.
+        """Record from a heartbeat how long an instance stays cold; return the warmup record to publish, or None.
 
-        One that is repeated, or older than the newest one known, may have been sent before a suspicion.
+        The caller calls `record_heartbeat` for the same heartbeat next. A repeated heartbeat, or one older than the
+        newest known, is ignored: it may have been sent before the instance was suspected.
         """
         heartbeat = self.heartbeats.get(identity)
         if identity in self.unregistered or (heartbeat is not None and sequence <= heartbeat.sequence):
@@ -103,16 +104,16 @@
         return self.warmup.record_heartbeat(now, identity, remaining_s, sequence)
 
     def _with_stage_change(self, now: float, instance: Instance) -> Instance:
-        """Return the instance as switching while its change of stage is in progress.
+        """Return the instance with the state SWITCHING while its stage change is in progress.
 
-        Until the change is done, heartbeats still report the old stage as ready. Any other stage ends the change,
-        whichever member received it first: the heartbeats may have moved here since.
+        Until the change is done, heartbeats still report the old stage and READY. A report of any other stage ends the
+        change, also if another member received it first: the instance may have sent its heartbeats there.
         """
         is_changing = self._is_changing_stage(now, instance)
         return replace(instance, state=SWITCHING) if is_changing and instance.state == READY else instance
 
     def _is_changing_stage(self, now: float, instance: Instance) -> bool:
-        """Return whether the instance is changing away from the stage given; a report of any other one ends it."""
+        """Return whether the instance is still changing from the stage it reports; another stage ends the change."""
         change = self.stage_changes.get(instance.identity)
         if change is not None and instance.stage != change.old_stage:
             del self.stage_changes[instance.identity]
@@ -120,7 +121,7 @@
         return change is not None and now < change.expires_at
 
     def begin_stage_change(self, now: float, identity: str) -> GossipRecord | None:
-        """Mark an instance as switching after an order; return its record, None where it isn't ready."""
+        """Mark an instance as switching after an order; return its record, or None if it is not ready."""
         instance = self.instances.get(identity)
         if instance is None or instance.state != READY:
             return None
@@ -133,7 +134,7 @@
         return record_of(instance, *stamp)
 
     def unregister(self, now: float, identity: str) -> GossipRecord:
-        """Remove an instance at its own request; it never comes back under this identity."""
+        """Remove an instance at its own request, and return its tombstone; the identity is never registered again."""
         self.unregistered[identity] = now
         self._remove(identity)
         return GossipRecord(INSTANCE_PREFIX + identity, (UNREGISTERED_SEQUENCE, 0), b"", True)
@@ -169,10 +170,10 @@
             self.heartbeats[identity] = Heartbeat(record.stamp[0], now)
 
     def _apply_stage_change(self, now: float, instance: Instance, is_order: bool) -> None:
-        """Apply a change of stage from another member; `is_order` where the record is that of an order.
+        """Apply a stage change from another member; `is_order` is True if the record comes from an order.
 
-        The record of a heartbeat during a change informs a member that missed the order. Where the change has timed
-        out it must not restart it: members would prolong it for one another, and the instance would never be used.
+        The record of a heartbeat during a change informs a member that missed the order. It must not restart a change
+        that has timed out: members would prolong the change for each other, and the instance would never be used.
         """
         is_changing = self._is_changing_stage(now, instance)
         is_timed_out = instance.identity in self.stage_changes and not is_changing
@@ -180,7 +181,7 @@
             self.stage_changes[instance.identity] = StageChange(instance.stage, now + STAGE_CHANGE_TIMEOUT_S)
 
     def apply_liveness(self, now: float, liveness: Liveness) -> None:
-        """Apply the heartbeats that another control member received."""
+        """Apply the sequence numbers of heartbeats that another control member received."""
         for identity, sequence in liveness.rows:
             heartbeat = self.heartbeats.get(identity)
             if heartbeat is not None and sequence > heartbeat.sequence:
@@ -188,16 +189,16 @@
                 heartbeat.last_observed = now
 
     def collect_liveness(self) -> Liveness | None:
-        """Return the heartbeats received here since the last call; None where there were none."""
+        """Return the heartbeats received here since the last call, or None if there were none."""
         rows = tuple(self.unsent_heartbeats.items())
         self.unsent_heartbeats = {}
         return Liveness(rows) if rows else None
 
     def expire(self, now: float, is_connected: bool) -> list[GossipRecord]:
-        """Mark instances lost that have fallen silent; return their records.
+        """Mark silent instances as lost; return their records.
 
-        After a stall of this process, or while this member is disconnected itself, silence proves nothing: every
-        instance gets a heartbeat interval of grace.
+        After a stall of this process, or while this member is disconnected, silence proves nothing: the silence of
+        every instance then counts as at most one heartbeat interval.
         """
         is_stalled = now - self.last_expiry_check > self.heartbeat_s
         self.last_expiry_check = now
@@ -214,17 +215,18 @@
         return lost
 
     def _stamp_after(self, identity: str) -> tuple[int, int]:
-        """Return the stamp of a conclusion drawn here: above the record it follows from, below any later heartbeat.
+        """Return the stamp for a state change derived here: above the newest record, below any later heartbeat.
 
-        A newer heartbeat may be known whose record, saying that the instance drains, has not arrived yet.
+        It is not based on the newest known heartbeat: the record of that heartbeat may not have arrived yet, and may
+        say that the instance drains.
         """
         sequence, minor = self.stamps.get(identity, (0, 0))
         return sequence, minor + 1
 
     def mark_reachable(self, now: float, identities: Iterable[str]) -> list[GossipRecord]:
-        """Record that instances answered a request: they live, though their heartbeats may not arrive.
+        """Record that instances responded to a request: they are live even if their heartbeats do not arrive.
 
-        Where an instance has started anew, the address answers for the new one: the instance heard last counts.
+        If several identities share an address, as after a restart, the response counts for the one heard from last.
 
         Returns:
             The records of instances that were marked lost and are ready again.
@@ -243,15 +245,15 @@
         return recovered
 
     def _latest_by_address(self) -> dict[str, str]:
-        """Return the identity of the instance heard last at each address."""
+        """Return, by address, the identity of the instance heard from last."""
         in_order = sorted(self.heartbeats, key=lambda identity: self.heartbeats[identity].last_observed)
         return {self.instances[identity].address: identity for identity in in_order if identity in self.instances}
 
     def purge(self, now: float) -> list[GossipRecord]:
-        """Drop lost and draining instances after long silence, and old unregistered identities.
+        """Remove lost and draining instances after SILENT_RETENTION_S, and expired unregistered identities.
 
         Returns:
-            Tombstones of the dropped instances.
+            Tombstones of the removed instances.
 
         """
         self.unregistered = {
--- a/hophinge/fleet/registry/service.py
+++ b/hophinge/fleet/registry/service.py
@@ -1,6 +1,7 @@
-"""The instance service of a control member: takes heartbeats, publishes changes, acknowledges what a quorum holds.
+"""The instance service of a control member: handles heartbeats, publishes changes, and acknowledges departures.
 
-A state machine without I/O. Its host passes the time, the core as it is observed now, and the recipients.
+A departure is acknowledged once a quorum holds its record. The service is a state machine without I/O: its host passes
+the time and the currently known members.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryContext:
-    """The other members that a control member knows of at one moment."""
+    """The members that a control member knows at one moment."""
 
     core: QuorumView
     heads: tuple[str, ...]  # addresses of data planes that this member updates directly
@@ -35,7 +36,7 @@
 
 
 class CompletedRequest(NamedTuple):
-    """A caller's completed request."""
+    """A completed request of a caller."""
 
     request_id: int
     is_acknowledged: bool
@@ -43,10 +44,10 @@
 
 @dataclass(slots=True)
 class ServiceStep:
-    """The effects of one input: messages by address, and callers' requests that are completed.
+    """The effects of one input: messages by address, and completed requests of callers.
 
-    `to_store` are records that the host is to sync, and then to give to `InstanceService.record_stored`.
-    `unreadable_keys` are those of new records that this member cannot read; it passes them on all the same.
+    `to_store` contains records that the host has to sync and then pass to `InstanceService.record_stored`.
+    `unreadable_keys` contains the keys of new records that this member cannot decode; it relays them nevertheless.
     """
 
     messages: list[tuple[str, object]] = field(default_factory=list)
@@ -62,16 +63,16 @@
 
 
 class InstanceService:
-    """The instances as one control member knows them."""
+    """The instance service of one control member."""
 
     def __init__(self, me: Replica, dissemination: Dissemination, registry: Registry) -> None:
         self.dissemination = dissemination
         self.registry = registry
         self.me = me
         self.quorum_acknowledgements = QuorumAcknowledgements(me)
-        self.pending_requests: dict[int, str] = {}  # the instance of each request that waits for a quorum
-        self.acknowledged_drains: set[str] = set()  # instances whose draining record a quorum holds
-        self.is_durable = False  # a disk here keeps departures, which the host writes
+        self.pending_requests: dict[int, str] = {}  # by request that waits for a quorum: the instance
+        self.acknowledged_drains: set[str] = set()  # instances with a departure record that a quorum holds
+        self.is_durable = False  # the host stores departure records on a disk
 
     # --- callers -------------------------------------------------------------------------------------------------
 
@@ -84,10 +85,11 @@
         sequence: int,
         cold_remaining_s: float = 0.0,
     ) -> ServiceStep:
-        """Apply a heartbeat and complete or begin its request.
+        """Apply a heartbeat, and complete its request or make it wait for a quorum.
 
-        A ready instance's heartbeat is refused while this member has no contact to a majority: the instance then
-        sends it to another member. A draining instance's is acknowledged once a quorum holds its record.
+        The heartbeat of a ready instance is not acknowledged while this member has no contact with a majority, so that
+        the instance sends it to another member. The heartbeat of a draining instance is acknowledged once a quorum
+        holds its record.
         """
         step = ServiceStep()
         is_ready = instance.state == READY
@@ -96,7 +98,7 @@
         if is_ready:
             if record is not None:
                 self.acknowledged_drains.discard(instance.identity)
-            # The heads learn that an instance is cold before they learn of the instance.
+            # Heads must learn that an instance is cold before they learn of the instance.
             self.publish(now, context, (warmup, record), step)
             voters = {voter.identity for voter in context.core.voters}
             in_contact = (
@@ -109,7 +111,7 @@
         return step
 
     def unregister(self, now: float, context: RegistryContext, request: int, identity: str) -> ServiceStep:
-        """Apply an instance's request to unregister; it is acknowledged once a quorum holds the tombstone."""
+        """Unregister an instance at its request, which is acknowledged once a quorum holds the tombstone."""
         step = ServiceStep()
         if identity not in self.registry.unregistered:
             self.acknowledged_drains.discard(identity)
@@ -127,11 +129,14 @@
         record: GossipRecord | None,
         step: ServiceStep,
     ) -> None:
-        """Acknowledge a draining instance once a quorum holds its record: no connected data plane may use it then."""
+        """Acknowledge a departure once a quorum holds its record.
+
+        No connected data plane may use the instance from then on.
+        """
         if identity in self.acknowledged_drains:
             step.completed.append(CompletedRequest(request, True))
         elif record is None or not is_draining(record):
-            # The request is older than what is known: the instance's next one will be answered.
+            # The request is older than the known record: the instance's next heartbeat will be acknowledged.
             step.completed.append(CompletedRequest(request, False))
         else:
             self._apply_dissemination(now, self.dissemination.publish(now, [record], context.heads), step)
@@ -156,7 +161,7 @@
     def replicate_record(
         self, now: float, context: RegistryContext, source: str, request: ReplicateRecord
     ) -> ServiceStep:
-        """Store a record for another member, and pass it on first: its sender may be lost the moment after."""
+        """Store a record for another member, and first relay it, since its sender may fail right afterwards."""
         step = ServiceStep()
         voters = [voter.address for voter in context.core.voters if voter.identity != self.me.identity]
         recipients = [*context.heads, *voters]
@@ -168,7 +173,7 @@
         return step
 
     def record_stored(self, now: float, context: RegistryContext, request: StoreRequest) -> ServiceStep:
-        """Confirm a record that the disk here holds by now."""
+        """Confirm a record that has been synced to the disk here."""
         step = ServiceStep()
         if request.requester is not None:
             step.messages.append((request.requester, RecordReplicated(request.token, context.core.view_number)))
@@ -178,13 +183,13 @@
         return step
 
     def restore(self, now: float, records: Iterable[GossipRecord]) -> None:
-        """Apply the records of departures that the disk here holds."""
+        """Apply the departure records from the disk here."""
         self._apply_dissemination(now, self.dissemination.publish(now, records), ServiceStep())
 
     def record_replicated(
         self, now: float, context: RegistryContext, source: str, acknowledgement: RecordReplicated
     ) -> ServiceStep:
-        """Apply the acknowledgement of the member with the identity `source` that it stores a record."""
+        """Apply the acknowledgement of a record by the member with the identity `source`."""
         step = ServiceStep()
         quorum_step = self.quorum_acknowledgements.handle_replicated(now, context.core, source, acknowledgement)
         self._complete_requests(quorum_step, step)
@@ -193,33 +198,33 @@
     def receive(
         self, now: float, source: str, message: GossipMessage, recipients: Iterable[str], step: ServiceStep
     ) -> None:
-        """Apply a message of the dissemination; what is new in it goes to `recipients`."""
+        """Apply a dissemination message, and relay its new records to `recipients`."""
         self._apply_dissemination(now, self.dissemination.handle(now, source, message, recipients), step)
 
     def apply_liveness(self, now: float, liveness: Liveness) -> None:
-        """Apply the heartbeats that another control member received."""
+        """Apply the sequence numbers of heartbeats that another control member received."""
         self.registry.apply_liveness(now, liveness)
 
     def mark_reachable(self, now: float, context: RegistryContext, identities: Iterable[str]) -> ServiceStep:
-        """Record that instances answered a request, and publish those that were taken for lost."""
+        """Record that instances responded to a request, and publish those that were marked lost as ready again."""
         step = ServiceStep()
         for record in self.registry.mark_reachable(now, identities):
             self.publish(now, context, (record,), step)
         return step
 
     def suspect(self, now: float, context: RegistryContext, identities: Iterable[str]) -> ServiceStep:
-        """Publish that instances may have ended, and come back cold: heads limit them until their next heartbeats."""
+        """Publish that instances may have restarted and be cold: heads limit them until their next heartbeats."""
         step = ServiceStep()
         self.publish(now, context, self.registry.warmup.suspect(now, identities), step)
         return step
 
     def suspect_zone(self, now: float, context: RegistryContext, zone: str) -> ServiceStep:
-        """Publish that the instances of a zone whose evacuation was taken back may have turned cold."""
+        """Publish that the instances of a zone may have become cold while it was evacuated."""
         instances = self.registry.instances.values()
         return self.suspect(now, context, [instance.identity for instance in instances if instance.zone == zone])
 
     def begin_stage_change(self, now: float, context: RegistryContext, identity: str) -> ServiceStep:
-        """Publish that an instance was ordered to change its stage: it gets no requests until it has."""
+        """Publish that an instance was ordered to change its stage: it gets no requests until the change is done."""
         step = ServiceStep()
         record = self.registry.begin_stage_change(now, identity)
         self.publish(now, context, (record,), step)
@@ -252,14 +257,14 @@
     # --- time ----------------------------------------------------------------------------------------------------
 
     def tick(self, now: float, context: RegistryContext, is_connected: bool) -> ServiceStep:
-        """Time out pending requests, and publish instances that have fallen silent."""
+        """Time out pending requests, and publish silent instances as lost."""
         step = ServiceStep()
         self._complete_requests(self.quorum_acknowledgements.tick(now, context.core), step)
         self.publish(now, context, self.registry.expire(now, is_connected), step)
         return step
 
     def purge(self, now: float, context: RegistryContext) -> ServiceStep:
-        """Drop instances and identities whose retention has passed."""
+        """Remove instances, identities and tombstones whose retention has passed."""
         step = ServiceStep()
         self.dissemination.store.remove_expired_tombstones(now)
         for record in self.registry.purge(now):
