--- a/tests/acknowledgement_mutants.py
+++ b/tests/acknowledgement_mutants.py
@@ -75,14 +75,14 @@
         "fleet/controlplane/soft_state",
         "        self.service.restore(self.loop.time(), storage.recovered)\n",
         "",
-        DEPARTURES + "test_a_late_heartbeat_after_a_kill_of_all_brings_no_unregistered_instance_back",
+        DEPARTURES + "test_a_late_heartbeat_after_a_kill_of_all_does_not_restore_an_unregistered_instance",
     ),
     Mutant(
         "a disk that takes no writes holds a departure up",
         "fleet/controlplane/departure_host",
         "        if not self.commit.is_writable:\n            self.confirm(request)\n",
         "",
-        DEPARTURES + "test_a_full_disk_holds_no_departure_up_and_has_it_once_there_is_room",
+        DEPARTURES + "test_a_full_disk_delays_no_departure_and_stores_it_once_there_is_space",
     ),
     Mutant(
         "a request is sent twice on one connection",
--- a/tests/decision_mutants.py
+++ b/tests/decision_mutants.py
@@ -1,4 +1,4 @@
-"""One-line mutants of what placement decides under overload, and of how stages follow the work."""
+"""One-line mutants of placement under overload, of stage switches, and of requests that wait for a stage."""
 
 from __future__ import annotations
 
@@ -39,38 +39,38 @@
         "fleet/placement/placement",
         "self.exchange.pending_drops.append(dropped)",
         "pass",
-        OVERLOAD + "test_segments_of_a_prompt_that_was_not_read_do_not_count_as_cached",
+        OVERLOAD + "test_segments_of_a_dropped_prefill_do_not_count_as_cached",
     ),
     Mutant(
         "segments of a dropped prefill stay cached",
         "fleet/placement/node",
         "            self.used_tokens -= self.segments.pop(segment, 0)\n\n    def cached_tokens",
         "\n    def cached_tokens",
-        OVERLOAD + "test_segments_of_a_prompt_that_was_not_read_do_not_count_as_cached",
+        OVERLOAD + "test_segments_of_a_dropped_prefill_do_not_count_as_cached",
     ),
     Mutant(
-        "a later drop removes what an earlier job read",
+        "a later drop removes the segments that an earlier job prefilled",
         "fleet/placement/node",
         "new_segments = [segment for segment, _ in segments if segment not in self.segments]",
         "new_segments = [segment for segment, _ in segments]",
-        OVERLOAD + "test_segments_read_by_another_job_stay_when_a_later_one_is_dropped",
+        OVERLOAD + "test_segments_prefilled_by_an_earlier_job_stay_when_a_later_job_is_dropped",
     ),
     Mutant(
-        "an empty stage waits like any other",
+        "an empty stage waits as long as any other for a switch",
         "fleet/placement/stages",
         "missing, SwitchReason.EMPTY)",
         "missing, SwitchReason.LOAD)",
         STAGES + "test_an_empty_stage_gets_an_instance_at_once",
     ),
     Mutant(
-        "a switch delays the one that its stage needs",
+        "a switch delays the switch that refills its old stage",
         "fleet/placement/stages",
         "arriving_stages = {OTHER_STAGE[member.stage] for",
         "arriving_stages = {member.stage for",
-        STAGES + "test_a_switch_that_empties_a_stage_does_not_delay_the_one_that_it_needs",
+        STAGES + "test_a_switch_away_from_an_empty_stage_does_not_delay_the_switch_that_refills_it",
     ),
     Mutant(
-        "a stage change lasts at members that did not learn of its end first",
+        "a stage change does not end at members that another member informs of its end",
         "fleet/registry/registry",
         "if change is not None and instance.stage != change.old_stage:",
         "if False:",
@@ -84,28 +84,28 @@
         CHANGES + "test_a_timed_out_change_is_not_revived_by_another_member",
     ),
     Mutant(
-        "a stage falls to one of many",
+        "a stage has no minimum number of instances",
         "fleet/placement/stages",
         "min_instances = MIN_STAGE_INSTANCES if len(ready) >= 2 * MIN_STAGE_INSTANCES else 1",
         "min_instances = 1",
         STAGES + "test_a_stage_gets_a_second_instance_before_it_loses_the_last",
     ),
     Mutant(
-        "memory does not count in the decode load",
+        "memory does not count as decode load",
         "fleet/placement/stages",
         "max((report.running + report.waiting) / max(1, slots), memory)",
         "(report.running + report.waiting) / max(1, slots)",
         STAGES + "test_a_decode_stage_short_of_slots_or_memory_gets_idle_prefill_instances",
     ),
     Mutant(
-        "a misspelt mechanism of a trial is passed over",
+        "an unknown field in a trial file is ignored",
         "fleet/trial",
         "    if unknown:\n",
         "    if False:\n",
         LOSSES + "test_a_trial_is_asked_for_by_the_command_line_and_a_deployment_asks_for_none",
     ),
     Mutant(
-        "a request waits for a stage beyond its client's patience",
+        "a request waits for a stage beyond its client's timeout",
         "fleet/forwarding/pending",
         "return not can_return and served_at <= request.give_up_at",
         "return not can_return",
@@ -119,14 +119,14 @@
         PENDING + "test_requests_beyond_the_bound_are_rejected",
     ),
     Mutant(
-        "a request that ends keeps its place among those that wait",
+        "a request that has ended still counts as waiting",
         "fleet/forwarding/request_lifecycle",
         "        self.placement.pending_requests.discard(self.name)\n",
         "",
         PENDING + "test_a_request_that_ends_while_it_waits_gives_up_its_place",
     ),
     Mutant(
-        "links that are closed connect",
+        "closed links still connect",
         "fleet/transport/links",
         "        if self.is_closed:\n            return\n        link =",
         "        link =",
--- a/tests/fleet_placement_fixtures.py
+++ b/tests/fleet_placement_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of placement: instances, prompts and requests of one service."""
+"""Fixtures for the placement tests: instances, prompts and requests of one service."""
 
 from __future__ import annotations
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -52,20 +52,20 @@
     ],
     ids=named,
 )
-def test_a_fleet_sends_a_cold_backend_no_more_than_the_rule_bears(fleet: Fleet, seeds: int) -> None:
+def test_a_fleet_sends_a_cold_backend_no_more_than_the_slow_start_rule_allows(fleet: Fleet, seeds: int) -> None:
     """Of 20 and more heads the even part of each is under one request, so nothing but the sum tells."""
     parts = largest(fleet, seeds)
     assert max(parts) < 1 and tail(parts) < 1, parts
     assert statistics.mean(parts) > 0.2, "it gets work at all"
 
 
-def test_two_hundred_heads_that_have_not_heard_from_a_weak_backend_do_not_make_it_fall() -> None:
+def test_two_hundred_heads_without_responses_from_a_weak_backend_do_not_overload_it() -> None:
     """Each let one read through by its lot, and hardly any heard back before the next: 3 of these 16 bricks fell."""
     parts = largest(Fleet(heads=200, power=0.4, volumes=28, hosts=2), 16)
     assert max(parts) < 1, parts  # its tail is not within four deviations: docs/design/fleet.md
 
 
-def test_the_measure_sees_heads_that_take_too_large_a_part() -> None:
+def test_the_measure_detects_heads_that_take_too_large_a_share() -> None:
     """Five heads, each of which takes the part of one among three."""
     assert tail(largest(Fleet(heads=5, power=0.4, counted=3), 12)) > 1
 
@@ -77,7 +77,7 @@
     assert all(day.broken == 1 for day in days)
 
 
-def test_a_fall_that_heads_caused_which_had_not_been_told_breaks_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_overload_by_uninformed_heads_does_not_break_the_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nor does what comes to a brick that has fallen."""
     monkeypatch.setattr(Scheduler, "_is_within_slow_start", lambda *_: True)
     day = Day(Fleet(heads=200, load=2.5, volumes=60, returns=True, told_s=60), 0).run()
--- a/tests/test_fleet_departures.py
+++ b/tests/test_fleet_departures.py
@@ -1,4 +1,4 @@
-"""Acknowledged departures outlive the processes that acknowledged them."""
+"""Acknowledged departures survive a restart of all processes that acknowledged them."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from tests.control_world import ControlWorld
 from tests.virtual_loop import play
 
-FORMED_S = 6.0
-WATCHED_S = 8.0  # twice the silence after which an instance counts as lost
+FORMATION_S = 6.0  # for the cluster to form
+WATCH_S = 8.0  # twice the silence after which an instance counts as lost
 ONE, TWO, THREE, FOUR, FIVE = (f"10.0.0.{number}:7660" for number in range(1, 6))
 A, B, C = (Replica(name, f"{name}:1", "z") for name in "abc")
 BOUND_S = 20.0
@@ -32,11 +32,11 @@
     return GossipRecord(f"instance/{identity}", (UNREGISTERED_SEQUENCE, 0), b"", True)
 
 
-# --- kills of all processes --------------------------------------------------------------------------------------
+# --- restarts of all processes -----------------------------------------------------------------------------------
 
 
 async def _kill_all(world: ControlWorld, lost_disk: str | None = None) -> None:
-    """Kill all members and heads, and start them again."""
+    """Kill all control members and heads, and start them again; the disk of `lost_disk` is wiped."""
     for address in world.members:
         if address == lost_disk:
             world.wipe(address)
@@ -50,9 +50,9 @@
 
 
 async def _ever_ready(world: ControlWorld, identity: str) -> set[str]:
-    """Watch for a while; return the heads that would have sent work to an instance at any time."""
+    """Return the heads to which an instance is ready at any time within WATCH_S."""
     ready: set[str] = set()
-    end = world.loop.time() + WATCHED_S
+    end = world.loop.time() + WATCH_S
     while world.loop.time() < end:
         ready.update(world.ready_at(identity))
         await asyncio.sleep(0.05)
@@ -60,49 +60,52 @@
 
 
 @pytest.mark.parametrize("lost_disk", [None, ONE, TWO])
-@pytest.mark.parametrize("taker", [ONE, THREE, FOUR])
-def test_a_late_heartbeat_after_a_kill_of_all_brings_no_unregistered_instance_back(
-    taker: str, lost_disk: str | None
+@pytest.mark.parametrize("receiver", [ONE, THREE, FOUR])
+def test_a_late_heartbeat_after_a_kill_of_all_does_not_restore_an_unregistered_instance(
+    receiver: str, lost_disk: str | None
 ) -> None:
-    """Guards against hundreds of requests to an instance whose end was acknowledged (review, case DRAIN)."""
+    """Guards against sending requests to an instance whose departure was acknowledged (review, case DRAIN).
+
+    Without the departure record on disk, a late heartbeat registered it again, and it got hundreds of requests.
+    """
 
     async def run() -> None:
         world = ControlWorld(3)
-        await asyncio.sleep(FORMED_S)
+        await asyncio.sleep(FORMATION_S)
         assert await world.send_heartbeat(TWO, "i", READY, 1)
         soft_state = world.members[ONE].soft_state
         assert soft_state is not None
         assert await soft_state.unregister("i")
         await _kill_all(world, lost_disk)
         await asyncio.sleep(3.0)
-        await world.send_heartbeat(taker, "i", READY, 2)
+        await world.send_heartbeat(receiver, "i", READY, 2)
         assert await _ever_ready(world, "i") == set()
-        assert await world.send_heartbeat(taker, "j", READY, 1)
+        assert await world.send_heartbeat(receiver, "j", READY, 1)
         await asyncio.sleep(1.0)
         assert len(world.ready_at("j")) == len(world.heads)
 
     play(run())
 
 
-@pytest.mark.parametrize("taker", [ONE, THREE, FIVE])
-def test_a_late_heartbeat_after_a_kill_of_all_makes_no_draining_instance_ready(taker: str) -> None:
+@pytest.mark.parametrize("receiver", [ONE, THREE, FIVE])
+def test_a_late_heartbeat_after_a_kill_of_all_makes_no_draining_instance_ready(receiver: str) -> None:
     async def run() -> None:
         world = ControlWorld(4)
-        await asyncio.sleep(FORMED_S)
+        await asyncio.sleep(FORMATION_S)
         assert await world.send_heartbeat(TWO, "i", READY, 1)
         assert await world.send_heartbeat(TWO, "i", DRAINING, 3)
         await _kill_all(world)
         await asyncio.sleep(3.0)
-        await world.send_heartbeat(taker, "i", READY, 2)
+        await world.send_heartbeat(receiver, "i", READY, 2)
         assert await _ever_ready(world, "i") == set()
-        assert await world.send_heartbeat(taker, "i", READY, 4)
+        assert await world.send_heartbeat(receiver, "i", READY, 4)
         await asyncio.sleep(1.0)
-        assert len(world.ready_at("i")) == len(world.heads), "one that has thought better of it is used again"
+        assert len(world.ready_at("i")) == len(world.heads), "an instance that reports itself ready again is used"
 
     play(run())
 
 
-# --- what an acknowledgement waits for ---------------------------------------------------------------------------
+# --- acknowledgement of departures -------------------------------------------------------------------------------
 
 
 def _service() -> InstanceService:
@@ -118,11 +121,11 @@
 @pytest.mark.parametrize("is_stored_first", [False, True])
 def test_a_departure_is_acknowledged_once_it_is_on_this_disk_and_confirmed_by_the_others(is_stored_first: bool) -> None:
     service = _service()
-    begun = service.unregister(0.0, _context(), 7, "i")
-    (request,) = begun.to_store
+    first_step = service.unregister(0.0, _context(), 7, "i")
+    (request,) = first_step.to_store
     assert request == StoreRequest(_tombstone("i"), 7)
-    replications = [address for address, message in begun.messages if isinstance(message, ReplicateRecord)]
-    assert replications == ["b:1", "c:1"], "the others sync beside this member"
+    replications = [address for address, message in first_step.messages if isinstance(message, ReplicateRecord)]
+    assert replications == ["b:1", "c:1"], "the others sync in parallel with this member"
     steps = [service.record_stored(0.1, _context(), request)] if is_stored_first else []
     steps += [service.record_replicated(0.1, _context(), voter, RecordReplicated(7, 1)) for voter in "bc"]
     steps += [] if is_stored_first else [service.record_stored(0.1, _context(), request)]
@@ -167,20 +170,20 @@
     assert await confirmed.get() == request
 
 
-def test_stored_departures_are_there_after_a_restart(tmp_path: Path) -> None:
+def test_stored_departures_survive_a_restart(tmp_path: Path) -> None:
     async def run() -> list[GossipRecord]:
         confirmed: asyncio.Queue[StoreRequest] = asyncio.Queue()
         host = DepartureHost(tmp_path, confirmed.put_nowait)
-        found = host.recovered
+        recovered = host.recovered
         for identity in ("i", "j", "i"):
             await _store(host, confirmed, identity)
-        return found
+        return recovered
 
     assert asyncio.run(asyncio.wait_for(run(), BOUND_S)) == []
     assert set(asyncio.run(asyncio.wait_for(run(), BOUND_S))) == {_tombstone("i"), _tombstone("j")}
 
 
-def test_a_full_disk_holds_no_departure_up_and_has_it_once_there_is_room(tmp_path: Path) -> None:
+def test_a_full_disk_delays_no_departure_and_stores_it_once_there_is_space(tmp_path: Path) -> None:
     async def run() -> None:
         confirmed: asyncio.Queue[StoreRequest] = asyncio.Queue()
         host = DepartureHost(tmp_path, confirmed.put_nowait)
@@ -203,7 +206,7 @@
         host.commit.failed_at -= DISK_RETRY_INTERVAL_S
         host.tick()
         assert (await confirmed.get()).token == 2
-        again = DepartureHost(tmp_path, confirmed.put_nowait)
-        assert set(again.recovered) == {_tombstone("i"), _tombstone("j")}
+        restarted = DepartureHost(tmp_path, confirmed.put_nowait)
+        assert set(restarted.recovered) == {_tombstone("i"), _tombstone("j")}
 
     asyncio.run(asyncio.wait_for(run(), BOUND_S))
--- a/tests/test_fleet_queue.py
+++ b/tests/test_fleet_queue.py
@@ -1,4 +1,4 @@
-"""The queue of an instance: one job at a time, by priority, without preemption, corrected by observations."""
+"""The estimated queue of an instance: one job at a time, by priority, without preemption, corrected by observations."""
 
 from __future__ import annotations
 
@@ -94,11 +94,11 @@
                     queue.apply_queue_length(now, random.randrange(5), 40.0)
             priorities = [job.priority for job in queue.queued]
             assert priorities == sorted(priorities), seed
-            assert all(queue.start_at_us(now, one) <= queue.start_at_us(now, one + 1) for one in range(9)), seed
+            assert all(queue.start_at_us(now, level) <= queue.start_at_us(now, level + 1) for level in range(9)), seed
             assert queue.start_at_us(now, 0) >= now, seed
 
 
-def test_the_service_time_of_a_job_counts_from_the_end_of_the_one_before() -> None:
+def test_the_service_time_of_a_job_counts_from_the_end_of_the_previous_job() -> None:
     queue = WorkQueue()
     first = queue.add(0.0, 0, 5_000.0, 1, 100.0)
     second = queue.add(1_000.0, 0, 5_000.0, 2, 100.0)
--- a/tests/test_fleet_reachability.py
+++ b/tests/test_fleet_reachability.py
@@ -1,4 +1,4 @@
-"""Zones that a head cannot reach: learned from silence, tested by one request, forgotten at the first answer."""
+"""Zones that a head cannot reach: learned from silence, probed by one request, reachable again after one response."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     assert not _after_failures(2).is_avoided(10.0 + BASE_PAUSE_S, FAR[3])
 
 
-def test_other_zones_and_the_own_one_stay_reachable() -> None:
+def test_failures_in_the_own_zone_do_not_make_it_unreachable() -> None:
     reachability = _after_failures(2)
     reachability.record_failure(10.0, NEAR[0])
     reachability.record_failure(10.0, NEAR[1])
@@ -51,7 +51,7 @@
     assert not _after_failures(4).is_avoided(10.0 + BASE_PAUSE_S, FAR[3])
 
 
-def test_a_failure_right_after_an_answer_is_the_instance_s_own() -> None:
+def test_a_failure_right_after_a_response_does_not_count_for_the_zone() -> None:
     reachability = ZoneReachability("near")
     reachability.record_answer(9.9, FAR[0])
     reachability.record_failure(10.0, FAR[1])
@@ -60,20 +60,22 @@
 
 def test_suspicions_of_other_heads_alone_prove_nothing_about_a_zone() -> None:
     reachability = ZoneReachability("near")
-    for one in FAR[:3]:
-        reachability.record_suspicion(10.0, one)
+    for suspect in FAR[:3]:
+        reachability.record_suspicion(10.0, suspect)
     assert not reachability.is_avoided(10.0, FAR[3])
     reachability.record_failure(10.0, FAR[3])
     assert reachability.is_avoided(10.0 + BASE_PAUSE_S - 0.01, FAR[0])
 
 
-def test_one_request_tests_the_zone_and_each_failed_test_doubles_the_pause() -> None:
+def test_one_request_probes_the_zone_and_each_failed_probe_doubles_the_pause() -> None:
     reachability = _after_failures(2)
     now = 10.0 + BASE_PAUSE_S
     for pause_s in (2 * BASE_PAUSE_S, 4 * BASE_PAUSE_S, MAX_PAUSE_S, MAX_PAUSE_S):
         assert not reachability.is_avoided(now, FAR[0])
         reachability.record_sent(now, FAR[0])
-        assert reachability.is_avoided(now + PROBE_TIMEOUT_S - 0.01, FAR[1]), "others wait for the result"
+        assert reachability.is_avoided(now + PROBE_TIMEOUT_S - 0.01, FAR[1]), (
+            "other requests avoid the zone until the probe has a result"
+        )
         reachability.record_failure(now + 0.25, FAR[0])
         assert reachability.is_avoided(now + 0.25 + pause_s - 0.01, FAR[1])
         now += 0.25 + pause_s
@@ -81,10 +83,10 @@
     reachability.record_answer(now + 0.1, FAR[0])
     assert not reachability.is_avoided(now + 0.1, FAR[1])
     reachability.record_failure(now + 5.0, FAR[1])
-    assert not reachability.is_avoided(now + 5.0 + FIRST_PAUSE_S, FAR[1]), "what was known is forgotten"
+    assert not reachability.is_avoided(now + 5.0 + FIRST_PAUSE_S, FAR[1]), "the response cleared the earlier failures"
 
 
-def test_a_reachable_zone_is_not_rationed() -> None:
+def test_requests_to_a_reachable_zone_are_not_limited() -> None:
     reachability = ZoneReachability("near")
     reachability.record_answer(1.0, FAR[0])
     reachability.record_sent(2.0, FAR[0])
@@ -92,8 +94,8 @@
 
 
 @pytest.mark.parametrize(("silent_s", "is_avoided"), [(REPORT_GAP_S - 0.1, True), (REPORT_GAP_S + 0.1, False)])
-def test_reports_after_a_gap_have_the_zone_tested_and_steady_ones_do_not(silent_s: float, is_avoided: bool) -> None:
-    """Reports that went on say that another zone reaches this one, not that this head does."""
+def test_reports_after_a_gap_allow_a_probe_and_steady_ones_do_not(silent_s: float, is_avoided: bool) -> None:
+    """Steady reports only show that another zone reaches this zone, not that this head does."""
     reachability = ZoneReachability("near")
     reachability.record_reports(9.0, FAR)
     for now in (9.2, 11.0, 14.0):
@@ -112,13 +114,13 @@
 def _placement(far: str, near: str) -> Placement:
     placement = Placement("near", lambda identity: None, Random(1))
     for number, (zone, stage) in enumerate([("far", far)] * 6 + [("near", near)] * 2):
-        one = replace(instance(number, stage), zone=zone)
-        placement.instances.update_instance(one.identity, one)
+        zoned = replace(instance(number, stage), zone=zone)
+        placement.instances.update_instance(zoned.identity, zoned)
     placement.instances.configure({"s": 200_000})
     return placement
 
 
-def _cut(placement: Placement, now: float) -> None:
+def _partition_far_zone(placement: Placement, now: float) -> None:
     for node in [node for node in placement.nodes.values() if node.instance.zone == "far"][:2]:
         placement.record_silence(node, now)
 
@@ -128,44 +130,44 @@
     return [plan.reservation.node.instance.zone for plan in plans if plan is not None]
 
 
-def test_requests_keep_away_from_a_silent_zone_and_return_after_one_answer() -> None:
+def test_requests_avoid_a_silent_zone_and_return_after_one_response() -> None:
     placement = _placement("", "")
     assert "far" in _zones(placement, 1.0, 8)
-    _cut(placement, 2.0)
+    _partition_far_zone(placement, 2.0)
     assert set(_zones(placement, 2.0, 8)) == {"near"}
-    test = _zones(placement, 2.0 + BASE_PAUSE_S, 8)
-    assert test.count("far") == 1
+    probed = _zones(placement, 2.0 + BASE_PAUSE_S, 8)
+    assert probed.count("far") == 1
     placement.record_contact(next(iter(placement.nodes.values())), 3.2)
     assert _zones(placement, 3.2, 8).count("far") > 1
 
 
-def test_a_request_that_has_failed_tests_no_further_zone() -> None:
+def test_a_request_that_has_failed_probes_no_other_zone() -> None:
     placement = _placement("", "")
-    _cut(placement, 2.0)
+    _partition_far_zone(placement, 2.0)
     now = 2.0 + BASE_PAUSE_S
     failed_once = replace(request_of("q", now), excluded={"i-6"})
     plan = placement.place_plain(failed_once, "")
     assert plan is not None
     assert plan.reservation.node.instance.identity == "i-7"
-    assert "far" in _zones(placement, now, 8), "another request does"
+    assert "far" in _zones(placement, now, 8), "a request without a failure probes the zone"
 
 
-def test_a_stage_with_unreachable_instances_alone_is_tried_all_the_same() -> None:
+def test_a_stage_with_only_unreachable_instances_is_still_used() -> None:
     placement = _placement("", "prefill")
-    _cut(placement, 2.0)
+    _partition_far_zone(placement, 2.0)
     assert _zones(placement, 2.0, 1) == ["far"]
 
 
-def test_a_prompt_is_read_at_a_decode_instance_where_no_prefill_instance_can_be_reached() -> None:
+def test_a_decode_instance_prefills_if_no_prefill_instance_is_reachable() -> None:
     placement = _placement("prefill", "decode")
-    _cut(placement, 2.0)
+    _partition_far_zone(placement, 2.0)
     plan = placement.place_generation(request_of("q", 2.0), prompt_of("key"))
     assert isinstance(plan, PlacementPlan)
     assert not plan.is_prefill_only
     assert plan.reservation.node.instance.zone == "near"
 
 
-def test_heads_share_what_they_suspect_and_reports_end_it() -> None:
+def test_suspicions_of_other_heads_count_and_reports_end_them() -> None:
     placement = _placement("", "")
     exchange = placement.exchange
     exchange.receive_suspects(2.0, SuspectedInstances(("i-0", "i-1", "unknown")))
@@ -179,14 +181,14 @@
 
 
 @pytest.mark.parametrize("outcome", list(AttemptOutcome))
-def test_what_an_attempt_says_of_the_network(outcome: AttemptOutcome) -> None:
+def test_which_attempt_outcomes_count_as_a_response(outcome: AttemptOutcome) -> None:
     is_answer = outcome not in (AttemptOutcome.UNSENT, AttemptOutcome.UNKNOWN, AttemptOutcome.BROKEN)
     assert AttemptResult(outcome).is_answer == is_answer
 
 
-def test_the_own_zone_is_that_of_the_head() -> None:
+def test_a_placement_never_treats_its_own_zone_as_unreachable() -> None:
     placement = _placement("", "")
-    one: Instance = placement.nodes["i-7"].instance
+    own_zone_instance: Instance = placement.nodes["i-7"].instance
     placement.record_silence(placement.nodes["i-6"], 2.0)
     placement.record_silence(placement.nodes["i-7"], 2.0)
-    assert not placement.admission.is_unreachable(2.0, one)
+    assert not placement.admission.is_unreachable(2.0, own_zone_instance)
--- a/tests/test_fleet_stages.py
+++ b/tests/test_fleet_stages.py
@@ -1,4 +1,4 @@
-"""Switches of stage: by the reported load, several at once, and at once where a stage is empty."""
+"""Stage switches: by the reported load, several together, and immediately if a stage is empty."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     """Record reports: (waiting, running) of prefill instances, (waiting, running, memory) of decode instances."""
     loads = StageLoads()
     values = {"prefill": (*prefill_reports, 0), "decode": decode_reports}
-    reports = EngineReports(tuple(EngineReport(one.identity, *values[one.stage], MEMORY) for one in members))
+    reports = EngineReports(tuple(EngineReport(member.identity, *values[member.stage], MEMORY) for member in members))
     for _ in range(20):
-        loads.record(reports, {one.identity: one for one in members})
+        loads.record(reports, {member.identity: member for member in members})
     return loads
 
 
@@ -61,7 +61,7 @@
 
 def test_draining_and_lost_instances_count_for_no_stage() -> None:
     for state in (LOST, DRAINING):
-        members = [replace(one, state=state) if one.stage == "decode" else one for one in _staged(3, 2)]
+        members = [replace(member, state=state) if member.stage == "decode" else member for member in _staged(3, 2)]
         [switch] = _planned(members)
         assert (switch.instance.state, switch.stage, switch.is_urgent) == (READY, "decode", True), state
 
@@ -78,20 +78,20 @@
     assert _planned([*members, changing], _loads(members, (2, 1), (0, 1, 0))) == ()
 
 
-def test_a_switch_that_empties_a_stage_does_not_delay_the_one_that_it_needs() -> None:
-    """A decode instance is switching to prefill when the other decode instances are lost."""
-    to_read = replace(_staged(0, 1)[0], identity="i-99", state=SWITCHING)
-    [switch] = _planned([*_staged(3, 0), to_read])
+def test_a_switch_away_from_an_empty_stage_does_not_delay_the_switch_that_refills_it() -> None:
+    """An instance switches from decode to prefill while the other decode instances are lost, and the reverse case."""
+    to_prefill = replace(_staged(0, 1)[0], identity="i-99", state=SWITCHING)
+    [switch] = _planned([*_staged(3, 0), to_prefill])
     assert (switch.instance.stage, switch.stage, switch.is_urgent) == ("prefill", "decode", True)
-    to_make = replace(_staged(1, 0)[0], identity="i-99", state=SWITCHING)
-    [switch] = _planned([*_staged(0, 3), to_make])
+    to_decode = replace(_staged(1, 0)[0], identity="i-99", state=SWITCHING)
+    [switch] = _planned([*_staged(0, 3), to_decode])
     assert (switch.instance.stage, switch.stage, switch.is_urgent) == ("decode", "prefill", True)
 
 
 def test_a_busy_prefill_stage_gets_several_idle_decode_instances() -> None:
     members = _staged(29, 41)
     switches = _planned(members, _loads(members, (1, 1), (0, 2, 0)))
-    assert _stages(switches) == [("decode", "prefill")] * 11  # as many as may switch at once
+    assert _stages(switches) == [("decode", "prefill")] * 11  # the maximum that may switch together
     assert not any(switch.is_urgent for switch in switches)
 
 
@@ -117,10 +117,11 @@
     for number in range(41):
         reports = EngineReports(
             tuple(
-                EngineReport(one.identity, 0, number % 2 if one.stage == "prefill" else 4, 0, MEMORY) for one in members
+                EngineReport(member.identity, 0, number % 2 if member.stage == "prefill" else 4, 0, MEMORY)
+                for member in members
             )
         )
-        half_busy.record(reports, {one.identity: one for one in members})
+        half_busy.record(reports, {member.identity: member for member in members})
     assert _planned(members, half_busy) == ()
 
 
@@ -128,10 +129,10 @@
     members = _staged(0, 12, 3)
     members[0] = replace(members[0], stage="prefill")
     loads = _loads(members, (4, 1), (0, 1, 0))
-    left = {one.identity: one.zone for one in members if one.stage == "decode"}
+    remaining = {member.identity: member.zone for member in members if member.stage == "decode"}
     for switch in _planned(members, loads):
-        del left[switch.instance.identity]
-    assert set(Counter(left.values()).values()) <= {3, 4}
+        del remaining[switch.instance.identity]
+    assert set(Counter(remaining.values()).values()) <= {3, 4}
 
 
 def test_reports_from_before_a_switch_do_not_count() -> None:
@@ -144,11 +145,11 @@
     assert loads.prefill_load(members) == 0.0
 
 
-@pytest.mark.parametrize("by_work", [True, False])
+@pytest.mark.parametrize("by_load", [True, False])
 @pytest.mark.parametrize(("prefill", "decode", "stage"), [(3, 1, "decode"), (1, 8, "prefill"), (60, 1, "decode")])
 def test_a_stage_gets_a_second_instance_before_it_loses_the_last(
-    prefill: int, decode: int, stage: str, by_work: bool
+    prefill: int, decode: int, stage: str, by_load: bool
 ) -> None:
     members = _staged(prefill, decode)
-    [switch] = plan_switches(members, StageLoads(), PlacementPolicy(switches_by_load=by_work))
+    [switch] = plan_switches(members, StageLoads(), PlacementPolicy(switches_by_load=by_load))
     assert (switch.stage, switch.is_urgent) == (stage, False)
--- a/tests/warmup_world.py
+++ b/tests/warmup_world.py
@@ -1,7 +1,7 @@
-"""Heads, one control member and instances that end and come back cold, in virtual time.
+"""A simulated fleet in virtual time: heads, one control member, and instances that restart cold.
 
-The registry, the dissemination and the placement are those of the programs; the network, the instances and the
-requests are drawn. A head may be cut off from the control member and from the other heads, stand still, or start anew
+The registry, the dissemination and the placement are the real ones; the network, the instances and the requests are
+simulated with random choices. A head may be partitioned from the control member and the other heads, freeze, or restart
 under its name.
 """
 
@@ -33,13 +33,13 @@
 SLACK = 5.0
 LIMIT = COLD_PER_S * OVERSHOOT + SLACK
 STEP_S = 0.02
-SLOW_CONNECTIONS = 0.05  # the part of requests whose connection takes nearly as long as it may
-COUNT_KNOWN_S = 3.0  # after a head's start: it knows how many others there are
+SLOW_CONNECTION_FRACTION = 0.05  # of requests: connecting takes nearly as long as the timeout allows
+HEAD_COUNT_DELAY_S = 3.0  # from a head's start until it knows the head count
 ME = Replica("a", "10.0.0.1:1", "z")
 
 
 def configure(placement: Placement, head_count: int) -> None:
-    """Set what a head learns from its settings, the configuration and its lease."""
+    """Set the values that a head gets from its settings, the configuration and its lease."""
     warmup = placement.admission.warmup
     warmup.heartbeat_s, warmup.overshoot, warmup.slack = HEARTBEAT_S, OVERSHOOT, SLACK
     warmup.cold_per_s, warmup.cold_start_s = {"s": COLD_PER_S}, {"s": COLD_START_S}
@@ -48,11 +48,11 @@
 
 @dataclass
 class Head:
-    """One head; records that arrive while it is cut off come afterwards, and what it has to do while frozen waits."""
+    """One head; records sent to it during a partition arrive afterwards, and its events wait while it is frozen."""
 
     name: str
     placement: Placement
-    cut_until: float = 0.0
+    partitioned_until: float = 0.0
     frozen_until: float = 0.0
 
 
@@ -64,11 +64,11 @@
     down_until: float = 0.0
     cold_until: float = 0.0
     sequence: int = 0
-    arrivals: list[tuple[float, float]] = field(default_factory=list)  # while cold: when sent, when arrived
+    arrivals: list[tuple[float, float]] = field(default_factory=list)  # while cold: times of sending and arrival
 
     @property
-    def worst_second(self) -> int:
-        """The most requests that were sent and arrived inside one second while the instance was cold."""
+    def max_arrivals_per_second(self) -> int:
+        """The largest number of requests that were sent and arrived within one second while the instance was cold."""
         return max(
             (
                 sum(start <= sent and arrived < start + 1.0 for sent, arrived in self.arrivals)
@@ -79,7 +79,7 @@
 
 
 class WarmupWorld:
-    """The fleet; `at` schedules, `run_until` plays."""
+    """The fleet; `at` schedules an event, `run_until` runs the simulation."""
 
     def __init__(self, seed: int, heads: int, servers: int, requests_per_s: float) -> None:
         self.random = Random(seed)
@@ -102,23 +102,23 @@
         heappush(self.events, (time, next(self.order), event))
 
     def run_until(self, end: float) -> None:
-        """Play until a time."""
+        """Run the simulation until a time."""
         while self.now < end:
             self.now += STEP_S
             while self.events and self.events[0][0] <= self.now:
                 heappop(self.events)[2]()
             self._apply(self.service.tick(self.now, self._context(), True))
-            for _ in range(self._arriving()):
+            for _ in range(self._arrival_count()):
                 self._request(self.random.choice(self.heads), set())
 
-    def _arriving(self) -> int:
+    def _arrival_count(self) -> int:
         expected = self.requests_per_s * STEP_S
         return int(expected) + (self.random.random() < expected % 1)
 
     # --- faults ----------------------------------------------------------------------------------------------------
 
     def start_server(self, cold_s: float) -> str:
-        """Start an instance under a new identity; return it."""
+        """Start an instance under a new identity; return the identity."""
         identity = f"i-{len(self.servers)}"
         instance = Instance(identity, "s", f"10.0.1.{len(self.servers)}:80", "z", "v", 8, READY, PLAIN, ())
         self.servers[identity] = Server(instance, cold_until=self.now + cold_s)
@@ -126,13 +126,13 @@
         return identity
 
     def interrupt(self, identity: str, down_s: float) -> None:
-        """Let an instance be down, and come back cold."""
+        """Stop an instance for a time; it returns cold."""
         server = self.servers[identity]
         server.down_until = self.now + down_s
         server.cold_until = server.down_until + COLD_START_S
 
     def restart_head(self, number: int) -> None:
-        """Start a head anew under its name: it knows the records, and at first not how many heads there are."""
+        """Restart a head under its name: it gets the records at once, and the head count after HEAD_COUNT_DELAY_S."""
         head = self.heads[number]
         head.placement = self._placement(head.name)
         configure(head.placement, 0)
@@ -141,18 +141,18 @@
         for record in records:
             self._apply_record(head, record)
         head.placement.admission.warmup.is_serving = True
-        self.at(self.now + COUNT_KNOWN_S, lambda: configure(head.placement, len(self.heads)))
+        self.at(self.now + HEAD_COUNT_DELAY_S, lambda: configure(head.placement, len(self.heads)))
 
-    def cut_off(self, number: int) -> None:
-        """Cut a head off from the control member and the other heads."""
-        self.heads[number].cut_until = self.now + self.random.uniform(2.0, 8.0)
+    def partition(self, number: int) -> None:
+        """Partition a head from the control member and the other heads."""
+        self.heads[number].partitioned_until = self.now + self.random.uniform(2.0, 8.0)
 
     def freeze(self, number: int) -> None:
-        """Let a head stand still; then it does at once what it had to do."""
+        """Freeze a head; afterwards it processes the delayed events at once."""
         self.heads[number].frozen_until = self.now + self.random.uniform(0.3, 2.0)
 
     def suspect(self, identities: Iterable[str]) -> None:
-        """Let the control member learn that instances did not answer."""
+        """Inform the control member that instances did not respond."""
         self._apply(self.service.suspect(self.now, self._context(), identities))
 
     def _placement(self, name: str) -> Placement:
@@ -184,7 +184,7 @@
         self.at(self.now + delay_s, lambda: self._receive(head, push))
 
     def _receive(self, head: Head, push: Push) -> None:
-        blocked_until = max(head.cut_until, head.frozen_until)
+        blocked_until = max(head.partitioned_until, head.frozen_until)
         if self.now < blocked_until:
             self.at(blocked_until, lambda: self._receive(head, push))
             return
@@ -212,8 +212,8 @@
 
     def _send(self, head: Head, reservation: Reservation, excluded: set[str]) -> None:
         server = self.servers[reservation.node.instance.identity]
-        is_connecting_long = self.random.random() < SLOW_CONNECTIONS
-        sent = self.now + (0.35 if is_connecting_long else 0.001)
+        is_slow = self.random.random() < SLOW_CONNECTION_FRACTION
+        sent = self.now + (0.35 if is_slow else 0.001)
         if sent < server.down_until:
             self.at(sent + 0.002, lambda: self._fail(head, reservation, excluded))
             return
@@ -234,13 +234,13 @@
         head.placement.release(self.now, reservation)
         head.placement.record_failure(reservation.node, self.now)
         suspects = head.placement.exchange.outgoing_suspects()
-        if suspects is not None and self.now >= head.cut_until:
+        if suspects is not None and self.now >= head.partitioned_until:
             self.suspect(suspects.instances)
             for other in self.heads:
                 self._suspect(other, suspects)
         self._request(head, excluded | {identity})
 
     def _suspect(self, head: Head, suspects: SuspectedInstances) -> None:
-        if self.now >= head.cut_until:
+        if self.now >= head.partitioned_until:
             receive = head.placement.exchange.receive_suspects
             self.at(self.now + 0.01, lambda: receive(self.now, suspects))
