--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,7 +1,8 @@
-"""A model of what a whole fleet of modules sends to bricks that start cold, judged by the rule's own words.
+"""A simulation of the requests that a fleet of heads sends to backends that start cold, checked against the rule.
 
-Virtual time. Heads of uneven traffic serve volumes that come through a few of them each and move; bricks start cold,
-alone or many at once, under new names or as ones that heads take for warm; heads hear of it at moments of their own.
+It runs in virtual time. Heads have uneven traffic and serve volumes; the requests of a volume arrive through a few of
+the heads, which change over time. Backends start cold, one or several at once, under new names or under names that
+heads know as warm. Each head learns of a start at a time of its own.
 """
 
 from __future__ import annotations
@@ -39,97 +40,100 @@
     slow_start_us=17 * SECOND,
     slow_start_units=30,
 )
-POWER = 75.0  # units a second of a usual warm brick
-MEAN = 2.0  # units of a request of mean work
-UNITS = 1, 1, 1, 2, 2, 3, 4
-LEFT = 750 * MS  # how long a client waits
-TOLD_PART = 2 / 3  # of a fall's work from heads that had been told, beyond which the rule is broken
+POWER = 75.0  # units per second that a standard warm backend serves
+MEAN = 2.0  # units of a mean request
+UNITS = 1, 1, 1, 2, 2, 3, 4  # of the requests, drawn with equal probability
+LEFT = 750 * MS  # for which a client waits for its response
+MIN_INFORMED_FRACTION = 2 / 3  # of the work in an overload: with more from informed heads the rule is broken
 
 
 @dataclass(frozen=True)
 class Fleet:
-    """One way of being; powers and loads in parts of a usual warm brick's power."""
+    """The parameters of one simulated fleet; powers and loads are fractions of POWER."""
 
     heads: int = 30
-    load: float = 1.0  # asked of each brick
-    fresh: float = 0.0  # part of the requests that are new objects
-    power: float = 1.0  # of the cold bricks, warm
-    cold: int = 1
-    warm: int = 2
-    skew: float = 0.7  # heads' weights fall with their number to this power
-    hosts: int = 3  # heads of a volume
-    volumes: int = 6  # at each brick
-    burst: float = 1.0  # times the load, for two seconds from BURST_AT on
-    moves_s: float = 3.0  # a volume's busiest head changes so often
-    told_s: float = 0.0  # heads are told of the start within so long
-    returns: bool = False  # a brick of a lost zone: until told, heads take it for the warm one it was
-    share: float = RULES.slow_start_share  # capacity at the start; the rules tell the least
-    warms_s: float = RULES.slow_start_us / SECOND
-    own: bool = False  # judged by its own capacity, not by the least that the rules tell
-    noise: float = 0.3  # deviation of a request's work from its units
-    within_s: float = 0.5  # the cold bricks start within so long
-    killed: float = 0.0  # part of the heads that forget all at KILLED_AT, but for their list
-    counted: int = 0  # heads that the settings tell of; 0: as many as there are
-    span_s: float = 9.0
-
-
-BURST_AT, BURST_S = 3.0, 2.0
-KILLED_AT = 4.0
+    load: float = 1.0  # requested of each backend
+    fresh: float = 0.0  # fraction of the requests that write new objects
+    power: float = 1.0  # of the cold backends once they are warm
+    cold: int = 1  # backends that start cold
+    warm: int = 2  # backends that are warm from the start
+    skew: float = 0.7  # exponent by which the traffic of heads decreases with their number
+    hosts: int = 3  # heads per volume
+    volumes: int = 6  # per backend
+    burst: float = 1.0  # factor of the load for BURST_S from BURST_AT
+    moves_s: float = 3.0  # mean time between changes of a volume's busiest head
+    notice_s: float = 0.0  # within which heads learn of a start
+    is_known: bool = False  # the cold backends are known to heads as warm until these learn of the start
+    share: float = RULES.slow_start_share  # of the power at the start; the rules give the minimum
+    warmup_s: float = RULES.slow_start_us / SECOND
+    uses_own_capacity: bool = False  # the allowance follows the real capacity, not the minimum from the rules
+    noise: float = 0.3  # standard deviation of the logarithm of a request's work per unit
+    start_spread_s: float = 0.5  # within which the cold backends start
+    restarted: float = 0.0  # fraction of the heads that restart at RESTART_AT and keep only their node list
+    configured_heads: int = 0  # head count in the settings; 0 for the real number
+    duration_s: float = 9.0
+
+
+BURST_AT, BURST_S = 3.0, 2.0  # seconds, as RESTART_AT
+RESTART_AT = 4.0
 
 
 class Backend:
-    """It serves in turn, and counts what reaches it while it is cold."""
+    """A backend that serves requests one after another, and records the work that reaches it while it is cold."""
 
     def __init__(self, name: str, shard: int, power: float, started: int, fleet: Fleet) -> None:
         self.name, self.shard, self.power, self.started, self.fleet = name, shard, power, started, fleet
-        self.free = 0.0
-        self.window: deque[tuple[int, float, bool]] = deque()
-        self.work = self.told = 0.0
-        self.most = 0.0  # largest part of what the rule bears, of windows that would break it
-        self.fell = ""  # "", "broken" or "untold"
-        self.got = 0
-
-    def capacity(self, now: float, share: float, warms_s: float) -> float:
-        """Tell its power at a moment, were it to start at a share and warm up evenly."""
+        self.free_at = 0.0
+        self.window: deque[tuple[int, float, bool]] = deque()  # time, units, and whether the head was informed
+        self.work = self.informed_work = 0.0  # units in the window
+        self.max_fraction = 0.0  # of the allowance, over windows in which an overload would break the rule
+        self.overload = ""  # "" for none, "broken" if it breaks the rule, "untold" if uninformed heads caused it
+        self.received = 0  # requests while cold
+
+    def capacity(self, now: float, share: float, warmup_s: float) -> float:
+        """Return the power at a time for a start with a fraction of the power and a linear warmup."""
         if not self.started:
             return self.power
-        return self.power * min(1.0, share + (1 - share) * max(0.0, now - self.started) / SECOND / warms_s)
+        return self.power * min(1.0, share + (1 - share) * max(0.0, now - self.started) / SECOND / warmup_s)
 
     def allowed(self, now: float) -> float:
-        """Tell how many requests of mean work the settings allow it."""
-        fleet = self.fleet if self.fleet.own else Fleet()
-        least = self.capacity(now, fleet.share, fleet.warms_s)
-        return max(RULES.slow_start_units, RULES.overload_multiple * least * RULES.overload_window_us / SECOND) / MEAN
-
-    def take(self, now: int, units: float, told: bool) -> float:
-        """Take a request's work, and tell when it is done."""
-        begin = max(self.free, float(now))
-        self.free = begin + units / self.capacity(begin, self.fleet.share, self.fleet.warms_s) * SECOND
-        cold = 0 <= now - self.started < RULES.slow_start_us
-        if self.started and cold and not self.fell:
-            self.got += 1
-            self.window.append((now, units, told))
-            self.work, self.told = self.work + units, self.told + units * told
+        """Return how many mean requests the rule allows in a window."""
+        fleet = self.fleet if self.fleet.uses_own_capacity else Fleet()
+        min_capacity = self.capacity(now, fleet.share, fleet.warmup_s)
+        return (
+            max(RULES.slow_start_units, RULES.overload_multiple * min_capacity * RULES.overload_window_us / SECOND)
+            / MEAN
+        )
+
+    def serve(self, now: int, units: float, is_informed: bool) -> float:
+        """Queue a request's work, and return when it is done."""
+        begin = max(self.free_at, float(now))
+        self.free_at = begin + units / self.capacity(begin, self.fleet.share, self.fleet.warmup_s) * SECOND
+        is_cold = 0 <= now - self.started < RULES.slow_start_us
+        if self.started and is_cold and not self.overload:
+            self.received += 1
+            self.window.append((now, units, is_informed))
+            self.work, self.informed_work = self.work + units, self.informed_work + units * is_informed
             while self.window[0][0] <= now - RULES.overload_window_us:
-                _, gone, knew = self.window.popleft()
-                self.work, self.told = self.work - gone, self.told - gone * knew
-            number = self.allowed(max(self.started, now - RULES.overload_window_us))  # the least within the window
-            part = self.work / MEAN / (number + 2 * math.sqrt(number) + 2)
-            broken = self.told > TOLD_PART * self.work
-            self.most = max(self.most, part if broken else 0.0)
-            if part > 1:
-                self.fell = "broken" if broken else "untold"
-        return self.free
+                _, expired, was_informed = self.window.popleft()
+                self.work, self.informed_work = self.work - expired, self.informed_work - expired * was_informed
+            allowed = self.allowed(max(self.started, now - RULES.overload_window_us))  # the minimum within the window
+            fraction = self.work / MEAN / (allowed + 2 * math.sqrt(allowed) + 2)
+            breaks_rule = self.informed_work > MIN_INFORMED_FRACTION * self.work
+            self.max_fraction = max(self.max_fraction, fraction if breaks_rule else 0.0)
+            if fraction > 1:
+                self.overload = "broken" if breaks_rule else "untold"
+        return self.free_at
 
 
-class Day:
-    """One run of a fleet under a seed."""
+class FleetSimulation:
+    """One run of a fleet with a random seed."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
-        self.fleet, self.lots = fleet, random.Random(seed)
+        self.fleet, self.random = fleet, random.Random(seed)
         self.settings = replace(
             SETTINGS,
-            gateways=fleet.counted or fleet.heads,
+            gateways=fleet.configured_heads or fleet.heads,
             rules=RULES,
             classes=(klass(Effect.SAFE),),
             mean_units=MEAN,
@@ -137,99 +141,116 @@
         )
         self.heads = [Scheduler(self.settings, 1000 * seed + at) for at in range(fleet.heads)]
         self.weights = [1 / (1 + at) ** fleet.skew for at in range(fleet.heads)]
-        self.lots.shuffle(self.weights)
+        self.random.shuffle(self.weights)
         self.events: list[tuple[int, int, int, Event | None]] = []
-        self.number = self.asked = self.served = 0
-        starts = [T0 + int(self.lots.uniform(0, fleet.within_s) * SECOND) + 1 for _ in range(fleet.cold)]
+        self.event_count = self.request_count = self.served = 0
+        starts = [T0 + int(self.random.uniform(0, fleet.start_spread_s) * SECOND) + 1 for _ in range(fleet.cold)]
         self.backends = [
             Backend(f"cold-{at}", at, fleet.power * POWER, start, fleet) for at, start in enumerate(starts)
         ]
         self.backends += [Backend(f"warm-{at}", fleet.cold + at, POWER, 0, fleet) for at in range(fleet.warm)]
         self.by_name = {backend.name: backend for backend in self.backends}
-        self.hears: dict[tuple[int, str], int] = {}
+        self.informed_at: dict[tuple[int, str], int] = {}  # by head and backend
         for head in range(fleet.heads):
-            saved = tuple(self.entry(backend, 0) for backend in self.backends if fleet.returns or not backend.started)
-            self.push(T0 - SECOND, head, NodeList(ListKind.SAVED, saved))
+            saved = tuple(self.entry(backend, 0) for backend in self.backends if fleet.is_known or not backend.started)
+            self.schedule(T0 - SECOND, head, NodeList(ListKind.SAVED, saved))
             for backend in self.backends[: fleet.cold]:
-                at = backend.started + int(self.lots.uniform(0, fleet.told_s) * SECOND)
-                self.hears[head, backend.name] = at
-                self.push(at, head, NodeList(ListKind.CHANGES, (self.entry(backend, backend.started),)))
-        for head in self.lots.sample(range(fleet.heads), int(fleet.killed * fleet.heads)):
-            self.push(T0 + int(KILLED_AT * SECOND), head, None)
-        self.moves: dict[str, float] = {}
-        self.leads: dict[str, int] = {}
+                at = backend.started + int(self.random.uniform(0, fleet.notice_s) * SECOND)
+                self.informed_at[head, backend.name] = at
+                self.schedule(at, head, NodeList(ListKind.CHANGES, (self.entry(backend, backend.started),)))
+        for head in self.random.sample(range(fleet.heads), int(fleet.restarted * fleet.heads)):
+            self.schedule(T0 + int(RESTART_AT * SECOND), head, None)
+        self.moves_at: dict[str, float] = {}  # by volume: the next change of its busiest head
+        self.busiest_heads: dict[str, int] = {}  # by volume
 
     def entry(self, backend: Backend, started: int) -> NodeEntry:
         return NodeEntry(backend.name, 0, backend.shard, Phase.ON, backend.power / POWER, started)
 
-    def push(self, when: int, head: int, event: Event | None) -> None:
-        self.number += 1
-        heapq.heappush(self.events, (when, self.number, head, event))
-
-    def ask(self, now: float) -> None:
-        """Bring a client's request to a head of its volume's."""
-        lots, fleet = self.lots, self.fleet
-        self.asked += 1
-        shard = lots.randrange(len(self.backends))
-        volume = f"v{shard}-{lots.randrange(fleet.volumes)}"
-        if now >= self.moves.get(volume, 0.0):
-            self.moves[volume] = now + lots.expovariate(1 / fleet.moves_s) * SECOND
-            self.leads[volume] = lots.choices(range(fleet.heads), self.weights)[0]
-        first, hosts = self.leads[volume], min(fleet.hosts, fleet.heads)
-        head = (first + (0 if lots.random() < 0.6 else lots.randrange(hosts))) % fleet.heads
-        name, new = f"{self.asked:016x}", lots.random() < fleet.fresh
-        self.push(
+    def schedule(self, when: int, head: int, event: Event | None) -> None:
+        """Schedule an event of a head; None restarts it."""
+        self.event_count += 1
+        heapq.heappush(self.events, (when, self.event_count, head, event))
+
+    def send_request(self, now: float) -> None:
+        """Send a client's request to one of the heads of its volume."""
+        random_source, fleet = self.random, self.fleet
+        self.request_count += 1
+        shard = random_source.randrange(len(self.backends))
+        volume = f"v{shard}-{random_source.randrange(fleet.volumes)}"
+        if now >= self.moves_at.get(volume, 0.0):
+            self.moves_at[volume] = now + random_source.expovariate(1 / fleet.moves_s) * SECOND
+            self.busiest_heads[volume] = random_source.choices(range(fleet.heads), self.weights)[0]
+        first, hosts = self.busiest_heads[volume], min(fleet.hosts, fleet.heads)
+        head = (first + (0 if random_source.random() < 0.6 else random_source.randrange(hosts))) % fleet.heads
+        name, is_new = f"{self.request_count:016x}", random_source.random() < fleet.fresh
+        self.schedule(
             int(now),
             head,
-            Arrival(name, float(lots.choice(UNITS)), volume, 0, -1 if new else shard, hosts, name, LEFT, new, 0),
+            Arrival(
+                name,
+                float(random_source.choice(UNITS)),
+                volume,
+                0,
+                -1 if is_new else shard,
+                hosts,
+                name,
+                LEFT,
+                is_new,
+                0,
+            ),
         )
 
-    def run(self) -> Day:
+    def run(self) -> FleetSimulation:
+        """Run the simulation to its end."""
         fleet, now = self.fleet, float(T0 - SECOND)
-        while now < T0 + fleet.span_s * SECOND:
+        while now < T0 + fleet.duration_s * SECOND:
             burst = fleet.burst if BURST_AT <= (now - T0) / SECOND < BURST_AT + BURST_S else 1.0
             rate = fleet.load * burst * POWER / MEAN * len(self.backends)
-            now += self.lots.expovariate(rate) * SECOND
-            self.ask(now)
+            now += self.random.expovariate(rate) * SECOND
+            self.send_request(now)
         while self.events:
             when, _, head, event = heapq.heappop(self.events)
             if event is None:
-                self.heads[head] = Scheduler(self.settings, self.number)
+                self.heads[head] = Scheduler(self.settings, self.event_count)
                 event = NodeList(
                     ListKind.SAVED,
                     tuple(
-                        self.entry(backend, backend.started if self.hears.get((head, backend.name), 0) <= when else 0)
+                        self.entry(
+                            backend, backend.started if self.informed_at.get((head, backend.name), 0) <= when else 0
+                        )
                         for backend in self.backends
                     ),
                 )
             for action in self.heads[head].handle(when, [event]):
-                self.act(when, head, action)
+                self.apply(when, head, action)
         return self
 
     def noise(self) -> float:
-        """Draw a request's work in parts of what its units stand for; its mean is 1."""
-        return self.lots.lognormvariate(-(self.fleet.noise**2) / 2, self.fleet.noise)
+        """Draw a request's work per unit; its mean is 1."""
+        return self.random.lognormvariate(-(self.fleet.noise**2) / 2, self.fleet.noise)
 
-    def act(self, when: int, head: int, action: Action) -> None:
+    def apply(self, when: int, head: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.push(when + action.delay_us, head, TimerExpired(action.token))
+            self.schedule(when + action.delay_us, head, TimerExpired(action.token))
         if isinstance(action, Send):
             backend, request = self.by_name[action.node], self.heads[head].requests[action.request]
             work, attempt = request.ask.units * self.noise(), request.attempts - 1
-            told = when >= self.hears.get((head, backend.name), 0)
-            free = backend.take(when, work, told)
-            ok = free < request.deadline
+            is_informed = when >= self.informed_at.get((head, backend.name), 0)
+            done_at = backend.serve(when, work, is_informed)
+            ok = done_at < request.deadline
             self.served += ok
-            ends = int(free) if ok else request.deadline
+            ends = int(done_at) if ok else request.deadline
             result = Result.OK if ok else Result.TIMEOUT
-            self.push(ends, head, Outcome(action.request, attempt, backend.name, result, ends - when, True, 0, 0.0, {}))
+            self.schedule(
+                ends, head, Outcome(action.request, attempt, backend.name, result, ends - when, True, 0, 0.0, {})
+            )
 
     @property
-    def broken(self) -> int:
-        """Count the bricks at which the rule is broken."""
-        return sum(backend.fell == "broken" for backend in self.backends)
+    def broken_count(self) -> int:
+        """The number of backends at which the rule was broken."""
+        return sum(backend.overload == "broken" for backend in self.backends)
 
     @property
-    def most(self) -> float:
-        """Tell the largest part of what the rule bears, over all cold bricks and windows."""
-        return max(backend.most for backend in self.backends)
+    def max_fraction(self) -> float:
+        """The largest fraction of the allowance, over all cold backends and windows."""
+        return max(backend.max_fraction for backend in self.backends)
