--- a/hophinge/fleet/placement/kv_transfers.py
+++ b/hophinge/fleet/placement/kv_transfers.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass
 
-BASE_PAUSE_S = 1.0  # after a refusal; doubles with each failed probe
-MAX_PAUSE_S = 8.0
+BASE_BACKOFF_S = 1.0  # after a refusal; doubles with each failed probe
+MAX_BACKOFF_S = 8.0
 
 
 @dataclass(slots=True)
@@ -38,10 +38,10 @@
         """Record that an instance refused a request for which it had to fetch a KV cache."""
         if first_zone == second_zone:
             return
-        pair = self.failing.setdefault(frozenset((first_zone, second_zone)), FailingPair(now + BASE_PAUSE_S))
+        pair = self.failing.setdefault(frozenset((first_zone, second_zone)), FailingPair(now + BASE_BACKOFF_S))
         if now >= pair.avoided_until:
             pair.failed_probes += 1
-            pair.avoided_until = now + min(MAX_PAUSE_S, BASE_PAUSE_S * 2.0**pair.failed_probes)
+            pair.avoided_until = now + min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2.0**pair.failed_probes)
 
     def record_transfer(self, first_zone: str, second_zone: str) -> None:
         """Record that a KV cache was transferred between two zones."""
--- a/hophinge/fleet/placement/reachability.py
+++ b/hophinge/fleet/placement/reachability.py
@@ -5,8 +5,8 @@
 
 Only silence counts as a failure here, since it costs a request its time: a crashed instance refuses connections at
 once. After one failure the zone is avoided for a moment. If several of its instances failed without a response, at this
-head or at others, the pause is longer, and doubles with each failed probe. After the pause one request probes the zone,
-and the others avoid it until the probe has a result. The head's own zone is never treated as unreachable.
+head or at others, the backoff is longer, and doubles with each failed probe. After the backoff one request probes the
+zone, and the others avoid it until the probe has a result. The head's own zone is never treated as unreachable.
 
 Without I/O; times are seconds on the caller's clock.
 """
@@ -18,9 +18,9 @@
 
 from hophinge.fleet.registry.instance import Instance
 
-FIRST_PAUSE_S = 0.5  # after a failure of one instance: the rest of the zone may be reachable
-BASE_PAUSE_S = 1.0  # after failures of several instances; doubles with each failed probe
-MAX_PAUSE_S = 8.0
+FIRST_BACKOFF_S = 0.5  # after a failure of one instance: the rest of the zone may be reachable
+BASE_BACKOFF_S = 1.0  # after failures of several instances; doubles with each failed probe
+MAX_BACKOFF_S = 8.0
 EVIDENCE_S = 3.0  # for which failures of different instances count together
 ANSWER_IMMUNITY_S = 0.6  # after a response from the zone, in which a failure concerns only its instance
 PROBE_TIMEOUT_S = 0.5  # after which another request may probe the zone
@@ -38,7 +38,7 @@
     answered_at: float = float("-inf")
     reported_at: float = float("-inf")
     avoided_until: float = float("-inf")
-    pause_ends_at: float = float("-inf")  # when the zone may be probed
+    backoff_ends_at: float = float("-inf")  # when the zone may be probed
     is_suspected: bool = False  # an instance has failed since the last response
     failed_probes: int = 0
 
@@ -71,7 +71,7 @@
         zone.suspected_at.clear()
         zone.answered_at = now
         zone.avoided_until = float("-inf")
-        zone.pause_ends_at = float("-inf")
+        zone.backoff_ends_at = float("-inf")
         zone.is_suspected = False
         zone.failed_probes = 0
 
@@ -81,11 +81,11 @@
         if instance.zone == self.own_zone or now - zone.answered_at <= ANSWER_IMMUNITY_S:
             return
         zone.failed_at[instance.identity] = now
-        if now >= zone.pause_ends_at and zone.is_suspected:
+        if now >= zone.backoff_ends_at and zone.is_suspected:
             zone.failed_probes += 1
         zone.is_suspected = True
-        zone.pause_ends_at = max(zone.pause_ends_at, now + _pause_s(now, zone))
-        zone.avoided_until = max(zone.avoided_until, zone.pause_ends_at)
+        zone.backoff_ends_at = max(zone.backoff_ends_at, now + _backoff_s(now, zone))
+        zone.avoided_until = max(zone.avoided_until, zone.backoff_ends_at)
 
     def record_suspicion(self, now: float, instance: Instance) -> None:
         """Record that an instance did not respond to another head, as evidence in addition to failures here.
@@ -97,7 +97,7 @@
             zone.suspected_at[instance.identity] = now
 
     def record_reports(self, now: float, instances: Iterable[Instance]) -> None:
-        """Record the load reports of engines; the first one of a zone after a gap ends the zone's pause."""
+        """Record the load reports of engines; the first one of a zone after a gap ends the zone's backoff."""
         for name in {instance.zone for instance in instances}:
             zone = self.zones.setdefault(name, ZoneState())
             if now - zone.reported_at > REPORT_GAP_S:
@@ -108,10 +108,10 @@
         return self.zones.setdefault(instance.zone, ZoneState())
 
 
-def _pause_s(now: float, zone: ZoneState) -> float:
+def _backoff_s(now: float, zone: ZoneState) -> float:
     """Return for how many seconds a zone is avoided after a failure."""
     failures = (*zone.failed_at.items(), *zone.suspected_at.items())
     has_several_failures = len({identity for identity, at in failures if now - at <= EVIDENCE_S}) > 1
     if not has_several_failures and not zone.failed_probes:
-        return FIRST_PAUSE_S
-    return min(MAX_PAUSE_S, BASE_PAUSE_S * 2.0**zone.failed_probes)
+        return FIRST_BACKOFF_S
+    return min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2.0**zone.failed_probes)
--- a/tests/forwarding_mutants.py
+++ b/tests/forwarding_mutants.py
@@ -120,7 +120,7 @@
         "a zone is unreachable by the suspicions of other heads alone",
         "fleet/placement/reachability",
         "zone.suspected_at[instance.identity] = now",
-        "zone.avoided_until = now + FIRST_PAUSE_S",
+        "zone.avoided_until = now + FIRST_BACKOFF_S",
         REACHABILITY + "test_suspicions_of_other_heads_alone_prove_nothing_about_a_zone",
     ),
     Mutant(
@@ -128,12 +128,12 @@
         "fleet/placement/reachability",
         "            zone.avoided_until = max(zone.avoided_until, now + PROBE_TIMEOUT_S)",
         "            pass",
-        REACHABILITY + "test_one_request_probes_the_zone_and_each_failed_probe_doubles_the_pause",
+        REACHABILITY + "test_one_request_probes_the_zone_and_each_failed_probe_doubles_the_backoff",
     ),
     Mutant(
         "requests that fail at the same time lengthen the pause each",
         "fleet/placement/reachability",
-        "if now >= zone.pause_ends_at and zone.is_suspected:",
+        "if now >= zone.backoff_ends_at and zone.is_suspected:",
         "if zone.is_suspected:",
         REACHABILITY + "test_requests_that_fail_at_the_same_time_are_one_failure_of_the_zone",
     ),
--- a/tests/test_fleet_kv_transfers.py
+++ b/tests/test_fleet_kv_transfers.py
@@ -11,7 +11,7 @@
 from hophinge.fleet.forwarding.request_lifecycle import Generate, Prefill, RequestLifecycle
 from hophinge.fleet.forwarding.trace import RequestTrace
 from hophinge.fleet.placement.hints import EngineReport
-from hophinge.fleet.placement.kv_transfers import BASE_PAUSE_S, MAX_PAUSE_S, KvTransfers
+from hophinge.fleet.placement.kv_transfers import BASE_BACKOFF_S, MAX_BACKOFF_S, KvTransfers
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.placement.plan import PlacementPlan
 from tests.fleet_placement_fixtures import instance, prompt_of, request_of
@@ -30,16 +30,18 @@
 
 def test_a_pair_is_avoided_in_both_directions_for_longer_with_each_failed_probe() -> None:
     transfers, now = KvTransfers(), 5.0
-    for pause_s in (BASE_PAUSE_S, 2 * BASE_PAUSE_S, 4 * BASE_PAUSE_S, MAX_PAUSE_S, MAX_PAUSE_S):
+    for backoff_s in (BASE_BACKOFF_S, 2 * BASE_BACKOFF_S, 4 * BASE_BACKOFF_S, MAX_BACKOFF_S, MAX_BACKOFF_S):
         transfers.record_refusal(now, "a", "b")
         transfers.record_refusal(now + 0.1, "b", "a")  # of an attempt that was already in flight
-        assert transfers.is_avoided(now + pause_s - 0.01, "b", "a")
-        assert not transfers.is_avoided(now + pause_s, "a", "b")
+        assert transfers.is_avoided(now + backoff_s - 0.01, "b", "a")
+        assert not transfers.is_avoided(now + backoff_s, "a", "b")
         assert not transfers.is_avoided(now, "a", "c")
-        now += pause_s
+        now += backoff_s
     transfers.record_transfer("b", "a")
     transfers.record_refusal(now, "a", "b")
-    assert not transfers.is_avoided(now + BASE_PAUSE_S, "a", "b"), "one successful transfer clears the earlier refusals"
+    assert not transfers.is_avoided(now + BASE_BACKOFF_S, "a", "b"), (
+        "one successful transfer clears the earlier refusals"
+    )
 
 
 def test_refusals_within_a_zone_prove_nothing() -> None:
--- a/tests/test_fleet_reachability.py
+++ b/tests/test_fleet_reachability.py
@@ -12,9 +12,9 @@
 from hophinge.fleet.placement.placement import Placement
 from hophinge.fleet.placement.plan import PlacementPlan
 from hophinge.fleet.placement.reachability import (
-    BASE_PAUSE_S,
-    FIRST_PAUSE_S,
-    MAX_PAUSE_S,
+    BASE_BACKOFF_S,
+    FIRST_BACKOFF_S,
+    MAX_BACKOFF_S,
     PROBE_TIMEOUT_S,
     REPORT_GAP_S,
     ZoneReachability,
@@ -34,10 +34,10 @@
 
 
 def test_one_silent_instance_makes_its_zone_unreachable_for_a_moment_and_two_for_longer() -> None:
-    assert _after_failures(1).is_avoided(10.0 + FIRST_PAUSE_S - 0.01, FAR[3])
-    assert not _after_failures(1).is_avoided(10.0 + FIRST_PAUSE_S, FAR[3])
-    assert _after_failures(2).is_avoided(10.0 + BASE_PAUSE_S - 0.01, FAR[3])
-    assert not _after_failures(2).is_avoided(10.0 + BASE_PAUSE_S, FAR[3])
+    assert _after_failures(1).is_avoided(10.0 + FIRST_BACKOFF_S - 0.01, FAR[3])
+    assert not _after_failures(1).is_avoided(10.0 + FIRST_BACKOFF_S, FAR[3])
+    assert _after_failures(2).is_avoided(10.0 + BASE_BACKOFF_S - 0.01, FAR[3])
+    assert not _after_failures(2).is_avoided(10.0 + BASE_BACKOFF_S, FAR[3])
 
 
 def test_failures_in_the_own_zone_do_not_make_it_unreachable() -> None:
@@ -48,7 +48,7 @@
 
 
 def test_requests_that_fail_at_the_same_time_are_one_failure_of_the_zone() -> None:
-    assert not _after_failures(4).is_avoided(10.0 + BASE_PAUSE_S, FAR[3])
+    assert not _after_failures(4).is_avoided(10.0 + BASE_BACKOFF_S, FAR[3])
 
 
 def test_a_failure_right_after_a_response_does_not_count_for_the_zone() -> None:
@@ -64,26 +64,26 @@
         reachability.record_suspicion(10.0, suspect)
     assert not reachability.is_avoided(10.0, FAR[3])
     reachability.record_failure(10.0, FAR[3])
-    assert reachability.is_avoided(10.0 + BASE_PAUSE_S - 0.01, FAR[0])
+    assert reachability.is_avoided(10.0 + BASE_BACKOFF_S - 0.01, FAR[0])
 
 
-def test_one_request_probes_the_zone_and_each_failed_probe_doubles_the_pause() -> None:
+def test_one_request_probes_the_zone_and_each_failed_probe_doubles_the_backoff() -> None:
     reachability = _after_failures(2)
-    now = 10.0 + BASE_PAUSE_S
-    for pause_s in (2 * BASE_PAUSE_S, 4 * BASE_PAUSE_S, MAX_PAUSE_S, MAX_PAUSE_S):
+    now = 10.0 + BASE_BACKOFF_S
+    for backoff_s in (2 * BASE_BACKOFF_S, 4 * BASE_BACKOFF_S, MAX_BACKOFF_S, MAX_BACKOFF_S):
         assert not reachability.is_avoided(now, FAR[0])
         reachability.record_sent(now, FAR[0])
         assert reachability.is_avoided(now + PROBE_TIMEOUT_S - 0.01, FAR[1]), (
             "other requests avoid the zone until the probe has a result"
         )
         reachability.record_failure(now + 0.25, FAR[0])
-        assert reachability.is_avoided(now + 0.25 + pause_s - 0.01, FAR[1])
-        now += 0.25 + pause_s
+        assert reachability.is_avoided(now + 0.25 + backoff_s - 0.01, FAR[1])
+        now += 0.25 + backoff_s
     reachability.record_sent(now, FAR[0])
     reachability.record_answer(now + 0.1, FAR[0])
     assert not reachability.is_avoided(now + 0.1, FAR[1])
     reachability.record_failure(now + 5.0, FAR[1])
-    assert not reachability.is_avoided(now + 5.0 + FIRST_PAUSE_S, FAR[1]), "the response cleared the earlier failures"
+    assert not reachability.is_avoided(now + 5.0 + FIRST_BACKOFF_S, FAR[1]), "the response cleared the earlier failures"
 
 
 def test_requests_to_a_reachable_zone_are_not_limited() -> None:
@@ -135,7 +135,7 @@
     assert "far" in _zones(placement, 1.0, 8)
     _partition_far_zone(placement, 2.0)
     assert set(_zones(placement, 2.0, 8)) == {"near"}
-    probed = _zones(placement, 2.0 + BASE_PAUSE_S, 8)
+    probed = _zones(placement, 2.0 + BASE_BACKOFF_S, 8)
     assert probed.count("far") == 1
     placement.record_contact(next(iter(placement.nodes.values())), 3.2)
     assert _zones(placement, 3.2, 8).count("far") > 1
@@ -144,7 +144,7 @@
 def test_a_request_that_has_failed_probes_no_other_zone() -> None:
     placement = _placement("", "")
     _partition_far_zone(placement, 2.0)
-    now = 2.0 + BASE_PAUSE_S
+    now = 2.0 + BASE_BACKOFF_S
     failed_once = replace(request_of("q", now), excluded={"i-6"})
     plan = placement.place_plain(failed_once, "")
     assert plan is not None
@@ -172,7 +172,7 @@
     exchange = placement.exchange
     exchange.receive_suspects(2.0, SuspectedInstances(("i-0", "i-1", "unknown")))
     placement.record_silence(placement.nodes["i-2"], 2.0)
-    late = 2.0 + FIRST_PAUSE_S
+    late = 2.0 + FIRST_BACKOFF_S
     assert set(_zones(placement, late, 8)) == {"near"}
     exchange.receive_reports(
         late, EngineReports((EngineReport("i-3", 0, 0, 0, 1), EngineReport("unknown", 0, 0, 0, 1)))
