--- a/hophinge/routing/maintenance_records.py
+++ b/hophinge/routing/maintenance_records.py
@@ -56,7 +56,7 @@
 
     @property
     def key(self) -> str:
-        """Name of the record within the document."""
+        """Key of the record within the document."""
         return "maintenance/*"
 
 
@@ -70,7 +70,7 @@
 
     @property
     def key(self) -> str:
-        """Name of the record within the document."""
+        """Key of the record within the document."""
         return f"outage/{self.name}"
 
 
@@ -94,5 +94,5 @@
 
     @property
     def key(self) -> str:
-        """Name of the record within the document."""
+        """Key of the record within the document."""
         return f"release/{self.name}"
--- a/hophinge/routing/quantities.py
+++ b/hophinge/routing/quantities.py
@@ -1,4 +1,4 @@
-"""Quantities of the service document: a number and a unit, which belongs to one dimension."""
+"""Quantities of the service document: a number with a unit, where each unit belongs to one dimension."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Unit(NamedTuple):
-    """A unit: its dimension, and its factor to the base unit of the dimension."""
+    """A unit: its dimension, and its factor relative to the base unit of that dimension."""
 
     dimension: str
     factor: float
@@ -57,25 +57,25 @@
     "connections": "64 connections",
 }
 INTEGER_DIMENSIONS = frozenset({"requests", "connections", "bricks", "heads"})
-MAX_VALUE = 1e12  # in base units; far beyond any use, far below what a float holds exactly
+MAX_VALUE = 1e12  # in base units; above any practical value and still an exact float
 
 
 class QuantityError(ValueError):
-    """Words that are no quantity of the dimension; the text says what would be right."""
+    """Text that is not a quantity of the expected dimension; the message includes a valid example."""
 
 
 def parse_quantity(words: list[str], dimension: str) -> float:
     """Parse a number and its unit.
 
     Args:
-        words: The number and the unit, in one word or two.
+        words: The number and the unit, as one word or two.
         dimension: One of the dimensions of `UNITS`.
 
     Returns:
         The value in the dimension's base unit: us, a fraction of 1, units/s, requests/s, bytes/s, bytes or a count.
 
     Raises:
-        QuantityError: The words are no quantity of this dimension, or out of its range.
+        QuantityError: The words are not a quantity of this dimension, or are out of range.
 
     """
     advice = f"write it like {EXAMPLES[dimension]}"
@@ -84,16 +84,16 @@
     if not words:
         raise QuantityError(f"a {dimension} is missing; {advice}")
     if not NUMBER.fullmatch(words[0]):
-        raise QuantityError(f"{words[0]!r} is no number from 0 on; {advice}")
+        raise QuantityError(f"{words[0]!r} is not a number of 0 or more; {advice}")
     if len(words) == 1:
         raise QuantityError(f"{words[0]} has no unit; {advice}")
     if len(words) > 2:
-        raise QuantityError(f"{' '.join(words[2:])!r} stands after the {dimension}; {advice}")
+        raise QuantityError(f"unexpected {' '.join(words[2:])!r} after the {dimension}; {advice}")
     unit = UNITS.get(words[1])
     if unit is None:
-        raise QuantityError(f"{words[1]!r} is no unit; {advice}")
+        raise QuantityError(f"unknown unit {words[1]!r}; {advice}")
     if unit.dimension != dimension:
-        raise QuantityError(f"{words[1]} measures a {unit.dimension}, wanted is a {dimension}; {advice}")
+        raise QuantityError(f"{words[1]} is a unit of {unit.dimension}, but {dimension} is expected; {advice}")
     value = float(words[0]) * unit.factor
     _check_range(words, value, dimension, advice)
     return value
@@ -109,7 +109,7 @@
 
 
 def format_quantity(value: float, dimension: str) -> str:
-    """Format a value in the base unit of its dimension with a unit that suits it; parsing it gives the value back."""
+    """Format a value, given in its dimension's base unit, with the largest exact unit; parsing it returns the value."""
     names: tuple[str, ...]
     if dimension == "time":
         names = ("min", "s", "ms", "us") if value else ("ms",)
--- a/hophinge/routing/retry_budget.py
+++ b/hophinge/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: retries as a share of first attempts, over a sliding window."""
+"""Retry budgets: bound retries to a share of the first attempts within a sliding window."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.denied = 0
 
     def _advance(self, now_us: int) -> int:
-        """Clear slots that have left the window, and return the index of the current one."""
+        """Clear the slots that have left the window, and return the index of the current slot."""
         slot = now_us // SLOT_US
         if slot > self.current_slot:
             for expired in range(max(self.current_slot + 1, slot - WINDOW_SLOTS + 1), slot + 1):
@@ -35,7 +35,7 @@
         self.first_attempts[self._advance(now_us)] += 1
 
     def allows_retry(self, now_us: int) -> bool:
-        """Return whether one more retry is within the budget; a denial is counted."""
+        """Return whether the budget allows one more retry; denials are counted."""
         self._advance(now_us)
         rule = self.rule
         is_allowed = rule.budget_share < 0 or sum(self.retries) + 1 <= rule.min_retries + rule.budget_share * sum(
@@ -50,7 +50,7 @@
 
 
 class RetryBudgets:
-    """Budgets by the key of their rule; counts survive a version that changes the rule."""
+    """Retry budgets by the key of their rule; counts are kept when a version changes the rule."""
 
     def __init__(self) -> None:
         self.budgets: dict[str, RetryBudget] = {}
@@ -63,7 +63,7 @@
         return budget
 
     def set_rules(self, rules: dict[str, RetryRule]) -> None:
-        """Apply the rules of a version, by key."""
+        """Apply the rules of a version, by key; budgets of removed rules are dropped."""
         self.budgets = {key: budget for key, budget in self.budgets.items() if key in rules}
         for key, budget in self.budgets.items():
             budget.rule = rules[key]
--- a/hophinge/routing/router.py
+++ b/hophinge/routing/router.py
@@ -1,7 +1,7 @@
-"""The router: limits a request to what the active version allows; the core chooses a backend among that. No I/O.
+"""The router: admits requests and restricts each to the backends that the active version allows. No I/O.
 
-A version is activated in one step: a request is looked up in one table and keeps its bounds until its final answer,
-whatever versions follow meanwhile.
+The core then chooses one of these backends. A version is activated in one step: a request is looked up in one table and
+keeps its bounds until its final response, even if later versions are activated in the meantime.
 """
 
 from __future__ import annotations
@@ -23,37 +23,37 @@
 from hophinge.tenancy.admission import Admission, AdmissionRequest, TenantShares, SpareCapacity, AdmissionDecision
 
 ERROR_RESULTS = frozenset({Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET})
-JUDGED_RESULTS = ERROR_RESULTS | {Result.OK}  # FULL, CANCELLED and MOOT say nothing about a backend's health
-NO_BACKENDS_RETRY_US = 500_000  # advice to clients where no backend of a request's pools is live
+HEALTH_RESULTS = ERROR_RESULTS | {Result.OK}  # FULL, CANCELLED and MOOT say nothing about a backend's health
+NO_BACKENDS_RETRY_US = 500_000  # retry advice to clients if no backend of a request's pools is usable
 ALL_BACKENDS: tuple[str, ...] = ()  # the pools of a request without a route
-MAX_WAIT_SHARE = 0.2  # of the time that a request has left, for its wait for admission
+MAX_WAIT_SHARE = 0.2  # of a request's remaining time, which it may wait for admission
 NO_SHARES = TenantShares()
 
 
 class Router:
-    """Routes, pools, limits, retry budgets and outliers of one head."""
+    """Applies the routes, pools, limits, retry budgets and outlier detection of one head."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.classes = tuple(klass.name for klass in settings.classes)
         self.table = EMPTY_TABLE
-        self.effective_plans = settings.plans  # the platform's plans as the active version lowers them
-        self.find_owner: Callable[[str], str] = lambda volume: ""  # for a volume of no `TenantRule`
+        self.effective_plans = settings.plans  # the platform's plans as lowered by the active version
+        self.find_owner: Callable[[str], str] = lambda volume: ""  # the tenant of a volume that no `TenantRule` lists
         self.find_account: Callable[[str], Account | None] = lambda tenant: None  # for a tenant without a `TenantRule`
         self.limiter = Limiter()
         self.retry_budgets = RetryBudgets()
         self.outlier_detector = OutlierDetector()
         self.failover_levels = FailoverLevels(settings, self.outlier_detector)
-        self.open_by_pool: dict[str, int] = {}  # requests that are not answered yet, by pool
+        self.open_by_pool: dict[str, int] = {}  # unanswered requests by pool
         self.open_by_version: dict[
             tuple[int, int], int
-        ] = {}  # the same by version, the active one and those that drain
+        ] = {}  # unanswered requests by version, of the active and draining versions
         self.admission: Admission | None = None
-        self.queued: dict[int, AdmittedRequest] = {}  # waiting for admission, by the id of their ticket
+        self.queued: dict[int, AdmittedRequest] = {}  # requests that wait for admission, by `id()` of their ticket
         even_share = 1 / settings.gateways
-        self.reserve_share: Callable[[str], float] = lambda tenant: even_share  # of a tenant's reserve, at this head
-        self.spilled = 0  # requests that did not use the first pool of their route
-        self.followed_shard = 0  # requests that left their pools for the shard of their data
+        self.reserve_share: Callable[[str], float] = lambda tenant: even_share  # this head's fraction of a reserve
+        self.spilled = 0  # requests that did not go to the first pool of their route
+        self.followed_shard = 0  # requests that left their pools for a backend with their shard
         self.rejected_by_limit = 0
         self.rejected_without_backend = 0
         self.rejected_beyond_share = 0
@@ -61,7 +61,7 @@
     # --- versions
 
     def activate(self, table: RoutingTable, now_us: int) -> tuple[PlatformPlan, ...]:
-        """Activate a version in one step; returns the plans as they are from now on."""
+        """Activate a version in one step; return the platform's plans as lowered by it."""
         self.limiter.drop_removed(table.limits.get, table.limits.size)
         self.retry_budgets.set_rules({rule.key: rule for rule in table.retries.values()})
         self.table = table
@@ -74,10 +74,10 @@
         return self.effective_plans
 
     def _configure_sharing(self, table: RoutingTable) -> None:
-        """Begin, change or end the sharing of spare capacity."""
+        """Start, change or stop sharing spare capacity, as the version says."""
         if table.spare is None:
             if self.admission is not None:
-                # Admit all that wait, as nothing would do so later.
+                # Admit all queued requests, because none of them would be admitted later.
                 self.admission.spare_capacity = SpareCapacity(float("inf"), 1)
             return
         spare = SpareCapacity(table.spare.max_units, table.spare.max_wait_us, table.spare.max_queued)
@@ -86,7 +86,7 @@
         self.admission.spare_capacity = spare
 
     def _tenant_shares(self, tenant: str) -> TenantShares:
-        """Return a tenant's shares at this head: its part of the reserve, and its weight."""
+        """Return a tenant's shares at this head: its part of the tenant's reserve, and its weight."""
         rule = self.table.tenants.get(tenant)
         if rule is not None:
             return TenantShares(rule.reserve * self.reserve_share(tenant), rule.weight, rule.max_queued)
@@ -96,7 +96,7 @@
         return TenantShares(account.shares.reserve * self.reserve_share(tenant), account.shares.weight)
 
     def overridden_plans(self) -> tuple[PlatformPlan, ...]:
-        """Return the platform's plans as the active version lowers them."""
+        """Return the platform's plans as lowered by the active version."""
         plans = []
         for plan in self.settings.plans:
             override = self.table.plans.get(plan.name)
@@ -110,7 +110,7 @@
         return tuple(plans)
 
     def _drop_unused_versions(self) -> None:
-        """Drop versions that have no open request, but for the active one."""
+        """Drop versions that have no open requests, except for the active one."""
         active = self.table.version
         for version in list(self.failover_levels.tables):
             if version != active and not self.open_by_version.get(version):
@@ -120,50 +120,51 @@
     # --- backends
 
     def nodes(self, now_us: int, event: NodeList) -> None:
-        """Apply a node list, or changes of it."""
+        """Apply a full node list, or changes to it."""
         self.failover_levels.on_node_list(now_us, event)
 
     def ended(self, now_us: int, node: str, result: Result) -> None:
         """Record how an attempt at a backend ended."""
-        if result in JUDGED_RESULTS and self.outlier_detector.on_attempt_ended(node, result in ERROR_RESULTS, now_us):
+        if result in HEALTH_RESULTS and self.outlier_detector.on_attempt_ended(node, result in ERROR_RESULTS, now_us):
             self.failover_levels.refresh()
 
     # --- requests
 
-    def admit(self, now_us: int, ask: Arrival) -> Bounds | WaitAtGate | int:
+    def admit(self, now_us: int, arrival: Arrival) -> Bounds | WaitAtGate | int:
         """Admit, queue or reject a request.
 
         Returns:
-            Its bounds; or a wait for admission, with its bounds; or after how many microseconds to retry, if rejected.
+            The bounds of an admitted request; `WaitAtGate` with the bounds of a queued one; for a rejected one, the
+            microseconds to wait before a retry.
 
         """
         if self.outlier_detector.restore_expired(now_us):
             self.failover_levels.refresh()
-        table, klass, volume = self.table, self.classes[ask.klass], ask.volume.lower()
+        table, klass, volume = self.table, self.classes[arrival.klass], arrival.volume.lower()
         tenant = table.tenant_by_volume.get(volume) or self.find_owner(volume)
         route = table.routes.most_specific(tenant, volume, klass)
-        level = self._level(table, route, ask.shard)
+        level = self._level(table, route, arrival.shard)
         if level is None:
             self.rejected_without_backend += 1
             return NO_BACKENDS_RETRY_US
-        # What the limits count is released by `answered`, or refunded here where admission rejects.
-        states, wait_us = self.limiter.admit(table.limits.matching(tenant, volume, klass), ask.units, now_us)
+        # What the limits count is released by `answered`, or refunded below if admission rejects the request.
+        states, wait_us = self.limiter.admit(table.limits.matching(tenant, volume, klass), arrival.units, now_us)
         if wait_us:
             self.rejected_by_limit += 1
             return wait_us
         ticket, is_queued = None, False
         if self.admission is not None and table.spare is not None:
-            decision, ticket, wait_us = self.admission.arrive(now_us, self._admission_request(ask, tenant, volume))
+            decision, ticket, wait_us = self.admission.arrive(now_us, self._admission_request(arrival, tenant, volume))
             if decision is AdmissionDecision.REJECTED:
                 for state in states:
-                    state.refund(ask.units)
+                    state.refund(arrival.units)
                 self.rejected_beyond_share += 1
                 return wait_us
             is_queued = decision is AdmissionDecision.QUEUED
         pool = level.pool.name if level.pool is not None else ""
         if route is not None and pool != route.pools[0]:
             self.spilled += 1
-        if ask.shard >= 0 and ask.shard not in level.view.shards:
+        if arrival.shard >= 0 and arrival.shard not in level.view.shards:
             self.followed_shard += 1
         rule = table.retry_rule(klass)
         budget = self.retry_budgets.for_rule(rule) if rule is not None else None
@@ -171,53 +172,53 @@
             budget.record_first_attempt(now_us)
         self.open_by_pool[pool] = self.open_by_pool.get(pool, 0) + 1
         self.open_by_version[table.version] = self.open_by_version.get(table.version, 0) + 1
-        admitted = AdmittedRequest(ask.request, table, level.view, pool, states, budget, now_us)
+        admitted = AdmittedRequest(arrival.request, table, level.view, pool, states, budget, now_us)
         admitted.ticket = ticket
         if is_queued and ticket is not None:
             self.queued[id(ticket)] = admitted
             return WaitAtGate(admitted)
         return admitted
 
-    def _admission_request(self, ask: Arrival, tenant: str, volume: str) -> AdmissionRequest:
-        plan = self.effective_plans[ask.plan]
-        klass = self.settings.classes[ask.klass]
-        heads = ask.gateways if ask.gateways > 0 else self.settings.gateways
+    def _admission_request(self, arrival: Arrival, tenant: str, volume: str) -> AdmissionRequest:
+        plan = self.effective_plans[arrival.plan]
+        klass = self.settings.classes[arrival.klass]
+        heads = arrival.gateways if arrival.gateways > 0 else self.settings.gateways
         return AdmissionRequest(
             tenant,
             volume,
-            ask.units,
+            arrival.units,
             klass.value * plan.price,
             plan.reserve / heads,
             plan.weight,
-            int(MAX_WAIT_SHARE * ask.time_left_us),
+            int(MAX_WAIT_SHARE * arrival.time_left_us),
         )
 
     def release(self, now_us: int) -> list[tuple[str, int]]:
-        """Return the requests that wait no longer, with 0 if admitted, else after how many microseconds to retry."""
+        """Return the requests that leave the queue, with 0 if admitted, else the microseconds until a retry."""
         if self.admission is None:
             return []
         released = [(self.queued.pop(id(ticket), None), wait_us) for ticket, wait_us in self.admission.dispatch(now_us)]
         self.rejected_beyond_share += sum(wait_us > 0 for _, wait_us in released)
-        # A request is no longer queued if its client left after its tenant was evicted.
+        # None if the client closed its connection after its tenant was evicted.
         return [(request.name, wait_us) for request, wait_us in released if request is not None]
 
     def evict_tenant(self, tenant: str) -> bool:
-        """Let the next `release` reject a tenant's waiting requests; returns whether there are any."""
+        """Let the next `release` reject a tenant's queued requests; return whether any request is to be rejected."""
         return self.admission is not None and self.admission.evict_tenant(tenant)
 
     @property
     def next_release_us(self) -> int:
-        """When `release` is to be called at the latest, in microseconds; 0: no request waits."""
+        """The latest time at which `release` has to be called, in microseconds; 0: no request is queued."""
         return self.admission.next_deadline_us if self.admission is not None else 0
 
     def pacing_delay_us(self, now_us: int, volume: str, klass: str, direction: int, size: int) -> int:
-        """Count transferred bytes of a long body and return the delay before more; `direction`: 0 for in, 1 for out."""
+        """Count transferred bytes of a long body; return the delay before the next chunk. `direction`: 0 in, 1 out."""
         name = volume.lower()
         tenant = self.table.tenant_by_volume.get(name) or self.find_owner(name)
         return self.limiter.pacing_delay_us(self.table.limits.matching(tenant, name, klass), direction, size, now_us)
 
     def _level(self, table: RoutingTable, route: Route | None, shard: int) -> FailoverLevel | None:
-        """Return the level of its route that a request goes to; None where no backend is live that it may use."""
+        """Return the level of its route that a request goes to; None if it may use no backend that is live."""
         levels = self.failover_levels.levels_of(table, route.pools if route is not None else ALL_BACKENDS)
         if shard >= 0:
             return next((level for level in levels if shard in level.view.shards), levels[0])
@@ -228,13 +229,13 @@
             if not max_open or self.open_by_pool.get(pool, 0) < max_open * len(level.view.nodes):
                 return level
         if usable:
-            return usable[0]  # all are full: the core decides whether the request waits for the first one
+            return usable[0]  # all pools are full: the core decides whether the request waits for the first one
         if route is None or route.otherwise == "any":
             return self.failover_levels.levels_of(table, ALL_BACKENDS)[0]
         return None
 
     def answered(self, now_us: int, bounds: Bounds) -> None:
-        """Release what an answered request occupies."""
+        """Release what an answered request holds: its ticket, limits and open counts."""
         assert isinstance(bounds, AdmittedRequest)
         if bounds.ticket is not None and self.admission is not None:
             self.queued.pop(id(bounds.ticket), None)
@@ -250,7 +251,7 @@
             self._drop_unused_versions()
 
     def tenant_usage(self, limit: int, now_us: int) -> dict[str, Any]:
-        """Return what the busiest tenants used at this head, and the sum of the others, as a JSON object."""
+        """Return the usage of the `limit` busiest tenants at this head and the sum of the others, as a JSON object."""
         accounts = self.admission.tenants if self.admission is not None else {}
         rows = sorted(accounts.items(), key=lambda row: -(row[1].usage.reserved + row[1].usage.spare))
         busiest = {
--- a/hophinge/routing/routing_table.py
+++ b/hophinge/routing/routing_table.py
@@ -1,4 +1,4 @@
-"""One version of the service document, compiled for look-ups; a table is complete and immutable."""
+"""One version of the service document, compiled into an immutable table for look-ups."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class RoutingTable:
-    """Records of a version; `version` is its epoch and number."""
+    """The records of a version; `version` is its epoch and number."""
 
     version: tuple[int, int] = (0, 0)
     pools: Mapping[str, Pool] = field(default_factory=dict)
@@ -41,12 +41,12 @@
     def with_changes(
         self, version: tuple[int, int], changes: Mapping[str, Record | None], before: Mapping[str, Record]
     ) -> RoutingTable:
-        """Create the table of the next version; it costs copies of the maps that change, and shares the others.
+        """Create the table of the next version; maps that change are copied, the others are shared with this table.
 
         Args:
             version: Epoch and number of the next version.
-            changes: Records by key that are new, or None for those that have gone.
-            before: The records of these keys in this version.
+            changes: New or changed records by key; None for removed ones.
+            before: The records of these keys in this version, where it has them.
 
         """
         builder = _TableBuilder(self)
@@ -58,12 +58,12 @@
         return builder.build(version)
 
     def retry_rule(self, klass: str) -> RetryRule | None:
-        """Return the rule of a class, else the one for all classes."""
+        """Return the rule of a class, or the rule for all classes; None if there is neither."""
         return self.retries.get(klass) or self.retries.get("")
 
 
 class _TableBuilder:
-    """Changes to a table."""
+    """Collects changes to a table."""
 
     def __init__(self, table: RoutingTable) -> None:
         self.table = table
@@ -78,7 +78,7 @@
         self.added_tenants: list[TenantRule] = []
 
     def put(self, record: Record, previous: Record | None) -> None:
-        """Add a record, or replace a previous one of its key."""
+        """Add a record, or replace the previous one with its key."""
         if isinstance(record, TenantRule):
             if isinstance(previous, TenantRule):
                 self.removed_tenants.append(previous)
@@ -127,12 +127,12 @@
         )
 
     def _tenants(self) -> tuple[Mapping[str, TenantRule], Mapping[str, str]]:
-        """Return the tenants by name, and the names by volume."""
+        """Return the tenants by name, and the tenant names by volume."""
         if not self.removed_tenants and not self.added_tenants:
             return self.table.tenants, self.table.tenant_by_volume
         tenants = dict(self.table.tenants)
         tenant_by_volume = dict(self.table.tenant_by_volume)
-        # Removals first, as a volume may move from one tenant to another.
+        # Removals come first, because a volume may move from one tenant to another.
         for tenant in self.removed_tenants:
             tenants.pop(tenant.name, None)
             for volume in tenant.volumes:
--- a/hophinge/routing/s_expressions.py
+++ b/hophinge/routing/s_expressions.py
@@ -1,7 +1,7 @@
-"""Syntax of the service document: S-expressions with positions, and all mistakes of a file at once.
+"""Syntax of the service document: S-expressions with positions; all mistakes of a file are reported at once.
 
-Lark's LALR parser is fed token by token, so that parsing continues after a stray bracket, a character that begins no
-token or an end of file within a form.
+Lark's LALR parser is fed token by token, so that parsing can continue after an unmatched bracket, an unexpected
+character or an end of file within a form.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 from lark import Lark, Token, Transformer
 
-MAX_BYTES = 32 * 1024 * 1024  # of one file: 100,000 forms are some 10 MB
-MAX_DEPTH = 8  # of brackets; no form needs more than four
-MAX_MISTAKES = 100  # reported of one file
+MAX_BYTES = 32 * 1024 * 1024  # of one file; 100,000 forms take about 10 MB
+MAX_DEPTH = 8  # of nested brackets; no valid form needs more than four
+MAX_MISTAKES = 100  # reported for one file
 
 GRAMMAR = r"""
 start: node*
@@ -34,20 +34,20 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Mistake:
-    """A mistake: its position, counted from 1, what is wrong and what would be right."""
+    """A mistake: its position, counted from 1, and a text that says what is wrong and how to correct it."""
 
     line: int
     column: int
     text: str
 
     def located_in(self, name: str) -> str:
-        """Return the mistake as a line about a file of this name."""
+        """Return the mistake as `name:line:column: text`."""
         return f"{name}:{self.line}:{self.column}: {self.text}"
 
 
 @dataclass(frozen=True, slots=True)
 class Atom:
-    """A word, a number or a quoted string, without its quotes."""
+    """A word, a number, or a quoted string without its quotes."""
 
     text: str
     line: int
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """A bracketed list; its position is that of its opening bracket."""
+    """A bracketed list; its position is that of the opening bracket."""
 
     items: tuple[Node, ...]
     line: int
@@ -67,7 +67,7 @@
 
     @property
     def keyword(self) -> str:
-        """The word that it begins with; empty where it begins with none."""
+        """The atom that the form begins with; empty if it begins with another form or has no items."""
         return self.items[0].text if self.items and isinstance(self.items[0], Atom) else ""
 
     def __str__(self) -> str:
@@ -78,21 +78,21 @@
 
 
 class DecodedText(NamedTuple):
-    """Text of a file, and the mistakes of its encoding."""
+    """The text of a file, and the mistakes in its encoding."""
 
     text: str
     mistakes: list[Mistake]
 
 
 class ParsedNodes(NamedTuple):
-    """Nodes at the top level of a text, and the mistakes of its syntax."""
+    """The top-level nodes of a text, and the mistakes in its syntax."""
 
     nodes: list[Node]
     mistakes: list[Mistake]
 
 
 class _Nodes(Transformer[Token, Any]):
-    """Builds nodes while the parser reduces, so that no recursion depends on the depth of a file."""
+    """Builds nodes while the parser reduces, so that the recursion depth does not depend on the file."""
 
     def start(self, children: list[Any]) -> list[Node]:
         return [_atom(child) if isinstance(child, Token) else child for child in children]
@@ -113,10 +113,10 @@
 
 
 def decode_text(raw: bytes) -> DecodedText:
-    """Decode a file's bytes; a byte that is not UTF-8 is a mistake at its position."""
+    """Decode a file's bytes; a file that is too large or not UTF-8 is reported as a mistake."""
     if len(raw) > MAX_BYTES:
         return DecodedText(
-            "", [Mistake(1, 1, f"the file has {len(raw)} bytes; at most {MAX_BYTES} are read: split it")]
+            "", [Mistake(1, 1, f"the file has {len(raw)} bytes, but at most {MAX_BYTES} are allowed: split it")]
         )
     try:
         return DecodedText(raw.decode("utf-8"), [])
@@ -124,12 +124,12 @@
         before = raw[: error.start].decode("utf-8")
         line = before.count("\n") + 1
         column = len(before) - (before.rfind("\n") + 1) + 1
-        mistake = Mistake(line, column, f"byte 0x{raw[error.start]:02x} is no UTF-8; save the file as UTF-8")
+        mistake = Mistake(line, column, f"byte 0x{raw[error.start]:02x} is not valid UTF-8; save the file as UTF-8")
         return DecodedText("", [mistake])
 
 
 def parse(text: str) -> ParsedNodes:
-    """Parse a text; nodes outside a mistake are returned too, so that their own mistakes can be reported."""
+    """Parse a text; nodes without syntax mistakes are returned too, so that their own mistakes can be reported."""
     return _Parsing(text).run()
 
 
@@ -155,15 +155,15 @@
         return ParsedNodes(nodes, self.mistakes)
 
     def _accepts(self, token: Token) -> bool:
-        """Check a token; one that is a mistake is reported and not fed to the parser."""
+        """Return whether to feed a token to the parser; report the mistake if not."""
         if token.type == "BAD":
             is_quote = str(token) == '"'
-            what = "a text that does not end on its line" if is_quote else f"{str(token)!r} means nothing here"
-            self._report(token, f'{what}; quote it as "..." or remove it')
+            problem = "the quoted text does not end on its line" if is_quote else f"unexpected character {str(token)!r}"
+            self._report(token, f'{problem}; quote it as "..." or remove it')
             return False
         if token.type == "CLOSE":
             if not self.open_brackets:
-                self._report(token, "')' closes nothing; remove it or open its form with '('")
+                self._report(token, "')' has no matching '('; remove it or add the '('")
                 return False
             self.open_brackets.pop()
         elif token.type == "OPEN":
@@ -174,14 +174,14 @@
         return True
 
     def _must_stop(self, token: Token) -> bool:
-        """Return whether parsing ends at a rejected token: at too deep a nesting, or after too many mistakes."""
+        """Return whether to stop parsing at a rejected token: nesting is too deep, or there are too many mistakes."""
         return token.type == "OPEN" or len(self.mistakes) >= MAX_MISTAKES
 
     def _report(self, token: Token, text: str) -> None:
         self.mistakes.append(Mistake(token.line or 1, token.column or 1, text))
 
     def _close_forms(self, last: Token | None) -> None:
-        """Close forms that are open at the end of the file, so that what they hold is parsed."""
+        """Close the forms that are open at the end of the file, so that their contents are parsed."""
         if not self.open_brackets:
             return
         first = self.open_brackets[0]
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -44,15 +44,15 @@
     ("text", "position", "words"),
     [
         ("(limit (rate 120))", "2:14", "120 has no unit; write it like 120 units/s"),
-        ("(limit (rate 120 ms))", "2:14", "ms measures a time, wanted is a rate"),
-        ("(limit (rate 120 parsecs))", "2:14", "'parsecs' is no unit"),
-        ("(limit (rate -1 units/s))", "2:14", "no number"),
-        ("(limit (rate 1e9 units/s))", "2:14", "no number"),
+        ("(limit (rate 120 ms))", "2:14", "ms is a unit of time, but rate is expected"),
+        ("(limit (rate 120 parsecs))", "2:14", "unknown unit 'parsecs'"),
+        ("(limit (rate -1 units/s))", "2:14", "not a number"),
+        ("(limit (rate 1e9 units/s))", "2:14", "not a number"),
         ("(limit (open 1.5 requests))", "2:14", "whole number"),
         ("(limit (burst 1 s) (open 2 requests))", "2:1", "(burst ...) requires a rate"),
         ("(limit)", "2:1", "needs (rate 120 units/s)"),
         ("(limit (in 1 KiB/s))", "2:12", "from 64 KiB/s"),
-        ("(limit (out 4 MiB))", "2:13", "MiB measures a size, wanted is a byte rate"),
+        ("(limit (out 4 MiB))", "2:13", "MiB is a unit of size, but byte rate is expected"),
         ("(limit x (open 2 requests))", "2:8", "bracketed parts only"),
         ("(retries (budget 120 %))", "2:18", "over 100 %"),
         ("(retries (attempts 2 requests))", "2:20", "without a unit"),
@@ -77,7 +77,7 @@
         ("(rollout (waves 50 % 10 % 100 %))", "2:10", "shares must increase and end with 100 %"),
         ("(tenant a (volumes 0000000000000001))(tenant b (volumes 0000000000000001))", "2:38", "already belongs to a"),
         ("(pool a (zones hall-a)", "2:1", "the file ends within this form; close it with ')'"),
-        ("(pool a (zones hall-a)))", "2:24", "closes nothing"),
+        ("(pool a (zones hall-a)))", "2:24", "')' has no matching '('"),
         ('(pool a (zones "hall))', "2:16", "does not end on its line"),
     ],
 )
@@ -100,7 +100,7 @@
 
 def test_invalid_utf_8_and_unclosed_brackets() -> None:
     told = read_document(b"(hophinge 1)\n(pool \xff)").mistake_lines("f")
-    assert told == ["f:2:7: byte 0xff is no UTF-8; save the file as UTF-8"]
+    assert told == ["f:2:7: byte 0xff is not valid UTF-8; save the file as UTF-8"]
     since = time.perf_counter()
     told = read_document(b"(" * 10_000_000).mistake_lines("f")
     assert len(told) == 1 and told[0].startswith("f:1:9: brackets are nested deeper than 8")
@@ -148,7 +148,7 @@
     assert parse_quantity(["80ms"], "time") == 80_000 and parse_quantity(["20%"], "share") == 0.2
     assert parse_quantity(["64", "KiB"], "size") == 65536 and parse_quantity(["2", "MiB"], "size") == 2 * 1024**2
     assert {"ms", "s", "%", "units/s", "requests", "bricks", "KiB", "MiB"} <= UNITS.keys()
-    with pytest.raises(QuantityError, match="stands after"):
+    with pytest.raises(QuantityError, match="unexpected '2' after the time"):
         parse_quantity(["1", "s", "2"], "time")
 
 
