--- a/hophinge/tenancy/__init__.py
+++ b/hophinge/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants kept apart: what each may take at a head. No I/O, no clock, no asyncio."""
+"""Isolation between tenants: what each tenant may use at a head. No I/O, no clock, no asyncio."""
--- a/hophinge/tenancy/accounts.py
+++ b/hophinge/tenancy/accounts.py
@@ -1,7 +1,8 @@
-"""Tenants, their buckets and their keys: which changes are allowed, and whose a key is. No I/O, no clock.
+"""Tenants, their buckets and their keys: validates changes and authenticates keys. No I/O, no clock.
 
-Rows come in by `apply`, whoever changed them. A requested change is judged against them and returned as the record to
-write; nothing here changes before its row comes back by `apply`, so what could not be stored is nowhere.
+All changed rows are applied by `apply`, whichever process changed them. A requested change is checked against the
+current rows and returned as the record to write. It takes effect only when its row is applied by `apply`, so that a
+change which could not be stored has no effect.
 """
 
 from __future__ import annotations
@@ -36,14 +37,14 @@
 
 
 class RotatedKeys(NamedTuple):
-    """The key that replaces one, and the old key where it stays valid for a time."""
+    """The new key of a rotation, and the old key if it remains valid for an overlap."""
 
     new: Key
     old: Key | None
 
 
 class Accounts:
-    """All rows, as they are known here; `on_state_change` is called with each tenant whose state has changed."""
+    """The accounts known to this process; `on_state_change` is called with each tenant whose state has changed."""
 
     def __init__(self, on_state_change: Callable[[str, TenantState | None], None] = lambda name, state: None) -> None:
         self.on_state_change = on_state_change
@@ -51,13 +52,13 @@
         self.buckets: dict[str, dict[str, Bucket]] = {}  # by tenant and name
         self.keys: dict[str, Key] = {}  # by id
         self.key_ids: dict[str, set[str]] = {}  # by tenant
-        self.volumes: dict[str, Bucket] = {}  # by the volume's id
-        self.row_seqs: dict[tuple[str, str], int] = {}  # by kind and name: the last change
+        self.volumes: dict[str, Bucket] = {}  # by volume id
+        self.row_seqs: dict[tuple[str, str], int] = {}  # number of the last change of a row, by kind and name
 
     def apply(self, rows: Iterable[Row]) -> None:
         """Apply changed rows, in the order of their changes."""
         for row in rows:
-            if row.kind in RECORD_TYPES:  # a newer program may store other kinds as well
+            if row.kind in RECORD_TYPES:  # newer versions of the program may store other kinds too
                 self._apply(row)
 
     def _apply(self, row: Row) -> None:
@@ -105,38 +106,38 @@
     # --- queries
 
     def authenticate(self, token: str, now_ms: int) -> Key | None:
-        """Return the key of a token; None where it is unknown, has expired, or its tenant is not active."""
+        """Return the key of a token; None if it is invalid, has expired, or its tenant is not active."""
         name, _, secret = token.partition(".")
         key = self.keys.get(name)
-        # Compared in constant time also where the id is unknown, so that the time it takes reveals nothing.
+        # The comparison is done in constant time also for an unknown id, so that its duration reveals nothing.
         is_valid = hmac.compare_digest(key.digest if key else digest_of(""), digest_of(secret))
         if not is_valid or key is None or key.has_expired(now_ms) or not self.is_active(key.tenant):
             return None
         return key
 
     def is_active(self, tenant: str) -> bool:
-        """Return whether a tenant is served."""
+        """Return whether a tenant exists and is active, so that its requests are served."""
         account = self.tenants.get(tenant)
         return account is not None and account.state is TenantState.ACTIVE
 
     def owner(self, volume: str) -> str:
-        """Return the tenant of a volume, or an empty text where it is no bucket's."""
+        """Return the tenant of a volume, or an empty string if it belongs to no bucket."""
         bucket = self.volumes.get(volume)
         return bucket.tenant if bucket is not None else ""
 
     def is_blocked(self, tenant: str) -> bool:
-        """Return whether a tenant has an account and is not served; one without an account is not blocked."""
+        """Return whether a tenant has an account that is not active; a tenant without an account is not blocked."""
         account = self.tenants.get(tenant)
         return account is not None and account.state is not TenantState.ACTIVE
 
     def seq(self, kind: str, name: str) -> int:
-        """Return the number of a row's last change; 0 where there is none."""
+        """Return the number of a row's last change; 0 if there is no such row."""
         return self.row_seqs.get((kind, name), 0)
 
     # --- changes: each returns the record to write, or raises AccountError
 
     def tenant(self, name: str) -> Account:
-        """Return a tenant; raises AccountError where there is none or it is closed."""
+        """Return a tenant; raises AccountError if it does not exist or is closed."""
         account = self.tenants.get(name)
         if account is None or account.state is TenantState.CLOSED:
             raise AccountError("missing", f"no tenant {name}")
@@ -149,19 +150,19 @@
         return account
 
     def create(self, name: str, quotas: Quotas, shares: Shares, note: str, now_ms: int) -> Account:
-        """Create a tenant; a name is free again once its purge has ended."""
+        """Create a tenant; the name of a closed tenant can be used again once its purge has ended."""
         existing = self.tenants.get(checked_name(name, "tenant"))
         if existing is not None and existing.state is not TenantState.CLOSED:
             reason = (
                 "exists"
                 if existing.state is not TenantState.CLOSING
-                else "is closing: its name is free once that has ended"
+                else "is closing: its name can be used again once it is closed"
             )
             raise AccountError("exists", f"tenant {name} {reason}")
         return Account(name, TenantState.ACTIVE, quotas, shares, now_ms, checked_note(note))
 
     def change(self, name: str, quotas: Quotas | None, shares: Shares | None, note: str | None) -> Account:
-        """Change a tenant's quotas, shares or note; None leaves one as it is. What the tenant has already stays."""
+        """Change a tenant's quotas, shares or note; None keeps a value. Lower quotas remove no existing resources."""
         account = self._open_tenant(name)
         return replace(
             account,
@@ -171,7 +172,7 @@
         )
 
     def transition(self, name: str, action: TenantAction) -> Account:
-        """Change the state of a tenant by an action."""
+        """Return a tenant in the state that follows from an action."""
         account = self.tenant(name)
         state = next_state(account.state, action)
         if state is None:
@@ -179,21 +180,21 @@
         return replace(account, state=state)
 
     def put_bucket(self, tenant: str, name: str, plan: str, plans: frozenset[str], volume: str, now_ms: int) -> Bucket:
-        """Create a bucket on a volume of its own, or move one to another plan: the volume, and so its data, stays."""
+        """Create a bucket with its own volume, or change the plan of an existing one; it keeps its volume and data."""
         account = self._open_tenant(tenant)
         if plan not in plans:
-            raise AccountError("invalid", f"no plan {plan}; there are {', '.join(sorted(plans))}")
+            raise AccountError("invalid", f"unknown plan {plan}; known plans: {', '.join(sorted(plans))}")
         existing = self.buckets.get(tenant, {})
         if (bucket := existing.get(checked_name(name, "bucket"))) is not None:
             return replace(bucket, plan=plan)
         if len(existing) >= account.quotas.volumes:
-            raise AccountError("quota", f"tenant {tenant} may have {account.quotas.volumes} buckets")
+            raise AccountError("quota", f"tenant {tenant} has reached its quota of {account.quotas.volumes} buckets")
         if volume in self.volumes:
-            raise AccountError("state", "the volume's id is in use")
+            raise AccountError("state", "the volume id is already in use")
         return Bucket(tenant, name, volume, plan, now_ms)
 
     def bucket(self, tenant: str, name: str) -> Bucket:
-        """Return a bucket; raises AccountError where there is none."""
+        """Return a bucket; raises AccountError if it does not exist."""
         self.tenant(tenant)
         bucket = self.buckets.get(tenant, {}).get(name)
         if bucket is None:
@@ -201,17 +202,17 @@
         return bucket
 
     def add_key(self, tenant: str, key: str, secret: str, role: Role, expires_ms: int, note: str, now_ms: int) -> Key:
-        """Create a key; those that have expired do not count for the quota."""
+        """Create a key; expired keys do not count towards the quota."""
         account = self._open_tenant(tenant)
         if expires_ms and expires_ms <= now_ms:
-            raise AccountError("invalid", "the key would have ended already")
+            raise AccountError("invalid", "the expiry time of the key is in the past")
         live = sum(not self.keys[name].has_expired(now_ms) for name in self.key_ids.get(tenant, ()))
         if live >= account.quotas.keys:
-            raise AccountError("quota", f"tenant {tenant} may have {account.quotas.keys} keys")
+            raise AccountError("quota", f"tenant {tenant} has reached its quota of {account.quotas.keys} valid keys")
         return Key(tenant, key, digest_of(secret), role, now_ms, expires_ms, checked_note(note))
 
     def key(self, tenant: str, name: str) -> Key:
-        """Return a key of a tenant; another tenant's is reported as missing."""
+        """Return a key of a tenant; a key of another tenant is reported as missing."""
         self.tenant(tenant)
         key = self.keys.get(name)
         if key is None or key.tenant != tenant:
@@ -219,13 +220,16 @@
         return key
 
     def rotate_key(self, tenant: str, name: str, key: str, secret: str, overlap_s: int, now_ms: int) -> RotatedKeys:
-        """Replace a key by one with its role and expiry; the old one stays valid for the overlap, or ends now."""
+        """Replace a key by a new one with the same role and expiry.
+
+        The old key remains valid for `overlap_s`; without an overlap it is to be removed now.
+        """
         self._open_tenant(tenant)
         old = self.key(tenant, name)
         if not 0 <= overlap_s <= MAX_OVERLAP_S:
-            raise AccountError("invalid", f"an overlap is from 0 to {MAX_OVERLAP_S} s")
+            raise AccountError("invalid", f"the overlap must be from 0 to {MAX_OVERLAP_S} s")
         if old.has_expired(now_ms):
-            raise AccountError("state", f"key {name} has ended")
+            raise AccountError("state", f"key {name} has expired")
         new = Key(tenant, key, digest_of(secret), old.role, now_ms, old.expires_ms, old.note)
         if not overlap_s:
             return RotatedKeys(new, None)
--- a/hophinge/tenancy/admission.py
+++ b/hophinge/tenancy/admission.py
@@ -1,7 +1,8 @@
-"""Admission at one head: reserved units pass at once, the rest is queued by weight, for a bounded time.
+"""Admission at one head: requests within a reserve are admitted at once, others are queued fairly for a bounded time.
 
-Events come in by methods that take the time as an argument; what they lead to is fetched by `dispatch`. Every request
-that `arrive` queued ends once: by `dispatch` (admitted or rejected) or by `finish`.
+Events are reported by methods that take the time as an argument; `dispatch` returns the requests that leave the queue
+as a result. Every request that `arrive` queued leaves the queue exactly once: by `dispatch` (admitted or rejected) or
+by `finish`.
 """
 
 from __future__ import annotations
@@ -17,32 +18,36 @@
 from hophinge.tenancy.reserve import Reserve
 
 MIN_RETRY_AFTER_US = 10_000
-EVICTED_RETRY_AFTER_US = 60_000_000  # of a tenant that is no longer served; the front cuts it to what settings allow
-MAX_BURST_S = 0.25  # of a reserve that may be saved up: all tenants may spend theirs at one moment
-IDLE_TENANT_TIMEOUT_US = 60_000_000  # a tenant idle for longer begins with a full reserve, which it then has anyway
-OPERATIONS_BETWEEN_SWEEPS = 256  # arrivals between searches for idle tenants
+EVICTED_RETRY_AFTER_US = (
+    60_000_000  # for a tenant that is no longer served; the exchange caps it at the maximum of the settings
+)
+MAX_BURST_S = 0.25  # of a reserve that may accumulate; small, since all tenants may use theirs at the same time
+IDLE_TENANT_TIMEOUT_US = (
+    60_000_000  # a tenant idle for longer is dropped: its reserve is full by then, as a new one's is
+)
+OPERATIONS_BETWEEN_SWEEPS = 256  # arrivals between searches for idle tenants; a queued arrival counts twice
 MIN_WEIGHT = 1e-3
-ROUNDING_UNITS = 1e-9  # units in flight below which only rounding errors are left
+ROUNDING_UNITS = 1e-9  # units in flight below this are rounding errors
 
 
 class TenantShares(Struct, frozen=True):
-    """What one tenant may count on at this head."""
+    """The guaranteed rate and the weight of one tenant at this head."""
 
     reserve: float = 0.0  # units/s
-    weight: float = 1.0  # in spare capacity
-    max_queued_requests: int = 0  # 0: the head's own bound
+    weight: float = 1.0  # in the sharing of spare capacity
+    max_queued_requests: int = 0  # 0: as in `SpareCapacity`
 
 
 class SpareCapacity(Struct, frozen=True):
     """How a head shares the capacity that no reserve uses."""
 
-    max_units_in_flight: float  # units at the decision module beyond which only reserved requests are started
+    max_units_in_flight: float  # units at the decision module, above which only reserved requests are admitted
     max_wait_us: int  # in the queue
-    max_queued_requests: int = 256  # of one tenant
+    max_queued_requests: int = 256  # per tenant
 
 
 class AdmissionDecision(Enum):
-    """The decision on a request that arrives."""
+    """The decision on an arriving request."""
 
     RESERVED = "reserved"
     SPARE = "spare"
@@ -56,14 +61,14 @@
     tenant: str
     volume: str
     units: float
-    priority: float  # its class's worth and its plan's price
+    priority: float  # value of its class times price of its plan
     reserve: float  # of its volume at this head, units/s
     weight: float  # of its volume
     max_wait_us: int  # in the queue; 0 or less: it is not queued
 
 
 class AdmissionUsage(Struct):
-    """What one tenant got at this head, since it was last forgotten as idle."""
+    """What one tenant used at this head since its state was created; the state of an idle tenant is dropped."""
 
     reserved: float = 0.0  # units
     spare: float = 0.0  # units
@@ -72,7 +77,7 @@
 
 
 class TenantAdmission:
-    """The state of one tenant at this head."""
+    """The admission state of one tenant at this head."""
 
     __slots__ = ("last_observed_us", "queued_requests", "reserve", "usage")
 
@@ -84,7 +89,7 @@
 
 
 class Ticket:
-    """One request from its arrival until it is answered."""
+    """The admission state of one request, from its arrival until it is answered."""
 
     __slots__ = ("arrived_us", "is_in_flight", "queue_entry", "request", "tenant", "wait_deadline_us")
 
@@ -92,7 +97,7 @@
         self.request = request
         self.tenant = tenant
         self.arrived_us = now_us
-        self.queue_entry: QueueEntry[Ticket] | None = None  # while it is queued
+        self.queue_entry: QueueEntry[Ticket] | None = None  # None unless it is queued
         self.is_in_flight = False  # at the decision module
         self.wait_deadline_us = 0
 
@@ -106,14 +111,14 @@
 
 
 class DispatchedTicket(NamedTuple):
-    """A request that left the queue."""
+    """A request that leaves the queue."""
 
     ticket: Ticket
-    retry_after_us: int  # 0: admitted; else it was rejected
+    retry_after_us: int  # 0: admitted; otherwise rejected
 
 
 class Admission:
-    """The admission of one head: a reserve for each tenant, and a fair queue for spare capacity."""
+    """Admission control of one head: a reserve for each tenant, and a fair queue for spare capacity."""
 
     def __init__(
         self, shares_of: Callable[[str], TenantShares], spare_capacity: SpareCapacity, max_request_units: float
@@ -123,16 +128,16 @@
         self.max_request_units = max_request_units
         self.tenants: dict[str, TenantAdmission] = {}
         self.queue: FairQueue[Ticket] = FairQueue()
-        self.units_in_flight = 0.0  # at the decision module, reserved units too
-        self.wait_deadlines: list[tuple[int, int, Ticket]] = []  # a heap: deadline, order of arrival, ticket
+        self.units_in_flight = 0.0  # at the decision module, including reserved units
+        self.wait_deadlines: list[tuple[int, int, Ticket]] = []  # a heap of deadline, sequence number and ticket
         self.operation_count = 0
-        self.evicted: list[DispatchedTicket] = []  # of tenants that ended, until the next dispatch
+        self.evicted: list[DispatchedTicket] = []  # rejected by `evict_tenant`, until the next `dispatch`
         self.requested_units: dict[str, float] = {}  # by tenant, since `take_demand` was last called
 
     # --- events
 
     def arrive(self, now_us: int, request: AdmissionRequest) -> AdmissionResult:
-        """Decide on a request that arrives."""
+        """Decide on an arriving request."""
         tenant, shares = self._tenant(request.tenant, now_us)
         self.requested_units[request.tenant] = self.requested_units.get(request.tenant, 0.0) + request.units
         ticket = Ticket(request, tenant, now_us)
@@ -142,7 +147,7 @@
             return AdmissionResult(AdmissionDecision.RESERVED, ticket, 0)
         if not self.queue.queued_items and self._has_capacity(request.units):
             tenant.usage.spare += request.units
-            # Through the queue all the same: what it takes now counts against its flow's next turn.
+            # It still passes through the queue, so that its units are charged to its flow.
             self._enqueue(ticket, shares)
             self.queue.pop()
             ticket.queue_entry = None
@@ -160,12 +165,12 @@
         return AdmissionResult(AdmissionDecision.QUEUED, ticket, 0)
 
     def take_demand(self) -> dict[str, float]:
-        """Return the units that each tenant requested since the last call, and begin to count anew."""
+        """Return the units that each tenant requested since the last call, and reset the counts."""
         requested_units, self.requested_units = self.requested_units, {}
         return requested_units
 
     def finish(self, now_us: int, ticket: Ticket) -> None:
-        """Record the end of a request: it was answered, or its client has gone."""
+        """Record the end of a request: it was answered, or its client closed the connection."""
         if not ticket.is_in_flight:
             self._dequeue(ticket)
             return
@@ -179,7 +184,7 @@
         """Remove all queued requests of a tenant; the next dispatch returns them as rejected.
 
         Returns:
-            Whether any request waits for the next dispatch.
+            Whether the next `dispatch` has any request to return as rejected.
 
         """
         queued = [ticket for _, _, ticket in self.wait_deadlines if ticket.queue_entry is not None]
@@ -191,13 +196,13 @@
         return bool(self.evicted)
 
     def dispatch(self, now_us: int) -> list[DispatchedTicket]:
-        """Return the requests that leave the queue now: evicted, past their deadline, or admitted."""
+        """Return the requests that leave the queue now: evicted, expired, or admitted."""
         dispatched, self.evicted = self.evicted, []
         self._reject_expired(now_us, dispatched)
         while (entry := self.queue.peek()) is not None:
             ticket = entry.item
             request, tenant = ticket.request, ticket.tenant
-            # Its tenant's reserve may have filled meanwhile; then it needs no spare capacity.
+            # The tenant's reserve may have been refilled in the meantime; then the request needs no spare capacity.
             if tenant.reserve.take(request.volume, request.reserve, self.max_request_units, request.units, now_us):
                 tenant.usage.reserved += request.units
                 self.queue.remove(entry)
@@ -218,10 +223,10 @@
         """The latest time at which `dispatch` has to be called; 0: nothing is queued."""
         return self.wait_deadlines[0][0] if self.queue.queued_items and self.wait_deadlines else 0
 
-    # --- inside
+    # --- internals
 
     def _reject_expired(self, now_us: int, dispatched: list[DispatchedTicket]) -> None:
-        """Remove queued requests past their deadline, and deadlines of requests that are queued no longer."""
+        """Reject queued requests past their deadline, and drop the deadlines of requests that are no longer queued."""
         while self.wait_deadlines:
             deadline_us, _, ticket = self.wait_deadlines[0]
             if deadline_us > now_us and ticket.queue_entry is not None:
@@ -233,7 +238,7 @@
                 dispatched.append(DispatchedTicket(ticket, self._retry_after_us(ticket, now_us)))
 
     def _tenant(self, name: str, now_us: int) -> tuple[TenantAdmission, TenantShares]:
-        """Return a tenant's state, created where it is new, and its shares at this moment."""
+        """Return a tenant's state, which is created for a new tenant, and its current shares."""
         shares = self.shares_of(name)
         tenant = self.tenants.get(name)
         if tenant is None:
@@ -247,12 +252,12 @@
         return tenant, shares
 
     def _drop_idle_tenants(self, now_us: int) -> None:
-        """Look at a few tenants, and drop those that are idle."""
+        """Check a bounded number of tenants, and drop the idle ones."""
         for _ in range(2 * OPERATIONS_BETWEEN_SWEEPS):
             name, tenant = next(iter(self.tenants.items()))
             del self.tenants[name]
             if tenant.queued_requests or now_us - tenant.last_observed_us < IDLE_TENANT_TIMEOUT_US:
-                self.tenants[name] = tenant  # at the end: each sweep goes on where the last one ended
+                self.tenants[name] = tenant  # moved to the end, so that each sweep continues where the last one stopped
 
     def _enqueue(self, ticket: Ticket, shares: TenantShares) -> None:
         request = ticket.request
@@ -280,7 +285,7 @@
         self.units_in_flight += ticket.request.units
 
     def _retry_after_us(self, ticket: Ticket, now_us: int) -> int:
-        """Return when the tenant's own reserve will hold the units; without one, when a turn may have come."""
+        """Return the us until the tenant's reserve covers the request, or twice the longest wait if it never will."""
         ticket.tenant.reserve.fill(now_us)
         wait_us = ticket.tenant.reserve.total.wait_us(ticket.request.units)
         return max(MIN_RETRY_AFTER_US, wait_us if wait_us >= 0 else 2 * self.spare_capacity.max_wait_us)
--- a/hophinge/tenancy/concurrency_quota.py
+++ b/hophinge/tenancy/concurrency_quota.py
@@ -1,17 +1,17 @@
-"""How many resources each tenant has open at a head: connections, or object requests."""
+"""Quota on the resources that each tenant has open at a head: connections or object requests."""
 
 from __future__ import annotations
 
 
 class ConcurrencyQuota:
-    """Open resources, each with the tenant that it counts for."""
+    """Counts open resources, each for one tenant."""
 
     def __init__(self) -> None:
         self.open_counts: dict[str, int] = {}  # by tenant
         self.owners: dict[object, str] = {}  # the tenant, by resource
 
     def acquire(self, tenant: str, resource: object, limit: int) -> bool:
-        """Count a resource for a tenant, and no longer for another; False: the tenant is at its limit (0: none)."""
+        """Count a resource for a tenant instead of its previous one; False: the tenant is at `limit` (0: no limit)."""
         if self.owners.get(resource) == tenant:
             return True
         if limit and self.open_counts.get(tenant, 0) >= limit:
@@ -22,7 +22,7 @@
         return True
 
     def release(self, resource: object) -> None:
-        """Record the end of a resource; one that is not counted is ignored."""
+        """Record that a resource was closed; ignored if it is not counted."""
         tenant = self.owners.pop(resource, None)
         if tenant is not None:
             self.open_counts[tenant] -= 1
--- a/hophinge/tenancy/fair_queue.py
+++ b/hophinge/tenancy/fair_queue.py
@@ -1,9 +1,10 @@
-"""Start-time fair queueing over a tree: of the flows with queued items, the one least ahead of its weight is first.
+"""Hierarchical start-time fair queueing: the flow whose next item has the lowest start tag is served first.
 
-Goyal, Vin and Cheng's start-time tags, with as many units outstanding as the depth allows (the SFQ(D) of Jin, Chase
-and Kaur, made for shared storage): a flow's next item starts at the later of the flow's last finish and the virtual
-time, and finishes units/weight after that. The virtual time is the start of what left last, so a flow gets no credit
-for having been idle, and the cost depends on the flows with queued items, not on those that exist.
+It uses the start-time tags of Goyal, Vin and Cheng, with as many units outstanding as a depth allows: the SFQ(D) that
+Jin, Chase and Kaur made for shared storage. The start tag of a flow's next item is the later of the flow's last finish
+tag and the virtual time; its finish tag is units/weight after that. The virtual time is the start tag of the last item
+that left. A flow therefore gets no credit for idle time, and the cost depends on the number of flows with queued items,
+not on the number of all flows.
 """
 
 from __future__ import annotations
@@ -12,21 +13,21 @@
 import itertools
 from typing import Generic, TypeVar
 
-MAX_REMOVED_ENTRIES = 16  # removed items that a leaf's queue may keep until their turn comes
-MIN_FLOWS_TO_SWEEP = 64  # flows of a level below which idle ones are not dropped
-IDLE_FLOWS_RATIO = 4  # flows for each one with queued items, above which idle ones are dropped
+MAX_REMOVED_ENTRIES = 16  # removed items that a leaf's queue may keep before it is compacted
+MIN_FLOWS_TO_SWEEP = 64  # number of flows of a node up to which idle flows are not dropped
+IDLE_FLOWS_RATIO = 4  # flows per flow with queued items, above which idle flows are dropped
 
 Item = TypeVar("Item")
 
 
 class Flow(Generic[Item]):
-    """One child of a node: its weight and tags; `queue` holds a leaf's items by priority, then by age."""
+    """A child of a node: its weight and tags; at a leaf, `queue` holds the items by priority, then by age."""
 
     __slots__ = ("finish_tag", "node", "queue", "start_tag", "queued_items", "weight")
 
     def __init__(self, weight: float, node: Node[Item] | None) -> None:
         self.weight = weight
-        self.node = node  # the level below; None at a leaf
+        self.node = node  # the next lower level; None at a leaf
         self.start_tag = 0.0  # of the first queued item, in virtual time
         self.finish_tag = 0.0  # of the last item that left
         self.queued_items = 0
@@ -34,19 +35,19 @@
 
 
 class QueueEntry(Generic[Item]):
-    """A queued item; one that is removed is skipped when its turn comes."""
+    """A queued item; a removed one is skipped when it reaches the front."""
 
     __slots__ = ("is_removed", "item", "path", "units")
 
     def __init__(self, item: Item, units: float, path: tuple[Flow[Item], ...]) -> None:
         self.item = item
         self.units = units
-        self.path = path  # its flows, from the root to the leaf
+        self.path = path  # the flows from the root to the leaf
         self.is_removed = False
 
 
 class Node(Generic[Item]):
-    """A level of the tree: its flows by key, and a heap of those with queued items by their start tag."""
+    """An inner node of the tree: its flows by key, and a heap by start tag of the flows with queued items."""
 
     __slots__ = ("_count", "active", "flows", "virtual_time")
 
@@ -57,7 +58,7 @@
         self._count = itertools.count()
 
     def flow(self, key: str, weight: float, inner: bool) -> Flow[Item]:
-        """Return a child, created where it is new; a changed weight counts from its next item on."""
+        """Return a child, creating it if needed; a changed weight applies from its next charged item on."""
         flow = self.flows.get(key)
         if flow is None:
             if len(self.flows) > MIN_FLOWS_TO_SWEEP and len(self.flows) > IDLE_FLOWS_RATIO * len(self.active):
@@ -67,18 +68,18 @@
         return flow
 
     def _drop_idle_flows(self) -> None:
-        """Drop flows that would start at the virtual time anyway, as new ones do."""
+        """Drop idle flows whose next item would start at the virtual time, as that of a new flow does."""
         self.flows = {
             key: flow for key, flow in self.flows.items() if flow.queued_items or flow.finish_tag > self.virtual_time
         }
 
     def activate(self, flow: Flow[Item]) -> None:
-        """Add a flow that had no queued item to the heap."""
+        """Add a flow to the heap that had no queued items until now."""
         flow.start_tag = max(self.virtual_time, flow.finish_tag)
         heapq.heappush(self.active, (flow.start_tag, next(self._count), flow))
 
     def next_flow(self) -> Flow[Item] | None:
-        """Return the flow whose turn it is; flows without queued items leave the heap here."""
+        """Return the flow to serve next, None if there is none; drops flows without queued items from the heap."""
         while self.active:
             start, _, flow = self.active[0]
             if flow.queued_items and start == flow.start_tag:
@@ -87,7 +88,7 @@
         return None
 
     def charge(self, flow: Flow[Item], units: float) -> None:
-        """Charge the first flow for an item that leaves."""
+        """Charge the first flow of the heap for an item that leaves."""
         heapq.heappop(self.active)
         self.virtual_time = flow.start_tag
         flow.finish_tag = flow.start_tag + units / flow.weight
@@ -97,7 +98,7 @@
 
 
 class FairQueue(Generic[Item]):
-    """Two levels, tenants and their volumes, and a queue by priority in each volume."""
+    """A fair queue with two levels, tenants and their volumes, and a priority queue for each volume."""
 
     def __init__(self) -> None:
         self.root: Node[Item] = Node()
@@ -114,7 +115,7 @@
         volume_weight: float,
         priority: float,
     ) -> QueueEntry[Item]:
-        """Add an item; weights and units are above 0."""
+        """Add an item; weights and units must be greater than 0."""
         outer = self.root.flow(tenant, tenant_weight, True)
         assert outer.node is not None
         inner = outer.node.flow(volume, volume_weight, False)
@@ -128,18 +129,18 @@
         return entry
 
     def reset_if_empty(self) -> None:
-        """Forget all tags where nothing is queued; its caller knows that nothing is in flight either."""
+        """Discard all flows and tags if nothing is queued; to be called only when nothing is in flight either."""
         if not self.queued_items:
             self.root = Node()
 
     def remove(self, entry: QueueEntry[Item]) -> None:
-        """Remove an item that is queued no longer; one that has left already is ignored."""
+        """Remove a queued item; ignored if it has already left."""
         if entry.is_removed:
             return
         self._detach(entry)
         leaf = entry.path[-1]
         if len(leaf.queue) > 2 * leaf.queued_items + MAX_REMOVED_ENTRIES:
-            # Where no item ever gets its turn, removed ones would pile up behind it.
+            # Removed items would accumulate without bound if the first item never left.
             leaf.queue = [row for row in leaf.queue if not row[2].is_removed]
             heapq.heapify(leaf.queue)
 
@@ -150,7 +151,7 @@
             flow.queued_items -= 1
 
     def peek(self) -> QueueEntry[Item] | None:
-        """Return the entry whose turn it is, or None where nothing is queued."""
+        """Return the entry to serve next, or None if nothing is queued."""
         outer = self.root.next_flow()
         if outer is None or outer.node is None:
             return None
@@ -161,7 +162,7 @@
         return inner.queue[0][2]
 
     def pop(self) -> QueueEntry[Item] | None:
-        """Remove the entry whose turn it is, charge its flows, and return it."""
+        """Remove the entry to serve next, charge its flows, and return it; None if nothing is queued."""
         entry = self.peek()
         if entry is None:
             return None
