--- a/hophinge/tenancy/lifecycle.py
+++ b/hophinge/tenancy/lifecycle.py
@@ -1,7 +1,7 @@
-"""The lifecycle of a tenant: active, suspended, closing, closed; and the steps by which a closing tenant is purged.
+"""The lifecycle of a tenant (active, suspended, closing, closed) and the steps that purge a closing tenant.
 
-A state machine without clock or disk. Its caller stores each step before the next one, so that a purge that was cut off
-continues from what is stored.
+A state machine without a clock or I/O. The caller stores each step before the next one, so that an interrupted purge
+continues from the stored state.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 
 from msgspec import Struct
 
-PURGE_BATCH_ROWS = 500  # that one step removes
+PURGE_BATCH_ROWS = 500  # maximum number of rows that one step removes
 
 
 class TenantState(Enum):
     """The state of a tenant."""
 
     ACTIVE = "active"
-    SUSPENDED = "suspended"  # nothing of it is served; all of it is kept
-    CLOSING = "closing"  # the same, and it is being removed: there is no way back
-    CLOSED = "closed"  # nothing is left; its name may be used anew
+    SUSPENDED = "suspended"  # its requests are rejected; all of its data is kept
+    CLOSING = "closing"  # its requests are rejected and it is being purged; this is irreversible
+    CLOSED = "closed"  # the purge has ended; the name may be used again
 
 
 class TenantAction(Enum):
@@ -28,7 +28,7 @@
     SUSPEND = "suspend"
     RESUME = "resume"
     CLOSE = "close"
-    PURGED = "purged"  # by the purge alone, at its end
+    PURGED = "purged"  # used only by the purge, when it has ended
 
 
 TRANSITIONS = {
@@ -44,12 +44,12 @@
 
 
 def next_state(state: TenantState, action: TenantAction) -> TenantState | None:
-    """Return the state after an action; None where the action is not allowed."""
+    """Return the state after an action; None if the action is not allowed in this state."""
     return TRANSITIONS.get((state, action))
 
 
 class RevokeKeys(Struct, frozen=True):
-    """Remove these keys; none is valid from the moment the tenant was closing, whether removed or not."""
+    """Remove these keys; none of them has been valid since the tenant began closing."""
 
     keys: tuple[str, ...]
 
@@ -59,20 +59,20 @@
 
 
 class RemoveBuckets(Struct, frozen=True):
-    """Remove these buckets; their volumes' ids are never used again."""
+    """Remove these buckets; the ids of their volumes are never used again."""
 
     buckets: tuple[str, ...]
 
 
 class PurgeComplete(Struct, frozen=True):
-    """Nothing is left."""
+    """Nothing is left to purge."""
 
 
 PurgeStep = RevokeKeys | AbortUploads | RemoveBuckets | PurgeComplete
 
 
 def next_purge_step(keys: list[str], open_uploads: int, buckets: list[str]) -> PurgeStep:
-    """Return the next step for a closing tenant, by what is left of it: keys first, then uploads, then buckets."""
+    """Return the next purge step of a closing tenant: its remaining keys first, then uploads, then buckets."""
     if keys:
         return RevokeKeys(tuple(sorted(keys)[:PURGE_BATCH_ROWS]))
     if open_uploads:
--- a/hophinge/tenancy/reserve.py
+++ b/hophinge/tenancy/reserve.py
@@ -1,24 +1,25 @@
-"""Reserved rates: a tenant's, and within it those of its volumes; what one volume does not use another may borrow.
+"""Reserved rates of a tenant and, within it, of its volumes; a volume may borrow what the others do not use.
 
-Two buckets are charged for each reserved request: its volume's, which is its right, and its tenant's, which is the sum.
-A volume beyond its own right may borrow while its tenant's bucket holds the units. A volume that returns for its right
-gets it at once, and drives the tenant's bucket below 0: then nobody borrows until what was lent has come back. It goes
-no lower than its depth, so that a tenant whose volumes' rights add up to more than its own gets no more than its own.
+A request within its volume's reserve is charged to two buckets: the volume's and the tenant's. A volume beyond its own
+reserve may borrow: its request is charged only to the tenant's bucket, which must hold the units. A volume that becomes
+active again gets its own reserve at once, even if the units were lent. The tenant's bucket then becomes negative, and
+no volume can borrow until it has been refilled. Its level never falls below minus its depth, so that a tenant whose
+volumes' reserves add up to more than its own reserve gets no more than its own.
 
-What a volume borrowed is an outstanding loan until the tenant's bucket has been refilled by as much: a refill repays
-the oldest loan first, and a full bucket has no loans. Loans tell operators who lives on whose rights; they take no
-right away, as what nobody else wanted was nobody's loss.
+Borrowed units are an outstanding loan until the tenant's bucket has been refilled by as many. A refill repays the
+oldest loan first, and a full bucket has no loans. Loans show operators which volumes use the reserves of others. They
+do not reduce a volume's reserve, because a volume can only borrow units that no other volume had requested.
 """
 
 from __future__ import annotations
 
 from hophinge.tenancy.token_bucket import TokenBucket
 
-VOLUMES_BETWEEN_SWEEPS = 64  # new volumes between searches for full buckets, which need not be remembered
+VOLUMES_BETWEEN_SWEEPS = 64  # new volumes between searches for full buckets, which need not be kept
 
 
 class Reserve:
-    """One tenant's reserve and its volumes'."""
+    """The reserve of one tenant and those of its volumes."""
 
     __slots__ = ("borrowed_units", "burst_s", "lent_units", "outstanding_loans", "returned_units", "total", "volumes")
 
@@ -26,8 +27,8 @@
         self.burst_s = burst_s
         self.total = TokenBucket(rate, self._depth(rate, min_depth), now_us)
         self.volumes: dict[str, TokenBucket] = {}
-        self.borrowed_units: dict[str, float] = {}  # by volume, since it was first seen
-        self.outstanding_loans: dict[str, float] = {}  # units by volume, the oldest first
+        self.borrowed_units: dict[str, float] = {}  # by volume, since its bucket was created
+        self.outstanding_loans: dict[str, float] = {}  # units by volume, oldest loan first
         self.lent_units = 0.0
         self.returned_units = 0.0
 
@@ -35,11 +36,11 @@
         return max(rate * self.burst_s, min_depth) if rate else 0.0
 
     def set_rate(self, rate: float, min_depth: float, now_us: int) -> None:
-        """Change the tenant's rate, in units a second."""
+        """Change the tenant's rate, in units/s."""
         self.total.set_rate(rate, self._depth(rate, min_depth), now_us)
 
     def take(self, volume: str, rate: float, min_depth: float, units: float, now_us: int) -> bool:
-        """Take units of a volume, whose own rate is given; False: neither its right nor a loan covers them."""
+        """Take units for a volume with its own `rate`; False: neither the volume's reserve nor a loan covers them."""
         depth = self._depth(rate, min_depth)
         own = self.volumes.get(volume)
         if own is None:
@@ -61,7 +62,7 @@
         return False
 
     def fill(self, now_us: int) -> float:
-        """Refill the tenant's bucket, repay loans by the refill, and return the bucket's level."""
+        """Refill the tenant's bucket, repay loans with the refill, and return the level of the bucket."""
         before = self.total.level
         total = self.total.fill(now_us)
         if self.outstanding_loans:
@@ -86,7 +87,7 @@
         return dict(self.outstanding_loans)
 
     def _drop_full_buckets(self, now_us: int) -> None:
-        """Drop volumes whose bucket is full, as a new one's would be, once they are many."""
+        """Drop volumes with a full bucket once there are many volumes; a new bucket is full too."""
         if len(self.volumes) > VOLUMES_BETWEEN_SWEEPS and len(self.volumes) % VOLUMES_BETWEEN_SWEEPS == 0:
             self.volumes = {name: bucket for name, bucket in self.volumes.items() if bucket.fill(now_us) < bucket.depth}
             self.borrowed_units = {name: units for name, units in self.borrowed_units.items() if name in self.volumes}
--- a/hophinge/tenancy/share_allocator.py
+++ b/hophinge/tenancy/share_allocator.py
@@ -1,4 +1,4 @@
-"""The control service's decisions on shares: demand as heads report it, a plan for it, and what of that is leased."""
+"""Allocation of reserve shares to heads by the control service: collects demand, plans shares and leases them."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from hophinge.tenancy.share_leases import ShareLease, ShareLeaseIssuer
 from hophinge.tenancy.share_planner import DemandEstimate, plan_shares
 
-PLAN_INTERVAL_US = 1_000_000  # between plans
+PLAN_INTERVAL_US = 1_000_000  # minimum time between plans
 
 
 class LeaseRequest(Struct, frozen=True):
-    """A head's request for its shares."""
+    """A head's request for a lease of its shares."""
 
     head: str
-    head_count: int  # heads of the installation, as it counts them
-    process: int  # a number that no other process of the head has
+    head_count: int  # number of heads of the installation, as this head knows it
+    process: int  # a number that is unique among the processes of this head
     request_number: int
-    current_serial: int  # of the lease that it has; 0: none
-    demand: Mapping[str, float]  # units a second by tenant, since its last request
+    current_serial: int  # of the lease that the head has; 0: none
+    demand: Mapping[str, float]  # units/s by tenant, since the head's last request
 
 
 class ShareAllocator:
-    """One installation's shares; `next_serial` returns a number above any that was used by a lease."""
+    """The shares of one installation; `next_serial` returns a number above the serial of any earlier lease."""
 
     def __init__(self, next_serial: Callable[[], int], log: Callable[[str], None]) -> None:
         self.next_serial = next_serial
         self.log = log
         self.issuer: ShareLeaseIssuer | None = None
         self.demand = DemandEstimate()
-        self.planned_shares: dict[str, dict[str, float]] = {}  # by tenant and head
+        self.planned_shares: dict[str, dict[str, float]] = {}  # fractions of a reserve, by tenant and head
         self.planned_at_us = 0
 
     def answer(
@@ -47,12 +47,12 @@
         Args:
             now_us: The service's monotonic clock.
             request: The head's request.
-            reserves: Units a second by tenant.
-            capacity: Of one head, in units a second; 0: not known.
+            reserves: Reserves in units/s by tenant.
+            capacity: Capacity of one head in units/s; 0: unknown.
             connected_heads: Names of the heads that are connected.
 
         Returns:
-            A lease; None where nothing may be granted yet, or the head is not connected.
+            A lease; None if nothing may be granted yet or the head is not connected.
 
         """
         if request.head_count < 1 or request.head not in connected_heads:
@@ -70,27 +70,27 @@
         )
 
     def _issuer_for(self, now_us: int, request: LeaseRequest) -> ShareLeaseIssuer:
-        """Return the issuer for the count of heads of a request; a new one where that has changed."""
+        """Return the issuer for the head count of a request; a new issuer if the head count has changed."""
         if self.issuer is None or self.issuer.head_count != request.head_count:
             if self.issuer is not None:
                 self.log(
-                    f"{request.head} counts {request.head_count} heads, "
-                    f"another {self.issuer.head_count}: shares begin anew"
+                    f"{request.head} reports {request.head_count} heads, "
+                    f"but {self.issuer.head_count} were reported before: leases of shares start over"
                 )
-            # Also where the count has changed: what was granted under another one must have ended first.
+            # A new issuer grants nothing until all high shares that were granted for another head count have ended.
             self.issuer = ShareLeaseIssuer(request.head_count, self.next_serial(), now_us)
         return self.issuer
 
     def _plan(
         self, reserves: Mapping[str, float], capacity: float, connected_heads: Collection[str], head_count: int
     ) -> dict[str, dict[str, float]]:
-        """Plan over the connected heads; a plan that fails leaves each head its even share."""
+        """Plan shares for the connected heads; if planning fails, each head keeps its even share."""
         capacities = dict.fromkeys(connected_heads, capacity or sum(reserves.values()) or 1.0)
         try:
             planned = plan_shares(reserves, capacities, self.demand.rates)
         except ValueError as error:
-            self.log(f"shares stay even: {error}")
+            self.log(f"no plan for shares, so that heads keep even shares: {error}")
             return {}
-        # Heads that are away keep their even shares, which the issuer sees to; the rest is planned among the others.
+        # The issuer leaves disconnected heads their even shares; the plan divides the rest among the others.
         scale = len(connected_heads) / max(head_count, len(connected_heads))
         return {tenant: {head: share * scale for head, share in shares.items()} for tenant, shares in planned.items()}
--- a/hophinge/tenancy/share_leases.py
+++ b/hophinge/tenancy/share_leases.py
@@ -1,18 +1,22 @@
-"""Shares of a reserve between heads that cannot talk to each other: leases, and why their sum never passes the reserve.
+"""Leases that divide a reserve between heads which do not communicate; their shares never add up to more than one.
 
-A share is a fraction of a tenant's reserve. Without a lease a head has its even share, so the shares add up to one. A
-head may have more only while others are bound to have less, and that is arranged by clocks that err on the safe side:
+A share is a fraction of a tenant's reserve. Without a lease, each head has an even share, and these add up to one. A
+head may have a higher share only while leases bind other heads to lower ones. The terms of leases are measured so that
+any delay is on the safe side:
 
-- A share below the even one holds for `LOW_SHARE_TERM_US` from when the head **received** it: the issuer, who sent it
-  before, counts on it for that long from the **sending**, once the head has acknowledged it.
-- A share above it holds for `HIGH_SHARE_TERM_US` from when the head **requested** it, which was before the issuer sent
-  it: the issuer counts on its end that long after the sending.
+- A share below the even share (a low share) is in force for `LOW_SHARE_TERM_US` from when the head **received** it. The
+  issuer relies on it for that long from when it **sent** it, which was earlier, and only once the head has acknowledged
+  it.
+- A share above the even share (a high share) is in force for `HIGH_SHARE_TERM_US` from when the head **requested** it.
+  The issuer assumes that it ends that long after it **sent** it, which was later.
 
-So what is lost, late or doubled can only shorten a high share and lengthen a low one. Terms are measured by each side's
-own monotonic clock; `MAX_CLOCK_DRIFT` covers that they run at different speeds. The issuer grants a head no more than
-one less what all others may have, at the worst, while the grant can last. A head that has just started does not know
-whether it was bound: it has nothing until a lease says so, or until any such lease has ended. An issuer that has just
-started does not know what was granted: it grants nothing until any high share has ended.
+Lost, delayed or duplicated messages can therefore only shorten a high share and lengthen a low one. Each side measures
+terms by its own monotonic clock; `MAX_CLOCK_DRIFT` allows for clocks that run at different speeds. The issuer grants a
+head at most one minus the largest shares that all other heads may have while the grant can last.
+
+A head that has just started does not know whether an earlier process was bound to low shares. It uses a share of 0
+until it receives a lease, or until any earlier lease has ended. An issuer that has just started does not know which
+shares were granted. It grants nothing until all high shares have ended.
 """
 
 from __future__ import annotations
@@ -22,47 +26,47 @@
 
 from msgspec import Struct, field
 
-LOW_SHARE_TERM_US = 30_000_000  # what gives holds longer than what takes, or nothing could be renewed
+LOW_SHARE_TERM_US = 30_000_000  # must exceed the term of high shares, or those could not be renewed
 HIGH_SHARE_TERM_US = 10_000_000
-MAX_CLOCK_DRIFT = 0.01  # fraction by which two monotonic clocks may differ in speed
-MAX_HIGH_SHARE_TERM_US = int(HIGH_SHARE_TERM_US * (1 + MAX_CLOCK_DRIFT)) + 1  # by one's own clock
+MAX_CLOCK_DRIFT = 0.01  # fraction by which the speeds of two monotonic clocks may differ
+MAX_HIGH_SHARE_TERM_US = int(HIGH_SHARE_TERM_US * (1 + MAX_CLOCK_DRIFT)) + 1  # by the issuer's clock
 MIN_LOW_SHARE_TERM_US = int(LOW_SHARE_TERM_US * (1 - MAX_CLOCK_DRIFT))
-MAX_OPEN_REQUESTS = 16  # remembered by a head; an answer to an older one comes too late to be worth accepting
+MAX_OPEN_REQUESTS = 16  # requests that a head keeps; a lease that answers an older request is rejected
 
 
 class ShareLease(Struct, frozen=True):
-    """A lease of shares to one head, as the issuer sends it (JSON)."""
+    """A lease of shares to one head, which the issuer sends as JSON."""
 
-    serial: int  # rises with each lease
-    process: int  # of the head, that requested it
-    request_number: int = field(name="asked")  # of the request that it answers
-    shares: Mapping[str, float]  # fraction of the reserve by tenant; without an entry: the even share
+    serial: int  # increases with each lease
+    process: int  # number of the head's process that requested it
+    request_number: int = field(name="asked")  # of the request that this lease answers
+    shares: Mapping[str, float]  # fraction of the reserve by tenant; the even share for tenants without an entry
 
 
 class LeaseRequestHeader(NamedTuple):
-    """What a head sends with a request for a lease."""
+    """The part of a lease request that identifies the request and acknowledges the current lease."""
 
     request_number: int
     current_serial: int  # of the lease that the head has; 0: none
 
 
 class ShareLeaseHolder:
-    """One head's side; `process` is a number that no other process of this head has."""
+    """The side of one head; `process` is a number that is unique among the processes of this head."""
 
     def __init__(self, head_count: int, process: int, now_us: int) -> None:
         self.even_share = 1.0 / head_count
         self.process = process
-        self.unbound_after_us = now_us + LOW_SHARE_TERM_US + 1  # by then a lease to an earlier process has ended
-        self.sent_requests: dict[int, int] = {}  # by number: when each was sent
+        self.unbound_after_us = now_us + LOW_SHARE_TERM_US + 1  # by then any lease to an earlier process has ended
+        self.sent_requests: dict[int, int] = {}  # time of sending by request number
         self.request_number = 0
         self.serial = 0
         self.shares: Mapping[str, float] = {}
         self.low_shares_end_us = 0
         self.high_shares_end_us = 0
-        self.stale_leases = 0  # leases that came too late, twice or for another process
+        self.stale_leases = 0  # leases that were late, duplicated or for another process
 
     def next_request(self, now_us: int) -> LeaseRequestHeader:
-        """Return what to send with a request now."""
+        """Return the header of a request that is sent now."""
         self.request_number += 1
         self.sent_requests[self.request_number] = now_us
         while len(self.sent_requests) > MAX_OPEN_REQUESTS:
@@ -70,7 +74,7 @@
         return LeaseRequestHeader(self.request_number, self.serial)
 
     def accept(self, now_us: int, lease: ShareLease) -> bool:
-        """Put a lease in force; False: it is older than the one in force, or answers a request that was dropped."""
+        """Put a lease in force; False: it is stale, for another process, or answers a request that was dropped."""
         sent_us = self.sent_requests.get(lease.request_number)
         if lease.process != self.process or lease.serial <= self.serial or sent_us is None:
             self.stale_leases += 1
@@ -82,18 +86,18 @@
         return True
 
     def share(self, tenant: str, now_us: int) -> float:
-        """Return this head's fraction of a tenant's reserve now."""
+        """Return this head's current fraction of a tenant's reserve."""
         share = self.shares.get(tenant)
         if share is not None:
             end_us = self.low_shares_end_us if share < self.even_share else self.high_shares_end_us
             if now_us < end_us:
                 return share
-        # A lease that leaves a tenant out means the even share; a head that never had a lease waits.
+        # Tenants without an entry have the even share. A head without any lease must wait for earlier leases to end.
         return self.even_share if self.serial or now_us >= self.unbound_after_us else 0.0
 
 
 class GrantedShares(Struct):
-    """A lease that may be in force at a head, as the issuer knows it."""
+    """The issuer's record of a lease that may be in force at a head."""
 
     serial: int
     shares: Mapping[str, float]
@@ -101,13 +105,16 @@
 
 
 class ShareLeaseIssuer:
-    """The control service's side, for all heads of an installation; `serial` is above any that was ever used."""
+    """The side of the control service, for all heads of an installation.
+
+    `serial` must be at least the serial of every earlier lease.
+    """
 
     def __init__(self, head_count: int, serial: int, now_us: int) -> None:
         self.head_count = head_count
         self.even_share = 1.0 / head_count
         self.serial = serial
-        self.grants: dict[str, list[GrantedShares]] = {}  # by head, the oldest first
+        self.grants: dict[str, list[GrantedShares]] = {}  # by head, oldest first
         self.acknowledged_serials: dict[str, int] = {}  # by head
         self.processes: dict[str, int] = {}  # by head
         self.replaced_processes: set[tuple[str, int]] = set()  # head and process
@@ -122,24 +129,24 @@
         current_serial: int,
         desired: Mapping[str, float],
     ) -> ShareLease | None:
-        """Answer a head's request with what is safe of the desired shares.
+        """Answer a head's request with the desired shares, as far as they are safe to grant.
 
         Args:
             now_us: The issuer's monotonic clock.
             head: The head's name.
             process: The number of the head's process.
-            request_number: Of the request, returned in the lease.
+            request_number: Number of the request; returned in the lease.
             current_serial: The serial of the lease that the head has, which this acknowledges; 0: none.
-            desired: Fractions of reserves by tenant.
+            desired: Desired fractions of the reserves, by tenant.
 
         Returns:
-            The lease; None where nothing can be granted yet, or the process was replaced by another one.
+            The lease; None if nothing can be granted yet or the process was replaced by another one.
 
         """
         if (head, process) in self.replaced_processes:
             return None
         if self.processes.setdefault(head, process) != process:
-            # What bound the earlier process has ended with it; what it was granted may not have.
+            # Low shares no longer bind the head after a restart, but the high shares of its grants may still be in use.
             self.replaced_processes.add((head, self.processes[head]))
             self.processes[head] = process
             self.acknowledged_serials[head] = 0
@@ -153,9 +160,9 @@
         return ShareLease(self.serial, process, request_number, shares)
 
     def _safe_shares(self, now_us: int, head: str, desired: Mapping[str, float]) -> dict[str, float]:
-        """Return the desired shares as far as no other head may have them; even shares are left out."""
+        """Return the desired shares, limited to what no other head may have; even shares are left out."""
         others = [other for other in self.processes if other != head]
-        # A head that never sent a request has its even share.
+        # A head that never sent a request counts with its even share.
         silent_heads_share = max(0, self.head_count - len(others) - 1) * self.even_share
         tenants = {tenant for grants in self.grants.values() for grant in grants for tenant in grant.shares}
         shares: dict[str, float] = {}
@@ -167,7 +174,7 @@
         return shares
 
     def _drop_ended_grants(self, now_us: int, head: str) -> None:
-        """Drop grants that the head has replaced, and those whose high shares have ended."""
+        """Drop grants older than the acknowledged one, and unacknowledged ones whose high shares have ended."""
         acknowledged = self.acknowledged_serials.get(head, 0)
         self.grants[head] = [
             grant
@@ -183,7 +190,7 @@
         for grant in self.grants.get(head, ()):
             share = grant.shares.get(tenant, self.even_share)
             if share < self.even_share:
-                # Once it is acknowledged the head has this or a later one until it ends.
+                # The head is bound by an acknowledged lease, or a later one, until the term of the low share ends.
                 is_acknowledged = grant.serial == self.acknowledged_serials.get(head)
                 outlasts = grant.sent_us + MIN_LOW_SHARE_TERM_US >= now_us + MAX_HIGH_SHARE_TERM_US
                 is_bound |= is_acknowledged and outlasts
@@ -193,5 +200,5 @@
         return max_share if is_bound else max(max_share, self.even_share)
 
     def known_heads(self) -> Iterable[str]:
-        """Return the heads that ever sent a request."""
+        """Return the heads that have sent a request to this issuer."""
         return self.processes.keys()
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -82,7 +82,7 @@
             with pytest.raises(
                 ConnectionError,
                 match=r"with 2 heads the tenants' reserves add up to 120 units/s; the "
-                r"heads do 100: lower reserves by 20",
+                r"heads serve only 100: lower reserves by 20",
             ):
                 await here.push(GOOD + spare + tenant.format(120))
             await here.push(GOOD + spare + tenant.format(40))
