--- a/tests/routes.py
+++ b/tests/routes.py
@@ -1,4 +1,4 @@
-"""Settings, backends, tables and routers for tests of routing."""
+"""Builders of settings, backends, routing tables and routers for the routing tests."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from tests.test_choice import MS, SAFE, SETTINGS, T0
 
 S = 1_000_000
-NAMED = replace(
+NAMED_SETTINGS = replace(
     SETTINGS,
     zones=("hall-a", "hall-b"),
     kinds=("std",),
-    classes=tuple(replace(klass, name=f"class-{at}") for at, klass in enumerate(SETTINGS.classes)),
-    plans=tuple(replace(plan, name=f"plan-{at}") for at, plan in enumerate(SETTINGS.plans)),
+    classes=tuple(replace(klass, name=f"class-{index}") for index, klass in enumerate(SETTINGS.classes)),
+    plans=tuple(replace(plan, name=f"plan-{index}") for index, plan in enumerate(SETTINGS.plans)),
 )
-FACTS = HeadCapabilities.from_settings(NAMED)
+CAPABILITIES = HeadCapabilities.from_settings(NAMED_SETTINGS)
 
 
-def backend(number: int, zone: int, phase: Phase = Phase.ON, shard: int | None = None) -> NodeEntry:
+def node_entry(number: int, zone: int, phase: Phase = Phase.ON, shard: int | None = None) -> NodeEntry:
     return NodeEntry(f"n{number}", zone, number if shard is None else shard, phase, 1.0, 0)
 
 
-def table(
+def make_table(
     text: str,
     version: tuple[int, int] = (1, 1),
-    of: RoutingTable = EMPTY_TABLE,
-    before: dict[str, Record] | None = None,
+    base: RoutingTable = EMPTY_TABLE,
+    previous: dict[str, Record] | None = None,
 ) -> RoutingTable:
     document = read_document(("(hophinge 1)" + text).encode())
     assert document.mistake_lines("f") == []
-    gone: dict[str, Record | None] = dict.fromkeys((before or {}).keys() - document.records.keys())
-    assert validate(document.records, document.records, FACTS) == []
-    return of.with_changes(version, {**document.records, **gone}, before or {})
+    removed: dict[str, Record | None] = dict.fromkeys((previous or {}).keys() - document.records.keys())
+    assert validate(document.records, document.records, CAPABILITIES) == []
+    return base.with_changes(version, {**document.records, **removed}, previous or {})
 
 
-def ask(
+def make_arrival(
     name: str,
     tenant: str = "",
     shard: int = -1,
@@ -52,17 +52,17 @@
     return Arrival(name, units, tenant or volume, klass, shard, 1, name, 2000 * MS, klass != SAFE, 0)
 
 
-def router(text: str, *entries: NodeEntry) -> Router:
-    made = Router(NAMED)
-    made.find_owner = lambda volume: volume if volume in ("alba", "other") else ""
-    made.nodes(T0, NodeList(ListKind.FULL, entries or tuple(backend(at, at // 3) for at in range(6))))
-    made.activate(table(text), T0)
-    return made
+def make_router(text: str, *entries: NodeEntry) -> Router:
+    router = Router(NAMED_SETTINGS)
+    router.find_owner = lambda volume: volume if volume in ("alba", "other") else ""
+    router.nodes(T0, NodeList(ListKind.FULL, entries or tuple(node_entry(index, index // 3) for index in range(6))))
+    router.activate(make_table(text), T0)
+    return router
 
 
-def within(bounds: Bounds | WaitAtGate | int, shard: int = -1) -> set[str]:
+def allowed_backends(bounds: Bounds | WaitAtGate | int, shard: int = -1) -> set[str]:
     assert isinstance(bounds, AdmittedRequest)
-    return {f"n{at}" for at in range(12) if bounds.allows(f"n{at}", shard)}
+    return {f"n{index}" for index in range(12) if bounds.allows(f"n{index}", shard)}
 
 
 POOLS = "(pool a (zones hall-a) (at-least 2 bricks)) (pool b (zones hall-b))"
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -1,4 +1,4 @@
-"""The service document: each mistake with its place, all of a file at once, and nothing that hangs or breaks."""
+"""Tests of the service document: mistakes are reported at once with positions, and no input hangs or raises."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from hophinge.routing.quantities import EXAMPLES, UNITS, QuantityError, parse_quantity, format_quantity
 
 EXAMPLE = (Path(__file__).parent.parent / "examples" / "service.sexp").read_bytes()
-HEAD = "(hophinge 1)\n"
+HEADER = "(hophinge 1)\n"
 
 
-def lines(text: str) -> list[str]:
-    return read_document((HEAD + text).encode()).mistake_lines("f")
+def mistake_lines(text: str) -> list[str]:
+    return read_document((HEADER + text).encode()).mistake_lines("f")
 
 
 def test_example_has_every_form_and_no_mistake() -> None:
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "position", "words"),
+    ("text", "position", "expected"),
     [
         ("(limit (rate 120))", "2:14", "120 has no unit; write it like 120 units/s"),
         ("(limit (rate 120 ms))", "2:14", "ms is a unit of time, but rate is expected"),
@@ -81,15 +81,15 @@
         ('(pool a (zones "hall))', "2:16", "does not end on its line"),
     ],
 )
-def test_mistake_is_reported_with_position_and_advice(text: str, position: str, words: str) -> None:
-    told = lines(text)
-    assert len(told) == 1, told
-    assert told[0].startswith(f"f:{position}: ") and words in told[0], told
+def test_mistake_is_reported_with_position_and_advice(text: str, position: str, expected: str) -> None:
+    mistakes = mistake_lines(text)
+    assert len(mistakes) == 1, mistakes
+    assert mistakes[0].startswith(f"f:{position}: ") and expected in mistakes[0], mistakes
 
 
 def test_all_mistakes_are_reported_at_once_in_order() -> None:
-    told = lines("(limit (rate 1))\n(pool a (zones x)))\n(shard)\n(retries (budget 200 %))\n(plan b")
-    assert [line.split(":")[1] for line in told] == ["2", "3", "4", "5", "6"]
+    mistakes = mistake_lines("(limit (rate 1))\n(pool a (zones x)))\n(shard)\n(retries (budget 200 %))\n(plan b")
+    assert [line.split(":")[1] for line in mistakes] == ["2", "3", "4", "5", "6"]
 
 
 def test_unsupported_version_and_empty_file() -> None:
@@ -99,36 +99,36 @@
 
 
 def test_invalid_utf_8_and_unclosed_brackets() -> None:
-    told = read_document(b"(hophinge 1)\n(pool \xff)").mistake_lines("f")
-    assert told == ["f:2:7: byte 0xff is not valid UTF-8; save the file as UTF-8"]
-    since = time.perf_counter()
-    told = read_document(b"(" * 10_000_000).mistake_lines("f")
-    assert len(told) == 1 and told[0].startswith("f:1:9: brackets are nested deeper than 8")
+    mistakes = read_document(b"(hophinge 1)\n(pool \xff)").mistake_lines("f")
+    assert mistakes == ["f:2:7: byte 0xff is not valid UTF-8; save the file as UTF-8"]
+    started_at = time.perf_counter()
+    mistakes = read_document(b"(" * 10_000_000).mistake_lines("f")
+    assert len(mistakes) == 1 and mistakes[0].startswith("f:1:9: brackets are nested deeper than 8")
     assert len(read_document(b")" * 1_000_000).mistake_lines("f")) == 100
     assert "at most" in read_document(b" " * (32 * 1024 * 1024 + 1)).mistake_lines("f")[0]
-    assert time.perf_counter() - since < 10  # bounded work, whatever the size
+    assert time.perf_counter() - started_at < 10  # the work is bounded, independent of the size
 
 
 def test_truncated_file_is_reported_or_still_complete() -> None:
-    # A cut between two forms leaves a document; each other one has a mistake, and none raises.
+    # A file that is cut between two forms is a valid document; any other cut is a mistake, and none raises.
     whole = EXAMPLE.decode().splitlines(keepends=True)
     text = "".join(line for line in whole if not line.startswith(";"))
-    before = 0
+    cuts_inside_forms = 0
     for cut in range(len(text)):
         document = read_document(text[:cut].encode())
         balanced = text[:cut].count("(") == text[:cut].count(")")
-        inside = not balanced and not text[:cut].rstrip().endswith(";")
-        assert bool(document.mistake_lines("f")) >= inside, cut
-        before += inside
-    assert before > 500
+        is_inside = not balanced and not text[:cut].rstrip().endswith(";")
+        assert bool(document.mistake_lines("f")) >= is_inside, cut
+        cuts_inside_forms += is_inside
+    assert cuts_inside_forms > 500
 
 
 @given(st.text(alphabet='()"; %ab1.\\\n', max_size=60))
 def test_arbitrary_text_gives_mistakes_with_positions(text: str) -> None:
     document = read_document(text.encode())
-    rows = text.split("\n")
+    text_lines = text.split("\n")
     for mistake in document.mistakes:
-        assert 1 <= mistake.line <= len(rows) and 1 <= mistake.column <= len(rows[mistake.line - 1]) + 1
+        assert 1 <= mistake.line <= len(text_lines) and 1 <= mistake.column <= len(text_lines[mistake.line - 1]) + 1
 
 
 @given(st.binary(max_size=40))
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Leases of shares: their sum never exceeds the reserve, whatever the network does; plans by demand and capacity."""
+"""Tests of share leases (their sum never exceeds the reserve, whatever the network does) and of share plans."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class Installation:
-    """Lease holders with clocks of their own speed, one issuer, and a network that delays, loses and duplicates."""
+    """Lease holders with clocks of different speeds, an issuer, and a network that delays, loses and duplicates."""
 
     def __init__(self, heads: int, seed: int, lossy: bool = True) -> None:
         self.rng, self.lossy = random.Random(seed), lossy
         self.now = 0
-        self.names = [f"n{at}" for at in range(heads)]
+        self.names = [f"n{index}" for index in range(heads)]
         self.speed = {name: 1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2.1 for name in self.names}
         self.skew = {name: self.rng.randrange(10**9) for name in self.names}
         self.processes = itertools.count(1)
@@ -46,7 +46,7 @@
         return ShareLeaseHolder(len(self.names), next(self.processes), self.clock(name))
 
     def clock(self, name: str) -> int:
-        """A head's own steady clock; it may be hours off."""
+        """Return the time of a head's own monotonic clock, which may differ from the others by minutes."""
         return self.skew[name] + int(self.now * self.speed[name])
 
     def send(self, message: tuple[Any, ...]) -> None:
@@ -55,8 +55,8 @@
             delay = self.rng.choice([1000, 50_000, 3 * S, 15 * S, 40 * S]) if self.lossy else 1000
             heapq.heappush(self.in_transit, (self.now + delay, next(self.count), message))
 
-    def ask(self, name: str) -> None:
-        self.send(("ask", name, self.holders[name].process, *self.holders[name].next_request(self.clock(name))))
+    def request_lease(self, name: str) -> None:
+        self.send(("request", name, self.holders[name].process, *self.holders[name].next_request(self.clock(name))))
 
     def run(self, span: int, step: int = S // 2, every: int = 2 * S) -> None:
         until = self.now + span
@@ -64,19 +64,19 @@
             self.now += step
             for name in self.names:
                 if self.now % every < step and name not in self.disconnected:
-                    self.ask(name)
+                    self.request_lease(name)
             while self.in_transit and self.in_transit[0][0] <= self.now:
-                kind, name, *rest = heapq.heappop(self.in_transit)[2]
+                kind, name, *fields = heapq.heappop(self.in_transit)[2]
                 if name in self.disconnected:
                     continue
-                if kind == "ask":
-                    want = {"t": self.demand[name]} if name in self.demand else {}
-                    process, asked, held = rest
-                    lease = self.issuer.grant(self.now, name, process, asked, held, want)
+                if kind == "request":
+                    desired = {"t": self.demand[name]} if name in self.demand else {}
+                    process, request_number, current_serial = fields
+                    lease = self.issuer.grant(self.now, name, process, request_number, current_serial, desired)
                     if lease is not None:
                         self.send(("lease", name, lease))
                 else:
-                    self.holders[name].accept(self.clock(name), rest[0])
+                    self.holders[name].accept(self.clock(name), fields[0])
             total = sum(holder.share("t", self.clock(name)) for name, holder in self.holders.items())
             self.max_total = max(self.max_total, total)
             assert total <= 1 + 1e-9, (
@@ -86,27 +86,28 @@
 
 
 def test_shares_follow_demand_and_fall_back_to_even_ones_when_disconnected() -> None:
-    here = Installation(2, 1, lossy=False)
-    here.run(15 * S)
-    here.demand = {"n0": 0.9, "n1": 0.1}
-    here.run(8 * S)
-    assert here.holders["n0"].share("t", here.clock("n0")) == pytest.approx(0.9)
-    assert here.holders["n1"].share("t", here.clock("n1")) == pytest.approx(0.1)
-    here.demand = {"n0": 0.1, "n1": 0.9}
-    here.run(8 * S + HIGH_SHARE_TERM_US)
-    assert here.holders["n1"].share("t", here.clock("n1")) == pytest.approx(0.9)
-    here.disconnected = {"n0", "n1"}
-    here.run(HIGH_SHARE_TERM_US + 5 * S)
-    assert here.holders["n1"].share("t", here.clock("n1")) == 0.5  # what it took has ended first
-    assert here.holders["n0"].share("t", here.clock("n0")) == pytest.approx(0.1)
-    here.run(LOW_SHARE_TERM_US)
-    assert here.holders["n0"].share("t", here.clock("n0")) == 0.5
-    assert here.max_total > 0.99
+    installation = Installation(2, 1, lossy=False)
+    installation.run(15 * S)
+    installation.demand = {"n0": 0.9, "n1": 0.1}
+    installation.run(8 * S)
+    assert installation.holders["n0"].share("t", installation.clock("n0")) == pytest.approx(0.9)
+    assert installation.holders["n1"].share("t", installation.clock("n1")) == pytest.approx(0.1)
+    installation.demand = {"n0": 0.1, "n1": 0.9}
+    installation.run(8 * S + HIGH_SHARE_TERM_US)
+    assert installation.holders["n1"].share("t", installation.clock("n1")) == pytest.approx(0.9)
+    installation.disconnected = {"n0", "n1"}
+    installation.run(HIGH_SHARE_TERM_US + 5 * S)
+    # The high share ends before the low one.
+    assert installation.holders["n1"].share("t", installation.clock("n1")) == 0.5
+    assert installation.holders["n0"].share("t", installation.clock("n0")) == pytest.approx(0.1)
+    installation.run(LOW_SHARE_TERM_US)
+    assert installation.holders["n0"].share("t", installation.clock("n0")) == 0.5
+    assert installation.max_total > 0.99
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["run", "run", "want", "cut", "heal", "restart", "issuer"]),
+        st.sampled_from(["run", "run", "demand", "disconnect", "reconnect", "restart", "issuer"]),
         st.integers(0, 5),
         st.floats(0.0, 1.0),
     ),
@@ -117,39 +118,40 @@
 @settings(max_examples=150)
 @given(st.integers(2, 4), st.integers(0, 2**32), STEPS)
 def test_sum_of_shares_never_exceeds_the_reserve(heads: int, seed: int, steps: list[tuple[str, int, float]]) -> None:
-    here = Installation(heads, seed)
+    installation = Installation(heads, seed)
     for step, index, share in steps:
-        name = here.names[index % heads]
+        name = installation.names[index % heads]
         if step == "run":
-            here.run(int(share * 30 * S) + S)
-        elif step == "want":
-            rest = (1 - share) / max(1, heads - 1)
-            here.demand = {one: share if one == name else rest for one in here.names}
-        elif step == "cut":
-            here.disconnected.add(name)
-        elif step == "heal":
-            here.disconnected.discard(name)
-        elif step == "restart":  # a new process: no lease, no asks; its clock goes on
-            here.holders[name] = here.new_holder(name)
-        else:  # a new issuer, which knows nothing but the last serial
-            here.issuer = ShareLeaseIssuer(heads, here.issuer.serial, here.now)
-    here.disconnected = set()
-    here.run(60 * S)
+            installation.run(int(share * 30 * S) + S)
+        elif step == "demand":
+            other_share = (1 - share) / max(1, heads - 1)
+            installation.demand = {other: share if other == name else other_share for other in installation.names}
+        elif step == "disconnect":
+            installation.disconnected.add(name)
+        elif step == "reconnect":
+            installation.disconnected.discard(name)
+        elif step == "restart":  # a new process without lease or requests; its clock continues
+            installation.holders[name] = installation.new_holder(name)
+        else:  # a new issuer, which knows only the last serial
+            installation.issuer = ShareLeaseIssuer(heads, installation.issuer.serial, installation.now)
+    installation.disconnected = set()
+    installation.run(60 * S)
 
 
 def test_late_or_duplicate_lease_is_ignored() -> None:
     holder = ShareLeaseHolder(2, 7, -LOW_SHARE_TERM_US - 1)
-    asked, _ = holder.next_request(0)
-    lease = ShareLease(3, 7, asked, {"t": 0.8})
-    assert not holder.accept(0, ShareLease(2, 6, asked, {"t": 0.8})) and holder.share("t", 0) == 0.5
+    request_number, _ = holder.next_request(0)
+    lease = ShareLease(3, 7, request_number, {"t": 0.8})
+    assert not holder.accept(0, ShareLease(2, 6, request_number, {"t": 0.8})) and holder.share("t", 0) == 0.5
     assert holder.accept(HIGH_SHARE_TERM_US - 1, lease) and holder.share("t", HIGH_SHARE_TERM_US - 1) == 0.8
-    assert holder.share("t", HIGH_SHARE_TERM_US) == 0.5  # counted from the ask, however late it came
+    # The term is counted from the request, however late the lease arrived.
+    assert holder.share("t", HIGH_SHARE_TERM_US) == 0.5
     assert not holder.accept(HIGH_SHARE_TERM_US, lease) and holder.stale_leases == 2
     for _ in range(20):
         holder.next_request(HIGH_SHARE_TERM_US)
-    assert not holder.accept(HIGH_SHARE_TERM_US, ShareLease(9, 7, asked, {"t": 0.8}))
-    young = ShareLeaseHolder(2, 8, 0)
-    assert young.share("t", LOW_SHARE_TERM_US) == 0.0 and young.share("t", LOW_SHARE_TERM_US + 1) == 0.5
+    assert not holder.accept(HIGH_SHARE_TERM_US, ShareLease(9, 7, request_number, {"t": 0.8}))
+    new_holder = ShareLeaseHolder(2, 8, 0)
+    assert new_holder.share("t", LOW_SHARE_TERM_US) == 0.0 and new_holder.share("t", LOW_SHARE_TERM_US + 1) == 0.5
 
 
 # --- plans
@@ -173,20 +175,20 @@
         with pytest.raises(ValueError, match="do not fit"):
             plan_shares(reserves, capacities, demand)
         return
-    parts = plan_shares(reserves, capacities, demand)
-    for shares in parts.values():
+    planned = plan_shares(reserves, capacities, demand)
+    for shares in planned.values():
         assert sum(shares.values()) == pytest.approx(1.0) and min(shares.values()) >= -1e-9
-    if set(parts) == set(reserves):
+    if set(planned) == set(reserves):
         for head, capacity in capacities.items():
-            assert sum(reserves[name] * parts[name][head] for name in parts) <= capacity * (1 + 1e-6) + 1e-6
+            assert sum(reserves[name] * planned[name][head] for name in planned) <= capacity * (1 + 1e-6) + 1e-6
 
 
 def test_plan_follows_demand_up_to_a_head_s_capacity() -> None:
     demand = {"a": {"h1": 30.0}, "b": {"h1": 5.0, "h2": 5.0}}
-    roomy = plan_shares({"a": 40.0, "b": 40.0}, {"h1": 100.0, "h2": 100.0}, demand)
-    assert roomy["a"]["h1"] == pytest.approx(0.875) and roomy["b"]["h1"] == pytest.approx(0.5)
-    tight = plan_shares({"a": 40.0, "b": 40.0}, {"h1": 45.0, "h2": 45.0}, demand)
-    assert 40 * (tight["a"]["h1"] + tight["b"]["h1"]) == pytest.approx(45.0)
+    unconstrained = plan_shares({"a": 40.0, "b": 40.0}, {"h1": 100.0, "h2": 100.0}, demand)
+    assert unconstrained["a"]["h1"] == pytest.approx(0.875) and unconstrained["b"]["h1"] == pytest.approx(0.5)
+    constrained = plan_shares({"a": 40.0, "b": 40.0}, {"h1": 45.0, "h2": 45.0}, demand)
+    assert 40 * (constrained["a"]["h1"] + constrained["b"]["h1"]) == pytest.approx(45.0)
     assert plan_shares({"a": 40.0}, {"h1": 50.0}, {}) == {}
 
 
--- a/tests/test_tenancy_account_replication.py
+++ b/tests/test_tenancy_account_replication.py
@@ -1,4 +1,4 @@
-"""Both sides of the replication of accounts without sockets: a connection that breaks off."""
+"""Tests of account replication without sockets: both sides over a connection that breaks."""
 
 from __future__ import annotations
 
@@ -27,29 +27,30 @@
     chunk_rows, account_replication.CHUNK_ROWS = account_replication.CHUNK_ROWS, 4
     try:
         with tempfile.TemporaryDirectory() as folder:
-            ledger, copy = Ledger(Path(folder) / "a.db"), Ledger(Path(folder) / "b.db")
-            receiver, sender = AccountReceiver(copy.epoch, copy.seq), None
+            ledger, replica = Ledger(Path(folder) / "a.db"), Ledger(Path(folder) / "b.db")
+            receiver, sender = AccountReceiver(replica.epoch, replica.seq), None
 
-            def state(one: Ledger) -> dict[tuple[str, str], bytes | None]:
-                return {(held.kind, held.name): held.body for held in one.rows()}
+            def state(of_ledger: Ledger) -> dict[tuple[str, str], bytes | None]:
+                return {(row.kind, row.name): row.body for row in of_ledger.rows()}
 
-            past = [state(ledger)]
-            for turn in range(rng.randrange(5, 40)):
-                last = turn > 30
+            past_states = [state(ledger)]
+            for step in range(rng.randrange(5, 40)):
+                is_final_phase = step > 30
                 if rng.random() < 0.5:
                     names = {f"n{rng.randrange(20)}" for _ in range(rng.randrange(1, 9))}
                     books.write(
                         ledger, *(Row("k", name, rng.randbytes(2) if rng.random() < 0.7 else None) for name in names)
                     )
-                    past.append(state(ledger))
+                    past_states.append(state(ledger))
                     if rng.random() < 0.2:
                         ledger.db.execute("DELETE FROM row WHERE body IS NULL")
                         ledger.db.execute("UPDATE meta SET floor = ?", (ledger.seq,))
-                if sender is None or (rng.random() < 0.2 and not last):  # a new stream: what was in flight is lost
-                    if rng.random() < 0.3:  # and the head is a new process
-                        copy.close()
-                        copy = Ledger(Path(folder) / "b.db")
-                        receiver = AccountReceiver(copy.epoch, copy.seq)
+                # A new stream begins; the chunk in flight is lost.
+                if sender is None or (rng.random() < 0.2 and not is_final_phase):
+                    if rng.random() < 0.3:  # the head restarts as well
+                        replica.close()
+                        replica = Ledger(Path(folder) / "b.db")
+                        receiver = AccountReceiver(replica.epoch, replica.seq)
                     receiver.discard_staged()
                     sender = AccountSender(
                         ledger.epoch, ledger.seq, ledger.tombstone_floor(), receiver.epoch, receiver.seq
@@ -64,9 +65,9 @@
                         break
                     rows = receiver.receive(chunk)
                     if rows is not None:
-                        copy.replicate(chunk.epoch, rows.rows, chunk.seq, rows.replaces_all, 0)
+                        replica.replicate(chunk.epoch, rows.rows, chunk.seq, rows.replaces_all, 0)
                         receiver.commit(chunk)
-                        assert state(copy) in past  # never a part of a change
+                        assert state(replica) in past_states  # never only a part of a change
                     sender.acknowledge(chunk.seq)
             sender = sender or AccountSender(
                 ledger.epoch, ledger.seq, ledger.tombstone_floor(), receiver.epoch, receiver.seq
@@ -78,11 +79,11 @@
                 chunk = sender.next_chunk(ledger.page(sender.seq, 4, sender.removed_after_seq), ledger.seq)
                 rows = receiver.receive(chunk)
                 if rows is not None:
-                    copy.replicate(chunk.epoch, rows.rows, chunk.seq, rows.replaces_all, 0)
+                    replica.replicate(chunk.epoch, rows.rows, chunk.seq, rows.replaces_all, 0)
                     receiver.commit(chunk)
                 sender.acknowledge(chunk.seq)
-            assert state(copy) == state(ledger) and copy.epoch == ledger.epoch
+            assert state(replica) == state(ledger) and replica.epoch == ledger.epoch
             ledger.close()
-            copy.close()
+            replica.close()
     finally:
         account_replication.CHUNK_ROWS = chunk_rows
--- a/tests/test_tenancy_accounts.py
+++ b/tests/test_tenancy_accounts.py
@@ -1,4 +1,4 @@
-"""Accounts by random steps against a plain model, and the steps of a tenant's life."""
+"""Tests of accounts against a simple model, by random actions, and of the lifecycle of a tenant."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 
 ACTIONS = st.lists(
     st.tuples(
-        st.sampled_from(["create", "suspend", "resume", "close", "bucket", "key", "rotate", "end", "purge", "late"]),
+        st.sampled_from(
+            ["create", "suspend", "resume", "close", "bucket", "key", "rotate", "remove_key", "purge", "wait"]
+        ),
         st.integers(0, 2),
         st.integers(0, 4),
     ),
@@ -33,32 +35,32 @@
 
 @settings(max_examples=120)
 @given(ACTIONS, st.integers(0, 2**32))
-def test_accounts_by_random_steps(actions: list[tuple[str, int, int]], seed: int) -> None:
+def test_accounts_agree_with_a_model_after_random_actions(actions: list[tuple[str, int, int]], seed: int) -> None:
     inactive: list[str] = []
     accounts = Accounts(lambda name, state: inactive.append(name) if state is not TenantState.ACTIVE else None)
     rng, seq, now, plans = random.Random(seed), 0, 1000, frozenset({"basic", "priority"})
-    states: dict[str, str] = {}  # the model: names, and what is valid
-    tokens: dict[str, tuple[str, str, int]] = {}  # key: tenant, secret, end
-    volumes: dict[str, str] = {}  # volume: tenant; an id is never there twice
+    states: dict[str, str] = {}  # the model: state by tenant
+    tokens: dict[str, tuple[str, str, int]] = {}  # tenant, secret and expiry by key id
+    volumes: dict[str, str] = {}  # tenant by volume id; ids are never reused
 
     def store(*rows: Row) -> None:
         nonlocal seq
         seq += 1
-        accounts.apply(Row(one.kind, one.name, one.body, seq) for one in rows)
+        accounts.apply(Row(row.kind, row.name, row.body, seq) for row in rows)
 
-    for word, tenant_number, number in actions:
+    for action, tenant_number, number in actions:
         name, now = f"tenant{tenant_number}", now + rng.randrange(1000)
         state = states.get(name, "closed")
         try:
-            if word == "create":
+            if action == "create":
                 store(row_of(accounts.create(name, Quotas(volumes=3, keys=3), Shares(), "", now)))
                 assert state == "closed"
                 states[name] = "active"
-            elif word in ("suspend", "resume", "close"):
-                store(row_of(accounts.transition(name, TenantAction(word))))
-                assert state in ("active", "suspended") or (state, word) == ("closing", "close")
-                states[name] = {"suspend": "suspended", "resume": "active", "close": "closing"}[word]
-            elif word == "bucket":
+            elif action in ("suspend", "resume", "close"):
+                store(row_of(accounts.transition(name, TenantAction(action))))
+                assert state in ("active", "suspended") or (state, action) == ("closing", "close")
+                states[name] = {"suspend": "suspended", "resume": "active", "close": "closing"}[action]
+            elif action == "bucket":
                 bucket = accounts.put_bucket(
                     name,
                     f"bucket{number}",
@@ -72,13 +74,13 @@
                 }
                 store(row_of(bucket))
                 volumes[bucket.id] = name
-            elif word == "key":
-                ends = now + 500 * number if number else 0
-                key = accounts.add_key(name, f"hk{seq:016x}", f"secret{seq}", Role.DATA, ends, "", now)
+            elif action == "key":
+                expires_ms = now + 500 * number if number else 0
+                key = accounts.add_key(name, f"hk{seq:016x}", f"secret{seq}", Role.DATA, expires_ms, "", now)
                 assert state in ("active", "suspended")
-                tokens[key.id] = name, f"secret{seq}", ends
+                tokens[key.id] = name, f"secret{seq}", expires_ms
                 store(row_of(key))
-            elif word == "rotate":
+            elif action == "rotate":
                 old = rng.choice(sorted(tokens) or ["none"])
                 new, remaining = accounts.rotate_key(name, old, f"hk{seq:016x}", f"secret{seq}", number, now)
                 tokens[new.id] = name, f"secret{seq}", new.expires_ms
@@ -88,18 +90,18 @@
                 else:
                     tokens[old] = name, tokens[old][1], remaining.expires_ms
                     store(row_of(new), row_of(remaining))
-            elif word == "end":
+            elif action == "remove_key":
                 removed = rng.choice(sorted(tokens) or ["none"])
                 store(Row(KEY_KIND, accounts.key(name, removed).id, None))
                 del tokens[removed]
-            elif word == "purge" and state == "closing":
+            elif action == "purge" and state == "closing":
                 match next_purge_step(list(accounts.key_ids.get(name, ())), 0, list(accounts.buckets.get(name, {}))):
                     case RevokeKeys(keys=key_ids):
                         store(*(Row(KEY_KIND, key_id, None) for key_id in key_ids))
                         for key_id in key_ids:
                             assert tokens.pop(key_id)[0] == name
                     case RemoveBuckets(buckets=buckets):
-                        assert not accounts.key_ids.get(name)  # keys end first
+                        assert not accounts.key_ids.get(name)  # keys are revoked first
                         store(*(Row(BUCKET_KIND, f"{name}/{bucket_name}", None) for bucket_name in buckets))
                     case PurgeComplete():
                         assert not accounts.buckets.get(name)
@@ -107,24 +109,25 @@
                         states[name] = "closed"
         except AccountError as error:
             assert error.kind in ("exists", "missing", "state", "quota")
-        for key_id, (owner, secret, ends) in tokens.items():
+        for key_id, (owner, secret, expires_ms) in tokens.items():
             valid = accounts.authenticate(f"{key_id}.{secret}", now)
-            assert (valid is not None) is (states.get(owner) == "active" and not 0 < ends <= now)
+            assert (valid is not None) is (states.get(owner) == "active" and not 0 < expires_ms <= now)
             assert accounts.authenticate(f"{key_id}.{secret}x", now) is None
         for owner in states:
-            live = sum(not 0 < ends <= now for one, _, ends in tokens.values() if one == owner)
-            assert live <= 4 and len(accounts.buckets.get(owner, {})) <= 3  # a rotation's overlap is beyond
+            valid_keys = sum(not 0 < expires_ms <= now for tenant, _, expires_ms in tokens.values() if tenant == owner)
+            # During its overlap, a rotated key is valid in excess of the quota.
+            assert valid_keys <= 4 and len(accounts.buckets.get(owner, {})) <= 3
         rebuilt = Accounts()
         rebuilt.apply(
-            [row_of(one) for one in accounts.tenants.values()]
-            + [row_of(one) for one in accounts.keys.values()]
-            + [row_of(one) for of_tenant in accounts.buckets.values() for one in of_tenant.values()]
+            [row_of(record) for record in accounts.tenants.values()]
+            + [row_of(record) for record in accounts.keys.values()]
+            + [row_of(record) for tenant_buckets in accounts.buckets.values() for record in tenant_buckets.values()]
         )
         assert (rebuilt.tenants, rebuilt.keys, rebuilt.volumes) == (accounts.tenants, accounts.keys, accounts.volumes)
     assert set(inactive) >= {name for name, state in states.items() if state != "active"}
 
 
-def test_every_transition_of_a_tenant_is_one_of_those_intended() -> None:
+def test_state_transitions_of_a_tenant() -> None:
     assert {
         (state.value, action.value): to.value
         for state in TenantState
