--- a/tests/tenancy_model.py
+++ b/tests/tenancy_model.py
@@ -1,4 +1,4 @@
-"""An admission before a server whose time is the test's, and the index of fairness."""
+"""Simulation of a head with admission and a server in simulated time, and an index of fairness."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def jain_index(values: list[float]) -> float:
-    """Jain's index of fairness: 1 where all are equal, 1/n where one has all."""
+    """Return Jain's fairness index: 1 if all n values are equal, 1/n if all but one are 0."""
     return sum(values) ** 2 / (len(values) * sum(value * value for value in values))
 
 
 class SimulatedHead:
-    """An admission before a server that does so many units a second, one after the other; time is the test's."""
+    """Admission in front of a server that serves requests one at a time at `rate` units/s, in simulated time."""
 
     def __init__(self, shares: dict[str, TenantShares], spare: SpareCapacity, rate: float) -> None:
         self.admission = Admission(lambda name: shares.get(name, TenantShares()), spare, 8.0)
@@ -52,7 +52,7 @@
 
     def _dispatch(self) -> None:
         for ticket, retry_after_us in self.admission.dispatch(self.now_us):
-            self.queued.remove(id(ticket))  # a KeyError: it ended twice, or never waited
+            self.queued.remove(id(ticket))  # a KeyError means that the ticket left twice, or was never queued
             if retry_after_us:
                 self.rejected[ticket.request.tenant] += 1
             else:
@@ -63,7 +63,7 @@
             next_us = min(
                 [
                     end_us,
-                    *(int(at) + 1 for at, _ in self.in_service[:1]),
+                    *(int(done_at_us) + 1 for done_at_us, _ in self.in_service[:1]),
                     *([self.admission.next_deadline_us] if self.admission.next_deadline_us else []),
                 ]
             )
@@ -78,16 +78,20 @@
 
 
 def run_surge(surge: float, seconds: int = 20) -> SimulatedHead:
-    """Three tenants, two near their reserved 30 units/s, the third at a multiple of it, on a head that does 120."""
+    """Simulate a surge of one tenant.
+
+    Each of three tenants has a reserve of 30 units/s, at a head that serves 120 units/s. Tenants a and b request
+    27 units/s, tenant c requests `surge` times as much.
+    """
     head = SimulatedHead({name: TenantShares(30.0, 1.0, 64) for name in "abc"}, SpareCapacity(2.0, 50 * MS), 120.0)
     rng = random.Random(5)
     arrivals = sorted(
-        (int(at), name)
+        (int(arrival_us), name)
         for name, rate in (("a", 27.0), ("b", 27.0), ("c", 27.0 * surge))
-        for at in itertools.accumulate(rng.expovariate(rate / S) for _ in range(int(rate * seconds)))
+        for arrival_us in itertools.accumulate(rng.expovariate(rate / S) for _ in range(int(rate * seconds)))
     )
-    for at, name in arrivals:
-        head.run_until(at)
+    for arrival_us, name in arrivals:
+        head.run_until(arrival_us)
         head.arrive(name)
     head.run_until(arrivals[-1][0] + S)
     return head
--- a/tests/test_tenancy_admission.py
+++ b/tests/test_tenancy_admission.py
@@ -1,4 +1,4 @@
-"""Admission of tenants' requests: a surge, spare capacity by weight, rejections, random steps."""
+"""Tests of admission: a surge of one tenant, spare capacity by weight, rejections, random steps."""
 
 from __future__ import annotations
 
@@ -17,44 +17,49 @@
 
 
 def test_a_surge_of_one_tenant_leaves_the_others_their_rate_and_their_latency() -> None:
-    calm, surge = run_surge(1.0), run_surge(10.0)
+    normal, surge = run_surge(1.0), run_surge(10.0)
     for name in "ab":
-        arrived = len(calm.latencies_ms[name]) + calm.rejected[name]
+        arrived = len(normal.latencies_ms[name]) + normal.rejected[name]
         assert len(surge.latencies_ms[name]) >= 0.98 * arrived
         before, after = (
-            sorted(head.latencies_ms[name])[int(0.99 * len(head.latencies_ms[name]))] for head in (calm, surge)
+            sorted(head.latencies_ms[name])[int(0.99 * len(head.latencies_ms[name]))] for head in (normal, surge)
         )
         assert after <= 1.2 * before
-    assert len(surge.latencies_ms["c"]) > 1.8 * len(calm.latencies_ms["c"])  # spare capacity is used
+    assert len(surge.latencies_ms["c"]) > 1.8 * len(normal.latencies_ms["c"])  # spare capacity is used
     assert surge.rejected["c"] > 0
 
 
-def test_a_reserve_changed_within_a_surge_holds_from_then_on_and_a_negative_level_stays() -> None:
+def test_a_reserve_changed_during_a_surge_applies_at_once_and_a_negative_level_stays() -> None:
     shares = {"a": TenantShares(30.0, 1.0, 64), "c": TenantShares(30.0, 1.0, 64)}
     head = SimulatedHead(shares, SpareCapacity(2.0, 50 * MS), 100.0)
 
     def reserved(seconds: int) -> float:
-        """Send requests of c at ten times its reserve; return the units a second that its reserve gave it."""
-        since, usage = head.now_us, head.admission.tenants["c"].usage.reserved if head.admission.tenants else 0.0
+        """Send requests of c at ten times its first reserve; return the units/s that its reserve admitted."""
+        started_us, reserved_before = (
+            head.now_us,
+            head.admission.tenants["c"].usage.reserved if head.admission.tenants else 0.0,
+        )
         for step in range(seconds * 200):
-            head.run_until(since + step * 5 * MS)
+            head.run_until(started_us + step * 5 * MS)
             head.arrive("c", 1.5)
             if step % 8 == 0:
                 head.arrive("a")
-        return (head.admission.tenants["c"].usage.reserved - usage) / seconds
+        return (head.admission.tenants["c"].usage.reserved - reserved_before) / seconds
 
     assert 28 <= reserved(4) <= 33
     in_flight = head.admission.units_in_flight
     shares["c"] = TenantShares(60.0, 1.0, 64)
-    assert head.admission.units_in_flight == in_flight  # what was admitted stays
-    assert 57 <= reserved(4) <= 63  # from now on, without a burst of a second
+    assert head.admission.units_in_flight == in_flight  # admitted requests stay in flight
+    assert 57 <= reserved(4) <= 63  # at once, without a burst
     shares["c"] = TenantShares(5.0, 1.0, 64)
     assert 4 <= reserved(4) <= 8
     level = head.admission.tenants["c"].reserve.total.level
     assert level < 8.0
     shares["c"] = TenantShares(30.0, 1.0, 64)
     head.arrive("c", 8.0)
-    assert head.admission.tenants["c"].reserve.total.level <= level + 0.5  # a raise gives nothing back
+    assert (
+        head.admission.tenants["c"].reserve.total.level <= level + 0.5
+    )  # raising the reserve does not reset the level
 
 
 def test_spare_capacity_is_shared_by_weight() -> None:
@@ -66,9 +71,9 @@
         head.run_until(step * 5 * MS)
         for name in weights:
             head.arrive(name)
-    got = {name: len(head.latencies_ms[name]) for name in weights}
-    assert jain_index([got[name] / weight for name, weight in weights.items()]) >= 0.98
-    assert 0.95 * 100 * 20 <= sum(got.values()) <= 1.05 * 100 * 20
+    served = {name: len(head.latencies_ms[name]) for name in weights}
+    assert jain_index([served[name] / weight for name, weight in weights.items()]) >= 0.98
+    assert 0.95 * 100 * 20 <= sum(served.values()) <= 1.05 * 100 * 20
 
 
 def test_a_request_of_higher_priority_goes_first_within_its_volume() -> None:
@@ -83,7 +88,7 @@
     assert order == [1.0, 3.0, 2.0, 1.0][: len(order)] or order[:3] == [1.0, 3.0, 2.0]
 
 
-def test_a_rejection_says_when_the_tenants_own_reserve_is_refilled() -> None:
+def test_retry_advice_of_a_rejection_is_when_the_tenants_reserve_is_refilled() -> None:
     head = SimulatedHead({"a": TenantShares(10.0, 1.0, 1)}, SpareCapacity(1.0, 50 * MS), 1.0)
     while head.arrive("a") is AdmissionDecision.RESERVED:
         pass
@@ -96,13 +101,15 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["ask", "ask", "end", "leave", "wait", "shares"]), st.integers(0, 3), st.floats(0.5, 8.0)
+            st.sampled_from(["arrive", "arrive", "answer", "abandon", "wait", "shares"]),
+            st.integers(0, 3),
+            st.floats(0.5, 8.0),
         ),
         max_size=120,
     )
 )
-def test_by_random_steps_each_request_ends_once_and_nothing_remains(steps: list[tuple[str, int, float]]) -> None:
-    shares = {f"t{at}": TenantShares(5.0 * at, 1.0 + at, 3) for at in range(4)}
+def test_after_random_steps_each_request_ended_once_and_no_state_remains(steps: list[tuple[str, int, float]]) -> None:
+    shares = {f"t{index}": TenantShares(5.0 * index, 1.0 + index, 3) for index in range(4)}
     admission = Admission(lambda name: shares[name], SpareCapacity(10.0, 40 * MS), 8.0)
     now, in_flight, queued = 0, list[Ticket](), list[Ticket]()
 
@@ -112,20 +119,20 @@
             if not retry_after_us:
                 in_flight.append(ticket)
 
-    for word, at, units in steps:
-        if word == "ask":
-            request = AdmissionRequest(f"t{at}", "v", units, units, 2.0, 1.0, 30 * MS)
+    for step_kind, index, units in steps:
+        if step_kind == "arrive":
+            request = AdmissionRequest(f"t{index}", "v", units, units, 2.0, 1.0, 30 * MS)
             decision, ticket, _ = admission.arrive(now, request)
             if decision in (AdmissionDecision.RESERVED, AdmissionDecision.SPARE):
                 in_flight.append(ticket)
             elif decision is AdmissionDecision.QUEUED:
                 queued.append(ticket)
-        elif word == "end" and in_flight:
-            admission.finish(now, in_flight.pop(at % len(in_flight)))
-        elif word == "leave" and queued:
-            admission.finish(now, queued.pop(at % len(queued)))
-        elif word == "shares":
-            shares[f"t{at}"] = TenantShares(units * 3, units, 2)
+        elif step_kind == "answer" and in_flight:
+            admission.finish(now, in_flight.pop(index % len(in_flight)))
+        elif step_kind == "abandon" and queued:
+            admission.finish(now, queued.pop(index % len(queued)))
+        elif step_kind == "shares":
+            shares[f"t{index}"] = TenantShares(units * 3, units, 2)
         else:
             now += int(units * 5 * MS)
         dispatch()
--- a/tests/test_tenancy_usage.py
+++ b/tests/test_tenancy_usage.py
@@ -1,4 +1,4 @@
-"""Clocks that step, callers that are bounded, and usage that is stored once."""
+"""Tests of the slewed clock, rate limits and quotas of callers, and the counting and reporting of usage."""
 
 from __future__ import annotations
 
@@ -34,8 +34,10 @@
 def test_a_clock_that_steps_by_an_hour_expires_no_key_and_revives_none(leap_ms: int) -> None:
     wall, steady = 1_000_000_000, 5_000_000
     clock, accounts = SlewedClock(wall, steady), Accounts()
-    for name, ends in (("hk01", wall + 600_000), ("hk02", wall + 60_000)):
-        accounts.apply([row_of(Account("alba")), row_of(Key("alba", name, digest_of("s"), Role.DATA, wall, ends))])
+    for name, expires_ms in (("hk01", wall + 600_000), ("hk02", wall + 60_000)):
+        accounts.apply(
+            [row_of(Account("alba")), row_of(Key("alba", name, digest_of("s"), Role.DATA, wall, expires_ms))]
+        )
     last = clock.now_ms(wall, steady)
     for second in range(1, 301):
         steady += 1_000_000
@@ -47,17 +49,17 @@
         if second > 61:
             assert accounts.authenticate("hk02.s", now) is None
     assert abs(clock.wall_clock_ahead_ms(wall)) > HOUR_MS * 0.9
-    # After a restart time goes on from what was stored: an ended key stays so, whatever the clock says.
+    # After a restart time continues from the stored time: an expired key stays expired, whatever the clock shows.
     assert SlewedClock(wall - 10 * HOUR_MS, 0, last_stored_ms=last).now_ms(wall - 10 * HOUR_MS, 0) >= last
 
 
-def test_calls_are_limited_by_caller_and_callers_in_number() -> None:
+def test_calls_are_limited_by_caller_and_the_number_of_callers_is_bounded() -> None:
     callers = CallerRateLimits(10.0, 20.0, 100)
     assert sum(not callers.admit("loud", 0) for _ in range(1000)) == 20
     assert callers.admit("quiet", 0) == 0 and callers.wait_us("loud", 0) == 100_001
     assert callers.admit("loud", 100_001) == 0
-    for at in range(1_000):
-        callers.admit(f"made-up-{at}", 0)
+    for index in range(1_000):
+        callers.admit(f"made-up-{index}", 0)
     assert len(callers.buckets) == 100
     quota = ConcurrencyQuota()
     assert (
@@ -73,18 +75,18 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["add", "add", "flush", "stored", "failed"]), st.integers(1, 9))))
-def test_usage_is_stored_once_whatever_fails(steps: list[tuple[str, int]]) -> None:
+def test_usage_is_stored_exactly_once_if_flushes_fail(steps: list[tuple[str, int]]) -> None:
     usage, store, counted = UsageCounter(), 0.0, 0
-    for word, amount in steps:
-        if word == "add":
+    for step, amount in steps:
+        if step == "add":
             usage.add("t", "v", "served", amount)
             counted += amount
-        elif word == "flush":
+        elif step == "flush":
             usage.begin_flush()
-        elif word == "stored" and usage.flushing is not None:
+        elif step == "stored" and usage.flushing is not None:
             store += sum(usage.flushing.values())
             usage.commit_flush()
-        elif word == "failed":
+        elif step == "failed":
             usage.abort_flush()
     store += (
         sum(usage.begin_flush().values())
@@ -96,16 +98,16 @@
 
 def test_usage_of_volumes_beyond_the_bound_counts_for_their_tenant() -> None:
     usage = UsageCounter()
-    for at in range(MAX_COUNTED_VOLUMES * len(FIELDS) + 10):
-        usage.add("t", f"v{at}", "served", 1)
+    for index in range(MAX_COUNTED_VOLUMES * len(FIELDS) + 10):
+        usage.add("t", f"v{index}", "served", 1)
     assert usage.amounts["t", TENANT_TOTAL, "served"] == 10
 
 
-def test_labels_of_exported_series_are_bounded_and_kept() -> None:
+def test_labels_of_exported_metrics_are_bounded_and_kept() -> None:
     totals = LabelledTotals(3)
     for first in range(3):
-        for at in range(first, 10):
-            totals.add(f"t{at}", "served", 1)
+        for index in range(first, 10):
+            totals.add(f"t{index}", "served", 1)
     assert totals.counts == {
         ("t0", "served"): 1,
         ("t1", "served"): 2,
@@ -121,7 +123,7 @@
 
 def test_reports_are_retried_until_they_are_acknowledged(tmp_path: Path) -> None:
     reports, ledger = UsageReports(), Ledger(tmp_path / "a.db")
-    keys: dict[Any, float] = {("t", f"v{at}", "served"): 1.0 for at in range(5)}
+    keys: dict[Any, float] = {("t", f"v{index}", "served"): 1.0 for index in range(5)}
     reports.add(keys)
     _, first = reports.next_report(3)
     second_number, second = reports.next_report(3)
@@ -132,7 +134,7 @@
     third_number, retried = reports.next_report(9)
     reports.acknowledge(third_number)
     assert set(retried) == set(first) and not reports.unreported and not reports.unacknowledged
-    for total in (5.0, 3.0, 5.0, 7.0):  # late and doubled reports change nothing
+    for total in (5.0, 3.0, 5.0, 7.0):  # late and duplicate reports change nothing
         ledger.merge_usage_totals("n0", {("t", "v", "served"): total})
     ledger.merge_usage_totals("n1", {("t", "v", "served"): 2.0})
     assert ledger.usage_by_volume("t") == {"v": {"served": 9.0}}
