--- a/hophinge/routing/maintenance_records.py
+++ b/hophinge/routing/maintenance_records.py
@@ -47,12 +47,10 @@
     min_serving_heads: int = msgspec.field(default=2, name="served")
     # Capacity of one backend in units/s, to check that pools keep enough capacity for reserves; 0: unknown.
     backend_capacity: float = msgspec.field(default=0.0, name="capacity")
-    retired_heads: tuple[str, ...] = msgspec.field(
-        default=(), name="retired"
-    )  # declared by an operator to be gone for good
-    released_permits: tuple[str, ...] = msgspec.field(
-        default=(), name="free"
-    )  # permits released by an operator, without evidence of the return
+    # Heads that an operator declared to be permanently removed.
+    retired_heads: tuple[str, ...] = msgspec.field(default=(), name="retired")
+    # Permits released by an operator, without evidence of the return.
+    released_permits: tuple[str, ...] = msgspec.field(default=(), name="free")
 
     @property
     def key(self) -> str:
@@ -80,13 +78,11 @@
     name: str
     build: str
     heads: tuple[str, ...] = ()  # empty: all
-    waves: tuple[float, ...] = (
-        1.0,
-    )  # increasing cumulative shares of the heads; the very first head is restarted alone
+    # Increasing cumulative shares of the heads; the very first head is restarted alone.
+    waves: tuple[float, ...] = (1.0,)
     soak_us: int = msgspec.field(default=30_000_000, name="settle_us")  # between waves
-    return_timeout_us: int = msgspec.field(
-        default=300_000_000, name="patience_us"
-    )  # from the stop of a head until it is back
+    # Maximum time from the stop of a head until it is back.
+    return_timeout_us: int = msgspec.field(default=300_000_000, name="patience_us")
     # The release halts if the failure share of a wave exceeds that of the other heads by more than this.
     max_failure_share: float = msgspec.field(default=0.02, name="refused")
     command: str = msgspec.field(default="go", name="word")  # "go", "halt" or "back"
--- a/hophinge/routing/records.py
+++ b/hophinge/routing/records.py
@@ -113,9 +113,8 @@
 
     klass: str = ""  # empty: every class without a rule of its own
     max_attempts: int = msgspec.field(default=0, name="attempts")  # including the first one; 0: as the platform allows
-    budget_share: float = msgspec.field(
-        default=-1.0, name="budget"
-    )  # ratio of retries to first attempts; negative: no bound
+    # Ratio of retries to first attempts; negative: no bound.
+    budget_share: float = msgspec.field(default=-1.0, name="budget")
     min_retries: int = msgspec.field(default=0, name="free")  # allowed in each window regardless of the share
     hedge_delay_us: int = msgspec.field(default=0, name="second_copy_us")  # before a hedged attempt; 0: no hedging
 
@@ -128,17 +127,14 @@
 class SpareSharing(Struct, frozen=True, tag="spare"):
     """How each head shares the capacity that no reserve uses; without this record requests never wait for admission."""
 
-    max_units: float = msgspec.field(
-        name="depth"
-    )  # in flight, including reserved ones; spare requests may not exceed it
+    # Units in flight, including reserved ones, beyond which no spare request is admitted.
+    max_units: float = msgspec.field(name="depth")
     max_wait_us: int = msgspec.field(default=50_000, name="wait_us")
     max_queued: int = msgspec.field(default=256, name="queue")  # queued requests of one tenant
-    uses_leases: bool = msgspec.field(
-        default=False, name="leases"
-    )  # a head's shares of reserves follow demand; else they are even
-    head_capacity: float = msgspec.field(
-        default=0.0, name="capacity"
-    )  # units/s per head, which bounds the sum of all reserves; 0: unknown
+    # Whether the heads' shares of reserves follow demand, by leases; otherwise they are even.
+    uses_leases: bool = msgspec.field(default=False, name="leases")
+    # Capacity of one head in units/s, which bounds the sum of all reserves; 0: unknown.
+    head_capacity: float = msgspec.field(default=0.0, name="capacity")
 
     @property
     def key(self) -> str:
@@ -167,9 +163,8 @@
     first: tuple[str, ...] = ()  # names of the heads of the first wave
     waves: tuple[float, ...] = (1.0,)  # increasing cumulative shares of the known heads
     soak_us: int = msgspec.field(default=0, name="hold_us")  # from a wave's last acknowledgement to the next wave
-    acknowledge_timeout_us: int = msgspec.field(
-        default=10_000_000, name="patience_us"
-    )  # to wait for a wave's connected heads
+    # How long to wait for the acknowledgements of a wave's connected heads.
+    acknowledge_timeout_us: int = msgspec.field(default=10_000_000, name="patience_us")
     # Share of requests that may fail in excess of the share before the rollout.
     max_failure_share: float = msgspec.field(default=1.0, name="failures")
     on_failure: str = msgspec.field(default="hold", name="on_trouble")  # "hold" or "rollback"
--- a/hophinge/routing/router.py
+++ b/hophinge/routing/router.py
@@ -45,9 +45,8 @@
         self.outlier_detector = OutlierDetector()
         self.failover_levels = FailoverLevels(settings, self.outlier_detector)
         self.open_by_pool: dict[str, int] = {}  # unanswered requests by pool
-        self.open_by_version: dict[
-            tuple[int, int], int
-        ] = {}  # unanswered requests by version, of the active and draining versions
+        # Unanswered requests by version, of the active and draining versions.
+        self.open_by_version: dict[tuple[int, int], int] = {}
         self.admission: Admission | None = None
         self.queued: dict[int, AdmittedRequest] = {}  # requests that wait for admission, by `id()` of their ticket
         even_share = 1 / settings.gateways
--- a/hophinge/tenancy/admission.py
+++ b/hophinge/tenancy/admission.py
@@ -18,13 +18,11 @@
 from hophinge.tenancy.reserve import Reserve
 
 MIN_RETRY_AFTER_US = 10_000
-EVICTED_RETRY_AFTER_US = (
-    60_000_000  # for a tenant that is no longer served; the exchange caps it at the maximum of the settings
-)
+# Retry advice if the tenant is no longer served; the exchange caps it at the maximum of the settings.
+EVICTED_RETRY_AFTER_US = 60_000_000
 MAX_BURST_S = 0.25  # of a reserve that may accumulate; small, since all tenants may use theirs at the same time
-IDLE_TENANT_TIMEOUT_US = (
-    60_000_000  # a tenant idle for longer is dropped: its reserve is full by then, as a new one's is
-)
+# A tenant that is idle for longer is dropped: its reserve is full by then, as that of a new tenant is.
+IDLE_TENANT_TIMEOUT_US = 60_000_000
 OPERATIONS_BETWEEN_SWEEPS = 256  # arrivals between searches for idle tenants; a queued arrival counts twice
 MIN_WEIGHT = 1e-3
 ROUNDING_UNITS = 1e-9  # units in flight below this are rounding errors
