--- a/hophinge/maintenance/__init__.py
+++ b/hophinge/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Drains and releases agreed across the fleet: who may be out, and when; decided without I/O."""
+"""Coordinates drains and releases across the fleet: which processes may be out, and when; decided without I/O."""
--- a/hophinge/maintenance/drain_verdicts.py
+++ b/hophinge/maintenance/drain_verdicts.py
@@ -1,8 +1,8 @@
 """Whether a backend is drained: what heads have stated, and whose statements are required.
 
-A missing statement is never consent, and neither is the view of other heads that a silent one is dead: one that was
-stopped, or cut off, looks dead and may resume with its requests. A head is exempt only if its stream is gone and every
-head that can tell has received that it left, or if an operator says so.
+A missing statement never counts as consent, nor does the view of other heads that a silent head is dead: a head that is
+stopped or partitioned looks dead, and may resume with its requests. A head is exempt only if it has no stream and every
+connected head with a view of the cluster has received that it left, or if an operator exempts it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class DrainVerdict(Struct, frozen=True):
-    """The heads whose statements are missing."""
+    """The required heads whose statements are missing."""
 
     missing: tuple[str, ...]
 
@@ -36,25 +36,25 @@
 ) -> set[str]:
     """Return the heads whose statements are required.
 
-    A head that no cluster reports on stays required: its silence may be a network partition, with requests behind it.
+    A known head that nobody reports as departed stays required: it may be partitioned, with requests in flight.
 
     Args:
         known: All heads that were ever observed.
         connected: Heads with a stream to this service.
-        live: Heads that connected ones consider live, by the one that reports it.
-        departed: Heads that connected ones know to have left, by the one that reports it.
-        exempt: Heads that an operator has named as gone.
+        live: The heads that are live in the view of each connected head, by the name of the latter.
+        departed: The heads that have left in the view of each connected head, by the name of the latter.
+        exempt: Heads that an operator has exempted.
 
     """
     reported_live = {head for heads in live.values() for head in heads}
     required = set(known) | set(connected) | reported_live
-    witnesses = [set(heads) for heads in departed.values()]
-    agreed_departed = set.intersection(*witnesses) if witnesses else set()
+    departure_reports = [set(heads) for heads in departed.values()]
+    agreed_departed = set.intersection(*departure_reports) if departure_reports else set()
     return required - (agreed_departed - set(connected) - reported_live) - set(exempt)
 
 
 class DrainStatements:
-    """What heads have stated, by permit and claim; only for permits that are active."""
+    """The statements of heads, by permit and claim; only for active permits."""
 
     def __init__(self) -> None:
         self.heads_by_claim: dict[tuple[str, str], set[str]] = {}  # by permit id and claim
@@ -62,8 +62,10 @@
     def record_statements(
         self, head: str, statements: Iterable[Statement], is_complete: bool, active_permits: Collection[str]
     ) -> None:
-        """Record a head's statements; if they are complete, its earlier ones that are missing are withdrawn."""
-        current = {(one.permit, one.claim) for one in statements if one.permit in active_permits}
+        """Record a head's statements; if they are complete, they replace all its earlier ones."""
+        current = {
+            (statement.permit, statement.claim) for statement in statements if statement.permit in active_permits
+        }
         if is_complete:
             for claim, heads in self.heads_by_claim.items():
                 if claim not in current:
@@ -72,15 +74,15 @@
             self.heads_by_claim.setdefault(claim, set()).add(head)
 
     def verdict(self, permit: str, required: Iterable[str]) -> DrainVerdict:
-        """Return which required heads have not stated that they have drained the backend."""
+        """Return the required heads that have not stated that they have drained the backend."""
         return DrainVerdict(tuple(sorted(set(required) - self.heads_by_claim.get((permit, DRAINED), set()))))
 
     def served_count(self, permit: str) -> int:
-        """Return how many heads have stated that the backend answers again and is warm."""
+        """Return the number of heads that have stated that the backend answers again and is warm."""
         return len(self.heads_by_claim.get((permit, SERVED), ()))
 
     def retain(self, active_permits: Collection[str]) -> None:
-        """Drop the statements under all other permits."""
+        """Remove the statements under permits that are not active."""
         self.heads_by_claim = {
             (permit, claim): heads for (permit, claim), heads in self.heads_by_claim.items() if permit in active_permits
         }
@@ -89,8 +91,8 @@
 class HeadStates(NamedTuple):
     """The heads of a cluster in the view of one member."""
 
-    required: list[str]  # their statements are required, also of those considered dead
-    departed: list[str]  # they have left
+    required: list[str]  # whose statements are required, including heads considered dead
+    departed: list[str]  # that have left
 
 
 def head_states(members: Iterable[Member]) -> HeadStates:
--- a/hophinge/maintenance/head_drains.py
+++ b/hophinge/maintenance/head_drains.py
@@ -14,9 +14,9 @@
     """The progress of one drain at this head."""
 
     EJECTED = "out"  # out of rotation, with requests still in flight
-    DRAINED = "quiet"  # stated: drained
-    RESTORED = "back"  # in rotation again, without an answer yet or not warm
-    SERVED = "warm"  # stated: served
+    DRAINED = "quiet"  # drained, as this head has stated
+    RESTORED = "back"  # in rotation again, but not warm, or without an answer yet
+    SERVED = "warm"  # answers and is warm, as this head has stated
 
 
 class Eject(Struct, frozen=True):
@@ -32,13 +32,13 @@
 
 
 class Announce(Struct, frozen=True):
-    """Publish a statement."""
+    """Publish a statement of this head."""
 
     statement: Statement
 
 
 class Retract(Struct, frozen=True):
-    """Withdraw a statement."""
+    """Withdraw a statement of this head."""
 
     statement: Statement
 
@@ -60,12 +60,12 @@
 
 
 class HeadDrains:
-    """The drains at one head. They stay in force until the issuer says otherwise, also while it cannot be reached."""
+    """The drains at one head. They stay in force until the issuer ends them, also while it cannot be reached."""
 
     def __init__(self, stored: Iterable[tuple[str, str]] = ()) -> None:
-        """Begin with the stored pairs of permit and backend.
+        """Restore the drains from the stored pairs of permit and backend.
 
-        After a restart a head ejects what was ejected when it ended, before it serves and before an update arrives.
+        After a restart a head ejects the backends that were ejected at its end, before it serves or receives an update.
         """
         self.drains = {permit: LocalDrain(permit, backend, DrainPhase.EJECTED) for permit, backend in stored}
 
@@ -77,8 +77,8 @@
         """Apply the issuer's update.
 
         Args:
-            ejected: All drains that are in force, backends by permit.
-            restored: The backends that are to be restored, by permit.
+            ejected: The backends to eject, by permit: all drains that are in force.
+            restored: The backends to restore, by permit.
 
         """
         actions: list[Action] = []
@@ -123,7 +123,7 @@
                 drain.phase = DrainPhase.DRAINED
                 actions.append(Announce(drained))
             elif drain.phase is DrainPhase.DRAINED and not is_drained:
-                drain.phase = DrainPhase.EJECTED  # an operator has put it back into rotation: no longer drained
+                drain.phase = DrainPhase.EJECTED  # back in rotation, by an operator, or with requests in flight
                 actions.append(Retract(drained))
                 if drain.backend not in ejected:
                     actions.append(Eject(drain.backend))
@@ -142,5 +142,5 @@
         ]
 
     def to_store(self) -> dict[str, str]:
-        """Return what a restart needs: the backends that are ejected here, by permit."""
+        """Return what has to be stored for a restart: the backends that are ejected here, by permit."""
         return {drain.permit: drain.backend for drain in self.drains.values() if drain.is_ejected}
--- a/hophinge/maintenance/issuer.py
+++ b/hophinge/maintenance/issuer.py
@@ -1,8 +1,8 @@
-"""The issuer of permits: reports of heads and the configuration come in, updates for heads go out.
+"""The issuer of permits: processes the configuration and the reports of heads, and makes the updates for heads.
 
-Nothing is sent that is not stored: each step passes its rows to the store first and applies them only when that has
-returned. All updates are made of the table as it is, so an issuer that ends in between sends them when it starts again,
-and a step that failed is repeated by the next `tick`.
+Nothing is sent before it is stored: each step passes its rows to the store first, and applies them only after the store
+has returned. All updates are made from the current table, so an issuer that ends in between sends them after its
+restart, and a step that failed is repeated by the next `tick`.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
     """The issuer of one installation.
 
     Args:
-        issuer: The id of the store.
-        fencing_token: Above that of every process that had this store before.
-        permits: The permits that are stored.
-        releases: The releases that are stored.
-        zones: The zones of known heads.
+        issuer: The id of the store, which identifies the issuer to heads.
+        fencing_token: Greater than that of every process that used this store before.
+        permits: The stored permits.
+        releases: The stored releases.
+        zones: The zones of known heads, by name.
         store: Where permits and releases are stored.
         now_us: The current time.
 
@@ -74,9 +74,9 @@
         self.configured_releases: dict[str, Release] = {}
         self.records: tuple[Record, ...] = ()  # of pools, routes and tenants
         self.reserves: dict[str, float] = {}  # of tenants that have an account
-        self.waiting_reasons: dict[tuple[PermitKind, str], str] = {}  # why requests were rejected
+        self.waiting_reasons: dict[tuple[PermitKind, str], str] = {}  # why requests were rejected, by kind and name
         self.last_updates: dict[str, PermitUpdate] = {}  # by head
-        self.last_sequence = 0  # of updates
+        self.last_sequence = 0  # of the updates to all heads
         self.backend_availability: Availability | None = None  # cached until a report arrives or time advances
 
     # --- input
@@ -84,7 +84,7 @@
     def apply_configuration(
         self, maintenance_records: Iterable[Record], records: Iterable[Record], reserves: Mapping[str, float]
     ) -> None:
-        """Apply the maintenance records, and the records that state what pools must carry."""
+        """Apply the maintenance records, and the records and reserves that determine the required capacity."""
         rows = list(maintenance_records)
         self.policy = next((row for row in rows if isinstance(row, MaintenanceRule)), MaintenanceRule())
         self.outages = {row.name: row for row in rows if isinstance(row, Outage)}
@@ -93,7 +93,7 @@
         self.reserves = dict(reserves)
 
     def head_connected(self, name: str, supports_permits: bool, head_count: int) -> None:
-        """Record the stream of a head; `head_count` is how many heads the installation counts, 0: unknown."""
+        """Record the stream of a head; `head_count` is the number of heads in the installation, 0: unknown."""
         head = self.observations.heads.setdefault(name, ObservedHead())
         head.is_connected = True
         head.was_connected = True
@@ -113,7 +113,7 @@
             self.backend_availability = None
 
     def apply_report(self, name: str, report: HeadReport) -> None:
-        """Apply the report of a head, which replaces its last one; a stale one has no effect."""
+        """Apply the report of a head, which replaces its last one; a stale report has no effect."""
         head = self.observations.heads[name]
         full_report = head.receiver.to_full(report)
         if full_report is None:
@@ -125,7 +125,7 @@
         self.backend_availability = None
         self.drain_statements.record_statements(name, full_report.statements, True, self.permits.active)
         for other, statements in full_report.peer_statements.items():
-            # A connected head reports for itself: what others relay of it may be of an earlier process.
+            # A connected head reports for itself: statements that others relay may be of an earlier process.
             known = self.observations.heads.get(other)
             if known is None or not known.is_connected:
                 self.drain_statements.record_statements(other, statements, False, self.permits.active)
@@ -133,7 +133,7 @@
     # --- evaluation
 
     def tick(self, now_us: int) -> None:
-        """Do all that follows from what is known; raises what the store raises, and is then to be called again."""
+        """Update permits and releases by the current observations; after an error of the store, call it again."""
         self.backend_availability = None
         self._store(now_us, self.permits.expired(now_us))
         for permit_id in self.policy.released_permits:
@@ -168,7 +168,7 @@
         if permit.state is PermitState.GRANTED or head is None:
             return None
         if not head.is_connected:
-            # To an issuer that has just started all heads are absent, until they had time to connect.
+            # After its own start the issuer has to give heads time to connect before absence is evidence.
             is_evidence = head.was_connected or now_us - self.started_us >= DISCONNECT_TIMEOUT_US
             return PermitState.OUT if is_evidence and permit.state in (PermitState.BEGUN, PermitState.BACK) else None
         is_requested = self._is_still_requested(permit)
@@ -194,7 +194,7 @@
         return PermitState.OUT if permit.state is PermitState.BEGUN and self.verdict(permit).is_complete else None
 
     def _is_still_requested(self, permit: Permit) -> bool:
-        """Whether the outage that a permit is for is still configured; other requesters have none."""
+        """Whether the outage that a permit was requested for is still configured; true for other requesters."""
         if not permit.requester.startswith(OUTAGE):
             return True
         outage = self.outages.get(permit.requester.removeprefix(OUTAGE))
@@ -203,7 +203,7 @@
         return permit.name in (outage.heads if permit.kind is PermitKind.HEAD else outage.backends)
 
     def verdict(self, permit: Permit) -> DrainVerdict:
-        """Return which heads' statements that a backend is drained are missing."""
+        """Return the heads whose statements that the backend is drained are missing."""
         outage = self.outages.get(permit.requester.removeprefix(OUTAGE))
         connected = self.observations.connected()
         known = [name for name in self.observations.heads if name not in self.policy.retired_heads]
@@ -256,7 +256,7 @@
                         self._request(now_us, request)
 
     def _process_of(self, head_name: str) -> int:
-        """Return the process of a head as it has reported, 0 if it has not."""
+        """Return the process id that a head has reported, 0 if it has not reported one."""
         head = self.observations.heads.get(head_name)
         return head.report.process if head is not None and head.report is not None else 0
 
@@ -276,7 +276,7 @@
     def _request_restarts(self, now_us: int, decision: ReleaseDecision) -> None:
         for restart in decision.requests:
             if not self.observations.heads[restart.head].supports_permits:
-                reason = "it does not speak of permits; restart it under an (outage ...)"
+                reason = "its build does not support permits; restart it under an (outage ...)"
                 self.waiting_reasons[PermitKind.HEAD, restart.head] = reason
                 continue
             requester = RELEASE + restart.release
@@ -314,7 +314,7 @@
             self._apply_decision(now_us, PermitKind.HEAD, name, decision)
 
     def head_statuses(self) -> dict[str, HeadStatus]:
-        """Return the heads as releases see them, by name."""
+        """Return the state of the heads that releases need, by name."""
         statuses = {}
         for name, head in self.observations.heads.items():
             if head.is_connected or name not in self.policy.retired_heads:
@@ -334,7 +334,7 @@
     # --- output
 
     def next_update(self, name: str) -> PermitUpdate | None:
-        """Return the update for a head if it differs from the last one."""
+        """Return the update for a head, None if it equals the last one."""
         backends = self.permits.of_kind(PermitKind.BACKEND)
         releases = self.releases.progress.values()
         head = self.observations.heads.get(name)
--- a/hophinge/maintenance/messages.py
+++ b/hophinge/maintenance/messages.py
@@ -1,4 +1,4 @@
-"""The messages between a head and the issuer of permits: each is complete, so that a lost one does no harm.
+"""The messages between a head and the issuer of permits: each has the complete state, so a lost one does no harm.
 
 Only a head's long lists are sent as changes with a digest of the complete list (`maintenance/snapshots.py`), to an
 issuer that has announced that it accepts them.
@@ -47,22 +47,22 @@
 class HeadReport(Struct, frozen=True, omit_defaults=True):
     """What a head reports of itself and of what it observes."""
 
-    process: int  # unlike that of any other process of this head
+    process: int  # identifies the process among all processes of this head
     build: str = ""
     zone: str = ""
-    # It serves, with backends and a configuration version in force.
+    # It serves: it has backends and a configuration version in force.
     is_ready: bool = msgspec.field(default=False, name="ready")
     # The key of a request to go offline, made by the operator who restarts this head.
     requested_key: str = msgspec.field(default="", name="ask")
     permit_to_begin: str = msgspec.field(default="", name="begin")
-    statements: tuple[Statement, ...] = ()  # all of its own
-    # Of heads that may have no stream to the issuer.
+    statements: tuple[Statement, ...] = ()  # all statements of this head
+    # Relayed statements of other heads, which may have no stream to the issuer.
     peer_statements: dict[str, list[Statement]] = msgspec.field(default_factory=dict, name="heard")
     backends: dict[str, BackendListing] = msgspec.field(default_factory=dict, name="bricks")
     # Heads whose statements are required, and heads that have left, in its view of the cluster.
     live_heads: tuple[str, ...] = msgspec.field(default=(), name="live")
     departed_heads: tuple[str, ...] = msgspec.field(default=(), name="gone")
-    is_clustered: bool = msgspec.field(default=False, name="clustered")  # it has a view of the cluster at all
+    is_clustered: bool = msgspec.field(default=False, name="clustered")  # it has a view of the cluster
     accepted_requests: float = msgspec.field(default=0.0, name="taken")  # since its start
     failed_requests: float = msgspec.field(default=0.0, name="failed")  # rejected, or without an answer
     # In place of backends, live_heads, departed_heads and peer_statements.
@@ -78,8 +78,8 @@
     sequence: int = msgspec.field(name="number")
     ejected: dict[str, str] = msgspec.field(default_factory=dict, name="out")  # backends by permit: no new requests
     restored: dict[str, str] = msgspec.field(default_factory=dict, name="back")  # backends by permit: use them again
-    own_permit: Permit | None = msgspec.field(default=None, name="own")  # of this head itself
-    waiting_reason: str = msgspec.field(default="", name="refused")  # why its request, or its begin, has to wait
+    own_permit: Permit | None = msgspec.field(default=None, name="own")  # the permit of this head itself
+    waiting_reason: str = msgspec.field(default="", name="refused")  # why its request or its begin has to wait
     # Releases whose permits no head may begin, as NAME/ATTEMPT.
     halted_releases: tuple[str, ...] = msgspec.field(default=(), name="halted")
     accepts_list_changes: bool = msgspec.field(default=False, name="parts")
--- a/hophinge/maintenance/observations.py
+++ b/hophinge/maintenance/observations.py
@@ -1,4 +1,4 @@
-"""What the issuer observes of heads and backends, and how many of them the reserves of tenants require."""
+"""The issuer's observations of heads and backends, and how many of them the reserves of tenants require."""
 
 from __future__ import annotations
 
@@ -15,9 +15,7 @@
 from hophinge.routing.records import Pool, Record, Route, SpareSharing, TenantRule
 from hophinge.tenancy.share_planner import find_shortfall
 
-BACKEND_RETENTION_US = (
-    3_600_000_000  # a backend that no list has any more counts as down for this long, then as removed
-)
+BACKEND_RETENTION_US = 3_600_000_000  # a backend that is no longer listed counts as down, after this as removed
 
 
 class ObservedHead(Struct):
@@ -26,40 +24,43 @@
     zone: str = ""
     is_connected: bool = False
     was_connected: bool = False  # since the issuer started
-    supports_permits: bool = False  # it sends reports, and counts as down until the first
+    supports_permits: bool = False  # it sends reports, and counts as down until its first one
     report: HeadReport | None = None
     receiver: SnapshotReceiver = msgspec.field(default_factory=SnapshotReceiver)
 
     @property
     def is_up(self) -> bool:
-        """Whether it certainly serves; for an older head its stream is all there is to go by."""
+        """Whether it certainly serves; a head of a build without reports counts as up while it is connected."""
         return self.is_connected and (self.report.is_ready if self.report is not None else not self.supports_permits)
 
 
 class ListedBackend(NamedTuple):
-    """A backend as a head has listed it last."""
+    """The last listing of a backend by a head."""
 
     listing: BackendListing
     listed_us: int
 
 
 class Observations:
-    """All heads and backends; each counts as down if it is not certain to be up."""
+    """All heads and backends; each counts as down unless it is certainly up."""
 
     def __init__(self, zones: Mapping[str, str]) -> None:
         self.heads = {name: ObservedHead(zone) for name, zone in zones.items()}
-        self.head_count = 0  # heads that the installation counts
+        self.head_count = 0  # in the installation; 0: unknown
         self.listed_backends: dict[str, ListedBackend] = {}
 
     def head_availability(self, retired: Collection[str]) -> Availability:
-        """Return the heads; those that are counted but were never observed are part of the total."""
+        """Return the availability of heads; the total includes heads of the installation that were never observed."""
         known = {name: head for name, head in self.heads.items() if head.is_connected or name not in retired}
         up = {name: head.zone for name, head in known.items() if head.is_up}
         down = {name: head.zone for name, head in known.items() if not head.is_up}
         return Availability(max(self.head_count, len(known)), up, down)
 
     def backend_availability(self, now_us: int) -> Availability:
-        """Return the backends: one is up if no connected head lists it as down and no head's list is uncertain."""
+        """Return the availability of backends.
+
+        A backend is up if a connected head lists it, none lists it as down, and no head's list is uncertain.
+        """
         up: dict[str, str] = {}
         down: dict[str, str] = {}
         reports = [head.report for head in self.heads.values() if head.is_connected and head.report is not None]
@@ -81,11 +82,11 @@
         return {name for name, head in self.heads.items() if head.is_connected}
 
     def reported_live(self) -> dict[str, tuple[str, ...]]:
-        """Return the live heads by each connected head that is a member of the cluster."""
+        """Return the live heads in the view of each connected head that is a member of the cluster."""
         return {name: report.live_heads for name, report in self._clustered_reports()}
 
     def reported_departed(self) -> dict[str, tuple[str, ...]]:
-        """Return the heads that have left by each connected head that is a member of the cluster."""
+        """Return the heads that have left in the view of each connected head that is a member of the cluster."""
         return {name: report.departed_heads for name, report in self._clustered_reports()}
 
     def _clustered_reports(self) -> Iterator[tuple[str, HeadReport]]:
@@ -95,7 +96,7 @@
 
 
 def required_count(reserves: Mapping[str, float], capacity: float, min_count: int) -> int:
-    """Return how many processes of one capacity carry the reserves of tenants, at least `min_count`."""
+    """Return how many processes of the given capacity carry the reserves of tenants, at least `min_count`."""
     total = sum(reserves.values())
     count = max(min_count, math.ceil(total / capacity - 1e-9) if capacity > 0 else 0)
     while capacity > 0 and find_shortfall(reserves, dict.fromkeys(map(str, range(count)), capacity)) is not None:
@@ -106,12 +107,12 @@
 def backend_floors(
     records: Iterable[Record], backends: Mapping[str, BackendListing], capacity: float, accounts: Mapping[str, float]
 ) -> list[CapacityFloor]:
-    """Return how many backends each pool needs: its `at-least`, and the reserves of tenants that choose it first.
+    """Return how many backends each pool needs: for its `at-least`, and for the tenants whose routes name it first.
 
     Args:
         records: The records of pools, routes and tenants.
         backends: The backends that heads list, by name.
-        capacity: Of one backend, in requests; 0: unknown.
+        capacity: The capacity of one backend, in the units of the reserves; 0: unknown.
         accounts: The reserves of tenants that have an account.
 
     """
@@ -124,7 +125,7 @@
         own_routes = [route for route in routes if route.scope.tenant == tenant]
         own_routes = own_routes or [route for route in routes if not route.scope.tenant]
         for pool_name in {route.pools[0] for route in own_routes}:
-            by_pool[pool_name][tenant] = reserve  # in full in each: no route says how a tenant's requests divide
+            by_pool[pool_name][tenant] = reserve  # in full in each pool: no route states how a tenant's requests divide
     floors = [
         CapacityFloor(
             f"the pool {name}",
@@ -133,12 +134,12 @@
         )
         for name, pool in pools.items()
     ]
-    floors = [floor for floor in floors if floor.members]  # a pool without listed backends has nothing to lose
+    floors = [floor for floor in floors if floor.members]  # a pool without listed backends has none that could go out
     return [*floors, CapacityFloor("the installation", (), required_count(reserves, capacity, 0))]
 
 
 def head_floor(records: Iterable[Record], accounts: Mapping[str, float]) -> CapacityFloor:
-    """Return how many heads carry all reserves, by the capacity that the document states for one."""
+    """Return how many heads carry all reserves, by the capacity of a head that the document states."""
     rows = list(records)
     capacity = next((record.head_capacity for record in rows if isinstance(record, SpareSharing)), 0.0)
     reserves = _all_reserves(rows, accounts)
--- a/hophinge/maintenance/permit_holder.py
+++ b/hophinge/maintenance/permit_holder.py
@@ -1,7 +1,7 @@
 """A head's side of its own permit: when it may begin, and which updates of the issuer it has to follow.
 
-A head goes offline only once the issuer has confirmed that the begin is stored. Gossip may hold it back but never
-releases it: a halt that another member has received counts as one.
+A head goes offline only after the issuer has confirmed that the begin is stored. Gossip can delay this, but never allow
+it: a halt of a release that another member has received counts like one that this head has received.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
 
 class IssuerError(HophingeError):
-    """An update came from another store than the one that this head gets its permits from."""
+    """An update came from a store other than the one that this head gets its permits from."""
 
     code = "permit-issuer-unknown"
-    remedy = "Let all control services of an installation use one store; restart the head to have it follow another."
+    remedy = "Let all control services of an installation use one store; restart the head to let it use another store."
 
 
 class GoOffline(Struct, frozen=True):
-    """End this process, and come back with the build (empty: with any)."""
+    """Stop this process; the next one is to run the build (empty: any)."""
 
     permit: str
     build: str
 
 
 class PermitHolder:
-    """The permit of one head.
+    """The permit of one head, and its own request for one.
 
     Args:
         process: The id of this process.
@@ -48,13 +48,13 @@
         self.update: PermitUpdate | None = None
         self.requested_key = ""  # of this head's own request
         self.requested_at_us = 0
-        self.renewals = 0  # requests that were repeated, as the grant came too late to begin
-        self.begin_deadlines: dict[str, int] = {}  # by permit id: when this head may not begin any more
-        self.last_departure: str = ""  # the permit and build that it was last told to go offline for
-        self.stale_updates = 0  # received after later ones
+        self.renewals = 0  # number of renewed requests, whose grant came too late to begin
+        self.begin_deadlines: dict[str, int] = {}  # by permit id: the time from which this head must not begin
+        self.last_departure: str = ""  # PERMIT/BUILD of the last `GoOffline`
+        self.stale_updates = 0  # updates that were received after later ones
 
     def request(self, now_us: int, key: str) -> None:
-        """Request to go offline; the request stands until it is withdrawn."""
+        """Request to go offline; the request remains until it is withdrawn."""
         self.requested_key = key
         self.requested_at_us = now_us
 
@@ -63,7 +63,10 @@
         self.requested_key = ""
 
     def pending_key(self, now_us: int) -> str:
-        """Return the key of the request, if there is one; an unanswered one is renewed in time under another key."""
+        """Return the key of the request, empty if there is none.
+
+        A request that has led to no begin within `BEGIN_US` is renewed under another key.
+        """
         own = self.update.own_permit if self.update is not None else None
         is_unanswered = own is None or (own.state is PermitState.GRANTED and own.request_key == self.requested_key)
         if self.requested_key and is_unanswered and now_us >= self.requested_at_us + BEGIN_US:
@@ -73,16 +76,16 @@
         return self.requested_key
 
     def apply_update(self, now_us: int, update: PermitUpdate) -> list[GoOffline]:
-        """Apply the issuer's update; one that is older than the last has no effect.
+        """Apply the issuer's update; an update that is older than the last one has no effect.
 
         Raises:
-            IssuerError: The update is of another store.
+            IssuerError: The update comes from another store.
 
         """
         previous = self.update
         if previous is not None:
             if update.issuer != previous.issuer:
-                raise IssuerError(f"a word of the store {update.issuer}, not of {previous.issuer}")
+                raise IssuerError(f"the update comes from the store {update.issuer}, not from {previous.issuer}")
             if (update.fencing_token, update.sequence) <= (previous.fencing_token, previous.sequence):
                 self.stale_updates += 1
                 return []
@@ -105,15 +108,15 @@
             return False
         if own.process == self.process:
             return True
-        # Back with a build that is not wanted any more: it goes offline once more, under the same permit.
+        # Back with a build that is no longer wanted: it goes offline once more under the same permit.
         return bool(own.build) and own.build != self.build and own.state in (PermitState.OUT, PermitState.BACK)
 
     def permit_to_begin(self, now_us: int, halted_by_peers: Iterable[str] = ()) -> str:
-        """Return the id of the permit that this head wants to begin, if any.
+        """Return the id of the permit that this head may begin now, empty if there is none.
 
         Args:
             now_us: The current time.
-            halted_by_peers: Releases that are halted as other members have received, as NAME/ATTEMPT.
+            halted_by_peers: Releases of which other members have received a halt, as NAME/ATTEMPT.
 
         """
         own = self.update.own_permit if self.update is not None else None
@@ -128,7 +131,7 @@
 
 
 def halted_releases(entries: Iterable[Entry]) -> set[str]:
-    """Return the releases that other members have received a halt of, as NAME/ATTEMPT."""
+    """Return the releases of which other members have received a halt, as NAME/ATTEMPT."""
     return {
         entry.key.removeprefix(HALT_KEY_PREFIX)
         for entry in entries
--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -1,12 +1,13 @@
-"""Permits to be offline: the table of permits, the limits on how many may be out, and their transitions.
+"""Permits to be offline: the table of permits, the limits on how many processes may be out, and the transitions.
 
-A permit is requested, granted, begun, out, back and free. Before its begin it expires by a lease: the requester may
-begin for `BEGIN_US` by its own clock from its request, the issuer reserves the place for `LEASE_US` by its own from the
-grant, which came later and lasts longer by more than two clocks may drift. A begin counts once the issuer has stored
-it, and the requester acts only on confirmation: clocks save rejections, the store provides safety. A permit that has
-begun is freed only by evidence or by an operator, never by time.
+A permit is requested, granted, begun, out, back and free. Until it begins it is a lease: the requester may begin within
+`BEGIN_US` of its request by its own clock, and the issuer keeps the permit for `LEASE_US` from the grant by its own
+clock. The grant is later than the request, and its period is longer by more than two clocks can drift apart. A begin
+counts once the issuer has stored it, and the requester acts only after the confirmation: the clocks only avoid
+rejections, the store provides safety. A permit that has begun is freed only by evidence or by an operator, never by a
+timeout.
 
-Every change is computed as rows first. The owner of the table stores them, then has them applied: a failure in between
+Every change is computed as rows first. The owner of the table stores the rows, then applies them: a failure in between
 leaves nothing half done.
 """
 
@@ -21,29 +22,31 @@
 from hophinge.core.errors import HophingeError
 from hophinge.routing.maintenance_records import DisruptionBudget
 
-BEGIN_US = 20_000_000  # by the requester's clock, from its request
+BEGIN_US = 20_000_000  # from the request, by the requester's clock
 MAX_CLOCK_DRIFT = 0.01  # relative, between two monotonic clocks, as in tenancy/share_leases.py
-LEASE_US = int(BEGIN_US * (1 + MAX_CLOCK_DRIFT)) + 10_000_000  # by the issuer's; ten seconds for messages in flight
+LEASE_US = (
+    int(BEGIN_US * (1 + MAX_CLOCK_DRIFT)) + 10_000_000
+)  # from the grant, by the issuer's; 10 s for messages in flight
 
-MAX_NAMED = 5  # processes that a rejection names
+MAX_NAMED = 5  # processes that the reason of a rejection names
 
 
 class PermitError(HophingeError):
-    """The permit does not exist or its state has no such transition; nothing was changed."""
+    """The permit does not exist or its state does not allow the transition; nothing was changed."""
 
     code = "permit-unfit"
     remedy = "Read the permit's state in `hophinge control status` and free it by its id if it is out for good."
 
 
 class PermitKind(Enum):
-    """The kind of process that may be out."""
+    """The kind of process that a permit is for."""
 
     HEAD = "head"
     BACKEND = "brick"
 
 
 class PermitState(Enum):
-    """The state of a permit; one that is requested has no row yet."""
+    """The state of a permit; a request that has not been granted has no row."""
 
     GRANTED = "granted"
     BEGUN = "begun"
@@ -62,7 +65,7 @@
 
 
 class Permit(Struct, frozen=True):
-    """A place among those that may be out."""
+    """The permission for one process to be out."""
 
     id: str
     kind: PermitKind
@@ -72,20 +75,20 @@
     requester: str = msgspec.field(name="by")
     request_key: str = msgspec.field(name="key")  # a repeated request gets the same permit
     state: PermitState = PermitState.GRANTED
-    build: str = ""  # that the head is to come back with; empty: any
-    process: int = 0  # of the head that has begun
+    build: str = ""  # that the head is to run when it is back; empty: any
+    process: int = 0  # id of the head's process that has begun; 0: unknown
 
 
 class Availability(Struct, frozen=True):
-    """The processes of one kind, zones by name (empty: unknown); `total` may include some of unknown name."""
+    """The zones of the processes of one kind, by name (empty: unknown); `total` includes those of unknown name."""
 
     total: int
     up: Mapping[str, str]
-    down: Mapping[str, str]  # known, and out without a permit or uncertain
+    down: Mapping[str, str]  # known processes that are not certainly up
 
 
 class CapacityFloor(Struct, frozen=True):
-    """A number of processes that must stay up, whatever the limits allow; without members, of all."""
+    """A number of processes that must stay up, whatever the limits allow; of all if `members` is empty."""
 
     name: str
     members: Collection[str]
@@ -100,12 +103,12 @@
     requester: str
     request_key: str
     build: str = ""
-    begin_at_once: bool = False  # by an operator: granted and begun in one step
-    process: int = 0  # of the head that is to go offline, if known
+    begin_at_once: bool = False  # granted and begun in one step, for an operator
+    process: int = 0  # id of the process of the head that is to go offline; 0: unknown
 
 
 class PermitDecision(Struct, frozen=True):
-    """A permit with the rows to store, or the reason for a rejection."""
+    """A permit with the rows to store, or the reason of a rejection."""
 
     rows: tuple[Permit, ...] = ()
     permit: Permit | None = None
@@ -113,19 +116,19 @@
 
 
 class PermitTable:
-    """All permits that are not free; the fencing token makes their ids unique among all processes of the store."""
+    """All permits that are not free; the fencing token makes their ids unique among all issuers of the store."""
 
     def __init__(self, rows: Iterable[Permit], fencing_token: int, now_us: int) -> None:
         self.fencing_token = fencing_token
         self.issued_count = 0
         self.active: dict[str, Permit] = {}  # by id
-        self.by_target: dict[tuple[PermitKind, str], str] = {}  # ids
-        self.lease_ends: dict[str, int] = {}  # of permits that have not begun, by id
-        # An issuer that has just started does not know when these were granted: their leases begin now.
+        self.by_target: dict[tuple[PermitKind, str], str] = {}  # permit ids
+        self.lease_ends: dict[str, int] = {}  # of permits that have not begun, in microseconds by id
+        # The times of the grants are not stored: their leases begin now.
         self.apply(now_us, tuple(row for row in rows if row.state is not PermitState.FREE))
 
     def apply(self, now_us: int, rows: Iterable[Permit]) -> None:
-        """Apply rows that are stored."""
+        """Apply rows that have been stored."""
         for row in rows:
             if row.state is PermitState.FREE:
                 self.active.pop(row.id, None)
@@ -141,19 +144,21 @@
                 self.lease_ends.pop(row.id, None)
 
     def for_target(self, kind: PermitKind, name: str) -> Permit | None:
-        """Return the permit of a process, if there is one."""
+        """Return the permit of a process, None if it has none."""
         permit_id = self.by_target.get((kind, name))
         return self.active[permit_id] if permit_id is not None else None
 
     def of_kind(self, kind: PermitKind) -> list[Permit]:
         """Return the permits of one kind, sorted by name."""
-        return sorted((one for one in self.active.values() if one.kind is kind), key=lambda one: one.name)
+        return sorted(
+            (permit for permit in self.active.values() if permit.kind is kind), key=lambda permit: permit.name
+        )
 
     def unavailable(self, kind: PermitKind, availability: Availability) -> dict[str, str]:
-        """Return the zones of all that count as out, by name: with a permit, out without one, and unknown ones."""
+        """Return the zones of all processes that count as out, by name: with a permit, down, or of unknown name."""
         known = availability.up.keys() | availability.down.keys()
         unknown = {f"#{number}": "" for number in range(availability.total - len(known))}
-        return {**unknown, **availability.down, **{one.name: one.zone for one in self.of_kind(kind)}}
+        return {**unknown, **availability.down, **{permit.name: permit.zone for permit in self.of_kind(kind)}}
 
     def rejection_reason(
         self,
@@ -164,7 +169,7 @@
         limit: DisruptionBudget | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> str:
-        """Return why no further process may be out; empty if it may."""
+        """Return why the process may not go out; empty if it may."""
         if limit is None:
             return f"no (maintenance ({kind.value}s ...)) states how many {kind.value}s may be out"
         unavailable = {**self.unavailable(kind, availability), name: zone}
@@ -182,20 +187,18 @@
         limit: DisruptionBudget | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> PermitDecision:
-        """Decide on a request; a repeated one gets the same permit."""
+        """Decide on a request; a repeated request gets the same permit."""
         current = self.for_target(request.kind, request.name)
         if current is not None:
             if (current.requester, current.request_key) == (request.requester, request.request_key):
                 return PermitDecision((), current)
-            return PermitDecision(
-                reason=f"{request.name} is out under permit {current.id} of {current.requester} already"
-            )
+            return PermitDecision(reason=f"{request.name} already has permit {current.id} of {current.requester}")
         if request.name not in availability.up and request.name not in availability.down:
-            return PermitDecision(reason=f"nobody knows a {request.kind.value} {request.name}")
+            return PermitDecision(reason=f"there is no known {request.kind.value} {request.name}")
         zone = availability.up.get(request.name) or availability.down.get(request.name, "")
         if reason := self.rejection_reason(request.kind, request.name, zone, availability, limit, floors):
             return PermitDecision(reason=reason)
-        self.issued_count += 1  # an id that was not stored is never sent, and never reused
+        self.issued_count += 1  # an id whose row was not stored is neither sent nor reused
         permit = Permit(
             f"{self.fencing_token}.{self.issued_count}",
             request.kind,
@@ -218,26 +221,26 @@
         limit: DisruptionBudget | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> PermitDecision:
-        """Begin a permit that was granted, unless processes that went out since then leave no place for it."""
+        """Begin a permit that was granted, unless the limits forbid it, as other processes went out since then."""
         permit = self.active.get(permit_id)
         if permit is None:
-            return PermitDecision(reason=f"permit {permit_id} has lapsed, was withdrawn or never was")
+            return PermitDecision(reason=f"permit {permit_id} has expired, was withdrawn or never existed")
         if permit.state is not PermitState.GRANTED:
             if permit.process == process:
                 return PermitDecision((), permit)
             return PermitDecision(reason=f"permit {permit_id} was begun by another process")
         if now_us >= self.lease_ends.get(permit_id, 0):
-            return PermitDecision(reason=f"permit {permit_id} has lapsed")
+            return PermitDecision(reason=f"permit {permit_id} has expired")
         if reason := self.rejection_reason(permit.kind, permit.name, permit.zone, availability, limit, floors):
             return PermitDecision(reason=reason)
         row = msgspec.structs.replace(permit, state=PermitState.BEGUN, process=process)
         return PermitDecision((row,), row)
 
     def transition(self, permit_id: str, state: PermitState, build: str | None = None) -> tuple[Permit, ...]:
-        """Return the rows of a transition, none if nothing changes.
+        """Return the rows of a transition, empty if nothing changes.
 
         Raises:
-            PermitError: There is no such permit, or no such transition.
+            PermitError: There is no such permit, or its state does not allow the transition.
 
         """
         permit = self.active.get(permit_id)
@@ -281,9 +284,13 @@
     limit: DisruptionBudget,
 ) -> str:
     # A process whose zone is unknown may be in any zone.
-    in_zone = {one: where for one, where in unavailable.items() if not zone or not where or where == zone}
+    in_zone = {
+        process: process_zone
+        for process, process_zone in unavailable.items()
+        if not zone or not process_zone or process_zone == zone
+    }
     zones = list({**availability.down, **availability.up}.values())
-    zone_sizes = [zones.count(one) for one in set(zones) if one]
+    zone_sizes = [zones.count(other_zone) for other_zone in set(zones) if other_zone]
     smallest_size = min(zone_sizes, default=max(availability.total, len(zones)))
     size = zones.count(zone) if zone else smallest_size
     allowed = limit.allowed_out_of_zone(size)
@@ -312,12 +319,12 @@
 
 
 def _describe_unavailable(unavailable: Mapping[str, str], name: str) -> str:
-    """Return the names of unavailable processes, the first few in full, and of the one that requests."""
-    unknown = sum(one.startswith("#") for one in unavailable)
-    others = sorted(one for one in unavailable if one != name and not one.startswith("#"))
+    """Return the names of the first few unavailable processes, the number of the others, and the requesting one."""
+    unknown = sum(process.startswith("#") for process in unavailable)
+    others = sorted(process for process in unavailable if process != name and not process.startswith("#"))
     shown = others[:MAX_NAMED]
     if len(others) > MAX_NAMED:
         shown.append(f"{len(others) - MAX_NAMED} more")
     if unknown:
-        shown.append(f"{unknown} that nobody can tell about")
+        shown.append(f"{unknown} of unknown name")
     return ", ".join([*shown, f"and {name} itself"])
--- a/hophinge/maintenance/releases.py
+++ b/hophinge/maintenance/releases.py
@@ -1,7 +1,7 @@
-"""Releases: which head is to come back with which build, wave by wave, what halts that, and the rollback.
+"""Releases: restart heads with another build wave by wave, halt on problems, and roll back.
 
-A release takes no place among those that may be out itself: it requests restarts of heads, and the permits decide. Its
-progress is stored with the permits that follow from it, so that an issuer that restarts continues from there.
+A release only requests restarts of heads; permits decide when each may go out. Its progress is stored together with the
+permits that follow from it, so that an issuer continues from there after a restart.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     RETURNING = "going back"
     DONE = "done"
     UNDONE = "taken back"
-    DROPPED = "dropped"  # it is not configured any more
+    DROPPED = "dropped"  # no longer configured
 
 
 FINAL_STAGES = frozenset({ReleaseStage.DONE, ReleaseStage.UNDONE, ReleaseStage.DROPPED})
@@ -44,9 +44,9 @@
 
     name: str
     build: str
-    order: int = msgspec.field(name="began")  # among releases
+    order: int = msgspec.field(name="began")  # releases run in this order
     stage: ReleaseStage = ReleaseStage.WAITING
-    wave: int = 0  # 0: one head alone
+    wave: int = 0  # 0: a single head
     attempt: int = msgspec.field(default=0, name="again")
     halted_automatically: bool = msgspec.field(default=False, name="by_itself")
     reason: str = ""  # why it is halted
@@ -54,7 +54,7 @@
 
 
 class RestartRequest(Struct, frozen=True):
-    """A head that is to go offline and come back with a build."""
+    """A request to restart a head with a build."""
 
     release: str
     head: str
@@ -63,14 +63,14 @@
 
 
 class RebuiltPermit(NamedTuple):
-    """A permit whose head is to come back with another build."""
+    """A permit whose head is now to come back with another build."""
 
     permit_id: str
     build: str
 
 
 class ReleaseDecision(Struct, frozen=True):
-    """What follows from the state of a release."""
+    """The changes that follow from the state of a release."""
 
     progress: tuple[ReleaseProgress, ...] = ()  # to store
     requests: tuple[RestartRequest, ...] = ()
@@ -79,7 +79,7 @@
 
 
 def rollout_order(names: Iterable[str]) -> list[str]:
-    """Return heads in the order in which releases reach them: the same for all releases, unrelated to their names."""
+    """Return heads in the order of their restarts: by a hash, so the same for all releases and unrelated to names."""
     return sorted(names, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
 
 
@@ -90,10 +90,10 @@
         self.progress: dict[str, ReleaseProgress] = {}  # by name
         self.apply(progress)
         self.monitor = WaveMonitor(WaveId("", 0, 0))
-        self.pending_heads: list[str] = []  # that the wave waits for
+        self.pending_heads: list[str] = []  # heads that the wave waits for
 
     def apply(self, progress: Iterable[ReleaseProgress]) -> None:
-        """Apply progress that is stored."""
+        """Apply progress that has been stored."""
         for release in progress:
             if release.stage is ReleaseStage.DROPPED:
                 self.progress.pop(release.name, None)
@@ -101,7 +101,7 @@
                 self.progress[release.name] = release
 
     def active(self) -> ReleaseProgress | None:
-        """Return the release that runs, or that the others wait for."""
+        """Return the release that runs, or that the others wait for; None if all are finished."""
         return min(
             (release for release in self.progress.values() if release.stage not in FINAL_STAGES),
             key=lambda release: release.order,
@@ -109,7 +109,7 @@
         )
 
     def reconcile(self, configured: Mapping[str, Release]) -> tuple[ReleaseProgress, ...]:
-        """Return the progress that follows from the configuration alone; it is applied before the next `decide`."""
+        """Return the progress that follows from the configuration alone; the caller applies it before `decide`."""
         changes: list[ReleaseProgress] = []
         for name, release in self.progress.items():
             if name not in configured:
@@ -122,14 +122,14 @@
                 last_order += 1
                 changes.append(ReleaseProgress(name, config.build, last_order, attempt=config.resume_count))
             elif known.build != config.build and known.stage is not ReleaseStage.HALTED:
-                reason = f"its form has another build, {config.build}; give that a name of its own"
+                reason = f"its configuration now has another build, {config.build}; release that under another name"
                 changes.append(_halted(known, reason))
         return tuple(changes)
 
     def decide(
         self, now_us: int, configured: Mapping[str, Release], heads: Mapping[str, HeadStatus]
     ) -> ReleaseDecision:
-        """Return what follows for the release that runs, or for one that is done and to be rolled back."""
+        """Return the changes for the active release, or for one that is done and is to be rolled back."""
         release = self.active() or self._release_to_undo(configured)
         if release is None or release.name not in configured:
             return ReleaseDecision()
@@ -203,14 +203,14 @@
 
 
 def _apply_command(release: ReleaseProgress, config: Release) -> ReleaseProgress:
-    """Return the release after the command of its configuration, the same object if that changes nothing."""
+    """Return the release after the command of its configuration; the same object if nothing changes."""
     replace = msgspec.structs.replace
     if config.command == HALT and release.stage in (
         ReleaseStage.WAITING,
         ReleaseStage.ROLLING,
         ReleaseStage.RETURNING,
     ):
-        return replace(release, stage=ReleaseStage.HALTED, halted_automatically=False, reason="halted by word")
+        return replace(release, stage=ReleaseStage.HALTED, halted_automatically=False, reason="halted by an operator")
     if config.command == ROLL_BACK and release.stage is not ReleaseStage.RETURNING:
         attempt = max(release.attempt, config.resume_count)
         return replace(release, stage=ReleaseStage.RETURNING, reason="", attempt=attempt)
@@ -234,7 +234,7 @@
 def _request_restarts(
     release: ReleaseProgress, pending: Iterable[str], heads: Mapping[str, HeadStatus]
 ) -> ReleaseDecision:
-    """Request restarts of pending heads, and store their builds for a rollback."""
+    """Return requests to restart pending heads, and the progress with their current builds for a rollback."""
     key = f"{release.name}/{release.attempt}/{release.build}"
     requests = tuple(
         RestartRequest(release.name, name, release.build, key)
@@ -259,5 +259,5 @@
 
 
 def _needs_restart(head: HeadStatus, build: str) -> bool:
-    """Whether a head is to be restarted with a build; one whose build is still unknown may have it already."""
+    """Whether a head needs a restart to run a build; a head of unknown build may run it already."""
     return head.is_connected and head.is_build_known and head.permit is None and head.build != build
--- a/hophinge/maintenance/retirement.py
+++ b/hophinge/maintenance/retirement.py
@@ -1,8 +1,8 @@
-"""Heads that an operator has declared gone for good, `(retired n7)`: rejected while the head is connected.
+"""Heads that an operator has declared retired, `(retired n7)`: rejected while the head is connected.
 
-An operator can be wrong about a head: it was cut off or stopped, and comes back with the requests that it had. So the
-declaration holds for one absence. When the head returns the store drops the declaration, and the head's statements are
-required again; its next absence has to be declared anew.
+An operator can be wrong about a head: it may only be partitioned or stopped, and return with its requests in flight. So
+a declaration is valid for one absence. When the head returns, the store removes the declaration, and the head's
+statements are required again; its next absence has to be declared again.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
     """A head without a stream to this service."""
 
     name: str
-    since_ms: int  # since 1970; 0: unknown
+    since_ms: int  # when it was connected last, in milliseconds since 1970; 0: unknown
     remedy: str
 
 
 def without_retired(records: Sequence[Record], head: str) -> list[Record]:
-    """Return the records without the declaration that a head is gone; unchanged ones if none declares it."""
+    """Return the records without the declaration that a head is retired, if there is one."""
     return [
         msgspec.structs.replace(record, retired_heads=tuple(name for name in record.retired_heads if name != head))
         if isinstance(record, MaintenanceRule)
@@ -40,7 +40,7 @@
 def retirement_errors(
     records: Iterable[Record], connected: Collection[str], form: Form | None, document: str
 ) -> list[str]:
-    """Return an error for each head that is declared gone and is connected.
+    """Return an error for each head that is declared retired while it is connected.
 
     Args:
         records: The maintenance records of the document.
@@ -54,14 +54,16 @@
     for head in (name for name in retired if name in connected):
         line, column = _position(form, head)
         error = Mistake(
-            line, column, f"{head} is not gone, it has a stream here; take it out of (retired ...), or stop it first"
+            line,
+            column,
+            f"{head} is not gone, it is connected to this service; remove it from (retired ...), or stop it first",
         )
         errors.append(error.located_in(document))
     return errors
 
 
 def _position(form: Form | None, head: str) -> tuple[int, int]:
-    """Return the line and column where a form declares a head as gone; the beginning if it does not."""
+    """Return the line and column where a form declares a head retired; the beginning if it does not."""
     for item in form.items if form is not None else ():
         if isinstance(item, Form) and item.keyword == RETIRED:
             for atom in item.items[1:]:
@@ -71,10 +73,10 @@
 
 
 def absence_remedy(head: str) -> str:
-    """Return what an operator can do about a head that is absent."""
+    """Return what an operator can do about an absent head."""
     return (
-        f"start {head} or mend its line; if it is gone for good: (retired {head}) in (maintenance ...); for one "
-        f"drain alone: (without {head}) in its (outage ...)"
+        f"start {head} or restore its network; if it is gone for good: (retired {head}) in (maintenance ...); for a "
+        f"single drain: (without {head}) in its (outage ...)"
     )
 
 
@@ -85,6 +87,6 @@
     since_ms: Callable[[str], int],
     max_rows: int,
 ) -> list[AbsentHead]:
-    """Return the heads that are neither connected nor declared gone, those first that are absent for longest."""
+    """Return at most `max_rows` heads that are neither connected nor declared retired, the longest absent first."""
     absent = sorted((since_ms(name), name) for name in known if name not in connected and name not in retired)
     return [AbsentHead(name, since, absence_remedy(name)) for since, name in absent[:max_rows]]
--- a/hophinge/maintenance/snapshots.py
+++ b/hophinge/maintenance/snapshots.py
@@ -1,8 +1,8 @@
 """Lists that a head reports repeatedly: sent as changes with a digest of the complete list, in full on request.
 
-The digest is a sum of row digests, so both sides update it change by change. A lost report shows at the next one: the
-digests differ, the issuer is uncertain, and requests full lists. What it is uncertain of counts as unavailable.
-Duplicate and late reports are recognized by their sequence.
+The digest is the sum of the row digests, so both sides update it with each change. A lost report is detected at the
+next one: the digests differ, and the issuer requests full lists. Until it has them, what they concern counts as
+unavailable. Duplicate and late reports are detected by their sequence.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 
 def digest_of(name: str, row: object) -> int:
-    """Return the digest of one row: blake2b of the JSON of its name and content; any type that msgspec encodes."""
+    """Return the digest of a row, 64 bits: BLAKE2b of its name and content as JSON."""
     encoded = msgspec.json.encode((name, row))
     return int.from_bytes(blake2b(encoded, digest_size=8).digest(), "big")
 
 
 class ListSender(Generic[Row]):
-    """One list at the head: the rows that were sent last, as if they had been received."""
+    """One list at the head; the rows that were sent last are assumed to have been received."""
 
     def __init__(self) -> None:
         self.sent_rows: dict[str, Row] = {}
@@ -50,7 +50,7 @@
 
 
 class ListReceiver(Generic[Row]):
-    """One list of one head at the issuer; `is_synchronized`: it is what the head had at its last report."""
+    """One list of one head at the issuer; `is_synchronized`: it equals the head's list as of its last report."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -58,7 +58,7 @@
         self.is_synchronized = False
 
     def apply(self, change: ListChange[Row]) -> None:
-        """Apply a change; changes arrive in the order in which they were made, some may be missing."""
+        """Apply a change; changes arrive in the order in which they were made, but some may be lost."""
         if change.is_full:
             self.rows = {}
             self.digest = 0
@@ -78,17 +78,17 @@
         self.backends: ListSender[BackendListing] = ListSender()
         self.members: ListSender[bool] = ListSender()
         self.peer_statements: ListSender[list[Statement]] = ListSender()
-        self.answered_request = -1  # the first report is full
+        self.answered_request = -1  # the request for full lists answered last; below 0: no report was sent yet
         self.full_lists_us = 0  # when full lists were sent last
 
     def is_full_due(self, now_us: int, request: int) -> bool:
-        """Whether full lists are due; `request` is the issuer's last one, which differs from the one before."""
+        """Whether full lists are due; `request` is the number of the issuer's last request for them."""
         if self.answered_request < 0:
             return True
         return request != self.answered_request and now_us - self.full_lists_us >= FULL_LISTS_INTERVAL_US
 
     def to_changes(self, now_us: int, report: HeadReport, request: int) -> HeadReport:
-        """Return a report that is about to be sent with its lists as changes."""
+        """Return the report to send, with its lists as changes; each call counts as a report that was sent."""
         is_full = self.is_full_due(now_us, request)
         if is_full:
             self.answered_request = request
@@ -118,11 +118,11 @@
 
     @property
     def is_synchronized(self) -> bool:
-        """Whether all lists are what the head had at its last report."""
+        """Whether all lists equal those of the head as of its last report."""
         return self.backends.is_synchronized and self.members.is_synchronized and self.peer_statements.is_synchronized
 
     def to_full(self, report: HeadReport) -> HeadReport | None:
-        """Return a report with its complete lists; None if a later one has been received already."""
+        """Return the report with its complete lists; None if a later report has been received already."""
         list_changes = report.list_changes
         if list_changes is None:
             return report  # of a build that reports complete lists each time
@@ -136,7 +136,7 @@
             self.full_lists_request += 1
         members = self.members.rows
         departed = tuple(name for name, is_live in members.items() if not is_live)
-        # An uncertain witness neither exempts a head nor passes on the statements of others.
+        # With uncertain lists a head neither exempts other heads nor relays their statements.
         return msgspec.structs.replace(
             report,
             backends=self.backends.rows,
--- a/hophinge/maintenance/statements.py
+++ b/hophinge/maintenance/statements.py
@@ -1,6 +1,6 @@
-"""Statements of heads on the drains of backends, as they are replicated between the members of the cluster.
+"""Statements of heads about the drains of backends, as they are replicated between the members of the cluster.
 
-A statement is bound to a permit by its id, so one that is late, duplicated or relayed means the same.
+A statement names the id of its permit, so it means the same if it is late, duplicated or relayed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Statement(Struct, frozen=True):
-    """What one head states of a backend under one permit: `DRAINED` or `SERVED`."""
+    """A claim of one head about a backend under one permit: `DRAINED` or `SERVED`."""
 
     permit: str
     backend: str = msgspec.field(name="brick")
--- a/hophinge/maintenance/status.py
+++ b/hophinge/maintenance/status.py
@@ -10,8 +10,8 @@
 from hophinge.maintenance.releases import FINAL_STAGES, ReleaseProgress, ReleaseStage
 from hophinge.maintenance.retirement import absent_heads
 
-MAX_NAMED = 20  # heads with missing statements, named for one backend, and absent heads
-MAX_PENDING_NAMED = 5  # heads that a release waits for
+MAX_NAMED = 20  # heads named whose statements are missing for one backend, and absent heads
+MAX_PENDING_NAMED = 5  # heads named that a release waits for
 BACKEND_STATES = {
     PermitState.BEGUN: "draining",
     PermitState.OUT: "drained",
@@ -88,7 +88,7 @@
     if permit.kind is PermitKind.BACKEND:
         state = BACKEND_STATES.get(permit.state, state)
         if permit.state is PermitState.OUT and missing:
-            state = "draining again"  # a head has connected that drains only now, or an operator restored the backend
+            state = "draining again"  # a head that has not drained has connected, or an operator restored the backend
     return {
         "id": permit.id,
         "kind": permit.kind.value,
--- a/hophinge/maintenance/wave_monitor.py
+++ b/hophinge/maintenance/wave_monitor.py
@@ -1,4 +1,4 @@
-"""Monitoring of one wave of a release: what is observed while it runs, and which problems halt it."""
+"""Monitors a wave of a release, and finds the problems that halt it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from hophinge.maintenance.permits import Permit, PermitState
 from hophinge.routing.maintenance_records import Release
 
-MIN_REQUESTS = 50  # before a failure rate is significant
-DISCONNECT_TIMEOUT_US = 10_000_000  # a service that starts has all streams back within five seconds
-SIGNIFICANCE = 3.0  # standard errors by which a failure rate has to exceed what is allowed
-MIN_VARIANCE = 1e-4  # of one request, where nearly none may fail
+MIN_REQUESTS = 50  # below this a failure rate is not significant
+DISCONNECT_TIMEOUT_US = 10_000_000  # all heads reconnect to a restarted service within five seconds
+SIGNIFICANCE = 3.0  # standard errors by which a failure rate has to exceed the allowed rate
+MIN_VARIANCE = 1e-4  # of a request's outcome: a lower limit where the allowed rate is near 0
 
 
 class HeadStatus(Struct, frozen=True):
-    """One head as a release sees it."""
+    """The state of one head as far as releases need it."""
 
     is_connected: bool
     is_ready: bool
@@ -27,18 +27,18 @@
     permit: Permit | None
     accepted_requests: float
     failed_requests: float
-    is_build_known: bool = True  # False: its first report is outstanding
+    is_build_known: bool = True  # False: it has not sent its first report yet
 
 
 class RequestCounts(NamedTuple):
-    """Requests of heads since their process began; failed ones were rejected or got no answer."""
+    """Numbers of requests; failed requests were rejected or got no answer."""
 
     accepted: float
     failed: float
 
 
 class Baseline(NamedTuple):
-    """The process of a head and its counts when the wave began."""
+    """The process of a head and its request counts at the begin of the wave."""
 
     process: int
     accepted: float
@@ -46,7 +46,7 @@
 
 
 class WaveId(NamedTuple):
-    """Which wave of which attempt of a release."""
+    """Identifies a wave of an attempt of a release."""
 
     release: str
     wave: int
@@ -54,13 +54,13 @@
 
 
 class WaveMonitor(Struct):
-    """One wave; an issuer that restarts monitors it from the beginning, which only makes it wait longer."""
+    """The state of one wave; an issuer that restarts monitors it from the beginning, which only prolongs it."""
 
     wave_id: WaveId
     baseline: dict[str, Baseline] = {}
     began_us: dict[str, int] = {}  # when a head's permit was first observed as begun
     disconnected_us: dict[str, int] = {}  # when a head was first observed without a stream
-    stable_since_us: int = 0  # 0: heads are outstanding
+    stable_since_us: int = 0  # since when all heads of the wave run the build; 0: some do not
 
     @classmethod
     def start(cls, wave_id: WaveId, heads: Mapping[str, HeadStatus]) -> WaveMonitor:
@@ -77,7 +77,7 @@
         self,
         now_us: int,
         build: str,
-        touched: Collection[str],
+        restarted: Collection[str],
         release: Release,
         wave: Mapping[str, HeadStatus],
         heads: Mapping[str, HeadStatus],
@@ -87,22 +87,24 @@
         Args:
             now_us: The current time.
             build: The build of the release.
-            touched: Heads that the release has requested to restart.
+            restarted: Heads for which the release has requested a restart.
             release: The configuration of the release.
             wave: The heads of the wave.
             heads: All heads.
 
         """
-        return self._find_lost_head(now_us, touched, release, wave) or self._find_failures(build, release, wave, heads)
+        return self._find_lost_head(now_us, restarted, release, wave) or self._find_failures(
+            build, release, wave, heads
+        )
 
     def _find_lost_head(
-        self, now_us: int, touched: Collection[str], release: Release, wave: Mapping[str, HeadStatus]
+        self, now_us: int, restarted: Collection[str], release: Release, wave: Mapping[str, HeadStatus]
     ) -> str:
         for name, head in wave.items():
-            if head.is_connected or head.permit is not None or name not in touched:
+            if head.is_connected or head.permit is not None or name not in restarted:
                 self.disconnected_us.pop(name, None)
             elif now_us - self.disconnected_us.setdefault(name, now_us) > DISCONNECT_TIMEOUT_US:
-                return f"{name} was lost while no permit let it go"
+                return f"{name} was lost without a permit to be out"
             permit = head.permit
             if permit is not None and permit.state in (PermitState.BEGUN, PermitState.OUT, PermitState.BACK):
                 since_us = self.began_us.setdefault(name, now_us)
@@ -115,10 +117,10 @@
     def _find_failures(
         self, build: str, release: Release, wave: Mapping[str, HeadStatus], heads: Mapping[str, HeadStatus]
     ) -> str:
-        """Compare the failure rate of the wave's heads that run the build with that of all others."""
+        """Compare the failure rate of the wave's heads that run the build with that of all other heads."""
         updated = {name: head for name, head in wave.items() if head.build == build}
         others = self.count_requests((name, head) for name, head in heads.items() if name not in updated)
-        if not others.accepted:  # all heads are in the wave: the rate before it has to do
+        if not others.accepted:  # all heads are in the wave: compare with the rate before it
             others = RequestCounts(
                 sum(row.accepted for row in self.baseline.values()), sum(row.failed for row in self.baseline.values())
             )
@@ -130,16 +132,17 @@
             if accepted >= MIN_REQUESTS and failed / accepted > allowed + SIGNIFICANCE * error:
                 return (
                     f"{label}: {failed:g} of {accepted:g} requests were refused or failed; "
-                    f"{100 * allowed:.1f} % may, {100 * release.max_failure_share:g} % more than elsewhere"
+                    f"the limit is {100 * allowed:.1f} %, "
+                    f"{100 * release.max_failure_share:g} percentage points above that of other heads"
                 )
         return ""
 
     def count_requests(self, heads: Iterable[tuple[str, HeadStatus]]) -> RequestCounts:
-        """Sum the requests of heads since the wave began, or since a later process of a head began."""
+        """Return the sums of the heads' requests since the begin of the wave, or since a later start of a head."""
         accepted = failed = 0.0
         for name, head in heads:
             baseline = self.baseline.get(name, Baseline(0, 0.0, 0.0))
-            is_same = baseline.process == head.process and baseline.accepted <= head.accepted_requests
-            accepted += head.accepted_requests - (baseline.accepted if is_same else 0.0)
-            failed += head.failed_requests - (baseline.failed if is_same else 0.0)
+            is_same_process = baseline.process == head.process and baseline.accepted <= head.accepted_requests
+            accepted += head.accepted_requests - (baseline.accepted if is_same_process else 0.0)
+            failed += head.failed_requests - (baseline.failed if is_same_process else 0.0)
         return RequestCounts(accepted, failed)
--- a/hophinge/peers/__init__.py
+++ b/hophinge/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Datagrams between the members of a cluster: the sockets beside `cluster`, which decides."""
+"""The UDP sockets of cluster members; the protocol itself is in `hophinge.cluster`."""
--- a/hophinge/peers/endpoint.py
+++ b/hophinge/peers/endpoint.py
@@ -1,6 +1,7 @@
 """The UDP endpoint of a member: performs the actions of its state machine on the event loop, and loads its keys.
 
-A flood of datagrams takes a bounded share of the loop: a limited number and time each turn; the kernel drops the rest.
+A flood of datagrams takes a bounded share of the loop: both number and time are limited per turn, and the kernel drops
+the rest.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 from hophinge.cluster.state_machine import MemberStateMachine
 from hophinge.cluster.tuning import Limits, Tuning
 
-DATAGRAMS_PER_TURN = 32  # read at most in one turn of the loop
-READ_TURN_S = 0.002  # spent at most on reading in one turn
-READ_BACKOFF_S = 0.01  # after a full turn nothing is read for this long: a flood has at most a sixth of the loop
-RECEIVE_BUFFER_BYTES = 512 * 1024  # of the socket: some hundred datagrams may wait
-RESOLVE_INTERVAL_S = 30.0  # between resolutions of the seeds' names: their addresses may change
+DATAGRAMS_PER_TURN = 32  # maximum read in one turn of the loop
+READ_TURN_S = 0.002  # maximum spent on reading in one turn
+READ_BACKOFF_S = 0.01  # pause after a full turn: a flood takes at most a sixth of the loop's time
+RECEIVE_BUFFER_BYTES = 512 * 1024  # of the socket: room for several hundred datagrams
+RESOLVE_INTERVAL_S = 30.0  # between resolutions of the seeds' names, whose addresses may change
 RESOLVE_TIMEOUT_S = 5.0  # of one resolution
 
 
@@ -66,7 +67,7 @@
         bound.bind((host, port))
     except OSError as error:
         bound.close()
-        raise ClusterUnusableError(f"listen: cannot take {listen}: {error.strerror or error}") from error
+        raise ClusterUnusableError(f"listen: cannot bind {listen}: {error.strerror or error}") from error
     return bound
 
 
@@ -84,11 +85,11 @@
     """Return where other members reach this one, with the host resolved; raises ClusterUnusableError."""
     host, port = split_address(advertise, "advertise") if advertise else bound.getsockname()[:2]
     if host == "0.0.0.0":
-        raise ClusterUnusableError("advertise: is needed where listen is 0.0.0.0: peers answer there")
+        raise ClusterUnusableError("advertise: required if listen is 0.0.0.0, as peers need an address to send to")
     try:
         return f"{socket.gethostbyname(host)}:{port}"
     except OSError as error:
-        raise ClusterUnusableError(f"advertise: {host} has no address: {error}") from error
+        raise ClusterUnusableError(f"advertise: cannot resolve {host}: {error}") from error
 
 
 class MemberEndpoint:
@@ -105,7 +106,7 @@
         build: The build of this process.
         limits: Limits of memory and bandwidth.
         tuning: Parameters of the protocol.
-        log: Logs a line.
+        log: Called with each line to log.
 
     Raises:
         KeysUnusableError: The key file cannot be read or holds no valid keys.
@@ -113,7 +114,7 @@
 
     """
 
-    conflict: NameTakenError | None = None  # set once this member has stepped down
+    conflict: NameTakenError | None = None  # set when this member has stepped down
     timer: asyncio.TimerHandle | None = None
     read_timer: asyncio.TimerHandle | None = None
     resolver: asyncio.Task[None] | None = None
@@ -161,7 +162,7 @@
 
     @staticmethod
     def now_us() -> int:
-        """Return the time of a clock that is never set, and that runs on while this process is stopped."""
+        """Return the time of a monotonic clock, which continues while this process is stopped."""
         return time.monotonic_ns() // 1000
 
     @property
@@ -180,13 +181,13 @@
         self.machine.replace_keys(load_keys(self.key_file))
 
     def leave(self) -> None:
-        """Notify other members that this one leaves, and close."""
+        """Notify the other members that this one leaves, and close."""
         if not self.closed.is_set():
             self.perform(self.machine.leave(self.now_us()))
             self.close()
 
     def close(self) -> None:
-        """Close without notifying other members, as a kill does."""
+        """Close without notifying the other members, as if the process was killed."""
         if self.closed.is_set():
             return
         self.closed.set()
@@ -223,7 +224,7 @@
                     subscriber.member_changed(now_us, action.member)
                 else:
                     subscriber.entry_changed(now_us, action.entry, action.is_deleted)
-            except Exception as error:  # a subscriber's fault must stop neither the others nor the membership protocol
+            except Exception as error:  # a subscriber's error must stop neither the others nor the protocol
                 self.machine.core.count("hearers_failed")
                 self.log(f"a subscriber of the cluster failed: {type(error).__name__}: {error}")
 
@@ -236,7 +237,7 @@
         try:
             self.socket.sendto(action.data, (host, int(port)))
         except (OSError, OverflowError):
-            # A full buffer, no route, an invalid address: the same as a lost datagram, which the protocol tolerates.
+            # A full buffer, no route or an invalid address: the same as a lost datagram, which the protocol tolerates.
             self.machine.core.count("sends_failed")
 
     def _readable(self) -> None:
@@ -247,14 +248,14 @@
             except BlockingIOError:
                 return
             except OSError:
-                self.machine.core.count("receives_failed")  # reported by ICMP for an earlier datagram
+                self.machine.core.count("receives_failed")  # an ICMP error for an earlier datagram
                 continue
             self.perform(self.machine.handle(self.now_us(), f"{source[0]}:{source[1]}", data))
             if self.closed.is_set():
                 return
             if self.loop.time() >= until:
                 break
-        # More datagrams wait than one turn may read: the loop's other work comes first.
+        # More datagrams may be waiting, but the loop's other work comes first.
         self.loop.remove_reader(self.socket.fileno())
         self.read_timer = self.loop.call_later(READ_BACKOFF_S, self._resume_reading)
 
@@ -263,7 +264,7 @@
             self.loop.add_reader(self.socket.fileno(), self._readable)
 
     async def _resolve(self) -> None:
-        """Resolve the seeds at intervals; one that fails is retried in the next interval."""
+        """Resolve the seeds at intervals; a failed resolution is retried in the next interval."""
         while True:
             addresses: list[str] = []
             for seed in self.seeds:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -75,7 +75,7 @@
     table.apply(0, first.rows)
     again = table.decide(1, ask("n0"), sight(), DisruptionBudget(3))
     assert again.permit == first.permit and not again.rows and first.permit is not None and first.permit.id == "7.1"
-    assert "under permit 7.1 of me already" in table.decide(1, ask("n0", "other"), sight(), DisruptionBudget(3)).reason
+    assert "already has permit 7.1 of me" in table.decide(1, ask("n0", "other"), sight(), DisruptionBudget(3)).reason
 
 
 def test_a_permit_expires_before_its_begin_and_never_after() -> None:
@@ -86,7 +86,7 @@
     assert BEGIN_US * 1.01 < LEASE_US and table.expired(LEASE_US - 1) == ()
     assert [row.id for row in table.expired(LEASE_US)] == ["1.2"]
     assert table.expired(10**15) == table.expired(LEASE_US)
-    assert "lapsed" in table.begin(LEASE_US, "1.2", 5, sight(), DisruptionBudget(3)).reason
+    assert "expired" in table.begin(LEASE_US, "1.2", 5, sight(), DisruptionBudget(3)).reason
     again = PermitTable(table.active.values(), 2, 100 * S)  # the time of the grant is unknown: a full lease from now
     assert again.expired(100 * S + LEASE_US - 1) == () and len(again.expired(100 * S + LEASE_US)) == 1
 
@@ -204,7 +204,7 @@
         head.apply_update(0, PermitUpdate("s", 1, 9, own_permit=permit(PermitState.BEGUN, 5))) == []
         and head.stale_updates == 1
     )
-    with pytest.raises(IssuerError, match="not of s"):
+    with pytest.raises(IssuerError, match="not from s"):
         head.apply_update(0, PermitUpdate("other", 3, 1))
     assert head.permit_to_begin(1) == "1.1"
 
--- a/tests/test_maintenance_retirement.py
+++ b/tests/test_maintenance_retirement.py
@@ -80,7 +80,7 @@
     rows, place = list(document.records.values()), document.forms["maintenance/*"]
     assert retirement_errors(rows, {"n1"}, place, "words.sexp") == []
     (line,) = retirement_errors(rows, {"n8", "n1"}, place, "words.sexp")
-    assert line.startswith("words.sexp:4:15: n8 is not gone") and "take it out of (retired ...)" in line
+    assert line.startswith("words.sexp:4:15: n8 is not gone") and "remove it from (retired ...)" in line
 
 
 def test_a_head_sends_list_changes_only_to_a_service_that_accepts_them(tmp_path: Path) -> None:
--- a/tests/test_maintenance_streams.py
+++ b/tests/test_maintenance_streams.py
@@ -150,7 +150,7 @@
             old = here.head("n0", speaks=False, heads=1)
             await here.push(BOUNDS + RELEASE.format(""))
             told = await here.until(lambda told: bool(told["waiting"]))
-            assert "does not speak of permits" in told["waiting"][0]["why"] and told["heads_up"] == 1
+            assert "build does not support permits" in told["waiting"][0]["why"] and told["heads_up"] == 1
             while old.streamed.follower.active_name != "1.1":
                 await asyncio.sleep(0.01)
             assert old.streamed.follower.counters["connects"] == 1
--- a/tests/test_peers_endpoint.py
+++ b/tests/test_peers_endpoint.py
@@ -135,7 +135,7 @@
 WRONG: list[tuple[dict[str, Any], type[Exception], str]] = [
     ({"listen": "127.0.0.1"}, ClusterUnusableError, "listen"),
     ({"listen": "127.0.0.1:x"}, ClusterUnusableError, "listen"),
-    ({"listen": "192.0.2.1:0"}, ClusterUnusableError, "cannot take 192.0.2.1:0"),
+    ({"listen": "192.0.2.1:0"}, ClusterUnusableError, "cannot bind 192.0.2.1:0"),
     ({"listen": "0.0.0.0:0"}, ClusterUnusableError, "advertise"),
     ({"seeds": ["nowhere"]}, ClusterUnusableError, "seeds"),
     ({"advertise": "no.such.host.:1"}, ClusterUnusableError, "advertise"),
