--- a/tests/popular.py
+++ b/tests/popular.py
@@ -1,4 +1,4 @@
-"""Heads with popularity on stand-in bricks, and members and entries as all of them have them."""
+"""Heads with popularity and simulated backends; members and replicated entries are shared in memory."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Peers:
-    """Members and entries as all of them have them."""
+    """The members and replicated entries, the same for all heads."""
 
     def __init__(self, zones: dict[str, str]) -> None:
         self.zones = zones
@@ -34,10 +34,10 @@
 
 
 class View:
-    """One member's sight and board."""
+    """The membership view and the replicated entries of one member."""
 
-    def __init__(self, peers: Peers, me: str) -> None:
-        self.peers, self.own_name = peers, me
+    def __init__(self, peers: Peers, own_name: str) -> None:
+        self.peers, self.own_name = peers, own_name
 
     def members(self) -> tuple[Member, ...]:
         return tuple(Member(name, "", 1, MemberState.ALIVE, zone) for name, zone in sorted(self.peers.zones.items()))
@@ -59,7 +59,7 @@
 
 
 class Installation:
-    """Heads with popularity, a client for each, and what they share."""
+    """Heads with popularity, a client of each, and their shared entries."""
 
     def __init__(self, made: World, folder: Path, peers: Peers) -> None:
         self.world, self.folder, self.peers = made, folder, peers
@@ -80,45 +80,45 @@
         )
 
     def close_spans(self) -> None:
-        """End a span at each head, and let each hear what the others then told."""
-        for one in self.popular.values():
-            one.closes_us = 0
-            one.tick()
-        for one in self.popular.values():
-            one._receive_peer_demand(one.exchange.now_us())
-        for one in self.popular.values():
-            one.site.close_interval(one.exchange.now_us(), one.owner_of)
-            while one.site.process_pending(10):
+        """Close a span at each head, then let each receive the pages of the others."""
+        for popularity in self.popular.values():
+            popularity.closes_us = 0
+            popularity.tick()
+        for popularity in self.popular.values():
+            popularity._receive_peer_demand(popularity.exchange.now_us())
+        for popularity in self.popular.values():
+            popularity.site.close_interval(popularity.exchange.now_us(), popularity.owner_of)
+            while popularity.site.process_pending(10):
                 pass
 
     def close_own(self, name: str) -> None:
-        """End a span at one head, which has heard what the others told before."""
-        one = self.popular[name]
-        one.closes_us = 0
-        one.tick()
-        while one.site.process_pending(10):
+        """Close a span at one head, which has received the earlier pages of the others."""
+        popularity = self.popular[name]
+        popularity.closes_us = 0
+        popularity.tick()
+        while popularity.site.process_pending(10):
             pass
 
     async def fetch(self, name: str, whole: int) -> None:
-        """Fetch until so many objects are whole: on a busy machine a brick may have nothing to spare at first."""
-        one = self.popular[name]
+        """Prefetch until `whole` objects are cached completely: on a busy machine backends may lack idle capacity."""
+        popularity = self.popular[name]
 
         def done() -> int:
             return sum(
-                sum(place in one.cache.chunks for place in ((where[0], token, at) for at in range(3))) == 3
-                for where, known in one.cache.objects.items()
-                for token in known.runs
+                sum(chunk in popularity.cache.chunks for chunk in ((object_key[0], run, at) for at in range(3))) == 3
+                for object_key, cached_object in popularity.cache.objects.items()
+                for run in cached_object.runs
             )
 
         while done() < whole:
-            one.attempted.clear()
-            one.planner.backoff_until_us = 0
-            one.planner.shard_backoff_until.clear()
-            await one.fetch()
+            popularity.attempted.clear()
+            popularity.planner.backoff_until_us = 0
+            popularity.planner.shard_backoff_until.clear()
+            await popularity.fetch()
             await asyncio.sleep(0.005)
 
-    def beforehand(self) -> list[tuple[str, str]]:
-        """Tell by brick what was fetched beforehand: those reads bear the class of least worth."""
+    def prefetches(self) -> list[tuple[str, str]]:
+        """Return the prefetches by backend and target: their reads have the request class of the lowest value."""
         return [
             (backend.name, target)
             for backend in self.world.backends
@@ -129,7 +129,7 @@
     async def crowd(self, name: str, paths: Iterable[str], count: int = 5) -> None:
         for path in paths:
             for _ in range(count):
-                # A head that has just started may refuse on a machine that is busy; that says it is safe to repeat.
+                # A head that has just started may reject requests on a busy machine; those may be repeated.
                 while (code := await self.clients[name].status("GET", path)) == 503:
                     await asyncio.sleep(0.05)
                 assert code == 200
--- a/tests/test_popularity_course.py
+++ b/tests/test_popularity_course.py
@@ -1,4 +1,4 @@
-"""Predictions on seeded shapes of demand."""
+"""Predictions for seeded random demand of several shapes."""
 
 from __future__ import annotations
 
@@ -34,26 +34,26 @@
 
 
 def errors(name: str, spans: int = 60, objects: int = 30, seed: int = 5) -> tuple[float, float, float]:
-    """Tell the error of predictions and of persistence, as parts of all that came, and how often the interval held."""
+    """Return the total errors of the predictions and of the last counts, and the share of counts in the interval."""
     rng, predictor, shape = random.Random(seed), Predictor(DAY), SHAPES[name]
     spans = 4 * DAY if name == "wave" else spans
     begin = 2 * DAY if name == "wave" else 1
-    ours = last = held = total = 0.0
-    before: list[int] = []
+    model_error = persistence_error = covered = total = 0.0
+    last_counts: list[int] = []
     for span in range(spans):
         counts = [poisson(rng, shape(span)) for _ in range(objects)]
         for at, count in enumerate(counts):
-            found = predictor.predict(bytes([at]))
-            if span >= begin and found is not None:
-                ours += abs(found.mean - shape(span))
-                last += abs(before[at] - shape(span))
-                held += found.low <= count <= found.high
+            prediction = predictor.predict(bytes([at]))
+            if span >= begin and prediction is not None:
+                model_error += abs(prediction.mean - shape(span))
+                persistence_error += abs(last_counts[at] - shape(span))
+                covered += prediction.low <= count <= prediction.high
                 total += 1
         predictor.begin_interval(float(sum(counts)))
         for at, count in enumerate(counts):
             predictor.observe(bytes([at]), "publisher", count)
-        before = counts
-    return ours, last, held / total
+        last_counts = counts
+    return model_error, persistence_error, covered / total
 
 
 @pytest.mark.parametrize(
@@ -61,12 +61,12 @@
     [("steady", 0.6), ("exponential", 0.85), ("power law", 0.9), ("wave", 0.75), ("flash", 1.0), ("revival", 1.15)],
 )
 def test_predictions_beat_the_last_count_and_intervals_hold(name: str, part: float) -> None:
-    ours, last, held = errors(name)
-    assert ours < part * last
-    assert 0.84 <= held <= 0.96  # nine in ten are meant: neither too narrow nor too wide
+    model_error, persistence_error, coverage = errors(name)
+    assert model_error < part * persistence_error
+    assert 0.84 <= coverage <= 0.96  # 0.9 is intended: neither too narrow nor too wide
 
 
-def test_the_course_is_chosen_by_evidence() -> None:
+def test_the_trend_model_is_chosen_by_evidence() -> None:
     rng, predictor = random.Random(2), Predictor(DAY)
     for span in range(40):
         predictor.begin_interval(0.0)
@@ -77,7 +77,7 @@
     assert falling["exponential"] + falling["power"] > 0.8 and predictor.model_weights(b"none") == {}
 
 
-def test_a_young_object_is_drawn_towards_its_publisher_s_usual_course() -> None:
+def test_a_young_object_is_predicted_by_its_publisher_s_usual_decay() -> None:
     rng, predictor = random.Random(3), Predictor(DAY)
     for made in range(30):
         for span in range(8):
@@ -92,7 +92,7 @@
     assert 60 < predictor.predict_new("falls").mean < 140 and predictor.predict_new("unknown").mean < 1
 
 
-def test_what_is_quiet_is_followed_no_more_and_others_are_bounded() -> None:
+def test_objects_without_requests_lose_their_forecast_and_forecasts_are_bounded() -> None:
     predictor = Predictor(DAY)
     predictor.observe(b"a", "t", 0)
     assert predictor.predict(b"a") is None
@@ -107,15 +107,16 @@
     assert sorted(predictor.forecasts) == [bytes([number]) for number in range(15, 20)]
 
 
-def test_a_wave_is_told_only_after_a_whole_day() -> None:
-    season, found = DailySeason(DAY), []
+def test_a_daily_season_is_predicted_only_after_a_whole_day() -> None:
+    season, growths = DailySeason(DAY), []
     for span in range(3 * DAY):
-        found.append(season.close_span(100 * (1.5 + math.sin(2 * math.pi * span / DAY))))
-    assert set(found[:DAY]) == {1.0} and max(found[2 * DAY :]) > 1.1 and min(found[2 * DAY :]) < 0.9
+        growths.append(season.close_span(100 * (1.5 + math.sin(2 * math.pi * span / DAY))))
+    assert set(growths[:DAY]) == {1.0} and max(growths[2 * DAY :]) > 1.1 and min(growths[2 * DAY :]) < 0.9
 
 
-def test_a_crowd_of_yesterday_is_no_wave() -> None:
-    season, found = DailySeason(DAY), []
+def test_a_flash_crowd_of_the_previous_day_is_no_season() -> None:
+    season, growths = DailySeason(DAY), []
     for span in range(4 * DAY):
-        found.append(season.close_span(1000.0 if 20 <= span < 26 else 100.0))
-    assert max(found[2 * DAY :]) < 1.15 and min(found[2 * DAY :]) > 0.85  # the first day after it may show it
+        growths.append(season.close_span(1000.0 if 20 <= span < 26 else 100.0))
+    # The season may still have it on the day after.
+    assert max(growths[2 * DAY :]) < 1.15 and min(growths[2 * DAY :]) > 0.85
--- a/tests/test_popularity_head.py
+++ b/tests/test_popularity_head.py
@@ -1,4 +1,4 @@
-"""Popularity at real heads on stand-in bricks: what they tell, fetch beforehand, and leave alone."""
+"""Popularity at real heads with simulated backends: what they publish, prefetch, and do not prefetch."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.popular import SECRET, View, installation, put
 
 
-def test_a_site_fetches_beforehand_what_another_asks_for_and_never_saw_itself(
+def test_a_site_prefetches_objects_that_only_another_site_has_requested(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
@@ -31,39 +31,41 @@
             paths = await put(client, "one", "two")
             await built.crowd("a", paths)
             built.close_spans()
-            told = b"".join(entry.value for entry in built.peers.held.values())
+            pages = b"".join(entry.value for entry in built.peers.held.values())
             volume = next(iter(built.popular["a"].site.known.values())).locator.volume
-            assert told and b"one" not in told and bytes.fromhex(volume) not in told
-            asks: list[Arrival] = []
+            assert pages and b"one" not in pages and bytes.fromhex(volume) not in pages
+            arrivals: list[Arrival] = []
             arrive = west.exchange.arrive
 
-            def noted(ask: Arrival, payload: object, answer: Callable[[Answer], None]) -> None:
-                asks.append(ask)
-                arrive(ask, payload, answer)
+            def record_arrival(arrival: Arrival, payload: object, answer: Callable[[Answer], None]) -> None:
+                arrivals.append(arrival)
+                arrive(arrival, payload, answer)
 
-            monkeypatch.setattr(west.exchange, "arrive", noted)
-            used: list[float] = []
-            west.store.chunk_store.on_served = lambda volume, units: used.append(units)
+            monkeypatch.setattr(west.exchange, "arrive", record_arrival)
+            charged_units: list[float] = []
+            west.store.chunk_store.on_served = lambda volume, units: charged_units.append(units)
             await built.fetch("b", 2)
             settings = west.exchange.settings
-            assert len(asks) == len(built.beforehand()) >= 8 and not used  # two manifests, six pieces
-            for ask in asks:
-                assert ask.volume == PREFETCH_VOLUME and settings.plans[ask.plan].price == 1
-                klass = settings.classes[ask.klass]
+            assert len(arrivals) == len(built.prefetches()) >= 8 and not charged_units  # two manifests, six chunks
+            for arrival in arrivals:
+                assert arrival.volume == PREFETCH_VOLUME and settings.plans[arrival.plan].price == 1
+                request_class = settings.classes[arrival.klass]
                 assert (
-                    klass.value == 1
-                    and klass.target_latency_us < ask.time_left_us <= klass.deadline_us - klass.target_latency_us
+                    request_class.value == 1
+                    and request_class.target_latency_us
+                    < arrival.time_left_us
+                    <= request_class.deadline_us - request_class.target_latency_us
                 )
             before = sum(len(backend.seen) for backend in built.world.backends)
             for path in paths:
                 _, body = await built.clients["b"].call("GET", path)
                 assert body == path.encode() * (3 * PIECE // len(path))
-            assert sum(len(backend.seen) for backend in built.world.backends) - before == 2  # its manifests alone
+            assert sum(len(backend.seen) for backend in built.world.backends) - before == 2  # the manifests only
             assert west.cache.used_prefetches == 6 and west.site.trust_in("a") > 0.5
             assert west.requests_per_second(manifest_id("one")) > 0 and west.requests_per_second("f" * 16) == 0.0
-            count = len(asks)
+            count = len(arrivals)
             await west.fetch()
-            assert len(asks) == count  # nothing is fetched twice
+            assert len(arrivals) == count  # nothing is fetched twice
             status = west.status()
             assert status["peers"] == 1 and west.fetcher.fetched_objects >= 2 and "receipts" not in str(status)
             assert west.tenant("alba")["requests"] == pytest.approx(2, abs=0.1)
@@ -78,23 +80,23 @@
             paths = await put(built.clients["far"], *map(str, range(12)))
             await built.crowd("far", paths, 2)
             built.close_spans()
-            mine = {
+            owned = {
                 name: sum(
                     owner_of_key(key, View(built.peers, name).members(), "west") == name
                     for key in built.popular[name].site.known
                 )
                 for name in "abc"
             }
-            assert sum(mine.values()) == 12
-            for name, count in mine.items():
+            assert sum(owned.values()) == 12
+            for name, count in owned.items():
                 await built.fetch(name, count)
-            kept = [place for name in "abc" for place in built.popular[name].cache.chunks]
-            assert len(kept) == len(set(kept)) == 12 * 3
+            cached_chunks = [chunk for name in "abc" for chunk in built.popular[name].cache.chunks]
+            assert len(cached_chunks) == len(set(cached_chunks)) == 12 * 3
 
     run(main())
 
 
-def test_a_head_whose_peers_are_all_gone_goes_by_its_own_counts(tmp_path: Path) -> None:
+def test_a_head_without_peers_uses_its_own_counts(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path, {"a": "east"}, cache_bytes=50_000, tenant_part=1.0, alone=True) as built:
             popular, client = built.popular["a"], built.clients["a"]
@@ -113,7 +115,7 @@
     run(main())
 
 
-def test_what_was_deleted_elsewhere_is_found_out_and_not_fetched(tmp_path: Path) -> None:
+def test_an_object_deleted_at_another_head_is_not_prefetched(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path, {"a": "east", "b": "west"}) as built:
             paths = await put(built.clients["a"], "one")
@@ -121,15 +123,15 @@
             built.close_spans()
             assert await built.clients["a"].status("DELETE", paths[0]) == 204
             west = built.popular["b"]
-            while not built.beforehand():
+            while not built.prefetches():
                 await west.fetch()
                 await asyncio.sleep(0.005)
-            assert len(built.beforehand()) == 1 and not west.cache.chunks and not west.site.known
+            assert len(built.prefetches()) == 1 and not west.cache.chunks and not west.site.known
 
     run(main())
 
 
-def test_a_liar_that_counts_a_tenant_s_objects_a_million_times_costs_that_tenant_s_part_alone(tmp_path: Path) -> None:
+def test_excessive_claims_for_a_tenant_s_objects_use_up_only_that_tenant_s_budget(tmp_path: Path) -> None:
     async def main() -> None:
         async with installation(tmp_path, {"a": "west", "liar": "west"}, fetch_bytes_s=6000.0) as built:
             popular, client = built.popular["a"], built.clients["a"]
@@ -153,23 +155,28 @@
             View(built.peers, "liar").put(Topic.POPULARITY, "0", encode_pages(1, 1e9, items)[0])
             built.close_own("a")
             believed = sum(site.expected_requests(one.key) for one in items)
-            assert 0 < believed <= 4 * 12 * 1.5  # four times what this head served, and what a first span foretells
+            # Four times what this head served, with a margin for the prediction of a first span.
+            assert 0 < believed <= 4 * 12 * 1.5
             since = popular.exchange.now_us()
-            popular.planner = popular.fetcher.planner = PrefetchPlanner("", "none", 6000.0, 0.5, since)  # owns all
-            while popular.cache.tenant_bytes.get("beith", 0) < 2 * PIECE:  # the honest tenant's is fetched too
+            popular.planner = popular.fetcher.planner = PrefetchPlanner("", "none", 6000.0, 0.5, since)  # owns all keys
+            while popular.cache.tenant_bytes.get("beith", 0) < 2 * PIECE:  # the other tenant's object is fetched too
                 popular.attempted.clear()
                 popular.planner.backoff_until_us = 0
                 popular.planner.shard_backoff_until.clear()
                 await popular.fetch()
                 await asyncio.sleep(0.005)
-            most = 6000.0 * (10 + (popular.exchange.now_us() - since) / 1e6)
-            assert sum(len(one.body) for one in popular.cache.chunks.values() if one.tenant == "alba") <= 0.5 * most
-            assert popular.fetcher.fetched_bytes <= most
+            max_bytes = 6000.0 * (10 + (popular.exchange.now_us() - since) / 1e6)
+            assert (
+                sum(len(one.body) for one in popular.cache.chunks.values() if one.tenant == "alba") <= 0.5 * max_bytes
+            )
+            assert popular.fetcher.fetched_bytes <= max_bytes
 
     run(main())
 
 
-def test_a_plan_ends_in_time_and_a_full_board_costs_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_plan_ends_in_time_and_a_failed_publication_does_no_harm(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def main() -> None:
         async with installation(tmp_path, {"a": "east", "b": "west"}) as built:
             await built.crowd("a", await put(built.clients["a"], "one"))
@@ -178,13 +185,14 @@
             west = built.popular["b"]
             west.exchange.unanswered += MAX_UNANSWERED
             await west.fetch()
-            assert not built.beforehand()  # requests wait here
+            assert not built.prefetches()  # requests are unanswered at this head
             west.exchange.unanswered -= MAX_UNANSWERED
             monkeypatch.setattr("hophinge.head.popularity.FETCH_US", 0)
-            while not built.beforehand():
+            while not built.prefetches():
                 west.planner.backoff_until_us = 0
                 await west.fetch()
-            assert len(built.beforehand()) == 1 and not west.cache.chunks and not west.attempted  # it goes on later
+            # The next plan continues the fetch.
+            assert len(built.prefetches()) == 1 and not west.cache.chunks and not west.attempted
             await built.crowd("b", await put(built.clients["b"], "two"))
             built.close_spans()
             assert west.failed_publications >= 1
@@ -192,7 +200,7 @@
     run(main())
 
 
-def test_a_secret_that_cannot_be_used_is_told_with_its_place(tmp_path: Path) -> None:
+def test_an_unusable_secret_is_reported_with_its_path(tmp_path: Path) -> None:
     for content in (None, b"short"):
         path = tmp_path / "popularity.key"
         if content is not None:
--- a/tests/test_popularity_planner.py
+++ b/tests/test_popularity_planner.py
@@ -1,4 +1,4 @@
-"""The planner of fetches: budgets, sources, owners."""
+"""The prefetch planner: budgets, conditions of backends, owners of objects."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
     return BackendObservation(f"s-{shard}", shard, on, warm, spare, draining)
 
 
-def facts(*backends: BackendObservation, unanswered: int = 0, overloaded: bool = False) -> LoadSnapshot:
+def snapshot(*backends: BackendObservation, unanswered: int = 0, overloaded: bool = False) -> LoadSnapshot:
     sources: dict[int, list[BackendObservation]] = {}
-    for one in backends:
-        sources.setdefault(one.shard, []).append(one)
+    for observation in backends:
+        sources.setdefault(observation.shard, []).append(observation)
     return LoadSnapshot(unanswered, overloaded, sources)
 
 
@@ -51,7 +51,7 @@
     return PrefetchCandidate(at.to_bytes(8, "big"), tenant, shard, size, 1.0, expected)
 
 
-def test_each_object_has_one_owner_and_members_that_go_move_only_their_own() -> None:
+def test_each_object_has_one_owner_and_a_member_that_leaves_moves_only_its_own_objects() -> None:
     members = [member(f"h{at}") for at in range(5)] + [
         member("other", zone="y"),
         member("control", role=Role.CONTROL),
@@ -62,43 +62,43 @@
     fewer = {at: owner_of_key(at.to_bytes(8, "big"), members[1:], "z") for at in range(500)}
     assert all(fewer[at] == owners[at] for at in owners if owners[at] != "h0")
     planners = [PrefetchPlanner(f"h{at}", "z", 1e6, 1.0, 0) for at in range(5)]
-    plans = [planner.plan(0, members, facts(backend(0, spare=1e9)), map(candidate, range(40))) for planner in planners]
-    found = [one.key for plan in plans for one in plan]
-    assert len(found) == len(set(found)) == 40
+    plans = [
+        planner.plan(0, members, snapshot(backend(0, spare=1e9)), map(candidate, range(40))) for planner in planners
+    ]
+    planned_keys = [one.key for plan in plans for one in plan]
+    assert len(planned_keys) == len(set(planned_keys)) == 40
 
 
-def check_budgets(lots: random.Random, make: type[PrefetchPlanner] = PrefetchPlanner) -> None:
-    """Whatever happens, never more bytes than rate and burst, in all and of a tenant; never from an unfit brick."""
-    rate, part = 1000.0, lots.choice((0.3, 0.5, 1.0))
+def check_budgets(rng: random.Random, make: type[PrefetchPlanner] = PrefetchPlanner) -> None:
+    """The bytes never exceed rate and burst, in total and per tenant, and each read is from a backend fit for it."""
+    rate, part = 1000.0, rng.choice((0.3, 0.5, 1.0))
     planner, now, spent = make("me", "", rate, part, 0), 0, {"a": 0, "b": 0}
     for _ in range(80):
-        now += lots.randrange(0, 2_000_000)
-        seen = facts(
+        now += rng.randrange(0, 2_000_000)
+        load = snapshot(
             *(
-                backend(
-                    shard, lots.random() < 0.9, lots.random() < 0.8, lots.choice((0.0, 2.0, 8.0)), lots.random() < 0.3
-                )
+                backend(shard, rng.random() < 0.9, rng.random() < 0.8, rng.choice((0.0, 2.0, 8.0)), rng.random() < 0.3)
                 for shard in range(3)
             ),
-            unanswered=lots.randrange(MAX_UNANSWERED + 2),
+            unanswered=rng.randrange(MAX_UNANSWERED + 2),
         )
         for one in planner.plan(
             now,
             [],
-            seen,
-            [candidate(at, lots.choice("ab"), lots.randrange(4), lots.randrange(1, 6000)) for at in range(20)],
+            load,
+            [candidate(at, rng.choice("ab"), rng.randrange(4), rng.randrange(1, 6000)) for at in range(20)],
         ):
-            why = planner.hold_reason(now, one.tenant, one.shard, one.size, one.units, seen)
-            if why is None:
-                source = seen.backends_by_shard[one.shard][0]
+            reason = planner.hold_reason(now, one.tenant, one.shard, one.size, one.units, load)
+            if reason is None:
+                source = load.backends_by_shard[one.shard][0]
                 assert (
                     not source.is_draining and source.is_serving and source.is_warm and source.idle_units >= one.units
                 )
-                assert seen.unanswered < MAX_UNANSWERED
+                assert load.unanswered < MAX_UNANSWERED
                 planner.spend(now, one.tenant, one.size)
                 spent[one.tenant] += one.size
-        most = rate * (now / 1e6 + BURST_S)
-        assert sum(spent.values()) <= most + 1 and max(spent.values()) <= part * most + 1
+        max_bytes = rate * (now / 1e6 + BURST_S)
+        assert sum(spent.values()) <= max_bytes + 1 and max(spent.values()) <= part * max_bytes + 1
 
 
 @given(st.integers(0, 1 << 32))
@@ -107,97 +107,99 @@
     check_budgets(random.Random(seed))
 
 
-class Spendthrift(PrefetchPlanner):
-    """A mutant: the tenant's budget is ignored."""
+class IgnoresTenantBudget(PrefetchPlanner):
+    """A mutant that ignores the tenants' budgets."""
 
     def _tenant_budget(self, tenant: str, now_us: int) -> ByteRateBudget:
         return ByteRateBudget(1e12, now_us)
 
 
-class Drainer(PrefetchPlanner):
-    """A mutant: drains are not looked at."""
+class IgnoresDrains(PrefetchPlanner):
+    """A mutant that reads from draining backends."""
 
-    def shard_hold_reason(self, shard: int, units: float, facts: LoadSnapshot) -> HoldReason | None:
-        why = super().shard_hold_reason(shard, units, facts)
-        return None if why is HoldReason.DRAINING else why
+    def shard_hold_reason(self, shard: int, units: float, load: LoadSnapshot) -> HoldReason | None:
+        reason = super().shard_hold_reason(shard, units, load)
+        return None if reason is HoldReason.DRAINING else reason
 
 
-class Warmer(PrefetchPlanner):
-    """A mutant: cold bricks are read."""
+class IgnoresWarmup(PrefetchPlanner):
+    """A mutant that reads from cold backends."""
 
-    def shard_hold_reason(self, shard: int, units: float, facts: LoadSnapshot) -> HoldReason | None:
-        why = super().shard_hold_reason(shard, units, facts)
-        return None if why is HoldReason.WARMING_UP else why
+    def shard_hold_reason(self, shard: int, units: float, load: LoadSnapshot) -> HoldReason | None:
+        reason = super().shard_hold_reason(shard, units, load)
+        return None if reason is HoldReason.WARMING_UP else reason
 
 
-@pytest.mark.parametrize("mutant", [Spendthrift, Drainer, Warmer])
-def test_a_budget_drain_or_cold_backend_that_is_ignored_is_caught(mutant: type[PrefetchPlanner]) -> None:
+@pytest.mark.parametrize("mutant", [IgnoresTenantBudget, IgnoresDrains, IgnoresWarmup])
+def test_a_planner_that_ignores_budgets_drains_or_cold_backends_is_detected(mutant: type[PrefetchPlanner]) -> None:
     with pytest.raises(AssertionError):
         for seed in range(30):
             check_budgets(random.Random(seed), mutant)
 
 
-def test_fetches_stop_first_under_overload_and_rest_after_it() -> None:
-    planner, quiet = PrefetchPlanner("me", "", 1e6, 1.0, 0), facts(backend(0))
+def test_fetches_stop_under_overload_and_back_off_after_it() -> None:
+    planner, quiet = PrefetchPlanner("me", "", 1e6, 1.0, 0), snapshot(backend(0))
     assert planner.plan(0, [], quiet, [candidate(1)])
     now = 0
-    for bad, rest in (
-        (facts(backend(0), unanswered=MAX_UNANSWERED), BUSY_BACKOFF_US),
-        (facts(backend(0), overloaded=True), OVERLOAD_BACKOFF_US),
+    for busy, backoff_us in (
+        (snapshot(backend(0), unanswered=MAX_UNANSWERED), BUSY_BACKOFF_US),
+        (snapshot(backend(0), overloaded=True), OVERLOAD_BACKOFF_US),
     ):
-        assert not planner.plan(now, [], bad, [candidate(1)])
-        assert planner.hold_reason(now + rest - 1, "t", 0, 1, 1.0, quiet) is HoldReason.BUSY
-        now += rest
+        assert not planner.plan(now, [], busy, [candidate(1)])
+        assert planner.hold_reason(now + backoff_us - 1, "t", 0, 1, 1.0, quiet) is HoldReason.BUSY
+        now += backoff_us
         assert planner.hold_reason(now, "t", 0, 1, 1.0, quiet) is None
     planner.record_rejection(now)
     assert planner.hold_reason(now + OVERLOAD_BACKOFF_US - 1, "t", 0, 1, 1.0, quiet) is HoldReason.BUSY
     assert planner.hold_reason(now + OVERLOAD_BACKOFF_US, "t", 7, 1, 1.0, quiet) is HoldReason.UNKNOWN
 
 
-def test_a_fetch_has_no_reserve_and_counts_in_nobody_s_fair_part() -> None:
-    """A volume of fetches used to lower what each tenant beyond its reserve may use, and so had others refused."""
-    found = []
+def test_a_fetch_has_no_reserve_and_does_not_count_in_fair_shares() -> None:
+    """Guards against prefetches that lower the fair share of tenants, whose requests were then rejected."""
+    fair_uses = []
     for spare in (None, True, False):
         gate = Gateway()
         scheduler = gate.scheduler
         for at in range(60):
             for volume in ("tenant", "beforehand")[: 1 + (spare is not None and at % 4 == 0)]:
-                name, later = f"{volume}{at}", MS if volume == "tenant" else 0
-                one = ask(name, units=2, volume=volume)
-                gate.at(later, structs.replace(one, is_background=volume != "tenant" and spare is True))
-                gate.at(later, end(name, Result.OK))
+                name, delay_us = f"{volume}{at}", MS if volume == "tenant" else 0
+                arrival = ask(name, units=2, volume=volume)
+                gate.at(delay_us, structs.replace(arrival, is_background=volume != "tenant" and spare is True))
+                gate.at(delay_us, end(name, Result.OK))
                 scheduler.volumes[volume].reserve = TokenBucket(0.0, 0.0, 0.0, gate.now)
-        found.append(scheduler._fair_use_per_weight("n0") * scheduler.volumes["tenant"].plan.weight)
+        fair_uses.append(scheduler._fair_use_per_weight("n0") * scheduler.volumes["tenant"].plan.weight)
         if spare:
             gate.at(0, structs.replace(ask("held", units=1, volume="new"), is_background=True))
             assert scheduler._value_factor(scheduler.requests["held"], "n0", 0.0) == SETTINGS.spare_value
             assert not scheduler.volumes["beforehand"].excess_use
-    assert found[0] > 1 and found[1] == pytest.approx(found[0], rel=0.1) and found[2] < 0.8 * found[0]
+    assert (
+        fair_uses[0] > 1 and fair_uses[1] == pytest.approx(fair_uses[0], rel=0.1) and fair_uses[2] < 0.8 * fair_uses[0]
+    )
 
 
-def test_a_shard_rests_after_a_fetch_as_long_as_all_heads_fetches_want_it() -> None:
-    planner, quiet = PrefetchPlanner("me", "", 1e6, 1.0, 0), facts(backend(0), backend(1))
+def test_the_backoff_of_a_shard_grows_with_the_number_of_heads() -> None:
+    planner, quiet = PrefetchPlanner("me", "", 1e6, 1.0, 0), snapshot(backend(0), backend(1))
     planner.divide(0, 1, 4)
     planner.record_read(0, 0, 2000)
-    rest = int(2000 * 4 / IDLE_CAPACITY_FRACTION)
-    assert planner.wait_us(0, 0) == rest and planner.wait_us(0, 1) == 0
+    backoff_us = int(2000 * 4 / IDLE_CAPACITY_FRACTION)
+    assert planner.wait_us(0, 0) == backoff_us and planner.wait_us(0, 1) == 0
     assert (
-        planner.hold_reason(rest - 1, "t", 0, 1, 1.0, quiet) is HoldReason.SHARD_BACKOFF
+        planner.hold_reason(backoff_us - 1, "t", 0, 1, 1.0, quiet) is HoldReason.SHARD_BACKOFF
         and planner.hold_reason(0, "t", 1, 1, 1.0, quiet) is None
     )
-    assert planner.hold_reason(rest, "t", 0, 1, 1.0, quiet) is None
-    planner.record_read(0, 1, 10**9)  # one that hung; too long to wait for, and not for ever
+    assert planner.hold_reason(backoff_us, "t", 0, 1, 1.0, quiet) is None
+    planner.record_read(0, 1, 10**9)  # a read that hung: too long to wait for, but limited
     assert planner.wait_us(0, 1) == 0 and planner.hold_reason(1, "t", 1, 1, 1.0, quiet) is HoldReason.SHARD_BACKOFF
     assert planner.hold_reason(MAX_SHARD_BACKOFF_US, "t", 1, 1, 1.0, quiet) is None
 
 
-def test_what_saves_most_work_a_byte_goes_first_and_a_loud_tenant_leaves_room() -> None:
-    planner = PrefetchPlanner("me", "", 100.0, 0.5, 0)  # saved up: 1000 bytes, 500 of a tenant
+def test_objects_that_save_most_work_per_byte_go_first_within_each_tenant_s_budget() -> None:
+    planner = PrefetchPlanner("me", "", 100.0, 0.5, 0)  # accumulated: 1000 bytes, 500 per tenant
     loud = [candidate(at, "loud", size=100, expected=1e6) for at in range(50)]
     plan = planner.plan(
         0,
         [],
-        facts(backend(0, spare=1e9)),
+        snapshot(backend(0, spare=1e9)),
         [
             *loud,
             candidate(100, "calm", size=100, expected=0.6),
@@ -210,9 +212,9 @@
     assert plan[0].key[-1] == 101 and request_probability(0.0) == 0.0 and request_probability(1e9) == 1.0
 
 
-def test_heads_of_a_site_share_its_bytes() -> None:
+def test_the_heads_of_a_site_share_its_byte_rate() -> None:
     planner = PrefetchPlanner("me", "z", 1000.0, 0.5, 0)
-    assert planner.hold_reason(0, "t", 0, 5000, 1.0, facts(backend(0))) is None
+    assert planner.hold_reason(0, "t", 0, 5000, 1.0, snapshot(backend(0))) is None
     planner.divide(0, 4)
-    assert planner.hold_reason(0, "t", 0, 1251, 1.0, facts(backend(0))) is HoldReason.TENANT
-    assert planner.hold_reason(0, "t", 0, 2501, 1.0, facts(backend(0))) is HoldReason.SITE
+    assert planner.hold_reason(0, "t", 0, 1251, 1.0, snapshot(backend(0))) is HoldReason.TENANT
+    assert planner.hold_reason(0, "t", 0, 2501, 1.0, snapshot(backend(0))) is HoldReason.SITE
--- a/tests/test_popularity_processes.py
+++ b/tests/test_popularity_processes.py
@@ -1,4 +1,4 @@
-"""Caches of real heads under kills and overwrites in flight: what bricks no longer name is never served."""
+"""Caches of head processes under kills and overwrites in flight: outdated chunks are never served."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class Heads:
-    """Two heads as processes on stand-in bricks that keep what is put."""
+    """Two head processes with simulated backends, which store the objects that are put."""
 
     def __init__(self, made: RigRun, backends: list[Backend], token: str) -> None:
         self.made, self.backends, self.token, self.front = made, backends, token, dict[str, str]()
 
     async def call(self, name: str, method: str, body: bytes | None = None) -> tuple[int, bytes]:
-        """Call until it is neither refused nor failed: machines are busy, and those calls may be repeated."""
+        """Repeat a call until it is neither rejected nor failed, as may happen on a busy machine."""
         assert self.made.session is not None
         while True:
             async with self.made.session.request(
@@ -38,15 +38,15 @@
                 data=body,
                 headers={"Authorization": f"Bearer {self.token}"},
             ) as answer:
-                found = await answer.read()
+                content = await answer.read()
                 if answer.status not in (500, 503):
-                    return answer.status, found
+                    return answer.status, content
             await asyncio.sleep(0.05)
 
     async def cached(self, name: str) -> tuple[int, int]:
-        """Tell a head's hits and kept pieces."""
-        told = json.loads((await self.made.get(name, "/ops/popularity"))[1])
-        return told["hits"], told["kept_pieces"]
+        """Return the number of cache hits and of cached chunks of a head."""
+        status = json.loads((await self.made.get(name, "/ops/popularity"))[1])
+        return status["hits"], status["kept_pieces"]
 
 
 @asynccontextmanager
@@ -83,28 +83,29 @@
                 await server.close()
 
 
-def test_an_overwrite_in_flight_and_kills_never_bring_back_what_the_store_has_given_up(tmp_path: Path) -> None:
+def test_no_cache_serves_an_overwritten_or_deleted_object_despite_kills(tmp_path: Path) -> None:
     async def main() -> None:
         async with heads(tmp_path) as built:
             assert (await built.call("a", "PUT", OLD))[0] == 200
             for _ in range(2):
                 assert [await built.call(name, "GET") for name in "ab"] == [(200, OLD)] * 2
-            assert await built.cached("b") == (3, 3)  # the second read's pieces came from what is kept
-            # A brick holds the new manifest: until it is there, both read the old one; a head killed now wrote nothing.
-            gate, held = asyncio.Event(), asyncio.Event()
+            assert await built.cached("b") == (3, 3)  # the chunks of the second read came from the cache
+            # A backend delays the new manifest. Until it is stored, both heads read the old version, and a kill of the
+            # writing head leaves the object unchanged.
+            gate, put_held = asyncio.Event(), asyncio.Event()
             manifest = next(
-                where for backend in built.backends for where, body in backend.objects.items() if len(body) < 600
+                target for backend in built.backends for target, body in backend.objects.items() if len(body) < 600
             )
 
             async def hold(request: web.BaseRequest, _: bytes) -> None:
                 if request.method == "PUT" and request.raw_path.endswith(manifest):
-                    held.set()
+                    put_held.set()
                     await gate.wait()
 
             for backend in built.backends:
                 backend.behave = hold
             writing = asyncio.create_task(built.call("a", "PUT", NEW))
-            await held.wait()
+            await put_held.wait()
             assert await built.call("b", "GET") == (200, OLD)
             await built.made["a"].kill()
             assert isinstance((await asyncio.gather(writing, return_exceptions=True))[0], ClientError | OSError)
@@ -114,14 +115,14 @@
             gate.set()
             await built.made["a"].start()
             await wait_until([built.made.is_ready("a")], BOUND_S)
-            assert await built.cached("a") == (0, 0)  # one that was killed starts empty
-            # The store has said that it is overwritten, then deleted: no head serves what it had kept, from then on.
+            assert await built.cached("a") == (0, 0)  # the cache is empty after a kill
+            # The object is overwritten, then deleted: from then on no head serves what it had cached.
             assert await built.call("a", "GET") in ((200, OLD), (200, NEW))
             reading = [asyncio.create_task(built.call("b", "GET")) for _ in range(8)]
             assert (await built.call("a", "PUT", NEW))[0] == 200
             assert {found for _, found in await asyncio.gather(*reading)} <= {OLD, NEW}
             assert [await built.call(name, "GET") for name in "abab"] == [(200, NEW)] * 4
-            assert (await built.cached("b"))[1] == 3  # of the old version nothing is kept
+            assert (await built.cached("b"))[1] == 3  # no chunk of the old version
             await built.made["b"].kill()
             assert (await built.call("a", "DELETE"))[0] == 204
             await built.made["b"].start()
