--- a/tests/maintenance_faults.py
+++ b/tests/maintenance_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a fleet by name, and random histories of them, for the model, the mutants and the benchmark."""
+"""Faults of a simulated fleet by name, and random histories of them, for the model, the mutants and the benchmark."""
 
 from __future__ import annotations
 
@@ -9,31 +9,35 @@
 from tests.maintenance_world import S, World
 
 Fault = Callable[[World], None]
-TOUGH = 8  # steps after which `mend` brings a cut, stopped or lost head back at the latest
+MAX_STEPS_PER_FAULT = 8  # of the simulation after each fault
 
 
-def _lot(world: World, names: list[str]) -> str:
+def _choose(world: World, names: list[str]) -> str:
     return world.random.choice(names) if names else ""
 
 
-def cut(world: World) -> None:
-    """Cut some heads off the issuer: a partition with the issuer on either side."""
+def partition(world: World) -> None:
+    """Partition the network: some heads cannot reach the issuer, which may be in either part."""
     world.struck["split"] += 1
     count = world.random.randint(1, len(world.heads) - 1)
     world.cut = set(world.random.sample(sorted(world.heads), count))
 
 
 def lose_head(world: World) -> None:
-    """Kill a head that no permit lets go."""
-    if name := _lot(world, [name for name, head in world.heads.items() if head.alive]):
+    """Kill a running head."""
+    if name := _choose(world, [name for name, head in world.heads.items() if head.alive]):
         world.kill_head(name)
 
 
-def lose_on_the_way(world: World) -> None:
-    """Kill a head that holds a permit, which stays in force."""
-    if name := _lot(
+def lose_head_with_permit(world: World) -> None:
+    """Kill a head that is back but still has its permit, which stays in force."""
+    if name := _choose(
         world,
-        [one.name for one in world.store.permits.values() if one.state is PermitState.BACK and one.name in world.heads],
+        [
+            permit.name
+            for permit in world.store.permits.values()
+            if permit.state is PermitState.BACK and permit.name in world.heads
+        ],
     ):
         world.struck["head with a permit lost"] += 1
         world.heads[name].end()
@@ -42,9 +46,9 @@
 
 def stop_head(world: World) -> None:
     """Stop a head as SIGSTOP does."""
-    if name := _lot(world, [name for name, head in world.heads.items() if head.alive]):
+    if name := _choose(world, [name for name, head in world.heads.items() if head.alive]):
         world.struck["head stopped"] += 1
-        world.heads[name].frozen = True
+        world.heads[name].is_stopped = True
 
 
 def kill_issuer(world: World) -> None:
@@ -61,15 +65,15 @@
 
 
 def lose_backend(world: World) -> None:
-    """Have a backend fail without a permit."""
-    if name := _lot(world, sorted(set(world.backend_zones) - world.backends_down)):
+    """Let a backend fail without a permit."""
+    if name := _choose(world, sorted(set(world.backend_zones) - world.backends_down)):
         world.struck["brick lost"] += 1
         world.backends_down.add(name)
 
 
-def weather(world: World) -> None:
-    """Change the loss and delay of messages."""
-    world.lose, world.double, world.late = (world.random.choice((0.0, 0.1, 0.3)) for _ in range(3))
+def change_message_faults(world: World) -> None:
+    """Change the rates of lost, duplicated and late messages."""
+    world.loss_rate, world.duplicate_rate, world.delay_rate = (world.random.choice((0.0, 0.1, 0.3)) for _ in range(3))
 
 
 def mend(world: World) -> None:
@@ -77,31 +81,33 @@
     world.cut = set()
     if world.issuer is None:
         world.start_issuer()
-    if name := _lot(world, sorted(world.backends_down)):
+    if name := _choose(world, sorted(world.backends_down)):
         world.backends_down.discard(name)
     for head in world.heads.values():
-        if head.frozen and world.random.random() < 0.7:
-            head.frozen = False
+        if head.is_stopped and world.random.random() < 0.7:
+            head.is_stopped = False
         elif not head.alive and not head.returns_at and world.random.random() < 0.7:
             head.start()
 
 
 def outage(world: World) -> None:
-    """Push or withdraw an outage of a backend, sometimes of a head."""
+    """Push or withdraw an outage of backends, sometimes of a head."""
     name = f"o{world.random.randint(0, 2)}"
     if name in world.outages:
         del world.outages[name]
     else:
-        taken = {one for form in world.outages.values() for one in (*form.backends, *form.heads)}
-        backends = [one for one in world.backend_zones if one not in taken]
-        heads = [one for one in world.zones if one not in taken]
-        form = Outage(
+        used = {
+            one for outage_record in world.outages.values() for one in (*outage_record.backends, *outage_record.heads)
+        }
+        backends = [one for one in world.backend_zones if one not in used]
+        heads = [one for one in world.zones if one not in used]
+        outage_record = Outage(
             name,
             tuple(world.random.sample(backends, min(2, len(backends)))),
             (world.random.choice(heads),) if heads and world.random.random() < 0.2 else (),
         )
-        if form.backends or form.heads:
-            world.outages[name] = form
+        if outage_record.backends or outage_record.heads:
+            world.outages[name] = outage_record
     world.apply_configuration()
 
 
@@ -113,7 +119,7 @@
         build = str(world.random.randint(2, 9))
         world.releases[name] = Release(name, build, (), (0.3, 1.0), 3 * S, 60 * S, 0.02)
     else:
-        word = world.random.choice(("go", "go", "halt", "back"))
+        command = world.random.choice(("go", "go", "halt", "back"))
         world.releases[name] = Release(
             name,
             before.build,
@@ -122,7 +128,7 @@
             3 * S,
             60 * S,
             0.02,
-            word,
+            command,
             before.resume_count + world.random.randint(0, 1),
         )
     world.apply_configuration()
@@ -138,9 +144,9 @@
         world.never_ready.add(build)
 
 
-def wish(world: World) -> None:
-    """Have a head request a permit for itself, or withdraw that."""
-    if name := _lot(world, [name for name, head in world.heads.items() if head.alive]):
+def request_permit_for_head(world: World) -> None:
+    """Let a head request a permit for itself, or withdraw the request."""
+    if name := _choose(world, [name for name, head in world.heads.items() if head.alive]):
         holder = world.heads[name].holder
         if holder.requested_key:
             holder.withdraw_request()
@@ -150,11 +156,11 @@
 
 def lose_after_a_grant(world: World) -> None:
     """Lose three heads at once just after another was granted a permit."""
-    names = [name for name, head in world.heads.items() if head.linked and not head.frozen]
+    names = [name for name, head in world.heads.items() if head.is_connected and not head.is_stopped]
     if len(names) > 4:
-        asker, *lost = world.random.sample(names, 4)
-        world.heads[asker].holder.request(
-            int(world.now * world.heads[asker].drift), f"own-{world.random.getrandbits(20)}"
+        requester, *lost = world.random.sample(names, 4)
+        world.heads[requester].holder.request(
+            int(world.now * world.heads[requester].drift), f"own-{world.random.getrandbits(20)}"
         )
         world.advance()
         for name in lost:
@@ -164,37 +170,37 @@
 FAULTS: dict[str, Fault] = {
     one.__name__: one
     for one in (
-        cut,
+        partition,
         lose_head,
-        lose_on_the_way,
+        lose_head_with_permit,
         stop_head,
         kill_issuer,
         end_issuer,
         lose_backend,
-        weather,
+        change_message_faults,
         mend,
         outage,
         release,
         bad_build,
-        wish,
+        request_permit_for_head,
         lose_after_a_grant,
     )
 }
 
 
 def history(world: World, steps: int = 40) -> World:
-    """Inject random faults and operators' commands, with some steps after each."""
+    """Inject random faults and operators' commands, and advance some steps after each."""
     names = [*FAULTS, *["mend"] * 4, *["outage"] * 3, *["release"] * 2]
     for _ in range(steps):
         FAULTS[world.random.choice(names)](world)
-        for _ in range(world.random.randint(1, TOUGH)):
+        for _ in range(world.random.randint(1, MAX_STEPS_PER_FAULT)):
             world.advance(world.random.choice((S // 4, S, 5 * S)))
     return world
 
 
 def heal(world: World, turns: int = 40) -> None:
     """Repair all faults, and advance until the fleet is stable."""
-    world.lose = world.double = world.late = 0.0
+    world.loss_rate = world.duplicate_rate = world.delay_rate = 0.0
     world.store.kill = None
     world.failing.clear()
     world.never_ready.clear()
@@ -203,6 +209,6 @@
         mend(world)
         world.backends_down.clear()
     for head in world.heads.values():
-        head.frozen = False
+        head.is_stopped = False
     for _ in range(turns):
         world.advance()
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -1,4 +1,4 @@
-"""A control service in its own process, heads in the test's, and a relay between them that can be cut."""
+"""A control service in a process of its own, heads in the test's process, and a relay that can cut their streams."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Relay:
-    """A relay that can be cut: connections end, new ones are refused."""
+    """A TCP relay that can be cut: its connections are closed and new ones are rejected."""
 
     def __init__(self) -> None:
         self.to, self.port, self.cut = 0, 0, False
@@ -33,19 +33,22 @@
 
     async def open(self, to: int) -> None:
         self.to = to
-        self.server = await asyncio.start_server(self._taken, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    async def _taken(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             if self.cut:
                 raise OSError
-            there, back = await asyncio.open_connection("127.0.0.1", self.to)
+            upstream_reader, upstream_writer = await asyncio.open_connection("127.0.0.1", self.to)
         except OSError:
             writer.close()
             return
-        self.writers += [writer, back]
-        self.tasks += [asyncio.create_task(self._pass(reader, back)), asyncio.create_task(self._pass(there, writer))]
+        self.writers += [writer, upstream_writer]
+        self.tasks += [
+            asyncio.create_task(self._pass(reader, upstream_writer)),
+            asyncio.create_task(self._pass(upstream_reader, writer)),
+        ]
 
     async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
@@ -69,14 +72,14 @@
 
 
 class Fleet:
-    """A control service's process, and heads that come back with the build of their permits."""
+    """A control service process, and heads that are restarted with the build of their permits."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.port, self.relay = folder, 0, Relay()
         self.heads: dict[str, Head] = {}
         self.most_out, self.out = 0, set[str]()
         self.moving: list[asyncio.Task[None]] = []
-        self.bad: dict[str, float] = {}  # by head: what fails there with build 2
+        self.bad: dict[str, float] = {}  # failure rates with build 2, by head
         (folder / "heads").write_text(f"heads {TOKEN}\n")
         (folder / "staff").write_text(f"tester {STAFF}\n")
 
@@ -118,15 +121,15 @@
 
     def head(self, name: str, build: str = "1", port: int = 0, **more: Any) -> Head:
         head = Head(name, port or self.port, build, self.folder / name, self.go, **more)
-        head.fails = self.bad.get(name, 0.0) if build == "2" else 0.0
+        head.failure_rate = self.bad.get(name, 0.0) if build == "2" else 0.0
         self.heads[name] = head
         head.start()
         return head
 
-    def go(self, head: Head, one: GoOffline) -> None:
+    def go(self, head: Head, action: GoOffline) -> None:
         self.out.add(head.name)
         self.most_out = max(self.most_out, len(self.out))
-        self.moving.append(asyncio.create_task(self._move(head, one.build)))
+        self.moving.append(asyncio.create_task(self._move(head, action.build)))
 
     async def _move(self, head: Head, build: str) -> None:
         await head.end()
@@ -139,8 +142,8 @@
                 answer = await call_operator_api(
                     f"127.0.0.1:{self.port}", STAFF, method, msgspec.json.encode(body), 2.0
                 )
-                told: dict[str, Any] = msgspec.json.decode(answer)
-                return told
+                reply: dict[str, Any] = msgspec.json.decode(answer)
+                return reply
             await asyncio.sleep(0.05)
 
     async def push(self, words: str) -> None:
@@ -149,23 +152,23 @@
     async def until(self, state: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
         """Poll the status until a condition holds; the test's time limit bounds it."""
         while True:
-            told: dict[str, Any] = (await self.staff("Status"))["maintenance"]
-            if state(told):
-                return told
+            status: dict[str, Any] = (await self.staff("Status"))["maintenance"]
+            if state(status):
+                return status
             await asyncio.sleep(0.05)
 
 
 @asynccontextmanager
 async def fleet(folder: Path) -> AsyncIterator[Fleet]:
-    made = Fleet(folder)
-    await made.control()
+    created = Fleet(folder)
+    await created.control()
     try:
-        yield made
+        yield created
     finally:
-        for task in made.moving:
+        for task in created.moving:
             task.cancel()
-        await asyncio.gather(*made.moving, return_exceptions=True)
-        for head in made.heads.values():
+        await asyncio.gather(*created.moving, return_exceptions=True)
+        for head in created.heads.values():
             await head.end()
-        await made.relay.close()
-        await made.kill()
+        await created.relay.close()
+        await created.kill()
--- a/tests/maintenance_head.py
+++ b/tests/maintenance_head.py
@@ -1,4 +1,4 @@
-"""A head in virtual time: the program's side of permits and drains, with random requests."""
+"""A simulated head in virtual time: the real state machines of permits and drains, with random requests."""
 
 from __future__ import annotations
 
@@ -25,35 +25,37 @@
         self.world, self.name, self.build = world, name, build
         self.drift = 1.0 + world.random.uniform(-0.01, 0.01)
         self.disk: dict[str, str] = {}
-        self.alive = self.linked = self.frozen = False
+        self.alive = self.is_connected = self.is_stopped = False
         self.returns_at = 0
-        self.taken = self.failed = 0.0
+        self.accepted_requests = self.failed_requests = 0.0
         self.start()
 
     def start(self) -> None:
-        self.alive, self.frozen, self.returns_at = True, False, 0
+        self.alive, self.is_stopped, self.returns_at = True, False, 0
         self.process = self.world.random.getrandbits(40) | 1
-        self.born_us = self.world.now
+        self.started_us = self.world.now
         self.holder = PermitHolder(self.process, self.build)
         self.drains = HeadDrains(self.disk.items())
-        self.out = {one.backend for one in self.drains.start() if isinstance(one, Eject)}
-        self.open: Counter[str] = Counter()
-        self.taken = self.failed = 0.0
+        self.ejected = {action.backend for action in self.drains.start() if isinstance(action, Eject)}
+        self.in_flight: Counter[str] = Counter()
+        self.accepted_requests = self.failed_requests = 0.0
         self.ask = ""
-        self.teller = SnapshotSender()
+        self.snapshot_sender = SnapshotSender()
 
     def end(self) -> None:
-        self.alive = self.linked = self.frozen = False
+        self.alive = self.is_connected = self.is_stopped = False
         self.world.disconnected(self.name)
 
     @property
     def ready(self) -> bool:
-        return self.alive and self.world.now - self.born_us >= 2 * S and self.build not in self.world.never_ready
+        return self.alive and self.world.now - self.started_us >= 2 * S and self.build not in self.world.never_ready
 
     def report(self) -> HeadReport:
         halted = set[str]()
         begin = self.holder.permit_to_begin(int(self.world.now * self.drift), halted)
-        dead = tuple(one.name for one in self.world.heads.values() if not one.alive) if self.world.clustered else ()
+        departed = (
+            tuple(head.name for head in self.world.heads.values() if not head.alive) if self.world.clustered else ()
+        )
         report = HeadReport(
             self.process,
             self.build,
@@ -67,42 +69,48 @@
                 name: BackendListing(zone, "", name not in self.world.backends_down)
                 for name, zone in self.world.backend_zones.items()
             },
-            tuple(one.name for one in self.world.heads.values() if one.alive) if self.world.clustered else (),
-            dead,
+            tuple(head.name for head in self.world.heads.values() if head.alive) if self.world.clustered else (),
+            departed,
             self.world.clustered,
-            self.taken,
-            self.failed,
+            self.accepted_requests,
+            self.failed_requests,
+        )
+        update = self.holder.update
+        return self.snapshot_sender.to_changes(
+            self.world.now, report, update.full_lists_request if update is not None else 0
         )
-        word = self.holder.update
-        return self.teller.to_changes(self.world.now, report, word.full_lists_request if word is not None else 0)
 
     def apply_update(self, update: PermitUpdate) -> None:
-        for go in self.holder.apply_update(int(self.world.now * self.drift), update):
-            self.world.go(self, go.build)
+        for action in self.holder.apply_update(int(self.world.now * self.drift), update):
+            self.world.go(self, action.build)
             return
         if self.holder.update is update:
             self.perform(self.drains.apply_update(update.ejected, update.restored))
 
     def serve_requests(self) -> None:
-        """Serve requests for a step."""
-        lots = self.world.random
+        """Simulate the requests of one step."""
+        rng = self.world.random
         for backend in self.world.backend_zones:
-            if backend not in self.out and lots.random() < 0.3:
-                self.open[backend] += 1
-            elif self.open[backend] and lots.random() < 0.6:
-                self.open[backend] -= 1
-        bad = self.world.failing.get(self.build, 0.0) if int(self.name[1:]) % 3 == 0 else 0.0
-        self.taken += 20
-        self.failed += 20 * bad
-        warm = [one for one in self.world.backend_zones if one not in self.out and one not in self.world.backends_down]
-        self.perform(self.drains.observe(self.open, self.out, warm))
+            if backend not in self.ejected and rng.random() < 0.3:
+                self.in_flight[backend] += 1
+            elif self.in_flight[backend] and rng.random() < 0.6:
+                self.in_flight[backend] -= 1
+        failure_rate = self.world.failing.get(self.build, 0.0) if int(self.name[1:]) % 3 == 0 else 0.0
+        self.accepted_requests += 20
+        self.failed_requests += 20 * failure_rate
+        warm = [
+            name
+            for name in self.world.backend_zones
+            if name not in self.ejected and name not in self.world.backends_down
+        ]
+        self.perform(self.drains.observe(self.in_flight, self.ejected, warm))
 
     def perform(self, actions: Sequence[object]) -> None:
-        for one in actions:
-            if isinstance(one, Eject):
-                self.out.add(one.backend)
-            elif isinstance(one, Restore):
-                self.out.discard(one.backend)
-            elif isinstance(one, Announce) and one.statement.claim == DRAINED:
-                self.world.said.add((self.name, one.statement.permit))
+        for action in actions:
+            if isinstance(action, Eject):
+                self.ejected.add(action.backend)
+            elif isinstance(action, Restore):
+                self.ejected.discard(action.backend)
+            elif isinstance(action, Announce) and action.statement.claim == DRAINED:
+                self.world.statements_made.add((self.name, action.statement.permit))
         self.disk = self.drains.to_store()
--- a/tests/maintenance_process.py
+++ b/tests/maintenance_process.py
@@ -1,4 +1,4 @@
-"""A head without fronts or backends, for maintenance over real streams: in the test's process, or in its own."""
+"""A head without listeners or backends, for tests of maintenance over streams: in the test's process or its own."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
         folder: Path,
         go: Callable[[Head, GoOffline], None],
         heads: int = 4,
-        speaks: bool = True,
+        supports_permits: bool = True,
     ) -> None:
-        self.name, self.port, self.build, self.folder, self.went = name, port, build, folder, go
+        self.name, self.port, self.build, self.folder, self.on_go_offline = name, port, build, folder, go
         self.log: list[str] = []
         settings = read_settings(json.dumps(setup(Balancers=heads)))
         self.exchange = Exchange(settings, 1, LoopClock(asyncio.get_running_loop()), Counters(), self.log.append)
@@ -47,11 +47,11 @@
         (folder / "token").write_text(TOKEN)
         stream = StreamConfig([f"127.0.0.1:{port}"], folder / "token", folder / "state")
         self.streamed = StreamedConfiguration(stream, name, self.exchange, hash(name), self.log.append, None)
-        self.fails = 0.0
+        self.failure_rate = 0.0
         self.tasks: list[asyncio.Task[None]] = []
-        self.upkeep: HeadMaintenance | None = None
-        if speaks:
-            self.upkeep = HeadMaintenance(
+        self.maintenance: HeadMaintenance | None = None
+        if supports_permits:
+            self.maintenance = HeadMaintenance(
                 self.streamed.client,
                 self.rotation,
                 self.exchange,
@@ -60,13 +60,13 @@
                 folder / f"drains-{name}.state",
                 self.log.append,
                 lambda: True,
-                lambda one: self.went(self, one),
+                lambda action: self.on_go_offline(self, action),
             )
 
     def start(self) -> None:
-        if self.upkeep is not None:
-            self.upkeep.begin()
-            self.tasks.append(asyncio.create_task(self.upkeep.run()))
+        if self.maintenance is not None:
+            self.maintenance.begin()
+            self.tasks.append(asyncio.create_task(self.maintenance.run()))
         self.rotation.apply_list(
             NodeList(ListKind.FULL, tuple(NodeEntry(name, 0, at, Phase.ON, 1.0, 0) for at, name in enumerate(BACKENDS)))
         )
@@ -74,15 +74,15 @@
         self.tasks += [asyncio.create_task(self.streamed.client.run()), asyncio.create_task(self._work())]
 
     async def _work(self) -> None:
-        """Report answers of backends as if there were requests."""
+        """Count requests and report answers of backends as if there were requests."""
         while True:
             await asyncio.sleep(0.05)
             counts = self.exchange.counters.counts
             counts["requests_taken"] += 100
-            counts["requests_failed"] += int(100 * self.fails)
-            for backend in BACKENDS if self.upkeep is not None else ():
+            counts["requests_failed"] += int(100 * self.failure_rate)
+            for backend in BACKENDS if self.maintenance is not None else ():
                 if not self.rotation.is_ejected(backend):
-                    self.upkeep.answer_times.ended(self.exchange.now_us(), backend, Result.OK)  # type: ignore[union-attr]
+                    self.maintenance.answer_times.ended(self.exchange.now_us(), backend, Result.OK)  # type: ignore[union-attr]
 
     async def end(self) -> None:
         tasks, self.tasks = self.tasks, []
@@ -93,11 +93,11 @@
 
 
 async def main(name: str, port: str, build: str, folder: str) -> None:
-    """Run a head until it has to go offline: print that, wait as an orderly shutdown does, and end."""
+    """Run a head until it has to go offline: print that, wait like an orderly shutdown, and end."""
     done = asyncio.Event()
 
-    def go(head: Head, one: GoOffline) -> None:
-        print(f"goes {one.build}", flush=True)
+    def go(head: Head, action: GoOffline) -> None:
+        print(f"goes {action.build}", flush=True)
         asyncio.get_running_loop().call_later(0.5, done.set)
 
     head = Head(name, int(port), build, Path(folder), go)
--- a/tests/maintenance_rig.py
+++ b/tests/maintenance_rig.py
@@ -1,5 +1,5 @@
-"""Whole heads and a control service as processes, whoever starts heads with the build they are to have, and a record of
-who was out: by the heads' own logs and by the audit of the store."""
+"""Heads and a control service as processes, a supervisor that restarts heads with the build of their permits, and a
+record of which heads were out: by the heads' own logs and by the audit of the store."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 GOES = re.compile(r"permit (\S+) lets this head go; it is to come back with (?:build (\S+)|any build)")
 AUDIT = re.compile(r"(\S+) for (head|brick) (\S+): (\w+)")
 LOOK_S = 0.02
-RATE = 40.0  # requests a second to each head, where a test asks for load
+RATE = 40.0  # requests per second to each head, in tests with load
 REFUSES = 3  # a bad build rejects one request in this many
 
 
@@ -35,14 +35,15 @@
         self.made, self.names = made, list(names)
         self.builds = dict.fromkeys(self.names, "1")
         self.bad: set[str] = set()  # heads at which build 2 rejects requests
-        self.out: set[str] = set()  # went offline under a permit, and not ready again
-        self.lost: set[str] = set()  # killed by the test, and not ready again
-        self.goes: list[tuple[str, str, int]] = []  # permit, head and its start: all that ever went offline under one
+        self.out: set[str] = set()  # offline under a permit, until ready again
+        self.lost: set[str] = set()  # killed by the test, until ready again
+        # Permit, head and the number of its start, for each time that a head went offline under a permit.
+        self.goes: list[tuple[str, str, int]] = []
         self.most_out = 0
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self, clustered: bool = True) -> None:
-        """Start all, and wait until each serves and is connected."""
+        """Start all processes, and wait until each head serves and is connected."""
         rules = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]["Rules"]
         self.made.add_control_service("c")
         for name in self.names:
@@ -65,7 +66,7 @@
         self.tasks += [asyncio.create_task(self._watch(name)) for name in self.names]
 
     async def _watch(self, name: str) -> None:
-        """Start a head that has ended, with the build of its permit."""
+        """Restart a head each time it has ended, with the build of its permit."""
         process, seen = self.made[name], 0
         while True:
             await asyncio.sleep(LOOK_S)
@@ -83,7 +84,7 @@
             self.out.discard(name)
 
     async def again(self, name: str) -> None:
-        """Start a head's next process, and wait until it serves."""
+        """Start the next process of a head, and wait until it serves."""
         path = self.made.folder / name / "operator.toml"
         path.write_text(re.sub(r"(?m)^build = .*$", f'build = "{self.builds[name]}"', path.read_text()))
         wrong = name in self.bad and self.builds[name] == "2"
@@ -91,7 +92,7 @@
         await wait_until([self.made.is_ready(name)], BOUND_S)
 
     async def lose(self, *names: str) -> None:
-        """Kill heads without a permit; they stay away."""
+        """Kill heads without a permit; they are not restarted."""
         self.lost |= set(names)
         await self.made.processes.kill(*names)
 
@@ -150,7 +151,7 @@
         )
 
     def strike(self, name: str, file: str, word: str) -> None:
-        """Set the fault that a process injects; empty: none."""
+        """Set the fault that a process injects; an empty word removes it."""
         path = self.made.folder / name / file
         path.write_text(word) if word else path.unlink(missing_ok=True)
 
@@ -176,7 +177,7 @@
 
 
 def max_concurrent_permits(rows: Sequence[tuple[str, str, str, str]], kind: str) -> int:
-    """Return the maximum of concurrent permits of a kind; asserts that none is given twice and no id is reused."""
+    """Return the maximum of concurrent permits of a kind; asserts that no process has two and no id is reused."""
     held: dict[str, str] = {}
     done: set[str] = set()
     most = 0
@@ -184,7 +185,7 @@
         if of != kind:
             continue
         assert permit not in done, f"{permit} is {state} after it was free"
-        assert name not in held.values() or held.get(permit) == name, f"{name} has two places"
+        assert name not in held.values() or held.get(permit) == name, f"{name} has two permits"
         if state == "free":
             held.pop(permit)
             done.add(permit)
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time: heads, backends, the issuer and its store, with their faults.
+"""A simulated fleet in virtual time: heads, backends, the issuer and its store, with their faults.
 
-The store checks each row as it comes, by its own count and not by the table's code, so that a fault of the table is
-found where it would be believed.
+The store checks each row that is saved by a count of its own and not by the code of the permit table, so that an error
+of the table is detected when its result would be stored.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from tests.maintenance_head import SimHead
 
 S = 1_000_000
-LEAVES = {PermitState.BEGUN, PermitState.OUT}
+OUT_STATES = {PermitState.BEGUN, PermitState.OUT}
 
 
 class KilledError(Exception):
@@ -28,7 +28,7 @@
 
 
 class MemoryStore:
-    """The durable state, and the invariants of every row."""
+    """The durable state; checks the invariants of every row that is saved."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -36,7 +36,7 @@
         self.courses: dict[str, ReleaseProgress] = {}
         self.zones: dict[str, str] = {}
         self.saves = 0
-        self.kill: tuple[int, bool] | None = None  # at which save, and whether it is stored before
+        self.kill: tuple[int, bool] | None = None  # at which save the issuer is killed, and whether that save is stored
 
     def store_zone(self, head: str, zone: str) -> None:
         self.zones[head] = zone
@@ -62,15 +62,15 @@
         }
 
     def check(self, row: Permit) -> None:
-        wrong, world = self.world.violations, self.world
+        violations, world = self.world.violations, self.world
         before = self.permits.get(row.id)
         if (
             before is not None
             and row.state is PermitState.FREE
-            and before.state in LEAVES
+            and before.state in OUT_STATES
             and row.id not in world.rule.released_permits
         ):
-            wrong.append(f"{row.id} of {row.name} was {before.state.value} and freed by nothing")
+            violations.append(f"{row.id} of {row.name} was {before.state.value} and freed without evidence")
         if (
             row.kind is PermitKind.BACKEND
             and row.state is PermitState.OUT
@@ -83,19 +83,19 @@
             return
         held = self.active_permits(row.kind)
         if row.name in held and held[row.name].id != row.id:
-            wrong.append(f"{row.name} has two permits, {row.id} and {held[row.name].id}")
+            violations.append(f"{row.name} has two permits, {row.id} and {held[row.name].id}")
         zones = world.zones if row.kind is PermitKind.HEAD else world.backend_zones
         out = {*held, row.name, *world.known_unavailable(row.kind)}
-        most = world.rule.heads if row.kind is PermitKind.HEAD else world.rule.backends
-        assert most is not None
-        here = [one for one in out if zones[one] == zones[row.name]]
-        limit = min([most.max_count] + ([int(most.max_share * len(zones) + 1e-9)] if most.max_share >= 0 else []))
-        if len(out) > limit or (most.max_zone_count >= 0 and len(here) > most.max_zone_count):
-            wrong.append(f"{row.state.value} {row.name}: {sorted(out)} out of {len(zones)}, {limit} may")
+        budget = world.rule.heads if row.kind is PermitKind.HEAD else world.rule.backends
+        assert budget is not None
+        out_in_zone = [process for process in out if zones[process] == zones[row.name]]
+        limit = min([budget.max_count] + ([int(budget.max_share * len(zones) + 1e-9)] if budget.max_share >= 0 else []))
+        if len(out) > limit or (budget.max_zone_count >= 0 and len(out_in_zone) > budget.max_zone_count):
+            violations.append(f"{row.state.value} {row.name}: {sorted(out)} out of {len(zones)}, {limit} may")
 
 
 class World:
-    """The fleet; `violations` has every violation of an invariant."""
+    """The fleet; `violations` lists all violations of invariants."""
 
     def __init__(self, seed: int, heads: int, backends: int, rule: MaintenanceRule, zones: int = 4) -> None:
         self.random, self.rule, self.now = random.Random(seed), rule, 1000 * S
@@ -110,26 +110,26 @@
         self.records: list[Record] = []
         self.violations: list[str] = []
         self.struck: Counter[str] = Counter()
-        self.said: set[tuple[str, str]] = set()
+        self.statements_made: set[tuple[str, str]] = set()
         self.verdicts = 0
         self.restart_us = 20 * S
-        self.lose = self.double = self.late = 0.0
-        self.held_back: list[tuple[str, PermitUpdate]] = []
-        self.fence = 0
+        self.loss_rate = self.duplicate_rate = self.delay_rate = 0.0
+        self.delayed_updates: list[tuple[str, PermitUpdate]] = []
+        self.fencing_token = 0
         self.store = MemoryStore(self)
         self.issuer: PermitIssuer | None = None
         self.heads = {name: SimHead(self, name) for name in self.zones}
-        self.cut: set[str] = set()  # heads without a stream to the issuer
+        self.cut: set[str] = set()  # heads that cannot reach the issuer
         self.start_issuer()
 
     # --- the issuer
 
     def start_issuer(self) -> None:
-        self.fence += 1
+        self.fencing_token += 1
         self.store.kill = None
         rows = [row for row in self.store.permits.values() if row.state is not PermitState.FREE]
         self.issuer = PermitIssuer(
-            "store", self.fence, rows, self.store.courses.values(), self.store.zones, self.store, self.now
+            "store", self.fencing_token, rows, self.store.courses.values(), self.store.zones, self.store, self.now
         )
         self.apply_configuration()
 
@@ -142,7 +142,7 @@
     def stop_issuer(self) -> None:
         self.issuer = None
         for head in self.heads.values():
-            head.linked = False
+            head.is_connected = False
 
     def disconnected(self, name: str) -> None:
         if self.issuer is not None:
@@ -151,24 +151,24 @@
     # --- what the checks need
 
     def known_unavailable(self, kind: PermitKind) -> set[str]:
-        """Return what the issuer observes to be out without a permit, or cannot observe at all."""
+        """Return the processes that are out without a permit, or that the issuer cannot observe."""
         if kind is PermitKind.BACKEND:
             return set(self.backends_down)
-        return {name for name, head in self.heads.items() if not head.linked}
+        return {name for name, head in self.heads.items() if not head.is_connected}
 
     def drained(self, row: Permit) -> None:
         self.verdicts += 1
         for name, head in self.heads.items():
-            if head.alive and (name, row.id) not in self.said:
-                self.violations.append(f"{row.name} is drained, and {name} never said so")
-            if head.alive and head.open[row.name] and row.name in head.out:
-                self.violations.append(f"{row.name} is drained, and {name} still has {head.open[row.name]} there")
+            if head.alive and (name, row.id) not in self.statements_made:
+                self.violations.append(f"{row.name} is drained, but {name} has not stated it")
+            if head.alive and head.in_flight[row.name] and row.name in head.ejected:
+                self.violations.append(f"{row.name} is drained, but {name} still has {head.in_flight[row.name]} there")
 
     # --- events
 
     def go(self, head: SimHead, build: str) -> None:
         if head.name not in self.store.active_permits(PermitKind.HEAD):
-            self.violations.append(f"{head.name} goes out without a permit")
+            self.violations.append(f"{head.name} goes offline without a permit")
         head.end()
         head.build = build or head.build
         head.returns_at = self.now + self.restart_us
@@ -178,12 +178,12 @@
         self.heads[name].end()
 
     def advance(self, span_us: int = S) -> None:
-        """Advance the time by a span, with all that is scheduled in it."""
+        """Advance the time by a span, and perform what is due."""
         self.now += span_us
         for head in self.heads.values():
             if not head.alive and head.returns_at and self.now >= head.returns_at:
                 head.start()
-            if head.alive and not head.frozen:
+            if head.alive and not head.is_stopped:
                 head.serve_requests()
         try:
             self._issue()
@@ -196,48 +196,47 @@
             return
         for name, head in self.heads.items():
             if not head.alive or name in self.cut:
-                if head.linked:
-                    head.linked = False
+                if head.is_connected:
+                    head.is_connected = False
                     issuer.head_disconnected(name)
                 continue
-            if head.frozen:
-                continue  # its stream still seems to be up
-            if not head.linked:
-                head.linked, head.teller = True, SnapshotSender()
+            if head.is_stopped:
+                continue  # its stream still seems to be open
+            if not head.is_connected:
+                head.is_connected, head.snapshot_sender = True, SnapshotSender()
                 issuer.head_connected(name, True, len(self.heads))
             report = head.report()
-            for _ in range(self._times()):
+            for _ in range(self._delivered_copies()):
                 issuer.apply_report(name, report)
         issuer.tick(self.now)
-        words, self.held_back = self.held_back, []
-        words += [
-            (name, word)
+        updates, self.delayed_updates = self.delayed_updates, []
+        updates += [
+            (name, update)
             for name, head in self.heads.items()
-            if head.linked and not head.frozen and (word := issuer.next_update(name)) is not None
+            if head.is_connected and not head.is_stopped and (update := issuer.next_update(name)) is not None
         ]
-        if self.late:
-            self.random.shuffle(words)
-        for name, word in words:
-            if self.random.random() < self.late:
+        if self.delay_rate:
+            self.random.shuffle(updates)
+        for name, update in updates:
+            if self.random.random() < self.delay_rate:
                 self.struck["word late"] += 1
-                self.held_back.append((name, word))
+                self.delayed_updates.append((name, update))
                 continue
             head = self.heads[name]
-            times = self._times()
-            if not times and head.linked:
-                issuer.last_updates.pop(
-                    name, None
-                )  # a lost update ends its stream, and the next one gets a complete update
-            for _ in range(times):
-                if head.alive and not head.frozen and name not in self.cut:
-                    head.apply_update(word)
-
-    def _times(self) -> int:
-        lot = self.random.random()
-        if lot < self.lose:
+            copies = self._delivered_copies()
+            if not copies and head.is_connected:
+                # A lost update ends the stream; the next one starts with a complete update.
+                issuer.last_updates.pop(name, None)
+            for _ in range(copies):
+                if head.alive and not head.is_stopped and name not in self.cut:
+                    head.apply_update(update)
+
+    def _delivered_copies(self) -> int:
+        draw = self.random.random()
+        if draw < self.loss_rate:
             self.struck["message lost"] += 1
             return 0
-        if lot < self.lose + self.double:
+        if draw < self.loss_rate + self.duplicate_rate:
             self.struck["message doubled"] += 1
             return 2
         return 1
--- a/tests/test_maintenance_integration.py
+++ b/tests/test_maintenance_integration.py
@@ -1,4 +1,4 @@
-"""Maintenance with its surroundings: documents, the fenced store, a head's rotation, disk and entries."""
+"""Maintenance with the document reader, the fenced store, and a head's rotation, disk and replicated entries."""
 
 from __future__ import annotations
 
@@ -42,7 +42,9 @@
     )
     assert document.records["outage/hall-a-disks"] == Outage("hall-a-disks", ("b-0017", "b-0018"))
     assert document.records["release/spring"] == Release("spring", "2.4.1", (), (0.1, 0.5, 1.0))
-    assert [records.decode(records.encode(one)) for one in document.records.values()] == [*document.records.values()]
+    assert [records.decode(records.encode(record)) for record in document.records.values()] == [
+        *document.records.values()
+    ]
 
 
 @pytest.mark.parametrize(
@@ -61,65 +63,65 @@
     ],
 )
 def test_an_invalid_form_is_reported_with_its_position(text: str, position: str, words: str) -> None:
-    told = read_document(("(hophinge 1)\n" + text).encode()).mistake_lines("f")
-    assert len(told) == 1 and told[0].startswith(f"f:{position}: ") and words in told[0], told
+    errors = read_document(("(hophinge 1)\n" + text).encode()).mistake_lines("f")
+    assert len(errors) == 1 and errors[0].startswith(f"f:{position}: ") and words in errors[0], errors
 
 
 def test_permits_are_durable_and_fencing_tokens_increase_with_each_start(tmp_path: Path) -> None:
     store = ControlStore(tmp_path / "v.db")
-    promises = MaintenanceStore(store, lambda: 0)
-    promises.save([ROW], [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)])
-    promises.store_zone("n0", "z0")
+    permit_store = MaintenanceStore(store, lambda: 0)
+    permit_store.save([ROW], [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)])
+    permit_store.store_zone("n0", "z0")
     with store.transaction():
         store.write_maintenance(encode_statements([Outage("o", ("b0",))]))
     store.close()
     store = ControlStore(tmp_path / "v.db")
-    again = MaintenanceStore(store, lambda: 0)
-    assert again.permits() == [ROW] and again.courses() == [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)]
-    assert again.zones(["n0", "n1"]) == {"n0": "z0", "n1": ""} and again.statements() == [Outage("o", ("b0",))]
-    assert again.issuer == promises.issuer and again.fence > promises.fence
-    again.save([msgspec.structs.replace(ROW, state=PermitState.FREE)], [])
-    assert again.permits() == []
+    reopened = MaintenanceStore(store, lambda: 0)
+    assert reopened.permits() == [ROW] and reopened.courses() == [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)]
+    assert reopened.zones(["n0", "n1"]) == {"n0": "z0", "n1": ""} and reopened.statements() == [Outage("o", ("b0",))]
+    assert reopened.issuer == permit_store.issuer and reopened.fence > permit_store.fence
+    reopened.save([msgspec.structs.replace(ROW, state=PermitState.FREE)], [])
+    assert reopened.permits() == []
     store.close()
     store = ControlStore(tmp_path / "v.db", new_epoch=True)
-    assert MaintenanceStore(store, lambda: 0).fence > again.fence + 900_000
+    assert MaintenanceStore(store, lambda: 0).fence > reopened.fence + 900_000
     store.close()
 
 
 def test_a_fenced_service_cannot_save(tmp_path: Path) -> None:
     old = ControlStore(tmp_path / "v.db")
-    promises = MaintenanceStore(old, lambda: 0)
+    fenced = MaintenanceStore(old, lambda: 0)
     with pytest.raises(StoreError, match="another control service uses this store"):
         ControlStore(tmp_path / "v.db")
-    (tmp_path / "v.db.lock").unlink()  # as on a file system that has no locks
+    (tmp_path / "v.db.lock").unlink()  # as on a file system without locks
     new = ControlStore(tmp_path / "v.db")
     with pytest.raises(FencedError, match="has taken the store over"):
-        promises.save([ROW], [])
+        fenced.save([ROW], [])
     with pytest.raises(FencedError):
         old.record_head("n0", 0)
-    later = MaintenanceStore(new, lambda: 0)
-    assert later.permits() == []
-    later.save([ROW], [])
-    assert later.permits() == [ROW]
+    current = MaintenanceStore(new, lambda: 0)
+    assert current.permits() == []
+    current.save([ROW], [])
+    assert current.permits() == [ROW]
     old.close()
     new.close()
 
 
 def test_updates_and_reports_round_trip_and_invalid_ones_are_rejected() -> None:
-    word = PermitUpdate("s", 3, 4, {"1.1": "b0"}, {}, ROW, "no room", ("r/0",))
-    assert decode_update(decode_response(encode_update(word))) == word
+    update = PermitUpdate("s", 3, 4, {"1.1": "b0"}, {}, ROW, "no room", ("r/0",))
+    assert decode_update(decode_response(encode_update(update))) == update
     assert decode_request(
         encode_request(
-            DiscoveryRequest(decode_response(encode_update(word)).resource_type, initial_versions={"report": "{}"})
+            DiscoveryRequest(decode_response(encode_update(update)).resource_type, initial_versions={"report": "{}"})
         )
     ).initial_versions == {"report": "{}"}
     entry = Entry("n0", Topic.DRAINS, "1.1/b0", EntryVersion(1, 1), encode_statement(Statement("1.1", "b0", DRAINED)))
-    rubbish = [
+    invalid = [
         Entry("n1", Topic.DRAINS, "x", EntryVersion(1, 1), b"\xff"),
-        Entry("n2", Topic.DRAINS, "1.2/b0", EntryVersion(1, 1), entry.value),  # a statement under another's key
+        Entry("n2", Topic.DRAINS, "1.2/b0", EntryVersion(1, 1), entry.value),  # the key of another statement
         Entry("n3", Topic.WEIGHTS, "1.1/b0", EntryVersion(1, 1), entry.value),
     ]
-    assert statements_by_owner([entry, *rubbish]) == {"n0": [Statement("1.1", "b0", DRAINED)]}
+    assert statements_by_owner([entry, *invalid]) == {"n0": [Statement("1.1", "b0", DRAINED)]}
 
 
 class Peers:
@@ -153,7 +155,7 @@
         return [*(Entry("n0", topic, key, EntryVersion(1, 1), body) for key, body in self.own.items()), *self.others]
 
 
-class FullDisk(Disk):
+class FillableDisk(Disk):
     full = True
 
     def write(self, path: Path, data: bytes) -> None:
@@ -162,41 +164,43 @@
         super().write(path, data)
 
 
-def test_a_head_states_drained_only_once_it_is_stored_and_no_other_process_of_it_runs(tmp_path: Path) -> None:
+def test_a_head_states_drained_only_if_it_is_stored_and_no_other_process_of_the_head_runs(tmp_path: Path) -> None:
     async def main() -> None:
         head = Head("n0", 1, "1", tmp_path / "n0", lambda head, go: None)
-        upkeep, peers, disk = head.upkeep, Peers(), FullDisk()
-        assert upkeep is not None
-        alone = [False]
-        upkeep.entries = upkeep.membership = peers
-        upkeep.disk, upkeep.is_alone = disk, lambda: alone[0]
-        looking = asyncio.create_task(upkeep.run())
+        maintenance, peers, disk = head.maintenance, Peers(), FillableDisk()
+        assert maintenance is not None
+        is_alone = [False]
+        maintenance.entries = maintenance.membership = peers
+        maintenance.disk, maintenance.is_alone = disk, lambda: is_alone[0]
+        task = asyncio.create_task(maintenance.run())
         response = decode_response(encode_update(PermitUpdate("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
-        upkeep._apply_update(response)
-        assert head.rotation.is_ejected("s-0") and "halt/r/0" in peers.own  # before any list names the backend
+        maintenance._apply_update(response)
+        assert head.rotation.is_ejected("s-0") and "halt/r/0" in peers.own  # before any list has the backend
         await until(lambda: any("cannot be kept" in line for line in head.log))
-        assert "1.1/s-0" not in peers.own and upkeep.report().statements == ()
+        assert "1.1/s-0" not in peers.own and maintenance.report().statements == ()
         disk.full = False
-        await until(lambda: bool(upkeep.stored_drains))
-        upkeep.check_drains()
+        await until(lambda: bool(maintenance.stored_drains))
+        maintenance.check_drains()
         assert "1.1/s-0" not in peers.own  # the previous process may have requests in flight there
-        alone[0] = True
+        is_alone[0] = True
         await until(lambda: "1.1/s-0" in peers.own)
-        report = upkeep.report()
+        report = maintenance.report()
         assert report.statements == (Statement("1.1", "s-0", DRAINED),) and report.is_clustered
         assert (report.live_heads, report.departed_heads, report.peer_statements) == (("n0", "n1", "n2"), ("n3",), {})
         peers.full = True
-        upkeep._apply_update(decode_response(encode_update(PermitUpdate("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {}))))
+        maintenance._apply_update(
+            decode_response(encode_update(PermitUpdate("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {})))
+        )
         await until(lambda: any("peers do not hear" in line for line in head.log))
-        assert len(upkeep.report().statements) == 2 and "halt/r/0" not in peers.own
-        upkeep._apply_update(decode_response(encode_update(PermitUpdate("other", 9, 9))))
+        assert len(maintenance.report().statements) == 2 and "halt/r/0" not in peers.own
+        maintenance._apply_update(decode_response(encode_update(PermitUpdate("other", 9, 9))))
         assert any("permit-issuer-unknown" in line for line in head.log) and head.rotation.is_ejected("s-1")
-        looking.cancel()
-        await asyncio.gather(looking, return_exceptions=True)
-        again = Head("n0", 1, "1", tmp_path / "n0", lambda head, go: None)
-        assert again.upkeep is not None
-        again.upkeep.begin()
-        assert again.rotation.is_ejected("s-0") and again.rotation.is_ejected("s-1")
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+        restarted = Head("n0", 1, "1", tmp_path / "n0", lambda head, go: None)
+        assert restarted.maintenance is not None
+        restarted.maintenance.begin()
+        assert restarted.rotation.is_ejected("s-0") and restarted.rotation.is_ejected("s-1")
 
     run(main())
 
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -1,4 +1,4 @@
-"""Random steps over permits, drains and releases: limits always hold, and each mutant is detected."""
+"""Random histories of permits, drains and releases: the limits always hold, and each mutant is detected."""
 
 from __future__ import annotations
 
@@ -49,11 +49,13 @@
 
     @rule()
     def restart_issuer(self) -> None:
-        """All begun permits are restored after a restart of the issuer."""
+        """All active permits are restored after a restart of the issuer."""
         self.world.stop_issuer()
-        held = {one.id: one for one in self.world.store.permits.values() if one.state is not PermitState.FREE}
+        active = {
+            permit.id: permit for permit in self.world.store.permits.values() if permit.state is not PermitState.FREE
+        }
         self.world.start_issuer()
-        assert self.world.issuer is not None and self.world.issuer.permits.active == held
+        assert self.world.issuer is not None and self.world.issuer.permits.active == active
 
     @invariant()
     def no_invariant_is_violated(self) -> None:
@@ -74,7 +76,7 @@
 
 
 def test_all_permits_are_freed_once_faults_end() -> None:
-    left = 0
+    unfreed_count = 0
     for seed in range(10):
         world = history(world_of(seed), 25)
         heal(world)
@@ -83,8 +85,10 @@
         world.apply_configuration()
         heal(world, 80)
         assert world.violations == []
-        left += sum(row.state is not PermitState.FREE and not row.build for row in world.store.permits.values())
-    assert left == 0
+        unfreed_count += sum(
+            row.state is not PermitState.FREE and not row.build for row in world.store.permits.values()
+        )
+    assert unfreed_count == 0
 
 
 # --- mutants
@@ -92,30 +96,30 @@
 
 def begun_permits_expire(self: PermitTable, now_us: int) -> tuple[Permit, ...]:
     return tuple(
-        msgspec.structs.replace(one, state=PermitState.FREE)
-        for one in self.active.values()
-        if one.state in (PermitState.GRANTED, PermitState.BEGUN, PermitState.OUT)
-        and one.kind is PermitKind.HEAD
-        and now_us >= self.lease_ends.setdefault(one.id, now_us + 30 * S)
+        msgspec.structs.replace(permit, state=PermitState.FREE)
+        for permit in self.active.values()
+        if permit.state in (PermitState.GRANTED, PermitState.BEGUN, PermitState.OUT)
+        and permit.kind is PermitKind.HEAD
+        and now_us >= self.lease_ends.setdefault(permit.id, now_us + 30 * S)
     )
 
 
-def ignore_unplanned_outages(self: PermitTable, kind: PermitKind, sight: Availability) -> dict[str, str]:
-    return {one.name: one.zone for one in self.of_kind(kind)}
+def ignore_unplanned_outages(self: PermitTable, kind: PermitKind, availability: Availability) -> dict[str, str]:
+    return {permit.name: permit.zone for permit in self.of_kind(kind)}
 
 
 def require_no_statements(
     known: Iterable[str],
     connected: Iterable[str],
     live: Mapping[str, Any],
-    gone: Mapping[str, Any],
-    without: Iterable[str] = (),
+    departed: Mapping[str, Any],
+    exempt: Iterable[str] = (),
 ) -> set[str]:
     return set()
 
 
-def forget_begun_permits_at_start(self: PermitTable, rows: Sequence[Permit], fence: int, now_us: int) -> None:
-    permits_begin(self, [row for row in rows if row.state is PermitState.GRANTED], fence, now_us)
+def forget_begun_permits_at_start(self: PermitTable, rows: Sequence[Permit], fencing_token: int, now_us: int) -> None:
+    init_permit_table(self, [row for row in rows if row.state is PermitState.GRANTED], fencing_token, now_us)
 
 
 def skip_limits_at_begin(
@@ -123,34 +127,38 @@
     kind: PermitKind,
     name: str,
     zone: str,
-    sight: Availability,
-    most: DisruptionBudget | None,
+    availability: Availability,
+    limit: DisruptionBudget | None,
     floors: Iterable[CapacityFloor] = (),
 ) -> str:
-    return "" if self.for_target(kind, name) is not None else permits_lacks(self, kind, name, zone, sight, most, floors)
+    return (
+        ""
+        if self.for_target(kind, name) is not None
+        else rejection_reason(self, kind, name, zone, availability, limit, floors)
+    )
 
 
 def accept_any_statement(
-    self: drain_verdicts.DrainStatements, permit: str, wanted: Iterable[str]
+    self: drain_verdicts.DrainStatements, permit: str, required: Iterable[str]
 ) -> drain_verdicts.DrainVerdict:
-    said = self.heads_by_claim.get((permit, statements.DRAINED), set())
-    return drain_verdicts.DrainVerdict(() if said else tuple(wanted))
+    heads = self.heads_by_claim.get((permit, statements.DRAINED), set())
+    return drain_verdicts.DrainVerdict(() if heads else tuple(required))
 
 
-def go_offline_without_begin(self: Any, now_us: int, word: Any) -> list[Any]:
-    self.update = word
-    return [GoOffline(word.own_permit.id, word.own_permit.build)] if word.own_permit is not None else []
+def go_offline_without_begin(self: Any, now_us: int, update: Any) -> list[Any]:
+    self.update = update
+    return [GoOffline(update.own_permit.id, update.own_permit.build)] if update.own_permit is not None else []
 
 
-permits_begin, permits_lacks = PermitTable.__init__, PermitTable.rejection_reason
+init_permit_table, rejection_reason = PermitTable.__init__, PermitTable.rejection_reason
 MUTANTS = {
-    "a begun permit lapses": (permits.PermitTable, "expired", begun_permits_expire),
-    "what is out unplanned takes no room": (permits.PermitTable, "unavailable", ignore_unplanned_outages),
-    "silence is taken for yes": (issuer, "required_heads", require_no_statements),
-    "a promise is forgotten at a start": (permits.PermitTable, "__init__", forget_begun_permits_at_start),
-    "a begin looks at no losses": (permits.PermitTable, "rejection_reason", skip_limits_at_begin),
-    "one head's word is all heads'": (drain_verdicts.DrainStatements, "verdict", accept_any_statement),
-    "a head goes without its begin": (PermitHolder, "apply_update", go_offline_without_begin),
+    "a begun permit expires": (permits.PermitTable, "expired", begun_permits_expire),
+    "unplanned outages do not count": (permits.PermitTable, "unavailable", ignore_unplanned_outages),
+    "missing statements count as consent": (issuer, "required_heads", require_no_statements),
+    "begun permits are forgotten at a start": (permits.PermitTable, "__init__", forget_begun_permits_at_start),
+    "a begin ignores the limits": (permits.PermitTable, "rejection_reason", skip_limits_at_begin),
+    "the statement of one head counts for all": (drain_verdicts.DrainStatements, "verdict", accept_any_statement),
+    "a head goes offline without a begin": (PermitHolder, "apply_update", go_offline_without_begin),
 }
 
 
@@ -168,9 +176,9 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_each_mutant_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    where, what, instead = MUTANTS[name]
-    monkeypatch.setattr(where, what, instead)
-    assert find_violations(40), f"nobody noticed that {name}"
+    target, attribute, replacement = MUTANTS[name]
+    monkeypatch.setattr(target, attribute, replacement)
+    assert find_violations(40), f"not detected: {name}"
 
 
 def test_without_a_mutant_no_violation_is_found() -> None:
--- a/tests/test_maintenance_releases.py
+++ b/tests/test_maintenance_releases.py
@@ -1,4 +1,4 @@
-"""Releases and drains of a fleet in virtual time: the regular case, and each difficult one."""
+"""Releases and drains of a fleet in virtual time, without and with faults."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 RULE = MaintenanceRule(DisruptionBudget(3, -1.0, 1), DisruptionBudget(2, -1.0, 1))
 
 
-def released(word: str = "go", again: int = 0, name: str = "r", build: str = "2") -> Release:
-    return Release(name, build, (), (0.25, 1.0), 5 * S, 120 * S, 0.02, word, again)
+def released(command: str = "go", resume_count: int = 0, name: str = "r", build: str = "2") -> Release:
+    return Release(name, build, (), (0.25, 1.0), 5 * S, 120 * S, 0.02, command, resume_count)
 
 
 def rolling(heads: int = 12, rule: MaintenanceRule = RULE, **more: object) -> World:
@@ -30,7 +30,7 @@
     return world.store.courses[name].stage
 
 
-def held(world: World) -> dict[str, Permit]:
+def active_permits(world: World) -> dict[str, Permit]:
     assert world.issuer is not None
     return world.issuer.permits.active
 
@@ -46,15 +46,16 @@
     world = rolling()
     world.failing["2"] = 0.3
     world.until(lambda: "r" in world.store.courses and stage(world) is ReleaseStage.HALTED)
-    course = world.store.courses["r"]
-    assert course.halted_automatically and "requests were refused or failed" in course.reason
-    there = [head.name for head in world.heads.values() if head.build == "2"]
-    assert 0 < len(there) < 12
+    progress = world.store.courses["r"]
+    assert progress.halted_automatically and "requests were refused or failed" in progress.reason
+    updated = [head.name for head in world.heads.values() if head.build == "2"]
+    assert 0 < len(updated) < 12
     for _ in range(60):
         world.advance()
+    # The heads that were out are back, and no other head went offline.
     assert stage(world) is ReleaseStage.HALTED and all(
-        one.state is PermitState.FREE for one in world.store.permits.values()
-    )  # those that were out are back, no other head went offline
+        permit.state is PermitState.FREE for permit in world.store.permits.values()
+    )
     world.releases["r"] = released("back")
     world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.UNDONE)
@@ -67,8 +68,8 @@
     world.never_ready.add("2")
     world.until(lambda: "r" in world.store.courses and stage(world) is ReleaseStage.HALTED)
     assert "is not back after 120 s" in world.store.courses["r"].reason
-    held = set(world.store.active_permits(PermitKind.HEAD))
-    assert held  # begun permits stay in force
+    active = set(world.store.active_permits(PermitKind.HEAD))
+    assert active  # begun permits stay in force
     world.releases["r"] = released("back")
     world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.UNDONE)
@@ -88,13 +89,12 @@
         world.kill_head(name)
     for _ in range(100):
         world.advance()
-    assert (
-        len(world.store.permits) == count and world.violations == []
-    )  # those that were out came back, no other head went offline
+    # The heads that were out came back, and no other head went offline.
+    assert len(world.store.permits) == count and world.violations == []
     for name in lost:
         world.heads[name].start()
     assert stage(world) is ReleaseStage.HALTED and "was lost" in world.store.courses["r"].reason
-    world.releases["r"] = released(again=1)
+    world.releases["r"] = released(resume_count=1)
     world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.DONE)
     assert stage(world) is ReleaseStage.DONE and world.violations == []
@@ -113,7 +113,7 @@
     world.until(lambda: stage(world) is not ReleaseStage.ROLLING)
     assert stage(world) is ReleaseStage.HALTED and lost.name in world.store.courses["r"].reason
     lost.start()
-    world.releases["r"] = released(again=1)
+    world.releases["r"] = released(resume_count=1)
     world.apply_configuration()
     world.until(lambda: stage(world) is ReleaseStage.DONE)
     assert stage(world) is ReleaseStage.DONE and world.violations == []
@@ -135,9 +135,8 @@
     world.cut = {f"n{at}" for at in range(8)}
     world.advance()
     count = len(world.store.permits)
-    world.releases["r"] = released(
-        "halt"
-    )  # pushed on the issuer's side; heads that are cut off cannot begin without it
+    # Pushed on the issuer's side; heads on the other side cannot begin without the issuer.
+    world.releases["r"] = released("halt")
     world.apply_configuration()
     for _ in range(100):
         world.advance()
@@ -155,21 +154,20 @@
 def test_a_stopped_head_keeps_its_begun_permit_and_continues_when_it_resumes() -> None:
     world = rolling()
     world.until(lambda: any(one.state is PermitState.GRANTED for one in world.store.permits.values()))
-    held = next(one for one in world.store.permits.values() if one.state is PermitState.GRANTED)
-    head = world.heads[held.name]
-    assert world.issuer is not None and head.holder.permit_to_begin(int(world.now * head.drift)) == held.id
-    world.issuer.apply_report(held.name, head.report())
+    permit = next(one for one in world.store.permits.values() if one.state is PermitState.GRANTED)
+    head = world.heads[permit.name]
+    assert world.issuer is not None and head.holder.permit_to_begin(int(world.now * head.drift)) == permit.id
+    world.issuer.apply_report(permit.name, head.report())
     world.issuer.tick(world.now)
-    head.frozen = True  # after its begin was stored, before the update arrived
+    head.is_stopped = True  # after its begin was stored and before it received the update
     for _ in range(300):
         world.advance()
-    assert (
-        world.store.permits[held.id].state is PermitState.BEGUN and stage(world) is ReleaseStage.HALTED
-    )  # not back in time
-    head.frozen = False
-    world.issuer.last_updates.pop(held.name, None)
-    world.until(lambda: world.store.permits[held.id].state is PermitState.FREE)
-    assert head.build == "2" and world.store.permits[held.id].state is PermitState.FREE and world.violations == []
+    # Halted, as the head was not back in time.
+    assert world.store.permits[permit.id].state is PermitState.BEGUN and stage(world) is ReleaseStage.HALTED
+    head.is_stopped = False
+    world.issuer.last_updates.pop(permit.name, None)
+    world.until(lambda: world.store.permits[permit.id].state is PermitState.FREE)
+    assert head.build == "2" and world.store.permits[permit.id].state is PermitState.FREE and world.violations == []
 
 
 @pytest.mark.parametrize("stored", [False, True])
@@ -190,18 +188,18 @@
             break
         before = {one.id: one for one in world.store.permits.values() if one.state is not PermitState.FREE}
         world.start_issuer()
-        assert held(world) == before
+        assert active_permits(world) == before
         world.until(lambda: stage(world) is ReleaseStage.DONE if "r" in world.store.courses else False)  # noqa: B023
-        assert stage(world) is ReleaseStage.DONE and world.violations == [], f"killed at keep {at}"
+        assert stage(world) is ReleaseStage.DONE and world.violations == [], f"killed at save {at}"
         heads = [one for one in world.store.permits.values() if one.kind is PermitKind.HEAD]
         assert len(heads) == 5 and len({one.name for one in heads}) == 5
     assert at > 20
 
 
 def test_a_head_of_unknown_build_is_not_restarted_again() -> None:
-    """A restarted service sees heads' streams before their reports; it must not restart one that has the build."""
+    """A restarted service has heads' streams before their reports; it must not restart heads that have the build."""
     world = rolling(5, MaintenanceRule(DisruptionBudget(2), DisruptionBudget(1)))
-    world.until(lambda: "r" in world.store.courses and world.store.courses["r"].wave == 1 and not held(world))
+    world.until(lambda: "r" in world.store.courses and world.store.courses["r"].wave == 1 and not active_permits(world))
     assert stage(world) is ReleaseStage.ROLLING
     world.start_issuer()
     assert world.issuer is not None
@@ -227,9 +225,8 @@
     world.apply_configuration()
     for _ in range(50):
         world.advance()
-    assert {one.state for one in world.store.active_permits(PermitKind.BACKEND).values()} == {
-        PermitState.BACK
-    }  # no answer yet
+    # The backends have not answered yet.
+    assert {one.state for one in world.store.active_permits(PermitKind.BACKEND).values()} == {PermitState.BACK}
     world.backends_down = set()
     world.until(lambda: not world.store.active_permits(PermitKind.BACKEND))
     assert not world.store.active_permits(PermitKind.BACKEND) and world.violations == []
@@ -238,12 +235,12 @@
 def test_an_operator_frees_the_permit_of_a_head_that_is_gone_for_good() -> None:
     world = rolling()
     world.until(lambda: any(one.state is PermitState.OUT for one in world.store.permits.values()))
-    held = next(one for one in world.store.permits.values() if one.state is PermitState.OUT)
-    world.heads[held.name].returns_at = 0
+    permit = next(one for one in world.store.permits.values() if one.state is PermitState.OUT)
+    world.heads[permit.name].returns_at = 0
     for _ in range(200):
         world.advance()
-    assert world.store.permits[held.id].state is PermitState.OUT
-    world.rule = msgspec.structs.replace(RULE, released_permits=(held.id,), retired_heads=(held.name,))
+    assert world.store.permits[permit.id].state is PermitState.OUT
+    world.rule = msgspec.structs.replace(RULE, released_permits=(permit.id,), retired_heads=(permit.name,))
     world.apply_configuration()
     world.advance()
-    assert world.store.permits[held.id].state is PermitState.FREE and world.violations == []
+    assert world.store.permits[permit.id].state is PermitState.FREE and world.violations == []
--- a/tests/test_maintenance_retirement.py
+++ b/tests/test_maintenance_retirement.py
@@ -1,4 +1,4 @@
-"""Retired heads: what they are exempt from, when that is rejected, what a return undoes; older services."""
+"""Retired heads: their exemption, its rejection, and its end with their return; reports to older services."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 BACKENDS = {"b0": BackendListing("", "", True), "b1": BackendListing("", "", True)}
 
 
-def said(issuer: PermitIssuer) -> HeadReport:
+def drained_report(issuer: PermitIssuer) -> HeadReport:
     permit = issuer.permits.for_target(PermitKind.BACKEND, "b0")
     assert permit is not None
     return HeadReport(1, statements=(Statement(permit.id, "b0", DRAINED),), backends=BACKENDS)
@@ -36,38 +36,42 @@
 def test_a_retired_head_does_not_block_a_drain_until_it_returns() -> None:
     world = World(1, 2, 2, RULE)
     issuer = PermitIssuer("store", 9, (), (), {"n0": "", "n1": ""}, MemoryStore(world), world.now)
-    forms: list[Record] = [RULE, OUTAGE]
-    issuer.apply_configuration(forms, (), {})
+    records: list[Record] = [RULE, OUTAGE]
+    issuer.apply_configuration(records, (), {})
     issuer.head_connected("n0", True, 2)
     issuer.apply_report("n0", HeadReport(1, backends=BACKENDS))
     issuer.tick(world.now)
-    # n0's cluster still knows n1, and considers it dead, which is no consent.
+    # The members of n0's cluster include n1, which they consider dead; this is no consent.
     issuer.apply_report(
         "n0",
         HeadReport(
-            1, statements=said(issuer).statements, backends=BACKENDS, live_heads=("n0", "n1"), is_clustered=True
+            1,
+            statements=drained_report(issuer).statements,
+            backends=BACKENDS,
+            live_heads=("n0", "n1"),
+            is_clustered=True,
         ),
     )
     issuer.tick(world.now + S)
-    told = maintenance_status(issuer, lambda name: 7)
-    assert (told["permits"][0]["state"], told["permits"][0]["missing"]) == ("draining", ["n1"])
-    assert told["absent"][0]["name"] == "n1" and told["absent"][0]["since_ms"] == 7
-    forms = [MaintenanceRule(None, DisruptionBudget(1, -1.0, -1), retired_heads=("n1",)), OUTAGE]
-    issuer.apply_configuration(forms, (), {})
+    status = maintenance_status(issuer, lambda name: 7)
+    assert (status["permits"][0]["state"], status["permits"][0]["missing"]) == ("draining", ["n1"])
+    assert status["absent"][0]["name"] == "n1" and status["absent"][0]["since_ms"] == 7
+    records = [MaintenanceRule(None, DisruptionBudget(1, -1.0, -1), retired_heads=("n1",)), OUTAGE]
+    issuer.apply_configuration(records, (), {})
     issuer.tick(world.now + 2 * S)
     assert (
         issuer.permits.of_kind(PermitKind.BACKEND)[0].state is PermitState.OUT
         and maintenance_status(issuer)["absent"] == []
     )
-    forms = without_retired(forms, "n1")
-    assert forms == [RULE, OUTAGE] and without_retired(forms, "n0") == forms
-    issuer.apply_configuration(forms, (), {})
+    records = without_retired(records, "n1")
+    assert records == [RULE, OUTAGE] and without_retired(records, "n0") == records
+    issuer.apply_configuration(records, (), {})
     issuer.head_connected("n1", True, 2)
-    word = issuer.next_update("n1")
-    assert word is not None and list(word.ejected.values()) == ["b0"]  # its first update
-    told = maintenance_status(issuer)
-    assert (told["permits"][0]["state"], told["permits"][0]["missing"]) == ("draining again", ["n1"])
-    issuer.apply_report("n1", said(issuer))
+    update = issuer.next_update("n1")
+    assert update is not None and list(update.ejected.values()) == ["b0"]  # the drain is in its first update
+    status = maintenance_status(issuer)
+    assert (status["permits"][0]["state"], status["permits"][0]["missing"]) == ("draining again", ["n1"])
+    issuer.apply_report("n1", drained_report(issuer))
     assert maintenance_status(issuer)["permits"][0]["state"] == "drained"
 
 
@@ -77,31 +81,33 @@
     )
     document = read_document(text)
     assert not document.mistakes
-    rows, place = list(document.records.values()), document.forms["maintenance/*"]
-    assert retirement_errors(rows, {"n1"}, place, "words.sexp") == []
-    (line,) = retirement_errors(rows, {"n8", "n1"}, place, "words.sexp")
+    records, form = list(document.records.values()), document.forms["maintenance/*"]
+    assert retirement_errors(records, {"n1"}, form, "words.sexp") == []
+    (line,) = retirement_errors(records, {"n8", "n1"}, form, "words.sexp")
     assert line.startswith("words.sexp:4:15: n8 is not gone") and "remove it from (retired ...)" in line
 
 
 def test_a_head_sends_list_changes_only_to_a_service_that_accepts_them(tmp_path: Path) -> None:
     async def main() -> None:
-        upkeep = Head("n0", 1, "1", tmp_path / "n0", lambda head, go: None).upkeep
-        assert upkeep is not None
+        maintenance = Head("n0", 1, "1", tmp_path / "n0", lambda head, go: None).maintenance
+        assert maintenance is not None
 
-        def told(word: PermitUpdate) -> HeadReport:
-            upkeep._apply_update(decode_response(encode_update(word)))
-            (request,) = upkeep._followup_requests(True)
+        def report_after(update: PermitUpdate) -> HeadReport:
+            maintenance._apply_update(decode_response(encode_update(update)))
+            (request,) = maintenance._followup_requests(True)
             return msgspec.json.decode(request.initial_versions[REPORT_KEY], type=HeadReport)
 
-        upkeep.ejections.apply_list(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
-        assert upkeep._followup_requests(True) == []  # no update yet
-        older = told(PermitUpdate("s", 1, 1))
+        maintenance.ejections.apply_list(NodeList(ListKind.FULL, (NodeEntry("s-0", 0, 0, Phase.ON, 1.0, 0),)))
+        assert maintenance._followup_requests(True) == []  # no update yet
+        older = report_after(PermitUpdate("s", 1, 1))
         assert list(older.backends) == ["s-0"] and older.list_changes is None
-        first = told(PermitUpdate("s", 2, 1, accepts_list_changes=True))  # the service was replaced by a newer one
+        first = report_after(
+            PermitUpdate("s", 2, 1, accepts_list_changes=True)
+        )  # the service was replaced by one that accepts changes
         assert not first.backends and first.list_changes is not None and first.list_changes.backends.is_full
-        second = told(PermitUpdate("s", 2, 2, accepts_list_changes=True)).list_changes
+        second = report_after(PermitUpdate("s", 2, 2, accepts_list_changes=True)).list_changes
         assert second is not None and (second.sequence, second.backends.is_full, second.backends.rows) == (2, False, {})
-        upkeep._initial_requests([])
-        assert told(PermitUpdate("s", 3, 1)).backends.keys() == {"s-0"}  # and by an older one again
+        maintenance._initial_requests([])
+        assert report_after(PermitUpdate("s", 3, 1)).backends.keys() == {"s-0"}  # and again by one that does not
 
     run(main())
--- a/tests/test_maintenance_snapshots.py
+++ b/tests/test_maintenance_snapshots.py
@@ -1,4 +1,4 @@
-"""Lists sent as changes: synchronized ones are what the head had, despite loss, duplication and reordering."""
+"""Lists sent as changes: synchronized lists equal the head's, despite loss, duplication and reordering."""
 
 from __future__ import annotations
 
@@ -28,55 +28,59 @@
 
     def __init__(self) -> None:
         self.now, self.backends, self.live, self.gone = 0, dict[str, BackendListing](), set[str](), set[str]()
-        self.heard: dict[str, list[Statement]] = {}
-        self.whole_at: list[int] = []
+        self.peer_statements: dict[str, list[Statement]] = {}
+        self.full_lists_at: list[int] = []
         self.connect()
 
     def connect(self) -> None:
-        """A stream starts: messages in flight on the previous one are lost."""
-        self.teller, self.listener = SnapshotSender(), SnapshotReceiver()
-        self.way: list[HeadReport] = []
-        self.told: dict[int, HeadReport] = {}  # all reports of this stream, complete
-        self.asked = self.newest = 0
-        self.taken: HeadReport | None = None
+        """Start a stream; messages in flight on the previous one are lost."""
+        self.sender, self.receiver = SnapshotSender(), SnapshotReceiver()
+        self.in_flight: list[HeadReport] = []
+        self.sent_reports: dict[int, HeadReport] = {}  # all reports of this stream, complete
+        self.request = self.newest_sequence = 0  # the newest sequence that was received
+        self.received: HeadReport | None = None
 
     def report(self) -> None:
         self.now += BEAT_US // 4
-        meant = HeadReport(
+        report = HeadReport(
             1,
             backends=dict(self.backends),
             live_heads=tuple(self.live),
             departed_heads=tuple(self.gone),
-            peer_statements=dict(self.heard),
+            peer_statements=dict(self.peer_statements),
         )
-        made = self.teller.to_changes(self.now, meant, self.asked)
-        assert made.list_changes is not None and not made.backends and not made.live_heads and not made.peer_statements
-        if made.list_changes.backends.is_full:
-            self.whole_at.append(self.now)
-        self.told[made.list_changes.sequence] = meant
-        self.way.append(msgspec.json.decode(msgspec.json.encode(made), type=HeadReport))
+        changes = self.sender.to_changes(self.now, report, self.request)
+        assert (
+            changes.list_changes is not None
+            and not changes.backends
+            and not changes.live_heads
+            and not changes.peer_statements
+        )
+        if changes.list_changes.backends.is_full:
+            self.full_lists_at.append(self.now)
+        self.sent_reports[changes.list_changes.sequence] = report
+        self.in_flight.append(msgspec.json.decode(msgspec.json.encode(changes), type=HeadReport))
 
     def arrive(self, at: int, stays: bool) -> None:
-        if self.way:
-            one = self.way[at % len(self.way)] if stays else self.way.pop(at % len(self.way))
-            assert one.list_changes is not None
-            self.newest = max(self.newest, one.list_changes.sequence)  # of those that were received
-            taken = self.listener.to_full(one)
-            self.taken = taken if taken is not None else self.taken
+        if self.in_flight:
+            report = self.in_flight[at % len(self.in_flight)] if stays else self.in_flight.pop(at % len(self.in_flight))
+            assert report.list_changes is not None
+            self.newest_sequence = max(self.newest_sequence, report.list_changes.sequence)
+            received = self.receiver.to_full(report)
+            self.received = received if received is not None else self.received
 
     def check(self) -> None:
-        one = self.taken
-        if one is None:
+        received = self.received
+        if received is None:
             return
-        meant = self.told[self.newest]
-        if not one.is_uncertain:
-            assert one.backends == meant.backends
-        assert set(one.departed_heads) <= set(
-            meant.departed_heads
-        )  # only heads that the head knows to have left are exempt
-        assert all(rows == meant.peer_statements.get(name) for name, rows in one.peer_statements.items())
-        if self.listener.is_synchronized:
-            assert set(one.live_heads) == set(meant.live_heads) and one.peer_statements == meant.peer_statements
+        sent = self.sent_reports[self.newest_sequence]
+        if not received.is_uncertain:
+            assert received.backends == sent.backends
+        # Only heads that have left in the head's view are exempt.
+        assert set(received.departed_heads) <= set(sent.departed_heads)
+        assert all(rows == sent.peer_statements.get(name) for name, rows in received.peer_statements.items())
+        if self.receiver.is_synchronized:
+            assert set(received.live_heads) == set(sent.live_heads) and received.peer_statements == sent.peer_statements
 
 
 class StreamMachine(RuleBasedStateMachine):
@@ -101,7 +105,7 @@
 
     @rule(name=NAMES, permit=st.integers(0, 3))
     def receive_statement(self, name: str, permit: int) -> None:
-        self.stream.heard[name] = [Statement(f"1.{permit}", "b-0", DRAINED)] if permit else []
+        self.stream.peer_statements[name] = [Statement(f"1.{permit}", "b-0", DRAINED)] if permit else []
 
     @rule()
     def send_report(self) -> None:
@@ -113,12 +117,12 @@
 
     @rule(at=st.integers(0, 9))
     def lose(self, at: int) -> None:
-        if self.stream.way:
-            self.stream.way.pop(at % len(self.stream.way))
+        if self.stream.in_flight:
+            self.stream.in_flight.pop(at % len(self.stream.in_flight))
 
     @rule()
     def receive_request(self) -> None:
-        self.stream.asked = self.stream.listener.full_lists_request
+        self.stream.request = self.stream.receiver.full_lists_request
 
     @rule()
     def reconnect(self) -> None:
@@ -129,15 +133,19 @@
         self.stream.check()
 
     def teardown(self) -> None:
-        """Without loss all lists are synchronized within some reports."""
-        line = self.stream
-        line.way.clear()
+        """Without loss, all lists are synchronized after a few reports."""
+        stream = self.stream
+        stream.in_flight.clear()
         for _ in range(8):
-            line.report()
-            line.arrive(0, False)
-            line.asked = line.listener.full_lists_request
-        line.check()
-        assert line.listener.is_synchronized and line.taken is not None and line.taken.backends == line.backends
+            stream.report()
+            stream.arrive(0, False)
+            stream.request = stream.receiver.full_lists_request
+        stream.check()
+        assert (
+            stream.receiver.is_synchronized
+            and stream.received is not None
+            and stream.received.backends == stream.backends
+        )
 
 
 def test_synchronized_lists_are_what_the_head_reported() -> None:
@@ -147,24 +155,24 @@
 
 
 def run_random_steps(seed: int) -> None:
-    """Random steps of the machine without shrinking: mutants are to be detected, not explained."""
-    lots, machine = random.Random(seed), StreamMachine()
+    """Run random steps of the machine without shrinking, which is enough to detect mutants."""
+    rng, machine = random.Random(seed), StreamMachine()
     names = ["b-0", "b-1"]
     for _ in range(300):
-        step = lots.randrange(8)
+        step = rng.randrange(8)
         if step == 0:
-            machine.list_backend(lots.choice(names), lots.random() < 0.5, "")
+            machine.list_backend(rng.choice(names), rng.random() < 0.5, "")
         elif step == 1:
-            machine.set_member(lots.choice(names), lots.choice(["live", "gone", "unknown"]))
+            machine.set_member(rng.choice(names), rng.choice(["live", "gone", "unknown"]))
         elif step == 2:
-            machine.receive_statement(lots.choice(names), lots.randrange(3))
+            machine.receive_statement(rng.choice(names), rng.randrange(3))
         elif step in (3, 4):
             machine.send_report()
         elif step == 5:
-            machine.lose(lots.randrange(9))
+            machine.lose(rng.randrange(9))
         else:
-            machine.deliver(lots.randrange(9), lots.random() < 0.3)
-        if lots.random() < 0.1:
+            machine.deliver(rng.randrange(9), rng.random() < 0.3)
+        if rng.random() < 0.1:
             machine.receive_request()
         machine.synchronized_lists_are_right()
     machine.teardown()
@@ -172,34 +180,34 @@
 
 def accept_any_order(self: SnapshotReceiver, report: HeadReport) -> HeadReport | None:
     self.sequence = 0
-    return take(self, report)
+    return to_full(self, report)
 
 
 def ignore_digest(self: Any, change: Any) -> None:
-    take_part(self, change)
+    apply_change(self, change)
     self.is_synchronized = True
 
 
 def relay_uncertain_lists(self: SnapshotReceiver, report: HeadReport) -> HeadReport | None:
-    found = take(self, report)
+    full_report = to_full(self, report)
     assert report.list_changes is not None
     return (
-        found
-        if found is None
+        full_report
+        if full_report is None
         else msgspec.structs.replace(
-            found,
+            full_report,
             departed_heads=tuple(name for name, live in self.members.rows.items() if not live),
             peer_statements=self.peer_statements.rows,
         )
     )
 
 
-take, take_part = SnapshotReceiver.to_full, snapshots.ListReceiver.apply
+to_full, apply_change = SnapshotReceiver.to_full, snapshots.ListReceiver.apply
 MUTANTS = {
-    "reports are taken in any order": (SnapshotReceiver, "to_full", accept_any_order),
-    "a digest that differs is believed": (snapshots.ListReceiver, "apply", ignore_digest),
-    "an unsure witness lets heads off": (SnapshotReceiver, "to_full", relay_uncertain_lists),
-    "a question is never answered": (
+    "reports are accepted in any order": (SnapshotReceiver, "to_full", accept_any_order),
+    "a differing digest is ignored": (snapshots.ListReceiver, "apply", ignore_digest),
+    "uncertain lists exempt heads": (SnapshotReceiver, "to_full", relay_uncertain_lists),
+    "a request for full lists is never answered": (
         SnapshotSender,
         "is_full_due",
         lambda self, now_us, request: self.answered_request < 0,
@@ -209,8 +217,8 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_each_mutant_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    where, what, instead = MUTANTS[name]
-    monkeypatch.setattr(where, what, instead)
+    target, attribute, replacement = MUTANTS[name]
+    monkeypatch.setattr(target, attribute, replacement)
     with pytest.raises((AssertionError, KeyError)):
         for seed in range(100):
             run_random_steps(seed)
@@ -222,16 +230,17 @@
 
 
 def test_full_lists_are_rate_limited() -> None:
-    line, lots = Stream(), random.Random(1)
+    stream, rng = Stream(), random.Random(1)
     for at in range(400):
-        line.backends[f"b-{at % 5}"] = BackendListing("", "", lots.random() < 0.5)
-        line.report()
-        line.arrive(0, False) if lots.random() < 0.5 else line.way.clear()
-        line.asked = line.listener.full_lists_request
-        line.check()
-    assert len(line.whole_at) > 10
+        stream.backends[f"b-{at % 5}"] = BackendListing("", "", rng.random() < 0.5)
+        stream.report()
+        stream.arrive(0, False) if rng.random() < 0.5 else stream.in_flight.clear()
+        stream.request = stream.receiver.full_lists_request
+        stream.check()
+    assert len(stream.full_lists_at) > 10
     assert all(
-        later - one >= FULL_LISTS_INTERVAL_US for one, later in zip(line.whole_at, line.whole_at[1:], strict=False)
+        later - one >= FULL_LISTS_INTERVAL_US
+        for one, later in zip(stream.full_lists_at, stream.full_lists_at[1:], strict=False)
     )
 
 
@@ -240,22 +249,22 @@
     world = World(1, 2, 3, rule)
     issuer = PermitIssuer("store", 9, (), (), {}, MemoryStore(world), world.now)
     issuer.apply_configuration([rule, Outage("o", ("b0",))], (), {})
-    tellers = {name: SnapshotSender() for name in ("n0", "n1")}
+    senders = {name: SnapshotSender() for name in ("n0", "n1")}
     rows = {name: BackendListing("", "", True) for name in ("b0", "b1", "b2")}
-    for name in tellers:
+    for name in senders:
         issuer.head_connected(name, True, 2)
-        issuer.apply_report(name, tellers[name].to_changes(0, HeadReport(1, backends=rows, is_ready=True), 0))
-    tellers["n1"].to_changes(BEAT_US, HeadReport(1, backends={**rows, "b1": BackendListing("", "", False)}), 0)  # lost
+        issuer.apply_report(name, senders[name].to_changes(0, HeadReport(1, backends=rows, is_ready=True), 0))
+    senders["n1"].to_changes(BEAT_US, HeadReport(1, backends={**rows, "b1": BackendListing("", "", False)}), 0)  # lost
     issuer.apply_report(
         "n1",
-        tellers["n1"].to_changes(2 * BEAT_US, HeadReport(1, backends={**rows, "b1": BackendListing("", "", False)}), 0),
+        senders["n1"].to_changes(2 * BEAT_US, HeadReport(1, backends={**rows, "b1": BackendListing("", "", False)}), 0),
     )
     issuer.tick(world.now)
-    word = issuer.next_update("n1")
-    assert not issuer.permits.active and word is not None and word.full_lists_request == 1
+    update = issuer.next_update("n1")
+    assert not issuer.permits.active and update is not None and update.full_lists_request == 1
     issuer.apply_report(
         "n1",
-        tellers["n1"].to_changes(3 * BEAT_US, HeadReport(1, backends=rows, is_ready=True), word.full_lists_request),
+        senders["n1"].to_changes(3 * BEAT_US, HeadReport(1, backends=rows, is_ready=True), update.full_lists_request),
     )
     issuer.tick(world.now)
     assert [one.name for one in issuer.permits.active.values()] == ["b0"]
--- a/tests/test_peers_endpoint.py
+++ b/tests/test_peers_endpoint.py
@@ -51,30 +51,30 @@
             await asyncio.sleep(0.01)
 
 
-def test_two_endpoints_meet_by_a_seed_s_name_and_a_failing_subscriber_is_isolated(key_file: Path) -> None:
+def test_two_endpoints_join_by_the_name_of_a_seed_and_a_failing_subscriber_is_isolated(key_file: Path) -> None:
     async def main() -> None:
-        said: list[str] = []
-        one = MemberEndpoint("one", "127.0.0.1:0", [], key_file, log=said.append)
+        log_lines: list[str] = []
+        first = MemberEndpoint("one", "127.0.0.1:0", [], key_file, log=log_lines.append)
         other = MemberEndpoint(
             "other",
             "127.0.0.1:0",
-            [one.address.replace("127.0.0.1", "localhost"), "no.such.host.:1"],
+            [first.address.replace("127.0.0.1", "localhost"), "no.such.host.:1"],
             key_file,
             zone="z2",
         )
-        heard = RecordingSubscriber()
-        one.subscribers += [FailingSubscriber(), heard]
-        for member in (one, other):
+        subscriber = RecordingSubscriber()
+        first.subscribers += [FailingSubscriber(), subscriber]
+        for member in (first, other):
             member.start()
-        await until(lambda: "other alive" in heard.members)
-        assert any("RuntimeError: broken" in line for line in said)
+        await until(lambda: "other alive" in subscriber.members)
+        assert any("RuntimeError: broken" in line for line in log_lines)
         other.machine.put(Topic.WEIGHTS, "k", b"v")
-        await until(lambda: ("k", False) in heard.entries)
-        assert [found.zone for found in one.machine.members()] == ["", "z2"]
+        await until(lambda: ("k", False) in subscriber.entries)
+        assert [listed.zone for listed in first.machine.members()] == ["", "z2"]
         other.leave()
-        await until(lambda: "other left" in heard.members)
+        await until(lambda: "other left" in subscriber.members)
         other.leave()
-        one.close()
+        first.close()
 
     asyncio.run(main())
 
@@ -82,31 +82,31 @@
 def test_a_flood_of_unauthenticated_datagrams_takes_a_bounded_share_of_the_loop(
     key_file: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Counted in turns, not in time: after each full turn the socket is not read until the backoff is over."""
+    """Counts turns of the loop, not time: after each full turn the socket is not read until the backoff is over."""
 
     async def main() -> None:
-        one = MemberEndpoint("one", "127.0.0.1:0", [], key_file)
-        one.start()
+        member = MemberEndpoint("one", "127.0.0.1:0", [], key_file)
+        member.start()
         flood = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        host, port = one.address.split(":")
+        host, port = member.address.split(":")
         monkeypatch.setattr(endpoint, "READ_BACKOFF_S", 60.0)
         for number in range(64):
             flood.sendto(bytes([number]) * (1 + number * 24), (host, int(port)))
-        counters = one.machine.core.counters
+        counters = member.machine.core.counters
 
         def dropped() -> int:
             return sum(count for name, count in counters.items() if name.startswith("dropped_"))
 
         await until(lambda: dropped() > 0)
         assert dropped() <= endpoint.DATAGRAMS_PER_TURN
-        for _ in range(20):  # turns of the loop, none of which reads
+        for _ in range(20):  # turns of the loop in which nothing is read
             await asyncio.sleep(0)
         assert dropped() <= endpoint.DATAGRAMS_PER_TURN
         monkeypatch.setattr(endpoint, "READ_BACKOFF_S", 0.0)
-        one._resume_reading()
+        member._resume_reading()
         await until(lambda: dropped() == 64)
         assert counters["dropped_too_long"] and counters["dropped_unknown"] and counters["dropped_too_short"]
-        assert len(one.machine.members()) == 1 and not counters["bytes_received"]
+        assert len(member.machine.members()) == 1 and not counters["bytes_received"]
         # An authentic ping is acknowledged during the flood.
         record = MemberRecord("peer", f"127.0.0.1:{flood.getsockname()[1]}", 1 << 40)
         flood.sendto(
@@ -114,20 +114,20 @@
         )
         flood.setblocking(False)
         opener = DatagramOpener([KEY.encode()], 5, lambda name: None)
-        answers: list[Message] = []
+        received: list[Message] = []
 
-        def answered() -> bool:
+        def acknowledged() -> bool:
             flood.sendto(b"x" * 500, (host, int(port)))
             while True:
                 try:
                     opened = opener.open(flood.recv(2000))
                 except BlockingIOError:
-                    return any(isinstance(part, Ack) and part.request_id == 7 for part in answers)
-                answers.extend(opened.messages if opened else [])
+                    return any(isinstance(part, Ack) and part.request_id == 7 for part in received)
+                received.extend(opened.messages if opened else [])
 
-        await until(answered)
+        await until(acknowledged)
         flood.close()
-        one.close()
+        member.close()
 
     asyncio.run(main())
 
@@ -159,17 +159,17 @@
 
 def test_an_invalid_key_file_does_not_replace_the_keys(key_file: Path) -> None:
     async def main() -> None:
-        one = MemberEndpoint("one", "127.0.0.1:0", [], key_file)
-        before = list(one.machine.opener.keys)
+        member = MemberEndpoint("one", "127.0.0.1:0", [], key_file)
+        keys_before = list(member.machine.opener.keys)
         for text in (b"short", b"\xff\xfe" * 20, b""):
             key_file.write_bytes(text)
             with pytest.raises(KeysUnusableError, match=str(key_file)):
-                one.reload()
-            assert one.machine.opener.keys == one.machine.core.keys == before
+                member.reload()
+            assert member.machine.opener.keys == member.machine.core.keys == keys_before
         key_file.write_text(f"{KEY} new\n\n{KEY}\n")
-        one.reload()
-        assert one.machine.core.keys == [f"{KEY} new".encode(), KEY.encode()]
-        one.close()
+        member.reload()
+        assert member.machine.core.keys == [f"{KEY} new".encode(), KEY.encode()]
+        member.close()
 
     asyncio.run(main())
 
