--- a/hophinge/maintenance/drain_verdicts.py
+++ b/hophinge/maintenance/drain_verdicts.py
@@ -1,4 +1,4 @@
-"""Whether a backend is drained: what heads have stated, and whose statements are required.
+"""Determines whether a backend is drained, by the statements of heads and by whose statements are required.
 
 A missing statement never counts as consent, nor does the view of other heads that a silent head is dead: a head that is
 stopped or partitioned looks dead, and may resume with its requests. A head is exempt only if it has no stream and every
--- a/tests/maintenance_faults.py
+++ b/tests/maintenance_faults.py
@@ -96,11 +96,9 @@
     if name in world.outages:
         del world.outages[name]
     else:
-        used = {
-            one for outage_record in world.outages.values() for one in (*outage_record.backends, *outage_record.heads)
-        }
-        backends = [one for one in world.backend_zones if one not in used]
-        heads = [one for one in world.zones if one not in used]
+        used = {target for other in world.outages.values() for target in (*other.backends, *other.heads)}
+        backends = [backend for backend in world.backend_zones if backend not in used]
+        heads = [head for head in world.zones if head not in used]
         outage_record = Outage(
             name,
             tuple(world.random.sample(backends, min(2, len(backends)))),
@@ -168,8 +166,8 @@
 
 
 FAULTS: dict[str, Fault] = {
-    one.__name__: one
-    for one in (
+    fault.__name__: fault
+    for fault in (
         partition,
         lose_head,
         lose_head_with_permit,
--- a/tests/maintenance_rig.py
+++ b/tests/maintenance_rig.py
@@ -116,19 +116,19 @@
     # --- commands and status
 
     async def staff(self, method: str, **body: Any) -> dict[str, Any]:
-        told: dict[str, Any] = json.loads(
+        reply: dict[str, Any] = json.loads(
             await call_operator_api(
                 self.made.endpoints["c"].listen, self.made.tokens["staff"], method, json.dumps(body).encode(), 2.0
             )
         )
-        return told
+        return reply
 
     async def push(self, words: str) -> None:
         """Push a document; retried if the service has just been killed."""
 
         async def look() -> tuple[bool, str]:
-            told = await self.staff("Push", text=POOL + words)
-            return "mistakes" not in told, str(told)
+            reply = await self.staff("Push", text=POOL + words)
+            return "mistakes" not in reply, str(reply)
 
         await wait_until([Condition(self.made["c"], "takes the document", look)], BOUND_S)
 
@@ -136,18 +136,18 @@
         """Return the condition that the service's maintenance status satisfies a predicate."""
 
         async def look() -> tuple[bool, str]:
-            told = (await self.staff("Status"))["maintenance"]
-            return good(told), json.dumps(told)
+            status = (await self.staff("Status"))["maintenance"]
+            return good(status), json.dumps(status)
 
         return Condition(self.made["c"], what, look)
 
     def up(self, count: int) -> Condition:
-        return self.tells(f"{count} heads up", lambda told: told["heads_up"] == count)
+        return self.tells(f"{count} heads up", lambda status: status["heads_up"] == count)
 
     def stage(self, stage: str, name: str = "r") -> Condition:
         return self.tells(
             f"release {name} {stage}",
-            lambda told: any(row["name"] == name and row["stage"] == stage for row in told["releases"]),
+            lambda status: any(row["name"] == name and row["stage"] == stage for row in status["releases"]),
         )
 
     def strike(self, name: str, file: str, word: str) -> None:
@@ -165,12 +165,12 @@
             if row["what"] == "permit" and (found := AUDIT.fullmatch(row["detail"]))
         ]
 
-    async def check(self, most: int) -> None:
+    async def check(self, limit: int) -> None:
         """Check the complete history: permits by the audit, restarts by the heads' own logs."""
-        assert self.most_out <= most
+        assert self.most_out <= limit
         rows = await self.audit()
         for kind in ("head", "brick"):
-            assert max_concurrent_permits(rows, kind) <= most
+            assert max_concurrent_permits(rows, kind) <= limit
         begun = {(permit, name) for permit, _, name, state in rows if state == "begun"}
         went = [(permit, name) for permit, name, _ in self.goes]
         assert set(went) <= begun, (went, begun)
@@ -180,7 +180,7 @@
     """Return the maximum of concurrent permits of a kind; asserts that no process has two and no id is reused."""
     held: dict[str, str] = {}
     done: set[str] = set()
-    most = 0
+    maximum = 0
     for permit, of, name, state in rows:
         if of != kind:
             continue
@@ -191,8 +191,8 @@
             done.add(permit)
         else:
             held[permit] = name
-        most = max(most, len(held))
-    return most
+        maximum = max(maximum, len(held))
+    return maximum
 
 
 @asynccontextmanager
@@ -201,16 +201,16 @@
 ) -> AsyncIterator[Installation]:
     """Run an installation with a number of heads for a block."""
     async with RigRun(folder, seed, PLAN) as made:
-        one = Installation(made, [f"n{at}" for at in range(count)])
-        await one.start(clustered)
+        installation = Installation(made, [f"n{at}" for at in range(count)])
+        await installation.start(clustered)
         try:
-            yield one
-            for task in one.tasks:
+            yield installation
+            for task in installation.tasks:
                 assert not task.done(), task.exception()
         finally:
-            for task in one.tasks:
+            for task in installation.tasks:
                 task.cancel()
-            await asyncio.gather(*one.tasks, return_exceptions=True)
+            await asyncio.gather(*installation.tasks, return_exceptions=True)
 
 
 __all__ = ["KILL", "STOP", "Installation", "max_concurrent_permits", "running_installation"]
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -161,18 +161,16 @@
 
 def test_a_head_is_exempt_only_by_all_views_of_the_cluster_or_by_an_operator() -> None:
     known, connected = ["n0", "n1", "n2", "n3"], {"n0", "n1"}
-    assert required_heads(known, connected, {}, {}) == set(
-        known
-    )  # nobody has a view of the cluster: silence may be a partition
+    # Nobody has a view of the cluster: silence may be a partition.
+    assert required_heads(known, connected, {}, {}) == set(known)
     assert required_heads(known, connected, {"n0": ["n0", "n1"], "n1": ["n1"]}, {"n0": ["n2", "n3"], "n1": ["n2"]}) == {
         "n0",
         "n1",
         "n3",
     }
     assert required_heads(known, connected, {"n0": ["n2"]}, {"n0": ["n3"], "n1": ["n2", "n3"]}) == {"n0", "n1", "n2"}
-    assert required_heads(known, connected, {}, {"n0": ["n1"]}) == set(
-        known
-    )  # a connected head is required, whatever its peers report
+    # A connected head is required, whatever its peers report.
+    assert required_heads(known, connected, {}, {"n0": ["n1"]}) == set(known)
     assert required_heads(known, connected, {}, {}, ["n2", "n3"]) == connected
 
 
--- a/tests/test_maintenance_releases.py
+++ b/tests/test_maintenance_releases.py
@@ -153,8 +153,8 @@
 
 def test_a_stopped_head_keeps_its_begun_permit_and_continues_when_it_resumes() -> None:
     world = rolling()
-    world.until(lambda: any(one.state is PermitState.GRANTED for one in world.store.permits.values()))
-    permit = next(one for one in world.store.permits.values() if one.state is PermitState.GRANTED)
+    world.until(lambda: any(row.state is PermitState.GRANTED for row in world.store.permits.values()))
+    permit = next(row for row in world.store.permits.values() if row.state is PermitState.GRANTED)
     head = world.heads[permit.name]
     assert world.issuer is not None and head.holder.permit_to_begin(int(world.now * head.drift)) == permit.id
     world.issuer.apply_report(permit.name, head.report())
@@ -186,13 +186,13 @@
         world.until(killed_or_done)
         if world.issuer is not None:
             break
-        before = {one.id: one for one in world.store.permits.values() if one.state is not PermitState.FREE}
+        before = {row.id: row for row in world.store.permits.values() if row.state is not PermitState.FREE}
         world.start_issuer()
         assert active_permits(world) == before
         world.until(lambda: stage(world) is ReleaseStage.DONE if "r" in world.store.courses else False)  # noqa: B023
         assert stage(world) is ReleaseStage.DONE and world.violations == [], f"killed at save {at}"
-        heads = [one for one in world.store.permits.values() if one.kind is PermitKind.HEAD]
-        assert len(heads) == 5 and len({one.name for one in heads}) == 5
+        heads = [row for row in world.store.permits.values() if row.kind is PermitKind.HEAD]
+        assert len(heads) == 5 and len({row.name for row in heads}) == 5
     assert at > 20
 
 
@@ -209,7 +209,7 @@
     world.issuer.tick(world.now)
     assert len(world.store.permits) == given and "" not in world.store.courses["r"].previous_builds.values()
     world.until(lambda: stage(world) is ReleaseStage.DONE)
-    heads = [one.name for one in world.store.permits.values() if one.kind is PermitKind.HEAD]
+    heads = [row.name for row in world.store.permits.values() if row.kind is PermitKind.HEAD]
     assert stage(world) is ReleaseStage.DONE and sorted(heads) == sorted(world.heads) and world.violations == []
 
 
@@ -226,7 +226,7 @@
     for _ in range(50):
         world.advance()
     # The backends have not answered yet.
-    assert {one.state for one in world.store.active_permits(PermitKind.BACKEND).values()} == {PermitState.BACK}
+    assert {row.state for row in world.store.active_permits(PermitKind.BACKEND).values()} == {PermitState.BACK}
     world.backends_down = set()
     world.until(lambda: not world.store.active_permits(PermitKind.BACKEND))
     assert not world.store.active_permits(PermitKind.BACKEND) and world.violations == []
@@ -234,8 +234,8 @@
 
 def test_an_operator_frees_the_permit_of_a_head_that_is_gone_for_good() -> None:
     world = rolling()
-    world.until(lambda: any(one.state is PermitState.OUT for one in world.store.permits.values()))
-    permit = next(one for one in world.store.permits.values() if one.state is PermitState.OUT)
+    world.until(lambda: any(row.state is PermitState.OUT for row in world.store.permits.values()))
+    permit = next(row for row in world.store.permits.values() if row.state is PermitState.OUT)
     world.heads[permit.name].returns_at = 0
     for _ in range(200):
         world.advance()
--- a/tests/test_maintenance_retirement.py
+++ b/tests/test_maintenance_retirement.py
@@ -101,13 +101,13 @@
         assert maintenance._followup_requests(True) == []  # no update yet
         older = report_after(PermitUpdate("s", 1, 1))
         assert list(older.backends) == ["s-0"] and older.list_changes is None
-        first = report_after(
-            PermitUpdate("s", 2, 1, accepts_list_changes=True)
-        )  # the service was replaced by one that accepts changes
+        # The service is replaced by one that accepts changes.
+        first = report_after(PermitUpdate("s", 2, 1, accepts_list_changes=True))
         assert not first.backends and first.list_changes is not None and first.list_changes.backends.is_full
         second = report_after(PermitUpdate("s", 2, 2, accepts_list_changes=True)).list_changes
         assert second is not None and (second.sequence, second.backends.is_full, second.backends.rows) == (2, False, {})
         maintenance._initial_requests([])
-        assert report_after(PermitUpdate("s", 3, 1)).backends.keys() == {"s-0"}  # and again by one that does not
+        # It is replaced again by one that does not.
+        assert report_after(PermitUpdate("s", 3, 1)).backends.keys() == {"s-0"}
 
     run(main())
--- a/tests/test_maintenance_snapshots.py
+++ b/tests/test_maintenance_snapshots.py
@@ -267,4 +267,4 @@
         senders["n1"].to_changes(3 * BEAT_US, HeadReport(1, backends=rows, is_ready=True), update.full_lists_request),
     )
     issuer.tick(world.now)
-    assert [one.name for one in issuer.permits.active.values()] == ["b0"]
+    assert [permit.name for permit in issuer.permits.active.values()] == ["b0"]
--- a/tests/test_popularity_head.py
+++ b/tests/test_popularity_head.py
@@ -148,13 +148,13 @@
             popular.cache.remove_tenant("beith")
             site = popular.site
             items = [
-                DemandItem(key, site.keys.seal(one.locator), 1e6)
-                for key, one in site.known.items()
-                if one.tenant == "alba"
+                DemandItem(key, site.keys.seal(known.locator), 1e6)
+                for key, known in site.known.items()
+                if known.tenant == "alba"
             ]
             View(built.peers, "liar").put(Topic.POPULARITY, "0", encode_pages(1, 1e9, items)[0])
             built.close_own("a")
-            believed = sum(site.expected_requests(one.key) for one in items)
+            believed = sum(site.expected_requests(item.key) for item in items)
             # Four times what this head served, with a margin for the prediction of a first span.
             assert 0 < believed <= 4 * 12 * 1.5
             since = popular.exchange.now_us()
@@ -167,7 +167,8 @@
                 await asyncio.sleep(0.005)
             max_bytes = 6000.0 * (10 + (popular.exchange.now_us() - since) / 1e6)
             assert (
-                sum(len(one.body) for one in popular.cache.chunks.values() if one.tenant == "alba") <= 0.5 * max_bytes
+                sum(len(chunk.body) for chunk in popular.cache.chunks.values() if chunk.tenant == "alba")
+                <= 0.5 * max_bytes
             )
             assert popular.fetcher.fetched_bytes <= max_bytes
 
--- a/tests/test_popularity_planner.py
+++ b/tests/test_popularity_planner.py
@@ -65,7 +65,7 @@
     plans = [
         planner.plan(0, members, snapshot(backend(0, spare=1e9)), map(candidate, range(40))) for planner in planners
     ]
-    planned_keys = [one.key for plan in plans for one in plan]
+    planned_keys = [planned.key for plan in plans for planned in plan]
     assert len(planned_keys) == len(set(planned_keys)) == 40
 
 
@@ -82,21 +82,24 @@
             ),
             unanswered=rng.randrange(MAX_UNANSWERED + 2),
         )
-        for one in planner.plan(
+        for planned in planner.plan(
             now,
             [],
             load,
             [candidate(at, rng.choice("ab"), rng.randrange(4), rng.randrange(1, 6000)) for at in range(20)],
         ):
-            reason = planner.hold_reason(now, one.tenant, one.shard, one.size, one.units, load)
+            reason = planner.hold_reason(now, planned.tenant, planned.shard, planned.size, planned.units, load)
             if reason is None:
-                source = load.backends_by_shard[one.shard][0]
+                source = load.backends_by_shard[planned.shard][0]
                 assert (
-                    not source.is_draining and source.is_serving and source.is_warm and source.idle_units >= one.units
+                    not source.is_draining
+                    and source.is_serving
+                    and source.is_warm
+                    and source.idle_units >= planned.units
                 )
                 assert load.unanswered < MAX_UNANSWERED
-                planner.spend(now, one.tenant, one.size)
-                spent[one.tenant] += one.size
+                planner.spend(now, planned.tenant, planned.size)
+                spent[planned.tenant] += planned.size
         max_bytes = rate * (now / 1e6 + BURST_S)
         assert sum(spent.values()) <= max_bytes + 1 and max(spent.values()) <= part * max_bytes + 1
 
@@ -207,8 +210,8 @@
             candidate(102, "calm", size=50, expected=0.01),
         ],
     )
-    assert [one.tenant for one in plan].count("loud") == 5
-    assert [one.key[-1] for one in plan if one.tenant == "calm"] == [101, 100]
+    assert [planned.tenant for planned in plan].count("loud") == 5
+    assert [planned.key[-1] for planned in plan if planned.tenant == "calm"] == [101, 100]
     assert plan[0].key[-1] == 101 and request_probability(0.0) == 0.0 and request_probability(1e9) == 1.0
 
 
