--- a/hophinge/maintenance/drain_verdicts.py
+++ b/hophinge/maintenance/drain_verdicts.py
@@ -36,7 +36,7 @@
 ) -> set[str]:
     """Return the heads whose statements are required.
 
-    A known head that nobody reports as departed stays required: it may be partitioned, with requests in flight.
+    A head that is not departed in all reported views stays required: it may be partitioned, with requests in flight.
 
     Args:
         known: All heads that were ever observed.
--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -24,9 +24,8 @@
 
 BEGIN_US = 20_000_000  # from the request, by the requester's clock
 MAX_CLOCK_DRIFT = 0.01  # relative, between two monotonic clocks, as in tenancy/share_leases.py
-LEASE_US = (
-    int(BEGIN_US * (1 + MAX_CLOCK_DRIFT)) + 10_000_000
-)  # from the grant, by the issuer's; 10 s for messages in flight
+# From the grant, by the issuer's clock; 10 s for messages in flight.
+LEASE_US = int(BEGIN_US * (1 + MAX_CLOCK_DRIFT)) + 10_000_000
 
 MAX_NAMED = 5  # processes that the reason of a rejection names
 
--- a/hophinge/popularity/planner.py
+++ b/hophinge/popularity/planner.py
@@ -40,8 +40,8 @@
     DRAINING = "drain"
     WARMING_UP = "cold"
     UNITS = "units"  # a backend of the shard has too few idle units
-    SITE = "site"  # the byte budget of the site is used up
-    TENANT = "tenant"  # the byte budget of the tenant is used up
+    SITE = "site"  # the size exceeds the available bytes of the site
+    TENANT = "tenant"  # the size exceeds the available bytes of the tenant
 
 
 class BackendObservation(Struct, frozen=True):
