--- a/tests/maintenance_rig.py
+++ b/tests/maintenance_rig.py
@@ -1,5 +1,5 @@
-"""Whole heads and a control service as processes, whoever starts heads with the build they are to have, and a record of
-who was out: by the heads' own logs and by the audit of the store."""
+"""Heads and a control service as processes, a supervisor that restarts heads with the build of their permits, and a
+record of which heads were out: by the heads' own logs and by the audit of the store."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 GOES = re.compile(r"permit (\S+) lets this head go; it is to come back with (?:build (\S+)|any build)")
 AUDIT = re.compile(r"(\S+) for (head|brick) (\S+): (\w+)")
 LOOK_S = 0.02
-RATE = 40.0  # requests a second to each head, where a test asks for load
+RATE = 40.0  # requests per second to each head, in tests with load
 REFUSES = 3  # a bad build rejects one request in this many
 
 
@@ -35,14 +35,15 @@
         self.made, self.names = made, list(names)
         self.builds = dict.fromkeys(self.names, "1")
         self.bad: set[str] = set()  # heads at which build 2 rejects requests
-        self.out: set[str] = set()  # went offline under a permit, and not ready again
-        self.lost: set[str] = set()  # killed by the test, and not ready again
-        self.goes: list[tuple[str, str, int]] = []  # permit, head and its start: all that ever went offline under one
+        self.out: set[str] = set()  # offline under a permit, until ready again
+        self.lost: set[str] = set()  # killed by the test, until ready again
+        # Permit, head and the number of its start, for each time that a head went offline under a permit.
+        self.goes: list[tuple[str, str, int]] = []
         self.most_out = 0
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self, clustered: bool = True) -> None:
-        """Start all, and wait until each serves and is connected."""
+        """Start all processes, and wait until each head serves and is connected."""
         rules = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]["Rules"]
         self.made.add_control_service("c")
         for name in self.names:
@@ -65,7 +66,7 @@
         self.tasks += [asyncio.create_task(self._watch(name)) for name in self.names]
 
     async def _watch(self, name: str) -> None:
-        """Start a head that has ended, with the build of its permit."""
+        """Restart a head each time it has ended, with the build of its permit."""
         process, seen = self.made[name], 0
         while True:
             await asyncio.sleep(LOOK_S)
@@ -83,7 +84,7 @@
             self.out.discard(name)
 
     async def again(self, name: str) -> None:
-        """Start a head's next process, and wait until it serves."""
+        """Start the next process of a head, and wait until it serves."""
         path = self.made.folder / name / "operator.toml"
         path.write_text(re.sub(r"(?m)^build = .*$", f'build = "{self.builds[name]}"', path.read_text()))
         wrong = name in self.bad and self.builds[name] == "2"
@@ -91,7 +92,7 @@
         await wait_until([self.made.is_ready(name)], BOUND_S)
 
     async def lose(self, *names: str) -> None:
-        """Kill heads without a permit; they stay away."""
+        """Kill heads without a permit; they are not restarted."""
         self.lost |= set(names)
         await self.made.processes.kill(*names)
 
@@ -115,19 +116,19 @@
     # --- commands and status
 
     async def staff(self, method: str, **body: Any) -> dict[str, Any]:
-        told: dict[str, Any] = json.loads(
+        reply: dict[str, Any] = json.loads(
             await call_operator_api(
                 self.made.endpoints["c"].listen, self.made.tokens["staff"], method, json.dumps(body).encode(), 2.0
             )
         )
-        return told
+        return reply
 
     async def push(self, words: str) -> None:
         """Push a document; retried if the service has just been killed."""
 
         async def look() -> tuple[bool, str]:
-            told = await self.staff("Push", text=POOL + words)
-            return "mistakes" not in told, str(told)
+            reply = await self.staff("Push", text=POOL + words)
+            return "mistakes" not in reply, str(reply)
 
         await wait_until([Condition(self.made["c"], "takes the document", look)], BOUND_S)
 
@@ -135,22 +136,22 @@
         """Return the condition that the service's maintenance status satisfies a predicate."""
 
         async def look() -> tuple[bool, str]:
-            told = (await self.staff("Status"))["maintenance"]
-            return good(told), json.dumps(told)
+            status = (await self.staff("Status"))["maintenance"]
+            return good(status), json.dumps(status)
 
         return Condition(self.made["c"], what, look)
 
     def up(self, count: int) -> Condition:
-        return self.tells(f"{count} heads up", lambda told: told["heads_up"] == count)
+        return self.tells(f"{count} heads up", lambda status: status["heads_up"] == count)
 
     def stage(self, stage: str, name: str = "r") -> Condition:
         return self.tells(
             f"release {name} {stage}",
-            lambda told: any(row["name"] == name and row["stage"] == stage for row in told["releases"]),
+            lambda status: any(row["name"] == name and row["stage"] == stage for row in status["releases"]),
         )
 
     def strike(self, name: str, file: str, word: str) -> None:
-        """Set the fault that a process injects; empty: none."""
+        """Set the fault that a process injects; an empty word removes it."""
         path = self.made.folder / name / file
         path.write_text(word) if word else path.unlink(missing_ok=True)
 
@@ -164,34 +165,34 @@
             if row["what"] == "permit" and (found := AUDIT.fullmatch(row["detail"]))
         ]
 
-    async def check(self, most: int) -> None:
+    async def check(self, limit: int) -> None:
         """Check the complete history: permits by the audit, restarts by the heads' own logs."""
-        assert self.most_out <= most
+        assert self.most_out <= limit
         rows = await self.audit()
         for kind in ("head", "brick"):
-            assert max_concurrent_permits(rows, kind) <= most
+            assert max_concurrent_permits(rows, kind) <= limit
         begun = {(permit, name) for permit, _, name, state in rows if state == "begun"}
         went = [(permit, name) for permit, name, _ in self.goes]
         assert set(went) <= begun, (went, begun)
 
 
 def max_concurrent_permits(rows: Sequence[tuple[str, str, str, str]], kind: str) -> int:
-    """Return the maximum of concurrent permits of a kind; asserts that none is given twice and no id is reused."""
+    """Return the maximum of concurrent permits of a kind; asserts that no process has two and no id is reused."""
     held: dict[str, str] = {}
     done: set[str] = set()
-    most = 0
+    maximum = 0
     for permit, of, name, state in rows:
         if of != kind:
             continue
         assert permit not in done, f"{permit} is {state} after it was free"
-        assert name not in held.values() or held.get(permit) == name, f"{name} has two places"
+        assert name not in held.values() or held.get(permit) == name, f"{name} has two permits"
         if state == "free":
             held.pop(permit)
             done.add(permit)
         else:
             held[permit] = name
-        most = max(most, len(held))
-    return most
+        maximum = max(maximum, len(held))
+    return maximum
 
 
 @asynccontextmanager
@@ -200,16 +201,16 @@
 ) -> AsyncIterator[Installation]:
     """Run an installation with a number of heads for a block."""
     async with RigRun(folder, seed, PLAN) as made:
-        one = Installation(made, [f"n{at}" for at in range(count)])
-        await one.start(clustered)
+        installation = Installation(made, [f"n{at}" for at in range(count)])
+        await installation.start(clustered)
         try:
-            yield one
-            for task in one.tasks:
+            yield installation
+            for task in installation.tasks:
                 assert not task.done(), task.exception()
         finally:
-            for task in one.tasks:
+            for task in installation.tasks:
                 task.cancel()
-            await asyncio.gather(*one.tasks, return_exceptions=True)
+            await asyncio.gather(*installation.tasks, return_exceptions=True)
 
 
 __all__ = ["KILL", "STOP", "Installation", "max_concurrent_permits", "running_installation"]
