--- a/hophinge/fleet/__init__.py
+++ b/hophinge/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A router fleet for split prefill and decode: a data plane and a control plane."""
+"""Request routers for inference with separate prefill and decode stages: a data plane and a control plane."""
--- a/hophinge/fleet/controlplane/__init__.py
+++ b/hophinge/fleet/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: replicates the configuration, leases and instances, and serves operators and instances."""
+"""The control plane: replicates configuration, leases and instances, and serves operators and instances."""
--- a/hophinge/fleet/controlplane/counter_api.py
+++ b/hophinge/fleet/controlplane/counter_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of the shared counters: adding to a counter, and reading its total."""
+"""The HTTP API of the shared counters: adds to a counter, and reads its total."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 COUNTERS_PATH = "/v1/tallies/"
 MAX_BODY_BYTES = 4 << 10
-MAX_NAME_LENGTH = 256  # of a counter's name and of an identifier, in characters
-MAX_AMOUNT = 1 << 63  # an amount's absolute value is below this
+MAX_NAME_LENGTH = 256  # of a counter's name and of an increment's identifier, in characters
+MAX_AMOUNT = 1 << 63  # exclusive bound on the absolute value of an amount
 JSON_TYPE = (b"content-type", b"application/json")
 RETRY_AFTER = (b"retry-after", b"0.2")
 
 
 class IncrementBody(BaseModel):
-    """The body of an increment; fields that are not known are ignored."""
+    """The body of an increment; unknown fields are ignored."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -31,7 +31,7 @@
 
 
 class CounterApi:
-    """Serves requests for counters; a member without a disk sends its callers to one that has a disk."""
+    """Serves requests for counters; a member without a disk redirects callers to a member that stores counters."""
 
     def __init__(self, host: CounterHost | None, directory: CounterDirectory, control_address: str) -> None:
         self.host = host
@@ -43,7 +43,7 @@
         if method not in ("GET", "POST"):
             await _answer_error(send, 405, "the method is not allowed", headers=[(b"allow", b"GET, POST")])
         elif len(name) > MAX_NAME_LENGTH:
-            await _answer_error(send, 400, "the name is too long")
+            await _answer_error(send, 400, "the counter's name is too long")
         elif self.host is None:
             await read_body(receive, MAX_BODY_BYTES)
             await self._redirect(name, send)
@@ -53,10 +53,10 @@
             await self._add(self.host, name, receive, send)
 
     async def _redirect(self, name: str, send: Send) -> None:
-        """Send the caller to a member with a disk."""
-        host = self.directory.host_to_ask()
+        """Redirect the caller to a member that stores counters."""
+        host = self.directory.choose_host()
         if host is None:
-            await _answer_error(send, 503, "no member that keeps counters is heard now", headers=[RETRY_AFTER])
+            await _answer_error(send, 503, "no member that stores counters is reachable now", headers=[RETRY_AFTER])
             return
         location = f"http://{host}:{self.port}{COUNTERS_PATH}{quote(name, safe='')}"
         await answer(send, 307, b"", [(b"location", location.encode())])
@@ -82,8 +82,8 @@
         elif response.outcome is CounterOutcome.REJECTED:
             await _answer_error(send, 503, response.reason, headers=[RETRY_AFTER])
         else:
-            # Not 503, which would promise that nothing was stored.
-            await _answer_error(send, 504, "it is not known yet whether this survives: send it again")
+            # Not 503, which would tell the caller that nothing was stored.
+            await _answer_error(send, 504, "it is unknown whether the increment is stored; retry it with the same id")
 
 
 async def _answer_error(
--- a/hophinge/fleet/controlplane/counter_host.py
+++ b/hophinge/fleet/controlplane/counter_host.py
@@ -1,4 +1,4 @@
-"""Runs the state machine of a member's shared counters on its disk and its clock, for the callers who wait for it."""
+"""Runs the state machine of a member's shared counters: supplies its clock, disk and messages, and serves callers."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
 from hophinge.fleet.settings import Settings
 
 COUNTER_TICK_S = 0.05
-ANNOUNCE_INTERVAL_S = 0.25  # between announcements to members that do not answer as members with counters
-COUNTERS_PREFIX = "counters/"  # of the records by which members announce that they keep counters
-ANNOUNCED = (1, 0)  # the stamp of such a record: its content never changes
-REPLACED = (2, 0)  # the stamp of its tombstone
+ANNOUNCE_INTERVAL_S = 0.25  # between announcements that this member stores counters
+COUNTERS_PREFIX = "counters/"  # key prefix of the records by which members announce that they store counters
+ANNOUNCEMENT_STAMP = (1, 0)  # constant, because the content of an announcement never changes
+TOMBSTONE_STAMP = (2, 0)  # of a deleted announcement
 
 
 @dataclass(frozen=True, slots=True)
 class CounterEffects:
-    """How a member's counters reach other members.
+    """How a member's counters communicate with other members.
 
     Attributes:
         send: sends a message to an address.
         publish: disseminates records.
-        records: all records that were disseminated.
+        records: all disseminated records that this member has.
 
     """
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterStatus:
-    """The state of a member's counters, for operators."""
+    """The status of a member's counters, for operators."""
 
     increments: int
     digest: str
@@ -82,7 +82,7 @@
         store = counter_store(FileVolume(settings.data_dir))
         recovered = store.recover()
         if recovered.is_damaged:
-            logger.info("counters on the disk unreadable, treated as a new disk")
+            logger.info("stored counters unreadable, treating the disk as new")
         if recovered.state is not None:
             self.machine.restore(recovered.state, recovered.records)
         callbacks = CommitCallbacks(self.machine.durable_state, self._release, _unchanged)
@@ -92,12 +92,12 @@
         self.pending_requests: dict[int, asyncio.Future[CounterResponse]] = {}
         self.request_ids = itertools.count(secrets.randbits(40))
         self.announced_at = float("-inf")
-        self.members: tuple[Replica, ...] = ()  # the other members that have announced that they keep counters
+        self.members: tuple[Replica, ...] = ()  # the other members that announced that they store counters
 
     # --- inputs --------------------------------------------------------------------------------------------------
 
     def receive(self, source: Replica, message: CounterMessage) -> None:
-        """Handle a message of another member."""
+        """Handle a message from another member."""
         self.handle(CounterMessageReceived(source, message))
 
     async def add(self, increment: Increment) -> CounterResponse:
@@ -119,7 +119,7 @@
             del self.pending_requests[request_id]
 
     def handle(self, event: CounterInput) -> None:
-        """Pass one input to the machine, and carry its outputs out."""
+        """Pass an input to the state machine and carry out its outputs."""
         outputs = self.machine.handle(self.loop.time(), event)
         for line in outputs.log_lines:
             logger.info("{}", line)
@@ -136,14 +136,14 @@
             future.set_result(response)
 
     def _release(self, record_numbers: list[int]) -> None:
-        """Report the records that are synced now."""
+        """Report to the state machine that records are synced."""
         if record_numbers:
             self.handle(RecordsSynced(record_numbers[-1]))
 
     # --- time ----------------------------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Advance the machine's time and the disk's, and announce this member where it may not be known."""
+        """Advance the disk and the state machine, and announce this member when scheduled."""
         self.commit.tick()
         self.handle(CounterDiskStatus(self.commit.is_writable))
         now = self.loop.time()
@@ -153,25 +153,25 @@
         self.handle(CounterTick(self.members, self.replica.view))
 
     def _announce(self) -> None:
-        """Publish this member's record, and push it to members with a disk that are not known to keep counters."""
-        own = GossipRecord(COUNTERS_PREFIX + self.me.identity, ANNOUNCED, self.me.address.encode())
+        """Publish this member's announcement, and push it to voting members not yet reachable as counter replicas."""
+        announcement = GossipRecord(COUNTERS_PREFIX + self.me.identity, ANNOUNCEMENT_STAMP, self.me.address.encode())
         others = announced_addresses(self.effects.records)
         others.pop(self.me.identity, None)
-        replaced = [
-            GossipRecord(COUNTERS_PREFIX + identity, REPLACED, b"", is_deleted=True)
+        tombstones = [
+            GossipRecord(COUNTERS_PREFIX + identity, TOMBSTONE_STAMP, b"", is_deleted=True)
             for identity, address in others.items()
             if address == self.me.address
         ]
         self.members = tuple(
             Replica(identity, address, "") for identity, address in others.items() if address != self.me.address
         )
-        self.effects.publish([own, *replaced])
+        self.effects.publish([announcement, *tombstones])
         view = self.replica.view
         addresses = {voter.address for voter in view.voters} if view is not None else set[str]()
         addresses |= {peer.replica.address for peer in self.replica.peers.known.values() if peer.heartbeat.can_vote}
         known = {peer.replica.address for peer in self.machine.peers.reachable()}
         for address in addresses - known - {self.me.address}:
-            self.effects.send(address, Push((own,)))
+            self.effects.send(address, Push((announcement,)))
 
     # --- shutdown ------------------------------------------------------------------------------------------------
 
@@ -180,7 +180,7 @@
         self.handle(BeginDrain())
 
     def is_required(self) -> bool:
-        """Return whether a draining member has to wait before it ends."""
+        """Return whether a draining member must keep running for pending requests or unreplicated increments."""
         return bool(self.pending_requests) or self.machine.is_required()
 
     def answer_pending_unknown(self) -> None:
@@ -189,7 +189,7 @@
             self._complete(CounterResponse(request_id, CounterOutcome.UNKNOWN))
 
     def status(self) -> CounterStatus:
-        """Return the state of the counters, for operators."""
+        """Return the status of the counters."""
         machine = self.machine
         reachable = sorted(peer.replica.address for peer in machine.peers.reachable())
         return CounterStatus(
@@ -202,12 +202,12 @@
 
 
 def _unchanged(record_number: int) -> int:
-    """Return what a failed disk held up: it is reported once the complete state is written."""
+    """Return the record number unchanged: it stays valid after a failed write, once the complete state is written."""
     return record_number
 
 
 def announced_addresses(records: GossipStore) -> dict[str, str]:
-    """Return the members that have announced that they keep counters: addresses by identity."""
+    """Return the addresses, by identity, of the members that announced that they store counters."""
     return {
         key.removeprefix(COUNTERS_PREFIX): stored.record.value.decode()
         for key, stored in records.records.items()
@@ -216,7 +216,7 @@
 
 
 class CounterDirectory:
-    """Which member with a disk the caller of a member without one is sent to."""
+    """Chooses the member to which a member without a disk redirects requests for counters."""
 
     def __init__(self, replica: ReplicaStateMachine, records: GossipStore, random: Random) -> None:
         self.replica = replica
@@ -224,8 +224,11 @@
         self.records = records
         self.random = random
 
-    def host_to_ask(self) -> str | None:
-        """Return the host of a member that keeps counters and was heard lately, one of the own zone first."""
+    def choose_host(self) -> str | None:
+        """Return the host of a live member that stores counters; None if there is none.
+
+        Members that are writable and not draining are preferred; among these, members of the local zone.
+        """
         now = self.loop.time()
         announced = announced_addresses(self.records)
         live = [
--- a/hophinge/fleet/controlplane/departure_host.py
+++ b/hophinge/fleet/controlplane/departure_host.py
@@ -1,4 +1,4 @@
-"""Keeps a member's departure records on its disk, and releases their confirmations once they are synced."""
+"""Stores departure records, which mark unregistered instances, on a member's disk and confirms synced records."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from hophinge.fleet.controlplane.group_commit import CommitCallbacks, GroupCommit
 from hophinge.fleet.registry.departures import DepartureLog, DepartureState, StoreRequest
 
-DEPARTURE_PREFIX = "departures-"  # of the names of the files, which stand beside the replica's
+DEPARTURE_PREFIX = "departures-"  # of the file names; the files are in the same directory as the replica's files
 
 
 class DepartureHost:
-    """The departures on the disk of one member.
+    """The departure records on the disk of one member.
 
-    A disk that takes no writes holds nothing up: its member confirms from memory, and the other members of the quorum
-    from their disks.
+    While the disk accepts no writes, records are confirmed from memory, so that no request is delayed; the other
+    members of the quorum confirm from their disks.
     """
 
     def __init__(self, folder: Path, confirm: Callable[[StoreRequest], None]) -> None:
@@ -31,7 +31,7 @@
         store = DurableStore[DepartureState, GossipRecord](FileVolume(folder), DepartureState, DEPARTURE_PREFIX)
         recovered = store.recover()
         if recovered.is_damaged:
-            logger.info("departures on the disk unreadable, treated as a new disk")
+            logger.info("stored departures unreadable, treating the disk as new")
         state = recovered.state if recovered.state is not None else DepartureState()
         self._recovered = self.log.restore(self.loop.time(), state, recovered.records)
         callbacks = CommitCallbacks(self._state, self._release, _unchanged)
@@ -41,18 +41,18 @@
 
     @property
     def recovered(self) -> list[GossipRecord]:
-        """The records that the disk held at the start."""
+        """The records that were on the disk at startup."""
         return self._recovered
 
     def store(self, request: StoreRequest) -> None:
-        """Sync a record, then confirm it."""
+        """Write a record, and confirm it once it is synced; immediately if the disk accepts no writes."""
         is_new = self.log.add(self.loop.time(), request.record)
         self.commit.add([request.record] if is_new else [], request)
         if not self.commit.is_writable:
             self.confirm(request)
 
     def tick(self) -> None:
-        """Retry a disk that failed."""
+        """Retry a failed write, and scrub the disk when scheduled."""
         self.commit.tick()
 
     def _state(self) -> DepartureState:
--- a/hophinge/fleet/controlplane/disk_writer.py
+++ b/hophinge/fleet/controlplane/disk_writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes a member's records and state to its disk, and the queue before it."""
+"""The thread that writes a member's records and state to its disk, and its queue."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 StateT = TypeVar("StateT")
 RecordT = TypeVar("RecordT")
-EffectT = TypeVar("EffectT")  # what is released once a batch is written
+EffectT = TypeVar("EffectT")  # an effect that is released once its batch is written
 
 
 @dataclass(slots=True)
 class WriteBatch(Generic[StateT, RecordT, EffectT]):
-    """Records to write, and the outputs to release then; the complete state where the disk has to catch up."""
+    """Records to write, or instead of them the complete state, and the outputs to release afterwards."""
 
     records: list[RecordT]
     state: StateT | None
     outputs: list[EffectT]
-    is_scrub: bool = False  # writes nothing: the data on the disk is read back
+    is_scrub: bool = False  # writes nothing, but reads back the data on the disk
     damages: list[Damage] = field(default_factory=list)
 
 
 class DiskWriter(threading.Thread, Generic[StateT, RecordT, EffectT]):
-    """The only thread that writes to its store: a disk that hangs blocks nothing else."""
+    """The only thread that writes to its store, so that a disk that hangs blocks nothing else."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     def run(self) -> None:
         """Write batches in order, forever.
 
-        Any error is reported with its batch: were the thread to end, nothing would be written any more.
+        Every error is reported with its batch: if the thread ended, nothing more would be written.
         """
         while True:
             batch = self.batches.get()
@@ -54,6 +54,6 @@
                     self.store.save(batch.state)
                 else:
                     self.store.append(batch.records)
-            except Exception as failure:  # broad: the event loop decides what follows, whatever failed
+            except Exception as failure:  # broad: the event loop handles every kind of failure
                 error = failure
             self.on_done(batch, error)
--- a/hophinge/fleet/controlplane/group_commit.py
+++ b/hophinge/fleet/controlplane/group_commit.py
@@ -1,4 +1,8 @@
-"""Group commit: what is recorded while a write is under way is written together next, and released once synced."""
+"""Group commit of records to a disk.
+
+Records that are added during a write are written together by the next one, and their effects are released once the
+records are synced.
+"""
 
 from __future__ import annotations
 
@@ -12,47 +16,49 @@
 from hophinge.coordination.storage.store import Damage, DurableStore
 from hophinge.fleet.controlplane.disk_writer import DiskWriter, WriteBatch
 
-DISK_RETRY_INTERVAL_S = 0.25  # between attempts on a disk that takes no writes
+DISK_RETRY_INTERVAL_S = 0.25  # between attempts to write to a disk after a failed write
 SCRUB_INTERVAL_S = 60.0  # between reads of all live data on the disk
-WRITE_TIMEOUT_S = 0.4  # a write that takes longer makes the disk count as not writable
+WRITE_TIMEOUT_S = 0.4  # a disk whose write takes longer counts as not writable
 
 StateT = TypeVar("StateT")
 RecordT = TypeVar("RecordT")
-EffectT = TypeVar("EffectT")  # what is released once the records before it are synced
+EffectT = TypeVar("EffectT")  # an effect that is released once the records before it are synced
 
 
 @dataclass(frozen=True, slots=True)
 class CommitCallbacks(Generic[StateT, EffectT]):
-    """What a group commit needs of its owner.
+    """The callbacks by which a group commit uses its owner.
 
     Attributes:
-        state: returns the complete state, which covers all records so far.
-        release: releases effects in their order, as all records before them are synced.
-        outdate: returns what is left of an effect that a failed disk held up; its records are covered by a state.
+        state: returns the complete state, which covers all records added so far.
+        release: releases effects in order; all records before them are synced.
+        drop_outdated: returns an effect that a failed write delayed, without those parts that are no longer valid.
 
     """
 
     state: Callable[[], StateT]
     release: Callable[[list[EffectT]], None]
-    outdate: Callable[[EffectT], EffectT]
+    drop_outdated: Callable[[EffectT], EffectT]
 
 
 @dataclass(frozen=True, slots=True)
 class PendingCommit(Generic[RecordT, EffectT]):
-    """Records to write, and the effect to release then."""
+    """Records to write, and the effect to release once they are synced."""
 
     records: list[RecordT]
     effect: EffectT
 
 
 class GroupCommit(Generic[StateT, RecordT, EffectT]):
-    """Writes the records of one durable state in order; a disk that failed is repaired with the complete state."""
+    """Writes the records of one durable state in order; after a failed write, it writes the complete state instead."""
 
     def __init__(self, store: DurableStore[StateT, RecordT], callbacks: CommitCallbacks[StateT, EffectT]) -> None:
         self.loop = asyncio.get_running_loop()
         self.store = store
         self.callbacks = callbacks
-        self.pending: list[PendingCommit[RecordT, EffectT]] = []  # until the batch being written is done
+        self.pending: list[
+            PendingCommit[RecordT, EffectT]
+        ] = []  # waiting for the write in progress, or for a failed disk
         self.writing_since: float | None = None
         self.failed_at: float | None = None
         self.last_scrub_at = self.loop.time()
@@ -60,13 +66,16 @@
         self.writer.start()
 
     def add(self, records: list[RecordT], effect: EffectT) -> None:
-        """Have records written, and an effect released after them; at once where nothing is written or pending."""
+        """Write records and then release an effect.
+
+        The write begins at once unless another one is in progress or the disk has failed.
+        """
         self.pending.append(PendingCommit(records, effect))
         if self.writing_since is None and self.failed_at is None:
             self._flush()
 
     def tick(self) -> None:
-        """Retry a failed disk, and scrub when scheduled."""
+        """Retry a failed write with the complete state, and scrub the disk when scheduled."""
         now = self.loop.time()
         if self.failed_at is not None and now - self.failed_at >= DISK_RETRY_INTERVAL_S and self.writing_since is None:
             self.write_state()
@@ -76,7 +85,7 @@
 
     @property
     def is_writable(self) -> bool:
-        """Whether the disk takes writes: the last one has not failed, and none hangs."""
+        """Whether the disk accepts writes: the last one did not fail, and none has exceeded `WRITE_TIMEOUT_S`."""
         is_hung = self.writing_since is not None and self.loop.time() - self.writing_since > WRITE_TIMEOUT_S
         return not is_hung and self.failed_at is None
 
@@ -85,7 +94,7 @@
         return self.writing_since is None and self.failed_at is None and not self.pending
 
     def _flush(self) -> None:
-        """Write the pending records; release the pending effects at once where there are none."""
+        """Write the pending records, or the state if the log is full; without records, release the effects at once."""
         pending = self.pending
         self.pending = []
         records = [record for commit in pending for record in commit.records]
@@ -98,8 +107,8 @@
             self._write(WriteBatch(records, None, effects))
 
     def write_state(self) -> None:
-        """Write the complete state, which covers all records so far; where the disk fails, `tick` tries again."""
-        effects = [self.callbacks.outdate(commit.effect) for commit in self.pending]
+        """Write the complete state, which covers all records added so far; if that fails, `tick` retries it."""
+        effects = [self.callbacks.drop_outdated(commit.effect) for commit in self.pending]
         self.pending = []
         self._write(WriteBatch([], self.callbacks.state(), effects))
 
@@ -108,7 +117,7 @@
         self.writer.batches.put(batch)
 
     def _repair(self, damages: list[Damage]) -> None:
-        """Rewrite the complete state from memory where the scrub found damaged bytes."""
+        """Rewrite the complete state from memory after a scrub found damaged data on the disk."""
         for damage in damages:
             logger.info("scrub found damage, rewriting the state damage={}", damage)
         self.write_state()
@@ -117,15 +126,15 @@
         self.loop.call_soon_threadsafe(self._complete_write, batch, error)
 
     def _complete_write(self, batch: WriteBatch[StateT, RecordT, EffectT], error: Exception | None) -> None:
-        """Release a write's effects; `tick` retries a failed one with the complete state, which covers all since."""
+        """Release a write's effects; after a failed write, keep them until `tick` has written the complete state."""
         self.writing_since = None
         if error is not None:
             if self.failed_at is None:
                 logger.info("disk write failed error={!r}", error)
             self.failed_at = self.loop.time()
             without_records: list[RecordT] = []  # the complete state covers them
-            held_up = [PendingCommit(without_records, effect) for effect in batch.outputs]
-            self.pending = held_up + self.pending
+            unreleased = [PendingCommit(without_records, effect) for effect in batch.outputs]
+            self.pending = unreleased + self.pending
             return
         self.failed_at = None
         self.callbacks.release(batch.outputs)
--- a/hophinge/fleet/controlplane/program.py
+++ b/hophinge/fleet/controlplane/program.py
@@ -40,7 +40,7 @@
 
 CONTROL = "control"
 REQUEST_DRAIN_S = 0.3  # for requests in flight to complete
-SHUTDOWN_RESERVE_S = 1.5  # of the grace period that is left unused
+SHUTDOWN_RESERVE_S = 1.5  # left of the grace period for completing requests and closing connections
 
 
 class ControlPlane:
@@ -76,7 +76,7 @@
         api.register(ZONE_PREFIX, evacuations.serve_zone)
 
     def _create_counters(self) -> CounterHost | None:
-        """Return the counters of this member; None where it has no disk that counts."""
+        """Return the host of this member's counters; None if it has no disk or may not vote."""
         if not self.settings.can_vote or self.settings.data_dir is None:
             return None
         effects = CounterEffects(self._send, self._disseminate, self.soft_state.dissemination.store)
@@ -91,7 +91,7 @@
             api.status_sections["counters"] = lambda: asdict(counters.status())
 
     def _disseminate(self, records: list[GossipRecord]) -> None:
-        """Publish records of this member to the members that it disseminates to."""
+        """Publish records of this member to the other control members."""
         targets = self.soft_state.recipients.control_members()
         step = self.soft_state.dissemination.publish(self.host.loop.time(), records, targets)
         for address, message in step.messages:
@@ -101,7 +101,7 @@
         self.links.send(address, message)
 
     def _publish(self, published: list[CommittedValue]) -> None:
-        # A head becomes ready with the configuration: the records of evacuated zones come before it.
+        # A head becomes ready as soon as it has the configuration, so evacuations are published before it.
         for update in sorted(published, key=lambda update: update.key == RECORD_KEY):
             if update.key == self.stage_controller.lease.key:
                 self.stage_controller.apply_lease(update.register)
@@ -126,13 +126,13 @@
             self.soft_state.receive(hello.sender, message)
 
     def _receive_durably(self, receive: Callable[[Replica, Message], None], hello: Hello, message: Message) -> None:
-        """Pass a message to a machine whose state is durable.
+        """Pass a message to a state machine with durable state.
 
-        One that fails half way ends this process, which restarts from its disk.
+        If handling it fails half way, the process ends and is restarted from the state on its disk.
         """
         try:
             receive(hello.sender, message)
-        except Exception:  # broad: the machine's state may be inconsistent, whatever failed
+        except Exception:  # broad: after any failure, the machine's state may be inconsistent
             self.signals.shutdown_requested.set()
             raise
 
@@ -177,14 +177,17 @@
         self.signals.close()
 
     def _reject_pending(self) -> None:
-        """Answer pending requests as of unknown outcome: their callers retry at another member."""
+        """Complete pending requests as unknown or not acknowledged, so that their callers retry at another member."""
         self.host.answer_pending_unknown()
         if self.counters is not None:
             self.counters.answer_pending_unknown()
         self.soft_state.reject_pending()
 
     async def _hand_over(self) -> None:
-        """Serve on until the others have a view without this member: it may hold what no other member holds."""
+        """Keep serving until the others need this member no longer, at most until the end of the grace period.
+
+        Until they have a view without this member, it may have data that no other member has.
+        """
         machine = self.host.machine
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self.settings.bounds.grace_s - SHUTDOWN_RESERVE_S
@@ -195,7 +198,7 @@
             await asyncio.sleep(REPLICA_TICK_S)
 
     def _is_required(self) -> bool:
-        """Return whether the others need this member, as it holds what they have not got yet."""
+        """Return whether the others still need this member, because it has data that they have not received yet."""
         return self.host.machine.is_required() or (self.counters is not None and self.counters.is_required())
 
 
--- a/hophinge/fleet/controlplane/replica_host.py
+++ b/hophinge/fleet/controlplane/replica_host.py
@@ -1,4 +1,4 @@
-"""Runs a replica's state machine on a disk: its outputs are released in order, after its records are synced."""
+"""Runs a replica's state machine with a disk; outputs are released in order, once the records are synced."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEffects:
-    """Where a replica's outputs go."""
+    """Where a replica's messages and committed values are sent."""
 
     send: Callable[[str, object], None]
     publish: Callable[[list[CommittedValue]], None]
 
 
 class ReplicaHost:
-    """One replica: its state machine, its disk, and the callers who wait for it."""
+    """One replica: its state machine, its disk and the pending requests of its callers."""
 
     def __init__(self, settings: Settings, effects: ReplicaEffects) -> None:
         self.loop = asyncio.get_running_loop()
@@ -51,17 +51,17 @@
         self.store = replica_store(FileVolume(settings.data_dir)) if settings.can_vote and settings.data_dir else None
         recovered = self.store.recover() if self.store is not None else None
         if recovered is not None and recovered.is_damaged:
-            logger.info("disk state unreadable, treated as a new disk")
+            logger.info("stored replica state unreadable, treating the disk as new")
         identity = recovered.state.identity if recovered and recovered.state else secrets.token_hex(8)
         self.me = Replica(identity, settings.internal_control_address, settings.zone)
-        membership = ReplicaConfig(
+        config = ReplicaConfig(
             self.me, settings.seed_members(), settings.bootstrap, settings.can_vote, settings.max_machine_losses
         )
-        self.machine = ReplicaStateMachine(membership, Random(), self.loop.time())
+        self.machine = ReplicaStateMachine(config, Random(), self.loop.time())
         if recovered is not None and recovered.state is not None:
             self.machine.restore([recovered.state, *recovered.records])
         elif self.store is not None:
-            # With view 0, where this is a seed: its promises bind it forever.
+            # The state of a seed includes view 0. It is stored first, because its promises must survive a restart.
             self.store.save(self.machine.durable_state())
         self.pending_requests: dict[int, asyncio.Future[ClientResponse]] = {}
         self.request_ids = itertools.count(secrets.randbits(40))
@@ -73,11 +73,11 @@
     # --- inputs --------------------------------------------------------------------------------------------------
 
     def receive(self, source: Replica, message: object) -> None:
-        """Handle a message of another member."""
+        """Handle a message from another member."""
         self.handle(MessageReceived(source, message))
 
     def tick(self) -> None:
-        """Advance the machine's time and the disk's, and report the disk's state."""
+        """Advance the disk and the state machine, and report to the machine whether the disk is writable."""
         if self.commit is not None:
             self.commit.tick()
             self.handle(DiskStatus(self.commit.is_writable))
@@ -89,10 +89,10 @@
         Args:
             key: The register's key.
             change: The change to apply; None reads.
-            timeout_s: How long the machine may work on the request.
+            timeout_s: How long the state machine may work on the request, in seconds.
 
         Returns:
-            The outcome; one without an outcome where it is not known in time whether the change was applied.
+            The response; its outcome is None if the result is not known in time: a change may then be applied or not.
 
         """
         request_id = next(self.request_ids)
@@ -114,10 +114,10 @@
                 future.set_result(ClientResponse(request_id, None))
 
     def handle(self, event: Input) -> None:
-        """Pass one input to the machine; its outputs are released after its records are synced, in order."""
+        """Pass an input to the state machine; its outputs are released in order, once its records are synced."""
         outputs = self.machine.handle(self.loop.time(), event)
-        for note in outputs.log_lines:
-            logger.info("{}", note)
+        for line in outputs.log_lines:
+            logger.info("{}", line)
         if not (outputs.records or outputs.messages or outputs.responses or outputs.committed_values):
             return
         if self.commit is not None:
@@ -134,12 +134,12 @@
                     self.loop.call_soon(self.receive, self.me, message)
                 else:
                     self.effects.send(address, message)
-            for answer in outputs.responses:
-                future = self.pending_requests.get(answer.request_id)
+            for response in outputs.responses:
+                future = self.pending_requests.get(response.request_id)
                 if future is not None and not future.done():
-                    future.set_result(answer)
+                    future.set_result(response)
 
 
 def _without_messages(outputs: Outputs) -> Outputs:
-    """Return outputs that a failed disk held up: their messages are outdated, and dropped."""
+    """Return outputs that a failed write delayed, without their messages, which are outdated."""
     return Outputs(responses=outputs.responses, committed_values=outputs.committed_values)
--- a/hophinge/fleet/controlplane/report_collector.py
+++ b/hophinge/fleet/controlplane/report_collector.py
@@ -1,7 +1,7 @@
-"""Collects engines' load reports and publishes them to the heads: one control member requests each instance's.
+"""Collects the load reports of engines and publishes them to the heads.
 
-The member is chosen by rendezvous hashing over the live replicas. Two that request the same report for a while cost
-no more than a request, so this work needs no fencing.
+Each instance is assigned to one control member by rendezvous hashing over the live replicas. If two members request
+the same report for a while, that only costs additional requests, so this work needs no fencing.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from hophinge.fleet.program import run_periodically
 from hophinge.fleet.registry.instance import Instance
 
-COLLECTION_INTERVAL_S = 0.8  # between two requests to one instance
+COLLECTION_INTERVAL_S = 0.8  # pause between two collections
 REQUEST_TIMEOUT_S = 0.4
 KEEPALIVE_EXPIRY_S = 20.0
-MAX_CONNECTIONS = 1_000  # one to each instance that this member collects from
+MAX_CONNECTIONS = 1_000  # one for each instance assigned to this member
 REQUEST_ERRORS = (
     httpcore.NetworkError,
     httpcore.TimeoutException,
@@ -36,7 +36,7 @@
     """Parse an instance's report.
 
     Raises:
-        ValidationError: The body is anything else, or holds a number that no instance can mean.
+        ValidationError: The body is not a report, or a number in it is outside the plausible range.
 
     """
     report = ReportBody.model_validate_json(body)
@@ -72,9 +72,9 @@
         await run_periodically(COLLECTION_INTERVAL_S, self.collect_once)
 
     async def collect_once(self) -> None:
-        """Request the report of each assigned instance and publish those that came."""
-        answers = await asyncio.gather(*(self._request_report(instance) for instance in self.assigned_instances()))
-        reports = tuple(answer for answer in answers if answer is not None)
+        """Request the report of each assigned instance and publish the reports received."""
+        results = await asyncio.gather(*(self._request_report(instance) for instance in self.assigned_instances()))
+        reports = tuple(report for report in results if report is not None)
         if reports:
             self.soft_state.publish_hints(EngineReports(reports))
 
@@ -88,6 +88,6 @@
             return parse_report(instance.identity, response.content) if response.status == 200 else None
         except REQUEST_ERRORS:
             return None
-        except Exception:  # broad: whatever is wrong with one instance must not lose the reports of all others
+        except Exception:  # broad: no failure at one instance may lose the reports of the others
             logger.exception("report not collected instance={}", instance.identity)
             return None
--- a/hophinge/fleet/controlplane/schemas.py
+++ b/hophinge/fleet/controlplane/schemas.py
@@ -23,7 +23,7 @@
 
 
 class ReportBody(BaseModel):
-    """An instance's report of its load; fields that are not used here are ignored."""
+    """An instance's report of its load; unknown fields are ignored."""
 
     waiting: int = Field(ge=0, le=MAX_QUEUE_LENGTH)
     running: int = Field(ge=0, le=MAX_QUEUE_LENGTH)
@@ -32,7 +32,7 @@
 
 
 class HeartbeatBody(BaseModel):
-    """An instance's heartbeat; fields that are not known here are ignored."""
+    """An instance's heartbeat; unknown fields are ignored."""
 
     service: str
     address: str = Field(pattern=r"^[^\s:]+:[0-9]{1,5}$")
@@ -47,15 +47,15 @@
 
     @property
     def cold_remaining_s(self) -> float:
-        """How much longer the instance stays cold, in seconds; 0 where it is warm or says nothing."""
+        """How much longer the instance stays cold, in seconds; 0 if it is warm or does not report this."""
         return max(0.0, self.cold_remaining_ms or 0.0) / MILLISECONDS
 
     @field_validator("address")
     @classmethod
-    def _can_be_connected_to(cls, address: str) -> str:
-        """Reject what cannot be connected to: each call there would fail in an unforeseen way, or look a name up."""
+    def _validate_address(cls, address: str) -> str:
+        """Reject addresses other than an IPv4 address with a valid port: calls would fail or need a DNS lookup."""
         host, port = address.rsplit(":", 1)
         if not 0 < int(port) <= MAX_PORT:
-            raise ValueError("the port is not one from 1 to 65535")
+            raise ValueError("the port is not between 1 and 65535")
         IPv4Address(host)
         return address
--- a/hophinge/fleet/controlplane/soft_state.py
+++ b/hophinge/fleet/controlplane/soft_state.py
@@ -1,7 +1,7 @@
-"""The host of a control member's soft state: instances, leases of heads, hints in flight, the configuration's record.
+"""The soft state of a control member: instances, leases of heads, pending hints and disseminated records.
 
-It owns the clock and sends the messages; the decisions are made by the state machines of `registry`, `coordination`
-and `hint_relay`.
+This module supplies the clock and sends the messages; the state machines of `registry`, `coordination` and
+`hint_relay` make the decisions.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 from hophinge.fleet.settings import Settings
 
 SOFT_STATE_TICK_S = 0.25
-SHARE_INTERVAL_S = 0.75  # between updates to the other control members about liveness and leases
-DIGEST_INTERVAL_S = 1.0  # between comparisons of digests with one of them
-MAX_NEIGHBOURS = 8  # heads named to a head, which disseminates to them
-MAX_REMOTE_NEIGHBOURS = 2  # of these, in other zones
+SHARE_INTERVAL_S = 0.75  # between updates of liveness and leases to the other control members
+DIGEST_INTERVAL_S = 1.0  # between digests to a random other control member
+MAX_NEIGHBOURS = 8  # other heads to which a head disseminates records
+MAX_REMOTE_NEIGHBOURS = 2  # those of them in other zones
 
 
 class SoftState:
-    """The soft state of one control member, and its messages to others."""
+    """The soft state of one control member, and its messages to other members."""
 
     def __init__(
         self, settings: Settings, machine: ReplicaStateMachine, send: Callable[[str, object], None], relay: HintRelay
@@ -60,7 +60,7 @@
         self.leases = LeaseTable()
         self.recipients = Recipients(machine, self.leases, self.random)
         self.loads = StageLoads()
-        # Random start: an answer to a request of the process before this one must not match.
+        # Random start, so that a late response to a request of the previous process matches no request.
         self.request_ids = itertools.count(secrets.randbits(40))
         self.pending_requests: dict[int, asyncio.Future[bool]] = {}
         self.last_shared_at = 0.0
@@ -69,13 +69,13 @@
         self.departures: DepartureStorage | None = None
 
     def keep_departures(self, storage: DepartureStorage) -> None:
-        """Keep acknowledged departures on a disk, and restore those that it holds."""
+        """Store acknowledged departures on a disk, and restore those that are on it."""
         self.departures = storage
         self.service.is_durable = True
         self.service.restore(self.loop.time(), storage.recovered)
 
     def confirm_stored(self, request: StoreRequest) -> None:
-        """Confirm a record of a departure that the disk holds by now."""
+        """Confirm a departure record that is stored on the disk."""
         self._apply_step(self.service.record_stored(self.loop.time(), self._context(), request))
 
     def _context(self) -> RegistryContext:
@@ -99,13 +99,13 @@
     # --- messages of other members -------------------------------------------------------------------------------
 
     def publish_register(self, record: GossipRecord) -> None:
-        """Send the record of a newly committed register to the heads and the members outside the chain."""
+        """Send the record of a newly committed register to the direct heads and the members outside the chain."""
         targets = [*self.recipients.direct_heads(), *self.recipients.members_outside_chain()]
         for address, message in self.dissemination.publish(self.loop.time(), [record], targets).messages:
             self.send(address, message)
 
     def receive(self, source: Replica, message: object) -> None:
-        """Handle another member's message."""
+        """Handle a message from another member."""
         now = self.loop.time()
         address = source.address
         match message:
@@ -143,7 +143,7 @@
         self._apply_step(step)
 
     def _neighbours(self, head: LeaseHolder, holders: list[LeaseHolder]) -> tuple[str, ...]:
-        """Return a random choice of other heads for a head to disseminate to, most of them in its own zone."""
+        """Return random other heads to which a head disseminates records, most of them in its own zone."""
         others = [holder for holder in holders if holder.identity != head.identity]
         local = [holder.address for holder in others if holder.zone == head.zone]
         remote = [holder.address for holder in others if holder.zone != head.zone]
@@ -154,19 +154,25 @@
     # --- hints ---------------------------------------------------------------------------------------------------
 
     def publish_hints(self, message: EngineReports | SuspectedInstances) -> None:
-        """Send what is known of engines to the heads here, and to the others through the voting members."""
+        """Send a message to the heads with a lease from this member, and to the others through the voting members."""
         if isinstance(message, EngineReports):
             self._record_reports(message)
         self.relay.send_now(message, [*self.recipients.leased_heads(), *self.recipients.voting_members()])
 
     def _record_reports(self, reports: EngineReports) -> None:
-        """Record that engines which answer are alive, also where their heartbeats reach a disconnected member."""
+        """Record loads, and that the reporting engines are alive.
+
+        The reports count as signs of life because heartbeats may reach only a disconnected control member.
+        """
         self.loads.record(reports, self.registry.instances)
         reachable = [report.instance for report in reports.reports]
         self._apply_step(self.service.mark_reachable(self.loop.time(), self._context(), reachable))
 
     def _relay_hints(self, source: str, message: PlacementHints | EngineReports | SuspectedInstances) -> None:
-        """Relay a message to the heads here; what came from one of these, to the other voting members as well."""
+        """Relay a message to the heads with a lease from this member.
+
+        A message that came from one of these heads is relayed to the other voting members as well.
+        """
         heads = self.recipients.leased_heads()
         if isinstance(message, PlacementHints):
             self.relay.add(source, message, source in heads)
@@ -182,7 +188,7 @@
         self.relay.send_now(message, targets)
 
     def _schedule_relay(self) -> None:
-        """Schedule a flush of gathered hints: with none gathered, no timer wakes this process."""
+        """Schedule a flush of the pending hints; without pending hints, no timer wakes this process."""
         if self.is_relay_scheduled:
             return
         self.is_relay_scheduled = True
@@ -196,7 +202,7 @@
     # --- instances -----------------------------------------------------------------------------------------------
 
     async def heartbeat(self, instance: Instance, sequence: int, cold_remaining_s: float = 0.0) -> bool:
-        """Apply an instance's heartbeat; return whether it may be acknowledged."""
+        """Apply an instance's heartbeat; return whether to acknowledge it."""
 
         def operation(request_id: int) -> ServiceStep:
             context = self._context()
@@ -205,7 +211,7 @@
         return await self._run_request(operation)
 
     async def unregister(self, identity: str) -> bool:
-        """Unregister an instance; return whether that may be acknowledged."""
+        """Unregister an instance; return whether to acknowledge that."""
 
         def operation(request_id: int) -> ServiceStep:
             return self.service.unregister(self.loop.time(), self._context(), request_id, identity)
@@ -213,7 +219,7 @@
         return await self._run_request(operation)
 
     async def _run_request(self, operation: Callable[[int], ServiceStep]) -> bool:
-        """Run a caller's request and wait for its completion, which the quorum acknowledgement's timeout bounds."""
+        """Run a caller's request until it completes, at most until the timeout of its quorum acknowledgement."""
         request_id = next(self.request_ids)
         future: asyncio.Future[bool] = self.loop.create_future()
         self.pending_requests[request_id] = future
@@ -230,21 +236,21 @@
                 future.set_result(False)
 
     def suspect(self, identities: Iterable[str]) -> None:
-        """Publish that instances that did not answer may be cold until their next heartbeats."""
+        """Publish that unresponsive instances may be cold until their next heartbeats."""
         self._apply_step(self.service.suspect(self.loop.time(), self._context(), identities))
 
     def suspect_zone(self, zone: str) -> None:
-        """Publish that the instances of a zone may be cold until their next heartbeats: its evacuation has ended."""
+        """Publish that the instances of a zone may be cold until their next heartbeats, as its evacuation has ended."""
         self._apply_step(self.service.suspect_zone(self.loop.time(), self._context(), zone))
 
     def begin_stage_change(self, instance: Instance) -> None:
-        """Publish that an instance was ordered to change its stage: it gets no requests until it has."""
+        """Publish that an instance was ordered to change its stage; it gets no requests until it has done so."""
         self._apply_step(self.service.begin_stage_change(self.loop.time(), self._context(), instance.identity))
 
     # --- time ----------------------------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Expire leases and instances, and exchange updates and digests with other control members when scheduled."""
+        """Expire leases and instances, and send updates and digests to other control members when scheduled."""
         now = self.loop.time()
         if self.departures is not None:
             self.departures.tick()
@@ -261,7 +267,7 @@
             self._apply_step(self.service.purge(now, context))
 
     def _share(self, context: RegistryContext) -> None:
-        """Send the leases granted here and the heartbeats received here to the other control members."""
+        """Send the leases granted and the heartbeats received by this member to the other control members."""
         updates: list[object] = [GrantedLeases(tuple(self.leases.local_holders()))]
         liveness = self.registry.collect_liveness()
         if liveness is not None:
--- a/hophinge/fleet/controlplane/stage_controller.py
+++ b/hophinge/fleet/controlplane/stage_controller.py
@@ -1,4 +1,4 @@
-"""Orders instances to change their stage: a singleton, owned under a lease with a fencing token."""
+"""Orders instances to change their stage. Only the holder of a lease with a fencing token does so."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 CONFIRM_TIMEOUT_S = 0.3  # for the chain to confirm the lease, right before an order
 ORDER_TIMEOUT_S = 0.5  # for an instance to answer an order
 ACCEPTED_STATUSES = (200, 202)
-STALE_TOKEN_STATUS = 412  # an instance's answer where it has observed a higher fencing token
+STALE_TOKEN_STATUS = 412  # the response of an instance that has observed a higher fencing token
 
 RegisterRequest = Callable[[str, Change | None, float], Awaitable[ClientResponse]]
 
 
 class StageController:
-    """One control member's side of the controller: it acts only while it holds the lease."""
+    """The stage controller at one control member; it acts only while this member holds the lease."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         self.planner = StagePlanner(soft_state.loads, policy)
 
     def apply_lease(self, register: Register) -> None:
-        """Apply the committed register of the lease."""
+        """Apply a committed value of the lease's register."""
         self.lease.handle_committed_owner(self.loop.time(), register)
 
     def live_replicas(self) -> set[str]:
-        """Return the replicas of the chain whose heartbeats arrived lately, this one among them."""
+        """Return the replicas of the chain with recent heartbeats; this member counts as live."""
         now = self.loop.time()
         view = self.machine.view
         if view is None:
@@ -66,7 +66,7 @@
         return {link.identity for link in view.chain} & (live | {self.machine.me.identity})
 
     async def run(self) -> None:
-        """Reconcile periodically, forever; a reconciliation that fails does not end the member."""
+        """Reconcile periodically, forever; a failed reconciliation is retried."""
         await run_periodically(RECONCILE_INTERVAL_S, self._reconcile)
 
     async def _reconcile(self) -> None:
@@ -84,23 +84,23 @@
             await self._order_switches(switches)
 
     def _available_instances(self) -> list[Instance]:
-        """Return the instances outside evacuated zones: the others get no orders, and fill no stage."""
+        """Return the instances outside evacuated zones; the others get no orders and count for no stage."""
         evacuated = evacuated_zones(self.soft_state.dissemination.store)
-        return [one for one in self.soft_state.registry.instances.values() if one.zone not in evacuated]
+        return [instance for instance in self.soft_state.registry.instances.values() if instance.zone not in evacuated]
 
     async def _acquire_lease(self, claim: Change) -> None:
-        answer = await self.request(self.lease.key, claim, CLAIM_TIMEOUT_S)
-        if answer.outcome is Outcome.APPLIED:
+        response = await self.request(self.lease.key, claim, CLAIM_TIMEOUT_S)
+        if response.outcome is Outcome.APPLIED:
             logger.info("stage lease acquired fencing_token={}", claim.version)
 
     async def _order_switches(self, switches: tuple[StageSwitch, ...]) -> None:
-        """Confirm the lease through the chain, then order at once."""
+        """Confirm the lease through the chain, and send the orders immediately afterwards."""
         try:
             async with asyncio.timeout(CONFIRM_TIMEOUT_S):
-                answer = await self.request(self.lease.key, None, CONFIRM_TIMEOUT_S)
+                response = await self.request(self.lease.key, None, CONFIRM_TIMEOUT_S)
         except TimeoutError:
             return
-        if answer.outcome is not Outcome.VALUE or not self.lease.is_confirmed(answer.version):
+        if response.outcome is not Outcome.VALUE or not self.lease.is_confirmed(response.version):
             return
         self.planner.record_ordered(self.loop.time())
         fencing_token = self.lease.token
@@ -124,7 +124,7 @@
 
 
 async def _post_order(switch: StageSwitch, lease_holder: str, fencing_token: int) -> int | None:
-    """Send an order; return the status of the answer, None where none came."""
+    """Send an order; return the status of the response, or None if there was no response."""
     order = {"operation": "stage", "stage": switch.stage, "holder": lease_holder, "fence-token": fencing_token}
     headers = [
         (b"content-type", b"application/json"),
--- a/hophinge/fleet/controlplane/status.py
+++ b/hophinge/fleet/controlplane/status.py
@@ -1,4 +1,4 @@
-"""The status of a control member for operators: view, chain, lag, leases, digests, instances."""
+"""The status of a control member for operators: view, chain, replication lag, leases, digests and instances."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def member_status(machine: ReplicaStateMachine, soft_state: SoftState, now: float) -> dict[str, Any]:
-    """Return the JSON object of the member's status; its keys are read by operators' tools and tests."""
+    """Return the member's status as a JSON object; operators' tools and tests depend on its keys."""
     view, chain = machine.view, machine.chain
     peers = machine.peers.known.values()
     record = soft_state.dissemination.store.get(RECORD_KEY)
@@ -45,5 +45,5 @@
             identity: f"{instance.service} {instance.stage} {instance.state}".replace("  ", " ")
             for identity, instance in sorted(soft_state.registry.instances.items())
         },
-        "digest": [f"{mark:016x}" for mark in soft_state.dissemination.store.fingerprints(now)],
+        "digest": [f"{fingerprint:016x}" for fingerprint in soft_state.dissemination.store.fingerprints(now)],
     }
--- a/tests/evacuation_mutants.py
+++ b/tests/evacuation_mutants.py
@@ -42,7 +42,7 @@
     Mutant(
         "an order outlives its caller",
         API,
-        "        if departure.done():",
+        "        if disconnect.done():",
         "        if False:",
         ORDERS + "test_an_order_that_a_frozen_member_finds_on_waking_does_not_undo_a_newer_one",
     ),
@@ -133,8 +133,8 @@
     Mutant(
         "evacuated instances get orders of stages",
         "fleet/controlplane/stage_controller",
-        " if one.zone not in evacuated]",
-        "]",
+        " if instance.zone not in evacuated",
+        "",
         HEADS + "test_the_stage_controller_plans_without_the_instances_of_evacuated_zones",
     ),
 )
--- a/tests/failure_mutants.py
+++ b/tests/failure_mutants.py
@@ -280,7 +280,7 @@
     Mutant(
         "what a full disk refused is acknowledged",
         "fleet/controlplane/group_commit",
-        "            self.pending = held_up + self.pending\n            return\n",
+        "            self.pending = unreleased + self.pending\n            return\n",
         "",
         HOST + "test_a_full_disk_acknowledges_nothing_until_it_takes_writes_again",
     ),
