--- a/tests/failure_mutants.py
+++ b/tests/failure_mutants.py
@@ -282,7 +282,7 @@
         "fleet/controlplane/group_commit",
         "            self.pending = unreleased + self.pending\n            return\n",
         "",
-        HOST + "test_a_full_disk_acknowledges_nothing_until_it_takes_writes_again",
+        HOST + "test_a_full_disk_acknowledges_nothing_until_it_is_writable_again",
     ),
     Mutant(
         "a connection to a member that connects again is kept",
--- a/tests/odd_document_run.py
+++ b/tests/odd_document_run.py
@@ -1,7 +1,7 @@
-"""Documents that are odd in one place, sent to real processes: each is rejected, or in force at every head in time.
+"""Sends documents with one odd field to real processes: each is rejected, or applied at every head in time.
 
-A document is in force where every head reports its version, and serves each of its routes. After some of them a head
-is restarted in turn, as in planned work, and has to be ready again with what is in force.
+A document counts as applied if every head reports its version and serves each of its routes. After a number of accepted
+documents, one of the heads is restarted, and has to become ready with the current document.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from hophinge.fleet.emulation.loopback_fleet import CONTROL_PORT, FRONT_PORT, LoopbackFleet, Reply
 from hophinge.load.rig.conditions import Condition, ConditionError, wait_until
 from tests.fleet_requests import PROMPT
-from tests.odd_documents import OddDocument, proper_document
+from tests.odd_documents import OddDocument, complete_document
 
 MACHINES = 3
 INSTANCES = {
@@ -30,20 +30,20 @@
     "s2": ("plain", ""),
 }
 START_S = 30.0
-APPLY_S = 4.0  # twice the operators' bound: many runs share a machine
+APPLY_S = 4.0  # twice the operators' bound, because many test runs share a machine
 READY_S = 15.0
 ACCEPTED = 200
 REJECTED = range(400, 500)
-NOT_IN_FORCE = (0, 404, 500)  # answers that show that a route is not in force; 0 for none
-ATTEMPTS = 12  # of a change that gets no clear answer
+NOT_APPLIED = (0, 404, 500)  # status codes that show that a route is not applied; 0 for no response
+ATTEMPTS = 12  # for a change of unknown outcome, at each machine
 
 
 @dataclass
 class OddDocumentRun:
-    """One run."""
+    """One run, with the counts of its documents."""
 
     folder: Path
-    restart_after: int = 0  # accepted documents, after which a head is restarted; 0 for never
+    restart_after: int = 0  # number of accepted documents between restarts of a head; 0 for never
     accepted: int = 0
     rejected: int = 0
     restarts: int = 0
@@ -55,12 +55,12 @@
         self.request_numbers = itertools.count()
 
     async def play(self, documents: Iterable[OddDocument]) -> None:
-        """Send the documents one after the other, and collect what is wrong."""
+        """Send the documents one after the other, and collect findings."""
         async with self.fleet as fleet:
             await fleet.start()
             for identity, (service, stage) in INSTANCES.items():
                 await fleet.start_instance(identity, service, stage)
-            await self._send(json.dumps(proper_document(1)).encode())
+            await self._send(json.dumps(complete_document(1)).encode())
             self.version = 1
             await wait_until([self._condition(number) for number in range(MACHINES)], START_S)
             for document in documents:
@@ -71,7 +71,7 @@
         return self.fleet.ready_condition(number, self.version, len(INSTANCES))
 
     async def _send(self, data: bytes) -> Reply:
-        """Send a document on top of the current one until there is a clear answer."""
+        """Send a document as the successor of the current one until its outcome is known."""
         fields = [(b"Host", b"c"), (b"If-Match", str(self.version).encode()), (b"Content-Type", b"application/json")]
         reply = Reply(0, [], b"", False)
         for attempt in range(ATTEMPTS * MACHINES):
@@ -98,11 +98,11 @@
             return
         self.accepted += 1
         self.version = json.loads(data)["version"]
-        await self._check_in_force(document, data)
+        await self._check_applied(document, data)
         if self.restart_after and self.accepted % self.restart_after == 0:
             await self._restart_head()
 
-    async def _check_in_force(self, document: OddDocument, data: bytes) -> None:
+    async def _check_applied(self, document: OddDocument, data: bytes) -> None:
         try:
             await wait_until([self._condition(number) for number in range(MACHINES)], APPLY_S)
         except ConditionError as error:
@@ -115,11 +115,11 @@
     async def _check_route(self, document: OddDocument, number: int, route: dict[str, Any]) -> None:
         status = await self._request(number, route)
         is_engine_odd = "engine" in document.path
-        if status in NOT_IN_FORCE or (status != ACCEPTED and not is_engine_odd):
+        if status in NOT_APPLIED or (status != ACCEPTED and not is_engine_odd):
             self.findings.append(f"{document.name}: head {number} answers {status} on {route.get('name')}")
 
     async def _request(self, number: int, route: dict[str, Any]) -> int:
-        """Send a request on a route to a head; return its status, 0 where there is none or it can't be sent."""
+        """Send a request for a route to a head; return the status, or 0 if there is no response or it can't be sent."""
         is_stream = route.get("route-type") == "streaming"
         name = f"{self.version}-{number}-{next(self.request_numbers)}"
         address = self.fleet.address(number, FRONT_PORT)
--- a/tests/odd_documents.py
+++ b/tests/odd_documents.py
@@ -1,4 +1,4 @@
-"""Configuration documents that are like those of the sites, but odd in one place."""
+"""Configuration documents like those of deployments, but with one odd field: unusual, invalid or missing."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from typing import Any
 
 HOST = "models.example"
-ODD_PATH = "/odd/"  # of the route whose fields are odd
+ODD_PATH = "/odd/"  # path prefix of the first route
 SPLIT_PATH = "/split/"
 PLAIN_PATH = "/plain/"
 NEW_PATHS = (ODD_PATH, SPLIT_PATH, PLAIN_PATH)
 MARK = "@odd@"
 REPEATED = "@repeated@"
-SPOILT_TEXTS: dict[str, Callable[[str], bytes]] = {
+CORRUPTIONS: dict[str, Callable[[str], bytes]] = {
     "cut": lambda text: text[:-1].encode(),
     "in UTF-16": lambda text: text.encode("utf-16"),
     "with a byte order mark": lambda text: b"\xef\xbb\xbf" + text.encode(),
@@ -24,7 +24,7 @@
 }
 Path = tuple[str | int, ...]
 
-# Values by which each place of the document is replaced, as JSON text.
+# Values, as JSON text, that replace each value of the document.
 ODD_VALUES = (
     *("null", "true", "false", "0", "1", "-1", "0.5", "2.0", "7e0", "-0.0", "49", "1e-9", "1e9", "1e300", "1e400"),
     *("9007199254740993", "1" + "0" * 30, "1" * 400, "NaN", "Infinity", "-Infinity"),
@@ -37,20 +37,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OddDocument:
-    """A document that is odd at a path."""
+    """A document with an odd field at a path."""
 
     path: Path
-    oddity: str
-    write: Callable[[int], bytes]  # by its version
+    change: str  # what was changed at the path
+    write: Callable[[int], bytes]  # returns the text of the document with a version
 
     @property
     def name(self) -> str:
-        """The place and what is odd there."""
-        return f"{'.'.join(map(str, self.path))}={self.oddity[:40]}"
+        """The path of the odd field, and the change."""
+        return f"{'.'.join(map(str, self.path))}={self.change[:40]}"
 
 
-def proper_document(version: int) -> dict[str, Any]:
-    """Return a document with all fields that the sites send, and one that nobody knows."""
+def complete_document(version: int) -> dict[str, Any]:
+    """Return a document with all fields that deployments use, and an unknown one."""
     routes = [
         {"name": "odd", "path-prefix": ODD_PATH, "route-type": "safe", "service": "plain", "timeout-ms": 4_000},
         {
@@ -64,7 +64,7 @@
         },
         {"name": "plain", "path-prefix": PLAIN_PATH, "route-type": "unsafe", "service": "plain", "timeout-ms": 4_000},
     ]
-    more = {"host": HOST, "target-latency-ms": 600, "priority": 1, "max-attempts": 2, "session-affinity": True}
+    common = {"host": HOST, "target-latency-ms": 600, "priority": 1, "max-attempts": 2, "session-affinity": True}
     engine = {
         "slots": 8,
         "kv-cache-tokens": 400_000,
@@ -79,7 +79,7 @@
     cold = {"cold-start-s": 0.0, "cold-per-s": 0.0}
     return {
         "version": version,
-        "routes": [{**route, **more} for route in routes],
+        "routes": [{**route, **common} for route in routes],
         "services": [
             {"name": "models", **service, "engine": engine, "unknown": {"deep": [1]}},
             {"name": "more-models", **service, "engine": dict(engine)},
@@ -95,8 +95,8 @@
 
 
 def odd_documents() -> Iterator[OddDocument]:
-    """Return all documents that are odd in one place."""
-    for path in _paths(proper_document(1)):
+    """Return all documents with one odd field."""
+    for path in _paths(complete_document(1)):
         for value in ODD_VALUES:
             yield OddDocument(path, value, partial(_replaced, path, value))
         if path:
@@ -108,12 +108,12 @@
                 yield OddDocument(path, f"repeated {value}", partial(_repeated, path, value))
         if path and isinstance(path[-1], int):
             yield OddDocument(path, "twice", partial(_doubled, path))
-    for oddity, spoil in SPOILT_TEXTS.items():
-        yield OddDocument((), oddity, partial(_spoilt, spoil))
+    for change, corrupt in CORRUPTIONS.items():
+        yield OddDocument((), change, partial(_corrupted, corrupt))
 
 
 def value_at(document: Any, path: Path) -> Any:
-    """Return what stands at a path."""
+    """Return the value at a path."""
     for key in path:
         document = document[key]
     return document
@@ -127,7 +127,7 @@
 
 
 def _replaced(path: Path, value: str, version: int) -> bytes:
-    document = proper_document(version)
+    document = complete_document(version)
     if not path:
         return value.encode()
     value_at(document, path[:-1])[path[-1]] = MARK
@@ -135,29 +135,29 @@
 
 
 def _left_out(path: Path, version: int) -> bytes:
-    document = proper_document(version)
+    document = complete_document(version)
     del value_at(document, path[:-1])[path[-1]]
     return json.dumps(document).encode()
 
 
 def _renamed(path: Path, name: str, version: int) -> bytes:
-    document = proper_document(version)
+    document = complete_document(version)
     parent = value_at(document, path[:-1])
     parent[name] = parent.pop(path[-1])
     return json.dumps(document).encode()
 
 
 def _repeated(path: Path, value: str, version: int) -> bytes:
-    document = proper_document(version)
+    document = complete_document(version)
     value_at(document, path[:-1])[REPEATED] = MARK
     return json.dumps(document).replace(REPEATED, str(path[-1])).replace(f'"{MARK}"', value).encode()
 
 
 def _doubled(path: Path, version: int) -> bytes:
-    document = proper_document(version)
+    document = complete_document(version)
     value_at(document, path[:-1]).append(value_at(document, path))
     return json.dumps(document).encode()
 
 
-def _spoilt(spoil: Callable[[str], bytes], version: int) -> bytes:
-    return spoil(json.dumps(proper_document(version)))
+def _corrupted(corrupt: Callable[[str], bytes], version: int) -> bytes:
+    return corrupt(json.dumps(complete_document(version)))
--- a/tests/test_evacuation_orders.py
+++ b/tests/test_evacuation_orders.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("member", [ONE, TWO, THREE, FOUR, FIVE])
-def test_in_a_calm_fleet_any_member_acknowledges_at_once_and_all_heads_know(member: str) -> None:
+def test_without_faults_any_member_acknowledges_at_once_and_all_heads_apply_the_order(member: str) -> None:
     async def run() -> None:
         world = await _formed(1)
         for _ in range(2):  # the second evacuation of a zone is another change than the first
@@ -65,7 +65,7 @@
     play(run())
 
 
-def test_two_zones_at_once_each_have_their_own_state() -> None:
+def test_two_zones_are_evacuated_independently() -> None:
     async def run() -> None:
         world = await _formed(2)
         await asyncio.gather(*(world.order(zone, True, _at(member)) for zone, member in ((Z0, ONE), (Z1, FIVE))))
@@ -76,7 +76,7 @@
     play(run())
 
 
-def test_all_zones_may_be_evacuated_and_taken_back() -> None:
+def test_all_zones_can_be_evacuated_and_returned_to_service() -> None:
     async def run() -> None:
         world = await _formed(3)
         for zone in ZONES:
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("side", [{ONE}, {ONE, FOUR}])
-def test_a_side_without_a_majority_answers_503_at_once_and_the_other_acts(side: set[str]) -> None:
+def test_a_partition_without_a_majority_answers_503_at_once_and_the_other_serves_orders(side: set[str]) -> None:
     async def run() -> None:
         world = await _formed(4)
         world.cut(side, (set(world.members) | set(world.heads)) - side)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("older", [{ONE}, {ONE, TWO, THREE, FOUR}])
-def test_while_members_and_a_head_run_an_older_program_all_others_know(older: set[str]) -> None:
+def test_members_of_an_older_release_do_not_keep_orders_from_the_heads(older: set[str]) -> None:
     async def run() -> None:
         world = await _formed(11)
         head = min(world.heads)
@@ -125,7 +125,7 @@
     play(run())
 
 
-def test_a_head_that_starts_knows_the_evacuated_zones_by_the_time_at_which_it_may_be_ready() -> None:
+def test_a_starting_head_knows_the_evacuated_zones_before_it_becomes_ready() -> None:
     async def run() -> None:
         world = await _formed(12)
         await world.order(Z0, True, _at(ONE))
@@ -140,7 +140,7 @@
     play(run())
 
 
-def test_a_head_that_is_cut_off_keeps_what_it_knew_and_learns_the_rest_when_it_is_back() -> None:
+def test_a_partitioned_head_keeps_its_state_and_catches_up_afterwards() -> None:
     async def run() -> None:
         world = await _formed(5)
         await world.order(Z0, True, _at(ONE))
@@ -172,7 +172,7 @@
     play(run())
 
 
-def test_an_acknowledged_order_survives_a_loss_of_power_and_reaches_heads_that_start_anew() -> None:
+def test_an_acknowledged_order_survives_a_power_loss_and_reaches_restarted_heads() -> None:
     async def run() -> None:
         world = await _formed(7)
         await world.order(Z0, True, _at(ONE))
@@ -188,7 +188,7 @@
     play(run())
 
 
-def test_an_order_that_a_frozen_member_finds_on_waking_does_not_undo_a_newer_one() -> None:
+def test_an_order_executed_late_by_a_paused_member_does_not_undo_a_newer_one() -> None:
     async def run() -> None:
         world = await _formed(8)
         assert await world.call(ONE, "POST", Z0, frozen_s=4.0) is None
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize(("outcome", "status"), [(Outcome.APPLIED, 200), (Outcome.OUTDATED, 503), (None, 503)])
-def test_an_order_is_acknowledged_only_where_its_change_is_known_to_be_applied(
+def test_an_order_is_acknowledged_only_if_its_change_is_known_to_be_applied(
     outcome: Outcome | None, status: int
 ) -> None:
     async def run() -> None:
@@ -216,7 +216,7 @@
     play(run())
 
 
-def test_an_attempt_that_is_overtaken_by_newer_orders_is_not_tried_again() -> None:
+def test_an_order_that_conflicts_with_newer_orders_is_not_retried() -> None:
     """The register changes between the read of an abandoned attempt and its change, by what the operator sent since."""
 
     async def run() -> None:
@@ -269,7 +269,7 @@
     play(run())
 
 
-def test_an_order_is_answered_before_its_caller_turns_to_another_member() -> None:
+def test_an_order_is_answered_before_its_caller_retries_at_another_member() -> None:
     assert ORDER_TIMEOUT_S + 2 * 0.05 < SILENCE_S
 
 
@@ -331,7 +331,7 @@
 
 
 @pytest.mark.parametrize("seed", range(HISTORIES))
-def test_drawn_histories_with_losses_and_a_final_fault_keep_every_acknowledged_order(seed: int) -> None:
+def test_random_histories_with_faults_keep_every_acknowledged_order(seed: int) -> None:
     async def run() -> None:
         world, random = await _formed(seed), Random(seed)
         until = world.loop.time() + 30.0
@@ -357,7 +357,7 @@
 
 
 @pytest.mark.parametrize("seed", range(RACES))
-def test_two_operators_of_one_zone_with_resends_and_lost_answers_are_linearizable(seed: int) -> None:
+def test_orders_of_two_operators_with_retries_and_lost_responses_are_linearizable(seed: int) -> None:
     async def run() -> None:
         world, random = await _formed(seed), Random(seed)
         until = world.loop.time() + 15.0
--- a/tests/test_fleet_configuration.py
+++ b/tests/test_fleet_configuration.py
@@ -14,7 +14,7 @@
 from hophinge.fleet.configuration.routes import RouteTable
 
 
-NOTHING = {"service": "s", "weight": 0}
+ZERO_WEIGHT = {"service": "s", "weight": 0}
 ENGINE = {"slots": 8, "kv-cache-tokens": 5_000, "handle-ttl-s": 5.0}
 
 
@@ -41,8 +41,8 @@
 
 
 def _findings(document: dict[str, Any]) -> list[str]:
-    checked = validate_document(json.dumps(document).encode())
-    return [str(finding) for finding in checked.error] if checked.is_error() else []
+    result = validate_document(json.dumps(document).encode())
+    return [str(finding) for finding in result.error] if result.is_error() else []
 
 
 def _table(document: dict[str, Any]) -> RouteTable:
@@ -54,8 +54,8 @@
 
 
 @pytest.mark.parametrize(("value", "number"), [(None, 0.0), (3, 3.0), (5.2, 5.2)])
-def test_what_a_valid_document_says_of_cold_instances_is_a_number(value: object, number: float) -> None:
-    """Guards against a service of which every request fails: a document with null was valid."""
+def test_optional_cold_start_fields_are_read_as_numbers(value: object, number: float) -> None:
+    """Guards against null, which is valid in a document, but made every request of the service fail."""
     document = _document(services=[{"name": "s", "cold-start-s": value, "cold-per-s": value}])
     assert _findings(document) == []
     service = _table(document).services["s"]
@@ -67,7 +67,7 @@
     [
         ({"routes": [_route(service="gone")]}, "routes.0.service"),
         ({"routes": [_route(), _route(name="q")]}, "routes.1"),
-        ({"routes": [_route(service=None, **{"traffic-split": [NOTHING]})]}, "routes.0.traffic-split"),
+        ({"routes": [_route(service=None, **{"traffic-split": [ZERO_WEIGHT]})]}, "routes.0.traffic-split"),
         ({"routes": [_route(**{"timeout-ms": 0})]}, "routes.0.timeout-ms"),
         ({"routes": [_route(service=None)]}, "routes.0"),
         ({"services": [{"name": "s", "cold-per-s": -1}]}, "services.0.cold-per-s"),
@@ -92,8 +92,8 @@
 
 
 def test_all_findings_are_reported_together() -> None:
-    found = _findings(_document(routes=[_route(service="one"), _route(service="two", **{"path-prefix": "/y/"})]))
-    assert len(found) == 2
+    findings = _findings(_document(routes=[_route(service="one"), _route(service="two", **{"path-prefix": "/y/"})]))
+    assert len(findings) == 2
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"version": 1', b"\xff"])
@@ -105,15 +105,15 @@
     routes = [_route(), _route(name="long", **{"path-prefix": "/x/y/"}), _route(name="other", host="b.example")]
     table = _table(_document(routes=routes))
 
-    def named(host: str, path: str) -> str | None:
+    def find_name(host: str, path: str) -> str | None:
         route = table.find(host, path)
         return route.name if route is not None else None
 
-    assert named("a.example", "/x/y/z") == "long"
-    assert named("A.example", "/x/z") == "r"
-    assert named("b.example", "/x/y/z") == "other"
-    assert named("a.example", "/x") is None
-    assert named("c.example", "/x/") is None
+    assert find_name("a.example", "/x/y/z") == "long"
+    assert find_name("A.example", "/x/z") == "r"
+    assert find_name("b.example", "/x/y/z") == "other"
+    assert find_name("a.example", "/x") is None
+    assert find_name("c.example", "/x/") is None
 
 
 def test_weights_split_requests() -> None:
@@ -125,7 +125,7 @@
     assert [route.choose_service(draw) for draw in (0.0, 0.89, 0.91, 0.9999)] == ["s", "s", "t", "t"]
 
 
-def test_a_record_holds_the_same_route_table() -> None:
+def test_a_record_contains_the_same_route_table() -> None:
     document = json.dumps(_document()).encode()
     record = configuration_record(4, document)
     assert record.stamp == (4, 0)
@@ -134,11 +134,11 @@
     assert table.routes[0].is_idempotent
 
 
-# --- documents that an older version accepted --------------------------------------------------------------------
+# --- documents accepted by an older release ----------------------------------------------------------------------
 
 
 def _stored(**changes: Any) -> RouteTable:
-    """Read a stored document that is invalid today; the finding is told."""
+    """Read a stored document that is invalid today; the reader must report findings."""
     document = _document(**changes)
     assert _findings(document), "it would be rejected today"
     read = read_route_table(json.dumps(document).encode())
@@ -146,8 +146,8 @@
     return read.table
 
 
-def test_a_stored_number_that_is_text_is_converted() -> None:
-    """Guards against heads that are never ready again after an upgrade, or a restart, with such a document."""
+def test_a_stored_number_given_as_text_is_converted() -> None:
+    """Guards against heads that never become ready after an upgrade or a restart with such a document."""
     route = _stored(routes=[_route(**{"timeout-ms": "4000", "max-attempts": "3", "gap_aim_ms": "250"})]).routes[0]
     assert (route.timeout_s, route.max_attempts, route.gap_s) == (4.0, 3, 0.25)
     limits = _stored(limits={"max-header-bytes": "2048", "idle-timeout-ms": True}).limits
@@ -156,11 +156,11 @@
     assert (service.cold_start_s, service.cold_per_s) == (3.0, 0.0)
 
 
-def test_a_stored_flag_that_is_text_lets_no_stream_run_twice() -> None:
+def test_a_stored_flag_given_as_text_does_not_make_a_stream_idempotent() -> None:
     assert not _stored(routes=[_route(resumable="false")]).routes[0].is_idempotent
 
 
-def test_a_stored_route_that_cannot_be_read_is_unavailable_and_its_requests_are_nobody_elses() -> None:
+def test_an_unreadable_stored_route_is_unavailable_and_keeps_its_requests_from_shorter_prefixes() -> None:
     long = _route(name="long", **{"path-prefix": "/x/y/", "timeout-ms": [4_000]})
     table = _stored(routes=[_route(), long])
     found = table.find("a.example", "/x/y/z")
@@ -169,7 +169,7 @@
     assert other is not None and other.is_available
 
 
-def test_routes_to_a_stored_service_that_cannot_be_read_are_unavailable() -> None:
+def test_routes_to_an_unreadable_stored_service_are_unavailable() -> None:
     services = [{"name": "s", "engine": {"slots": 8}}, {"name": "t"}]
     split = [{"service": "s", "weight": 90}, {"service": "t", "weight": 10}]
     mixed = _route(service=None, **{"traffic-split": split, "path-prefix": "/y/"})
@@ -177,7 +177,7 @@
     assert [route.services for route in table.routes] == [(), ("t",)]
 
 
-def test_a_stored_engine_without_what_heads_do_not_need_serves() -> None:
+def test_a_stored_engine_needs_only_the_fields_that_heads_use() -> None:
     document = _document(services=[{"name": "s", "engine": {"kv-cache-tokens": 5_000}}])
     assert _findings(document), "it would be rejected today"
     table = _table(document)
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"version": null}', b'{"version": "x"}', b"[" * 100_000])
-def test_a_stored_document_of_which_nothing_can_be_read_is_an_error(data: bytes) -> None:
+def test_an_unreadable_stored_document_is_an_error(data: bytes) -> None:
     with pytest.raises(UnreadableDocumentError):
         read_route_table(data)
 
--- a/tests/test_fleet_control_api.py
+++ b/tests/test_fleet_control_api.py
@@ -1,4 +1,4 @@
-"""The control API before its chain: which changes are judged there, and which are rejected at once."""
+"""The configuration API of a control member: valid changes are sent to the chain, invalid ones rejected at once."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from hophinge.coordination.registers import Change, Outcome
 from hophinge.fleet.configuration.record import RECORD_KEY, configuration_record
 from hophinge.fleet.controlplane.api import CONFIGURATION_PATH, ControlApi
-from tests.odd_documents import proper_document
+from tests.odd_documents import complete_document
 
 VERSION = 7
 
 
 class _Chain:
-    """Stands for the chain: records the changes that reach it, and applies all."""
+    """A fake chain that records the changes sent to it, and applies all of them."""
 
     def __init__(self) -> None:
         self.changes: list[Change | None] = []
@@ -30,18 +30,18 @@
 
 
 class _SoftState:
-    """Stands for a member's soft state: what was disseminated."""
+    """A fake soft state with the disseminated records."""
 
     def __init__(self) -> None:
         self.dissemination = self
         self.store = GossipStore()
 
 
-def _put(body: bytes, base: bytes, in_force: bytes | None = None) -> tuple[int, dict[str, Any], _Chain]:
-    """Send a configuration to a member, where another one may be in force; return the status, its body, the chain."""
+def _put(body: bytes, base: bytes, committed: bytes | None = None) -> tuple[int, dict[str, Any], _Chain]:
+    """Send a configuration to a member that may have a committed one; return status, response body and the chain."""
     chain, soft_state, messages = _Chain(), _SoftState(), []
-    if in_force is not None:
-        soft_state.store.store_if_newer(0.0, configuration_record(3, in_force))
+    if committed is not None:
+        soft_state.store.store_if_newer(0.0, configuration_record(3, committed))
 
     async def receive() -> dict[str, Any]:
         return {"type": "http.request", "body": body}
@@ -56,14 +56,14 @@
     return messages[0]["status"], json.loads(content), chain
 
 
-def _odd() -> bytes:
-    document = proper_document(VERSION)
+def _document_valid_in_an_older_release() -> bytes:
+    document = complete_document(VERSION)
     document["routes"][0]["timeout-ms"] = "4000"
     return json.dumps(document).encode()
 
 
-def test_a_valid_change_is_judged_by_the_chain() -> None:
-    body = json.dumps(proper_document(VERSION)).encode()
+def test_a_valid_change_is_sent_to_the_chain() -> None:
+    body = json.dumps(complete_document(VERSION)).encode()
     status, _, chain = _put(body, b"6")
     (change,) = chain.changes
     assert status == 200
@@ -72,23 +72,25 @@
 
 
 def test_an_invalid_change_is_rejected_with_the_field() -> None:
-    status, answer, chain = _put(_odd(), b"6")
+    status, answer, chain = _put(_document_valid_in_an_older_release(), b"6")
     assert status == 400
     assert [finding.split(":")[0] for finding in answer["findings"]] == ["routes.0.timeout-ms"]
     assert not chain.changes
 
 
-def test_a_change_that_an_older_version_took_is_not_refused_when_it_is_sent_again() -> None:
-    """Guards against a 400 to an acknowledged change, sent again while members are upgraded one by one."""
-    status, answer, chain = _put(_odd(), b"6", in_force=_odd())
+def test_a_change_accepted_by_an_older_release_is_accepted_when_retried() -> None:
+    """Guards against a 400 response to the retry of an acknowledged change during a rolling upgrade."""
+    status, answer, chain = _put(
+        _document_valid_in_an_older_release(), b"6", committed=_document_valid_in_an_older_release()
+    )
     assert (status, answer) == (200, {"version": VERSION})
     assert len(chain.changes) == 1
 
 
 @pytest.mark.parametrize("base", [b"", b"x", b"-1", "\u00b2".encode("latin-1"), b"9" * 5_000])
-def test_a_base_that_is_no_version_is_rejected(base: bytes) -> None:
-    """Guards against 500 for digits that are not ASCII, and for more of them than are converted."""
-    status, answer, chain = _put(json.dumps(proper_document(VERSION)).encode(), base)
+def test_an_invalid_base_version_is_rejected(base: bytes) -> None:
+    """Guards against a 500 response to digits outside ASCII, and to more digits than `int` converts."""
+    status, answer, chain = _put(json.dumps(complete_document(VERSION)).encode(), base)
     assert status == 400
     assert "If-Match" in answer["error"]
     assert not chain.changes
--- a/tests/test_fleet_counters.py
+++ b/tests/test_fleet_counters.py
@@ -117,7 +117,7 @@
         await asyncio.sleep(COUNTER_TICK_S)
 
 
-def test_increments_are_kept_over_restarts_and_lost_with_the_disk(tmp_path: Path) -> None:
+def test_increments_survive_restarts_but_not_the_loss_of_the_disk(tmp_path: Path) -> None:
     async def play() -> None:
         async with _alone(tmp_path) as (host, caller):
             assert (await caller.call("POST", "t", VALID))[0] == 200
@@ -180,7 +180,7 @@
     assert names == ["50%41"]
 
 
-def test_other_methods_and_large_bodies_are_refused(tmp_path: Path) -> None:
+def test_other_methods_and_large_bodies_are_rejected(tmp_path: Path) -> None:
     async def play() -> None:
         async with _alone(tmp_path) as (host, caller):
             status, headers, _ = await caller.call("DELETE", "t")
@@ -193,7 +193,7 @@
     _play(play())
 
 
-def test_a_failed_disk_rejects_before_it_stores_and_acknowledges_nothing_that_it_has_not_synced(tmp_path: Path) -> None:
+def test_a_failed_disk_rejects_new_increments_and_acknowledges_only_synced_ones(tmp_path: Path) -> None:
     async def play() -> None:
         async with _alone(tmp_path) as (host, caller):
             await _total(caller, "t")
@@ -223,7 +223,7 @@
     _play(play())
 
 
-def test_a_member_starts_on_a_full_disk_without_counters_and_keeps_them_once_it_takes_writes(
+def test_a_member_starts_on_a_full_disk_and_stores_counters_once_it_is_writable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a control member that ends at each start: the first write of its counters was not awaited."""
@@ -252,7 +252,7 @@
     _play(play())
 
 
-def test_a_member_that_ends_rejects_new_increments_and_leaves_pending_ones_without_a_promise(tmp_path: Path) -> None:
+def test_a_draining_member_rejects_new_increments_and_answers_pending_ones_as_unknown(tmp_path: Path) -> None:
     async def play() -> None:
         async with _alone(tmp_path) as (host, caller):
             pending = asyncio.create_task(caller.call("POST", "t", VALID))
@@ -282,7 +282,7 @@
     _play(play())
 
 
-def test_a_member_without_a_disk_sends_its_callers_to_one_of_its_zone_that_keeps_counters() -> None:
+def test_a_member_without_a_disk_redirects_to_a_counter_member_of_its_zone() -> None:
     async def play() -> None:
         replica, records = _replica(), GossipStore()
         caller = Caller(None, replica, records)
@@ -306,7 +306,7 @@
     _play(play())
 
 
-def test_a_member_announces_itself_and_takes_back_the_record_of_the_disk_that_it_replaces(tmp_path: Path) -> None:
+def test_a_member_announces_itself_and_deletes_the_record_of_the_disk_it_replaces(tmp_path: Path) -> None:
     async def play() -> None:
         replica, records = _replica(), GossipStore()
         published: list[GossipRecord] = []
@@ -355,7 +355,7 @@
     return Condition(fleet.control(number), f"adds {identifier}", look)
 
 
-def test_processes_count_each_increment_once_over_cuts_restarts_and_a_lost_disk(tmp_path: Path) -> None:
+def test_processes_count_each_increment_once_despite_partitions_restarts_and_a_lost_disk(tmp_path: Path) -> None:
     async def run() -> None:
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await fleet.start()
@@ -379,7 +379,7 @@
     asyncio.run(run())
 
 
-def test_the_state_of_a_member_is_restored_from_its_slot_and_its_log(tmp_path: Path) -> None:
+def test_counters_are_restored_from_the_stored_state_and_the_log(tmp_path: Path) -> None:
     async def play() -> None:
         async with _alone(tmp_path) as (host, _):
             increments = [Increment(f"id-{number}", "t", number) for number in range(20)]
--- a/tests/test_fleet_evacuations.py
+++ b/tests/test_fleet_evacuations.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("ending", list(AttemptOutcome))
-def test_a_retry_or_the_rest_of_a_stream_avoids_a_zone_evacuated_meanwhile(ending: AttemptOutcome) -> None:
+def test_retries_and_resumed_streams_avoid_a_zone_evacuated_meanwhile(ending: AttemptOutcome) -> None:
     placement = _staged("a")
     life = _lifecycle(placement)
     step = life.next_step(0.0)
@@ -93,7 +93,7 @@
         assert _zone(life.next_step(0.2)) == "b"
 
 
-def test_the_decode_of_a_prompt_avoids_a_zone_evacuated_since_it_was_read() -> None:
+def test_decoding_avoids_a_zone_evacuated_after_the_prefill() -> None:
     placement = _staged("a")
     life = _lifecycle(placement)
     step = life.next_step(0.0)
@@ -116,14 +116,14 @@
     assert life.collect_unused_handles() == handles[1:]
 
 
-def test_instances_that_the_registry_lost_are_no_last_resort_in_an_evacuated_zone() -> None:
+def test_lost_instances_of_an_evacuated_zone_are_not_a_last_resort() -> None:
     placement = _placement(_instance("a", "", state=LOST), _instance("b", "", state=LOST))
     placement.instances.update_evacuation("a", True, 0.0)
     for _ in range(8):
         assert _zone(_lifecycle(placement, None, has_stages=False).next_step(0.0)) == "b"
 
 
-def test_a_request_that_waits_for_a_stage_asks_again_before_it_is_sent() -> None:
+def test_a_request_waiting_for_a_stage_checks_evacuations_again_before_it_is_sent() -> None:
     placement = _placement(_instance("a", "prefill", 0), _instance("a", "prefill", 1), _instance("a", "prefill", 2))
     placement.instances.stage_switch_s = {"s": 0.2}
     life = replace(_lifecycle(placement), target_at=5.0)
@@ -134,13 +134,13 @@
     assert not placement.pending_requests
 
 
-def test_what_was_placed_is_sent_long_before_the_bound_or_not_at_all() -> None:
+def test_a_placed_request_is_sent_well_within_the_evacuation_bound_or_not_at_all() -> None:
     # From its placement, a request waits for a connection of the pool and for its handshake, and for nothing else.
     assert 2 * CONNECT_TIMEOUT_S < EVACUATION_S / 2
 
 
 @pytest.mark.parametrize("has_stages", [False, True])
-def test_with_all_zones_evacuated_requests_are_rejected_at_once_with_a_time(has_stages: bool) -> None:
+def test_with_all_zones_evacuated_requests_are_rejected_at_once_with_retry_after(has_stages: bool) -> None:
     placement = _staged("a", "b") if has_stages else _placement(_instance("a", ""), _instance("b", ""))
     placement.instances.stage_switch_s = {"s": 1.0}
     for zone in "ab":
@@ -152,7 +152,7 @@
     assert answer.retry_after_s is not None
 
 
-def test_a_stage_whose_only_instances_are_evacuated_is_empty_and_is_refilled_from_other_zones_alone() -> None:
+def test_a_stage_with_only_evacuated_instances_is_empty_and_is_refilled_only_from_other_zones() -> None:
     placement = _placement(_instance("a", "decode"), *(_instance("a", "prefill", number) for number in range(3)))
     placement.instances.stage_switch_s = {"s": 1.0}
     assert placement.instances.predict_stage(0.0, "s", "decode").state is StageState.FULL
@@ -166,7 +166,7 @@
     assert outlook.ready_at is not None
 
 
-def test_two_zones_are_evacuated_and_taken_back_one_by_one() -> None:
+def test_evacuations_of_two_zones_end_independently() -> None:
     placement = _placement(*(_instance(zone, "") for zone in "abc"))
     for zone in "ab":
         placement.instances.update_evacuation(zone, True, 0.0)
@@ -176,7 +176,7 @@
     assert placement.instances.is_evacuated("b--0")
 
 
-def test_the_instances_of_a_zone_that_is_taken_back_are_taken_for_cold_until_they_say_otherwise() -> None:
+def test_after_an_evacuation_instances_are_limited_until_their_warmup_is_confirmed() -> None:
     placement = _placement(_instance("a", ""), _instance("b", ""))
     confirmations: list[tuple[float, str]] = []
     warmup = cast(Any, placement.admission.warmup)
@@ -190,7 +190,7 @@
     assert confirmations == [(2.0, "a--0")]
 
 
-def test_a_limited_instance_without_capacity_gets_nothing() -> None:
+def test_a_limited_instance_without_capacity_gets_no_requests() -> None:
     placement = _placement(_instance("a", ""))
     placement.admission.warmup.cold_per_s = {"s": 1_000.0}
     placement.admission.warmup.head_count = 1
--- a/tests/test_fleet_evacuations_together.py
+++ b/tests/test_fleet_evacuations_together.py
@@ -89,7 +89,7 @@
         assert (await fleet.request(head, "/p/q", f"{name}-p{number}")).status == 200
 
 
-def test_no_request_reaches_an_evacuated_zone_until_it_is_taken_back(tmp_path: Path) -> None:
+def test_no_request_reaches_an_evacuated_zone_until_the_evacuation_ends(tmp_path: Path) -> None:
     async def run() -> None:
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await _begin(fleet)
@@ -114,7 +114,7 @@
     asyncio.run(run())
 
 
-def test_a_machine_that_is_cut_off_takes_no_order_and_keeps_what_it_knew(tmp_path: Path) -> None:
+def test_a_partitioned_machine_rejects_orders_and_keeps_the_known_evacuations(tmp_path: Path) -> None:
     async def run() -> None:
         async with LoopbackFleet(tmp_path, MACHINES) as fleet:
             await _begin(fleet)
--- a/tests/test_fleet_hint_relay.py
+++ b/tests/test_fleet_hint_relay.py
@@ -54,7 +54,7 @@
     assert wire.received_instances("c2") == []
 
 
-def test_a_head_that_alone_sent_hints_gets_none() -> None:
+def test_the_only_source_of_hints_receives_none() -> None:
     wire = FrameRecorder()
     wire.relay.add("h1", _hint("a"), True)
     wire.relay.flush(1.0, ["h1"], [])
@@ -82,7 +82,7 @@
     assert wire.relay.delay_s(1.0, 30) == pytest.approx(MIN_FLUSH_INTERVAL_S + 30 * FLUSH_INTERVAL_PER_HEAD_S)
 
 
-def test_a_message_that_is_not_gathered_is_sent_at_once() -> None:
+def test_an_unbatched_message_is_sent_at_once() -> None:
     wire = FrameRecorder()
     wire.relay.send_now(SuspectedInstances(("i",)), HEADS)
     assert [target for target, _ in wire.frames] == HEADS
--- a/tests/test_fleet_judged_documents.py
+++ b/tests/test_fleet_judged_documents.py
@@ -1,4 +1,4 @@
-"""Documents are judged once at a control member; processes log how long their event loops stood still for what."""
+"""A control member validates each document once; processes log stalls of their event loops."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from hophinge.fleet.configuration.judged_documents import MAX_DOCUMENTS, ValidationCache
 from hophinge.fleet.event_loop import STALL_S, log_stall
 from hophinge.fleet.program import call_periodically
-from tests.odd_documents import proper_document
+from tests.odd_documents import complete_document
 
 
 @pytest.fixture
-def judged(monkeypatch: pytest.MonkeyPatch) -> list[bytes]:
-    """Return the list of the documents that are judged from now on."""
+def validated(monkeypatch: pytest.MonkeyPatch) -> list[bytes]:
+    """Return a list that records the documents that are validated."""
     documents: list[bytes] = []
 
     def record(document: bytes) -> object:
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def events() -> Iterator[list[str]]:
-    """Return the list of the log lines from now on."""
+    """Return a list that records the log lines."""
     lines: list[str] = []
     sink = logger.add(lambda message: lines.append(message.record["message"]))
     yield lines
@@ -41,58 +41,58 @@
 
 
 def _document(version: int, timeout_ms: object = 4_000) -> bytes:
-    document = proper_document(version)
+    document = complete_document(version)
     document["routes"][0]["timeout-ms"] = timeout_ms
     return json.dumps(document).encode()
 
 
 @pytest.mark.parametrize(("timeout_ms", "is_valid"), [(4_000, True), ("4000", False)])
-def test_a_document_that_is_sent_again_is_not_judged_again(
-    timeout_ms: object, is_valid: bool, judged: list[bytes]
+def test_a_document_sent_again_is_not_validated_again(
+    timeout_ms: object, is_valid: bool, validated: list[bytes]
 ) -> None:
-    documents = ValidationCache()
-    judgements = [documents.validate(_document(7, timeout_ms)) for _ in range(3)]
-    assert [judgement.is_ok() for judgement in judgements] == [is_valid] * 3
-    assert len(judged) == 1
+    cache = ValidationCache()
+    results = [cache.validate(_document(7, timeout_ms)) for _ in range(3)]
+    assert [result.is_ok() for result in results] == [is_valid] * 3
+    assert len(validated) == 1
     if is_valid:
-        assert judgements[-1].ok == 7
+        assert results[-1].ok == 7
     else:
-        assert judgements[-1].error == judgements[0].error
+        assert results[-1].error == results[0].error
 
 
-def test_documents_that_differ_in_one_byte_are_judged_each(judged: list[bytes]) -> None:
-    documents = ValidationCache()
-    assert [documents.validate(_document(7, timeout_ms)).is_ok() for timeout_ms in (4_000, 4_001, "4000")] == [
+def test_documents_that_differ_in_one_byte_are_validated_separately(validated: list[bytes]) -> None:
+    cache = ValidationCache()
+    assert [cache.validate(_document(7, timeout_ms)).is_ok() for timeout_ms in (4_000, 4_001, "4000")] == [
         True,
         True,
         False,
     ]
-    assert len(judged) == 3
+    assert len(validated) == 3
 
 
-def test_a_committed_document_is_known_also_where_this_version_would_not_take_it(judged: list[bytes]) -> None:
-    """Another member judged it, maybe by older rules; sent again to this one, it is not refused."""
-    documents = ValidationCache()
-    odd = _document(7, "4000")
-    assert documents.validate(odd).is_error()
-    documents.add_committed(odd, 7)
-    assert documents.validate(odd).ok == 7
-    documents.add_committed(_document(8), 8)
-    assert documents.validate(_document(8)).ok == 8
-    assert judged == [odd]
+def test_a_committed_document_is_valid_even_if_this_release_would_reject_it(validated: list[bytes]) -> None:
+    """Another member may have accepted the document under older rules; a retry at this member must not be rejected."""
+    cache = ValidationCache()
+    invalid = _document(7, "4000")
+    assert cache.validate(invalid).is_error()
+    cache.add_committed(invalid, 7)
+    assert cache.validate(invalid).ok == 7
+    cache.add_committed(_document(8), 8)
+    assert cache.validate(_document(8)).ok == 8
+    assert validated == [invalid]
 
 
-def test_as_many_judgements_as_the_bound_are_remembered_the_latest_ones(judged: list[bytes]) -> None:
-    documents = ValidationCache()
+def test_the_cache_keeps_the_most_recently_used_results(validated: list[bytes]) -> None:
+    cache = ValidationCache()
     for version in range(1, MAX_DOCUMENTS + 2):
-        documents.validate(_document(version))
-    documents.validate(_document(2))
-    assert len(judged) == MAX_DOCUMENTS + 1, "version 2 is remembered"
-    documents.validate(_document(1))
-    assert len(judged) == MAX_DOCUMENTS + 2, "version 1 was forgotten"
+        cache.validate(_document(version))
+    cache.validate(_document(2))
+    assert len(validated) == MAX_DOCUMENTS + 1, "version 2 is cached"
+    cache.validate(_document(1))
+    assert len(validated) == MAX_DOCUMENTS + 2, "version 1 was evicted"
 
 
-def test_a_stall_of_the_event_loop_is_logged_with_its_length(events: list[str]) -> None:
+def test_an_event_loop_stall_is_logged_with_its_duration(events: list[str]) -> None:
     async def run() -> None:
         task = asyncio.create_task(call_periodically(0.01, lambda: None, on_late=log_stall))
         await asyncio.sleep(0.05)
@@ -105,7 +105,7 @@
     assert max(stalls, default=0.0) > 2 * STALL_S * 1_000
 
 
-def test_a_step_that_is_a_little_late_is_not_logged(events: list[str]) -> None:
+def test_a_short_delay_of_a_step_is_not_logged(events: list[str]) -> None:
     log_stall(STALL_S / 2)
     assert events == []
     log_stall(STALL_S * 2)
--- a/tests/test_fleet_odd_documents.py
+++ b/tests/test_fleet_odd_documents.py
@@ -1,4 +1,4 @@
-"""Documents that are odd in one place: rejected with the name of the field, or in force everywhere."""
+"""Documents with one odd field: either rejected with the name of the field, or applied everywhere."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from hophinge.fleet.configuration.route_table_reader import read_route_table
 from hophinge.fleet.configuration.routes import Limits, Route
 from tests.odd_document_run import OddDocumentRun
-from tests.odd_documents import OddDocument, odd_documents, proper_document
+from tests.odd_documents import OddDocument, odd_documents, complete_document
 
 VERSION = 7
 SEED = 77
-PLAYED = 60  # documents of which real processes get a draw
-MIN_PLAYED_IN_FORCE = 30
+RANDOM_SAMPLE = 60  # documents that are sent to real processes
+MIN_APPLIED = 30
 MIN_DOCUMENTS = 5_000
 MIN_ACCEPTED = 500
 
 
 @cache
 def _accepted() -> tuple[OddDocument, ...]:
-    return tuple(one for one in odd_documents() if validate_document(one.write(VERSION)).is_ok())
+    return tuple(document for document in odd_documents() if validate_document(document.write(VERSION)).is_ok())
 
 
-def test_there_are_many_documents_of_both_kinds() -> None:
+def test_many_odd_documents_are_accepted_and_many_rejected() -> None:
     documents = list(odd_documents())
     assert len(documents) >= MIN_DOCUMENTS
     assert MIN_ACCEPTED <= len(_accepted()) <= len(documents) - MIN_ACCEPTED
 
 
-def test_what_the_sites_send_is_accepted_with_fields_that_nobody_knows() -> None:
-    document = proper_document(VERSION)
+def test_a_complete_document_with_unknown_fields_is_accepted() -> None:
+    document = complete_document(VERSION)
     assert validate_document(json.dumps(document).encode()).is_ok()
     unknown: list[Any] = [document, *document["routes"], *document["services"], document["limits"]]
     unknown += [service["engine"] for service in document["services"] if "engine" in service]
@@ -49,23 +49,23 @@
 
 
 def test_a_rejected_document_has_a_finding_that_names_the_field() -> None:
-    """Guards against a rejection that leaves the operator to guess: each path leads to the odd place, or into it."""
-    for one in odd_documents():
-        if not one.path:
+    """Guards against rejections without the cause: the path of a finding must lead to the odd field."""
+    for document in odd_documents():
+        if not document.path:
             continue
-        checked = validate_document(one.write(VERSION))
-        if checked.is_error():
-            told = [str(finding) for finding in checked.error]
-            assert any(_names_field(text, one) for text in told), (one.name, told)
+        result = validate_document(document.write(VERSION))
+        if result.is_error():
+            findings = [str(finding) for finding in result.error]
+            assert any(_names_field(text, document) for text in findings), (document.name, findings)
 
 
 def _names_field(text: str, document: OddDocument) -> bool:
-    """Return whether a finding names the odd place or what it is part of, or a reference that leads nowhere now."""
+    """Return whether a finding names the odd field, a parent or child of it, or a reference that it made invalid."""
     path = [str(key) for key in document.path]
-    found = text.split(": ")[0].split(".")
-    shorter = min(len(path), len(found))
+    named = text.split(": ")[0].split(".")
+    shorter = min(len(path), len(named))
     innermost = [key for key in document.path if isinstance(key, str)][-1:]
-    if path[:shorter] == found[:shorter] or found == innermost or ".".join(path) in text:
+    if path[:shorter] == named[:shorter] or named == innermost or ".".join(path) in text:
         return True
     if not _is_json(document.write(VERSION)):
         return "JSON" in text
@@ -74,7 +74,7 @@
 
 
 def _is_json(data: bytes) -> bool:
-    """Return whether a reader that keeps to RFC 8259 takes it, up to the usual depth."""
+    """Return whether a parser that conforms to RFC 8259 accepts the data, up to its nesting limit."""
     try:
         from_json(data)
     except ValueError:
@@ -82,21 +82,21 @@
     return True
 
 
-def test_an_accepted_document_is_what_the_heads_read() -> None:
-    """Guards against a document that is judged by one reader and put in force by another (review, case CONFIG)."""
-    for one in _accepted():
-        data = one.write(VERSION)
+def test_heads_read_an_accepted_document_as_it_was_validated() -> None:
+    """Guards against a document that validation and the heads' reader interpret differently (review, case CONFIG)."""
+    for accepted in _accepted():
+        data = accepted.write(VERSION)
         table, findings = read_route_table(data)
-        assert not findings, (one.name, findings)
+        assert not findings, (accepted.name, findings)
         document = validate_document(data).ok
         assert table.version == document.version
-        assert [_read(route) for route in table.routes] == _judged(document), one.name
+        assert [_fields_read(route) for route in table.routes] == _fields_validated(document), accepted.name
         engines = [service.engine for service in table.services.values() if service.engine is not None]
         for part in (*table.routes, table.limits, *table.services.values(), *engines):
-            _check_types(part, one.name)
+            _check_types(part, accepted.name)
 
 
-def _read(route: Route) -> tuple[object, ...]:
+def _fields_read(route: Route) -> tuple[object, ...]:
     return (
         *(route.name, route.host, route.prefix, route.route_type, route.priority, route.max_attempts),
         *(
@@ -110,41 +110,44 @@
     )
 
 
-def _judged(document: DocumentModel) -> list[tuple[object, ...]]:
-    judged: list[tuple[object, ...]] = []
+def _fields_validated(document: DocumentModel) -> list[tuple[object, ...]]:
+    rows: list[tuple[object, ...]] = []
     for route in document.routes:
         split = [entry.service for entry in route.traffic_split or [] if entry.weight > 0]
         services = split or [str(route.service)]
         times = (route.timeout_ms / 1_000, route.target_latency_ms / 1_000, route.gap_aim_ms / 1_000)
-        judged.append(
+        rows.append(
             (
                 *(route.name, route.host, route.path_prefix, route.route_type, route.priority, route.max_attempts),
                 *(*times, route.resumable, set(services), len(services) > 1),
             )
         )
-    return judged
+    return rows
 
 
 def _check_types(part: Any, name: str) -> None:
-    """Check that the numbers and texts of a part have the types that its class declares."""
-    for one in fields(part):
-        value = getattr(part, one.name)
-        declared = {"int": int, "float": float, "str": str, "bool": bool}.get(str(one.type))
-        assert declared is None or type(value) is declared, (name, one.name, value)
+    """Check that the fields of a dataclass have their declared types, where these are simple ones."""
+    for entry in fields(part):
+        value = getattr(part, entry.name)
+        declared = {"int": int, "float": float, "str": str, "bool": bool}.get(str(entry.type))
+        assert declared is None or type(value) is declared, (name, entry.name, value)
 
 
 def test_limits_have_the_types_of_their_defaults() -> None:
-    assert read_route_table(json.dumps(proper_document(VERSION)).encode()).table.limits == Limits()
+    assert read_route_table(json.dumps(complete_document(VERSION)).encode()).table.limits == Limits()
 
 
-def test_real_processes_reject_a_document_or_have_it_in_force(tmp_path: Path) -> None:
-    """Guards against a configuration that is acknowledged and in force nowhere, and heads that never start again."""
+def test_real_processes_reject_a_document_or_apply_it(tmp_path: Path) -> None:
+    """Guards against a configuration that is acknowledged but never applied, and heads that fail to restart with it."""
     random = Random(SEED)
-    run = OddDocumentRun(tmp_path, restart_after=MIN_PLAYED_IN_FORCE)
-    drawn = [*random.sample(list(odd_documents()), PLAYED // 2), *random.sample(_accepted(), PLAYED // 2)]
-    random.shuffle(drawn)
-    asyncio.run(run.play(drawn))
+    run = OddDocumentRun(tmp_path, restart_after=MIN_APPLIED)
+    documents = [
+        *random.sample(list(odd_documents()), RANDOM_SAMPLE // 2),
+        *random.sample(_accepted(), RANDOM_SAMPLE // 2),
+    ]
+    random.shuffle(documents)
+    asyncio.run(run.play(documents))
     assert not run.findings, "\n".join(run.findings)
-    assert run.accepted >= MIN_PLAYED_IN_FORCE - 3
-    assert run.rejected >= PLAYED // 4
+    assert run.accepted >= MIN_APPLIED - 3
+    assert run.rejected >= RANDOM_SAMPLE // 4
     assert run.restarts >= 2
--- a/tests/test_fleet_replica_host.py
+++ b/tests/test_fleet_replica_host.py
@@ -100,7 +100,7 @@
         await asyncio.sleep(0)
 
 
-def test_a_full_disk_acknowledges_nothing_until_it_takes_writes_again(
+def test_a_full_disk_acknowledges_nothing_until_it_is_writable_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What was asked for meanwhile is on the disk when it is acknowledged, and what was stored before still is."""
--- a/tests/test_fleet_reports.py
+++ b/tests/test_fleet_reports.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("body", ODD_BODIES)
-def test_an_odd_report_is_invalid(body: bytes) -> None:
+def test_a_malformed_report_is_invalid(body: bytes) -> None:
     with pytest.raises(ValidationError):
         parse_report("i", body)
 
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("odd", [*ODD_BODIES, RuntimeError("unforeseen"), httpcore.ReadTimeout("silent")])
-def test_an_odd_report_does_not_lose_the_others(odd: bytes | Exception) -> None:
+def test_a_failed_report_does_not_lose_the_others(odd: bytes | Exception) -> None:
     """Guards against a round without any report, and a member that ends after twenty of them."""
 
     async def play() -> list[EngineReports]:
@@ -88,7 +88,7 @@
     assert [report.instance for report in reports.reports] == ["a", "c"]
 
 
-def test_a_queue_that_is_told_as_very_long_stays_bounded() -> None:
+def test_a_reported_queue_length_is_bounded() -> None:
     """Guards against heads that keep their core busy for minutes after one wrong number, and answer nobody."""
     queue = WorkQueue()
     job = queue.add(0.0, 0, 1_000.0)
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is wrong is told together, and what is not known is ignored."""
+"""The settings file: all errors are reported together, and unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert not parse_settings({**FILE, "data-dir": None}).can_vote
 
 
-def test_all_faults_of_the_settings_are_reported_together() -> None:
+def test_all_errors_in_the_settings_are_reported_together() -> None:
     raw = {**FILE, "ip": "", "bootstrap": "yes", "heartbeat-ms": -1, "internal-port-range": [7660]}
     del raw["zone"]
     with pytest.raises(SettingsError) as error:
--- a/tests/test_fleet_stage_notices.py
+++ b/tests/test_fleet_stage_notices.py
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("load", [1.0, 1.3])
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_every_request_that_a_retry_can_bring_there_is_served_though_a_stage_loses_one_instance_after_the_other(
+def test_retries_that_reach_the_stage_are_served_while_it_loses_its_instances_one_by_one(
     seed: int, load: float
 ) -> None:
     random = Random(seed)
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_a_stage_that_loses_all_instances_at_once_serves_whom_a_retry_and_patience_bring_to_its_return(
+def test_retries_that_reach_the_stage_are_served_after_it_lost_all_instances_at_once(
     seed: int,
 ) -> None:
     random = Random(seed)
@@ -199,7 +199,7 @@
     assert predict_stage(due_at + MAX_OVERDUE_S + 0.1, [], others, SWITCH_S) == StageOutlook(StageState.EMPTY)
 
 
-def test_an_empty_stage_is_expected_to_be_refilled_where_the_other_can_give_an_instance() -> None:
+def test_an_empty_stage_is_expected_to_be_refilled_if_the_other_stage_can_spare_an_instance() -> None:
     refilled = predict_stage(5.0, [], _nodes(_members(2, 0)), SWITCH_S)
     assert refilled == StageOutlook(StageState.EMPTY, 5.0 + ORDER_DELAY_S + SWITCH_S + SWITCH_SLACK_S)
     assert predict_stage(5.0, [], _nodes(_members(1, 0)), SWITCH_S) == StageOutlook(StageState.EMPTY)
--- a/tests/test_fleet_warmup_control.py
+++ b/tests/test_fleet_warmup_control.py
@@ -31,7 +31,7 @@
     return newest
 
 
-def test_a_suspicion_at_one_member_reaches_all_heads_and_a_heartbeat_to_another_one_ends_it() -> None:
+def test_a_suspicion_at_one_member_reaches_all_heads_and_a_heartbeat_at_another_ends_it() -> None:
     async def run() -> None:
         world = ControlWorld(1)
         newest = _listen(world)
@@ -51,7 +51,7 @@
     play(run())
 
 
-def test_a_head_that_starts_on_the_smaller_side_of_a_cut_counts_no_heads_until_the_sides_are_one() -> None:
+def test_a_head_started_in_the_smaller_partition_counts_no_heads_until_the_partition_heals() -> None:
     async def run() -> None:
         world = ControlWorld(2)
         await asyncio.sleep(FORMED_S)
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -1,4 +1,4 @@
-"""Settings of deployments that lack what others have: each starts, serves a read and a write, and ends."""
+"""Settings without optional parts: a head starts with them, serves a read and a write, and ends."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.test_net import READ, WRITE
 
 
-def shaped(**changes: Any) -> dict[str, Any]:
-    """Settings with parts changed, and with those taken out that are None."""
+def settings_with(**changes: Any) -> dict[str, Any]:
+    """Return settings with changed parts; parts that are None are removed."""
     return {name: part for name, part in setup(**changes).items() if part is not None}
 
 
@@ -21,17 +21,17 @@
 @pytest.mark.parametrize(
     "settings",
     [
-        shaped(Zones=None, Skus=None),
-        shaped(Zones=[], Skus=[]),
-        shaped(Report=None, Penalties=None),
-        shaped(Grades=[GRADE]),
-        shaped(Grades=[{**GRADE, "Limit": 0}]),
-        shaped(Balancers=1),
-        shaped(Balancers=5),
-        shaped(Caps={"MaxAttempts": 3}),
-        shaped(Caps={}),
-        shaped(Discovery="on_request"),
-        shaped(Discovery=None),
+        settings_with(Zones=None, Skus=None),
+        settings_with(Zones=[], Skus=[]),
+        settings_with(Report=None, Penalties=None),
+        settings_with(Grades=[GRADE]),
+        settings_with(Grades=[{**GRADE, "Limit": 0}]),
+        settings_with(Balancers=1),
+        settings_with(Balancers=5),
+        settings_with(Caps={"MaxAttempts": 3}),
+        settings_with(Caps={}),
+        settings_with(Discovery="on_request"),
+        settings_with(Discovery=None),
     ],
     ids=[
         "no zones",
@@ -47,11 +47,11 @@
         "no word on lists",
     ],
 )
-def test_what_a_deployment_lacks_is_off_and_a_head_serves_without_it(settings: dict[str, Any]) -> None:
+def test_a_head_serves_without_optional_settings(settings: dict[str, Any]) -> None:
     async def main() -> None:
-        async with world(Backend(0), Backend(1)) as made:
-            service = await made.head(settings=settings)
-            wire = await made.wire(service)
+        async with world(Backend(0), Backend(1)) as fleet:
+            service = await fleet.head(settings=settings)
+            wire = await fleet.wire(service)
             wire.send(WRITE, headers(1), "PUT", b"kept")
             assert (await wire.receive())[0] == 200
             wire.send(READ, headers(2))
--- a/tests/warmup_mutants.py
+++ b/tests/warmup_mutants.py
@@ -58,14 +58,14 @@
         "fleet/controlplane/soft_state",
         "            self.suspect(message.instances)\n",
         "            pass\n",
-        CONTROL + "test_a_suspicion_at_one_member_reaches_all_heads_and_a_heartbeat_to_another_one_ends_it",
+        CONTROL + "test_a_suspicion_at_one_member_reaches_all_heads_and_a_heartbeat_at_another_ends_it",
     ),
     Mutant(
         "the heads of a side of a cut are all that count",
         "fleet/dataplane/cluster_state",
         "if grant.is_connected and self.first_connected_at is None:",
         "if self.first_connected_at is None:",
-        CONTROL + "test_a_head_that_starts_on_the_smaller_side_of_a_cut_counts_no_heads_until_the_sides_are_one",
+        CONTROL + "test_a_head_started_in_the_smaller_partition_counts_no_heads_until_the_partition_heals",
     ),
     Mutant(
         "an instance is published before it is known to be cold",
