--- a/hophinge/fleet/controlplane/group_commit.py
+++ b/hophinge/fleet/controlplane/group_commit.py
@@ -56,9 +56,7 @@
         self.loop = asyncio.get_running_loop()
         self.store = store
         self.callbacks = callbacks
-        self.pending: list[
-            PendingCommit[RecordT, EffectT]
-        ] = []  # waiting for the write in progress, or for a failed disk
+        self.pending: list[PendingCommit[RecordT, EffectT]] = []  # during a write, or after a failed one
         self.writing_since: float | None = None
         self.failed_at: float | None = None
         self.last_scrub_at = self.loop.time()
--- a/hophinge/fleet/controlplane/soft_state.py
+++ b/hophinge/fleet/controlplane/soft_state.py
@@ -162,7 +162,7 @@
     def _record_reports(self, reports: EngineReports) -> None:
         """Record loads, and that the reporting engines are alive.
 
-        The reports count as signs of life because heartbeats may reach only a disconnected control member.
+        Reports count as evidence of liveness, since heartbeats may reach only a disconnected control member.
         """
         self.loads.record(reports, self.registry.instances)
         reachable = [report.instance for report in reports.reports]
--- a/tests/evacuation_mutants.py
+++ b/tests/evacuation_mutants.py
@@ -1,4 +1,4 @@
-"""One-line mutants of the rules of evacuations: orders through the chain, records, admission, stages."""
+"""One-line mutants of evacuations: orders through the chain, records, admission and stages."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         ORDERS + "test_without_faults_any_member_acknowledges_at_once_and_all_heads_apply_the_order",
     ),
     Mutant(
-        "records of a zone carry one stamp",
+        "all records of a zone have the same stamp",
         RECORDS,
         "(register.version, 0)",
         "(1, 0)",
@@ -33,14 +33,14 @@
         ORDERS + "test_an_order_is_acknowledged_only_if_its_change_is_known_to_be_applied",
     ),
     Mutant(
-        "an order is acknowledged though the state is not known",
+        "an order is acknowledged although the state is unknown",
         API,
         "        if current.outcome is not Outcome.VALUE:\n            return OrderResult.UNKNOWN",
         "        if current.outcome is not Outcome.VALUE:\n            return OrderResult.IN_FORCE",
         ORDERS + "test_a_partition_without_a_majority_answers_503_at_once_and_the_other_serves_orders",
     ),
     Mutant(
-        "an order outlives its caller",
+        "an order is executed after its caller disconnected",
         API,
         "        if disconnect.done():",
         "        if False:",
@@ -61,7 +61,7 @@
         ORDERS + "test_a_conflict_with_a_change_to_the_same_value_is_acknowledged",
     ),
     Mutant(
-        "the member that acknowledges an order leaves its record to the chain",
+        "a member that acknowledges an order does not publish its record",
         API,
         '            self.publish(evacuation_record(evacuation_key(zone), Register(version, b"", payload)))',
         "            pass",
@@ -96,28 +96,28 @@
         HEADS + "test_a_limited_instance_without_capacity_gets_no_requests",
     ),
     Mutant(
-        "handles are freed at evacuated instances",
+        "KV handles are freed at evacuated instances",
         "fleet/forwarding/request_lifecycle",
         "[handle for handle in handles if not self.placement.instances.is_evacuated(handle.instance)]",
         "handles",
         HEADS + "test_no_handle_is_freed_at_an_evacuated_instance",
     ),
     Mutant(
-        "a zone stays evacuated when it is taken back",
+        "a zone stays evacuated after its evacuation ends",
         TABLE,
         "        self.admission.evacuated_zones.discard(zone)\n",
         "",
         HEADS + "test_evacuations_of_two_zones_end_independently",
     ),
     Mutant(
-        "instances of a zone that is taken back count as warm",
+        "instances count as warm after the evacuation of their zone",
         TABLE,
         "self.admission.warmup.limit_until_confirmed(now, identity)",
         "pass",
         HEADS + "test_after_an_evacuation_instances_are_limited_until_their_warmup_is_confirmed",
     ),
     Mutant(
-        "evacuated instances fill a stage",
+        "evacuated instances count as members of a stage",
         TABLE,
         "members = self.pool(service, stage).available_nodes()",
         "members = list(self.pool(service, stage).nodes.values())",
@@ -131,7 +131,7 @@
         HEADS + "test_a_stage_with_only_evacuated_instances_is_empty_and_is_refilled_only_from_other_zones",
     ),
     Mutant(
-        "evacuated instances get orders of stages",
+        "evacuated instances get orders to change their stage",
         "fleet/controlplane/stage_controller",
         " if instance.zone not in evacuated",
         "",
--- a/tests/evacuation_world.py
+++ b/tests/evacuation_world.py
@@ -1,4 +1,4 @@
-"""Operators' evacuations in virtual time: the API at each control member, the chain, and the heads."""
+"""Simulates evacuations in virtual time: the API at each control member, the chain, and the heads."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from tests.control_world import ControlMember, ControlWorld
 
 ZONES = ("z0", "z1", "z2")
-SILENCE_S = 1.0  # after which an operator turns to another member
-PAUSE_S = 0.2  # between two attempts
-EVACUATION_S = 5.0  # the operators' bound: evacuation-ms
+CALL_TIMEOUT_S = 1.0  # after which an operator retries at another member
+RETRY_DELAY_S = 0.2  # between two attempts
+EVACUATION_S = 5.0  # the operators' bound, evacuation-ms
 
 
 @dataclass
@@ -32,19 +32,19 @@
     """One attempt of an operator at one member."""
 
     status: int | None = None
-    left: asyncio.Event = field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
     has_body: bool = True
 
     async def receive(self) -> dict[str, Any]:
-        """Return the empty body, then the caller's departure."""
+        """Return an empty body, and then the caller's disconnect."""
         if self.has_body:
             self.has_body = False
             return {"type": "http.request", "body": b"", "more_body": False}
-        await self.left.wait()
+        await self.disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(self, message: dict[str, Any]) -> None:
-        """Take a part of the response."""
+        """Record the status of the response."""
         self.status = message.get("status", self.status)
 
 
@@ -56,10 +56,10 @@
         self.pending: dict[int, asyncio.Future[ClientResponse]] = {}
         self.request_ids = itertools.count(1)
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.calls: list[linearizability.Call] = []  # of registers, completed
+        self.calls: list[linearizability.Call] = []  # completed register requests
         self.sent: list[tuple[float, Change]] = []
-        self.payloads: dict[tuple[str, int], bytes] = {}  # by key and version, as read
-        self.older: set[str] = set()  # members and heads that run a program without evacuations
+        self.payloads: dict[tuple[str, int], bytes] = {}  # values read, by key and version
+        self.older: set[str] = set()  # addresses that run a release without evacuations
         super().__init__(seed, voters, others, heads)
 
     def _add_head(self, settings: Settings) -> None:
@@ -88,32 +88,32 @@
     # --- operators -----------------------------------------------------------------------------------------------
 
     async def request(self, address: str, key: str, change: Change | None, timeout_s: float) -> ClientResponse:
-        """Change or read a register at a member, as its host does."""
+        """Change or read a register through a member, as `ReplicaHost` does."""
         member = self.members[address]
         request_id = next(self.request_ids)
         if member.machine is None:
             return ClientResponse(request_id, None)
-        began = self.loop.time()
+        started_at = self.loop.time()
         if change is not None:
-            self.sent.append((began, change))
+            self.sent.append((started_at, change))
         future: asyncio.Future[ClientResponse] = self.loop.create_future()
         self.pending[request_id] = future
         self.handle(member, ClientRequest(request_id, key, change, timeout_s))
         try:
             async with asyncio.timeout(timeout_s + 0.1):
                 response = await future
-                self._record_call(began, key, change, response)
+                self._record_call(started_at, key, change, response)
                 return response
         except TimeoutError:
             return ClientResponse(request_id, None)
         finally:
             del self.pending[request_id]
 
-    def _record_call(self, began: float, key: str, change: Change | None, response: ClientResponse) -> None:
-        """Record a completed call; a version that is read twice has one value."""
+    def _record_call(self, started_at: float, key: str, change: Change | None, response: ClientResponse) -> None:
+        """Record a completed call; all reads of one version must return the same value."""
         if response.outcome is None:
             return
-        call = linearizability.Call(began, self.loop.time(), change, response.outcome, response.version)
+        call = linearizability.Call(started_at, self.loop.time(), change, response.outcome, response.version)
         self.calls.append(call)
         if response.outcome is Outcome.VALUE:
             known = self.payloads.setdefault((key, response.version), response.payload)
@@ -130,14 +130,14 @@
         assert soft_state is not None
         return EvacuationApi(ZONES, partial(self.request, address), soft_state.publish_register, self.loop.time)
 
-    async def call(self, address: str, method: str, zone: str, frozen_s: float = 0.0) -> int | None:
-        """Send an order to a member; return the status, None where none came in time.
+    async def call(self, address: str, method: str, zone: str, pause_s: float = 0.0) -> int | None:
+        """Send an order to a member; return the status, or None without a response in time.
 
         Args:
             address: The member's address.
             method: POST, DELETE or GET.
             zone: The zone.
-            frozen_s: For which the member stands still before it begins with the order.
+            pause_s: How long the member is paused before it executes the order.
 
         """
         if self.members[address].machine is None:
@@ -146,38 +146,38 @@
         api = self.api(address)
 
         async def serve() -> None:
-            await asyncio.sleep(frozen_s)
+            await asyncio.sleep(pause_s)
             await api.serve_zone(method, zone, call.receive, call.send)
 
         task = self.loop.create_task(serve())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        await asyncio.wait({task}, timeout=SILENCE_S)
-        call.left.set()
+        await asyncio.wait({task}, timeout=CALL_TIMEOUT_S)
+        call.disconnected.set()
         return call.status if task.done() else None
 
     async def order(self, zone: str, should_evacuate: bool, choose: Callable[[], tuple[str, float, bool]]) -> float:
-        """Send an order to one member after the other until it is acknowledged; return how long that took.
+        """Retry an order at other members until it is acknowledged; return the duration in seconds.
 
         Args:
             zone: The zone.
-            should_evacuate: Whether it is to be evacuated, or taken back.
-            choose: Chooses the next member, how long it stands still, and whether its answer is lost.
+            should_evacuate: Whether to begin the evacuation, or else to end it.
+            choose: Chooses the next member, how long it is paused, and whether its response is lost.
 
         """
-        began = self.loop.time()
+        started_at = self.loop.time()
         while True:
-            address, frozen_s, is_lost = choose()
-            status = await self.call(address, "POST" if should_evacuate else "DELETE", zone, frozen_s)
+            address, pause_s, is_lost = choose()
+            status = await self.call(address, "POST" if should_evacuate else "DELETE", zone, pause_s)
             if status == 200 and not is_lost:
-                return self.loop.time() - began
-            assert status in (None, 200, 503), f"{address} answers {status}"
-            await asyncio.sleep(PAUSE_S)
+                return self.loop.time() - started_at
+            assert status in (None, 200, 503), f"{address} responded with {status}"
+            await asyncio.sleep(RETRY_DELAY_S)
 
     async def settle(self) -> None:
-        """Wait for the end of the attempts that their operators have left."""
+        """Wait for attempts that are still running after their operators disconnected."""
         await asyncio.gather(*self.tasks)
 
     def evacuated(self) -> dict[str, set[str]]:
-        """Tell the zones that each head takes for evacuated."""
+        """Return the zones that each head regards as evacuated."""
         return {address: placement.admission.evacuated_zones for address, placement in self.placements.items()}
--- a/tests/test_evacuation_orders.py
+++ b/tests/test_evacuation_orders.py
@@ -1,4 +1,4 @@
-"""Operators' evacuations from the API to the heads, in virtual time: resent, cut off, lost, and in drawn histories."""
+"""Orders of evacuations from the API to the heads, in virtual time: with retries, partitions, losses, and at random."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 from hophinge.fleet.controlplane.evacuation_api import ORDER_TIMEOUT_S, EvacuationApi
 from hophinge.fleet.dataplane.cluster_state import STABILIZATION_S
 from tests import linearizability
-from tests.evacuation_world import EVACUATION_S, PAUSE_S, SILENCE_S, ZONES, Call, EvacuationWorld
+from tests.evacuation_world import EVACUATION_S, RETRY_DELAY_S, CALL_TIMEOUT_S, ZONES, Call, EvacuationWorld
 from tests.virtual_loop import play
 
 HISTORIES = 12
 RACES = 6
-MIN_CALLS = 20  # of the register, that each race completes
+MIN_CALLS = 20  # completed register requests in each race
 FORMED_S = 6.0
 ONE, TWO, THREE, FOUR, FIVE = (f"10.0.0.{number}:7660" for number in range(1, 6))
 VOTERS = (ONE, TWO, THREE)
 Z0, Z1, Z2 = ZONES
 
 
-async def _formed(seed: int) -> EvacuationWorld:
+async def _start_world(seed: int) -> EvacuationWorld:
     world = EvacuationWorld(seed)
     await asyncio.sleep(FORMED_S)
     return world
 
 
-def _at(address: str) -> Any:
+def _always(address: str) -> Any:
     return lambda: (address, 0.0, False)
 
 
-async def _all_know(world: EvacuationWorld, *zones: str, after_s: float = EVACUATION_S) -> None:
+async def _check_all_heads(world: EvacuationWorld, *zones: str, after_s: float = EVACUATION_S) -> None:
     await asyncio.sleep(after_s)
     for address, evacuated in world.evacuated().items():
         assert evacuated == set(zones), address
@@ -47,65 +47,65 @@
     for address, member in world.members.items():
         if member.machine is not None and member.machine.chain.is_head:
             return address
-    raise AssertionError("no member heads the chain")
+    raise AssertionError("no member is the head of the chain")
 
 
 @pytest.mark.parametrize("member", [ONE, TWO, THREE, FOUR, FIVE])
 def test_without_faults_any_member_acknowledges_at_once_and_all_heads_apply_the_order(member: str) -> None:
     async def run() -> None:
-        world = await _formed(1)
-        for _ in range(2):  # the second evacuation of a zone is another change than the first
+        world = await _start_world(1)
+        for _ in range(2):  # a second evacuation of a zone is a new change
             for repeat in range(2):
-                assert await world.order(Z0, True, _at(member)) < 0.2, repeat
-            await _all_know(world, Z0, after_s=0.5)
+                assert await world.order(Z0, True, _always(member)) < 0.2, repeat
+            await _check_all_heads(world, Z0, after_s=0.5)
             for repeat in range(2):
-                assert await world.order(Z0, False, _at(member)) < 0.2, repeat
-            await _all_know(world, after_s=0.5)
+                assert await world.order(Z0, False, _always(member)) < 0.2, repeat
+            await _check_all_heads(world, after_s=0.5)
 
     play(run())
 
 
 def test_two_zones_are_evacuated_independently() -> None:
     async def run() -> None:
-        world = await _formed(2)
-        await asyncio.gather(*(world.order(zone, True, _at(member)) for zone, member in ((Z0, ONE), (Z1, FIVE))))
-        await _all_know(world, Z0, Z1, after_s=0.5)
-        await world.order(Z0, False, _at(TWO))
-        await _all_know(world, Z1, after_s=0.5)
+        world = await _start_world(2)
+        await asyncio.gather(*(world.order(zone, True, _always(member)) for zone, member in ((Z0, ONE), (Z1, FIVE))))
+        await _check_all_heads(world, Z0, Z1, after_s=0.5)
+        await world.order(Z0, False, _always(TWO))
+        await _check_all_heads(world, Z1, after_s=0.5)
 
     play(run())
 
 
 def test_all_zones_can_be_evacuated_and_returned_to_service() -> None:
     async def run() -> None:
-        world = await _formed(3)
+        world = await _start_world(3)
         for zone in ZONES:
-            await world.order(zone, True, _at(ONE))
-        await _all_know(world, *ZONES, after_s=0.5)
+            await world.order(zone, True, _always(ONE))
+        await _check_all_heads(world, *ZONES, after_s=0.5)
         for zone in ZONES:
-            await world.order(zone, False, _at(TWO))
-        await _all_know(world, after_s=0.5)
+            await world.order(zone, False, _always(TWO))
+        await _check_all_heads(world, after_s=0.5)
 
     play(run())
 
 
-@pytest.mark.parametrize("side", [{ONE}, {ONE, FOUR}])
-def test_a_partition_without_a_majority_answers_503_at_once_and_the_other_serves_orders(side: set[str]) -> None:
+@pytest.mark.parametrize("partition", [{ONE}, {ONE, FOUR}])
+def test_a_partition_without_a_majority_answers_503_at_once_and_the_other_serves_orders(partition: set[str]) -> None:
     async def run() -> None:
-        world = await _formed(4)
-        world.cut(side, (set(world.members) | set(world.heads)) - side)
+        world = await _start_world(4)
+        world.cut(partition, (set(world.members) | set(world.heads)) - partition)
         await asyncio.sleep(2.0)
-        for member in side:
-            began = world.loop.time()
+        for member in partition:
+            started_at = world.loop.time()
             for method in ("POST", "DELETE"):
                 assert await world.call(member, method, Z0) == 503
-            assert world.loop.time() - began < 0.1
-        assert await world.order(Z0, True, _at(TWO)) < 1.0
-        await _all_know(world, Z0)
+            assert world.loop.time() - started_at < 0.1
+        assert await world.order(Z0, True, _always(TWO)) < 1.0
+        await _check_all_heads(world, Z0)
         world.heal()
         await asyncio.sleep(2.0)
         assert await world.call(ONE, "POST", Z0) == 200
-        await _all_know(world, Z0, after_s=0.0)
+        await _check_all_heads(world, Z0, after_s=0.0)
 
     play(run())
 
@@ -113,12 +113,12 @@
 @pytest.mark.parametrize("older", [{ONE}, {ONE, TWO, THREE, FOUR}])
 def test_members_of_an_older_release_do_not_keep_orders_from_the_heads(older: set[str]) -> None:
     async def run() -> None:
-        world = await _formed(11)
+        world = await _start_world(11)
         head = min(world.heads)
         world.older = older | {head}
-        await world.order(Z0, True, _at(FIVE))
+        await world.order(Z0, True, _always(FIVE))
         await asyncio.sleep(EVACUATION_S)
-        assert world.evacuated().pop(head) == set(), "it passes over the record"
+        assert world.evacuated().pop(head) == set(), "an older release ignores the record"
         for address in set(world.heads) - {head}:
             assert world.evacuated()[address] == {Z0}, address
 
@@ -127,8 +127,8 @@
 
 def test_a_starting_head_knows_the_evacuated_zones_before_it_becomes_ready() -> None:
     async def run() -> None:
-        world = await _formed(12)
-        await world.order(Z0, True, _at(ONE))
+        world = await _start_world(12)
+        await world.order(Z0, True, _always(ONE))
         await asyncio.sleep(0.5)
         address = min(world.heads)
         world._add_head(world.heads[address].settings)
@@ -142,40 +142,40 @@
 
 def test_a_partitioned_head_keeps_its_state_and_catches_up_afterwards() -> None:
     async def run() -> None:
-        world = await _formed(5)
-        await world.order(Z0, True, _at(ONE))
+        world = await _start_world(5)
+        await world.order(Z0, True, _always(ONE))
         await asyncio.sleep(0.5)
         head = min(world.heads)
         world.cut({head}, (set(world.members) | set(world.heads)) - {head})
-        await world.order(Z0, False, _at(ONE))
-        await world.order(Z1, True, _at(ONE))
+        await world.order(Z0, False, _always(ONE))
+        await world.order(Z1, True, _always(ONE))
         await asyncio.sleep(EVACUATION_S)
         assert world.evacuated()[head] == {Z0}
         world.heal()
-        await _all_know(world, Z1)
+        await _check_all_heads(world, Z1)
 
     play(run())
 
 
 def test_an_order_survives_the_loss_of_the_chains_head_right_after_its_acknowledgement() -> None:
     async def run() -> None:
-        world = await _formed(6)
+        world = await _start_world(6)
         first = _chain_head(world)
-        await world.order(Z0, True, _at(first))
-        world.wipe(first)  # with its zone: that is the one which was evacuated
+        await world.order(Z0, True, _always(first))
+        world.wipe(first)  # the member in the evacuated zone
         others = [voter for voter in VOTERS if voter != first]
-        await _all_know(world, Z0)
-        assert await world.order(Z1, True, _at(others[0])) < 5.0
+        await _check_all_heads(world, Z0)
+        assert await world.order(Z1, True, _always(others[0])) < 5.0
         world.start(first)
-        await _all_know(world, Z0, Z1)
+        await _check_all_heads(world, Z0, Z1)
 
     play(run())
 
 
 def test_an_acknowledged_order_survives_a_power_loss_and_reaches_restarted_heads() -> None:
     async def run() -> None:
-        world = await _formed(7)
-        await world.order(Z0, True, _at(ONE))
+        world = await _start_world(7)
+        await world.order(Z0, True, _always(ONE))
         for member in world.members:
             world.kill(member)
         for member in world.members:
@@ -183,19 +183,19 @@
         for head in world.heads.values():
             world._add_head(head.settings)
         assert world.evacuated()[min(world.heads)] == set()
-        await _all_know(world, Z0)
+        await _check_all_heads(world, Z0)
 
     play(run())
 
 
 def test_an_order_executed_late_by_a_paused_member_does_not_undo_a_newer_one() -> None:
     async def run() -> None:
-        world = await _formed(8)
-        assert await world.call(ONE, "POST", Z0, frozen_s=4.0) is None
-        await world.order(Z0, True, _at(TWO))
-        await world.order(Z0, False, _at(TWO))
+        world = await _start_world(8)
+        assert await world.call(ONE, "POST", Z0, pause_s=4.0) is None
+        await world.order(Z0, True, _always(TWO))
+        await world.order(Z0, False, _always(TWO))
         await asyncio.sleep(4.0)
-        await _all_know(world)
+        await _check_all_heads(world)
 
     play(run())
 
@@ -217,7 +217,7 @@
 
 
 def test_an_order_that_conflicts_with_newer_orders_is_not_retried() -> None:
-    """The register changes between the read of an abandoned attempt and its change, by what the operator sent since."""
+    """Newer orders of the operator change the register between the read and the change of an abandoned attempt."""
 
     async def run() -> None:
         changes: list[Change] = []
@@ -240,27 +240,27 @@
 
 def test_a_conflict_with_a_change_to_the_same_value_is_acknowledged() -> None:
     async def run() -> None:
-        answers = [
+        responses = [
             ClientResponse(1, Outcome.VALUE, 4, b""),
             ClientResponse(2, Outcome.CONFLICT, 5),
             ClientResponse(3, Outcome.VALUE, 5, EVACUATED),
         ]
 
         async def request(key: str, change: Change | None, timeout_s: float) -> ClientResponse:
-            return answers.pop(0)
+            return responses.pop(0)
 
         call = Call()
         api = EvacuationApi(ZONES, request, lambda record: None, asyncio.get_running_loop().time)
         await api.serve_zone("POST", Z0, call.receive, call.send)
         assert call.status == 200
-        assert not answers
+        assert not responses
 
     play(run())
 
 
 def test_orders_for_unknown_zones_and_other_methods_are_rejected_and_change_nothing() -> None:
     async def run() -> None:
-        world = await _formed(9)
+        world = await _start_world(9)
         for method in ("POST", "DELETE", "GET"):
             assert await world.call(ONE, method, "elsewhere") == 404
         assert await world.call(ONE, "PUT", Z0) == 405
@@ -270,13 +270,13 @@
 
 
 def test_an_order_is_answered_before_its_caller_retries_at_another_member() -> None:
-    assert ORDER_TIMEOUT_S + 2 * 0.05 < SILENCE_S
+    assert ORDER_TIMEOUT_S + 2 * 0.05 < CALL_TIMEOUT_S
 
 
 def test_operators_read_the_state_of_a_zone_and_of_all() -> None:
     async def run() -> None:
-        world = await _formed(10)
-        await world.order(Z1, True, _at(ONE))
+        world = await _start_world(10)
+        await world.order(Z1, True, _always(ONE))
         bodies: list[bytes] = []
 
         async def send(message: dict[str, Any]) -> None:
@@ -291,17 +291,17 @@
     play(run())
 
 
-# --- drawn histories --------------------------------------------------------------------------------------------------
+# --- random histories -------------------------------------------------------------------------------------------------
 
 
-async def _disturb(world: EvacuationWorld, random: Random) -> None:
-    """Disturb one member of the core, and one of the others, for some seconds."""
+async def _inject_fault(world: EvacuationWorld, random: Random) -> None:
+    """Inject a fault into one voter, and sometimes one other member, for a few seconds."""
     victim = random.choice(VOTERS)
-    inside = {victim, random.choice([FOUR, FIVE])}
+    minority = {victim, random.choice([FOUR, FIVE])}
     everybody = set(world.members) | set(world.heads)
     kind = random.choice(["cut", "one_way", "kill", "wipe"])
     if kind in ("cut", "one_way"):
-        world.cut(inside, everybody - inside, kind == "one_way")
+        world.cut(minority, everybody - minority, kind == "one_way")
     elif kind == "kill":
         world.kill(victim)
     else:
@@ -310,15 +310,15 @@
     world.heal()
     if world.members[victim].machine is None:
         world.start(victim)
-    await asyncio.sleep(random.uniform(3.0, 5.0))  # until it has caught up: one loss at a time is borne
+    await asyncio.sleep(random.uniform(3.0, 5.0))  # until it has caught up: only one loss at a time is tolerated
 
 
 async def _operate(world: EvacuationWorld, random: Random, zone: str, until: float) -> bool:
-    """Send orders for one zone until a time; return the value of the last one, which was acknowledged."""
+    """Send orders for one zone until a time; return the value of the last one, which is acknowledged."""
 
     def choose() -> tuple[str, float, bool]:
-        frozen_s = random.choice([0.0, 0.0, 0.0, random.uniform(0.0, 3.0)])
-        return random.choice(sorted(world.members)), frozen_s, random.random() < 0.3
+        pause_s = random.choice([0.0, 0.0, 0.0, random.uniform(0.0, 3.0)])
+        return random.choice(sorted(world.members)), pause_s, random.random() < 0.3
 
     value = False
     while world.loop.time() < until:
@@ -326,18 +326,20 @@
         await world.order(zone, value, choose)
         await asyncio.sleep(random.uniform(0.0, 1.5))
         read = await world.request(TWO, evacuation_key(zone), None, 2.0)
-        assert read.outcome is not Outcome.VALUE or is_evacuated(read.payload) == value, "a read is older than an order"
+        assert read.outcome is not Outcome.VALUE or is_evacuated(read.payload) == value, (
+            "a read returned a value older than the acknowledged order"
+        )
     return value
 
 
 @pytest.mark.parametrize("seed", range(HISTORIES))
 def test_random_histories_with_faults_keep_every_acknowledged_order(seed: int) -> None:
     async def run() -> None:
-        world, random = await _formed(seed), Random(seed)
+        world, random = await _start_world(seed), Random(seed)
         until = world.loop.time() + 30.0
         operators = [asyncio.create_task(_operate(world, Random(f"{seed}-{zone}"), zone, until)) for zone in ZONES]
         while world.loop.time() < until:
-            await _disturb(world, random)
+            await _inject_fault(world, random)
         values = await asyncio.gather(*operators)
         await world.settle()
         lost = random.choice(VOTERS)
@@ -346,12 +348,12 @@
                 world.wipe(member)
             else:
                 world.kill(member)
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_DELAY_S)
         for member in world.members:
             world.start(member)
         await asyncio.sleep(3.0)
         expected = {zone for zone, value in zip(ZONES, values, strict=True) if value}
-        await _all_know(world, *expected)
+        await _check_all_heads(world, *expected)
 
     play(run())
 
@@ -359,27 +361,27 @@
 @pytest.mark.parametrize("seed", range(RACES))
 def test_orders_of_two_operators_with_retries_and_lost_responses_are_linearizable(seed: int) -> None:
     async def run() -> None:
-        world, random = await _formed(seed), Random(seed)
+        world, random = await _start_world(seed), Random(seed)
         until = world.loop.time() + 15.0
 
         async def operate(name: str) -> None:
-            own = Random(f"{seed}-{name}")
+            operator_random = Random(f"{seed}-{name}")
 
             def choose() -> tuple[str, float, bool]:
                 return (
-                    own.choice(sorted(world.members)),
-                    own.choice([0.0, 0.0, own.uniform(0.0, 2.0)]),
-                    own.random() < 0.3,
+                    operator_random.choice(sorted(world.members)),
+                    operator_random.choice([0.0, 0.0, operator_random.uniform(0.0, 2.0)]),
+                    operator_random.random() < 0.3,
                 )
 
             while world.loop.time() < until:
-                value = own.random() < 0.5
+                value = operator_random.random() < 0.5
                 await world.order(Z0, value, choose)
-                await asyncio.sleep(own.uniform(0.0, 0.3))
+                await asyncio.sleep(operator_random.uniform(0.0, 0.3))
 
         operators = [asyncio.create_task(operate(name)) for name in "ab"]
         while world.loop.time() < until:
-            await _disturb(world, random)
+            await _inject_fault(world, random)
         await asyncio.gather(*operators)
         await world.settle()
         assert linearizability.check(world.calls, world.sent) > MIN_CALLS
--- a/tests/test_fleet_counters.py
+++ b/tests/test_fleet_counters.py
@@ -1,4 +1,4 @@
-"""Shared counters on a real disk and behind their API: what is rejected, kept over restarts, and sent elsewhere."""
+"""Shared counters with a real disk and their API: rejections, persistence over restarts, and redirects."""
 
 from __future__ import annotations
 
@@ -80,8 +80,8 @@
 
 
 @asynccontextmanager
-async def _alone(folder: Path) -> AsyncIterator[tuple[CounterHost, Caller]]:
-    """A member on a disk of its own, for a group that tolerates no loss."""
+async def _single_member(folder: Path) -> AsyncIterator[tuple[CounterHost, Caller]]:
+    """Run a member with its own disk, in a group that tolerates no loss."""
     replica, records = _replica(), GossipStore()
     host = CounterHost(_settings(folder), replica, CounterEffects(lambda address, message: None, _ignore, records))
 
@@ -95,7 +95,7 @@
         yield host, Caller(host, replica, records)
     finally:
         ticking.cancel()
-        while host.commit.writing_since is not None:  # the disk's thread reports to this loop
+        while host.commit.writing_since is not None:  # the disk thread reports to this loop
             await asyncio.sleep(0)
 
 
@@ -108,7 +108,7 @@
 
 
 async def _total(caller: Caller, name: str) -> int:
-    """Read a total as soon as the member answers."""
+    """Read a total, retrying while the member responds with 503."""
     while True:
         status, _, body = await caller.call("GET", name)
         if status == 200:
@@ -119,7 +119,7 @@
 
 def test_increments_survive_restarts_but_not_the_loss_of_the_disk(tmp_path: Path) -> None:
     async def play() -> None:
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             assert (await caller.call("POST", "t", VALID))[0] == 200
             assert (await caller.call("POST", "t", VALID))[0] == 200
             assert (await caller.call("POST", "t", b'{"id": "b", "by": -6}'))[0] == 200
@@ -127,12 +127,14 @@
             assert await _total(caller, "t") == -2
             assert await _total(caller, "new") == 0
             assert host.status().increments == 3
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             assert await _total(caller, "t") == -2
             assert host.commit.store.scrub() == []
         shutil.rmtree(tmp_path)
-        async with _alone(tmp_path) as (host, caller):
-            assert (await caller.call("GET", "t"))[0] == 503, "a new disk waits for what others may have"
+        async with _single_member(tmp_path) as (host, caller):
+            assert (await caller.call("GET", "t"))[0] == 503, (
+                "a member with a new disk waits for increments that others may have"
+            )
             assert await _total(caller, "t") == 0
 
     _play(play())
@@ -158,7 +160,7 @@
 )
 def test_an_invalid_increment_is_answered_with_findings_and_stores_nothing(tmp_path: Path, body: bytes) -> None:
     async def play() -> None:
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             status, _, reply = await caller.call("POST", "t", body)
             assert status == 400
             assert reply["findings"]
@@ -168,7 +170,7 @@
 
 
 def test_the_name_in_a_path_is_decoded_once() -> None:
-    """Guards against two counters that become one: the server has decoded the path before the API sees it."""
+    """Guards against decoding twice, which would merge two counters: the server has already decoded the path."""
     names: list[str] = []
 
     async def handler(method: str, name: str, receive: Any, send: Any) -> None:
@@ -182,7 +184,7 @@
 
 def test_other_methods_and_large_bodies_are_rejected(tmp_path: Path) -> None:
     async def play() -> None:
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             status, headers, _ = await caller.call("DELETE", "t")
             assert (status, headers[b"allow"]) == (405, b"GET, POST")
             with pytest.raises(BodyTooLargeError):
@@ -195,7 +197,7 @@
 
 def test_a_failed_disk_rejects_new_increments_and_acknowledges_only_synced_ones(tmp_path: Path) -> None:
     async def play() -> None:
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             await _total(caller, "t")
             volume = host.commit.store.volume
             sync, failures = volume.sync, [OSError(28, "no space left on device")]
@@ -216,8 +218,8 @@
             assert b"retry-after" in headers
             assert host.machine.counters.get("b") is None
             failures.clear()
-            assert (await pending)[0] == 200, "the complete state, which holds it, is synced now"
-        async with _alone(tmp_path) as (host, caller):
+            assert (await pending)[0] == 200, "the complete state, which contains it, is synced now"
+        async with _single_member(tmp_path) as (host, caller):
             assert await _total(caller, "t") == 4
 
     _play(play())
@@ -226,7 +228,7 @@
 def test_a_member_starts_on_a_full_disk_and_stores_counters_once_it_is_writable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a control member that ends at each start: the first write of its counters was not awaited."""
+    """Guards against a control member that ends at each start because the first write of its counters fails."""
     write, failures = FileVolume.write, [OSError(28, "no space left on device")]
 
     def failing(volume: FileVolume, name: str, offset: int, data: bytes) -> None:
@@ -236,7 +238,7 @@
 
     async def play() -> None:
         monkeypatch.setattr(FileVolume, "write", failing)
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             while host.commit.is_writable:
                 await asyncio.sleep(COUNTER_TICK_S)
             await asyncio.sleep(2 * COUNTER_TICK_S)
@@ -246,7 +248,7 @@
                 await asyncio.sleep(COUNTER_TICK_S)
             await asyncio.sleep(2 * COUNTER_TICK_S)
             assert (await caller.call("POST", "t", VALID))[0] == 200
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             assert await _total(caller, "t") == 4
 
     _play(play())
@@ -254,7 +256,7 @@
 
 def test_a_draining_member_rejects_new_increments_and_answers_pending_ones_as_unknown(tmp_path: Path) -> None:
     async def play() -> None:
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             pending = asyncio.create_task(caller.call("POST", "t", VALID))
             while not host.pending_requests:
                 await asyncio.sleep(0)
@@ -273,7 +275,7 @@
     monkeypatch.setattr("hophinge.coordination.counter_replication.MAX_INCREMENTS", 1)
 
     async def play() -> None:
-        async with _alone(tmp_path) as (host, caller):
+        async with _single_member(tmp_path) as (host, caller):
             assert (await caller.call("POST", "t", VALID))[0] == 200
             assert (await caller.call("POST", "t", b'{"id": "b", "by": 1}'))[0] == 503
             assert (await caller.call("POST", "t", VALID))[0] == 200
@@ -290,8 +292,8 @@
         now = asyncio.get_running_loop().time()
         heartbeat = Heartbeat(1, 1, 0, 0, True, True, False, b"")
         members = [Replica("disk-b", "10.0.0.2:7660", "y"), Replica("disk-c", "10.0.0.3:7660", "z")]
-        older = Replica("disk-d", "10.0.0.4:7660", "z")
-        for member in (*members, older):
+        unannounced = Replica("disk-d", "10.0.0.4:7660", "z")
+        for member in (*members, unannounced):
             replica.peers.record_heartbeat(now, member, heartbeat)
         for member in members:
             record = GossipRecord(COUNTERS_PREFIX + member.identity, (1, 0), member.address.encode())
@@ -381,13 +383,13 @@
 
 def test_counters_are_restored_from_the_stored_state_and_the_log(tmp_path: Path) -> None:
     async def play() -> None:
-        async with _alone(tmp_path) as (host, _):
+        async with _single_member(tmp_path) as (host, _):
             increments = [Increment(f"id-{number}", "t", number) for number in range(20)]
             await asyncio.gather(*(host.add(increment) for increment in increments[:10]))
             host.commit.write_state()
             await asyncio.gather(*(host.add(increment) for increment in increments[10:]))
             root = host.machine.counters.root
-        async with _alone(tmp_path) as (host, _):
+        async with _single_member(tmp_path) as (host, _):
             assert isinstance(host.machine, CounterReplica)
             assert host.machine.counters.root == root
 
--- a/tests/test_fleet_evacuations.py
+++ b/tests/test_fleet_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated zones at a head: no path sends anything to their instances, and what is taken back counts as cold."""
+"""Evacuated zones at a head: nothing is sent to their instances, which are limited after the evacuation ends."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from hophinge.fleet.registry.instance import LOST, READY, Instance
 from hophinge.fleet.registry.warmup import Warmup
 
-EVACUATION_S = 5.0  # the operators' bound: evacuation-ms
+EVACUATION_S = 5.0  # the operators' bound, evacuation-ms
 STREAM = Route("r", "h", "/", "streaming", 9.0, 0.5, 0.0, 1, 2, True, ("s",), (1.0,))
 PROMPT = Prompt(1_000, 80, (("shared", 800), ("own", 200)))
 
@@ -63,7 +63,7 @@
     return step.reservation.node.instance.zone
 
 
-def _read(step: object) -> AttemptResult:
+def _prefill_result(step: object) -> AttemptResult:
     assert isinstance(step, Prefill)
     return AttemptResult(AttemptOutcome.READ, KvHandle(step.reservation.node.instance.identity, "10.0.0.1:80", "h"))
 
@@ -79,41 +79,41 @@
         assert _zone(_lifecycle(plain, None, has_stages=False).next_step(0.0)) == "b"
 
 
-@pytest.mark.parametrize("ending", list(AttemptOutcome))
-def test_retries_and_resumed_streams_avoid_a_zone_evacuated_meanwhile(ending: AttemptOutcome) -> None:
+@pytest.mark.parametrize("outcome", list(AttemptOutcome))
+def test_retries_and_resumed_streams_avoid_a_zone_evacuated_meanwhile(outcome: AttemptOutcome) -> None:
     placement = _staged("a")
-    life = _lifecycle(placement)
-    step = life.next_step(0.0)
+    lifecycle = _lifecycle(placement)
+    step = lifecycle.next_step(0.0)
     for instance in (_instance("b", "prefill"), _instance("b", "decode")):
         placement.instances.update_instance(instance.identity, instance)
     placement.instances.update_evacuation("a", True, 0.1)
     assert isinstance(step, Prefill | Generate)
-    result = AttemptResult(ending, KvHandle("a-prefill-0", "10.0.0.1:80", "h"), last_event_id="2")
-    if not life.complete_attempt(0.2, step.reservation, result):
-        assert _zone(life.next_step(0.2)) == "b"
+    result = AttemptResult(outcome, KvHandle("a-prefill-0", "10.0.0.1:80", "h"), last_event_id="2")
+    if not lifecycle.complete_attempt(0.2, step.reservation, result):
+        assert _zone(lifecycle.next_step(0.2)) == "b"
 
 
 def test_decoding_avoids_a_zone_evacuated_after_the_prefill() -> None:
     placement = _staged("a")
-    life = _lifecycle(placement)
-    step = life.next_step(0.0)
+    lifecycle = _lifecycle(placement)
+    step = lifecycle.next_step(0.0)
     assert isinstance(step, Prefill)
     placement.instances.update_instance("b-decode-0", _instance("b", "decode"))
     placement.instances.update_evacuation("a", True, 0.1)
-    life.complete_attempt(0.2, step.reservation, _read(step))
-    following = life.next_step(0.2)
-    assert _zone(following) == "b"
-    assert isinstance(following, Generate)
-    assert following.handle is not None, "work in flight ends: the memory of a prompt that was read is fetched"
+    lifecycle.complete_attempt(0.2, step.reservation, _prefill_result(step))
+    next_step = lifecycle.next_step(0.2)
+    assert _zone(next_step) == "b"
+    assert isinstance(next_step, Generate)
+    assert next_step.handle is not None, "requests in flight complete: the KV cache of the prefilled prompt is fetched"
 
 
 def test_no_handle_is_freed_at_an_evacuated_instance() -> None:
     placement = _staged("a", "b")
     handles = [KvHandle("a-prefill-0", "10.0.0.1:80", "h"), KvHandle("b-prefill-0", "10.0.0.1:80", "h")]
-    life = _lifecycle(placement)
-    life.unused_handles = list(handles)
+    lifecycle = _lifecycle(placement)
+    lifecycle.unused_handles = list(handles)
     placement.instances.update_evacuation("a", True, 0.0)
-    assert life.collect_unused_handles() == handles[1:]
+    assert lifecycle.collect_unused_handles() == handles[1:]
 
 
 def test_lost_instances_of_an_evacuated_zone_are_not_a_last_resort() -> None:
@@ -126,16 +126,16 @@
 def test_a_request_waiting_for_a_stage_checks_evacuations_again_before_it_is_sent() -> None:
     placement = _placement(_instance("a", "prefill", 0), _instance("a", "prefill", 1), _instance("a", "prefill", 2))
     placement.instances.stage_switch_s = {"s": 0.2}
-    life = replace(_lifecycle(placement), target_at=5.0)
-    assert isinstance(life.next_step(0.0), Backoff)
+    lifecycle = replace(_lifecycle(placement), target_at=5.0)
+    assert isinstance(lifecycle.next_step(0.0), Backoff)
     placement.instances.update_instance("a-decode-0", _instance("a", "decode"))
     placement.instances.update_evacuation("a", True, 0.1)
-    assert isinstance(life.next_step(0.2), Reject)
+    assert isinstance(lifecycle.next_step(0.2), Reject)
     assert not placement.pending_requests
 
 
 def test_a_placed_request_is_sent_well_within_the_evacuation_bound_or_not_at_all() -> None:
-    # From its placement, a request waits for a connection of the pool and for its handshake, and for nothing else.
+    # After its placement, a request waits only for a connection of the pool and for its handshake.
     assert 2 * CONNECT_TIMEOUT_S < EVACUATION_S / 2
 
 
@@ -145,11 +145,11 @@
     placement.instances.stage_switch_s = {"s": 1.0}
     for zone in "ab":
         placement.instances.update_evacuation(zone, True, 0.0)
-    life = _lifecycle(placement, PROMPT if has_stages else None, has_stages)
-    answer = life.next_step(0.0)
-    assert isinstance(answer, Reject)
-    assert answer.status == 503
-    assert answer.retry_after_s is not None
+    lifecycle = _lifecycle(placement, PROMPT if has_stages else None, has_stages)
+    step = lifecycle.next_step(0.0)
+    assert isinstance(step, Reject)
+    assert step.status == 503
+    assert step.retry_after_s is not None
 
 
 def test_a_stage_with_only_evacuated_instances_is_empty_and_is_refilled_only_from_other_zones() -> None:
@@ -205,7 +205,7 @@
 
 
 def _controller(zones: dict[str, bytes], *instances: Instance) -> tuple[StageController, list[str]]:
-    """Return a controller that holds the lease, and the list of instances that it plans with."""
+    """Return a controller that holds the lease, and a list that records the instances given to its planner."""
     dissemination = Dissemination(Random(1))
     records = [evacuation_record(evacuation_key(zone), Register(1, b"", value)) for zone, value in zones.items()]
     dissemination.publish(0.0, records)
--- a/tests/test_fleet_evacuations_together.py
+++ b/tests/test_fleet_evacuations_together.py
@@ -1,4 +1,4 @@
-"""Evacuations with both programs as real processes on loopback: no request reaches a zone until it is taken back."""
+"""Evacuations with real processes on loopback: no request reaches an evacuated zone until the evacuation ends."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 def _ordered(fleet: LoopbackFleet, number: int, method: str, zone: str) -> Condition:
-    """A control member acknowledges an order."""
+    """Return the condition that a control member acknowledges an order."""
 
-    async def look() -> tuple[bool, str]:
+    async def check() -> tuple[bool, str]:
         address = fleet.controls[number]
         try:
             reply = await fleet.call(address, method, f"/v1/evacuations/{zone}", b"", HOST)
@@ -37,27 +37,27 @@
             return False, type(error).__name__
         return reply.status == 200, f"answered {reply.status} {reply.body.decode()}"
 
-    return Condition(fleet.control(number), f"acknowledges {method} of {zone}", look)
+    return Condition(fleet.control(number), f"acknowledges {method} of {zone}", check)
 
 
 def _shows(fleet: LoopbackFleet, process: Process, address: str, zones: list[str]) -> Condition:
-    """A member's status names exactly these zones as evacuated, and a head is ready."""
+    """Return the condition that a member's status has exactly these evacuated zones, and a head is ready."""
 
-    async def look() -> tuple[bool, str]:
+    async def check() -> tuple[bool, str]:
         try:
             reply = await fleet.call(address, "GET", "/v1/member", b"", HOST)
         except FAILURES as error:
             return False, type(error).__name__
-        seen = json.loads(reply.body)
-        return seen["evacuated-zones"] == zones and seen.get("ready", True), f"{seen['evacuated-zones']}"
+        status = json.loads(reply.body)
+        return status["evacuated-zones"] == zones and status.get("ready", True), f"{status['evacuated-zones']}"
 
-    return Condition(process, f"shows {zones} as evacuated", look)
+    return Condition(process, f"shows {zones} as evacuated", check)
 
 
-def _tells(fleet: LoopbackFleet, number: int, states: dict[str, bool]) -> Condition:
-    """A control member tells the state of all zones; until it reaches a majority it says that it does not know."""
+def _reports(fleet: LoopbackFleet, number: int, states: dict[str, bool]) -> Condition:
+    """Return the condition that a control member reports the state of all zones; without a majority, it answers 503."""
 
-    async def look() -> tuple[bool, str]:
+    async def check() -> tuple[bool, str]:
         reply = await fleet.call(fleet.controls[number], "GET", "/v1/evacuations", b"", HOST)
         if reply.status == 200:
             assert json.loads(reply.body) == {"evacuated": states}
@@ -65,7 +65,7 @@
         assert reply.status == 503, f"answered {reply.status}"
         return False, reply.body.decode()
 
-    return Condition(fleet.control(number), f"tells {states}", look)
+    return Condition(fleet.control(number), f"reports {states}", check)
 
 
 async def _all_show(fleet: LoopbackFleet, *zones: str) -> None:
@@ -77,7 +77,7 @@
 
 
 def _reached(fleet: LoopbackFleet, zone: str) -> set[str]:
-    """Tell the requests that reached a zone's instances."""
+    """Return the requests that reached a zone's instances."""
     instances = [instance for instance in fleet.instances.values() if instance.zone == zone]
     return set().union(*(instance.received_requests for instance in instances))
 
@@ -95,21 +95,21 @@
             await _begin(fleet)
             await _serve(fleet, "before")
             assert _reached(fleet, EVACUATED)
-            for number in range(MACHINES):  # sent again, at any member, it is acknowledged again
+            for number in range(MACHINES):  # a repeated order is acknowledged again, at any member
                 await wait_until([_ordered(fleet, number, "POST", EVACUATED)], BOUND_S)
             await _all_show(fleet, EVACUATED)
-            known = _reached(fleet, EVACUATED)
+            reached_before = _reached(fleet, EVACUATED)
             await _serve(fleet, "during")
             await fleet.processes.kill("head-0", *(f"control-{number}" for number in range(MACHINES)))
             await fleet.processes.start("head-0", *(f"control-{number}" for number in range(MACHINES)))
             await _all_show(fleet, EVACUATED)
             await wait_until([counts_heads(fleet, number) for number in range(MACHINES)], BOUND_S)
             await _serve(fleet, "restarted")
-            assert _reached(fleet, EVACUATED) == known
+            assert _reached(fleet, EVACUATED) == reached_before
             await wait_until([_ordered(fleet, 1, "DELETE", EVACUATED)], BOUND_S)
             await _all_show(fleet)
             await _serve(fleet, "after")
-            assert _reached(fleet, EVACUATED) > known
+            assert _reached(fleet, EVACUATED) > reached_before
 
     asyncio.run(run())
 
@@ -124,15 +124,17 @@
             reply = await fleet.call(fleet.controls[2], "DELETE", f"/v1/evacuations/{EVACUATED}", b"", HOST)
             assert reply.status == 503
             await wait_until([_ordered(fleet, 0, "DELETE", EVACUATED), _ordered(fleet, 1, "POST", OTHER)], BOUND_S)
-            shown = [_shows(fleet, fleet.head(number), fleet.address(number, READY_PORT), [OTHER]) for number in (0, 1)]
-            await wait_until(shown, BOUND_S)
-            known = _reached(fleet, EVACUATED)
+            conditions = [
+                _shows(fleet, fleet.head(number), fleet.address(number, READY_PORT), [OTHER]) for number in (0, 1)
+            ]
+            await wait_until(conditions, BOUND_S)
+            reached_before = _reached(fleet, EVACUATED)
             assert (await fleet.request(2, "/p/q", "alone")).status == 200
-            assert _reached(fleet, EVACUATED) == known
+            assert _reached(fleet, EVACUATED) == reached_before
             fleet.heal()
             await _all_show(fleet, OTHER)
             states = {f"zone-{number}": f"zone-{number}" == OTHER for number in range(MACHINES)}
-            await wait_until([_tells(fleet, 2, states)], BOUND_S)
+            await wait_until([_reports(fleet, 2, states)], BOUND_S)
             reply = await fleet.call(fleet.controls[2], "POST", "/v1/evacuations/elsewhere", b"", HOST)
             assert reply.status == 404
 
--- a/tests/test_fleet_hint_relay.py
+++ b/tests/test_fleet_hint_relay.py
@@ -1,4 +1,4 @@
-"""The relay of hints between heads: each is sent once, never back, in a bounded number of messages."""
+"""The relay of hints between heads: each is sent once, never back to its source, in a bounded number of messages."""
 
 from __future__ import annotations
 
@@ -39,50 +39,50 @@
 
 
 def test_each_head_gets_the_hints_of_others_and_none_of_its_own() -> None:
-    wire = FrameRecorder()
-    wire.relay.add("h1", _hint("a"), True)
-    wire.relay.add("h2", _hint("b"), True)
-    wire.relay.add("c2", _hint("c"), False)
-    wire.relay.flush(1.0, HEADS, CONTROLS)
-    assert [wire.received_instances(head) for head in HEADS] == [["b", "c"], ["a", "c"], ["a", "b", "c"]]
-    assert [wire.received_instances(control) for control in CONTROLS] == [["a", "b"]] * 2, (
+    recorder = FrameRecorder()
+    recorder.relay.add("h1", _hint("a"), True)
+    recorder.relay.add("h2", _hint("b"), True)
+    recorder.relay.add("c2", _hint("c"), False)
+    recorder.relay.flush(1.0, HEADS, CONTROLS)
+    assert [recorder.received_instances(head) for head in HEADS] == [["b", "c"], ["a", "c"], ["a", "b", "c"]]
+    assert [recorder.received_instances(control) for control in CONTROLS] == [["a", "b"]] * 2, (
         "hints of control members are not sent to control members"
     )
-    wire.frames.clear()
-    wire.relay.add("c2", _hint("d"), False)
-    wire.relay.flush(2.0, HEADS, CONTROLS)
-    assert wire.received_instances("c2") == []
+    recorder.frames.clear()
+    recorder.relay.add("c2", _hint("d"), False)
+    recorder.relay.flush(2.0, HEADS, CONTROLS)
+    assert recorder.received_instances("c2") == []
 
 
 def test_the_only_source_of_hints_receives_none() -> None:
-    wire = FrameRecorder()
-    wire.relay.add("h1", _hint("a"), True)
-    wire.relay.flush(1.0, ["h1"], [])
-    assert wire.frames == []
+    recorder = FrameRecorder()
+    recorder.relay.add("h1", _hint("a"), True)
+    recorder.relay.flush(1.0, ["h1"], [])
+    assert recorder.frames == []
 
 
 def test_the_message_rate_is_bounded_for_any_number_of_heads() -> None:
     for heads in (10, 100, 1_000):
-        wire = FrameRecorder()
+        recorder = FrameRecorder()
         now, due, flushes = 0.0, None, 0
         while now < 1.0:
-            wire.relay.add("x", _hint("a"), True)
-            due = now + wire.relay.delay_s(now, heads) if due is None else due
+            recorder.relay.add("x", _hint("a"), True)
+            due = now + recorder.relay.delay_s(now, heads) if due is None else due
             if now >= due:
-                wire.relay.flush(now, [], [])
+                recorder.relay.flush(now, [], [])
                 flushes, due = flushes + 1, None
             now += MIN_FLUSH_INTERVAL_S / 4
         assert flushes * heads <= 1.2 / FLUSH_INTERVAL_PER_HEAD_S
 
 
 def test_hints_after_an_idle_time_are_relayed_soon() -> None:
-    wire = FrameRecorder()
-    wire.relay.flush(1.0, HEADS, CONTROLS)
-    assert wire.relay.delay_s(9.0, 1_000) == MIN_RELAY_DELAY_S
-    assert wire.relay.delay_s(1.0, 30) == pytest.approx(MIN_FLUSH_INTERVAL_S + 30 * FLUSH_INTERVAL_PER_HEAD_S)
+    recorder = FrameRecorder()
+    recorder.relay.flush(1.0, HEADS, CONTROLS)
+    assert recorder.relay.delay_s(9.0, 1_000) == MIN_RELAY_DELAY_S
+    assert recorder.relay.delay_s(1.0, 30) == pytest.approx(MIN_FLUSH_INTERVAL_S + 30 * FLUSH_INTERVAL_PER_HEAD_S)
 
 
 def test_an_unbatched_message_is_sent_at_once() -> None:
-    wire = FrameRecorder()
-    wire.relay.send_now(SuspectedInstances(("i",)), HEADS)
-    assert [target for target, _ in wire.frames] == HEADS
+    recorder = FrameRecorder()
+    recorder.relay.send_now(SuspectedInstances(("i",)), HEADS)
+    assert [target for target, _ in recorder.frames] == HEADS
--- a/tests/test_fleet_replica_host.py
+++ b/tests/test_fleet_replica_host.py
@@ -1,4 +1,4 @@
-"""A replica on a real disk: damage is found and rewritten, a full disk acknowledges nothing until it has room."""
+"""A replica with a real disk: a scrub repairs damage, and a full disk acknowledges nothing until it is writable."""
 
 from __future__ import annotations
 
@@ -43,13 +43,13 @@
         commit = host.commit
         assert host.store is not None
         assert commit is not None
-        after = commit._complete_write
+        complete_write = commit._complete_write
 
-        def watched(batch: object, error: Exception | None) -> None:
-            after(batch, error)  # type: ignore[arg-type]
+        def observed(batch: object, error: Exception | None) -> None:
+            complete_write(batch, error)  # type: ignore[arg-type]
             written.put_nowait(commit.writing_since is None)
 
-        commit._complete_write = watched  # type: ignore[method-assign]
+        commit._complete_write = observed  # type: ignore[method-assign]
         slot = tmp_path / SLOTS[host.store.current_slot]
         data = bytearray(slot.read_bytes())
         data[-1] ^= 1
@@ -60,8 +60,8 @@
             pass
         assert host.store.scrub() == []
         identity = host.me.identity
-        again = ReplicaHost(_settings(tmp_path), host.effects)
-        assert again.me.identity == identity
+        restarted = ReplicaHost(_settings(tmp_path), host.effects)
+        assert restarted.me.identity == identity
 
     try:
         asyncio.run(asyncio.wait_for(play(), 30.0))
@@ -76,23 +76,23 @@
             replace(_settings(tmp_path), bootstrap=False),
             ReplicaEffects(lambda address, message: None, lambda published: None),
         )
-        waiting = asyncio.create_task(host.request("configuration", Change("configuration", 0, 1, b"d", b"x"), 60.0))
+        pending = asyncio.create_task(host.request("configuration", Change("configuration", 0, 1, b"d", b"x"), 60.0))
         while not host.pending_requests:
             await asyncio.sleep(0)
         host.answer_pending_unknown()
-        assert (await waiting).outcome is None
+        assert (await pending).outcome is None
         host.answer_pending_unknown()
 
     asyncio.run(asyncio.wait_for(play(), 30.0))
 
 
-REFUSALS = 4  # writes that the full disk refuses
+REJECTED_WRITES = 4  # that the full disk rejects
 
 
-async def _refused_writes(host: ReplicaHost, refused: list[str]) -> None:
-    """Let the host try again until the disk has refused some writes; nothing of what waits is answered."""
+async def _await_rejected_writes(host: ReplicaHost, rejected: list[str]) -> None:
+    """Run the host until the disk has rejected `REJECTED_WRITES` writes; no pending request may complete."""
     assert host.commit is not None
-    while len(refused) < REFUSALS:
+    while len(rejected) < REJECTED_WRITES:
         if host.commit.failed_at is not None:
             host.commit.failed_at = host.loop.time() - DISK_RETRY_INTERVAL_S
         host.tick()
@@ -103,11 +103,11 @@
 def test_a_full_disk_acknowledges_nothing_until_it_is_writable_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What was asked for meanwhile is on the disk when it is acknowledged, and what was stored before still is."""
-    refused: list[str] = []
+    """A change requested meanwhile is on the disk once it is acknowledged."""
+    rejected: list[str] = []
 
     def full(volume: FileVolume, name: str, offset: int, data: bytes) -> None:
-        refused.append(name)
+        rejected.append(name)
         raise OSError(errno.ENOSPC, "no space left")
 
     async def play() -> None:
@@ -120,15 +120,15 @@
         with monkeypatch.context() as patch:
             patch.setattr(FileVolume, "write", full)
             second = Change("configuration", 1, 2, b"b", b"second")
-            waiting = asyncio.create_task(host.request("configuration", second, 60.0))
-            await _refused_writes(host, refused)
+            pending = asyncio.create_task(host.request("configuration", second, 60.0))
+            await _await_rejected_writes(host, rejected)
         assert host.commit is not None
         host.commit.failed_at = host.loop.time() - DISK_RETRY_INTERVAL_S
-        while not waiting.done():
+        while not pending.done():
             host.tick()
             await asyncio.sleep(0)
-        assert (await waiting).outcome is Outcome.APPLIED
-        again = ReplicaHost(settings, effects)
-        assert again.machine.chain.registers.current("configuration").payload == b"second"
+        assert (await pending).outcome is Outcome.APPLIED
+        restarted = ReplicaHost(settings, effects)
+        assert restarted.machine.chain.registers.current("configuration").payload == b"second"
 
     asyncio.run(asyncio.wait_for(play(), 30.0))
--- a/tests/test_fleet_reports.py
+++ b/tests/test_fleet_reports.py
@@ -1,4 +1,4 @@
-"""Reports of engines: one that is odd is ignored, loses no other one, and keeps no head busy."""
+"""Load reports of engines: a malformed report is ignored, does not affect others, and overloads no head."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 REPORT = {"stage": "decode", "waiting": 1, "running": 12, "kv-used": 41_000, "kv-total": 90_000, "handles": 0}
 ME = "me"
-ODD_COUNTS: tuple[object, ...] = (-1, 1_000_000, 1.5, None, "x", [], 10**400)
-ODD_BODIES = (
+INVALID_COUNTS: tuple[object, ...] = (-1, 1_000_000, 1.5, None, "x", [], 10**400)
+INVALID_BODIES = (
     *(b"", b"[]", b"{}", b"\xff", b"[" * 100_000),
-    *(json.dumps({**REPORT, "waiting": value}).encode() for value in ODD_COUNTS),
+    *(json.dumps({**REPORT, "waiting": value}).encode() for value in INVALID_COUNTS),
     *(json.dumps({**REPORT, "kv-used": number}).encode() for number in (float("inf"), float("nan"), 1e300, -1)),
 )
 
@@ -31,7 +31,7 @@
     assert parse_report("i", json.dumps(REPORT).encode()) == EngineReport("i", 1, 12, 41_000, 90_000)
 
 
-@pytest.mark.parametrize("body", ODD_BODIES)
+@pytest.mark.parametrize("body", INVALID_BODIES)
 def test_a_malformed_report_is_invalid(body: bytes) -> None:
     with pytest.raises(ValidationError):
         parse_report("i", body)
@@ -39,7 +39,7 @@
 
 @dataclass
 class _SoftState:
-    """Stands for a member's soft state: its instances, and what is published."""
+    """A fake soft state with instances and published reports."""
 
     instances: dict[str, Instance]
     published: list[EngineReports] = field(default_factory=list)
@@ -53,23 +53,23 @@
 
 
 class _Pool:
-    """Stands for the connections: answers by address, or raises."""
+    """A fake connection pool that returns a body or raises an exception, by address."""
 
-    def __init__(self, answers: dict[str, bytes | Exception]) -> None:
-        self.answers = answers
+    def __init__(self, results: dict[str, bytes | Exception]) -> None:
+        self.results = results
 
     async def request(self, _method: str, url: str, **_more: Any) -> httpcore.Response:
-        answer = self.answers[url.split("/")[2]]
-        if isinstance(answer, Exception):
-            raise answer
-        response = httpcore.Response(200, content=answer)
+        result = self.results[url.split("/")[2]]
+        if isinstance(result, Exception):
+            raise result
+        response = httpcore.Response(200, content=result)
         await response.aread()
         return response
 
 
-@pytest.mark.parametrize("odd", [*ODD_BODIES, RuntimeError("unforeseen"), httpcore.ReadTimeout("silent")])
-def test_a_failed_report_does_not_lose_the_others(odd: bytes | Exception) -> None:
-    """Guards against a round without any report, and a member that ends after twenty of them."""
+@pytest.mark.parametrize("result", [*INVALID_BODIES, RuntimeError("unforeseen"), httpcore.ReadTimeout("silent")])
+def test_a_failed_report_does_not_lose_the_others(result: bytes | Exception) -> None:
+    """Guards against a collection that loses all reports, and a member that ends after 20 failed ones."""
 
     async def play() -> list[EngineReports]:
         instances = {
@@ -80,7 +80,7 @@
         collector = ReportCollector(cast(Any, soft_state), lambda: {ME}, ME)
         assert all(rendezvous(name, {ME}) == ME for name in instances)
         good = json.dumps(REPORT).encode()
-        collector.pool = cast(Any, _Pool({"10.0.0.0:80": good, "10.0.0.1:80": odd, "10.0.0.2:80": good}))
+        collector.pool = cast(Any, _Pool({"10.0.0.0:80": good, "10.0.0.1:80": result, "10.0.0.2:80": good}))
         await collector.collect_once()
         return soft_state.published
 
@@ -89,7 +89,7 @@
 
 
 def test_a_reported_queue_length_is_bounded() -> None:
-    """Guards against heads that keep their core busy for minutes after one wrong number, and answer nobody."""
+    """Guards against heads that are busy for minutes and serve nobody after one implausible number."""
     queue = WorkQueue()
     job = queue.add(0.0, 0, 1_000.0)
     queue.apply_queue_length(1.0, 10**12, 1_000.0)
--- a/tests/test_fleet_stage_controller.py
+++ b/tests/test_fleet_stage_controller.py
@@ -1,4 +1,4 @@
-"""Orders of the stage controller: their instance, the effect of each response or of none, two over a restart."""
+"""Orders of the stage controller: their contents, the effect of each response or of none, and a restarted instance."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class OrderedInstance:
-    """An address at which instances accept orders, one process after the other; the latest one answers."""
+    """A fake instance that accepts orders; changing its identity simulates a restart at the same address."""
 
     def __init__(self, identity: str) -> None:
         self.identity = identity
         self.orders: list[ReceivedRequest] = []
-        self.answer: Callable[[ReceivedRequest], int | None] = lambda taken: 202  # None: no answer comes
-        self.arrived, self.left = asyncio.Event(), asyncio.Event()
+        self.respond: Callable[[ReceivedRequest], int | None] = lambda request: 202  # None: no response
+        self.arrived, self.disconnected = asyncio.Event(), asyncio.Event()
 
     @asynccontextmanager
     async def listening(self) -> AsyncIterator[StageSwitch]:
-        """Listen, and yield the order for the instance."""
+        """Listen, and yield a stage switch of the instance."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with server:
@@ -44,15 +44,15 @@
             )
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        taken = await read_request(reader)
-        assert taken is not None
-        self.orders.append(taken)
+        request = await read_request(reader)
+        assert request is not None
+        self.orders.append(request)
         self.arrived.set()
-        known = find_field(taken.fields, EXPECTED_INSTANCE) == self.identity
-        status = self.answer(taken) if known else 421
+        is_expected = find_field(request.fields, EXPECTED_INSTANCE) == self.identity
+        status = self.respond(request) if is_expected else 421
         if status is None:
-            await reader.read()  # until the caller gives up
-            self.left.set()
+            await reader.read()  # until the caller times out
+            self.disconnected.set()
         else:
             writer.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status)
         writer.close()
@@ -61,7 +61,7 @@
 
 
 def _controller() -> tuple[StageController, list[str]]:
-    """Return a controller that holds the lease, and the list of instances that it marks as switching."""
+    """Return a controller that holds the lease, and a list that records the instances marked as switching."""
     switching: list[str] = []
     loads = SimpleNamespace(forget=lambda identity: None)
     soft_state = SimpleNamespace(loads=loads, begin_stage_change=lambda instance: switching.append(instance.identity))
@@ -88,40 +88,40 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "taken"),
+    ("status", "is_accepted"),
     [(200, True), (202, True), (400, False), (409, False), (412, False), (421, False), (503, False)],
 )
 def test_only_an_accepted_order_marks_the_instance_switching(
-    status: int, taken: bool, monkeypatch: pytest.MonkeyPatch
+    status: int, is_accepted: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    refused: list[int] = []
-    monkeypatch.setattr(Role, "reject_token", lambda role, token: refused.append(token))
+    rejected_tokens: list[int] = []
+    monkeypatch.setattr(Role, "reject_token", lambda role, token: rejected_tokens.append(token))
 
     async def play() -> None:
         instance, (controller, switching) = OrderedInstance("i-1"), _controller()
-        instance.answer = lambda order: status
+        instance.respond = lambda order: status
         async with instance.listening() as switch:
             await controller._order_switch(switch, TOKEN)
-        assert switching == ["i-1"] * taken
-        assert refused == [TOKEN] * (status == 412)
+        assert switching == ["i-1"] * is_accepted
+        assert rejected_tokens == [TOKEN] * (status == 412)
 
     asyncio.run(play())
 
 
 def test_a_second_order_after_a_restart_reaches_no_other_instance(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first gets no answer and may have been taken; the instance restarts under another identity."""
+    """The first order gets no response and may have been accepted; the instance restarts with a new identity."""
     monkeypatch.setattr(stage_controller, "ORDER_TIMEOUT_S", 0.2)
 
     async def play() -> None:
         instance, (controller, switching) = OrderedInstance("i-1"), _controller()
-        instance.answer = lambda order: None
+        instance.respond = lambda order: None
         async with instance.listening() as switch:
             first = asyncio.create_task(controller._order_switch(switch, TOKEN))
             await instance.arrived.wait()
             instance.identity = "i-2"
             await controller._order_switch(switch, TOKEN)
             await first
-            await instance.left.wait()
+            await instance.disconnected.wait()
         assert switching == [], "neither order is accepted"
         assert [find_field(order.fields, EXPECTED_INSTANCE) for order in instance.orders] == ["i-1", "i-1"]
 
--- a/tests/test_fleet_stage_notices.py
+++ b/tests/test_fleet_stage_notices.py
@@ -1,14 +1,10 @@
-"""Instances that announce their end one after the other, until a stage would have none left.
-
-Seen: on a day with five instances, three of them for prefill, both decode instances announced their end 3.9 s apart.
-| at     | what |
-| 22.3 s | a notice to a decode instance; four are left, one of them decode. Prefill's load (up to 2.7 instances) goes before the minimum of the decode stage: nothing is ordered for 4 s |
-| 26.2 s | the notice to the last decode instance |
-| 26.4 s | an urgent order, whose switch takes until 30 s |
-| till 30 s | every request with a prompt is rejected as "no instance", and its client told to come back at once: 143 requests |
-Cause: rejections knew only the instances that were ready at that moment.
-Proved by: the first test here, in virtual time with the same parts, fails in the same way on the code before.
-"""  # noqa: E501 - a table
+"""Instances that announce their end one after the other, until a stage has none left.
+
+Guards against rejections that tell clients to retry before the stage can serve again, because they considered only the
+instances that were ready at that moment. With three prefill and two decode instances, the decode instances announced
+their end 3.9 s apart. The load of the prefill stage delayed a switch for 4 s, and the urgent switch after the second
+announcement took almost 4 s more. Meanwhile 143 requests were rejected with "no instance" and an immediate retry.
+"""
 
 from __future__ import annotations
 
@@ -57,42 +53,42 @@
 
 
 def _watch_decode(fleet: VirtualFleet) -> list[float]:
-    """Return a list that gets the moments at which the decode stage has a ready instance again after it had none."""
-    returns: list[float] = []
+    """Return a list that records when the decode stage has a ready instance again after it had none."""
+    ready_times: list[float] = []
     was_ready = [True]
 
     def look() -> None:
-        is_ready = any(one.stage == "decode" and one.state == READY for one in fleet.instances.values())
+        is_ready = any(member.stage == "decode" and member.state == READY for member in fleet.instances.values())
         if is_ready and not was_ready[0]:
-            returns.append(fleet.clock.now)
+            ready_times.append(fleet.clock.now)
         was_ready[0] = is_ready
 
     fleet.clock.every(0.05, look)
-    return returns
+    return ready_times
 
 
-def _unreached_return(outcome: RequestOutcome, returns: list[float]) -> bool:
-    """Return whether the stage came back too late for a request.
+def _is_return_unreachable(outcome: RequestOutcome, ready_times: list[float]) -> bool:
+    """Return whether the stage became ready too late for a request.
 
-    Its client comes back once, after a third of its time at most, and then waits as long as it is patient.
+    Its client retries once, after at most a third of its deadline, and then waits for its client timeout.
     """
     kind = outcome.arrival.kind
-    patience_s = _route_of(kind).client_timeout_s
-    reached_at = LEAD_S + outcome.arrival.at + kind.deadline_s * RETRY_AFTER_FRACTION + patience_s
+    timeout_s = _route_of(kind).client_timeout_s
+    reached_at = LEAD_S + outcome.arrival.at + kind.deadline_s * RETRY_AFTER_FRACTION + timeout_s
     return any(
         LEAD_S + outcome.arrival.at < ready_at and reached_at < ready_at + SWITCH_SLACK_S + MIN_SERVICE_S
-        for ready_at in returns
+        for ready_at in ready_times
     )
 
 
-def _check_rejections(outcomes: list[RequestOutcome], returns: list[float]) -> None:
-    """Check that who failed for want of an instance could not reach its return.
+def _check_rejections(outcomes: list[RequestOutcome], ready_times: list[float]) -> None:
+    """Check that requests failed for lack of an instance only if their retry could not reach the stage.
 
-    Once the stage has an instance, what cannot be in time is a matter of the queue there.
+    Once the stage has an instance, a request that is late is limited by the queue there, which is not checked here.
     """
     for outcome in outcomes:
         if outcome.has_failed and outcome.last_rejection.startswith("no instance"):
-            assert _unreached_return(outcome, returns), outcome
+            assert _is_return_unreachable(outcome, ready_times), outcome
 
 
 @pytest.mark.parametrize("load", [1.0, 1.3])
@@ -102,14 +98,14 @@
 ) -> None:
     random = Random(seed)
     fleet = _fleet(seed, load)
-    returns = _watch_decode(fleet)
+    ready_times = _watch_decode(fleet)
     first_s = LEAD_S + random.uniform(12.0, 16.0)
     second_s = first_s + random.uniform(3.0, 5.5)
     for identity, notice_at in zip(_decode_engines(fleet), (first_s, second_s), strict=True):
         fleet.announce_end(identity, notice_at, random.uniform(2.0, 3.0))
     outcomes = fleet.run(30.0, LEAD_S)
     assert len(outcomes) > 300
-    _check_rejections(outcomes, returns)
+    _check_rejections(outcomes, ready_times)
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
@@ -118,13 +114,13 @@
 ) -> None:
     random = Random(seed)
     fleet = _fleet(seed, 1.0)
-    returns = _watch_decode(fleet)
+    ready_times = _watch_decode(fleet)
     notice_at = LEAD_S + random.uniform(12.0, 16.0)
     for identity in _decode_engines(fleet):
         fleet.announce_end(identity, notice_at, random.uniform(2.0, 3.0))
     outcomes = fleet.run(30.0, LEAD_S)
-    assert returns[0] - notice_at <= NOTICE_DELAY_S + STAGE_CHECK_INTERVAL_S + SWITCH_S + 0.1
-    _check_rejections(outcomes, returns)
+    assert ready_times[0] - notice_at <= NOTICE_DELAY_S + STAGE_CHECK_INTERVAL_S + SWITCH_S + 0.1
+    _check_rejections(outcomes, ready_times)
 
 
 def test_an_instance_that_ends_while_it_switches_is_replaced_by_another() -> None:
@@ -132,13 +128,13 @@
     for identity in _decode_engines(fleet):
         fleet.announce_end(identity, LEAD_S + 12.0, 2.0)
 
-    def end_the_switching_one() -> None:
-        [switching] = [one for one in fleet.instances.values() if one.state == SWITCHING]
+    def end_switching_instance() -> None:
+        [switching] = [member for member in fleet.instances.values() if member.state == SWITCHING]
         fleet.announce_end(switching.identity, fleet.clock.now, 0.5)
 
-    fleet.clock.at(LEAD_S + 14.0, end_the_switching_one)
+    fleet.clock.at(LEAD_S + 14.0, end_switching_instance)
     fleet.run(30.0, LEAD_S)
-    assert sorted(one.stage for one in fleet.instances.values() if one.state == READY) == ["decode", "prefill"]
+    assert sorted(member.stage for member in fleet.instances.values() if member.state == READY) == ["decode", "prefill"]
 
 
 # --- orders ---------------------------------------------------------------------------------------------------------
@@ -153,10 +149,12 @@
 
 
 def _planner(members: list[Instance], prefill_load: float = 1.25) -> StagePlanner:
-    """Return a planner that knows the load of each prefill instance."""
+    """Return a planner with this load at each prefill instance."""
     loads = StageLoads()
-    for one in members:
-        loads.by_instance[one.identity] = InstanceLoad(prefill_load=prefill_load if one.stage == "prefill" else 0.0)
+    for member in members:
+        loads.by_instance[member.identity] = InstanceLoad(
+            prefill_load=prefill_load if member.stage == "prefill" else 0.0
+        )
     return StagePlanner(loads, PlacementPolicy())
 
 
@@ -185,7 +183,7 @@
 
 
 def test_a_stage_is_ready_when_the_first_switch_ends() -> None:
-    switching = [replace(one, state=SWITCHING) for one in _members(1, 0)]
+    switching = [replace(member, state=SWITCHING) for member in _members(1, 0)]
     others = [*_nodes(switching, 3.0), *_nodes(switching, 4.0), *_nodes(_members(2, 0))]
     outlook = predict_stage(5.0, [], others, SWITCH_S)
     assert outlook.state is StageState.SWITCHING
@@ -193,7 +191,7 @@
 
 
 def test_an_overdue_switch_is_expected_for_a_while() -> None:
-    others = _nodes([replace(one, state=SWITCHING) for one in _members(1, 0)], 0.0)
+    others = _nodes([replace(member, state=SWITCHING) for member in _members(1, 0)], 0.0)
     due_at = SWITCH_S + SWITCH_SLACK_S
     assert predict_stage(due_at + 1.0, [], others, SWITCH_S).ready_at == pytest.approx(due_at + 1.0 + OVERDUE_RETRY_S)
     assert predict_stage(due_at + MAX_OVERDUE_S + 0.1, [], others, SWITCH_S) == StageOutlook(StageState.EMPTY)
--- a/tests/test_fleet_warmup_control.py
+++ b/tests/test_fleet_warmup_control.py
@@ -1,4 +1,4 @@
-"""Warmup records through control members and heads in virtual time, and how many heads a head may count on."""
+"""Warmup records at control members and heads in virtual time, and the number of heads that a head counts."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def _listen(world: ControlWorld) -> dict[str, Warmup | None]:
-    """Have the newest warmup record of the instance at each head."""
+    """Return a mapping that records the newest warmup record at each head."""
     newest: dict[str, Warmup | None] = {}
 
-    def hear(address: str, identity: str, record: GossipRecord) -> None:
+    def receive(address: str, identity: str, record: GossipRecord) -> None:
         newest[address] = warmup_of(record)
 
     for address, head in world.heads.items():
-        head.listen(WARMUP_PREFIX, partial(hear, address))
+        head.listen(WARMUP_PREFIX, partial(receive, address))
     return newest
 
 
