--- a/hophinge/fleet/configuration/document.py
+++ b/hophinge/fleet/configuration/document.py
@@ -46,7 +46,7 @@
 @lru_cache(maxsize=64)  # most routes of a document share a few hosts
 def _validate_host(host: str) -> str:
     if not _HOST.fullmatch(host):
-        raise ValueError("is not a host name or an IP address, without a port")
+        raise ValueError("is not a host name or IP address without a port")
     return host
 
 
