--- a/tests/test_fleet_warmup_control.py
+++ b/tests/test_fleet_warmup_control.py
@@ -1,4 +1,4 @@
-"""Warmup records through control members and heads in virtual time, and how many heads a head may count on."""
+"""Warmup records at control members and heads in virtual time, and the number of heads that a head counts."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 def _listen(world: ControlWorld) -> dict[str, Warmup | None]:
-    """Have the newest warmup record of the instance at each head."""
+    """Return a mapping that records the newest warmup record at each head."""
     newest: dict[str, Warmup | None] = {}
 
-    def hear(address: str, identity: str, record: GossipRecord) -> None:
+    def receive(address: str, identity: str, record: GossipRecord) -> None:
         newest[address] = warmup_of(record)
 
     for address, head in world.heads.items():
-        head.listen(WARMUP_PREFIX, partial(hear, address))
+        head.listen(WARMUP_PREFIX, partial(receive, address))
     return newest
 
 
-def test_a_suspicion_at_one_member_reaches_all_heads_and_a_heartbeat_to_another_one_ends_it() -> None:
+def test_a_suspicion_at_one_member_reaches_all_heads_and_a_heartbeat_at_another_ends_it() -> None:
     async def run() -> None:
         world = ControlWorld(1)
         newest = _listen(world)
@@ -51,7 +51,7 @@
     play(run())
 
 
-def test_a_head_that_starts_on_the_smaller_side_of_a_cut_counts_no_heads_until_the_sides_are_one() -> None:
+def test_a_head_started_in_the_smaller_partition_counts_no_heads_until_the_partition_heals() -> None:
     async def run() -> None:
         world = ControlWorld(2)
         await asyncio.sleep(FORMED_S)
