--- a/hophinge/core/exchange/__init__.py
+++ b/hophinge/core/exchange/__init__.py
@@ -1,8 +1,8 @@
-"""The exchange: the one place where the client side and the server side meet.
+"""The exchange connects the frontends with the backend client.
 
-It owns the open requests and their attempts, drives the Scheduler with what happened in one turn of the loop as
-one batch, carries out its actions through callbacks, and gives each request one final answer. It knows no wire:
-what a front passes on with a request (its payload) goes to the back as it came.
+It owns the open requests and their attempts, passes the events of each loop iteration to the Scheduler as one batch,
+performs its actions through callbacks, and gives each request exactly one final answer. It is independent of protocols:
+the payload that a frontend attaches to a request is passed to the backend client unchanged.
 """
 
 from __future__ import annotations
@@ -45,76 +45,76 @@
 
 
 class Exchange(EventLoopDriver):
-    """The open requests of one head, and what its fronts, its back and its list of nodes tell of."""
+    """The open requests of one head; its frontends, its backend client and discovery report their events here."""
 
     def arrive(
         self, arrival: api.Arrival, payload: Any, answer: Callable[[Answer], None], complete: bool = True
     ) -> None:
-        """Take a request; ``answer`` is called once, never within this call, unless its client departs.
+        """Accept a request; ``answer`` is called once, never within this call, unless its client disconnects before.
 
-        Where it is not `whole`, its body is still on its way: its one attempt may take that on, and its client's time
-        runs from the body's last byte, less what the body waited before that attempt.
+        If it is not `complete`, its body is still arriving: the body is streamed to its only attempt, and the client's
+        time counts from the last byte of the body, less the time that the body waited for the attempt.
         """
         if arrival.request in self.open:
-            raise ValueError(f"request {arrival.request} is open already")
+            raise ValueError(f"request {arrival.request} is already open")
         request = self.open[arrival.request] = OpenRequest(arrival, payload, answer, self.now_us(), complete)
         if complete:
-            self._limit(request)
+            self._start_backstop(request)
         self.unanswered += 1
         self.counters.add("requests_taken")
         if self.gate is not None:
             bounds = self.gate.admit(self.now_us(), arrival)
             if isinstance(bounds, int):
-                advice = bounds
-                self.loop.call_soon(lambda: self._reject(request, advice))
+                retry_after_us = bounds
+                self.loop.call_soon(lambda: self._reject(request, retry_after_us))
                 return
             if isinstance(bounds, api.WaitAtGate):
                 self.counters.add("requests_waited")
                 request.arrival = structs.replace(arrival, bounds=bounds.bounds)
-                return self._gate_timer()
+                return self._schedule_release()
             arrival = request.arrival = structs.replace(arrival, bounds=bounds)
-        self._event(arrival)
+        self._queue_event(arrival)
 
     def body_complete(self, name: str) -> None:
-        """Take the last byte of a request's body."""
+        """Record that a request's body has arrived completely; from now on its deadline counts."""
         request = self.open.get(name)
         if request is None or request.is_complete or request.answer is None:
             return
         request.is_complete = True
         request.deadline = self.now_us() + max(0, request.arrival.time_left_us - request.waited_us)
-        self._limit(request)
+        self._start_backstop(request)
         for attempt in request.attempts.values():
             attempt.give_up_at = request.deadline
-            self._time(attempt)
+            self._start_timeout(attempt)
 
     def depart(self, name: str) -> None:
-        """A request's client has gone: no answer is owed, what is out still ends."""
+        """Record that a request's client has disconnected: it gets no answer, its attempts in flight continue."""
         request = self.open.get(name)
         if request is not None and request.answer is not None:
             self.counters.add("requests_departed")
             self._close(request)
-            self._forget(request)  # one of which nothing is out would else stay for ever
-            self._event(api.Departure(name))
+            self._forget(request)  # without an attempt in flight, nothing else removes it
+            self._queue_event(api.Departure(name))
 
     def answer_all_now(self) -> None:
-        """Give each request that still waits its final answer: who answers will be there no longer."""
-        for request in [one for one in self.open.values() if one.answer is not None]:
+        """Answer all open requests because the process ends: refused if a retry is harmless, else failed."""
+        for request in [waiting for waiting in self.open.values() if waiting.answer is not None]:
             self.counters.add("requests_cut_off")
-            harmless = (
+            is_harmless = (
                 not request.attempts_sent or self.settings.classes[request.arrival.klass].effect is api.Effect.SAFE
             )
-            self._answer(request, Answer(Verdict.REFUSED if harmless else Verdict.FAILED))
-            self._event(api.Departure(request.arrival.request))
+            self._answer(request, Answer(Verdict.REFUSED if is_harmless else Verdict.FAILED))
+            self._queue_event(api.Departure(request.arrival.request))
 
     def nodes(self, event: api.NodeList) -> None:
-        """Take a node list, or what changed in it."""
+        """Apply a node list, or changes to it."""
         if event.kind is api.ListKind.FULL:
-            named = {entry.node for entry in event.entries}
-            for node in self.phases.keys() - named:
+            listed = {entry.node for entry in event.entries}
+            for node in self.phases.keys() - listed:
                 del self.phases[node], self.shards[node]
         for entry in event.entries:
             if entry.phase is api.Phase.GONE:
-                # Nodes are replaced by new ones under new names all the time; one that is gone is not kept.
+                # Nodes are replaced under new names all the time, so entries of removed ones must not accumulate.
                 self.phases.pop(entry.node, None)
                 self.shards.pop(entry.node, None)
             else:
@@ -122,4 +122,4 @@
                 self.shards[entry.node] = entry.shard
         if self.gate is not None:
             self.gate.nodes(self.now_us(), event)
-        self._event(event)
+        self._queue_event(event)
--- a/hophinge/core/exchange/attempts.py
+++ b/hophinge/core/exchange/attempts.py
@@ -1,4 +1,4 @@
-"""Open requests, and the attempts of each that are out."""
+"""Open requests and their attempts in flight."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AttemptOwner(Protocol):
-    """The exchange as one of its attempts needs it."""
+    """The parts of the exchange that an attempt uses."""
 
     @property
     def metrics(self) -> RequestMetrics:
@@ -22,25 +22,25 @@
 
     @property
     def phases(self) -> dict[str, api.Phase]:
-        """Return the phase of each node listed."""
+        """The phase of each listed node."""
 
     @property
     def shards(self) -> dict[str, int]:
-        """Return the shard of each node listed."""
+        """The shard of each listed node."""
 
     @property
     def now_us(self) -> Callable[[], int]:
         """The clock, in microseconds."""
 
     def attempt_streams(self, attempt: Attempt, body: bytes, rest: AnswerStream, heard_us: int) -> bool:
-        """Take the first part of an answer that is too long to be held."""
+        """Handle the first bytes of an answer that is too long to buffer; returns whether it is used."""
 
     def attempt_ended(self, attempt: Attempt, end: AttemptResult) -> None:
-        """Take the end of an attempt."""
+        """Handle the end of an attempt."""
 
 
 class OpenRequest:
-    """A request from its arrival until it is answered and no attempt of it is out."""
+    """A request from its arrival until it is answered and none of its attempts is in flight."""
 
     __slots__ = (
         "answer",
@@ -64,16 +64,16 @@
         self.is_complete = is_complete
         self.arrived_at = arrived_at
         self.deadline = arrived_at + arrival.time_left_us
-        self.single_attempt = not is_complete  # its body is held only until an attempt takes it, whole by then or not
-        self.waited_us = 0  # while nobody took a body that is on its way; its last byte may have come since then
-        self.answer: Callable[[Answer], None] | None = answer  # None once the one answer is given
+        self.single_attempt = not is_complete  # its body is streamed to an attempt and not kept for another
+        self.waited_us = 0  # from the arrival until an attempt reads the body; counts against the client's time
+        self.answer: Callable[[Answer], None] | None = answer  # None once the request is answered
         self.attempts: dict[int, Attempt] = {}
         self.attempts_sent = 0
         self.backstop: Timer | None = None
 
 
 class Attempt:
-    """One attempt that is out; ``may_go`` is to be asked just before its bytes are written."""
+    """An attempt in flight; ``may_send`` is to be checked just before its bytes are written."""
 
     __slots__ = (
         "exchange",
@@ -102,25 +102,28 @@
         self.request = request
         self.number = number
         self.node = node
-        # until: none of it is written from then on
         self.sent_at = sent_at
         self.give_up_at = give_up_at
-        self.write_before = write_before
-        self.shard = exchange.shards.get(node, -1)  # its node may be forgotten before it ends
+        self.write_before = write_before  # nothing of it may be written after that; 0: no limit
+        # Read now, as the node may be removed from the list before the attempt ends.
+        self.shard = exchange.shards.get(node, -1)
         self.stop: Callable[[], None] | None = None
         self.timer: Timer | None = None
 
     def record_sent(self) -> None:
-        """Note that its last byte has been handed to the network."""
+        """Record that its last byte has been handed to the network."""
         self.exchange.metrics.relayed += 1
 
     def begin_stream(self, body: bytes, rest: AnswerStream, heard_us: int) -> bool:
-        """Report that a long answer has begun, and when its head came; False where nobody waits for it."""
+        """Report that a long answer has begun, with the time at which its header was received.
+
+        Returns False if nobody waits for the answer.
+        """
         return self.exchange.attempt_streams(self, body, rest, heard_us)
 
     def may_send(self) -> bool:
-        """Guard drains, answered requests, deadlines and windows for repeats after a wait for a connection."""
-        # A request that is answered or whose time is over must not reach a node, nor anything a node that drains.
+        """Return whether it may still be sent, after the wait for a connection."""
+        # Not if the request is answered, its deadline or the time for a repeat has passed, or the node is draining.
         return (
             self.request.answer is not None
             and (not self.request.is_complete or self.exchange.now_us() < self.give_up_at)
@@ -129,28 +132,31 @@
         )
 
     def begin_sending(self) -> int:
-        """Note that its first byte goes now; tell how long it will be waited for, in microseconds."""
+        """Record that its first byte is being written; returns the microseconds for which the answer is awaited."""
         request, now = self.request, self.exchange.now_us()
         if request.is_complete:
             return max(0, self.give_up_at - now)
-        # What has come and was not taken is not seen: the client's time may have run since the body's beginning.
+        # The unread body may have arrived completely right after the request: the client's time includes this wait.
         request.waited_us = now - request.arrived_at
         return max(0, request.arrival.time_left_us - request.waited_us)
 
     def redirected(self, write_locations: WriteLocations, result: api.Result) -> api.Arrival | None:
-        """Note where a write went; tell the request that finds a read's object, if this head wrote it elsewhere."""
+        """Record the shard of a successful write; for a misplaced read, return the arrival with the correct shard.
+
+        Returns None unless this head recently wrote the object at another shard that has a node in use.
+        """
         arrival, nodes, now = self.request.arrival, self.exchange.phases, self.exchange.now_us()
         if result is api.Result.OK and arrival.write and arrival.key and self.shard >= 0:
             write_locations.record(now, arrival.volume, arrival.key, self.shard)
         if result is not api.Result.MISPLACED or arrival.write:
             return None
         shard = write_locations.find(now, arrival.volume, arrival.key)
-        # Turned away at the same shard, it is over. A shard that no node in use holds is asked for in vain.
-        held = {self.exchange.shards.get(node) for node, phase in nodes.items() if phase is api.Phase.ON}
-        return None if shard is None or shard not in held - {self.shard} else structs.replace(arrival, shard=shard)
+        # Rejected by the recorded shard itself, the request is out of time. A shard without nodes in use cannot answer.
+        available = {self.exchange.shards.get(node) for node, phase in nodes.items() if phase is api.Phase.ON}
+        return None if shard is None or shard not in available - {self.shard} else structs.replace(arrival, shard=shard)
 
     def end(self, end: AttemptResult) -> None:
-        """Report the end; whatever comes after the first one is void."""
+        """Report the end; all calls after the first one are ignored."""
         self.exchange.attempt_ended(self, end)
 
 
--- a/hophinge/core/exchange/event_loop_driver.py
+++ b/hophinge/core/exchange/event_loop_driver.py
@@ -1,4 +1,4 @@
-"""Turns of the loop: events to the module as one batch, its actions carried out, one answer for each request."""
+"""Drives the scheduler: passes it the events of each loop iteration as one batch and performs its actions."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from hophinge.core.request_metrics import RequestMetrics
 from hophinge.core.write_locations import WriteLocations
 
-BACKSTOP = 0.5  # part of the answer's grace after which a request that the module forgot is failed
+BACKSTOP = 0.5  # fraction of the answer grace period after which a request without an answer is failed
 
 
 class EventLoopDriver:
-    """What is open, what the next turn takes to the module, and what comes of it."""
+    """The open requests, the events of the next batch, and the actions of the scheduler."""
 
     def __init__(
         self, settings: api.Settings, seed: int, loop: Loop, counters: Counters, log: Callable[[str], None]
@@ -31,14 +31,13 @@
         self.now_us = loop.now_us
         self.metrics = RequestMetrics(klass.name for klass in settings.classes)
         self.scheduler = Scheduler(settings, seed)
-        self.start: Start | None = None  # the back; set once it is there
+        self.start: Start | None = None  # starts attempts; set by the backend client
         self.probe: Probe | None = None
         self.gate: Gate | None = None
-        self.on_attempt_ended: Callable[[str, api.Result, int], None] | None = (
-            None  # told how each attempt at a node ended
-        )
-        self.gate_scheduled = False  # its turn comes in the loop's next one
-        self.gate_timer_at = 0  # when a timer calls it
+        # Called with node, result and microseconds of each attempt.
+        self.on_attempt_ended: Callable[[str, api.Result, int], None] | None = None
+        self.gate_scheduled = False  # a release is scheduled for the next loop iteration
+        self.gate_timer_at = 0  # when the last timer for a release expires, in microseconds
         self.open: dict[str, OpenRequest] = {}
         self.phases: dict[str, api.Phase] = {}
         self.shards: dict[str, int] = {}
@@ -46,70 +45,70 @@
         self.events: list[api.Event] = []
         self.unanswered = 0
 
-    def _reject(self, request: OpenRequest, advice_us: int) -> None:
+    def _reject(self, request: OpenRequest, retry_after_us: int) -> None:
         if request.answer is not None:
             self.counters.add("requests_turned_away")
-            advice = min(advice_us, self.settings.allowed.retry_after_us)
-            self._answer(request, Answer(Verdict.REFUSED, retry_after_us=advice))
+            allowed_us = min(retry_after_us, self.settings.allowed.retry_after_us)
+            self._answer(request, Answer(Verdict.REFUSED, retry_after_us=allowed_us))
 
-    def _gate_timer(self) -> None:
-        """Have the gate's turn come when it is due."""
+    def _schedule_release(self) -> None:
+        """Set a timer for the gate's next release."""
         due = self.gate.next_release_us if self.gate is not None else 0
         if due and not (self.now_us() < self.gate_timer_at <= due):
             self.gate_timer_at = due
             self.loop.call_at(due, self._release_at_gate)
 
     def gate_changed(self) -> None:
-        """Have the gate's turn come in the loop's next one: what it decides has changed."""
+        """Release requests from the gate in the next loop iteration, as its state has changed."""
         if not self.gate_scheduled:
             self.gate_scheduled = True
             self.loop.call_soon(self._release_at_gate)
 
     def _release_at_gate(self) -> None:
-        """Let in or turn away what waits at the gate."""
+        """Pass on or reject the requests that the gate releases."""
         self.gate_scheduled = False
         if self.gate is None:
             return
         now = self.now_us()
-        for name, advice in self.gate.release(now):
+        for name, retry_after_us in self.gate.release(now):
             request = self.open.get(name)
             if request is None or request.answer is None:
                 continue
-            if advice:
-                self._reject(request, advice)
+            if retry_after_us:
+                self._reject(request, retry_after_us)
                 continue
             if request.is_complete:
-                # What it waited is gone from its client's time; a body on its way has all of that before it.
+                # The wait counts against the client's time, which has not begun for a body that is still arriving.
                 request.arrival = structs.replace(request.arrival, time_left_us=max(0, request.deadline - now))
-            self._event(request.arrival)
-        self._gate_timer()
+            self._queue_event(request.arrival)
+        self._schedule_release()
 
-    def _limit(self, request: OpenRequest) -> None:
-        # One answer in time, whatever the module does: it is failed when nothing else has answered by then.
+    def _start_backstop(self, request: OpenRequest) -> None:
+        # Ensures an answer in time even if the scheduler gives none.
         grace = int(self.settings.rules.answer_grace_us * BACKSTOP)
-        request.backstop = self.loop.call_at(request.deadline + grace, lambda: self._overdue(request))
+        request.backstop = self.loop.call_at(request.deadline + grace, lambda: self._fail_overdue(request))
 
-    def _time(self, attempt: Attempt) -> None:
+    def _start_timeout(self, attempt: Attempt) -> None:
         attempt.timer = self.loop.call_at(attempt.give_up_at, lambda: self._stop(attempt, api.Result.TIMEOUT))
 
     def probed(self, event: api.ProbeResult) -> None:
-        """Take the end of a probe."""
-        self._event(event)
+        """Pass the result of a probe to the scheduler."""
+        self._queue_event(event)
 
     def attempt_streams(self, attempt: Attempt, body: bytes, rest: AnswerStream, heard_us: int) -> bool:
-        """Take the first part of an answer that is too long to be held: it is the answer, and no timer cuts it."""
+        """Answer the request with a stream; its attempt no longer times out. Returns False if nobody waits for it."""
         request = attempt.request
         if request.attempts.get(attempt.number) is not attempt or request.answer is None:
             return False
         if attempt.timer is not None:
             attempt.timer.cancel()
         self.counters.add("answers_streamed")
-        self._event(api.StreamStarted(request.arrival.request, attempt.number, heard_us - attempt.sent_at))
+        self._queue_event(api.StreamStarted(request.arrival.request, attempt.number, heard_us - attempt.sent_at))
         self._answer(request, Answer(Verdict.SERVED, body, shard=attempt.shard, stream=rest))
         return True
 
     def attempt_ended(self, attempt: Attempt, end: AttemptResult) -> None:
-        """Take the end of an attempt: the first one counts, and the first served answers the request."""
+        """Handle the end of an attempt, which counts once; the first successful attempt answers its request."""
         request = attempt.request
         if request.attempts.get(attempt.number) is not attempt:
             return
@@ -130,7 +129,7 @@
         if moved is not None and not finished:
             self.counters.add("reads_moved")
             request.arrival = moved
-        self._event(
+        self._queue_event(
             api.Outcome(
                 request.arrival.request,
                 attempt.number,
@@ -146,35 +145,35 @@
         )
         self._forget(request)
 
-    def _event(self, event: api.Event) -> None:
+    def _queue_event(self, event: api.Event) -> None:
         if not self.events:
-            self.loop.call_soon(self._turn)
+            self.loop.call_soon(self._handle_events)
         self.events.append(event)
 
-    def _turn(self) -> None:
+    def _handle_events(self) -> None:
         events, self.events = self.events, []
         now = self.now_us()
         try:
             actions = self.scheduler.handle(now, events)
         except Exception:
-            # A fault of the module must not leave a client without its answer: what arrived now is failed here,
-            # what arrived before by its backstop at the latest.
+            # An error in the scheduler must not leave a client without an answer: the requests of this batch are failed
+            # here, earlier ones by their backstop timer at the latest.
             self.counters.add("module_faults")
             self.log(traceback.format_exc())
             for event in events:
                 if isinstance(event, api.Arrival) and (request := self.open.get(event.request)):
                     self._answer(request, Answer(Verdict.FAILED))
-                    self._event(api.Departure(event.request))
+                    self._queue_event(api.Departure(event.request))
             return
         for action in actions:
             try:
-                self._act(action, now)
+                self._perform(action, now)
             except Exception:
-                # The module holds all of its actions for done: one that fails must not take the rest with it.
+                # The scheduler assumes that all actions are performed: one that raises must not prevent the others.
                 self.counters.add("module_faults")
                 self.log(traceback.format_exc())
 
-    def _act(self, action: api.Action, now: int) -> None:
+    def _perform(self, action: api.Action, now: int) -> None:
         match action:
             case api.Send():
                 self._send(action, now)
@@ -190,7 +189,7 @@
                     self._answer(request, Answer(Verdict.FAILED))
             case api.SetTimer():
                 token = action.token
-                self.loop.call_at(now + action.delay_us, lambda: self._event(api.TimerExpired(token)))
+                self.loop.call_at(now + action.delay_us, lambda: self._queue_event(api.TimerExpired(token)))
             case api.Probe():
                 if self.probe is not None:
                     self.counters.add("probes_sent")
@@ -198,22 +197,24 @@
             case api.Log():
                 self.log(action.text)
             case api.Watch():
-                pass  # discovery watches all the time
+                pass  # discovery always watches
 
     def _send(self, action: api.Send, now: int) -> None:
         request = self.open.get(action.request)
         if request is None:
-            return  # answered and forgotten: the module has been told, or is about to be
-        give_up = min(action.give_up_us or request.deadline, request.deadline)
-        attempt = Attempt(self, request, request.attempts_sent, action.node, now, give_up, action.until_us)
+            return  # answered and removed; the scheduler has the event, or gets it with the next batch
+        give_up_at = min(action.give_up_us or request.deadline, request.deadline)
+        attempt = Attempt(self, request, request.attempts_sent, action.node, now, give_up_at, action.until_us)
         request.attempts_sent += 1
         request.attempts[attempt.number] = attempt
-        shard, most = request.arrival.shard, self.settings.allowed.attempts
-        if (bounds := request.arrival.bounds) is not None and 0 < bounds.attempts < (most or request.attempts_sent):
-            most = bounds.attempts
+        shard, max_attempts = request.arrival.shard, self.settings.allowed.attempts
+        if (bounds := request.arrival.bounds) is not None and 0 < bounds.attempts < (
+            max_attempts or request.attempts_sent
+        ):
+            max_attempts = bounds.attempts
         if (
             not attempt.may_send()
-            or 0 < most < request.attempts_sent
+            or 0 < max_attempts < request.attempts_sent
             or 0 <= shard != self.shards.get(action.node)
             or self.start is None
         ):
@@ -221,9 +222,9 @@
             return
         self.counters.add("attempts_sent")
         if request.is_complete:
-            self._time(attempt)
+            self._start_timeout(attempt)
         if request.single_attempt:
-            self._event(api.StreamStarted(action.request, attempt.number, 0, upward=True))
+            self._queue_event(api.StreamStarted(action.request, attempt.number, 0, upward=True))
         try:
             attempt.stop = self.start(attempt)
         except Exception:
@@ -231,25 +232,25 @@
             attempt.end(AttemptResult(api.Result.CONNECT_FAILED))
 
     def _stop(self, attempt: Attempt, result: api.Result) -> None:
-        """Give an attempt up: its end is reported first, so that nothing the back still says counts."""
+        """Abort an attempt; its end is reported first, so that a later result of the backend client is ignored."""
         attempt.end(AttemptResult(result))
         if attempt.stop is not None:
             attempt.stop()
 
-    def _overdue(self, request: OpenRequest) -> None:
+    def _fail_overdue(self, request: OpenRequest) -> None:
         if request.answer is not None:
             self.counters.add("requests_overdue")
             self._answer(request, Answer(Verdict.FAILED))
-            self._event(api.Departure(request.arrival.request))
+            self._queue_event(api.Departure(request.arrival.request))
 
     def _answer(self, request: OpenRequest, answer: Answer) -> None:
         if request.answer is None:
             return
-        give = request.answer
+        send_answer = request.answer
         self.counters.add(f"requests_{answer.verdict.value}")
         self._close(request)
         self._forget(request)
-        give(answer)
+        send_answer(answer)
 
     def _close(self, request: OpenRequest) -> None:
         request.answer = None
--- a/hophinge/core/exchange/types.py
+++ b/hophinge/core/exchange/types.py
@@ -1,4 +1,4 @@
-"""What the exchange asks of a loop and a gate, and how requests and attempts end."""
+"""The interfaces of the event loop and the gate, and the results of requests and attempts."""
 
 from __future__ import annotations
 
@@ -13,100 +13,101 @@
 
 
 class Timer(Protocol):
-    """A timer that can be taken back."""
+    """A timer that can be cancelled."""
 
     def cancel(self) -> None:
-        """Take the timer back."""
+        """Cancel the timer."""
 
 
 class Loop(Protocol):
-    """Time as the exchange needs it; every wait is a timer of its own."""
+    """The clock and the timers of the event loop, in microseconds."""
 
     def now_us(self) -> int:
-        """Return the time on the one clock."""
+        """Return the current time of the clock that all times refer to."""
 
     def call_at(self, when_us: int, callback: Callable[[], None]) -> Timer:
-        """Call back at a time."""
+        """Call the callback at a time."""
 
     def call_soon(self, callback: Callable[[], None]) -> None:
-        """Call back in the loop's next turn."""
+        """Call the callback in the next loop iteration."""
 
 
 class Verdict(Enum):
-    """How a request ended for its client."""
+    """The outcome of a request for its client."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    ABSENT = "absent"  # a node holds the place where it would be, and it is not there
+    ABSENT = "absent"  # a node answered that the object does not exist
 
 
 class AnswerStream(Protocol):
-    """What follows the first part of an answer that has begun; whoever reads sets the pace."""
+    """The rest of a streamed answer after its first bytes; the reader sets the pace."""
 
     @property
     def length(self) -> int | None:
-        """Return how long the whole body is, first part included, where its node said so."""
+        """The length of the whole body, including the first bytes; None if the node did not state it."""
 
     async def read(self) -> bytes:
-        """Read on; nothing at the end, an error where the answer is spoilt."""
+        """Return the next bytes, empty at the end; raises an error if the answer broke off."""
 
     def close(self) -> None:
-        """Read no more, whether it has ended or not."""
+        """Stop reading, whether the stream has ended or not."""
 
 
 class Answer(Struct, frozen=True):
-    """The one final answer of a request."""
+    """The final answer of a request."""
 
     verdict: Verdict
     body: bytes = b""
     retry_after_us: int = 0
     shard: int = -1  # of the node that served it
-    stream: AnswerStream | None = None  # its reader closes it
+    stream: AnswerStream | None = None  # the receiver closes it
 
 
 def answer_callback(done: Future[Answer]) -> Callable[[Answer], None]:
-    """Make the `answer` of a front that awaits it in a future.
+    """Return an answer callback that sets a future.
 
-    The future of a client that has gone is cancelled before its front gets to say so: there is nobody to tell then.
+    The future of a client that has disconnected is cancelled before its frontend reports the departure; an answer in
+    between is dropped.
     """
 
-    def give(answer: Answer) -> None:
+    def set_answer(answer: Answer) -> None:
         if not done.done():
             done.set_result(answer)
 
-    return give
+    return set_answer
 
 
 class AttemptResult(Struct, frozen=True):
-    """How an attempt ended, as the back saw it."""
+    """The end of an attempt, as the backend client reports it."""
 
     result: api.Result
     body: bytes = b""
     used: int = 0
     elsewhere: float = 0.0
     report: dict[str, float] = {}
-    absent: bool = False  # with OK: the node did its work and found nothing
+    absent: bool = False  # with OK: the node answered that the object does not exist
 
 
 class Gate(Protocol):
-    """Whoever stands before the module: it turns requests away and narrows what the module may choose from."""
+    """Admission before the scheduler: admits, queues or rejects requests and bounds the nodes that they may use."""
 
     def admit(self, now_us: int, arrival: api.Arrival) -> api.Bounds | api.WaitAtGate | int:
-        """Return a request's bounds, or after how many microseconds it may come again where it is refused."""
+        """Return the bounds of an admitted or queued request, or the microseconds to retry after for a rejected one."""
 
     def release(self, now_us: int) -> list[tuple[str, int]]:
-        """Return which requests wait no longer: 0 where one is let in, else after how long it may come again."""
+        """Return the requests that wait no longer, with 0 if admitted, else with the microseconds to retry after."""
 
     @property
     def next_release_us(self) -> int:
-        """Return when `turn` is to be called at the latest; 0: nothing waits."""
+        """When `release` is to be called at the latest, in microseconds; 0: no request waits."""
 
     def answered(self, now_us: int, bounds: api.Bounds) -> None:
-        """Note that a request has its final answer, or that its client has gone."""
+        """Record that a request has its final answer, or that its client has disconnected."""
 
     def ended(self, now_us: int, node: str, result: api.Result) -> None:
-        """Note how an attempt at a node ended."""
+        """Record the result of an attempt at a node."""
 
     def nodes(self, now_us: int, event: api.NodeList) -> None:
-        """Take a node list, or what changed in it."""
+        """Apply a node list, or changes to it."""
--- a/tests/test_net_attempts.py
+++ b/tests/test_net_attempts.py
@@ -187,7 +187,7 @@
                 ("s-0", Result.OK, {"inflight": 2, "queue": 4}),
                 ("s-9", Result.CONNECT_FAILED, {}),
             ):
-                service.exchange._act(Probe(node), 0)
+                service.exchange._perform(Probe(node), 0)
                 await until(
                     lambda node=node, result=result, report=report: any(  # type: ignore[misc]
                         isinstance(one, ProbeResult) and (one.node, one.result, one.report) == (node, result, report)
