--- a/hophinge/core/choice/__init__.py
+++ b/hophinge/core/choice/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of hophinge: a key is hashed to a group of nodes, of which the first to be free takes it."""
+"""The scheduler: a key is hashed to a group of nodes, and a new object goes to the one that is free earliest."""
 
 from hophinge.core.choice.dispatcher import GROUP_SIZE as GROUP_SIZE
 from hophinge.core.choice.gateway_state import (
--- a/hophinge/core/choice/dispatcher.py
+++ b/hophinge/core/choice/dispatcher.py
@@ -1,4 +1,4 @@
-"""What leaves: held requests by worth, a new object to the book of its group that frees first; one place sends."""
+"""Sends queued requests in order of their value, a new object to the node of its group that is free earliest."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 from hophinge.core.choice.request_lifecycle import RequestLifecycle
 from hophinge.core.choice.volume_state import DecayingRate
 
-GROUP_SIZE = 9  # members of a key's group: the paper's negotiating group, three times three replicas
-UNLEARN_AFTER = 8.0  # tightest aims, for each gateway, after which what was learned of an idle node refuses no more
-DELAY_EXPONENT = 0.7  # power of the part of its full worth that a request earns, by which its patience falls
+GROUP_SIZE = 9  # nodes of a key's group: the negotiating group of the paper, three times three replicas
+UNLEARN_AFTER = 8.0  # tightest target latencies, times gateways, after which an idle node's learned times are reset
+DELAY_EXPONENT = 0.7  # of the fraction of its full value that a request earns, for the queue delay that it accepts
+# Negative value, target time and name, which give the order; the request, and its node (None: a new object).
 Ready = tuple[float, int, str, RequestState, NodeState | None]
 
 
 class Dispatcher(RequestLifecycle):
-    """What goes when, and where to."""
+    """Decides when queued requests are sent, and to which nodes."""
 
     def _value_factor(self, request: RequestState, queue_key: str, wait: float) -> float:
-        """Part of its full worth that a unit of the request earns now."""
+        """Return the fraction of its full value that a request earns now, after a wait in microseconds."""
         volume, factor = request.volume, 1.0
         if request.arrival.is_background or volume.reserve_left(self.now) < request.arrival.units:
             own = volume.excess_use.get(queue_key)
@@ -32,76 +33,87 @@
         return factor if self.now + wait <= request.target_at else factor * request.klass.late_value
 
     def _fair_use_per_weight(self, queue_key: str) -> float:
-        """Mean use beyond the reserves at a node for each weight of the volumes that use it so."""
-        at, level = self.fair_use.get(queue_key, (-self.target_us, 0.0))
-        if self.now - at >= self.target_us / WAKEUPS_PER_TARGET * 3:
+        """Return the mean use beyond the reserves per weight of plans, over the volumes with such use of a queue."""
+        computed_at, use_per_weight = self.fair_use.get(queue_key, (-self.target_us, 0.0))
+        if self.now - computed_at >= self.target_us / WAKEUPS_PER_TARGET * 3:
             volumes = [volume for volume in self.volumes.values() if queue_key in volume.excess_use]
             uses = [(volume.excess_use[queue_key].rate(self.now), volume.plan.weight) for volume in volumes]
             weight = sum(weight for use, weight in uses if use > 0.1)
-            level = sum(use for use, _ in uses if use > 0.1) / weight if weight > 0 else 0.0
-            self.fair_use[queue_key] = self.now, level
-        return level
+            use_per_weight = sum(use for use, _ in uses if use > 0.1) / weight if weight > 0 else 0.0
+            self.fair_use[queue_key] = self.now, use_per_weight
+        return use_per_weight
 
     def _candidates(self, request: RequestState) -> list[NodeState]:
-        """The group of a key: the nodes of least rendezvous hash with it, which also settles ties."""
-        key, free = request.arrival.key or request.arrival.request, request.arrival.bounds is None
-        books = [
-            book for line in self.shards.values() for book in line if free or self._is_within_bounds(request, book)
+        """Return the group of a key: the permitted nodes with the lowest rendezvous hashes, in that order."""
+        key, is_unbounded = request.arrival.key or request.arrival.request, request.arrival.bounds is None
+        nodes = [
+            node
+            for shard_nodes in self.shards.values()
+            for node in shard_nodes
+            if is_unbounded or self._is_within_bounds(request, node)
         ]
-        books.sort(key=lambda book: blake2b(f"{key}\0{book.entry.node}".encode(), digest_size=8).digest())
-        return books[:GROUP_SIZE]
+        nodes.sort(key=lambda node: blake2b(f"{key}\0{node.entry.node}".encode(), digest_size=8).digest())
+        return nodes[:GROUP_SIZE]
 
     def _dispatch(self, queue_keys: list[str]) -> None:
-        """Let what is held at some places go, that of most worth first."""
+        """Send queued requests of the given queues as far as possible, the most valuable first."""
         ready: list[Ready] = []
         queues = [
-            (place, book := self.nodes.get(place), book.queued if book else {} if place else self.queued_new_objects)
-            for place in queue_keys
+            (key, node := self.nodes.get(key), node.queued if node else {} if key else self.queued_new_objects)
+            for key in queue_keys
         ]
-        for place, book, held in queues:
-            if self.recheck_at.get(place, self.now) <= self.now:
-                self.recheck_at.pop(place, None)
-                if book is not None:
-                    book.is_blocked = False
+        for key, node, queue in queues:
+            if self.recheck_at.get(key, self.now) <= self.now:
+                self.recheck_at.pop(key, None)
+                if node is not None:
+                    node.is_blocked = False
                 else:
                     self.new_objects_blocked = False
-            if self.new_objects_blocked if book is None else book.is_blocked or not self._accepts_work(book):
+            if self.new_objects_blocked if node is None else node.is_blocked or not self._accepts_work(node):
                 continue
-            wait = max(book.free_at - self.now, self._queue_delay(book)) if book is not None else 0.0
-            unit_us = self._nominal_us(book) if book is not None else 0.0
-            for name, request in held.items():
+            wait = max(node.free_at - self.now, self._queue_delay(node)) if node is not None else 0.0
+            unit_us = self._nominal_us(node) if node is not None else 0.0
+            for name, request in queue.items():
                 if self._may_send(request):
-                    # Worth of serving a unit now: class, price, what is still due, whether in time.
-                    factor = self._value_factor(request, place, wait + request.arrival.units * unit_us)
+                    # Value of serving a unit now, by class, price, remaining reserve and timeliness.
+                    factor = self._value_factor(request, key, wait + request.arrival.units * unit_us)
                     value = request.klass.value * request.volume.plan.price * factor
-                    ready.append((-value, request.target_at, name, request, book))
+                    ready.append((-value, request.target_at, name, request, node))
         for _, _, _, request, chosen in self._shed(sorted(ready, key=lambda row: row[:3])):
-            # What is next in turn and does not fit is waited for: smaller work would slip past it for ever,
-            # and looking at the queue again for each arrival is what a flood made dear (incident i75347d).
+            # A request that is next and does not fit blocks its queue: smaller ones would overtake it for ever, and
+            # checking the queue again for each arrival is too expensive under a flood (incident i75347d).
             if chosen is None:
                 if not self.new_objects_blocked and not self._place_new_object(request):
                     self.new_objects_blocked = True
             elif not chosen.is_blocked and not self._send(request, chosen):
                 chosen.is_blocked = not self._has_capacity(chosen, request.arrival.units)
-        for place, _, held in queues:
-            if held and place not in self.recheck_at:
-                rests = [rest for rest in self.key_blocked_until.values() if rest > self.now]
-                self.recheck_at[place] = min([self.now + self.wake_interval_us, *rests])
+        for key, _, queue in queues:
+            if queue and key not in self.recheck_at:
+                unblock_times = [until for until in self.key_blocked_until.values() if until > self.now]
+                self.recheck_at[key] = min([self.now + self.wake_interval_us, *unblock_times])
 
     def _shed(self, ready: list[Ready]) -> list[Ready]:
-        """Answer now what the work ahead keeps from its deadline; a flood isn't held (incident i75347d)."""
-        ahead, kept = dict[str, float](), list[Ready]()
+        """Answer the requests that miss their deadline by the work ahead of them, and return the others.
+
+        Otherwise a flood would be queued as a whole (incident i75347d).
+        """
+        wait_by_queue, kept = dict[str, float](), list[Ready]()
         for row in ready:
-            request, book = row[3], row[4]
-            place = book.entry.node if book is not None else ""
-            unit_us = self._unit_us(book) if book is not None else self._mean_unit_us / max(1, len(self.shards))
-            wait = ahead[place] = ahead.get(place, 0.0) + request.arrival.units * unit_us
+            request, node = row[3], row[4]
+            queue_key = node.entry.node if node is not None else ""
+            unit_us = self._unit_us(node) if node is not None else self._mean_unit_us / max(1, len(self.shards))
+            wait = wait_by_queue[queue_key] = wait_by_queue.get(queue_key, 0.0) + request.arrival.units * unit_us
             if self.now + wait > request.deadline and not request.attempts:
                 self._answer(request)
-                then = self.now - UNLEARN_AFTER * self.target_us * self.settings.gateways
-                idle = [one for one in self.nodes.values() if not one.reservations and one.last_answer_at < then]
-                if book is not None and book in idle:  # what a stall taught would refuse for ever: none unlearns it
-                    book.service_time = book.served_units = 0.0
+                idle_since = self.now - UNLEARN_AFTER * self.target_us * self.settings.gateways
+                idle = [
+                    other
+                    for other in self.nodes.values()
+                    if not other.reservations and other.last_answer_at < idle_since
+                ]
+                # No answer corrects what an idle node's stall has taught: it would refuse requests for ever.
+                if node is not None and node in idle:
+                    node.service_time = node.served_units = 0.0
                 if len(idle) == len(self.nodes):
                     self.total_service_time = self.total_served_units = 0.0
             else:
@@ -109,29 +121,29 @@
         return kept
 
     def _place_new_object(self, request: RequestState) -> bool:
-        """A new object goes to the member of its key's group whose book, with it, frees earliest."""
+        """Send a new object to the node of its key's group that would complete it earliest; returns if it was sent."""
         units, now = request.arrival.units, self.now
         version = self.node_list_version, request.arrival.bounds.version if request.arrival.bounds is not None else 0
         if request.candidates_version != version or request.is_hedged:
             request.candidates_version, request.candidates = version, self._candidates(request)
-        members = [
-            book
-            for book in request.candidates
-            if not book.is_blocked and not book.is_unresponsive and self._accepts_work(book)
+        available = [
+            node
+            for node in request.candidates
+            if not node.is_blocked and not node.is_unresponsive and self._accepts_work(node)
         ]
-        added = self.scorers.added_us(now, request.arrival, members) if self.scorers is not None else None
-        members.sort(
-            key=lambda book: (
-                book.failures > 0,
-                max(book.free_at, now + self._queue_delay(book))
-                + units * self._unit_us(book)
-                + (added.get(book.entry.node, 0.0) if added else 0.0),
+        added_us = self.scorers.added_us(now, request.arrival, available) if self.scorers is not None else None
+        available.sort(
+            key=lambda node: (
+                node.failures > 0,
+                max(node.free_at, now + self._queue_delay(node))
+                + units * self._unit_us(node)
+                + (added_us.get(node.entry.node, 0.0) if added_us else 0.0),
             )
         )
-        return any(self._send(request, book) for book in members)
+        return any(self._send(request, node) for node in available)
 
     def _send(self, request: RequestState, node: NodeState) -> bool:
-        """The one place that sends: every rule is a guard here."""
+        """Send a request to a node if all rules allow it; returns whether it was sent. All sends go through here."""
         arrival, now = request.arrival, self.now
         if (
             not self._has_capacity(node, arrival.units)
@@ -139,8 +151,8 @@
             or not self._may_send_to(request, node)
         ):
             return False
-        # Others' work: what earns less leaves only for a shorter wait at the node. All gateways see that
-        # wait, so reserve goes before share before spare without a word between them.
+        # A request that earns less accepts only a shorter wait for other gateways' work. As all gateways observe that
+        # wait, reserves go before fair shares and these before spare capacity without communication among gateways.
         wait = self._queue_delay(node)
         factor = self._value_factor(request, node.entry.node, wait + arrival.units * self._nominal_us(node))
         if wait > MAX_QUEUE_DELAY * self.target_us * factor**DELAY_EXPONENT:
@@ -152,13 +164,13 @@
         if volume.reserve_left(now) >= arrival.units:
             volume.reserve.level -= arrival.units
         elif not arrival.is_background:
-            for place in (node.entry.node, ""):
-                volume.excess_use.setdefault(place, DecayingRate()).add(now, arrival.units)
+            for queue_key in (node.entry.node, ""):
+                volume.excess_use.setdefault(queue_key, DecayingRate()).add(now, arrival.units)
         volume.local_use.add(now, arrival.units)
         if request.attempts:
             self.retry_times.append(now)
         request.queue.pop(arrival.request, None)
-        until = self._retry_deadline(request)
+        retry_deadline = self._retry_deadline(request)
         request.may_have_run_since = now if request.may_have_run_on is None else request.may_have_run_since
         node.reserve((arrival.request, request.attempts), arrival.units, self._unit_us(node), now)
         node.recent_units = node.units_since(now - self.rules.overload_window_us) + arrival.units
@@ -166,8 +178,8 @@
         self.active_nodes[node.entry.node] = node
         request.in_flight[request.attempts] = node
         request.attempts += 1
-        copies = self.settings.allowed.hedging and request.klass.effect is api.Effect.SAFE
-        if copies and arrival.bounds is not None and arrival.bounds.hedge_delay_us and not request.klass.in_order:
+        may_hedge = self.settings.allowed.hedging and request.klass.effect is api.Effect.SAFE
+        if may_hedge and arrival.bounds is not None and arrival.bounds.hedge_delay_us and not request.klass.in_order:
             heapq.heappush(self.hedge_times, (now + arrival.bounds.hedge_delay_us, arrival.request))
-        self.actions.append(api.Send(arrival.request, node.entry.node, 0, until))
+        self.actions.append(api.Send(arrival.request, node.entry.node, 0, retry_deadline))
         return True
--- a/hophinge/core/choice/gateway_state.py
+++ b/hophinge/core/choice/gateway_state.py
@@ -1,4 +1,4 @@
-"""What is known of the nodes: the time each takes for a unit, others' work there, silence, and so its room."""
+"""The state of one gateway: its nodes with their time per unit, queue delay, health and capacity."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from hophinge.core.choice.node_state import DECAY, NodeState, RequestState, Reservation
 from hophinge.core.choice.volume_state import VolumeState
 
-MAX_IN_FLIGHT = 32  # requests out at one node, the design's own ceiling
-MAX_IN_FLIGHT_OF_ALL = 256  # requests out at one node by all gateways, where that leaves less than the ceiling
-TARGET_FRACTION = 0.15  # part of the tightest aim that a node's units out may fill; the rest is for others
-DECAY_OF_ALL = 0.98  # the same for all nodes together: about fifty answers count
-UNRESPONSIVE_AFTER = 1.0  # tightest aims without any answer after which a node with work out is taken as hung
-WAKEUPS_PER_TARGET = 10  # looks within the tightest aim at a place where something is held
-NOMINAL_QUANTILE = 0.25  # quantile of time per unit, by machine kind, that counts as served without waiting
-NOMINAL_STEP = 0.05  # part by which one answer moves that quantile
-DELAY_DECAY = 2.0  # tightest aims after which what was seen of a node's wait counts for a third
-MAX_QUEUE_DELAY = 1.0  # tightest aims that a request of full worth waits for others' work at a node
-DELAY_SMOOTHING = 0.5  # weight of the newest answer in a node's wait
+MAX_IN_FLIGHT = 32  # requests in flight at one node from this gateway
+MAX_IN_FLIGHT_OF_ALL = 256  # the same from all gateways, where that gives a lower limit for each
+TARGET_FRACTION = 0.15  # of the tightest target latency that units in flight at a node may take; the rest is for others
+DECAY_OF_ALL = 0.98  # as DECAY, for all nodes together: about fifty answers count
+UNRESPONSIVE_AFTER = 1.0  # tightest target latencies without an answer, with attempts in flight
+WAKEUPS_PER_TARGET = 10  # checks of a non-empty queue within the tightest target latency
+NOMINAL_QUANTILE = 0.25  # quantile of the time per unit, by machine type, that counts as service without queueing
+NOMINAL_STEP = 0.05  # relative change of that quantile by one answer
+DELAY_DECAY = 2.0  # tightest target latencies after which an observed queue delay counts for a third
+MAX_QUEUE_DELAY = 1.0  # tightest target latencies of queue delay at a node that a request of full value accepts
+DELAY_SMOOTHING = 0.5  # weight of the newest answer in a node's queue delay
 
 
 def _check(settings: api.Settings) -> None:
     if settings.gateways < 1 or not settings.classes or not settings.plans or settings.tick_us < 1:
-        raise ValueError("settings need a tick, gateways, classes and plans")
+        raise ValueError("settings need a tick above 0, a gateway, a class and a plan")
     if any(klass.target_latency_us <= 0 or klass.deadline_us <= 0 for klass in settings.classes):
-        raise ValueError("a class needs an aim and a deadline above 0")
+        raise ValueError("a class needs a target latency and a deadline above 0")
 
 
 class GatewayState:
-    """The facts of one gateway, and what answers taught it of its nodes."""
+    """The state of one gateway, and what it has learned about its nodes from their answers."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         _check(settings)
@@ -40,74 +40,90 @@
         self.random = random.Random(seed)
         self.target_us = min(klass.target_latency_us for klass in settings.classes)
         self.wake_interval_us = max(settings.tick_us, self.target_us // WAKEUPS_PER_TARGET)
-        # An answer leaves so long before its deadline.
+        # A request is answered this long before its deadline.
         self.answer_lead_us = self.wake_interval_us + 2 * settings.tick_us
         self.nodes: dict[str, NodeState] = {}
         self.shards: dict[int, list[NodeState]] = {}
         self.volumes: dict[str, VolumeState] = {}
         self.requests: dict[str, RequestState] = {}
-        self.queued_new_objects: dict[str, RequestState] = {}  # held new objects, not bound to a node
-        self.unplaced_reads: dict[str, RequestState] = {}  # held reads whose shard no listed node holds
-        self.key_order: dict[tuple[str, str], list[RequestState]] = {}  # by volume and key, as key_rest
+        self.queued_new_objects: dict[str, RequestState] = {}  # for new objects, not bound to a node
+        self.unplaced_reads: dict[str, RequestState] = {}  # whose shard has no usable node
+        self.key_order: dict[tuple[str, str], list[RequestState]] = {}  # in order, by volume and key
         self.key_blocked_until: dict[tuple[str, str], int] = {}
         self.retry_times = deque[int]()
         self.arrival_times = deque[int]()
         self.longest_deadlines: dict[int, int] = {}
-        self.node_list_version = 0  # of the node list held
-        self.processes = 1  # that share this gateway's part: two while it is replaced
+        self.node_list_version = 0  # increases with each list
+        self.processes = 1  # that share this gateway's part: two during a handoff
         self.deadlines: list[tuple[int, str]] = []
-        self.hedge_times: list[tuple[int, str]] = []  # when a second copy may go
-        self.fair_use: dict[str, tuple[int, float]] = {}
-        self.total_service_time = self.total_served_units = 0.0  # by all nodes, for the time per unit of one not heard
-        self.nominal_unit_us: dict[int, float] = {}  # time per unit without waiting, by machine kind
-        # of all nodes heard, lately
+        self.hedge_times: list[tuple[int, str]] = []  # when a request may be hedged
+        self.fair_use: dict[str, tuple[int, float]] = {}  # when it was computed, and use per weight, by queue
+        self.total_service_time = self.total_served_units = 0.0  # of all nodes, for one without answers
+        self.nominal_unit_us: dict[int, float] = {}  # time per unit without queueing, by machine type
+        # Recent queue delay over all nodes, and when it was last observed.
         self.typical_delay = 0.0
         self.typical_delay_at = 0
-        self.next_watch_at = self.resumed_at = 0  # when it last found that it had stood still
-        self.now = self.timer_at = 0  # when the next timer is due, 0: none is set
-        self.new_objects_blocked = False  # no node has room for the new object next in turn
-        self.changed_queues: dict[str, None] = {}  # places (nodes, "" for new objects) to look at now
-        self.recheck_at: dict[str, int] = {}  # places where something is held, and when to look again
-        self.active_nodes: dict[str, NodeState] = {}  # nodes with attempts out
+        # When to subscribe to node lists (negative: not needed), and when this process last resumed after a stall.
+        self.next_watch_at = self.resumed_at = 0
+        self.now = self.timer_at = 0  # timer_at: when the next timer expires, 0 if none is set
+        self.new_objects_blocked = False  # no node has capacity for the next new object
+        self.changed_queues: dict[str, None] = {}  # to dispatch now, by node; "" for new objects
+        self.recheck_at: dict[str, int] = {}  # when to check non-empty queues again
+        self.active_nodes: dict[str, NodeState] = {}  # with attempts in flight
         self.actions: list[api.Action] = []
-        self.scorers: api.Scorers | None = None  # add times to nodes in `_place`
+        self.scorers: api.Scorers | None = None  # add times to nodes in `_place_new_object`
 
     @property
     def _mean_unit_us(self) -> float:
         return self.total_service_time / self.total_served_units if self.total_served_units else 0.0
 
     def _unit_us(self, node: NodeState) -> float:
-        """Learned time per unit of a node, or the average of those heard."""
+        """Return the learned microseconds per unit of a node, or the mean of all nodes if it has no answer yet."""
         return node.service_time / node.served_units if node.served_units else self._mean_unit_us
 
     def _nominal_us(self, node: NodeState) -> float:
         return self.nominal_unit_us.get(node.entry.kind, self._mean_unit_us)
 
     def _queue_delay(self, node: NodeState) -> float:
-        """Others' work ahead at a node; what was seen fades into what is usual at all nodes."""
-        usual = self._typical_delay()
+        """Return the wait for other gateways' work at a node; observations decay to the typical delay of all nodes."""
+        typical = self._typical_delay()
         return (
-            usual + (node.queue_delay - usual) * self._confidence(node.queue_delay_at) if node.queue_delay_at else usual
+            typical + (node.queue_delay - typical) * self._confidence(node.queue_delay_at)
+            if node.queue_delay_at
+            else typical
         )
 
     def _confidence(self, observed_at: int) -> float:
         return math.exp((observed_at - self.now) / (DELAY_DECAY * self.target_us))
 
     def _typical_delay(self) -> float:
-        """What nodes' waits were lately; it fades too, or who holds all back would never hear of better."""
+        """Return the recent queue delay over all nodes.
+
+        It decays too, as a gateway that holds back all requests gets no answers that show a shorter delay.
+        """
         return self.typical_delay * self._confidence(self.typical_delay_at)
 
     def _has_capacity(self, node: NodeState, units: float) -> bool:
-        """The bound on units out: the learned rate times a part of the tightest aim, floored and capped."""
-        last = max((slot.sent_at for slot in node.reservations.values() if slot.units), default=0)
-        lone = node.is_unresponsive and self._typical_delay() < TARGET_FRACTION * self.target_us
-        if not last or (lone and self.now - last > 2 * UNRESPONSIVE_AFTER * self.target_us):
-            return True  # one may go when none is out that may answer; what is silent alone is tried anew
+        """Return whether a node can take more units.
+
+        The units in flight are bounded by the learned rate times a fraction of the tightest target latency, with a
+        floor; the number of requests is bounded too.
+        """
+        last_sent_at = max(
+            (reservation.sent_at for reservation in node.reservations.values() if reservation.units), default=0
+        )
+        is_alone_unresponsive = node.is_unresponsive and self._typical_delay() < TARGET_FRACTION * self.target_us
+        # One may be sent if none in flight may still be answered, and again if only this node is unresponsive.
+        if not last_sent_at or (
+            is_alone_unresponsive and self.now - last_sent_at > 2 * UNRESPONSIVE_AFTER * self.target_us
+        ):
+            return True
         limit = max(1, min(MAX_IN_FLIGHT, MAX_IN_FLIGHT_OF_ALL // self.settings.gateways) // self.processes)
         if node.is_unresponsive or node.failures > 1 or len(node.reservations) >= limit:
             return False
-        # Many gateways' floors add up: where answers take longer than the part, the floor shrinks with them,
-        # down to one request out. It covers every cause of slow answers; it costs rate where all work is big.
+        # The floors of many gateways add up: where answers take longer than that fraction of the target, the floor
+        # shrinks down to one request in flight. This covers all causes of slow answers, and costs throughput where all
+        # requests are large.
         floor = self.settings.max_units * min(1.0, TARGET_FRACTION * self.target_us / max(node.recent_latency, 1.0))
         bound = max(TARGET_FRACTION * self.target_us / unit_us if (unit_us := self._unit_us(node)) > 0 else 0.0, floor)
         return node.units_out + units <= bound
@@ -115,13 +131,13 @@
     def _accepts_work(self, node: NodeState) -> bool:
         return node.backoff_until <= self.now and self._has_capacity(node, min(1.0, self.settings.mean_units))
 
-    def _queue_changed(self, node: str) -> None:
-        """Look at a node's held requests, and at new objects, as something changed there."""
+    def _queue_changed(self, node_name: str) -> None:
+        """Dispatch a node's queue and the new objects again, as the node's state has changed."""
         self.new_objects_blocked = False
         self.changed_queues[""] = None
-        if book := self.nodes.get(node):
-            book.is_blocked = False
-            self.changed_queues[node] = None
+        if node := self.nodes.get(node_name):
+            node.is_blocked = False
+            self.changed_queues[node_name] = None
 
     def _release(self, node: NodeState, attempt: tuple[str, int]) -> Reservation:
         reservation = node.release(attempt, self.now)
@@ -131,9 +147,9 @@
         return reservation
 
     def _record_service(self, node: NodeState, reservation: Reservation, duration: int, done: int) -> None:
-        """Learn from what a node has done, and when it was done."""
-        # Nodes take requests in turn: what is out twice as long as one answered has lost its answer. A
-        # book that kept room for it would leave an idle node unused until its client gives up.
+        """Learn from an attempt that took `duration` and was completed by its node at `done`."""
+        # Nodes serve requests in order: an attempt in flight for over twice as long as an answered one has lost its
+        # answer. Keeping its units reserved would leave an idle node unused until the client's deadline.
         now = self.now
         for other in node.reservations.values():
             if now - other.sent_at > 2 * (now - reservation.sent_at):
@@ -141,14 +157,14 @@
                 other.units = 0.0
         self.total_service_time = self.total_service_time * DECAY_OF_ALL + node.record_service(reservation, done)
         self.total_served_units = self.total_served_units * DECAY_OF_ALL + reservation.units
-        # Others' work, from an answer: what it took beyond the nominal time of our units, ahead too.
+        # The wait for other gateways' work is the duration beyond the nominal time of our units, those ahead included.
         units = max(reservation.units, 1.0)
         nominal = self.nominal_unit_us.get(node.entry.kind, duration / units)
         nominal *= 1 + NOMINAL_STEP * (NOMINAL_QUANTILE if duration / units > nominal else NOMINAL_QUANTILE - 1)
         self.nominal_unit_us[node.entry.kind] = nominal
         wait = max(0.0, duration - (reservation.units_ahead + units) * nominal)
-        before, usual = self._queue_delay(node), self._typical_delay()
-        self.typical_delay = usual + (wait - usual) * (1 - DECAY)
+        before, typical = self._queue_delay(node), self._typical_delay()
+        self.typical_delay = typical + (wait - typical) * (1 - DECAY)
         self.typical_delay_at = self.now
         node.queue_delay = before + (wait - before) * DELAY_SMOOTHING
         node.queue_delay_at = self.now
@@ -161,10 +177,12 @@
         if self.settings.discovery is api.Discovery.ON_REQUEST and 0 <= self.next_watch_at <= self.now:
             self.actions.append(api.Watch())
             self.next_watch_at = self.now + max(self.rules.watch_within_us // 2, self.target_us)
-        for node, book in self.active_nodes.items():
+        for name, node in self.active_nodes.items():
             if (
-                not book.is_unresponsive
-                and self.now - max(self.resumed_at, book.last_activity()) > UNRESPONSIVE_AFTER * self.target_us
+                not node.is_unresponsive
+                and self.now - max(self.resumed_at, node.last_activity()) > UNRESPONSIVE_AFTER * self.target_us
             ):
-                book.is_unresponsive = True
-                self.actions.append(api.Log(f"node {node} has gone silent with {len(book.reservations)} attempts out"))
+                node.is_unresponsive = True
+                self.actions.append(
+                    api.Log(f"node {name} is unresponsive with {len(node.reservations)} attempts in flight")
+                )
--- a/hophinge/core/choice/request_lifecycle.py
+++ b/hophinge/core/choice/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from arrival to answer: where each is held, what its attempts' ends mean, and its one answer."""
+"""Requests from arrival to answer: their queues, the results of their attempts, and their answers."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from hophinge.core.choice.send_rules import SendRules
 from hophinge.core.choice.volume_state import VolumeState
 
-FIRST_BACKOFF = 0.2  # tightest aims that a node rests after it failed or turned away an attempt
-MAX_BACKOFF_DOUBLINGS = 5  # doublings of that rest while trials go on failing: some seconds, as lists are late
-RETRY_AFTER = 2.0  # tightest aims after which a refused client is told to come back
-VOLUME_IDLE_US = 60_000_000  # a volume unheard of for a minute is forgotten; no request lives that long
+FIRST_BACKOFF = 0.2  # tightest target latencies without requests for a node that failed or rejected an attempt
+MAX_BACKOFF_DOUBLINGS = 5  # of that backoff while attempts keep failing: some seconds, as lists are late
+RETRY_AFTER = 2.0  # tightest target latencies that a refused client is told to wait
+VOLUME_IDLE_US = 60_000_000  # without requests, after which a volume is removed; no request lives that long
 NEVER_RAN = frozenset({api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT, api.Result.MISPLACED})
 FAILED = frozenset({api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.ERROR, api.Result.RESET})
 MAY_RUN_ON = frozenset({api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED})
 
 
 class RequestLifecycle(SendRules):
-    """What came in, taken into the books."""
+    """Handles the events of requests and attempts."""
 
     def _node_list(self, event: api.NodeList) -> None:
         if event.kind is api.ListKind.ERROR:
@@ -27,39 +27,39 @@
             return
         if event.kind is not api.ListKind.SAVED:
             self.next_watch_at = -1
-        named = {entry.node for entry in event.entries}
+        listed = {entry.node for entry in event.entries}
         if event.kind is api.ListKind.FULL:
-            for node, book in self.nodes.items():
-                if node not in named:
-                    book.entry = api.NodeEntry(node, book.entry.zone, book.entry.shard, api.Phase.GONE, 0.0, 0)
+            for node_name, node in self.nodes.items():
+                if node_name not in listed:
+                    node.entry = api.NodeEntry(node_name, node.entry.zone, node.entry.shard, api.Phase.GONE, 0.0, 0)
         for entry in event.entries:
-            book = self.nodes.setdefault(entry.node, NodeState(entry))
-            if entry.started_us > book.entry.started_us:
-                book.service_time = book.served_units = book.recent_latency = 0.0
-                book.failures = 0
-                book.backoff_until = 0
-                book.is_unresponsive = False
-                book.queue_delay_at = 0
-            book.entry = entry
-        waiting = [one for book in self.nodes.values() for one in book.queued.values()] + list(
+            node = self.nodes.setdefault(entry.node, NodeState(entry))
+            if entry.started_us > node.entry.started_us:
+                node.service_time = node.served_units = node.recent_latency = 0.0
+                node.failures = 0
+                node.backoff_until = 0
+                node.is_unresponsive = False
+                node.queue_delay_at = 0
+            node.entry = entry
+        to_enqueue = [queued for node in self.nodes.values() for queued in node.queued.values()] + list(
             self.unplaced_reads.values()
         )
         self.shards = {}
         self.node_list_version += 1
-        for _, book in sorted(self.nodes.items()):
-            book.queued = {}
-            if book.entry.phase is api.Phase.ON:
-                self.shards.setdefault(book.entry.shard, []).append(book)
-        for node in [
-            name for name, one in self.nodes.items() if one.entry.phase is api.Phase.GONE and not one.reservations
+        for _, node in sorted(self.nodes.items()):
+            node.queued = {}
+            if node.entry.phase is api.Phase.ON:
+                self.shards.setdefault(node.entry.shard, []).append(node)
+        for node_name in [
+            name for name, known in self.nodes.items() if known.entry.phase is api.Phase.GONE and not known.reservations
         ]:
-            del self.nodes[node]
-            self.fair_use.pop(node, None)
+            del self.nodes[node_name]
+            self.fair_use.pop(node_name, None)
             for volume in self.volumes.values():
-                volume.excess_use.pop(node, None)
+                volume.excess_use.pop(node_name, None)
         self.unplaced_reads.clear()
         self._queue_changed("")
-        for request in waiting:
+        for request in to_enqueue:
             self._enqueue(request)
 
     def _arrival(self, arrival: api.Arrival) -> None:
@@ -67,19 +67,21 @@
         while self.arrival_times and self.arrival_times[0] <= self.now - self.rules.budget_us:
             self.arrival_times.popleft()
         if (volume := self.volumes.get(arrival.volume)) is None or volume.plan_number != arrival.plan:
-            for name in [name for name, one in self.volumes.items() if self.now - one.last_observed > VOLUME_IDLE_US]:
+            for name in [name for name, old in self.volumes.items() if self.now - old.last_observed > VOLUME_IDLE_US]:
                 del self.volumes[name]
             volume = self.volumes[arrival.volume] = VolumeState(self.settings, arrival.plan, self.now)
         volume.share_limit(
             arrival.gateways if arrival.gateways > 0 else self.settings.gateways, self.now, self.processes
         )
         klass = self.settings.classes[arrival.klass]
-        left = min(arrival.time_left_us, klass.deadline_us)  # what one client says makes no other one late
-        longest = self.longest_deadlines[arrival.klass] = max(self.longest_deadlines.get(arrival.klass, 0), left)
-        waited = (
-            longest - left if left > klass.target_latency_us else 0
-        )  # else an impatient client: nothing was late already
-        request = RequestState(arrival, klass, volume, self.now, waited, self.random.random())
+        # Bounded, so that the deadline of one client does not make requests of others count as late.
+        time_left_us = min(arrival.time_left_us, klass.deadline_us)
+        longest_us = self.longest_deadlines[arrival.klass] = max(
+            self.longest_deadlines.get(arrival.klass, 0), time_left_us
+        )
+        # A retry has less time left than others. With less than the target latency, it is just an impatient client.
+        waited_us = longest_us - time_left_us if time_left_us > klass.target_latency_us else 0
+        request = RequestState(arrival, klass, volume, self.now, waited_us, self.random.random())
         self.requests[arrival.request] = request
         heapq.heappush(self.deadlines, (request.queue_until + self.answer_lead_us, arrival.request))
         if klass.in_order and arrival.key:
@@ -87,22 +89,24 @@
         self._enqueue(request)
 
     def _enqueue(self, request: RequestState) -> None:
-        arrival, bound = request.arrival, request.may_have_run_on
+        arrival, ran_on = request.arrival, request.may_have_run_on
         request.queue.pop(arrival.request, None)
-        if arrival.shard < 0 and bound is None:
+        if arrival.shard < 0 and ran_on is None:
             request.queue = self.queued_new_objects
         else:
-            there = self.shards.get(bound.entry.shard if arrival.shard < 0 and bound else arrival.shard, [])
-            books = (
-                there if arrival.bounds is None else [book for book in there if self._is_within_bounds(request, book)]
+            in_shard = self.shards.get(ran_on.entry.shard if arrival.shard < 0 and ran_on else arrival.shard, [])
+            nodes = (
+                in_shard
+                if arrival.bounds is None
+                else [node for node in in_shard if self._is_within_bounds(request, node)]
             )
-            request.queue = books[-1].queued if books else self.unplaced_reads
-            request.queue_key = books[-1].entry.node if books else "?"
+            request.queue = nodes[-1].queued if nodes else self.unplaced_reads
+            request.queue_key = nodes[-1].entry.node if nodes else "?"
         request.queue[arrival.request] = request
         self.changed_queues[request.queue_key] = None
 
     def _enqueue_hedges(self) -> None:
-        """Hold again, for a second copy, what has been out for as long as its bounds state."""
+        """Queue requests for a hedged second attempt, once the delay that their bounds state has passed."""
         while self.hedge_times and self.hedge_times[0][0] <= self.now:
             request = self.requests.get(heapq.heappop(self.hedge_times)[1])
             if (
@@ -113,29 +117,31 @@
                 or request.attempts != 1
             ):
                 continue
-            others = any(self._may_send_to(request, book) for line in self.shards.values() for book in line)
-            if others and self._may_retry(request) and self._takes_retry_budget(request):
+            has_other_node = any(
+                self._may_send_to(request, node) for shard_nodes in self.shards.values() for node in shard_nodes
+            )
+            if has_other_node and self._may_retry(request) and self._takes_retry_budget(request):
                 request.is_hedged = True
                 self._enqueue(request)
 
     def _stream_started(self, event: api.StreamStarted) -> None:
-        """From here the client sets the pace: the node's book must not take it for the node's."""
+        """Release the reservation of a streaming attempt: its duration depends on the client and not on the node."""
         request = self.requests.get(event.request)
-        if request is None or (book := request.in_flight.get(event.attempt)) is None:
+        if request is None or (node := request.in_flight.get(event.attempt)) is None:
             return
         request.is_streaming = True
-        if (attempt := (event.request, event.attempt)) in book.reservations:
-            slot = self._release(book, attempt)
+        if (attempt := (event.request, event.attempt)) in node.reservations:
+            reservation = self._release(node, attempt)
             if not event.upward:
-                done = min(self.now, slot.sent_at + event.elapsed_us) if event.elapsed_us else self.now
-                self._record_service(book, slot, done - slot.sent_at, done)
-                book.last_answer_at = self.now
+                done = min(self.now, reservation.sent_at + event.elapsed_us) if event.elapsed_us else self.now
+                self._record_service(node, reservation, done - reservation.sent_at, done)
+                node.last_answer_at = self.now
 
     def _outcome(self, event: api.Outcome) -> None:
         """Record the end of an attempt and decide what becomes of its request."""
         request, node = self.requests.get(event.request), self.nodes.get(event.node)
         if request is not None and request.is_streaming:
-            # Its slot went when the stream started. One that broke off on its way up still lacks its answer.
+            # Its reservation was released when the stream started. An upload that broke off still needs an answer.
             request.in_flight.pop(event.attempt, None)
             if event.result not in NEVER_RAN and request.may_have_run_on is None:
                 request.may_have_run_on = node
@@ -161,8 +167,8 @@
         if event.result is api.Result.OK:
             self._record_service(node, reservation, min(event.elapsed_us or now, now - reservation.sent_at), now)
         elif event.result in FAILED and reservation.sent_at >= node.backoff_until:
-            # A node that fails quickly looks free, and the list tells of its end seconds late (incident
-            # ia4d3c1): it rests longer each time and gets one trial. A flaky node loses some rate.
+            # A node that fails quickly looks idle, and the list reports its end seconds late (incident ia4d3c1): the
+            # backoff doubles each time, with one attempt in between. A flaky node loses some throughput.
             doublings = min(node.failures, MAX_BACKOFF_DOUBLINGS)
             node.backoff_until = now + int(FIRST_BACKOFF * self.target_us * 2**doublings)
             node.failures += 1
@@ -170,7 +176,7 @@
             node.last_answer_at = now
 
     def _record_request_outcome(self, request: RequestState, node: NodeState, event: api.Outcome) -> None:
-        """Record the end of an attempt with its request, whose effect it may have had."""
+        """Record the end of an attempt in its request, which may have been executed."""
         now = self.now
         if event.used > 0:
             request.volume.reported_use = (event.used - 1) / 100 * request.volume.plan.rate
@@ -185,31 +191,31 @@
             self.key_blocked_until[request.arrival.volume, request.arrival.key] = now + self.rules.key_block_us
 
     def _retry_or_answer(self, request: RequestState, event: api.Outcome) -> None:
-        """Queue a request for another attempt, or answer it where that could not end in time or is not allowed."""
+        """Queue a request for another attempt, or answer it if one could not end in time or is not allowed."""
         if request.has_written:
             retry_before = request.deadline - self.wake_interval_us
         else:
-            # Another connection that takes as long to fail would leave its client unanswered past half of its time.
+            # Another connection attempt that takes as long would leave its client unanswered past half its time.
             retry_before = request.queue_until - event.elapsed_us
         request.arrival = event.moved or request.arrival
-        # Where nobody knows where it lies, its client asks again elsewhere, the sooner the better.
-        away = event.result is api.Result.MISPLACED and event.moved is None
+        # If the location of its data is unknown, its client is to retry elsewhere as soon as possible.
+        is_misplaced = event.result is api.Result.MISPLACED and event.moved is None
         in_time = self.now < retry_before
-        if not away and self._may_retry(request) and in_time and self._takes_retry_budget(request):
+        if not is_misplaced and self._may_retry(request) and in_time and self._takes_retry_budget(request):
             self._enqueue(request)
         else:
-            self._answer(request, 0.0 if away else RETRY_AFTER)
+            self._answer(request, 0.0 if is_misplaced else RETRY_AFTER)
 
     def _answer(self, request: RequestState, retry_after: float = RETRY_AFTER) -> None:
-        """Refuse where a repeat is harmless, else fail; `rest`: aims after which a refused client may come back."""
+        """Refuse a request if a repeat is harmless, else fail it; `retry_after` is in tightest target latencies."""
         name, until = request.arrival.request, self._retry_deadline(request)
-        advice = min(int(retry_after * self.target_us), self.settings.allowed.retry_after_us)
-        harmless = not until or (request.klass.scope is api.DedupScope.ALL and self.now + advice < until)
-        self.actions.append(api.Refuse(name, advice) if harmless else api.Fail(name))
+        retry_after_us = min(int(retry_after * self.target_us), self.settings.allowed.retry_after_us)
+        is_harmless = not until or (request.klass.scope is api.DedupScope.ALL and self.now + retry_after_us < until)
+        self.actions.append(api.Refuse(name, retry_after_us) if is_harmless else api.Fail(name))
         self._finish(name)
 
     def _finish(self, name: str) -> None:
-        """No more is sent for a request that has its answer; it is forgotten once nothing of it is out."""
+        """Mark a request as answered, so that nothing more is sent; remove it once no attempt is in flight."""
         if (request := self.requests.get(name)) is None:
             return
         request.is_answered = True
@@ -217,28 +223,28 @@
         if request.in_flight:
             return
         del self.requests[name]
-        line = self.key_order.get((request.arrival.volume, request.arrival.key))
-        if line and request in line:
-            line.remove(request)
-            if line:
-                self.changed_queues[line[0].queue_key] = None
+        same_key = self.key_order.get((request.arrival.volume, request.arrival.key))
+        if same_key and request in same_key:
+            same_key.remove(request)
+            if same_key:
+                self.changed_queues[same_key[0].queue_key] = None
             else:
                 del self.key_order[request.arrival.volume, request.arrival.key]
 
     def _expire(self) -> None:
-        """Answer what can no longer be served, before its client gives up."""
-        soon = self.now + self.answer_lead_us
-        while self.deadlines and self.deadlines[0][0] <= soon:
+        """Answer requests that can no longer be served, before their clients' deadlines."""
+        answer_until = self.now + self.answer_lead_us
+        while self.deadlines and self.deadlines[0][0] <= answer_until:
             _, name = heapq.heappop(self.deadlines)
             if (request := self.requests.get(name)) is None or request.is_answered or request.is_streaming:
                 continue
-            unsent = not request.has_written and not request.in_flight and request.queue_until <= self.now
-            if unsent or request.deadline <= (self.now if request.in_flight else soon):
+            is_unsent = not request.has_written and not request.in_flight and request.queue_until <= self.now
+            if is_unsent or request.deadline <= (self.now if request.in_flight else answer_until):
                 self._answer(request)
             else:
-                last = (
+                check_at = (
                     request.deadline
                     if request.has_written or request.in_flight
                     else request.queue_until + self.answer_lead_us
                 )
-                heapq.heappush(self.deadlines, (max(last, soon + 1), name))
+                heapq.heappush(self.deadlines, (max(check_at, answer_until + 1), name))
--- a/hophinge/core/choice/scheduler.py
+++ b/hophinge/core/choice/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: one moment's events in, actions out, and the one timer that wakes it for what is due next."""
+"""The scheduler: turns the events of one moment into actions, and sets a timer for what is due next."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """The decisions of one gateway. It reads no clock and does no I/O."""
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
-        """Take what came in at one moment and tell what to do."""
+        """Handle the events of one moment and return the actions to perform."""
         self.now = now_us
         self.actions = []
         for event in events:
@@ -28,7 +28,7 @@
                     self._node_list(event)
                 case api.TimerExpired():
                     if self.timer_at <= now_us:
-                        # A gateway that stood still accuses no node of the silence meanwhile.
+                        # After a stall of this process, nodes are not blamed for the time without answers.
                         late = self.timer_at and now_us - self.timer_at > self.target_us // WAKEUPS_PER_TARGET
                         self.timer_at = 0
                         self.resumed_at = now_us if late else self.resumed_at
@@ -38,37 +38,37 @@
                     self._stream_started(event)
         self._watch_nodes()
         self._enqueue_hedges()
-        self.changed_queues |= {place: None for place, due in self.recheck_at.items() if due <= now_us}
+        self.changed_queues |= {queue_key: None for queue_key, due in self.recheck_at.items() if due <= now_us}
         while self.changed_queues:
-            places, self.changed_queues = list(self.changed_queues), {}
-            self._dispatch(places)
+            queue_keys, self.changed_queues = list(self.changed_queues), {}
+            self._dispatch(queue_keys)
         self._expire()
         self._set_timer()
         return self.actions
 
     def replan(self, plans: tuple[api.Plan, ...]) -> None:
-        """Go on under changed figures of the same plans; what was taken stays taken."""
+        """Apply changed values of the same plans; units that were used stay used."""
         self.settings = replace(self.settings, plans=plans)
         for volume in self.volumes.values():
             volume.plan = plans[volume.plan_number]
             volume.reserve.depth = volume.plan.reserve + self.settings.max_units
 
     def avoided(self, now: int) -> list[str]:
-        """Return which listed nodes get nothing now by choice: they rest, or have gone silent."""
+        """Return the listed nodes that get no requests now, in backoff or unresponsive."""
         return [
-            node
-            for node, book in self.nodes.items()
-            if book.entry.phase is api.Phase.ON and (book.is_unresponsive or book.backoff_until > now)
+            name
+            for name, node in self.nodes.items()
+            if node.entry.phase is api.Phase.ON and (node.is_unresponsive or node.backoff_until > now)
         ]
 
     def _set_timer(self) -> None:
-        """Wake for what is due next; a steady tick would cost gateways times nodes."""
+        """Set a timer for what is due next; a periodic tick would cost time for each gateway and node."""
         while self.deadlines and self.deadlines[0][1] not in self.requests:
             heapq.heappop(self.deadlines)
-        heard = [book.last_activity() for book in self.active_nodes.values() if not book.is_unresponsive]
+        active_at = [node.last_activity() for node in self.active_nodes.values() if not node.is_unresponsive]
         due = [
             *self.recheck_at.values(),
-            *(max(self.resumed_at, at) + int(UNRESPONSIVE_AFTER * self.target_us) + 1 for at in heard),
+            *(max(self.resumed_at, at) + int(UNRESPONSIVE_AFTER * self.target_us) + 1 for at in active_at),
         ]
         due += [self.deadlines[0][0] - self.answer_lead_us] if self.deadlines else []
         due += self.hedge_times[0][:1] if self.hedge_times else ()
--- a/hophinge/core/choice/volume_state.py
+++ b/hophinge/core/choice/volume_state.py
@@ -1,4 +1,4 @@
-"""Volumes: what a plan gives one, its limit and its reserve here, and what it used lately."""
+"""The state of a volume at this gateway: its shares of the plan's limit and reserve, and its recent use."""
 
 from __future__ import annotations
 
@@ -6,12 +6,15 @@
 
 from hophinge.core import interface as api
 
-USED_SLACK_FRACTION = 0.5  # part of a limit's slack used; the rest covers what rounding and clocks may add
-USE_DECAY_S = 1.0  # seconds over which a volume's use counts: worth is dealt out second by second
+USED_SLACK_FRACTION = 0.5  # fraction of a limit's slack that is used; the rest covers rounding and clock differences
+USE_DECAY_S = 1.0  # time constant of a volume's use: value is accounted per second
 
 
 class TokenBucket:
-    """A store of units that fills at a rate; it starts empty, as a predecessor may have spent it."""
+    """A token bucket of units, filled at a rate per second.
+
+    The bucket of a limit starts empty, as the previous process may have used up its tokens.
+    """
 
     def __init__(self, rate: float, depth: float, level: float, now: int) -> None:
         self.rate = rate
@@ -20,7 +23,7 @@
         self.updated_at = now
 
     def fill(self, now: int, rate: float) -> float:
-        """Bring the store up to now and tell its level."""
+        """Fill the bucket up to now and return its level; `rate` applies from now on."""
         self.level = min(self.depth, self.level + self.rate * (now - self.updated_at) / 1e6)
         self.rate = rate
         self.updated_at = now
@@ -28,24 +31,24 @@
 
 
 class DecayingRate:
-    """Units that fade with time; its value is about the rate of the last while."""
+    """An exponentially decaying sum of units, which approximates their recent rate."""
 
     def __init__(self) -> None:
         self.units = 0.0
         self.updated_at = 0
 
     def add(self, now: int, units: float) -> None:
-        """Count units."""
+        """Add units."""
         self.units = self.rate(now) + units / USE_DECAY_S
         self.updated_at = now
 
     def rate(self, now: int) -> float:
-        """Units a second, lately."""
+        """Return the recent rate in units per second."""
         return self.units * math.exp((self.updated_at - now) / 1e6 / USE_DECAY_S)
 
 
 class VolumeState:
-    """What this gateway knows of one volume: its plan's stores, its use here and everywhere."""
+    """One volume: the token buckets of its plan, and its use at this gateway and overall."""
 
     def __init__(self, settings: api.Settings, plan_number: int, now: int) -> None:
         self.plan_number = plan_number
@@ -59,7 +62,7 @@
         self.excess_use: dict[str, DecayingRate] = {}
 
     def share_limit(self, gateways: int, now: int, processes: int) -> None:
-        """Split the limit by the most gateways heard of: whatever they send, the sum stays within it."""
+        """Divide the limit by the largest number of gateways reported, so that their sum stays within it."""
         self.gateways = max(self.gateways, gateways)
         self.last_observed = now
         shares = self.gateways * processes
@@ -67,11 +70,11 @@
         self.limit.fill(now, self.plan.limit / shares)
 
     def within_limit(self, units: float, now: int) -> bool:
-        """Return whether the limit's part of this gateway has these units."""
+        """Return whether this gateway's share of the limit has enough units."""
         return self.plan.limit <= 0 or self.limit.fill(now, self.limit.rate) >= units
 
     def reserve_left(self, now: int) -> float:
-        """Reserve still due here: this gateway's part is its part of the volume's use, by the meter."""
+        """Return the units of the reserve left here; this gateway's share is its share of the volume's metered use."""
         own = self.local_use.rate(now)
         share = max(own / max(own, self.reported_use, 1e-9), 1 / self.gateways)
         return self.reserve.fill(now, self.plan.reserve * share)
