--- a/hophinge/scoring/__init__.py
+++ b/hophinge/scoring/__init__.py
@@ -1,1 +1,1 @@
-"""Scorers as plug-ins, and weights that they share; decided without I/O."""
+"""Scorers as plug-ins, and the weights that they share with peers; no I/O."""
--- a/hophinge/scoring/encoding.py
+++ b/hophinge/scoring/encoding.py
@@ -1,7 +1,7 @@
-"""Weights as replicated entries: few, small, each within one datagram, and validated when received.
+"""Encodes weights as replicated entries: few, small, each within one datagram, and validated when received.
 
-The entry of a backend is chosen by a hash of its name, so that a change of one backend sends one entry anew. Neutral
-backends take no space. Entry 0 always exists and has a heartbeat: a live peer without weights considers all healthy.
+A backend's entry is chosen by a hash of its name, so that a change of one backend resends only one entry. Neutral
+backends take no space. Entry 0 always exists and has a heartbeat: a live peer without weights reports all as healthy.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from hophinge.cluster.interface import MAX_NAME_CHARS, MAX_VALUE_BYTES
 
 FORMAT_VERSION = 1
-WEIGHT_STEPS = 50  # resolution of a weight: a finer one would send entries anew for nothing
+WEIGHT_STEPS = 50  # resolution of a weight; a finer one would resend entries for insignificant changes
 CHUNKS = 8  # entries of one scorer; each has space for about 40 backends with names of 20 characters
 MAP_OVERHEAD_BYTES = 2  # of the header of a map in MessagePack beyond that of an empty map
 MAX_SCORER_CHARS = 64  # of a scorer's name: with the chunk it is an entry's key
@@ -86,15 +86,15 @@
 
     """
     if len(value) > MAX_VALUE_BYTES:
-        raise InvalidEntryError("too long")
+        raise InvalidEntryError("the entry is too long")
     try:
         table = DECODER.decode(value)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidEntryError(str(error)) from error
     if table.format_version != FORMAT_VERSION:
-        raise InvalidEntryError("another format")
+        raise InvalidEntryError("the entry has another format version")
     for node, steps in table.steps.items():
-        # A backend in another chunk than its own could be listed twice, with two weights.
+        # A backend outside of its own chunk could be listed twice, with two weights.
         if not 0 < steps <= WEIGHT_STEPS or not 0 < len(node) <= MAX_NAME_CHARS or chunk_of(node) != chunk:
-            raise InvalidEntryError("a weight out of range or out of place")
+            raise InvalidEntryError("a weight is out of range or in the wrong chunk")
     return table.version, {node: steps / WEIGHT_STEPS for node, steps in table.steps.items()}
--- a/hophinge/scoring/engine.py
+++ b/hophinge/scoring/engine.py
@@ -1,4 +1,4 @@
-"""The scorers of one head: called for each choice and each result, and once a second merged with peers' weights."""
+"""The scorers of one head: called for each choice and each result; their weights are merged once a second."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ScoringEngine:
-    """The `Scorers` of the choice, and an observer of results; it never raises to either caller."""
+    """The `Scorers` of the scheduler, and an observer of results; it never raises to its callers."""
 
     def __init__(
         self,
@@ -47,15 +47,15 @@
         self.surroundings = surroundings
         self.shared = {name: SharedWeights(version, merge) for name, version in versions.items() if version}
         self.reader: EntryReader | None = None  # set if there are peers
-        self.published: dict[str, bytes] = {}  # own entries as published last
-        self.omitted_backends = 0  # backends that own entries had no space for at the last tick
+        self.published: dict[str, bytes] = {}  # own entries as last published
+        self.omitted_backends = 0  # backends without space in the own entries at the last tick
 
     def share_as(self, own_name: str) -> None:
         """Share weights from now on, under this member's name."""
         self.reader = EntryReader(own_name, self.shared)
 
     def added_us(self, now_us: int, arrival: api.Arrival, nodes: Sequence[api.NodeObservation]) -> dict[str, float]:
-        """Return the added microseconds by candidate; see hophinge/core/interface.py."""
+        """Return the added microseconds by candidate; see hophinge/core/interface/protocols.py."""
         return self.guard.added_us(now_us, arrival, nodes, self.surroundings)
 
     def heard(self, now_us: int, node: str, result: api.Result, elapsed_us: int) -> None:
@@ -63,7 +63,7 @@
         self.guard.heard(now_us, node, result, elapsed_us)
 
     def tick(self, now_us: int, nodes: Container[str], entries: Iterable[Entry] = ()) -> list[PutEntry | DeleteEntry]:
-        """Let scorers learn, merge weights, and return what to publish; `nodes` are the listed backends."""
+        """Let scorers learn, merge weights, and return the changes to publish; `nodes` are the listed backends."""
         actions: list[PutEntry | DeleteEntry] = []
         for _ in self.slices(now_us, nodes, entries, actions):
             pass
@@ -72,9 +72,9 @@
     def slices(
         self, now_us: int, nodes: Container[str], entries: Iterable[Entry], actions: list[PutEntry | DeleteEntry]
     ) -> Iterator[None]:
-        """Do the same in slices, between which the head serves requests; `actions` are complete at the end.
+        """Do the work of `tick` in slices, between which the head serves requests; appends to `actions` at the end.
 
-        `nodes` must not change meanwhile, and `entries` must have each owner's as of one moment. The next tick may
+        `nodes` must not change meanwhile, and the entries of an owner must be a consistent snapshot. The next tick may
         begin only after the last slice.
         """
         for scorer in self.guard.scorers:
@@ -88,7 +88,7 @@
         for name, shared in self.shared.items():
             own = self.guard.weights(now_us, name)
             if own is None:
-                continue  # an excluded scorer publishes nothing, rather than that all backends are healthy
+                continue  # an excluded scorer publishes nothing, instead of reporting all backends as healthy
             yield
             yield from shared.judge_peers(now_us, own)
             merged: dict[str, float] = {}
@@ -107,7 +107,7 @@
         ]
 
     def confirm(self, action: PutEntry | DeleteEntry) -> None:
-        """Record that an action was performed; one that was not is repeated by the next tick."""
+        """Record that an action was performed; the next tick repeats those that were not."""
         if isinstance(action, PutEntry):
             self.published[action.key] = action.value
         else:
--- a/hophinge/scoring/errors.py
+++ b/hophinge/scoring/errors.py
@@ -1,6 +1,6 @@
-"""Errors of scorers before a head serves, and the one that blocks it while it serves.
+"""Errors of scorers at the start of a head, and of a scorer that blocks a running head.
 
-All other errors of a scorer in use are counted instead.
+All other failures of a running scorer are counted and not raised.
 """
 
 from __future__ import annotations
@@ -9,17 +9,17 @@
 
 
 class ScorerUnknownError(HophingeError, ValueError):
-    """The operator's file names a scorer that is not built in, and that no installed package provides."""
+    """The operator's file names a scorer that is neither built in nor provided by an installed package."""
 
     code = "scorer-unknown"
-    remedy = "Install the package that brings the scorer, or mend its name under scorers in [scoring]."
+    remedy = "Install the package that provides the scorer, or correct its name under scorers in [scoring]."
 
 
 class ScorerUnusableError(HophingeError, ValueError):
-    """A package's scorer cannot be loaded, or two have the same name."""
+    """A package's scorer cannot be loaded, or several packages provide one of the same name."""
 
     code = "scorer-unusable"
-    remedy = "Mend, upgrade or remove the package that is named, or take its scorer out of [scoring]."
+    remedy = "Repair, upgrade or remove the named package, or remove its scorer from [scoring]."
 
 
 class ScorerInterfaceError(HophingeError, ValueError):
@@ -33,11 +33,11 @@
     """A scorer's parameters do not match the schema that the scorer declares."""
 
     code = "scorer-parameters"
-    remedy = "Mend the key that is named in the operator's file, or take it out for its default."
+    remedy = "Correct the named key in the operator's file, or remove it to use its default."
 
 
 class ScorerHungError(HophingeError):
     """A scorer did not return; the head was blocked until it was interrupted."""
 
     code = "scorer-hung"
-    remedy = "Take the scorer out of [scoring], or upgrade its package, and restart the head when it suits."
+    remedy = "Take the scorer out of [scoring], or upgrade its package, and restart the head when convenient."
--- a/hophinge/scoring/exclusion.py
+++ b/hophinge/scoring/exclusion.py
@@ -1,8 +1,8 @@
-"""The exclusion of a scorer that failed: increasing backoff, probation, and disabled until it is reinstated.
+"""The exclusion of a failed scorer: increasing backoff, probation, and disabling until it is reinstated.
 
-A call that exceeds its budget by the wall clock proves nothing: the process may have been preempted, or garbage
-collection ran in it. It costs that choice alone, and the scorer's next calls are measured: it is judged by the CPU time
-and context switches of the calls themselves.
+A call that exceeds its wall clock budget proves nothing: the process may have been preempted, or the garbage collector
+ran. Its result is dropped for that choice only, and the scorer's next calls are measured, so that it is judged by
+the CPU time and context switches of the calls themselves.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 INITIAL_BACKOFF_US = 1_000_000  # after the first failure: long for a request, short for a repair
 MAX_BACKOFF_US = 300_000_000  # a scorer that recovers by itself is back within five minutes
-PROBATION_CALLS = 200  # calls in a row without a failure after which former ones are forgotten
+PROBATION_CALLS = 200  # calls in a row without a failure after which earlier failures are forgotten
 MAX_SLOW_BACKOFFS = 5  # exclusions for slowness without a probation passed between them
-MEASURED_CALLS = 1_000  # from the start, and after each call that was too slow
+MEASURED_CALLS = 1_000  # calls that are measured, from the start and after each slow call
 MAX_EXCUSED = 3  # calls that a garbage collection excuses: a scorer that causes one each time is slow
 
 
 class CallUsage(Struct, frozen=True, gc=False):
-    """What a call that was too slow has used itself."""
+    """The resources that a slow call itself has used."""
 
     cpu_ns: int  # CPU time of its thread
     voluntary_switches: int  # voluntary context switches: sleep, a lock, a socket, a file
-    is_collected: bool  # whether older generations were garbage collected meanwhile
+    is_collected: bool  # older generations were garbage collected meanwhile
 
 
 class ScorerExclusion:
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.excluded_until_us = 0
-        self.failures = 0  # since the last probation that was passed
+        self.failures = 0  # since the last passed probation
         self.slow_failures = 0  # of these, exclusions for slow calls
         self.successes = 0  # in a row
         self.measured_calls_left = MEASURED_CALLS  # calls that are still to be measured
@@ -39,7 +39,7 @@
         self.is_disabled = False
 
     def is_callable(self, now_us: int) -> bool:
-        """Whether the scorer may be called now."""
+        """Return whether the scorer may be called now."""
         return not self.is_disabled and now_us >= self.excluded_until_us
 
     def record_success(self) -> None:
@@ -63,10 +63,10 @@
         self.is_disabled = self.is_disabled or self.slow_failures >= MAX_SLOW_BACKOFFS
 
     def record_slow_call(self, now_us: int, usage: CallUsage | None, budget_ns: int) -> bool:
-        """Judge a slow call, None if it was not measured; returns whether the scorer is excluded.
+        """Judge a slow call by its usage, None if not measured; returns whether the scorer is now excluded.
 
-        The second proof within `MEASURED_CALLS` excludes it, as one may still be chance (a page read from disk, a
-        thread that held the interpreter); for a scorer on probation the first proof does.
+        The second proof within `MEASURED_CALLS` excludes it, as a single one may be chance (a page read from disk, a
+        thread that held the interpreter lock); for a scorer on probation the first proof does.
         """
         self.measured_calls_left = MEASURED_CALLS
         if usage is None or not (usage.voluntary_switches or usage.cpu_ns > budget_ns):
--- a/hophinge/scoring/interface.py
+++ b/hophinge/scoring/interface.py
@@ -1,7 +1,7 @@
-"""The public interface of scorers: what one reads of a choice, what it returns, and how a package provides one.
+"""The public interface of scorers: their view of a choice, what they return, and how a package provides one.
 
-A scorer adds times to the permissible candidates; the one that is then free first is chosen. It cannot add a candidate,
-and none of its faults reaches a request: see hophinge/scoring/guard.py.
+A scorer adds times to the permissible candidates; the candidate that is then free first is chosen. A scorer cannot add
+candidates, and none of its failures affects a request: see hophinge/scoring/guard.py.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 class Surroundings:
-    """What a head knows beside its own measurements; the composition of the head sets and updates it."""
+    """What a head knows besides its own measurements; the head's other components set and update it."""
 
     def __init__(self, cold_us: int = 0) -> None:
-        self.cold_us = cold_us  # for which a backend that has started counts as cold
+        self.cold_us = cold_us  # how long a backend counts as cold after its start
         self.drains: Collection[str] = frozenset()  # backends that are being drained, or soon will be
         self.demand: Callable[[str], float] = _no_demand  # predicted requests per second by key
 
@@ -51,7 +51,7 @@
     @classmethod
     def of(cls, now_us: int, ask: api.Arrival, seen: Sequence[api.NodeObservation], surroundings: Surroundings) -> View:
         """Create the view of a choice."""
-        return cls(now_us, tuple([one.entry.node for one in seen]), ask, seen, surroundings, {})
+        return cls(now_us, tuple([observation.entry.node for observation in seen]), ask, seen, surroundings, {})
 
     def __len__(self) -> int:
         return len(self.nodes)
@@ -69,73 +69,76 @@
     @property
     def zones(self) -> tuple[int, ...]:
         """The zones, as numbers of the node list."""
-        kept: tuple[int, ...] | None = self._kept.get("zones")
-        if kept is None:
-            kept = self._kept["zones"] = tuple([one.entry.zone for one in self._seen])
-        return kept
+        cached: tuple[int, ...] | None = self._kept.get("zones")
+        if cached is None:
+            cached = self._kept["zones"] = tuple([observation.entry.zone for observation in self._seen])
+        return cached
 
     @property
     def wait_us(self) -> tuple[float, ...]:
-        """The microseconds until the work that this head has sent there should be done, as the head estimates."""
+        """The estimated microseconds until the work that this head has sent there is done."""
         now = self.now_us
-        kept: tuple[float, ...] | None = self._kept.get("wait_us")
-        if kept is None:
-            kept = self._kept["wait_us"] = tuple([max(0.0, one.free_at - now) for one in self._seen])
-        return kept
+        cached: tuple[float, ...] | None = self._kept.get("wait_us")
+        if cached is None:
+            cached = self._kept["wait_us"] = tuple([max(0.0, observation.free_at - now) for observation in self._seen])
+        return cached
 
     @property
     def lag_us(self) -> tuple[float, ...]:
         """The recent latency of answers in microseconds; 0.0 without an answer."""
-        kept: tuple[float, ...] | None = self._kept.get("lag_us")
-        if kept is None:
-            kept = self._kept["lag_us"] = tuple([one.recent_latency for one in self._seen])
-        return kept
+        cached: tuple[float, ...] | None = self._kept.get("lag_us")
+        if cached is None:
+            cached = self._kept["lag_us"] = tuple([observation.recent_latency for observation in self._seen])
+        return cached
 
     @property
     def units_out(self) -> tuple[float, ...]:
-        """The units that this head has sent there and that are not answered."""
-        kept: tuple[float, ...] | None = self._kept.get("units_out")
-        if kept is None:
-            kept = self._kept["units_out"] = tuple([one.units_out for one in self._seen])
-        return kept
+        """The units that this head has sent there and that are not answered yet."""
+        cached: tuple[float, ...] | None = self._kept.get("units_out")
+        if cached is None:
+            cached = self._kept["units_out"] = tuple([observation.units_out for observation in self._seen])
+        return cached
 
     @property
     def failures(self) -> tuple[int, ...]:
         """The number of attempts that failed in a row."""
-        kept: tuple[int, ...] | None = self._kept.get("failures")
-        if kept is None:
-            kept = self._kept["failures"] = tuple([one.failures for one in self._seen])
-        return kept
+        cached: tuple[int, ...] | None = self._kept.get("failures")
+        if cached is None:
+            cached = self._kept["failures"] = tuple([observation.failures for observation in self._seen])
+        return cached
 
     @property
     def warmth(self) -> tuple[float, ...]:
         """How far each has warmed up since it started, from 0 to 1."""
         now, cold_us = self.now_us, self._surroundings.cold_us
-        kept: tuple[float, ...] | None = self._kept.get("warmth")
-        if kept is None:
-            kept = self._kept["warmth"] = tuple([one.warmth(now, cold_us) for one in self._seen])
-        return kept
+        cached: tuple[float, ...] | None = self._kept.get("warmth")
+        if cached is None:
+            cached = self._kept["warmth"] = tuple([observation.warmth(now, cold_us) for observation in self._seen])
+        return cached
 
     @property
     def draining(self) -> tuple[bool, ...]:
         """Whether each is being drained, or soon will be."""
-        kept: tuple[bool, ...] | None = self._kept.get("draining")
-        if kept is None:
+        cached: tuple[bool, ...] | None = self._kept.get("draining")
+        if cached is None:
             drains = self._surroundings.drains
-            kept = self._kept["draining"] = tuple([node in drains for node in self.nodes])
-        return kept
+            cached = self._kept["draining"] = tuple([node in drains for node in self.nodes])
+        return cached
 
     @property
     def demand(self) -> float:
         """The predicted requests per second for the key; 0.0 if unknown."""
-        kept: float | None = self._kept.get("demand")
-        if kept is None:
-            kept = self._kept["demand"] = self._surroundings.demand(self._ask.key)
-        return kept
+        cached: float | None = self._kept.get("demand")
+        if cached is None:
+            cached = self._kept["demand"] = self._surroundings.demand(self._ask.key)
+        return cached
 
 
 class Weight(Struct, frozen=True, gc=False):
-    """What a scorer has learned of a backend: 0.0 is neutral, 1.0 the worst; evidence: own answers that it rests on."""
+    """What a scorer has learned about a backend.
+
+    `value` is from 0.0, neutral, to 1.0, the worst; `evidence` is the number of own answers that it is based on.
+    """
 
     value: float
     evidence: float
@@ -153,7 +156,7 @@
         return
 
     def tick(self, now_us: int, nodes: Container[str]) -> None:
-        """Do periodic work, once a second and not while a request waits; what is not in `nodes` may be forgotten."""
+        """Do periodic work, once a second and not while a request waits; backends not in `nodes` may be dropped."""
         return
 
     def weights(self, now_us: int) -> Mapping[str, Weight]:
@@ -166,7 +169,7 @@
 
 
 class Setting(Struct, frozen=True):
-    """What a scorer gets when it is created, in microseconds."""
+    """The settings that a scorer is created with, in microseconds."""
 
     aim_us: int  # the tightest latency target of the installation's classes
     most_us: float  # the longest time that all scorers together may add
--- a/hophinge/scoring/latency.py
+++ b/hophinge/scoring/latency.py
@@ -1,4 +1,4 @@
-"""The scorer `latency`: a backend that is slower than most at a quantile gets the difference added."""
+"""The scorer `latency`: adds the excess of a backend's latency quantile over the median of all backends."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from hophinge.scoring.interface import INTERFACE, Kind, Scorer, Setting, View, Weight, scorer_impl
 from hophinge.scoring.sketch import LatencySketch
 
-MIN_ANSWERS = 3.0  # below, a backend's quantile is its slowest answer by chance
-TIMED_RESULTS = frozenset({api.Result.OK, api.Result.TIMEOUT})  # immediate failures say nothing of how long work takes
+MIN_ANSWERS = 3.0  # with fewer, a backend's quantile is just its slowest answer
+TIMED_RESULTS = frozenset({api.Result.OK, api.Result.TIMEOUT})  # others may fail immediately, without doing the work
 
 
 class Parameters(Struct, forbid_unknown_fields=True):
@@ -31,7 +31,7 @@
 
 
 class Latency(Scorer):
-    """Weights are slowness: 1 - median / own quantile, so that near and distant heads can compare theirs."""
+    """Weights are slowness: 1 - median / own quantile, so that near and distant heads can compare them."""
 
     def __init__(self, parameters: Parameters, setting: Setting) -> None:
         self.parameters = parameters
@@ -44,7 +44,7 @@
         self.added_times_us: dict[str, float] = {}  # in effect
 
     def added_us(self, view: View) -> list[float]:
-        """Return the times that the last tick has computed."""
+        """Return the times computed by the last tick or merge."""
         get = self.added_times_us.get
         return [get(node, 0.0) for node in view.nodes]
 
@@ -62,18 +62,19 @@
         for node in [node for node in self.sketches if node not in nodes]:
             del self.sketches[node]
             self.quantiles.pop(node, None)
-        found = {}
+        compared = {}
         for node, sketch in self.sketches.items():
             evidence = sketch.evidence(now_us)
             if evidence >= MIN_ANSWERS:
-                at = self.quantiles.get(node)
-                if at is None:
-                    at = self.quantiles[node] = sketch.quantile_us(self.parameters.quantile)
-                found[node] = at, evidence
-        self.median_us = statistics.median(at for at, _ in found.values()) if found else 0.0
+                quantile_us = self.quantiles.get(node)
+                if quantile_us is None:
+                    quantile_us = self.quantiles[node] = sketch.quantile_us(self.parameters.quantile)
+                compared[node] = quantile_us, evidence
+        self.median_us = statistics.median(quantile_us for quantile_us, _ in compared.values()) if compared else 0.0
         allowed = self.median_us * self.parameters.tolerance
         self.own_weights = {
-            node: Weight(max(0.0, 1.0 - allowed / at), evidence) for node, (at, evidence) in found.items()
+            node: Weight(max(0.0, 1.0 - allowed / quantile_us), evidence)
+            for node, (quantile_us, evidence) in compared.items()
         }
         self.merged(now_us, {node: weight.value for node, weight in self.own_weights.items()})
 
@@ -83,11 +84,11 @@
 
     def merged(self, now_us: int, weights: Mapping[str, float]) -> None:
         """Convert merged slowness back into microseconds, by the median of this head."""
-        most, allowed = self.setting.most_us, self.median_us * self.parameters.tolerance
+        max_added_us, allowed = self.setting.most_us, self.median_us * self.parameters.tolerance
         self.added_times_us = {
-            node: min(most, allowed * slow / (1.0 - slow)) if slow < 1.0 else most
-            for node, slow in weights.items()
-            if slow > 0.0
+            node: min(max_added_us, allowed * slowness / (1.0 - slowness)) if slowness < 1.0 else max_added_us
+            for node, slowness in weights.items()
+            if slowness > 0.0
         }
 
 
--- a/hophinge/scoring/outlook.py
+++ b/hophinge/scoring/outlook.py
@@ -15,13 +15,13 @@
     demand_s: float = 10.0  # requests per second that count as full demand
 
     def __post_init__(self) -> None:
-        """Check ranges."""
+        """Validate the ranges."""
         if not 0.0 <= self.drain_part <= 1.0 or not 0.0 <= self.cold_part <= 1.0 or not 0.0 < self.demand_s <= 1e9:
             raise ValueError("drain_part and cold_part must be from 0 to 1, demand_s above 0")
 
 
 class Outlook(Scorer):
-    """It learns nothing: its inputs are drains that are in force, and predicted demand."""
+    """Uses the drains in force and the predicted demand; it learns nothing."""
 
     def __init__(self, parameters: Parameters, setting: Setting) -> None:
         self.drain_us = parameters.drain_part * setting.most_us
@@ -32,9 +32,9 @@
         """Add time for a drain, and for a cold backend by demand."""
         drain_us = self.drain_us
         times = [drain_us if draining else 0.0 for draining in view.draining]
-        wanted = min(1.0, view.demand / self.demand_s)
-        if wanted > 0.0:
-            cold_us = self.cold_us * wanted
+        demand_fraction = min(1.0, view.demand / self.demand_s)
+        if demand_fraction > 0.0:
+            cold_us = self.cold_us * demand_fraction
             times = [time + cold_us * (1.0 - warm) for time, warm in zip(times, view.warmth, strict=True)]
         return times
 
--- a/hophinge/scoring/sharing.py
+++ b/hophinge/scoring/sharing.py
@@ -1,4 +1,4 @@
-"""The weights of peers: read from replicated entries, aged, judged by own answers, and merged for each scorer."""
+"""The weights of peers: read from replicated entries, aged, judged by own answers, and merged per scorer."""
 
 from __future__ import annotations
 
@@ -21,17 +21,19 @@
     trimmed_mean,
 )
 
-HEARTBEAT_US = 5_000_000  # between changes of entry 0, which show that a member is alive
+HEARTBEAT_US = 5_000_000  # interval of changes of entry 0, which show that a member is alive
 FRESH_US = 15_000_000  # three heartbeats, some of which may be lost, before weights begin to age
-HALF_LIFE_US = 5_000_000  # in which they then halve
-FORGOTTEN_US = 60_000_000  # by then they have counted for less than a hundredth for ten seconds
-MAX_REPORTS = 20_000  # processed for one purpose in one tick: some tens of milliseconds
-MAX_ENTRIES_READ = 500  # in one tick; other entries that have changed are read in the next
+HALF_LIFE_US = 5_000_000  # in which weights then halve
+FORGOTTEN_US = (
+    60_000_000  # until a silent peer is removed; its weights have counted less than a hundredth for ten seconds
+)
+MAX_REPORTS = 20_000  # processed in one step of a tick: some tens of milliseconds
+MAX_ENTRIES_READ = 500  # in one tick; other changed entries are read in the next
 SLICE_STEPS = 500  # entries or reports processed at a time: under a millisecond
-READ_STEPS = 10  # that decoding an entry counts as, beside one for each ten bytes of it
+READ_STEPS = 10  # for decoding an entry, beside one for each ten bytes of it
 MAX_OWNERS = 1_000  # whose weights and errors are stored: the default limit on members
 
-# From the weights of peers, each with the trust in it, to one weight.
+# Merges the weights of peers, each with the trust in its peer, into one weight.
 MergeFunction = Callable[[Sequence[tuple[float, float]]], float]
 
 
@@ -63,13 +65,13 @@
 
 
 class WorkSlice:
-    """The work that was done since a tick last yielded."""
+    """Counts the work done since a tick last yielded."""
 
     def __init__(self) -> None:
         self.steps = 0
 
     def should_yield(self, steps: int) -> bool:
-        """Count work, and one step for reaching it; returns whether the tick should yield now."""
+        """Count work and one step for the iteration itself; returns whether the tick should yield now."""
         self.steps += steps + 1
         if self.steps < SLICE_STEPS:
             return False
@@ -107,7 +109,7 @@
             peer.set_chunk(chunk, None)
 
     def clear_peer(self, owner: str) -> None:
-        """Drop the weights of a peer that was gone and is back: its former entries are not valid any more."""
+        """Drop the weights of a peer that has departed and returned: its earlier entries are not valid any more."""
         if (peer := self.peers.get(owner)) is not None:
             peer.weights_by_chunk = {}
             peer.weights = {}
@@ -146,7 +148,7 @@
                 if work.should_yield(min(max_reports, len(peer.weights))):
                     yield
         merged |= {node: own[node].value for node in report_counts if node in own and own[node].value > 0.0}
-        # Reports by too few peers are trimmed by the merge anyway; a flood of them must not delay this head's work.
+        # The merge trims reports by too few peers anyway; a flood of them must not delay this head's work.
         trimmed = trim_count(max(len(reports), MIN_REPORTS)) if self.merge is trimmed_mean else 0
         reported = [node for node, count in report_counts.items() if count > trimmed]
         reported.sort(key=lambda node: (-report_counts[node], node))
@@ -160,7 +162,7 @@
 
 
 class ReadEntry(Struct, gc=False):
-    """The version of an entry that was read last, and the pass in which the entry last existed."""
+    """The version of an entry as last read, and the last pass in which the entry existed."""
 
     version: EntryVersion
     last_pass: int
@@ -174,7 +176,7 @@
         self.shared = shared
         self.entries_read: dict[tuple[str, str], ReadEntry] = {}
         self.passes = 0  # over all entries
-        self.departed: set[str] = set()  # owners of which all entries are gone
+        self.departed: set[str] = set()  # owners without any entries left
         self.invalid_entries: dict[str, int] = {}  # by owner
         self.other_versions: dict[str, int] = {}  # entries of another version of a scorer, by owner
 
@@ -206,8 +208,8 @@
             if self.entries_read[owner, key].last_pass == self.passes:
                 continue
             del self.entries_read[owner, key]
-            # A live owner deletes an entry on purpose. Of a member that is gone all entries are; its last weights age
-            # as those of a silent one: otherwise a partition would leave all judgement to the few that remain.
+            # A live owner deletes an entry on purpose. A departed member loses all entries; its last weights age like
+            # those of a silent one, as otherwise the few members on one side of a partition would judge alone.
             if owner in present_owners:
                 self._remove_entry(owner, key)
             else:
@@ -226,7 +228,7 @@
             version, weights = encoding.decode(chunk, entry.value)
         except encoding.InvalidEntryError:
             self._count(self.invalid_entries, entry.owner)
-            return self._remove_entry(entry.owner, entry.key)  # its former content is not valid any more
+            return self._remove_entry(entry.owner, entry.key)  # its earlier content is not valid any more
         shared = self.shared.get(scorer)
         if shared is None:
             return None  # a scorer that is not in use here
--- a/hophinge/scoring/sketch.py
+++ b/hophinge/scoring/sketch.py
@@ -1,16 +1,16 @@
-"""A sketch of a backend's latency: a histogram with buckets of a fixed ratio whose counts decay with time.
+"""A sketch of a backend's latency: a histogram of logarithmic buckets whose counts decay with time.
 
-Quantiles are exact to within a tenth. Older answers count for less by forward decay (Cormode et al., 2009): new ones
-are added with an increasing weight, so that no count is changed until the weights become too large.
+Quantiles are accurate to a tenth. Older answers count less by forward decay (Cormode et al., 2009): new answers are
+added with an increasing weight, so that counts are only rescaled when the weights become too large.
 """
 
 from __future__ import annotations
 
 import math
 
-BUCKET_RATIO = 1.2  # of a bucket's ends: its middle is at most a tenth from any answer in it
-MIN_US = 100.0  # answers below share one bucket
-BUCKETS = 80  # up to 100 us * 1.2 ** 79, three minutes; no request lives so long
+BUCKET_RATIO = 1.2  # of a bucket's ends: its middle differs by at most a tenth from any answer in it
+MIN_US = 100.0  # shorter answers share one bucket
+BUCKETS = 80  # up to 100 us * 1.2 ** 79, three minutes; no request takes that long
 LOG_RATIO = math.log(BUCKET_RATIO)
 MAX_POWER = 60.0  # half-lives after which counts are scaled down, far below overflow
 
@@ -26,7 +26,7 @@
         self.counts = [0.0] * BUCKETS
         self.total = 0.0
 
-    def add(self, now_us: int, took_us: float) -> None:
+    def add(self, now_us: int, latency_us: float) -> None:
         """Add one answer."""
         power = (now_us - self.start_us) / self.half_life_us
         if power > MAX_POWER:
@@ -35,13 +35,13 @@
             self.total = math.fsum(self.counts)
             self.start_us = now_us
             power = 0.0
-        bucket = int(math.log(took_us / MIN_US) / LOG_RATIO) + 1 if took_us > MIN_US else 0
+        bucket = int(math.log(latency_us / MIN_US) / LOG_RATIO) + 1 if latency_us > MIN_US else 0
         weight = 2.0**power
         self.counts[min(bucket, BUCKETS - 1)] += weight
         self.total += weight
 
     def evidence(self, now_us: int) -> float:
-        """Return how many answers the sketch rests on, older ones counted for less."""
+        """Return the number of answers in the sketch, older ones weighted less."""
         return self.total * math.pow(2.0, -min((now_us - self.start_us) / self.half_life_us, 1000.0))
 
     def quantile_us(self, quantile: float) -> float:
--- a/hophinge/scoring/suspicion.py
+++ b/hophinge/scoring/suspicion.py
@@ -1,4 +1,4 @@
-"""The scorer `suspicion`: a backend that fails more than usual gets time added, in proportion to the certainty.
+"""The scorer `suspicion`: adds time to a backend that fails more than usual, in proportion to the certainty.
 
 Accrual by cumulative sums (Page, 1954): each result adds the log likelihood ratio of a failing backend to a healthy
 one, never below zero. A single failure among many answers is soon forgotten, a lasting rate of failures adds up.
@@ -16,7 +16,7 @@
 
 FAILED = frozenset({api.Result.ERROR, api.Result.RESET, api.Result.CONNECT_FAILED, api.Result.TIMEOUT})
 FAILURES_TO_FULL = 3.0  # failures from zero that lead to full suspicion
-MIN_EVIDENCE = 0.01  # below, a backend counts as unknown
+MIN_EVIDENCE = 0.01  # with less, a backend counts as unknown
 
 
 class Parameters(Struct, forbid_unknown_fields=True):
@@ -47,7 +47,7 @@
 
 
 class Suspicion(Scorer):
-    """Weights are levels of suspicion; peers' reports are used at once where own results say little."""
+    """Weights are levels of suspicion; without many own results, peers' reports take effect at once."""
 
     def __init__(self, parameters: Parameters, setting: Setting) -> None:
         self.half_life_us = parameters.half_life_s * 1e6
@@ -56,8 +56,8 @@
         self.full_level = self.step * FAILURES_TO_FULL
         self.max_added_us = setting.most_us * parameters.most_part
         self.records: dict[str, ResultRecord] = {}
-        self.levels: dict[str, float] = {}  # in effect, from 0 to 1, without neutral ones
-        self.peer_levels: dict[str, float] = {}  # what peers' reports add to own levels
+        self.levels: dict[str, float] = {}  # in effect, above 0 and up to 1; neutral ones are omitted
+        self.peer_levels: dict[str, float] = {}  # increases of own levels by peers' reports
 
     def added_us(self, view: View) -> list[float]:
         """Return times by the levels in effect, which change with each result."""
@@ -65,7 +65,7 @@
         return [get(node, 0.0) * time_us for node in view.nodes]
 
     def heard(self, now_us: int, node: str, result: api.Result, elapsed_us: int) -> None:
-        """Record a result; one that this head caused says nothing of the backend."""
+        """Record a result; results that this head caused, such as a cancellation, are ignored."""
         if result not in FAILED and result is not api.Result.OK:
             return
         record = self.records.get(node)
@@ -73,10 +73,12 @@
             record = self.records[node] = ResultRecord(now_us)
         self._decay(record, now_us)
         record.evidence += 1.0
-        before = record.level
-        record.level = min(self.full_level, max(0.0, before + (self.step if result in FAILED else -self.relief)))
-        if before or record.level:
-            # The peers' part stays until the next merge; the own level changes at once.
+        previous_level = record.level
+        record.level = min(
+            self.full_level, max(0.0, previous_level + (self.step if result in FAILED else -self.relief))
+        )
+        if previous_level or record.level:
+            # The own level changes at once; the increase by peers stays until the next merge.
             self._set_level(node, min(1.0, record.level / self.full_level + self.peer_levels.get(node, 0.0)))
 
     def tick(self, now_us: int, nodes: Container[str]) -> None:
@@ -88,14 +90,16 @@
         self.merged(now_us, {node: record.level / self.full_level for node, record in self.records.items()})
 
     def weights(self, now_us: int) -> Mapping[str, Weight]:
-        """Return the own levels, with the results that they rest on."""
+        """Return the own levels, with the number of results they are based on."""
         return {node: Weight(record.level / self.full_level, record.evidence) for node, record in self.records.items()}
 
     def merged(self, now_us: int, weights: Mapping[str, float]) -> None:
         """Put merged levels into effect."""
         self.levels = {node: level for node, level in weights.items() if level > 0.0}
         own = {node: record.level / self.full_level for node, record in self.records.items()}
-        self.peer_levels = {node: more for node, level in weights.items() if (more := level - own.get(node, 0.0)) > 0.0}
+        self.peer_levels = {
+            node: increase for node, level in weights.items() if (increase := level - own.get(node, 0.0)) > 0.0
+        }
 
     def _set_level(self, node: str, level: float) -> None:
         if level > 0.0:
--- a/hophinge/scoring/testing.py
+++ b/hophinge/scoring/testing.py
@@ -11,7 +11,7 @@
 
 
 class Candidate(Struct, frozen=True):
-    """A candidate of a test; times in microseconds, `free` on the clock of the view."""
+    """A candidate for a test; times in microseconds, `free` on the clock of the view."""
 
     node: str
     zone: int = 0
@@ -28,12 +28,12 @@
 
     @property
     def free_at(self) -> float:
-        """Return when its work should be done, in microseconds."""
+        """When its work should be done, in microseconds."""
         return self.free
 
     @property
     def recent_latency(self) -> float:
-        """Return what its answers took lately, in microseconds."""
+        """The recent latency of its answers, in microseconds."""
         return self.lag
 
     def warmth(self, now: int, slow_start_us: int) -> float:
@@ -50,8 +50,8 @@
     demand: float = 0.0,
 ) -> View:
     """Create a view of a choice among candidates."""
-    around = Surroundings()
-    around.drains = drains
-    around.demand = lambda asked: demand if asked == key else 0.0
-    ask = api.Arrival("request", units, "volume", 0, -1, 1, key, 1_000_000, True, 0)
-    return View.of(now_us, ask, candidates, around)
+    surroundings = Surroundings()
+    surroundings.drains = drains
+    surroundings.demand = lambda requested_key: demand if requested_key == key else 0.0
+    arrival = api.Arrival("request", units, "volume", 0, -1, 1, key, 1_000_000, True, 0)
+    return View.of(now_us, arrival, candidates, surroundings)
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -179,4 +179,4 @@
     )
     for _ in range(3):
         assert slow.added_us(T0, ASK, observations("a")) == {}
-    assert slow.guard.scorers[0].counts["slow"] == 2 and log == ["scorer slow is left out for 1 s: slow"]
+    assert slow.guard.scorers[0].counts["slow"] == 2 and log == ["scorer slow is excluded for 1 s: slow"]
