--- a/hophinge/core/settings.py
+++ b/hophinge/core/settings.py
@@ -50,7 +50,7 @@
         except msgspec.ValidationError as error:
             raise SettingsError(f"{self.name}{key}: {error}") from error
 
-    def whole(self, key: str) -> int:
+    def integer(self, key: str) -> int:
         """Read an integer; decimal places are truncated."""
         return int(self.get(key, float, 0.0))
 
@@ -58,23 +58,23 @@
         """Read a number."""
         return self.get(key, float, 0.0)
 
-    def flag(self, key: str) -> bool:
+    def boolean(self, key: str) -> bool:
         """Read a boolean."""
         return self.get(key, bool, False)
 
-    def text(self, key: str, default: str = "") -> str:
+    def string(self, key: str, default: str = "") -> str:
         """Read a string; an empty one counts as missing."""
         return self.get(key, str, "") or default
 
-    def texts(self, key: str) -> tuple[str, ...]:
+    def strings(self, key: str) -> tuple[str, ...]:
         """Read a list of strings."""
         return tuple(self.get(key, list[str], []))
 
-    def part(self, key: str) -> Table:
+    def table(self, key: str) -> Table:
         """Read an object."""
         return Table(self.get(key, dict[str, Any], {}), f"{self.name}{key}.")
 
-    def parts(self, key: str) -> list[Table]:
+    def tables(self, key: str) -> list[Table]:
         """Read a list of objects."""
         rows = self.get(key, list[dict[str, Any]], [])
         return [Table(row, f"{self.name}{key}[{at}].") for at, row in enumerate(rows)]
@@ -91,50 +91,50 @@
 
 def from_table(setup: Table) -> api.Settings:
     """Convert the JSON object of the settings."""
-    rules, caps, domain, load = (setup.part(name) for name in ("Rules", "Caps", "Domain", "Report"))
+    rules, caps, domain, load = (setup.table(name) for name in ("Rules", "Caps", "Domain", "Report"))
     try:
         return api.Settings(
-            me=setup.whole("Me"),
-            gateways=setup.whole("Balancers"),
-            tick_us=setup.whole("PeriodUs"),
-            classes=tuple(map(request_class, setup.parts("RequestClasses"))),
-            plans=tuple(map(plan, setup.parts("Grades"))),
+            me=setup.integer("Me"),
+            gateways=setup.integer("Balancers"),
+            tick_us=setup.integer("PeriodUs"),
+            classes=tuple(map(request_class, setup.tables("RequestClasses"))),
+            plans=tuple(map(plan, setup.tables("Grades"))),
             rules=api.Rules(
-                answer_grace_us=rules.whole("GraceToAnswerUs"),
-                drain_grace_us=rules.whole("DrainGraceUs"),
+                answer_grace_us=rules.integer("GraceToAnswerUs"),
+                drain_grace_us=rules.integer("DrainGraceUs"),
                 overload_multiple=rules.number("FallMultiple"),
-                overload_window_us=rules.whole("FallUs"),
+                overload_window_us=rules.integer("FallUs"),
                 slow_start_share=rules.number("ColdShare"),
-                slow_start_us=rules.whole("ColdUs"),
+                slow_start_us=rules.integer("ColdUs"),
                 slow_start_units=domain.number("YoungLimit"),
                 budget_free=rules.number("SpareAttempts"),
                 budget_share=rules.number("ResendRatio"),
-                budget_us=rules.whole("LookBackUs"),
-                key_block_us=rules.whole("TurnGapUs"),
-                watch_within_us=rules.whole("AskWithinUs"),
+                budget_us=rules.integer("LookBackUs"),
+                key_block_us=rules.integer("TurnGapUs"),
+                watch_within_us=rules.integer("AskWithinUs"),
             ),
             allowed=api.Allowed(
-                attempts=caps.whole("MaxAttempts"),
-                hedging=caps.flag("SecondCopies"),
-                cancel=caps.flag("Cancel"),
-                probes=caps.flag("Probing"),
-                retry_after_us=caps.whole("MaxRetryAfterUs") if caps.flag("RetryAfter") else 0,
-                connect_timeout_us=caps.whole("ConnectTimeoutUs"),
-                conn_idle_us=caps.whole("ConnIdleUs"),
+                attempts=caps.integer("MaxAttempts"),
+                hedging=caps.boolean("SecondCopies"),
+                cancel=caps.boolean("Cancel"),
+                probes=caps.boolean("Probing"),
+                retry_after_us=caps.integer("MaxRetryAfterUs") if caps.boolean("RetryAfter") else 0,
+                connect_timeout_us=caps.integer("ConnectTimeoutUs"),
+                conn_idle_us=caps.integer("ConnIdleUs"),
             ),
-            discovery=api.Discovery(setup.text("Discovery", "pushed")),
+            discovery=api.Discovery(setup.string("Discovery", "pushed")),
             mean_units=domain.number("MeanUnits"),
             max_units=domain.number("Largest"),
             share_value=domain.number("WithinShare"),
             spare_value=domain.number("BeyondShare"),
-            meter_us=domain.whole("MeterPeriodUs"),
-            tells_elsewhere=domain.flag("SaysOthers"),
-            report_fields=tuple(REPORT_FIELDS.get(name, name) for name in load.texts("Fields")),
-            report_in_answers=load.text("Source") == "answers",
-            probe_price=setup.part("Penalties").number("Probe"),
-            zones=setup.texts("Zones"),
-            kinds=setup.texts("Skus"),
-            shards=domain.whole("NShards"),
+            meter_us=domain.integer("MeterPeriodUs"),
+            tells_elsewhere=domain.boolean("SaysOthers"),
+            report_fields=tuple(REPORT_FIELDS.get(name, name) for name in load.strings("Fields")),
+            report_in_answers=load.string("Source") == "answers",
+            probe_price=setup.table("Penalties").number("Probe"),
+            zones=setup.strings("Zones"),
+            kinds=setup.strings("Skus"),
+            shards=domain.integer("NShards"),
         )
     except (KeyError, ValueError) as error:
         raise error if isinstance(error, SettingsError) else SettingsError(f"the settings: {error}") from error
@@ -143,16 +143,16 @@
 def request_class(row: Table) -> api.RequestClass:
     """Convert one request class."""
     return api.RequestClass(
-        target_latency_us=row.whole("GoalTimeUs"),
-        deadline_us=row.whole("DeadlineUs"),
-        effect=EFFECTS[row.text("Effect", "side_effect")],
-        scope=api.DedupScope(row.text("Group", "cell")),
-        dedup_window_us=row.whole("DedupWindowUs"),
+        target_latency_us=row.integer("GoalTimeUs"),
+        deadline_us=row.integer("DeadlineUs"),
+        effect=EFFECTS[row.string("Effect", "side_effect")],
+        scope=api.DedupScope(row.string("Group", "cell")),
+        dedup_window_us=row.integer("DedupWindowUs"),
         value=row.number("Importance"),
         late_value=row.number("LateWorth"),
-        in_order=row.flag("Sequential"),
-        stream=row.flag("Stream"),
-        name=row.text("Name"),
+        in_order=row.boolean("Sequential"),
+        stream=row.boolean("Stream"),
+        name=row.string("Name"),
     )
 
 
@@ -166,5 +166,5 @@
         limit=row.number("Limit"),
         limit_burst=row.number("CapDepth"),
         limit_slack=row.number("LimitSlack"),
-        name=row.text("Name"),
+        name=row.string("Name"),
     )
