--- a/tests/books.py
+++ b/tests/books.py
@@ -1,4 +1,4 @@
-"""Accounts for tests: written into a ledger as the program writes them."""
+"""Writes accounts for tests into a ledger, as the program does."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     role: Role = Role.DATA,
     quotas: Quotas | None = None,
 ) -> str:
-    """Make a tenant with buckets by plan, or add to it, and a key; tells the key."""
+    """Create a tenant, or add to it, with buckets by plan and a key; returns the key with its secret."""
     ledger = Ledger(path)
     secret, key = secrets.token_urlsafe(32), f"hk{secrets.token_hex(8)}"
     write(
