--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Accounts that a control service owns: heads copy them by increments, serve from their copy, and report usage."""
+"""Accounts of a control service: heads replicate them by increments, serve from their replica, and report usage."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 UNITS = 8  # of each request
 
 
-def test_heads_follow_the_accounts_and_serve_from_their_copy_when_the_service_is_gone(tmp_path: Path) -> None:
+def test_heads_replicate_the_accounts_and_serve_from_their_replica_without_the_service(tmp_path: Path) -> None:
     async def main() -> None:
         async with hosted(tmp_path) as here:
             heads = [await here.hosted(f"n{at}", {**SETTINGS, "Balancers": 2}) for at in range(2)]
@@ -30,37 +30,37 @@
             for head in heads:
                 await until(lambda head=head: accounts_of(head).ledger.seq == 3)  # type: ignore[misc]
             assert await here.object(heads[0], "PUT", "/receipts/a", key, b"x" * 100) == 200
-            assert await here.object(heads[1], "GET", "/receipts/a", key) == 200  # any head, the same object
-            # Used at both heads, told by one; a report that came twice would not count twice.
+            assert await here.object(heads[1], "GET", "/receipts/a", key) == 200  # the same object at any head
+            # Used at both heads, reported in one total; a repeated report is not counted again.
             assert here.owner is not None
             ledger = here.owner.ledger
-            await until(lambda: sum(one.get("served", 0) for one in ledger.usage_by_volume("alba").values()) == 2)
-            told = await here.call("GET", "/v1/tenants/alba/usage")
-            assert told["volumes"]["receipts"]["bytes_in"] == 100 and told["total"]["bytes_out"] == 100
+            await until(lambda: sum(usage.get("served", 0) for usage in ledger.usage_by_volume("alba").values()) == 2)
+            shown = await here.call("GET", "/v1/tenants/alba/usage")
+            assert shown["volumes"]["receipts"]["bytes_in"] == 100 and shown["total"]["bytes_out"] == 100
             await here.end_control()
             assert await here.object(heads[0], "GET", "/receipts/a", key) == 200
             await here.made.kill(heads[1])
-            again = await here.hosted("n1")  # from its copy, with nobody to ask
-            assert await here.object(again, "GET", "/receipts/a", key) == 200
+            restarted = await here.hosted("n1")  # from its replica, without the control service
+            assert await here.object(restarted, "GET", "/receipts/a", key) == 200
             await here.control()
             await here.call("PATCH", "/v1/tenants/alba", {"state": "suspended"})
-            for head in (heads[0], again):
+            for head in (heads[0], restarted):
                 await until(lambda head=head: accounts_of(head).accounts.is_blocked("alba"))  # type: ignore[misc]
                 assert await here.object(head, "GET", "/receipts/a", key) == 403
             await here.call("DELETE", "/v1/tenants/alba")
-            for head in (heads[0], again):
+            for head in (heads[0], restarted):
                 await until(lambda head=head: not accounts_of(head).accounts.keys)  # type: ignore[misc]
                 await until(lambda head=head: not accounts_of(head).accounts.volumes)  # type: ignore[misc]
-            told = await here.call("GET", "/v1/tenants/alba")
-            assert told["state"] in ("closing", "closed")
+            shown = await here.call("GET", "/v1/tenants/alba")
+            assert shown["state"] in ("closing", "closed")
             await until(
-                lambda: sum(one.get("served", 0) for one in ledger_of(here).usage_by_volume("alba").values()) == 4
+                lambda: sum(usage.get("served", 0) for usage in ledger_of(here).usage_by_volume("alba").values()) == 4
             )
 
     run(main())
 
 
-def test_a_head_begins_anew_in_parts_and_then_gets_changes_alone(
+def test_a_head_gets_a_full_copy_in_chunks_and_then_only_changes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
@@ -79,7 +79,7 @@
             await until(lambda: accounts_of(head).accounts.owner("f" * 16) == "alba")
             assert "bucket0-0" not in accounts_of(head).accounts.buckets["alba"]
             assert head.streamed.client.bytes_received - before < 1000
-            # A ledger that cannot be written now is written at the next beat; nothing is lost, and heads serve on.
+            # A head whose ledger cannot be written retries at the next heartbeat: nothing is lost, it keeps serving.
             db = accounts_of(head).ledger.db
             db.execute("PRAGMA max_page_count = 1")
             books.write(ledger, *(row_of(Bucket("alba", f"more{n}", f"{9000 + n:016x}", "basic")) for n in range(2000)))
@@ -93,7 +93,7 @@
             assert accounts_of(head).accounts.owner("f" * 16) == "alba"
             db.execute("PRAGMA max_page_count = 1000000")
             await until(lambda: len(accounts_of(head).accounts.volumes) == 4400)
-            # Another ledger in its place: what the old one had is gone, all at once.
+            # With another ledger of the control service, all entries of the old one are removed at once.
             await here.end_control()
             for path in tmp_path.glob("accounts.db*"):
                 path.unlink()
@@ -104,14 +104,14 @@
     run(main())
 
 
-def test_a_tenant_that_ends_has_its_waiting_requests_turned_away_at_once_on_the_platform_s_front(
+def test_the_queued_requests_of_a_deleted_tenant_are_rejected_at_once_by_the_platform_s_frontend(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
         async with hosted(tmp_path) as here:
             gate = asyncio.Event()
 
-            classes = [{**one, "GoalTimeUs": 5_000_000, "DeadlineUs": 30_000_000} for one in SETTINGS["RequestClasses"]]
+            classes = [{**row, "GoalTimeUs": 5_000_000, "DeadlineUs": 30_000_000} for row in SETTINGS["RequestClasses"]]
             head = await here.hosted("n0", {**SETTINGS, "RequestClasses": classes})
             await here.tenant("alba")
             await here.push(GOOD + "(spare (depth 4 units) (wait 20 s))")
@@ -146,8 +146,8 @@
             )
             assert router.admission is not None
             assert router.admission.queue.queued_items >= 5
-            waiting, inside = router.admission.queue.queued_items, 11 - router.admission.queue.queued_items
-            # The administrator halves its reserve and raises it again meanwhile: what was let in stays in.
+            waiting, admitted = router.admission.queue.queued_items, 11 - router.admission.queue.queued_items
+            # The administrator lowers its reserve and raises it again meanwhile: admitted requests stay admitted.
             for reserve in (1, 100):
                 await here.call("PATCH", "/v1/tenants/alba", {"shares": {"reserve": reserve}})
                 await until(
@@ -164,15 +164,15 @@
             await here.call("DELETE", "/v1/tenants/alba")
             await until(lambda: sum(task.done() for task in tasks) == waiting)  # long before their 20 s
             assert all(task.result() == 503 for task in tasks if task.done()) and not gate.is_set()
-            assert await ask(99) == 503  # and no new one
+            assert await ask(99) == 503  # and new requests too
             gate.set()
             codes = await asyncio.gather(*tasks)
-            assert codes.count(200) == inside and not router.queued and router.admission.units_in_flight == 0
+            assert codes.count(200) == admitted and not router.queued and router.admission.units_in_flight == 0
 
     run(main())
 
 
-def test_reserves_of_accounts_are_promised_only_if_they_can_be_kept(tmp_path: Path) -> None:
+def test_reserves_of_accounts_are_granted_only_if_they_can_be_met(tmp_path: Path) -> None:
     async def main() -> None:
         async with hosted(tmp_path) as here:
             head = await here.hosted("n0")
@@ -182,7 +182,7 @@
             await here.call("PUT", "/v1/tenants/beith", {"shares": {"reserve": 40}})
             with pytest.raises(AssertionError, match="lower reserves by 5 units/s"):
                 await here.call("PATCH", "/v1/tenants/beith", {"shares": {"reserve": 45}})
-            await here.call("PATCH", "/v1/tenants/beith", {"shares": {"reserve": 5}})  # lower always
+            await here.call("PATCH", "/v1/tenants/beith", {"shares": {"reserve": 5}})  # a lower one is always accepted
             with pytest.raises(ConnectionError, match=r"with 1 heads .* lower reserves by 15"):
                 await here.push(
                     GOOD + "(spare (depth 9 units) (capacity 50 units/s))"
@@ -193,43 +193,43 @@
     run(main())
 
 
-def test_words_for_tenants_speak_the_api(tmp_path: Path) -> None:
+def test_the_tenant_commands_use_the_api(tmp_path: Path) -> None:
     async def main() -> None:
         async with hosted(tmp_path) as here:
             assert here.owner is not None and here.owner.acceptor is not None
             host, port = here.owner.acceptor.sockets[0].getsockname()
-            reach = ("--token-file", str(tmp_path / "operator"), "--url", f"http://{host}:{port}")
+            connection_options = ("--token-file", str(tmp_path / "operator"), "--url", f"http://{host}:{port}")
 
-            async def word(*words: str) -> tuple[int, str]:
+            async def command(*arguments: str) -> tuple[int, str]:
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "hophinge",
                     "tenant",
-                    *words,
-                    *reach,
+                    *arguments,
+                    *connection_options,
                     cwd=ROOT,
                     stdout=subprocess.PIPE,
                     stderr=subprocess.STDOUT,
                 )
-                told, _ = await process.communicate()
-                return process.returncode or 0, told.decode()
+                output, _ = await process.communicate()
+                return process.returncode or 0, output.decode()
 
-            assert (await word("create", "alba", "--reserve", "5"))[0] == 0
-            assert '"plan": "basic"' in (await word("volume", "put", "alba", "receipts", "basic"))[1]
-            made = msgspec.json.decode((await word("key", "create", "alba", "--role", "reader"))[1])
+            assert (await command("create", "alba", "--reserve", "5"))[0] == 0
+            assert '"plan": "basic"' in (await command("volume", "put", "alba", "receipts", "basic"))[1]
+            made = msgspec.json.decode((await command("key", "create", "alba", "--role", "reader"))[1])
             assert made["key"].startswith(made["id"])
-            code, told = await word("create", "alba")
-            assert code == 1 and told == "hophinge: The state does not allow it (409): tenant alba exists\n"
-            assert '"suspended"' in (await word("suspend", "alba"))[1]
-            assert "alba" in (await word("list"))[1] and (await word("delete", "alba"))[0] == 2
-            assert '"closing"' in (await word("delete", "alba", "--yes"))[1]
+            code, output = await command("create", "alba")
+            assert code == 1 and output == "hophinge: The state does not allow it (409): tenant alba exists\n"
+            assert '"suspended"' in (await command("suspend", "alba"))[1]
+            assert "alba" in (await command("list"))[1] and (await command("delete", "alba"))[0] == 2
+            assert '"closing"' in (await command("delete", "alba", "--yes"))[1]
             assert here.owner.accounts.tenants["alba"].shares.reserve == 5
 
     run(main())
 
 
-def test_accounts_of_the_control_service_leave_no_room_for_a_head_s_own_api(tmp_path: Path) -> None:
+def test_accounts_of_the_control_service_exclude_an_administration_api_of_the_head(tmp_path: Path) -> None:
     (tmp_path / "op.toml").write_text(
         '[objects]\nlisten = "127.0.0.1:0"\ntenants = "t.json"\nread_class = "a"\n'
         'write_class = "b"\n[admin]\nlisten = "127.0.0.1:0"\ntoken_file = "t"\n[stream]\n'
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -1,4 +1,4 @@
-"""What one request, volume, connection or configuration brought must not reach another's; all on real connections."""
+"""Nothing of one request, volume, connection or configuration may affect another; on real connections."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 def classes(*rows: dict[str, Any]) -> dict[str, Any]:
-    """Settings with classes of one's own; what a row does not name is a read's that may be repeated."""
-    usual = {
+    """Return settings with the given classes; missing values are those of a read that may be repeated."""
+    defaults = {
         "GoalTimeUs": 120_000,
         "DeadlineUs": 750_000,
         "Effect": "pure",
@@ -27,22 +27,22 @@
         "Importance": 1,
         "LateWorth": 0.2,
     }
-    return setup(RequestClasses=[{**usual, **row} for row in rows])
+    return setup(RequestClasses=[{**defaults, **row} for row in rows])
 
 
 def plans(*rows: dict[str, Any]) -> dict[str, Any]:
-    """Settings with plans of one's own, of which only the first has a limit."""
-    usual = {"BaseRate": 40, "Reserve": 20, "Proportion": 1, "Price": 1}
-    return setup(Grades=[{**usual, **row} for row in rows])
+    """Return settings with the given plans; missing values are those of a plan without a limit."""
+    defaults = {"BaseRate": 40, "Reserve": 20, "Proportion": 1, "Price": 1}
+    return setup(Grades=[{**defaults, **row} for row in rows])
 
 
-async def asked(wire: Wire, target: str = READ, number: int = 1, method: str = "GET", **changes: str) -> int:
-    """Ask once and tell the answer's status."""
+async def request_status(wire: Wire, target: str = READ, number: int = 1, method: str = "GET", **changes: str) -> int:
+    """Send a request and return the status of its answer."""
     wire.send(target, headers(number, **changes), method, b"x" if method == "PUT" else b"")
     return (await wire.receive())[0]
 
 
-def test_classes_and_plans_whose_names_begin_alike_are_told_apart_in_any_order() -> None:
+def test_classes_and_plans_with_a_common_prefix_are_distinguished_in_any_order() -> None:
     names = ["get-many", "get", "get-and-set", "get-m"]
 
     async def main() -> None:
@@ -57,51 +57,52 @@
                 for at in range(times):
                     number += 1
                     plan = ("t", "t-2", "t2")[at % 3]
-                    assert await asked(wire, f"/{name}/{VOLUME}/{OBJECT}", number, X_Qos_Policy=plan) == 200
+                    assert await request_status(wire, f"/{name}/{VOLUME}/{OBJECT}", number, X_Qos_Policy=plan) == 200
             figures = service.metrics.ended
             assert [figures[name, "fulfilled"] for name in names] == [1, 2, 3, 4]
             for name in ("get-", "ge", "get-many-", "GET"):
-                assert await asked(wire, f"/{name}/{VOLUME}/{OBJECT}", 99) == 404
+                assert await request_status(wire, f"/{name}/{VOLUME}/{OBJECT}", 99) == 404
             for plan in ("t-", "", "T", "t 2"):
-                assert await asked(wire, f"/get/{VOLUME}/{OBJECT}", 99, X_Qos_Policy=plan) == 400
+                assert await request_status(wire, f"/get/{VOLUME}/{OBJECT}", 99, X_Qos_Policy=plan) == 400
 
     run(main())
 
 
-def test_the_time_that_one_client_waits_makes_no_other_request_of_its_class_late() -> None:
-    """What comes late earns nothing here, so whatever counts as late is not sent where its node has others' work."""
+def test_the_deadline_of_one_client_makes_no_other_request_of_its_class_late() -> None:
+    """Late requests earn nothing here, so that a request that counts as late is not sent while its node is busy."""
 
     async def main() -> None:
         async with world(Backend(0)) as made:
             backend, number = made.backends[0], 0
 
             async def slowly(_: web.BaseRequest, __: bytes) -> None:
-                await asyncio.sleep(0.03 * (number % 2))  # some answers tell of others' work
+                await asyncio.sleep(0.03 * (number % 2))  # some answers show work of others
 
             backend.behave = slowly
             backend.objects[f"{VOLUME}/{OBJECT}"] = b"kept"
             service = await made.head(settings=classes({"Name": "record-read", "LateWorth": 0.0}))
             wire = await made.wire(service)
             for number in range(1, 9):
-                assert await asked(wire, READ, number) == 200
+                assert await request_status(wire, READ, number) == 200
             scheduler = service.exchange.scheduler
             assert scheduler.nodes["s-0"].queue_delay > 0
-            assert await asked(wire, READ, 9, X_Remaining_Ms="600000") in (200, 503)  # far beyond its class's time
-            assert [await asked(wire, READ, number) for number in range(10, 14)] == [200] * 4
+            # A client that waits far beyond the deadline of the class.
+            assert await request_status(wire, READ, 9, X_Remaining_Ms="600000") in (200, 503)
+            assert [await request_status(wire, READ, number) for number in range(10, 14)] == [200] * 4
 
     run(main())
 
 
-def test_the_heads_that_one_request_names_take_no_other_requests_part_of_a_limit() -> None:
+def test_the_number_of_heads_in_one_request_reduces_no_other_request_s_share_of_a_limit() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             made.backends[0].objects[f"{VOLUME}/{OBJECT}"] = b"kept"
             limited = {"Name": "priority", "Limit": 400, "CapDepth": 800, "LimitSlack": 80}
             wire = await made.wire(await made.head(settings=plans(limited)))
-            assert await asked(wire, READ, 1, X_Placement="units=1,shard=0,hosts=1") in (200, 503)
-            assert await asked(wire, READ, 2, X_Placement="units=1,shard=0,hosts=999999") in (200, 503)
-            await asyncio.sleep(0.1)  # 40 units of the volume's limit fill meanwhile
-            assert await asked(wire, READ, 3, X_Placement="units=1,shard=0,hosts=1") == 200
+            assert await request_status(wire, READ, 1, X_Placement="units=1,shard=0,hosts=1") in (200, 503)
+            assert await request_status(wire, READ, 2, X_Placement="units=1,shard=0,hosts=999999") in (200, 503)
+            await asyncio.sleep(0.1)  # 40 units of the volume's limit are refilled meanwhile
+            assert await request_status(wire, READ, 3, X_Placement="units=1,shard=0,hosts=1") == 200
 
     run(main())
 
@@ -112,39 +113,39 @@
             made.backends[0].objects[f"{VOLUME}/{OBJECT}"] = b"kept"
             tight = {"Name": "basic", "Limit": 0.1, "CapDepth": 0.1}
             wire = await made.wire(await made.head(settings=plans(tight, {"Name": "priority"})))
-            assert await asked(wire, READ, 1, X_Qos_Policy="basic") == 503
-            assert await asked(wire, READ, 2, X_Qos_Policy="priority") == 200
+            assert await request_status(wire, READ, 1, X_Qos_Policy="basic") == 503
+            assert await request_status(wire, READ, 2, X_Qos_Policy="priority") == 200
 
     run(main())
 
 
-def test_requests_in_order_wait_for_their_own_volumes_object_alone() -> None:
+def test_requests_in_order_wait_only_for_the_same_object_of_the_same_volume() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
-            gate, backend = asyncio.Event(), made.backends[0]
+            release, backend = asyncio.Event(), made.backends[0]
 
             async def hold(request: web.BaseRequest, _: bytes) -> None:
                 if VOLUME in request.raw_path:
-                    await gate.wait()
+                    await release.wait()
 
             backend.behave = hold
             service = await made.head(settings=classes({"Name": "transfer-write", "Sequential": True}))
             first, second, third = [await made.wire(service) for _ in range(3)]
             first.send(WRITE, headers(1), "PUT", b"x")
             await until(lambda: len(backend.seen) == 1)
-            third.send(WRITE, headers(3), "PUT", b"x")  # the same object's: it waits
+            third.send(WRITE, headers(3), "PUT", b"x")  # for the same object: it waits
             try:
-                assert await asked(second, f"/transfer-write/{OTHER}/{OBJECT}", 2, "PUT") == 200
+                assert await request_status(second, f"/transfer-write/{OTHER}/{OBJECT}", 2, "PUT") == 200
                 assert len(backend.seen) == 2
             finally:
-                gate.set()
+                release.set()
             assert [(await wire.receive())[0] for wire in (first, third)] == [200, 200]
 
     run(main())
 
 
 @pytest.mark.parametrize("zones", [["hall-a"], ["hall-b"], ["x"], []])
-def test_a_repeat_stays_in_its_zone_where_the_settings_name_not_all_zones(zones: list[str]) -> None:
+def test_a_repeat_stays_in_its_zone_even_if_the_settings_do_not_name_all_zones(zones: list[str]) -> None:
     async def main() -> None:
         async with world(Backend(0, "s-a"), Backend(0, "s-b")) as made:
 
@@ -154,14 +155,14 @@
 
             for backend in made.backends:
                 backend.behave = lost
-            made.agent.targets["s-b"].az = "hall-b"  # the other's is hall-a
+            made.agent.targets["s-b"].az = "hall-b"  # the other one is in hall-a
             settings = classes(
                 {"Name": "transfer-write", "Effect": "token", "Group": "zone", "DedupWindowUs": 5_000_000}
             )
             service = await made.head(settings={**settings, "Zones": zones})
             wire = await made.wire(service)
-            for number in range(1, 8):  # new objects, some of which go to either first
-                await asked(
+            for number in range(1, 8):  # new objects, of which each backend gets some first
+                await request_status(
                     wire,
                     f"/transfer-write/{VOLUME}/{number:016x}",
                     number,
@@ -179,9 +180,7 @@
 @pytest.mark.parametrize(
     ("caps", "most"), [({"RetryAfter": True, "MaxRetryAfterUs": 200_000}, 0.2), ({"RetryAfter": False}, 0.0)]
 )
-def test_who_finds_no_room_is_told_to_come_back_within_what_the_settings_allow(
-    caps: dict[str, Any], most: float
-) -> None:
+def test_the_retry_delay_of_a_head_at_its_capacity_is_within_the_settings(caps: dict[str, Any], most: float) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head(settings=setup(Caps=caps))
@@ -195,7 +194,7 @@
     run(main())
 
 
-def test_refusals_at_one_address_of_discovery_put_off_no_call_at_another() -> None:
+def test_rejections_by_one_discovery_address_delay_no_call_to_another() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             elsewhere = DiscoveryAgent()
@@ -203,7 +202,7 @@
             try:
                 service = await made.head(settings=setup(Discovery="on_request", Balancers=200))
                 discovery = service.discovery
-                discovery.pacer.first_rejected_backoff_s = 0.01  # a hundredth of what 200 heads begin with, and on
+                discovery.pacer.first_rejected_backoff_s = 0.01  # a hundredth of the initial backoff for 200 heads
                 made.agent.away = elsewhere.away = "0"
                 await made.agent.tell()
                 await until(lambda: discovery.pacer.rejections >= 7)  # the next pause: 0.6 to 1.9 s
@@ -224,35 +223,35 @@
 def test_a_request_that_would_outlast_the_head_has_its_answer_before_the_head_is_killed(
     tmp_path: Path, deadline_ms: int
 ) -> None:
-    """Its class's deadline is over the 3 s that the platform grants at most, beside one of the usual."""
+    """The deadline of its class exceeds the 3 s that the platform grants at most; another class has a usual one."""
     settings = classes(
         {"Name": "record-read"}, {"Name": "scan", "GoalTimeUs": 4_000_000, "DeadlineUs": deadline_ms * 1000}
     )
 
     async def main() -> None:
-        gate = asyncio.Event()
+        release = asyncio.Event()
         async with restarting.head(tmp_path, Backend(0), settings=settings) as ending:
-            ending.made.backends[0].behave = held_by(gate)
+            ending.made.backends[0].behave = held_by(release)
             wire = await ending.wire()
             wire.send(f"/scan/{VOLUME}/{OBJECT}", headers(1, X_Remaining_Ms=str(deadline_ms)))
             await until(lambda: bool(ending.made.backends[0].seen))
             ending.tell()
             killing = asyncio.get_running_loop().call_later(3.7, ending.process.send_signal, signal.SIGKILL)
             try:
-                status, _, _ = await wire.receive()  # ends without one where the head is killed
+                status, _, _ = await wire.receive()  # raises if the head is killed before
             finally:
                 killing.cancel()
-                gate.set()
+                release.set()
             assert status in (502, 503)
 
     run(main())
 
 
 @pytest.mark.parametrize(("key", "window_ms", "status"), [("a", 5000, 503), ("a", 30, 502), ("", 5000, 502)])
-def test_what_may_have_run_is_refused_only_where_its_key_still_drops_a_repeat(
+def test_a_request_that_may_have_run_is_refused_only_while_its_key_deduplicates_a_repeat(
     key: str, window_ms: int, status: int
 ) -> None:
-    """All bricks drop repeats of this class for a while, by a key that not every client sends."""
+    """All bricks deduplicate this class for a while, by a key that not every client sends."""
 
     async def main() -> None:
         async with world(Backend(0)) as made:
@@ -266,7 +265,7 @@
             settings = classes({"Name": "transfer-write", "Effect": "token", "DedupWindowUs": window_ms * 1000})
             wire = await made.wire(await made.head(settings=settings))
             fields = {"Idempotency_Key": key} if key else {}
-            assert await asked(wire, WRITE, 1, "PUT", **fields) == status
+            assert await request_status(wire, WRITE, 1, "PUT", **fields) == status
             assert made.backends[0].seen
 
     run(main())
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange against a model: one answer each, one end per attempt, whatever comes in whatever order."""
+"""The exchange against a model: one answer per request and one end per attempt, for events in any order."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Loop:
-    """A loop whose time the test moves."""
+    """An event loop whose time the test advances."""
 
     def __init__(self) -> None:
         self.now, self.order = T0, itertools.count()
@@ -55,20 +55,20 @@
 
 
 class Desk:
-    """An exchange between lists: answers by request, attempts as they start, attempts given up."""
+    """An exchange with its effects in lists: answers by request, started attempts, and stopped attempts."""
 
     def __init__(self) -> None:
         self.loop, self.lines = Loop(), list[str]()
         self.exchange = Exchange(SETTINGS, 7, self.loop, Counters(), self.lines.append)
         self.exchange.start = self.start
         self.answers: dict[str, list[Answer]] = {}
-        self.out: list[Attempt] = []
+        self.out: list[Attempt] = []  # all that were started
         self.stopped: list[Attempt] = []
         self.exchange.nodes(api.NodeList(api.ListKind.SAVED, (node(0), node(1))))
         self.loop.advance(0)
 
     def start(self, attempt: Attempt) -> Callable[[], None]:
-        assert attempt.may_send(), "sent for a request that is over, or to a node that drains"
+        assert attempt.may_send(), "sent for an answered request, or to a draining node"
         self.out.append(attempt)
         return lambda: self.stopped.append(attempt)
 
@@ -82,13 +82,13 @@
 
 
 class Model(RuleBasedStateMachine):
-    """Random steps; the model holds who left and until when each answer is due."""
+    """Random steps; the model knows which clients disconnected, and until when each answer is due."""
 
     def __init__(self) -> None:
         super().__init__()
         self.desk = Desk()
         self.due: dict[str, int] = {}
-        self.left: set[str] = set()
+        self.departed: set[str] = set()
 
     @rule(shard=st.integers(-1, 1), left=st.sampled_from([0, 30, 500, 2000]))
     def arrive(self, shard: int, left: int) -> None:
@@ -101,15 +101,15 @@
     def depart(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(sorted(self.due)))
         if not self.desk.answers[name]:
-            self.left.add(name)
+            self.departed.add(name)
         self.desk.exchange.depart(name)
 
     @precondition(lambda self: self.desk.out)
-    @rule(data=st.data(), result=st.sampled_from([one for one in api.Result if one is not api.Result.MOOT]))
+    @rule(data=st.data(), result=st.sampled_from([result for result in api.Result if result is not api.Result.MOOT]))
     def end(self, data: st.DataObject, result: api.Result) -> None:
         attempt = data.draw(st.sampled_from(self.desk.out))
         attempt.end(AttemptResult(result, b"body"))
-        attempt.end(AttemptResult(api.Result.OK, b"second"))  # void: an attempt ends once
+        attempt.end(AttemptResult(api.Result.OK, b"second"))  # ignored: an attempt ends once
 
     @rule(phase=st.sampled_from(list(api.Phase)), kind=st.sampled_from([api.ListKind.CHANGES, api.ListKind.FULL]))
     def nodes(self, phase: api.Phase, kind: api.ListKind) -> None:
@@ -123,7 +123,7 @@
     def one_answer_in_time(self) -> None:
         for name, answers in self.desk.answers.items():
             late = self.due[name] < self.desk.loop.now
-            assert len(answers) == (0 if name in self.left else 1 if late else len(answers[:1]))
+            assert len(answers) == (0 if name in self.departed else 1 if late else len(answers[:1]))
             assert all(answer.body != b"second" for answer in answers)
 
     def teardown(self) -> None:
@@ -133,23 +133,23 @@
         assert not self.desk.exchange.open and not self.desk.exchange.unanswered
         assert not any("Traceback" in line for line in self.desk.lines)
         assert counts["attempts_sent"] == len(self.desk.out)
-        moot = counts["attempts_moot"]  # what was never sent ends too
-        assert sum(counts[f"attempts_{one.value}"] for one in api.Result) == len(self.desk.out) + moot
+        moot = counts["attempts_moot"]  # attempts that were never sent end too
+        assert sum(counts[f"attempts_{result.value}"] for result in api.Result) == len(self.desk.out) + moot
         ends = ("served", "refused", "failed", "departed")
-        assert sum(counts[f"requests_{one}"] for one in ends) == len(self.due)
+        assert sum(counts[f"requests_{end}"] for end in ends) == len(self.due)
 
 
 Model.TestCase.settings = settings(max_examples=60, stateful_step_count=30)
 TestModel = Model.TestCase
 
 
-def test_attempt_is_given_up_at_the_deadline_and_the_request_answered() -> None:
+def test_an_attempt_times_out_at_the_deadline_and_its_request_is_answered() -> None:
     desk = Desk()
     desk.arrive("a", left=500 * MS)
     desk.loop.advance(499 * MS)
     assert not desk.answers["a"] and not desk.stopped
     desk.loop.advance(2 * MS)
-    assert [one.verdict for one in desk.answers["a"]] == [Verdict.REFUSED] and desk.stopped == desk.out
+    assert [answer.verdict for answer in desk.answers["a"]] == [Verdict.REFUSED] and desk.stopped == desk.out
 
 
 def test_a_served_answer_names_the_shard_that_served_it() -> None:
@@ -161,7 +161,7 @@
     assert desk.answers["a"] == [Answer(Verdict.SERVED, b"body", shard=shard)]
 
 
-def test_an_attempt_may_not_go_once_its_node_drains_or_its_request_is_over() -> None:
+def test_an_attempt_may_not_be_sent_once_its_node_drains_or_its_request_is_over() -> None:
     desk = Desk()
     desk.arrive("a")
     desk.arrive("b", shard=1)
@@ -173,28 +173,30 @@
     assert not first.may_send() and not second.may_send()
 
 
-def test_a_fault_of_the_module_fails_what_arrived_and_the_head_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_in_the_scheduler_fails_its_batch_and_the_head_continues(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk()
     with monkeypatch.context() as patch:
         patch.setattr(desk.exchange.scheduler, "handle", lambda *_: 1 / 0)
         desk.arrive("a")
         desk.loop.advance(0)
-    assert [one.verdict for one in desk.answers["a"]] == [Verdict.FAILED] and "ZeroDivisionError" in desk.lines[0]
+    assert [answer.verdict for answer in desk.answers["a"]] == [Verdict.FAILED] and "ZeroDivisionError" in desk.lines[0]
     desk.arrive("b")
     desk.loop.advance(0)
     desk.out[0].end(AttemptResult(api.Result.OK))
-    assert [one.verdict for one in desk.answers["b"]] == [Verdict.SERVED]
+    assert [answer.verdict for answer in desk.answers["b"]] == [Verdict.SERVED]
 
 
-def test_what_the_module_forgets_is_failed_within_the_grace(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_the_scheduler_never_answers_fails_within_the_grace_period(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     desk = Desk()
     monkeypatch.setattr(desk.exchange.scheduler, "handle", lambda *_: [])
     desk.arrive("a", left=100 * MS)
     desk.loop.advance(100 * MS + GRACE)
-    assert [one.verdict for one in desk.answers["a"]] == [Verdict.FAILED] and desk.counts["requests_overdue"] == 1
+    assert [answer.verdict for answer in desk.answers["a"]] == [Verdict.FAILED] and desk.counts["requests_overdue"] == 1
 
 
-def test_a_back_that_cannot_start_is_a_failed_connect() -> None:
+def test_an_attempt_that_cannot_start_counts_as_a_failed_connect() -> None:
     desk = Desk()
 
     def broken(_: Attempt) -> Callable[[], None]:
@@ -216,7 +218,7 @@
     assert desk.stopped == desk.out and desk.counts["attempts_cancelled"] == 1 and len(desk.answers["a"]) == 1
 
 
-def test_an_action_that_fails_does_not_take_the_rest_of_its_batch() -> None:
+def test_an_action_that_raises_does_not_prevent_the_others_of_its_batch() -> None:
     desk = Desk()
 
     def broken(_: Answer) -> None:
@@ -230,4 +232,6 @@
         api.Refuse("1" * 16, 0),
     ]
     desk.loop.advance(0)
-    assert [one.verdict for one in desk.answers["1" * 16]] == [Verdict.REFUSED] and desk.counts["module_faults"] == 1
+    assert [answer.verdict for answer in desk.answers["1" * 16]] == [Verdict.REFUSED] and desk.counts[
+        "module_faults"
+    ] == 1
