--- a/tests/scoring_fixtures.py
+++ b/tests/scoring_fixtures.py
@@ -68,7 +68,7 @@
 
 
 def sharer(name: str = "me") -> tuple[ScoringEngine, Suspicion]:
-    """A head with one scorer that shares its weights."""
+    """Return a head with one scorer that shares its weights."""
     scorer = Suspicion(Parameters(), SETTING)
     head = engine({"suspicion": scorer}, versions={"suspicion": VERSION})
     head.share_as(name)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What a fleet of modules as a whole does to a starting node: virtual time, uneven heads, a node that warms slowly."""
+"""The load of a fleet of schedulers on a starting node: virtual time, uneven heads, a node that warms up slowly."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class SlowStartSimulation:
-    """Heads of uneven traffic on one volume each, a warming node and a warm one, which serve in turn.
+    """Heads with uneven traffic on one volume each, a node that warms up and a warm one, which serve in order.
 
-    `load` is what is requested of the warming node, as a fraction of a warm one's power; `fresh` the fraction of it
-    that is new objects, which either node may take, and for which the warm one is requested as much.
+    `load` is the load meant for the starting node, as a fraction of a warm node's capacity. The fraction `fresh` of it
+    is new objects, which either node may take; as many new objects again are meant for the warm node.
     """
 
     def __init__(self, load: float, seed: int, heads: int = 40, fresh: float = 0.0) -> None:
@@ -43,7 +43,7 @@
             SETTINGS, gateways=heads, rules=RULES, classes=(klass(Effect.SAFE),), mean_units=2, max_units=8
         )
         self.heads = [Scheduler(settings, 1000 * seed + at) for at in range(heads)]
-        self.weights = [1 / (1 + at) ** 0.7 for at in range(heads)]  # the busiest sees several times the mean
+        self.weights = [1 / (1 + at) ** 0.7 for at in range(heads)]  # the busiest gets several times the mean
         self.events: list[tuple[int, int, int, Event]] = []
         self.sent: list[tuple[int, float]] = []
         self.free = {"cold": 0.0, "warm": 0.0}
@@ -58,7 +58,7 @@
         heapq.heappush(self.events, (when, self.number, head, event))
 
     def capacity_fraction(self, now: float) -> float:
-        """Return the least fraction of its power that the rules leave a starting node."""
+        """Return the least fraction of its capacity that a starting node has by the rules."""
         return min(1.0, RULES.slow_start_share + (1 - RULES.slow_start_share) * (now - T0) / RULES.slow_start_us)
 
     def run(self, span: int) -> None:
@@ -80,12 +80,12 @@
         if isinstance(action, SetTimer):
             self.push(when + action.delay_us, head, TimerExpired(action.token))
         if isinstance(action, Send):
-            ask = self.heads[head].requests[action.request].arrival
-            units = ask.units
+            arrival = self.heads[head].requests[action.request].arrival
+            units = arrival.units
             cold = action.node == "cold"
             if cold:
                 self.sent.append((when, units))
-                self.new_at_cold += ask.shard < 0
+                self.new_at_cold += arrival.shard < 0
             begin = max(self.free[action.node], float(when))
             free = self.free[action.node] = (
                 begin + units / (POWER * (self.capacity_fraction(begin) if cold else 1.0)) * SECOND
@@ -97,7 +97,7 @@
             self.push(ends, head, Outcome(action.request, 0, action.node, result, ends - when, True, 0, 0.0, {}))
 
     def _largest_window(self, fraction: Callable[[float, float], float]) -> float:
-        """Return the largest value of any of the rule's windows: of its units, and of what the rule allows there."""
+        """Return the largest `fraction` over all windows of the rule, of units sent and units allowed in the window."""
         largest, begin, units = 0.0, 0, 0.0
         for when, own in self.sent:
             units += own
@@ -110,11 +110,11 @@
         return largest
 
     def largest_budget_fraction(self) -> float:
-        """Return the largest fraction of the rule's budget that any of its windows had."""
+        """Return the largest fraction of the rule's budget that was used in any of its windows."""
         return self._largest_window(lambda units, allowed: units / allowed)
 
     def largest_limit_fraction(self) -> float:
-        """Return the largest fraction of what the rule allows in any window, by its words.
+        """Return the largest fraction of what the rule allows in any window.
 
         A starting node fails at more than N + 2 x root of N + 2 requests of mean work, N being what the settings allow.
         """
@@ -141,13 +141,13 @@
         (200, 0.7, 0.0),
     ],
 )
-def test_a_starting_node_gets_work_at_once_and_is_never_pushed_over(heads: int, load: float, fresh: float) -> None:
-    """One read in the rule's time from each head left a cold node idle; an even part alone gave it nothing."""
+def test_a_starting_node_gets_work_at_once_and_is_never_overloaded(heads: int, load: float, fresh: float) -> None:
+    """With one read per window from each head a cold node stayed idle; with an equal share alone it got nothing."""
     for seed in range(3):
         simulation = SlowStartSimulation(load, seed, heads, fresh)
         simulation.run(12 * SECOND)
         assert simulation.largest_budget_fraction() < 1.05, "a little slack for chance"
-        # What the nodes can do at least in these seconds, against what came.
+        # The least that the nodes can do in these seconds, compared with the requests.
         power = (
             sum(simulation.capacity_fraction(T0 + at * SECOND) for at in range(12)) / 12 * POWER / 2
             + fresh * load * POWER / 2
@@ -158,8 +158,8 @@
         )
 
 
-def test_new_objects_go_to_a_starting_node_too_once_it_answers_soon() -> None:
-    """All of them went to the nodes that were left, which then refused reads of their own (join+vast)."""
+def test_new_objects_go_to_a_starting_node_too_once_it_answers_quickly() -> None:
+    """All of them went to the remaining nodes, which then refused reads of their own data (join+vast)."""
     simulation = SlowStartSimulation(1.0, 1, 40, 0.6)
     simulation.run(12 * SECOND)
     assert simulation.new_at_cold > 20
@@ -168,15 +168,15 @@
 @pytest.mark.parametrize(
     ("heads", "load", "fresh"), [(5, 2.5, 0.3), (40, 2.5, 0.0), (40, 1.6, 0.3), (200, 1.6, 0.0), (200, 2.5, 0.3)]
 )
-def test_asked_for_several_times_its_power_a_starting_node_does_not_fall(heads: int, load: float, fresh: float) -> None:
-    """Over the fleet, in any window: most heads see hundredths of the traffic, the first several times the mean."""
+def test_a_starting_node_does_not_fail_under_several_times_its_capacity(heads: int, load: float, fresh: float) -> None:
+    """Over the fleet, in any window: most heads get hundredths of the traffic, the first several times the mean."""
     for seed in range(3):
         simulation = SlowStartSimulation(load, seed, heads, fresh)
         simulation.run(12 * SECOND)
-        assert 0.3 < simulation.largest_limit_fraction() < 1.0, "what may be sent is used in part and never passed"
+        assert 0.3 < simulation.largest_limit_fraction() < 1.0, "the limit is used in part and never exceeded"
 
 
-def test_the_measure_sees_a_fleet_without_the_guard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_measurement_detects_a_fleet_without_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Scheduler, "_is_within_slow_start", lambda *_: True)
     simulation = SlowStartSimulation(2.5, 0, 40)
     simulation.run(12 * SECOND)
--- a/tests/test_scoring_choice.py
+++ b/tests/test_scoring_choice.py
@@ -1,4 +1,4 @@
-"""Scorers with the real choice: they move it among permissible backends, and never add one."""
+"""Scorers with the real scheduler: they change its choice among permissible backends, and never add one."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Only:
+class AllowedNodes:
     """Bounds that permit some backends."""
 
     left: frozenset[str]
@@ -58,9 +58,9 @@
         return self.added
 
 
-def module(phases: Sequence[Phase] = (Phase.ON,) * 6) -> Scheduler:
-    one = Scheduler(SETTINGS, 7)
-    one.handle(
+def scheduler_of_six(phases: Sequence[Phase] = (Phase.ON,) * 6) -> Scheduler:
+    scheduler = Scheduler(SETTINGS, 7)
+    scheduler.handle(
         T0,
         [
             NodeList(
@@ -72,11 +72,11 @@
             )
         ],
     )
-    return one
+    return scheduler
 
 
 def fresh(name: str, left: frozenset[str] = frozenset(NAMES)) -> Arrival:
-    return Arrival(name, 1.0, "v", 0, -1, 1, name, 2000 * MS, False, 0, Only(left))
+    return Arrival(name, 1.0, "v", 0, -1, 1, name, 2000 * MS, False, 0, AllowedNodes(left))
 
 
 def sent(actions: Sequence[Action]) -> list[str]:
@@ -85,42 +85,43 @@
 
 @pytest.mark.parametrize("expected", NAMES)
 def test_the_backend_without_added_time_is_chosen(expected: str) -> None:
-    one = module()
-    one.scorers = engine({"but": Says(lambda view: [0.0 if node == expected else MAX_US for node in view.nodes])})
-    assert sent(one.handle(T0 + MS, [fresh("r")])) == [expected]
+    scheduler = scheduler_of_six()
+    scheduler.scorers = engine({"but": Says(lambda view: [0.0 if node == expected else MAX_US for node in view.nodes])})
+    assert sent(scheduler.handle(T0 + MS, [fresh("r")])) == [expected]
 
 
 def test_the_earliest_free_backend_is_chosen_if_added_times_are_shorter_than_the_estimate() -> None:
-    one = module()
-    first = sent(one.handle(T0 + MS, [fresh("r0")]))[0]
-    one.handle(T0 + 21 * MS, [Outcome("r0", 0, first, Result.OK, 20 * MS, True, 0, 0.0, {})])
-    second = sent(one.handle(T0 + 21 * MS, [fresh("r1")]))[0]
+    scheduler = scheduler_of_six()
+    first = sent(scheduler.handle(T0 + MS, [fresh("r0")]))[0]
+    scheduler.handle(T0 + 21 * MS, [Outcome("r0", 0, first, Result.OK, 20 * MS, True, 0, 0.0, {})])
+    second = sent(scheduler.handle(T0 + 21 * MS, [fresh("r1")]))[0]
 
-    # The second's backend is busy for an estimated 20 ms: a shorter time added to all others moves no request there.
+    # The backend of the second request is busy for an estimated 20 ms: a shorter time for all others does not change
+    # the choice.
     def but(time: float) -> Says:
         return Says(lambda view: [0.0 if node == second else time for node in view.nodes])
 
-    one.scorers = engine({"but": but(5_000.0)})
-    assert sent(one.handle(T0 + 21 * MS, [fresh("r2")]))[0] != second
-    one.scorers = engine({"but": but(60_000.0)})
-    assert sent(one.handle(T0 + 21 * MS, [fresh("r3")])) == [second]
+    scheduler.scorers = engine({"but": but(5_000.0)})
+    assert sent(scheduler.handle(T0 + 21 * MS, [fresh("r2")]))[0] != second
+    scheduler.scorers = engine({"but": but(60_000.0)})
+    assert sent(scheduler.handle(T0 + 21 * MS, [fresh("r3")])) == [second]
 
 
 def test_a_request_for_a_given_backend_calls_no_scorer() -> None:
-    one, asked = module(), []
+    scheduler, asked = scheduler_of_six(), []
 
     def say(view: View) -> object:
         asked.append(view.key)
         return [0.0] * len(view)
 
-    one.scorers = engine({"any": Says(say)})
-    assert sent(one.handle(T0 + MS, [ask("r", shard=2)])) == ["n2"] and not asked
+    scheduler.scorers = engine({"any": Says(say)})
+    assert sent(scheduler.handle(T0 + MS, [ask("r", shard=2)])) == ["n2"] and not asked
 
 
 def test_a_name_that_is_not_a_candidate_is_ignored() -> None:
-    one, plain = module(), module()
-    one.scorers = Raw({"n9": 0.0, "elsewhere": 1.0, "": 5.0})
-    assert one.handle(T0 + MS, [fresh("r")]) == plain.handle(T0 + MS, [fresh("r")])
+    scheduler, plain = scheduler_of_six(), scheduler_of_six()
+    scheduler.scorers = Raw({"n9": 0.0, "elsewhere": 1.0, "": 5.0})
+    assert scheduler.handle(T0 + MS, [fresh("r")]) == plain.handle(T0 + MS, [fresh("r")])
 
 
 TIME = st.one_of(st.floats(), st.floats(0, 1e5), st.none(), st.just("x"))
@@ -143,13 +144,13 @@
     second: Callable[[View], object],
     steps: list[tuple[frozenset[str], Result]],
 ) -> None:
-    one, seen = module(phases), set[str]()
+    scheduler, seen = scheduler_of_six(phases), set[str]()
 
     def look(view: View) -> object:
         seen.update(view.nodes)
         return first(view)
 
-    one.scorers = engine({"first": Says(look), "second": Says(second)})
+    scheduler.scorers = engine({"first": Says(look), "second": Says(second)})
     on = {name for name, phase in zip(NAMES, phases, strict=True) if phase is Phase.ON}
     may: dict[str, frozenset[str]] = {}
     attempts: dict[str, int] = {}
@@ -158,8 +159,8 @@
         may[name] = left
         events: list[Event] = [fresh(name, left)]
         while events:
-            resting = {node for node, book in one.nodes.items() if book.backoff_until > now}
-            actions, events = one.handle(now, events), []
+            resting = {node for node, node_state in scheduler.nodes.items() if node_state.backoff_until > now}
+            actions, events = scheduler.handle(now, events), []
             now += MS
             for send in actions:
                 if isinstance(send, Send):
@@ -170,10 +171,10 @@
 
 
 def test_scorers_that_add_nothing_change_no_decision() -> None:
-    one, plain = module(), module()
-    one.scorers = engine({"none": Says(lambda view: [0.0] * len(view))})
+    scheduler, plain = scheduler_of_six(), scheduler_of_six()
+    scheduler.scorers = engine({"none": Says(lambda view: [0.0] * len(view))})
     for at in range(40):
         now, arrival = T0 + at * 3 * MS, fresh(f"r{at}")
-        actions = one.handle(now, [arrival])
+        actions = scheduler.handle(now, [arrival])
         assert actions == plain.handle(now, [arrival])
         assert not [action for action in actions if isinstance(action, Refuse | Fail)]
--- a/tests/test_scoring_exclusion.py
+++ b/tests/test_scoring_exclusion.py
@@ -18,13 +18,13 @@
 from tests.scoring_fixtures import ASK, Clock, Says, engine, observations
 
 T0 = 50_000_000
-# What a call over its time used itself: CPU and waits of its own, and whether the collector ran.
+# The own usage of a slow call: CPU nanoseconds, voluntary context switches, and garbage collections.
 PREEMPTED, COLLECTED = (20_000, 0, 0), (5_000_000, 0, 1)
 BUSY, SLEEPS, BUSY_AND_COLLECTED = (201_000, 0, 0), (20_000, 1, 0), (5_000_000, 1, 1)
 
 
 def late(used: list[tuple[int, int, int]], clock: Clock) -> Says:
-    """Make a scorer whose next calls are all too slow, with the given usage; without any it is fast."""
+    """Return a scorer whose next calls are too slow, with the given usages; after these it is fast."""
 
     def say(view: View) -> object:
         if used:
@@ -55,50 +55,50 @@
 ) -> None:
     clock = Clock()
     head = engine({"late": late(used := list(calls), clock)}, clock)
-    one = head.guard.scorers[0]
+    guarded = head.guard.scorers[0]
     while used:
-        assert head.added_us(T0, ASK, observations("a")) == {} and one.exclusion.is_callable(T0) is not (
+        assert head.added_us(T0, ASK, observations("a")) == {} and guarded.exclusion.is_callable(T0) is not (
             left_out and not used
         )
-    assert one.counts["slow"] == len(calls)
+    assert guarded.counts["slow"] == len(calls)
     assert head.added_us(T0, ASK, observations("a")) == ({} if left_out else {"a": 5.0})
 
 
-def test_distant_proofs_are_chance_and_only_some_calls_are_measured() -> None:
+def test_distant_proofs_do_not_exclude_and_only_some_calls_are_measured() -> None:
     clock, used = Clock(), [BUSY]
     head = engine({"late": late(used, clock)}, clock)
-    pauses = head.guard.scorers[0].exclusion
+    exclusion = head.guard.scorers[0].exclusion
     for wanted in ({}, *[{"a": 5.0}] * MEASURED_CALLS):
         assert head.added_us(T0, ASK, observations("a")) == wanted
-    assert not pauses.measured_calls_left
+    assert not exclusion.measured_calls_left
     for _ in range(2):  # the first is not measured, and proves nothing; the second is a first proof
         used.append(BUSY)
-        assert head.added_us(T0, ASK, observations("a")) == {} and pauses.is_callable(T0)
+        assert head.added_us(T0, ASK, observations("a")) == {} and exclusion.is_callable(T0)
     used.append(BUSY)
-    assert head.added_us(T0, ASK, observations("a")) == {} and not pauses.is_callable(T0)
+    assert head.added_us(T0, ASK, observations("a")) == {} and not exclusion.is_callable(T0)
 
 
 def test_a_slow_scorer_is_excluded_with_backoff_returns_and_is_finally_disabled() -> None:
     clock = Clock()
     head = engine({"slow": late(used := [BUSY] * 3, clock)}, clock)
-    one, now = head.guard.scorers[0], T0
+    guarded, now = head.guard.scorers[0], T0
     head.added_us(now, ASK, observations("a"))
-    assert head.added_us(now, ASK, observations("a")) == {} and not one.exclusion.is_callable(
+    assert head.added_us(now, ASK, observations("a")) == {} and not guarded.exclusion.is_callable(
         now + INITIAL_BACKOFF_US - 1
     )
     now += INITIAL_BACKOFF_US
-    assert head.added_us(now, ASK, observations("a")) == {} and not one.exclusion.is_callable(
+    assert head.added_us(now, ASK, observations("a")) == {} and not guarded.exclusion.is_callable(
         now + 2 * INITIAL_BACKOFF_US - 1
     )
     now += 2 * INITIAL_BACKOFF_US
     for _ in range(PROBATION_CALLS):
         assert head.added_us(now, ASK, observations("a")) == {"a": 5.0}
-    assert one.exclusion.failures == 0 and one.counts["slow"] == 3
+    assert guarded.exclusion.failures == 0 and guarded.counts["slow"] == 3
     used += [BUSY] * (MAX_SLOW_BACKOFFS + 1)
     while used:
         head.added_us(now, ASK, observations("a"))
         now += MAX_BACKOFF_US
-    assert one.exclusion.is_disabled and one.counts["slow"] == 4 + MAX_SLOW_BACKOFFS
+    assert guarded.exclusion.is_disabled and guarded.counts["slow"] == 4 + MAX_SLOW_BACKOFFS
     assert head.added_us(now + 100 * MAX_BACKOFF_US, ASK, observations("a")) == {}
     head.reinstate_all()
     assert head.added_us(now, ASK, observations("a")) == {"a": 5.0}
@@ -122,15 +122,19 @@
     for _ in range(3):
         assert head.added_us(T0, ASK, observations("a")) == {"a": 7.0}
         head.guard.interrupt(began)  # too late: another call, or none, is in progress
-    one = head.guard.scorers[0]
-    assert one.exclusion.is_disabled and one.counts["hung"] == one.counts["asked"] == 1 and one.counts["slow"] == 0
+    guarded = head.guard.scorers[0]
+    assert (
+        guarded.exclusion.is_disabled
+        and guarded.counts["hung"] == guarded.counts["asked"] == 1
+        and guarded.counts["slow"] == 0
+    )
     assert len(log) == 1 and "[scorer-hung]" in log[0]
 
 
 def test_backoff_is_capped_and_a_scorer_that_raises_is_never_disabled() -> None:
-    pauses, now = ScorerExclusion(), 0
+    exclusion, now = ScorerExclusion(), 0
     for _ in range(40):
-        pauses.record_failure(now)
-        assert 0 < pauses.excluded_until_us - now <= MAX_BACKOFF_US
-        now = pauses.excluded_until_us
-    assert pauses.is_callable(now)
+        exclusion.record_failure(now)
+        assert 0 < exclusion.excluded_until_us - now <= MAX_BACKOFF_US
+        now = exclusion.excluded_until_us
+    assert exclusion.is_callable(now)
--- a/tests/test_scoring_guard.py
+++ b/tests/test_scoring_guard.py
@@ -1,4 +1,4 @@
-"""Whatever a scorer does, a choice gets times of candidates alone within the clamp, and other scorers' count."""
+"""Whatever a scorer does, added times are for candidates only and within the clamp, and other scorers count."""
 
 from __future__ import annotations
 
--- a/tests/test_scoring_hanging.py
+++ b/tests/test_scoring_hanging.py
@@ -1,4 +1,4 @@
-"""Scorers that do not return, in a head's own process: it is blocked once, for a documented time, and continues."""
+"""Scorers that do not return, in the process of a head: it is blocked once, for a documented time, and continues."""
 
 from __future__ import annotations
 
@@ -72,9 +72,9 @@
                 assert head.has_logged(f"scorer {name} did not return") and head.has_logged(
                     "[scorer-hung] Take the scorer out"
                 )
-            told = json.loads((await made.get("n0", "/ops/scorers"))[1])["scorers"]
-            assert all(told[name]["off_until_told"] and told[name]["asked"] == 1 for name in HANGS)
-            assert told["latency"]["at_work"]
+            shown = json.loads((await made.get("n0", "/ops/scorers"))[1])["scorers"]
+            assert all(shown[name]["off_until_told"] and shown[name]["asked"] == 1 for name in HANGS)
+            assert shown["latency"]["at_work"]
             assert [await place(number) for number in range(10, 20)] == [200] * 10
 
     run(main())
--- a/tests/test_scoring_merge.py
+++ b/tests/test_scoring_merge.py
@@ -1,4 +1,4 @@
-"""The influence of Byzantine peers, silence and other versions, compared with the documented bounds."""
+"""The influence of Byzantine peers and of old reports, compared with the documented bounds."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def check_liars(honest: list[tuple[float, float]], lies: list[tuple[float, float]]) -> None:
-    """Assert that with f <= g the result lies between honest reports (and neutral ones that fill up)."""
-    words = honest + lies
-    fill = [0.0] * (merge.MIN_REPORTS - len(words))
+    """Assert that with f <= g the result lies between honest reports (and the neutral ones added to few reports)."""
+    reports = honest + lies
+    fill = [0.0] * (merge.MIN_REPORTS - len(reports))
     values = [value for value, _ in honest] + fill
-    if values and len(lies) <= trim_count(max(len(words), merge.MIN_REPORTS)):
-        assert min(values) - LITTLE <= trimmed_mean(words) <= max(values) + LITTLE
+    if values and len(lies) <= trim_count(max(len(reports), merge.MIN_REPORTS)):
+        assert min(values) - LITTLE <= trimmed_mean(reports) <= max(values) + LITTLE
 
 
 @given(st.lists(REPORT, max_size=20), st.lists(REPORT, max_size=6))
@@ -44,8 +44,8 @@
     check_liars(honest, lies)
 
 
-def plain(words: Sequence[tuple[float, float]]) -> float:
-    return sum(value for value, _ in words) / len(words) if words else 0.0
+def plain(reports: Sequence[tuple[float, float]]) -> float:
+    return sum(value for value, _ in reports) / len(reports) if reports else 0.0
 
 
 def test_the_check_catches_a_merge_without_its_trim(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -56,7 +56,7 @@
         test_the_documented_bound_holds_for_each_number_of_byzantine_peers(9, 0.0)
 
 
-def moved(liars: int, peers: int, evidence: float, honest_trust: float) -> float:
+def raised_weight(liars: int, peers: int, evidence: float, honest_trust: float) -> float:
     """Return how far Byzantine peers raise a backend that is neutral to all others."""
     own = Weight(0.0, evidence) if evidence else None
     return combine(own, trimmed_mean([(1.0, 1.0)] * liars + [(0.0, honest_trust)] * (peers - liars)), 1.0)
@@ -68,8 +68,8 @@
     for liars in range(peers + 1):
         bound = max_influence(liars, peers, evidence)
         for trust in (MIN_TRUST, 0.3, 1.0):
-            assert moved(liars, peers, evidence, trust) <= bound + LITTLE
-        assert moved(liars, peers, evidence, MIN_TRUST) == pytest.approx(bound)  # and the bound is tight
+            assert raised_weight(liars, peers, evidence, trust) <= bound + LITTLE
+        assert raised_weight(liars, peers, evidence, MIN_TRUST) == pytest.approx(bound)  # and the bound is tight
         caught = max_influence(liars, peers, evidence, MIN_TRUST, 0.5)  # Byzantine peers that have lost trust
         assert caught <= bound + LITTLE and (caught == 0.0 or liars > trim_count(max(peers, merge.MIN_REPORTS)))
         if liars <= trim_count(max(peers, merge.MIN_REPORTS)):
@@ -78,14 +78,14 @@
 
 
 @given(st.floats(0, 1), st.floats(0, 1e6), st.floats(0, 1), st.floats(0, 1))
-def test_own_evidence_outweighs_reports(value: float, evidence: float, heard: float, part: float) -> None:
-    check_own(value, evidence, heard, part)
+def test_own_evidence_outweighs_reports(value: float, evidence: float, reported: float, part: float) -> None:
+    check_own(value, evidence, reported, part)
 
 
-def check_own(value: float, evidence: float, heard: float, part: float) -> None:
+def check_own(value: float, evidence: float, reported: float, part: float) -> None:
     """Assert that peers never lower a weight, and raise it by no more than their share against own answers."""
-    weight = combine(Weight(value, evidence), heard, part)
-    assert value <= weight <= max(value, heard) + LITTLE
+    weight = combine(Weight(value, evidence), reported, part)
+    assert value <= weight <= max(value, reported) + LITTLE
     assert (
         weight - value
         <= PEERS_EVIDENCE / (PEERS_EVIDENCE + NEUTRAL_EVIDENCE + min(evidence, MAX_OWN_EVIDENCE)) + LITTLE
@@ -95,7 +95,7 @@
 
 
 def test_the_check_catches_an_outweighed_own_weight(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(globals(), "combine", lambda own, heard, part: heard)
+    monkeypatch.setitem(globals(), "combine", lambda own, reported, part: reported)
     with pytest.raises(AssertionError):
         check_own(0.0, 100.0, 1.0, 1.0)
     with pytest.raises(AssertionError):
@@ -130,6 +130,6 @@
 
 
 def test_trust_weights_the_reports_that_remain_after_trimming() -> None:
-    words = [(0.0, 1.0)] * 4 + [(1.0, MIN_TRUST)] * 4
+    reports = [(0.0, 1.0)] * 4 + [(1.0, MIN_TRUST)] * 4
     believed = [(0.0, MIN_TRUST)] * 4 + [(1.0, 1.0)] * 4
-    assert trimmed_mean(words) < 0.15 and trimmed_mean(believed) > 0.85
+    assert trimmed_mean(reports) < 0.15 and trimmed_mean(believed) > 0.85
--- a/tests/test_scoring_model.py
+++ b/tests/test_scoring_model.py
@@ -64,13 +64,13 @@
         version=st.sampled_from([VERSION, "suspicion-2"]),
         words=st.dictionaries(st.sampled_from(BACKENDS), st.sampled_from([0.0, 0.1, 1.0]), max_size=6),
     )
-    def lie(self, who: frozenset[int], version: str, words: dict[str, float]) -> None:
+    def publish_lies(self, who: frozenset[int], version: str, words: dict[str, float]) -> None:
         self.beat += 1
         for liar in who:
             self.wall.say(f"l{liar}", self.beat, words, version)
 
     @rule(liar=st.integers(0, LIARS - 1), chunk=st.integers(0, 9), value=st.binary(max_size=40))
-    def babble(self, liar: int, chunk: int, value: bytes) -> None:
+    def publish_garbage(self, liar: int, chunk: int, value: bytes) -> None:
         self.wall.put(f"l{liar}", f"suspicion/{chunk}", value)
 
     @rule(liar=st.integers(0, LIARS - 1))
@@ -80,14 +80,14 @@
 
     def check(self, head: ScoringEngine, scorer: Suspicion) -> None:
         """Assert the bounds on the weights of a healthy and of a failing backend, right after a merge."""
-        speak = [
+        reporting = [
             owner
             for owner, peer in head.shared["suspicion"].peers.items()
             if peer.weights_by_chunk and peer.freshness(self.now) > 0.0
         ]
-        liars = sum(owner.startswith("l") for owner in speak)
-        bound = max_influence(liars, len(speak), 0.0)
-        if liars <= max(1, len(speak) // 3):
+        liars = sum(owner.startswith("l") for owner in reporting)
+        bound = max_influence(liars, len(reporting), 0.0)
+        if liars <= max(1, len(reporting) // 3):
             assert bound == 0.0
         for backend in SOUND:
             assert scorer.levels.get(backend, 0.0) <= bound + LITTLE
--- a/tests/test_scoring_plugins.py
+++ b/tests/test_scoring_plugins.py
@@ -1,4 +1,4 @@
-"""Scorers found by name and validated with section and key, and the example package as if it were installed."""
+"""Scorers found by name, errors that name section and key, and the example package as if it were installed."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rows", "said"),
+    ("rows", "message"),
     [
         ({"quantile": "high"}, "[scoring.parameters.latency] quantile: Expected `float`, got `str`"),
         (
@@ -100,10 +100,10 @@
         ({"quantile": 1.5}, "[scoring.parameters.latency] quantile must be between 0 and 1"),
     ],
 )
-def test_an_invalid_parameter_is_reported_with_section_and_key(rows: dict[str, Any], said: str) -> None:
+def test_an_invalid_parameter_is_reported_with_section_and_key(rows: dict[str, Any], message: str) -> None:
     with pytest.raises(ScorerParametersError) as caught:
         parameters(find("latency"), rows)
-    assert caught.value.what == said
+    assert caught.value.what == message
 
 
 def test_invalid_names_are_reported(site: Path) -> None:
@@ -130,10 +130,10 @@
         (["latency", "latency"], {}, ScorerParametersError, "'latency' is named twice"),
         (["latency"], {"latancy": {}}, ScorerParametersError, "[scoring.parameters.latancy]"),
     ]
-    for names, rows, kind, said in cases:
+    for names, rows, kind, message in cases:
         with pytest.raises(kind) as caught:
             make(ScoringConfig(names, parameters=rows), SETTING)
-        assert said in caught.value.what
+        assert message in caught.value.what
     # A package that is not named is not even imported.
     assert find("latency").name == "latency" and "brought_empty" in sys.modules
     install(site, "brought_idle", {"idle": "brought_idle"}, "raise SystemError('imported')")
--- a/tests/test_scoring_scorers.py
+++ b/tests/test_scoring_scorers.py
@@ -1,4 +1,4 @@
-"""The three built-in scorers, each driven by results and views alone."""
+"""The three built-in scorers, each tested with results and views only."""
 
 from __future__ import annotations
 
--- a/tests/test_scoring_sharing.py
+++ b/tests/test_scoring_sharing.py
@@ -49,29 +49,32 @@
 
 def test_a_head_learns_of_a_failing_backend_that_it_has_never_used() -> None:
     fleet, wall = heads(10), Wall()
-    asked = list(fleet.values())[:7]
-    for head in asked:
+    accusers = list(fleet.values())[:7]
+    for head in accusers:
         hear(head, T0, BAD, Result.ERROR, 4)
     now = run(fleet, wall, T0, 2)
     rest = [added(head, now, BAD) for head in list(fleet.values())[7:]]
     assert min(rest) > 0.2 * MAX_US and max(added(head, now, GOOD) for head in fleet.values()) == 0.0
-    assert min(added(head, now, BAD) for head in asked) > 0.8 * MAX_US
+    assert min(added(head, now, BAD) for head in accusers) > 0.8 * MAX_US
 
 
 def check_liars(liars: int, peers: int) -> None:
-    """Assert end to end that Byzantine members raise a healthy backend no more than the bound, known here or not."""
+    """Assert end to end that Byzantine members raise a healthy backend by no more than the bound.
+
+    One head has own answers of the backend, another one has none.
+    """
     fleet, wall = heads(peers + 1 - liars), Wall()
-    knows, knows_not = list(fleet.values())[:2]
+    with_answers, without_answers = list(fleet.values())[:2]
     now = T0
     for _ in range(30):
         for head in fleet.values():
-            if head is not knows_not:
+            if head is not without_answers:
                 hear(head, now, GOOD, Result.OK, 10)
         now = run(fleet, wall, now, 1, liars)
     small = 1e-6
-    assert added(knows_not, now, GOOD) <= max_influence(liars, peers, 0.0) * MAX_US + small
-    assert added(knows, now, GOOD) <= max_influence(liars, peers, MAX_OWN_EVIDENCE) * MAX_US + small
-    trust = knows.shared["suspicion"].peers
+    assert added(without_answers, now, GOOD) <= max_influence(liars, peers, 0.0) * MAX_US + small
+    assert added(with_answers, now, GOOD) <= max_influence(liars, peers, MAX_OWN_EVIDENCE) * MAX_US + small
+    trust = with_answers.shared["suspicion"].peers
     assert all(trust[f"liar{at}"].agreement.trust <= 0.1 for at in range(liars))
 
 
@@ -91,7 +94,7 @@
         assert added(head, now, BAD) >= before * faded - 1e-6
 
 
-def taught() -> tuple[Wall, ScoringEngine, int]:
+def head_with_merged_reports() -> tuple[Wall, ScoringEngine, int]:
     """Return a head that has merged the reports of nine others on a backend, and the time."""
     fleet, wall = heads(10), Wall()
     for head in list(fleet.values())[:9]:
@@ -101,7 +104,7 @@
 
 @pytest.mark.parametrize("gone", [False, True])
 def test_weights_of_silent_or_departed_peers_age_to_neutral(gone: bool) -> None:
-    wall, quiet, now = taught()
+    wall, quiet, now = head_with_merged_reports()
     first, seen = added(quiet, now, BAD), []
     if gone:
         wall.held.clear()
@@ -115,7 +118,7 @@
 
 
 def test_members_that_return_start_without_weights() -> None:
-    wall, quiet, now = taught()
+    wall, quiet, now = head_with_merged_reports()
     wall.held.clear()
     now = run({"h9": quiet}, wall, now, 5)
     for at in range(9):
@@ -199,7 +202,7 @@
 @given(st.dictionaries(st.text(min_size=1, max_size=128), st.floats(0, 1), max_size=120), st.integers(0, 2**40))
 def test_entries_fit_round_trip_and_keep_the_worst_backends(weights: dict[str, float], heartbeat: int) -> None:
     try:
-        values, left_out = encoding.encode(VERSION, heartbeat, weights)
+        values, omitted = encoding.encode(VERSION, heartbeat, weights)
     except UnicodeEncodeError:
         return  # not a backend's name: the list's decoder accepts no lone surrogates
     assert all(len(value) <= MAX_VALUE_BYTES for value in values.values()) and 0 in values
@@ -208,10 +211,10 @@
         version, part = encoding.decode(chunk, value)
         assert version == VERSION and not found.keys() & part.keys()
         found |= part
-    told = {node: weight for node, weight in weights.items() if round(weight * encoding.WEIGHT_STEPS)}
-    assert len(found) == len(told) - left_out
-    assert all(abs(told[node] - weight) <= 0.5 / encoding.WEIGHT_STEPS + 1e-9 for node, weight in found.items())
-    for node, weight in told.items():
+    nonzero = {node: weight for node, weight in weights.items() if round(weight * encoding.WEIGHT_STEPS)}
+    assert len(found) == len(nonzero) - omitted
+    assert all(abs(nonzero[node] - weight) <= 0.5 / encoding.WEIGHT_STEPS + 1e-9 for node, weight in found.items())
+    for node, weight in nonzero.items():
         if node not in found:
             kept = [at for other, at in found.items() if encoding.chunk_of(other) == encoding.chunk_of(node)]
             assert all(at >= weight - 0.5 / encoding.WEIGHT_STEPS - 1e-9 for at in kept)
--- a/tests/test_scoring_slices.py
+++ b/tests/test_scoring_slices.py
@@ -1,4 +1,4 @@
-"""A tick in slices: each does a bounded amount of work, and together they give the result of one pass."""
+"""A tick in slices: each does a bounded amount of work, and together they have the result of one pass."""
 
 from __future__ import annotations
 
