--- a/hophinge/scoring/sharing.py
+++ b/hophinge/scoring/sharing.py
@@ -24,9 +24,7 @@
 HEARTBEAT_US = 5_000_000  # interval of changes of entry 0, which show that a member is alive
 FRESH_US = 15_000_000  # three heartbeats, some of which may be lost, before weights begin to age
 HALF_LIFE_US = 5_000_000  # in which weights then halve
-FORGOTTEN_US = (
-    60_000_000  # until a silent peer is removed; its weights have counted less than a hundredth for ten seconds
-)
+FORGOTTEN_US = 60_000_000  # until a silent peer is removed, after ten seconds with weights below a hundredth
 MAX_REPORTS = 20_000  # processed in one step of a tick: some tens of milliseconds
 MAX_ENTRIES_READ = 500  # in one tick; other changed entries are read in the next
 SLICE_STEPS = 500  # entries or reports processed at a time: under a millisecond
--- a/tests/scoring_fixtures.py
+++ b/tests/scoring_fixtures.py
@@ -37,7 +37,7 @@
     return [NodeState(NodeEntry(name, at % 3, at, Phase.ON, 1.0, started_us)) for at, name in enumerate(names)]
 
 
-class Says(Scorer):
+class ScriptedScorer(Scorer):
     """A scorer that behaves as a test defines."""
 
     def __init__(self, say: Callable[[View], object]) -> None:
@@ -87,29 +87,29 @@
         (site / f"{package}.py").write_text(textwrap.dedent(text))
 
 
-class Wall:
+class ReplicatedEntries:
     """The replicated entries of a fleet; each change is visible at once."""
 
     def __init__(self) -> None:
-        self.held: dict[tuple[str, str], Entry] = {}
+        self.current: dict[tuple[str, str], Entry] = {}
         self.count = 0
 
     def put(self, owner: str, key: str, value: bytes) -> None:
         self.count += 1
-        self.held[owner, key] = Entry(owner, Topic.WEIGHTS, key, EntryVersion(1, self.count), value)
+        self.current[owner, key] = Entry(owner, Topic.WEIGHTS, key, EntryVersion(1, self.count), value)
 
-    def say(self, owner: str, beat: int, words: Mapping[str, float], version: str = VERSION) -> None:
+    def publish(self, owner: str, heartbeat: int, weights: Mapping[str, float], version: str = VERSION) -> None:
         """Publish a member's weights of the scorer `suspicion`, valid or not."""
-        for chunk, value in encoding.encode(version, beat, words)[0].items():
+        for chunk, value in encoding.encode(version, heartbeat, weights)[0].items():
             self.put(owner, encoding.entry_key("suspicion", chunk), value)
 
     def entries(self) -> Iterable[Entry]:
-        return list(self.held.values())
+        return list(self.current.values())
 
     def tick(self, now_us: int, name: str, head: ScoringEngine, nodes: Iterable[str]) -> None:
         for action in head.tick(now_us, set(nodes), self.entries()):
             if isinstance(action, PutEntry):
                 self.put(name, action.key, action.value)
             else:
-                del self.held[name, action.key]
+                del self.current[name, action.key]
             head.confirm(action)
--- a/tests/test_scoring_choice.py
+++ b/tests/test_scoring_choice.py
@@ -26,7 +26,7 @@
     Send,
 )
 from hophinge.scoring.interface import View
-from tests.scoring_fixtures import MAX_US, Says, engine
+from tests.scoring_fixtures import MAX_US, ScriptedScorer, engine
 from tests.test_choice import MS, SETTINGS, T0, ask
 
 NAMES = [f"n{at}" for at in range(6)]
@@ -86,7 +86,9 @@
 @pytest.mark.parametrize("expected", NAMES)
 def test_the_backend_without_added_time_is_chosen(expected: str) -> None:
     scheduler = scheduler_of_six()
-    scheduler.scorers = engine({"but": Says(lambda view: [0.0 if node == expected else MAX_US for node in view.nodes])})
+    scheduler.scorers = engine(
+        {"but": ScriptedScorer(lambda view: [0.0 if node == expected else MAX_US for node in view.nodes])}
+    )
     assert sent(scheduler.handle(T0 + MS, [fresh("r")])) == [expected]
 
 
@@ -98,8 +100,8 @@
 
     # The backend of the second request is busy for an estimated 20 ms: a shorter time for all others does not change
     # the choice.
-    def but(time: float) -> Says:
-        return Says(lambda view: [0.0 if node == second else time for node in view.nodes])
+    def but(time: float) -> ScriptedScorer:
+        return ScriptedScorer(lambda view: [0.0 if node == second else time for node in view.nodes])
 
     scheduler.scorers = engine({"but": but(5_000.0)})
     assert sent(scheduler.handle(T0 + 21 * MS, [fresh("r2")]))[0] != second
@@ -114,7 +116,7 @@
         asked.append(view.key)
         return [0.0] * len(view)
 
-    scheduler.scorers = engine({"any": Says(say)})
+    scheduler.scorers = engine({"any": ScriptedScorer(say)})
     assert sent(scheduler.handle(T0 + MS, [ask("r", shard=2)])) == ["n2"] and not asked
 
 
@@ -150,7 +152,7 @@
         seen.update(view.nodes)
         return first(view)
 
-    scheduler.scorers = engine({"first": Says(look), "second": Says(second)})
+    scheduler.scorers = engine({"first": ScriptedScorer(look), "second": ScriptedScorer(second)})
     on = {name for name, phase in zip(NAMES, phases, strict=True) if phase is Phase.ON}
     may: dict[str, frozenset[str]] = {}
     attempts: dict[str, int] = {}
@@ -172,7 +174,7 @@
 
 def test_scorers_that_add_nothing_change_no_decision() -> None:
     scheduler, plain = scheduler_of_six(), scheduler_of_six()
-    scheduler.scorers = engine({"none": Says(lambda view: [0.0] * len(view))})
+    scheduler.scorers = engine({"none": ScriptedScorer(lambda view: [0.0] * len(view))})
     for at in range(40):
         now, arrival = T0 + at * 3 * MS, fresh(f"r{at}")
         actions = scheduler.handle(now, [arrival])
--- a/tests/test_scoring_exclusion.py
+++ b/tests/test_scoring_exclusion.py
@@ -15,7 +15,7 @@
 )
 from hophinge.scoring.guard import HungError
 from hophinge.scoring.interface import View
-from tests.scoring_fixtures import ASK, Clock, Says, engine, observations
+from tests.scoring_fixtures import ASK, Clock, ScriptedScorer, engine, observations
 
 T0 = 50_000_000
 # The own usage of a slow call: CPU nanoseconds, voluntary context switches, and garbage collections.
@@ -23,7 +23,7 @@
 BUSY, SLEEPS, BUSY_AND_COLLECTED = (201_000, 0, 0), (20_000, 1, 0), (5_000_000, 1, 1)
 
 
-def late(used: list[tuple[int, int, int]], clock: Clock) -> Says:
+def late(used: list[tuple[int, int, int]], clock: Clock) -> ScriptedScorer:
     """Return a scorer whose next calls are too slow, with the given usages; after these it is fast."""
 
     def say(view: View) -> object:
@@ -34,7 +34,7 @@
             clock.collections += collections
         return [5.0] * len(view)
 
-    return Says(say)
+    return ScriptedScorer(say)
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
                 raise
         return [5.0] * len(view)
 
-    head = engine({"hangs": Says(say), "good": Says(lambda view: [7.0] * len(view))}, clock, log)
+    head = engine({"hangs": ScriptedScorer(say), "good": ScriptedScorer(lambda view: [7.0] * len(view))}, clock, log)
     began = clock.ns
     for _ in range(3):
         assert head.added_us(T0, ASK, observations("a")) == {"a": 7.0}
--- a/tests/test_scoring_guard.py
+++ b/tests/test_scoring_guard.py
@@ -15,7 +15,7 @@
 from hophinge.scoring import guard
 from hophinge.scoring.exclusion import INITIAL_BACKOFF_US
 from hophinge.scoring.interface import Scorer, View, Weight
-from tests.scoring_fixtures import ASK, MAX_US, Says, engine, observations
+from tests.scoring_fixtures import ASK, MAX_US, ScriptedScorer, engine, observations
 
 T0 = 50_000_000
 NAMES = ("a", "b", "c", "d")
@@ -101,8 +101,8 @@
 
 def check(behaviours: list[Callable[[View], object]]) -> None:
     """Assert that nothing raises, only candidates are named, within the clamp, and the good scorer counts."""
-    good = Says(lambda view: [{"a": 10.0, "c": 20.0}.get(node, 0.0) for node in view.nodes])
-    scorers: dict[str, Scorer] = {f"s{at}": Says(say) for at, say in enumerate(behaviours)}
+    good = ScriptedScorer(lambda view: [{"a": 10.0, "c": 20.0}.get(node, 0.0) for node in view.nodes])
+    scorers: dict[str, Scorer] = {f"s{at}": ScriptedScorer(say) for at, say in enumerate(behaviours)}
     head = engine(scorers | {"good": good})
     for step in range(3):
         added = head.added_us(T0 + step, ASK, observations(*NAMES))
@@ -161,7 +161,7 @@
     reason: str, say: Callable[[View], object]
 ) -> None:
     log: list[str] = []
-    head = engine({"odd": Says(say)}, log=log)
+    head = engine({"odd": ScriptedScorer(say)}, log=log)
     for step in range(5):
         assert head.added_us(T0 + step, ASK, observations(*NAMES)) == {}
     counts = head.guard.scorers[0].counts
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -21,7 +21,7 @@
 from hophinge.scoring import encoding, sharing
 from hophinge.scoring.engine import ScoringEngine
 from hophinge.scoring.interface import Surroundings, View
-from tests.scoring_fixtures import ASK, Clock, Says, observations
+from tests.scoring_fixtures import ASK, Clock, ScriptedScorer, observations
 from tests.test_choice import MS, SETTINGS, T0, ask, node
 from tests.test_exchange import Loop
 
@@ -175,7 +175,7 @@
 ) -> None:
     log: list[str] = []
     slow = ScoringEngine(
-        {"slow": Says(say)}, {}, 1e6, 200.0, time.perf_counter_ns, log.append, Surroundings(), usage=usage
+        {"slow": ScriptedScorer(say)}, {}, 1e6, 200.0, time.perf_counter_ns, log.append, Surroundings(), usage=usage
     )
     for _ in range(3):
         assert slow.added_us(T0, ASK, observations("a")) == {}
--- a/tests/test_scoring_model.py
+++ b/tests/test_scoring_model.py
@@ -15,7 +15,7 @@
 from hophinge.scoring.engine import ScoringEngine
 from hophinge.scoring.merge import max_influence
 from hophinge.scoring.suspicion import Suspicion
-from tests.scoring_fixtures import ASK, MAX_US, VERSION, Wall, observations, sharer
+from tests.scoring_fixtures import ASK, MAX_US, VERSION, ReplicatedEntries, observations, sharer
 
 T0, S = 50_000_000, 1_000_000
 BACKENDS = [f"brick-{number}" for number in range(6)]
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.now, self.wall, self.beat = T0, Wall(), 0
+        self.now, self.replicated, self.heartbeat = T0, ReplicatedEntries(), 0
         self.heads: dict[str, tuple[ScoringEngine, Suspicion]] = {}
         for at in range(HEADS):
             self.start(f"h{at}")
@@ -52,7 +52,7 @@
         for at in sorted(who):
             name = f"h{at}"
             head, scorer = self.heads[name]
-            self.wall.tick(self.now, name, head, BACKENDS)
+            self.replicated.tick(self.now, name, head, BACKENDS)
             self.check(head, scorer)
 
     @rule(head=st.integers(0, HEADS - 1))
@@ -62,21 +62,21 @@
     @rule(
         who=st.frozensets(st.integers(0, LIARS - 1), min_size=1),
         version=st.sampled_from([VERSION, "suspicion-2"]),
-        words=st.dictionaries(st.sampled_from(BACKENDS), st.sampled_from([0.0, 0.1, 1.0]), max_size=6),
+        weights=st.dictionaries(st.sampled_from(BACKENDS), st.sampled_from([0.0, 0.1, 1.0]), max_size=6),
     )
-    def publish_lies(self, who: frozenset[int], version: str, words: dict[str, float]) -> None:
-        self.beat += 1
+    def publish_lies(self, who: frozenset[int], version: str, weights: dict[str, float]) -> None:
+        self.heartbeat += 1
         for liar in who:
-            self.wall.say(f"l{liar}", self.beat, words, version)
+            self.replicated.publish(f"l{liar}", self.heartbeat, weights, version)
 
     @rule(liar=st.integers(0, LIARS - 1), chunk=st.integers(0, 9), value=st.binary(max_size=40))
     def publish_garbage(self, liar: int, chunk: int, value: bytes) -> None:
-        self.wall.put(f"l{liar}", f"suspicion/{chunk}", value)
+        self.replicated.put(f"l{liar}", f"suspicion/{chunk}", value)
 
     @rule(liar=st.integers(0, LIARS - 1))
     def vanish(self, liar: int) -> None:
-        for at in [at for at in self.wall.held if at[0] == f"l{liar}"]:
-            del self.wall.held[at]
+        for at in [at for at in self.replicated.current if at[0] == f"l{liar}"]:
+            del self.replicated.current[at]
 
     def check(self, head: ScoringEngine, scorer: Suspicion) -> None:
         """Assert the bounds on the weights of a healthy and of a failing backend, right after a merge."""
@@ -117,12 +117,12 @@
     run()
 
 
-def untrimmed(words: Sequence[tuple[float, float]]) -> float:
-    return sum(value * trust for value, trust in words) / sum(trust for _, trust in words)
+def untrimmed(reports: Sequence[tuple[float, float]]) -> float:
+    return sum(value * trust for value, trust in reports) / sum(trust for _, trust in reports)
 
 
-def only_reports(own: Any, heard: float, part: float) -> float:
-    return heard
+def only_reports(own: Any, reported: float, part: float) -> float:
+    return reported
 
 
 @pytest.mark.parametrize(("name", "mutant"), [("trim", untrimmed), ("own", only_reports)])
--- a/tests/test_scoring_slices.py
+++ b/tests/test_scoring_slices.py
@@ -12,12 +12,12 @@
 from hophinge.core.interface import Result
 from hophinge.scoring import sharing
 from hophinge.scoring.engine import DeleteEntry, PutEntry
-from tests.scoring_fixtures import ASK, Wall, observations, sharer
+from tests.scoring_fixtures import ASK, ReplicatedEntries, observations, sharer
 
 T0, S = 50_000_000, 1_000_000
 BACKENDS = [f"brick-{number}" for number in range(5)]
-WORDS = st.dictionaries(st.sampled_from([*BACKENDS, "elsewhere"]), st.sampled_from([0.1, 0.6, 1.0]))
-PEERS = st.dictionaries(st.sampled_from([f"p{at}" for at in range(9)]), st.one_of(WORDS, st.binary(max_size=9)))
+WEIGHTS = st.dictionaries(st.sampled_from([*BACKENDS, "elsewhere"]), st.sampled_from([0.1, 0.6, 1.0]))
+PEERS = st.dictionaries(st.sampled_from([f"p{at}" for at in range(9)]), st.one_of(WEIGHTS, st.binary(max_size=9)))
 OWN = st.lists(st.tuples(st.sampled_from(BACKENDS), st.sampled_from([Result.OK, Result.ERROR])), max_size=12)
 
 
@@ -26,7 +26,7 @@
 def test_slices_give_the_same_result_as_one_pass_and_are_bounded(
     ticks: list[tuple[dict[str, dict[str, float] | bytes], list[tuple[str, Result]], int]], size: int
 ) -> None:
-    (one_go, _), (sliced, _), wall = sharer(), sharer(), Wall()
+    (one_go, _), (sliced, _), replicated = sharer(), sharer(), ReplicatedEntries()
     now, looked = T0, 0
 
     def counted(entries: Iterable[Entry]) -> Iterator[Entry]:
@@ -35,17 +35,17 @@
             looked += 1
             yield entry
 
-    for beat, (peers, ends, seconds) in enumerate(ticks):
+    for heartbeat, (peers, ends, seconds) in enumerate(ticks):
         now += seconds * S
         for head in (one_go, sliced):
             for node, result in ends:
                 head.heard(now, node, result, 5_000)
-        for owner, words in peers.items():
-            if isinstance(words, bytes):
-                wall.put(owner, "suspicion/0", words)
+        for owner, weights in peers.items():
+            if isinstance(weights, bytes):
+                replicated.put(owner, "suspicion/0", weights)
             else:
-                wall.say(owner, beat, words)
-        entries = wall.entries()
+                replicated.publish(owner, heartbeat, weights)
+        entries = replicated.entries()
         with mock.patch.object(sharing, "SLICE_STEPS", 10**9):
             wanted = one_go.tick(now, set(BACKENDS), entries)
         actions: list[PutEntry | DeleteEntry] = []
