--- a/hophinge/core/choice/send_rules.py
+++ b/hophinge/core/choice/send_rules.py
@@ -59,9 +59,11 @@
         """Return until when a request may be repeated, by its class's effect and when it may have run; 0: no limit."""
         if request.klass.effect is api.Effect.SAFE or (request.may_have_run_on is None and not request.in_flight):
             return 0
-        keyed = request.klass.effect is api.Effect.KEYED and not request.arrival.keyless
+        is_keyed = request.klass.effect is api.Effect.KEYED and not request.arrival.keyless
         return (
-            max(1, request.may_have_run_since + request.klass.dedup_window_us - self.settings.tick_us) if keyed else 1
+            max(1, request.may_have_run_since + request.klass.dedup_window_us - self.settings.tick_us)
+            if is_keyed
+            else 1
         )
 
     def _is_within_bounds(self, request: RequestState, node: NodeState) -> bool:
@@ -88,18 +90,18 @@
         if node.entry.phase is not api.Phase.ON or 0 <= request.arrival.shard != node.entry.shard:
             return False
         # Cold nodes: within this gateway's equal share of what a starting node can take in the rule's window.
-        warm = node.warmth(now, rules.slow_start_us)
-        return warm >= 1.0 or self._is_within_slow_start(
-            request, node, rules.slow_start_share + (1 - rules.slow_start_share) * warm
+        warmth = node.warmth(now, rules.slow_start_us)
+        return warmth >= 1.0 or self._is_within_slow_start(
+            request, node, rules.slow_start_share + (1 - rules.slow_start_share) * warmth
         )
 
-    def _is_within_slow_start(self, request: RequestState, node: NodeState, power: float) -> bool:
-        """Return whether a starting node, with a fraction of its power, can take a request beside other gateways'."""
+    def _is_within_slow_start(self, request: RequestState, node: NodeState, capacity_fraction: float) -> bool:
+        """Return whether a starting node, at a fraction of its capacity, can take a request beside other gateways'."""
         rules, now, units, gateways = self.rules, self.now, request.arrival.units, self.settings.gateways
         sent = node.units_since(now - rules.overload_window_us)
-        usual = rules.overload_window_us / unit_us if (unit_us := self._unit_us(node)) > 0 else 0.0
-        multiple = rules.overload_multiple * power
-        max_units = max(rules.slow_start_units, SLOW_START_FRACTION * multiple * usual) / self.processes
+        usual_units = rules.overload_window_us / unit_us if (unit_us := self._unit_us(node)) > 0 else 0.0
+        multiple = rules.overload_multiple * capacity_fraction
+        max_units = max(rules.slow_start_units, SLOW_START_FRACTION * multiple * usual_units) / self.processes
         if sent + units <= max_units / gateways:
             return True
         # With many gateways an equal share is less than one request. So each admits reads with a probability, which
--- a/hophinge/core/manual_ejections.py
+++ b/hophinge/core/manual_ejections.py
@@ -26,9 +26,8 @@
         self.slow_start_us = slow_start_us
         self.listed: dict[str, NodeEntry] = {}
         self.ejections: dict[str, ManualEjection] = {}
-        self.on_ejection: Callable[[], None] = lambda: (
-            None
-        )  # called after an operator's command has changed an ejection
+        # Called after an operator's command has changed an ejection.
+        self.on_ejection: Callable[[], None] = lambda: None
 
     def apply_list(self, event: NodeList) -> None:
         """Apply a list, or changes to one, and pass it on with the ejections applied."""
--- a/tests/test_scoring_guard.py
+++ b/tests/test_scoring_guard.py
@@ -21,7 +21,7 @@
 NAMES = ("a", "b", "c", "d")
 
 
-class UntellableError(Exception):
+class UnprintableError(Exception):
     def __str__(self) -> str:
         raise RuntimeError("not even this")
 
@@ -46,13 +46,13 @@
 
 
 def raising(error: BaseException) -> Callable[[View], object]:
-    def say(view: View) -> object:
+    def behave(view: View) -> object:
         raise error
 
-    return say
+    return behave
 
 
-def meddle(view: View) -> object:
+def modify_view(view: View) -> object:
     for name in ("_seen", "_kept", "now_us", "nodes"):
         with contextlib.suppress(AttributeError):
             setattr(view, name, ("intruder",))
@@ -88,7 +88,7 @@
 RAISED = st.sampled_from(
     [
         ValueError("no"),
-        UntellableError(),
+        UnprintableError(),
         SystemExit(1),
         KeyboardInterrupt(),
         GeneratorExit(),
@@ -96,22 +96,22 @@
         StopIteration(),
     ]
 ).map(raising)
-BEHAVIOUR = st.one_of(RETURNED, RAISED, st.just(meddle), st.just(recurse))
+BEHAVIOUR = st.one_of(RETURNED, RAISED, st.just(modify_view), st.just(recurse))
 
 
 def check(behaviours: list[Callable[[View], object]]) -> None:
     """Assert that nothing raises, only candidates are named, within the clamp, and the good scorer counts."""
     good = ScriptedScorer(lambda view: [{"a": 10.0, "c": 20.0}.get(node, 0.0) for node in view.nodes])
-    scorers: dict[str, Scorer] = {f"s{at}": ScriptedScorer(say) for at, say in enumerate(behaviours)}
+    scorers: dict[str, Scorer] = {f"s{at}": ScriptedScorer(behave) for at, behave in enumerate(behaviours)}
     head = engine(scorers | {"good": good})
     for step in range(3):
         added = head.added_us(T0 + step, ASK, observations(*NAMES))
         assert added.keys() <= set(NAMES)
         assert all(isinstance(time, float) and 0.0 < time <= MAX_US for time in added.values())
         assert added["a"] >= 10.0 and added["c"] >= 20.0
-    wrong = [one for one in head.guard.scorers if one.exclusion.failures]
-    assert not any(one.name == "good" for one in wrong)
-    if len(wrong) == len(behaviours):
+    failed = [guarded for guarded in head.guard.scorers if guarded.exclusion.failures]
+    assert not any(guarded.name == "good" for guarded in failed)
+    if len(failed) == len(behaviours):
         assert head.added_us(T0 + 4, ASK, observations(*NAMES)) == {"a": 10.0, "c": 20.0}
 
 
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reason", "say"),
+    ("reason", "behave"),
     [
         ("raised", raising(ValueError())),
         ("form", lambda view: None),
@@ -158,10 +158,10 @@
     ],
 )
 def test_failures_are_counted_by_reason_and_logged_once_an_exclusion(
-    reason: str, say: Callable[[View], object]
+    reason: str, behave: Callable[[View], object]
 ) -> None:
     log: list[str] = []
-    head = engine({"odd": ScriptedScorer(say)}, log=log)
+    head = engine({"odd": ScriptedScorer(behave)}, log=log)
     for step in range(5):
         assert head.added_us(T0 + step, ASK, observations(*NAMES)) == {}
     counts = head.guard.scorers[0].counts
