--- a/hophinge/net/__init__.py
+++ b/hophinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets of the head in service: client connections, backend connections, discovery and the operators' server."""
+"""Network I/O of a head: client connections, backend connections, discovery and the operators' server."""
--- a/hophinge/net/acceptor.py
+++ b/hophinge/net/acceptor.py
@@ -14,13 +14,16 @@
 
 from hophinge.core.counters import Counters
 
-BACKLOG = 1024  # connections that the kernel holds until they are taken
-DEFER_ACCEPT_S = 1  # it holds one that says nothing for so long; who connects in order to ask does not notice
-ACCEPT_BATCH = 16  # taken in one turn of the loop: closing what must yield gets its turn too
-RETRY_INTERVAL_S = 0.01  # before another look when there is no room
-EMPTY_BACKLOG_S = 0.02  # a queue that lets nobody in and has been empty for so long stays so: handshakes are over
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+# TCP_DEFER_ACCEPT: the kernel holds back a connection that has sent no data for this long; a client that sends its
+# request at once is not delayed.
+DEFER_ACCEPT_S = 1
+ACCEPT_BATCH = 16  # accepts in one event-loop iteration, so that the closing of idle connections is not starved
+RETRY_INTERVAL_S = 0.01  # between checks for capacity while there is none
+# While new connections are dropped, a backlog that has been empty for this long stays empty: all handshakes have ended.
+EMPTY_BACKLOG_S = 0.02
 SO_ATTACH_FILTER = 26
-# Of a TCP header the byte of flags; SYN without ACK is dropped, all else is let through.
+# A socket filter that tests the flags byte of the TCP header: it drops SYN without ACK and passes everything else.
 DROP_SYN_FILTER = struct.pack(
     "HBBI" * 5, 0x30, 0, 0, 13, 0x54, 0, 0, 0x12, 0x15, 0, 1, 0x02, 0x06, 0, 0, 0, 0x06, 0, 0, 0xFFFF
 )
@@ -39,7 +42,7 @@
 class Acceptor:
     """Accepts connections while there is capacity; the rest wait in the kernel's backlog.
 
-    asyncio's own server takes a whole backlog at once, and stops for a second when descriptors run out.
+    asyncio's own server accepts the whole backlog at once, and pauses for a second when file descriptors run out.
     """
 
     def __init__(
@@ -50,14 +53,15 @@
         if fd is None:
             self.socket = socket.create_server((host, port), backlog=BACKLOG, reuse_port=shared)
         else:
-            # Held by the platform and by other processes too: it is closed here, never shut down, and whatever
-            # waits in its queue is then another's.
+            # The platform and other processes hold this socket, too: it is closed here but never shut down, and
+            # the connections that are still queued are left to the other holders.
             self.socket = socket.socket(fileno=fd)
             if not self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                raise OSError(f"descriptor {fd} does not listen")
+                raise OSError(f"file descriptor {fd} is not a listening socket")
         self.socket.setblocking(False)
-        self.owns_backlog = fd is None and not shared  # nobody else takes from its queue
-        # The queue of a socket of one's own ends with it: it is emptied first, and must then hold all that connected.
+        self.owns_backlog = fd is None and not shared  # no other process accepts from its backlog
+        # A socket that shares its port with others has a backlog of its own, which ends with the socket. It is drained
+        # before the close, and must by then contain all established connections, so none is deferred.
         if not shared:
             self._set_defer_accept(DEFER_ACCEPT_S)
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -66,7 +70,7 @@
 
     @property
     def sockets(self) -> list[socket.socket]:
-        """The listening socket, under the name that asyncio's server has for it."""
+        """The listening socket, in a list as asyncio's server has it."""
         return [self.socket]
 
     def _accept(self) -> None:
@@ -76,7 +80,7 @@
             try:
                 if not self._accept_one():
                     return None
-            except OSError:  # no descriptor is left
+            except OSError:  # no file descriptor is left
                 self.owner.counters.add("accepts_failed")
                 return self._suspend()
         return None
@@ -87,8 +91,8 @@
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
         connection.setblocking(False)
-        make: Callable[[], asyncio.BaseProtocol] = self.owner.server
-        task = self.loop.create_task(self._connect(make, connection))
+        protocol_factory: Callable[[], asyncio.BaseProtocol] = self.owner.server
+        task = self.loop.create_task(self._connect(protocol_factory, connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return True
@@ -98,7 +102,7 @@
             self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, seconds)
 
     def stop_deferring(self) -> None:
-        """Disable deferred accept: a connection that the kernel still defers would end with the socket."""
+        """Disable deferred accept: connections that the kernel holds back would be lost when the socket closes."""
         if self.owns_backlog:
             with contextlib.suppress(OSError):
                 self._set_defer_accept(0)
@@ -106,13 +110,13 @@
     async def finish(self, timeout_s: float) -> None:
         """Refuse new connections, accept those in the backlog as capacity allows, then close.
 
-        Whoever connects after that is refused at once. Without the first step somebody could come in between the
-        last accept and the close, and be reset: the kernel drops what begins a connection meanwhile, and its client
-        begins again. After `most_s` seconds those who still wait are taken whether there is room or not.
+        Connections attempted after the close are refused at once. New handshakes are dropped first, as a connection
+        established between the last accept and the close would be reset; the client's kernel retransmits a dropped
+        SYN. After `timeout_s` seconds the remaining backlog is accepted even without capacity.
         """
         if self.owns_backlog:
             program = ctypes.create_string_buffer(DROP_SYN_FILTER, len(DROP_SYN_FILTER))
-            with contextlib.suppress(OSError):  # the close is then as good as it can be without
+            with contextlib.suppress(OSError):  # no filter: the race between the last accept and the close remains
                 self.socket.setsockopt(
                     socket.SOL_SOCKET,
                     SO_ATTACH_FILTER,
@@ -124,7 +128,7 @@
             try:
                 accepted = len(self.tasks) >= ACCEPT_BATCH or not self.owner.has_capacity() or self._accept_one()
                 pause_s = 0.0 if accepted and self.owner.has_capacity() else RETRY_INTERVAL_S / 2
-            except OSError:  # no descriptor is left: as if somebody still waited
+            except OSError:  # no file descriptor is left: connections may still be queued
                 self.owner.counters.add("accepts_failed")
                 accepted, pause_s = True, RETRY_INTERVAL_S
             if accepted:
@@ -137,15 +141,15 @@
         self.drain()
 
     def drain(self) -> None:
-        """Accept what waits in the backlog, then close; a close alone would reset those connections."""
+        """Accept the connections in the backlog, then close; closing alone would reset them."""
         with contextlib.suppress(OSError):
             while self._accept_one():
                 pass
         self.close()
 
-    async def _connect(self, make: Callable[[], asyncio.BaseProtocol], connection: socket.socket) -> None:
+    async def _connect(self, protocol_factory: Callable[[], asyncio.BaseProtocol], connection: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(make, connection)
+            await self.loop.connect_accepted_socket(protocol_factory, connection)
         except OSError:
             connection.close()
 
--- a/hophinge/net/backend_answer.py
+++ b/hophinge/net/backend_answer.py
@@ -1,4 +1,4 @@
-"""A backend's answer as it is read: its body, complete or in chunks, and the metrics in its headers."""
+"""Reads a backend's answer: its body, complete or in chunks, and the metrics in its headers."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from hophinge.net.backend_connection import BackendConnection, BackendProtocolError
 from hophinge.net.payload import MAX_BUFFERED_ANSWER, MAX_LONG_BODY
 
-BUFFER_TIMEOUT_S = 0.02  # for which an answer of unknown length is buffered
-MAX_METRIC = 1e9  # of use, units or load; a larger value is noise
+BUFFER_TIMEOUT_S = 0.02  # time for which an answer of unknown length is buffered before it is forwarded
+MAX_METRIC = 1e9  # largest plausible value of a usage, unit or load metric; larger ones are ignored
 
 
 @dataclass(slots=True)
@@ -32,27 +32,27 @@
 
 
 class AnswerRemainder:
-    """The remainder of a long answer; it is read once, and its result decides whether the connection is reused."""
+    """The remainder of a long answer. It is read once; the result of that decides whether the connection is reused."""
 
-    def __init__(self, protocol: BackendConnection, stream: StreamReader, first: int, length: int | None) -> None:
+    def __init__(self, protocol: BackendConnection, stream: StreamReader, bytes_read: int, length: int | None) -> None:
         self.protocol = protocol
         self.stream = stream
-        self.bytes_read = first
+        self.bytes_read = bytes_read
         self.length = length
         self.done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
         protocol.allow_slow_stream()
 
     async def read(self) -> bytes:
-        """Return the next chunk, empty at the end; raises ConnectionResetError where the answer broke off."""
+        """Return the next chunk, empty at the end; raises ConnectionResetError if the answer is truncated."""
         try:
             chunk = await self.stream.readany()
             self.protocol.update_flow_control()
             self.bytes_read += len(chunk)
             if self.bytes_read > MAX_LONG_BODY:
-                raise BackendProtocolError("a body that is too long")  # in chunks that never end
+                raise BackendProtocolError("the answer body is too long")  # chunked, without an end
         except (aiohttp.ClientError, HttpProcessingError, OSError) as error:
             self.end(Result.RESET)
-            raise ConnectionResetError("the answer broke off") from error
+            raise ConnectionResetError("the backend's answer was truncated") from error
         if not chunk:
             self.end(Result.OK)
         return chunk
@@ -62,39 +62,39 @@
         self.end(Result.CANCELLED)
 
     def end(self, result: Result) -> None:
-        """Record the result once; a reader that still waits gets an error unless the result is OK."""
+        """Record the result, once; unless it is OK, a reader that is still waiting gets an error."""
         if not self.done.done():
             self.done.set_result(result)
             if result is not Result.OK:
-                self.stream.set_exception(BackendProtocolError("nobody reads on"))
+                self.stream.set_exception(BackendProtocolError("reading of the answer was stopped"))
 
 
-async def read_first(stream: StreamReader, protocol: BackendConnection, length: int | None) -> tuple[bytes, bool]:
+async def read_body_start(stream: StreamReader, protocol: BackendConnection, length: int | None) -> tuple[bytes, bool]:
     """Read a body up to the buffering limits; returns the bytes and whether they are the complete body.
 
-    Backends may take seconds over a long one, and its client waits for the first bytes. One of unknown length that
-    still arrives after a moment is not a broken one, which stalls or ends.
+    A backend may take seconds to send a long body, while the client waits for its first bytes. A body of unknown
+    length that is still arriving after `BUFFER_TIMEOUT_S` is taken as sound: a broken one stalls or ends before that.
     """
     loop = asyncio.get_running_loop()
-    body, since = b"", loop.time()
-    hold_s = BUFFER_TIMEOUT_S if length is None else math.inf if length <= MAX_BUFFERED_ANSWER else 0.0
+    body, started_at = b"", loop.time()
+    buffer_s = BUFFER_TIMEOUT_S if length is None else math.inf if length <= MAX_BUFFERED_ANSWER else 0.0
     while True:
         chunk = await stream.readany()
         protocol.update_flow_control()
         if not chunk:
             return body, True
         body += chunk
-        if len(body) > MAX_BUFFERED_ANSWER or loop.time() - since >= hold_s:
+        if len(body) > MAX_BUFFERED_ANSWER or loop.time() - started_at >= buffer_s:
             return body, stream.at_eof()
 
 
 def _parse_metric(text: str | None) -> float | None:
-    """Parse a non-negative metric; None where it is malformed, which affects the metric and never the answer."""
+    """Parse a non-negative metric; None if it is malformed or out of range, which leaves the answer itself valid."""
     try:
         value = float(text) if text and len(text) < 32 else math.nan
     except ValueError:
         return None
-    return value if 0.0 <= value <= MAX_METRIC else None  # inf and nan are floats too
+    return value if 0.0 <= value <= MAX_METRIC else None  # excludes inf and nan, which float() accepts
 
 
 def parse_load_report(text: str | None) -> dict[str, float]:
@@ -117,7 +117,7 @@
     Args:
         answer: the backend's answer.
         has_load_report: whether answers carry a load report.
-        counters: count answers with an unexpected status.
+        counters: counts answers with an unexpected status.
         names_shard: whether the request named the shard of its data.
 
     """
@@ -126,8 +126,8 @@
     if status in (200, 404):
         result = Result.OK  # 404: the backend holds no such object
     elif status in (503, 504) and headers.get("X-Turned-Away") == "1":
-        # A backend without capacity says 503. With 504 it accepts other work all the same: this request is over, or its
-        # data lies elsewhere, and no other attempt at the shard that it names would find it.
+        # 503: the backend has no capacity. 504: it still accepts other requests, but this one has expired or its data
+        # lies elsewhere, so that no other attempt at the shard named in the request would succeed.
         result = Result.MISPLACED if status == 504 and names_shard else Result.FULL
     elif status != 500:
         counters.add("bricks_answered_oddly")
--- a/hophinge/net/backend_client.py
+++ b/hophinge/net/backend_client.py
@@ -1,4 +1,4 @@
-"""The client of the backends: sends attempts over aiohttp's connections and reports each outcome."""
+"""The HTTP client of the backends: sends attempts over aiohttp's connections and reports each outcome."""
 
 from __future__ import annotations
 
@@ -17,7 +17,13 @@
 from hophinge.core.counters import Counters
 from hophinge.core.exchange import Attempt, AttemptResult
 from hophinge.core.interface import ProbeResult, Result, Settings
-from hophinge.net.backend_answer import BackendAnswer, AnswerRemainder, read_first, attempt_outcome, parse_load_report
+from hophinge.net.backend_answer import (
+    BackendAnswer,
+    AnswerRemainder,
+    read_body_start,
+    attempt_outcome,
+    parse_load_report,
+)
 from hophinge.net.backend_connection import STREAM_STALL_TIMEOUT_S, BackendConnection, BackendProtocolError
 from hophinge.net.clock import now_us
 from hophinge.net.byte_budget import ByteBudget
@@ -26,12 +32,11 @@
 from hophinge.net.connection_registry import ConnectionRegistry
 from hophinge.net.request_body import RequestBodyStream, RequestBodyError
 
-IDLE_TIMEOUT_FRACTION = (
-    0.5  # of the time after which a backend closes an idle connection: a request sent later is reset
-)
-PROBE_TIMEOUT_S = 0.25  # a live backend answers a probe without queueing it
-UNREACHABLE_ENDPOINT = "127.0.0.1:0"  # stands for a backend that no list names: a connect to it is refused
-DEFAULT_CONNECT_TIMEOUT_US = 250_000  # where the settings state no limit
+# Fraction of the time after which a backend closes an idle connection; a request sent while it closes would be reset.
+IDLE_TIMEOUT_FRACTION = 0.5
+PROBE_TIMEOUT_S = 0.25  # a working backend answers a probe at once, without queueing it
+UNREACHABLE_ENDPOINT = "127.0.0.1:0"  # used for a backend that is not listed: connects to it are refused
+DEFAULT_CONNECT_TIMEOUT_US = 250_000  # if the settings contain no limit
 
 
 class AttemptWithdrawnError(Exception):
@@ -43,13 +48,13 @@
 
     def __init__(self, registry: ConnectionRegistry, budget: ByteBudget, **params: Any) -> None:
         super().__init__(**params)
-        # aiohttp has no public place for a protocol of one's own.
-        make = functools.partial(BackendConnection, self._loop, registry, budget)
-        self._factory = cast(functools.partial[ResponseHandler], make)
+        # aiohttp has no public way to set the protocol class.
+        protocol_factory = functools.partial(BackendConnection, self._loop, registry, budget)
+        self._factory = cast(functools.partial[ResponseHandler], protocol_factory)
 
 
 class RequestProgress:
-    """Whether the last byte of a request has been handed to the network."""
+    """Records whether the last byte of a request has been handed to the transport."""
 
     __slots__ = ("on_sent", "is_sent")
 
@@ -65,7 +70,7 @@
 
 
 def _request_head(payload: Payload, endpoint: str | None, remaining_us: int) -> bytes:
-    """Return an attempt's request line and headers; the target is forwarded as the bytes that came."""
+    """Return an attempt's request line and headers; the target is forwarded exactly as received."""
     upload, length = payload.upload, ""
     if upload is not None and upload.length is None:
         length = "Transfer-Encoding: chunked\r\n"
@@ -81,9 +86,9 @@
 class BackendClient:
     """The client of all backends. Each attempt is a task; cancelling it closes its connection.
 
-    It stands on aiohttp's connector, connections and parser, not on its session: that costs more for a request than
-    all else here, and sends an idempotent request again by itself when a kept connection turns out dead, which would
-    be an attempt that the module knows nothing of.
+    It uses aiohttp's connector, connections and parser, but not its session. The session costs more per request than
+    everything else here, and it resends an idempotent request by itself when a reused connection has failed, which
+    would be an attempt unknown to the scheduler.
     """
 
     def __init__(
@@ -102,7 +107,7 @@
         self.reads_load_reports = settings.report_in_answers
         self.tasks: set[asyncio.Task[None]] = set()
         allowed = settings.allowed
-        # No limit of the connector's: it would queue attempts unseen. `max_attempts` rejects them instead.
+        # The connector has no limit, as it would queue attempts out of sight; `max_attempts` rejects them instead.
         self.registry = ConnectionRegistry(max_attempts, counters)
         idle_s = IDLE_TIMEOUT_FRACTION * (allowed.conn_idle_us or 30_000_000) / 1e6
         self.connector = BackendConnector(self.registry, budget, limit=0)
@@ -113,9 +118,8 @@
             (allowed.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US) / 1e6,
             idle_s,
         )
-        self.connect_requests: dict[
-            str, ClientRequest
-        ] = {}  # by endpoint: the request object that the connector needs to connect
+        # by endpoint: the request object that the connector needs to open a connection
+        self.connect_requests: dict[str, ClientRequest] = {}
 
     def retain(self, endpoints: Iterable[str]) -> None:
         """Discard the state of all endpoints but these."""
@@ -123,17 +127,17 @@
         self.registry.retain(in_use)
         self.pool.retain(in_use)
         self.connect_requests = {
-            endpoint: route for endpoint, route in self.connect_requests.items() if endpoint in in_use
+            endpoint: request for endpoint, request in self.connect_requests.items() if endpoint in in_use
         }
 
     async def _connect(self, endpoint: str) -> BackendConnection:
         """Open a connection to an endpoint."""
-        route = self.connect_requests.get(endpoint)
-        if route is None:
-            route = self.connect_requests[endpoint] = ClientRequest(
+        request = self.connect_requests.get(endpoint)
+        if request is None:
+            request = self.connect_requests[endpoint] = ClientRequest(
                 "GET", URL(f"http://{endpoint}"), loop=asyncio.get_running_loop()
             )
-        return cast(BackendConnection, await self.connector._create_connection(route, [], ClientTimeout(total=None)))
+        return cast(BackendConnection, await self.connector._create_connection(request, [], ClientTimeout(total=None)))
 
     def start(self, attempt: Attempt) -> Callable[[], None]:
         """Send an attempt; returns a callable that cancels it."""
@@ -159,7 +163,7 @@
         progress, endpoint = RequestProgress(attempt.record_sent), self.endpoint(attempt.node)
 
         def request_head() -> bytes:
-            # A connection takes up to its time limit to come up: a drain or an answer meanwhile withdraws the attempt.
+            # A connect can take up to its time-out; meanwhile a drain or another answer may withdraw the attempt.
             if not attempt.may_send():
                 raise AttemptWithdrawnError
             return _request_head(payload, endpoint, attempt.begin_sending())
@@ -179,7 +183,7 @@
         except AttemptWithdrawnError:
             outcome = AttemptResult(Result.MOOT)
         except (aiohttp.ClientError, HttpProcessingError, OSError, TimeoutError, RequestBodyError):
-            # Once the last byte was handed over the backend may have run the request; before, it cannot have.
+            # The backend may have executed the request once its last byte was handed over; before that it cannot have.
             outcome = AttemptResult(Result.RESET if progress.is_sent else Result.CONNECT_FAILED)
         except Exception:
             self.counters.add("client_faults")
@@ -199,7 +203,7 @@
         Raises:
             AttemptWithdrawnError: the attempt was withdrawn before a byte was written.
             BackendProtocolError: the answer is malformed.
-            OSError: the connection failed, or was not there in time (TimeoutError).
+            OSError: the connection failed, or was not established in time (TimeoutError).
 
         """
         answer: BackendAnswer | None = None
@@ -209,17 +213,16 @@
             progress.mark_sent()
             message, stream = await protocol.read()
             if protocol.has_unsent and message.code not in (503, 504):
-                raise BackendProtocolError(
-                    "an answer to a request that is not whole"
-                )  # before that a backend can only reject it
+                # A backend that has not received the complete request can only reject it.
+                raise BackendProtocolError("the backend answered before it had received the complete request")
             received_us, stated = now_us(), message.headers.get("Content-Length")
             length = None if stated is None else int(stated)
-            body, is_complete = await read_first(stream, protocol, length if attempt is not None else 0)
+            body, is_complete = await read_body_start(stream, protocol, length if attempt is not None else 0)
             answer = BackendAnswer(message.code, message.headers, body)
             if not is_complete:
                 rest = AnswerRemainder(protocol, stream, len(body), length)
                 if attempt is None or message.code != 200 or not attempt.begin_stream(body, rest, received_us):
-                    raise BackendProtocolError("a long answer that nobody waits for")
+                    raise BackendProtocolError("the remainder of a long answer has no reader")
                 answer.rest = rest
                 if await asyncio.shield(rest.done) is not Result.OK:
                     protocol.close()
@@ -237,21 +240,21 @@
     async def _write_request(
         self, protocol: BackendConnection, request_head: Callable[[], bytes], attempt: Attempt | None
     ) -> None:
-        """Write a request's head and body; releases the connection where the attempt was withdrawn before."""
+        """Write a request's head and body; releases the connection if the attempt was withdrawn before that."""
         transport = cast(asyncio.Transport, protocol.transport)
         try:
             head = request_head()
         except AttemptWithdrawnError:
-            self.pool.release(protocol)  # nothing was written: it serves the next request
+            self.pool.release(protocol)  # nothing was written, so the connection can be reused
             raise
-        # The stream's own bound is out of reach: flow control weighs the buffers of all connections together.
+        # The stream's own limit is set too high to take effect: flow control counts the buffers of all connections.
         protocol.set_response_params(read_until_eof=True, auto_decompress=False, read_bufsize=2 * MAX_LONG_BODY)
         transport.write(head)
         if attempt is None:
             return
         payload: Payload = attempt.request.payload
         if payload.body:
-            transport.write(payload.body)  # uvloop sends what one turn writes at once, without a copy
+            transport.write(payload.body)  # uvloop sends the writes of one iteration together, without a copy
         if payload.upload is not None:
             await self._forward_body(payload.upload, protocol, transport)
 
@@ -269,7 +272,7 @@
             async with asyncio.timeout(STREAM_STALL_TIMEOUT_S):
                 await protocol._drain_helper()
             if remaining != 0 and (protocol._buffer or not protocol.is_connected()):
-                # It answered before it had the request, or closed: in neither case has it run the request.
+                # The backend answered or closed before it had the complete request, so it has not executed it.
                 raise aiohttp.ServerDisconnectedError
         if remaining is None:
             transport.write(b"0\r\n\r\n")
@@ -302,6 +305,6 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         await self.pool.close()
-        for one in list(self.registry.open):
-            one.close()
+        for connection in list(self.registry.open):
+            connection.close()
         await self.connector.close()
--- a/hophinge/net/backend_connection.py
+++ b/hophinge/net/backend_connection.py
@@ -1,8 +1,8 @@
-"""One connection to a backend: passes one well-formed answer per request to aiohttp and closes on anything else.
+"""A connection to a backend: passes one well-formed answer per request to aiohttp and closes on anything else.
 
-aiohttp's client parser is made to be lenient, and what reaches a connection that waits in the pool it keeps for the
-next request. Here a client must never get what was made for another, so each answer's head is checked and its body
-counted before aiohttp sees them.
+aiohttp's client parser is lenient by design, and it keeps bytes that arrive on an idle pooled connection for the next
+request. A client must never get an answer meant for another client, so each answer's head is validated and the length
+of its body enforced before aiohttp sees them.
 """
 
 from __future__ import annotations
@@ -18,11 +18,12 @@
 from hophinge.net.payload import MAX_LONG_BODY
 from hophinge.net.connection_registry import ConnectionRegistry
 
-MAX_HEAD = 16 * 1024  # of an answer, the 1xx heads in front of it among it
-STALL_TIMEOUT_S = 0.5  # between bytes of an answer: a backend works before it answers, not while it does
-STREAM_STALL_TIMEOUT_S = 5.0  # the same once the answer is being forwarded: no other attempt could replace it
-READ_HIGH_WATER = 128 * 1024  # bytes buffered of one answer; the rest waits in the kernel, then at the backend
-MAX_CHUNK_FRAMING = 512 * 1024  # of a chunked body beyond as much as the body itself: 64 KiB byte by byte are 384 KiB
+MAX_HEAD = 16 * 1024  # bytes of an answer's head, including the interim (1xx) heads before it
+STALL_TIMEOUT_S = 0.5  # between bytes of an answer: a backend does its work before it begins to answer
+STREAM_STALL_TIMEOUT_S = 5.0  # the same while the answer is being forwarded, when no other attempt can replace it
+READ_HIGH_WATER = 128 * 1024  # bytes buffered of one answer; the rest waits in the socket buffers and at the backend
+# Bytes of framing that a chunked body may have beyond its own length; 64 KiB in chunks of one byte take 384 KiB in all.
+MAX_CHUNK_FRAMING = 512 * 1024
 STATUS_LINE_START = b"HTTP/1."
 HEAD = re.compile(
     rb"HTTP/1\.[01] ([1-5][0-9]{2})(?: [^\r\n\0]*)?\r\n"
@@ -35,32 +36,31 @@
 
 
 class BackendProtocolError(ClientPayloadError):
-    """A malformed answer of a backend; its request may have run."""
+    """A malformed answer of a backend; the backend may have executed the request."""
 
 
 def body_length(head: re.Match[bytes]) -> int | None:
-    """Return an answer's body length, CHUNKED or UNTIL_CLOSE; None where its head states none (RFC 9112, 6.3)."""
+    """Return an answer's body length, CHUNKED or UNTIL_CLOSE; None if the head states none (RFC 9112, 6.3)."""
     lengths, codings = CONTENT_LENGTH.findall(head[2]), TRANSFER_ENCODING.findall(head[2])
     if codings:
-        return CHUNKED if [one.lower() for one in codings] == [b"chunked"] and not lengths else None
+        return CHUNKED if [coding.lower() for coding in codings] == [b"chunked"] and not lengths else None
     if len(lengths) == 1 and lengths[0].isdigit() and len(lengths[0]) < 10 and int(lengths[0]) <= MAX_LONG_BODY:
         return int(lengths[0])
     if not lengths and head[1] == b"200" and (CONNECTION_CLOSE.search(head[2]) or head[0].startswith(b"HTTP/1.0")):
-        return UNTIL_CLOSE  # announced; a head that merely lost its length does not say so
-    return 0 if not lengths and head[1] != b"200" else None  # a refusal needs no body; its connection ends
+        return UNTIL_CLOSE  # only if announced: otherwise the length is missing by mistake
+    return 0 if not lengths and head[1] != b"200" else None  # an error answer needs no body; its connection is closed
 
 
 class BackendConnection(ResponseHandler):
-    """A connection in one of the states new, idle (in the pool), taken (a request is to be sent), head or body."""
+    """A connection. Its state is new, idle (in the pool), taken (to send a request), head or body (being read)."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, registry: ConnectionRegistry, budget: ByteBudget) -> None:
         super().__init__(loop)
         self.registry = registry
         self.endpoint = ""
         self.budget = budget
-        # bytes not yet read; reading stands still
-        self.buffered_bytes = 0
-        self.is_paused = False
+        self.buffered_bytes = 0  # received but not read from the payload yet
+        self.is_paused = False  # reading from the socket is paused
         self.stall_timeout_s = STALL_TIMEOUT_S
         self.state = "new"
         self.head = bytearray()
@@ -75,11 +75,11 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether written bytes still wait here: the last request has not completely gone out."""
+        """Whether the write buffer holds bytes: the last request has not been sent completely."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def close(self) -> None:
-        """Close the connection and drop unsent bytes: a graceful close would go on sending a request that is over."""
+        """Close the connection and discard unsent bytes: a graceful close would go on sending an abandoned request."""
         if self.transport is not None and self.has_unsent:
             self.transport.abort()
         super().close()
@@ -92,13 +92,13 @@
         self.registry.add(self)
 
     def become_idle(self) -> None:
-        """Become idle: the registry may evict it from now on."""
+        """Mark the connection as idle: the registry may evict it from now on."""
         self.state = "idle"
         if self in self.registry.open:
             self.registry.add(self)
 
     def set_response_params(self, **params: Any) -> None:
-        """Expect an answer; called by aiohttp before a request is written."""
+        """Expect an answer; called before a request is written."""
         self.state = "head"
         self.head = bytearray()
         self.framing_bytes = 0
@@ -112,7 +112,7 @@
         elif self.state == "body":
             self._receive_body(data)
         elif data:
-            # Bytes beyond the answer must not be read as the next one.
+            # Bytes after the answer must not be read as the answer to the next request.
             self._should_close = True
             if self.transport is not None:
                 self.transport.close()
@@ -130,27 +130,27 @@
             end = self.head.find(b"\r\n\r\n") + 4
             complete_head = HEAD.fullmatch(self.head, 0, end) if end > 3 else None
             if self.framing_bytes + max(len(self.head) if end < 4 else end, 0) > MAX_HEAD:
-                return self._fail("a head that is too long")
+                return self._fail("the answer's head is too long")
             if end < 4:
                 if not STATUS_LINE_START.startswith(self.head[: len(STATUS_LINE_START)]):
-                    self._fail("no head")
+                    self._fail("the answer does not begin with a status line")
                 return None
             if complete_head is None:
-                return self._fail("a malformed head")
+                return self._fail("the answer's head is malformed")
             rest = bytes(self.head[end:])
             if complete_head[1][:1] == b"1":
                 if complete_head[1] == b"101":
-                    return self._fail("a change of protocol")
+                    return self._fail("the backend switched protocols")
                 self.framing_bytes += end  # an interim (1xx) answer is skipped
                 self.head = bytearray(rest)
                 continue
             length = body_length(complete_head)
             if length is None:
-                return self._fail("no sound length")
+                return self._fail("the answer states no valid body length")
             text = bytes(self.head[:end])
             if length == 0 and not CONTENT_LENGTH.search(text):
                 self._should_close = True
-                text = text[:-2] + b"Content-Length: 0\r\n\r\n"  # else aiohttp waits for the connection's end
+                text = text[:-2] + b"Content-Length: 0\r\n\r\n"  # without it aiohttp reads until the connection closes
             self.head = bytearray()
             self.body_remaining = length
             self.state = "body"
@@ -167,23 +167,25 @@
             super().data_received(data)
             self.framing_bytes += len(data)
             if self.exception() is not None:
-                self._fail("malformed chunks")  # aiohttp sets the error on the connection, not on the body being read
+                self._fail(
+                    "the chunked encoding is malformed"
+                )  # aiohttp fails the connection, but not the body being read
             elif body is None or body.is_eof():
                 self.state = "idle"
             elif self.framing_bytes > MAX_CHUNK_FRAMING + 2 * body.total_bytes:
-                self._fail("more framing than body")  # endless extensions, or a flood of the smallest chunks
+                self._fail("the chunk framing is too long")  # endless chunk extensions, or very many tiny chunks
             return
         expected, surplus = data[: self.body_remaining], data[self.body_remaining :]
         self.body_remaining -= len(expected)
         if surplus:
-            self._should_close = True  # surplus bytes: this answer is complete, the connection is not reused
+            self._should_close = True  # this answer is complete, but the connection must not be reused
         if expected:
             super().data_received(expected)
         if not self.body_remaining and self.state == "body":
             self.state = "idle"
 
     def update_flow_control(self) -> None:
-        """Pause or resume reading by the bytes buffered here and over all connections."""
+        """Pause or resume reading, by the bytes buffered on this connection and on all connections."""
         payload = self._payload
         buffered = payload._size if payload is not None else 0
         self.budget.used += buffered - self.buffered_bytes
@@ -194,13 +196,13 @@
         self.is_paused = not self.is_paused
         if self.is_paused:
             self.transport.pause_reading()
-            self._set_stall_timer(False)  # the backend is not to blame while nobody reads
+            self._set_stall_timer(False)  # the backend cannot send while reading is paused
         else:
             self.transport.resume_reading()
             self._set_stall_timer(self.state != "idle")
 
     def allow_slow_stream(self) -> None:
-        """Allow the longer stall time-out of an answer that is being forwarded."""
+        """Use the longer stall time-out of an answer that is being forwarded."""
         self.stall_timeout_s = STREAM_STALL_TIMEOUT_S
         self._set_stall_timer(self.state != "idle" and not self.is_paused)
 
@@ -209,7 +211,7 @@
             self.stall_timer.cancel()
             self.stall_timer = None
         if active:
-            self.stall_timer = self._loop.call_later(self.stall_timeout_s, self._fail, "an answer that stands still")
+            self.stall_timer = self._loop.call_later(self.stall_timeout_s, self._fail, "the answer has stalled")
 
     def _fail(self, reason: str) -> None:
         self.state = "idle"
@@ -220,16 +222,15 @@
             self.transport.abort()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Finish the answer, if one is open, and unregister; called by asyncio."""
+        """Finish the answer, if one is being read, and unregister; called by asyncio."""
         if (
             self.state == "body"
             and self.body_remaining == UNTIL_CLOSE
             and exc is not None
             and self._payload is not None
         ):
-            self._payload.set_exception(
-                BackendProtocolError("an answer that broke off")
-            )  # only a clean close completes it
+            # Only a clean close ends a body without a stated length.
+            self._payload.set_exception(BackendProtocolError("the connection was lost before the answer was complete"))
         self.state = "idle"
         self._set_stall_timer(False)
         self.budget.used -= self.buffered_bytes
