--- a/hophinge/net/byte_budget.py
+++ b/hophinge/net/byte_budget.py
@@ -1,10 +1,10 @@
-"""A bound on the bytes of bodies in flight, over all connections."""
+"""A limit on the buffered bytes of request and answer bodies, over all connections."""
 
 from __future__ import annotations
 
 
 class ByteBudget:
-    """Bytes in use and their limit; a holder of none may always take some, so that no one waits for ever."""
+    """Bytes in use and their limit; a connection that holds none may always use some, so that none waits for ever."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -12,5 +12,5 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether those that already hold bytes must not take more."""
+        """Whether connections that already hold bytes must not take more."""
         return self.used >= self.limit
--- a/hophinge/net/client_connection.py
+++ b/hophinge/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection on aiohttp's request handler: bounded heads and a graceful close after the last answer."""
+"""A client's connection, on aiohttp's request handler: bounds the size of heads and closes gracefully."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from hophinge.net.byte_budget import ByteBudget
 from hophinge.net.pipelined_connection import PipelinedConnection
 
-MIN_IDLE_S = 0.05  # after which an idle connection may be closed for a new one
-ERROR_LINGER_S = 1.0  # for an error to be read by a client that goes on sending
-CLOSE_LINGER_S = 0.3  # for a client to notice the end of its connection and close it, too
-DISCARD_INTERVAL_S = 0.02  # between reads of what it goes on sending
+MIN_IDLE_S = 0.05  # time after which an idle connection may be closed to make room for a new one
+ERROR_LINGER_S = 1.0  # time for a client that is still sending to read an error answer
+CLOSE_LINGER_S = 0.3  # time for a client to notice that the connection was closed and to close its side
+DISCARD_INTERVAL_S = 0.02  # between reads that discard what a client still sends
 MAX_HEAD_BYTES = 16 * 1024
 
 
 class ClientConnectionOwner(Protocol):
-    """The listener that owns the connections and tracks which of them are idle."""
+    """The listener that owns the connections and records which of them are idle."""
 
     counters: Counters
     pipelined_bytes: ByteBudget
@@ -37,27 +37,27 @@
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport) -> bool:
-    """Return whether bytes wait in the kernel: a request that the event loop has not read yet."""
+    """Return whether the socket has unread bytes: a request that the event loop has not read yet."""
     try:
         descriptor = transport.get_extra_info("socket").fileno()
         return fcntl.ioctl(descriptor, termios.FIONREAD, bytes(4)) != bytes(4)
-    except (AttributeError, OSError, ValueError):  # closed already: it has no descriptor
+    except (AttributeError, OSError, ValueError):  # already closed: there is no file descriptor
         return False
 
 
 class ClientConnection(PipelinedConnection):
-    """A client's connection with bounded heads that closes so that its last answer can be read."""
+    """A client's connection: bounds the size of heads, and closes so that the client can read the last answer."""
 
     def __init__(self, manager: web.Server, owner: ClientConnectionOwner, **params: Any) -> None:
         super().__init__(manager, owner, **params)
         self.owner_listener = owner
-        self.partial_head_bytes = 0  # bytes of a head that is not whole yet
+        self.partial_head_bytes = 0  # bytes received of an incomplete head
         self.is_lingering = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the new connection as idle; called by asyncio."""
         super().connection_made(transport)
-        self._keepalive_timeout = self.owner_listener.idle_timeout_s  # from the first answer on
+        self._keepalive_timeout = self.owner_listener.idle_timeout_s  # takes effect after the first answer
         self.owner_listener.mark_idle(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -69,7 +69,7 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes to the parser; bytes behind a last answer are discarded at a low rate."""
+        """Pass bytes to the parser; bytes received after the last answer are discarded at a low rate."""
         if self.is_lingering:
             if self.transport is not None:
                 self.transport.pause_reading()
@@ -78,30 +78,32 @@
         super().data_received(data)
 
     def _parse(self, data: bytes) -> None:
-        taken = self.requests_read
+        requests_before = self.requests_read
         super()._parse(data)
-        if self.requests_read != taken:
+        if self.requests_read != requests_before:
             self.partial_head_bytes = 0
-        elif taken == self.answered and (self.partial_head_bytes or data.strip(b"\r\n")):  # empty lines begin no head
+        elif requests_before == self.answered and (
+            self.partial_head_bytes or data.strip(b"\r\n")
+        ):  # empty lines before a head are ignored
             if not self.partial_head_bytes:
-                self._head_begins()
+                self._begin_head()
             self.partial_head_bytes += len(data)
             if self.partial_head_bytes > MAX_HEAD_BYTES and not self.is_lingering:
                 self.partial_head_bytes = 0
                 self.discard_pipelined()
-                super()._parse(b"\0")  # no head holds this: the parser ends it, as any malformed one
+                super()._parse(b"\0")  # not allowed in a head: the parser rejects it as malformed
 
-    def _head_begins(self) -> None:
-        # A head takes its time, longer than a connection may rest; the timer that runs looks at this when it is due.
+    def _begin_head(self) -> None:
+        # A head may take longer than a connection may be idle; the running keep-alive timer checks this when it fires.
         self._next_keepalive_close_time = max(
             self._next_keepalive_close_time, self._loop.time() + self.owner_listener.head_timeout_s
         )
         if self.answered:
-            self.owner_listener.idle.pop(self, None)  # its next request has begun: it must not be closed as idle
+            self.owner_listener.idle.pop(self, None)  # its next request has begun, so it is not idle any more
 
     def close_if_idle(self) -> bool:
-        """Close an idle connection; returns False where its next request has arrived, which a close would lose."""
-        # A request that has been read counts as open only once its handler runs, a turn of the loop later.
+        """Close an idle connection; returns False if its next request has arrived, which a close would lose."""
+        # A request that has been read becomes busy only when its handler runs, in the next event-loop iteration.
         if (
             self.transport is None
             or self.requests_read > self.answered
@@ -110,15 +112,16 @@
         ):
             return False
         if self.is_lingering:
-            self._close_now(self.transport)  # it was closed gracefully before, and its capacity is needed
+            self._close_now(self.transport)  # its graceful close has begun before, and the capacity is needed now
         else:
             self._close_gracefully()
         return True
 
     def _close_gracefully(self) -> None:
-        """Shut down the sending side and read until the client closes: closing over unread bytes resets the connection.
+        """Shut down the sending side and read until the client closes: closing with unread bytes sends a reset.
 
-        What is read from here on is thrown away. Its client has no answer and knows that it was not taken.
+        What is read from now on is discarded. A client that sent a request gets no answer, and so knows that the
+        request was not accepted.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -153,20 +156,21 @@
     def handle_error(
         self, request: web.BaseRequest, status: int = 500, exc: BaseException | None = None, message: str | None = None
     ) -> web.StreamResponse:
-        """Answer a request that the parser rejects; aiohttp would log a traceback for each."""
+        """Answer a request that the parser rejected; aiohttp would log a traceback for each."""
         if status >= 500:
             return super().handle_error(request, status, exc, message)
         self.owner_listener.counters.add("requests_unreadable")
-        response = web.Response(status=status, text="the request cannot be read\n")
+        response = web.Response(status=status, text="the request is malformed\n")
         response.force_close()
         return response
 
     async def finish_response(
         self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
     ) -> tuple[web.StreamResponse, bool]:
-        """Write an answer; after the last one of a connection wait for the client to read it.
+        """Write an answer; after the connection's last answer, wait for the client to read it.
 
-        Bytes left unread at a close make the kernel reset the connection, and a reset can destroy the answer.
+        If received bytes are unread at a close, the kernel resets the connection, and a reset can discard the answer
+        before the client has read it.
         """
         done = await super().finish_response(request, resp, start_time)
         self.request_answered(bool(resp.keep_alive) and not self.is_lingering)
@@ -176,15 +180,14 @@
             self.is_lingering = True
             self.discard_pipelined()
             if may_send_more:
-                self.owner_listener.mark_idle(self)  # it may go on for long: the first to yield
+                self.owner_listener.mark_idle(self)  # it may send for long: it may be closed when capacity is needed
             else:
                 self.owner_listener.idle.pop(self, None)
                 self.owner_listener.closing_connections.add(self)
             if transport.can_write_eof():
                 transport.write_eof()
             transport.resume_reading()
-            await asyncio.sleep(
-                ERROR_LINGER_S if may_send_more else CLOSE_LINGER_S
-            )  # the client's own end ends it sooner
+            # Cancelled when the client closes before that.
+            await asyncio.sleep(ERROR_LINGER_S if may_send_more else CLOSE_LINGER_S)
             self.limit_close_time(transport)
         return done
--- a/hophinge/net/clock.py
+++ b/hophinge/net/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: microseconds that only go forward, counted from the Unix epoch as it was told at start."""
+"""The monotonic clock: microseconds since the Unix epoch, by the system time at process start."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Callable
 
-# Started from the system's time, so that a backend's boot_ms needs no conversion but its unit; a later step of the
-# system's time moves no deadline.
+# Aligned with the system time at start, so that a backend's boot_ms only needs a conversion of its unit. Later steps of
+# the system time move no deadline.
 OFFSET_US = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
 
@@ -17,10 +17,11 @@
 
 
 class Timer:
-    """A timer that never fires early; uvloop's count whole milliseconds, rounded, from when the loop's turn began.
+    """A timer that never fires early, unlike uvloop's.
 
-    The module sets its next timer when the last one is due, so one that came too early would be the last. Delays are
-    rounded up: one that is rounded down to nothing comes again and again until it is due.
+    uvloop rounds delays to whole milliseconds and counts them from the start of the loop iteration. The scheduler sets
+    its next timer when the previous one is due, so after a timer that fired too early it would set no other. Delays are
+    rounded up to milliseconds: a delay rounded down to zero would fire in each iteration until the timer is due.
     """
 
     __slots__ = ("callback", "handle", "loop", "when_us")
@@ -39,12 +40,12 @@
             self.callback()
 
     def cancel(self) -> None:
-        """Take the timer back."""
+        """Cancel the timer."""
         self.handle.cancel()
 
 
 class LoopClock:
-    """The event loop's timers on the one clock."""
+    """The event loop's timers, with the times of this module's clock."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -54,9 +55,9 @@
         return now_us()
 
     def call_at(self, when_us: int, callback: Callable[[], None]) -> Timer:
-        """Call back at a time, never before it."""
+        """Call `callback` at a time in microseconds, never before it."""
         return Timer(self.loop, when_us, callback)
 
     def call_soon(self, callback: Callable[[], None]) -> None:
-        """Call back in the loop's next turn."""
+        """Call `callback` in the next event-loop iteration."""
         self.loop.call_soon(callback)
--- a/hophinge/net/connection_attempts.py
+++ b/hophinge/net/connection_attempts.py
@@ -1,26 +1,27 @@
-"""Decides when connections to a backend are opened and how many, without I/O; times are seconds, given as arguments.
+"""Decides when and how many connections to a backend are opened, without I/O; times are seconds, given as arguments.
 
-A late connect says little about its backend: the next one is as likely to be in time as any. So a connect that takes
-longer than typical is hedged while a request waits. Each costs the backend a handshake, so hedges are bounded by the
-connects that are started anyway, for each backend, and by this head's share of the backend's connections.
+A late connect says little about its backend: the next one is as likely to be in time as any other. So while a request
+waits, a connect that takes much longer than typical is hedged by another one. Each connect costs the backend a
+handshake, so hedges are bounded: relative to the other connects, in number for each backend, and by this head's share
+of the connections that the backend accepts.
 """
 
 from __future__ import annotations
 
 LATE_FACTOR = 4.0  # multiple of the typical connect time after which a connect is late
-MIN_LATE_S = 0.01  # a busy machine's turns, which are no lateness
-LATE_LIMIT_FRACTION = 1 / 3  # of the connect limit: what is late is found within it, with time for another
-ADJUSTMENT_STEP = 0.1  # part by which one connect moves the usual time
-MAX_HEDGED_CONNECTS = 3  # connects to one backend beyond those that wait for one
-HEDGE_RATIO = 0.5  # connects beside late ones for each other: up to a third late, and a third of those
-HEDGE_BURST = 8.0  # of them at once, when many come late together
+MIN_LATE_S = 0.01  # lower bound: event-loop delays on a busy machine do not make a connect late
+LATE_LIMIT_FRACTION = 1 / 3  # upper bound, as a fraction of the connect time-out: leaves time for another connect
+ADJUSTMENT_STEP = 0.1  # fraction by which one connect moves the typical connect time
+MAX_HEDGED_CONNECTS = 3  # connects in progress to one backend beyond the number of waiting requests
+HEDGE_RATIO = 0.5  # hedges for each other connect: covers up to a third being late, and a third of their hedges
+HEDGE_BURST = 8.0  # hedges at once, for many connects that become late together
 
 
 class ConnectTimeEstimate:
-    """The typical connect time over all backends, and the credit for hedged connects."""
+    """The typical connect time over all backends, and the credit for hedges."""
 
     def __init__(self, limit_s: float) -> None:
-        """Args: limit_s: seconds that a request waits for its connection."""
+        """Args: limit_s: seconds that a request waits for a connection at most."""
         self.limit_s = limit_s
         self.typical_s = 0.0
         self.hedge_credit = HEDGE_BURST
@@ -46,27 +47,27 @@
 
     def __init__(self, estimate: ConnectTimeEstimate) -> None:
         self.estimate = estimate
-        self.started_at: dict[int, float] = {}  # when each began
+        self.started_at: dict[int, float] = {}  # by the number of the connect, in seconds
         self.last_number = 0
 
     def _count_late(self, now: float) -> int:
-        return sum(now - since >= self.estimate.late_after_s for since in self.started_at.values())
+        return sum(now - started_at >= self.estimate.late_after_s for started_at in self.started_at.values())
 
     def start_needed(self, now: float, waiting: int, connected: int, limit: int) -> list[tuple[int, bool]]:
-        """Start the connects that are needed; returns the number of each and whether it hedges a late one.
+        """Register the connects that are needed now; returns the number of each and whether it hedges a late one.
 
         Args:
-            now: seconds.
+            now: the current time in seconds.
             waiting: requests that wait for a connection.
             connected: open connections to this backend.
             limit: this head's share of the connections that the backend accepts.
 
         """
-        begun = list[tuple[int, bool]]()
+        started = list[tuple[int, bool]]()
         late = self._count_late(now)
         while len(self.started_at) < waiting:
             self.estimate.record_start()
-            begun.append((self._start(now), False))
+            started.append((self._start(now), False))
         while (
             len(self.started_at) - late < waiting
             and len(self.started_at) < waiting + MAX_HEDGED_CONNECTS
@@ -74,8 +75,8 @@
             and self.estimate.hedge_credit >= 1
         ):
             self.estimate.hedge_credit -= 1
-            begun.append((self._start(now), True))
-        return begun
+            started.append((self._start(now), True))
+        return started
 
     def _start(self, now: float) -> int:
         self.last_number += 1
@@ -84,15 +85,15 @@
 
     def finish(self, number: int, now: float, succeeded: bool) -> None:
         """Record that a connect ended, and whether it succeeded."""
-        since = self.started_at.pop(number)
+        started_at = self.started_at.pop(number)
         if succeeded:
-            self.estimate.record_success(now - since)
+            self.estimate.record_success(now - started_at)
 
     def next_late_at(self, now: float) -> float | None:
-        """Return when the next connect becomes late, in seconds; None where all are late."""
-        due = [
-            since + self.estimate.late_after_s
-            for since in self.started_at.values()
-            if now - since < self.estimate.late_after_s
+        """Return when the next connect becomes late, in seconds; None if there is none that is not late already."""
+        late_times = [
+            started_at + self.estimate.late_after_s
+            for started_at in self.started_at.values()
+            if now - started_at < self.estimate.late_after_s
         ]
-        return min(due, default=None)
+        return min(late_times, default=None)
--- a/hophinge/net/connection_pool.py
+++ b/hophinge/net/connection_pool.py
@@ -1,7 +1,7 @@
-"""The pool of backend connections: a waiter gets whichever is ready first; surplus ones are kept idle.
+"""The pool of backend connections: a waiting request gets the connection that is ready first; others are kept idle.
 
-A connect belongs to no waiter. Its waiter may have got another connection or have been cancelled; the connect still
-completes, has cost the backend a handshake by then, and serves the next request.
+A connect does not belong to the request that caused it. That request may have got another connection or have been
+cancelled; the connect has cost the backend a handshake by then, so it is left to complete and serves a later request.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from hophinge.net.connection_registry import ConnectionRegistry
 
 MAX_CONNECT_FACTOR = 6.0  # multiple of the connect time-out after which a connect without a waiter is cancelled
-LATE_CHECK_ITERATIONS = (
-    5  # of the loop before a connect is held for late: a head that stood still has not read of its end yet
-)
-LATE_CHECK_INTERVAL_S = 0.001  # at least, of each
+# Event-loop iterations before a connect counts as late: after a stall of this process, connects that have completed
+# meanwhile must be processed first.
+LATE_CHECK_ITERATIONS = 5
+LATE_CHECK_INTERVAL_S = 0.001  # shortest duration of each of these iterations
 
 Connect = Callable[[str], Awaitable[BackendConnection]]
 
@@ -34,13 +34,13 @@
 
     def __init__(self, estimate: ConnectTimeEstimate) -> None:
         self.attempts = ConnectionAttempts(estimate)
-        self.idle: deque[tuple[BackendConnection, float]] = deque()  # with the time since when
+        self.idle: deque[tuple[BackendConnection, float]] = deque()  # with the time at which each became idle
         self.waiters: deque[asyncio.Future[BackendConnection]] = deque()
         self.connect_tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
 
     def next_waiter(self) -> asyncio.Future[BackendConnection] | None:
-        """Remove and return the first waiter that is not done; None where there is none."""
+        """Remove and return the first waiter that is not done; None if there is none."""
         while self.waiters:
             if not (future := self.waiters.popleft()).done():
                 return future
@@ -48,13 +48,13 @@
 
 
 class ConnectionPool:
-    """All connections that no request uses, by endpoint.
+    """The connections that no request uses, by endpoint.
 
     Args:
         connect: opens a connection to an endpoint.
         registry: counts and bounds the open connections.
-        counters: count connects.
-        connect_timeout_s: seconds that a request waits for a connection.
+        counters: counts connects.
+        connect_timeout_s: seconds that a request waits for a connection at most.
         idle_timeout_s: seconds after which an idle connection is closed.
 
     """
@@ -80,14 +80,14 @@
     async def acquire(self, endpoint: str) -> BackendConnection:
         """Return a connection to an endpoint.
 
-        Raises `TimeoutError` where none is ready within the connect limit, else what the connect ended with.
+        Raises `TimeoutError` if none is ready within the connect time-out, or the error of a failed connect.
         """
         pool = self.endpoints.get(endpoint)
         if pool is None:
             pool = self.endpoints[endpoint] = EndpointPool(self.estimate)
         while pool.idle:
-            connection, since = pool.idle.popleft()
-            if is_reusable(connection) and self.loop.time() - since <= self.idle_timeout_s:
+            connection, idle_since = pool.idle.popleft()
+            if is_reusable(connection) and self.loop.time() - idle_since <= self.idle_timeout_s:
                 connection.state = "taken"
                 return connection
             connection.close()
@@ -96,7 +96,7 @@
                 connection = await self._wait_for_connection(endpoint, pool)
                 if is_reusable(connection):
                     return connection
-                connection.close()  # ended between its coming up and this turn
+                connection.close()  # closed by the backend before this task ran
 
     async def _wait_for_connection(self, endpoint: str, pool: EndpointPool) -> BackendConnection:
         future: asyncio.Future[BackendConnection] = self.loop.create_future()
@@ -106,7 +106,7 @@
             return await future
         except BaseException:
             if future.done() and not future.cancelled() and future.exception() is None:
-                self._hand_out(pool, future.result())  # given up in the very turn in which it got one
+                self._hand_out(pool, future.result())  # cancelled after it got a connection, before it could run
             elif future in pool.waiters:
                 pool.waiters.remove(future)
             raise
@@ -136,9 +136,9 @@
         any_idle, expired_before = False, self.loop.time() - self.idle_timeout_s
         for pool in self.endpoints.values():
             remaining = deque[tuple[BackendConnection, float]]()
-            for connection, since in pool.idle:
-                if since > expired_before and connection.is_connected():
-                    remaining.append((connection, since))
+            for connection, idle_since in pool.idle:
+                if idle_since > expired_before and connection.is_connected():
+                    remaining.append((connection, idle_since))
                 else:
                     connection.close()
             pool.idle = remaining
@@ -154,14 +154,16 @@
         waiting = sum(not future.done() for future in pool.waiters)
         if not waiting:
             return
-        now, there = self.loop.time(), self.registry.count_for(endpoint)
-        for number, beside in pool.attempts.start_needed(now, waiting, there, max(2, self.registry.limit_per_endpoint)):
-            self.counters.add("brick_connects_beside" if beside else "brick_connects")
+        now, connected = self.loop.time(), self.registry.count_for(endpoint)
+        for number, is_hedge in pool.attempts.start_needed(
+            now, waiting, connected, max(2, self.registry.limit_per_endpoint)
+        ):
+            self.counters.add("brick_connects_beside" if is_hedge else "brick_connects")
             task = self.loop.create_task(self._run_connect(endpoint, pool, number))
             pool.connect_tasks.add(task)
             task.add_done_callback(pool.connect_tasks.discard)
-        if (at := pool.attempts.next_late_at(now)) is not None:
-            pool.timer = self.loop.call_at(at, self._check_late, endpoint, pool, LATE_CHECK_ITERATIONS)
+        if (late_at := pool.attempts.next_late_at(now)) is not None:
+            pool.timer = self.loop.call_at(late_at, self._check_late, endpoint, pool, LATE_CHECK_ITERATIONS)
 
     def _check_late(self, endpoint: str, pool: EndpointPool, iterations: int) -> None:
         if iterations:
@@ -176,7 +178,7 @@
             async with asyncio.timeout(MAX_CONNECT_FACTOR * self.connect_timeout_s):
                 connection = await self.connect(endpoint)
         except TimeoutError:
-            pass  # who waited has been told by its own limit
+            pass  # waiting requests have had their own time-out before
         except (aiohttp.ClientError, OSError) as error:
             failure = error
         finally:
@@ -188,7 +190,7 @@
         self._start_connects(endpoint, pool)
 
     def retain(self, endpoints: set[str]) -> None:
-        """Discard all endpoints but these; requests that wait for one of the others go on waiting."""
+        """Discard all endpoints but these, and those that requests still wait for."""
         for endpoint, pool in list(self.endpoints.items()):
             if endpoint not in endpoints and not pool.waiters:
                 self._discard(pool)
@@ -206,7 +208,7 @@
         """Close idle connections and cancel all connects."""
         if self.sweep_timer is not None:
             self.sweep_timer.cancel()
-        tasks = [task for line in self.endpoints.values() for task in line.connect_tasks]
+        tasks = [task for endpoint_pool in self.endpoints.values() for task in endpoint_pool.connect_tasks]
         for pool in self.endpoints.values():
             self._discard(pool)
         self.endpoints.clear()
@@ -216,7 +218,7 @@
 def is_reusable(connection: BackendConnection) -> bool:
     """Return whether a connection can carry a request: open, all bytes sent, and no unexpected bytes received.
 
-    Bytes that the loop has not read yet count too: a late second answer would be taken for the next request's.
+    Bytes that the event loop has not read yet count, too: a surplus answer would be taken for the next request's.
     """
     if (
         not connection.is_connected()
@@ -225,6 +227,6 @@
         or connection.has_unsent
     ):
         return False
-    look = select.poll()
-    look.register(connection.transport.get_extra_info("socket").fileno(), select.POLLIN)
-    return not look.poll(0)  # an end at hand counts as well
+    poll = select.poll()
+    poll.register(connection.transport.get_extra_info("socket").fileno(), select.POLLIN)
+    return not poll.poll(0)  # a close by the backend makes the socket readable, too
--- a/hophinge/net/connection_registry.py
+++ b/hophinge/net/connection_registry.py
@@ -1,4 +1,4 @@
-"""The open connections to backends, bounded in all and for each endpoint; idle ones are evicted first."""
+"""The registry of open connections to backends: evicts idle ones above the limits in total and for each endpoint."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 class ConnectionRegistry:
     """All open connections to backends, ordered by when each became idle.
 
-    The pool keeps a connection to a backend that is gone, and all that a busy moment opened, until their time is over.
+    The pool alone would keep connections to removed backends, and all that a load peak opened, until they time out.
     """
 
     def __init__(self, limit: int, counters: Counters) -> None:
         self.limit = limit
         self.counters = counters
         self.open: dict[BackendConnection, None] = {}
-        self.endpoints_in_use: set[str] | None = None  # endpoints whose connections may be idle; None: any
-        self.limit_per_endpoint = limit  # connections to one of them, beyond which idle ones go
+        self.endpoints_in_use: set[str] | None = None  # endpoints to which idle connections are kept; None: all
+        self.limit_per_endpoint = limit  # connections to one endpoint above which idle ones are evicted
 
     def add(self, connection: BackendConnection) -> None:
         """Add a new connection, or one that has just become idle, and evict idle ones beyond the limits."""
@@ -33,29 +33,29 @@
             and self.endpoints_in_use is not None
             and connection.endpoint not in self.endpoints_in_use
         ):
-            self._evict(connection)  # its backend went out of use while it was busy
+            self._evict(connection)  # its backend was removed while the connection was busy
             return
         if connection.is_idle:
-            # What a backend holds is shared by all heads, and long answers take part of that: while this head has its
-            # part, idle ones go, the one that is idle longest first, but for one.
-            there = [one for one in self.open if one.endpoint == connection.endpoint]
-            resting = [one for one in there if one.is_idle]
-            if len(there) > self.limit_per_endpoint and len(resting) > 1:
-                self._evict(resting[0])
+            # All heads share the connections that a backend accepts, and long answers occupy some of them. Above its
+            # share this head closes the connection that has been idle longest, but always keeps one idle.
+            to_endpoint = [other for other in self.open if other.endpoint == connection.endpoint]
+            idle_to_endpoint = [other for other in to_endpoint if other.is_idle]
+            if len(to_endpoint) > self.limit_per_endpoint and len(idle_to_endpoint) > 1:
+                self._evict(idle_to_endpoint[0])
         if len(self.open) > self.limit:
-            idle = next((one for one in self.open if one.is_idle), None)
-            if idle is not None:
-                self._evict(idle)
+            longest_idle = next((other for other in self.open if other.is_idle), None)
+            if longest_idle is not None:
+                self._evict(longest_idle)
 
     def count_for(self, endpoint: str) -> int:
         """Return the number of open connections to an endpoint."""
-        return sum(one.endpoint == endpoint for one in self.open)
+        return sum(connection.endpoint == endpoint for connection in self.open)
 
     def retain(self, endpoints: Iterable[str]) -> None:
         """Close idle connections to all endpoints but these."""
         self.endpoints_in_use = kept = set(endpoints)
-        for one in [one for one in self.open if one.is_idle and one.endpoint not in kept]:
-            self._evict(one)
+        for connection in [other for other in self.open if other.is_idle and other.endpoint not in kept]:
+            self._evict(connection)
 
     def _evict(self, connection: BackendConnection) -> None:
         self.counters.add("brick_connections_yielded")
