--- a/hophinge/net/discovery.py
+++ b/hophinge/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of backends: the list as it was last saved, then a complete one, then changes by chained watches."""
+"""Discovery of backends: starts from a saved or a complete list, then follows changes by successive long polls."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from hophinge.net.address import split
 from hophinge.net.discovery_pacer import HEDGE_DELAY_S, MAX_HEDGED_CALLS, DiscoveryPacer
 
-MAX_BOOT_MS = 2**53  # of a start time; a later one is not usable in arithmetic
+MAX_BOOT_MS = 2**53  # largest start time; later ones are clamped, as they are unusable in arithmetic
 PHASES = {"Ready": api.Phase.ON, "Terminating": api.Phase.DRAINING, "Gone": api.Phase.GONE}
 
 
 class Target(msgspec.Struct):
-    """A backend as discovery lists it; field names are the protocol's."""
+    """A backend as discovery lists it; the field names are those of the protocol."""
 
     uid: str
     endpoint: str
@@ -34,7 +34,7 @@
 
 
 class Listing(msgspec.Struct):
-    """A list of backends, or the changes of one; field names are the protocol's."""
+    """A list of backends, or its changes; the field names are those of the protocol."""
 
     rev: int
     targets: list[Target]
@@ -42,14 +42,14 @@
 
 
 class DrainingEntry(msgspec.Struct):
-    """The part of an entry that counts even where the rest of it is malformed."""
+    """The part of an entry that is used even if the rest of the entry is malformed."""
 
     uid: str
     state: str
 
 
 class RawListing(msgspec.Struct):
-    """A list with undecoded entries: a malformed one must not invalidate the others."""
+    """A list with undecoded entries: a malformed entry must not invalidate the others."""
 
     rev: int
     targets: list[msgspec.Raw]
@@ -57,29 +57,29 @@
 
 
 def parse_listing(body: bytes, complete: bool = False) -> tuple[Listing, int]:
-    """Parse a list; returns it and the number of entries left out as malformed or without an address.
+    """Parse a list; returns it and the number of entries skipped as malformed or without an address.
 
     Args:
         body: JSON.
         complete: whether a complete list was requested.
 
     Raises:
-        msgspec.MsgspecError: it is no list, or a complete one without a valid entry.
+        msgspec.MsgspecError: the body is no list, or a complete list without a valid entry.
 
     """
     try:
         raw_listing = msgspec.json.decode(body, type=RawListing)
-    except RecursionError as error:  # nested too deeply; none of msgspec's own
+    except RecursionError as error:  # nested too deeply, which msgspec reports by this error
         raise msgspec.ValidationError(str(error)) from None
     targets = [target for raw in raw_listing.targets if (target := _parse_target(raw)) is not None]
     if (raw_listing.all or complete) and not targets:
-        raise msgspec.ValidationError("a whole list without a sound entry")
+        raise msgspec.ValidationError("a complete list without a valid entry")
     return Listing(raw_listing.rev, targets, raw_listing.all), len(raw_listing.targets) - len(targets)
 
 
 def _parse_target(raw: msgspec.Raw) -> Target | None:
-    """Parse an entry; None where it is malformed and does not say that a backend is draining or gone."""
-    with contextlib.suppress(ValueError):  # msgspec's errors are among them
+    """Parse an entry; None if it is malformed and does not state that a backend is draining or gone."""
+    with contextlib.suppress(ValueError):  # the base class of msgspec's errors, too
         target = msgspec.json.decode(raw, type=Target)
         if target.uid and (target.state == "Gone" or split(target.endpoint)[1] > 0):
             return target
@@ -91,19 +91,19 @@
 
 
 class EndpointDirectory:
-    """The endpoints of the listed backends; translates discovery's lists into the core's."""
+    """The endpoints of the listed backends; translates discovery's lists into the scheduler's form."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.endpoints: dict[str, str] = {}
-        self.zones = {name: at for at, name in enumerate(settings.zones)}
-        self.kinds = {name: at for at, name in enumerate(settings.kinds)}
+        self.zones = {name: index for index, name in enumerate(settings.zones)}
+        self.kinds = {name: index for index, name in enumerate(settings.kinds)}
 
     def endpoint(self, node: str) -> str | None:
-        """Return a backend's endpoint; None where it is not listed."""
+        """Return a backend's endpoint, host:port; None if it is not listed."""
         return self.endpoints.get(node)
 
     def apply(self, listing: Listing, kind: api.ListKind) -> api.NodeList:
-        """Record the endpoints of a list and translate it."""
+        """Record the endpoints of a list and return its translation."""
         previous = self.endpoints
         if kind is api.ListKind.FULL:
             self.endpoints = {}
@@ -115,8 +115,8 @@
         return api.NodeList(kind, tuple(map(self._entry, listing.targets)))
 
     def _entry(self, target: Target) -> api.NodeEntry:
-        # A state that is not known is no reason to send: it counts as draining. A zone or kind that the settings do not
-        # name is one of its own, not the first that they name.
+        # A backend in an unknown state counts as draining, so that it gets no requests. A zone or kind that is not in
+        # the settings gets an index of its own, not that of the first one in the settings.
         return api.NodeEntry(
             target.uid,
             self.zones.setdefault(target.az, len(self.zones)),
@@ -129,7 +129,7 @@
 
 
 def _retry_after_s(error: Exception) -> float:
-    """Return the seconds of an error's Retry-After header; 0.0 where there is none."""
+    """Return the seconds in an error's Retry-After header; 0.0 if there is none."""
     headers = error.headers if isinstance(error, aiohttp.ClientResponseError) else None
     try:
         return float(headers.get("Retry-After", "0")) if headers else 0.0
@@ -138,7 +138,7 @@
 
 
 class DiscoveryWatch:
-    """The watch on discovery's list. It survives time-outs and errors; the last list stays in force meanwhile."""
+    """The watch on discovery's list. It survives time-outs and errors; the last list stays in effect meanwhile."""
 
     def __init__(
         self,
@@ -156,12 +156,13 @@
         self.on_list = on_list
         self.counters = counters
         self.rev: int | None = None
-        # what the calls that failed last ended with
         self.log = log
-        self.last_fault = ""
+        self.last_fault = ""  # the error of the most recent failed calls, "" after a success
         self.pacer = DiscoveryPacer(heads, random.Random(seed), pushed)
         self.task: asyncio.Task[None] | None = None
-        self.first_answer = asyncio.Event()  # the first answer is in, be it that callers are turned away
+        self.first_answer = (
+            asyncio.Event()
+        )  # set once the first list has arrived, or discovery has turned out unavailable
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             trust_env=False,
@@ -172,8 +173,8 @@
     def follow(self, address: str, rev: int | None = None) -> None:
         """Follow the list at an address, from a known version or else from a complete list.
 
-        A watch elsewhere ends at once: an agent that is left may go on holding it open without a word, and versions of
-        one agent mean nothing to another. The list held stays in force until the new agent has told its own.
+        The previous watch is cancelled at once, as its agent could keep it open without ever answering; versions of one
+        agent mean nothing to another. The current list stays in effect until the new agent has sent one.
         """
         if self.task is not None:
             self.task.cancel()
@@ -189,7 +190,7 @@
             except (Exception, asyncio.CancelledError) as error:
                 if (task := asyncio.current_task()) is not None and task.cancelling():
                     raise
-                # Whatever it was: a watch that ended here would be missed by nobody.
+                # Every other error is handled: nothing would notice that the watch has ended.
                 await asyncio.sleep(self._record_failure(error))
             else:
                 self.pacer.record_answer()
@@ -198,9 +199,10 @@
     def _record_failure(self, error: BaseException) -> float:
         """Count and log a failed call; returns the backoff in seconds."""
         self.counters.add("discovery_errors")
-        away = isinstance(error, (aiohttp.ClientError, ConnectionError))
-        if away and self.directory.endpoints and not self.pacer.pushed:
-            # A head that has a list waits for no better one; an agent beside it may have one the next moment.
+        unavailable = isinstance(error, (aiohttp.ClientError, ConnectionError))
+        if unavailable and self.directory.endpoints and not self.pacer.pushed:
+            # A head that has a list does not wait for a newer one. With an agent on its machine it does: that one may
+            # have the list the next moment.
             self.first_answer.set()
         if isinstance(error, aiohttp.ClientResponseError):
             self._log_fault(f"status {error.status}")
@@ -213,14 +215,14 @@
         return self.pacer.record_failure()
 
     def _log_fault(self, fault: str, trace: str = "") -> None:
-        """Log a fault once, and its end."""
+        """Log a fault when it begins and when it ends; `fault` is "" after a success."""
         if fault != self.last_fault:
             self.last_fault = fault
-            with contextlib.suppress(Exception):  # a log that is full or gone takes no watch with it
+            with contextlib.suppress(Exception):  # a failing log must not end the watch
                 self.log(
-                    f"discovery at {self.address} fails, the list held stays in force: {fault}{trace}"
+                    f"discovery at {self.address} is failing, keeping the current list: {fault}{trace}"
                     if fault
-                    else f"discovery at {self.address} answers again"
+                    else f"discovery at {self.address} has recovered"
                 )
 
     async def _request(self, url: str) -> tuple[Listing, int]:
@@ -232,9 +234,9 @@
             return parse_listing(await response.read(), self.rev is None)
 
     async def _hedged_request(self, url: str) -> tuple[Listing, int]:
-        """Hedge calls that get no answer with further ones until one is answered."""
+        """Send a request, and hedge it with further ones until one is answered."""
         calls: set[asyncio.Task[tuple[Listing, int]]] = set()
-        pause_s = 0.0  # before another call, after one that failed; those that are open go on meanwhile
+        pause_s = 0.0  # backoff before the next call after a failed one; open calls continue meanwhile
         try:
             while True:
                 if not pause_s and len(calls) < MAX_HEDGED_CALLS:
@@ -257,15 +259,15 @@
             await asyncio.gather(*calls, return_exceptions=True)
 
     async def _update(self, url: str) -> None:
-        listing, left_out = await (self._hedged_request(url) if self.pacer.hedges else self._request(url))
+        listing, skipped_count = await (self._hedged_request(url) if self.pacer.hedges else self._request(url))
         self.counters.add("discovery_answers")
-        self.counters.add("discovery_entries_left_out", left_out)
-        # An answer to a call for the whole list is one even if it does not say so.
+        self.counters.add("discovery_entries_left_out", skipped_count)
+        # The answer to a request for the complete list is complete even if it is not marked as such.
         full = listing.all or self.rev is None
         if not full and self.rev is not None and listing.rev < self.rev:
-            self.rev = None  # another count than the one held: only a whole list tells what is so
+            self.rev = None  # versions have been restarted, so only a complete list can be trusted
             return
-        self.rev = None  # a list that could not be told is asked for again, whole
+        self.rev = None  # if applying the list fails, the next call requests a complete one
         if full or listing.targets:
             self.on_list(self.directory.apply(listing, api.ListKind.FULL if full else api.ListKind.CHANGES))
         self.rev = listing.rev
--- a/hophinge/net/listener.py
+++ b/hophinge/net/listener.py
@@ -1,4 +1,4 @@
-"""The base of all HTTP servers here: bounded connections, one request at a time on each, a graceful end."""
+"""The base class of the HTTP servers: bounds the connections, serves one request at a time on each, and drains."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
     "origin_form",
 ]
 
-IDLE_TIMEOUT_S = 2.0  # a connection with no request on it, or with half a head
-FIRST_HEAD_TIMEOUT_S = 1.2  # the same for a first head: the kernel has held a silent connection for a second already
-HEAD_TIMEOUT_S = 2.5  # for a head, from its first byte
-SILENT_YIELD_S = 0.3  # a connection that has said nothing yet, when connections run out
-MAX_PIPELINED_BYTES = 8 * 1024 * 1024  # bytes that all clients together may have sent behind requests that are open
-INBOUND, OUTBOUND = 0, 1  # directions of bytes, as seen from a head
+IDLE_TIMEOUT_S = 2.0  # for a connection without an open request
+FIRST_HEAD_TIMEOUT_S = 1.2  # for the first head; the kernel may have deferred the accept by a second before that
+HEAD_TIMEOUT_S = 2.5  # for receiving a head, from its first byte
+SILENT_YIELD_S = 0.3  # time after which a connection without a request yet may be closed for a new one
+MAX_PIPELINED_BYTES = 8 * 1024 * 1024  # buffered bytes of all clients together that arrived behind open requests
+INBOUND, OUTBOUND = 0, 1  # directions of bytes, as seen by the head
 
 
 def origin_form(target: str) -> str:
     """Return a request target in origin form (RFC 9112, 3.2.1); a client may send the absolute form, as to a proxy."""
-    scheme, mark, rest = target.partition("://")
-    if mark and scheme.lower() in ("http", "https"):
+    scheme, separator, rest = target.partition("://")
+    if separator and scheme.lower() in ("http", "https"):
         return "/" + rest.partition("/")[2]
     return target
 
@@ -47,7 +47,7 @@
     """aiohttp's low-level server, making ClientConnection objects."""
 
     def __init__(self, listener: Listener, first_head_timeout_s: float) -> None:
-        # A client that closes its connection has gone: its handler is cancelled.
+        # The handler is cancelled when the client closes its connection.
         super().__init__(listener.serve, handler_cancellation=True)
         self.listener = listener
         self.first_head_timeout_s = first_head_timeout_s
@@ -67,11 +67,12 @@
         )
 
 
-RateLimit = Callable[[str, str, int, int], Awaitable[None]]  # waits for (volume, class, direction, bytes just moved)
+# Called with the volume, the class, the direction and the bytes just moved; waits to keep to the rate.
+RateLimit = Callable[[str, str, int, int], Awaitable[None]]
 
 
 class Listener:
-    """A server that tracks which of its connections are busy or idle, and bounds their number."""
+    """A server that records which of its connections are busy or idle, and bounds their number."""
 
     def __init__(
         self,
@@ -89,7 +90,9 @@
         self.is_draining = False
         self.on_connection_closed: Callable[[Any], None] | None = None  # called with each connection that has ended
         self.busy: set[ClientConnection] = set()
-        self.idle: dict[ClientConnection, float] = {}  # connections that are not busy, and since when; the oldest first
+        self.idle: dict[
+            ClientConnection, float
+        ] = {}  # by idle connection, the longest idle first: loop time since when it is idle
         self.closing_connections: set[ClientConnection] = set()  # connections whose sending side is shut down
         self.server: web.Server = ConnectionFactory(self, first_head_timeout_s)
 
@@ -105,9 +108,9 @@
         try:
             response = await self.handle(request)
             if not response.prepared and (self.is_final_response(protocol) or not request.content.is_eof()):
-                response.force_close()  # what is left of an unread body must not be taken for a request
+                response.force_close()  # the remainder of an unread body must not be parsed as a request
             try:
-                await response.prepare(request)  # written here, so that busy means until the last byte
+                await response.prepare(request)  # written here, so that the connection is busy until the last byte
                 await response.write_eof()
                 self.response_written(request, response)
             except ConnectionError:
@@ -119,36 +122,36 @@
             self.mark_idle(protocol)
 
     def is_final_response(self, connection: ClientConnection) -> bool:
-        """Return whether an answer is its connection's last while draining: no request has arrived behind it."""
+        """Return whether the next answer is the last: while draining, if no further request has arrived."""
         return self.is_draining and not connection.has_next_request
 
     def response_written(self, request: web.BaseRequest, response: web.StreamResponse) -> None:
-        """Called when an answer's last byte has been handed over."""
+        """Called when an answer's last byte has been handed to the transport."""
 
     def request_ended(self, request: web.BaseRequest) -> None:
         """Called when a request has ended, answered or not."""
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Record that no request is open on a connection; closes the longest idle one beyond the bound."""
+        """Record that no request is open on a connection; closes the longest idle one above the limit."""
         if connection.transport is None:
             return
         self.idle.pop(connection, None)
         self.idle[connection] = asyncio.get_running_loop().time()
-        # Clients hold a limited number of connections too. Who asked once and stays would use them up long before
-        # the descriptors here, and the rest would find no connection left to ask on.
-        # Who has asked again is left alone, as it will once more, and a close could cross that.
+        # Clients have a limited number of connections, too. Connections that carried one request and stay open would
+        # use them up long before the file descriptors here, and leave none for further requests. A connection that has
+        # carried several requests is kept, as it is likely to carry another, which could cross the close.
         if len(self.idle) > self.max_idle and not self.is_draining:
             self._close_idlest(1, 1)
 
     def _close_idlest(self, number: int, max_answered: float = math.inf) -> None:
-        """Close the connections that have been idle longest, of those with at most so many answers."""
+        """Close up to `number` of the longest idle connections that have carried at most `max_answered` answers."""
         now = asyncio.get_running_loop().time()
-        # One without an answer may have its first request in flight, which a close would lose.
+        # On a connection without an answer the first request may be in flight; a close would lose it.
         candidates = (
             connection
-            for connection, since in self.idle.items()
+            for connection, idle_since in self.idle.items()
             if connection.answered <= max_answered
-            and now - since >= (MIN_IDLE_S if connection.answered else SILENT_YIELD_S)
+            and now - idle_since >= (MIN_IDLE_S if connection.answered else SILENT_YIELD_S)
         )
         for connection in list(itertools.islice(candidates, number)):
             if connection.close_if_idle():
@@ -156,12 +159,11 @@
                 self.idle.pop(connection, None)
 
     def has_capacity(self) -> bool:
-        """Return whether one more connection may be accepted; where not, the longest idle one is closed."""
+        """Return whether one more connection may be accepted; if not, the longest idle ones are closed."""
         if len(self.server._connections) < self.max_connections:
             return True
-        self._close_idlest(
-            max(0, ACCEPT_BATCH - len(self.closing_connections))
-        )  # connections that are closing free capacity, too
+        # Connections that are closing already will free capacity, too.
+        self._close_idlest(max(0, ACCEPT_BATCH - len(self.closing_connections)))
         return False
 
     def send_continue(self, request: web.BaseRequest) -> None:
@@ -170,18 +172,18 @@
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def close_longest_idle(self, min_idle_s: float) -> None:
-        """Close the connection that has been idle longest, if it has been for `min_idle_s`."""
+        """Close the connection that has been idle longest, if it has been idle for `min_idle_s` seconds."""
         now = asyncio.get_running_loop().time()
-        connection, since = next(iter(self.idle.items()), (None, now))
-        if connection is not None and now - since >= min_idle_s and connection.close_if_idle():
+        connection, idle_since = next(iter(self.idle.items()), (None, now))
+        if connection is not None and now - idle_since >= min_idle_s and connection.close_if_idle():
             self.idle.pop(connection, None)
 
     def close_idle(self) -> None:
-        """Close the idle connections when draining begins; the others close with their answers.
+        """Close the idle connections when draining begins; busy ones are closed with their last answer.
 
-        aiohttp's own pre_shutdown stops reading idle connections but leaves them open: a request sent on one would
-        wait for ever.
+        aiohttp's own pre_shutdown stops reading from idle connections but leaves them open, so that a request sent on
+        one would wait for ever.
         """
         for connection in list(self.idle):
             if not connection.is_lingering and not connection.partial_head_bytes:
-                connection.close_if_idle()  # one that is not is answered, and closes with that
+                connection.close_if_idle()  # if False, a request has arrived; its answer closes the connection
--- a/hophinge/net/operations_server.py
+++ b/hophinge/net/operations_server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP server: readiness, metrics, and manual ejection of backends. One call a connection."""
+"""The operators' HTTP server: readiness, metrics and manual ejection of backends, with one call per connection."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from hophinge.net.listener import Listener, origin_form
 from hophinge.core.manual_ejections import ManualEjections
 
-MAX_CALLERS = 16  # connections at once, apart from those of clients
-HEAD_TIMEOUT_S = 0.8  # for a head to come
-BODY_TIMEOUT_S = 0.6  # for a body to come; an answer is due within a second
+MAX_CALLERS = 16  # connections at once, not counting those of clients
+HEAD_TIMEOUT_S = 0.8  # for receiving a head; also for an idle connection
+BODY_TIMEOUT_S = 0.6  # for receiving a body; a call must be answered within a second
 BACKEND_ID = re.compile(r"[!-~]{1,256}", re.ASCII)
 CALLS = {"/ops/readiness": "GET", "/ops/stats": "GET", "/ops/bricks/down": "POST", "/ops/bricks/up": "POST"}
 
 
 class OperationsServer(Listener):
-    """Answers operators' calls, with connections, bounds and timers of its own."""
+    """Answers operators' calls, with connections, limits and time-outs separate from those of clients."""
 
     def __init__(
-        self, counters: Counters, metrics: RequestMetrics, rotation: ManualEjections, ready: Callable[[], bool]
+        self, counters: Counters, metrics: RequestMetrics, ejections: ManualEjections, ready: Callable[[], bool]
     ) -> None:
         super().__init__(counters, MAX_CALLERS, HEAD_TIMEOUT_S, HEAD_TIMEOUT_S)
         self.metrics = metrics
-        self.rotation = rotation
+        self.ejections = ejections
         self.ready = ready
         self.head_s = HEAD_TIMEOUT_S
         self.reports: dict[str, Callable[[], str]] = {}  # further GET calls, by path
@@ -43,14 +43,14 @@
 
     async def _answer(self, request: web.BaseRequest) -> tuple[int, str]:
         path = origin_form(request.raw_path).partition("?")[0]
-        tell = self.reports.get(path)
-        method = "GET" if tell is not None else CALLS.get(path)
+        report = self.reports.get(path)
+        method = "GET" if report is not None else CALLS.get(path)
         if method is None:
-            return 404, "no such call\n"
+            return 404, "unknown path\n"
         if request.method != method:
-            return 405, f"only {method} is served here\n"
-        if tell is not None:
-            return 200, tell()
+            return 405, f"only {method} is allowed on this path\n"
+        if report is not None:
+            return 200, report()
         if path == "/ops/readiness":
             return (200, "ready\n") if self.ready() else (503, "not ready\n")
         if path == "/ops/stats":
@@ -59,12 +59,12 @@
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 node = await self._read_backend_id(request)
         except TimeoutError:
-            return 408, "the body does not come\n"
+            return 408, "timed out waiting for the request body\n"
         except (web.RequestPayloadError, ConnectionError):
             node = None
         if node is None:
             return 400, "the body is not the id of a brick\n"
-        done = self.rotation.eject(node) if path.endswith("down") else self.rotation.restore(node)
+        done = self.ejections.eject(node) if path.endswith("down") else self.ejections.restore(node)
         return (200, "done\n") if done else (404, "no such brick\n")
 
     async def _read_backend_id(self, request: web.BaseRequest) -> str | None:
--- a/hophinge/net/payload.py
+++ b/hophinge/net/payload.py
@@ -1,4 +1,4 @@
-"""What a frontend passes through the exchange to the backend client."""
+"""The parts of a request that a frontend passes through the exchange to the backend client."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from hophinge.net.request_body import RequestBodyStream
 
-MAX_SHORT_BODY = 64 * 1024
-MAX_LONG_BODY = 33 * 1024 * 1024  # of a long body or answer
+MAX_SHORT_BODY = 64 * 1024  # bytes
+MAX_LONG_BODY = 33 * 1024 * 1024  # bytes of a request or answer body
 IDEMPOTENCY_KEY = "Idempotency-Key"
-MAX_BUFFERED_ANSWER = 64 * 1024  # an answer of at most so many bytes is forwarded only once it is complete
+MAX_BUFFERED_ANSWER = 64 * 1024  # bytes; an answer of at most this length is forwarded once it is complete
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     txn: str
     body: bytes
     idempotency_header: bytes = b""  # the Idempotency-Key header with its line end, as the client sent it
-    upload: RequestBodyStream | None = None  # in place of `body` while that is still arriving
+    upload: RequestBodyStream | None = None  # in place of `body`, if that is streamed
 
 
 def idempotency_header(value: bytes) -> bytes:
--- a/hophinge/net/pipelined_connection.py
+++ b/hophinge/net/pipelined_connection.py
@@ -1,4 +1,4 @@
-"""Pipelined requests of a client's connection: read one at a time, and cancelled when the client goes."""
+"""Pipelined requests on a client's connection: parsed one at a time, and cancelled when the client disconnects."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 from hophinge.core.counters import Counters
 from hophinge.net.byte_budget import ByteBudget
 
-HEAD_END = b"\r\n\r\n"  # of a head
-MAX_PIPELINED_EACH = (
-    256 * 1024
-)  # bytes behind a request, from which on its client is read no further, and its close seen late
-FAIR_PIPELINED_EACH = 64 * 1024  # of them, from which on a client floods when all of them hold more than they may
-CLOSE_POLL_S = 0.04  # between looks for the end of a client that is not read: 0.1 s after it nothing may be sent on
-CLIENT_READ_TIMEOUT_S = 10.0  # for a client to read what waits for it, and more for each byte
-MIN_CLIENT_READ_RATE = 16_000  # bytes a second; slower ones hold a connection for too long
-COALESCE_S = 0.01  # what comes within it came at once
+HEAD_END = b"\r\n\r\n"
+# Buffered bytes behind the open request above which reading is paused; a close is then only detected by polling.
+MAX_PIPELINED_EACH = 256 * 1024
+# Such bytes above which a connection counts as flooding while the budget of all connections is exhausted.
+FAIR_PIPELINED_EACH = 64 * 1024
+# Between checks whether a client has disconnected while reading is paused: 0.1 s after the close none of its requests
+# may be forwarded any more.
+CLOSE_POLL_S = 0.04
+CLIENT_READ_TIMEOUT_S = 10.0  # for a client to read the bytes that wait for it, plus time for each byte
+MIN_CLIENT_READ_RATE = 16_000  # bytes per second; slower clients occupy a connection for too long
+COALESCE_S = 0.01  # reads within this time count as one arrival
 HANGUP_EVENTS = select.POLLHUP | select.POLLERR | getattr(select, "POLLRDHUP", 0)
 
 
@@ -34,49 +36,50 @@
 
 
 def length_to_head_end(before: bytes, data: bytearray) -> int:
-    """Return the length of `data` up to a head's end, which may have begun in `before`; all of it where none ends."""
-    at = (before + data[:3]).find(HEAD_END)
-    if at >= 0:
-        return at + len(HEAD_END) - len(before)
-    at = data.find(HEAD_END)
-    return at + len(HEAD_END) if at >= 0 else len(data)
+    """Return the length of `data` up to a head's end, which may begin in `before`; all of it if there is none."""
+    index = (before + data[:3]).find(HEAD_END)
+    if index >= 0:
+        return index + len(HEAD_END) - len(before)
+    index = data.find(HEAD_END)
+    return index + len(HEAD_END) if index >= 0 else len(data)
 
 
 def has_hung_up(transport: asyncio.BaseTransport) -> bool:
-    """Return whether the peer has closed, even where unread bytes precede its end."""
+    """Return whether the peer has closed the connection, even if bytes before that are unread."""
     try:
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), HANGUP_EVENTS)
         return any(events & HANGUP_EVENTS for _, events in poll.poll(0))
-    except (AttributeError, OSError, ValueError):  # closed here already: it has no descriptor
+    except (AttributeError, OSError, ValueError):  # already closed here: there is no file descriptor
         return False
 
 
 class PipelinedConnection(RequestHandler):
-    """A connection whose requests are read one at a time.
+    """A connection whose requests are parsed one at a time.
 
-    aiohttp reads 32 ahead and then reads no more: it sees no close behind them, and sends on one after another for a
-    client that has gone. What its parser cannot read takes those before it in the same read with it.
+    aiohttp parses up to 32 requests ahead and then stops reading: it does not see a close behind them, and processes
+    one after another for a client that has disconnected. A malformed request also makes its parser drop the requests
+    before it in the same read.
     """
 
     def __init__(self, manager: web.Server, owner: PipelineOwner, **params: Any) -> None:
         super().__init__(manager, **params)
         self.owner = owner
         self.answered = 0  # answered requests, including malformed ones
-        self.pipelined = bytearray()  # received bytes behind the open request
-        self.counted_bytes = 0  # bytes of it that the owner's budget counts
-        self.arrivals = deque[tuple[int, float]]()  # sizes and times of the reads that make up `pipelined`
-        self.last_arrival = 0.0  # arrival of the last byte passed to the parser
+        self.pipelined = bytearray()  # received bytes that are not parsed yet, behind the open request
+        self.counted_bytes = 0  # bytes of `pipelined` that are counted in the owner's budget
+        self.arrivals = deque[tuple[int, float]]()  # sizes and loop times of the reads that make up `pipelined`
+        self.last_arrival = 0.0  # loop time at which the last byte passed to the parser arrived
         self.parsed_tail = b""  # the last three bytes passed to the parser
-        self.request_payload: StreamReader = EMPTY_PAYLOAD  # body of the last request read
-        self.content_length: int | None = None  # of that body, where it is stated
-        self.is_throttled = False  # reading is paused, as the client has sent too much
+        self.request_payload: StreamReader = EMPTY_PAYLOAD  # body of the last parsed request
+        self.content_length: int | None = None  # of that body, if stated
+        self.is_throttled = False  # reading is paused because the client has sent too much
         self.hangup_timer: asyncio.TimerHandle | None = None
         self.write_timer: asyncio.TimerHandle | None = None
 
     @property
     def requests_read(self) -> int:
-        """The number of requests read, including malformed ones."""
+        """The number of parsed requests, including malformed ones."""
         return self._request_count
 
     @property
@@ -85,16 +88,16 @@
         return self.requests_read > self.answered + 1 or HEAD_END in self.pipelined
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Discard what is buffered; called by asyncio."""
+        """Discard the buffered bytes; called by asyncio."""
         self.discard_pipelined()
         if self.write_timer is not None:
             self.write_timer.cancel()
         super().connection_lost(exc)
 
     def eof_received(self) -> None:
-        """Cancel the open request: a client that shuts down its sending side has gone.
+        """Cancel the open request: a client that shuts down its sending side counts as disconnected.
 
-        The connection ends once all that was answered is written out, which may take its time.
+        The connection closes once the buffered answers have been written, for which the time is bounded.
         """
         if self._task_handler is not None:
             self._task_handler.cancel()
@@ -102,13 +105,13 @@
             self.limit_close_time(self.transport)
 
     def limit_close_time(self, transport: asyncio.Transport) -> None:
-        """Abort a closing transport whose client does not read the rest within a bound."""
-        waiting = transport.get_write_buffer_size()
-        if waiting:
-            self._loop.call_later(CLIENT_READ_TIMEOUT_S + waiting / MIN_CLIENT_READ_RATE, transport.abort)
+        """Abort a closing transport if the client does not read the remaining bytes in time."""
+        unsent = transport.get_write_buffer_size()
+        if unsent:
+            self._loop.call_later(CLIENT_READ_TIMEOUT_S + unsent / MIN_CLIENT_READ_RATE, transport.abort)
 
     def force_close(self) -> None:
-        """Close once what is buffered has been written."""
+        """Close the connection once the buffered bytes have been written."""
         transport = self.transport
         super().force_close()
         if transport is not None:
@@ -118,43 +121,43 @@
         """Start the time-out for a client that does not read; called by asyncio."""
         super().pause_writing()
         if self.transport is not None:
-            waiting = self.transport.get_write_buffer_size()
+            unsent = self.transport.get_write_buffer_size()
             self.write_timer = self._loop.call_later(
-                CLIENT_READ_TIMEOUT_S + waiting / MIN_CLIENT_READ_RATE, self.transport.abort
+                CLIENT_READ_TIMEOUT_S + unsent / MIN_CLIENT_READ_RATE, self.transport.abort
             )
 
     def resume_writing(self) -> None:
-        """Stop that time-out; called by asyncio."""
+        """Stop the time-out of `pause_writing`; called by asyncio."""
         if self.write_timer is not None:
             self.write_timer.cancel()
         super().resume_writing()
 
     def data_received(self, data: bytes) -> None:
-        """Parse the next request and buffer what arrives behind it."""
+        """Parse the next request and buffer the bytes behind it; called by asyncio."""
         if (
             not self.parsed_tail
             and not self.pipelined
             and self._request_count == self.answered
             and (data.find(HEAD_END) == len(data) - len(HEAD_END) >= 0)
         ):
-            # The usual case: one complete head on an idle connection.
+            # The most frequent case: exactly one complete head on an idle connection.
             self.last_arrival = self._loop.time()
             self.parsed_tail = data[-3:]
             return self._parse(data)
         if not data:
-            self._parse(data)  # a body that was paused goes on
+            self._parse(data)  # resumes a paused body
         else:
             self._record_arrival(len(data))
         self.pipelined += data
         self.advance()
 
     def advance(self) -> None:
-        """Parse up to the next request's end, if the requests before it are answered."""
+        """Parse up to the end of the next request, if the requests before it have been answered."""
         while (
             self.pipelined
             and not self._reading_paused
             and (
-                # Where one body's end and the next head came in one piece the next has been read too.
+                # If the end of a body and the next head were parsed in one piece, one more request has been read.
                 self.requests_read - self.answered < (1 if self.request_payload.is_eof() else 2)
             )
         ):
@@ -168,7 +171,7 @@
         self._throttle()
 
     def discard_pipelined(self) -> None:
-        """Discard what was buffered behind the open request."""
+        """Discard the bytes buffered behind the open request."""
         self.pipelined.clear()
         self.arrivals.clear()
         self._update_budget()
@@ -185,9 +188,9 @@
             self.content_length = None
             if not isinstance(message, _ErrInfo):
                 if self.request_payload is not EMPTY_PAYLOAD and (stated := message.headers.get("Content-Length")):
-                    self.content_length = int(stated)  # digits alone: the parser has seen to that
+                    self.content_length = int(stated)  # only digits: the parser has checked that
             elif not payload.is_eof():
-                # The parser forgets the body that it could not read, and its request would wait for the rest.
+                # The parser drops a body that it could not parse; without an error its request would wait for the rest.
                 payload.set_exception(web.RequestPayloadError(message.message))
 
     def _record_arrival(self, size: int) -> None:
@@ -198,13 +201,13 @@
 
     def _consume_arrivals(self, size: int) -> None:
         while size:
-            came, self.last_arrival = self.arrivals.popleft()
-            if came > size:
-                self.arrivals.appendleft((came - size, self.last_arrival))
-            size -= min(size, came)
+            arrived, self.last_arrival = self.arrivals.popleft()
+            if arrived > size:
+                self.arrivals.appendleft((arrived - size, self.last_arrival))
+            size -= min(size, arrived)
 
     def waited_s(self) -> float:
-        """Return the seconds since the open request was completely received, when its client's time began."""
+        """Return the seconds since the open request was received, from which its client's remaining time counts."""
         return max(0.0, self._loop.time() - self.last_arrival)
 
     def request_answered(self, keeps_open: bool) -> None:
@@ -217,7 +220,7 @@
             self.advance()
 
     def _next_parse_size(self) -> int:
-        """Return how many bytes to parse: up to the body's end, where its length is known, or a head's end."""
+        """Return how many bytes to parse: up to the end of the body, if its length is known, or of a head."""
         if self.content_length is not None and not self.request_payload.is_eof():
             return min(len(self.pipelined), max(1, self.content_length - self.request_payload.total_bytes))
         return length_to_head_end(self.parsed_tail, self.pipelined)
@@ -229,7 +232,7 @@
     def _throttle(self) -> None:
         exceeds_limit = len(self.pipelined) > MAX_PIPELINED_EACH
         if len(self.pipelined) > FAIR_PIPELINED_EACH and self.owner.pipelined_bytes.is_exhausted:
-            # Clients send one request at a time; those that flood the head are not to end it for the others.
+            # Normal clients send one request at a time; flooding ones must not use up the head for the others.
             self.owner.counters.add("connections_flooding")
             if self.transport is not None:
                 self.transport.abort()
@@ -254,7 +257,7 @@
         super()._resume_transport_reading()
 
     def _check_hangup(self) -> None:
-        """Check for a close that is hidden behind unread bytes."""
+        """Abort the connection if the client has closed it, which unread bytes can hide."""
         self.hangup_timer = None
         if self.transport is None or self.transport.is_closing():
             return
--- a/hophinge/net/request_body.py
+++ b/hophinge/net/request_body.py
@@ -1,4 +1,4 @@
-"""A request's body that is forwarded as it arrives; bytes are buffered only until the attempt has read them."""
+"""Streams a request's body to an attempt as it arrives; bytes are buffered only until the attempt has read them."""
 
 from __future__ import annotations
 
@@ -8,25 +8,24 @@
 
 
 class RequestBodyError(Exception):
-    """The body will never be complete: its client left, stalled or sent a malformed one."""
+    """The body will never be complete: the client disconnected, stalled or sent a malformed body."""
 
 
 class RequestBodyStream:
     """A stream between a frontend and one attempt, with back-pressure in both directions."""
 
-    def __init__(self, first: bytes, length: int | None, budget: ByteBudget) -> None:
-        # stated by the client; None for a chunked body
-        self.length = length
+    def __init__(self, initial_bytes: bytes, length: int | None, budget: ByteBudget) -> None:
+        self.length = length  # as stated by the client; None for a chunked body
         self.budget = budget
-        self.chunks = [first]
-        self.buffered_bytes = len(first)
+        self.chunks = [initial_bytes]
+        self.buffered_bytes = len(initial_bytes)
         self.state = "coming"  # then "whole" or "broken"
         self.data_available = asyncio.Event()
         self.buffer_drained = asyncio.Event()
         budget.used += self.buffered_bytes
 
     async def feed(self, data: bytes) -> None:
-        """Add bytes once the attempt has read those before; waits until then."""
+        """Wait until the attempt has read the buffered bytes, then add bytes."""
         while self.buffered_bytes:
             self.buffer_drained.clear()
             await self.buffer_drained.wait()
@@ -36,13 +35,13 @@
         self.data_available.set()
 
     def finish(self, complete: bool) -> None:
-        """End the stream, complete or broken; a second call has no effect."""
+        """End the stream, as complete or as broken; a second call does not change the state."""
         if self.state == "coming":
             self.state = "whole" if complete else "broken"
         self.data_available.set()
 
     async def read(self) -> bytes:
-        """Return the buffered bytes, empty at the end; raises RequestBodyError for a broken body."""
+        """Wait for bytes and return them, empty at the end; raises RequestBodyError for a broken body."""
         while not self.chunks and self.state == "coming":
             self.data_available.clear()
             await self.data_available.wait()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -78,9 +78,9 @@
     run(main())
     lines = [line for line in capsys.readouterr().out.splitlines() if line.startswith("discovery at ")]
     assert [line.split(" ", 3)[3] for line in lines] == [
-        "fails, the list held stays in force: status 503",
-        "answers again",
-        "fails, the list held stays in force: ValidationError a whole list without a sound entry",
+        "is failing, keeping the current list: status 503",
+        "has recovered",
+        "is failing, keeping the current list: ValidationError a complete list without a valid entry",
     ]
 
 
