--- a/hophinge/net/client_connection.py
+++ b/hophinge/net/client_connection.py
@@ -82,9 +82,8 @@
         super()._parse(data)
         if self.requests_read != requests_before:
             self.partial_head_bytes = 0
-        elif requests_before == self.answered and (
-            self.partial_head_bytes or data.strip(b"\r\n")
-        ):  # empty lines before a head are ignored
+        # Empty lines before a head are ignored.
+        elif requests_before == self.answered and (self.partial_head_bytes or data.strip(b"\r\n")):
             if not self.partial_head_bytes:
                 self._begin_head()
             self.partial_head_bytes += len(data)
--- a/hophinge/net/discovery.py
+++ b/hophinge/net/discovery.py
@@ -160,9 +160,8 @@
         self.last_fault = ""  # the error of the most recent failed calls, "" after a success
         self.pacer = DiscoveryPacer(heads, random.Random(seed), pushed)
         self.task: asyncio.Task[None] | None = None
-        self.first_answer = (
-            asyncio.Event()
-        )  # set once the first list has arrived, or discovery has turned out unavailable
+        # Set once the first list has arrived, or discovery has turned out to be unavailable.
+        self.first_answer = asyncio.Event()
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             trust_env=False,
--- a/hophinge/net/frontend.py
+++ b/hophinge/net/frontend.py
@@ -203,18 +203,18 @@
         if (request.content_length or 0) > MAX_LONG_BODY:
             raise MalformedRequestError(413, "the body is too large")
         self.send_continue(request)
-        held = 0
+        received = 0
         try:
             async for chunk in self._body_chunks(request):
                 body.append(chunk)
-                held += len(chunk)
+                received += len(chunk)
                 self.budget.used += len(chunk)
                 if request.method == "GET":
                     raise MalformedRequestError(400, "a GET request must not have a body")
-                if held > MAX_SHORT_BODY and (held > MAX_RETAINED_BODY or self.budget.is_exhausted):
+                if received > MAX_SHORT_BODY and (received > MAX_RETAINED_BODY or self.budget.is_exhausted):
                     return False
         finally:
-            self.budget.used -= held
+            self.budget.used -= received
         return True
 
     async def _body_chunks(self, request: web.BaseRequest, received: int = 0) -> AsyncIterator[bytes]:
--- a/hophinge/net/pipelined_connection.py
+++ b/hophinge/net/pipelined_connection.py
@@ -232,7 +232,7 @@
     def _throttle(self) -> None:
         exceeds_limit = len(self.pipelined) > MAX_PIPELINED_EACH
         if len(self.pipelined) > FAIR_PIPELINED_EACH and self.owner.pipelined_bytes.is_exhausted:
-            # Normal clients send one request at a time; flooding ones must not use up the head for the others.
+            # Normal clients send one request at a time; flooding ones must not make the head unusable for others.
             self.owner.counters.add("connections_flooding")
             if self.transport is not None:
                 self.transport.abort()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""What a head passes on: a model of a client's connection under random steps, and each trap by itself."""
+"""Forwarding of requests by a head: a model of a client's connection under random steps, and single cases."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Connection:
-    """The model of one client connection: open or closed, what the head must have counted, and its steps."""
+    """The model of a client connection: whether it is open, what the head must have counted, and the possible steps."""
 
     def __init__(self, made: World, service: Service) -> None:
         self.world, self.service, self.backend = made, service, made.backends[0]
@@ -57,7 +57,7 @@
         self.counts.update(["requests_taken", "requests_served", "attempts_sent", "attempts_ok"])
 
     async def _once(self, wire: Wire, sent: dict[str, str], result: str, answer: web.Response | None) -> None:
-        """The brick's first answer is this one, or a broken connection; the module's next attempt is served."""
+        """The backend's first answer is `answer`, or a reset if None; the next attempt is served."""
 
         async def behave(request: web.BaseRequest, _: bytes) -> web.Response | None:
             self.backend.behave = None
@@ -83,9 +83,9 @@
         assert (await wire.receive())[0] == 200
 
     async def malformed(self, wire: Wire, sent: dict[str, str]) -> None:
-        seen = len(self.backend.seen)
+        seen_before = len(self.backend.seen)
         wire.send(READ, {**sent, "X-Txn": "odd"})
-        assert (await wire.receive())[0] == 400 and len(self.backend.seen) == seen
+        assert (await wire.receive())[0] == 400 and len(self.backend.seen) == seen_before
         self.counts["requests_malformed"] += 1
 
     async def oversize(self, wire: Wire, sent: dict[str, str]) -> None:
@@ -98,9 +98,9 @@
     async def leave(self, wire: Wire, sent: dict[str, str]) -> None:
         gate = asyncio.Event()
 
-        self.backend.behave, seen = held_by(gate), len(self.backend.seen)
+        self.backend.behave, seen_before = held_by(gate), len(self.backend.seen)
         wire.send(READ, sent)
-        await until(lambda: len(self.backend.seen) > seen)
+        await until(lambda: len(self.backend.seen) > seen_before)
         wire.close()
         await until(lambda: self.service.counters.counts["requests_departed"] > self.counts["requests_departed"])
         self.backend.behave = None
@@ -124,7 +124,7 @@
     run(main())
 
 
-def test_what_goes_on_is_the_bytes_that_came() -> None:
+def test_requests_are_forwarded_byte_for_byte() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
@@ -178,7 +178,7 @@
     assert "Traceback" not in "".join(capsys.readouterr())
 
 
-def test_more_clients_than_sockets_allow_are_told_to_come_back() -> None:
+def test_requests_above_the_limit_are_rejected_with_retry_after() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
@@ -194,7 +194,7 @@
     run(main())
 
 
-def test_a_body_that_waits_to_be_asked_for_is_asked_for_and_a_malformed_request_s_is_not() -> None:
+def test_100_continue_is_sent_for_a_valid_request_but_not_for_a_malformed_one() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
@@ -210,7 +210,7 @@
     run(main())
 
 
-def test_a_client_that_leaves_as_it_is_answered_takes_no_other_s_answer_with_it(
+def test_a_client_that_disconnects_as_it_is_answered_does_not_break_another_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
@@ -224,11 +224,11 @@
             open_request = next(iter(service.front.busy))._current_request
             assert open_request is not None
             handler = open_request.task
-            exchange, usual = service.exchange, service.exchange.scheduler.handle
+            exchange, original_handle = service.exchange, service.exchange.scheduler.handle
 
             def handle(now_us: int, batch: Iterable[Event]) -> list[Action]:
-                # The client's end and the module's answer fall into one turn of the loop, the end first.
-                actions = usual(now_us, batch)
+                # The client's disconnect and the scheduler's answer fall into one loop iteration, in that order.
+                actions = original_handle(now_us, batch)
                 if any(isinstance(action, Send) for action in actions):
                     handler.cancel()
                     actions.insert(0, Refuse(f"{1:016x}", 0))
--- a/tests/test_net_answers.py
+++ b/tests/test_net_answers.py
@@ -1,4 +1,4 @@
-"""What bricks answer: sound, spoilt, in pieces and without an end; only what was asked for is handed on."""
+"""Answers of backends: valid, malformed, in pieces and endless; only the answer to the request is forwarded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.test_net import READ
 
 SOUND = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nkept"
-SPOILT = [
+MALFORMED = [
     b"\xcen\x02\xab\x9d\x1c noise \r\n\r\n",
     b"ICY 200 OK\r\nContent-Length: 4\r\n\r\nkept",
     b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nkept",
@@ -38,7 +38,7 @@
     b"HTTP/1.1 101 Switching\r\n\r\n" + SOUND,
 ]
 
-GOOD = [
+VALID = [
     SOUND,
     SOUND + SOUND,
     SOUND + b"\0noise",
@@ -46,18 +46,18 @@
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nkept\r\n0\r\n\r\n",
     *(
         b"HTTP/1.1 200 OK\r\nX-Iops-Used: "
-        + one
+        + metric
         + b"\r\nX-Rho: "
-        + one
+        + metric
         + b"\r\nX-Pressure: TEXT queue="
-        + one
+        + metric
         + b"\r\nContent-Length: 4\r\n\r\nkept"
-        for one in (b"inf", b"nan", b"-3", b"TEXT ?", b"9" * 400, b"1e308")
+        for metric in (b"inf", b"nan", b"-3", b"TEXT ?", b"9" * 400, b"1e308")
     ),
 ]
 
 
-def test_a_backend_s_endless_body_is_broken_off() -> None:
+def test_an_endless_answer_body_is_cut_off() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, ended = await made.head(), asyncio.Event()
@@ -74,7 +74,7 @@
             made.backends[0].behave = endless
             wire = await made.wire(service)
             wire.send(READ, headers())
-            assert (await wire.receive())[0] == 200  # it began like any long one
+            assert (await wire.receive())[0] == 200  # it begins like any long answer
             with pytest.raises(asyncio.IncompleteReadError):
                 while size := int(await wire.reader.readuntil(b"\r\n"), 16):
                     await wire.reader.readexactly(size + 2)
@@ -84,10 +84,9 @@
     run(main())
 
 
-def test_a_large_answer_that_comes_in_pieces_is_served_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        backend_connection, "STALL_TIMEOUT_S", 0.5
-    )  # the pieces take longer together, none of them alone
+def test_a_large_answer_in_pieces_is_served_completely(monkeypatch: pytest.MonkeyPatch) -> None:
+    # All pieces together take longer than this, a single one does not.
+    monkeypatch.setattr(backend_connection, "STALL_TIMEOUT_S", 0.5)
 
     async def main() -> None:
         async with world(Backend(0)) as made:
@@ -96,8 +95,8 @@
             async def slowly(request: web.BaseRequest, _: bytes) -> web.StreamResponse:
                 response = web.StreamResponse(headers={"Content-Length": str(len(body))})
                 await response.prepare(request)
-                for at in range(0, len(body), 40_960):
-                    await response.write(body[at : at + 40_960])
+                for start in range(0, len(body), 40_960):
+                    await response.write(body[start : start + 40_960])
                     await asyncio.sleep(0.06)
                 return response
 
@@ -112,7 +111,7 @@
 
 
 def raw(backend: Backend, answer: bytes, stays: bool = True) -> Behaviour:
-    """A brick's first answer is these bytes, after which its connection is of no further use, open or not."""
+    """The backend's first answer consists of these bytes; its connection then stays open unused, or closes."""
 
     async def behave(request: web.BaseRequest, _: bytes) -> web.StreamResponse | None:
         backend.behave = None
@@ -126,8 +125,8 @@
     return behave
 
 
-@pytest.mark.parametrize("answer", SPOILT)
-def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(answer: bytes) -> None:
+@pytest.mark.parametrize("answer", MALFORMED)
+def test_a_malformed_answer_is_a_failed_attempt_that_may_have_been_executed(answer: bytes) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, backend = await made.head(), made.backends[0]
@@ -138,19 +137,21 @@
             assert (await wire.receive())[::2] == (200, b"true")
             counts = service.counters.counts
             assert (counts["attempts_reset"], counts["attempts_ok"], counts["client_faults"]) == (1, 1, 0)
-            await until(lambda: backend.connections == 1)  # the spoilt one's connection is closed, not reused
+            await until(
+                lambda: backend.connections == 1
+            )  # the connection of the malformed answer is closed, not reused
 
     run(main())
 
 
-@pytest.mark.parametrize("answer", GOOD)
-def test_a_good_answer_is_served_whatever_comes_with_it(answer: bytes) -> None:
+@pytest.mark.parametrize("answer", VALID)
+def test_a_valid_answer_is_served_despite_odd_headers_and_surplus_bytes(answer: bytes) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
-            told = setup(Report={"Fields": ["q"], "Source": "answers"})
-            service, backend = await made.head(settings=told), made.backends[0]
+            with_reports = setup(Report={"Fields": ["q"], "Source": "answers"})
+            service, backend = await made.head(settings=with_reports), made.backends[0]
             backend.objects[f"{VOLUME}/{OBJECT}"] = b"true"
-            backend.behave = raw(backend, answer, stays=GOOD.index(answer) in (1, 2))
+            backend.behave = raw(backend, answer, stays=VALID.index(answer) in (1, 2))
             wire = await made.wire(service)
             for number, body in ((1, b"kept"), (2, b"true"), (3, b"true")):
                 wire.send(READ, headers(number))
@@ -162,10 +163,10 @@
 
 @given(data=st.data())
 @settings(max_examples=60, deadline=None, derandomize=True)
-def test_a_backend_s_connection_under_random_bytes_and_cuts(data: st.DataObject) -> None:
-    """The model: the first answer's own bytes are handed on if it is sound, nothing of what follows ever is."""
-    sound = data.draw(st.booleans())
-    answer = data.draw(st.sampled_from(GOOD[:4] if sound else SPOILT[:8]))
+def test_a_backend_connection_under_random_bytes_and_cuts(data: st.DataObject) -> None:
+    """The model: the first answer is passed on if it is valid; bytes after it never are."""
+    is_valid = data.draw(st.booleans())
+    answer = data.draw(st.sampled_from(VALID[:4] if is_valid else MALFORMED[:8]))
     cuts = sorted(data.draw(st.lists(st.integers(0, len(answer)), max_size=4)))
 
     async def main() -> None:
@@ -174,9 +175,9 @@
         )
         connection.connection_made(Mock(is_closing=lambda: False, get_extra_info={"peername": ("127.0.0.1", 1)}.get))
         connection.set_response_params(read_until_eof=True, auto_decompress=False)
-        for begin, end in itertools.pairwise([0, *cuts, len(answer)]):
-            connection.data_received(answer[begin:end])
-        if sound:
+        for start, end in itertools.pairwise([0, *cuts, len(answer)]):
+            connection.data_received(answer[start:end])
+        if is_valid:
             message, body = await connection.read()
             assert message.code == 200 and await body.read() == b"kept"
             assert connection.should_close == (not answer.endswith(b"\r\n\r\nkept") or answer.count(b"kept") > 1)
--- a/tests/test_net_attempts.py
+++ b/tests/test_net_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts to bricks: how each ends, what it tells the module, and the connections that carry it."""
+"""Attempts at backends: their outcomes, what they report to the scheduler, and their connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT"])
-def test_a_kept_connection_that_turns_out_dead_costs_no_hidden_attempt(method: str) -> None:
+def test_a_reused_connection_that_fails_causes_no_hidden_attempt(method: str) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, backend = await made.head(), made.backends[0]
@@ -36,7 +36,7 @@
     run(main())
 
 
-def test_redirects_and_encodings_are_not_followed_and_cookies_not_kept() -> None:
+def test_redirects_are_not_followed_bodies_not_decoded_and_cookies_not_stored() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, backend = await made.head(), made.backends[0]
@@ -64,15 +64,15 @@
     run(main())
 
 
-def test_meter_and_other_units_reach_the_module() -> None:
+def test_usage_headers_reach_the_scheduler() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
 
-            async def told(_: web.BaseRequest, __: bytes) -> web.Response:
+            async def respond_with_usage(_: web.BaseRequest, __: bytes) -> web.Response:
                 return web.Response(headers={"X-Iops-Used": "150", "X-Rho": "3.5"})
 
-            made.backends[0].behave = told
+            made.backends[0].behave = respond_with_usage
             wire = await made.wire(service)
             wire.send(READ, headers())
             await wire.receive()
@@ -82,7 +82,7 @@
     run(main())
 
 
-def test_a_given_up_attempt_closes_its_connection_and_the_request_is_answered_in_time() -> None:
+def test_an_abandoned_attempt_closes_its_connection_and_the_request_is_answered_in_time() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, closed = await made.head(), asyncio.Event()
@@ -116,7 +116,7 @@
     run(main())
 
 
-def test_an_attempt_that_waited_for_its_connection_does_not_go_once_the_drain_is_heard(
+def test_an_attempt_waiting_for_a_connection_is_withdrawn_when_its_backend_drains(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
@@ -157,11 +157,11 @@
     run(main())
 
 
-def test_load_reports_come_by_probes_and_in_answers_where_the_settings_say_so(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_load_reports_are_read_from_probes_and_from_answers_if_configured(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
-            told = setup(Report={"Fields": ["q"], "Source": "answers"})
-            service, events = await made.head(settings=told), list[Event]()
+            with_reports = setup(Report={"Fields": ["q"], "Source": "answers"})
+            service, events = await made.head(settings=with_reports), list[Event]()
             scheduler, backend = service.exchange.scheduler, made.backends[0]
 
             async def loaded(request: web.BaseRequest, _: bytes) -> web.Response:
@@ -170,18 +170,20 @@
                 return web.Response(headers={"X-Pressure": "TEXT queue=3, util=0.61"})
 
             backend.behave = loaded
-            usual = scheduler.handle
+            original_handle = scheduler.handle
 
             def handle(now_us: int, batch: Iterable[Event]) -> list[Action]:
                 events.extend(batch := list(batch))
-                return usual(now_us, batch)
+                return original_handle(now_us, batch)
 
             monkeypatch.setattr(scheduler, "handle", handle)
             wire = await made.wire(service)
             wire.send(READ, headers())
             await wire.receive()
             await until(
-                lambda: any(isinstance(one, Outcome) and one.report == {"queue": 3, "util": 0.61} for one in events)
+                lambda: any(
+                    isinstance(event, Outcome) and event.report == {"queue": 3, "util": 0.61} for event in events
+                )
             )
             for node, result, report in (
                 ("s-0", Result.OK, {"inflight": 2, "queue": 4}),
@@ -190,15 +192,16 @@
                 service.exchange._act(Probe(node), 0)
                 await until(
                     lambda node=node, result=result, report=report: any(  # type: ignore[misc]
-                        isinstance(one, ProbeResult) and (one.node, one.result, one.report) == (node, result, report)
-                        for one in events
+                        isinstance(event, ProbeResult)
+                        and (event.node, event.result, event.report) == (node, result, report)
+                        for event in events
                     )
                 )
 
     run(main())
 
 
-def test_connections_to_backends_that_are_gone_or_too_many_are_closed() -> None:
+def test_idle_connections_to_removed_backends_or_above_the_limit_are_closed() -> None:
     async def main() -> None:
         async with world(Backend(0), Backend(1), Backend(2)) as made:
             service = await made.head()
@@ -216,9 +219,7 @@
     run(main())
 
 
-def test_a_request_under_way_at_a_backend_that_leaves_the_list_is_answered_and_its_connection_closes_behind_it() -> (
-    None
-):
+def test_a_request_at_a_removed_backend_is_answered_and_its_connection_closes_afterwards() -> None:
     async def main() -> None:
         gate = asyncio.Event()
         async with world(Backend(0), Backend(1)) as made:
@@ -229,7 +230,7 @@
             assert (await wire.receive())[0] == 404
             leaving.behave = held_by(gate)
             wire.send(READ, headers(2, X_Placement="units=2,shard=0,hosts=1"))
-            await until(lambda: any(not one.is_idle for one in service.backends.registry.open))
+            await until(lambda: any(not connection.is_idle for connection in service.backends.registry.open))
             await made.agent.tell(leaving.target("Gone"))
             await until(lambda: leaving.name not in service.exchange.phases)
             assert leaving.connections == 1
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -1,4 +1,4 @@
-"""What clients send, and which of their connections stay."""
+"""Clients' connections: malformed and incomplete requests, and which idle connections are closed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 HEADER = "".join(f"{name}: {text}\r\n" for name, text in headers().items()).encode()
 GET, PUT = f"GET {READ} HTTP/1.1\r\n".encode(), f"PUT {WRITE} HTTP/1.1\r\n".encode()
 HOSTED = HEADER + b"Host: origin.svc\r\n"
-RUDE = [
+MALFORMED = [
     b"\0\x16\x03\x01 noise\r\n\r\n",
     b"GET\r\n\r\n",
     GET + b"no colon here\r\n" + HOSTED + b"\r\n",
@@ -22,7 +22,10 @@
     PUT + HOSTED + b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + GET + HOSTED + b"\r\n",
     PUT + HOSTED + b"Transfer-Encoding: gzip\r\n\r\n0\r\n\r\n",
     PUT + HOSTED + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
-    *(PUT + HOSTED + b"Content-Length: " + one + b"\r\n\r\nbody" for one in (b"-4", b"+4", b"4, 4", b"0x4", b"9" * 30)),
+    *(
+        PUT + HOSTED + b"Content-Length: " + length + b"\r\n\r\nbody"
+        for length in (b"-4", b"+4", b"4, 4", b"0x4", b"9" * 30)
+    ),
     PUT + HOSTED + b"Content-Length: 4\r\nContent-Length: 4\r\n\r\nbody",
     PUT + HOSTED + b"Content-Length: 70000\r\n\r\n",
     GET + HOSTED + b"Content-Length: 4\r\n\r\nbody",
@@ -35,14 +38,14 @@
     GET + HOSTED + b"X-A: \0\r\n\r\n",
     GET.replace(b"record-read", b"no-such") + HOSTED + b"\r\n",
     GET + HOSTED.replace(b"priority", b"none") + b"\r\n",
-    *(GET + HOSTED.replace(b"750", one) + b"\r\n" for one in (b"soon", b"-1", b"nan", b"1e3", b"9" * 40)),
+    *(GET + HOSTED.replace(b"750", remaining) + b"\r\n" for remaining in (b"soon", b"-1", b"nan", b"1e3", b"9" * 40)),
     GET + HOSTED.replace(b"X-Txn", b"X-Other") + b"\r\n",
     b"GET " + b"/a" * 20_000 + b" HTTP/1.1\r\n" + HOSTED + b"\r\n",
 ]
 
 
-@pytest.mark.parametrize("sent", RUDE)
-def test_what_cannot_be_served_gets_an_error_or_a_close_and_nothing_is_passed_on(sent: bytes) -> None:
+@pytest.mark.parametrize("sent", MALFORMED)
+def test_malformed_requests_get_an_error_and_are_not_forwarded(sent: bytes) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
@@ -59,12 +62,12 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /rec", PUT + HOSTED + b"Content-Length: 9\r\n\r\nhalf", GET + HOSTED])
-def test_who_says_nothing_or_half_is_told_or_closed(sent: bytes) -> None:
+def test_silent_or_incomplete_requests_are_answered_408_or_closed(sent: bytes) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             wire.writer.write(sent)
-            async with asyncio.timeout(10):  # the kernel holds a silent one for a second before it is accepted
+            async with asyncio.timeout(10):  # the kernel defers the accept of a silent connection by a second
                 got = await wire.reader.read()
             assert (not got or got.startswith(b"HTTP/1.1 408")) and not made.backends[0].seen
 
@@ -74,8 +77,8 @@
 @pytest.mark.parametrize(
     "head", [GET + b"X-A: ", GET + b"X-A: b\r\n" * 9, PUT + HOSTED + b"Content-Length: 60000000\r\n\r\n"]
 )
-def test_an_endless_head_and_a_huge_body_are_told_so_while_they_come(head: bytes) -> None:
-    """The error is read by a client that sends on for a while: no reset may overtake it."""
+def test_an_endless_head_or_a_huge_body_is_rejected_while_it_arrives(head: bytes) -> None:
+    """A client that goes on sending must be able to read the error: no reset may discard it."""
 
     async def main() -> None:
         async with world(Backend(0)) as made:
@@ -92,7 +95,7 @@
     run(main())
 
 
-def test_the_one_that_rests_longest_yields_and_a_first_request_is_never_closed_on() -> None:
+def test_the_longest_idle_connection_is_closed_for_a_new_one_but_never_before_its_first_request() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
@@ -100,10 +103,10 @@
             for number in range(6):
                 served.append(await made.wire(service))
                 served[-1].send(READ, headers(number))
-                assert (await served[-1].receive())[0] == 404  # each is taken, none is refused
+                assert (await served[-1].receive())[0] == 404  # each is accepted, none is refused
             assert await served[0].ended() and await served[1].ended() and await served[2].ended()
             assert service.counters.counts["connections_yielded"] == 3
-            silent = [await made.wire(service) for _ in range(9)]  # the kernel holds these: none was taken
+            silent = [await made.wire(service) for _ in range(9)]  # deferred by the kernel: none was accepted
             last = await made.wire(service)
             last.send(READ, headers(9))
             assert (await last.receive())[0] == 404 and len(silent) == 9
@@ -111,15 +114,15 @@
     run(main())
 
 
-def test_a_connection_at_rest_is_not_closed_on_the_request_that_waits_unread_in_the_kernel() -> None:
+def test_an_idle_connection_with_an_unread_request_is_not_closed() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
             wire = await made.wire(service)
             wire.send(READ, headers(1))
             assert (await wire.receive())[0] == 404
-            kernel = wire.writer.get_extra_info("socket")
-            os.write(kernel.fileno(), wire.head(READ, headers(2)))  # sent, and the head's loop had no turn yet
+            client_socket = wire.writer.get_extra_info("socket")
+            os.write(client_socket.fileno(), wire.head(READ, headers(2)))  # sent, but not read by the head's loop yet
             service.front.close_idle()
             service.front._close_idlest(1)
             for connection in list(service.front.idle):
@@ -129,14 +132,14 @@
             await until(lambda: len(service.front.idle) == 1)
             connection = next(iter(service.front.idle))
             assert connection.transport is not None
-            connection.transport.abort()  # it has closed, and its end is not told yet
+            connection.transport.abort()  # closed, but `connection_lost` was not called yet
             service.front.close_idle()
             assert await wire.ended()
 
     run(main())
 
 
-def test_a_connection_is_not_closed_on_a_request_whose_handler_does_not_run_yet() -> None:
+def test_a_connection_is_not_closed_before_the_handler_of_a_parsed_request_runs() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
@@ -154,7 +157,7 @@
     run(main())
 
 
-def test_who_asks_again_and_again_keeps_its_connection_when_many_rest() -> None:
+def test_a_connection_with_several_requests_is_kept_when_many_are_idle() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, number = await made.head(), itertools.count(1)
@@ -163,7 +166,7 @@
             for wire in [wires[0], wires[0], wires[1], wires[1], wires[2]]:
                 wire.send(READ, headers(next(number)))
                 assert (await wire.receive())[0] == 404
-            await asyncio.sleep(0.06)  # all rest long enough to yield
+            await asyncio.sleep(0.06)  # all are idle long enough to be closed
             wires[0].send(READ, headers(next(number)))
             assert (await wires[0].receive())[0] == 404 and await wires[2].ended()
             await until(lambda: len(service.front.idle) == 2)
@@ -171,21 +174,21 @@
     run(main())
 
 
-def test_who_asked_once_and_stays_yields_while_others_ask_on() -> None:
+def test_idle_connections_with_a_single_request_are_closed_while_others_are_used() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
-            service.front.max_idle, often, number = 3, await made.wire(service), 0
-            stay = []
+            service.front.max_idle, reused, number = 3, await made.wire(service), 0
+            used_once = []
             for _ in range(8):
-                stay.append(await made.wire(service))
-                for one in (stay[-1], often):
+                used_once.append(await made.wire(service))
+                for wire in (used_once[-1], reused):
                     number += 1
-                    one.send(READ, headers(number))
-                    assert (await one.receive())[0] == 404
-                await asyncio.sleep(0.06)  # it rests long enough to yield
+                    wire.send(READ, headers(number))
+                    assert (await wire.receive())[0] == 404
+                await asyncio.sleep(0.06)  # idle long enough to be closed
             await until(lambda: len(service.front.server.connections) <= 5)
             assert service.counters.counts["connections_yielded"] >= 5
-            assert all([await one.ended() for one in stay[:4]])
+            assert all([await wire.ended() for wire in used_once[:4]])
 
     run(main())
--- a/tests/test_net_clock.py
+++ b/tests/test_net_clock.py
@@ -1,4 +1,4 @@
-"""The one clock: its timers."""
+"""Timers of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_a_timer_never_fires_early() -> None:
-    class Hasty:
+    class EarlyLoop:
         """A loop whose timers fire at once."""
 
         def __init__(self) -> None:
@@ -24,8 +24,8 @@
             return Mock()
 
     async def main() -> None:
-        loop, fired = Hasty(), list[int]()
-        due = now_us() + 200_000  # longer than a busy machine keeps this loop from its turn
+        loop, fired = EarlyLoop(), list[int]()
+        due = now_us() + 200_000  # longer than a busy machine delays this loop
         LoopClock(cast(asyncio.AbstractEventLoop, loop)).call_at(due, lambda: fired.append(now_us()))
         await until(lambda: bool(fired))
         assert fired[0] >= due and len(loop.delays) > 1 and loop.delays == sorted(loop.delays, reverse=True)
--- a/tests/test_net_connects.py
+++ b/tests/test_net_connects.py
@@ -1,4 +1,4 @@
-"""Connects to bricks: which are opened, who gets them, what a late one costs; the decider alone at the end."""
+"""Connects to backends: when they are started and hedged, and which request gets them; last the decisions alone."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def late(monkeypatch: pytest.MonkeyPatch, connector: object, gate: asyncio.Event, which: set[int]) -> list[int]:
-    """Hold back the connects of these numbers until the gate opens; returns the numbers of those that began."""
+    """Delay the connects with these numbers until the gate opens; returns the list of the started ones' numbers."""
     create: Create = connector._create_connection  # type: ignore[attr-defined]
     begun = list[int]()
 
@@ -32,11 +32,11 @@
     return begun
 
 
-def test_another_connect_goes_beside_a_late_one_which_stays_as_a_spare(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_late_connect_is_hedged_and_still_used_afterwards(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
-            service.backends.pool.connect_timeout_s = 30.0  # whatever else the machine does, no limit cuts the wait
+            service.backends.pool.connect_timeout_s = 30.0  # no time-out ends the wait, even on a busy machine
             begun = late(monkeypatch, service.backends.connector, gate, {0})
             wire = await made.wire(service)
             wire.send(READ, headers(X_Remaining_Ms="20000"))
@@ -44,26 +44,26 @@
             gate.set()
             opened = len(begun)
             await until(lambda: backend.connections == opened)
-            both = held_by(stop := asyncio.Event())
-            backend.behave = both
+            hold_answers = held_by(stop := asyncio.Event())
+            backend.behave = hold_answers
             second = await made.wire(service)
             wire.send(READ, headers(1, X_Remaining_Ms="20000"))
             second.send(READ, headers(2, X_Remaining_Ms="20000"))
             await until(lambda: len(backend.seen) == 3)
-            assert len(begun) == opened  # the late one serves the second
+            assert len(begun) == opened  # the late connect serves the second request
             stop.set()
-            assert [(await one.receive())[0] for one in (wire, second)] == [404, 404]
+            assert [(await client.receive())[0] for client in (wire, second)] == [404, 404]
             assert len(backend.seen) == 3 and service.counters.counts["attempts_connect_failed"] == 0
 
     run(main())
 
 
-def test_who_waits_for_a_late_connect_gets_the_connection_that_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_waiting_for_a_late_connect_gets_a_released_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
             service.backends.pool.connect_timeout_s = 30.0
-            service.backends.pool.estimate.hedge_credit = -1000.0  # none beside
+            service.backends.pool.estimate.hedge_credit = -1000.0  # no hedges
             begun = late(monkeypatch, service.backends.connector, gate, {1})
             backend.behave = held_by(answers := asyncio.Event())
             first, second = await made.wire(service), await made.wire(service)
@@ -72,14 +72,14 @@
             second.send(READ, headers(2, X_Remaining_Ms="20000"))
             await until(lambda: len(begun) == 2)
             answers.set()
-            assert [(await one.receive())[0] for one in (first, second)] == [404, 404]
+            assert [(await client.receive())[0] for client in (first, second)] == [404, 404]
             assert len(begun) == 2 and not gate.is_set() and backend.connections == 1
             gate.set()
 
     run(main())
 
 
-def test_what_a_client_that_left_had_opened_serves_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connect_of_a_departed_client_serves_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
@@ -102,28 +102,33 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["ask", "up", "failed", "late", "gone"]), st.integers(0, 9)), max_size=60))
 def test_connects_stay_within_their_bounds(steps: list[tuple[str, int]]) -> None:
-    usual, now, waiting, held, own, beside = ConnectTimeEstimate(0.25), 0.0, 0, 0, 0, 0
-    connects = ConnectionAttempts(usual)
-    for name, lot in steps:
+    estimate, now, waiting, connected, started_count, hedge_count = ConnectTimeEstimate(0.25), 0.0, 0, 0, 0, 0
+    connects = ConnectionAttempts(estimate)
+    for name, choice in steps:
         now += 0.001
-        out = list(connects.started_at)
+        in_progress = list(connects.started_at)
         if name == "ask":
             waiting += 1
         elif name == "gone":
             waiting = max(0, waiting - 1)
         elif name == "late":
-            now += usual.late_after_s * lot / 5
-        elif out:
-            connects.finish(out[lot % len(out)], now, name == "up")
+            now += estimate.late_after_s * choice / 5
+        elif in_progress:
+            connects.finish(in_progress[choice % len(in_progress)], now, name == "up")
             waiting = max(0, waiting - 1)
-            held += name == "up"
+            connected += name == "up"
         before = len(connects.started_at)
-        begun = connects.start_needed(now, waiting, held, 6)
-        own, beside = own + sum(not one for _, one in begun), beside + sum(one for _, one in begun)
-        assert len(connects.started_at) >= waiting and beside <= HEDGE_BURST + own / 2
-        if any(one for _, one in begun):
-            assert len(connects.started_at) <= waiting + MAX_HEDGED_CONNECTS and held + len(connects.started_at) <= 6
-        assert waiting or len(connects.started_at) == before  # nothing goes out for nobody
-        assert 0.01 <= usual.late_after_s <= 0.25 / 3
-        due = connects.next_late_at(now)
-        assert due is None or due > now
+        started = connects.start_needed(now, waiting, connected, 6)
+        started_count, hedge_count = (
+            started_count + sum(not is_hedge for _, is_hedge in started),
+            hedge_count + sum(is_hedge for _, is_hedge in started),
+        )
+        assert len(connects.started_at) >= waiting and hedge_count <= HEDGE_BURST + started_count / 2
+        if any(is_hedge for _, is_hedge in started):
+            assert (
+                len(connects.started_at) <= waiting + MAX_HEDGED_CONNECTS and connected + len(connects.started_at) <= 6
+            )
+        assert waiting or len(connects.started_at) == before  # no connect without a waiting request
+        assert 0.01 <= estimate.late_after_s <= 0.25 / 3
+        late_at = connects.next_late_at(now)
+        assert late_at is None or late_at > now
