--- a/tests/connection_wire.py
+++ b/tests/connection_wire.py
@@ -1,4 +1,4 @@
-"""A server's connection with a transport that keeps what is written, and an application that answers when it is let."""
+"""A server connection on a transport that records what is written, and an application that answers on command."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Pipe(asyncio.Transport):
-    """A transport that keeps what is written to it."""
+    """A transport that records what is written to it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -30,7 +30,7 @@
         self.unsent = 0
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        assert not self.closed and not self.eof, "nothing is written behind the close"
+        assert not self.closed and not self.eof, "nothing is written after the close"
         self.written += data
 
     def write_eof(self) -> None:
@@ -56,20 +56,20 @@
 
 
 class Wire:
-    """A connection, its transport, and an application that answers in three pieces when it is let."""
+    """A connection, its transport, and an application that answers in three pieces; `held` delays all but the first."""
 
     def __init__(self) -> None:
         self.begun: list[str] = []
         self.gone: list[str] = []
         self.bodies: list[bytes] = []
-        self.fields: list[list[tuple[bytes, bytes]]] = []  # of each request, once its body was read
+        self.fields: list[list[tuple[bytes, bytes]]] = []  # the headers of each request whose body was read
         self.go_on: dict[str, asyncio.Event] = {}
         self.held = False
         self.pipe = Pipe()
         self.connection: ServerConnection | None = None
 
     async def app(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Read a request whole, then answer with its path; `/unread` begins its answer without its body."""
+        """Read a request completely, then answer it; `/unread` is answered without reading its body."""
         path = scope["path"]
         if path == "/unread":
             await self._answer(path, send)
@@ -99,7 +99,7 @@
         await send({"type": "http.response.body", "body": b"end"})
 
     async def feed(self, data: bytes) -> None:
-        """Let bytes come, and all that follows from them."""
+        """Pass received bytes to the connection, and let the event loop process them."""
         assert self.connection is not None
         if data and not self.pipe.closed:
             self.connection.data_received(data)
@@ -114,27 +114,27 @@
         return pipe
 
     def statuses(self) -> list[int]:
-        """Read what was written as whole answers; anything else fails."""
-        found, rest = [], bytes(self.pipe.written)
+        """Return the statuses of the written answers; fails if the bytes are not a sequence of complete answers."""
+        statuses, rest = [], bytes(self.pipe.written)
         while rest:
             head, end, rest = rest.partition(b"\r\n\r\n")
-            assert head.startswith(b"HTTP/1.1 ") and end, f"no answer begins with {head[:60]!r}"
-            lines = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
-            length = int(lines[b"content-length"])
-            assert len(rest) >= length, "an answer lacks its end"
-            found.append(int(head.split()[1]))
+            assert head.startswith(b"HTTP/1.1 ") and end, f"not the beginning of an answer: {head[:60]!r}"
+            fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
+            length = int(fields[b"content-length"])
+            assert len(rest) >= length, "an answer is truncated"
+            statuses.append(int(head.split()[1]))
             rest = rest[length:]
-        return found
+        return statuses
 
 
 async def settle() -> None:
-    """Let all go on that can."""
+    """Run 20 event-loop iterations, so that all tasks that can proceed do so."""
     for _ in range(20):
         await asyncio.sleep(0)
 
 
 def played(play: Play) -> None:
-    """Play something on a connection."""
+    """Run a scenario on a new connection, and check that the server is left without tasks and connections."""
 
     async def run() -> None:
         wire = Wire()
@@ -154,6 +154,6 @@
 
 
 def cuts(data: bytes) -> Iterator[tuple[bytes, bytes]]:
-    """Tell all ways to cut bytes into two pieces."""
-    for at in range(len(data) + 1):
-        yield data[:at], data[at:]
+    """Yield all ways to split bytes into two pieces."""
+    for index in range(len(data) + 1):
+        yield data[:index], data[index:]
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -1,4 +1,4 @@
-"""Follower and publisher over a link that loses, cuts, duplicates and reorders; also by random steps."""
+"""Follower and publisher over a link that loses, duplicates and reorders frames and breaks; also by random steps."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     link.push(snapshot((1, 1), GOOD))
     link.deliver()
     link.push(snapshot((1, 2), [*GOOD[:3], Limit(Scope("new"), 7.0)]))
-    link.in_transit.popleft()  # its records are lost, the version comes
+    link.in_transit.popleft()  # its records are lost, the version arrives
     link.deliver()
     assert link.head.state is FollowerState.RECEIVED and link.head.active_name == "1.1"
     link.wait(RECORDS_TIMEOUT_US + 2 * S)
@@ -101,15 +101,15 @@
     link = StreamLink()
     link.push(snapshot((1, 1), GOOD))
     link.deliver()
-    link.is_reachable, since = False, link.now
+    link.is_reachable, started_at = False, link.now
     link.wait(5 * S)
     assert link.head.is_connected
     link.wait(2 * S)  # six seconds without a heartbeat
     assert not link.head.is_connected and any("silent for 6 s" in text for text in link.log)
     link.wait(120 * S)
     assert link.head.reconnect.index in (0, 1) and link.head.counters["failovers"] > 5
-    max_connects = (link.now - since) // CONNECT_TIMEOUT_US + 1
-    min_connects = (link.now - since) // (CONNECT_TIMEOUT_US + MAX_BACKOFF_US * 3 // 2) - 1
+    max_connects = (link.now - started_at) // CONNECT_TIMEOUT_US + 1
+    min_connects = (link.now - started_at) // (CONNECT_TIMEOUT_US + MAX_BACKOFF_US * 3 // 2) - 1
     assert min_connects <= link.connect_count <= max_connects
     assert link.head.status(link.now)["stale"] and link.head.active_name == "1.1"
     link.is_reachable = True
@@ -118,7 +118,7 @@
 
 
 def test_backoff_grows_when_streams_end_as_soon_as_they_are_open() -> None:
-    link = StreamLink()  # as when another head of this name replaces it each time
+    link = StreamLink()  # as if another head of the same name replaced this one each time
     for _ in range(100):
         link.deliver()
         link.cut()
@@ -153,9 +153,9 @@
 def test_only_complete_valid_versions_run_and_the_last_one_wins(steps: list[tuple[str, Any]]) -> None:
     link, pushed = StreamLink(), {}
     newest: Snapshot | None = None
-    for at, (step, value) in enumerate(steps):
+    for index, (step, value) in enumerate(steps):
         if step == "push":
-            newest = snapshot((1, at + 1), value, newest)
+            newest = snapshot((1, index + 1), value, newest)
             pushed[newest.id] = {record.key: record for record in value}
             link.push(newest)
         elif step == "deliver":
@@ -170,7 +170,7 @@
             link.in_transit.append(link.in_transit[0])
         elif len(link.in_transit) > 1:
             link.in_transit.rotate(1)
-        assert link.applied == sorted(set(link.applied))  # forward only, each once
+        assert link.applied == sorted(set(link.applied))  # versions only increase, each is applied once
         for version_id in link.applied:
             assert not validate(pushed[version_id], pushed[version_id], FACTS)
         if link.applied:
@@ -179,7 +179,7 @@
             assert {*table.pools} == {row.name for row in rows.values() if isinstance(row, Pool)}
             assert {limit.key for limit in table.limits} == {key for key in rows if key.startswith("limit/")}
     link.cut()
-    link.wait(60 * S)  # the link is healthy again: the head ends with the newest version, or with a reason against it
+    link.wait(60 * S)  # the link works again: the head applies the newest version, or has a reason to reject it
     if newest is not None:
         rows = pushed[newest.id]
         if validate(rows, rows, FACTS):
--- a/tests/test_discovery_stream.py
+++ b/tests/test_discovery_stream.py
@@ -1,4 +1,4 @@
-"""Follower and publisher of the discovery stream, without sockets: one version after another."""
+"""Follower and publisher of the discovery stream, without sockets: successive versions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     link.push(two)
     frames = [wire.decode_response(frame) for frame in link.in_transit]
     assert len(frames[0].resources) <= 1
-    assert [(len(one.resources), one.removed) for one in frames] == [(0, ("limit/t5/*/*",)), (1, ())]
+    assert [(len(response.resources), response.removed) for response in frames] == [(0, ("limit/t5/*/*",)), (1, ())]
     link.deliver()
     assert link.applied == [(1, 1), (1, 2)] and link.persist_count == 2
     assert link.events == [HeadSubscribed("n0", (0, 0)), VersionAcknowledged((1, 1)), VersionAcknowledged((1, 2))]
@@ -34,7 +34,7 @@
 
 def test_cached_deltas_are_keyed_by_version_not_by_object_identity() -> None:
     deltas = DeltaCache()
-    for number in range(1, 200):  # each snapshot is dropped at once, and the next one takes its place
+    for number in range(1, 200):  # each snapshot is freed at once, and the next may get its object identity
         frames = deltas.responses(None, snapshot((1, number), GOOD[: 1 + number % 5]))
         assert wire.decode_version(wire.decode_response(frames[-1]).resources[0].body).id == (1, number)
     encoded_count = deltas.encoded_count
@@ -65,7 +65,7 @@
         link.push(snapshot((1, 1), [BAD[0]]))
         link.wait(10 * S)
     assert link.publisher.sent_count == 1 and link.head.counters["turned_down"] == 1
-    link.cut()  # on a new stream it is offered once more, and turned down without another look
+    link.cut()  # on a new stream it is sent again, and rejected without another validation
     link.wait(20 * S)
     assert link.publisher.sent_count == 1 and link.head.counters["turned_down"] == 2
     assert sum("is rejected" in text for text in link.log) == 1
@@ -73,11 +73,11 @@
 
 def test_version_is_validated_against_each_head() -> None:
     other = HeadCapabilities(FACTS.zones | {"moon"}, FACTS.kinds, FACTS.classes, FACTS.plans, 3, True)
-    lines = [StreamLink(), StreamLink(Follower("n1", ["a:1"], other, 1, 6 * S, 60 * S))]
-    for link in lines:
+    links = [StreamLink(), StreamLink(Follower("n1", ["a:1"], other, 1, 6 * S, 60 * S))]
+    for link in links:
         link.push(snapshot((1, 1), [*GOOD, BAD[0]]))
         link.deliver()
-    assert [link.head.state for link in lines] == [FollowerState.REJECTED, FollowerState.IN_FORCE]
+    assert [link.head.state for link in links] == [FollowerState.REJECTED, FollowerState.IN_FORCE]
 
 
 def test_undecodable_record_rejects_only_its_version() -> None:
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of bricks through errors, restarts and silence."""
+"""Discovery: the list of backends during errors, restarts and missing answers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.test_net import READ
 
 
-def test_the_watch_is_chained_and_outlives_errors_and_restarts() -> None:
+def test_watches_are_chained_and_survive_errors_and_restarts() -> None:
     async def main() -> None:
         async with world(Backend(0), Backend(1)) as made:
             service, agent = await made.head(), made.agent
@@ -25,7 +25,7 @@
             await agent.tell(Target("s-0", moved.endpoint, "Ready", "hall-a", "std-1c", 0, 1.0, 1_700_000_000_000))
             await until(lambda: service.directory.endpoints.get("s-0") == moved.endpoint and "s-0" in phases)
             assert service.exchange.scheduler.nodes["s-0"].entry.started_us == 1_700_000_000_000_000
-            await agent.close()  # the agent goes and comes back
+            await agent.close()  # the agent stops and starts again
             await until(lambda: service.counters.counts["discovery_errors"] > 0)
             assert phases["s-0"].value == "on"
             await agent.open()
@@ -35,7 +35,7 @@
     run(main())
 
 
-def test_a_head_that_has_a_list_asks_for_what_changed_since_and_for_all_where_the_count_is_another(
+def test_a_head_with_a_list_requests_its_changes_and_a_complete_list_after_a_lower_version(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("hophinge.net.discovery_pacer.PUSHED_WATCH_S", 0.1)
@@ -48,7 +48,7 @@
             await agent.tell(made.backends[1].target())
             await until(lambda: "s-1" in service.exchange.phases)
             assert not any(path == "/v1/servers" for path in agent.asked)
-            agent.rev, agent.changes = 0, []  # another agent, whose count is lower
+            agent.rev, agent.changes = 0, []  # another agent, with a lower version
             del agent.targets["s-1"]
             await until(lambda: "/v1/servers" in agent.asked and "s-1" not in service.exchange.phases)
             assert "s-0" in service.exchange.phases
@@ -56,20 +56,20 @@
     run(main())
 
 
-def test_a_trouble_of_discovery_is_logged_once_and_its_list_stays_in_force(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_discovery_fault_is_logged_once_and_the_list_stays_in_effect(capsys: pytest.CaptureFixture[str]) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             agent, counts = made.agent, (service := await made.head()).counters.counts
             await until(lambda: agent.watching == 1)
             agent.away = "0"
-            await agent.tell(made.backends[0].target())  # ends the watch; the next ones are turned away
+            await agent.tell(made.backends[0].target())  # ends the watch; the next ones are rejected
             await until(lambda: counts["discovery_errors"] >= 3)
             assert service.exchange.phases["s-0"].value == "on"
             agent.away, answers = "", counts["discovery_answers"]
             await until(lambda: agent.watching == 1)
             await agent.tell(made.backends[0].target())
             await until(lambda: counts["discovery_answers"] > answers and agent.watching == 1)
-            agent.targets = {"s-9": Target("s-9", "nowhere", "Ready")}  # a whole list of nothing sound
+            agent.targets = {"s-9": Target("s-9", "nowhere", "Ready")}  # a complete list without a valid entry
             service.discovery.rev = None
             await agent.tell(Target("s-9", "nowhere", "Ready"))
             await until(lambda: counts["discovery_errors"] >= 5)
@@ -84,7 +84,7 @@
     ]
 
 
-def test_a_head_starts_from_its_saved_list_while_discovery_is_silent() -> None:
+def test_a_head_starts_from_its_saved_list_while_discovery_does_not_answer() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             made.agent.silent = True
--- a/tests/test_net_end.py
+++ b/tests/test_net_end.py
@@ -1,4 +1,4 @@
-"""The end of a head: who is still served, and which connections close when."""
+"""Shutdown of a head: which requests are still served, and when connections close."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from tests.test_net import READ
 
 
-def test_after_the_signal_new_connections_are_still_taken_and_kept_ones_served_until_little_time_is_left() -> None:
+def test_during_a_shutdown_new_and_open_connections_are_served_until_little_time_is_left() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
 
             backend.behave = held_by(gate)
-            wire, kept = await made.wire(service), await made.wire(service)
+            wire, reused = await made.wire(service), await made.wire(service)
             wire.send(READ, headers(1, X_Remaining_Ms="3000"))
             await until(lambda: len(backend.seen) == 1)
             ending = asyncio.create_task(service.shut_down())
             await until(lambda: service.front.final_drain is not None)
             backend.behave = None
             late = await made.wire(service)
-            for number, one in ((2, kept), (3, late)):
-                one.send(READ, headers(number))
-                status, fields, _ = await one.receive()
+            for number, client in ((2, reused), (3, late)):
+                client.send(READ, headers(number))
+                status, fields, _ = await client.receive()
                 assert status == 404 and "connection" not in fields
             gate.set()
             assert (await wire.receive())[0] == 404
             await until(lambda: service.listeners[0].socket.fileno() < 0)
-            kept.send(READ, headers(4, X_Remaining_Ms="30000"))
-            assert (await kept.receive())[0] == 404  # after the listener has closed, and in the time that is left
+            reused.send(READ, headers(4, X_Remaining_Ms="30000"))
+            assert (await reused.receive())[0] == 404  # after the listener has closed, within the remaining time
             assert int(backend.headers[-1]["X-Remaining-Ms"]) < 3700
             await until(lambda: service.front.is_draining)
-            assert await kept.ended() and await late.ended() and await wire.ended()
+            assert await reused.ended() and await late.ended() and await wire.ended()
             await ending
             made.services.remove(service)
             assert service.counters.counts["requests_absent"] == 4
@@ -40,7 +40,7 @@
     run(main())
 
 
-def test_a_kept_connection_closes_while_an_earlier_request_is_still_served() -> None:
+def test_an_idle_connection_closes_while_a_request_on_another_is_still_served() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, gate = await made.head(), asyncio.Event()
@@ -52,7 +52,7 @@
             wire.send(READ, headers(1, X_Remaining_Ms="20000"))
             await until(lambda: len(made.backends[0].seen) == 1)
             ending = asyncio.create_task(service.shut_down())
-            assert await idle.ended() and service.exchange.unanswered == 1  # long before it is answered
+            assert await idle.ended() and service.exchange.unanswered == 1  # long before the other request is answered
             gate.set()
             assert (await wire.receive())[0] == 404 and await wire.ended()
             await ending
@@ -61,7 +61,7 @@
     run(main())
 
 
-def test_at_an_upgrade_s_end_connections_close_one_by_one_the_least_used_first() -> None:
+def test_only_the_longest_idle_connection_closes_at_a_time() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
@@ -71,7 +71,7 @@
                 assert (await wire.receive())[0] == 404
             await until(lambda: len(service.front.idle) == 3)
             service.front.close_longest_idle(60.0)
-            assert len(service.front.idle) == 3  # none has rested for so long
+            assert len(service.front.idle) == 3  # none has been idle for that long
             service.front.close_longest_idle(0.0)
             assert await wires[1].ended()
             await until(lambda: len(service.front.idle) == 2)
--- a/tests/test_pipelined.py
+++ b/tests/test_pipelined.py
@@ -1,4 +1,4 @@
-"""Requests behind one another on a connection: each has its one answer in order, and none outlives its client."""
+"""Pipelined requests: each is answered once and in order, and none continues after its client has disconnected."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 def connections(service: Service) -> list[ClientConnection]:
-    return [one for one in service.front.server.connections if isinstance(one, ClientConnection)]
+    return [connection for connection in service.front.server.connections if isinstance(connection, ClientConnection)]
 
 
 def many(wire: Wire, first: int, number: int) -> bytes:
-    """Requests that are sent at once."""
-    return b"".join(wire.head(READ, headers(at, **LONG)) for at in range(first, first + number))
+    """Return the bytes of `number` pipelined requests."""
+    return b"".join(wire.head(READ, headers(index, **LONG)) for index in range(first, first + number))
 
 
 @pytest.mark.parametrize(("cut", "between"), [(0, 2), (1, 0), (2, 0), (3, 0), (3, 2)])
-def test_what_cannot_be_read_takes_no_answer_from_the_requests_before_it(cut: int, between: int) -> None:
-    """The first read ends inside the end of the first head, or with it."""
+def test_a_malformed_request_does_not_suppress_the_answers_before_it(cut: int, between: int) -> None:
+    """The first read ends within the last bytes of the first head, or after them."""
 
     async def main() -> None:
         async with world(Backend(0)) as made:
@@ -37,17 +37,19 @@
             wire = await made.wire(service)
             sent = many(wire, 1, 1)
             wire.writer.write(sent[: len(sent) - cut])
-            await until(lambda: sum(one.requests_read or one.partial_head_bytes for one in connections(service)) > 0)
+            await until(
+                lambda: sum(client.requests_read or client.partial_head_bytes for client in connections(service)) > 0
+            )
             wire.writer.write(sent[len(sent) - cut :] + many(wire, 2, between) + b"\0 noise\r\n\r\n")
-            got = [(await wire.receive())[0] for _ in range(between + 2)]
-            assert got == [404] * (between + 1) + [400] and await wire.ended()
+            statuses = [(await wire.receive())[0] for _ in range(between + 2)]
+            assert statuses == [404] * (between + 1) + [400] and await wire.ended()
             assert len(made.backends[0].seen) == between + 1
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    ("number", "held"),
+    ("number", "limit"),
     [
         (2, pipelined_connection.MAX_PIPELINED_EACH),
         (40, pipelined_connection.MAX_PIPELINED_EACH),
@@ -55,11 +57,11 @@
         (100, 999),
     ],
 )
-def test_a_close_behind_requests_that_wait_is_seen_and_none_of_them_is_sent_on(
-    number: int, held: int, monkeypatch: pytest.MonkeyPatch
+def test_a_close_behind_pipelined_requests_is_detected_and_none_of_them_is_forwarded(
+    number: int, limit: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also where it comes behind bytes that are not read, as their client has sent too many."""
-    monkeypatch.setattr(pipelined_connection, "MAX_PIPELINED_EACH", held)
+    """Also if bytes before the close are unread, as reading is paused because the client has sent too many."""
+    monkeypatch.setattr(pipelined_connection, "MAX_PIPELINED_EACH", limit)
 
     async def main() -> None:
         async with world(Backend(0)) as made:
@@ -69,10 +71,10 @@
             wire.writer.write(many(wire, 1, number))
             await until(lambda: len(backend.seen) == 1)
             (client,) = connections(service)
-            await until(lambda: len(client.pipelined) > held or client.pipelined.count(b"X-Txn") == number - 1)
-            assert client.is_throttled == (held == 999)
+            await until(lambda: len(client.pipelined) > limit or client.pipelined.count(b"X-Txn") == number - 1)
+            assert client.is_throttled == (limit == 999)
             wire.close()
-            # The first is still out, and stays so: nothing but the close can end this wait.
+            # The first request stays unanswered, so only the close can end this wait.
             await until(lambda: service.counters.counts["requests_departed"] == 1)
             gate.set()
             await until(lambda: not service.front.server.connections and not service.exchange.open)
@@ -81,37 +83,40 @@
     run(main())
 
 
-def test_all_that_came_at_once_is_answered_in_order_also_beyond_what_is_held() -> None:
+def test_pipelined_requests_are_answered_in_order_beyond_the_buffer_limit() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, backend = await made.head(), made.backends[0]
             wire = await made.wire(service)
-            bodies = [bytes([65 + at]) * 50_000 for at in range(8)]
-            for at, body in enumerate(bodies):
-                wire.send(WRITE, headers(2 * at, **LONG), "PUT", body)
-                wire.send(WRITE.replace("transfer-write", "record-read"), headers(2 * at + 1, **LONG))
-            got = [(await wire.receive())[::2] for _ in range(16)]
-            assert got == [one for body in bodies for one in ((200, b"ok"), (200, body))] and len(backend.seen) == 16
+            bodies = [bytes([65 + index]) * 50_000 for index in range(8)]
+            for index, body in enumerate(bodies):
+                wire.send(WRITE, headers(2 * index, **LONG), "PUT", body)
+                wire.send(WRITE.replace("transfer-write", "record-read"), headers(2 * index + 1, **LONG))
+            answers = [(await wire.receive())[::2] for _ in range(16)]
+            assert (
+                answers == [answer for body in bodies for answer in ((200, b"ok"), (200, body))]
+                and len(backend.seen) == 16
+            )
             await until(lambda: not service.front.pipelined_bytes.used)
 
     run(main())
 
 
-def test_requests_behind_one_that_there_is_no_room_for_are_told_so_too() -> None:
+def test_requests_pipelined_behind_a_rejected_one_are_rejected_too() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
             service.front.max_busy = 0
             wire = await made.wire(service)
             wire.writer.write(many(wire, 1, 3))
-            got = [await wire.receive() for _ in range(3)]
-            assert [status for status, _, _ in got] == [503] * 3 and await wire.ended()
-            assert [fields.get("connection") for _, fields, _ in got] == [None, None, "close"]
+            answers = [await wire.receive() for _ in range(3)]
+            assert [status for status, _, _ in answers] == [503] * 3 and await wire.ended()
+            assert [fields.get("connection") for _, fields, _ in answers] == [None, None, "close"]
 
     run(main())
 
 
-def test_requests_behind_a_malformed_one_whose_body_is_here_are_answered() -> None:
+def test_requests_behind_a_malformed_one_with_a_complete_body_are_answered() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
@@ -122,7 +127,7 @@
     run(main())
 
 
-def test_requests_behind_a_long_answer_are_answered_at_the_end() -> None:
+def test_requests_behind_a_long_answer_are_answered_while_draining() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, backend = await made.head(), made.backends[0]
@@ -130,14 +135,14 @@
             wire = await made.wire(service)
             service.front.is_draining = True
             wire.writer.write(many(wire, 1, 2))
-            got = [await wire.receive() for _ in range(2)]
-            assert [(status, len(body)) for status, _, body in got] == [(200, 300_000)] * 2
-            assert [fields.get("connection") for _, fields, _ in got] == [None, "close"] and await wire.ended()
+            answers = [await wire.receive() for _ in range(2)]
+            assert [(status, len(body)) for status, _, body in answers] == [(200, 300_000)] * 2
+            assert [fields.get("connection") for _, fields, _ in answers] == [None, "close"] and await wire.ended()
 
     run(main())
 
 
-def test_a_body_is_passed_on_as_it_came_whatever_it_is_said_to_be() -> None:
+def test_a_body_is_forwarded_unchanged_whatever_its_content_encoding() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
@@ -149,8 +154,8 @@
     run(main())
 
 
-def test_a_half_close_is_a_close_also_while_answers_wait_to_be_read() -> None:
-    """Whether a client closes or ends its sending looks the same, and the protocol knows only the close."""
+def test_a_half_close_counts_as_a_close_even_while_answers_are_unread() -> None:
+    """A close and a shutdown of the sending side look the same to the head; the protocol only has the close."""
 
     async def main() -> None:
         async with world(Backend(0)) as made:
@@ -162,7 +167,7 @@
             backend.behave = held_by(gate)
             wire.writer.write(many(wire, 2, 1))
             await until(lambda: len(backend.seen) == 2)
-            # What was answered before lies unread: the transport ends only once it is written out.
+            # Earlier answers are unread: the transport closes only once they have been written.
             cast(asyncio.Transport, wire.writer.transport).pause_reading()
             assert client.transport is not None
             while client.transport.get_write_buffer_size() == 0:
@@ -174,7 +179,7 @@
     run(main())
 
 
-def test_a_head_whose_rest_waits_in_the_kernel_is_not_cut_off_by_its_timer() -> None:
+def test_a_head_whose_last_bytes_are_unread_does_not_time_out() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
@@ -184,7 +189,7 @@
             wire.writer.write(many(wire, 2, 1)[:-2])
             (client,) = connections(service)
             await until(lambda: client.partial_head_bytes > 0)
-            os.write(wire.writer.get_extra_info("socket").fileno(), b"\r\n")  # and the head's loop had no turn yet
+            os.write(wire.writer.get_extra_info("socket").fileno(), b"\r\n")  # not read by the head's loop yet
             client._next_keepalive_close_time = 0.0
             client._process_keepalive()
             assert (await wire.receive())[0] == 404
@@ -192,7 +197,7 @@
     run(main())
 
 
-def test_an_empty_line_is_no_request_and_its_connection_rests_on() -> None:
+def test_an_empty_line_is_not_a_request_and_its_connection_stays_idle() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
@@ -209,7 +214,7 @@
 
 
 @pytest.mark.parametrize(("ago_s", "status"), [(0.3, 404), (1.0, 503)])
-def test_the_wait_behind_others_is_gone_from_a_request_s_time(ago_s: float, status: int) -> None:
+def test_the_wait_behind_other_requests_is_deducted_from_the_remaining_time(ago_s: float, status: int) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service, backend, gate = await made.head(), made.backends[0], asyncio.Event()
@@ -220,7 +225,7 @@
             wire.send(READ, headers(2))
             (client,) = connections(service)
             await until(lambda: bool(client.arrivals))
-            client.arrivals = deque((size, when - ago_s) for size, when in client.arrivals)
+            client.arrivals = deque((size, arrived_at - ago_s) for size, arrived_at in client.arrivals)
             gate.set()
             assert [(await wire.receive())[0] for _ in range(2)] == [404, status]
             assert len(backend.seen) == 1 + (status == 404)
@@ -229,13 +234,13 @@
     run(main())
 
 
-def test_a_body_that_cannot_be_read_is_told_so_at_once() -> None:
+def test_a_malformed_body_is_rejected_at_once() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             wire = await made.wire(await made.head())
             head = wire.head(WRITE, {**headers(), "Transfer-Encoding": "chunked"}, "PUT")
             wire.writer.write(head + b"4\r\nbody\r\nzz\r\n")
-            assert (await wire.receive())[0] == 400 and await wire.ended()  # 408 where its rest is waited for
+            assert (await wire.receive())[0] == 400 and await wire.ended()  # 408 if the head waited for more of it
             assert not made.backends[0].seen
 
     run(main())
