--- a/tests/test_net_connects.py
+++ b/tests/test_net_connects.py
@@ -18,18 +18,18 @@
 
 
 def late(monkeypatch: pytest.MonkeyPatch, connector: object, gate: asyncio.Event, which: set[int]) -> list[int]:
-    """Delay the connects with these numbers until the gate opens; returns the list of the started ones' numbers."""
+    """Delay the connects with these numbers until the gate opens; returns the numbers of all started ones."""
     create: Create = connector._create_connection  # type: ignore[attr-defined]
-    begun = list[int]()
+    started = list[int]()
 
     async def slow(*parts: object) -> object:
-        begun.append(number := len(begun))
+        started.append(number := len(started))
         if number in which:
             await gate.wait()
         return await create(*parts)
 
     monkeypatch.setattr(connector, "_create_connection", slow)
-    return begun
+    return started
 
 
 def test_a_late_connect_is_hedged_and_still_used_afterwards(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -37,12 +37,12 @@
         async with world(Backend(0)) as made:
             service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
             service.backends.pool.connect_timeout_s = 30.0  # no time-out ends the wait, even on a busy machine
-            begun = late(monkeypatch, service.backends.connector, gate, {0})
+            started = late(monkeypatch, service.backends.connector, gate, {0})
             wire = await made.wire(service)
             wire.send(READ, headers(X_Remaining_Ms="20000"))
-            assert (await wire.receive())[0] == 404 and len(begun) >= 2
+            assert (await wire.receive())[0] == 404 and len(started) >= 2
             gate.set()
-            opened = len(begun)
+            opened = len(started)
             await until(lambda: backend.connections == opened)
             hold_answers = held_by(stop := asyncio.Event())
             backend.behave = hold_answers
@@ -50,7 +50,7 @@
             wire.send(READ, headers(1, X_Remaining_Ms="20000"))
             second.send(READ, headers(2, X_Remaining_Ms="20000"))
             await until(lambda: len(backend.seen) == 3)
-            assert len(begun) == opened  # the late connect serves the second request
+            assert len(started) == opened  # the late connect serves the second request
             stop.set()
             assert [(await client.receive())[0] for client in (wire, second)] == [404, 404]
             assert len(backend.seen) == 3 and service.counters.counts["attempts_connect_failed"] == 0
@@ -64,16 +64,16 @@
             service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
             service.backends.pool.connect_timeout_s = 30.0
             service.backends.pool.estimate.hedge_credit = -1000.0  # no hedges
-            begun = late(monkeypatch, service.backends.connector, gate, {1})
+            started = late(monkeypatch, service.backends.connector, gate, {1})
             backend.behave = held_by(answers := asyncio.Event())
             first, second = await made.wire(service), await made.wire(service)
             first.send(READ, headers(1, X_Remaining_Ms="20000"))
             await until(lambda: len(backend.seen) == 1)
             second.send(READ, headers(2, X_Remaining_Ms="20000"))
-            await until(lambda: len(begun) == 2)
+            await until(lambda: len(started) == 2)
             answers.set()
             assert [(await client.receive())[0] for client in (first, second)] == [404, 404]
-            assert len(begun) == 2 and not gate.is_set() and backend.connections == 1
+            assert len(started) == 2 and not gate.is_set() and backend.connections == 1
             gate.set()
 
     run(main())
@@ -85,24 +85,24 @@
             service, gate, backend = await made.head(), asyncio.Event(), made.backends[0]
             service.backends.pool.connect_timeout_s = 30.0
             service.backends.pool.estimate.hedge_credit = -1000.0
-            begun = late(monkeypatch, service.backends.connector, gate, {0})
+            started = late(monkeypatch, service.backends.connector, gate, {0})
             leaving, staying = await made.wire(service), await made.wire(service)
             leaving.send(READ, headers(1, X_Remaining_Ms="20000"))
-            await until(lambda: len(begun) == 1)
+            await until(lambda: len(started) == 1)
             leaving.close()
             await until(lambda: service.counters.counts["requests_departed"] == 1)
             gate.set()
             await until(lambda: backend.connections == 1)
             staying.send(READ, headers(2, X_Remaining_Ms="20000"))
             assert (await staying.receive())[0] == 404
-            assert len(begun) == 1 and len(backend.seen) == 1
+            assert len(started) == 1 and len(backend.seen) == 1
 
     run(main())
 
 
 @given(st.lists(st.tuples(st.sampled_from(["ask", "up", "failed", "late", "gone"]), st.integers(0, 9)), max_size=60))
 def test_connects_stay_within_their_bounds(steps: list[tuple[str, int]]) -> None:
-    estimate, now, waiting, connected, started_count, hedge_count = ConnectTimeEstimate(0.25), 0.0, 0, 0, 0, 0
+    estimate, now, waiting, connected, regular_count, hedge_count = ConnectTimeEstimate(0.25), 0.0, 0, 0, 0, 0
     connects = ConnectionAttempts(estimate)
     for name, choice in steps:
         now += 0.001
@@ -119,11 +119,11 @@
             connected += name == "up"
         before = len(connects.started_at)
         started = connects.start_needed(now, waiting, connected, 6)
-        started_count, hedge_count = (
-            started_count + sum(not is_hedge for _, is_hedge in started),
+        regular_count, hedge_count = (
+            regular_count + sum(not is_hedge for _, is_hedge in started),
             hedge_count + sum(is_hedge for _, is_hedge in started),
         )
-        assert len(connects.started_at) >= waiting and hedge_count <= HEDGE_BURST + started_count / 2
+        assert len(connects.started_at) >= waiting and hedge_count <= HEDGE_BURST + regular_count / 2
         if any(is_hedge for _, is_hedge in started):
             assert (
                 len(connects.started_at) <= waiting + MAX_HEDGED_CONNECTS and connected + len(connects.started_at) <= 6
