--- a/hophinge/fleet/dataplane/abort_log.py
+++ b/hophinge/fleet/dataplane/abort_log.py
@@ -1,4 +1,4 @@
-"""The log of aborted responses: collects what the data plane knows at that moment."""
+"""Logs and counts aborted responses, with what the data plane knows about each at that moment."""
 
 from __future__ import annotations
 
--- a/hophinge/fleet/dataplane/client.py
+++ b/hophinge/fleet/dataplane/client.py
@@ -10,21 +10,21 @@
 
 
 async def run_until_disconnect(work: asyncio.Task[None], receive: Receive, is_answered: Callable[[], bool]) -> bool:
-    """Wait for the work on a request, and cancel it where its client disconnects.
+    """Wait for the work on a request, and cancel it if its client disconnects.
 
-    The server reports a complete response in the same way as a disconnect: nothing more is to come. The work then has
+    The server reports a complete response in the same way as a disconnect. After a complete response the work still has
     some cleanup to do, which is not cancelled.
 
     Args:
         work: The work on the request.
         receive: The ASGI channel that reports the disconnect.
-        is_answered: Whether the response is complete.
+        is_answered: Returns whether the response is complete.
 
     Returns:
-        Whether the work was completed.
+        Whether the work was completed; False if it was cancelled.
 
     Raises:
-        Exception: What the work raises.
+        Exception: Any exception of the work.
 
     """
     watching = asyncio.get_running_loop().create_task(receive())
--- a/hophinge/fleet/dataplane/cluster_state.py
+++ b/hophinge/fleet/dataplane/cluster_state.py
@@ -1,4 +1,4 @@
-"""A data plane's replicated view of the fleet: routes, instances and its lease, received through dissemination."""
+"""A data plane's replicated view of the fleet: routes and instances, received through dissemination, and its lease."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 MILLISECONDS = 1_000
 CLUSTER_STATE_TICK_S = 0.25
 DIGEST_INTERVAL_S = 1.5  # between comparisons of digests with another data plane
-APPLY_RETRY_INTERVAL_S = 1.0  # between attempts to apply the records that could not be applied
+APPLY_RETRY_INTERVAL_S = 1.0  # between attempts to apply records that could not be applied
 STABILIZATION_S = 0.4  # after the first lease, for records that differ to arrive
 InstanceListener = Callable[[str, Instance | None], None]
 RecordListener = Callable[[str, GossipRecord], None]  # the key without its prefix, and the record
@@ -63,26 +63,29 @@
         self.first_granted_at: float | None = None
         self.first_connected_at: float | None = None  # when a granter in contact with a majority granted the lease
         self.last_digest_at = self.loop.time()
-        self.unapplied: dict[str, GossipRecord] = {}  # by key: stored and passed on, but not in force here
+        self.unapplied: dict[str, GossipRecord] = {}  # by key: stored and forwarded, but not applied here
         self.last_apply_retry_at = self.loop.time()
 
     def listen(self, prefix: str, listener: RecordListener) -> None:
-        """Have a listener called with each new record whose key begins with a prefix."""
+        """Call a listener with each new record whose key begins with a prefix."""
         self.listeners[prefix] = listener
 
     @property
     def is_ready(self) -> bool:
-        """Whether routes and instances are known well enough to serve."""
+        """Whether the known routes and instances are complete enough to serve."""
         is_stable = self.first_granted_at is not None and self.loop.time() - self.first_granted_at >= STABILIZATION_S
         return self.route_table is not None and is_stable
 
     def head_count(self, now: float) -> int:
-        """Return the largest number of heads known at once; 0 while those that started with this one may be missing."""
+        """Return the largest number of heads known at once; 0 while heads that started with this one may be missing."""
         is_known = self.first_granted_at is not None and now - self.first_granted_at >= LEASE_DURATION_S
         return self.renewal.max_holder_count if is_known else 0
 
     def connected_head_count(self, now: float) -> int:
-        """Return the largest number of heads known; 0 while only a side of a cut may be known, or a start."""
+        """Return the largest number of heads known at once, as far as a granter in contact with a majority counts them.
+
+        It is 0 until then: heads on the other side of a partition, or heads that just started, may be missing.
+        """
         since = self.first_connected_at
         return self.renewal.max_holder_count if since is not None and now - since >= LEASE_DURATION_S else 0
 
@@ -104,16 +107,16 @@
             self.first_granted_at = now
             self.on_first_lease()
 
-    def _apply_step(self, spread: DisseminationStep) -> None:
-        for record in spread.updates:
+    def _apply_step(self, step: DisseminationStep) -> None:
+        for record in step.updates:
             self._try_to_apply(record)
-        for address, message in spread.messages:
+        for address, message in step.messages:
             self.send(address, message)
 
     def _try_to_apply(self, record: GossipRecord) -> None:
-        """Apply a record; one that fails is kept for another attempt, and the others are applied all the same.
+        """Apply a record; one that fails is kept for another attempt, and does not stop the others.
 
-        The store holds the record by now, so that no other member sends it again.
+        The store already holds the record, so no other member sends it again.
         """
         try:
             self._apply_record(record)
@@ -129,7 +132,7 @@
             self._try_to_apply(record)
 
     def _apply_configuration(self, record: GossipRecord) -> None:
-        """Put a configuration in force; what of it cannot be read is logged, and the rest is in force."""
+        """Apply a configuration; parts that cannot be read are logged, and the rest is applied."""
         began = self.loop.time()
         table, findings = read_configuration_record(record)
         read_at = self.loop.time()
@@ -157,7 +160,7 @@
                     listener(record.key.removeprefix(prefix), record)
 
     def tick(self) -> None:
-        """Renew the lease and exchange digests with another data plane when scheduled."""
+        """Renew the lease, exchange digests with another data plane and retry failed records, each when it is due."""
         now = self.loop.time()
         if self.unapplied and now - self.last_apply_retry_at >= APPLY_RETRY_INTERVAL_S:
             self._retry_unapplied(now)
--- a/hophinge/fleet/dataplane/connections.py
+++ b/hophinge/fleet/dataplane/connections.py
@@ -10,20 +10,20 @@
 
 import httpcore
 
-from hophinge.fleet.dataplane.surplus_responses import ForeignResponseError, read_past
+from hophinge.fleet.dataplane.surplus_responses import ForeignResponseError, skip_surplus_response
 from hophinge.fleet.forwarding.claims import Claims
 from hophinge.fleet.forwarding.headers import Fields, keep_alive_timeout_s
 from hophinge.fleet.forwarding.response_ownership import ResponseOwner, SurplusTally, response_owner
 
-MAX_CONNECTIONS = 48  # of one data plane to one instance
+MAX_CONNECTIONS = 48  # from one data plane to one instance
 MAX_IDLE = 16
-DEFAULT_MAX_IDLE_S = 8.0  # until an instance says how long it keeps idle connections, in seconds
-KEEP_ALIVE_FRACTION = 0.8  # of that time, after which a connection is not reused: its close may be in flight
-DEAD_IDLE_FRACTION = 0.5  # of the idle time after which a connection was dead: the new limit for the others
-USER_TIMEOUT_MS = 400  # for which bytes may be unacknowledged before the kernel ends a connection: two retransmissions
-KEEP_ALIVE_PROBE_S = 1  # of silence before the kernel asks whether the peer is still there, the least that it takes
-KEEP_ALIVE_PROBES = 1  # without an answer: a stream is then resumed elsewhere before its client gives up
-# Behind a partition nothing answers: without these a request, or a stream, hangs until its own deadline.
+DEFAULT_MAX_IDLE_S = 8.0  # until an instance states how long it keeps idle connections
+KEEP_ALIVE_FRACTION = 0.8  # of the stated time: an older idle connection is not reused, as its close may be in flight
+DEAD_IDLE_FRACTION = 0.5  # of the idle time after which a connection was found dead: the new limit
+USER_TIMEOUT_MS = 400  # of unacknowledged data, until the kernel closes a connection: two retransmissions
+KEEP_ALIVE_PROBE_S = 1  # of silence before the kernel probes the peer: the shortest time that the kernel accepts
+KEEP_ALIVE_PROBES = 1  # unanswered ones close a connection: a stream resumes elsewhere before its client gives up
+# Behind a partition nothing answers: without these options a request or a stream hangs until its own deadline.
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -38,15 +38,15 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """What the attempts of one request share: they have one id, so their responses cannot be told apart by it."""
+    """The state that the attempts of one request share: with one id, their responses cannot be told apart by it."""
 
     request_id: str | None = None
-    carriers: set[InstanceConnection] = field(default_factory=set)  # that the request was sent on
+    carriers: set[InstanceConnection] = field(default_factory=set)  # connections that the request was sent on
     surplus: SurplusTally = field(default_factory=SurplusTally)
 
 
 class InstanceEndedError(httpcore.ConnectError):
-    """The instance has unregistered: nothing was sent, and the request goes to another."""
+    """The instance has unregistered: nothing was sent, and the request goes to another instance."""
 
 
 class ResponseStream(Protocol):
@@ -60,7 +60,7 @@
 
 
 class ReleasingStream:
-    """The body of a response; its end releases the connection, before the pool gives it to another request."""
+    """The body of a response; closing it releases the connection before the pool assigns it to another request."""
 
     def __init__(self, stream: ResponseStream, connection: InstanceConnection) -> None:
         self.stream = stream
@@ -82,13 +82,13 @@
 class InstanceConnection(httpcore.AsyncHTTPConnection):
     """A connection that is reused only where that is safe, and closes after the request in flight.
 
-    Bytes behind a complete response belong to no request. httpcore itself finds those that are still in the socket;
-    those that its parser has read and not used, it would take for the next request's response. Those that arrive
-    later are told apart by the id of the request, so that no request is sent twice on one connection; those of other
-    requests are read past.
+    Bytes after a complete response belong to no request. httpcore detects those that are still in the socket, but
+    would treat those that its parser has buffered as the response to the next request. Responses that arrive later are
+    told apart by the id of their request, so no request is sent twice on one connection; responses to other requests
+    are skipped.
 
-    httpcore's pool closes connections whether they are in use or not: when it is closed itself, and when a request was
-    assigned an idle one and has not begun on it yet. Here such a close waits for the end of the request.
+    httpcore's pool closes connections even if they are in use: when the pool itself is closed, and when an idle one was
+    assigned to a request that has not started on it yet. Here such a close waits for the end of the request.
     """
 
     def __init__(self, pool: InstancePool, origin: httpcore.Origin) -> None:
@@ -101,17 +101,17 @@
         self.surplus = SurplusTally()
 
     async def handle_async_request(self, request: httpcore.Request) -> httpcore.Response:
-        """Send a request and return its own response, whatever surplus ones come before it.
+        """Send a request and return its own response, skipping surplus responses before it.
 
         Raises:
             InstanceEndedError: The instance has unregistered.
-            ForeignResponseError: What came is not the request's response, and its own cannot be awaited.
+            ForeignResponseError: The response is not the request's own, and its own cannot be awaited.
             httpcore.ConnectionNotAvailable: The connection is retired or in use, or has carried the request before; the
                 pool then tries another one.
 
         """
         if self.pool.claims.is_retired:
-            raise InstanceEndedError("the instance has ended")
+            raise InstanceEndedError("the instance has unregistered")
         context: RequestContext = request.extensions[CONTEXT]
         await self._refuse_second_send(context)
         self._claim(request)
@@ -126,7 +126,7 @@
         return response
 
     async def _send(self, request: httpcore.Request) -> httpcore.Response:
-        """Send a request; where it finds the connection dead, the pool learns how long connections may be idle."""
+        """Send a request; if the connection turns out to be dead, shorten the idle time that the pool allows."""
         was_idle_s = self.idle_s()
         self.idle_since = None
         try:
@@ -139,10 +139,10 @@
     async def _receive_own_response(
         self, request: httpcore.Request, response: httpcore.Response, context: RequestContext
     ) -> httpcore.Response:
-        """Return the request's own response: the first one to arrive, or one behind surplus responses.
+        """Return the request's own response, skipping surplus responses before it.
 
         Raises:
-            ForeignResponseError: The first one is neither, or there are more surplus ones than are read past.
+            ForeignResponseError: A response belongs to no request sent here, or too many surplus ones arrived.
 
         """
         while True:
@@ -150,30 +150,33 @@
             if owner is ResponseOwner.REQUEST:
                 return response
             if owner is ResponseOwner.UNKNOWN:
-                raise ForeignResponseError("a response to no request that was sent here")
+                raise ForeignResponseError("a response to no request that was sent on this connection")
             self.surplus.add_response()
             context.surplus.add_response()
             self.pool.surplus_responses += 1
-            if context.surplus.is_over:
+            if context.surplus.is_limit_exceeded:
                 raise ForeignResponseError("too many surplus responses")
             inner = cast(httpcore.AsyncHTTP11Connection, self._connection)
-            response = await read_past(inner, request, response, (context.surplus, self.surplus))
+            response = await skip_surplus_response(inner, request, response, (context.surplus, self.surplus))
 
     async def _refuse_second_send(self, context: RequestContext) -> None:
-        """Close the connection instead of sending a request on it again: a response to the first may still come."""
+        """Close the connection instead of sending the same request on it again: the first response may still arrive."""
         if self in context.carriers:
             await self.aclose()
             raise httpcore.ConnectionNotAvailable
 
     def _claim(self, request: httpcore.Request) -> None:
-        left_s = request.extensions["timeout"]["read"]
-        claim = None if self.claims.is_used else self.claims.acquire(asyncio.get_running_loop().time() + left_s)
-        if claim is None:
+        remaining_s = request.extensions["timeout"]["read"]
+        claim_id = None if self.claims.is_used else self.claims.acquire(asyncio.get_running_loop().time() + remaining_s)
+        if claim_id is None:
             raise httpcore.ConnectionNotAvailable
-        self.claim_id = claim
+        self.claim_id = claim_id
 
     async def release(self) -> None:
-        """Release the connection after its request; one left half read, as by a second cancellation, is closed."""
+        """Release the connection after its request; close it if its response was not read completely.
+
+        A second cancellation, for one, interrupts the reading.
+        """
         self.idle_since = asyncio.get_running_loop().time()
         claim_id = self.claim_id
         self.claim_id = None
@@ -184,7 +187,7 @@
             await self.abort()
 
     async def aclose(self) -> None:
-        """Close the connection, after the request in flight where there is one."""
+        """Close the connection, after the request in flight if there is one."""
         if self.claims.retire():
             await self.abort()
 
@@ -193,11 +196,11 @@
         await super().aclose()
 
     def idle_s(self) -> float:
-        """Return for how long it has been idle, in seconds; 0 while it is in use."""
+        """Return for how many seconds the connection has been idle; 0 while it is in use."""
         return 0.0 if self.idle_since is None else asyncio.get_running_loop().time() - self.idle_since
 
     def _is_unusable(self) -> bool:
-        return self.idle_s() > self.pool.max_idle_s or self.surplus.is_over or self._has_surplus()
+        return self.idle_s() > self.pool.max_idle_s or self.surplus.is_limit_exceeded or self._has_surplus()
 
     def _has_surplus(self) -> bool:
         connection = self._connection
@@ -207,15 +210,15 @@
         return bool(surplus)
 
     def is_available(self) -> bool:
-        """Return whether a request may be assigned to it."""
+        """Return whether a request may be assigned to this connection."""
         return super().is_available() and not self.claims.is_used and not self._is_unusable()
 
     def is_idle(self) -> bool:
-        """Return whether it is idle: not from when a request is assigned, which httpcore records later."""
+        """Return whether the connection is idle; not once a request is assigned, which httpcore records later."""
         return super().is_idle() and not self.claims.is_used
 
     def has_expired(self) -> bool:
-        """Return whether it is to be closed."""
+        """Return whether the pool is to close this connection."""
         return not self.claims.is_used and (super().has_expired() or (self.is_idle() and self._is_unusable()))
 
 
@@ -225,12 +228,11 @@
     def __init__(self) -> None:
         super().__init__(max_connections=MAX_CONNECTIONS, max_keepalive_connections=MAX_IDLE, retries=0)
         self.max_idle_s = DEFAULT_MAX_IDLE_S
-        self.learned_max_idle_s = float("inf")  # learned from connections that were dead when reused
+        self.learned_max_idle_s = float("inf")  # from connections that were found dead when reused
         self.claims = Claims()
-        self.surplus_responses = 0  # that were met on its connections
-        self.created: set[InstanceConnection] = (
-            set()
-        )  # that may still be open, including those in use after a retirement
+        self.surplus_responses = 0  # received on its connections
+        # Connections that may still be open, including those in use after the pool was retired.
+        self.created: set[InstanceConnection] = set()
 
     def create_connection(self, origin: httpcore.Origin) -> httpcore.AsyncConnectionInterface:
         """Open a connection."""
@@ -246,12 +248,12 @@
             await connection.abort()
 
     def record_keep_alive(self, fields: Fields) -> None:
-        """Apply the idle time that a response's `Keep-Alive` gives."""
+        """Apply the idle timeout in a response's `Keep-Alive` field."""
         timeout_s = keep_alive_timeout_s(fields)
         if timeout_s is not None:
             self.max_idle_s = min(KEEP_ALIVE_FRACTION * timeout_s, self.learned_max_idle_s)
 
     def record_dead_connection(self, idle_s: float) -> None:
-        """Shorten the idle time: the instance had dropped a connection idle for so long without a close."""
+        """Shorten the allowed idle time: the instance dropped a connection idle for `idle_s` without closing it."""
         self.learned_max_idle_s = min(self.learned_max_idle_s, DEAD_IDLE_FRACTION * idle_s)
         self.max_idle_s = min(self.max_idle_s, self.learned_max_idle_s)
--- a/hophinge/fleet/dataplane/exchange.py
+++ b/hophinge/fleet/dataplane/exchange.py
@@ -42,7 +42,7 @@
 
 
 class ResponseAbortedError(Exception):
-    """A started response cannot be completed: the connection is closed, so that the client sees it."""
+    """A started response cannot be completed: the connection is closed, so that the client notices."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
     method: bytes
     target: bytes
-    fields: Fields  # that are forwarded to instances
+    fields: Fields  # forwarded to instances
     body: bytes
     request_id: str | None
 
@@ -78,7 +78,7 @@
 
 
 def _is_own_timeout(error: BaseException) -> bool:
-    """Return whether an attempt ended because its time ran out here."""
+    """Return whether a timeout of this head ended an attempt."""
     return isinstance(error, TimeoutError | httpcore.TimeoutException)
 
 
@@ -94,14 +94,14 @@
         self.send = send
         self.loop = asyncio.get_running_loop()
         self.is_shutting_down = is_shutting_down
-        self.is_response_started = False  # its head went to the client
+        self.is_response_started = False  # its header was sent to the client
         self.is_response_complete = False  # all of it was sent
-        self.outcome = ""  # what the client got, as in the request log
+        self.outcome = ""  # for the client, as in the request log
         self.phase = RequestPhase.CHOOSING
         self.instance = ""  # of the latest attempt
         self.failure: AttemptFailure | None = None  # of the latest attempt
         self.context = RequestContext(inbound.request_id)
-        self.recorded_surplus = 0  # surplus responses, of the attempts so far
+        self.recorded_surplus = 0  # surplus responses already recorded for earlier attempts
 
     async def run(self) -> None:
         """Run attempts until the client has its response; then free the KV handles that were not used."""
@@ -142,7 +142,7 @@
         return f"refused {step.status}"
 
     def _record_surplus(self, reservation: Reservation) -> None:
-        """Record the surplus responses that the attempt met."""
+        """Record the surplus responses that the attempt received."""
         surplus = self.context.surplus.responses - self.recorded_surplus
         self.recorded_surplus += surplus
         reservation.node.surplus_rate.record_attempt(self.loop.time(), surplus)
@@ -193,7 +193,7 @@
             return AttemptResult(AttemptOutcome.UNSENT, is_silent=is_peer_silent(error))
         except (*UPSTREAM_ERRORS, TimeoutError) as error:
             if result is not None:
-                return result  # what the instance answered stands, however the close of its connection ended
+                return result  # the response is complete: an error on closing the connection does not matter
             self.failure = _classify_failure(error)
             return AttemptResult(
                 AttemptOutcome.UNKNOWN, is_silent=is_peer_silent(error), is_abandoned=_is_own_timeout(error)
@@ -226,7 +226,7 @@
             return AttemptResult(AttemptOutcome.UNSENT, is_silent=is_peer_silent(error))
         except (*UPSTREAM_ERRORS, TimeoutError) as error:
             if result is not None:
-                return result  # what went to the client stands, however the close of the connection ended
+                return result  # the result is known: an error on closing the connection does not matter
             self.failure = _classify_failure(error)
             return AttemptResult(
                 AttemptOutcome.BROKEN if self.is_response_started else AttemptOutcome.UNKNOWN,
@@ -242,17 +242,17 @@
         refused = unexecuted_outcome(response.status, fields)
         if refused is not None:
             await response.aread()
-            self.failure = AttemptFailure(AbortSide.INSTANCE, f"not executed, {response.status}")
+            self.failure = AttemptFailure(AbortSide.INSTANCE, f"not executed, status {response.status}")
             return AttemptResult(refused)
         if not may_forward_status(response.status) or (200 <= response.status < 300 and not is_signed(fields)):
-            return self._reject_response(f"status {response.status} may not be passed on")
+            return self._reject_response(f"a response with status {response.status} that must not be forwarded")
         if response.status == 200 and (find_field(fields, b"content-type") or "").startswith(EVENT_STREAM):
             return await self._forward_events(reservation, response, reader)
         body = await response.aread()
         if self.is_response_started:
             return AttemptResult(AttemptOutcome.BROKEN, last_event_id=reader.latest_id)
-        head = [field for field in returned_fields(fields) if field[0].lower() != b"content-length"]
-        await self._answer(response.status, body, [*head, *self._close_fields()])
+        returned = [field for field in returned_fields(fields) if field[0].lower() != b"content-length"]
+        await self._answer(response.status, body, [*returned, *self._close_fields()])
         return AttemptResult(AttemptOutcome.ANSWERED if response.status < 500 else AttemptOutcome.FAILED)
 
     def _reject_response(self, reason: str) -> AttemptResult:
@@ -262,10 +262,10 @@
     async def _forward_events(
         self, reservation: Reservation, response: httpcore.Response, reader: EventReader
     ) -> AttemptResult:
-        """Forward events as they arrive; the end is forwarded only where the instance's response was complete."""
+        """Forward events as they arrive; end the response only after the instance's response is complete."""
         if not self.is_response_started:
-            head = [*returned_fields(response.headers), *self._close_fields()]
-            await self.send({"type": "http.response.start", "status": response.status, "headers": head})
+            fields = [*returned_fields(response.headers), *self._close_fields()]
+            await self.send({"type": "http.response.start", "status": response.status, "headers": fields})
             self.is_response_started = True
             self.phase = RequestPhase.ANSWERING
         async for chunk in response.aiter_stream():
--- a/hophinge/fleet/dataplane/http_frontend.py
+++ b/hophinge/fleet/dataplane/http_frontend.py
@@ -54,10 +54,10 @@
 READY_PATH = "/v1/ready"
 MEMBER_PATH = "/v1/member"  # for operators: this head's status
 MILLISECONDS = 1_000
-DEADLINE_MARGIN_S = 0.03  # a response is sent so long before the deadline
-RETRY_AFTER = (b"retry-after", b"0.6")  # from a head without routes: it has just started and soon has them
+DEADLINE_MARGIN_S = 0.03  # a response is sent this long before the deadline
+RETRY_AFTER = (b"retry-after", b"0.6")  # in seconds; a head that has just started soon has its routes
 CLOSE = (b"connection", b"close")
-MAX_BODY_BYTES = 64 << 20  # of all requests in flight: a fifth of the memory of a machine
+MAX_BODY_BYTES = 64 << 20  # of all requests in flight together: a fifth of a machine's memory
 
 
 class HttpFrontend:
@@ -80,7 +80,7 @@
         self.abort_log = AbortLog(cluster_state, placement, upstream)
         self.ready_port = int(settings.ready_address.rsplit(":", 1)[1]) if settings.ready_address else 0
         self.is_shutting_down = False
-        self.connection_outcomes: Mapping[str, int] = {}  # the server's counts of connections that ended early
+        self.connection_outcomes: Mapping[str, int] = {}  # the server's counts of close reasons
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
@@ -95,8 +95,8 @@
         except BodyMemoryFullError:
             await answer(send, 503, b"", [RETRY_AFTER, CLOSE])
         except ResponseAbortedError:
-            pass  # logged by now; the server closes the connection behind what was sent
-        except Exception:  # broad: whatever failed is logged, and the server answers 500
+            pass  # already logged; the server closes the connection after the incomplete response
+        except Exception:  # broad: any failure is logged, and the server answers 500
             logger.exception("request handling failed")
             raise
 
@@ -141,7 +141,7 @@
             "requests": self.metrics.snapshot(),
             "cuts": dict(sorted(self.abort_log.counts.items())),
             "connection-ends": dict(sorted(self.connection_outcomes.items())),
-            "digest": [f"{mark:016x}" for mark in cluster_state.dissemination.store.fingerprints(now)],
+            "digest": [f"{fingerprint:016x}" for fingerprint in cluster_state.dissemination.store.fingerprints(now)],
         }
 
     def budget(self, service: str) -> RetryBudget:
@@ -170,27 +170,27 @@
             await self._route(arrived, scope, receive, send, body)
 
     async def _reject_size(self, send: Send, status: int, table: RouteTable | None) -> None:
-        """Reject a request that exceeds the limits; without a configuration they are defaults, which bind no client."""
+        """Reject a request that exceeds the limits; without a configuration these are defaults, and 503 is sent."""
         if table is None:
             await answer(send, 503, b"", [RETRY_AFTER, CLOSE])
         else:
             await answer(send, status, b"", [CLOSE])
 
     async def _route(self, arrived: float, scope: Scope, receive: Receive, send: Send, body: bytes) -> None:
-        """Read a request completely, find its route in the configuration applied by then, and run it."""
+        """Find the route of a completely read request in the configuration applied by now, and run the request."""
         fields: Fields = scope["headers"]
-        closing = [CLOSE] if self.is_shutting_down else []
+        close_fields = [CLOSE] if self.is_shutting_down else []
         table = self.cluster_state.route_table
         if table is None:
-            await answer(send, 503, b"", [RETRY_AFTER, *closing])
+            await answer(send, 503, b"", [RETRY_AFTER, *close_fields])
             return
         path = scope["raw_path"].decode("latin-1")
         route = table.find(host_name(find_field(fields, HOST) or ""), path)
         if route is None:
-            await answer(send, 404, b"", closing)
+            await answer(send, 404, b"", close_fields)
             return
         if not route.is_available:
-            await answer(send, 503, b"", [RETRY_AFTER, *closing])
+            await answer(send, 503, b"", [RETRY_AFTER, *close_fields])
             return
         target = scope["raw_path"] + (b"?" + scope["query_string"] if scope["query_string"] else b"")
         inbound = Inbound(
@@ -232,7 +232,7 @@
         )
 
     async def _run_exchange(self, exchange: Exchange, receive: Receive, connection: ConnectionState) -> None:
-        """Run a request; where its client disconnects, the instance's work is cancelled with the connection."""
+        """Run a request; if its client disconnects, cancel it and close its connection to the instance."""
         work = self.loop.create_task(exchange.run())
         try:
             if not await run_until_disconnect(work, receive, lambda: exchange.is_response_complete):
--- a/hophinge/fleet/dataplane/program.py
+++ b/hophinge/fleet/dataplane/program.py
@@ -29,13 +29,12 @@
 from hophinge.fleet.transport.server import HttpServer, bind_listener
 
 DATA = "data"
-UNREADY_S = 2.6  # the platform sends no new connections after two failed checks, a second apart
-HINT_DELAY_S = 0.01  # for which placements are gathered before they are published
-CLIENT_SLACK_S = 1.0  # beyond the configuration's limits: what a client sent in time may be in flight
-MAX_SHUTDOWN_RESERVE_S = 0.5  # of the grace period that is left unused, at most
-SHUTDOWN_RESERVE_FRACTION = (
-    1 / 12
-)  # of the grace period, at most: half of the part in which requests in flight may be aborted
+UNREADY_S = 2.6  # of reporting not ready: the platform sends no new connections after two failed checks, 1 s apart
+HINT_DELAY_S = 0.01  # for which placements are collected before they are published
+CLIENT_SLACK_S = 1.0  # added to the configured timeouts: what a client sent in time may be in flight
+MAX_SHUTDOWN_RESERVE_S = 0.5  # of the grace period, that is left unused
+# Of the grace period, that is left unused at most: half of the part in which requests in flight may be aborted.
+SHUTDOWN_RESERVE_FRACTION = 1 / 12
 
 
 class DataPlane:
@@ -97,7 +96,7 @@
         self.placement.admission.apply_warmup(now, identity, warmup_of(record))
 
     def _tick(self) -> None:
-        """Renew the lease, and limit cold instances by the number of heads that is known now."""
+        """Renew the lease, and apply the number of heads known now, which share the rate limits of cold instances."""
         self.cluster_state.tick()
         warmup = self.placement.admission.warmup
         warmup.head_count = self.cluster_state.connected_head_count(asyncio.get_running_loop().time())
@@ -122,19 +121,19 @@
         }
 
     def _request_hints(self) -> None:
-        """Request the hints of another head, with the first lease."""
+        """Request the hints of another head, when the first lease is granted."""
         neighbours = self.cluster_state.dissemination.neighbours
         if neighbours:
             self._send(neighbours[0], HintsRequest())
 
     def _schedule_hints(self) -> None:
-        """Schedule the publication of hints: while nothing is placed, no timer wakes this process."""
+        """Schedule the publication of hints unless it is scheduled; no timer runs while nothing is placed."""
         if not self.are_hints_scheduled:
             self.are_hints_scheduled = True
             asyncio.get_running_loop().call_later(HINT_DELAY_S, self._send_hints)
 
     def _send_hints(self) -> None:
-        """Send what was placed here, in small batches, to the control member that granted the lease."""
+        """Send recent placements and suspected instances, in small batches, to the granter of the lease."""
         self.are_hints_scheduled = False
         relay = self.cluster_state.renewal.relay
         now = asyncio.get_running_loop().time()
--- a/hophinge/fleet/dataplane/request_log.py
+++ b/hophinge/fleet/dataplane/request_log.py
@@ -1,4 +1,4 @@
-"""One line of JSON in the log for each request, in trials alone: `benchmarks/losses.py` reads it."""
+"""Logs one line of JSON for each request, in trials only; `benchmarks/losses.py` reads these lines."""
 
 from __future__ import annotations
 
--- a/hophinge/fleet/dataplane/surplus_responses.py
+++ b/hophinge/fleet/dataplane/surplus_responses.py
@@ -1,7 +1,7 @@
-"""Reads past surplus responses on a connection of httpcore, up to the response to the request that is in flight.
+"""Skips surplus responses on a connection of httpcore, up to the response to the request in flight.
 
-h11 pairs each response with one request. To await a second response to the same request, its state machine begins a new
-cycle and is told of the request once more; nothing is sent. Bytes that it has received and not used stay in place.
+h11 pairs each response with one request. To await a second response to the same request, its state machine starts a new
+cycle and is given the request again; nothing is sent. Bytes that it has buffered stay buffered.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 
 from hophinge.fleet.forwarding.response_ownership import SurplusTally
 
-STALL_TIMEOUT_S = 0.5  # without a byte of a surplus response that has begun: the rest of a truncated one never comes
+STALL_TIMEOUT_S = 0.5  # of silence within a surplus response: the rest of a truncated one never arrives
 
 
 class ForeignResponseError(httpcore.ProtocolError):
-    """A response is not the request's own, and the own one cannot be awaited behind it."""
+    """A response is not the request's own, and its own cannot be awaited after it."""
 
 
-async def read_past(
+async def skip_surplus_response(
     connection: httpcore.AsyncHTTP11Connection,
     request: httpcore.Request,
     response: httpcore.Response,
     tallies: tuple[SurplusTally, ...],
 ) -> httpcore.Response:
-    """Read a surplus response to its end, and return the response behind it.
+    """Read a surplus response to its end, and return the response after it.
 
     Args:
         connection: The connection with the request in flight.
-        request: The request, of whose response httpcore takes this one to be.
-        response: The surplus response, of which only the header was read.
-        tallies: Those that its body counts in; the first one bounds it.
+        request: The request in flight, to which httpcore attributes this response.
+        response: The surplus response; only its header has been read.
+        tallies: Each counts the body; the limit of the first one applies.
 
     Raises:
-        ForeignResponseError: It has no end before the connection's, is truncated, or exceeds the bound.
+        ForeignResponseError: The surplus response ends only with the connection, is truncated, or exceeds the limit.
         httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException: As httpcore raises them.
 
     """
@@ -49,8 +49,8 @@
         async for chunk in connection._receive_response_body(request=bounded):
             for tally in tallies:
                 tally.add_bytes(len(chunk))
-            if tallies[0].is_over:
-                raise ForeignResponseError("surplus responses of too many bytes")
+            if tallies[0].is_limit_exceeded:
+                raise ForeignResponseError("too many bytes of surplus responses")
     except httpcore.ReadTimeout as error:
         raise ForeignResponseError("a surplus response is truncated") from error
 
@@ -60,6 +60,6 @@
     try:
         state.start_next_cycle()
     except h11.LocalProtocolError as error:
-        raise ForeignResponseError("no response can follow a surplus one") from error
+        raise ForeignResponseError("no response can follow the surplus response") from error
     state.send(h11.Request(method=request.method, target=request.url.target, headers=[(b"host", b"surplus")]))
     state.send(h11.EndOfMessage())
--- a/hophinge/fleet/dataplane/upstream.py
+++ b/hophinge/fleet/dataplane/upstream.py
@@ -1,4 +1,4 @@
-"""Calls of instances through httpcore: a connection pool for each, and the errors by how far a request got."""
+"""Calls instances through httpcore: a connection pool per instance, and errors classified by how far a request got."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from hophinge.fleet.forwarding.headers import EXPECTED_INSTANCE, Fields
 from hophinge.fleet.forwarding.attempt_results import KvHandle
 
-CONNECT_TIMEOUT_S = 0.25  # some hundred times what the network takes; a lost opening packet is sent again after 1 s
+CONNECT_TIMEOUT_S = 0.25  # about a hundred times the usual time; a lost SYN is retransmitted only after 1 s
 FREE_TIMEOUT_S = 0.5  # for an instance to free a KV handle
-UNREGISTERED_RETENTION_S = 60.0  # for which an unregistered instance is remembered: longer than any request lasts
+UNREGISTERED_RETENTION_S = 60.0  # of remembering an unregistered instance: longer than any request lasts
 SILENCE_ERRNOS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
 UNSENT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
 UPSTREAM_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 def is_peer_silent(error: BaseException) -> bool:
-    """Return whether a call failed because nothing came back from the network: a refusal or a reset is an answer."""
+    """Return whether a call failed because no reply came from the network; a refusal or a reset is a reply."""
     if isinstance(error, httpcore.ConnectTimeout):
         return True
     cause: BaseException | None = error
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         self.pools: dict[str, InstancePool] = {}
         self.background: set[asyncio.Task[None]] = set()
-        self.unregistered: dict[str, float] = {}  # instances, by when this head learned that they unregistered
+        self.unregistered: dict[str, float] = {}  # by instance: when this head learned that it unregistered
 
     def _pool(self, identity: str) -> InstancePool:
         """Return an instance's pool.
@@ -64,7 +64,7 @@
         """
         pool = self.pools.get(identity)
         if identity in self.unregistered or (pool is not None and pool.claims.is_retired):
-            raise InstanceEndedError("the instance has ended")
+            raise InstanceEndedError("the instance has unregistered")
         if pool is None:
             pool = self.pools[identity] = InstancePool()
         return pool
@@ -75,7 +75,7 @@
 
         Raises:
             InstanceEndedError: The instance has unregistered; nothing was sent.
-            ForeignResponseError: What came is not the request's response, and its own cannot be awaited.
+            ForeignResponseError: The response is not the request's own, and its own cannot be awaited.
             httpcore.ConnectError, httpcore.NetworkError, ...: As httpcore raises them.
 
         """
@@ -91,8 +91,8 @@
         extensions = {"timeout": timeout, CONTEXT: call.context or RequestContext()}
         request = httpcore.Request(call.method, url, headers=fields, content=call.body, extensions=extensions)
         pool = self._pool(identity)
-        claim = pool.claims.acquire(asyncio.get_running_loop().time() + call.timeout_s)
-        assert claim is not None, "no retired pool is given out"
+        claim_id = pool.claims.acquire(asyncio.get_running_loop().time() + call.timeout_s)
+        assert claim_id is not None, "a retired pool is never returned"
         try:
             response = await pool.handle_async_request(request)
             pool.record_keep_alive(response.headers)
@@ -101,7 +101,7 @@
             finally:
                 await asyncio.shield(self._start_background(response.aclose()))  # the caller may be cancelled again
         finally:
-            if pool.claims.release(claim):
+            if pool.claims.release(claim_id):
                 self._remove(identity, pool)
 
     def _remove(self, identity: str, pool: InstancePool) -> None:
@@ -128,9 +128,9 @@
                 await response.aread()
 
     def unregistered_s(self, now: float, identity: str) -> float | None:
-        """Return the seconds since an instance was known to have unregistered; None where it has not."""
-        at = self.unregistered.get(identity)
-        return None if at is None else now - at
+        """Return the seconds since this head learned that an instance unregistered; None if it has not."""
+        learned_at = self.unregistered.get(identity)
+        return None if learned_at is None else now - learned_at
 
     def connection_count(self, identity: str) -> int:
         """Return the number of open connections to an instance."""
@@ -138,19 +138,19 @@
         return len(pool.connections) if pool is not None else 0
 
     def surplus_responses(self, identity: str) -> int:
-        """Return the number of surplus responses that were met on connections to an instance."""
+        """Return the number of surplus responses received on connections to an instance."""
         pool = self.pools.get(identity)
         return pool.surplus_responses if pool is not None else 0
 
     def reinstate(self, identity: str) -> None:
-        """Give an instance that was taken for unregistered a new pool, beside the requests still in flight."""
+        """Give an instance that was considered unregistered a new pool; requests in flight keep the old pool."""
         if self.unregistered.pop(identity, None) is not None:
             self.pools.pop(identity, None)
 
     async def retire(self, identity: str) -> None:
-        """Retire an unregistered instance: it gets no new requests, and its connections close after those in flight.
+        """Retire an unregistered instance: it gets no new requests, and each connection closes after its request.
 
-        It may serve on for longer than its streams last, so nothing in flight there is aborted.
+        It may still serve for longer than its streams last, so no request in flight is aborted.
         """
         now = asyncio.get_running_loop().time()
         self.unregistered = {
@@ -173,7 +173,7 @@
                 await pool.abort()
 
     async def close(self) -> None:
-        """Close all connections, also those in use."""
+        """Close all connections at once, also those in use."""
         pools = list(self.pools.values())
         self.pools = {}
         for pool in pools:
--- a/hophinge/fleet/forwarding/__init__.py
+++ b/hophinge/fleet/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one request: attempts, deadlines, streams, promises."""
+"""The lifecycle of one request: attempts, deadlines, streams, retry budgets."""
--- a/hophinge/fleet/forwarding/aborted_responses.py
+++ b/hophinge/fleet/forwarding/aborted_responses.py
@@ -1,7 +1,7 @@
 """Aborted responses: which side ended first, in which phase, and what the head knew of the instance.
 
-Each is logged and counted, so that an operator can tell an instance that broke off from a client that left, a deadline,
-and a fault of the head's own.
+Each is logged and counted, so that an operator can tell an abort by the instance from a disconnect of the client, an
+expired deadline and a fault of the head itself.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 class RequestPhase(Enum):
-    """How far the request had got."""
+    """How far the request had progressed."""
 
     ARRIVING = "arriving"  # its body was not complete
     CHOOSING = "choosing"  # no attempt was in flight
     READING = "reading"  # its prompt was in prefill at an instance
     WAITING = "waiting"  # sent to an instance, and no response had begun
-    ANSWERING = "answering"  # some of the response had gone to the client
+    ANSWERING = "answering"  # part of the response had been sent to the client
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbortedResponse:
-    """One aborted response, or a request that got none."""
+    """One aborted response, or a request that got no response."""
 
     request: str
     route: str
--- a/hophinge/fleet/forwarding/attempt_results.py
+++ b/hophinge/fleet/forwarding/attempt_results.py
@@ -1,4 +1,4 @@
-"""The outcome of an attempt, and what its response says of whether the request ran."""
+"""The outcome of an attempt, and which responses state that the request did not run."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from hophinge.fleet.forwarding.headers import NOT_EXECUTED, SIGNATURE, Fields, find_field
 
 MISDIRECTED = 421
-# To a client these and 421 say that its request has not run and never will.
+# To a client, these and 421 mean that its request has not run and never will.
 NOT_EXECUTED_STATUSES = (408, 429, 503)
 
 
 class AttemptOutcome(Enum):
     """How an attempt ended. The names are part of the request log and of the status."""
 
-    UNSENT = auto()  # no connection came up: nothing was sent
+    UNSENT = auto()  # no connection was established: nothing was sent
     REFUSED = auto()  # the instance says that it did not run the request
     MISPLACED = auto()  # another instance, or another stage, answers at that address
     READ = auto()  # the prefill is done, and its handle is known
-    ANSWERED = auto()  # the response went to the client
-    FAILED = auto()  # a response that is the instance's own failure, for the client to see
-    UNKNOWN = auto()  # sent, and it is unknown whether it ran
-    BROKEN = auto()  # the response broke off after some of it went to the client
+    ANSWERED = auto()  # the response was sent to the client
+    FAILED = auto()  # a server error of the instance, sent to the client
+    UNKNOWN = auto()  # sent, but unknown whether it ran
+    BROKEN = auto()  # the response broke off after part of it was sent to the client
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,20 +40,20 @@
 
     outcome: AttemptOutcome
     handle: KvHandle | None = None
-    last_event_id: str | None = None  # the latest event that went to the client
-    is_silent: bool = False  # the instance did not answer the network: no connection came up, or one broke in silence
-    is_abandoned: bool = False  # it was ended here: its client left, or its time ran out
+    last_event_id: str | None = None  # of the latest event sent to the client
+    is_silent: bool = False  # the network gave no reply: connecting timed out, or the host became unreachable
+    is_abandoned: bool = False  # ended by this head: the client left, or the time ran out
 
     @property
     def is_answer(self) -> bool:
-        """Whether the instance, or another one at its address, answered something."""
+        """Whether the outcome proves that the instance, or another one at its address, has responded."""
         return self.outcome not in (AttemptOutcome.UNSENT, AttemptOutcome.UNKNOWN, AttemptOutcome.BROKEN)
 
 
 def unexecuted_outcome(status: int, fields: Fields) -> AttemptOutcome | None:
-    """Return the outcome of a response that says that the request did not run; None for any other.
+    """Return the outcome for a response that states that the request did not run; None for any other response.
 
-    Only `Hophinge-Not-Executed` says so, and 421, which another instance at that address gives (RFC 9110, 15.5.20).
+    `Hophinge-Not-Executed` states it, and so does 421, sent by another instance at that address (RFC 9110, 15.5.20).
     """
     if status == MISDIRECTED:
         return AttemptOutcome.MISPLACED
@@ -65,7 +65,7 @@
 def may_forward_status(status: int) -> bool:
     """Return whether a client may see this status of an instance that may have run the request.
 
-    Some statuses promise the client that the request has not run and never will.
+    Some statuses tell the client that the request has not run and never will.
     """
     return status not in NOT_EXECUTED_STATUSES
 
--- a/hophinge/fleet/forwarding/budget.py
+++ b/hophinge/fleet/forwarding/budget.py
@@ -2,16 +2,16 @@
 
 A service may get, in any window, `ratio` times the requests for it and `slack` attempts beyond the first of each
 request. The shares by requests add up by themselves; the slack is split evenly over the largest number of heads ever
-known. A head that has just started does not know the others yet, and has no slack then; nor does it know what the
-process before it on its machine spent, so for one window its share is what that process cannot have spent.
+known. A head that has just started does not know the others yet, and has no slack until it does. Nor does it
+know what the previous process on its machine spent, so for one window its share is what that process cannot have spent.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-USABLE_FRACTION = 0.8  # of the share that is spent: the operators measure over windows that begin at other times
-# Of the share of the slack, for one window: with USABLE_FRACTION, which the process before may have spent, about 1.
+USABLE_FRACTION = 0.8  # of the share that may be spent: the operators measure over windows that begin at other times
+# Of the share of the slack, for one window: the previous process may have spent USABLE_FRACTION, together about 1.
 STARTUP_FRACTION = 0.25
 
 
@@ -50,6 +50,6 @@
         self.extra_attempts.append(now)
 
     def refund_extra_attempt(self, recorded_at: float) -> None:
-        """Take back an attempt that was recorded at a time, and of which nothing was sent."""
+        """Remove the attempt that was recorded at `recorded_at`: it was not sent."""
         if recorded_at in self.extra_attempts:
             self.extra_attempts.remove(recorded_at)
--- a/hophinge/fleet/forwarding/claims.py
+++ b/hophinge/fleet/forwarding/claims.py
@@ -1,8 +1,8 @@
 """Reference counts with deadlines: a retired resource closes when its last claim is released.
 
 A retired resource gets no new claims. Each use in flight keeps its claim until it ends, at the latest until its
-deadline; the release of the last one closes the resource. Without this, ending a resource would abort what others
-still do with it: an instance that has unregistered and serves on would lose its streams.
+deadline; the release of the last claim closes the resource. Without this, retiring a resource would abort its uses in
+flight: an instance that has unregistered but still serves would lose its streams.
 """
 
 from __future__ import annotations
--- a/hophinge/fleet/forwarding/events.py
+++ b/hophinge/fleet/forwarding/events.py
@@ -7,7 +7,7 @@
 
 
 class EventReader:
-    """Splits a byte stream at the ends of events."""
+    """Splits a byte stream into complete events and the incomplete rest."""
 
     def __init__(self) -> None:
         self.buffer = b""
--- a/hophinge/fleet/forwarding/headers.py
+++ b/hophinge/fleet/forwarding/headers.py
@@ -1,4 +1,4 @@
-"""Header fields in transit: hop-by-hop fields are dropped (RFC 9110, 7.6.1), the system's own are set by it alone."""
+"""Header fields in transit: hop-by-hop fields are dropped (RFC 9110, 7.6.1); which fields each attempt sets itself."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def forwarded_fields(fields: Fields) -> Fields:
-    """Return the fields of a request that are forwarded to an instance; the others are set for each attempt."""
+    """Return the fields of a request that are forwarded to an instance, without those that each attempt sets itself."""
     dropped = _HOP_BY_HOP | _SET_PER_ATTEMPT | _connection_options(fields)
     return [(name, value) for name, value in fields if name.lower() not in dropped]
 
--- a/hophinge/fleet/forwarding/pending.py
+++ b/hophinge/fleet/forwarding/pending.py
@@ -1,8 +1,8 @@
-"""Whether a request waits for a stage that is about to have an instance, or is rejected with a time to retry.
+"""Decides whether a request waits for a stage that is about to have an instance, or is rejected with `Retry-After`.
 
-A rejected client comes back once, and waits as told only for a part of the time that it has left. A response after the
-target is worth less, and none is worth nothing. So a request waits where it can still be in time, or where its client
-would come back too early; it is rejected at once where the client can come back in time, or gives up before.
+A rejected client retries once, and follows `Retry-After` only up to a fraction of its remaining time. A response after
+the target has less value, and no response has none. So a request waits if it can still be answered by its target, or if
+its client would retry too early; it is rejected at once if the client can retry in time, or would give up before.
 
 Without I/O; times are seconds on the caller's clock.
 """
@@ -11,10 +11,10 @@
 
 from dataclasses import dataclass
 
-RETRY_AFTER_FRACTION = 1 / 3  # of the time left to it, for which a client waits as told, at most
+RETRY_AFTER_FRACTION = 1 / 3  # of its remaining time: the longest `Retry-After` that a client follows
 MIN_SERVICE_S = 0.1  # from an instance's readiness to the first event of a response, at least
-POLL_INTERVAL_S = 0.1  # between two looks at whether the stage is ready
-FRESH_FRACTION = 0.95  # of the route's timeout: a request with less left was rejected before
+POLL_INTERVAL_S = 0.1  # between checks whether the stage is ready
+FRESH_FRACTION = 0.95  # of the route's timeout: a request with less time left was rejected before
 MAX_PENDING = 64  # requests of one head that wait at once; its limit on bodies bounds their memory
 
 
@@ -24,7 +24,7 @@
 
     now: float
     ready_at: float  # when an instance is expected
-    target_at: float  # by when the response has its full value
+    target_at: float  # a response until then has its full value
     give_up_at: float  # when its client gives up
     deadline: float
     may_return: bool  # its client would retry after a rejection
--- a/hophinge/fleet/forwarding/request_lifecycle.py
+++ b/hophinge/fleet/forwarding/request_lifecycle.py
@@ -1,7 +1,8 @@
-"""The lifecycle of one request, without I/O: the next attempt, or the response where there is none.
+"""The lifecycle of one request, without I/O: chooses the next attempt, or rejects the request.
 
-503 with `Retry-After`, which promises that nothing ran, is given only where each attempt either was never sent or its
-instance said that it did not run it. A request of which only the prefill was done has not run.
+503 with `Retry-After` tells the client that a retry is safe. It is used only if each attempt either was not sent or was
+not run according to its instance, or if the route is idempotent. A request of which only the prefill was done has not
+run.
 """
 
 from __future__ import annotations
@@ -36,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Generate:
-    """Generate the response at an instance, from the KV cache of a prefill where there is one."""
+    """Generate the response at an instance, from the KV cache of a prefill if there is one."""
 
     reservation: Reservation
     priority: int
     handle: KvHandle | None
-    last_event_id: str | None  # resume after this event, where a stream broke off
+    last_event_id: str | None  # resume after this event if a stream broke off
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject the request; `retry_after_s` promises that nothing ran."""
+    """Reject the request; `retry_after_s` tells the client that a retry is safe, None that it may not be."""
 
     status: int
     retry_after_s: float | None
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Wait before the next round: every instance refused the request in this one, or its stage has none yet."""
+    """Wait before the next round: every instance refused the request in this one, or its stage has no instance yet."""
 
     seconds: float
 
@@ -69,23 +70,23 @@
     name: str
     route: Route
     service: str
-    prompt: Prompt | None  # None where the request names none
+    prompt: Prompt | None  # None if the request declares none
     has_stages: bool  # the service has engines for prefill and decode
-    target_at: float  # until when the response has its full value
+    target_at: float  # a response until then has its full value
     deadline: float
     placement: Placement
     budget: RetryBudget
     heads: int
     trace: RequestTrace
-    client_deadline: float = float("inf")  # when the client gives up, if nothing has arrived by then
+    client_deadline: float = float("inf")  # when the client gives up if nothing has arrived
     may_have_run: bool = False  # an attempt may have run
-    is_response_started: bool = False  # some of a response went to the client
+    is_response_started: bool = False  # part of a response was sent to the client
     prefills: int = 0
     runs: int = 0
     possible_runs: int = 0  # attempts that may have run
     charged_at: float | None = None  # when the attempt in flight was charged to the retry budget
     handle: KvHandle | None = None  # of a prefill, not yet used by an attempt
-    requested_handle: KvHandle | None = None  # that the attempt in flight fetches
+    requested_handle: KvHandle | None = None  # the handle whose KV cache the attempt in flight fetches
     unused_handles: list[KvHandle] = field(default_factory=list)  # of prefills that no attempt will use
     last_event_id: str | None = None
     excluded: set[str] = field(default_factory=set)
@@ -94,7 +95,7 @@
     pending_since: float | None = None  # since when it waits for a stage that has no instance
 
     def next_step(self, now: float) -> NextStep:
-        """Return what to do now."""
+        """Return the next step of the request."""
         if self.deadline - now < MIN_ATTEMPT_S:
             return self._reject(GATEWAY_TIMEOUT, "no time left")
         if self.possible_runs and not self._may_retry():
@@ -115,7 +116,7 @@
         return self._prefill(now, plan) if plan.is_prefill_only else self._generate(now, plan)
 
     def _begin_retry_round(self, now: float) -> NextStep:
-        """Back off before all instances are tried again: one that has just refused would do so again."""
+        """Back off before all instances are tried again: an instance that has just refused would refuse again."""
         backoff_s = min(INITIAL_BACKOFF_S * 2**self.retry_rounds, MAX_BACKOFF_S)
         if self.deadline - now < backoff_s + MIN_ATTEMPT_S:
             return self._reject(BAD_GATEWAY, "no instance")
@@ -124,7 +125,7 @@
         return Backoff(backoff_s)
 
     def _wait_for_stage(self, now: float) -> NextStep:
-        """Wait until the stage that generates responses has an instance, or reject the request with a time to retry."""
+        """Wait until the stage that generates responses has an instance, or reject the request with `Retry-After`."""
         if not self.has_stages:
             return self._reject(BAD_GATEWAY, "no instance")
         outlook = self.placement.instances.predict_stage(now, self.service, DECODE)
@@ -142,7 +143,7 @@
         return self.name in pending or len(pending) < MAX_PENDING
 
     def _pending_request(self, now: float, ready_at: float) -> PendingRequest:
-        """Describe the request as one that waits; the client of a started response gives up at its next silence."""
+        """Return the input of `should_wait`; the client of a started response times out from the start of the wait."""
         silent_since = now if self.pending_since is None else self.pending_since
         gives_up_at = silent_since + self.route.client_timeout_s if self.is_response_started else self.client_deadline
         is_fresh = self.deadline - self.trace.arrived >= FRESH_FRACTION * self.route.timeout_s
@@ -154,7 +155,7 @@
         self.placement.pending_requests.discard(self.name)
 
     def close(self) -> None:
-        """Release the request's place among those that wait, however it ended."""
+        """Remove the request from the pending ones, however it ended."""
         self._leave_pending()
 
     def _plan(self, now: float) -> PlacementPlan | PlacementRejection | None:
@@ -181,7 +182,7 @@
         return self.route.is_idempotent and self.possible_runs < max(1, self.route.max_attempts)
 
     def _is_extra_attempt(self) -> bool:
-        """Return whether the next attempt is one beyond the first; the first prefill is none."""
+        """Return whether the next attempt is a retry; the first prefill does not make the attempt after it a retry."""
         needs_prefill = self.prompt is not None and self.handle is None
         return (self.prefills > 0 and needs_prefill) or self.runs > 0
 
@@ -194,14 +195,14 @@
         )
 
     def _charge(self, now: float, is_extra: bool) -> None:
-        """Count an attempt, and charge it to the retry budget where it is one beyond the first."""
+        """Count an attempt, and charge it to the retry budget if it is a retry."""
         self.attempts += 1
         self.charged_at = now if is_extra else None
         if is_extra:
             self.budget.record_extra_attempt(now)
 
     def _refund(self, is_prefill: bool) -> None:
-        """Undo the count of an attempt of which nothing was sent: the budget pays for arrivals at instances."""
+        """Undo the count of an attempt that was not sent: the budget limits only attempts that reach instances."""
         if is_prefill:
             self.prefills -= 1
         else:
@@ -222,9 +223,9 @@
         return Generate(plan.reservation, plan.priority, self.requested_handle, self.last_event_id)
 
     def collect_unused_handles(self) -> list[KvHandle]:
-        """Return the handles that no attempt will use any more, which are to be freed, and forget them.
+        """Return the handles that no attempt will use, for the caller to free, and forget them.
 
-        Those at evacuated instances, which get no requests at all, expire by themselves.
+        Handles at evacuated instances are left out: these get no requests at all, and the handles expire by themselves.
         """
         handles = [*self.unused_handles, *([self.handle] if self.handle is not None else [])]
         self.unused_handles = []
--- a/hophinge/fleet/forwarding/request_metrics.py
+++ b/hophinge/fleet/forwarding/request_metrics.py
@@ -7,7 +7,7 @@
 from hophinge.fleet.forwarding.trace import Attempt, RequestTrace
 
 ANSWERED, READ = "ANSWERED", "READ"
-LATE_PREFILL_S = 0.1  # by which a prefill may exceed its forecast and not count as late
+LATE_PREFILL_S = 0.1  # a prefill that exceeds its forecast by more counts as late
 MILLISECONDS = 1_000
 MICROSECONDS = 1_000_000
 
@@ -25,7 +25,7 @@
         self.actual_s = 0.0
 
     def record_surplus(self, count: int) -> None:
-        """Record the surplus responses that a request's attempts met."""
+        """Record the surplus responses that a request's attempts received."""
         self.surplus += count
 
     def record(self, trace: RequestTrace) -> None:
@@ -46,15 +46,15 @@
 
     def snapshot(self) -> dict[str, object]:
         """Return the counts; times are means over all prefills, in milliseconds."""
-        reads = max(1, self.prefills)
+        prefill_count = max(1, self.prefills)
         return {
             "endings": dict(sorted(self.outcomes.items())),
             "refusals": dict(sorted(self.refusals.items())),
             "surplus-responses": self.surplus,
             "reads": self.prefills,
             "reads-over-100-ms-late": self.late_prefills,
-            "read-forecast-ms": round(self.forecast_s / reads * MILLISECONDS, 1),
-            "read-actual-ms": round(self.actual_s / reads * MILLISECONDS, 1),
+            "read-forecast-ms": round(self.forecast_s / prefill_count * MILLISECONDS, 1),
+            "read-actual-ms": round(self.actual_s / prefill_count * MILLISECONDS, 1),
         }
 
 
--- a/hophinge/fleet/forwarding/response_ownership.py
+++ b/hophinge/fleet/forwarding/response_ownership.py
@@ -1,8 +1,8 @@
-"""Whose response has come on a connection: the one decision for generation, prefill, resumption and freed KV handles.
+"""Decides which request a response belongs to, for generation, prefill, resumption and the freeing of KV handles.
 
-An instance may send a response once more, late, where the next one is due (a surplus response). Responses carry the id
-of their request, which tells them apart, since no request is sent twice on one connection. Requests to free a KV handle
-have no id, nor have their responses.
+An instance may send a response a second time, late, before the next response on the connection (a surplus response).
+Responses carry the id of their request, which tells them apart, since no request is sent twice on one connection.
+Requests to free a KV handle have no id, nor have their responses.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 class ResponseOwner(Enum):
-    """Whose a response is."""
+    """The request that a response belongs to."""
 
-    REQUEST = auto()  # the request's that is in flight
-    SURPLUS = auto()  # another request's: the own one may follow
-    UNKNOWN = auto()  # nobody's that was sent on this connection
+    REQUEST = auto()  # the request in flight
+    SURPLUS = auto()  # an earlier request: the response to the one in flight may follow
+    UNKNOWN = auto()  # no request that was sent on this connection
 
 
 def response_owner(fields: Fields, request_id: str | None, has_carried_unidentified: bool) -> ResponseOwner:
-    """Return whose a response is.
+    """Return which request a response belongs to.
 
     Args:
         fields: The response's header fields.
-        request_id: The id of the request in flight; None where it has none.
-        has_carried_unidentified: The connection has carried a request without an id before.
+        request_id: The id of the request in flight; None if it has none.
+        has_carried_unidentified: Whether the connection has carried a request without an id before.
 
     """
     response_id = find_field(fields, REQUEST_ID)
@@ -43,13 +43,13 @@
 
 @dataclass(slots=True)
 class SurplusTally:
-    """The surplus responses that were read past, for one request or on one connection."""
+    """The surplus responses that were skipped, for one request or on one connection."""
 
     responses: int = 0
     size_bytes: int = 0
 
     def add_response(self) -> None:
-        """Count a response whose header has come."""
+        """Count a response whose header has arrived."""
         self.responses += 1
 
     def add_bytes(self, count: int) -> None:
@@ -57,6 +57,6 @@
         self.size_bytes += count
 
     @property
-    def is_over(self) -> bool:
-        """Whether more was read than may be."""
+    def is_limit_exceeded(self) -> bool:
+        """Whether more responses or bytes were skipped than allowed."""
         return self.responses > MAX_SURPLUS_RESPONSES or self.size_bytes > MAX_SURPLUS_BYTES
--- a/hophinge/fleet/forwarding/split.py
+++ b/hophinge/fleet/forwarding/split.py
@@ -1,6 +1,6 @@
 """Traffic split: chooses the service of a route's next request so that every window of requests follows the weights.
 
-Drawn at random, 200 requests over halves deviate by 0.035 on average and by 0.1 now and then. Multiples of the golden
+With random draws, 200 requests over two halves deviate by 0.035 on average and by 0.1 at times. Multiples of the golden
 ratio are spread evenly over every window (a low-discrepancy sequence); each head begins at a position of its own, so
 that their deviations do not add up.
 """
@@ -32,4 +32,4 @@
 
     def retain_routes(self, names: set[str]) -> None:
         """Drop the positions of routes that no longer exist."""
-        self.positions = {name: place for name, place in self.positions.items() if name in names}
+        self.positions = {name: position for name, position in self.positions.items() if name in names}
--- a/hophinge/fleet/forwarding/trace.py
+++ b/hophinge/fleet/forwarding/trace.py
@@ -1,7 +1,7 @@
 """The trace of one request: its attempts with their forecasts, its first event, its outcome.
 
-Times are seconds on the head's clock, from the request's arrival where nothing else is said. The fields' names are the
-keys of the request log's JSON (`request_log.py`), which tools read: they stay.
+Times are seconds on the head's clock, counted from the request's arrival unless noted otherwise. The fields' names are
+the keys of the request log's JSON (`request_log.py`), which tools read.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
     first_s: float | None = None  # its first event, or its complete response
     over_s: float | None = None
     ending: str = ""
-    refusal: str = ""  # why no further attempt was made, where the request was rejected
+    refusal: str = ""  # why no further attempt was made, if the request was rejected
 
     def record_attempt(self, now: float, stage: str, instance: str, units: float, forecast: Forecast) -> None:
         """Record that an attempt is sent."""
         self.attempts.append(Attempt(stage, instance, now - self.arrived, units, forecast))
 
     def record_first_event(self, now: float) -> None:
-        """Record that some of the response has arrived; the first time counts."""
+        """Record that part of the response has arrived; only the first call counts."""
         if self.first_s is None:
             self.first_s = now - self.arrived
 
--- a/tests/forwarding_mutants.py
+++ b/tests/forwarding_mutants.py
@@ -21,7 +21,7 @@
     Mutant(
         "a surplus response costs the request behind it its own",
         "fleet/dataplane/connections",
-        "            if context.surplus.is_over:",
+        "            if context.surplus.is_limit_exceeded:",
         "            if True:",
         SURPLUS + "test_as_many_surplus_responses_as_the_bound_are_read_past",
     ),
@@ -35,7 +35,7 @@
     Mutant(
         "a connection with many surplus responses is reused",
         "fleet/dataplane/connections",
-        "self.idle_s() > self.pool.max_idle_s or self.surplus.is_over or",
+        "self.idle_s() > self.pool.max_idle_s or self.surplus.is_limit_exceeded or",
         "self.idle_s() > self.pool.max_idle_s or",
         SURPLUS + "test_a_connection_with_many_surplus_responses_is_not_reused",
     ),
@@ -189,8 +189,8 @@
     Mutant(
         "the pool of an unregistered instance is never removed",
         "fleet/dataplane/upstream",
-        "            if pool.claims.release(claim):\n                self._remove(identity, pool)",
-        "            pool.claims.release(claim)",
+        "            if pool.claims.release(claim_id):\n                self._remove(identity, pool)",
+        "            pool.claims.release(claim_id)",
         ENDED + "test_a_request_whose_answer_has_not_begun_is_answered",
     ),
     Mutant(
