--- a/hophinge/fleet/transport/asgi.py
+++ b/hophinge/fleet/transport/asgi.py
@@ -1,4 +1,4 @@
-"""ASGI helpers of both programs: reading a body within limits, and sending a response."""
+"""ASGI helpers of both programs: read a body within limits, and send a response."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class BodyMemory:
-    """The memory for bodies in one process: clients that each keep within their limit could exhaust it together."""
+    """The memory for bodies in one process: clients could exhaust it together though each keeps its own limit."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -33,7 +33,7 @@
 
     @contextlib.contextmanager
     def reserve(self) -> Iterator[BodyReservation]:
-        """Reserve memory for one request until its end."""
+        """Open a reservation for one request; the end of the context releases its memory."""
         reservation = BodyReservation(self)
         try:
             yield reservation
@@ -62,7 +62,7 @@
 
 
 async def read_body(receive: Receive, max_bytes: int, reservation: BodyReservation | None = None) -> bytes:
-    """Read a complete body, against a reservation where one is given.
+    """Read a complete body, and count its bytes in a reservation if one is given.
 
     Raises:
         ClientGoneError: The client disconnected before the body was complete.
--- a/hophinge/fleet/transport/closing.py
+++ b/hophinge/fleet/transport/closing.py
@@ -1,15 +1,15 @@
-"""Closes connections so that what was written to them can still be read by the peer."""
+"""Closes connections so that the peer can still read what was written to them."""
 
 from __future__ import annotations
 
 import asyncio
 
-LINGER_S = 1.0  # for a client to read why it was rejected, while it still sends
+LINGER_S = 1.0  # for a client that is still sending to read why it was rejected
 FLUSH_CHECK_INTERVAL_S = 10.0  # between checks that a client still reads what was written before the close
 
 
 def close(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
-    """Close after flushing the write buffer; a client that reads nothing of it is aborted."""
+    """Close after flushing the write buffer; abort if the client stops reading it."""
     transport.close()
     _flush(loop, transport, -1)
 
@@ -23,12 +23,12 @@
 
 
 def linger(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
-    """Half-close, and read on for LINGER_S: a close with unread bytes would reset the connection."""
+    """Half-close, and keep reading for LINGER_S: a close with unread bytes would reset the connection."""
     if transport.is_closing():
         return
     try:
         transport.write_eof()
-    except OSError:  # it was reset, which has not been reported yet
+    except OSError:  # the connection was reset, which the event loop has not reported yet
         close(loop, transport)
         return
     loop.call_later(LINGER_S, close, loop, transport)
--- a/hophinge/fleet/transport/connection_context.py
+++ b/hophinge/fleet/transport/connection_context.py
@@ -1,4 +1,4 @@
-"""The state shared by a server's connections, and the views of a connection that requests and responses have."""
+"""The state shared by a server's connections, and the views of a connection for requests and responses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def max_connections() -> int:
-    """Return how many connections may be open; instances, members and files need descriptors, too."""
+    """Return how many clients' connections may be open; those to instances and members need descriptors, too."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return int(CONNECTIONS_FRACTION * soft)
 
@@ -27,7 +27,7 @@
 
     bounds: ConnectionBounds = field(default_factory=ConnectionBounds)
     max_connections: int = field(default_factory=max_connections)
-    close_reasons: Counter[str] = field(default_factory=Counter)  # of connections that ended with something left open
+    close_reasons: Counter[str] = field(default_factory=Counter)  # of unclean closes, see `connection_lost`
 
 
 def connection_of(scope: Scope) -> ConnectionState:
@@ -39,8 +39,8 @@
 class ResponseTransport:
     """The transport as responses use it; their `close` takes effect after the last outstanding response.
 
-    A write that meets the client's reset closes the connection, which the event loop reports only in a later turn.
-    What is written until then would be lost without a word, so the loss is reported at once.
+    A write to a connection that the client has reset closes it, which the event loop reports only in a later iteration.
+    Data written until then would be lost silently, so the loss is reported at once.
     """
 
     def __init__(self, transport: asyncio.Transport, close: Callable[[], None], on_lost: Callable[[], None]) -> None:
@@ -50,7 +50,7 @@
         self.on_lost = on_lost
 
     def write(self, data: bytes) -> None:
-        """Write some of a response, or drop it where the connection is lost."""
+        """Write part of a response, or drop it and report the loss if the connection is lost."""
         if not self.transport.is_closing():
             self.transport.write(data)
         if self.transport.is_closing():
--- a/hophinge/fleet/transport/connection_state.py
+++ b/hophinge/fleet/transport/connection_state.py
@@ -1,9 +1,10 @@
 """The state of a server's connection, without I/O: what was read, which responses are outstanding, when it closes.
 
-A request is outstanding from when its header was read until its response is complete; responses go out in the order of
-requests (RFC 9112, 9.3.2). After an invalid request, a timeout, the shutdown of the process or a `Connection: close`
-nothing new is accepted, and the connection closes after the last outstanding response. A client that closes its side
-has disconnected, also where it could still read: an instance would work for a response that may never be read.
+A request is outstanding from when its header was read until its response is complete; responses are sent in the order
+of the requests (RFC 9112, 9.3.2). After an invalid request, a timeout, the shutdown of the process or
+`Connection: close`, nothing new is accepted, and the connection closes after the last outstanding response. A client
+that closes its side counts as disconnected, even if it could still read: an instance would work for a response that may
+never be read.
 
 Each input returns the actions to perform, in order. Times are seconds of one clock.
 """
@@ -63,19 +64,19 @@
 
     def __init__(self, bounds: ConnectionBounds, now: float) -> None:
         self.bounds = bounds
-        self.idle_s = bounds.idle_s  # that applies to the present idle time
+        self.idle_s = bounds.idle_s  # the limit on the present idle time
         self.read_state = ReadState.NOTHING
         self.header_bytes = 0  # of the header being read
-        self.is_header_new = False  # it began with the latest bytes
-        self.completed_requests = 0  # with the latest bytes
+        self.is_header_new = False  # the header began with the latest bytes
+        self.completed_requests = 0  # by the latest bytes
         self.outstanding = 0  # requests; the first of them is being answered
         self.is_accepting = True
         self.close_reason: CloseReason | None = None
         self.rejection_status = 0  # to send after the last outstanding response; 0 for none
-        self.waiting_since = now  # since when the client is waited for
+        self.waiting_since = now  # since when the server waits for the client
         self.is_closed = False  # or closing
 
-    # --- what is read --------------------------------------------------------------------------------------------
+    # --- requests ------------------------------------------------------------------------------------------------
 
     def begin_header(self, now: float) -> None:
         """Record the first byte of a request."""
@@ -90,7 +91,7 @@
             keeps_alive: Whether the client keeps the connection after this request.
 
         Returns:
-            Whether the request is to be served. One that arrives once the connection is to close is rejected in turn.
+            Whether the request is to be served; one that arrives once the connection is to close is rejected in turn.
 
         """
         self.read_state = ReadState.BODY
@@ -123,7 +124,7 @@
         return []
 
     def reject(self, reason: CloseReason, status: int, is_response_started: bool = False) -> list[Action]:
-        """Accept nothing new after an invalid or late request; `status` follows the last outstanding response.
+        """Accept nothing new after an invalid or late request; `status` is sent after the last outstanding response.
 
         A request whose response started before the request was complete gets that response, and no rejection.
         """
@@ -132,12 +133,12 @@
         self.is_accepting = False
         self._set_close_reason(reason)
         abandons = self.read_state is ReadState.BODY and self.outstanding > 0 and not is_response_started
-        if abandons or self.read_state is not ReadState.BODY:  # else it has a response already
+        if abandons or self.read_state is not ReadState.BODY:  # else the request's response has started already
             self.rejection_status = status
         self.outstanding -= abandons
         return [Action.ABANDON_NEWEST] * abandons + self._close_when_answered()
 
-    # --- what is answered ----------------------------------------------------------------------------------------
+    # --- responses -----------------------------------------------------------------------------------------------
 
     def complete_response(self, now: float) -> list[Action]:
         """Record that the first outstanding response is complete."""
@@ -147,11 +148,11 @@
         return [Action.BEGIN_NEXT_RESPONSE] if self.outstanding else self._close_when_answered()
 
     def request_close(self) -> list[Action]:
-        """Close after the last outstanding response, as a response said."""
+        """Close after the last outstanding response, as a response requested."""
         self._set_close_reason(CloseReason.CLOSE_REQUESTED)
         return self._close_when_answered()
 
-    # --- ends ----------------------------------------------------------------------------------------------------
+    # --- closing -------------------------------------------------------------------------------------------------
 
     def shut_down(self) -> list[Action]:
         """Close after the last outstanding response; requests read until then are rejected."""
@@ -185,17 +186,17 @@
         self.is_closed = True
         return [Action.REJECT if self.rejection_status else Action.CLOSE]
 
-    # --- time ----------------------------------------------------------------------------------------------------
+    # --- deadlines -----------------------------------------------------------------------------------------------
 
     @property
     def deadline(self) -> float | None:
-        """Until when the client is waited for; None while the client waits for the server."""
+        """Until when the server waits for the client; None while the client waits for the server."""
         if not self.is_accepting or self.outstanding > (self.read_state is ReadState.BODY):
             return None
         return self.waiting_since + (self.bounds.header_s if self.read_state is ReadState.HEAD else self.idle_s)
 
     def check_deadline(self, now: float, is_response_started: bool = False) -> list[Action]:
-        """Reject or close what the client has left open past the deadline; `is_response_started` as for `reject`."""
+        """Reject an incomplete request, or close an idle connection, past the deadline; for the flag see `reject`."""
         deadline = self.deadline
         if deadline is None or now < deadline:
             return []
@@ -207,6 +208,6 @@
         return self._close_when_answered()
 
     def update_bounds(self, bounds: ConnectionBounds) -> None:
-        """Apply new bounds. Present idle time may only become longer: its client counts on what it had."""
+        """Apply new bounds; the present idle time may only be extended, as the client relies on the earlier limit."""
         self.bounds = bounds
         self.idle_s = max(self.idle_s, bounds.idle_s)
--- a/hophinge/fleet/transport/frames.py
+++ b/hophinge/fleet/transport/frames.py
@@ -1,4 +1,4 @@
-"""Frames between members: a length prefix, then one CBOR message; the first one of a connection names the sender."""
+"""Frames between members: a length prefix, then a CBOR message; the first frame of a connection names the sender."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hophinge.coordination.view import Replica
 
 LENGTH_PREFIX = struct.Struct(">I")
-MAX_FRAME_BYTES = 16 << 20  # above the largest configuration with the history that is kept of older ones
+MAX_FRAME_BYTES = 16 << 20  # more than the largest configuration with the stored history of older ones
 
 
 @wire(40)
@@ -37,7 +37,7 @@
         """Add bytes; return the messages that are complete now.
 
         Raises:
-            CodecError: The stream is not one of frames.
+            CodecError: A frame is too long, or does not contain a valid message.
 
         """
         self.buffer += data
@@ -46,7 +46,7 @@
         while len(self.buffer) - begin >= LENGTH_PREFIX.size:
             (length,) = LENGTH_PREFIX.unpack_from(self.buffer, begin)
             if length > MAX_FRAME_BYTES:
-                raise CodecError(f"a frame of {length} bytes")
+                raise CodecError(f"a frame of {length} bytes is too long")
             end = begin + LENGTH_PREFIX.size + length
             if len(self.buffer) < end:
                 break
--- a/hophinge/fleet/transport/links.py
+++ b/hophinge/fleet/transport/links.py
@@ -1,7 +1,7 @@
 """Connections between members: one outgoing connection to each address, incoming ones from any member.
 
 A message to a member that cannot be reached is dropped: the state machines retransmit what is still needed. The kernel
-closes a connection whose peer is silent, so that what queues up behind a partition is not delivered seconds later.
+closes a connection whose peer is silent, so that messages queued during a partition are not delivered seconds later.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from hophinge.coordination.view import Replica
 from hophinge.fleet.transport.frames import FrameReader, Hello, frame
 
-USER_TIMEOUT_MS = 1_500  # for which bytes may be unacknowledged before the kernel closes the connection
+USER_TIMEOUT_MS = 1_500  # of unacknowledged data, until the kernel closes the connection
 CONNECT_TIMEOUT_S = 1.5  # for a connection to be established
 RETRY_INTERVAL_S = 0.15  # between attempts to connect to one address
 MAX_QUEUED_BYTES = 32 << 20  # to one peer; beyond that the connection is aborted
-MIN_RENEWAL_AGE_S = 2.0  # a younger connection is not renewed, or two members would renew theirs in turn for ever
-IDLE_CLOSE_S = 60.0  # an outgoing connection not used for so long is closed
+MIN_RENEWAL_AGE_S = 2.0  # younger connections are not renewed, or two members would renew theirs in turn forever
+IDLE_CLOSE_S = 60.0  # an outgoing connection unused for this long is closed
 
 Handler = Callable[[Hello, object], None]
 
@@ -44,7 +44,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection; one that is accepted while the links close is refused."""
+        """Register the connection; abort it if the links are closed."""
         assert isinstance(transport, asyncio.Transport)
         if self.links.is_closed:
             transport.abort()
@@ -54,7 +54,7 @@
         set_socket_options(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Dispatch the messages that are complete."""
+        """Dispatch complete messages; abort the connection if the stream is invalid or does not begin with Hello."""
         try:
             messages = self.reader.feed(data)
         except CodecError as error:
@@ -75,7 +75,7 @@
         """Pass one message to the handler; its failure affects neither the messages after it nor the connection."""
         try:
             self.links.handler(hello, message)
-        except Exception:  # broad: a handler may fail for any reason, and the messages after it still count
+        except Exception:  # broad: whatever fails in a handler, later messages must be processed
             logger.exception("message handling failed peer={} type={}", hello.sender.address, type(message).__name__)
 
     def _abort(self) -> None:
@@ -101,7 +101,7 @@
         self.connected_at = 0.0
 
     def send(self, data: bytes) -> None:
-        """Send a frame, connecting first where needed."""
+        """Send a frame, connecting first if needed; drop it between attempts to connect."""
         loop = asyncio.get_running_loop()
         self.last_used_at = loop.time()
         if self.transport is not None and not self.transport.is_closing():
@@ -127,7 +127,7 @@
             self.connecting = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Introduce this member, then send the pending frames."""
+        """Send this member's Hello, then the pending frames."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.connected_at = asyncio.get_running_loop().time()
@@ -136,16 +136,16 @@
         self.pending_frames.clear()
 
     def renew(self) -> None:
-        """Close a connection that may be dead, unless it is new; the next message connects again."""
+        """Abort a connection that may be dead, unless it is new; the next message connects again."""
         is_new = asyncio.get_running_loop().time() - self.connected_at < MIN_RENEWAL_AGE_S
         if self.transport is not None and not is_new:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Ignore data: peers answer on their own connections."""
+        """Ignore data: peers send on their own connections."""
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Reconnect at the next message."""
+        """Forget the connection; the next message connects again."""
         self.transport = None
 
 
@@ -157,7 +157,7 @@
         self.handler = handler
         self.outgoing: dict[str, OutgoingLink] = {}
         self.incoming: set[IncomingLink] = set()
-        self.known_senders: set[str] = set()  # addresses that have connected before
+        self.known_senders: set[str] = set()  # addresses of members that have connected before
         self.server: asyncio.Server | None = None
         self.is_closed = False
 
@@ -168,10 +168,10 @@
         self.server = await loop.create_server(lambda: IncomingLink(self), host, int(port), reuse_address=True)
 
     def record_hello(self, hello: Hello) -> None:
-        """Record that a member has connected; where it connects again, the connection to it is renewed.
+        """Record that a member has connected; if it had connected before, renew the connection to it.
 
-        It has lost its connection to this member. After a partition in which packets passed one way only, it may have
-        closed its end of the other one, too: what is sent there is lost, and no answer on that connection says so.
+        The member has lost its connection to this one. After a partition in which packets passed in one direction only,
+        it may also have closed its end of the connection from here: messages sent on that are lost without any notice.
         """
         address = hello.sender.address
         link = self.outgoing.get(address)
@@ -180,7 +180,7 @@
         self.known_senders.add(address)
 
     def send(self, address: str, message: object) -> None:
-        """Send a message; drop it where the member cannot be reached or the links are closed."""
+        """Send a message; drop it if the member cannot be reached or the links are closed."""
         self.send_frame(address, frame(message))
 
     def send_frame(self, address: str, data: bytes) -> None:
@@ -204,9 +204,9 @@
                 del self.outgoing[address]
 
     async def close(self) -> None:
-        """Close all connections, and wait for the end of connects in progress.
+        """Close all connections and send nothing more, and wait for the end of connects in progress.
 
-        Timers and requests that end later may still send: a connect begun then would outlive the event loop.
+        Timers and requests that end later may still call `send`: a connect started then would outlive the event loop.
         """
         self.is_closed = True
         if self.server is not None:
--- a/hophinge/fleet/transport/server.py
+++ b/hophinge/fleet/transport/server.py
@@ -18,7 +18,7 @@
 
 BACKLOG = 1_024
 POLL_INTERVAL_S = 0.05  # between checks for work in flight while draining
-FINAL_FLUSH_S = 0.2  # for responses to be sent after `on_deadline`
+FINAL_FLUSH_S = 0.2  # for sending responses after `on_deadline`
 
 
 def bind_listener(address: str) -> socket.socket:
@@ -33,7 +33,7 @@
 
 
 class HttpServer(Server):
-    """A uvicorn server without its signal handlers, timer and log."""
+    """A uvicorn server without uvicorn's signal handlers, timer and log."""
 
     def __init__(self, app: Any) -> None:
         self.context = ConnectionContext()
@@ -74,7 +74,7 @@
 
     def connections(self) -> list[ServerConnection]:
         """Return the open connections."""
-        return [one for one in self.server_state.connections if isinstance(one, ServerConnection)]
+        return [connection for connection in self.server_state.connections if isinstance(connection, ServerConnection)]
 
     def stop_listening(self) -> None:
         """Accept no new connections."""
@@ -93,8 +93,8 @@
 
         Args:
             deadline: Until when to wait, on the loop's clock.
-            on_deadline: Called then if work is left; it has pending requests answered at once, for which FINAL_FLUSH_S
-                is left.
+            on_deadline: Called at the deadline if work is left, to have pending requests answered at once; their
+                responses are sent within FINAL_FLUSH_S.
 
         """
         self.stop_listening()
@@ -112,7 +112,7 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether a connection is open, or work on a request goes on, including the cleanup after its response."""
+        """Whether a connection is open or a request is being processed, including the cleanup after its response."""
         return bool(self.server_state.connections or self.server_state.tasks)
 
     def outstanding_responses(self) -> list[str]:
--- a/hophinge/fleet/transport/server_connection.py
+++ b/hophinge/fleet/transport/server_connection.py
@@ -1,4 +1,4 @@
-"""A connection of the HTTP server: uvicorn parses and frames, `ConnectionState` decides on responses and closes."""
+"""A connection of the HTTP server: uvicorn parses and frames, `ConnectionState` orders responses and decides closes."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 )
 from hophinge.fleet.transport.upgrade import without_upgrade
 
-MAX_PIPELINED = 8  # requests waiting behind the one being answered, from which on reading pauses
+MAX_PIPELINED = 8  # requests waiting behind the one being answered, at which reading pauses
 CLOSED_BY_CLIENT = (CloseReason.CLIENT_CLOSED, CloseReason.CLIENT_RESET)
 
 
 class ServerConnection(HttpToolsProtocol):
     """A connection that a client opened.
 
-    uvicorn knows only the latest request of a connection, and closes, rejects or drops by it alone. Here every request
-    that was read is kept until its response is complete; the bytes of responses are never mixed.
+    uvicorn tracks only the latest request of a connection, and closes, rejects or drops by that one alone. This class
+    keeps every request that was read until its response is complete, and never mixes the bytes of responses.
     """
 
     def __init__(self, context: ConnectionContext, **params: Any) -> None:
@@ -44,7 +44,7 @@
     # --- the connection ------------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Begin the connection, and close an idle one where there are too many."""
+        """Begin the connection; close an idle one if there are too many."""
         super().connection_made(transport)
         self.raw_transport = transport
         self.transport = ResponseTransport(  # type: ignore[assignment]
@@ -55,7 +55,7 @@
             self._enforce_capacity()
 
     def _enforce_capacity(self) -> None:
-        """Close the connection that has been idle longest; this one, where none is idle."""
+        """Close the connection that has been idle longest, or this one if none is idle."""
         idle = [
             connection
             for connection in self.connections
@@ -65,7 +65,7 @@
         longest_idle._perform(longest_idle.state.yield_to_another())
 
     def data_received(self, data: bytes) -> None:
-        """Read requests; what arrives once the connection accepts nothing new is ignored."""
+        """Read requests; ignore data that arrives once the connection accepts nothing new."""
         if not self.state.is_accepting:
             return
         try:
@@ -94,12 +94,15 @@
         return head
 
     def eof_received(self) -> None:
-        """Cancel what is in flight: a client that closes its side has disconnected."""
+        """Cancel the requests in flight: a client that closes its side counts as disconnected."""
         self.state.abandon(CloseReason.CLIENT_CLOSED)
         self._disconnect_all()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the requests in flight, and count the close reason where something had been left open."""
+        """Cancel the requests in flight, and count the reason of an unclean close.
+
+        A close is clean if no request was incomplete and the client, a request or a response asked for it.
+        """
         self.state.abandon(CloseReason.CLIENT_RESET if exc is not None else CloseReason.CLIENT_CLOSED)
         if self.timer is not None:
             self.timer.cancel()
@@ -130,14 +133,14 @@
         self.state.begin_header(self.loop.time())
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Record a field of the header; one behind the body, a trailer field, is dropped (RFC 9110, section 6.5.1)."""
+        """Record a header field; drop a trailer field, which arrives after the body (RFC 9110, section 6.5.1)."""
         if self.state.read_state is not ReadState.BODY:
             super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
         """Handle a complete header: its response is outstanding from now on."""
         if self.parser.should_upgrade():
-            return  # it is read again without its upgrade
+            return  # the header is parsed again without its upgrade
         super().on_headers_complete()
         self.cycles.append(self.cycle)
         is_served = self.state.complete_header(self.cycle.keep_alive)
@@ -145,7 +148,7 @@
             if not is_served:
                 self.pipeline[0] = (self.cycle, service_unavailable)
             if len(self.pipeline) < MAX_PIPELINED:
-                self.flow.resume_reading()  # to detect that its client disconnects
+                self.flow.resume_reading()  # to detect a disconnect of the client
 
     def on_message_complete(self) -> None:
         """Handle a request's last byte."""
@@ -155,7 +158,7 @@
         self.state.complete_request(self.loop.time())
 
     def on_response_complete(self) -> None:
-        """Go on after a complete response."""
+        """Start the next response, or close if the connection is to close."""
         self.server_state.total_requests += 1
         self.cycles.popleft()
         self.flow.resume_reading()
@@ -163,7 +166,7 @@
         self._schedule_deadline()
 
     def request_close(self) -> None:
-        """Close after the last outstanding response; at once where a started one cannot be completed."""
+        """Close after the last outstanding response; at once if a started response cannot be completed."""
         first = self.cycles[0] if self.cycles else None
         if first is not None and first.response_started and not first.response_complete:
             self.state.abandon(CloseReason.RESPONSE_ABORTED)
@@ -172,12 +175,12 @@
             self._perform(self.state.request_close())
 
     def shutdown(self) -> None:
-        """Accept nothing new, as the process shuts down; a response not started yet says that it is the last."""
+        """Accept nothing new, as the process shuts down; the last response, if not started yet, announces the close."""
         self._perform(self.state.shut_down())
         if self.cycles:
             self.cycles[-1].keep_alive = False
 
-    # --- actions of the state ------------------------------------------------------------------------------
+    # --- actions -------------------------------------------------------------------------------------------------
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
@@ -209,7 +212,7 @@
         self._linger()
 
     def _linger(self) -> None:
-        """Half-close, and read on for a moment."""
+        """Half-close, and keep reading for LINGER_S."""
         assert self.raw_transport is not None
         self.flow.resume_reading()
         linger(self.loop, self.raw_transport)
@@ -218,7 +221,7 @@
         assert self.raw_transport is not None
         close(self.loop, self.raw_transport)
 
-    # --- time ----------------------------------------------------------------------------------------------------
+    # --- deadlines -----------------------------------------------------------------------------------------------
 
     def update_bounds(self, bounds: ConnectionBounds) -> None:
         """Apply new bounds."""
@@ -226,7 +229,7 @@
         self._schedule_deadline()
 
     def _schedule_deadline(self) -> None:
-        """Keep one timer, no later than the state's deadline; an early one schedules itself again."""
+        """Keep one timer, no later than the state's deadline; a timer that fires early schedules the next one."""
         deadline = self.state.deadline
         if deadline is None or (self.timer is not None and self.timer.when() <= deadline):
             return
@@ -237,11 +240,11 @@
     def _on_deadline(self) -> None:
         self.timer = None
         if self.flow.read_paused:
-            self.state.waiting_since = self.loop.time()  # it is the server that does not read
+            self.state.waiting_since = self.loop.time()  # the server itself has paused reading
         self._perform(self.state.check_deadline(self.loop.time(), self._is_newest_response_started()))
         self._schedule_deadline()
 
-    # --- descriptions -----------------------------------------------------------------------------------------
+    # --- descriptions --------------------------------------------------------------------------------------------
 
     def outstanding_responses(self) -> list[str]:
         """Return a description of each response that is outstanding or not sent completely, for the log."""
--- a/hophinge/fleet/transport/unused_imports.py
+++ b/hophinge/fleet/transport/unused_imports.py
@@ -2,8 +2,8 @@
 
 httpcore loads `trio` and `sniffio` where they are installed, and `certifi` for TLS, which the programs do not use: they
 run on asyncio alone, without TLS. uvicorn loads its command line, with `click` and `multiprocessing`; the programs use
-its server from Python. msgspec prefers `typing_extensions` to the standard library, which has the same functions.
-Imported before these libraries.
+its server from Python. msgspec prefers `typing_extensions` to the standard library, which has the same functions. This
+module must be imported before these libraries.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 import sys
 from types import ModuleType
 
-ABSENT = ("trio", "sniffio")  # an import of it fails as if it were not installed
+ABSENT = ("trio", "sniffio")  # their imports fail as if they were not installed
 EMPTY = ("certifi",)  # imported by httpcore for a function that is only called for TLS
-COMMAND_LINE = "uvicorn.main"  # what the package takes from it is named below
-COMMAND_LINE_NAMES = ("Server", "main", "run")
+COMMAND_LINE = "uvicorn.main"
+COMMAND_LINE_NAMES = ("Server", "main", "run")  # that the package imports from it
 PREFERRED = "typing_extensions"  # absent while msgspec is imported, which then uses `typing`
 
 _modules: dict[str, ModuleType | None] = sys.modules  # type: ignore[assignment]
@@ -34,7 +34,7 @@
 
 def _import_msgspec() -> None:
     if PREFERRED in sys.modules:
-        return  # nothing is saved
+        return  # already loaded: suppressing it would save nothing
     _modules[PREFERRED] = None
     try:
         importlib.import_module("msgspec")
--- a/hophinge/fleet/transport/upgrade.py
+++ b/hophinge/fleet/transport/upgrade.py
@@ -1,6 +1,7 @@
 """Requests with `Upgrade`: a server may ignore it (RFC 9110, 7.8), and then has to send a response.
 
-The parser takes the body of such a request for the other protocol's bytes, so its header is rewritten without it.
+The parser treats the body of such a request as data of the other protocol, so the header is rewritten without the
+upgrade and parsed again.
 """
 
 from __future__ import annotations
