--- a/tests/failure_mutants.py
+++ b/tests/failure_mutants.py
@@ -18,7 +18,7 @@
 LINKS = "tests/test_fleet_links.py::"
 HOST = "tests/test_fleet_replica_host.py::"
 FRONTEND = "tests/test_fleet_frontend.py::"
-SURPLUS = "tests/test_fleet_upstream.py::test_a_connection_with_bytes_behind_a_response_is_not_reused"
+SURPLUS = "tests/test_fleet_upstream.py::test_a_connection_with_bytes_after_a_response_is_not_reused"
 
 FAILURE_MUTANTS = (
     Mutant(
@@ -254,28 +254,28 @@
         "fleet/dataplane/http_frontend",
         "await self._reject_size(send, 431, table)",
         'await answer(send, 431, b"", [CLOSE])',
-        FRONTEND + "test_a_head_without_a_configuration_answers_503_whatever_is_asked",
+        FRONTEND + "test_a_head_without_a_configuration_answers_503_to_any_request",
     ),
     Mutant(
         "a client's deadline may exceed its route's timeout",
         "fleet/dataplane/http_frontend",
         "min(requested_s, route.timeout_s)",
         "requested_s",
-        FRONTEND + "test_a_request_has_its_end_by_the_timeout_of_its_route",
+        FRONTEND + "test_a_request_ends_by_the_timeout_of_its_route",
     ),
     Mutant(
         "a later attempt is given the first one's time",
         "fleet/dataplane/exchange",
         "remaining_s = self.lifecycle.deadline - self.loop.time()",
         "remaining_s = self.lifecycle.deadline - self.lifecycle.trace.arrived",
-        FRONTEND + "test_a_later_attempt_is_given_only_what_is_left",
+        FRONTEND + "test_a_later_attempt_gets_only_the_remaining_time",
     ),
     Mutant(
         "work goes on after its client has left",
         "fleet/dataplane/client",
         "        work.cancel()\n        with contextlib",
         "        with contextlib",
-        FRONTEND + "test_a_client_that_left_while_its_request_waits_for_a_stage_has_nothing_sent",
+        FRONTEND + "test_nothing_is_sent_for_a_client_that_disconnected_while_its_request_was_pending",
     ),
     Mutant(
         "what a full disk refused is acknowledged",
--- a/tests/scripted_instance.py
+++ b/tests/scripted_instance.py
@@ -1,4 +1,4 @@
-"""Instances on loopback whose first answer to one request ends in a way that a test names; all others are sound."""
+"""Instances on loopback that end one attempt in the way a test injects, and answer all others normally."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedCall:
-    """One request as an instance read it."""
+    """One request as an instance received it."""
 
     instance: str
     name: str
-    reads: bool  # only the prompt is to be read
+    reads: bool  # it asks for the prefill only
     first_event: int
     body: bytes
 
@@ -41,7 +41,7 @@
         self.writer.write(data)
 
     async def reset(self) -> None:
-        """Have the kernel send a reset, so that what is on its way is lost."""
+        """Have the kernel send a reset, so that data in transit is lost."""
         with contextlib.suppress(ConnectionError):
             await self.writer.drain()
         sock = self.writer.get_extra_info("socket")
@@ -51,34 +51,34 @@
 
 @dataclass
 class Script:
-    """What all instances of a play share: how the next answer ends, who ran what, which answers were given."""
+    """The state that all instances of a test share: the injected ending, runs, arrivals and responses."""
 
     ending: Ending | None = None
-    stage: str | None = None  # at which stage the ending comes
-    name: str | None = None  # to which request
-    struck: str | None = None  # the request that met the ending
+    stage: str | None = None  # of the instance that applies the ending
+    name: str | None = None  # the id of the request whose attempt gets the ending
+    struck: str | None = None  # the request whose attempt got the ending, once applied
     runs: Counter[str] = field(default_factory=Counter)
     arrivals: list[ReceivedCall] = field(default_factory=list)
     given: list[tuple[int, bytes]] = field(default_factory=list)
     connections: int = 0
-    left: asyncio.Event = field(default_factory=asyncio.Event)  # a caller closed a connection with work on it
+    left: asyncio.Event = field(default_factory=asyncio.Event)  # a caller closed a connection with a request in flight
 
-    def ran(self, asked: ReceivedCall) -> None:
-        """An instance took the request up; a prompt that is only read is no run."""
-        self.runs[asked.name] += not asked.reads
+    def ran(self, call: ReceivedCall) -> None:
+        """Record that an instance ran the request; a prefill does not count as a run."""
+        self.runs[call.name] += not call.reads
 
-    def answer(self, asked: ReceivedCall, status: int = 200, more: bytes = b"", body: bytes | None = None) -> bytes:
-        """Tell a whole answer's bytes."""
-        whole = sound_body(asked) if body is None else body
-        self.given.append((status, whole))
-        kind = b"Content-Type: text/event-stream\r\n" if whole.startswith(b"id:") else b""
+    def answer(self, call: ReceivedCall, status: int = 200, more: bytes = b"", body: bytes | None = None) -> bytes:
+        """Encode and record a complete response."""
+        response_body = sound_body(call) if body is None else body
+        self.given.append((status, response_body))
+        kind = b"Content-Type: text/event-stream\r\n" if response_body.startswith(b"id:") else b""
         return b"HTTP/1.1 %d X\r\nHophinge-Request-Id: %s\r\n%s%sContent-Length: %d\r\n\r\n%s" % (
             status,
-            asked.name.encode(),
+            call.name.encode(),
             kind,
             more,
-            len(whole),
-            whole,
+            len(response_body),
+            response_body,
         )
 
 
@@ -87,13 +87,13 @@
 NOT_EXECUTED = b"Hophinge-Not-Executed: 1\r\n"
 
 
-def sound_body(asked: ReceivedCall) -> bytes:
-    """Tell the body of a sound answer."""
-    if asked.reads:
-        return json.dumps({"prefill-handle": f"h-{asked.name}", "tokens": 9, "version": 1}).encode()
-    if asked.name.startswith("stream"):
-        return b"".join(b"id: %d\ndata: x\n\n" % number for number in range(asked.first_event, EVENTS + 1))
-    return f"answer to {asked.name} of {len(asked.body)}".encode()
+def sound_body(call: ReceivedCall) -> bytes:
+    """Return the body of a normal response."""
+    if call.reads:
+        return json.dumps({"prefill-handle": f"h-{call.name}", "tokens": 9, "version": 1}).encode()
+    if call.name.startswith("stream"):
+        return b"".join(b"id: %d\ndata: x\n\n" % number for number in range(call.first_event, EVENTS + 1))
+    return f"answer to {call.name} of {len(call.body)}".encode()
 
 
 class ScriptedInstance:
@@ -116,14 +116,14 @@
         connection = Connection(reader, writer)
         self.script.connections += 1
         try:
-            while await self._one(connection):
+            while await self._serve_request(connection):
                 connection.served += 1
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # the caller has closed it, or the play is over
+            pass  # the caller has closed the connection, or the test is over
         finally:
             writer.close()
 
-    async def _one(self, connection: Connection) -> bool:
+    async def _serve_request(self, connection: Connection) -> bool:
         head = await connection.reader.readuntil(b"\r\n\r\n")
         fields = {
             name.strip().lower(): value.strip()
@@ -132,28 +132,28 @@
         if head.startswith(b"DELETE"):
             connection.say(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             return True
-        reads = fields.get("hophinge-serving-stage") == "prefill"
+        is_prefill = fields.get("hophinge-serving-stage") == "prefill"
         length, name = int(fields.get("content-length", 0)), fields["hophinge-request-id"]
         script = self.script
-        due = script.ending is not None and script.struck is None
-        struck = due and (script.stage, script.name) == (self.stage, name)
-        if struck and getattr(script.ending, "before_body", False):
-            asked = ReceivedCall(self.name, name, reads, 1, b"")
+        is_pending = script.ending is not None and script.struck is None
+        applies_ending = is_pending and (script.stage, script.name) == (self.stage, name)
+        if applies_ending and getattr(script.ending, "before_body", False):
+            call = ReceivedCall(self.name, name, is_prefill, 1, b"")
         else:
             body = await connection.reader.readexactly(length)
-            asked = ReceivedCall(self.name, name, reads, int(fields.get("last-event-id", 0)) + 1, body)
-        script.arrivals.append(asked)
-        if struck:
+            call = ReceivedCall(self.name, name, is_prefill, int(fields.get("last-event-id", 0)) + 1, body)
+        script.arrivals.append(call)
+        if applies_ending:
             assert script.ending is not None
             script.struck = name
-            return await script.ending(script, connection, asked)
-        script.ran(asked)
-        connection.say(script.answer(asked, more=STAMP))
+            return await script.ending(script, connection, call)
+        script.ran(call)
+        connection.say(script.answer(call, more=STAMP))
         return True
 
 
 async def left(script: Script, connection: Connection) -> bool:
-    """Wait until the caller closes the connection, with work on it."""
+    """Wait until the caller closes the connection with its request in flight."""
     with contextlib.suppress(ConnectionError):
         await connection.reader.read(1)
     script.left.set()
--- a/tests/surplus_orders.py
+++ b/tests/surplus_orders.py
@@ -1,8 +1,8 @@
-"""Seeded orders of responses with surplus ones between them, and the model that says what each client must get.
+"""Seeded orders of responses with surplus ones between them, and the model that determines what each client must get.
 
-Instances refuse some attempts, run others, and send many responses once more: late, split anywhere, before, within and
-behind the next request on the connection. Every own response is whole and in time, so each request is served, once.
-`python -m tests.surplus_orders FIRST COUNT` plays orders by hand.
+Instances refuse some attempts, run others, and repeat many responses: late, split anywhere, before, during and after
+the next request on the connection. Every own response is complete and in time, so each request is served, once.
+`python -m tests.surplus_orders FIRST COUNT` runs orders by hand.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from tests.scripted_instance import EVENTS, ScriptedInstance
 from tests.test_failures_requests import ROUTES, Client, Play
 
-REQUESTS = 12  # of an order
-LANES = 3  # in which they follow each other
+REQUESTS = 12  # in an order
+LANES = 3  # sequences of requests that run in parallel
 MAX_REFUSALS = 2  # of one request, so that it is served in the end
 MAX_DELAY_S = 0.2  # before a response
-MAX_LATENESS_S = 0.4  # of a surplus response, behind the own one
+MAX_LATENESS_S = 0.4  # of a surplus response, after the own one
 MAX_PAUSE_S = 0.06  # between two requests, and between the parts of a split response
 PARALLEL_ORDERS = 40
-DEADLINE_S = 60.0  # far beyond what any order takes, also on a busy machine
+DEADLINE_S = 60.0  # far longer than any order takes, even on a busy machine
 NOT_EXECUTED = b"Hophinge-Not-Executed: 1\r\n"
 
 
 @dataclass
 class OrderState:
-    """What the instances of one order share."""
+    """The state that the instances of one order share."""
 
     seed: int
     arrivals: Counter[str] = field(default_factory=Counter)
@@ -41,23 +41,23 @@
     runs: Counter[str] = field(default_factory=Counter)
     surplus: int = 0
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    connections: set[asyncio.Task[None]] = field(default_factory=set)  # that serve one each
+    connections: set[asyncio.Task[None]] = field(default_factory=set)  # each serves one connection
 
     def draw(self, name: str) -> Random:
-        """Return the random numbers of an arrival: the same whatever else happens meanwhile."""
+        """Return the generator of random numbers for an arrival, independent of concurrent events."""
         self.arrivals[name] += 1
         return Random(f"{self.seed} {name} {self.arrivals[name]}")
 
 
 @dataclass
 class Wire:
-    """A connection at an instance; responses are written one after the other."""
+    """A connection at an instance; responses are written in sequence."""
 
     writer: asyncio.StreamWriter
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     async def write(self, data: bytes, random: Random) -> None:
-        """Write a response, in two parts now and then."""
+        """Write a response, sometimes in two parts."""
         cut = random.randrange(len(data)) if random.random() < 0.5 else 0
         async with self.lock:
             self.writer.write(data[:cut])
@@ -67,7 +67,7 @@
 
 
 def encode(status: int, more: bytes, body: bytes, random: Random) -> bytes:
-    """Encode a response, with a length or in chunks, behind interim ones now and then."""
+    """Encode a response, with a length or in chunks, sometimes after an interim response."""
     interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" if random.random() < 0.1 else b""
     head = b"%sHTTP/1.1 %d X\r\n%s" % (interim, status, more)
     if body and random.random() < 0.4:
@@ -87,10 +87,10 @@
 
 
 class RepeatingInstance(ScriptedInstance):
-    """An instance that sends many of its responses once more."""
+    """An instance that sends many of its responses a second time."""
 
     def __init__(self, name: str, stage: str, state: OrderState) -> None:
-        super().__init__(name, stage, None)  # type: ignore[arg-type]  # no script: this one draws what it does
+        super().__init__(name, stage, None)  # type: ignore[arg-type]  # no script: this instance behaves randomly
         self.state = state
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What came of one request."""
+    """The result of one request."""
 
     kind: str
     name: str
@@ -147,10 +147,10 @@
     runs: int
 
     def faults(self) -> list[str]:
-        """Return what is wrong with it, by the model: each request is served by its own response, and runs once."""
+        """Return the deviations from the model: each request is served by its own response, and runs once."""
         found = [] if self.runs == 1 else [f"ran {self.runs} times"]
         if (self.client.status, self.client.whole) != (200, True):
-            found.append(f"got {self.client.status} though its own response came whole and in time")
+            found.append(f"got {self.client.status} though its own response arrived complete and in time")
         elif find_field(self.client.fields, b"hophinge-request-id") != self.name:
             found.append("got a response with another id")
         elif self.client.body != own_body(self.name, False, 1):
@@ -160,16 +160,16 @@
 
 @dataclass
 class Tally:
-    """What came of many orders."""
+    """The results of many orders."""
 
     requests: int = 0
-    surplus: int = 0  # responses that were sent once more
-    read_past: int = 0
+    surplus: int = 0  # responses that were sent a second time
+    skipped: int = 0  # surplus responses
     faults: list[str] = field(default_factory=list)
 
 
 async def play_order(seed: int, tally: Tally) -> None:
-    """Play one order, and add what came of it."""
+    """Run one order, and add its results to the tally."""
     random = Random(seed)
     state = OrderState(seed)
     stages = ["prefill", "prefill", "decode", "decode"] if random.random() < 0.4 else ["", ""]
@@ -181,7 +181,7 @@
     results = [result for lane in await asyncio.gather(*lanes) for result in lane]
     tally.requests += len(results)
     tally.surplus += state.surplus
-    tally.read_past += read_past(play.upstream, instances)
+    tally.skipped += skipped_responses(play.upstream, instances)
     tally.faults += [f"seed {seed}: {fault}" for result in results for fault in result.faults()]
     for task in list(state.tasks):
         task.cancel()
@@ -189,11 +189,11 @@
     await play.upstream.close()
     for instance in instances:
         await instance.close()
-    await asyncio.wait(state.connections)  # each ends with the head's
+    await asyncio.wait(state.connections)  # each ends when the head closes its end
 
 
-def read_past(upstream: Upstream, instances: list[ScriptedInstance]) -> int:
-    """Return how many surplus responses a head has read past."""
+def skipped_responses(upstream: Upstream, instances: list[ScriptedInstance]) -> int:
+    """Return how many surplus responses a head has skipped."""
     return sum(upstream.surplus_responses(instance.name) for instance in instances)
 
 
@@ -209,12 +209,12 @@
 
 
 async def play_orders(first: int, count: int) -> Tally:
-    """Play orders, several at a time."""
+    """Run orders, several at a time."""
     tally = Tally()
-    places = asyncio.Semaphore(PARALLEL_ORDERS)
+    semaphore = asyncio.Semaphore(PARALLEL_ORDERS)
 
     async def play(seed: int) -> None:
-        async with places:
+        async with semaphore:
             await play_order(seed, tally)
 
     await asyncio.gather(*(play(seed) for seed in range(first, first + count)))
@@ -222,10 +222,10 @@
 
 
 def main() -> int:
-    """Play orders by hand; the exit status is 1 where the model was contradicted."""
+    """Run orders by hand; the exit status is 1 if a result deviates from the model."""
     tally = asyncio.run(play_orders(int(sys.argv[1]), int(sys.argv[2])))
     print(*tally.faults, sep="\n")
-    print(f"{tally.requests} requests, {tally.surplus} surplus responses, {tally.read_past} read past")
+    print(f"{tally.requests} requests, {tally.surplus} surplus responses, {tally.skipped} skipped")
     print(f"{len(tally.faults)} faults")
     return 1 if tally.faults else 0
 
--- a/tests/test_fleet_aborted_responses.py
+++ b/tests/test_fleet_aborted_responses.py
@@ -1,4 +1,4 @@
-"""Cut answers are told of: who ended first, at which step, and what the head knew; a line and a count for each."""
+"""Each aborted response is logged and counted, with the side that ended first, the phase and what the head knew."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
         ),
     ],
 )
-def test_the_event_holds_what_was_known(error: str, unregistered: float | None, line: str) -> None:
-    seen = ObservedInstance("i-1", "", unregistered, 2)
-    cut = AbortedResponse("q1", "r", AbortSide.HEAD, RequestPhase.ANSWERING, error, seen, 7, 1.5, 4.6)
-    assert cut.event() == line
-    assert cut.reason == "head while answering"
+def test_the_log_event_contains_what_the_head_knew(error: str, unregistered: float | None, line: str) -> None:
+    instance = ObservedInstance("i-1", "", unregistered, 2)
+    aborted = AbortedResponse("q1", "r", AbortSide.HEAD, RequestPhase.ANSWERING, error, instance, 7, 1.5, 4.6)
+    assert aborted.event() == line
+    assert aborted.reason == "head while answering"
 
 
 def test_aborts_by_an_instance_and_by_a_client_are_distinguished(tmp_path: Path) -> None:
@@ -50,12 +50,12 @@
                 await fleet.start_instance(identity, service, stage)
             await wait_until([taken(fleet, 0, configuration_document(1, ROUTES), 0)], BOUND_S)
             await wait_until([fleet.ready_condition(0, 1, len(INSTANCES))], BOUND_S)
-            maker = fleet.instances["d1"]
-            maker.engine.faults.add(Fault.CUT)
+            decode = fleet.instances["d1"]
+            decode.engine.faults.add(Fault.CUT)
             reply = await fleet.request(0, "/m/q", "broken", *PROMPT)
             assert reply.status == 200 and not reply.is_complete
-            maker.engine.faults.clear()
-            maker.before_event = asyncio.Event().wait
+            decode.engine.faults.clear()
+            decode.before_event = asyncio.Event().wait
             await _leave(fleet, "/m/q", "left-answering")
             fleet.instances["s1"].before_response = asyncio.Event().wait
             await _leave(fleet, "/p/q", "left-waiting")
@@ -82,36 +82,36 @@
                 lines = [line for line in head.lines if f"response aborted {begin}" in line]
                 assert any(f" error={error}" in line for line in lines), (begin, list(head.lines))
             assert not head.has_logged("Traceback")
-            assert {"left-answering"} <= maker.in_flight
+            assert {"left-answering"} <= decode.in_flight
 
     asyncio.run(run())
 
 
 async def _leave(fleet: LoopbackFleet, path: str, name: str) -> None:
-    """Make a request and leave once an instance works on it."""
+    """Send a request, and close the connection once an instance processes it."""
     host, port = fleet.address(0, FRONT_PORT).rsplit(":", 1)
     _, writer = await asyncio.open_connection(host, int(port))
     fields = [(b"Host", HOST.encode()), (b"Hophinge-Request-Id", name.encode()), (b"Content-Length", b"1"), *PROMPT]
     lines = b"".join(field + b": " + value + b"\r\n" for field, value in fields)
     writer.write(b"POST %s HTTP/1.1\r\n%s\r\nx" % (path.encode(), lines))
-    await wait_until([_works_on(fleet, name)], BOUND_S)
+    await wait_until([_is_processing(fleet, name)], BOUND_S)
     writer.close()
     await writer.wait_closed()
 
 
-def _works_on(fleet: LoopbackFleet, name: str) -> Condition:
-    async def look() -> tuple[bool, str]:
-        makers = [one for one in fleet.instances.values() if one.engine.stage != "prefill"]
-        begun = any(name in one.in_flight for one in makers)
-        return begun and any(run.request == name for one in makers for run in one.engine.runs), ""
+def _is_processing(fleet: LoopbackFleet, name: str) -> Condition:
+    async def check() -> tuple[bool, str]:
+        generating = [instance for instance in fleet.instances.values() if instance.engine.stage != "prefill"]
+        is_in_flight = any(name in instance.in_flight for instance in generating)
+        return is_in_flight and any(run.request == name for instance in generating for run in instance.engine.runs), ""
 
-    return Condition(fleet.head(0), f"has {name} under way", look)
+    return Condition(fleet.head(0), f"has {name} in flight", check)
 
 
 def _counts(fleet: LoopbackFleet, expected: dict[str, int]) -> Condition:
-    async def look() -> tuple[bool, str]:
+    async def check() -> tuple[bool, str]:
         reply = await fleet.call(fleet.address(0, READY_PORT), "GET", "/v1/member", b"", [(b"Host", b"c")])
-        cuts = json.loads(reply.body)["cuts"]
-        return cuts == expected, str(cuts)
+        counts = json.loads(reply.body)["cuts"]
+        return counts == expected, str(counts)
 
-    return Condition(fleet.head(0), "counts the cuts", look)
+    return Condition(fleet.head(0), "counts the aborted responses", check)
--- a/tests/test_fleet_begun_answers.py
+++ b/tests/test_fleet_begun_answers.py
@@ -1,6 +1,6 @@
-"""An answer that has begun before its request's body came whole: whatever ends the request, the answer goes out whole.
+"""A response that starts before its request's body is complete is sent completely, whatever ends the request.
 
-Found by reading: the refusal of a body that does not come, or that cannot be read, was written within the answer.
+Guards against the rejection of a late or invalid body that is written into the middle of the response.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 BAD_CHUNK = b"no length\r\n"
 
 
-@pytest.mark.parametrize("ended", ["by its time", "by bytes that are none of a body", "by the process's end"])
-def test_a_started_response_is_complete_whatever_ends_its_request(ended: str) -> None:
+@pytest.mark.parametrize("end", ["by its timeout", "by an invalid body", "by the shutdown"])
+def test_a_started_response_is_complete_whatever_ends_its_request(end: str) -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         wire.held = True
         await wire.feed(CHUNKED)
         connection = wire.connection
         assert connection is not None and wire.pipe.written.endswith(b"one")
-        if ended == "by its time":
+        if end == "by its timeout":
             connection.state.waiting_since -= 100.0
             connection._on_deadline()
-        elif ended == "by the process's end":
+        elif end == "by the shutdown":
             connection.shutdown()
         else:
             await wire.feed(BAD_CHUNK)
@@ -37,7 +37,7 @@
     played(play)
 
 
-def test_one_that_has_begun_behind_another_is_not_cut_either() -> None:
+def test_a_started_response_to_a_pipelined_request_is_not_aborted_either() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         await wire.feed(FIRST)
         wire.held = True
--- a/tests/test_fleet_claims.py
+++ b/tests/test_fleet_claims.py
@@ -1,4 +1,4 @@
-"""Ends and uses: every order of retire, claim and release of one thing that others use."""
+"""Claims on a shared resource: every order of retirement, claims and releases."""
 
 from __future__ import annotations
 
@@ -16,38 +16,42 @@
 
 
 def _possible(order: Order) -> bool:
-    at = {step: number for number, step in enumerate(order)}
-    return at["claim 0"] < at["release 0"] and at["claim 1"] < at["release 1"] and at["retire"] < at["retire again"]
+    index = {step: number for number, step in enumerate(order)}
+    return (
+        index["claim 0"] < index["release 0"]
+        and index["claim 1"] < index["release 1"]
+        and index["retire"] < index["retire again"]
+    )
 
 
 ORDERS = [order for order in itertools.permutations(STEPS) if _possible(order)]
 
 
 def _play(order: Order) -> tuple[list[str], set[str]]:
-    """Play an order; tells the steps that said 'close now', and the claims that were given."""
-    claims, numbers = Claims(), dict[str, int | None]()
+    """Perform the steps; return those that asked for the close, and the claims that were granted."""
+    claims, claim_ids = Claims(), dict[str, int | None]()
     closing: list[str] = []
     for step in order:
-        word, _, which = step.partition(" ")
-        if word == "claim":
-            numbers[which] = claims.acquire(1.0)
-        elif word == "retire":
+        action, _, name = step.partition(" ")
+        if action == "claim":
+            claim_ids[name] = claims.acquire(1.0)
+        elif action == "retire":
             closing += [step] * claims.retire()
-        elif (number := numbers[which]) is not None:
-            closing += [step] * claims.release(number)
-            assert not claims.release(number), "a second release changes nothing"
+        elif (claim_id := claim_ids[name]) is not None:
+            closing += [step] * claims.release(claim_id)
+            assert not claims.release(claim_id), "a second release changes nothing"
         assert claims.is_used == any(
-            numbers.get(one) is not None and f"release {one}" not in order[: order.index(step) + 1] for one in "01"
+            claim_ids.get(key) is not None and f"release {key}" not in order[: order.index(step) + 1] for key in "01"
         )
-    return closing, {which for which, number in numbers.items() if number is not None}
+    return closing, {name for name, claim_id in claim_ids.items() if claim_id is not None}
 
 
 @pytest.mark.parametrize("order", ORDERS, ids="-".join)
 def test_a_retired_resource_closes_once_with_its_last_claim(order: Order) -> None:
-    closing, given = _play(order)
+    closing, granted = _play(order)
     retired = order.index("retire")
-    assert given == {which for which in "01" if order.index(f"claim {which}") < retired}
-    last = max([order.index(f"release {which}") for which in given], default=-1)
+    assert granted == {name for name in "01" if order.index(f"claim {name}") < retired}
+    last = max([order.index(f"release {name}") for name in granted], default=-1)
     assert closing == [order[max(last, retired)]]
 
 
@@ -66,45 +70,45 @@
     claims.release(second)
     assert claims.is_overdue(5.0)
     claims.release(first)
-    assert not claims.is_overdue(20.0), "nobody uses it"
+    assert not claims.is_overdue(20.0), "no claim is held"
 
 
-# --- a client and the work on its request ---------------------------------------------------------------------------
+# --- run_until_disconnect -------------------------------------------------------------------------------------------
 
-TIDYING = 12  # turns of the loop that work takes after the answer has gone out
+CLEANUP_STEPS = 12  # iterations of the event loop for the cleanup after the response
 
 
-async def _carry(answers: bool) -> tuple[bool, bool]:
-    """Have work go on beside a server that says 'nothing more'; tells what `carried` says, and whether it was whole."""
-    said, tidied = asyncio.Event(), False
+async def _run_with_disconnect(has_answered: bool) -> tuple[bool, bool]:
+    """Run work while the server reports a disconnect; return the function's result, and if the cleanup completed."""
+    disconnected, has_cleaned_up = asyncio.Event(), False
 
     async def receive() -> dict[str, object]:
-        await said.wait()
+        await disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def work() -> None:
-        nonlocal tidied
-        said.set()
-        for _ in range(TIDYING):
+        nonlocal has_cleaned_up
+        disconnected.set()
+        for _ in range(CLEANUP_STEPS):
             await asyncio.sleep(0)
-        tidied = True
+        has_cleaned_up = True
 
-    answered: Callable[[], bool] = lambda: answers  # noqa: E731
-    told = await run_until_disconnect(asyncio.ensure_future(work()), receive, answered)
-    return told, tidied
+    is_answered: Callable[[], bool] = lambda: has_answered  # noqa: E731
+    is_complete = await run_until_disconnect(asyncio.ensure_future(work()), receive, is_answered)
+    return is_complete, has_cleaned_up
 
 
 def test_work_with_a_complete_response_is_not_cancelled() -> None:
-    """The server told of the answer's end as it tells of a client that left, and the tidying behind it was cancelled.
+    """Guards against a cancelled cleanup: the server reports a complete response in the same way as a disconnect.
 
-    Seen on ordinary days, about once in 400 answers. By reading, such a cancellation can leave the connection to the
-    instance in use for good, of the 48 that a head may have there.
+    Seen about once in 400 responses. Such a cancellation can leave a connection to the instance in use forever, one of
+    the 48 that a head may have there.
     """
-    assert asyncio.run(_carry(True)) == (True, True)
+    assert asyncio.run(_run_with_disconnect(True)) == (True, True)
 
 
 def test_work_for_a_disconnected_client_is_cancelled() -> None:
-    assert asyncio.run(_carry(False)) == (False, False)
+    assert asyncio.run(_run_with_disconnect(False)) == (False, False)
 
 
 def test_errors_of_the_work_are_raised() -> None:
--- a/tests/test_fleet_client_connections.py
+++ b/tests/test_fleet_client_connections.py
@@ -1,9 +1,8 @@
-"""What a client's connection ends, and what it still owes: a real head, whose clients do what users' clients do.
+"""Clients' connections to a real head: invalid, slow, large and pipelined requests, and requests during shutdown.
 
-Seen: one answer in thousands was cut in the middle, and nobody near had told the head to. One way to it: the server
-kept one parser and one newest request for a connection, so what came behind a request ended the answer to it. Bytes
-that are no request stood as a 400 within a stream; a request behind a stream, read whole as the process was told to
-end, had no answer at all; a header without an end could take all memory, and with it each stream of the head.
+Guards against responses aborted without a cause: a server that tracks only the latest request of a connection lets data
+after a request end its response. Invalid bytes caused a 400 in the middle of a stream, a complete request pipelined
+after a stream got no response at shutdown, and a header without an end could use up all memory of the head.
 """
 
 from __future__ import annotations
@@ -34,23 +33,23 @@
 
 
 def configuration(limits: dict[str, int]) -> bytes:
-    """A document with some limits for what clients send, and long times for answers."""
+    """Return a configuration with limits on what clients send, and long timeouts of responses."""
     raw = json.loads(configuration_document(1, ROUTES))
     routes = [{**route, "timeout-ms": DEADLINE_MS} for route in raw["routes"]]
     return json.dumps({**raw, "routes": routes, "limits": limits}).encode()
 
 
 async def with_head(folder: Path, limits: dict[str, int], play: Play) -> None:
-    """Play something at one head with three instances."""
+    """Run a scenario at one head with three instances."""
     async with LoopbackFleet(folder, 1, losses=0, grace_s=GRACE_S) as fleet:
         await fleet.start()
         for identity, service, stage in INSTANCES:
             await fleet.start_instance(identity, service, stage)
         await wait_until([taken(fleet, 0, configuration(limits), 0)], BOUND_S)
         await wait_until([fleet.ready_condition(0, 1, len(INSTANCES))], BOUND_S)
-        maker = fleet.instances["d1"]
-        maker.engine.events = EVENTS
-        maker.before_event = lambda: asyncio.sleep(PAUSE_S)
+        decode = fleet.instances["d1"]
+        decode.engine.events = EVENTS
+        decode.before_event = lambda: asyncio.sleep(PAUSE_S)
         try:
             await play(fleet)
         finally:
@@ -58,7 +57,7 @@
                 CLIENTS.pop().writer.close()
 
 
-# --- what comes behind a request -----------------------------------------------------------------------------------
+# --- data after a request --------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("at_once", [True, False])
@@ -66,7 +65,7 @@
     async def garbage(fleet: LoopbackFleet) -> None:
         client = await Client.open(fleet)
         await send_two(fleet, client, request("/m/q", "first"), GARBAGE)
-        assert is_stream(await client.answer()), "the stream goes out whole"
+        assert is_stream(await client.answer()), "the stream is complete"
         refused = await client.answer()
         assert refused is not None and (refused.status, refused.whole, refused.closes) == (400, True, True)
         assert await client.ends()
@@ -79,7 +78,7 @@
         assert plain is not None and plain.status == 200 and plain.body.endswith(b"third")
         assert is_stream(await client.answer())
 
-    async def half_a_request(fleet: LoopbackFleet) -> None:
+    async def incomplete_request(fleet: LoopbackFleet) -> None:
         client = await Client.open(fleet)
         await send_two(fleet, client, request("/m/q", "fifth"), request("/p/q", "sixth")[:40])
         assert is_stream(await client.answer())
@@ -87,7 +86,7 @@
         assert refused is not None and (refused.status, refused.closes) == (408, True)
         assert await client.ends()
 
-    async def body_that_cannot_be_read(fleet: LoopbackFleet) -> None:
+    async def invalid_body(fleet: LoopbackFleet) -> None:
         client = await Client.open(fleet)
         chunked = request("/p/q", "eighth").replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")
         await send_two(fleet, client, request("/m/q", "seventh"), chunked[:-1] + b"no length\r\nx")
@@ -96,7 +95,7 @@
         assert refused is not None and (refused.status, refused.closes) == (400, True)
 
     async def send_two(fleet: LoopbackFleet, client: Client, first: bytes, second: bytes) -> None:
-        """Send two pieces in one segment, or the second while the first is answered."""
+        """Send both parts in one segment, or the second while the first is being answered."""
         if at_once:
             client.send(first + second)
             return
@@ -106,14 +105,14 @@
         client.send(second)
 
     async def play(fleet: LoopbackFleet) -> None:
-        for scenario in (garbage, requests, half_a_request, body_that_cannot_be_read):
+        for scenario in (garbage, requests, incomplete_request, invalid_body):
             await scenario(fleet)
         assert not fleet.head(0).has_logged("aborted")
 
     asyncio.run(with_head(tmp_path, SHORT, play))
 
 
-# --- what comes slowly, or not at all, or without an end -----------------------------------------------------------
+# --- slow, incomplete and endless requests ---------------------------------------------------------------------------
 
 
 def test_open_requests_and_idle_connections_are_closed_within_limits(tmp_path: Path) -> None:
@@ -125,16 +124,16 @@
     async def play(fleet: LoopbackFleet) -> None:
         other = await Client.open(fleet)
         other.send(request("/m/q", "other"))
-        nothing, half, body, blank, endless = [await Client.open(fleet) for _ in range(5)]
-        half.send(request("/p/q", "half")[:40])
+        unused, header, body, blank, endless = [await Client.open(fleet) for _ in range(5)]
+        header.send(request("/p/q", "half")[:40])
         body.send(request("/p/q", "body", b"y" * 100)[:-50])
         blank.send(b"\r\n\r\n")
         endless.send(b"GET / HTTP/1.1\r\nx: " + b"z" * 200_000)
         assert await status_of(endless) == 431
-        assert is_stream(await other.answer()), "another connection has no part in it"
+        assert is_stream(await other.answer()), "other connections are not affected"
         async with asyncio.timeout(LATE_S):
-            assert await status_of(half) == 408 and await status_of(body) == 408
-            assert await nothing.ends() and await blank.ends()
+            assert await status_of(header) == 408 and await status_of(body) == 408
+            assert await unused.ends() and await blank.ends()
         upgrade = await Client.open(fleet)
         upgrade.send(
             request(
@@ -155,7 +154,7 @@
 
 
 def test_bodies_of_many_clients_do_not_exhaust_memory(tmp_path: Path) -> None:
-    """Each client keeps within its bound; together they would end a head with 300 MB, and all its streams with it."""
+    """Clients that each keep their limit could together exhaust the 300 MB of a head, and end all its streams."""
 
     async def play(fleet: LoopbackFleet) -> None:
         body = bytes(4_000_000)
@@ -174,30 +173,32 @@
         late = await Client.open(fleet)
         late.send(request("/p/q", "later", body))
         served = await late.answer()
-        assert served is not None and served.status == 200, "the room is there again"
+        assert served is not None and served.status == 200, "the memory is available again"
 
     asyncio.run(with_head(tmp_path, {**LONG, "max-body-bytes": 4_194_304}, play))
 
 
-# --- the end of the process ----------------------------------------------------------------------------------------
+# --- shutdown --------------------------------------------------------------------------------------------------------
 
 
 def test_each_complete_request_is_answered_or_rejected_at_shutdown(tmp_path: Path) -> None:
     async def play(fleet: LoopbackFleet) -> None:
-        fleet.instances["d1"].before_event = lambda: asyncio.sleep(0.75)  # the stream outlasts the head's leaving
-        client, busy, resting = [await Client.open(fleet) for _ in range(3)]
+        fleet.instances["d1"].before_event = lambda: asyncio.sleep(
+            0.75
+        )  # the stream continues when idle connections are closed
+        client, busy, idle = [await Client.open(fleet) for _ in range(3)]
         client.send(request("/m/q", "long"))
         busy.send(request("/m/q", "busy"))
         await client.first_event()
         await busy.first_event()
         fleet.head(0).send(signal.SIGTERM)
-        assert await resting.ends()  # by now connections are told to end; the streams go on
+        assert await idle.ends()  # by now idle connections are being closed; the streams continue
         client.send(request("/p/q", "behind") + request("/p/q", "last"))
         await last_event(client)
         statuses = []
         for _ in range(2):
             answer = await client.answer()
-            assert answer is not None and answer.whole, "a request that was read whole has an answer"
+            assert answer is not None and answer.whole, "a completely read request gets a response"
             statuses.append(answer.status)
         assert set(statuses) <= {200, 503}
         assert answer is not None and answer.closes and await client.ends()
--- a/tests/test_fleet_connection_state.py
+++ b/tests/test_fleet_connection_state.py
@@ -1,4 +1,4 @@
-"""A connection that somebody opened: each order of what is read, answered and ended, without sockets."""
+"""The state of a server's connection: every order of requests, responses and closes, without sockets."""
 
 from __future__ import annotations
 
@@ -19,112 +19,124 @@
 )
 
 BOUNDS = ConnectionBounds(idle_s=10.0, header_s=2.0, header_bytes=100)
-LONGEST = 8  # steps of an order
-STEPS = ("byte", "header", "last header", "whole", "bad", "late", "answered", "asked", "process")
+MAX_STEPS = 8  # of an order
+STEPS = (
+    "first byte",
+    "header",
+    "last header",
+    "complete request",
+    "invalid bytes",
+    "deadline",
+    "response",
+    "close request",
+    "shutdown",
+)
 
 
 @dataclass
-class Played:
-    """A connection with what its client would see."""
+class SimulatedConnection:
+    """A connection's state, with what its client would observe."""
 
     state: ConnectionState = field(default_factory=lambda: ConnectionState(BOUNDS, 0.0))
     now: float = 0.0
     read: int = 0  # requests whose header was read
-    begun: int = 0  # answers that were begun, in the order of their requests
-    answered: int = 0
-    abandoned: int = 0
-    over: Action | None = None
-
-    def possible(self, step: str) -> bool:
-        """Tell whether a step can come now."""
-        if step == "answered":
-            return self.begun > self.answered and self.over is None
-        if step in ("asked", "process"):
-            return self.over is None
-        if not self.state.is_accepting or self.over is not None:
+    started: int = 0  # responses, in the order of their requests
+    completed: int = 0  # responses
+    abandoned: int = 0  # requests
+    last_action: Action | None = None  # REJECT or CLOSE, which closes the connection
+
+    def is_possible(self, step: str) -> bool:
+        """Return whether a step is possible now."""
+        if step == "response":
+            return self.started > self.completed and self.last_action is None
+        if step in ("close request", "shutdown"):
+            return self.last_action is None
+        if not self.state.is_accepting or self.last_action is not None:
             return False
-        reading = self.state.read_state
+        read_state = self.state.read_state
         return {
-            "byte": reading is ReadState.NOTHING,
-            "header": reading is ReadState.HEAD,
-            "last header": reading is ReadState.HEAD,
-            "whole": reading is ReadState.BODY,
+            "first byte": read_state is ReadState.NOTHING,
+            "header": read_state is ReadState.HEAD,
+            "last header": read_state is ReadState.HEAD,
+            "complete request": read_state is ReadState.BODY,
         }.get(step, True)
 
-    def play(self, step: str) -> None:
-        """Take a step, and keep what has to hold."""
+    def perform(self, step: str) -> None:
+        """Perform a step, and check the invariants."""
         state, self.now = self.state, self.now + 1.0
-        if step == "byte":
+        if step == "first byte":
             state.begin_header(self.now)
         elif step in ("header", "last header"):
-            waits = state.outstanding > 0
+            is_pipelined = state.outstanding > 0
             state.complete_header(keeps_alive=step == "header")
             self.read += 1
-            self.begun += not waits  # the library begins the first one by itself
-        elif step == "whole":
+            self.started += not is_pipelined  # uvicorn itself starts the first response
+        elif step == "complete request":
             state.complete_request(self.now)
-        elif step == "bad":
+        elif step == "invalid bytes":
             self.act(state.reject(CloseReason.INVALID_REQUEST, BAD_REQUEST))
-        elif step == "late":
+        elif step == "deadline":
             self.now = max(self.now, state.deadline or 0.0)
             self.act(state.check_deadline(self.now))
-        elif step == "answered":
-            self.answered += 1
+        elif step == "response":
+            self.completed += 1
             self.act(state.complete_response(self.now))
         else:
-            self.act(state.request_close() if step == "asked" else state.shut_down())
+            self.act(state.request_close() if step == "close request" else state.shut_down())
         self.check()
 
     def act(self, actions: list[Action]) -> None:
-        """Take what the state asks for."""
+        """Perform the state's actions."""
         for action in actions:
-            assert self.over is None, "nothing follows the close"
+            assert self.last_action is None, "nothing follows the close"
             if action is Action.BEGIN_NEXT_RESPONSE:
-                self.begun += 1
+                self.started += 1
             elif action is Action.ABANDON_NEWEST:
                 self.abandoned += 1
-                self.begun = min(self.begun, self.read - self.abandoned)
+                self.started = min(self.started, self.read - self.abandoned)
             else:
-                self.over = action
+                self.last_action = action
 
     def check(self) -> None:
-        """Claims are begun in order, one at a time; the connection closes behind the last, and never stays open."""
-        claims = self.read - self.abandoned
-        assert self.state.outstanding == claims - self.answered
-        assert self.begun == min(self.answered + 1, claims), "the first claim is being answered, and no other"
-        if self.over is not None:
-            assert not self.state.outstanding, "it closes behind the last claim"
-            assert self.over is not Action.REJECT or self.state.rejection_status
+        """Check that responses start in order, one at a time, and that the connection closes after the last."""
+        requests = self.read - self.abandoned
+        assert self.state.outstanding == requests - self.completed
+        assert self.started == min(self.completed + 1, requests), "only the first outstanding request is being answered"
+        if self.last_action is not None:
+            assert not self.state.outstanding, "it closes after the last response"
+            assert self.last_action is not Action.REJECT or self.state.rejection_status
         elif not self.state.outstanding:
-            assert self.state.close_reason is None and self.state.deadline is not None, "it ends in time"
+            assert self.state.close_reason is None and self.state.deadline is not None, (
+                "an idle connection has a deadline"
+            )
 
 
-def orders(played: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
-    """Tell all orders of steps that can come, up to a length."""
-    connection = Played()
-    for step in played:
-        connection.play(step)
-    following = [step for step in STEPS if connection.possible(step)] if len(played) < LONGEST else []
+def orders(prefix: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
+    """Yield all possible orders of steps, up to the maximum length."""
+    connection = SimulatedConnection()
+    for step in prefix:
+        connection.perform(step)
+    following = [step for step in STEPS if connection.is_possible(step)] if len(prefix) < MAX_STEPS else []
     if not following:
-        yield played
+        yield prefix
     for step in following:
-        yield from orders((*played, step))
+        yield from orders((*prefix, step))
 
 
 def test_responses_go_out_in_order_and_the_connection_closes_after_the_last() -> None:
-    ends = dict.fromkeys(CloseReason, 0)
-    count = 0
+    counts = dict.fromkeys(CloseReason, 0)
+    order_count = 0
     for order in orders():
-        count += 1
-        connection = Played()
+        order_count += 1
+        connection = SimulatedConnection()
         for step in order:
-            connection.play(step)
+            connection.perform(step)
         if connection.state.close_reason is not None:
-            ends[connection.state.close_reason] += 1
-    assert count > 10_000
+            counts[connection.state.close_reason] += 1
+    assert order_count > 10_000
     assert all(
-        ends[ending]
-        for ending in (
+        counts[reason]
+        for reason in (
             CloseReason.INVALID_REQUEST,
             CloseReason.IDLE,
             CloseReason.HEADER_TIMEOUT,
@@ -150,24 +162,24 @@
 
 
 @pytest.mark.parametrize(
-    ("behind", "action", "refusal"), [(0, Action.REJECT, REQUEST_TIMEOUT), (1, Action.REJECT, REQUEST_TIMEOUT)]
+    ("pipelined_after", "action", "status"), [(0, Action.REJECT, REQUEST_TIMEOUT), (1, Action.REJECT, REQUEST_TIMEOUT)]
 )
-def test_an_incomplete_header_has_its_timeout_from_its_turn(behind: int, action: Action, refusal: int) -> None:
+def test_an_incomplete_header_has_its_timeout_from_its_turn(pipelined_after: int, action: Action, status: int) -> None:
     state = ConnectionState(BOUNDS, 0.0)
-    if behind:
+    if pipelined_after:
         state.begin_header(0.0)
         state.complete_header(keeps_alive=True)
         state.complete_request(0.0)
     state.begin_header(1.0)
-    if behind:
+    if pipelined_after:
         assert state.deadline is None and state.check_deadline(100.0) == []
         assert state.complete_response(50.0) == []
-    begun = 50.0 if behind else 1.0
-    assert state.deadline == begun + BOUNDS.header_s
+    waiting_since = 50.0 if pipelined_after else 1.0
+    assert state.deadline == waiting_since + BOUNDS.header_s
     assert (
-        state.check_deadline(begun + 1.9) == []
-        and state.check_deadline(begun + 2.0) == [action]
-        and state.rejection_status == refusal
+        state.check_deadline(waiting_since + 1.9) == []
+        and state.check_deadline(waiting_since + 2.0) == [action]
+        and state.rejection_status == status
     )
     assert state.close_reason is CloseReason.HEADER_TIMEOUT and state.deadline is None
 
@@ -198,9 +210,11 @@
     state.begin_header(0.0)
     state.complete_header(keeps_alive=True)
     state.complete_request(0.0)
-    state.begin_header(0.0)  # behind a long body, in the same bytes
+    state.begin_header(0.0)  # after a long body, in the same chunk
     assert state.receive_bytes(0.0, 5_000) == [] and state.header_bytes == 0
-    assert state.receive_bytes(0.1, 101) == [] and state.outstanding == 1, "it is refused behind the claim"
+    assert state.receive_bytes(0.1, 101) == [] and state.outstanding == 1, (
+        "it is rejected after the outstanding response"
+    )
     assert state.complete_response(0.2) == [Action.REJECT]
 
 
--- a/tests/test_fleet_frontend.py
+++ b/tests/test_fleet_frontend.py
@@ -1,4 +1,4 @@
-"""A head's answers at its own border: no configuration yet, the route's timeout, a client that left, deadlines."""
+"""The HTTP front end of a head: no configuration yet, timeouts of routes, deadlines, clients that disconnect."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 from tests.scripted_instance import NOT_EXECUTED, STAMP, Connection, Ending, ReceivedCall, Script, ScriptedInstance
 
 BOUND_S = 20.0
-TIMEOUT_S = 0.4  # of the routes
-LATE_S = 0.5  # beyond its time-out: a request has its final answer by then
-DELAY_S = 0.6  # after which a first attempt ends without an answer
+TIMEOUT_S = 0.4  # of each route
+MARGIN_S = 0.5  # after its timeout, by which a request has its final response
+DELAY_S = 0.6  # after which a first attempt ends without a response
 SETTINGS = {
     "node-name": "one",
     "ip": "127.0.0.1",
@@ -42,12 +42,12 @@
     "bounds": {"retry-budget-slack": 400, "retry-budget-ratio": 0.2, "budget-window-s": 10},
 }
 KINDS = {"safe": ("/p/", "plain"), "unsafe": ("/u/", "plain"), "streaming": ("/m/", "models")}
-TOKENS = 40_000  # of a prompt: so long that it is read apart
+TOKENS = 40_000  # of a prompt, long enough for a separate prefill
 
 
 @dataclass
 class Caller:
-    """One request to the front end as its server hands it on, and what the client gets."""
+    """One ASGI request to the front end, and the messages sent to its client."""
 
     body: bytes = b"body"
     messages: list[dict[str, Any]] = field(default_factory=list)
@@ -55,7 +55,7 @@
     is_read: bool = False
 
     async def receive(self) -> dict[str, Any]:
-        """Tell the body, then nothing until the client leaves."""
+        """Return the body, then nothing until the client disconnects."""
         if not self.is_read:
             self.is_read = True
             return {"type": "http.request", "body": self.body}
@@ -63,17 +63,17 @@
         return {"type": "http.disconnect"}
 
     async def send(self, message: dict[str, Any]) -> None:
-        """Take a message of the front end."""
+        """Record a message of the front end."""
         self.messages.append(message)
 
     @property
     def status(self) -> int | None:
-        """The status, once there is one."""
+        """The status of the response; None before it starts."""
         return self.messages[0]["status"] if self.messages else None
 
 
 class FrontEnd:
-    """A head's front end before scripted instances."""
+    """A head's front end with scripted instances."""
 
     def __init__(self, stages: dict[str, str]) -> None:
         self.script = Script()
@@ -86,7 +86,7 @@
         self.frontend = HttpFrontend(self.state.settings, self.state, self.placement, self.upstream)
 
     def configure(self, timeout_s: float) -> None:
-        """Apply a configuration whose routes have one time-out."""
+        """Apply a configuration whose routes all have one timeout."""
         routes = [(prefix, kind, service) for kind, (prefix, service) in KINDS.items()]
         raw = json.loads(configuration_document(1, routes))
         for route in raw["routes"]:
@@ -96,7 +96,7 @@
         self.placement.instances.configure({"models": 100_000})
         self.placement.instances.stage_switch_s = {"models": 60.0}
 
-    def know(self, name: str, address: str, stage: str, state: str = READY) -> None:
+    def register(self, name: str, address: str, stage: str, state: str = READY) -> None:
         """Register an instance."""
         service = "models" if stage else "plain"
         self.placement.instances.update_instance(name, Instance(name, service, address, "z", "v", 8, state, stage, ()))
@@ -125,8 +125,8 @@
         """Serve one request."""
         await self.frontend(self.scope(kind, more), caller.receive, caller.send)
 
-    def spoil(self, kind: str, stage: str, ending: Ending) -> None:
-        """Have the first call of a kind of request at a stage end in a way."""
+    def inject_ending(self, kind: str, stage: str, ending: Ending) -> None:
+        """Give the first attempt of a request of a kind at a stage the ending."""
         self.script.ending, self.script.stage, self.script.name = ending, stage, f"{kind}-1"
 
 
@@ -138,7 +138,7 @@
         await instance.listen()
     here.configure(timeout_s)
     for instance in here.instances:
-        here.know(instance.name, instance.address, instance.stage)
+        here.register(instance.name, instance.address, instance.stage)
     try:
         yield here
     finally:
@@ -155,8 +155,8 @@
     asyncio.run(asyncio.wait_for(play(), BOUND_S))
 
 
-def test_a_request_on_a_stored_route_that_cannot_be_read_is_refused_and_gets_no_other_route() -> None:
-    """Guards against 404, and against a run by the service of a shorter prefix, for what an older version accepted."""
+def test_a_request_for_a_stored_but_unreadable_route_is_rejected_and_gets_no_other_route() -> None:
+    """Guards against 404, and a run by the service of a shorter prefix, for a route that an older version accepted."""
 
     async def play() -> None:
         async with front_end({"s1": ""}) as here:
@@ -164,18 +164,18 @@
             raw = json.loads(configuration_document(2, routes))
             raw["routes"][1]["timeout-ms"] = {}
             here.state._apply_record(configuration_record(2, json.dumps(raw).encode()))
-            refused, served = Caller(), Caller()
-            await here.call(refused, "safe")
+            rejected, served = Caller(), Caller()
+            await here.call(rejected, "safe")
             await here.call(served, "unsafe")
-            assert (refused.status, served.status) == (503, 200)
-            assert find_field(refused.messages[0]["headers"], b"retry-after") is not None
+            assert (rejected.status, served.status) == (503, 200)
+            assert find_field(rejected.messages[0]["headers"], b"retry-after") is not None
 
     run(play)
 
 
 @pytest.mark.parametrize("size", ["header", "body", "small"])
-def test_a_head_without_a_configuration_answers_503_whatever_is_asked(size: str) -> None:
-    """What is too large is for a configuration to say."""
+def test_a_head_without_a_configuration_answers_503_to_any_request(size: str) -> None:
+    """Size limits are part of the configuration, so no request is rejected for its size before there is one."""
 
     async def play() -> None:
         here = FrontEnd({})
@@ -191,17 +191,17 @@
 @pytest.mark.parametrize(
     ("kind", "stage"), [("safe", ""), ("unsafe", ""), ("streaming", "prefill"), ("streaming", "decode")]
 )
-def test_a_request_has_its_end_by_the_timeout_of_its_route(kind: str, stage: str, ending: Ending) -> None:
-    """Also where the client's own deadline is later; without one the time-out is what instances are told."""
+def test_a_request_ends_by_the_timeout_of_its_route(kind: str, stage: str, ending: Ending) -> None:
+    """A later deadline of the client does not extend the timeout, also in the deadline sent to instances."""
 
     async def play() -> None:
         async with front_end(STAGED if stage else PLAIN) as here:
-            here.spoil(kind, stage, ending)
+            here.inject_ending(kind, stage, ending)
             caller, loop = Caller(), asyncio.get_running_loop()
             began = loop.time()
             deadlines = _watch_deadlines(here)
             await here.call(caller, kind, [(DEADLINE, b"60000")])
-            assert loop.time() - began < TIMEOUT_S + LATE_S
+            assert loop.time() - began < TIMEOUT_S + MARGIN_S
             assert here.script.struck is not None
             assert deadlines and max(deadlines) <= TIMEOUT_S * 1_000
             assert caller.messages or kind == "streaming"
@@ -212,7 +212,7 @@
 @pytest.mark.parametrize("field", ["\u00b2", "9" * 5_000, "soon", ""])
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
 def test_a_deadline_that_is_no_number_counts_as_absent(kind: str, field: str) -> None:
-    """Guards against 500 to a request for its client's deadline, or for the time that its instance names."""
+    """Guards against status 500 for an invalid number, in a client's deadline or in an instance's timeout."""
 
     async def play() -> None:
         async with front_end(PLAIN) as here:
@@ -223,24 +223,24 @@
     run(play)
 
 
-async def _repeated_refusal(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
-    """Refuse a request, and once more where the same one comes again on this connection, which then runs."""
-    refusal = script.answer(asked, 503, NOT_EXECUTED, b"")
+async def _repeated_refusal(script: Script, connection: Connection, call: ReceivedCall) -> bool:
+    """Refuse a request; if it is sent again on this connection, repeat the refusal and then run the request."""
+    refusal = script.answer(call, 503, NOT_EXECUTED, b"")
     connection.say(refusal)
     await connection.reader.readuntil(b"\r\n\r\n")
-    await connection.reader.readexactly(len(asked.body))
-    script.ran(asked)
-    connection.say(refusal + script.answer(asked, more=STAMP))
+    await connection.reader.readexactly(len(call.body))
+    script.ran(call)
+    connection.say(refusal + script.answer(call, more=STAMP))
     return True
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_a_refusal_that_arrives_once_more_is_not_the_answer_to_the_next_attempt(kind: str) -> None:
+def test_a_repeated_refusal_is_not_the_response_to_the_next_attempt(kind: str) -> None:
     """Guards against an unsafe request that runs up to five times (review, case TWICE)."""
 
     async def play() -> None:
         async with front_end({"s1": ""}) as here:
-            here.spoil(kind, "", _repeated_refusal)
+            here.inject_ending(kind, "", _repeated_refusal)
             caller = Caller()
             await here.call(caller, kind)
             assert caller.status == 200
@@ -252,28 +252,28 @@
 
 def _watch_deadlines(here: FrontEnd) -> list[int]:
     """Return the list that the forwarded deadlines are added to, in milliseconds."""
-    seen: list[int] = []
-    call = here.upstream.call
+    deadlines: list[int] = []
+    original_call = here.upstream.call
 
-    def watched(identity: str, one: Any) -> Any:
-        seen.append(int(find_field(one.fields, DEADLINE) or 0))
-        return call(identity, one)
+    def watched_call(identity: str, call: Any) -> Any:
+        deadlines.append(int(find_field(call.fields, DEADLINE) or 0))
+        return original_call(identity, call)
 
-    here.upstream.call = watched  # type: ignore[method-assign, assignment]
-    return seen
+    here.upstream.call = watched_call  # type: ignore[method-assign]
+    return deadlines
 
 
-async def _late_close(script: Script, connection: Connection, asked: ReceivedCall) -> bool:
-    """Close without an answer after some time."""
+async def _late_close(script: Script, connection: Connection, call: ReceivedCall) -> bool:
+    """Close the connection without a response after DELAY_S."""
     await asyncio.sleep(DELAY_S)
     return False
 
 
 @pytest.mark.parametrize(("kind", "stage"), [("safe", ""), ("streaming", "prefill"), ("streaming", "decode")])
-def test_a_later_attempt_is_given_only_what_is_left(kind: str, stage: str) -> None:
+def test_a_later_attempt_gets_only_the_remaining_time(kind: str, stage: str) -> None:
     async def play() -> None:
         async with front_end(STAGED if stage else PLAIN, 4.0) as here:
-            here.spoil(kind, stage, _late_close)
+            here.inject_ending(kind, stage, _late_close)
             deadlines = _watch_deadlines(here)
             caller = Caller()
             await here.call(caller, kind, [(DEADLINE, b"3000")])
@@ -287,10 +287,10 @@
 @pytest.mark.parametrize(
     ("kind", "stage"), [("safe", ""), ("unsafe", ""), ("streaming", "prefill"), ("streaming", "decode")]
 )
-def test_a_client_that_left_ends_the_work_at_its_instance_and_no_other_begins(kind: str, stage: str) -> None:
+def test_a_disconnect_ends_the_work_at_the_instance_and_no_other_attempt_begins(kind: str, stage: str) -> None:
     async def play() -> None:
         async with front_end(STAGED if stage else PLAIN, 8.0) as here:
-            here.spoil(kind, stage, silence)
+            here.inject_ending(kind, stage, silence)
             caller, loop = Caller(), asyncio.get_running_loop()
             serving = asyncio.create_task(here.call(caller, kind))
             while here.script.struck is None:
@@ -298,7 +298,7 @@
             arrived, began = len(here.script.arrivals), loop.time()
             caller.has_left.set()
             await here.script.left.wait()
-            assert loop.time() - began < LATE_S
+            assert loop.time() - began < MARGIN_S
             await serving
             assert len(here.script.arrivals) == arrived
             assert all(node.outstanding == 0 for node in here.placement.nodes.values())
@@ -306,15 +306,15 @@
     run(play)
 
 
-def test_a_client_that_gives_up_makes_nobody_take_its_instance_for_cold() -> None:
-    """Guards against warm instances that get next to nothing as their clients leave: each was taken for silent."""
+def test_an_instance_whose_client_disconnects_does_not_count_as_cold() -> None:
+    """Guards against warm instances that get almost no requests because a client's disconnect counted as silence."""
 
     async def play() -> None:
         async with front_end(PLAIN, 8.0) as here:
             warmup = here.placement.admission.warmup
             warmup.cold_per_s, warmup.cold_start_s = {"plain": 3.0}, {"plain": 4.5}
             warmup.head_count, warmup.slack = 79, 5.0
-            here.spoil("unsafe", "", silence)
+            here.inject_ending("unsafe", "", silence)
             caller = Caller()
             serving = asyncio.create_task(here.call(caller, "unsafe"))
             while here.script.struck is None:
@@ -330,16 +330,16 @@
     run(play)
 
 
-def test_a_client_that_left_while_its_request_waits_for_a_stage_has_nothing_sent() -> None:
-    """The stage gets an instance right after the client has gone: the request that waited for it is no more."""
+def test_nothing_is_sent_for_a_client_that_disconnected_while_its_request_was_pending() -> None:
+    """The stage gets an instance right after the client has disconnected; the pending request must not be sent."""
 
     async def play() -> None:
         async with front_end({"d1": "decode"}, 8.0) as here:
             [decode] = here.instances
             loop = asyncio.get_running_loop()
             here.placement.instances.stage_switch_s = {"models": 0.3}
-            here.know("p9", "127.0.0.1:9", "prefill")
-            here.know("d1", decode.address, "decode", DRAINING)
+            here.register("p9", "127.0.0.1:9", "prefill")
+            here.register("d1", decode.address, "decode", DRAINING)
             here.placement.instances.update_instance(
                 "d2", Instance("d2", "models", "127.0.0.1:9", "z", "v", 8, SWITCHING, "prefill", ()), loop.time()
             )
@@ -350,7 +350,7 @@
                 await asyncio.sleep(0)
             caller.has_left.set()
             await asyncio.sleep(0)
-            here.know("d1", decode.address, "decode")
+            here.register("d1", decode.address, "decode")
             await serving
             assert not caller.messages and not here.script.arrivals
             assert not here.placement.pending_requests
--- a/tests/test_fleet_headers.py
+++ b/tests/test_fleet_headers.py
@@ -1,4 +1,4 @@
-"""What a head reads in header fields of clients and instances."""
+"""Parsing of header fields from clients and instances."""
 
 from __future__ import annotations
 
@@ -22,25 +22,39 @@
     ],
 )
 def test_a_host_is_read_without_its_port(field: str, name: str) -> None:
-    """Guards against a route with an IPv6 address that no request without a port finds."""
+    """Guards against a route with an IPv6 address that is not found by a request without a port."""
     assert host_name(field) == name
 
 
-NO_NUMBERS = ["", " ", "-1", "+1", "1.5", "0x1", "1_0", "nan", "inf", "\u00b2", "\u00b9\u00b2", "9" * 19, "9" * 5_000]
+INVALID_DECIMALS = [
+    "",
+    " ",
+    "-1",
+    "+1",
+    "1.5",
+    "0x1",
+    "1_0",
+    "nan",
+    "inf",
+    "\u00b2",
+    "\u00b9\u00b2",
+    "9" * 19,
+    "9" * 5_000,
+]
 
 
 @pytest.mark.parametrize(("text", "number"), [("0", 0), (" 17 ", 17), ("007", 7), ("9" * 18, 10**18 - 1)])
-def test_a_decimal_is_read(text: str, number: int) -> None:
+def test_a_decimal_is_parsed(text: str, number: int) -> None:
     assert parse_decimal(text) == number
 
 
-@pytest.mark.parametrize("text", NO_NUMBERS)
-def test_what_is_no_decimal_counts_as_absent(text: str) -> None:
-    """Guards against an exception for digits that are not ASCII, and for more than the interpreter converts."""
+@pytest.mark.parametrize("text", INVALID_DECIMALS)
+def test_an_invalid_decimal_counts_as_absent(text: str) -> None:
+    """Guards against an exception for digits that are not ASCII, or for more digits than the interpreter converts."""
     assert parse_decimal(text) is None
     assert keep_alive_timeout_s([(b"Keep-Alive", f"timeout={text}, max=3".encode("latin-1"))]) is None
     assert parse_prompt(f"{text},{text}", f"a:{text},b:5").tokens_in == 5
 
 
-def test_the_time_of_an_idle_connection_is_read() -> None:
+def test_the_keep_alive_timeout_is_parsed() -> None:
     assert keep_alive_timeout_s([(b"keep-alive", b"max=3, Timeout=15")]) == 15.0
--- a/tests/test_fleet_lifecycle_histories.py
+++ b/tests/test_fleet_lifecycle_histories.py
@@ -1,6 +1,6 @@
-"""Requests under way while instances come, go, change their stage and are told of by others: drawn histories.
+"""Random histories of requests in flight while instances register, change, and are reported by other members.
 
-A step that raised in the middle of an answer would cut it, with nobody telling the head to. None may.
+Guards against a step that raises an exception: in the middle of a response it would abort it.
 """
 
 from __future__ import annotations
@@ -43,27 +43,36 @@
 
 
 class History:
-    """One drawn history."""
+    """One random history."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.now = 0.0
         self.placement = Placement("z", lambda identity: None, Random(seed))
         self.budget = RetryBudget(0.2, 1_000.0, 10.0, -10.0)
-        self.out: list[tuple[RequestLifecycle, Prefill | Generate]] = []
-        self.begun = self.over = 0
+        self.in_flight: list[tuple[RequestLifecycle, Prefill | Generate]] = []
+        self.started = self.completed = 0  # requests
 
     def play(self) -> None:
-        """Take steps, then end all that is under way."""
+        """Perform random steps, then complete all attempts in flight."""
         for _ in range(STEPS):
             self.now += self.random.random() * 0.02
-            self.random.choice((self.registry, self.told, self.begin, self.begin, self.answer, self.answer))()
-        while self.out:
-            self.answer()
-        assert all(node.outstanding == 0 for node in self.placement.nodes.values()), "the books are empty at the end"
+            self.random.choice(
+                (
+                    self.change_instance,
+                    self.receive_reports,
+                    self.start_request,
+                    self.start_request,
+                    self.complete_attempt,
+                    self.complete_attempt,
+                )
+            )()
+        while self.in_flight:
+            self.complete_attempt()
+        assert all(node.outstanding == 0 for node in self.placement.nodes.values()), "no reservation remains at the end"
 
-    def registry(self) -> None:
-        """An instance comes, changes, or goes; or the configuration does."""
+    def change_instance(self) -> None:
+        """Register, change or remove an instance, or change the configuration."""
         identity = self.random.choice(IDENTITIES)
         if self.random.random() < 0.3:
             self.placement.instances.update_instance(identity, None)
@@ -86,8 +95,8 @@
                 ),
             )
 
-    def told(self) -> None:
-        """Another head, or a control member, tells something of an instance that may be gone."""
+    def receive_reports(self) -> None:
+        """Receive messages of another head and a control member about an instance that may not exist any more."""
         identity, job = self.random.choice([*IDENTITIES, "nobody"]), self.random.randrange(4)
         parts = (("a", 100), ("b", self.random.randrange(3) * 50))
         self.placement.exchange.receive_hints(
@@ -105,18 +114,18 @@
         self.placement.exchange.outgoing_suspects()
         self.placement.exchange.cache_snapshot()
 
-    def begin(self) -> None:
-        """A request comes."""
-        self.begun += 1
-        prompt = Prompt(300, 50, (("a", 100), ("b", 100), (f"own{self.begun}", 100)))
-        route, wanted = self.random.choice(KINDS), self.random.choice((prompt, None))
+    def start_request(self) -> None:
+        """Start a request, with or without a prompt."""
+        self.started += 1
+        new_prompt = Prompt(300, 50, (("a", 100), ("b", 100), (f"own{self.started}", 100)))
+        route, prompt = self.random.choice(KINDS), self.random.choice((new_prompt, None))
         self.budget.record_request(self.now)
-        life = RequestLifecycle(
-            f"q{self.begun}",
+        lifecycle = RequestLifecycle(
+            f"q{self.started}",
             route,
             "s",
-            wanted,
-            wanted is not None,
+            prompt,
+            prompt is not None,
             self.now + 0.5,
             self.now + 4.0,
             self.placement,
@@ -124,28 +133,28 @@
             1,
             RequestTrace("r", self.now, 0.5),
         )
-        self.go_on(life)
+        self.perform_next_step(lifecycle)
 
-    def go_on(self, life: RequestLifecycle) -> None:
-        """Take a life's next step."""
-        step = life.next_step(self.now)
+    def perform_next_step(self, lifecycle: RequestLifecycle) -> None:
+        """Perform the next step of a request."""
+        step = lifecycle.next_step(self.now)
         if isinstance(step, Backoff):
             self.now += step.seconds
-            self.go_on(life)
+            self.perform_next_step(lifecycle)
         elif isinstance(step, Reject):
-            self.over += 1
-            life.collect_unused_handles()
+            self.completed += 1
+            lifecycle.collect_unused_handles()
         else:
-            self.out.append((life, step))
+            self.in_flight.append((lifecycle, step))
 
-    def answer(self) -> None:
-        """An attempt that is out comes to some end."""
-        if not self.out:
+    def complete_attempt(self) -> None:
+        """Complete a random attempt in flight with a random result."""
+        if not self.in_flight:
             return
-        life, step = self.out.pop(self.random.randrange(len(self.out)))
+        lifecycle, step = self.in_flight.pop(self.random.randrange(len(self.in_flight)))
         if isinstance(step, Prefill):
             identity = step.reservation.node.instance.identity
-            endings = [
+            results = [
                 AttemptResult(AttemptOutcome.READ, KvHandle(identity, "10.0.0.1:80", "h")),
                 AttemptResult(AttemptOutcome.UNSENT),
                 AttemptResult(AttemptOutcome.UNKNOWN),
@@ -154,10 +163,10 @@
             ]
         else:
             if self.random.random() < 0.5:
-                life.record_first_event(self.now, step.reservation)
-            endings = [AttemptResult(AttemptOutcome.ANSWERED)] * 3 + [
-                AttemptResult(ending, last_event_id="3")
-                for ending in (
+                lifecycle.record_first_event(self.now, step.reservation)
+            results = [AttemptResult(AttemptOutcome.ANSWERED)] * 3 + [
+                AttemptResult(outcome, last_event_id="3")
+                for outcome in (
                     AttemptOutcome.FAILED,
                     AttemptOutcome.BROKEN,
                     AttemptOutcome.UNKNOWN,
@@ -166,10 +175,10 @@
                     AttemptOutcome.MISPLACED,
                 )
             ]
-        if life.complete_attempt(self.now, step.reservation, self.random.choice(endings)):
-            self.over += 1
+        if lifecycle.complete_attempt(self.now, step.reservation, self.random.choice(results)):
+            self.completed += 1
         else:
-            self.go_on(life)
+            self.perform_next_step(lifecycle)
 
 
 @pytest.mark.parametrize("first", range(0, 200, 20))
@@ -177,4 +186,4 @@
     for seed in range(first, first + 20):
         history = History(seed)
         history.play()
-        assert history.over == history.begun > 50
+        assert history.completed == history.started > 50
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -1,9 +1,8 @@
-"""Connections between members as a process ends: the event loop outlives each connect.
+"""Connections between members: no connect outlives the event loop, and a dead connection is renewed.
 
-Seen: a head that ended printed "Exception ignored in: <coroutine object OutgoingLink._connect>, Event loop is closed".
-How it came about: a request that was cancelled at shutdown released its placement, which sent hints to a member without
-an open connection, after the links were closed and the tasks of the event loop were cancelled.
-Proved by: the first test, which sends in that order.
+Guards against "Exception ignored in: <coroutine object OutgoingLink._connect>, Event loop is closed" at shutdown: a
+cancelled request released its placement, which sent hints to a member without an open connection, after the links were
+closed and the tasks of the event loop were cancelled.
 """
 
 from __future__ import annotations
@@ -30,7 +29,7 @@
 
 
 class Listener:
-    """A member's listening socket that counts connections and the messages behind their greeting."""
+    """A member's listening socket that records the messages after each connection's Hello."""
 
     def __init__(self) -> None:
         self.messages: list[object] = []
@@ -93,14 +92,14 @@
         running = asyncio.get_running_loop().create_task(request())
         await asyncio.sleep(0)
         await links.close()
-        assert not running.done(), "the loop's own end cancels it"
+        assert not running.done(), "only the end of the event loop cancels it"
 
     asyncio.run(main())
     gc.collect()
     assert not ignored and not unfinished
 
 
-def test_links_that_are_closed_drop_messages_and_begin_no_connect() -> None:
+def test_closed_links_drop_messages_and_start_no_connect() -> None:
     async def main() -> None:
         listener, links = Listener(), _links()
         address = await listener.listen()
@@ -181,13 +180,13 @@
 
 
 async def _links_to(listener: Listener) -> tuple[Links, OutgoingLink, str]:
-    """Return links with an established connection to a listener that reads no more of it."""
+    """Return links with an established connection that its listener no longer reads."""
     links, address = _links(), await listener.listen()
     links.send(address, MESSAGE)
     await _until_received(listener, 1)
-    [deaf] = listener.links.incoming
-    assert deaf.transport is not None
-    deaf.transport.pause_reading()  # as where its end is closed and the reset was lost: bytes vanish, nothing says so
+    [incoming] = listener.links.incoming
+    assert incoming.transport is not None
+    incoming.transport.pause_reading()  # like a closed end whose reset was lost: bytes are lost without any notice
     return links, links.outgoing[address], address
 
 
@@ -197,7 +196,10 @@
 
 
 def test_a_member_that_connects_again_is_sent_messages_on_a_new_connection() -> None:
-    """Seen: after a one-way partition a replica that all others heard got nothing, and the chain stood still."""
+    """Guards against a replica that gets no messages after a one-way partition though all others hear it.
+
+    Seen once: the chain made no progress.
+    """
 
     async def play() -> None:
         listener = Listener()
@@ -205,7 +207,7 @@
         _connect_again(links, address)
         links.send(address, MESSAGE)
         await asyncio.sleep(0)
-        assert len(listener.messages) == 1, "a first connection of the other member renews nothing"
+        assert len(listener.messages) == 1, "the first connection of the other member renews nothing"
         link.connected_at -= MIN_RENEWAL_AGE_S
         _connect_again(links, address)
         links.send(address, MESSAGE)
@@ -217,7 +219,7 @@
 
 
 def test_a_new_connection_is_not_renewed_again() -> None:
-    """Two members that renew their connections in turn would not come to rest."""
+    """Guards against two members that renew their connections in turn forever."""
 
     async def play() -> None:
         listener = Listener()
--- a/tests/test_fleet_lost_clients.py
+++ b/tests/test_fleet_lost_clients.py
@@ -1,9 +1,8 @@
 """Responses whose clients have reset their connections: they end at the first lost write, and no library logs a line.
 
-Seen: up to 100 lines `socket.send() raised exception.` within 30 ms, when a machine's clients were gone.
-How it came about: events of an instance that had arrived together were written in one turn of the event loop to a
-connection whose reset the first of these writes met; asyncio reports the loss only in a later turn.
-Proved by: the first test, which fails with such lines on the code before.
+Guards against up to 100 lines `socket.send() raised exception.` within 30 ms when a machine's clients are gone: events
+of an instance that arrive together are written in one iteration of the event loop to a connection that has been reset,
+and asyncio reports the loss only in a later iteration.
 """
 
 from __future__ import annotations
@@ -19,12 +18,12 @@
 from hophinge.fleet.transport.server import HttpServer, bind_listener
 
 REQUEST = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"
-PIECES = 200
+CHUNKS = 200
 BOUND_S = 10.0
 
 
 class BurstingApp:
-    """Begins a response, waits until its client is gone, then writes many pieces in one turn of the event loop."""
+    """Starts a response, waits until its client is gone, then writes many chunks in one iteration of the event loop."""
 
     def __init__(self) -> None:
         self.started, self.client_gone = asyncio.Event(), asyncio.Event()
@@ -36,9 +35,9 @@
         await send({"type": "http.response.body", "body": b"begin", "more_body": True})
         self.started.set()
         await self.client_gone.wait()
-        for _ in range(PIECES):
+        for _ in range(CHUNKS):
             await send({"type": "http.response.body", "body": b"x" * 100, "more_body": True})
-        # The end of the client is known at once, not when the event loop gets to its report.
+        # The disconnect is known at once, not only when the event loop reports it.
         self.messages.append((await asyncio.wait_for(receive(), BOUND_S))["type"])
 
 
@@ -66,7 +65,7 @@
         await app.started.wait()
         [connection] = server.connections()
         assert connection.raw_transport is not None
-        connection.raw_transport.pause_reading()  # the reset is met by a write, as it is where reading is paused
+        connection.raw_transport.pause_reading()  # so that a write detects the reset, as when reading is paused
         _reset(client)
         app.client_gone.set()
         while not app.messages:
@@ -97,7 +96,7 @@
         _reset(lost)
         app.client_gone.set()
         received = b""
-        while received.count(b"x") < PIECES * 100:
+        while received.count(b"x") < CHUNKS * 100:
             data = await loop.sock_recv(kept, 1 << 16)
             assert data, "the response ends early"
             received += data
--- a/tests/test_fleet_request_lifecycle.py
+++ b/tests/test_fleet_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""One request's life: promises only where nothing ran, one run where that is all it may have, budget, resumption."""
+"""The lifecycle of one request: when a retry is promised as safe, attempts, the retry budget, and resumption."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
     )
 
 
-def _run(life: RequestLifecycle, now: float = 0.0) -> Generate:
-    step = life.next_step(now)
+def _next_generation(lifecycle: RequestLifecycle, now: float = 0.0) -> Generate:
+    step = lifecycle.next_step(now)
     assert isinstance(step, Generate)
     return step
 
 
-def _read(life: RequestLifecycle, now: float = 0.0) -> Prefill:
-    step = life.next_step(now)
+def _next_prefill(lifecycle: RequestLifecycle, now: float = 0.0) -> Prefill:
+    step = lifecycle.next_step(now)
     assert isinstance(step, Prefill)
     return step
 
@@ -64,39 +64,39 @@
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_retried_and_gets_502() -> None:
-    life = _lifecycle(UNSAFE, _placement(0, 0, 3))
-    life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
-    assert life.next_step(0.1) == Reject(502, None)
+    lifecycle = _lifecycle(UNSAFE, _placement(0, 0, 3))
+    lifecycle.complete_attempt(0.1, _next_generation(lifecycle).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
+    assert lifecycle.next_step(0.1) == Reject(502, None)
 
 
 @pytest.mark.parametrize("ending", [AttemptOutcome.UNSENT, AttemptOutcome.REFUSED, AttemptOutcome.MISPLACED])
 def test_a_request_that_did_not_run_is_retried_at_another_instance(ending: AttemptOutcome) -> None:
-    life = _lifecycle(UNSAFE, _placement(0, 0, 3))
-    first = _run(life)
-    life.complete_attempt(0.1, first.reservation, AttemptResult(ending))
-    assert _run(life, 0.1).reservation.node is not first.reservation.node
+    lifecycle = _lifecycle(UNSAFE, _placement(0, 0, 3))
+    first = _next_generation(lifecycle)
+    lifecycle.complete_attempt(0.1, first.reservation, AttemptResult(ending))
+    assert _next_generation(lifecycle, 0.1).reservation.node is not first.reservation.node
 
 
 def test_a_request_gets_503_where_nothing_ran_and_the_budget_is_spent() -> None:
-    life = _lifecycle(UNSAFE, _placement(0, 0, 3), slack=0.0)
-    life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.REFUSED))
-    answer = life.next_step(0.1)
-    assert isinstance(answer, Reject)
-    assert answer.status == 503
-    assert answer.retry_after_s is not None
+    lifecycle = _lifecycle(UNSAFE, _placement(0, 0, 3), slack=0.0)
+    lifecycle.complete_attempt(0.1, _next_generation(lifecycle).reservation, AttemptResult(AttemptOutcome.REFUSED))
+    step = lifecycle.next_step(0.1)
+    assert isinstance(step, Reject)
+    assert step.status == 503
+    assert step.retry_after_s is not None
 
 
 def test_a_safe_request_is_retried_within_its_attempts() -> None:
-    life = _lifecycle(SAFE, _placement(0, 0, 5))
+    lifecycle = _lifecycle(SAFE, _placement(0, 0, 5))
     for _ in range(3):
-        life.complete_attempt(0.1, _run(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
-    assert isinstance(life.next_step(0.1), Reject)
+        lifecycle.complete_attempt(0.1, _next_generation(lifecycle).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
+    assert isinstance(lifecycle.next_step(0.1), Reject)
 
 
-def test_a_service_without_instances_is_refused_at_once() -> None:
-    answer = _lifecycle(UNSAFE, _placement(0, 0, 0)).next_step(0.0)
-    assert isinstance(answer, Reject)
-    assert answer.status == 503
+def test_a_request_to_a_service_without_instances_is_rejected_at_once() -> None:
+    step = _lifecycle(UNSAFE, _placement(0, 0, 0)).next_step(0.0)
+    assert isinstance(step, Reject)
+    assert step.status == 503
 
 
 def test_no_attempt_begins_without_time_left() -> None:
@@ -104,129 +104,131 @@
 
 
 def test_a_prefill_is_a_separate_attempt_and_its_handle_is_used_once() -> None:
-    life = _lifecycle(STREAM, _placement(2, 2), PROMPT)
-    step = _read(life)
-    assert not life.complete_attempt(0.1, step.reservation, _handle(step))
-    run = _run(life, 0.1)
+    lifecycle = _lifecycle(STREAM, _placement(2, 2), PROMPT)
+    step = _next_prefill(lifecycle)
+    assert not lifecycle.complete_attempt(0.1, step.reservation, _handle(step))
+    run = _next_generation(lifecycle, 0.1)
     assert run.handle is not None
     assert run.handle.identity == "h1"
     assert run.reservation.pool.stage == "decode"
-    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.REFUSED))  # the memory could not be had
-    assert life.handle is None
-    assert isinstance(life.next_step(0.2), Prefill | Generate)
-
-
-def test_a_prompt_whose_handle_was_refused_is_read_at_another_instance() -> None:
-    """The decode instance may be cut off from the one that read it, or the handle has lapsed: again it would fail."""
-    life = _lifecycle(STREAM, _placement(2, 3), PROMPT)
-    step = _read(life)
-    reader = step.reservation.node.instance.identity
-    handle = KvHandle(reader, step.reservation.node.instance.address, "h1")
-    life.complete_attempt(0.1, step.reservation, AttemptResult(AttemptOutcome.READ, handle))
-    run = _run(life, 0.1)
-    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.REFUSED))
-    again = life.next_step(0.2)
+    lifecycle.complete_attempt(
+        0.2, run.reservation, AttemptResult(AttemptOutcome.REFUSED)
+    )  # it could not fetch the KV cache
+    assert lifecycle.handle is None
+    assert isinstance(lifecycle.next_step(0.2), Prefill | Generate)
+
+
+def test_a_prompt_whose_handle_was_refused_is_prefilled_at_another_instance() -> None:
+    """The decode instance may not reach the prefill instance, or the handle has expired: a retry would fail again."""
+    lifecycle = _lifecycle(STREAM, _placement(2, 3), PROMPT)
+    step = _next_prefill(lifecycle)
+    prefill_identity = step.reservation.node.instance.identity
+    handle = KvHandle(prefill_identity, step.reservation.node.instance.address, "h1")
+    lifecycle.complete_attempt(0.1, step.reservation, AttemptResult(AttemptOutcome.READ, handle))
+    run = _next_generation(lifecycle, 0.1)
+    lifecycle.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.REFUSED))
+    again = lifecycle.next_step(0.2)
     assert isinstance(again, Prefill | Generate)
-    assert again.reservation.node.instance.identity not in (reader, run.reservation.node.instance.identity)
+    assert again.reservation.node.instance.identity not in (prefill_identity, run.reservation.node.instance.identity)
 
 
 def test_an_unused_handle_is_returned_once() -> None:
-    life = _lifecycle(STREAM, _placement(2, 2), PROMPT)
-    step = _read(life)
-    life.complete_attempt(0.1, step.reservation, _handle(step))
-    run = _run(life, 0.1)
-    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.UNSENT))
-    assert _run(life, 0.2).handle == run.handle  # never asked for: it is still there
-    life.complete_attempt(0.3, run.reservation, AttemptResult(AttemptOutcome.REFUSED))
-    assert life.collect_unused_handles() == [run.handle]
-    assert life.collect_unused_handles() == []
+    lifecycle = _lifecycle(STREAM, _placement(2, 2), PROMPT)
+    step = _next_prefill(lifecycle)
+    lifecycle.complete_attempt(0.1, step.reservation, _handle(step))
+    run = _next_generation(lifecycle, 0.1)
+    lifecycle.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.UNSENT))
+    assert _next_generation(lifecycle, 0.2).handle == run.handle  # the handle was not used: its KV cache still exists
+    lifecycle.complete_attempt(0.3, run.reservation, AttemptResult(AttemptOutcome.REFUSED))
+    assert lifecycle.collect_unused_handles() == [run.handle]
+    assert lifecycle.collect_unused_handles() == []
 
 
 def test_a_request_with_only_a_prefill_has_not_run() -> None:
-    life = _lifecycle(FIXED, _placement(1, 1), PROMPT, slack=0.0)
-    life.complete_attempt(0.1, _read(life).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
-    answer = life.next_step(0.1)
-    assert isinstance(answer, Reject)
-    assert answer.status == 503
+    lifecycle = _lifecycle(FIXED, _placement(1, 1), PROMPT, slack=0.0)
+    lifecycle.complete_attempt(0.1, _next_prefill(lifecycle).reservation, AttemptResult(AttemptOutcome.UNKNOWN))
+    step = lifecycle.next_step(0.1)
+    assert isinstance(step, Reject)
+    assert step.status == 503
 
 
 def test_only_attempts_beyond_the_first_prefill_and_generation_use_budget() -> None:
-    life = _lifecycle(STREAM, _placement(2, 2), PROMPT)
-    step = _read(life)
-    life.complete_attempt(0.1, step.reservation, _handle(step))
-    run = _run(life, 0.1)
-    assert not life.budget.extra_attempts
-    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.REFUSED))
-    life.next_step(0.2)
-    assert len(life.budget.extra_attempts) == 1
+    lifecycle = _lifecycle(STREAM, _placement(2, 2), PROMPT)
+    step = _next_prefill(lifecycle)
+    lifecycle.complete_attempt(0.1, step.reservation, _handle(step))
+    run = _next_generation(lifecycle, 0.1)
+    assert not lifecycle.budget.extra_attempts
+    lifecycle.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.REFUSED))
+    lifecycle.next_step(0.2)
+    assert len(lifecycle.budget.extra_attempts) == 1
 
 
 @pytest.mark.parametrize("prompt", [None, PROMPT])
-def test_attempts_of_which_nothing_was_sent_use_no_budget_and_another_instance_is_tried_at_once(
+def test_unsent_attempts_use_no_budget_and_another_instance_is_tried_at_once(
     prompt: Prompt | None,
 ) -> None:
-    """Behind a cut one instance after the other cannot be reached; no instance has seen the request."""
-    life = _lifecycle(UNSAFE, _placement(0, 0, 6) if prompt is None else _placement(4, 2), prompt, slack=0.0)
+    """Behind a partition no instance can be reached, so none has received the request."""
+    lifecycle = _lifecycle(UNSAFE, _placement(0, 0, 6) if prompt is None else _placement(4, 2), prompt, slack=0.0)
     reached = set()
     for number in range(5):
-        step = life.next_step(0.1 * number)
+        step = lifecycle.next_step(0.1 * number)
         assert isinstance(step, Prefill | Generate), number
         reached.add(step.reservation.node.instance.identity)
-        life.complete_attempt(0.1 * number, step.reservation, AttemptResult(AttemptOutcome.UNSENT))
+        lifecycle.complete_attempt(0.1 * number, step.reservation, AttemptResult(AttemptOutcome.UNSENT))
     assert len(reached) == 5
-    assert not life.budget.extra_attempts
+    assert not lifecycle.budget.extra_attempts
 
 
 def test_an_unsent_retry_is_refunded_and_a_sent_one_is_not() -> None:
-    life = _lifecycle(UNSAFE, _placement(0, 0, 4))
+    lifecycle = _lifecycle(UNSAFE, _placement(0, 0, 4))
     for now, outcome in enumerate([AttemptOutcome.REFUSED, AttemptOutcome.UNSENT, AttemptOutcome.REFUSED]):
-        life.complete_attempt(now + 0.5, _run(life, now).reservation, AttemptResult(outcome))
-    assert list(life.budget.extra_attempts) == [2.0]
+        lifecycle.complete_attempt(now + 0.5, _next_generation(lifecycle, now).reservation, AttemptResult(outcome))
+    assert list(lifecycle.budget.extra_attempts) == [2.0]
 
 
 def test_silence_is_evidence_about_a_zone_and_any_answer_ends_it() -> None:
     placement = _placement(0, 0, 3)
     for node in placement.nodes.values():
         node.instance = replace(node.instance, zone="far")
-    life = _lifecycle(UNSAFE, placement)
-    first = _run(life)
-    life.complete_attempt(0.2, first.reservation, AttemptResult(AttemptOutcome.UNSENT))
+    lifecycle = _lifecycle(UNSAFE, placement)
+    first = _next_generation(lifecycle)
+    lifecycle.complete_attempt(0.2, first.reservation, AttemptResult(AttemptOutcome.UNSENT))
     assert not placement.admission.is_unreachable(0.2, first.reservation.node.instance)
-    second = _run(life, 0.2)
-    life.complete_attempt(0.4, second.reservation, AttemptResult(AttemptOutcome.UNSENT, is_silent=True))
+    second = _next_generation(lifecycle, 0.2)
+    lifecycle.complete_attempt(0.4, second.reservation, AttemptResult(AttemptOutcome.UNSENT, is_silent=True))
     assert placement.admission.is_unreachable(0.4, first.reservation.node.instance)
-    third = _run(life, 0.4)
-    life.complete_attempt(0.5, third.reservation, AttemptResult(AttemptOutcome.REFUSED))
+    third = _next_generation(lifecycle, 0.4)
+    lifecycle.complete_attempt(0.5, third.reservation, AttemptResult(AttemptOutcome.REFUSED))
     assert not placement.admission.is_unreachable(0.5, first.reservation.node.instance)
 
 
 def test_a_resumable_stream_resumes_after_its_latest_event() -> None:
-    life = _lifecycle(STREAM, _placement(0, 2), PROMPT)
-    run = _run(life)
-    life.record_first_event(0.1, run.reservation)
-    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.BROKEN, last_event_id="12"))
-    again = _run(life, 0.2)
+    lifecycle = _lifecycle(STREAM, _placement(0, 2), PROMPT)
+    run = _next_generation(lifecycle)
+    lifecycle.record_first_event(0.1, run.reservation)
+    lifecycle.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.BROKEN, last_event_id="12"))
+    again = _next_generation(lifecycle, 0.2)
     assert again.last_event_id == "12"
     assert again.reservation.node is not run.reservation.node
 
 
 def test_a_stream_that_may_not_be_resumed_is_aborted() -> None:
-    life = _lifecycle(FIXED, _placement(0, 2), PROMPT)
-    run = _run(life)
-    life.record_first_event(0.1, run.reservation)
-    life.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.BROKEN, last_event_id="12"))
-    assert life.next_step(0.2) == Reject(502, None)
+    lifecycle = _lifecycle(FIXED, _placement(0, 2), PROMPT)
+    run = _next_generation(lifecycle)
+    lifecycle.record_first_event(0.1, run.reservation)
+    lifecycle.complete_attempt(0.2, run.reservation, AttemptResult(AttemptOutcome.BROKEN, last_event_id="12"))
+    assert lifecycle.next_step(0.2) == Reject(502, None)
 
 
 def test_no_reservation_remains_after_the_end() -> None:
     placement = _placement(2, 2)
-    life = _lifecycle(STREAM, placement, PROMPT)
-    read = _read(life)
-    life.complete_attempt(0.1, read.reservation, _handle(read))
-    run = _run(life, 0.1)
-    life.record_first_event(0.2, run.reservation)
+    lifecycle = _lifecycle(STREAM, placement, PROMPT)
+    prefill = _next_prefill(lifecycle)
+    lifecycle.complete_attempt(0.1, prefill.reservation, _handle(prefill))
+    run = _next_generation(lifecycle, 0.1)
+    lifecycle.record_first_event(0.2, run.reservation)
     assert run.reservation.node.outstanding == 1
-    assert life.complete_attempt(0.9, run.reservation, AttemptResult(AttemptOutcome.ANSWERED))
+    assert lifecycle.complete_attempt(0.9, run.reservation, AttemptResult(AttemptOutcome.ANSWERED))
     assert all(node.outstanding == 0 for node in placement.nodes.values())
 
 
@@ -244,20 +246,20 @@
 
 
 def test_a_retry_round_begins_after_an_exponential_backoff() -> None:
-    """Seen on a drawn day: one request reached the one instance that there was five times in 71 ms."""
-    life = _lifecycle(SAFE, _placement(0, 0, 2))
-    now, asked, pauses = 0.0, [], []
-    while not isinstance(step := life.next_step(now), Reject):
+    """Guards against retries in quick succession: one request reached the only instance five times in 71 ms."""
+    lifecycle = _lifecycle(SAFE, _placement(0, 0, 2))
+    now, attempted, pauses = 0.0, [], []
+    while not isinstance(step := lifecycle.next_step(now), Reject):
         if isinstance(step, Backoff):
             pauses.append(step.seconds)
             now += step.seconds
             continue
         assert isinstance(step, Generate)
-        asked.append(step.reservation.node.instance.identity)
-        life.complete_attempt(now, step.reservation, AttemptResult(AttemptOutcome.REFUSED))
+        attempted.append(step.reservation.node.instance.identity)
+        lifecycle.complete_attempt(now, step.reservation, AttemptResult(AttemptOutcome.REFUSED))
     assert pauses[:6] == [0.02, 0.04, 0.08, 0.16, 0.32, 0.32] and sum(pauses) < 4.0
-    assert len(asked) == 2 * (1 + len(pauses))
-    assert all({*asked[at : at + 2]} == {"i-0", "i-1"} for at in range(0, len(asked), 2)), "each once a round"
+    assert len(attempted) == 2 * (1 + len(pauses))
+    assert all({*attempted[at : at + 2]} == {"i-0", "i-1"} for at in range(0, len(attempted), 2)), "each once a round"
     assert step.status == 503 and step.retry_after_s is not None
 
 
@@ -297,18 +299,18 @@
 
 
 def test_a_started_stream_is_resumed_where_a_new_one_would_be_rejected() -> None:
-    """Its client's patience is for the first event; one that has had it waits for the rest."""
-    for begun in (True, False):
+    """The client's timeout is for the first event; a client that has received it waits for the others."""
+    for is_started in (True, False):
         placement = _placement(0, 2)
-        life = _lifecycle(STREAM, placement, PROMPT)
-        life.client_deadline = 2.0
-        first = _run(life)
-        if begun:
-            life.record_first_event(0.1, first.reservation)
-        life.complete_attempt(
+        lifecycle = _lifecycle(STREAM, placement, PROMPT)
+        lifecycle.client_deadline = 2.0
+        first = _next_generation(lifecycle)
+        if is_started:
+            lifecycle.record_first_event(0.1, first.reservation)
+        lifecycle.complete_attempt(
             1.5,
             first.reservation,
-            AttemptResult(AttemptOutcome.BROKEN if begun else AttemptOutcome.REFUSED, last_event_id="3"),
+            AttemptResult(AttemptOutcome.BROKEN if is_started else AttemptOutcome.REFUSED, last_event_id="3"),
         )
         placement.exchange.receive_hints(
             1.5,
@@ -316,5 +318,5 @@
                 tuple(PlacementHint(name, 90_000, (), 0, 0, number) for number, name in enumerate(placement.nodes, 1))
             ),
         )
-        step = life.next_step(1.5)
-        assert isinstance(step, Generate if begun else Reject)
+        step = lifecycle.next_step(1.5)
+        assert isinstance(step, Generate if is_started else Reject)
--- a/tests/test_fleet_server_connection.py
+++ b/tests/test_fleet_server_connection.py
@@ -1,4 +1,4 @@
-"""A server's connection between a parser and an application: every cut of the bytes into pieces, without sockets."""
+"""A server's connection between a parser and an application: every split of the bytes in chunks, without sockets."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from tests.connection_wire import CHUNKED, FIRST, GARBAGE, UPGRADE, Wire, cuts, played, settle
 
 
-@pytest.mark.parametrize("behind", [GARBAGE, b""])
+@pytest.mark.parametrize("trailing", [GARBAGE, b""])
 def test_requests_in_any_chunks_are_answered_and_invalid_bytes_get_400_after_them(
-    behind: bytes,
+    trailing: bytes,
 ) -> None:
-    data = FIRST + UPGRADE + CHUNKED + behind
+    data = FIRST + UPGRADE + CHUNKED + trailing
     for first, second in cuts(data):
 
         async def play(wire: Wire, server: HttpServer, first: bytes = first, second: bytes = second) -> None:
             await wire.feed(first)
             await wire.feed(second)
-            assert wire.statuses() == [200, 200, 200, *([400] if behind else [])]
+            assert wire.statuses() == [200, 200, 200, *([400] if trailing else [])]
             assert (wire.begun, wire.bodies) == (["/first", "/upgrade", "/chunked"], [b"hello", b"body", b"abc"])
-            assert wire.pipe.eof is bool(behind)
+            assert wire.pipe.eof is bool(trailing)
 
         played(play)
 
@@ -34,8 +34,8 @@
     async def play(wire: Wire, server: HttpServer) -> None:
         wire.held = True
         await wire.feed(FIRST)
-        for piece in (CHUNKED[:30], CHUNKED[30:] + GARBAGE):
-            await wire.feed(piece)
+        for chunk in (CHUNKED[:30], CHUNKED[30:] + GARBAGE):
+            await wire.feed(chunk)
         assert wire.begun == ["/first"] and wire.pipe.written.endswith(b"one") and not wire.pipe.eof
         wire.go_on["/first"].set()
         await settle()
@@ -65,23 +65,23 @@
     played(play)
 
 
-def test_a_response_not_started_says_that_it_is_the_last() -> None:
+def test_a_response_that_starts_after_shutdown_announces_the_close() -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         assert wire.connection is not None
         await wire.feed(FIRST[:-1])
         wire.connection.shutdown()
-        assert not wire.pipe.closed, "its body may still come"
+        assert not wire.pipe.closed, "its body may still arrive"
         await wire.feed(FIRST[-1:])
         assert wire.statuses() == [200] and b"connection: close" in wire.pipe.written and wire.pipe.closed
 
     played(play)
 
 
-@pytest.mark.parametrize("half", [FIRST[:10], b"\r\n", b""])
-def test_shutdown_closes_a_connection_with_nothing_outstanding(half: bytes) -> None:
+@pytest.mark.parametrize("incomplete", [FIRST[:10], b"\r\n", b""])
+def test_shutdown_closes_a_connection_with_nothing_outstanding(incomplete: bytes) -> None:
     async def play(wire: Wire, server: HttpServer) -> None:
         assert wire.connection is not None
-        await wire.feed(half)
+        await wire.feed(incomplete)
         wire.connection.shutdown()
         assert wire.pipe.closed and not wire.pipe.written
 
@@ -110,14 +110,16 @@
         (cycle, waiting) = wire.connection.cycles
         if error is None:
             wire.connection.eof_received()
-            assert cycle.disconnected and waiting.disconnected, "it is seen before what was written has gone out"
+            assert cycle.disconnected and waiting.disconnected, (
+                "the disconnect is reported before the written data is sent"
+            )
         wire.connection.connection_lost(error)
         assert cycle.disconnected and waiting.disconnected
         wire.go_on["/first"].set()
         await settle()
         assert wire.begun == ["/first"]
-        ending = CloseReason.CLIENT_CLOSED if error is None else CloseReason.CLIENT_RESET
-        assert server.context.close_reasons == {ending.value: 1}
+        reason = CloseReason.CLIENT_CLOSED if error is None else CloseReason.CLIENT_RESET
+        assert server.context.close_reasons == {reason.value: 1}
 
     played(play)
 
@@ -184,18 +186,18 @@
         assert wire.connection is not None and wire.connection.outstanding_responses()[0].endswith(
             "response=complete unsent_bytes=9"
         )
-        looks = 0
+        checks = 0
 
-        def unsent() -> int:
-            nonlocal looks
-            looks += 1
-            return max(3, 9 - looks)
+        def unsent_bytes() -> int:
+            nonlocal checks
+            checks += 1
+            return max(3, 9 - checks)
 
-        monkeypatch.setattr(wire.pipe, "get_write_buffer_size", unsent)
+        monkeypatch.setattr(wire.pipe, "get_write_buffer_size", unsent_bytes)
         wire.connection.shutdown()
         while not wire.pipe.aborted:
             await asyncio.sleep(0)
-        assert looks == 7, "it is given up once nothing has gone out between two looks"
+        assert checks == 7, "it is aborted once nothing was sent between two checks"
 
     played(play)
 
@@ -213,10 +215,10 @@
         server.context.max_connections = 2
         wire.held = True
         await wire.feed(FIRST)
-        resting = [wire.another(server) for _ in range(2)]
-        assert [pipe.closed for pipe in resting] == [True, False] and not wire.pipe.closed
+        idle = [wire.another(server) for _ in range(2)]
+        assert [pipe.closed for pipe in idle] == [True, False] and not wire.pipe.closed
         newest = wire.another(server)
-        assert [pipe.closed for pipe in (*resting, newest)] == [True, True, False]
+        assert [pipe.closed for pipe in (*idle, newest)] == [True, True, False]
         wire.go_on["/first"].set()
         await settle()
         assert wire.statuses() == [200] and not wire.pipe.closed
@@ -227,12 +229,12 @@
     played(play)
 
 
-def test_bodies_are_limited_by_the_memory_for_all_of_them() -> None:
+def test_all_bodies_share_one_memory_limit() -> None:
     memory = BodyMemory(10)
-    with memory.reserve() as one:
-        one.extend(8)
-        with memory.reserve() as other, pytest.raises(BodyMemoryFullError):
-            other.extend(3)
+    with memory.reserve() as first:
+        first.extend(8)
+        with memory.reserve() as second, pytest.raises(BodyMemoryFullError):
+            second.extend(3)
         with memory.reserve() as third:
             third.extend(2)
             assert memory.reserved == 10
@@ -240,21 +242,21 @@
 
 
 def test_rejecting_a_client_that_reset_its_connection_raises_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seen in a soak: the refusal raised at the end of another answer, and was told as the head's own fault."""
+    """Guards against an error of the rejection that is raised in another response, as a fault of the head."""
 
-    def gone() -> None:
+    def raise_not_connected() -> None:
         raise OSError(107, "Transport endpoint is not connected")
 
     async def play(wire: Wire, server: HttpServer) -> None:
-        monkeypatch.setattr(wire.pipe, "write_eof", gone)
+        monkeypatch.setattr(wire.pipe, "write_eof", raise_not_connected)
         await wire.feed(FIRST + GARBAGE)
         assert wire.statuses() == [200, 400] and wire.pipe.closed
 
     played(play)
 
 
-def test_fields_behind_a_body_are_no_fields_of_the_request() -> None:
-    """Guards against a second request id, model or prompt that reaches an instance behind the client's own."""
+def test_trailer_fields_are_not_fields_of_the_request() -> None:
+    """Guards against a second request id, model or prompt that is forwarded in addition to the client's own."""
     trailers = b"0\r\nHophinge-Request-Id: other\r\nHophinge-Model: x\r\n\r\n"
     data = CHUNKED.replace(b"0\r\n\r\n", trailers) + FIRST
     for first, second in cuts(data):
--- a/tests/test_fleet_surplus_responses.py
+++ b/tests/test_fleet_surplus_responses.py
@@ -1,4 +1,4 @@
-"""Surplus responses on connections to instances: read past up to a bound, counted, and never a request's own."""
+"""Surplus responses on connections to instances are skipped up to a limit, counted, and never a request's own."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture(autouse=True)
 def patient_connects(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have connects last as long as they need: on a busy machine they take longer than a head waits."""
+    """Extend the timeout of connects: on a busy machine they take longer than a head waits."""
     monkeypatch.setattr(upstream, "CONNECT_TIMEOUT_S", DEADLINE_S)
 
 
@@ -42,7 +42,7 @@
 
 @dataclass
 class Wire:
-    """An instance that writes fixed bytes for each request, in the order in which requests come."""
+    """An instance that writes scripted bytes for each request, in the order of the requests."""
 
     script: list[bytes]
     upstream: Upstream = field(default_factory=Upstream)
@@ -60,7 +60,7 @@
         writer.close()
 
     async def request(self, request_id: str | None) -> bytes | None:
-        """Return the body of a request's own response; None where it cannot be had."""
+        """Return the body of a request's own response; None if the request fails."""
         fields = [(b"host", b"a")]
         call = Call(self.address, b"GET", b"/", fields, b"", DEADLINE_S, RequestContext(request_id))
         try:
@@ -71,7 +71,7 @@
 
 
 def play(script: list[bytes], *request_ids: str | None) -> tuple[list[bytes | None], Wire]:
-    """Send requests one after the other; an id of "DELETE" frees a KV handle instead."""
+    """Send requests in sequence; an id of "DELETE" frees a KV handle instead. Return the bodies and the instance."""
 
     async def run() -> tuple[list[bytes | None], Wire]:
         wire = Wire(list(script))
@@ -103,7 +103,7 @@
         (None, "a", False, ResponseOwner.UNKNOWN),
     ],
 )
-def test_whose_a_response_is(
+def test_the_owner_of_a_response(
     response_id: str | None, request_id: str | None, has_carried_unidentified: bool, owner: ResponseOwner
 ) -> None:
     fields = [] if response_id is None else [(b"Hophinge-Request-Id", response_id.encode())]
@@ -114,11 +114,11 @@
     """Guards against 502, a second run and another request's response where instances repeat responses late."""
     tally = asyncio.run(play_orders(0, ORDERS))
     assert tally.faults == []
-    assert tally.read_past > ORDERS / 3, "the orders are such that responses have to be read past"
+    assert tally.skipped > ORDERS / 3, "the orders require surplus responses to be skipped"
 
 
 @pytest.mark.parametrize("count", [1, MAX_SURPLUS_RESPONSES])
-def test_as_many_surplus_responses_as_the_bound_are_read_past(count: int) -> None:
+def test_surplus_responses_up_to_the_limit_are_skipped(count: int) -> None:
     bodies, wire = play([response("b", b"other") * count + response("a")], "a")
     assert (bodies, wire.connections) == ([b"body"], 1)
 
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize(
     "surplus", [CHUNKED, INTERIM + response("b"), response("b") + INTERIM, LARGE, response("b", b"")]
 )
-def test_a_surplus_response_of_any_form_is_read_past(surplus: bytes) -> None:
+def test_a_surplus_response_of_any_form_is_skipped(surplus: bytes) -> None:
     bodies, wire = play([surplus + response("a")], "a")
     assert (bodies, wire.connections) == ([b"body"], 1)
 
@@ -150,8 +150,10 @@
 
 
 @pytest.mark.parametrize("surplus", UNREADABLE.values(), ids=UNREADABLE.keys())
-def test_what_cannot_be_read_past_fails_the_request_at_once_and_closes_the_connection(surplus: bytes) -> None:
-    """The next request goes over a new connection and gets its own response, and no remains of this one."""
+def test_a_surplus_response_that_cannot_be_skipped_fails_the_request_at_once_and_closes_the_connection(
+    surplus: bytes,
+) -> None:
+    """The next request uses a new connection and gets its own response, and no remaining bytes of this one."""
 
     async def run() -> float:
         wire = Wire([surplus + response("a"), response("c", b"next")])
@@ -171,22 +173,22 @@
 
 
 def test_a_connection_with_many_surplus_responses_is_not_reused() -> None:
-    """Its bound is reached between two requests, so that none of them loses its response for it."""
+    """The limit is reached between two requests, so that no request loses its response."""
     half = MAX_SURPLUS_RESPONSES // 2 + 1
     script = [response("x") * half + response(name) for name in "abc"]
     bodies, wire = play(script, "a", "b", "c")
     assert (bodies, wire.connections) == ([b"body"] * 3, 2)
 
 
-def test_a_freed_handle_takes_no_other_request_s_response_for_its_own() -> None:
-    """Guards against a connection that is one response behind from there on."""
+def test_freeing_a_handle_does_not_accept_the_response_of_another_request() -> None:
+    """Guards against a connection on which every later response is assigned to the wrong request."""
     script = [response("a"), response("a") + response(None, b""), response("c")]
     bodies, wire = play(script, "a", "DELETE", "c")
     assert (bodies, wire.connections) == ([b"body", b"body"], 1)
     assert wire.received == [b"GET", b"DELETE", b"GET"]
 
 
-def test_the_surplus_response_of_a_freed_handle_is_read_past() -> None:
+def test_the_surplus_response_of_a_freed_handle_is_skipped() -> None:
     bodies, wire = play([response(None, b""), response(None, b"") + response("a")], "DELETE", "a")
     assert (bodies, wire.connections) == ([b"body"], 1)
 
@@ -214,10 +216,10 @@
     assert often.is_avoided(now) and not seldom.is_avoided(now)
     assert not often.is_avoided(now + AVOIDANCE_S)
     often.record_attempt(now + 2 * WINDOW_S, 1)
-    assert not often.is_avoided(now + 2 * WINDOW_S), "a new window begins at nothing"
+    assert not often.is_avoided(now + 2 * WINDOW_S), "a new window begins at zero"
 
 
-def test_an_avoided_instance_counts_as_one_in_trouble_until_it_is_over() -> None:
+def test_an_avoided_instance_counts_as_ejected_until_the_avoidance_ends() -> None:
     node = Node(Instance("i", "s", "127.0.0.1:9", "z", "v", 8, READY, "", ()))
     for _ in range(MIN_SURPLUS):
         assert not node.is_ejected(1.0)
@@ -226,7 +228,7 @@
     assert node.is_ejected(1.0) and not node.is_ejected(1.0 + AVOIDANCE_S)
 
 
-def test_a_response_that_never_comes_behind_a_surplus_one_ends_with_the_deadline() -> None:
+def test_a_request_whose_response_never_follows_a_surplus_one_ends_at_its_deadline() -> None:
     async def run() -> None:
         wire = Wire([response("b")])
         server = await asyncio.start_server(wire.serve, "127.0.0.1", 0)
@@ -235,7 +237,7 @@
         with pytest.raises((*UPSTREAM_ERRORS, TimeoutError)) as raised:
             async with asyncio.timeout(5.0), wire.upstream.call("i", call):
                 pass
-        assert not isinstance(raised.value, ForeignResponseError), "it was awaited"
+        assert not isinstance(raised.value, ForeignResponseError), "the response was awaited"
         await wire.upstream.close()
         server.close()
 
--- a/tests/test_fleet_upstream.py
+++ b/tests/test_fleet_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to instances: how long they rest, and what an answer says of it."""
+"""Connections to instances: idle times, reuse, and the detection of silent peers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "told"),
+    ("value", "timeout_s"),
     [
         (b"timeout=5", 5.0),
         (b"timeout=5, max=100", 5.0),
@@ -36,31 +36,31 @@
         (b"timeout=-1", None),
     ],
 )
-def test_the_timeout_of_keep_alive_is_parsed(value: bytes, told: float | None) -> None:
+def test_the_timeout_of_keep_alive_is_parsed(value: bytes, timeout_s: float | None) -> None:
     fields: Fields = [(b"content-length", b"0"), (b"Keep-Alive", value)]
-    assert keep_alive_timeout_s(fields) == told
+    assert keep_alive_timeout_s(fields) == timeout_s
 
 
 def test_connections_are_idle_as_long_as_the_instance_allows_and_reused() -> None:
-    opened = 0
-    ended = asyncio.Event()
+    connections = 0
+    closed = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal opened
-        opened += 1
+        nonlocal connections
+        connections += 1
         while await reader.readuntil(b"\r\n\r\n"):
             writer.write(b"HTTP/1.1 200 OK\r\nkeep-alive: timeout=5\r\ncontent-length: 2\r\n\r\nok")
 
-    async def quiet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_until_eof(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await serve(reader, writer)
         except asyncio.IncompleteReadError:
             writer.close()
             await writer.wait_closed()
-            ended.set()
+            closed.set()
 
     async def play() -> None:
-        server = await asyncio.start_server(quiet, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve_until_eof, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         upstream = Upstream()
         call = Call(f"127.0.0.1:{port}", b"GET", b"/", [(b"host", b"a")], b"", 5.0)
@@ -71,19 +71,19 @@
         assert upstream.pools["i-1"].max_idle_s == 5.0 * KEEP_ALIVE_FRACTION
         await upstream.close()
         assert not upstream.pools
-        await ended.wait()
+        await closed.wait()
         server.close()
         await server.wait_closed()
 
     asyncio.run(play())
-    assert opened == 1
+    assert connections == 1
 
 
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
 async def _sent_targets(calls: list[Call], answers: dict[bytes, bytes]) -> list[list[bytes]]:
-    """Send calls one after the other to a server that answers by target; return each connection's targets."""
+    """Send calls in sequence to a server that responds by target; return the targets received on each connection."""
     connections: list[list[bytes]] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -111,15 +111,15 @@
     return Call("", b"GET", target, [(b"host", b"a")], b"", 5.0, context)
 
 
-def test_a_connection_with_bytes_behind_a_response_is_not_reused() -> None:
-    """The surplus arrives in one segment with the response, so the parser has read it before the next request."""
+def test_a_connection_with_bytes_after_a_response_is_not_reused() -> None:
+    """The surplus bytes arrive in one segment with the response: the parser buffers them before the next request."""
     calls = [_call(target) for target in (b"/first", b"/surplus", b"/next")]
     connections = asyncio.run(_sent_targets(calls, {b"/surplus": OK + b"no response at all"}))
     assert connections == [[b"/first", b"/surplus"], [b"/next"]]
 
 
-def test_a_silent_peer_is_found_by_the_kernel_within_a_fraction_of_a_client_s_patience() -> None:
-    """Behind a partition nothing is acknowledged and nothing refused: only these options end a connection."""
+def test_the_kernel_detects_a_silent_peer_well_before_the_client_gives_up() -> None:
+    """Behind a partition nothing is acknowledged or refused: only these socket options end a connection."""
     options: dict[str, int] = {}
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -166,24 +166,24 @@
         (TimeoutError(), False),
     ],
 )
-def test_a_refusal_or_a_reset_is_an_answer_and_silence_is_not(error: Exception, is_silent: bool) -> None:
+def test_a_refused_or_reset_connection_is_not_silent(error: Exception, is_silent: bool) -> None:
     assert is_peer_silent(error) == is_silent
 
 
 def test_a_request_is_never_sent_twice_on_one_connection() -> None:
-    """A late answer to the first send would be taken for that to the second one: both have the request's id."""
+    """Guards against a late response to the first send that counts as that to the second: both have the same id."""
     contexts = {b"/a": RequestContext(), b"/b": RequestContext()}
     calls = [_call(target, contexts[target]) for target in (b"/a", b"/b", b"/a", b"/b", b"/b")]
     connections = asyncio.run(_sent_targets(calls, {}))
     assert connections == [[b"/a", b"/b"], [b"/a", b"/b"], [b"/b"]]
 
 
-def test_a_connection_that_could_not_take_a_request_may_take_it_later() -> None:
+def test_a_connection_that_was_unavailable_for_a_request_may_carry_it_later() -> None:
     """Guards against a connection that is closed for a request that was never sent on it."""
 
     async def play() -> set[InstanceConnection]:
         connection = InstanceConnection(InstancePool(), httpcore.Origin(b"http", b"127.0.0.1", 9))
-        assert connection.claims.acquire(5.0) is not None, "another request is on it"
+        assert connection.claims.acquire(5.0) is not None, "another request is in flight on it"
         context = RequestContext()
         extensions = {"timeout": {"read": 5.0}, CONTEXT: context}
         with pytest.raises(httpcore.ConnectionNotAvailable):
--- a/tests/warmup_mutants.py
+++ b/tests/warmup_mutants.py
@@ -100,7 +100,7 @@
         "fleet/placement/placement",
         "        if not is_abandoned:\n",
         "        if node:\n",
-        "tests/test_fleet_frontend.py::test_a_client_that_gives_up_makes_nobody_take_its_instance_for_cold",
+        "tests/test_fleet_frontend.py::test_an_instance_whose_client_disconnects_does_not_count_as_cold",
     ),
     Mutant(
         "what others observed does not limit an instance",
