--- a/hophinge/state/audit.py
+++ b/hophinge/state/audit.py
@@ -1,7 +1,7 @@
 """Hash chain of a ledger's audit log.
 
-Each entry's hash covers the entry and the previous hash, so that changing, removing or inserting an entry changes every
-hash after it.
+Each entry's hash covers the entry and the previous entry's hash, so that changing, removing or inserting an entry
+changes every later hash.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
     Args:
         path: The ledger's SQLite file.
-        expected_hash: A hash (hexadecimal) published earlier; it has to occur in the chain. Empty: not checked.
+        expected_hash: A hash (hexadecimal) published earlier, which must occur in the chain; empty skips this check.
 
     Raises:
         LedgerError: The file cannot be read as a ledger.
@@ -39,9 +39,9 @@
         has_expected = not expected_hash or expected_hash == GENESIS_HASH.hex()
         try:
             for seq, entry, stored_hash in rows:
-                # A manual edit may have left text where bytes were.
+                # A manual edit of the file may have replaced the bytes with text.
                 if not isinstance(entry, bytes) or stored_hash != entry_hash(previous_hash, seq, entry):
-                    modified = ModifiedEntry(seq, "its hash is not that of it and the one before")
+                    modified = ModifiedEntry(seq, "its hash does not match its content and the previous hash")
                     return AuditVerification(count, previous_hash.hex(), modified)
                 previous_hash = stored_hash
                 count += 1
@@ -52,5 +52,5 @@
         raise LedgerError(f"{path}: {error}") from error
     if has_expected:
         return AuditVerification(count, previous_hash.hex(), None)
-    truncated = ModifiedEntry(count + 1, "entries were cut off: the given hash is not there")
+    truncated = ModifiedEntry(count + 1, "the log was truncated: the expected hash does not occur in it")
     return AuditVerification(count, previous_hash.hex(), truncated)
--- a/hophinge/state/counters.py
+++ b/hophinge/state/counters.py
@@ -1,4 +1,4 @@
-"""Tables beside the rows: usage by reporter, tenant, volume and field, and the open multipart uploads of a head."""
+"""Usage totals of a ledger by reporter, tenant, volume and field, and the open multipart uploads of a head."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         return [name for (name,) in self.db.execute("SELECT DISTINCT tenant FROM upload")]
 
     def add_upload(self, upload_id: str, tenant: str, body: bytes) -> None:
-        """Store an upload; done before its client learns the id, so that none is leaked."""
+        """Store an upload; to be called before the client receives the id, so that no upload is leaked."""
         with self.transaction():
             self.db.execute("INSERT OR REPLACE INTO upload VALUES (?,?,?)", (upload_id, tenant, body))
 
@@ -47,7 +47,7 @@
             )
 
     def merge_usage_totals(self, reporter: str, totals: Mapping[UsageKey, float]) -> None:
-        """Merge a reporter's own totals by maximum: they only grow, so late or duplicate reports change nothing."""
+        """Merge a reporter's totals by maximum: totals only grow, so late or duplicate reports change nothing."""
         with self.transaction():
             self.db.executemany(
                 "INSERT INTO usage VALUES (?,?,?,?,?) ON CONFLICT(tenant, volume, field, reporter) "
@@ -65,7 +65,7 @@
         return usage
 
     def reporter_totals(self, reporter: str, keys: Iterable[UsageKey]) -> dict[UsageKey, float]:
-        """Return the totals that a reporter has for some keys; keys without a total are left out."""
+        """Return a reporter's totals for the given keys; keys without a total are omitted."""
         totals = {}
         for key in keys:
             row = self.db.execute(
--- a/hophinge/state/errors.py
+++ b/hophinge/state/errors.py
@@ -6,21 +6,21 @@
 
 
 class LedgerError(HophingeError):
-    """A ledger file that cannot be used; the text says why."""
+    """The ledger file cannot be used; the message gives the reason."""
 
     code = "ledger-unusable"
-    remedy = "Look at what is said of the file; put a copy that `hophinge audit verify` finds whole in its place."
+    remedy = "Check the ledger file that the message names; replace it with a copy that passes `hophinge audit verify`."
 
 
 class BusyError(LedgerError):
-    """Another process holds the write lock; the change may be retried."""
+    """Another process holds the file's write lock; the change may be retried."""
 
     code = "ledger-busy"
-    remedy = "Ask again; if it stays so, look which other process holds the ledger's file."
+    remedy = "Retry; if the error persists, find the other process that keeps the ledger file locked."
 
 
 class FullError(LedgerError):
     """The disk is full or read-only; nothing was changed."""
 
     code = "ledger-full"
-    remedy = "Make room on the ledger's disk, or make it writable, and ask again; nothing was changed."
+    remedy = "Free space on the ledger's disk, or make it writable, and retry; nothing was changed."
--- a/hophinge/state/ledger.py
+++ b/hophinge/state/ledger.py
@@ -1,15 +1,15 @@
-"""Ledger: rows that are changed in transactions, each with an entry in a hash-chained audit log, in one SQLite file.
+"""Ledger in one SQLite file: rows that are changed in transactions, each with an entry in a hash-chained audit log.
 
 Guarantees:
 
 * A change is one transaction: its rows, its audit entry and the response stored for its retry are written together or
   not at all.
 * When `change` has returned, the change is on disk (`synchronous=FULL`).
-* Each row bears the number of the change that wrote it last, and removed rows leave tombstones. A replica that has all
-  changes up to a number therefore needs only the later ones, until tombstones above its number were dropped: then it
-  needs a full copy.
-* Several processes may use one file, as during an upgrade: each change sees all that were committed before it.
-* An entry's hash covers the entry and the previous hash (see `hophinge.state.audit`).
+* Each row has the sequence number of the change that last wrote it, and removed rows leave tombstones. A replica that
+  has all changes up to some number therefore needs only the later ones. Once tombstones above that number have been
+  dropped, it needs a full copy.
+* Several processes may use one file, as during an upgrade: each change sees all changes committed before it.
+* An audit entry's hash covers the entry and the previous hash (see `hophinge.state.audit`).
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 from hophinge.state.errors import LedgerError as LedgerError
 from hophinge.state.rows import AuditEntry, AuditHead, IdempotentResponse, LedgerChange, Row, StoredAuditEntry
 
-MAX_TOMBSTONES = 100_000  # names of removed rows that are always kept; up to twice as many are
+MAX_TOMBSTONES = 100_000  # the newest ones, kept when old ones are dropped; these are dropped beyond twice as many
 RESPONSE_RETENTION_MS = 24 * 3600 * 1000  # how long a response is stored for retries of its call
 
 
 class Ledger(Counters):
-    """One open ledger file; `on_rows_changed` gets committed rows in order, whichever process wrote them."""
+    """One open ledger file; `on_rows_changed` is called with committed rows in order, whichever process wrote them."""
 
     def __init__(self, path: Path, on_rows_changed: Callable[[Iterable[Row]], None] = lambda rows: None) -> None:
         super().__init__(path)
         self.on_rows_changed = on_rows_changed
-        self.seq = 0  # number of the last change that was observed; a replica may start below its stored one
+        self.seq = 0  # sequence number of the last change loaded; a reopened replica may begin below its earlier one
         self.refresh()
 
     # --- rows
 
     def refresh(self) -> None:
-        """Observe changes that other processes have committed."""
+        """Load rows that other processes have committed, and pass them to `on_rows_changed`."""
         rows = [
             Row(*columns)
             for columns in self.db.execute(
@@ -58,8 +58,9 @@
         """Commit the change that `decide` returns.
 
         Args:
-            decide: Called within the transaction, after all earlier changes were observed; what it raises rolls back.
-            caller: Who made the call, for its stored response.
+            decide: Called within the transaction, after all earlier changes were loaded; if it raises, the transaction
+                is rolled back.
+            caller: Identity of the caller, under which the response is stored.
             key: Idempotency key of the call.
 
         Returns:
@@ -81,7 +82,7 @@
             self.db.execute("UPDATE meta SET seen_ms = max(seen_ms, ?)", (at_ms,))
             if any(row.body is None for row in rows):
                 self._drop_old_tombstones()
-        # Only after the commit: a change that could not be committed must not be observed anywhere.
+        # Only after the commit: a change that could not be committed must not become visible in memory.
         self.seq = seq
         self.on_rows_changed(rows)
         return seq
@@ -108,16 +109,16 @@
         self.db.execute("UPDATE meta SET floor = ?", (floor,))
 
     def tombstone_floor(self) -> int:
-        """Return the change number below which tombstones were dropped."""
+        """Return the sequence number below which tombstones were dropped."""
         return int(self.db.execute("SELECT floor FROM meta").fetchone()[0])
 
     def page(self, since: int, limit: int, tombstones_after: int = -1) -> list[Row]:
-        """Return rows that were written after a change, in order of their numbers.
+        """Return rows that were last written after a change, ordered by sequence number.
 
         Args:
-            since: Number of the change after which rows are returned.
-            limit: About how many; a change is never split, so its last one may bring more rows.
-            tombstones_after: Tombstones are included only above this number.
+            since: Sequence number of that change.
+            limit: Approximate number of rows; it may be exceeded, as the rows of one change are never split.
+            tombstones_after: Only tombstones with a higher sequence number are included.
 
         """
         last_seq = (
@@ -138,17 +139,17 @@
         ]
 
     def rows(self) -> list[Row]:
-        """Return all rows but tombstones."""
+        """Return all rows except tombstones."""
         return self.page(0, 1 << 40, 1 << 60)
 
     def replicate(self, epoch: int, rows: Iterable[Row], seq: int, replace_all: bool, now_ms: int) -> None:
-        """Write rows of the ledger that this one is a replica of.
+        """Apply rows received from the ledger that this one replicates.
 
         Args:
-            epoch: Epoch of the other ledger.
+            epoch: Epoch of the source ledger.
             rows: Its changed rows.
-            seq: Number of its last change among them.
-            replace_all: The rows are a full copy: rows that it does not name are removed.
+            seq: Sequence number of the last change that `rows` cover.
+            replace_all: The rows are a full copy: all other rows are removed.
             now_ms: Milliseconds since 1970.
 
         """
@@ -162,7 +163,7 @@
                     if (kind, name) not in named
                 ]
                 self.db.execute("DELETE FROM row")
-                self.db.execute("DELETE FROM audit")  # those entries are of another ledger, which keeps them
+                self.db.execute("DELETE FROM audit")  # its entries belong to another ledger, which keeps them
                 self.db.execute("UPDATE meta SET epoch = ?, floor = 0", (epoch,))
             self._write_rows(rows)
             self.db.execute("UPDATE meta SET seen_ms = max(seen_ms, ?)", (now_ms,))
@@ -171,13 +172,13 @@
         self.on_rows_changed(rows)
 
     def last_change_ms(self) -> int:
-        """Return the latest time of any change, in milliseconds since 1970."""
+        """Return the latest time that any change recorded, in milliseconds since 1970."""
         return int(self.db.execute("SELECT seen_ms FROM meta").fetchone()[0])
 
     # --- responses to idempotent calls
 
     def stored_response(self, caller: str, key: str, now_ms: int) -> IdempotentResponse | None:
-        """Return the response that an earlier call with this idempotency key got."""
+        """Return the response to an earlier call with this idempotency key; None if there is none or it has expired."""
         columns = self.db.execute(
             "SELECT asked, status, body FROM answer WHERE caller = ? AND key = ? AND at_ms >= ?",
             (caller, key, now_ms - RESPONSE_RETENTION_MS),
@@ -191,10 +192,10 @@
         )
         self.db.execute("DELETE FROM answer WHERE at_ms < ?", (at_ms - RESPONSE_RETENTION_MS,))
 
-    # --- the audit
+    # --- audit log
 
     def audit_entries(self, after: int, limit: int) -> list[StoredAuditEntry]:
-        """Return audit entries after a sequence number, the oldest first."""
+        """Return audit entries after a sequence number, oldest first."""
         return [
             StoredAuditEntry(seq, msgspec.json.decode(entry, type=AuditEntry), stored_hash.hex())
             for seq, entry, stored_hash in self.db.execute(
@@ -203,6 +204,6 @@
         ]
 
     def audit_head(self) -> AuditHead:
-        """Return the newest audit entry's number and hash; stored elsewhere, it reveals that entries were cut off."""
+        """Return the newest audit entry's number and hash; a copy stored elsewhere reveals a later truncation."""
         seq, stored_hash = self._last_audit_row()
         return AuditHead(seq, stored_hash.hex())
--- a/hophinge/state/rows.py
+++ b/hophinge/state/rows.py
@@ -8,20 +8,20 @@
 import msgspec
 
 UsageKey = tuple[str, str, str]
-"""Tenant, volume and metered field that an amount of usage is counted under."""
+"""Tenant, volume and metered field of a usage total."""
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row; a row without a body is the tombstone of a removed one."""
+    """One row; a row without a body is the tombstone of a removed row."""
 
     kind: str
     name: str
     body: bytes | None
-    seq: int = 0  # number of the change that wrote it last
+    seq: int = 0  # sequence number of the change that last wrote it
 
 
 class AuditEntry(msgspec.Struct, frozen=True):
-    """One change as the audit records it; `detail` names what changed and never holds a secret."""
+    """One change as the audit log records it; `detail` names what changed and never contains a secret."""
 
     at_ms: int
     actor: str = msgspec.field(name="who")
@@ -70,7 +70,7 @@
 
 
 class AuditVerification(NamedTuple):
-    """Result of checking a hash chain: entries that are intact, the last intact hash, the first modified entry."""
+    """Result of checking a hash chain: number of intact entries, the last intact hash, and the first modified entry."""
 
     intact_entries: int
     last_hash: str
--- a/hophinge/state/sqlite_store.py
+++ b/hophinge/state/sqlite_store.py
@@ -1,6 +1,6 @@
 """A SQLite file that is opened or created, checked for corruption, and changed in transactions.
 
-The tables' and columns' names belong to the stored format; code calls the column `form` the schema version.
+Table and column names are part of the stored format. The column `form` holds the schema version.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
         """Open the file, or create it with a new epoch.
 
         Raises:
-            LedgerError: The file is corrupt, no database, or of an unknown schema version.
+            LedgerError: The file is corrupt, is not an SQLite database, or has an unsupported schema version.
 
         """
         self.path = path
@@ -53,7 +53,7 @@
             self.db.execute("PRAGMA synchronous=FULL")
             with self.transaction():
                 self._create_tables_if_missing()
-            # The id is this file's own; the epoch is that of the ledger that it may be a replica of.
+            # The id identifies this file; a replica has the epoch of the ledger that it replicates.
             version, self.epoch, self.store_id = self.db.execute("SELECT form, epoch, id FROM meta").fetchone()
             self._check(version)
             self.db.execute(f"PRAGMA busy_timeout={int(BUSY_TIMEOUT_S * 1000)}")
@@ -63,8 +63,8 @@
     def _enable_write_ahead_log(self) -> None:
         """Switch to write-ahead logging.
 
-        SQLite fails at once, without its busy timeout, for one of two processes that create the file together; that
-        one retries here.
+        When two processes create the file at the same time, SQLite fails for one of them at once, without applying its
+        busy timeout. That process retries here.
         """
         deadline = time.monotonic() + OPEN_TIMEOUT_S
         while True:
@@ -87,15 +87,15 @@
     def _check(self, version: int) -> None:
         if version != SCHEMA_VERSION:
             raise LedgerError(
-                f"{self.path}: form {version} is not read by this version, which reads form {SCHEMA_VERSION}"
+                f"{self.path}: unsupported schema version {version}; this program supports version {SCHEMA_VERSION}"
             )
         result = self.db.execute("PRAGMA quick_check(1)").fetchone()[0]
         if result != "ok":
-            raise LedgerError(f"{self.path}: it is torn: {result}")
+            raise LedgerError(f"{self.path}: corrupt database: {result}")
 
     @contextlib.contextmanager
     def transaction(self) -> Iterator[None]:
-        """Run the body as one transaction: it is committed, or rolled back when the body raises.
+        """Run the body as one transaction, which is committed at its end or rolled back if it raises.
 
         Raises:
             BusyError: Another process holds the write lock.
--- a/tests/test_last_known_good.py
+++ b/tests/test_last_known_good.py
@@ -110,10 +110,13 @@
         path.write_bytes(content[:at] + bytes([content[at] ^ 1]) + content[at + 1 :])
         with pytest.raises(files.StateFileError):
             last_known_good.load(path)
-    for data, reason in ((b"\0" * 4096, "beginning"), (content.replace(b"last-good 1", b"last-good 9", 1), "form 9")):
+    for data, reason in (
+        (b"\0" * 4096, "not a state file"),
+        (content.replace(b"last-good 1", b"last-good 9", 1), "format version 9"),
+    ):
         path.write_bytes(data)
         with pytest.raises(files.StateFileError, match=reason):
             last_known_good.load(path)
     files.save(path, "other", 1, b"x")
-    with pytest.raises(files.StateFileError, match="holds other"):
+    with pytest.raises(files.StateFileError, match="of kind other, expected last-good"):
         last_known_good.load(path)
