--- a/hophinge/control/__init__.py
+++ b/hophinge/control/__init__.py
@@ -1,1 +1,1 @@
-"""Streamed configuration: the control service, the heads that follow it, and the discovery stream between them."""
+"""Configuration streaming: the control service, the heads that follow it, and the discovery stream between them."""
--- a/hophinge/control/account_wire.py
+++ b/hophinge/control/account_wire.py
@@ -1,7 +1,8 @@
 """Encoding of the tenants' accounts on the discovery stream.
 
 A chunk of accounts is one response. Its resources are rows named `kind/name`, its removed names are `seq/kind/name`,
-and its nonce is `epoch.seq.flags`, with a letter or a dash for each of: replaces all, first chunk, last chunk.
+and its nonce is `epoch.seq.flags`. The flags are `a` (the chunk replaces all accounts), `f` (first chunk) and `l` (last
+chunk), in this order, with a dash for each flag that is not set.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 def encode_account_chunk(chunk: AccountChunk) -> bytes:
-    """Encode a chunk of the accounts as a response."""
+    """Encode a chunk of accounts as a response."""
     flags = ("a" if chunk.replaces_all else "-") + ("f" if chunk.is_first else "-") + ("l" if chunk.is_last else "-")
     return encode_response(
         DiscoveryResponse(
@@ -30,7 +31,7 @@
 
 
 def decode_account_chunk(response: DiscoveryResponse) -> AccountChunk:
-    """Decode a chunk of the accounts; raises MalformedMessageError."""
+    """Decode a chunk of accounts; raises MalformedMessageError."""
     try:
         epoch, seq, flags = response.nonce.split(".")
         rows = []
@@ -42,4 +43,4 @@
             rows.append(Row(kind, name, None, int(number)))
         return AccountChunk(int(epoch), int(seq), flags[0] == "a", flags[1] == "f", flags[2] == "l", tuple(rows))
     except (ValueError, IndexError, TypeError) as error:
-        raise MalformedMessageError(f"a part of the accounts that cannot be read: {error}") from error
+        raise MalformedMessageError(f"cannot decode a chunk of accounts: {error}") from error
--- a/hophinge/control/clock.py
+++ b/hophinge/control/clock.py
@@ -6,10 +6,10 @@
 
 
 def now_us() -> int:
-    """Return microseconds since an arbitrary moment; changes of the wall clock do not affect it."""
+    """Return monotonic time in microseconds since an arbitrary moment."""
     return time.monotonic_ns() // 1000
 
 
 def now_ms() -> int:
-    """Return milliseconds since 1970."""
+    """Return the wall clock's time in milliseconds since 1970."""
     return int(time.time() * 1000)
--- a/hophinge/control/config_replica.py
+++ b/hophinge/control/config_replica.py
@@ -1,4 +1,4 @@
-"""A head's replica of the service document: what the control service believes it has, valid or not."""
+"""A head's replica of the service document: the records that the control service has sent it, valid or not."""
 
 from __future__ import annotations
 
@@ -22,26 +22,31 @@
 
 
 class AppliedResponse(NamedTuple):
-    """Outcome of applying a response: resources that could not be decoded, and how many were older than stored."""
+    """Result of applying a response.
+
+    `errors` has a text for each resource that could not be decoded; `replayed` counts the resources that were skipped,
+    as they were older than the stored ones.
+    """
 
     errors: list[str]
     replayed: int
 
 
 class ConfigReplica:
-    """Stored records of one head, complete or not, beside the records of the active version."""
+    """Records stored by one head, which may be an incomplete version, and the routing table of the active version."""
 
-    def __init__(self, facts: HeadCapabilities) -> None:
-        self.facts = facts
+    def __init__(self, capabilities: HeadCapabilities) -> None:
+        self.capabilities = capabilities
         self.stored: dict[str, VersionedRecord] = {}  # by name
         self.records: dict[str, records.Record] = {}  # the same, decoded
-        self.undecodable: dict[str, str] = {}  # names of records that cannot be decoded, and why
+        self.undecodable: dict[str, str] = {}  # by name of a record that cannot be decoded: the reason
         self.fingerprint_sum = 0
-        self.replaced: dict[str, records.Record | None] = {}  # where `records` differs from the active version: its one
+        # The active version's record under each name where `records` differs from it; None: that version has none.
+        self.replaced: dict[str, records.Record | None] = {}
         self.table = EMPTY_TABLE
 
     def store(self, name: str, version: str, body: bytes | None) -> None:
-        """Store a record, or with None remove it."""
+        """Store a record; a `body` of None removes it."""
         previous = self.stored.get(name)
         if previous is not None:
             if body == previous.body:
@@ -67,10 +72,10 @@
         try:
             record = records.decode(body)
             if record.key != name:
-                raise ValueError(f"it holds {record.key}")
+                raise ValueError(f"its content is that of {record.key}")
             self.records[name] = record
         except ValueError as error:
-            self.undecodable[name] = f"{name}: this head cannot read it: {error}"
+            self.undecodable[name] = f"{name}: this head cannot decode it: {error}"
 
     def restore(self, version: ConfigVersion, rows: Iterable[tuple[str, str, bytes]]) -> list[str]:
         """Load the last known good version.
@@ -80,24 +85,24 @@
             rows: Name, version text and JSON of each record.
 
         Returns:
-            Why the version cannot run here; if there is any reason, nothing is stored.
+            Reasons why this head cannot run the version, empty if it can; if there are any, nothing is stored.
 
         """
         for name, text, body in rows:
             self.store(name, text, body)
         reasons = self.validation_errors()
         if not self.matches(version):
-            reasons = ["its records are not those of its version"]
+            reasons = ["its records do not match its record count and fingerprint sum"]
         if reasons:
             self.clear()
         return reasons
 
     def matches(self, version: ConfigVersion) -> bool:
-        """Return whether exactly the records of a version are stored."""
+        """Return whether the stored records are exactly those of a version."""
         return version.fingerprint_sum == self.fingerprint_sum and version.record_count == len(self.stored)
 
     def apply_response(self, response: DiscoveryResponse) -> AppliedResponse:
-        """Store the records of a response; older ones than stored, of a replayed response, are skipped."""
+        """Store the records of a response; records older than the stored ones (a replayed response) are skipped."""
         errors: list[str] = []
         replayed = 0
         for resource in response.resources:
@@ -123,16 +128,19 @@
             self.store(name, "", None)
 
     def validation_errors(self) -> list[str]:
-        """Return why the stored records cannot run here; only those that differ from the active version are checked."""
+        """Return why this head cannot run the stored records.
+
+        Only records that differ from the active version are checked.
+        """
         errors = sorted(self.undecodable.values())
-        return errors or validate(self.records, self.replaced, self.facts)
+        return errors or validate(self.records, self.replaced, self.capabilities)
 
     def activate(self, version: ConfigVersion) -> None:
-        """Build the routing table of the stored records, which becomes the active one."""
+        """Make the stored records the active version and build its routing table."""
         changes: dict[str, records.Record | None] = {}
-        for name, before in self.replaced.items():
+        for name, active_record in self.replaced.items():
             record = self.records.get(name)
-            if record is not None or before is not None:
+            if record is not None or active_record is not None:
                 changes[name] = record
         previous = {name: record for name, record in self.replaced.items() if record is not None}
         self.table = self.table.with_changes(version.id, changes, previous)
@@ -140,6 +148,6 @@
 
 
 def summarize(reasons: Sequence[str]) -> str:
-    """Join the first few reasons and count the others."""
-    more = f" (and {len(reasons) - MAX_REASONS} more)" if len(reasons) > MAX_REASONS else ""
-    return ("; ".join(reasons[:MAX_REASONS]) + more)[:MAX_REASON_CHARS]
+    """Join the first few reasons, with the number of the others."""
+    suffix = f" (and {len(reasons) - MAX_REASONS} more)" if len(reasons) > MAX_REASONS else ""
+    return ("; ".join(reasons[:MAX_REASONS]) + suffix)[:MAX_REASON_CHARS]
--- a/hophinge/control/connections.py
+++ b/hophinge/control/connections.py
@@ -1,4 +1,4 @@
-"""State of the heads' streams that are open at a control service."""
+"""State of the head streams that are open at a control service."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class HeadStream:
-    """One head's stream, with the frames to write in order; None in the queue ends it."""
+    """One head's stream, with a queue of encoded responses to write; None in the queue ends the stream."""
 
     def __init__(self, deltas: DeltaCache) -> None:
         self.publisher = Publisher(deltas)
-        self.account_feed: AccountSender | None = None  # set once the head has subscribed to accounts
-        self.supports_maintenance = False  # a head that has not reported so is sent no maintenance updates
+        self.account_sender: AccountSender | None = None  # set once the head has subscribed to accounts
+        self.supports_maintenance = False  # as reported by the head; without it no maintenance updates are sent
         self.queue: asyncio.Queue[bytes | None] = asyncio.Queue()
 
     @property
@@ -25,7 +25,7 @@
         return self.publisher.head
 
     def send(self, frames: Iterable[bytes]) -> None:
-        """Queue encoded responses; one version is in flight at a time, which bounds the queue."""
+        """Queue encoded responses; only one version is in flight at a time, which bounds the queue."""
         for frame in frames:
             self.queue.put_nowait(frame)
 
--- a/hophinge/control/delta_cache.py
+++ b/hophinge/control/delta_cache.py
@@ -1,4 +1,4 @@
-"""Encoded responses for the step from one version to another, shared by all heads that take the same step."""
+"""Cache of the encoded responses that bring a head from one version to another, shared by all heads."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from hophinge.control.snapshot import Delta, Snapshot
 from hophinge.control.wire import encode_response, version_resource
 
-MAX_RECORDS_PER_RESPONSE = 500  # some 100 KB; a head decodes one response in one turn of its event loop
+MAX_RECORDS_PER_RESPONSE = 500  # about 100 KB; decoding a response blocks a head's event loop
 MAX_CACHED_DELTAS = 16
 
 
 class DeltaCache:
-    """Least recently created deltas are evicted first."""
+    """Encoded deltas by the versions before and after; the oldest entries are evicted first."""
 
     def __init__(self) -> None:
         self.cached: OrderedDict[tuple[ConfigVersion | None, ConfigVersion], Sequence[bytes]] = OrderedDict()
         self.encoded_count = 0
 
     def responses(self, before: Snapshot | None, after: Snapshot) -> Sequence[bytes]:
-        """Return the encoded responses of a step; `before` is None for a head that stores nothing."""
+        """Return the encoded responses from one version to another; `before` is None for a head that has no records."""
         key = before.version if before is not None else None, after.version
         responses = self.cached.get(key)
         if responses is None:
@@ -40,7 +40,7 @@
         return responses
 
     def encode(self, after: Snapshot, delta: Delta) -> Sequence[bytes]:
-        """Encode a step: batches of records, then the version, with the same nonces for every head."""
+        """Encode a delta as batches of records followed by the version; the nonces are the same for every head."""
         self.encoded_count += 1
         name = version_name(after.id)
         removed = tuple(delta.removed)
--- a/hophinge/control/follower.py
+++ b/hophinge/control/follower.py
@@ -1,7 +1,8 @@
-"""A head's side of the stream, without I/O: versions are received, validated, and activated or rejected.
+"""A head's side of the stream, without I/O: it receives, validates, and activates or rejects versions.
 
-Events come in through methods that take the time; actions go out as lists. The follower owns the replica (which mirrors
-what the service believes is stored here, valid or not) and the active version (always complete and validated).
+Each event is a method that gets the monotonic time in microseconds and returns the actions to carry out. The follower
+owns the replica (the records that the service believes are stored here, valid or not) and the active version (always
+complete and validated).
 """
 
 from __future__ import annotations
@@ -38,9 +39,9 @@
 from hophinge.routing.routing_table import RoutingTable
 
 CONNECT_TIMEOUT_US = 3_000_000  # from opening a stream to its first response
-MIN_STABLE_STREAM_US = 5_000_000  # a stream that ends sooner counts as a failed attempt, and backoffs go on growing
+MIN_STABLE_STREAM_US = 5_000_000  # a stream that ends sooner counts as a failed attempt: the backoff keeps growing
 RECORDS_TIMEOUT_US = 1_000_000  # for records that arrive after their version
-MAX_REJECTED = 64  # rejected versions that are remembered
+MAX_REJECTED = 64  # rejected versions whose reason is remembered
 COUNTERS = ("taken_up", "turned_down", "truncated", "connects", "failovers", "replayed")  # keys of the status
 
 
@@ -50,10 +51,10 @@
     Args:
         head: Name of the head.
         endpoints: Addresses of control services, in order of preference.
-        facts: What this head offers, which versions are validated against.
+        capabilities: Capabilities of this head, against which versions are validated.
         seed: Seed of the backoff's jitter.
-        idle_timeout_us: A stream without a response for so long is closed.
-        stale_after_us: Without any response for so long the configuration is reported as stale.
+        idle_timeout_us: A stream is closed after this time without a response.
+        stale_after_us: The configuration is reported as stale after this time without a response on any stream.
 
     """
 
@@ -61,14 +62,14 @@
         self,
         head: str,
         endpoints: Iterable[str],
-        facts: HeadCapabilities,
+        capabilities: HeadCapabilities,
         seed: int,
         idle_timeout_us: int,
         stale_after_us: int,
     ) -> None:
         self.head = head
         self.reconnect = ReconnectPolicy(tuple(endpoints), seed)
-        self.replica = ConfigReplica(facts)
+        self.replica = ConfigReplica(capabilities)
         self.idle_timeout_us = idle_timeout_us
         self.stale_after_us = stale_after_us
         self.active_version: ConfigVersion | None = None
@@ -78,14 +79,14 @@
         self.rejected: dict[tuple[VersionId, int], str] = {}  # reason, by version id and sum of fingerprints
         self.state = FollowerState.NONE
         self.reason = ""
-        self.resynced: set[VersionId] = set()  # versions for which all records were requested once more
+        self.resynced: set[VersionId] = set()  # versions for which all records were requested again
         self.persisted_id: VersionId = NO_VERSION
         self.persist_error = ""
         self.metrics: Mapping[str, float] = {}
         self.is_connected = False
         self.is_connecting = False
         self.last_response_us = 0  # on any stream
-        self.opened_at_us = 0  # first response of the open stream
+        self.opened_at_us = 0  # time of the first response on the open stream
         self.next_tick_us = 0
         self.is_stale = False
         self.counters = dict.fromkeys(COUNTERS, 0)
@@ -93,7 +94,7 @@
     # --- connection
 
     def start(self, now_us: int) -> list[Action]:
-        """Begin to connect; a persisted version is to be given to `restore` before."""
+        """Start connecting; a persisted version must be passed to `restore` before."""
         self.last_response_us = now_us
         return self._connect(now_us)
 
@@ -122,7 +123,7 @@
         return [OpenStream(self.reconnect.endpoint, (subscribe_records, subscribe_version))]
 
     def on_stream_closed(self, now_us: int, reason: str) -> list[Action]:
-        """Process the end of a stream, or of an attempt to open one."""
+        """Process the end of a stream, or a failed attempt to open one."""
         if not self.is_connecting and not self.is_connected:
             return []
         was_stable = self.is_connected and now_us - self.opened_at_us >= MIN_STABLE_STREAM_US
@@ -136,20 +137,20 @@
         return [LogMessage(f"stream closed: {reason}; the next endpoint is {self.reconnect.endpoint}")]
 
     def tick(self, now_us: int) -> list[Action]:
-        """Do what is due by now: report staleness, end a wait, close an idle stream, connect."""
+        """Process expired timeouts: report staleness, stop waiting for records, close an idle stream, reconnect."""
         actions: list[Action] = []
         if not self.is_stale and now_us - self.last_response_us >= self.stale_after_us:
             self.is_stale = True
-            silent = f"no control service for {self.stale_after_us / 1e6:g} s"
-            actions.append(LogMessage(f"{silent}: version {self.active_name} is stale and stays active"))
+            cause = f"no response from a control service for {self.stale_after_us / 1e6:g} s"
+            actions.append(LogMessage(f"{cause}: version {self.active_name} is stale and stays active"))
         if self.pending_version is not None and now_us >= self.pending_deadline_us:
             actions += self._on_records_missing(self.pending_version, now_us)
         elif self.is_connected and now_us - self.last_response_us >= self.idle_timeout_us:
             reason = f"silent for {self.idle_timeout_us / 1e6:g} s"
-            actions += [CloseStream("silence"), *self.on_stream_closed(now_us, reason)]
+            actions += [CloseStream("idle timeout"), *self.on_stream_closed(now_us, reason)]
         elif self.is_connecting and now_us >= self.next_tick_us:
-            reason = f"no answer within {CONNECT_TIMEOUT_US / 1e6:g} s"
-            actions += [CloseStream("no answer"), *self.on_stream_closed(now_us, reason)]
+            reason = f"no response within {CONNECT_TIMEOUT_US / 1e6:g} s"
+            actions += [CloseStream("connect timeout"), *self.on_stream_closed(now_us, reason)]
         elif not self.is_connecting and not self.is_connected and now_us >= self.next_tick_us:
             actions += self._connect(now_us)
         self._schedule_tick()
@@ -164,7 +165,7 @@
     # --- responses
 
     def on_response(self, now_us: int, response: DiscoveryResponse) -> list[Action]:
-        """Process a response; it is answered at once, or when its version is activated or rejected."""
+        """Process a response; a version is answered once it is activated or rejected, anything else at once."""
         if not self.is_connecting and not self.is_connected:
             return []
         if self.is_connecting:
@@ -198,7 +199,7 @@
             ]
         actions: list[Action] = []
         if self.pending_version is not None and self.pending_nonce != response.nonce:
-            superseded = f"version {version_name(version.id)} came before it was whole"
+            superseded = f"superseded by version {version_name(version.id)} before all of its records arrived"
             actions.append(self._answer_version(self.pending_nonce, superseded))
         self.pending_version = version
         self.pending_nonce = response.nonce
@@ -225,7 +226,7 @@
             return self._reject(version, reason)
         if not self.replica.matches(version):
             self.state = FollowerState.RECEIVED
-            return []  # its records may come after it; `tick` ends the wait
+            return []  # its records may arrive after it; `tick` ends the wait
         if reasons := self.replica.validation_errors():
             return self._reject(version, summarize(reasons))
         self.pending_version = None
@@ -237,17 +238,17 @@
         ]
 
     def _on_old_version(self, version: ConfigVersion, active: ConfigVersion) -> list[Action]:
-        """Acknowledge the active version; reject one that is lower, or that has its id and other records."""
+        """Acknowledge the active version; reject a lower version, or the same id with different records."""
         is_same_id = version.id == active.id
         if is_same_id and version.fingerprint_sum == active.fingerprint_sum:
             self.pending_version = None
             self.state = FollowerState.IN_FORCE
             self.reason = ""
             return [self._answer_version(self.pending_nonce)]
-        why = "has other records than" if is_same_id else "is lower than"
+        difference = "has different records than" if is_same_id else "is lower than"
         return self._reject(
             version,
-            f"version {version_name(version.id)} {why} {version_name(active.id)} in force here; "
+            f"version {version_name(version.id)} {difference} {version_name(active.id)}, which is active here; "
             "if the control service was restored from a backup, raise its epoch",
         )
 
@@ -277,22 +278,22 @@
         return actions
 
     def _on_records_missing(self, version: ConfigVersion, now_us: int) -> list[Action]:
-        """Request all records again, once for each version; reject the version the second time."""
+        """Request all records again, once per version; the second time, reject the version."""
         self.counters["truncated"] += 1
-        difference = f"{version.record_count} records told, {len(self.replica.stored)} here"
+        difference = f"{version.record_count} records announced, {len(self.replica.stored)} stored"
         if version.id in self.resynced:
             return self._reject(
-                version, f"its records do not add up to it, twice ({difference}): truncated or mixed up"
+                version, f"its records do not match it even after a resync ({difference}): truncated or mixed up"
             )
         self.resynced.add(version.id)
-        # The version is not answered: the service must not take a loss on the way for a fault of the version.
+        # The version is not answered, so that the service does not mistake lost messages for a fault of the version.
         self.replica.clear()
         self.reconnect.failures = 0  # happens once for each version, so the shortest backoff is enough
         name = version_name(version.id)
         actions: list[Action] = [
             LogMessage(f"version {name} is incomplete ({difference}): requesting all records again"),
-            CloseStream("records do not add up"),
-            *self.on_stream_closed(now_us, "records do not add up"),
+            CloseStream("records do not match the version"),
+            *self.on_stream_closed(now_us, "records do not match the version"),
         ]
         self.reconnect.retry_same_endpoint()
         return actions
@@ -300,7 +301,7 @@
     # --- persistence and status
 
     def on_persisted(self, version_id: VersionId, error: str) -> list[Action]:
-        """Record that a version was written to disk, or why it was not; only the first error in a row is logged."""
+        """Record that a version was written to disk, or why not; of consecutive errors only the first is logged."""
         if not error:
             self.persisted_id = max(self.persisted_id, version_id)
             self.persist_error = ""
@@ -317,7 +318,7 @@
 
     @property
     def active_name(self) -> str:
-        """The active version as operators write it."""
+        """Name of the active version, as in `1.17`; `none` if there is none."""
         return version_name(self.active_version.id) if self.active_version else "none"
 
     @property
--- a/hophinge/control/follower_actions.py
+++ b/hophinge/control/follower_actions.py
@@ -1,4 +1,4 @@
-"""Actions that a head's follower requests of its stream client, and the states of the newest version."""
+"""Actions that a head's follower returns for its stream client to carry out, and states of the newest version."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class CloseStream(Struct, frozen=True):
-    """Close the stream or stop opening it; `on_stream_closed` must not be called for it."""
+    """Close the stream or stop opening it, without a call of `on_stream_closed`."""
 
     reason: str
 
--- a/hophinge/control/head_streams.py
+++ b/hophinge/control/head_streams.py
@@ -1,4 +1,4 @@
-"""Service of the heads' streams: authentication, what each request leads to, and what is written."""
+"""Server side of the heads' streams: authentication, processing of requests, and writing of responses."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from hophinge.state.rows import UsageKey
 from hophinge.tenancy.account_replication import CHUNK_ROWS, AccountSender
 
-HEARTBEAT_INTERVAL_S = 2.0  # a head to which nothing else was written gets a heartbeat; heads time out later
+HEARTBEAT_INTERVAL_S = 2.0  # after the last response to a head; shorter than the idle timeout of heads
 MAX_STREAMS = 2000
 HEAD_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.:-]{0,127}", re.ASCII)
 HEARTBEAT_FRAME = wire.encode_response(DiscoveryResponse(ResourceType.RECORD, HEARTBEAT_NONCE))
@@ -53,7 +53,7 @@
         ledger: Ledger | None,
         log: Callable[[str], None],
     ) -> None:
-        """Create a handler; `ledger` has the tenants' accounts, if this service owns them."""
+        """Create a handler; `ledger` has the tenants' accounts, None if this service does not own them."""
         self.head_tokens = head_tokens
         self.connections = connections
         self.runner = runner
@@ -65,14 +65,14 @@
         self.log = log
         self.deltas = DeltaCache()
 
-    # Context is grpc.aio.ServicerContext; its published stubs are incomplete.
+    # `context` is a grpc.aio.ServicerContext, whose published type stubs are incomplete.
     async def serve(self, requests: AsyncIterator[bytes], context: Any) -> None:
         """Serve one head's stream until either side ends it."""
         token = bearer_token(context)
         if not any(hmac.compare_digest(token, head_token) for head_token in self.head_tokens):
-            await context.abort(grpc.StatusCode.UNAUTHENTICATED, "the token is not one of heads")
+            await context.abort(grpc.StatusCode.UNAUTHENTICATED, "the token is not a known head token")
         if len(self.connections) >= MAX_STREAMS:
-            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, f"more than {MAX_STREAMS} heads")
+            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, f"the limit of {MAX_STREAMS} streams is reached")
         stream = HeadStream(self.deltas)
         writing = asyncio.create_task(self._write(stream, context))
         reading = asyncio.create_task(self._read(stream, requests))
@@ -92,7 +92,7 @@
             return  # it never subscribed, or a newer stream of the head has replaced it
         del self.connections[name]
         self.rollout.on_head_disconnected(name, now_us())
-        self.shares.allotment.demand.forget(name)
+        self.shares.allocator.demand.forget(name)
         self.maintenance.on_head_disconnected(name)
 
     async def _write(self, stream: HeadStream, context: Any) -> None:
@@ -129,7 +129,7 @@
     def _on_config_request(self, stream: HeadStream, request: DiscoveryRequest) -> None:
         is_first = request.subscribe and request.resource_type is ResourceType.RECORD
         if is_first and not HEAD_NAME.fullmatch(request.head):
-            raise MalformedMessageError(f"{request.head!r} is no name of a head")
+            raise MalformedMessageError(f"{request.head!r} is not a valid head name")
         step = stream.publisher.on_request(request)
         for event in step.events:
             self._on_event(stream, event)
@@ -163,19 +163,19 @@
         self.shares.on_head_count(name, int(stream.publisher.metrics.get("heads", 0)))
         self.rollout.on_head_connected(name, running, now)
         self.runner.carry_out(self.rollout.tick(now))
-        stream.send([HEARTBEAT_FRAME])  # at once: a head for which there is no version learns that it is connected
+        stream.send([HEARTBEAT_FRAME])  # at once, so that a head without a target version learns that it is connected
         stream.send(stream.publisher.set_target(self.store.snapshots.get(self.rollout.target_for(name))))
         self.maintenance.on_head_connected(stream)
 
     # --- accounts
 
     def _on_account_request(self, stream: HeadStream, request: DiscoveryRequest) -> None:
-        """Begin or continue to send a head the accounts."""
+        """Start or continue sending the accounts to a head."""
         ledger = self.ledger
         if ledger is None:
             return
         if request.subscribe:
-            stream.account_feed = AccountSender(
+            stream.account_sender = AccountSender(
                 ledger.epoch,
                 ledger.seq,
                 ledger.tombstone_floor(),
@@ -183,24 +183,24 @@
                 int(request.metrics.get("seq", 0)),
             )
             self._send_accounts(stream)
-        elif stream.account_feed is not None and request.nonce.count(".") == 1:
-            stream.account_feed.acknowledge(parse_version_text(request.nonce)[1])
+        elif stream.account_sender is not None and request.nonce.count(".") == 1:
+            stream.account_sender.acknowledge(parse_version_text(request.nonce)[1])
             self._send_accounts(stream)
 
     def _send_accounts(self, stream: HeadStream) -> None:
-        feed = stream.account_feed
+        sender = stream.account_sender
         ledger = self.ledger
-        if feed is not None and ledger is not None and feed.needs_chunk(ledger.seq, ledger.tombstone_floor()):
-            rows = ledger.page(feed.seq, CHUNK_ROWS, feed.removed_after_seq)
-            stream.send([encode_account_chunk(feed.next_chunk(rows, ledger.seq))])
+        if sender is not None and ledger is not None and sender.needs_chunk(ledger.seq, ledger.tombstone_floor()):
+            rows = ledger.page(sender.seq, CHUNK_ROWS, sender.removed_after_seq)
+            stream.send([encode_account_chunk(sender.next_chunk(rows, ledger.seq))])
 
     def on_accounts_changed(self) -> None:
-        """Send heads the changes of the accounts."""
+        """Send the changes of the accounts to all heads that subscribed to them."""
         for stream in self.connections.values():
             self._send_accounts(stream)
 
     def _on_usage_report(self, stream: HeadStream, request: DiscoveryRequest) -> None:
-        """Merge a head's usage totals; its metrics are named `file/tenant/volume/field`."""
+        """Merge a head's usage totals, which are metrics named `file/tenant/volume/field`."""
         if self.ledger is None:
             return
         totals: dict[UsageKey, float] = {}
--- a/hophinge/control/last_known_good.py
+++ b/hophinge/control/last_known_good.py
@@ -1,4 +1,4 @@
-"""The last known good version of a head: loaded at start, so that a head serves without a control service."""
+"""The last known good version of a head, loaded at start so that the head can serve without a control service."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     """Content of the file: a version and its records, each as name, version text and JSON."""
 
     version_id: VersionId
-    fingerprint_sum: bytes  # 16 bytes, as integers of MessagePack end at 64 bits
-    saved_ms: int  # clock of the head, since 1970
+    fingerprint_sum: bytes  # 16 bytes, big-endian; MessagePack integers have at most 64 bits
+    saved_ms: int  # since 1970, by the head's clock
     records: list[tuple[str, str, bytes]]
 
     @property
     def version(self) -> ConfigVersion:
-        """The version as the stream has it."""
+        """The version as it is announced on the stream, without its push time."""
         return ConfigVersion(self.version_id, len(self.records), int.from_bytes(self.fingerprint_sum, "big"))
 
 
@@ -40,15 +40,15 @@
 
 
 def save(path: Path, good: LastKnownGood, disk: files.Disk = files.DISK) -> None:
-    """Write the file; raises OSError, and then the previous one stays."""
+    """Replace the file atomically; raises OSError if that fails (see `files.save`)."""
     files.save(path, KIND, FORMAT_VERSION, msgspec.msgpack.encode(good), disk)
 
 
 def load(path: Path) -> LastKnownGood | None:
-    """Read and verify the file; None where there is none.
+    """Read and verify the file; returns None if it does not exist.
 
     Raises:
-        StateFileError: The file is corrupt, or its records are not those of its version.
+        StateFileError: The file is corrupt, or its records do not match the fingerprint sum of its version.
 
     """
     file = files.load(path, KIND, range(1, FORMAT_VERSION + 1))
@@ -62,5 +62,5 @@
         sum(records.fingerprint(name, body) for name, _, body in good.records) % records.FINGERPRINT_MODULUS
     )
     if fingerprint_sum != good.version.fingerprint_sum:
-        raise files.StateFileError(f"{path}: its records are not those of its version")
+        raise files.StateFileError(f"{path}: its records do not match the fingerprint sum of its version")
     return good
--- a/hophinge/control/maintenance_channel.py
+++ b/hophinge/control/maintenance_channel.py
@@ -1,8 +1,8 @@
-"""Maintenance on the heads' streams: reports go to the coordinator, and what it has stored goes out as updates.
+"""Maintenance on the heads' streams: passes reports to the coordinator and sends its stored decisions as updates.
 
-An older head would end its stream over a resource type that it does not know, and so would an older service. So a head
-reports `maintenance` among its first metrics, which older services ignore; only such a head is ever sent an update; and
-a head sends reports only after it got one.
+An older head or service ends a stream on which it receives an unknown resource type. Therefore a head announces support
+by the metric `maintenance` of its first request, which older services ignore. Only such a head is sent updates, and a
+head sends reports only after it has received an update.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from hophinge.routing.s_expressions import Form
 from hophinge.routing.records import Record
 
-TICK_INTERVAL_US = 200_000  # where no event causes an earlier tick
+TICK_INTERVAL_US = 200_000  # unless an event causes an earlier tick
 RETRY_INTERVAL_US = 500_000  # after the store failed
 COORDINATED_RECORDS = (b'{"type":"pool"', b'{"type":"tenant"', b'{"type":"route"', b'{"type":"spare"')
 
 
 class MaintenanceChannel:
-    """The coordinator of one control service, and its side of the streams."""
+    """The maintenance coordinator of one control service, and its messages on the heads' streams."""
 
     def __init__(
         self, control_store: ControlStore, connections: Connections, shares: QuotaShares, log: Callable[[str], None]
@@ -49,22 +49,22 @@
         recent_heads = [name for name, seen_ms in self.last_seen_ms.items() if seen_ms > forget_before_ms]
         self.coordinator = PermitIssuer(
             self.store.issuer,
-            self.store.fence,
+            self.store.fencing_token,
             self.store.permits(),
-            self.store.courses(),
+            self.store.releases(),
             self.store.zones(recent_heads),
             self.store,
             now_us(),
         )
         self.next_tick_us = 0
-        self.failure = ""  # why the last step failed; empty: it did not
-        self.returned_heads: list[str] = []  # were stated as retired and are back, which is not stored yet
+        self.failure = ""  # why the last step failed; empty if it succeeded
+        self.returned_heads: list[str] = []  # declared retired but connected again; not stored yet
         self.on_statements(None)
 
     # --- the document
 
     def store_statements(self, statements: Sequence[Record], author: str, note: str) -> None:
-        """Store new statements beside a version that stays as it is."""
+        """Store new maintenance statements without a new version."""
         with self.control_store.transaction():
             self.control_store.write_maintenance(encode_statements(statements))
             detail = f"{len(statements)} forms on maintenance{': ' if note else ''}{note}"
@@ -72,21 +72,21 @@
         self.on_statements(statements)
 
     def validate(self, statements: Sequence[Record], form: Form | None, name: str) -> list[str]:
-        """Return what a document states wrongly about connected heads, as lines.
+        """Return a document's wrong statements about connected heads, as one message each.
 
         Args:
-            statements: The document's statements on maintenance.
-            form: Its form on maintenance, for the positions of mistakes.
-            name: Name of the document.
+            statements: The document's maintenance statements.
+            form: Its maintenance form, which gives the positions of mistakes.
+            name: Name of the document, used in the messages.
 
         """
         return retirement_errors(statements, self.coordinator.observations.connected(), form, name)
 
     def on_statements(self, statements: Sequence[Record] | None) -> None:
-        """Use the statements of a document that is stored, and the pools and reserves of its version.
+        """Apply the statements of a stored document, with the pools and reserves of the newest version.
 
         Args:
-            statements: None: the statements stay, the version is another one.
+            statements: The new statements; None keeps the current ones, when only the version has changed.
 
         """
         if statements is not None:
@@ -105,12 +105,12 @@
     # --- heads
 
     def on_head_connected(self, stream: HeadStream) -> None:
-        """Begin to serve a head's stream."""
+        """Begin to exchange maintenance messages on a head's stream."""
         name = stream.head
         stream.supports_maintenance = bool(stream.publisher.metrics.get(MAINTENANCE_METRIC))
         remaining = without_retired(self.statements, name)
         if remaining != self.statements:
-            # In force at once: a head that is connected must not be treated as retired. Stored by the next tick.
+            # Applied at once, as a connected head must not be treated as retired. The next tick stores it.
             self.returned_heads.append(name)
             self.on_statements(remaining)
             self.log(f"maintenance: {name} is connected again, so (retired {name}) no longer applies")
@@ -129,7 +129,7 @@
         """Process a head's report; raises MalformedMessageError."""
         name = stream.head
         if self.connections.get(name) is not stream or not stream.supports_maintenance:
-            return  # of a stream that a newer one has replaced
+            return  # a newer stream has replaced this one, or the head has not announced support
         report = decode_report(request)
         self._run_step(lambda: self.coordinator.apply_report(name, report))
         self.next_tick_us = 0
@@ -137,7 +137,7 @@
     # --- steps
 
     def tick(self) -> None:
-        """Let the coordinator decide and store, then send updates to heads; a step that failed is retried."""
+        """Let the coordinator make and store its decisions, then send updates to heads; a failed step is retried."""
         now = now_us()
         if now < self.next_tick_us:
             return
@@ -159,10 +159,13 @@
         self.returned_heads.clear()
 
     def _run_step(self, step: Callable[[], None]) -> bool:
-        """Run a step that writes to the store; a failure is logged once in a row, and a later tick retries the step."""
+        """Run a step that writes to the store; returns whether it succeeded.
+
+        Repeated failures for the same reason are logged once. A later tick retries the step.
+        """
         try:
             step()
-        except Exception as error:  # a full disk, a fence or a fault here must not end the rollout of versions
+        except Exception as error:  # a full disk, a FencedError or a bug here must not end the rollout of versions
             failure = one_line(error)
             if self.failure != failure:
                 self.failure = failure
@@ -176,7 +179,7 @@
             stream.send([encode_update(update)])
 
     def status(self) -> dict[str, Any]:
-        """Return the status for operators, as a JSON object: permits, what waits for one, and what is missing."""
+        """Return the status for operators as a JSON object: permits, waiting requests, absent heads and releases."""
         return {
             "failing": self.failure,
             "now_ms": now_ms(),
--- a/hophinge/control/maintenance_store.py
+++ b/hophinge/control/maintenance_store.py
@@ -1,7 +1,8 @@
-"""Maintenance in the control service's store: permits, plans of releases, zones of heads, and the statements.
+"""Maintenance tables of the control service's store: permits, progress of releases, zones of heads, and statements.
 
-What `keep` has returned from is on disk, and a service whose store another one has taken over can write nothing more.
-Free permits are dropped, as the audit has them; a permit's id bears the fencing token, so that no id is issued twice.
+When `save` returns, its changes are on disk. A service whose store has been taken over by another one can no longer
+write. Free permits are deleted, as the audit log records them. A permit's id contains the fencing token, so that no id
+is issued twice.
 """
 
 from __future__ import annotations
@@ -16,31 +17,31 @@
 from hophinge.routing import records
 from hophinge.routing.records import Record
 
-STARTS_PER_EPOCH = 1_000_000  # a store that was restored into a new epoch begins above all ids of the lost one
+STARTS_PER_EPOCH = 1_000_000  # a new epoch, begun after a restore, has fencing tokens above all of the lost one
 
 
 class MaintenanceStore:
-    """Maintenance tables of a store; `fence` is part of each permit's id."""
+    """Maintenance tables of a store; `fencing_token` is part of each permit's id."""
 
     def __init__(self, store: ControlStore, now_ms: Callable[[], int]) -> None:
         self.store = store
         self.db = store.db
         self.now_ms = now_ms
         self.issuer: str = store.issuer
-        self.fence: int = store.epoch * STARTS_PER_EPOCH + store.fence
+        self.fencing_token: int = store.epoch * STARTS_PER_EPOCH + store.fencing_token
 
     def permits(self) -> list[Permit]:
         """Return all permits that are not free."""
         return [msgspec.json.decode(row[0], type=Permit) for row in self.db.execute("SELECT body FROM permit")]
 
-    def courses(self) -> list[ReleaseProgress]:
-        """Return the plans of releases."""
+    def releases(self) -> list[ReleaseProgress]:
+        """Return the progress of all releases."""
         return [
             msgspec.json.decode(row[0], type=ReleaseProgress) for row in self.db.execute("SELECT body FROM release")
         ]
 
     def zones(self, heads: Sequence[str]) -> dict[str, str]:
-        """Return the zone of each head, as it reported last; empty where it never has."""
+        """Return the zone that each head reported last; empty for a head that never reported one."""
         zones = dict.fromkeys(heads, "")
         for head, zone in self.db.execute("SELECT head, zone FROM place"):
             if head in zones:
@@ -48,7 +49,7 @@
         return zones
 
     def statements(self) -> list[Record]:
-        """Return the statements on maintenance that were pushed last."""
+        """Return the current maintenance statements."""
         row = self.db.execute("SELECT body FROM upkeep").fetchone()
         bodies = msgspec.json.decode(row[0], type=list[msgspec.Raw]) if row else []
         return [records.decode(bytes(body)) for body in bodies]
@@ -60,13 +61,13 @@
                 "INSERT INTO place VALUES (?, ?) ON CONFLICT(head) DO UPDATE SET zone = excluded.zone", (head, zone)
             )
 
-    def save(self, permits: Sequence[Permit], courses: Sequence[ReleaseProgress]) -> None:
-        """Store permits and plans of releases in one transaction; if it raises, nothing is stored."""
+    def save(self, permits: Sequence[Permit], releases: Sequence[ReleaseProgress]) -> None:
+        """Store permits and progress of releases in one transaction; if it raises, nothing is stored."""
         with self.store.transaction():
             for permit in permits:
                 self._write_permit(permit)
-            for course in courses:
-                self._write_course(course)
+            for release in releases:
+                self._write_release(release)
 
     def _write_permit(self, permit: Permit) -> None:
         self.db.execute("DELETE FROM permit WHERE id = ?", (permit.id,))
@@ -75,11 +76,11 @@
         detail = f"{permit.id} for {permit.kind.value} {permit.name}: {permit.state.value}"
         self.store.append_audit(self.now_ms(), permit.requester, "permit", detail)
 
-    def _write_course(self, course: ReleaseProgress) -> None:
+    def _write_release(self, release: ReleaseProgress) -> None:
         self.db.execute(
             "INSERT INTO release VALUES (?, ?) ON CONFLICT(name) DO UPDATE SET body = excluded.body",
-            (course.name, msgspec.json.encode(course)),
+            (release.name, msgspec.json.encode(release)),
         )
-        reason = f": {course.reason}" if course.reason else ""
-        detail = f"{course.name}: {course.stage.value}, wave {course.wave}{reason}"
+        reason = f": {release.reason}" if release.reason else ""
+        detail = f"{release.name}: {release.stage.value}, wave {release.wave}{reason}"
         self.store.append_audit(self.now_ms(), "control service", "release", detail)
--- a/hophinge/control/maintenance_wire.py
+++ b/hophinge/control/maintenance_wire.py
@@ -1,4 +1,4 @@
-"""Encoding of maintenance: updates to heads, reports of heads, and the statements in the store."""
+"""Encoding of maintenance messages: updates to heads, reports of heads, and the statements in the store."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from hophinge.routing import records
 from hophinge.routing.records import Record
 
-MAINTENANCE_METRIC = "maintenance"  # reported by heads that take updates and send reports
-REPORT_KEY = "report"  # a request bears its report under this name of `initial_versions`
+MAINTENANCE_METRIC = "maintenance"  # reported by heads that support updates and reports
+REPORT_KEY = "report"  # key of a request's `initial_versions` that holds its report
 
 
 def encode_statements(statements: Sequence[Record]) -> bytes:
-    """Encode statements on maintenance as the store has them."""
+    """Encode maintenance statements for the store."""
     return msgspec.json.encode([msgspec.Raw(records.encode(statement)) for statement in statements])
 
 
@@ -39,18 +39,18 @@
     try:
         return msgspec.json.decode(wire.decode_record(response.resources[0].body), type=PermitUpdate)
     except (IndexError, msgspec.MsgspecError) as error:
-        raise MalformedMessageError(f"a word on maintenance that cannot be read: {error}") from error
+        raise MalformedMessageError(f"cannot decode a maintenance update: {error}") from error
 
 
 def report_request(head: str, report: HeadReport) -> DiscoveryRequest:
-    """Return the request that bears a head's report."""
+    """Return the request that carries a head's report."""
     encoded = msgspec.json.encode(report).decode()
     return DiscoveryRequest(ResourceType.MAINTENANCE, head=head, initial_versions={REPORT_KEY: encoded})
 
 
 def decode_report(request: DiscoveryRequest) -> HeadReport:
-    """Return the report that a request bears; raises MalformedMessageError."""
+    """Return the report that a request carries; raises MalformedMessageError."""
     try:
         return msgspec.json.decode(request.initial_versions.get(REPORT_KEY, ""), type=HeadReport)
     except msgspec.MsgspecError as error:
-        raise MalformedMessageError(f"a report that cannot be read: {error}") from error
+        raise MalformedMessageError(f"cannot decode a maintenance report: {error}") from error
--- a/hophinge/control/messages.py
+++ b/hophinge/control/messages.py
@@ -1,9 +1,10 @@
 """Messages of the discovery stream, as typed values independent of their encoding.
 
 The stream is the incremental variant of xDS v3 (DeltaDiscoveryRequest and DeltaDiscoveryResponse) with these resource
-types under `hophinge.config.v1`: `Record` is one record of the service document, `Version` says which records belong
-together, `Lease` answers a head that requests its shares of reserves, `Account` is a row of the tenants' accounts, and
-heads report usage under `Usage`. `hophinge.control.wire` encodes them.
+types under `hophinge.config.v1`: `Record` is one record of the service document, `Version` identifies a complete set of
+records, `Lease` grants a head the shares of reserves that it requested, `Account` is a row of the tenants' accounts,
+`Usage` has heads' reports of usage, and `Maintenance` has maintenance updates and heads' reports.
+`hophinge.control.wire` encodes them.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from msgspec import Struct
 
 VersionId = tuple[int, int]
-"""Epoch and number of a configuration version; versions are ordered by it. (0, 0) stands for no version."""
+"""Epoch and number of a configuration version; versions are ordered by it. (0, 0) means no version."""
 
 NO_VERSION: VersionId = (0, 0)
 
 SERVICE = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 METHOD = "DeltaAggregatedResources"
 OPERATOR_SERVICE = "hophinge.control.v1.Admin"  # unary calls of operators, JSON both ways
-MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # a response of 500 records has some 100 KB
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # a response with 500 records has about 100 KB
 VERSION_NAME = "version"  # the only resource of its type
 LEASE_NAME = "lease"
 HEARTBEAT_NONCE = "beat"  # nonce of a response without content
@@ -30,7 +31,7 @@
 
 
 class MalformedMessageError(ValueError):
-    """A message that is not one of this stream's."""
+    """A message that cannot be decoded or is not valid on this stream."""
 
 
 class ResourceType(Enum):
@@ -57,9 +58,9 @@
 
 
 class VersionedRecord(NamedTuple):
-    """A record as a version has it."""
+    """A record of a version."""
 
-    version_text: str  # version in which it last changed; see `version_text`
+    version_text: str  # version in which the record last changed; see the function `version_text`
     fingerprint: int
     body: bytes  # JSON
 
@@ -73,7 +74,7 @@
 
 
 class DiscoveryResponse(Struct, frozen=True):
-    """A message of the control service."""
+    """A message from the control service to a head."""
 
     resource_type: ResourceType
     nonce: str
@@ -82,24 +83,24 @@
 
 
 class DiscoveryRequest(Struct, frozen=True):
-    """A message of a head: the first one of a resource type subscribes, each later one answers a response."""
+    """A message from a head: its first request for a resource type subscribes, each later one answers a response."""
 
     resource_type: ResourceType
     nonce: str = ""
-    error: str = ""  # why a response is rejected; empty: it is acknowledged
+    error: str = ""  # why the response is rejected; empty if it is acknowledged
     subscribe: bool = False
-    initial_versions: Mapping[str, str] = {}  # with the first one: versions of stored resources, by name
+    initial_versions: Mapping[str, str] = {}  # in the first request: versions of stored resources, by name
     head: str = ""
     metrics: Mapping[str, float] = {}
 
 
 def version_name(version_id: VersionId) -> str:
-    """Return a version as operators write it, as in `1.17`; `none` for no version."""
+    """Return a version's name for operators, such as `1.17`; `none` for no version."""
     return f"{version_id[0]}.{version_id[1]}" if any(version_id) else "none"
 
 
 def version_text(version_id: VersionId, fingerprint: int) -> str:
-    """Return the version of a resource: where it last changed, and the low 32 bits of its fingerprint."""
+    """Return a resource's version: the version id in which it last changed and the low 32 bits of its fingerprint."""
     return f"{version_id[0]}.{version_id[1]}-{fingerprint & 0xFFFFFFFF:08x}"
 
 
--- a/hophinge/control/operator_api.py
+++ b/hophinge/control/operator_api.py
@@ -1,4 +1,7 @@
-"""The operators' API of the control service: push, status, history, rollback and resume, as JSON objects both ways."""
+"""The operator API of the control service: push, status, history, rollback and resume.
+
+Requests and responses are JSON objects.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from hophinge.control.clock import now_ms
 from hophinge.control.maintenance_channel import MaintenanceChannel
 from hophinge.control.messages import NO_VERSION, parse_version_text, version_name
-from hophinge.control.quota_shares import QuotaShares, stated_reserves
+from hophinge.control.quota_shares import QuotaShares, declared_reserves
 from hophinge.control.rollout import HeadStatus
 from hophinge.control.rollout_runner import RolloutRunner
 from hophinge.control.store import NewVersion, StoreError
@@ -27,14 +30,14 @@
 DEFAULT_HISTORY = 20
 
 JsonObject = dict[str, Any]
-"""A JSON object of a call or its answer; docs/operate/stream.md lists the keys."""
+"""A JSON object of a request or response; docs/operate/stream.md lists the keys."""
 
 Operation = Callable[[str, JsonObject], JsonObject | Awaitable[JsonObject]]
-"""A call: it gets the operator's name and the request."""
+"""An operation's function, which gets the operator's name and the request."""
 
 
 class OperatorApi:
-    """Calls of one control service."""
+    """Operations of one control service."""
 
     def __init__(
         self,
@@ -44,7 +47,7 @@
         maintenance: MaintenanceChannel,
         log: Callable[[str], None],
     ) -> None:
-        """Create the API; `operators` gives the name of each token."""
+        """Create the API; `operators` gives the operator's name by token."""
         self.operators = operators
         self.runner = runner
         self.rollout = runner.rollout
@@ -59,7 +62,7 @@
         async def answer(body: bytes, context: Any) -> bytes:
             operator = self._authenticate(bearer_token(context))
             if operator is None:
-                await context.abort(grpc.StatusCode.UNAUTHENTICATED, "the token is not one of staff")
+                await context.abort(grpc.StatusCode.UNAUTHENTICATED, "the token is not a known operator token")
             try:
                 result = operation(operator or "", msgspec.json.decode(body, type=JsonObject))
                 return msgspec.json.encode(await result if asyncio.iscoroutine(result) else result)
@@ -82,7 +85,7 @@
     # --- changes
 
     async def push(self, operator: str, request: JsonObject) -> JsonObject:
-        """Validate a document and store it as the next version; with `expect` only if that is the newest version."""
+        """Validate a document and store it as the next version; `expect`, if given, must be the newest version."""
         source = str(request["text"]).encode()
         document = read_document(source)
         name = str(request.get("name", "the document"))
@@ -97,8 +100,10 @@
             for key, record in document.records.items()
             if not isinstance(record, (records.RolloutRule, *records.MAINTENANCE_RECORDS))
         }
-        stated = stated_reserves(bodies.values())
-        await self.shares.check_reserves({**self.shares.tenant_reserves(), **stated.by_tenant}, stated.head_capacity)
+        declared = declared_reserves(bodies.values())
+        await self.shares.check_reserves(
+            {**self.shares.tenant_reserves(), **declared.by_tenant}, declared.head_capacity
+        )
         self._check_expected(request.get("expect"))
         if not request.get("again") and self._is_newest(bodies):
             return self._store_statements(statements, operator, note)
@@ -121,7 +126,7 @@
         return newest is not None and bodies == {name: record.body for name, record in newest.records.items()}
 
     def _store_statements(self, statements: Sequence[Record], operator: str, note: str) -> JsonObject:
-        """Store statements on maintenance beside the newest version, which heads run already."""
+        """Store maintenance statements without a new version, as the newest one has the same records."""
         version = self._newest_name()
         if list(statements) == self.maintenance.statements:
             return {"version": version, "unchanged": True}
@@ -140,7 +145,7 @@
     def resume(self, operator: str, request: JsonObject) -> JsonObject:
         """Continue a paused rollout."""
         if not self.rollout.resume():
-            raise StoreError("no rollout is held")
+            raise StoreError("no rollout is paused")
         target = version_name(self.rollout.plan.target)
         self.store.set_rollout_plan(self.rollout.plan, operator, "resume", target, now_ms())
         return {"version": target}
@@ -148,7 +153,7 @@
     # --- queries
 
     def status(self, operator: str, request: JsonObject) -> JsonObject:
-        """Return which head runs which version, and the stage of the rollout."""
+        """Return the version that each head runs, and the stage of the rollout."""
         plan = self.rollout.plan
         heads = sorted(self.rollout.heads.values(), key=lambda head: head.name)
         return {
--- a/hophinge/control/operator_client.py
+++ b/hophinge/control/operator_client.py
@@ -20,7 +20,7 @@
         A JSON object.
 
     Raises:
-        ConnectionError: The service answered with an error, or could not be reached.
+        ConnectionError: The service returned an error or could not be reached.
 
     """
     async with AIO.insecure_channel(address, options=CHANNEL_OPTIONS) as channel:
--- a/hophinge/control/publisher.py
+++ b/hophinge/control/publisher.py
@@ -1,8 +1,9 @@
-"""The control service's side of one stream, without I/O: what its head stores, and what is sent to it next.
+"""The control service's side of one stream, without I/O: tracks what the head has stored and chooses what to send next.
 
-A version is sent as the difference to what the head stores: batches of records first, the version itself last. One
-version is in flight at a time; of versions that are published meanwhile only the newest is sent. A version that its
-head rejected is not sent again on this stream; a new stream offers it once more, as the head may run another build.
+A version is sent as the difference from the records that the head has: batches of records first, the version itself
+last. Only one version is in flight at a time; of the versions that are published meanwhile only the newest is sent. A
+version that the head rejected is not sent again on this stream. A new stream offers it once more, as the head may by
+then run another build.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class HeadSubscribed(Struct, frozen=True):
-    """A head has given its name and the version that it runs."""
+    """A head has subscribed to records and versions, with its name and the version that it runs."""
 
     head: str
     running: VersionId
@@ -50,7 +51,7 @@
 
 
 class PublisherStep(NamedTuple):
-    """Events that a request caused, and encoded responses to send."""
+    """Result of a request: the events that it caused, and encoded responses to send."""
 
     events: list[Event]
     frames: Sequence[bytes]
@@ -63,8 +64,8 @@
     deltas: DeltaCache
     head: str = ""
     metrics: Mapping[str, float] = field(default_factory=dict)
-    initial_versions: Mapping[str, str] | None = None  # from the head's first request, until a version was sent
-    last_sent: Snapshot | None = None  # from then on
+    initial_versions: Mapping[str, str] | None = None  # of the head's subscription; None again once a version is sent
+    last_sent: Snapshot | None = None  # the records that the head has, once a version was sent
     in_flight: Snapshot | None = None
     target: Snapshot | None = None
     rejected: set[VersionId] = field(default_factory=set)
--- a/hophinge/control/quota_shares.py
+++ b/hophinge/control/quota_shares.py
@@ -1,4 +1,4 @@
-"""Reserves of tenants: whether the heads can guarantee them, and the shares of them that heads lease."""
+"""Tenants' reserves: checks that the heads can guarantee them, and leases shares of them to heads."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 from hophinge.tenancy.lifecycle import TenantState
 from hophinge.tenancy.share_planner import CapacityShortfall, find_shortfall
 
-HEAD_COUNT_TIMEOUT_S = 3.0  # how long a push that needs the number of heads waits for a head to report it
-MIN_SPAN_S = 0.1  # demand is reported per lease request; a shorter time between two would inflate its rate
+HEAD_COUNT_TIMEOUT_S = 3.0  # how long a push waits for a head to report the number of heads, if it needs that
+MIN_SPAN_S = 0.1  # demand is reported per lease request; a shorter time between two requests would inflate its rate
 RESERVE_RECORDS = (b'{"type":"tenant"', b'{"type":"spare"')
 
 
-class StatedReserves(NamedTuple):
-    """What a version states, in units a second: the reserve of each tenant, and what one head serves (0: unknown)."""
+class DeclaredReserves(NamedTuple):
+    """A version's declared reserve of each tenant, and the capacity of one head (0: unknown), in units per second."""
 
     by_tenant: dict[str, float]
     head_capacity: float
 
 
-NO_RESERVES = StatedReserves({}, 0.0)
+NO_RESERVES = DeclaredReserves({}, 0.0)
 
 
 class QuotaShares:
@@ -57,12 +57,12 @@
         """Create the state of a service that has just started.
 
         Args:
-            store: Has the number of heads, and allocates lease serials.
-            accounts: Tenants' accounts, if this service has them.
-            get_target: Returns the version that is rolled out.
-            connected_heads: Returns the names of heads with a stream.
-            now_us: Monotonic clock.
-            log: Takes lines for operators.
+            store: Stores the number of heads, and allocates lease serials.
+            accounts: Tenants' accounts; None if this service does not own them.
+            get_target: Returns the version that is being or was last rolled out.
+            connected_heads: Returns the names of heads with an open stream.
+            now_us: Monotonic clock, in microseconds.
+            log: Called with log lines for operators.
 
         """
         self.store = store
@@ -71,18 +71,18 @@
         self.connected_heads = connected_heads
         self.now_us = now_us
         self.log = log
-        self.allotment = ShareAllocator(store.allocate_serials, log)
+        self.allocator = ShareAllocator(store.allocate_serials, log)
         self.head_count = store.head_count()
         self.head_count_known = asyncio.Event()
         if self.head_count:
             self.head_count_known.set()
-        self._target_id: VersionId = NO_VERSION  # of which `_target_reserves` are
+        self._target_id: VersionId = NO_VERSION  # the version that `_target_reserves` belongs to
         self._target_reserves = NO_RESERVES
 
     # --- reserves
 
     def tenant_reserves(self) -> dict[str, float]:
-        """Return the reserves of tenants that have an account."""
+        """Return the reserves of active and suspended tenants' accounts, in units per second by tenant."""
         accounts = self.accounts.tenants.values() if self.accounts is not None else ()
         return {
             account.name: account.shares.reserve
@@ -91,18 +91,18 @@
         }
 
     def reserves_shortfall(self, reserves: Mapping[str, float]) -> str:
-        """Return why tenants' reserves cannot be guaranteed beside those of the newest version; empty if they can."""
-        stated = _snapshot_reserves(self.store.newest)
-        if not stated.head_capacity or not self.head_count:
+        """Return why reserves cannot be guaranteed along with those of the newest version; empty if they can."""
+        declared = _snapshot_reserves(self.store.newest)
+        if not declared.head_capacity or not self.head_count:
             return ""
-        shortfall = _shortfall({**reserves, **stated.by_tenant}, self.head_count, stated.head_capacity)
+        shortfall = _shortfall({**reserves, **declared.by_tenant}, self.head_count, declared.head_capacity)
         return f"with {self.head_count} heads {shortfall}" if shortfall is not None else ""
 
     async def check_reserves(self, reserves: Mapping[str, float], head_capacity: float) -> None:
-        """Check that reserves can be guaranteed; what one head can guarantee alone needs no number of heads.
+        """Check that reserves can be guaranteed; the number of heads is needed only if one head is not enough.
 
         Raises:
-            StoreError: They cannot, or no head has reported how many there are.
+            StoreError: They cannot be guaranteed, or the number of heads is needed and no head has reported it.
 
         """
         if not head_capacity or find_shortfall(reserves, {"one": head_capacity}) is None:
@@ -113,42 +113,42 @@
                     await self.head_count_known.wait()
         if not self.head_count:
             raise StoreError(
-                "no head has told yet how many there are, and one alone cannot keep these reserves: "
+                "no head has reported the number of heads yet, and a single head cannot guarantee these reserves: "
                 "connect a head, then push again"
             )
         if (shortfall := _shortfall(reserves, self.head_count, head_capacity)) is not None:
             raise StoreError(f"with {self.head_count} heads {shortfall}")
 
     def on_head_count(self, head: str, count: int) -> None:
-        """Record how many heads one of them counts; reserves depend on the installation, not on who is connected.
+        """Record the number of heads in the installation, as reported by one of them.
 
-        During a change of the installation heads report different numbers; the latest one is used, as that is where the
-        change leads.
+        Reserves depend on the size of the installation, not on which heads are connected. While the installation is
+        being changed, heads report different numbers; the latest one is used, as it is the closest to the result.
         """
         if count < 1 or count == self.head_count:
             return
         if self.head_count:
-            self.log(f"{head} counts {count} heads; before there were {self.head_count}")
+            self.log(f"head {head} reports {count} heads; previously there were {self.head_count}")
         self.store.set_head_count(count)
         self.head_count = count
         self.head_count_known.set()
-        stated = _snapshot_reserves(self.get_target())
-        if not stated.head_capacity:
+        declared = _snapshot_reserves(self.get_target())
+        if not declared.head_capacity:
             return
-        if (shortfall := _shortfall(stated.by_tenant, count, stated.head_capacity)) is not None:
-            self.log(f"the reserves of the active version cannot be guaranteed: with {count} heads {shortfall}")
+        if (shortfall := _shortfall(declared.by_tenant, count, declared.head_capacity)) is not None:
+            self.log(f"the reserves of the target version cannot be guaranteed: with {count} heads {shortfall}")
 
     # --- leases
 
     def lease_responses(self, head: str, metrics: Mapping[str, float]) -> list[bytes]:
-        """Return the encoded response to a head's lease request; none where it gets no lease."""
+        """Return the encoded response to a head's lease request; empty if the head gets no lease."""
         target = self.get_target()
         if target is None:
             return []
         if self._target_id != target.id:
             self._target_id = target.id
             self._target_reserves = _snapshot_reserves(target)
-        lease = self.allotment.answer(
+        lease = self.allocator.answer(
             self.now_us(),
             _lease_request(head, metrics),
             {**self.tenant_reserves(), **self._target_reserves.by_tenant},
@@ -177,12 +177,12 @@
     return find_shortfall(reserves, dict.fromkeys(map(str, range(head_count)), head_capacity))
 
 
-def _snapshot_reserves(snapshot: Snapshot | None) -> StatedReserves:
-    return stated_reserves(record.body for record in snapshot.records.values()) if snapshot else NO_RESERVES
+def _snapshot_reserves(snapshot: Snapshot | None) -> DeclaredReserves:
+    return declared_reserves(record.body for record in snapshot.records.values()) if snapshot else NO_RESERVES
 
 
-def stated_reserves(bodies: Iterable[bytes]) -> StatedReserves:
-    """Return the reserves that a version's records state."""
+def declared_reserves(bodies: Iterable[bytes]) -> DeclaredReserves:
+    """Return the reserves that a version's records declare; `bodies` are the records as JSON."""
     by_tenant: dict[str, float] = {}
     head_capacity = 0.0
     for body in bodies:
@@ -192,4 +192,4 @@
                 by_tenant[record.name] = record.reserve
             elif isinstance(record, records.SpareSharing):
                 head_capacity = record.head_capacity
-    return StatedReserves(by_tenant, head_capacity)
+    return DeclaredReserves(by_tenant, head_capacity)
--- a/hophinge/control/reconnect_policy.py
+++ b/hophinge/control/reconnect_policy.py
@@ -5,17 +5,17 @@
 import random
 
 INITIAL_BACKOFF_US = 200_000
-MAX_BACKOFF_US = 1_500_000  # a thousand heads then make some 700 attempts a second and are back within two seconds
+MAX_BACKOFF_US = 1_500_000  # 1000 heads then make about 700 attempts a second, and reconnect within 2 s
 MAX_DOUBLINGS = 16
-JITTER_FACTORS = (0.5, 1.5)  # heads that lost one service at the same time do not come back at the same time
+JITTER_FACTORS = (0.5, 1.5)  # heads that lost the same service must not all reconnect at the same time
 
 
 class ReconnectPolicy:
-    """Endpoints of one head in rotation, with exponential backoff over consecutive failures."""
+    """Rotates through a head's endpoints, with an exponential backoff over consecutive failures."""
 
     def __init__(self, endpoints: tuple[str, ...], seed: int) -> None:
         if not endpoints:
-            raise ValueError("a follower needs an endpoint")
+            raise ValueError("a follower needs at least one endpoint")
         self.endpoints = endpoints
         self.random = random.Random(seed)
         self.index = 0
@@ -30,7 +30,7 @@
         """Record the end of a stream or of an attempt, and move on to the next endpoint.
 
         Args:
-            was_stable: The stream was open long enough to start over with the shortest backoff.
+            was_stable: The stream was open long enough to reset the backoff to its shortest.
 
         Returns:
             The backoff before the next attempt, in microseconds.
@@ -42,5 +42,5 @@
         return int(backoff_us * self.random.uniform(*JITTER_FACTORS))
 
     def retry_same_endpoint(self) -> None:
-        """Undo the rotation of the last `record_failure`: the service itself is reachable."""
+        """Undo the rotation of the last `record_failure`, for a service that is reachable."""
         self.index = (self.index - 1) % len(self.endpoints)
--- a/hophinge/control/rollout.py
+++ b/hophinge/control/rollout.py
@@ -1,6 +1,6 @@
-"""Rollout of versions over heads in waves: what pauses it and what rolls it back. No I/O; time is an argument.
+"""Rollout of versions to heads in waves: when it is paused and when it is rolled back. No I/O; time is an argument.
 
-Heads only go forward: a head that was ever told to run a version is told to run that version or a later one.
+Heads only move forward: once a head has been assigned a version, it is never assigned an earlier one.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from hophinge.control.messages import NO_VERSION, VersionId
 from hophinge.routing.records import RolloutRule as RolloutRule
 
-MIN_REQUESTS = 20  # requests of a wave before its failure rate is judged
+MIN_REQUESTS = 20  # fewer requests are not enough to judge a failure rate
 FORGET_HEAD_US = 7 * 24 * 3600 * 1_000_000  # a head that was not observed for a week is not counted in a wave's share
-MAX_NAMED_HEADS = 5  # in a reason
-ROUNDING = 1e-9
+MAX_NAMED_HEADS = 5  # in the reason of a pause
+ROUNDING_TOLERANCE = 1e-9
 
 
 class RolloutStage(Enum):
@@ -38,46 +38,46 @@
     running: VersionId = NO_VERSION
     rejected: VersionId = NO_VERSION  # the last version that it rejected
     reason: str = ""
-    requests: float = 0.0  # by the head's own count, since its stream began
+    requests: float = 0.0  # counted by the head itself
     failed: float = 0.0
-    baseline_requests: float = 0.0  # the same counts when it activated the target, or the wave began
+    baseline_requests: float = 0.0  # the counts at the time when it activated the target, or when the wave began
     baseline_failed: float = 0.0
     usual_failure_rate: float = 0.0  # share of its requests that failed before it activated the target
 
     def reset_counts(self) -> None:
-        """Start over with counts of zero."""
+        """Reset all counts to zero."""
         self.requests = 0.0
         self.failed = 0.0
         self.baseline_requests = 0.0
         self.baseline_failed = 0.0
 
     def set_baseline(self) -> None:
-        """Judge requests from here on."""
+        """Make the current counts the baseline, so that only later requests are judged."""
         self.baseline_requests = self.requests
         self.baseline_failed = self.failed
 
 
 class RolloutPlan(msgspec.Struct):
-    """The state that outlives a restart of the control service; stored as JSON."""
+    """The state that survives a restart of the control service; stored as JSON."""
 
     stable: VersionId = NO_VERSION  # for heads that no wave has reached
-    target: VersionId = NO_VERSION  # what is rolled out; equals `stable` when it is done
+    target: VersionId = NO_VERSION  # the version being rolled out; equals `stable` once that is done
     stage: RolloutStage = RolloutStage.IDLE
     wave: int = 0
-    reached: set[str] = msgspec.field(default_factory=set)  # heads that are told to run the target
+    reached: set[str] = msgspec.field(default_factory=set)  # heads that are assigned the target
     reason: str = ""  # why it is paused
     is_rollback: bool = msgspec.field(default=False, name="undoes")  # the target restores an earlier version's content
 
 
 class RolloutDecision(msgspec.Struct, frozen=True):
-    """Result of a step: a changed plan is to be stored before heads are told; a rollback is to be pushed."""
+    """Result of a step: whether the plan changed and must be stored before heads see it, and whether to roll back."""
 
     is_changed: bool = False
     rollback_reason: str = ""  # if not empty, the stable version's content is to be pushed as a new version
 
 
 class RolloutController:
-    """Decides which head is to run which version."""
+    """Decides which version each head is to run."""
 
     def __init__(self, plan: RolloutPlan, rule: RolloutRule, known_heads: Iterable[tuple[str, int]] = ()) -> None:
         """Continue a stored plan; `known_heads` gives the name and `last_seen_us` of each head."""
@@ -85,7 +85,7 @@
         self.rule = rule
         self.heads = {name: HeadStatus(name, last_seen_us) for name, last_seen_us in known_heads}
         self.acknowledged_since_us = 0  # when the last head of the wave acknowledged; 0: some have not
-        self.unacknowledged: dict[str, int] = {}  # heads that are told to run the target and do not yet, and since when
+        self.unacknowledged: dict[str, int] = {}  # by name of a head that does not run the target yet: since when, µs
 
     # --- targets
 
@@ -95,7 +95,7 @@
         return plan.target if plan.stage is RolloutStage.IDLE or name in plan.reached else plan.stable
 
     def heads_in_waves(self, wave: int, now_us: int) -> set[str]:
-        """Return the known heads that waves up to this one cover."""
+        """Return the known heads that are covered by the waves up to this one."""
         known = [
             head.name
             for head in self.heads.values()
@@ -107,7 +107,7 @@
         share = self.rule.waves[min(wave - bool(self.rule.first), len(self.rule.waves) - 1)]
         # Ordered by hash, so that a head is in the same wave of every rollout, whatever its name.
         ranked = sorted(known, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
-        return first | set(ranked[: math.ceil(share * len(ranked) - ROUNDING)])
+        return first | set(ranked[: math.ceil(share * len(ranked) - ROUNDING_TOLERANCE)])
 
     @property
     def last_wave(self) -> int:
@@ -123,7 +123,7 @@
         return RolloutPlan(plan.stable, version_id, RolloutStage.ROLLING, 0, reached, "", is_rollback)
 
     def start(self, plan: RolloutPlan, rule: RolloutRule) -> None:
-        """Begin a plan that is stored."""
+        """Begin to carry out a plan that has been stored."""
         self.plan = plan
         self.rule = rule
         self._begin_wave()
@@ -159,7 +159,7 @@
         head.set_baseline()
 
     def on_request_counts(self, name: str, requests: float, failed: float, now_us: int) -> None:
-        """Record a head's own counts of its requests; counts that fell are those of a new process."""
+        """Record a head's counts of its requests; counts that decreased are those of a new process."""
         head = self.heads[name]
         head.last_seen_us = now_us
         if requests < head.baseline_requests or failed < head.baseline_failed:
@@ -169,7 +169,7 @@
         head.failed = failed
 
     def on_rejected(self, name: str, version_id: VersionId, reason: str, now_us: int) -> RolloutDecision:
-        """Record a head that keeps its version; the rollout of what it rejected goes no further."""
+        """Record that a head rejected a version; if that version is being rolled out, the rollout is paused."""
         head = self.heads[name]
         head.rejected = version_id
         head.reason = reason
@@ -182,13 +182,13 @@
         plan = self.plan
         plan.reason = reason
         plan.stage = RolloutStage.PAUSED
-        # A rollback is not rolled back itself: that would go on for ever.
+        # A rollback is not rolled back itself, which could go on without end.
         if self.rule.on_failure == "rollback" and any(plan.stable) and not plan.is_rollback:
             return RolloutDecision(True, reason)
         return RolloutDecision(True)
 
     def resume(self) -> bool:
-        """Continue a paused rollout on an operator's request; returns False where none is paused."""
+        """Continue a paused rollout on an operator's request; returns False if none is paused."""
         if self.plan.stage is not RolloutStage.PAUSED:
             return False
         self.plan.stage = RolloutStage.ROLLING
@@ -218,7 +218,7 @@
                 return self._pause(reason)
             return RolloutDecision(is_changed)
         if not members and not (plan.wave == 0 and self.rule.first):
-            return RolloutDecision(is_changed)  # no head is connected that would show whether the version is good
+            return RolloutDecision(is_changed)  # no connected head could show whether the version is good
         self.acknowledged_since_us = self.acknowledged_since_us or now_us
         if members and now_us - self.acknowledged_since_us < self.rule.soak_us:
             return RolloutDecision(is_changed)
--- a/hophinge/control/schema.py
+++ b/hophinge/control/schema.py
@@ -1,4 +1,4 @@
-"""Tables of the control service's store; their names and columns belong to the stored format."""
+"""Tables of the control service's store; table and column names are part of the stored format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 CREATE TABLE audit(id INTEGER PRIMARY KEY AUTOINCREMENT, at_ms INTEGER, who TEXT, what TEXT, detail TEXT);
 """
 
-# Tables that stores of earlier versions lack; such versions still read a store that has them.
+# Tables that older stores lack; older versions of this program can still read a store that has them.
 ADDED_TABLES = """
 CREATE TABLE IF NOT EXISTS size(one INTEGER PRIMARY KEY CHECK(one = 1), heads INTEGER NOT NULL);
 CREATE TABLE IF NOT EXISTS fence(one INTEGER PRIMARY KEY CHECK(one = 1), issuer TEXT NOT NULL, fence INTEGER NOT NULL);
--- a/hophinge/control/service.py
+++ b/hophinge/control/service.py
@@ -1,4 +1,4 @@
-"""The control service: composes the rollout, shares, maintenance, the heads' streams and the operators' API."""
+"""The control service: combines the rollout, quota shares, maintenance, the heads' streams and the operator API."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", 5_000),
 )
-MAX_OPERATOR_CALLS = 64  # that are served at once beside the streams
+MAX_OPERATOR_CALLS = 64  # served concurrently, in addition to the streams
 STOP_GRACE_S = 0.5
 Log = Callable[[str], None]
 
 
 class ControlService:
-    """Streams versions to heads and serves operators."""
+    """Streams versions to heads and serves the operator API."""
 
     def __init__(
         self,
@@ -48,11 +48,11 @@
         """Create a service that does not listen yet.
 
         Args:
-            store: Its store, which `stop` closes.
+            store: The service's store, which `stop` closes.
             head_tokens: Tokens of heads.
-            operators: The name of the operator with each token.
-            log: Takes lines for operators.
-            ledger: The ledger of accounts that heads replicate, if this service owns it.
+            operators: The operator's name by token.
+            log: Called with log lines for operators.
+            ledger: The ledger of accounts that heads replicate; None if this service does not own it.
             accounts: The same accounts in memory.
 
         """
--- a/hophinge/control/snapshot.py
+++ b/hophinge/control/snapshot.py
@@ -34,7 +34,7 @@
     def create(
         cls, version_id: VersionId, bodies: Mapping[str, bytes], previous: Snapshot | None, pushed_ms: int
     ) -> Snapshot:
-        """Create a version of new content; unchanged records keep their version text and share their bytes."""
+        """Create a new version; unchanged records keep their version text and share their bytes with `previous`."""
         return cls._build(version_id, bodies, previous, pushed_ms, {})
 
     @classmethod
@@ -46,7 +46,7 @@
         previous: Snapshot | None,
         pushed_ms: int,
     ) -> Snapshot:
-        """Create a stored version again; `changed_in` names the version in which each record last changed."""
+        """Recreate a stored version; `changed_in` gives the version in which each record last changed."""
         return cls._build(version_id, bodies, previous, pushed_ms, changed_in)
 
     @classmethod
@@ -71,7 +71,7 @@
         return cls(ConfigVersion(version_id, len(built), fingerprint_sum, pushed_ms), built)
 
     def delta_from(self, stored: Mapping[str, str]) -> Delta:
-        """Return what a head lacks, or has too much, that stores these version texts by name."""
+        """Return what to send to and remove from a head; `stored` gives the version texts that it has, by name."""
         changed = [
             Resource(name, record.version_text, encode_record(record.body))
             for name, record in self.records.items()
--- a/hophinge/control/store.py
+++ b/hophinge/control/store.py
@@ -1,7 +1,7 @@
-"""The control service's store in SQLite: versions, the plan of their rollout, known heads and the audit.
+"""The control service's store in SQLite: versions, the rollout plan, known heads and the audit log.
 
-What a call has returned from is on disk (one transaction each, `synchronous=FULL`), so that no head is told of a
-version that a crash could take back. A store serves one process at a time; a second one gets an error.
+When a call returns, its changes are on disk (one transaction each, `synchronous=FULL`), so that no head is sent a
+version that a crash could undo. Only one process at a time can open a store; a second one gets an error.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 
 
 class StoreError(HophingeError):
-    """A store that cannot be used, or a call that does not fit what it holds."""
+    """The store cannot be used, or a request is not valid for its content."""
 
     code = "control-store-unfit"
-    remedy = "Mend what is said of the store or of the call, and repeat it; nothing was stored."
+    remedy = "Fix the problem with the store or the request that the message names, and retry; nothing was stored."
 
 
 class KnownHead(NamedTuple):
@@ -50,18 +50,18 @@
 
 @dataclass(frozen=True)
 class NewVersion:
-    """A version to be stored: its records as JSON by name, how it is rolled out, and what its history says."""
+    """A version to be stored: its records as JSON by name, its rollout rule, and the details for its history."""
 
     bodies: Mapping[str, bytes]
     rule: records.RolloutRule
     author: str
     note: str = ""
     source: bytes = b""  # text of the document
-    statements: Sequence[Record] | None = None  # on maintenance; None: they stay as they are
+    statements: Sequence[Record] | None = None  # maintenance statements; None leaves the stored ones unchanged
 
 
 class _VersionRecords:
-    """Records by name as of a version, brought forward one version at a time from the changes that are stored."""
+    """Records of a version by name; `advance` applies the stored changes of the next version."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self.db = db
@@ -86,14 +86,15 @@
 
         Args:
             path: The SQLite file; a lock file is created beside it.
-            new_epoch: Begin a new epoch, whose versions are higher than all of the last: after a restore from a backup.
+            new_epoch: Begin a new epoch, whose versions are higher than all earlier ones; needed after the store was
+                restored from a backup.
 
         Raises:
-            StoreError: Another process has the store open, or it cannot be read.
+            StoreError: Another process has the store open, or the store cannot be read.
 
         """
         path.parent.mkdir(parents=True, exist_ok=True)
-        self.fence = 0  # fencing token: each start gets a higher one, and only the highest may write
+        self.fencing_token = 0  # each start of a service gets a higher one, and only the highest may write
         self.lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -115,7 +116,9 @@
         self._create_tables_if_missing()
         version, self.epoch = self.db.execute("SELECT form, epoch FROM meta").fetchone()
         if version != SCHEMA_VERSION:
-            raise StoreError(f"the store has form {version}; this version reads form {SCHEMA_VERSION}")
+            raise StoreError(
+                f"unsupported schema version {version} of the store; this program supports version {SCHEMA_VERSION}"
+            )
         if new_epoch:
             with self.transaction():
                 self.db.execute("UPDATE meta SET epoch = epoch + 1")
@@ -125,7 +128,7 @@
                 "INSERT INTO fence VALUES (1, ?, 1) ON CONFLICT(one) DO UPDATE SET fence = fence + 1",
                 (secrets.token_hex(8),),
             )
-        self.issuer, self.fence = self.db.execute("SELECT issuer, fence FROM fence").fetchone()
+        self.issuer, self.fencing_token = self.db.execute("SELECT issuer, fence FROM fence").fetchone()
 
     def _create_tables_if_missing(self) -> None:
         tables = self.db.execute("SELECT count(*) FROM sqlite_master WHERE name = 'meta'").fetchone()[0]
@@ -138,8 +141,8 @@
             self.db.execute(statement)
 
     def transaction(self) -> Transaction:
-        """Return the context of a transaction; raises FencedError once another service has opened the store."""
-        return Transaction(self.db, self.fence)
+        """Return a transaction, whose start raises FencedError once another service has opened the store."""
+        return Transaction(self.db, self.fencing_token)
 
     def _load_snapshots(self) -> None:
         """Rebuild the versions in use, and the newest ones, from the stored changes."""
@@ -169,16 +172,16 @@
 
     @property
     def newest(self) -> Snapshot | None:
-        """The newest version; None where there is none."""
+        """The newest version; None if there is none."""
         return self.snapshots[max(self.snapshots)] if self.snapshots else None
 
     def push(self, version: NewVersion, now_ms: int, plan_for: Callable[[VersionId], RolloutPlan]) -> Snapshot:
-        """Store a version with the plan of its rollout, in one transaction; it gets the next number of the epoch.
+        """Store a version and its rollout plan in one transaction; the version gets the next number of the epoch.
 
         Args:
-            version: What is stored.
+            version: The version.
             now_ms: Milliseconds since 1970.
-            plan_for: Returns the plan; what it raises rolls back.
+            plan_for: Returns the plan for the new version's id; if it raises, the transaction is rolled back.
 
         """
         previous = self.newest
@@ -216,20 +219,20 @@
         )
 
     def evict_snapshots(self, in_use: set[VersionId]) -> None:
-        """Drop old versions from memory but for those in use; they stay in the store."""
+        """Drop old versions that are not in use from memory; they stay in the store."""
         for version_id in sorted(self.snapshots)[:-MAX_CACHED_SNAPSHOTS]:
             if version_id not in in_use:
                 del self.snapshots[version_id]
 
     def rollout_rule(self, version_id: VersionId) -> records.RolloutRule:
-        """Return how a version is rolled out; the default rule where there is no such version."""
+        """Return the rollout rule of a version; the default rule if there is no such version."""
         row = self.db.execute("SELECT rollout FROM version WHERE epoch = ? AND number = ?", version_id).fetchone()
         rule = records.decode(row[0]) if row else records.RolloutRule()
         assert isinstance(rule, records.RolloutRule)
         return rule
 
     def version_records(self, version_id: VersionId) -> dict[str, bytes]:
-        """Return the records of any stored version as JSON by name; raises StoreError where there is none."""
+        """Return the records of any stored version as JSON by name; raises StoreError if there is no such version."""
         if not self.db.execute("SELECT 1 FROM version WHERE epoch = ? AND number = ?", version_id).fetchone():
             raise StoreError(f"there is no version {version_id[0]}.{version_id[1]}")
         bodies: dict[str, bytes] = {}
@@ -243,7 +246,7 @@
         return bodies
 
     def history(self, limit: int) -> list[dict[str, Any]]:
-        """Return JSON objects of the newest versions, the newest first."""
+        """Return the newest versions as JSON objects, newest first."""
         rows = self.db.execute(
             "SELECT epoch, number, pushed_ms, who, note, changed, removed FROM version "
             "ORDER BY epoch DESC, number DESC LIMIT ?",
@@ -262,16 +265,16 @@
         ]
 
     def allocate_serials(self) -> int:
-        """Return the first of a block of lease serials above all that were ever allocated, whatever clocks say."""
+        """Return the first of a block of lease serials, above all ever allocated; it does not depend on the clock."""
         with self.transaction():
             self.db.execute("INSERT INTO block DEFAULT VALUES")
             block = int(self.db.execute("SELECT max(id) FROM block").fetchone()[0])
         return block * SERIALS_PER_BLOCK
 
-    # --- the rollout's plan, heads, the audit
+    # --- rollout plan, heads, audit log
 
     def rollout_plan(self) -> RolloutPlan:
-        """Return the plan that was stored last."""
+        """Return the stored plan; an empty plan if there is none."""
         row = self.db.execute("SELECT body FROM course").fetchone()
         return msgspec.json.decode(row[0], type=RolloutPlan) if row else RolloutPlan()
 
@@ -296,7 +299,7 @@
         ]
 
     def record_head(self, name: str, now_ms: int) -> None:
-        """Record when a head was observed last."""
+        """Record when a head was last observed."""
         with self.transaction():
             self.db.execute(
                 "INSERT INTO head VALUES (?, ?) ON CONFLICT(name) DO UPDATE SET seen_ms = excluded.seen_ms",
@@ -304,19 +307,19 @@
             )
 
     def head_count(self) -> int:
-        """Return how many heads the installation has, as one of them reported last; 0: none ever has."""
+        """Return the number of heads in the installation, as last reported by one of them; 0 if none ever has."""
         row = self.db.execute("SELECT heads FROM size").fetchone()
         return int(row[0]) if row else 0
 
     def set_head_count(self, heads: int) -> None:
-        """Store how many heads the installation has."""
+        """Store the number of heads in the installation."""
         with self.transaction():
             self.db.execute(
                 "INSERT INTO size VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET heads = excluded.heads", (heads,)
             )
 
     def write_maintenance(self, body: bytes) -> None:
-        """Replace the statements on maintenance; to be called within a transaction."""
+        """Replace the maintenance statements; to be called within a transaction."""
         self.db.execute("INSERT INTO upkeep VALUES (1, ?) ON CONFLICT(one) DO UPDATE SET body = excluded.body", (body,))
 
     def append_audit(self, now_ms: int, actor: str, action: str, detail: str) -> None:
@@ -324,7 +327,7 @@
         self.db.execute("INSERT INTO audit(at_ms, who, what, detail) VALUES (?,?,?,?)", (now_ms, actor, action, detail))
 
     def audit_entries(self, limit: int) -> list[dict[str, Any]]:
-        """Return JSON objects of the newest audit entries, the newest first."""
+        """Return the newest audit entries as JSON objects, newest first."""
         rows = self.db.execute("SELECT at_ms, who, what, detail FROM audit ORDER BY id DESC LIMIT ?", (limit,))
         return [
             {"at_ms": at_ms, "who": actor, "what": action, "detail": detail} for at_ms, actor, action, detail in rows
--- a/hophinge/control/stream_client.py
+++ b/hophinge/control/stream_client.py
@@ -1,4 +1,4 @@
-"""A head's side of the stream, with I/O: carries out the follower's actions and passes events to it."""
+"""A head's side of the stream, with I/O: carries out the follower's actions and passes it events."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
 
 
 class StreamClient:
-    """Stream of one head, with an endpoint at a time.
+    """Stream client of one head, connected to one endpoint at a time.
 
     Args:
-        follower: Decides what is done.
+        follower: State machine that returns the actions to carry out.
         token: Bearer token of heads.
-        path: File of the last known good version; None: it is not persisted.
+        path: File of the last known good version; None if it is not persisted.
         apply_table: Called with the routing table of each version that is activated.
-        now_us: Monotonic clock.
-        log: Takes lines for operators.
-        collect_metrics: Returns what the head reports with each request.
-        disk: How the file is written.
+        now_us: Monotonic clock, in microseconds.
+        log: Called with log lines for operators.
+        collect_metrics: Returns the metrics that the head reports with its requests.
+        disk: System calls that write the file.
 
     """
 
@@ -90,16 +90,16 @@
         self.wakeup = asyncio.Event()
         self.bytes_received = 0
         self.bytes_sent = 0
-        # Hooks of the other users of the stream: accounts, maintenance and leases.
+        # Hooks for the other users of the stream: accounts, maintenance and leases.
         self.initial_requests: Callable[[], list[DiscoveryRequest]] = list
         self.on_account_response: Callable[[DiscoveryResponse], None] = lambda response: None
         self.on_maintenance_response: Callable[[DiscoveryResponse], None] = lambda response: None
         self.followup_requests: Callable[[bool], list[DiscoveryRequest]] = lambda is_heartbeat: []
-        self.lease_request_metrics: Callable[[], dict[str, float]] = dict  # empty: no lease is requested
+        self.lease_request_metrics: Callable[[], dict[str, float]] = dict  # empty if no lease is requested
         self.on_lease: Callable[[bytes], None] = lambda json: None
 
     def restore(self) -> None:
-        """Load the last known good version from its file, before the head serves."""
+        """Load the last known good version from its file; to be called before the head serves."""
         if self.path is None:
             return
         try:
@@ -119,7 +119,7 @@
 
     async def run(self) -> None:
         """Follow the control service until cancelled."""
-        self.follower.metrics = self.collect_metrics()  # the first request reports them too
+        self.follower.metrics = self.collect_metrics()  # the first request has metrics too
         self._perform(self.follower.start(self.now_us()))
         while True:
             self.wakeup.clear()
@@ -131,7 +131,7 @@
                 self._perform(self.follower.tick(self.now_us()))
 
     async def close(self) -> None:
-        """Close the stream, and wait until a version that is being written is on disk."""
+        """Close the stream, and wait for a pending write of the last known good version."""
         if self.stream_task is not None:
             self.stream_task.cancel()
             await asyncio.gather(self.stream_task, return_exceptions=True)
@@ -170,7 +170,7 @@
             reason = await self._exchange_messages(endpoint, outgoing)
         except (grpc.RpcError, MalformedMessageError, asyncio.InvalidStateError, OSError) as error:
             reason = error.details() or str(error.code()) if isinstance(error, AIO.AioRpcError) else str(error)
-        except Exception as error:  # a fault of this program: the active version stays, and operators see the trace
+        except Exception as error:  # a bug: the active version stays in use, and operators see the traceback
             self.log(traceback.format_exc())
             reason = repr(error)
         self.stream_task = None
@@ -178,7 +178,7 @@
         self._perform(self.follower.on_stream_closed(self.now_us(), one_line[:MAX_REASON_CHARS]))
 
     async def _exchange_messages(self, endpoint: str, outgoing: asyncio.Queue[DiscoveryRequest]) -> str:
-        """Send and receive until the service ends the stream; returns the reason that it gave."""
+        """Send and receive until the service ends the stream; returns its reason."""
         async with AIO.insecure_channel(endpoint, options=CHANNEL_OPTIONS) as channel:
             call = channel.stream_stream(f"/{SERVICE}/{METHOD}")(metadata=(("authorization", f"Bearer {self.token}"),))
             sending = asyncio.create_task(self._send_requests(call, outgoing))
@@ -188,7 +188,7 @@
             finally:
                 sending.cancel()
                 await asyncio.gather(sending, return_exceptions=True)
-            return await call.details() or "the service ended it"
+            return await call.details() or "the service ended the stream"
 
     async def _send_requests(self, call: Any, outgoing: asyncio.Queue[DiscoveryRequest]) -> None:
         while True:
@@ -202,7 +202,7 @@
         response = wire.decode_response(data)
         self._dispatch(response)
         is_heartbeat = response.nonce == HEARTBEAT_NONCE
-        # The service sends heartbeats at an interval, so they pace this head's lease requests too.
+        # The service sends heartbeats periodically, so this head sends its lease requests at their pace.
         if is_heartbeat and (metrics := self.lease_request_metrics()):
             outgoing.put_nowait(DiscoveryRequest(ResourceType.LEASE, head=self.follower.head, metrics=metrics))
         for request in self.followup_requests(is_heartbeat):
@@ -223,10 +223,10 @@
     # --- persistence
 
     def _schedule_persist(self, action: PersistVersion) -> None:
-        """Write the active version in the background; of versions that come meanwhile only the newest is written."""
+        """Write the active version in the background; of versions activated meanwhile only the newest is written."""
         if self.path is None:
             return
-        # Copied now: the replica may hold another version's records by the time that the disk is ready.
+        # Copied now, as the replica may hold another version's records by the time it is written.
         self.pending_snapshot = last_known_good.from_records(
             action.version, self.follower.stored_records, int(time.time() * 1000)
         )
@@ -240,6 +240,6 @@
             try:
                 await asyncio.to_thread(last_known_good.save, path, good, self.disk)
                 error = ""
-            except Exception as failure:  # whatever it is, operators must see that a restart would not find the version
+            except Exception as failure:  # of any type: operators must see that a restart would not restore the version
                 error = getattr(failure, "strerror", None) or repr(failure)
             self._perform(self.follower.on_persisted(good.version_id, error))
--- a/hophinge/control/transaction.py
+++ b/hophinge/control/transaction.py
@@ -1,4 +1,4 @@
-"""Transactions of the control service's store, which only the store's newest owner may begin."""
+"""Transactions of the control service's store, which only the newest service that opened the store may begin."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class FencedError(HophingeError):
-    """Another control service has taken over the store; this one must not write any more."""
+    """Another control service has taken over the store; this one must no longer write to it."""
 
     code = "control-fenced"
-    remedy = "Stop this control service: another one has this store now, and heads follow that."
+    remedy = "Stop this control service: another one has taken over its store, and heads follow that one."
 
 
 class Transaction:
-    """Context of one transaction: committed at its end, rolled back when its body raises."""
+    """Context manager of one transaction, which is committed at its end or rolled back if its body raises."""
 
     def __init__(self, db: sqlite3.Connection, fencing_token: int = 0) -> None:
-        """Create a transaction; with a token other than 0 it is refused once the store has a higher one."""
+        """Create a transaction; a token other than 0 must be the store's newest when the transaction begins."""
         self.db = db
         self.fencing_token = fencing_token
 
@@ -30,7 +30,7 @@
             if newest != self.fencing_token:
                 self.db.execute("ROLLBACK")
                 raise FencedError(
-                    f"start {newest} of a control service has taken the store over from {self.fencing_token}"
+                    f"a control service with fencing token {newest} has taken over the store from {self.fencing_token}"
                 )
 
     def __exit__(
--- a/hophinge/control/wire.py
+++ b/hophinge/control/wire.py
@@ -1,7 +1,7 @@
 """Protobuf encoding of the discovery stream's messages.
 
-Records, leases and accounts travel as JSON within a protobuf message, so that each is described in one place only:
-`hophinge.routing.records`, `hophinge.tenancy.leases` and `hophinge.tenancy.accounts`.
+Records, leases and accounts are encoded as JSON within a protobuf message, so that each is defined in one place only:
+`hophinge.routing.records`, `hophinge.tenancy.share_leases` and `hophinge.tenancy.accounts`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     version_text,
 )
 
-INVALID_ARGUMENT = 3  # google.rpc.Code of a rejected response, as xDS prescribes
+INVALID_ARGUMENT = 3  # google.rpc.Code of a rejected response, as xDS requires
 FINGERPRINT_BYTES = 16
 _FIELD = descriptor_pb2.FieldDescriptorProto
 _RECORD_FIELDS = (("json", _FIELD.TYPE_BYTES),)
@@ -67,8 +67,8 @@
     """Return the JSON of a record message; raises MalformedMessageError."""
     try:
         return bytes(_RECORD_MESSAGE.FromString(body).json)
-    except Exception as error:  # protobuf raises other types in each of its implementations
-        raise MalformedMessageError(f"a record that cannot be read: {error}") from error
+    except Exception as error:  # protobuf's implementations raise different types
+        raise MalformedMessageError(f"cannot decode a record: {error}") from error
 
 
 def version_resource(version: ConfigVersion) -> Resource:
@@ -87,10 +87,10 @@
     """Decode a version message; raises MalformedMessageError."""
     try:
         message = _VERSION_MESSAGE.FromString(body)
-    except Exception as error:  # as above
-        raise MalformedMessageError(f"a version that cannot be read: {error}") from error
+    except Exception as error:  # as in decode_record
+        raise MalformedMessageError(f"cannot decode a version: {error}") from error
     if not message.number or len(message.sum) != FINGERPRINT_BYTES:
-        raise MalformedMessageError("a version without number or sum")
+        raise MalformedMessageError("a version without a number or fingerprint sum")
     fingerprint_sum = int.from_bytes(message.sum, "big")
     return ConfigVersion((message.epoch, message.number), message.count, fingerprint_sum, message.pushed_ms)
 
@@ -111,11 +111,11 @@
     """Decode a response; raises MalformedMessageError."""
     try:
         message = discovery_pb2.DeltaDiscoveryResponse.FromString(data)
-    except Exception as error:  # as above
-        raise MalformedMessageError(f"a response that cannot be read: {error}") from error
+    except Exception as error:  # as in decode_record
+        raise MalformedMessageError(f"cannot decode a response: {error}") from error
     resource_type = RESOURCE_TYPES.get(message.type_url)
     if resource_type is None:
-        raise MalformedMessageError(f"a response of the unknown type {message.type_url!r}")
+        raise MalformedMessageError(f"a response of unknown type {message.type_url!r}")
     return DiscoveryResponse(
         resource_type,
         message.nonce,
@@ -148,11 +148,11 @@
     """Decode a request; raises MalformedMessageError."""
     try:
         message = discovery_pb2.DeltaDiscoveryRequest.FromString(data)
-    except Exception as error:  # as above
-        raise MalformedMessageError(f"a request that cannot be read: {error}") from error
+    except Exception as error:  # as in decode_record
+        raise MalformedMessageError(f"cannot decode a request: {error}") from error
     resource_type = RESOURCE_TYPES.get(message.type_url)
     if resource_type is None:
-        raise MalformedMessageError(f"a request for the unknown type {message.type_url!r}")
+        raise MalformedMessageError(f"a request for unknown type {message.type_url!r}")
     detail = message.error_detail
     return DiscoveryRequest(
         resource_type,
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -40,7 +40,7 @@
     refused = command(
         "control", "serve", "--store", str(tmp_path / "s.db"), "--heads", str(tmp_path / "t"), "--staff", str(token)
     )
-    assert refused.returncode == 2 and refused.stderr.startswith(f"hophinge: {tmp_path}/t:1: a line is NAME TOKEN")
+    assert refused.returncode == 2 and refused.stderr.startswith(f"hophinge: {tmp_path}/t:1: expected NAME TOKEN")
 
 
 def test_push_status_and_rollback_by_command(tmp_path: Path) -> None:
@@ -71,7 +71,7 @@
     for text, why in (
         ("a short", "16"),
         ("", "no token"),
-        (f"a {OPERATOR_TOKEN}\nb {OPERATOR_TOKEN}", "stands here again"),
+        (f"a {OPERATOR_TOKEN}\nb {OPERATOR_TOKEN}", "this token is already that of a"),
     ):
         path.write_text(text)
         with pytest.raises(ValueError, match=why):
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -71,7 +71,7 @@
             assert (await here.push("(hophinge 1) (limit (rate 5))", name="x.sexp"))["mistakes"] == [
                 "x.sexp:1:27: (rate ...): 5 has no unit; write it like 120 units/s"
             ]
-            with pytest.raises(ConnectionError, match="not one of staff"):
+            with pytest.raises(ConnectionError, match="not a known operator token"):
                 await here.call_operator_api("Push", token=HEAD_TOKEN, text=GOOD)
             with pytest.raises(ConnectionError, match=r"newest version is none, not 1\.7"):
                 await here.push(GOOD, expect="1.7")
@@ -79,7 +79,7 @@
             assert (await here.push(GOOD)) == {"version": "1.1", "unchanged": True}
             with pytest.raises(ConnectionError, match=r"no version 9\.9"):
                 await here.call_operator_api("Rollback", to="9.9")
-            with pytest.raises(ConnectionError, match="no rollout is held"):
+            with pytest.raises(ConnectionError, match="no rollout is paused"):
                 await here.call_operator_api("Resume")
             stranger = await here.head("n0", token="a-token-of-strangers")
             await until(lambda: follower(stranger).counters["connects"] >= 2)
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -85,7 +85,7 @@
     link.deliver()
     for version_id, rows, expected in (
         ((1, 5), GOOD[:3], "1.5 is lower than 1.7"),
-        ((1, 7), GOOD[:3], "has other records"),
+        ((1, 7), GOOD[:3], "has different records"),
     ):
         link.cut()
         link.publisher.target = snapshot(version_id, rows)
--- a/tests/test_discovery_stream.py
+++ b/tests/test_discovery_stream.py
@@ -84,10 +84,10 @@
     link = StreamLink()
     link.push(Snapshot.create((1, 1), {**bodies(GOOD), "odd/x": b'{"type":"odd"}'}, None, 0))
     link.deliver()
-    assert link.head.state is FollowerState.REJECTED and "odd/x: this head cannot read it" in link.head.reason
+    assert link.head.state is FollowerState.REJECTED and "odd/x: this head cannot decode it" in link.head.reason
     link.push(snapshot((1, 2), GOOD))
     link.deliver()
     assert link.head.active_name == "1.2"
     link.push(Snapshot.create((1, 3), {"plan/basic": records.encode(PlanOverride("other"))}, None, 0))
     link.deliver()
-    assert "it holds plan/other" in link.head.reason
+    assert "its content is that of plan/other" in link.head.reason
--- a/tests/test_maintenance_integration.py
+++ b/tests/test_maintenance_integration.py
@@ -75,14 +75,14 @@
     store.close()
     store = ControlStore(tmp_path / "v.db")
     again = MaintenanceStore(store, lambda: 0)
-    assert again.permits() == [ROW] and again.courses() == [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)]
+    assert again.permits() == [ROW] and again.releases() == [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)]
     assert again.zones(["n0", "n1"]) == {"n0": "z0", "n1": ""} and again.statements() == [Outage("o", ("b0",))]
-    assert again.issuer == promises.issuer and again.fence > promises.fence
+    assert again.issuer == promises.issuer and again.fencing_token > promises.fencing_token
     again.save([msgspec.structs.replace(ROW, state=PermitState.FREE)], [])
     assert again.permits() == []
     store.close()
     store = ControlStore(tmp_path / "v.db", new_epoch=True)
-    assert MaintenanceStore(store, lambda: 0).fence > again.fence + 900_000
+    assert MaintenanceStore(store, lambda: 0).fencing_token > again.fencing_token + 900_000
     store.close()
 
 
@@ -93,7 +93,7 @@
         ControlStore(tmp_path / "v.db")
     (tmp_path / "v.db.lock").unlink()  # as on a file system that has no locks
     new = ControlStore(tmp_path / "v.db")
-    with pytest.raises(FencedError, match="has taken the store over"):
+    with pytest.raises(FencedError, match="has taken over the store"):
         promises.save([ROW], [])
     with pytest.raises(FencedError):
         old.record_head("n0", 0)
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -94,9 +94,9 @@
                 return [holder.share("aa", heads[0].exchange.now_us()) for holder in holders]
 
             assert shares() == [0.0, 0.0]  # they have just started, and nothing told them what is safe
-            await until(lambda: here.service is not None and here.service.shares.allotment.issuer is not None)
-            assert here.service is not None and here.service.shares.allotment.issuer is not None
-            here.service.shares.allotment.issuer.no_grant_until_us = 0  # nobody was ever granted anything here
+            await until(lambda: here.service is not None and here.service.shares.allocator.issuer is not None)
+            assert here.service is not None and here.service.shares.allocator.issuer is not None
+            here.service.shares.allocator.issuer.no_grant_until_us = 0  # nobody was ever granted anything here
             await until(lambda: min(shares()) > 0)
             since, number = asyncio.get_running_loop().time(), itertools.count(1)
 
@@ -128,7 +128,7 @@
     async def main() -> None:
         async with installation(tmp_path) as here:
             assert (await here.push(GOOD + form.format(50)))["version"] == "1.1"  # any one head keeps it
-            with pytest.raises(ConnectionError, match="no head has told yet how many there are"):
+            with pytest.raises(ConnectionError, match="no head has reported the number of heads yet"):
                 await here.push(GOOD + form.format(90))
             head = await here.head("n0", {**SETTINGS, "Balancers": 2})
             await here.runs(head, "1.1")
