--- a/tests/administrator.py
+++ b/tests/administrator.py
@@ -1,4 +1,4 @@
-"""A head with the administration API, and who calls it with or without the operator's token."""
+"""A head with the administration API, and a client that calls it with or without the operator's token."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Caller:
-    """An operator with the token, or somebody without."""
+    """Client of a head's administration and object APIs; it sends the operator's token unless given another one."""
 
     def __init__(self, made: World, service: Service) -> None:
         self.made, self.service = made, service
@@ -29,8 +29,13 @@
         self, method: str, path: str, body: Any = None, token: str = TOKEN, status: int = 0, **fields: str
     ) -> Any:
         data = None if body is None else msgspec.json.encode(body)
-        sent = {"Authorization": f"Bearer {token}", **{name.replace("_", "-"): text for name, text in fields.items()}}
-        async with self.made.client.request(method, f"{self.admin}{path}", data=data, headers=sent) as response:
+        request_headers = {
+            "Authorization": f"Bearer {token}",
+            **{name.replace("_", "-"): text for name, text in fields.items()},
+        }
+        async with self.made.client.request(
+            method, f"{self.admin}{path}", data=data, headers=request_headers
+        ) as response:
             text = await response.read()
             self.tag = response.headers.get("ETag", "")
             self.answered = response
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -1,4 +1,4 @@
-"""Control members and heads in virtual time: the programs' own shells of soft state, on a network that can be cut."""
+"""Control members and heads in virtual time: the production code for soft state, on a network with partitions."""
 
 from __future__ import annotations
 
@@ -47,18 +47,18 @@
 
 @dataclass
 class ControlMember:
-    """One control member: what its disk holds, and its process where one runs."""
+    """One control member: the content of its disk, and its process if one is running."""
 
     settings: Settings
     records: list[LogRecord] = field(default_factory=list)
     departures: list[GossipRecord] = field(default_factory=list)
-    disk: int = 0  # how many disks it has lost
+    lost_disks: int = 0
     machine: ReplicaStateMachine | None = None
     soft_state: SoftState | None = None
 
 
 class SimulatedDepartures:
-    """The part of a member's disk that keeps departures: a record is there once its sync is over."""
+    """The departures on a member's disk; a record is stored once its sync has ended."""
 
     def __init__(self, member: ControlMember, confirm: Callable[[StoreRequest], None]) -> None:
         self.member = member
@@ -70,17 +70,17 @@
         asyncio.get_running_loop().call_later(SYNC_S, self._complete, request)
 
     def _complete(self, request: StoreRequest) -> None:
-        if self.member.machine is self.machine:  # the process has not been killed meanwhile
+        if self.member.machine is self.machine:  # the process has not been killed since
             self.member.departures.append(request.record)
             self.confirm(request)
 
     def tick(self) -> None:
-        """Its disk never fails."""
+        """Do nothing: this disk never fails."""
 
 
 @dataclass
 class AcknowledgedDrain:
-    """An instance's leaving that a member acknowledged."""
+    """A drain of an instance that a member has acknowledged."""
 
     instance: str
     member: str
@@ -88,12 +88,12 @@
 
 
 class ControlWorld:
-    """Members, heads, and the network between them."""
+    """Simulated members, heads, and the network between them."""
 
     def __init__(self, seed: int, voters: int = 3, others: int = 2, heads: int = 6) -> None:
         self.random, self.loop = Random(seed), asyncio.get_running_loop()
         self.blocked: set[tuple[str, str]] = set()
-        self.disturbed = self.loop.time()  # when a core machine or its links were last touched
+        self.last_fault_at = self.loop.time()  # when a member or a link last failed or recovered
         self.members: dict[str, ControlMember] = {}
         self.heads: dict[str, ClusterState] = {}
         self.known: dict[str, dict[str, Instance | None]] = {}  # by head and instance
@@ -108,11 +108,11 @@
     # --- machines ------------------------------------------------------------------------------------------------
 
     def start(self, address: str) -> None:
-        """Start a member's process with what its disk holds."""
+        """Start a member's process with the content of its disk."""
         member = self.members[address]
         settings = member.settings
         me = Replica(
-            f"disk-{address}-{member.disk}" if settings.can_vote else f"soft-{self.random.random()}",
+            f"disk-{address}-{member.lost_disks}" if settings.can_vote else f"soft-{self.random.random()}",
             address,
             settings.zone,
         )
@@ -128,22 +128,22 @@
             self._send(me, target, encode(message))
 
         def send_frame(target: str, data: bytes) -> None:
-            """Hints are no part of these plays."""
+            """Drop hints, which these tests do not use."""
 
         soft_state = member.soft_state = SoftState(settings, machine, send, HintRelay(send_frame))
         if settings.can_vote:
             soft_state.keep_departures(SimulatedDepartures(member, soft_state.confirm_stored))
         self._every(REPLICA_TICK_S, lambda: self._handle(member, machine, Tick()), machine, member)
         self._every(SOFT_STATE_TICK_S, soft_state.tick, machine, member)
-        self.disturbed = self.loop.time()
+        self.last_fault_at = self.loop.time()
 
     def kill(self, address: str) -> None:
         """End a member's process."""
         self.members[address].machine = self.members[address].soft_state = None
-        self.disturbed = self.loop.time()
+        self.last_fault_at = self.loop.time()
 
     def restart_head(self, address: str) -> None:
-        """Replace a head's process by a new one, which knows nothing."""
+        """Replace a head's process by a new one without any state."""
         old = self.heads[address]
         old.send = lambda target, message: None
         self.known[address].clear()
@@ -154,7 +154,7 @@
         self.kill(address)
         self.members[address].records = []
         self.members[address].departures = []
-        self.members[address].disk += 1
+        self.members[address].lost_disks += 1
 
     def _every(
         self, period: float, action: Callable[[], None], machine: ReplicaStateMachine, member: ControlMember
@@ -214,21 +214,21 @@
             member.soft_state.receive(source, message)
 
     def cut(self, inside: set[str], outside: set[str], one_way: bool = False) -> None:
-        """Cut some machines off from others until `heal`."""
-        self.blocked |= {(one, other) for one in inside for other in outside}
+        """Block messages from some machines to others until `heal`, and back unless `one_way`."""
+        self.blocked |= {(inner, outer) for inner in inside for outer in outside}
         if not one_way:
-            self.blocked |= {(other, one) for one in inside for other in outside}
-        self.disturbed = self.loop.time()
+            self.blocked |= {(outer, inner) for inner in inside for outer in outside}
+        self.last_fault_at = self.loop.time()
 
     def heal(self) -> None:
-        """End all cuts."""
+        """End all partitions."""
         self.blocked.clear()
-        self.disturbed = self.loop.time()
+        self.last_fault_at = self.loop.time()
 
     # --- instances -----------------------------------------------------------------------------------------------
 
     async def send_heartbeat(self, address: str, name: str, state: str, sequence: int) -> bool:
-        """Send an instance's heartbeat to a member; notes a leaving that it acknowledges."""
+        """Send an instance's heartbeat to a member; returns whether it was acknowledged, and records drains."""
         soft_state = self.members[address].soft_state
         if soft_state is None:
             return False
@@ -239,7 +239,7 @@
         return acknowledged
 
     def ready_at(self, name: str) -> list[str]:
-        """Tell the heads that would send work to an instance."""
+        """Return the addresses of the heads that would send requests to an instance."""
         return [
             address
             for address, known in self.known.items()
@@ -247,11 +247,13 @@
         ]
 
     def check(self) -> None:
-        """No head in touch sends work to an instance whose leaving was acknowledged longer ago than the bound."""
+        """Check that no reachable head sends requests to an instance whose drain was acknowledged over DRAIN_S ago."""
         now = self.loop.time()
-        if now - self.disturbed < CONTACT_S:
+        if now - self.last_fault_at < CONTACT_S:
             return
-        cut_off = {one for pair in self.blocked for one in pair if one in self.heads}
-        for one in self.acknowledged:
-            late = set(self.ready_at(one.instance)) - cut_off if now - one.at > DRAIN_S else set()
-            assert not late, f"{one.member} acknowledged {one.instance} at {one.at:.2f}: {late} send there at {now:.2f}"
+        cut_off = {address for link in self.blocked for address in link if address in self.heads}
+        for drain in self.acknowledged:
+            late = set(self.ready_at(drain.instance)) - cut_off if now - drain.at > DRAIN_S else set()
+            assert not late, (
+                f"{drain.member} acknowledged {drain.instance} at {drain.at:.2f}: {late} send there at {now:.2f}"
+            )
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -1,4 +1,4 @@
-"""Heads with streamed configuration and their control service over sockets, for tests."""
+"""Test helpers: heads with streamed configuration and their control service, connected by sockets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Installation:
-    """Heads with streamed configuration, and the control service in this process."""
+    """Heads with streamed configuration and their control service, both in the test's process."""
 
     def __init__(self, folder: Path, made: World) -> None:
         self.folder, self.made = folder, made
@@ -59,8 +59,8 @@
         stream = StreamConfig(endpoints or [f"127.0.0.1:{self.port}"], self.folder / "token", self.folder / "state")
         return await self.made.head(OperatorConfig(stream=stream), settings or SETTINGS, name=name)
 
-    async def push(self, text: str, **more: Any) -> dict[str, Any]:
-        return await self.call_operator_api("Push", text=text, **more)
+    async def push(self, text: str, **fields: Any) -> dict[str, Any]:
+        return await self.call_operator_api("Push", text=text, **fields)
 
     async def call_operator_api(self, method: str, token: str = OPERATOR_TOKEN, **body: Any) -> dict[str, Any]:
         answer = await call_operator_api(f"127.0.0.1:{self.port}", token, method, msgspec.json.encode(body))
@@ -78,39 +78,39 @@
 @asynccontextmanager
 async def installation(folder: Path, backends: int = 3) -> AsyncIterator[Installation]:
     async with world(*(Backend(at) for at in range(backends))) as made:
-        here = Installation(folder, made)
-        await here.control()
+        system = Installation(folder, made)
+        await system.control()
         try:
-            yield here
+            yield system
         finally:
             await made.kill_all()
-            if here.service is not None:
-                await here.service.stop()
+            if system.service is not None:
+                await system.service.stop()
 
 
-async def write(here: Installation, head: Service, number: int) -> int:
+async def write(system: Installation, head: Service, number: int) -> int:
     fields = headers(number, X_Placement="units=1,shard=-1,hosts=1")
-    async with here.made.client.put(
-        here.made.url(head) + TARGET.format(number % 256), data=b"x", headers=fields
+    async with system.made.client.put(
+        system.made.url(head) + TARGET.format(number % 256), data=b"x", headers=fields
     ) as answer:
         await answer.read()
         return answer.status
 
 
-async def status(asking: Any) -> int:
-    async with asking as answer:
+async def status(request: Any) -> int:
+    async with request as answer:
         await answer.read()
         return int(answer.status)
 
 
-def started(tmp_path: Path, *words: str) -> subprocess.Popen[str]:
-    return subprocess.Popen([sys.executable, "-m", "hophinge", *words], cwd=ROOT, stderr=subprocess.PIPE, text=True)
+def start_command(tmp_path: Path, *arguments: str) -> subprocess.Popen[str]:
+    return subprocess.Popen([sys.executable, "-m", "hophinge", *arguments], cwd=ROOT, stderr=subprocess.PIPE, text=True)
 
 
 def serving(tmp_path: Path, port: int = 0) -> tuple[subprocess.Popen[str], int]:
     (tmp_path / "heads").write_text(f"# of heads\nheads {HEAD_TOKEN}\n")
     (tmp_path / "staff").write_text(f"tester {OPERATOR_TOKEN}\n")
-    process = started(
+    process = start_command(
         tmp_path,
         "control",
         "serve",
@@ -128,4 +128,4 @@
     for line in process.stderr:
         if "listens on" in line:
             return process, int(json.loads(line)["event"].partition("(port ")[2].partition(")")[0])
-    raise AssertionError("it does not serve")
+    raise AssertionError("the control service ended before it listened")
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -1,4 +1,4 @@
-"""Command line of the control service, and the files that it and heads read."""
+"""Command line of the control service, and the files that the service and heads read."""
 
 from __future__ import annotations
 
@@ -15,9 +15,14 @@
 from tests.test_service import ROOT
 
 
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+def command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "hophinge", *words], cwd=ROOT, capture_output=True, text=True, timeout=30, check=False
+        [sys.executable, "-m", "hophinge", *arguments],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=30,
+        check=False,
     )
 
 
@@ -26,16 +31,16 @@
     assert good.returncode == 0 and "3 pool" in good.stdout
     bad = tmp_path / "bad.sexp"
     bad.write_text("(hophinge 1)\n(limit (rate 5))\n(odd)\n")
-    done = command("check", str(bad))
-    assert done.returncode == 2 and [line.split(": ")[0] for line in done.stderr.splitlines()] == [
+    result = command("check", str(bad))
+    assert result.returncode == 2 and [line.split(": ")[0] for line in result.stderr.splitlines()] == [
         f"{bad}:2:14",
         f"{bad}:3:1",
     ]
     assert command("check", str(tmp_path / "none")).returncode == 2
     token = tmp_path / "token"
     token.write_text(OPERATOR_TOKEN)
-    away = command("control", "status", "--token-file", str(token), "--address", "127.0.0.1:9")
-    assert away.returncode == 1 and away.stderr.count("\n") == 1 and "127.0.0.1:9" in away.stderr
+    unreachable = command("control", "status", "--token-file", str(token), "--address", "127.0.0.1:9")
+    assert unreachable.returncode == 1 and unreachable.stderr.count("\n") == 1 and "127.0.0.1:9" in unreachable.stderr
     (tmp_path / "t").write_text("x short\n")
     refused = command(
         "control", "serve", "--store", str(tmp_path / "s.db"), "--heads", str(tmp_path / "t"), "--staff", str(token)
@@ -47,18 +52,21 @@
     process, port = serving(tmp_path)
     token = tmp_path / "token"
     token.write_text(OPERATOR_TOKEN)
-    reach = ("--token-file", str(token), "--address", f"127.0.0.1:{port}")
+    connection_options = ("--token-file", str(token), "--address", f"127.0.0.1:{port}")
     try:
-        assert command("control", "push", "examples/service.sexp", *reach, "--note", "first").stdout == "version 1.1\n"
-        assert "holds this already" in command("control", "push", "examples/service.sexp", *reach).stdout
+        assert (
+            command("control", "push", "examples/service.sexp", *connection_options, "--note", "first").stdout
+            == "version 1.1\n"
+        )
+        assert "holds this already" in command("control", "push", "examples/service.sexp", *connection_options).stdout
         (tmp_path / "b.sexp").write_text("(hophinge 1)(odd)")
-        bad = command("control", "push", str(tmp_path / "b.sexp"), *reach)
+        bad = command("control", "push", str(tmp_path / "b.sexp"), *connection_options)
         assert bad.returncode == 2 and "b.sexp:1:13: unknown form 'odd'" in bad.stderr
-        assert "version 1.2 has the content of 1.1" in command("control", "rollback", "1.1", *reach).stdout
-        shown = command("control", "status", *reach)
+        assert "version 1.2 has the content of 1.1" in command("control", "rollback", "1.1", *connection_options).stdout
+        shown = command("control", "status", *connection_options)
         assert shown.returncode == 0 and "version 1.2 is rolling" in shown.stdout
-        assert "first" in command("control", "history", *reach).stdout
-        assert command("control", "resume", *reach).returncode == 1
+        assert "first" in command("control", "history", *connection_options).stdout
+        assert command("control", "resume", *connection_options).returncode == 1
     finally:
         process.terminate()
         assert process.wait() == 0
@@ -68,13 +76,13 @@
 
 def test_token_files_are_validated(tmp_path: Path) -> None:
     path = tmp_path / "t"
-    for text, why in (
+    for text, message in (
         ("a short", "16"),
         ("", "no token"),
         (f"a {OPERATOR_TOKEN}\nb {OPERATOR_TOKEN}", "this token is already that of a"),
     ):
         path.write_text(text)
-        with pytest.raises(ValueError, match=why):
+        with pytest.raises(ValueError, match=message):
             read_tokens(path)
 
 
@@ -93,5 +101,5 @@
         " 'structlog', 'sqlite3') or name.startswith(('hophinge.control', 'hophinge.routing', 'hophinge.cli',"
         " 'hophinge.state'))]\nprint(odd)"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout == "[]\n"
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert result.stdout == "[]\n"
--- a/tests/test_control_drains.py
+++ b/tests/test_control_drains.py
@@ -1,4 +1,4 @@
-"""Acknowledged leavings in virtual time: they bind wherever their giver stands, also on the wrong side of a cut."""
+"""Acknowledged drains in virtual time: an acknowledged drain holds, also when its member is partitioned afterwards."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 ONE, TWO, THREE, FOUR, FIVE = (f"10.0.0.{number}:7660" for number in range(1, 6))
 
 
-async def _formed(seed: int, voters: int = 3) -> ControlWorld:
-    """A fleet that has stood for some seconds and knows an instance."""
+async def _formed_fleet(seed: int, voters: int = 3) -> ControlWorld:
+    """Return a fleet that has run for some seconds and knows an instance."""
     world = ControlWorld(seed, voters, 5 - voters)
     await asyncio.sleep(FORMED_S)
     assert await world.send_heartbeat(ONE, "i", READY, 1)
@@ -27,37 +27,37 @@
 
 
 async def _watch(world: ControlWorld, seconds: float) -> None:
-    """Let time pass while the instance says that it leaves, and check."""
-    until = world.loop.time() + seconds
-    while world.loop.time() < until:
+    """Check the world's invariant repeatedly for some seconds."""
+    deadline = world.loop.time() + seconds
+    while world.loop.time() < deadline:
         await asyncio.sleep(0.1)
         world.check()
 
 
-def test_in_a_calm_fleet_a_leaving_is_acknowledged_at_once_and_everybody_knows() -> None:
+def test_without_faults_a_drain_is_acknowledged_at_once_and_reaches_all_heads() -> None:
     async def run() -> None:
-        world = await _formed(1)
-        asked = world.loop.time()
+        world = await _formed_fleet(1)
+        sent_at = world.loop.time()
         assert await world.send_heartbeat(FIVE, "i", DRAINING, 2)
-        assert world.loop.time() - asked < 0.1
+        assert world.loop.time() - sent_at < 0.1
         await asyncio.sleep(0.1)
         assert not world.ready_at("i")
         await world.send_heartbeat(ONE, "i", READY, 1)
         await asyncio.sleep(0.1)
-        assert not world.ready_at("i"), "a late heartbeat brings nothing back"
+        assert not world.ready_at("i"), "a late heartbeat does not undo a drain"
 
     play(run())
 
 
 @pytest.mark.parametrize("cut_off", [{ONE}, {ONE, FOUR}, {FOUR, FIVE}, {ONE, FOUR, FIVE}])
-def test_members_cut_off_from_the_core_acknowledge_no_leaving_even_together(cut_off: set[str]) -> None:
+def test_members_partitioned_from_the_majority_acknowledge_no_drain(cut_off: set[str]) -> None:
     async def run() -> None:
-        world = await _formed(2)
+        world = await _formed_fleet(2)
         world.cut(cut_off, (set(world.members) | set(world.heads)) - cut_off)
         for moment in range(6):
             assert not await world.send_heartbeat(min(cut_off), "i", DRAINING, 2 + moment)
             await asyncio.sleep(HEARTBEAT_S)
-        assert await world.send_heartbeat(TWO, "i", DRAINING, 9), "the majority's side acknowledges"
+        assert await world.send_heartbeat(TWO, "i", DRAINING, 9), "a member on the majority's side acknowledges"
         await _watch(world, CONTACT_S + DRAIN_S + 1.0)
         world.heal()
         await _watch(world, CONTACT_S + DRAIN_S + 1.0)
@@ -66,17 +66,17 @@
     play(run())
 
 
-@pytest.mark.parametrize("giver", [ONE, FIVE])
-def test_a_leaving_is_known_though_its_giver_is_lost_or_cut_off_right_after_it_acknowledged(giver: str) -> None:
+@pytest.mark.parametrize("acknowledger", [ONE, FIVE])
+def test_an_acknowledged_drain_survives_the_partition_and_loss_of_the_acknowledging_member(acknowledger: str) -> None:
     async def run() -> None:
-        world = await _formed(3)
-        assert await world.send_heartbeat(giver, "i", DRAINING, 2)
-        world.cut({giver}, (set(world.members) | set(world.heads)) - {giver})
+        world = await _formed_fleet(3)
+        assert await world.send_heartbeat(acknowledger, "i", DRAINING, 2)
+        world.cut({acknowledger}, (set(world.members) | set(world.heads)) - {acknowledger})
         await _watch(world, 6.0)
         assert not world.ready_at("i")
-        world.kill(giver)
+        world.kill(acknowledger)
         world.heal()
-        world.start(giver)
+        world.start(acknowledger)
         await _watch(world, 6.0)
         assert not world.ready_at("i")
 
@@ -85,22 +85,22 @@
 
 def test_two_of_five_voters_that_are_cut_off_together_acknowledge_nothing() -> None:
     async def run() -> None:
-        world = await _formed(6, voters=5)
-        pair = {ONE, TWO}
-        world.cut(pair, (set(world.members) | set(world.heads)) - pair)
+        world = await _formed_fleet(6, voters=5)
+        minority = {ONE, TWO}
+        world.cut(minority, (set(world.members) | set(world.heads)) - minority)
         await asyncio.sleep(1.2)
         for moment in range(4):
-            assert not await world.send_heartbeat(min(pair), "i", DRAINING, 2 + moment)
+            assert not await world.send_heartbeat(min(minority), "i", DRAINING, 2 + moment)
         assert await world.send_heartbeat(THREE, "i", DRAINING, 9)
         await _watch(world, CONTACT_S + DRAIN_S + 1.0)
 
     play(run())
 
 
-def test_a_leaving_reaches_those_whom_its_giver_cannot_reach() -> None:
+def test_a_drain_reaches_members_that_the_acknowledging_member_cannot_reach() -> None:
     async def run() -> None:
-        world = await _formed(7)
-        world.cut({ONE}, {THREE})  # each of them reaches the third voter
+        world = await _formed_fleet(7)
+        world.cut({ONE}, {THREE})  # both still reach the third voter
         await asyncio.sleep(1.2)
         assert await world.send_heartbeat(ONE, "i", DRAINING, 2)
         await asyncio.sleep(0.05)
@@ -109,10 +109,10 @@
     play(run())
 
 
-def test_a_member_that_reaches_the_core_acknowledges_while_another_is_cut_off() -> None:
+def test_a_member_that_reaches_a_majority_acknowledges_while_another_is_partitioned() -> None:
     async def run() -> None:
-        world = await _formed(4)
-        world.cut({THREE}, {ONE, TWO})  # as the core is cut: heads and other members reach both sides
+        world = await _formed_fleet(4)
+        world.cut({THREE}, {ONE, TWO})  # only between voters: heads and other members reach both sides
         await asyncio.sleep(1.2)
         assert await world.send_heartbeat(TWO, "i", DRAINING, 2)
         assert not await world.send_heartbeat(THREE, "i", DRAINING, 3)
@@ -122,18 +122,18 @@
     play(run())
 
 
-def test_an_older_word_than_what_is_known_acknowledges_nothing() -> None:
+def test_an_outdated_heartbeat_acknowledges_no_drain() -> None:
     async def run() -> None:
-        world = await _formed(5)
+        world = await _formed_fleet(5)
         await world.send_heartbeat(TWO, "i", READY, 9)
         await asyncio.sleep(1.0)
-        assert not await world.send_heartbeat(ONE, "i", DRAINING, 5), "it said since that it is ready"
+        assert not await world.send_heartbeat(ONE, "i", DRAINING, 5), "a later heartbeat said that it is ready"
 
     play(run())
 
 
-async def _disturb(world: ControlWorld, random: Random) -> None:
-    """One disturbance of the core, for some seconds."""
+async def _inject_fault(world: ControlWorld, random: Random) -> None:
+    """Kill or partition one or two members, for some seconds."""
     inside = set(random.sample(sorted(world.members), random.choice([1, 1, 2])))
     everybody = set(world.members) | set(world.heads)
     kind = random.choice(["all", "core", "one_way", "kill"])
@@ -149,12 +149,12 @@
     world.heal()
 
 
-async def _leave(world: ControlWorld, random: Random, name: str, asked: int) -> None:
-    """One instance: ready for a while, then leaving, at whichever member answers."""
+async def _run_instance(world: ControlWorld, random: Random, name: str, drain_sequence: int) -> None:
+    """Send heartbeats of an instance to any member that answers: ready at first, draining from `drain_sequence` on."""
     sequence = 0
     while sequence < 200:
         sequence += 1
-        state = READY if sequence < asked else DRAINING
+        state = READY if sequence < drain_sequence else DRAINING
         members = random.sample(sorted(world.members), len(world.members))
         for address in members[:3]:
             if await world.send_heartbeat(address, name, state, sequence):
@@ -164,19 +164,21 @@
 
 
 @pytest.mark.parametrize("seed", range(HISTORIES))
-def test_drawn_histories_hide_no_acknowledged_leaving(seed: int) -> None:
+def test_random_faults_lose_no_acknowledged_drain(seed: int) -> None:
     async def run() -> None:
         random, voters = Random(seed), 3 + seed % 3
         world = ControlWorld(seed, voters, 6 - voters)
         await asyncio.sleep(FORMED_S)
-        leaving = [asyncio.create_task(_leave(world, random, f"i-{number}", 4 + 9 * number)) for number in range(6)]
+        instances = [
+            asyncio.create_task(_run_instance(world, random, f"i-{number}", 4 + 9 * number)) for number in range(6)
+        ]
         for _ in range(5):
-            disturbing = asyncio.create_task(_disturb(world, random))
-            while not disturbing.done():
+            fault = asyncio.create_task(_inject_fault(world, random))
+            while not fault.done():
                 await _watch(world, 0.3)
             await _watch(world, random.choice([0.5, 4.0, 7.0]))
         await _watch(world, CONTACT_S + DRAIN_S + 2.0)
-        for task in leaving:
+        for task in instances:
             task.cancel()
         assert len(world.acknowledged) >= 3
 
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -1,4 +1,4 @@
-"""Control service and heads over sockets: what operators push, and what heads do with it."""
+"""Control service and heads over sockets: pushes by operators, and how heads activate or reject the versions."""
 
 from __future__ import annotations
 
@@ -29,36 +29,36 @@
 
 def test_pushed_versions_reach_heads_and_status_shows_them(tmp_path: Path) -> None:
     async def main() -> None:
-        async with installation(tmp_path) as here:
-            one = await here.head("n0")
-            two = await here.head("n1", setup(Zones=["hall-a", "the-moon"]))
-            assert (await here.push(GOOD))["version"] == "1.1"
-            await here.runs(one, "1.1")
-            await here.runs(two, "1.1")
-            assert (await here.push(MOON))["version"] == "1.2"  # good for one of them
-            await here.runs(two, "1.2")
-            await until(lambda: follower(one).state.value == "turned down")
-            status_now, rows = await here.call_operator_api("Status"), dict[str, Any]()
+        async with installation(tmp_path) as system:
+            first_head = await system.head("n0")
+            second_head = await system.head("n1", setup(Zones=["hall-a", "the-moon"]))
+            assert (await system.push(GOOD))["version"] == "1.1"
+            await system.runs(first_head, "1.1")
+            await system.runs(second_head, "1.1")
+            assert (await system.push(MOON))["version"] == "1.2"  # valid for one of the heads only
+            await system.runs(second_head, "1.2")
+            await until(lambda: follower(first_head).state.value == "turned down")
+            status_now, rows = await system.call_operator_api("Status"), dict[str, Any]()
             while (
                 rows.get("n1", {}).get("runs") != "1.2"
             ):  # a head runs a version before the service gets its acknowledgement
-                status_now = await here.call_operator_api("Status")
+                status_now = await system.call_operator_api("Status")
                 rows = {row["name"]: row for row in status_now["heads"]}
             assert (rows["n0"]["runs"], rows["n1"]["runs"]) == ("1.1", "1.2")
             assert "unknown zone the-moon" in rows["n0"]["reason"] and status_now["stage"] == "held"
-            assert one.control_listener is not None
-            host, port = one.control_listener.sockets[0].getsockname()
-            async with here.made.client.get(f"http://{host}:{port}/ops/config") as answer:
-                shown = json.loads(await answer.text())
-            assert shown["running"] == "1.1" and "the-moon" in shown["reason"]
-            back = await here.call_operator_api("Rollback", to="1.1", at_once=True)
-            assert back["version"] == "1.3"
-            await here.runs(one, "1.3")
-            await here.runs(two, "1.3")
-            assert here.service is not None
-            rollout = here.service.rollout
+            assert first_head.control_listener is not None
+            host, port = first_head.control_listener.sockets[0].getsockname()
+            async with system.made.client.get(f"http://{host}:{port}/ops/config") as answer:
+                config_status = json.loads(await answer.text())
+            assert config_status["running"] == "1.1" and "the-moon" in config_status["reason"]
+            rollback = await system.call_operator_api("Rollback", to="1.1", at_once=True)
+            assert rollback["version"] == "1.3"
+            await system.runs(first_head, "1.3")
+            await system.runs(second_head, "1.3")
+            assert system.service is not None
+            rollout = system.service.rollout
             await until(lambda: rollout.plan.stage.value == "done")
-            history = await here.call_operator_api("History")
+            history = await system.call_operator_api("History")
             assert [row["version"] for row in history["versions"]] == ["1.3", "1.2", "1.1"]
             assert {row["what"] for row in history["audit"]} >= {"push", "hold", "done"}
 
@@ -67,32 +67,34 @@
 
 def test_invalid_documents_tokens_and_expectations_change_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        async with installation(tmp_path) as here:
-            assert (await here.push("(hophinge 1) (limit (rate 5))", name="x.sexp"))["mistakes"] == [
+        async with installation(tmp_path) as system:
+            assert (await system.push("(hophinge 1) (limit (rate 5))", name="x.sexp"))["mistakes"] == [
                 "x.sexp:1:27: (rate ...): 5 has no unit; write it like 120 units/s"
             ]
             with pytest.raises(ConnectionError, match="not a known operator token"):
-                await here.call_operator_api("Push", token=HEAD_TOKEN, text=GOOD)
+                await system.call_operator_api("Push", token=HEAD_TOKEN, text=GOOD)
             with pytest.raises(ConnectionError, match=r"newest version is none, not 1\.7"):
-                await here.push(GOOD, expect="1.7")
-            await here.push(GOOD, expect="none")
-            assert (await here.push(GOOD)) == {"version": "1.1", "unchanged": True}
+                await system.push(GOOD, expect="1.7")
+            await system.push(GOOD, expect="none")
+            assert (await system.push(GOOD)) == {"version": "1.1", "unchanged": True}
             with pytest.raises(ConnectionError, match=r"no version 9\.9"):
-                await here.call_operator_api("Rollback", to="9.9")
+                await system.call_operator_api("Rollback", to="9.9")
             with pytest.raises(ConnectionError, match="no rollout is paused"):
-                await here.call_operator_api("Resume")
-            stranger = await here.head("n0", token="a-token-of-strangers")
-            await until(lambda: follower(stranger).counters["connects"] >= 2)
-            assert follower(stranger).active_name == "none" and stranger.is_ready()  # it serves without
+                await system.call_operator_api("Resume")
+            unauthorized_head = await system.head("n0", token="a-token-of-strangers")
+            await until(lambda: follower(unauthorized_head).counters["connects"] >= 2)
+            assert (
+                follower(unauthorized_head).active_name == "none" and unauthorized_head.is_ready()
+            )  # it serves without a version
 
     run(main())
 
 
 def test_version_change_does_not_affect_500_waiting_requests(tmp_path: Path) -> None:
     async def main() -> None:
-        async with installation(tmp_path) as here, ClientSession(connector=TCPConnector(limit=0)) as client:
+        async with installation(tmp_path) as system, ClientSession(connector=TCPConnector(limit=0)) as client:
             gate = asyncio.Event()
-            for backend in here.made.backends:
+            for backend in system.made.backends:
                 backend.behave = held_by(gate)
             settings = {
                 **SETTINGS,
@@ -100,17 +102,17 @@
                     {**row, "GoalTimeUs": 30_000_000, "DeadlineUs": 80_000_000} for row in SETTINGS["RequestClasses"]
                 ],
             }
-            head = await here.head("n0", settings)
-            await here.push(GOOD)
-            await here.runs(head, "1.1")
+            head = await system.head("n0", settings)
+            await system.push(GOOD)
+            await system.runs(head, "1.1")
             assert head.streamed is not None
             router = head.streamed.router
             fields = {"X_Remaining_Ms": "80000", "X_Placement": "units=0.1,shard=-1,hosts=1"}
-            target = here.made.url(head) + TARGET
-            # The wait takes no time by the head's clock: a brick that took seconds for one request would teach it that
-            # the others cannot be served in time, and they would be refused for that, with no change of versions.
+            target = system.made.url(head) + TARGET
+            # The head's clock stands still during the wait. If it saw a backend take seconds for one request, it would
+            # expect the others to miss their deadline, and would reject them regardless of the version change.
             clock = head.exchange.now_us = HeldClock(head.exchange.now_us)
-            asked = [
+            requests = [
                 asyncio.create_task(
                     status(client.put(target.format(at % 256), data=b"x", headers=headers(at + 1, **fields)))
                 )
@@ -118,13 +120,15 @@
             ]
             await until(lambda: head.exchange.unanswered == 500)
             assert router.open_by_version == {(1, 1): 500}
-            # The pool that they came under goes, and so does every limit that they hold.
-            await here.push("(hophinge 1) (pool other (zones hall-a)) (route (pools other)) (limit (open 1 requests))")
-            await here.runs(head, "1.2")
+            # The new version removes the pool of the waiting requests, and each limit that counts them.
+            await system.push(
+                "(hophinge 1) (pool other (zones hall-a)) (route (pools other)) (limit (open 1 requests))"
+            )
+            await system.runs(head, "1.2")
             assert router.open_by_version[1, 1] == 500 and router.status()["draining_versions"] == 1
             clock.go_on()
             gate.set()
-            assert await asyncio.gather(*asked) == [200] * 500
+            assert await asyncio.gather(*requests) == [200] * 500
             assert (
                 not router.open_by_version.get((1, 1))
                 and (1, 1) not in router.failover_levels.tables
@@ -136,24 +140,24 @@
 
 def test_limits_reject_at_once_with_retry_after_and_routes_keep_writes_in_their_pool(tmp_path: Path) -> None:
     async def main() -> None:
-        async with installation(tmp_path) as here:
-            head = await here.head("n0")
-            await here.push(
+        async with installation(tmp_path) as system:
+            head = await system.head("n0")
+            await system.push(
                 "(hophinge 1) (pool one (bricks s-1)) (tenant alba (volumes 00000003b4d60021))"
                 "(route (tenant alba) (class transfer-write) (pools one))"
                 "(limit (tenant alba) (rate 1 units/s) (burst 3 s))"
             )
-            await here.runs(head, "1.1")
-            codes = [await write(here, head, at) for at in range(1, 4)]
+            await system.runs(head, "1.1")
+            codes = [await write(system, head, at) for at in range(1, 4)]
             assert codes == [200] * 3
-            assert [len(backend.objects) for backend in here.made.backends] == [0, 3, 0]
-            since = time.monotonic()
+            assert [len(backend.objects) for backend in system.made.backends] == [0, 3, 0]
+            started_s = time.monotonic()
             fields = headers(9, X_Placement="units=1,shard=-1,hosts=1")
-            async with here.made.client.put(
-                here.made.url(head) + TARGET.format(9), data=b"x", headers=fields
+            async with system.made.client.put(
+                system.made.url(head) + TARGET.format(9), data=b"x", headers=fields
             ) as answer:
                 assert answer.status == 503 and 0 < float(answer.headers["Retry-After"]) <= 1
-            assert time.monotonic() - since < 0.6  # half of what a write may take: nobody held it back
+            assert time.monotonic() - started_s < 0.6  # half the time that a write may take: it was not queued
             assert head.counters.counts["requests_turned_away"] == 1
 
     run(main())
@@ -161,14 +165,14 @@
 
 def test_newer_stream_of_a_head_replaces_its_old_one(tmp_path: Path) -> None:
     async def main() -> None:
-        async with installation(tmp_path) as here:
-            await here.push(GOOD)
-            one = await here.head("n0")
-            await here.runs(one, "1.1")
-            two = await here.head("n0")
-            await here.runs(two, "1.1")
-            await until(lambda: follower(one).counters["connects"] >= 2)
-            status_now = await here.call_operator_api("Status")
+        async with installation(tmp_path) as system:
+            await system.push(GOOD)
+            first_head = await system.head("n0")
+            await system.runs(first_head, "1.1")
+            second_head = await system.head("n0")
+            await system.runs(second_head, "1.1")
+            await until(lambda: follower(first_head).counters["connects"] >= 2)
+            status_now = await system.call_operator_api("Status")
             assert [row["name"] for row in status_now["heads"]] == ["n0"]
 
     run(main())
@@ -176,10 +180,10 @@
 
 def test_second_endpoint_takes_over(tmp_path: Path) -> None:
     async def main() -> None:
-        async with installation(tmp_path) as here:
-            await here.push(GOOD)
-            head = await here.head("n0", endpoints=["127.0.0.1:9", f"127.0.0.1:{here.port}"])
-            await here.runs(head, "1.1")
+        async with installation(tmp_path) as system:
+            await system.push(GOOD)
+            head = await system.head("n0", endpoints=["127.0.0.1:9", f"127.0.0.1:{system.port}"])
+            await system.runs(head, "1.1")
             assert follower(head).counters["failovers"] >= 1
 
     run(main())
--- a/tests/test_control_service_kills.py
+++ b/tests/test_control_service_kills.py
@@ -1,4 +1,4 @@
-"""Processes of control services and heads that are killed."""
+"""Control services and heads as processes that are killed."""
 
 from __future__ import annotations
 
@@ -42,35 +42,35 @@
 
 def test_service_killed_while_sending_a_large_version_sends_all_of_it_after_restart(tmp_path: Path) -> None:
     count = 20_000
-    big = GOOD + "".join(f"(limit (tenant t{at}) (open 9 requests))" for at in range(count))
+    large_document = GOOD + "".join(f"(limit (tenant t{at}) (open 9 requests))" for at in range(count))
 
     async def main() -> None:
         async with world(Backend(0)) as made:
-            here = Installation(tmp_path, made)
-            process, here.port = serving(tmp_path)
-            head = await here.head("n0")
+            system = Installation(tmp_path, made)
+            process, system.port = serving(tmp_path)
+            head = await system.head("n0")
             await until(lambda: follower(head).is_connected)
             on_response, killed_at = follower(head).on_response, 0
 
-            def killing(now_us: int, response: Any) -> Any:
+            def on_response_then_kill(now_us: int, response: Any) -> Any:
                 nonlocal killed_at
                 actions = on_response(now_us, response)
-                if follower(head).stored_records and not killed_at:  # some records are here, not all
+                if follower(head).stored_records and not killed_at:  # some of the records have arrived
                     killed_at = len(follower(head).stored_records)
                     process.kill()
                 return actions
 
-            follower(head).on_response = killing  # type: ignore[method-assign]
+            follower(head).on_response = on_response_then_kill  # type: ignore[method-assign]
             try:
-                with contextlib.suppress(ConnectionError):  # its answer may be lost with it
-                    await here.push(big)
+                with contextlib.suppress(ConnectionError):  # the response may be lost
+                    await system.push(large_document)
                 await until(lambda: bool(killed_at))
                 process.wait()
                 assert killed_at < count
                 assert process.stderr is not None
                 process.stderr.close()
-                process, here.port = serving(tmp_path, here.port)
-                await here.runs(head, "1.1")
+                process, system.port = serving(tmp_path, system.port)
+                await system.runs(head, "1.1")
                 assert len(follower(head).stored_records) == count + 2
             finally:
                 process.kill()
@@ -99,10 +99,10 @@
                 for line in head.stdout:
                     if "is active" in line or " serves on " in line:
                         break
-                until_s = time.monotonic() + 0.1 + 0.07 * turn
+                deadline_s = time.monotonic() + 0.1 + 0.07 * turn
                 number = 0
-                # At least until a version of this turn is kept: a busy machine may take longer than the turn.
-                while time.monotonic() < until_s or not path.exists():
+                # At least until a version is persisted, which on a busy machine may take longer than the deadline.
+                while time.monotonic() < deadline_s or not path.exists():
                     number += 1
                     text = GOOD + "".join(
                         f"(limit (tenant t{at}) (open {turn * 1000 + number} requests))" for at in range(200)
@@ -117,7 +117,7 @@
                 head.wait()
                 assert head.stdout is not None
                 head.stdout.close()
-            stored = last_known_good.load(path)  # StateFileError would be a torn file
+            stored = last_known_good.load(path)  # raises StateFileError if the file is corrupt
             if stored is not None:
                 restored_ids.append(stored.version_id)
     finally:
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -25,17 +25,17 @@
 
 def test_versions_plan_and_audit_survive_a_restart(tmp_path: Path) -> None:
     store = ControlStore(tmp_path / "s.db")
-    one, two = push(store, GOOD), push(store, GOOD[:3])
+    first, second = push(store, GOOD), push(store, GOOD[:3])
     store.record_head("n0", 5)
     with pytest.raises(StoreError, match="another control service"):
         ControlStore(tmp_path / "s.db")
     store.close()
     reopened = ControlStore(tmp_path / "s.db")
     assert {version_id: dict(snapshot.records) for version_id, snapshot in reopened.snapshots.items()} == {
-        one.id: dict(one.records),
-        two.id: dict(two.records),
+        first.id: dict(first.records),
+        second.id: dict(second.records),
     }
-    assert reopened.newest is not None and reopened.newest.version == two.version
+    assert reopened.newest is not None and reopened.newest.version == second.version
     assert reopened.rollout_plan().target == (1, 2) and reopened.rollout_plan().stage is RolloutStage.ROLLING
     assert reopened.rollout_rule((1, 2)) == Rule(soak_us=5) and reopened.known_heads() == [("n0", 5)]
     assert reopened.version_records((1, 1)) == bodies(GOOD)
@@ -43,9 +43,9 @@
     with pytest.raises(StoreError, match=r"no version 1\.9"):
         reopened.version_records((1, 9))
     reopened.close()
-    raised = ControlStore(tmp_path / "s.db", new_epoch=True)
-    assert push(raised, GOOD).id == (2, 1)
-    raised.close()
+    store_in_new_epoch = ControlStore(tmp_path / "s.db", new_epoch=True)
+    assert push(store_in_new_epoch, GOOD).id == (2, 1)
+    store_in_new_epoch.close()
 
 
 def test_failed_push_is_rolled_back(tmp_path: Path) -> None:
--- a/tests/test_last_known_good.py
+++ b/tests/test_last_known_good.py
@@ -1,4 +1,4 @@
-"""The last known good version of a head: its file, restarts, a power cut at every byte of a write."""
+"""The last known good version of a head: its file, restarts, and a power failure at every byte of a write."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class PowerCut(files.Disk):
-    """A disk that loses power at one step of a write, or after some bytes of it."""
+    """A disk that loses power at a step of a write, or after some of its bytes."""
 
     def __init__(self, step: str, bytes_left: int = 0) -> None:
         self.step, self.bytes_left = step, bytes_left
@@ -75,7 +75,7 @@
     old, new = good((1, 1), GOOD[:2]), good((1, 2), GOOD)
     last_known_good.save(path, old)
     size = path.stat().st_size * 4
-    monkeypatch.setattr(Path, "unlink", lambda *_, **__: None)  # without power nothing is cleaned up
+    monkeypatch.setattr(Path, "unlink", lambda *_, **__: None)  # a power failure leaves no chance to clean up
     points = [PowerCut("write", at) for at in range(size)] + [PowerCut("before")]
     for disk in points:
         with pytest.raises(SystemError):
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: transactions, crash consistency, and the hash chain of its audit."""
+"""The ledger: transactions, crash consistency, and the hash chain of its audit log."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def rows_of(ledger: Ledger) -> dict[tuple[str, str], bytes]:
-    return {(one.kind, one.name): one.body for one in ledger.rows() if one.body is not None}
+    return {(row.kind, row.name): row.body for row in ledger.rows() if row.body is not None}
 
 
 def test_failed_change_is_rolled_back(tmp_path: Path) -> None:
@@ -38,10 +38,10 @@
     with pytest.raises(AccountError):
         ledger.change(fail)
     entry = AuditEntry(1, "w", "r", "x", "t")
-    bad_response = IdempotentResponse(b"", 200, object())  # type: ignore[arg-type]  # SQLite refuses to store it
-    with pytest.raises(sqlite3.Error):  # the last statement of a change fails: its rows go back with it
+    bad_response = IdempotentResponse(b"", 200, object())  # type: ignore[arg-type]  # SQLite cannot store it
+    with pytest.raises(sqlite3.Error):  # the last statement of the change fails, which rolls its rows back
         ledger.change(lambda: LedgerChange([Row("k", "b", b"2")], entry, bad_response), "c", "k")
-    assert rows_of(ledger) == before and ledger.audit_head() == audit and [one.name for one in notified] == ["a"]
+    assert rows_of(ledger) == before and ledger.audit_head() == audit and [row.name for row in notified] == ["a"]
     other = Ledger(tmp_path / "a.db")
     other.db.execute("BEGIN IMMEDIATE")
     with pytest.raises(BusyError):
@@ -50,9 +50,9 @@
     write(other, Row("k", "c", b"3"))
     assert rows_of(ledger) == {("k", "a"): b"1", ("k", "c"): b"3"}
     ledger.refresh()
-    assert [one.name for one in notified] == ["a", "c"]  # another process's change is notified once
+    assert [row.name for row in notified] == ["a", "c"]  # the callback gets another process's change once
     write(ledger, Row("k", "a", None))
-    assert write(other, Row("k", "d", b"4")) == 4  # a number is never given twice
+    assert write(other, Row("k", "d", b"4")) == 4  # no sequence number is assigned twice
     ledger.close()
     other.close()
 
@@ -65,13 +65,13 @@
         states.append(rows_of(ledger))
     rng = random.Random(1)
     size = (tmp_path / "a.db-wal").stat().st_size
-    opened = refused = 0
+    opened = rejected = 0
     for turn in range(60):
         folder = tmp_path / f"cut{turn}"
         folder.mkdir()
         for name in ("a.db", "a.db-wal"):
             shutil.copy(tmp_path / name, folder / name)
-        # A power cut: what was being written to the log is there up to some byte, or spoilt at one.
+        # A power failure: the write-ahead log is truncated at some byte, or one byte is corrupt.
         offset = rng.randrange(size)
         with (folder / "a.db-wal").open("r+b") as file:
             if turn % 2:
@@ -80,15 +80,15 @@
                 file.seek(offset)
                 file.write(b"\xff")
         try:
-            found = Ledger(folder / "a.db")
+            reopened = Ledger(folder / "a.db")
         except LedgerError:
-            refused += 1
+            rejected += 1
             continue
         opened += 1
-        assert rows_of(found) in states
+        assert rows_of(reopened) in states
         assert verify(folder / "a.db").modified is None
-        found.close()
-    assert opened > 50, (opened, refused)
+        reopened.close()
+    assert opened > 50, (opened, rejected)
     (tmp_path / "junk.db").write_bytes(os.urandom(8192))
     with pytest.raises(LedgerError, match="not a database"):
         Ledger(tmp_path / "junk.db")
@@ -99,7 +99,7 @@
         Ledger(tmp_path / "half.db")
 
 
-KILLED = """
+WRITER_SCRIPT = """
 import sys
 from pathlib import Path
 from hophinge.state.ledger import Ledger
@@ -118,7 +118,7 @@
     path, acknowledged = tmp_path / "a.db", 0
     for turn in range(4):
         process = subprocess.Popen(
-            [sys.executable, "-c", KILLED, str(path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
+            [sys.executable, "-c", WRITER_SCRIPT, str(path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
         )
         assert process.stdout is not None
         for line in process.stdout:
@@ -183,7 +183,7 @@
     ledger.close()
 
 
-OPENED = """
+OPENER_SCRIPT = """
 import sys, time
 from pathlib import Path
 from hophinge.state.ledger import Ledger
@@ -194,16 +194,16 @@
 
 
 def test_processes_that_create_a_ledger_concurrently_all_open_it(tmp_path: Path) -> None:
-    """One of two heads of an upgrade that started together ended with 'database is locked' (14 of 60 opens)."""
+    """Guards against 'database is locked', seen in 14 of 60 opens when two heads of an upgrade started together."""
     for turn in range(6):
         at = time.time() + 0.5
         opened = [
             subprocess.Popen(
-                [sys.executable, "-c", OPENED, str(tmp_path / f"{turn}.db"), str(at)],
+                [sys.executable, "-c", OPENER_SCRIPT, str(tmp_path / f"{turn}.db"), str(at)],
                 cwd=ROOT,
                 stderr=subprocess.PIPE,
                 text=True,
             )
             for _ in range(4)
         ]
-        assert [one.communicate()[1] for one in opened] == [""] * 4
+        assert [process.communicate()[1] for process in opened] == [""] * 4
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts of versions over a fleet, without sockets; also by random steps."""
+"""Rollouts of versions over a fleet without sockets, in fixed scenarios and with random steps."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """A rollout controller, heads that answer or do not, and the store's share of a push."""
+    """A rollout controller with simulated heads that may not respond; `push` numbers versions as the store does."""
 
     def __init__(self, rule: Rule, heads: int = 10) -> None:
         self.rollout, self.now, self.rule = RolloutController(RolloutPlan(), rule), S, rule
@@ -39,7 +39,7 @@
             self.push(Rule(), is_rollback=True)
         for name, head in self.rollout.heads.items():
             target = self.rollout.target_for(name)
-            assert target >= self.running[name], "a head is to run an older version than it does"
+            assert target >= self.running[name], "a head is assigned an older version than it runs"
             if not head.is_connected or not answer or target == self.running[name]:
                 continue
             if target in self.rejecting.get(name, ()):
@@ -99,9 +99,9 @@
     assert fleet.rollout.plan.stage is RolloutStage.PAUSED and fleet.count(first) == 10
     assert "turned it down: bad" in fleet.rollout.plan.reason
     assert fleet.rollout.resume()
-    good_one = fleet.push()
+    replacement = fleet.push()
     fleet.run(5 * S)
-    assert fleet.count(good_one) == 10 and not fleet.rollout.resume()
+    assert fleet.count(replacement) == 10 and not fleet.rollout.resume()
 
 
 def test_failures_beyond_the_bound_roll_back_once() -> None:
@@ -163,7 +163,7 @@
         fleet.step(answer=False)
         fleet.rollout.on_request_counts(
             "n1", 0.0, 0.0, fleet.now
-        )  # it is connected, and does not acknowledge the version
+        )  # it is connected but does not acknowledge the version
     assert not fleet.rollout.plan.reason
     for _ in range(4):
         fleet.step(answer=False)
