--- a/hophinge/control/config_replica.py
+++ b/hophinge/control/config_replica.py
@@ -1,4 +1,4 @@
-"""A head's replica of the service document: the records that the control service has sent it, valid or not."""
+"""A head's replica of the service document: the records that the control service believes it has, valid or not."""
 
 from __future__ import annotations
 
--- a/hophinge/control/follower.py
+++ b/hophinge/control/follower.py
@@ -1,8 +1,8 @@
 """A head's side of the stream, without I/O: it receives, validates, and activates or rejects versions.
 
-Each event is a method that gets the monotonic time in microseconds and returns the actions to carry out. The follower
-owns the replica (the records that the service believes are stored here, valid or not) and the active version (always
-complete and validated).
+Each event is a method call that returns the actions to carry out; `now_us` is the monotonic time in microseconds. The
+follower owns the replica (the records that the service believes are stored here, valid or not) and the active version
+(always complete and validated).
 """
 
 from __future__ import annotations
--- a/hophinge/control/publisher.py
+++ b/hophinge/control/publisher.py
@@ -65,7 +65,7 @@
     head: str = ""
     metrics: Mapping[str, float] = field(default_factory=dict)
     initial_versions: Mapping[str, str] | None = None  # of the head's subscription; None again once a version is sent
-    last_sent: Snapshot | None = None  # the records that the head has, once a version was sent
+    last_sent: Snapshot | None = None  # the last version sent on this stream
     in_flight: Snapshot | None = None
     target: Snapshot | None = None
     rejected: set[VersionId] = field(default_factory=set)
--- a/hophinge/control/store.py
+++ b/hophinge/control/store.py
@@ -31,7 +31,7 @@
 SCHEMA_VERSION = 1
 OPEN_TIMEOUT_S = 5.0  # waiting for another process's transaction
 SERIALS_PER_BLOCK = 10**9  # leases that one start of the service may grant
-MAX_CACHED_SNAPSHOTS = 16  # kept in memory beside those in use
+MAX_CACHED_SNAPSHOTS = 16  # kept in memory in addition to those in use
 
 
 class StoreError(HophingeError):
