--- a/tests/test_last_known_good.py
+++ b/tests/test_last_known_good.py
@@ -1,4 +1,4 @@
-"""The last known good version of a head: its file, restarts, a power cut at every byte of a write."""
+"""The last known good version of a head: its file, restarts, and a power failure at every byte of a write."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class PowerCut(files.Disk):
-    """A disk that loses power at one step of a write, or after some bytes of it."""
+    """A disk that loses power at a step of a write, or after some of its bytes."""
 
     def __init__(self, step: str, bytes_left: int = 0) -> None:
         self.step, self.bytes_left = step, bytes_left
@@ -75,7 +75,7 @@
     old, new = good((1, 1), GOOD[:2]), good((1, 2), GOOD)
     last_known_good.save(path, old)
     size = path.stat().st_size * 4
-    monkeypatch.setattr(Path, "unlink", lambda *_, **__: None)  # without power nothing is cleaned up
+    monkeypatch.setattr(Path, "unlink", lambda *_, **__: None)  # a power failure leaves no chance to clean up
     points = [PowerCut("write", at) for at in range(size)] + [PowerCut("before")]
     for disk in points:
         with pytest.raises(SystemError):
@@ -110,10 +110,13 @@
         path.write_bytes(content[:at] + bytes([content[at] ^ 1]) + content[at + 1 :])
         with pytest.raises(files.StateFileError):
             last_known_good.load(path)
-    for data, reason in ((b"\0" * 4096, "beginning"), (content.replace(b"last-good 1", b"last-good 9", 1), "form 9")):
+    for data, reason in (
+        (b"\0" * 4096, "not a state file"),
+        (content.replace(b"last-good 1", b"last-good 9", 1), "format version 9"),
+    ):
         path.write_bytes(data)
         with pytest.raises(files.StateFileError, match=reason):
             last_known_good.load(path)
     files.save(path, "other", 1, b"x")
-    with pytest.raises(files.StateFileError, match="holds other"):
+    with pytest.raises(files.StateFileError, match="of kind other, expected last-good"):
         last_known_good.load(path)
--- a/tests/test_maintenance_integration.py
+++ b/tests/test_maintenance_integration.py
@@ -77,14 +77,14 @@
     store.close()
     store = ControlStore(tmp_path / "v.db")
     reopened = MaintenanceStore(store, lambda: 0)
-    assert reopened.permits() == [ROW] and reopened.courses() == [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)]
+    assert reopened.permits() == [ROW] and reopened.releases() == [ReleaseProgress("r", "2", 1, ReleaseStage.ROLLING)]
     assert reopened.zones(["n0", "n1"]) == {"n0": "z0", "n1": ""} and reopened.statements() == [Outage("o", ("b0",))]
-    assert reopened.issuer == permit_store.issuer and reopened.fence > permit_store.fence
+    assert reopened.issuer == permit_store.issuer and reopened.fencing_token > permit_store.fencing_token
     reopened.save([msgspec.structs.replace(ROW, state=PermitState.FREE)], [])
     assert reopened.permits() == []
     store.close()
     store = ControlStore(tmp_path / "v.db", new_epoch=True)
-    assert MaintenanceStore(store, lambda: 0).fence > reopened.fence + 900_000
+    assert MaintenanceStore(store, lambda: 0).fencing_token > reopened.fencing_token + 900_000
     store.close()
 
 
@@ -95,7 +95,7 @@
         ControlStore(tmp_path / "v.db")
     (tmp_path / "v.db.lock").unlink()  # as on a file system without locks
     new = ControlStore(tmp_path / "v.db")
-    with pytest.raises(FencedError, match="has taken the store over"):
+    with pytest.raises(FencedError, match="has taken over the store"):
         fenced.save([ROW], [])
     with pytest.raises(FencedError):
         old.record_head("n0", 0)
--- a/tests/test_tenancy_heads.py
+++ b/tests/test_tenancy_heads.py
@@ -94,9 +94,9 @@
                 return [holder.share("aa", heads[0].exchange.now_us()) for holder in holders]
 
             assert shares() == [0.0, 0.0]  # they have just started and have no lease yet
-            await until(lambda: installed.service is not None and installed.service.shares.allotment.issuer is not None)
-            assert installed.service is not None and installed.service.shares.allotment.issuer is not None
-            installed.service.shares.allotment.issuer.no_grant_until_us = 0  # no lease was granted before
+            await until(lambda: installed.service is not None and installed.service.shares.allocator.issuer is not None)
+            assert installed.service is not None and installed.service.shares.allocator.issuer is not None
+            installed.service.shares.allocator.issuer.no_grant_until_us = 0  # no lease was granted before
             await until(lambda: min(shares()) > 0)
             started_at, number = asyncio.get_running_loop().time(), itertools.count(1)
 
@@ -128,7 +128,7 @@
     async def main() -> None:
         async with installation(tmp_path) as installed:
             assert (await installed.push(GOOD + form.format(50)))["version"] == "1.1"  # a single head can guarantee it
-            with pytest.raises(ConnectionError, match="no head has told yet how many there are"):
+            with pytest.raises(ConnectionError, match="no head has reported the number of heads yet"):
                 await installed.push(GOOD + form.format(90))
             head = await installed.head("n0", {**SETTINGS, "Balancers": 2})
             await installed.runs(head, "1.1")
