--- a/hophinge/load/__init__.py
+++ b/hophinge/load/__init__.py
@@ -1,1 +1,1 @@
-"""A small load tool: open-loop arrivals of a seeded plan, backends with faults, histograms, a table and a chart."""
+"""A load tool: open-loop arrivals from a seeded plan, emulated backends with faults, and reports of the results."""
--- a/hophinge/load/backends.py
+++ b/hophinge/load/backends.py
@@ -1,4 +1,4 @@
-"""Stand-ins of backends and discovery on loopback: slots, a bounded queue, and faults at the plan's times."""
+"""Emulated backends and discovery on loopback; a backend has slots, a bounded queue, and the faults of the plan."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from hophinge.load.plan import Fault, LoadPlan
 
 HOST = "127.0.0.1"
-COLD_SHARE = 0.18  # of its usual speed that a backend has when it has just started
-COLD_US = 17_000_000  # until it is warm
+COLD_SHARE = 0.18  # of its full speed that a backend has when it has just started
+COLD_US = 17_000_000  # after which it has its full speed
 MAX_HANG_S = 3600.0
 
 
 class Backend:
-    """One backend of one shard; `now_us` counts from the start of the load."""
+    """The backend of one shard; `now_us` returns the time since the start of the load."""
 
     def __init__(self, shard: int, plan: LoadPlan, now_us: Callable[[], int]) -> None:
         self.shard = shard
@@ -35,31 +35,31 @@
         self.random = random.Random(plan.seed * 7919 + shard)
 
     def fault(self, kind: str) -> Fault | None:
-        """Return the fault of a kind that this backend has now."""
+        """Return the fault of a kind that is in force at this backend now, or None."""
         now = self.now_us()
         return next(
             (
-                one
-                for one in self.plan.faults
-                if one.kind == kind
-                and one.at_us <= now < one.at_us + one.duration_us
-                and self.shard < round(one.backend_share * self.plan.backends)
+                fault
+                for fault in self.plan.faults
+                if fault.kind == kind
+                and fault.at_us <= now < fault.at_us + fault.duration_us
+                and self.shard < round(fault.backend_share * self.plan.backends)
             ),
             None,
         )
 
     def speed(self) -> float:
-        """Return the share of its usual speed that it has now."""
+        """Return its current speed as a share of its full speed."""
         slow = self.fault("slow")
         if slow is not None:
             return 1 / slow.slowdown
         started = max(
             [
-                one.at_us + (one.duration_us if one.kind == "vanish" else 0)
-                for one in self.plan.faults
-                if one.kind in ("cold", "vanish")
-                and self.shard < round(one.backend_share * self.plan.backends)
-                and one.at_us <= self.now_us()
+                fault.at_us + (fault.duration_us if fault.kind == "vanish" else 0)
+                for fault in self.plan.faults
+                if fault.kind in ("cold", "vanish")
+                and self.shard < round(fault.backend_share * self.plan.backends)
+                and fault.at_us <= self.now_us()
             ],
             default=-COLD_US,
         )
@@ -67,9 +67,9 @@
         return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * warm)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve a request, in the time of its units."""
+        """Serve a request; its service time is in proportion to its units."""
         if self.fault("vanish") is not None or self.fault("hang") is not None:
-            await asyncio.sleep(MAX_HANG_S)  # no answer; the caller has a timeout of its own
+            await asyncio.sleep(MAX_HANG_S)  # sends no response; the client has its own timeout
         await request.read()
         fail = self.fault("fail")
         if fail is not None and self.random.random() < fail.failure_share:
@@ -78,7 +78,7 @@
         if self.queued >= self.plan.max_queued_requests:
             self.rejected += 1
             return web.Response(status=503, headers={"X-Turned-Away": "1"})
-        units = float(request.query.get("work", "1"))  # heads pass the query on unchanged
+        units = float(request.query.get("work", "1"))  # heads forward the query unchanged
         self.queued += 1
         async with self.slots:
             self.queued -= 1
@@ -87,7 +87,7 @@
         return web.Response(body=b"kept\n")
 
     def target(self) -> dict[str, Any]:
-        """Return its entry in discovery's list."""
+        """Return its entry in the list of discovery."""
         return {
             "uid": f"load-{self.shard}",
             "endpoint": f"{HOST}:{self.port}",
@@ -101,7 +101,7 @@
 
 
 class Platform:
-    """All backends and discovery, in this process."""
+    """All emulated backends and discovery, in this process."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self.plan = plan
@@ -111,15 +111,15 @@
         self.port = 0
 
     def now_us(self) -> int:
-        """Return the microseconds since the load started; -1 before, so that no fault is in force."""
+        """Return the microseconds since the load started; -1 before, when no fault is in force."""
         return time.monotonic_ns() // 1000 - self.started_us if self.started_us else -1
 
     def start_clock(self) -> None:
-        """Start the clock of the load."""
+        """Start the clock by which the faults begin and end."""
         self.started_us = time.monotonic_ns() // 1000
 
     async def start(self) -> None:
-        """Listen for heads."""
+        """Start listening at the backends and at discovery."""
         loop = asyncio.get_running_loop()
         for backend in self.backends:
             server = await loop.create_server(web.Server(backend.handle, access_log=None), HOST, 0, backlog=1024)
@@ -130,21 +130,24 @@
         self.servers.append(discovery)
 
     async def discover(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer with the list; it never changes, so a watch waits until its timeout."""
+        """Answer with the list of backends; it never changes, so a watch waits until its timeout.
+
+        `/begin` starts the clock of the faults, and `/end` returns the request counts of the backends.
+        """
         if request.raw_path.startswith("/begin"):
             self.start_clock()
             return web.Response(body=b"begun\n")
         if request.raw_path.startswith("/end"):
-            rows = {
+            counts = {
                 backend.shard: {"done": backend.served, "turned_away": backend.rejected, "failed": backend.failed}
                 for backend in self.backends
             }
-            return web.Response(body=msgspec.json.encode(rows))
+            return web.Response(body=msgspec.json.encode(counts))
         if "since" in request.query:
             await asyncio.sleep(int(request.query.get("timeout_ms", "0")) / 1000)
             return web.Response(body=msgspec.json.encode({"rev": 1, "all": False, "targets": []}))
-        rows_ = [backend.target() for backend in self.backends]
-        return web.Response(body=msgspec.json.encode({"rev": 1, "all": True, "targets": rows_}))
+        targets = [backend.target() for backend in self.backends]
+        return web.Response(body=msgspec.json.encode({"rev": 1, "all": True, "targets": targets}))
 
     def close(self) -> None:
         """Stop listening."""
--- a/hophinge/load/clients.py
+++ b/hophinge/load/clients.py
@@ -1,4 +1,7 @@
-"""Open-loop clients of a load: each request is sent at its time, whatever the outcome of others, and timed from it."""
+"""Open-loop load clients: requests are sent at their scheduled times, and their latencies count from these times.
+
+A request is sent on time whatever the outcome of the requests before it.
+"""
 
 from __future__ import annotations
 
@@ -13,33 +16,32 @@
 
 from hophinge.load.plan import Arrival, ClientClass, LoadPlan, arrivals
 
-# Bounds of the histograms.
+# Range and precision of the histograms.
 MIN_RECORDED_US = 1
 MAX_RECORDED_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 MIN_COUNTED_S = 1e-9
-JITTER = (0.5, 1.5)
-DRAIN_TIMEOUT_S = 5.0  # after the last arrival; what is still open then has no answer
+RETRY_JITTER = (0.5, 1.5)  # range of the factor on the retry interval
+DRAIN_TIMEOUT_S = 5.0  # after the last arrival; requests that are still open then count as timed out
 OUTCOMES = ("aim", "late", "refused", "failed", "timed out", "left", "broken")
 
 
 def histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds."""
+    """Return an empty histogram of durations in microseconds."""
     return HdrHistogram(MIN_RECORDED_US, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass
 class ClientClassResult:
-    """Outcomes of one class's requests; a retry belongs to its first attempt."""
+    """Outcomes of the requests of one client class; a request counts once, together with its retries."""
 
     client: ClientClass
     outcomes: dict[str, int] = field(default_factory=lambda: dict.fromkeys(OUTCOMES, 0))
     attempts: int = 0
-    latencies: HdrHistogram = field(default_factory=histogram)  # from when the first attempt was scheduled
-    rejection_times: HdrHistogram = field(default_factory=histogram)  # how long rejections took
-    start_delays: HdrHistogram = field(
-        default_factory=histogram
-    )  # how late requests were sent: the cost of the tool itself
+    latencies: HdrHistogram = field(default_factory=histogram)  # of served requests, from their scheduled times
+    rejection_times: HdrHistogram = field(default_factory=histogram)  # from the sending of an attempt to its rejection
+    # From scheduled times to the sending of first attempts: the delay that the load tool itself adds.
+    start_delays: HdrHistogram = field(default_factory=histogram)
 
     @property
     def requests(self) -> int:
@@ -48,66 +50,66 @@
 
     @property
     def earned_value(self) -> float:
-        """The value of the requests that were answered in time."""
+        """The value of the requests that were served within the target latency."""
         return self.client.value * self.client.units * self.outcomes["aim"]
 
 
 @dataclass
 class LoadResult:
-    """The result of a load, in total and by second of arrival."""
+    """The result of a load run, in total and by second of arrival."""
 
     plan: LoadPlan
     client_classes: list[ClientClassResult]
-    slices: dict[int, dict[str, float]] = field(default_factory=dict)
+    slices: dict[int, dict[str, float]] = field(default_factory=dict)  # value due and earned, by second of arrival
     backends: dict[str, dict[str, int]] = field(default_factory=dict)
 
     @property
     def counted_s(self) -> float:
-        """The seconds that count: those after the warm-up."""
+        """The duration of the run after its warm-up, in seconds."""
         return max(MIN_COUNTED_S, (self.plan.duration_us - self.plan.warm_up_us) / 1e6)
 
     @property
     def goodput(self) -> float:
-        """The value earned a second."""
+        """The value earned per second, without the warm-up."""
         return sum(result.earned_value for result in self.client_classes) / self.counted_s
 
     @property
     def offered_value_rate(self) -> float:
-        """The value offered a second."""
+        """The value offered per second, without the warm-up."""
         offered = (result.requests * result.client.value * result.client.units for result in self.client_classes)
         return sum(offered) / self.counted_s
 
 
 class LoadGenerator:
-    """One run of a plan against one head."""
+    """Runs a plan once against the head at the address `head`."""
 
     def __init__(self, plan: LoadPlan, head: str) -> None:
         self.plan = plan
         self.head = head
-        self.result = LoadResult(plan, [ClientClassResult(one) for one in plan.clients])
+        self.result = LoadResult(plan, [ClientClassResult(client) for client in plan.clients])
         self.random = random.Random(plan.seed * 31)
         self.request_count = 0
         self.started_s = 0.0
 
-    async def run(self, begin: str = "") -> LoadResult:
-        """Run the plan; the URL `begin` is called when it starts, to start the clock of faults."""
-        asks = arrivals(self.plan)
+    async def run(self, begin_url: str = "") -> LoadResult:
+        """Run the plan; `begin_url` is requested at the start, so that the clock of the faults starts with it."""
+        scheduled = arrivals(self.plan)
         tasks: set[asyncio.Task[None]] = set()
         gc.collect()
         gc.freeze()
-        gc.disable()  # a collection would pause for as long as many a request takes
+        gc.disable()  # a garbage collection would pause the clients for as long as many requests take
         try:
             async with aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0), timeout=aiohttp.ClientTimeout(None)
             ) as session:
-                if begin:
-                    await (await session.get(begin)).read()
+                if begin_url:
+                    await (await session.get(begin_url)).read()
                 self.started_s = time.monotonic()
-                for ask in asks:
-                    wait = self.started_s + ask.at_us / 1e6 - time.monotonic()
-                    if wait > 0:
-                        await asyncio.sleep(wait)
-                    task = asyncio.create_task(self._request(session, ask))
+                for arrival in scheduled:
+                    wait_s = self.started_s + arrival.at_us / 1e6 - time.monotonic()
+                    if wait_s > 0:
+                        await asyncio.sleep(wait_s)
+                    task = asyncio.create_task(self._request(session, arrival))
                     tasks.add(task)
                     task.add_done_callback(tasks.discard)
                 if tasks:
@@ -124,34 +126,36 @@
         result = self.result.client_classes[arrival.client]
         client = result.client
         due_s = self.started_s + arrival.at_us / 1e6
-        counts = arrival.at_us >= self.plan.warm_up_us
+        is_counted = arrival.at_us >= self.plan.warm_up_us
         outcome = "broken"
         try:
             for attempt in range(client.retries + 1):
                 attempt_started_s = time.monotonic()
-                if counts:
+                if is_counted:
                     result.attempts += 1
                     if not attempt:
                         result.start_delays.record_value(max(1, int((attempt_started_s - due_s) * 1e6)))
                 outcome, retry_after_s = await self._attempt(session, client, arrival, attempt)
-                took = time.monotonic() - attempt_started_s
-                if outcome == "refused" and counts:
-                    result.rejection_times.record_value(max(1, int(took * 1e6)))
+                took_s = time.monotonic() - attempt_started_s
+                if outcome == "refused" and is_counted:
+                    result.rejection_times.record_value(max(1, int(took_s * 1e6)))
                 if outcome in ("served", "left") or attempt == client.retries:
                     break
-                await asyncio.sleep(retry_after_s or client.retry_interval_us / 1e6 * self.random.uniform(*JITTER))
+                await asyncio.sleep(
+                    retry_after_s or client.retry_interval_us / 1e6 * self.random.uniform(*RETRY_JITTER)
+                )
         except asyncio.CancelledError:
             outcome = "timed out"
-        if not counts:
+        if not is_counted:
             return
         took_us = max(1, int((time.monotonic() - due_s) * 1e6))
         if outcome == "served":
             result.latencies.record_value(min(took_us, MAX_RECORDED_US))
             outcome = "aim" if took_us <= client.target_latency_us else "late"
         result.outcomes[outcome] += 1
-        at = self.result.slices.setdefault(arrival.at_us // 1_000_000, {"due": 0.0, "earned": 0.0})
-        at["due"] += client.value * client.units
-        at["earned"] += client.value * client.units * (outcome == "aim")
+        second = self.result.slices.setdefault(arrival.at_us // 1_000_000, {"due": 0.0, "earned": 0.0})
+        second["due"] += client.value * client.units
+        second["earned"] += client.value * client.units * (outcome == "aim")
 
     async def _attempt(
         self, session: aiohttp.ClientSession, client: ClientClass, arrival: Arrival, attempt: int
@@ -159,28 +163,28 @@
         self.request_count += 1
         work = arrival.units * (client.heavy_factor if arrival.heavy else 1.0)
         shard = -1 if client.write else arrival.key % self.plan.backends
-        fields = {
+        headers = {
             "X-Qos-Policy": client.plan,
             "X-Remaining-Ms": str(client.remaining_us // 1000),
             "X-Txn": f"{self.request_count:016x}",
             "X-Placement": f"units={arrival.units:g},shard={shard},hosts=1",
         }
         if attempt:
-            fields["X-Resent"] = "1"
+            headers["X-Resent"] = "1"
         url = f"http://{self.head}/{client.klass}/{arrival.volume:016x}/{arrival.key:016x}?work={work:g}"
         timeout_s = (client.leaves_after_us or client.remaining_us) / 1e6
         try:
             async with asyncio.timeout(timeout_s):
                 async with session.request(
-                    "PUT" if client.write else "GET", url, headers=fields, data=b"x" if client.write else None
-                ) as answer:
-                    await answer.read()
+                    "PUT" if client.write else "GET", url, headers=headers, data=b"x" if client.write else None
+                ) as response:
+                    await response.read()
         except TimeoutError:
             return ("left" if client.leaves_after_us else "timed out"), 0.0
         except (aiohttp.ClientError, OSError):
             return "broken", 0.0
-        if answer.status == 200:
+        if response.status == 200:
             return "served", 0.0
-        if answer.status in (429, 503):
-            return "refused", float(answer.headers.get("Retry-After", "0") or 0)
+        if response.status in (429, 503):
+            return "refused", float(response.headers.get("Retry-After", "0") or 0)
         return "failed", 0.0
--- a/hophinge/load/plan.py
+++ b/hophinge/load/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a load, as S-expressions: classes of clients, surges, and faults of the backends."""
+"""Reads a load plan from S-expressions (client classes, surges, backend faults) and draws its arrivals."""
 
 from __future__ import annotations
 
@@ -11,88 +11,90 @@
 
 VERSION = "1"
 FAULTS = ("fail", "hang", "slow", "cold", "vanish")
-MAX_RATE = 20_000.0  # requests a second of all clients together
+MAX_RATE = 20_000.0  # requests/s of all clients together, surges included
 MAX_DURATION_S = 600.0
-MAX_VOLUMES = 0x10_0000  # a client's volumes count from its place, times this
+MAX_VOLUMES = 0x10_0000  # client class i uses the volume numbers from i * MAX_VOLUMES on
 
 
 @dataclass(frozen=True)
 class ClientClass:
-    """A class of clients, which send one kind of request."""
+    """A class of clients that all send the same kind of request."""
 
     name: str
     klass: str
     plan: str
-    rate: float  # requests a second, by Poisson's law
+    rate: float  # requests/s, as a Poisson process
     units: float = 1.0
-    volumes: int = 1  # that they are spread over
+    volumes: int = 1  # number of volumes that the requests are spread over
     write: bool = False
     remaining_us: int = 1_000_000
-    target_latency_us: int = 200_000  # within which an answer counts
+    target_latency_us: int = 200_000  # a request answered within this time earns its value
     value: float = 1.0
-    retries: int = 0  # of one request
-    retry_interval_us: int = 100_000  # where the answer has no Retry-After
-    leaves_after_us: int = 0  # the client gives up then; 0: at its deadline
-    heavy_factor: float = 1.0  # times the work of a heavy request
-    heavy_share: float = 0.0
+    retries: int = 0  # at most, of each request
+    retry_interval_us: int = 100_000  # if the response has no Retry-After
+    leaves_after_us: int = 0  # the client disconnects after this time; 0: at its deadline
+    heavy_factor: float = 1.0  # a heavy request takes this many times its units of work
+    heavy_share: float = 0.0  # of the requests
 
 
 @dataclass(frozen=True)
 class Surge:
-    """A span in which clients send more requests."""
+    """A period in which the request rates of clients are multiplied."""
 
     at_us: int
     duration_us: int
     rate_factor: float
-    clients: tuple[str, ...] = ()  # none: all
+    clients: tuple[str, ...] = ()  # empty: all
 
 
 @dataclass(frozen=True)
 class Fault:
-    """A fault of some backends for a span."""
+    """A fault of some backends for a period."""
 
     kind: str
     at_us: int
     duration_us: int
-    backend_share: float = 0.5  # of the backends, the first ones
-    failure_share: float = 1.0  # of the requests, for fail
-    slowdown: float = 5.0  # the work, for slow
+    backend_share: float = 0.5  # of the backends, starting at shard 0
+    failure_share: float = 1.0  # of the requests; for `fail`
+    slowdown: float = 5.0  # factor on the service time; for `slow`
 
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """A complete plan."""
+    """A load plan."""
 
     seed: int = 1
     duration_us: int = 10_000_000
-    warm_up_us: int = 2_000_000  # at the beginning, not counted
+    warm_up_us: int = 2_000_000  # at the start; its requests are not counted
     backends: int = 3
-    slots: int = 2  # of a backend
-    work_us: int = 20_000  # for a unit in a slot
-    max_queued_requests: int = 64  # at a backend; beyond, it rejects
+    slots: int = 2  # requests that a backend serves at the same time
+    work_us: int = 20_000  # service time of one unit
+    max_queued_requests: int = 64  # per backend; further requests are rejected
     clients: tuple[ClientClass, ...] = ()
     surges: tuple[Surge, ...] = ()
     faults: tuple[Fault, ...] = ()
 
     @property
     def capacity(self) -> float:
-        """The units a second that the backends serve."""
+        """Units per second that all backends together serve at full speed."""
         return self.backends * self.slots / (self.work_us / 1e6)
 
     @property
     def offered(self) -> float:
-        """The units a second that clients request, without surges."""
-        return sum(one.rate * one.units * (1 + (one.heavy_factor - 1) * one.heavy_share) for one in self.clients)
+        """Units per second that all clients together request outside surges."""
+        return sum(
+            client.rate * client.units * (1 + (client.heavy_factor - 1) * client.heavy_share) for client in self.clients
+        )
 
     def scaled_to(self, utilization: float) -> LoadPlan:
-        """Return the plan with all rates scaled so that it offers `utilization` times the capacity of the backends."""
+        """Return the plan with all rates scaled so that it offers `utilization` times the backends' capacity."""
         scale = utilization * self.capacity / self.offered
-        return replace(self, clients=tuple(replace(one, rate=one.rate * scale) for one in self.clients))
+        return replace(self, clients=tuple(replace(client, rate=client.rate * scale) for client in self.clients))
 
 
 @dataclass(frozen=True, order=True)
 class Arrival:
-    """The first attempt of one request."""
+    """A request and the time of its first attempt."""
 
     at_us: int
     number: int
@@ -104,52 +106,52 @@
 
 
 def arrivals(plan: LoadPlan) -> list[Arrival]:
-    """Draw the first attempts of a plan: the same for the same seed, whatever their outcomes."""
+    """Return the requests of a plan in order of time; they depend on the plan and its seed alone."""
     drawn = [
-        (at, client, rng)
-        for place, client in enumerate(plan.clients)
-        for rng in [random.Random(plan.seed * 1_000_003 + place)]
-        for at in _arrival_times(plan, client, rng)
+        (at_us, client, rng)
+        for client_index, client in enumerate(plan.clients)
+        for rng in [random.Random(plan.seed * 1_000_003 + client_index)]
+        for at_us in _arrival_times(plan, client, rng)
     ]
-    places = {client.name: place for place, client in enumerate(plan.clients)}
-    found = []
-    for number, (at, client, rng) in enumerate(sorted(drawn, key=lambda row: row[0])):
-        place = places[client.name]
-        found.append(
+    client_indexes = {client.name: client_index for client_index, client in enumerate(plan.clients)}
+    scheduled = []
+    for number, (at_us, client, rng) in enumerate(sorted(drawn, key=lambda row: row[0])):
+        client_index = client_indexes[client.name]
+        scheduled.append(
             Arrival(
-                at,
+                at_us,
                 number,
-                place,
-                place * MAX_VOLUMES + rng.randrange(client.volumes),
+                client_index,
+                client_index * MAX_VOLUMES + rng.randrange(client.volumes),
                 rng.getrandbits(64),
                 client.units,
                 rng.random() < client.heavy_share,
             )
         )
-    return found
+    return scheduled
 
 
 def _arrival_times(plan: LoadPlan, client: ClientClass, rng: random.Random) -> Iterator[int]:
-    at = 0.0
+    at_us = 0.0
     max_factor = max([1.0, *(surge.rate_factor for surge in plan.surges)])
     if not client.rate:
         return
-    while (at := at + rng.expovariate(client.rate * max_factor) * 1e6) < plan.duration_us:
+    while (at_us := at_us + rng.expovariate(client.rate * max_factor) * 1e6) < plan.duration_us:
         rate_factor = max(
             [
                 surge.rate_factor
                 for surge in plan.surges
-                if surge.at_us <= at < surge.at_us + surge.duration_us
+                if surge.at_us <= at_us < surge.at_us + surge.duration_us
                 and (not surge.clients or client.name in surge.clients)
             ],
             default=1.0,
         )
-        if rng.random() < rate_factor / max_factor:  # thinned: the same draws whatever the surges
-            yield int(at)
+        if rng.random() < rate_factor / max_factor:  # thinning: the draws do not depend on when surges occur
+            yield int(at_us)
 
 
 class PlanReader:
-    """Reads the forms of a plan and collects their mistakes."""
+    """Reads the forms of a plan and collects the mistakes in them."""
 
     def __init__(self, mistakes: list[Mistake]) -> None:
         self.mistakes = mistakes
@@ -171,22 +173,22 @@
             case "client":
                 client = _client(fields)
                 if client.name in self.clients:
-                    self.reject(node, f"the client {client.name} is given twice; keep one")
+                    self.reject(node, f"the client {client.name} is defined twice; keep one")
                 self.clients[client.name] = client
             case "surge":
                 self.surges.append(_surge(fields))
             case "fault":
                 self.faults.append(self._fault(node, fields))
             case _:
-                word = node.keyword or "a form without a word"
-                self.reject(node, f"{word!r} is no form; there are run, client, surge, fault")
+                keyword = node.keyword or "(no keyword)"
+                self.reject(node, f"unknown form {keyword!r}; known forms: run, client, surge, fault")
                 return
         fields.reject_unknown()
 
     def _fault(self, node: Form, fields: FormReader) -> Fault:
         kind = fields.read_name("fault")
         if kind and kind not in FAULTS:
-            self.reject(node, f"(fault {kind} ...): there are {', '.join(FAULTS)}")
+            self.reject(node, f"unknown fault {kind}; known faults: {', '.join(FAULTS)}")
         return Fault(
             kind,
             fields.read_time_us("at", is_required=True),
@@ -197,37 +199,41 @@
         )
 
     def check(self, node: Node) -> None:
-        """Check the forms against each other; mistakes are recorded at a node."""
+        """Check that the forms are consistent with each other; mistakes are recorded at `node`."""
         for surge in self.surges:
             for name in surge.clients:
                 if name not in self.clients:
-                    self.reject(node, f"a surge names the client {name}, which is nowhere defined")
+                    self.reject(
+                        node, f"a surge names the client {name}, which is not defined; define it or name another"
+                    )
         if not self.clients:
             self.reject(node, "a plan needs a (client NAME ...)")
         max_factor = max([1.0, *(surge.rate_factor for surge in self.surges)])
         max_rate = sum(client.rate for client in self.clients.values()) * max_factor
         if max_rate > MAX_RATE:
-            self.reject(node, f"all clients together ask up to {max_rate:g} times a second; at most {MAX_RATE:g}")
+            self.reject(
+                node, f"all clients together send up to {max_rate:g} requests/s; at most {MAX_RATE:g} are allowed"
+            )
 
     def plan(self) -> LoadPlan:
-        """Return the plan of the forms that were read."""
+        """Return the plan that the forms read so far define."""
         return replace(
             self.run, clients=tuple(self.clients.values()), surges=tuple(self.surges), faults=tuple(self.faults)
         )
 
 
 def read_plan(raw: bytes) -> tuple[LoadPlan, list[Mistake]]:
-    """Read a plan and return it with its mistakes; none is raised."""
+    """Read a plan and return it with its mistakes; mistakes are never raised."""
     text, mistakes = decode_text(raw)
     nodes: list[Node] = []
     if not mistakes:
         nodes, mistakes = parse(text)
     reader = PlanReader(mistakes)
     if not mistakes and not _is_header(nodes[0] if nodes else None):
-        reader.reject(nodes[0] if nodes else Atom("", 1, 1), f"a plan begins with (load {VERSION})")
+        reader.reject(nodes[0] if nodes else Atom("", 1, 1), f"a plan must begin with (load {VERSION})")
     for node in nodes[1:]:
         if isinstance(node, Atom):
-            reader.reject(node, f"{node.text!r} stands outside of any form; put it into one or remove it")
+            reader.reject(node, f"{node.text!r} is outside any form; move it into a form or remove it")
         else:
             reader.read_form(node)
     if not mistakes:
--- a/hophinge/load/report.py
+++ b/hophinge/load/report.py
@@ -1,4 +1,4 @@
-"""The results of load runs, as a table in Markdown and a chart as SVG."""
+"""Renders the results of load runs as Markdown tables and an SVG chart."""
 
 from __future__ import annotations
 
@@ -35,55 +35,55 @@
 
 
 def render_table(title: str, results: Mapping[str, LoadResult]) -> str:
-    """Return the table of some runs, by name."""
-    rows, best = [], max((one.goodput for one in results.values()), default=0.0) or 1.0
+    """Return the tables of some runs in Markdown; `results` has them by name."""
+    rows, best_goodput = [], max((run.goodput for run in results.values()), default=0.0) or 1.0
     for name, result in results.items():
-        for sort in result.client_classes:
-            asked = max(1, sort.requests)
+        for class_result in result.client_classes:
+            request_count = max(1, class_result.requests)
             rows.append(
                 [
                     name,
-                    sort.client.name,
-                    sort.requests,
-                    f"{100 * sort.outcomes['aim'] / asked:.1f} %",
-                    *(sort.outcomes[end] for end in OUTCOMES[1:]),
-                    sort.attempts,
+                    class_result.client.name,
+                    class_result.requests,
+                    f"{100 * class_result.outcomes['aim'] / request_count:.1f} %",
+                    *(class_result.outcomes[outcome] for outcome in OUTCOMES[1:]),
+                    class_result.attempts,
                     *(
-                        f"{one.get_value_at_percentile(part) / 1000:.1f}"
-                        for one, part in (
-                            (sort.latencies, 50),
-                            (sort.latencies, 99),
-                            (sort.rejection_times, 99),
-                            (sort.start_delays, 99),
+                        f"{histogram.get_value_at_percentile(percentile) / 1000:.1f}"
+                        for histogram, percentile in (
+                            (class_result.latencies, 50),
+                            (class_result.latencies, 99),
+                            (class_result.rejection_times, 99),
+                            (class_result.start_delays, 99),
                         )
                     ),
                 ]
             )
     goodput = [
-        [name, f"{one.offered_value_rate:.0f}", f"{one.goodput:.0f}", f"{one.goodput / best:.2f}"]
-        for name, one in results.items()
+        [name, f"{run.offered_value_rate:.0f}", f"{run.goodput:.0f}", f"{run.goodput / best_goodput:.2f}"]
+        for name, run in results.items()
     ]
     return TABLE_TEMPLATE.render(
         title=title, plan=next(iter(results.values())).plan, ends=OUTCOMES[1:], rows=rows, goodput=goodput
     )
 
 
-def render_chart(title: str, lines: Mapping[str, Sequence[tuple[float, float]]], across: str, up: str) -> bytes:
-    """Return a chart of lines of points, as SVG."""
-    drawn = pygal.XY(
+def render_chart(title: str, lines: Mapping[str, Sequence[tuple[float, float]]], x_title: str, y_title: str) -> bytes:
+    """Return a line chart as SVG; `lines` has the points of each line by its name."""
+    chart = pygal.XY(
         title=title,
-        x_title=across,
-        y_title=up,
+        x_title=x_title,
+        y_title=y_title,
         include_x_axis=True,
         show_dots=True,
         js=[],
         disable_xml_declaration=False,
     )
     for name, points in lines.items():
-        drawn.add(name, [(round(x, 3), round(y, 3)) for x, y in points])
-    return bytes(drawn.render())
+        chart.add(name, [(round(x, 3), round(y, 3)) for x, y in points])
+    return bytes(chart.render())
 
 
 def earned_share_by_second(result: LoadResult) -> list[tuple[float, float]]:
-    """Return the share of the offered value that was earned, by second of arrival."""
-    return [(at, row["earned"] / row["due"]) for at, row in sorted(result.slices.items()) if row["due"]]
+    """Return the share of the due value that was earned, as points by second of arrival."""
+    return [(second, row["earned"] / row["due"]) for second, row in sorted(result.slices.items()) if row["due"]]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -44,15 +44,21 @@
 @pytest.mark.parametrize(
     ("text", "why"),
     [
-        ("(run)", "1:1: a plan begins with (load 1)"),
+        ("(run)", "1:1: a plan must begin with (load 1)"),
         ("(load 1)", "needs a (client NAME ...)"),
         ("(load 1)(client a (rate 5))", "1:25: (rate ...): 5 has no unit"),
-        ("(load 1)(client a (rate 5 requests/s))(fault odd (at 1 s) (for 1 s))", "there are fail, hang"),
-        ("(load 1)(client a (rate 5 requests/s))(surge (at 1 s) (for 1 s) (clients b))", "names the client b"),
+        (
+            "(load 1)(client a (rate 5 requests/s))(fault odd (at 1 s) (for 1 s))",
+            "unknown fault odd; known faults: fail, hang",
+        ),
+        (
+            "(load 1)(client a (rate 5 requests/s))(surge (at 1 s) (for 1 s) (clients b))",
+            "names the client b, which is not defined",
+        ),
         ("(load 1)(client a (rate 15000 requests/s))(surge (at 1 s) (for 1 s) (times 5))", "at most 20000"),
-        ("(load 1)(client a (rate 5 requests/s))(client a (rate 5 requests/s))", "given twice"),
+        ("(load 1)(client a (rate 5 requests/s))(client a (rate 5 requests/s))", "the client a is defined twice"),
         ("(load 1)(client a (rate 5 requests/s) (more 3))", "has no part (more ...)"),
-        ("(load 1)(odd)", "is no form"),
+        ("(load 1)(odd)", "unknown form 'odd'"),
         ("(load 1)\n(client a", "the file ends within"),
     ],
 )
@@ -184,4 +190,4 @@
     assert ElementTree.fromstring((tmp_path / "result.svg").read_bytes()).tag.endswith("svg")
     plan.write_text("(load 1)(odd)")
     done = word("bricks", str(plan))
-    assert done.returncode == 2 and done.stderr.startswith(f"{plan}:1:9: 'odd' is no form")
+    assert done.returncode == 2 and done.stderr.startswith(f"{plan}:1:9: unknown form 'odd'")
