--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: the same plan gives the same arrivals, times count from when a request was due, faults come and go."""
+"""Tests of the load tool: arrivals are reproducible, latencies count from scheduled times, and faults begin and end."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 )
 
 
-def test_arrivals_are_the_same_for_a_seed_and_surges_only_add_to_them() -> None:
+def test_arrivals_depend_only_on_the_plan_and_surges_raise_their_rate() -> None:
     plan = LoadPlan(5, 20_000_000, clients=(READS, WRITES))
     first = arrivals(plan)
     assert first == arrivals(plan) and first != arrivals(LoadPlan(6, 20_000_000, clients=(READS, WRITES)))
-    assert [one.at_us for one in first] == sorted(one.at_us for one in first)
+    assert [arrival.at_us for arrival in first] == sorted(arrival.at_us for arrival in first)
     assert abs(len(first) / 20 - 90) < 10
     surged = arrivals(
         LoadPlan(5, 20_000_000, clients=(READS, WRITES), surges=(Surge(5_000_000, 5_000_000, 5.0, ("reads",)),))
     )
-    inside = [one for one in surged if 5_000_000 <= one.at_us < 10_000_000 and one.client == 0]
-    assert 250 * 5 < len(inside) < 350 * 5
-    assert abs(sum(one.client == 1 for one in surged) / 20 - 30) < 5
+    during_surge = [arrival for arrival in surged if 5_000_000 <= arrival.at_us < 10_000_000 and arrival.client == 0]
+    assert 250 * 5 < len(during_surge) < 350 * 5
+    assert abs(sum(arrival.client == 1 for arrival in surged) / 20 - 30) < 5
     scaled = plan.scaled_to(2.0)
     assert scaled.offered == pytest.approx(2 * scaled.capacity)
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "message"),
     [
         ("(run)", "1:1: a plan must begin with (load 1)"),
         ("(load 1)", "needs a (client NAME ...)"),
@@ -62,55 +62,60 @@
         ("(load 1)\n(client a", "the file ends within"),
     ],
 )
-def test_a_bad_plan_is_told_by_line_and_column(text: str, why: str) -> None:
+def test_a_mistake_in_a_plan_is_reported_with_line_and_column(text: str, message: str) -> None:
     _, mistakes = read_plan(text.encode())
-    assert any(why in one.located_in("x").removeprefix("x:") for one in mistakes), mistakes
+    assert any(message in mistake.located_in("x").removeprefix("x:") for mistake in mistakes), mistakes
 
 
-def test_the_repository_s_plans_are_read() -> None:
+def test_the_plans_of_the_repository_have_no_mistakes() -> None:
     for path in (ROOT / "benchmarks" / "plans").glob("*.sexp"):
         plan, mistakes = read_plan(path.read_bytes())
         assert not mistakes and plan.clients
 
 
-async def played(plan: LoadPlan, settings: dict[str, Any] | None = None) -> tuple[LoadResult, Platform, Any]:
-    """Play a plan against a head in this process."""
+async def run_plan(plan: LoadPlan, settings: dict[str, Any] | None = None) -> tuple[LoadResult, Platform, Any]:
+    """Run a plan against a head in this process; returns the result, the backends, and the counters of the head."""
     async with world() as made:
         platform = Platform(plan)
         await platform.start()
         made.agent.targets = {
-            name: Target(name, f"127.0.0.1:{one.port}", "Ready", "hall-a", "std-1c", one.shard)
-            for one in platform.backends
-            for name in [f"load-{one.shard}"]
+            name: Target(name, f"127.0.0.1:{backend.port}", "Ready", "hall-a", "std-1c", backend.shard)
+            for backend in platform.backends
+            for name in [f"load-{backend.shard}"]
         }
         head = await made.head(settings=settings or setup(Domain={**setup()["Domain"], "NShards": plan.backends}))
-        begin = f"http://127.0.0.1:{platform.port}/begin"
-        result = await LoadGenerator(plan, made.url(head).removeprefix("http://")).run(begin)
+        begin_url = f"http://127.0.0.1:{platform.port}/begin"
+        result = await LoadGenerator(plan, made.url(head).removeprefix("http://")).run(begin_url)
         counts = dict(head.counters.counts)
         platform.close()
         return result, platform, counts
 
 
-def test_a_run_without_faults_and_what_is_written_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_run_without_faults_and_its_table_and_chart(monkeypatch: pytest.MonkeyPatch) -> None:
     plan = LoadPlan(3, 2_000_000, 500_000, clients=(READS, WRITES))
-    result, platform, counts = run_steadily(played(plan), monkeypatch)
-    for sort in result.client_classes:
-        assert sort.requests == sum(
-            one.at_us >= 500_000 for one in arrivals(plan) if plan.clients[one.client] is sort.client
+    result, platform, counts = run_steadily(run_plan(plan), monkeypatch)
+    for class_result in result.client_classes:
+        assert class_result.requests == sum(
+            arrival.at_us >= 500_000
+            for arrival in arrivals(plan)
+            if plan.clients[arrival.client] is class_result.client
         )
         assert (
-            sort.outcomes["aim"] >= 0.9 * sort.requests and sort.latencies.get_value_at_percentile(50) >= plan.work_us
+            class_result.outcomes["aim"] >= 0.9 * class_result.requests
+            and class_result.latencies.get_value_at_percentile(50) >= plan.work_us
         )
     assert sum(backend.served for backend in platform.backends) == counts["requests_served"] == len(arrivals(plan))
-    text = render_table("a title", {"1": result})
-    assert text.startswith("# a title") and "| 1 | reads |" in text and f"| {result.offered_value_rate:.0f} |" in text
-    rows = [line for line in text.splitlines() if line.startswith("|")]
-    assert len({line.count("|") for line in rows[:4]}) == 1  # as many columns as the header says
-    drawn = ElementTree.fromstring(render_chart("c", {"earned": earned_share_by_second(result)}, "s", "worth"))
-    assert drawn.tag.endswith("svg") and "earned" in "".join(drawn.itertext())
+    table = render_table("a title", {"1": result})
+    assert (
+        table.startswith("# a title") and "| 1 | reads |" in table and f"| {result.offered_value_rate:.0f} |" in table
+    )
+    rows = [line for line in table.splitlines() if line.startswith("|")]
+    assert len({line.count("|") for line in rows[:4]}) == 1  # the rows have as many columns as the header
+    chart = ElementTree.fromstring(render_chart("c", {"earned": earned_share_by_second(result)}, "s", "worth"))
+    assert chart.tag.endswith("svg") and "earned" in "".join(chart.itertext())
 
 
-def test_times_count_from_when_a_request_was_due_and_faults_end() -> None:
+def test_latencies_count_from_scheduled_times_and_faults_end() -> None:
     hang = Fault("hang", 500_000, 600_000, 1.0)
     patient = ClientClass(
         "patient",
@@ -130,18 +135,24 @@
         clients=(patient,),
         faults=(hang, Fault("fail", 1_500_000, 300_000, 1.0), Fault("slow", 2_000_000, 200_000, 1.0, slowdown=4.0)),
     )
-    result, platform, _ = run(played(plan))
-    sort = result.client_classes[0]
-    assert sort.requests == len(arrivals(plan)) and sort.outcomes["broken"] == 0
-    assert sort.outcomes["late"] + sort.outcomes["timed out"] + sort.outcomes["failed"] + sort.outcomes["refused"] > 5
+    result, platform, _ = run(run_plan(plan))
+    class_result = result.client_classes[0]
+    assert class_result.requests == len(arrivals(plan)) and class_result.outcomes["broken"] == 0
+    assert (
+        class_result.outcomes["late"]
+        + class_result.outcomes["timed out"]
+        + class_result.outcomes["failed"]
+        + class_result.outcomes["refused"]
+        > 5
+    )
     assert sum(backend.failed for backend in platform.backends) > 0
-    # Whoever waits for its turn to send would have missed these.
-    assert sort.start_delays.get_value_at_percentile(50) < 100_000
-    slices = {at: row["earned"] / row["due"] for at, row in result.slices.items()}
+    # A closed-loop client, which waits for a response before it sends again, would have started requests late.
+    assert class_result.start_delays.get_value_at_percentile(50) < 100_000
+    slices = {second: row["earned"] / row["due"] for second, row in result.slices.items()}
     assert slices[0] < 1.0 or slices[1] < 1.0
 
 
-def test_a_backend_that_comes_back_is_cold_and_gets_warm() -> None:
+def test_a_backend_is_slow_after_a_restart_and_then_reaches_full_speed() -> None:
     plan = LoadPlan(backends=2, faults=(Fault("vanish", 1_000_000, 2_000_000, 0.5),))
     now = 0
     platform = Platform(plan)
@@ -155,10 +166,10 @@
     assert speeds == [1.0, COLD_SHARE, pytest.approx((1 + COLD_SHARE) / 2), 1.0]
 
 
-def test_words_for_loads(tmp_path: Path) -> None:
-    def word(*words: str) -> subprocess.CompletedProcess[str]:
+def test_load_commands(tmp_path: Path) -> None:
+    def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "hophinge", "load", *words],
+            [sys.executable, "-m", "hophinge", "load", *arguments],
             cwd=ROOT,
             capture_output=True,
             text=True,
@@ -171,9 +182,9 @@
         "(load 1)(run (for 2 s) (settle 500 ms) (work 5 ms))"
         "(client a (class record-read) (plan priority) (rate 40 requests/s))"
     )
-    done = word("run", str(plan), "--head", "192.0.2.1:80")
-    assert done.returncode == 2 and "not on loopback" in done.stderr
-    done = word(
+    completed = run_command("run", str(plan), "--head", "192.0.2.1:80")
+    assert completed.returncode == 2 and "not on loopback" in completed.stderr
+    completed = run_command(
         "experiment",
         str(plan),
         "--config",
@@ -185,9 +196,9 @@
         "--out",
         str(tmp_path / "result"),
     )
-    assert done.returncode == 0, done.stderr
+    assert completed.returncode == 0, completed.stderr
     assert "| 0.1 | a |" in (tmp_path / "result.md").read_text()
     assert ElementTree.fromstring((tmp_path / "result.svg").read_bytes()).tag.endswith("svg")
     plan.write_text("(load 1)(odd)")
-    done = word("bricks", str(plan))
-    assert done.returncode == 2 and done.stderr.startswith(f"{plan}:1:9: unknown form 'odd'")
+    completed = run_command("bricks", str(plan))
+    assert completed.returncode == 2 and completed.stderr.startswith(f"{plan}:1:9: unknown form 'odd'")
--- a/tests/test_rig_cuts.py
+++ b/tests/test_rig_cuts.py
@@ -1,4 +1,4 @@
-"""The rig's cuts: what is sent into one is lost, a connection that lost something is reset, others go on."""
+"""Tests of socket partitions: data for a blocked host is lost, and a connection that lost data is reset."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 @pytest.fixture
-def word(tmp_path: Path) -> Path:
+def blocked_hosts_file(tmp_path: Path) -> Path:
     return tmp_path / "cuts"
 
 
 @pytest.fixture
-def cuts(word: Path) -> SocketPartition:
-    return SocketPartition(word)
+def partition(blocked_hosts_file: Path) -> SocketPartition:
+    return SocketPartition(blocked_hosts_file)
 
 
 @pytest.fixture
@@ -29,29 +29,31 @@
         yield listening
 
 
-def test_what_is_sent_into_a_cut_is_lost_and_the_connection_is_reset_after_it(
-    word: Path, cuts: SocketPartition, server: socket.socket
+def test_data_for_a_blocked_host_is_lost_and_the_connection_is_reset_after_the_unblock(
+    blocked_hosts_file: Path, partition: SocketPartition, server: socket.socket
 ) -> None:
     with socket.create_connection(server.getsockname()) as sock:
         accepted, _ = server.accept()
         with accepted:
-            assert cuts.send(sock, b"before") == 6
+            assert partition.send(sock, b"before") == 6
             assert accepted.recv(100) == b"before"
-            word.write_text(f"{OTHER}\n{HOST}")
-            assert cuts.send(sock, b"lost") == 4
-            word.write_text("")
+            blocked_hosts_file.write_text(f"{OTHER}\n{HOST}")
+            assert partition.send(sock, b"lost") == 4
+            blocked_hosts_file.write_text("")
             with pytest.raises(ConnectionResetError):
-                cuts.send(sock, b"after")
+                partition.send(sock, b"after")
             accepted.setblocking(False)
             with pytest.raises(BlockingIOError):
                 accepted.recv(100)
 
 
-def test_nobody_connects_through_a_cut(word: Path, cuts: SocketPartition, server: socket.socket) -> None:
-    word.write_text(HOST)
+def test_connecting_to_a_blocked_host_fails(
+    blocked_hosts_file: Path, partition: SocketPartition, server: socket.socket
+) -> None:
+    blocked_hosts_file.write_text(HOST)
     with socket.socket() as sock, pytest.raises(OSError, match="No route to host"):
-        cuts.connect(sock, server.getsockname())
-    word.write_text(OTHER)
+        partition.connect(sock, server.getsockname())
+    blocked_hosts_file.write_text(OTHER)
     with socket.socket() as sock:
-        cuts.connect(sock, server.getsockname())
-        assert cuts.send(sock, b"through") == 7
+        partition.connect(sock, server.getsockname())
+        assert partition.send(sock, b"through") == 7
--- a/tests/test_rig_processes.py
+++ b/tests/test_rig_processes.py
@@ -1,4 +1,4 @@
-"""The rig's processes: stopped, killed, with a full disk and a wrong clock, and none left behind."""
+"""Tests of the rig's processes: signals, disk and clock faults, condition waits, and that none outlives its run."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from tests.stand_in import run
 
 BOUND_S = 30.0
-# A module that does by words what the program's parts do: tells the time, writes a file that lasts, uses SQLite.
-MODULE = """
+# A program that prints its clocks, and writes a durable file and an SQLite ledger until its folder has a file `go`.
+WORKER_SOURCE = """
 import sqlite3, sys, time
 from pathlib import Path
 from hophinge.state.files import load, save
@@ -52,125 +52,136 @@
 """
 
 
-def module(made: Processes, name: str, **environ: str) -> Process:
-    (made.folder / "worker_of_rig.py").write_text(MODULE)
-    (made.folder / name).mkdir()
-    return made.create(
-        name, ["worker_of_rig", str(made.folder / name)], {"PYTHONPATH": f"{made.folder}:{ROOT}", **environ}
+def create_worker(processes: Processes, name: str, **environ: str) -> Process:
+    (processes.folder / "worker_of_rig.py").write_text(WORKER_SOURCE)
+    (processes.folder / name).mkdir()
+    return processes.create(
+        name, ["worker_of_rig", str(processes.folder / name)], {"PYTHONPATH": f"{processes.folder}:{ROOT}", **environ}
     )
 
 
-def newer(process: Process, text: str, than: int) -> Condition:
-    """A line that came after so many."""
+def has_logged_after(process: Process, text: str, line_count: int) -> Condition:
+    """Return the condition that a process has logged a text after its first `line_count` lines."""
 
-    async def look() -> tuple[bool, str]:
-        return any(text in line for line in list(process.lines)[than:]), ""
+    async def check() -> tuple[bool, str]:
+        return any(text in line for line in list(process.lines)[line_count:]), ""
 
-    return Condition(process, f"says {text!r} again", look)
+    return Condition(process, f"has logged {text!r} again", check)
 
 
-def test_a_full_and_a_failing_disk_come_and_go_while_a_process_runs(tmp_path: Path) -> None:
+def test_disk_faults_begin_and_end_while_a_process_runs(tmp_path: Path) -> None:
     async def main() -> None:
-        made = Processes(tmp_path)
-        one = module(made, "one")
+        processes = Processes(tmp_path)
+        worker = create_worker(processes, "one")
         try:
-            await made.start("one")
-            await wait_until([has_logged(one, "file written"), has_logged(one, "ledger written")], BOUND_S)
-            for word, text in (("full", "No space left"), ("failing", "Input/output error")):
-                one.set_disk_fault(word)
+            await processes.start("one")
+            await wait_until([has_logged(worker, "file written"), has_logged(worker, "ledger written")], BOUND_S)
+            for fault, error_text in (("full", "No space left"), ("failing", "Input/output error")):
+                worker.set_disk_fault(fault)
                 await wait_until(
-                    [newer(one, text, len(one.lines)), newer(one, "ledger not written: FullError", len(one.lines))],
+                    [
+                        has_logged_after(worker, error_text, len(worker.lines)),
+                        has_logged_after(worker, "ledger not written: FullError", len(worker.lines)),
+                    ],
                     BOUND_S,
                 )
-                one.set_disk_fault("")
+                worker.set_disk_fault("")
                 await wait_until(
-                    [newer(one, "file written", len(one.lines)), newer(one, "ledger written", len(one.lines))], BOUND_S
+                    [
+                        has_logged_after(worker, "file written", len(worker.lines)),
+                        has_logged_after(worker, "ledger written", len(worker.lines)),
+                    ],
+                    BOUND_S,
                 )
-            (one.folder / "go").touch()
-            await wait_until([has_exited(one, 0)], BOUND_S)
+            (worker.folder / "go").touch()
+            await wait_until([has_exited(worker, 0)], BOUND_S)
         finally:
-            assert await made.close() == []
+            assert await processes.close() == []
 
     run(main())
 
 
-def test_a_wall_clock_is_off_and_the_monotonic_one_is_not(tmp_path: Path) -> None:
+def test_a_shifted_wall_clock_leaves_the_monotonic_clock_unchanged(tmp_path: Path) -> None:
     async def main() -> None:
-        made = Processes(tmp_path)
-        right, wrong = module(made, "right"), module(made, "wrong", **{CLOCK_OFFSET: "-3600"})
+        processes = Processes(tmp_path)
+        correct, shifted = (
+            create_worker(processes, "correct"),
+            create_worker(processes, "shifted", **{CLOCK_OFFSET: "-3600"}),
+        )
         try:
-            await made.start("right", "wrong")
-            await wait_until([has_logged(right, "clock"), has_logged(wrong, "clock")], BOUND_S)
-            found = [
+            await processes.start("correct", "shifted")
+            await wait_until([has_logged(correct, "clock"), has_logged(shifted, "clock")], BOUND_S)
+            clocks = [
                 [float(text) for text in line.split()[1:]]
-                for one in (right, wrong)
-                for line in one.lines
+                for process in (correct, shifted)
+                for line in process.lines
                 if line.startswith("clock")
             ]
-            assert abs(found[0][0] - found[1][0] - 3600) < 120 and abs(found[0][1] - found[1][1]) < 120
+            assert abs(clocks[0][0] - clocks[1][0] - 3600) < 120 and abs(clocks[0][1] - clocks[1][1]) < 120
         finally:
-            assert await made.close() == []
+            assert await processes.close() == []
 
     run(main())
 
 
-def test_a_process_is_stopped_woken_killed_and_started_again_and_only_by_its_own_id(tmp_path: Path) -> None:
+def test_suspend_resume_kill_and_restart_affect_only_their_process(tmp_path: Path) -> None:
     async def main() -> None:
-        made = Processes(tmp_path, max_processes=2)
-        one, other = module(made, "one"), module(made, "other")
-        module(made, "third")
+        processes = Processes(tmp_path, max_processes=2)
+        one, other = create_worker(processes, "one"), create_worker(processes, "other")
+        create_worker(processes, "third")
         try:
-            await made.start("one", "other")
+            await processes.start("one", "other")
             with pytest.raises(TooManyProcessesError):
-                await made.start("third")
+                await processes.start("third")
             await wait_until([has_logged(one, "file written"), has_logged(other, "file written")], BOUND_S)
             await one.suspend()
             assert one.is_suspended and not other.is_suspended and one.is_running
-            await wait_until([newer(other, "file written", len(other.lines))], BOUND_S)  # the pipes are empty now
-            seen = len(one.lines)
-            await wait_until([newer(other, "file written", len(other.lines))], BOUND_S)
-            assert len(one.lines) == seen
+            # Once the other process has logged again, the output from before the suspension has been read.
+            await wait_until([has_logged_after(other, "file written", len(other.lines))], BOUND_S)
+            line_count = len(one.lines)
+            await wait_until([has_logged_after(other, "file written", len(other.lines))], BOUND_S)
+            assert len(one.lines) == line_count
             one.resume()
-            await wait_until([newer(one, "file written", len(one.lines))], BOUND_S)
+            await wait_until([has_logged_after(one, "file written", len(one.lines))], BOUND_S)
             await one.suspend()
-            await one.kill()  # one that stands still too
+            await one.kill()  # a suspended process can be killed
             assert not one.is_running and other.is_running
             with pytest.raises(ProcessLookupError):
-                one.send(signal.SIGTERM)  # nobody else's id is ever taken
+                one.send(signal.SIGTERM)  # its id may belong to another process now
             await one.start()
             await wait_until([has_logged(one, "file written")], BOUND_S)
             assert one.starts == 2 and await other.end() == -signal.SIGTERM
         finally:
-            assert await made.close() == []
+            assert await processes.close() == []
 
     run(main())
 
 
-def test_a_wait_that_fails_names_the_process_the_condition_and_its_log(tmp_path: Path) -> None:
+def test_a_failed_wait_names_the_process_the_condition_and_its_log(tmp_path: Path) -> None:
     async def main() -> None:
-        made = Processes(tmp_path)
-        one, other = module(made, "one"), module(made, "other")
+        processes = Processes(tmp_path)
+        one, other = create_worker(processes, "one"), create_worker(processes, "other")
         try:
-            await made.start("one", "other")
+            await processes.start("one", "other")
             await wait_until([has_logged(one, "file written")], BOUND_S)
             with pytest.raises(ConditionError) as caught:
-                await wait_until([has_logged(one, "file written"), has_logged(other, "what never comes")], 0.2)
+                await wait_until([has_logged(one, "file written"), has_logged(other, "an absent text")], 0.2)
             text = str(caught.value)
-            assert "other (running): has logged 'what never comes'" in text and "one (running)" not in text
+            assert "other (running): has logged 'an absent text'" in text and "one (running)" not in text
             await wait_until([has_logged(other, "file written")], BOUND_S)
             with pytest.raises(ConditionError, match=r"(?s)other.*written"):
-                await holds_while([has_logged(one, "clock"), has_logged(other, "what never comes")], asyncio.sleep(60))
+                await holds_while([has_logged(one, "clock"), has_logged(other, "an absent text")], asyncio.sleep(60))
             assert await holds_while([has_logged(other, "clock")], asyncio.sleep(0.1)) > 0
             with pytest.raises(ValueError, match="there is no condition to wait for"):
                 await wait_until([], 1.0)
         finally:
-            assert await made.close() == []
+            assert await processes.close() == []
 
     run(main())
 
 
-def test_a_test_that_is_killed_leaves_no_process_behind(tmp_path: Path) -> None:
-    """The parent of a process of the rig is killed; the process ends with it."""
+def test_a_process_ends_when_the_process_that_started_it_is_killed(tmp_path: Path) -> None:
+    """A test that is killed must leave no process behind."""
     code = (
         "import os, subprocess, sys\n"
         f"one = subprocess.Popen([sys.executable, '-m', {LAUNCH!r}, 'http.server', '0', '--bind', '127.0.0.1'],\n"
@@ -189,55 +200,55 @@
         pid = int(parent.stdout.readline())
         assert parent.stdout.readline() == b"serves\n" and Path(f"/proc/{pid}").exists()
         parent.kill()
-    gone = Path(f"/proc/{pid}/stat")
+    stat_file = Path(f"/proc/{pid}/stat")
 
     async def main() -> None:
-        while gone.exists() and gone.read_text().rpartition(")")[2].split()[0] != "Z":
+        while stat_file.exists() and stat_file.read_text().rpartition(")")[2].split()[0] != "Z":
             await asyncio.sleep(0.01)
 
     run(main())
-    assert not gone.exists() or gone.read_text().rpartition(")")[2].split()[0] == "Z"
+    assert not stat_file.exists() or stat_file.read_text().rpartition(")")[2].split()[0] == "Z"
 
 
-def test_a_child_that_dies_before_its_program_begins_is_told_as_such(tmp_path: Path) -> None:
+def test_a_process_that_exits_before_its_program_starts_is_reported_as_never_started(tmp_path: Path) -> None:
     async def main() -> None:
-        made = Processes(tmp_path)
-        one = made.create("one", ["no_such_module_of_rig"], {MEMORY: "not a number"})
+        processes = Processes(tmp_path)
+        one = processes.create("one", ["no_such_module_of_rig"], {MEMORY: "not a number"})
         await one.start()
         with pytest.raises(NeverStartedError, match="one"):
             await wait_until([has_logged(one, "hello")], BOUND_S)
         assert one.never_started
-        other = module(made, "other")
+        other = create_worker(processes, "other")
         await other.start()
         await wait_until([has_logged(other, "clock")], BOUND_S)
         assert not other.never_started
         await other.kill()
         assert not other.never_started
-        assert await made.close() == []
+        assert await processes.close() == []
 
     run(main())
 
 
-def test_nothing_of_this_process_runs_in_a_child_before_its_program() -> None:
-    """What libraries register for a fork is not run: with threads and channels open it may end the child."""
-    forked = ctypes.c_int(0)
+def test_starting_a_child_runs_no_fork_handlers() -> None:
+    """Fork handlers of libraries may end the child while threads and gRPC channels are open."""
+    handler_calls = ctypes.c_int(0)
 
     def prepare() -> None:
-        forked.value += 1
+        handler_calls.value += 1
 
-    kept = ctypes.CFUNCTYPE(None)(prepare)
+    handler = ctypes.CFUNCTYPE(None)(prepare)
     register = ctypes.CDLL(None).__register_atfork
-    register(kept, None, None, None)
-    _KEPT.append(kept)  # the C library calls it for as long as this process lives
+    register(handler, None, None, None)
+    _REGISTERED_HANDLERS.append(handler)  # the C library may call it until this process exits
 
     async def main() -> None:
         one = child.start([sys.executable, "-c", "print('hello')"], ROOT, dict(os.environ))
         assert await one.stdout.read() == b"hello\n"
         assert await one.wait() == 0
 
-    before = forked.value
+    before = handler_calls.value
     run(main())
-    assert forked.value == before
+    assert handler_calls.value == before
 
 
-_KEPT: list[object] = []
+_REGISTERED_HANDLERS: list[object] = []
--- a/tests/test_rig_run.py
+++ b/tests/test_rig_run.py
@@ -1,4 +1,4 @@
-"""The rig's runs: real heads and a control service behind the relay, and none of them left when a test fails."""
+"""Tests of rig runs: heads and a control service behind the relay, and no process left when a test fails."""
 
 from __future__ import annotations
 
@@ -17,114 +17,115 @@
 DOCUMENT = "(hophinge 1)(pool all (zones hall-a))(route (pools all) (else any))"
 
 
-async def push(made: RigRun, control: str, text: str = DOCUMENT) -> str:
-    done = await call_operator_api(
-        made.endpoints[control].listen, made.tokens["staff"], "Push", json.dumps({"text": text}).encode()
+async def push(rig: RigRun, control: str, text: str = DOCUMENT) -> str:
+    """Push a document to a control service; returns its version."""
+    response = await call_operator_api(
+        rig.endpoints[control].listen, rig.tokens["staff"], "Push", json.dumps({"text": text}).encode()
     )
-    return str(json.loads(done)["version"])
+    return str(json.loads(response)["version"])
 
 
-def configuration(made: RigRun, name: str, **wanted: object) -> Condition:
-    """A head's /ops/config has these fields."""
-    return made.answers(name, "/ops/config", f"{wanted}", lambda text: json.loads(text).items() >= wanted.items())
+def has_configuration(rig: RigRun, name: str, **expected: object) -> Condition:
+    """Return the condition that /ops/config of a head has these fields."""
+    return rig.answers(name, "/ops/config", f"{expected}", lambda text: json.loads(text).items() >= expected.items())
 
 
-def test_a_head_behind_the_relay_is_cut_from_its_control_service_and_backends_and_comes_back(tmp_path: Path) -> None:
+def test_a_head_recovers_from_a_partition_from_its_control_service_and_backends(tmp_path: Path) -> None:
     async def main() -> None:
-        async with RigRun(tmp_path) as made:
-            made.add_control_service("c")
-            await made.add_head("n0", stream="c", is_relayed=True)
-            await made.add_head("n1", stream="c", clock_off_s=3600)
-            await made.processes.start("c", "n0", "n1")
-            await wait_until([has_logged(made["c"], "listens on"), *map(made.is_ready, ("n0", "n1"))], BOUND_S)
-            await wait_until([configuration(made, name, connected=True) for name in ("n0", "n1")], BOUND_S)
-            first = await push(made, "c")
-            await wait_until([configuration(made, name, running=first) for name in ("n0", "n1")], BOUND_S)
-            await wait_until([made.is_serving("n0"), made.is_serving("n1")], BOUND_S)
-            # Cut off, one head misses what the other hears of; killed and started again, it has what it kept.
-            made.network.block({"n0"}, {"c"})
-            second = await push(made, "c")
-            await wait_until([configuration(made, "n1", running=second)], BOUND_S)
-            await made["n0"].kill()
-            await made["n0"].start()
+        async with RigRun(tmp_path) as rig:
+            rig.add_control_service("c")
+            await rig.add_head("n0", stream="c", is_relayed=True)
+            await rig.add_head("n1", stream="c", clock_off_s=3600)
+            await rig.processes.start("c", "n0", "n1")
+            await wait_until([has_logged(rig["c"], "listens on"), *map(rig.is_ready, ("n0", "n1"))], BOUND_S)
+            await wait_until([has_configuration(rig, name, connected=True) for name in ("n0", "n1")], BOUND_S)
+            first = await push(rig, "c")
+            await wait_until([has_configuration(rig, name, running=first) for name in ("n0", "n1")], BOUND_S)
+            await wait_until([rig.is_serving("n0"), rig.is_serving("n1")], BOUND_S)
+            # A partitioned head misses a version that the other gets; restarted, it runs the version that it stored.
+            rig.network.block({"n0"}, {"c"})
+            second = await push(rig, "c")
+            await wait_until([has_configuration(rig, "n1", running=second)], BOUND_S)
+            await rig["n0"].kill()
+            await rig["n0"].start()
             await wait_until(
-                [made.is_ready("n0"), configuration(made, "n0", running=first), made.is_serving("n0")], BOUND_S
+                [rig.is_ready("n0"), has_configuration(rig, "n0", running=first), rig.is_serving("n0")], BOUND_S
             )
-            made.network.heal()
-            await wait_until([configuration(made, "n0", running=second)], BOUND_S)
-            # Its bricks are cut off as well: nothing is served there, and all is once they are back.
-            backends = {str(backend.target()["uid"]) for backend in made.platform.backends}
-            made.network.block({"n0"}, backends)
-            assert await made.request("n0", 77) != 200 and await made.request("n1", 77) == 200
-            made.network.heal()
-            await wait_until([made.is_serving("n0")], BOUND_S)
+            rig.network.heal()
+            await wait_until([has_configuration(rig, "n0", running=second)], BOUND_S)
+            # Without its backends it serves no request; it does again after the partition heals.
+            backends = {str(backend.target()["uid"]) for backend in rig.platform.backends}
+            rig.network.block({"n0"}, backends)
+            assert await rig.request("n0", 77) != 200 and await rig.request("n1", 77) == 200
+            rig.network.heal()
+            await wait_until([rig.is_serving("n0")], BOUND_S)
 
     run(main())
 
 
-def test_a_control_service_whose_disk_is_full_takes_no_version_and_takes_the_next(tmp_path: Path) -> None:
+def test_a_control_service_rejects_a_version_while_its_disk_is_full(tmp_path: Path) -> None:
     async def main() -> None:
-        async with RigRun(tmp_path) as made:
-            made.add_control_service("c")
-            await made.add_head("n0", stream="c")
-            await made.processes.start("c", "n0")
-            await wait_until([has_logged(made["c"], "listens on"), made.is_ready("n0")], BOUND_S)
-            await wait_until([configuration(made, "n0", connected=True)], BOUND_S)
-            made["c"].set_disk_fault("full")
+        async with RigRun(tmp_path) as rig:
+            rig.add_control_service("c")
+            await rig.add_head("n0", stream="c")
+            await rig.processes.start("c", "n0")
+            await wait_until([has_logged(rig["c"], "listens on"), rig.is_ready("n0")], BOUND_S)
+            await wait_until([has_configuration(rig, "n0", connected=True)], BOUND_S)
+            rig["c"].set_disk_fault("full")
             with pytest.raises(ConnectionError, match="nothing was stored: disk I/O error"):
-                await push(made, "c")
-            assert made["c"].is_running
-            made["c"].set_disk_fault("")
-            version = await push(made, "c")
-            await wait_until([configuration(made, "n0", running=version)], BOUND_S)
+                await push(rig, "c")
+            assert rig["c"].is_running
+            rig["c"].set_disk_fault("")
+            version = await push(rig, "c")
+            await wait_until([has_configuration(rig, "n0", running=version)], BOUND_S)
 
     run(main())
 
 
-def test_a_run_that_fails_leaves_no_process_even_a_stopped_one(tmp_path: Path) -> None:
+def test_a_failed_run_leaves_no_process_not_even_a_suspended_one(tmp_path: Path) -> None:
     pids: list[int] = []
 
     async def main() -> None:
         with pytest.raises(ConditionError, match=r"n0 \(suspended\): /ops/readiness: ready"):
-            async with RigRun(tmp_path) as made:
-                await made.add_head("n0")
-                await made.processes.start("n0")
-                await wait_until([made.is_ready("n0")], BOUND_S)
-                pids.append(made["n0"].pid)
-                await made["n0"].suspend()
-                await wait_until([made.is_ready("n0")], 0.1)
+            async with RigRun(tmp_path) as rig:
+                await rig.add_head("n0")
+                await rig.processes.start("n0")
+                await wait_until([rig.is_ready("n0")], BOUND_S)
+                pids.append(rig["n0"].pid)
+                await rig["n0"].suspend()
+                await wait_until([rig.is_ready("n0")], 0.1)
         assert pids and not Path(f"/proc/{pids[0]}").exists()
 
     run(main())
 
 
-def test_a_run_tells_what_is_left_after_it(tmp_path: Path) -> None:
+def test_a_run_reports_processes_that_still_exist_after_it(tmp_path: Path) -> None:
     async def main() -> None:
         with pytest.raises(LeftoverError, match="123") as caught:
-            async with RigRun(tmp_path) as made:
+            async with RigRun(tmp_path) as rig:
 
                 async def close() -> list[int]:
                     return [123]
 
-                made.processes.close = close  # type: ignore[method-assign]  # the end that goes wrong
+                rig.processes.close = close  # type: ignore[method-assign]  # simulates a process that cannot be killed
         assert LeftoverError.remedy in one_line(caught.value)
 
     run(main())
 
 
-def test_ports_and_addresses_of_two_runs_are_apart(tmp_path: Path) -> None:
+def test_two_runs_have_different_hosts_and_a_run_different_ports(tmp_path: Path) -> None:
     one, other = RigRun(tmp_path / "one"), RigRun(tmp_path / "other")
     assert one.host != other.host and len({one.port() for _ in range(50)}) == 50
 
 
-def test_ports_are_none_that_connections_on_their_way_out_are_given_and_end_with_a_remedy(tmp_path: Path) -> None:
-    """A head's port was taken by an outgoing connection between its choice and the head's start."""
-    first_out = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
-    made = RigRun(tmp_path)
-    found = [made.port() for _ in range(50)]
-    assert len(set(found)) == 50 and max(found) < first_out
-    made.ports = iter(range(PORTS.stop - 1, PORTS.stop))
-    made.port()
+def test_ports_are_not_ephemeral_and_running_out_of_them_is_an_error(tmp_path: Path) -> None:
+    """An outgoing connection once took the port of a head between its choice and the start of the head."""
+    first_ephemeral = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
+    rig = RigRun(tmp_path)
+    ports = [rig.port() for _ in range(50)]
+    assert len(set(ports)) == 50 and max(ports) < first_ephemeral
+    rig.ports = iter(range(PORTS.stop - 1, PORTS.stop))
+    rig.port()
     with pytest.raises(NoFreePortError) as error:
-        made.port()
+        rig.port()
     assert "[rig-no-port]" in one_line(error.value)
