--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -1,4 +1,7 @@
-"""Accounts at a head: the ledger on its disk, its own or a copy of the control service's, and what hangs on them."""
+"""A head's tenant accounts: authentication, quotas, usage counts and open uploads, kept in a ledger on its disk.
+
+The ledger is either the head's own or a replica of the control service's accounts.
+"""
 
 from __future__ import annotations
 
@@ -26,27 +29,27 @@
 from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
 from hophinge.tenancy.lifecycle import TenantState
 
-FLUSH_INTERVAL_S = 1.0  # of usage; a killed head loses what came since
-MAX_UPLOADS_CHECKED = 50  # uploads whose state is looked up when a tenant has its most
-RETRY_INTERVAL_S = 1.0  # advice to who has as many connections or requests as it may
-GUESSES_S, GUESSES_BURST = 50.0, 200.0  # wrong keys from one address; beyond, none from there is looked at
+FLUSH_INTERVAL_S = 1.0  # of usage; a head that is killed loses the usage counted since the last flush
+MAX_UPLOADS_CHECKED = 50  # of a tenant's open uploads, in one pass over them
+RETRY_INTERVAL_S = 1.0  # suggested to clients of a tenant that is at its limit of connections or requests
+INVALID_KEYS_S, INVALID_KEYS_BURST = 50.0, 200.0  # from one address; beyond, its requests fail without a key check
 
 
 class DocumentTenantChecks(Protocol):
-    """Tenants that the service document names, without an account."""
+    """The tenants that the service document names and that have no account."""
 
     def owner(self, volume: str) -> str:
-        """Return the tenant of a volume, or nothing."""
+        """Return the tenant of a volume; empty where there is none."""
 
     def admits(self, connection: object, volume: str) -> bool:
-        """Return whether a request of a volume may come over a connection."""
+        """Return whether a request for a volume is allowed on a connection."""
 
     def dropped(self, holder: object) -> None:
-        """Note the end of a connection."""
+        """Record that a connection has closed."""
 
 
 class Upload(msgspec.Struct, frozen=True):
-    """An open upload, as the ledger keeps it."""
+    """An open upload, as the ledger stores it."""
 
     bucket: str
     volume: str
@@ -55,35 +58,37 @@
 
 
 class HeadAccounts(Metering):
-    """What both fronts ask about tenants. `copy`: the control service owns the accounts."""
+    """The accounts as both frontends use them. With `is_replica`, the control service owns the accounts."""
 
     def __init__(
         self, path: Path, old: Path | None, is_replica: bool, counters: Counters, log: Callable[[str], None]
     ) -> None:
         self.started = False
-        super().__init__(path, is_replica, counters, log, self._became)
+        super().__init__(path, is_replica, counters, log, self._on_state_change)
         self.front: ObjectFront | None = None
         self.store: ObjectStore | None = None
-        self.tenant_ended: Callable[[str], None] = lambda tenant: None  # told of one that is served no more
+        self.tenant_ended: Callable[[str], None] = lambda tenant: None  # called when a tenant stops being active
         self.connections = ConcurrencyQuota()
         self.requests = ConcurrencyQuota()
-        self.guesses = CallerRateLimits(GUESSES_S, GUESSES_BURST)
+        self.guesses = CallerRateLimits(INVALID_KEYS_S, INVALID_KEYS_BURST)
         if old is not None and not is_replica and not self.ledger.seq and old.exists():
-            self._take_over(old)
+            self._import_file(old)
         self.started = True
 
-    def _take_over(self, old: Path) -> None:
+    def _import_file(self, old: Path) -> None:
         rows = import_accounts(old, self.now_ms())
         entry = AuditEntry(self.now_ms(), "hophinge", "service", "take_over", str(old), {"rows": len(rows)})
 
         def decide() -> LedgerChange:
-            return LedgerChange([] if self.ledger.seq else rows, entry)  # another process may have done it just now
+            return LedgerChange(
+                [] if self.ledger.seq else rows, entry
+            )  # another process may have imported it meanwhile
 
         self.ledger.change(decide)
-        self.log(f"{len(rows)} rows of {old} are taken over into {self.ledger.path}; the file is not read again")
+        self.log(f"imported {len(rows)} rows from {old} into {self.ledger.path}; the file is not read again")
 
-    def _became(self, tenant: str, state: TenantState | None) -> None:
-        """Answer what waits of a tenant that is served no more; its keys are valid no more already."""
+    def _on_state_change(self, tenant: str, state: TenantState | None) -> None:
+        """Reject the queued requests of a tenant that is not active any more; its keys are invalid already."""
         if self.started and state is not TenantState.ACTIVE:
             if self.front is not None:
                 self.front.evict_tenant(tenant)
@@ -92,153 +97,164 @@
     # --- the object front
 
     def admit(self, token: str, bucket: str, request: object, connection: object) -> AuthenticatedRequest:
-        """Authenticate a request; returns its tenant and volume, raises ObjectError, also where a bound is reached."""
+        """Authenticate a request and return its tenant and volume; raises ObjectError, also at a tenant's limit."""
         self.ledger.refresh()
         peer, now_us = _peer(connection), steady_us()
         if wait_us := self.guesses.wait_us(peer, now_us):
-            # Nobody looks at the key, so it is not called wrong; and asking again costs no further wait.
-            raise ObjectError(503, "SlowDown", "Too many wrong keys came from this address.", wait_us / 1e6)
+            # The key is not checked, so the error does not call it invalid. A request rejected here is not counted,
+            # so repeating it does not prolong the wait.
+            raise ObjectError(
+                503, "SlowDown", "Too many requests with invalid keys came from this address.", wait_us / 1e6
+            )
         key = self.accounts.authenticate(token, self.now_ms())
         if key is None:
             self.guesses.count(peer, now_us)
             raise ObjectError(403, "AccessDenied", "The key is not valid.")
         if key.role.value != "data":
-            raise ObjectError(403, "AccessDenied", "The key is not one for objects.")
+            raise ObjectError(403, "AccessDenied", "The key does not allow access to objects.")
         quotas = self.accounts.tenants[key.tenant].quotas
-        held = self.accounts.buckets.get(key.tenant, {}).get(bucket)
-        if held is None:
-            # The same for another tenant's bucket as for none at all.
+        bucket_row = self.accounts.buckets.get(key.tenant, {}).get(bucket)
+        if bucket_row is None:
+            # The same error for another tenant's bucket, so that it does not disclose which buckets exist.
             raise ObjectError(404, "NoSuchBucket", "The bucket does not exist.")
         if not self.connections.acquire(key.tenant, connection, quotas.connections) or not self.requests.acquire(
             key.tenant, request, quotas.requests
         ):
-            self.count(key.tenant, held.id, used.REJECTED, 1)
+            self.count(key.tenant, bucket_row.id, used.REJECTED, 1)
             self.counters.add("tenants_bounded")
             raise ObjectError(
-                503, "SlowDown", "The account has as many connections or requests as it may.", RETRY_INTERVAL_S
+                503, "SlowDown", "The account is at its limit of connections or requests.", RETRY_INTERVAL_S
             )
-        return AuthenticatedRequest(key.tenant, bucket, Volume(held.id, held.plan))
+        return AuthenticatedRequest(key.tenant, bucket, Volume(bucket_row.id, bucket_row.plan))
 
     def dropped(self, holder: object) -> None:
-        """Note the end of a connection or request."""
+        """Record that a connection has closed or a request has ended."""
         self.connections.release(holder)
         self.requests.release(holder)
         if self.document_tenants is not None:
             self.document_tenants.dropped(holder)
 
     async def reserve_upload(self, guest: AuthenticatedRequest, name: str) -> None:
-        """Ask for room for one more upload; those that other heads ended are found out before it is refused."""
-        held = self.accounts.tenants.get(guest.tenant)
-        if held is None or not held.quotas.uploads:
+        """Check the quota for one more upload; raises ObjectError if it is used up.
+
+        At the quota, uploads that were ended at other heads are removed from the count first.
+        """
+        account = self.accounts.tenants.get(guest.tenant)
+        if account is None or not account.quotas.uploads:
             return
-        if self.ledger.count_uploads(guest.tenant) >= held.quotas.uploads:
-            await self._sweep(guest.tenant)
-        if self.ledger.count_uploads(guest.tenant) >= held.quotas.uploads:
-            raise ObjectError(409, "TooManyUploads", "The account has as many open uploads as it may; end one first.")
+        if self.ledger.count_uploads(guest.tenant) >= account.quotas.uploads:
+            await self._remove_closed_uploads(guest.tenant)
+        if self.ledger.count_uploads(guest.tenant) >= account.quotas.uploads:
+            raise ObjectError(
+                409,
+                "TooManyUploads",
+                "The account is at its limit of open uploads; complete or abort one of them first.",
+            )
 
-    async def _sweep(self, tenant: str) -> None:
+    async def _remove_closed_uploads(self, tenant: str) -> None:
         assert self.store is not None
         for upload, body in self.ledger.list_uploads(tenant, MAX_UPLOADS_CHECKED):
-            one = msgspec.json.decode(body, type=Upload)
-            if await self.store.is_closed(Volume(one.volume, one.plan), one.name, upload, self._budget()):
+            record = msgspec.json.decode(body, type=Upload)
+            if await self.store.is_closed(Volume(record.volume, record.plan), record.name, upload, self._budget()):
                 self.ledger.remove_upload(upload)
 
     def record_upload(self, guest: AuthenticatedRequest, name: str, upload: str) -> None:
-        """Note an open upload."""
-        one = Upload(guest.bucket, guest.volume.id, guest.volume.plan, name)
-        self.ledger.add_upload(upload, guest.tenant, msgspec.json.encode(one))
+        """Record an open upload."""
+        record = Upload(guest.bucket, guest.volume.id, guest.volume.plan, name)
+        self.ledger.add_upload(upload, guest.tenant, msgspec.json.encode(record))
 
     def forget_upload(self, upload: str) -> None:
-        """Note that an upload was completed or aborted."""
+        """Record that an upload was completed or aborted; logs if the ledger cannot be written."""
         try:
             self.ledger.remove_upload(upload)
-        except LedgerError:  # busy or full: what its client asked for is done all the same
-            self.log(f"the end of upload {upload} is noted later")  # a sweep finds it
+        except LedgerError:  # busy or full; the client's request has succeeded all the same
+            # The check at the tenant's quota finds and removes it.
+            self.log(f"the ledger cannot record the end of upload {upload} now; its entry is removed later")
 
     def _budget(self) -> TimeBudget:
         assert self.store is not None
         return TimeBudget(self.store.chunk_store.exchange.now_us(), None)
 
     async def abort(self, tenant: str) -> None:
-        """Abort what uploads of a tenant are open here; one at a time, each noted before the next."""
+        """Abort a tenant's uploads that this ledger lists, one at a time; each is removed from it before the next."""
         assert self.store is not None
         for upload, body in self.ledger.list_uploads(tenant, MAX_UPLOADS_CHECKED):
-            one = msgspec.json.decode(body, type=Upload)
+            record = msgspec.json.decode(body, type=Upload)
             with contextlib.suppress(ObjectError):  # it has ended already
-                await self.store.abort(Volume(one.volume, one.plan), one.name, upload, self._budget())
+                await self.store.abort(Volume(record.volume, record.plan), record.name, upload, self._budget())
             self.ledger.remove_upload(upload)
 
-    # --- the platform's front
+    # --- the platform's frontend
 
-    document_tenants: DocumentTenantChecks | None = None  # tenants by the service document
+    document_tenants: DocumentTenantChecks | None = None  # tenants of the service document
 
     def admits(self, connection: object, volume: str) -> bool:
-        """Return whether a request of a volume may come over a connection of the platform's front."""
+        """Return whether a request for a volume is allowed on a connection of the platform's frontend."""
         tenant = self.accounts.owner(volume.lower())
         if not tenant:
             return self.document_tenants is None or self.document_tenants.admits(connection, volume)
-        held = self.accounts.tenants.get(tenant)
+        account = self.accounts.tenants.get(tenant)
         if (
-            held is None
-            or held.state is not TenantState.ACTIVE
-            or not self.connections.acquire(tenant, connection, held.quotas.connections)
+            account is None
+            or account.state is not TenantState.ACTIVE
+            or not self.connections.acquire(tenant, connection, account.quotas.connections)
         ):
             self.counters.add("tenants_bounded")
             return False
         return True
 
     def answered(self, ask: api.Arrival, status: int, bytes_in: int, bytes_out: int) -> None:
-        """Count an answer of the platform's front."""
+        """Count a response of the platform's frontend as its tenant's usage."""
         volume = ask.volume.lower()
         tenant = self.accounts.owner(volume) or (
             self.document_tenants.owner(volume) if self.document_tenants is not None else ""
         )
         if not tenant:
             return
-        end = used.REJECTED if status in (429, 503) else used.SERVED if status in (200, 404) else used.FAILED
+        outcome = used.REJECTED if status in (429, 503) else used.SERVED if status in (200, 404) else used.FAILED
         for field, amount in (
-            (end, 1),
+            (outcome, 1),
             (used.BYTES_IN, bytes_in),
             (used.BYTES_OUT, bytes_out),
-            (used.UNITS, ask.units if end == used.SERVED else 0),
+            (used.UNITS, ask.units if outcome == used.SERVED else 0),
         ):
             if amount:
                 self.count(tenant, volume, field, amount)
 
-    # --- beside the serving
+    # --- background tasks
 
     async def run(self) -> None:
-        """Flush usage and hear of other processes' changes until cancelled."""
+        """Flush usage and read other processes' changes to the ledger, until cancelled."""
         while True:
             await asyncio.sleep(FLUSH_INTERVAL_S)
             self.flush()
             self.ledger.refresh()
 
     async def end_uploads(self) -> None:
-        """At a copy: abort uploads of tenants that are closing or gone, which nobody can go on with."""
+        """At a replica: abort the uploads of tenants that are closing, closed or unknown; nobody can complete these."""
         while True:
             await asyncio.sleep(FLUSH_INTERVAL_S)
             for tenant in self.ledger.tenants_with_uploads():
-                held = self.accounts.tenants.get(tenant)
-                if held is None or held.state in (TenantState.CLOSING, TenantState.CLOSED):
+                account = self.accounts.tenants.get(tenant)
+                if account is None or account.state in (TenantState.CLOSING, TenantState.CLOSED):
                     try:
                         await self.abort(tenant)
-                    except Exception as error:  # backends refuse or are away: the next turn tries again
-                        self.log(f"uploads of {tenant} are not aborted yet: {error!r}")
+                    except Exception as error:  # backends reject the call or are unreachable: retried in the next round
+                        self.log(f"cannot abort the uploads of {tenant}, retrying: {error!r}")
 
     def tasks(self) -> list[asyncio.Task[None]]:
-        """Start what runs beside."""
-        made = [asyncio.create_task(self.run())]
+        """Start the background tasks and return them."""
+        tasks = [asyncio.create_task(self.run())]
         if self.is_replica:
             if self.store is not None:
-                made.append(asyncio.create_task(self.end_uploads()))
+                tasks.append(asyncio.create_task(self.end_uploads()))
         else:
             purger = Purger(self.ledger, self.accounts, self.now_ms, self.log, self.abort if self.store else None)
-            made.append(asyncio.create_task(purger.run()))
-        return made
+            tasks.append(asyncio.create_task(purger.run()))
+        return tasks
 
     def close(self) -> None:
-        """Store what was counted, and close."""
+        """Flush the counted usage and close the ledger."""
         self.flush()
         self.ledger.close()
 
--- a/hophinge/head/cluster_services.py
+++ b/hophinge/head/cluster_services.py
@@ -36,7 +36,7 @@
         """Bind the member's socket, in a running event loop.
 
         Raises:
-            HophingeError: a setting cannot be used; its text names the setting.
+            HophingeError: A setting cannot be used; the message names it.
 
         """
         self.member: ClusterMember | None = None
@@ -53,15 +53,15 @@
             if self.scoring is not None:
                 self.scoring.share(self.member.membership.own_name, self.member.entries)
         if operator.popularity is not None:
-            assert store is not None and accounts is not None, "the operator's file is checked"
+            assert store is not None and accounts is not None, "operator_config.load has checked it"
             self.popularity = self._popularity(operator.popularity, store, accounts, log)
             if self.scoring is not None:
-                self.scoring.expect(self.popularity)
+                self.scoring.use_demand(self.popularity)
 
     def _popularity(
         self, config: PopularityConfig, store: ObjectStore, accounts: HeadAccounts, log: Callable[[str], None]
     ) -> HeadPopularity:
-        """Create the prediction; a tenant that ends is dropped from its cache, too."""
+        """Create the popularity prediction; a tenant that stops being active is also removed from its cache."""
         from hophinge.head.popularity import HeadPopularity
 
         def owner_of(volume: str) -> tuple[str, str] | None:
@@ -81,7 +81,7 @@
         return popularity
 
     def start(self) -> list[asyncio.Task[None]]:
-        """Join the cluster; returns the tasks that run until they are cancelled."""
+        """Join the cluster; returns the background tasks, which run until they are cancelled."""
         if self.member is not None:
             self.member.start()
         return [asyncio.create_task(part.run()) for part in (self.scoring, self.popularity) if part is not None]
@@ -102,16 +102,16 @@
         return self.scoring.gauges() if self.scoring is not None else {}
 
     def operations_calls(self) -> dict[str, Callable[[], str]]:
-        """Return the services' calls at the operators' server, by path."""
-        found: dict[str, Callable[[], str]] = {}
+        """Return the services' status calls for the operations server, by path."""
+        calls: dict[str, Callable[[], str]] = {}
         member = self.member
         if member is not None:
-            found["/ops/cluster"] = lambda: msgspec.json.format(msgspec.json.encode(member.status())).decode() + "\n"
+            calls["/ops/cluster"] = lambda: msgspec.json.format(msgspec.json.encode(member.status())).decode() + "\n"
         if self.scoring is not None:
-            found["/ops/scorers"] = self.scoring.status
+            calls["/ops/scorers"] = self.scoring.status
         popularity = self.popularity
         if popularity is not None:
-            found["/ops/popularity"] = lambda: (
+            calls["/ops/popularity"] = lambda: (
                 msgspec.json.format(msgspec.json.encode(popularity.status())).decode() + "\n"
             )
-        return found
+        return calls
--- a/hophinge/head/popularity.py
+++ b/hophinge/head/popularity.py
@@ -1,4 +1,7 @@
-"""Popularity at a head: counts what its object front reads, tells peers, foretells, and fetches beforehand."""
+"""Popularity at a head: counts the objects read, exchanges demand with peers, forecasts and prefetches.
+
+The counts are those of the head's object front; the forecast is made for the site of the head.
+"""
 
 from __future__ import annotations
 
@@ -20,19 +23,21 @@
 from hophinge.popularity.planner import LoadSnapshot, PrefetchPlanner, BackendObservation
 from hophinge.popularity.site import DAY_US, INTERVAL_US, SiteDemand
 
-TICK_S = 0.5  # between looks at peers, spans and what might be fetched
-STEP, REST_S = 25, 0.02  # predictions made at once, and the rest after: a millisecond in twenty, so that nobody waits
-PLAN_TICKS = 4  # between plans, where the last one was carried out
-FETCH_US = 2_000_000  # of one plan: peers are to be heard and spans closed in time
-# Tightest aims of others' work at a backend beyond which it has nothing to spare: the scheduler's own bound for what is
-# late and beyond each reserve and fair part, by the settings' usual worths (0.75 sqrt(0.1 x 0.2)).
-MAX_IDLE_WAIT = 0.1
-WAIT_FADES = 4.0  # tightest aims after which a wait that was seen says nothing
-MAX_SECRET = 4096  # bytes of the file
+TICK_S = 0.5  # between rounds: read peers' pages, close a span that has ended, forecast, prefetch
+# Forecasts per batch, and the pause after it: about 1 ms of work in 20 ms, so that requests do not wait.
+FORECAST_BATCH, FORECAST_PAUSE_S = 25, 0.02
+PLAN_TICKS = 4  # between two plans
+FETCH_US = 2_000_000  # for one plan, so that peers' pages are read and spans closed in time
+# In target latencies of the tightest class: a backend whose queueing delay from other work is longer has no spare
+# capacity. The scheduler has the same bound for requests that are late and beyond each reserve and fair share, at the
+# usual weights of the settings: 0.75 sqrt(0.1 x 0.2).
+MAX_QUEUE_DELAY_TARGETS = 0.1
+QUEUE_DELAY_MAX_AGE_TARGETS = 4.0  # an older observation of the queueing delay is ignored
+MAX_SECRET_BYTES = 4096  # of the secret's file
 
 
 class SecretUnusableError(HophingeError):
-    """The installation's secret cannot be used."""
+    """The installation's secret cannot be read or used."""
 
     code = "popularity-secret-unusable"
     remedy = (
@@ -42,25 +47,32 @@
 
 
 def read_secret(path: Path) -> bytes:
-    """Read the installation's secret."""
+    """Return the installation's secret; raises SecretUnusableError."""
     try:
         with path.open("rb") as file:
-            secret = file.read(MAX_SECRET).strip()
+            secret = file.read(MAX_SECRET_BYTES).strip()
         ObjectKeys(secret)
     except (OSError, ValueError) as error:
         raise SecretUnusableError(f"[popularity] secret_file {str(path)!r}: {error}") from error
     return secret
 
 
-def drained(board: ReplicatedEntries | None) -> frozenset[str]:
-    """Return the backends that some member's statement names; one that is back counts until its permit is free."""
-    if board is None:
+def drained(entries: ReplicatedEntries | None) -> frozenset[str]:
+    """Return the backends that the members' drain statements name.
+
+    A restored backend counts as drained until its permit is released.
+    """
+    if entries is None:
         return frozenset()
-    return frozenset(one.backend for rows in statements_by_owner(board.entries(Topic.DRAINS)).values() for one in rows)
+    return frozenset(
+        statement.backend
+        for statements in statements_by_owner(entries.entries(Topic.DRAINS)).values()
+        for statement in statements
+    )
 
 
 class HeadPopularity:
-    """What a head does about popularity; alone, without sight and board, it goes by its own counts."""
+    """Popularity prediction and prefetching of a head; without membership and entries it uses its own counts alone."""
 
     def __init__(
         self,
@@ -68,51 +80,55 @@
         store: ObjectStore,
         owner_of: Callable[[str], tuple[str, str] | None],
         log: Callable[[str], None],
-        sight: MembershipView | None = None,
-        board: ReplicatedEntries | None = None,
+        membership: MembershipView | None = None,
+        entries: ReplicatedEntries | None = None,
         span_us: int = INTERVAL_US,
         day_us: int = DAY_US,
     ) -> None:
-        """`owner_of` tells a volume's tenant and plan; it knows the volumes that this head serves."""
+        """`owner_of` returns the tenant and plan of a volume that this head serves, None for any other volume."""
         self.config = config
         self.store = store
         self.owner_of = owner_of
         self.log = log
-        self.faults = self.failed_publications = 0  # of this part, and pages that the board had no room for
-        self.sight = sight
-        self.board = board
+        self.faults = self.failed_publications = 0  # failed rounds, and publications that were rejected
+        self.membership = membership
+        self.entries = entries
         self.exchange = store.chunk_store.exchange
-        me = sight.own_name if sight is not None else ""
-        zone = next((one.zone for one in sight.members() if one.name == me), "") if sight is not None else ""
+        own_name = membership.own_name if membership is not None else ""
+        zone = (
+            next((member.zone for member in membership.members() if member.name == own_name), "")
+            if membership is not None
+            else ""
+        )
         object_keys = ObjectKeys(read_secret(config.secret_file))
-        self.site = SiteDemand(object_keys, config.count_bytes, config.tenant_part, me, zone, span_us, day_us)
+        self.site = SiteDemand(object_keys, config.count_bytes, config.tenant_part, own_name, zone, span_us, day_us)
         self.cache = ChunkCache(
             config.cache_bytes,
             config.tenant_part,
             lambda volume: (owner_of(volume) or ("",))[0],
-            lambda one: self.site.object_request_rate(one),
+            lambda object_key: self.site.object_request_rate(object_key),
         )
-        self.cache.on_prefetch_outcome = self._record_request
+        self.cache.on_prefetch_outcome = self._record_prefetch_outcome
         now_us = self.exchange.now_us()
-        self.planner = PrefetchPlanner(me, zone, config.fetch_bytes_s, config.tenant_part, now_us)
+        self.planner = PrefetchPlanner(own_name, zone, config.fetch_bytes_s, config.tenant_part, now_us)
         self.fetcher = Prefetcher(store.chunk_store, self.cache, self.planner, self.load_snapshot)
         store.watcher = self
         store.chunk_store.cache = self.cache
         self.closes_us = now_us + span_us
-        self.words: dict[ObjectKey, str] = {}  # of what was fetched on a peer's word: whose
-        self.taken: dict[tuple[str, str], EntryVersion] = {}  # versions of pages that were looked at
-        self.published_pages = 0  # pages that are on the board
-        self.attempted: dict[bytes, int] = {}  # in which span a fetch was tried
-        self.unfinished: set[bytes] = set()  # whose fetch broke off
+        self.prefetch_reporters: dict[ObjectKey, str] = {}  # the peer on whose report alone an object was prefetched
+        self.applied_versions: dict[tuple[str, str], EntryVersion] = {}  # of peers' pages, by owner and key
+        self.published_pages = 0  # own pages among the replicated entries
+        self.attempted: dict[bytes, int] = {}  # by object: the span of the last fetch
+        self.unfinished: set[bytes] = set()  # objects whose fetch was not completed
         self.refusals = 0
 
-    # --- what the store tells
+    # --- callbacks of the store
 
     def _locator(self, volume: Volume, name: str) -> Locator:
         return Locator(volume.id, manifest_id(name), shard_of(volume.id, name, self.store.chunk_store.shards))
 
     def manifest_changed(self, volume: Volume, name: str, manifest: Manifest) -> None:
-        """Take an object's manifest as it is now; one without an ETag is that of a deleted object."""
+        """Record the current manifest of an object; a manifest without an ETag is that of a deleted object."""
         locator = self._locator(volume, name)
         self.cache.observe_manifest(volume.id, locator.manifest, manifest)
         if manifest.etag:
@@ -121,38 +137,44 @@
             self.site.record_deletion(locator)
 
     def read_started(self, volume: Volume, manifest: Manifest, first: int, last: int) -> None:
-        """Count a read that begins."""
-        one = self.cache.object_of(volume.id, manifest.runs[0]) if manifest.runs else None
-        key = self.site.by_object.get(one) if one is not None else None
+        """Count a read of an object as it begins."""
+        object_key = self.cache.object_of(volume.id, manifest.runs[0]) if manifest.runs else None
+        key = self.site.by_object.get(object_key) if object_key is not None else None
         if key is not None:
             self.site.record_request(self.exchange.now_us(), key)
 
     def requests_per_second(self, key: str) -> float:
-        """Return predicted requests a second for what a backend is asked for; 0.0 where nothing is known."""
+        """Return the predicted requests per second for the key of a request to a backend; 0.0 for an unknown key."""
         return self.site.request_rate(key)
 
-    def _record_request(self, one: ObjectKey, useful: bool) -> None:
-        owner = self.words.pop(one, "")
+    def _record_prefetch_outcome(self, object_key: ObjectKey, useful: bool) -> None:
+        owner = self.prefetch_reporters.pop(object_key, "")
         if owner:
             self.site.record_outcome(owner, useful)
 
-    # --- facts
+    # --- observed load
 
     def load_snapshot(self) -> LoadSnapshot:
-        """Return what this head observes now; a backend has capacity for a full body, less what is in flight there."""
+        """Return the load that this head observes now.
+
+        A backend's spare capacity is the units of a full body, less the units in flight there; 0 if requests wait.
+        """
         now_us, exchange = self.exchange.now_us(), self.exchange
         refused = exchange.counters.counts["requests_refused"] - self.fetcher.rejected_reads
         overloaded, self.refusals = refused > self.refusals, refused
-        sources, draining = dict[int, list[BackendObservation]](), drained(self.board)
-        aim = exchange.scheduler.target_us
-        for name, book in exchange.scheduler.nodes.items():
-            queued = book.queue_delay > MAX_IDLE_WAIT * aim and now_us - book.queue_delay_at < WAIT_FADES * aim
-            waits = book.queued or book.is_blocked or book.failures or queued
-            spare = 0.0 if waits else exchange.settings.max_units - book.units_out
-            warm = book.warmth(now_us, exchange.settings.rules.slow_start_us) >= 1.0
-            sources.setdefault(book.entry.shard, []).append(
+        sources, draining = dict[int, list[BackendObservation]](), drained(self.entries)
+        target_us = exchange.scheduler.target_us
+        for name, node in exchange.scheduler.nodes.items():
+            is_delayed = (
+                node.queue_delay > MAX_QUEUE_DELAY_TARGETS * target_us
+                and now_us - node.queue_delay_at < QUEUE_DELAY_MAX_AGE_TARGETS * target_us
+            )
+            has_waiting = node.queued or node.is_blocked or node.failures or is_delayed
+            spare = 0.0 if has_waiting else exchange.settings.max_units - node.units_out
+            is_warm = node.warmth(now_us, exchange.settings.rules.slow_start_us) >= 1.0
+            sources.setdefault(node.entry.shard, []).append(
                 BackendObservation(
-                    name, book.entry.shard, book.entry.phase is api.Phase.ON, warm, spare, name in draining
+                    name, node.entry.shard, node.entry.phase is api.Phase.ON, is_warm, spare, name in draining
                 )
             )
         return LoadSnapshot(max(0, exchange.unanswered - self.fetcher.reads_in_flight), overloaded, sources)
@@ -160,14 +182,14 @@
     # --- the loop
 
     async def run(self) -> None:
-        """Go on until cancelled; a fault costs popularity, never a request."""
+        """Run rounds until cancelled; an error is logged and does not affect requests."""
         ticks = 0
         while True:
             await asyncio.sleep(TICK_S)
             try:
                 self.tick()
-                while self.site.process_pending(STEP):
-                    await asyncio.sleep(REST_S)
+                while self.site.process_pending(FORECAST_BATCH):
+                    await asyncio.sleep(FORECAST_PAUSE_S)
                 ticks += 1
                 if ticks % PLAN_TICKS == 0:
                     await self.fetch()
@@ -176,7 +198,7 @@
                 self.log(f"popularity: {one_line(error)}")
 
     def tick(self) -> None:
-        """Hear peers, and close a span that is over; `Site.step` then foretells."""
+        """Read peers' pages and close a span that has ended; `SiteDemand.process_pending` then makes the forecasts."""
         now_us = self.exchange.now_us()
         self._receive_peer_demand(now_us)
         if now_us >= self.closes_us:
@@ -185,77 +207,79 @@
             self._publish(self.site.close_interval(now_us, self.owner_of))
 
     def _receive_peer_demand(self, now_us: int) -> None:
-        if self.board is None or self.sight is None:
+        if self.entries is None or self.membership is None:
             return
-        members = self.sight.members()
-        zones = {one.name: one.zone for one in members if one.is_live}
-        live = [one.zone for one in members if one.role is Role.HEAD and one.state is MemberState.ALIVE]
-        self.planner.divide(now_us, live.count(self.site.zone), len(live))
-        seen = {}
-        for entry in self.board.entries(Topic.POPULARITY):
+        members = self.membership.members()
+        zones = {member.name: member.zone for member in members if member.is_live}
+        head_zones = [
+            member.zone for member in members if member.role is Role.HEAD and member.state is MemberState.ALIVE
+        ]
+        self.planner.divide(now_us, head_zones.count(self.site.zone), len(head_zones))
+        versions = {}
+        for entry in self.entries.entries(Topic.POPULARITY):
             if entry.owner == self.site.own_name or entry.owner not in zones:
                 continue
-            place = entry.owner, entry.key
-            seen[place] = entry.version
-            if self.taken.get(place) != entry.version:
+            page_key = entry.owner, entry.key
+            versions[page_key] = entry.version
+            if self.applied_versions.get(page_key) != entry.version:
                 self.site.peer_demand.apply_page(now_us, entry.owner, zones[entry.owner], entry.version, entry.value)
-        self.taken = seen
+        self.applied_versions = versions
         for owner in self.site.peer_demand.owners.keys() - zones.keys():
             self.site.peer_demand.forget(owner)
 
-    def _publish(self, made: list[bytes]) -> None:
-        if self.board is None:
+    def _publish(self, pages: list[bytes]) -> None:
+        if self.entries is None:
             return
         try:
-            for number, page in enumerate(made):
-                self.board.put(Topic.POPULARITY, str(number), page)
-            for number in range(len(made), self.published_pages):
-                self.board.delete(Topic.POPULARITY, str(number))
-            self.published_pages = len(made)
+            for number, page in enumerate(pages):
+                self.entries.put(Topic.POPULARITY, str(number), page)
+            for number in range(len(pages), self.published_pages):
+                self.entries.delete(Topic.POPULARITY, str(number))
+            self.published_pages = len(pages)
         except HophingeError as error:
-            # Peers then go by what they have; it is only a hint.
+            # Peers go on with the pages that they have; these are only hints.
             self.failed_publications += 1
-            self.log(f"popularity is not told: {one_line(error)}")
+            self.log(f"popularity: cannot publish the demand to peers: {one_line(error)}")
 
     async def fetch(self) -> None:
-        """Carry out a plan, one read at a time; what does not come to its turn is planned anew."""
+        """Make a plan and carry it out, one read at a time; objects that it does not reach are planned again."""
         if not self.config.cache_bytes or not self.config.fetch_bytes_s:
             return
-        members = self.sight.members() if self.sight is not None else ()
+        members = self.membership.members() if self.membership is not None else ()
         self.unfinished &= self.site.known.keys()
-        fresh = (
-            one
-            for one in self.site.candidates(self.store.chunk_store.units)
-            if one.key not in self.attempted
-            and (one.key in self.unfinished or not self.cache.has_chunks(self.site.object(one.key)))
+        candidates = (
+            candidate
+            for candidate in self.site.candidates(self.store.chunk_store.units)
+            if candidate.key not in self.attempted
+            and (candidate.key in self.unfinished or not self.cache.has_chunks(self.site.object(candidate.key)))
         )
         until_us = self.exchange.now_us() + FETCH_US
-        for one in self.planner.plan(self.exchange.now_us(), members, self.load_snapshot(), fresh):
-            known = self.site.known.get(one.key)
+        for prefetch in self.planner.plan(self.exchange.now_us(), members, self.load_snapshot(), candidates):
+            known = self.site.known.get(prefetch.key)
             owner = self.owner_of(known.locator.volume) if known is not None else None
             if known is None or owner is None:
                 continue
-            self.attempted[one.key] = self.site.span
-            if word := self.site.sole_reporter(one.key):
-                self.words[known.locator.volume, known.locator.manifest] = word
-            manifest, whole = await self.fetcher.fetch(
-                one, known.locator, Volume(known.locator.volume, owner[1]), until_us
+            self.attempted[prefetch.key] = self.site.span
+            if reporter := self.site.sole_reporter(prefetch.key):
+                self.prefetch_reporters[known.locator.volume, known.locator.manifest] = reporter
+            manifest, is_complete = await self.fetcher.fetch(
+                prefetch, known.locator, Volume(known.locator.volume, owner[1]), until_us
             )
-            (self.unfinished.discard if whole else self.unfinished.add)(one.key)
+            (self.unfinished.discard if is_complete else self.unfinished.add)(prefetch.key)
             if manifest is not None and manifest.etag:
                 known.size = manifest.size
             elif manifest is not None:
                 self.site.record_deletion(known.locator)
-            over = self.exchange.now_us() >= until_us
-            if over and not whole:
-                self.attempted.pop(one.key, None)  # a long object goes on with the next plan
-            if over or self.planner.is_backing_off(self.exchange.now_us(), self.load_snapshot()):
+            is_over = self.exchange.now_us() >= until_us
+            if is_over and not is_complete:
+                self.attempted.pop(prefetch.key, None)  # a long object is continued in the next plan
+            if is_over or self.planner.is_backing_off(self.exchange.now_us(), self.load_snapshot()):
                 break
 
-    # --- what operators and tenants see
+    # --- status and metrics
 
     def status(self) -> dict[str, object]:
-        """Return the status for operators; no object is named."""
+        """Return the status for operators; it does not disclose names of objects."""
         cache, fetcher = self.cache, self.fetcher
         return {
             "span": self.site.span,
@@ -274,11 +298,11 @@
             "untold": self.failed_publications,
             "useful": cache.used_prefetches,
             "useless": cache.wasted_prefetches,
-            "held_back": {why.value: count for why, count in self.planner.hold_counts.items()},
+            "held_back": {reason.value: count for reason, count in self.planner.hold_counts.items()},
         }
 
     def tenant(self, tenant: str) -> dict[str, float]:
-        """Return a tenant's own metrics."""
+        """Return the metrics of one tenant."""
         return {
             **self.site.tenant_metrics(self.exchange.now_us(), tenant),
             "kept_bytes": self.cache.tenant_bytes.get(tenant, 0),
--- a/tests/test_scoring_head.py
+++ b/tests/test_scoring_head.py
@@ -66,7 +66,7 @@
 
 def fail(scoring: Scoring, where: str, times: int) -> None:
     for _ in range(times):
-        scoring.heard(where, Result.ERROR, MS)
+        scoring.record_attempt(where, Result.ERROR, MS)
 
 
 def test_a_request_avoids_a_backend_that_failed_and_its_result_is_observed() -> None:
--- a/tests/test_scoring_plugins.py
+++ b/tests/test_scoring_plugins.py
@@ -122,11 +122,11 @@
     cases: list[tuple[list[str], dict[str, dict[str, Any]], type[HophingeError], str]] = [
         (["none"], {}, ScorerUnknownError, "there is no scorer 'none'"),
         (["old"], {}, ScorerInterfaceError, "version 0 of the interface, this is 1"),
-        (["other"], {}, ScorerUnusableError, "brings 'x'"),
+        (["other"], {}, ScorerUnusableError, "provides 'x'"),
         (["broken"], {}, ScorerUnusableError, "SystemError: boom"),
         (["unmade"], {}, ScorerUnusableError, "ZeroDivisionError"),
         (["empty"], {}, ScorerUnusableError, "has no hophinge_scorer"),
-        (["twin"], {}, ScorerUnusableError, "brought by several: brought_twin, brought_twin2"),
+        (["twin"], {}, ScorerUnusableError, "has several entry points: brought_twin, brought_twin2"),
         (["latency", "latency"], {}, ScorerParametersError, "'latency' is named twice"),
         (["latency"], {"latancy": {}}, ScorerParametersError, "[scoring.parameters.latancy]"),
     ]
