--- a/hophinge/head/adapter.py
+++ b/hophinge/head/adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter: ``python -m hophinge.head.adapter`` hosts independent schedulers on the simulator's wire."""
+"""``python -m hophinge.head.adapter`` runs independent schedulers for a simulator, over its line protocol on stdio."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 
 
 class WireError(Exception):
-    """A line that the wire's page does not allow."""
+    """A line that violates the protocol."""
 
 
 def parse_integer(text: str) -> int:
-    """Read a whole number; an absent one is 0."""
+    """Parse an integer; `-` stands for 0."""
     return 0 if text == "-" else int(text)
 
 
 def parse_number(text: str) -> float:
-    """Read a number; an absent one is 0."""
+    """Parse a number; `-` stands for 0."""
     return 0.0 if text == "-" else float(text)
 
 
 def parse_report(text: str) -> Mapping[str, float]:
-    """Read a node's load report under the interface's names; unknown values keep theirs."""
+    """Parse a node's load report; known fields get the interface's names, unknown ones keep theirs."""
     if text == "-":
         return {}
     pairs = (item.split(":", 1) for item in text.split(","))
@@ -52,10 +52,10 @@
 
 
 def parse_entry(line: str) -> api.NodeEntry:
-    """Translate one line of a node list."""
+    """Parse one line of a node list."""
     word, node, zone, kind, shard, phase, units, since = line.split("\t")
     if word != "node":
-        raise WireError("a list is shorter than it said")
+        raise WireError("the list has fewer entries than its line states")
     return api.NodeEntry(
         node,
         parse_integer(zone),
@@ -68,7 +68,7 @@
 
 
 def parse_arrival(fields: list[str]) -> api.Event:
-    """Translate `inbound`."""
+    """Parse the fields of an `inbound` event."""
     return api.Arrival(
         request=fields[0],
         units=parse_number(fields[1]),
@@ -84,7 +84,7 @@
 
 
 def parse_outcome(fields: list[str]) -> api.Event:
-    """Translate `completed`."""
+    """Parse the fields of a `completed` event."""
     return api.Outcome(
         request=fields[0],
         attempt=parse_integer(fields[1]),
@@ -101,17 +101,17 @@
 EVENTS: dict[str, Callable[[list[str]], api.Event]] = {
     "inbound": parse_arrival,
     "completed": parse_outcome,
-    "first_byte": lambda part: api.StreamStarted(part[0], parse_integer(part[1])),
-    "client_left": lambda part: api.Departure(part[0]),
-    "ping_result": lambda part: api.ProbeResult(
-        part[0], RESULTS[part[1]], parse_integer(part[2]), parse_report(part[3])
+    "first_byte": lambda fields: api.StreamStarted(fields[0], parse_integer(fields[1])),
+    "client_left": lambda fields: api.Departure(fields[0]),
+    "ping_result": lambda fields: api.ProbeResult(
+        fields[0], RESULTS[fields[1]], parse_integer(fields[2]), parse_report(fields[3])
     ),
-    "ring": lambda part: api.TimerExpired(parse_integer(part[0])),
+    "ring": lambda fields: api.TimerExpired(parse_integer(fields[0])),
 }
 
 
 def format_action(action: api.Action) -> str:
-    """Format one action."""
+    """Format one action as a line of the reply."""
     match action:
         case api.Send(request, node, give_up_us):
             return f"try\t{request}\t{give_up_us}\t{node}"
@@ -132,7 +132,7 @@
 
 
 class Batch:
-    """The events of one batch, collected for one instance at a time, and the actions that come of them."""
+    """One batch: events, collected for one scheduler instance at a time, and the resulting actions by instance."""
 
     def __init__(self, schedulers: dict[int, Scheduler], now_us: int) -> None:
         self.schedulers = schedulers
@@ -142,17 +142,17 @@
         self.instance = -1
 
     def flush(self) -> None:
-        """Hand the collected events to their instance; raises WireError where that has not started."""
+        """Pass the collected events to their instance; raises WireError if it has not been started."""
         if not self.pending:
             return
         if self.instance not in self.schedulers:
-            raise WireError(f"an event for instance {self.instance}, which has not started")
+            raise WireError(f"an event for instance {self.instance}, which has not been started")
         actions = self.schedulers[self.instance].handle(self.now_us, self.pending)
         self.actions.setdefault(self.instance, []).extend(actions)
         self.pending.clear()
 
     def select(self, instance: int) -> None:
-        """Collect events for another instance from now on."""
+        """Select the instance that the next events are for."""
         self.flush()
         self.instance = instance
 
@@ -162,41 +162,41 @@
         self.schedulers[self.instance] = Scheduler(settings, seed)
 
     def kill(self) -> None:
-        """Kill the selected instance; all that it would have done is void."""
+        """Kill the selected instance and discard its events and actions of this batch."""
         self.pending.clear()
         self.actions.pop(self.instance, None)
         self.schedulers.pop(self.instance, None)
 
 
 class SchedulerHost:
-    """Independent schedulers by instance number, and the process-wide lists of the wire."""
+    """Independent schedulers by instance number, and the node lists registered for all of them."""
 
     def __init__(self) -> None:
         self.schedulers: dict[int, Scheduler] = {}
         self.lists: dict[int, tuple[api.NodeEntry, ...]] = {}
 
     def reply(self, now_us: int, lines: list[str]) -> list[str]:
-        """Answer one batch, given without its first and last line."""
+        """Return the reply to one batch, which is given without its first and last line; raises WireError."""
         batch = Batch(self.schedulers, now_us)
-        at = 0
-        while at < len(lines):
-            line = lines[at]
+        index = 0
+        while index < len(lines):
+            line = lines[index]
             try:
-                at = self._apply(batch, lines, at)
-            except Exception as error:  # whatever a malformed line raises names the line
+                index = self._apply(batch, lines, index)
+            except Exception as error:  # any error of a malformed line is reported with the line
                 raise WireError(f"line {line[:120]!r}: {type(error).__name__}: {error}") from error
         batch.flush()
-        out = batch.actions
+        actions_by_instance = batch.actions
         return [
             line
-            for number, actions in out.items()
+            for instance, actions in actions_by_instance.items()
             if actions
-            for line in (f"by\t{number}", *map(format_action, actions))
+            for line in (f"by\t{instance}", *map(format_action, actions))
         ]
 
-    def _apply(self, batch: Batch, lines: list[str], at: int) -> int:
-        """Apply the line at an index, with those that belong to it; returns the index of the next line."""
-        word, *fields = lines[at].split("\t")
+    def _apply(self, batch: Batch, lines: list[str], index: int) -> int:
+        """Apply the line at an index and the entries that follow it; returns the index of the next line."""
+        word, *fields = lines[index].split("\t")
         if word == "on":
             batch.select(int(fields[0]))
         elif word == "start":
@@ -205,8 +205,8 @@
             batch.kill()
         elif word == "register":
             count = int(fields[1])
-            self.lists[int(fields[0])] = tuple(map(parse_entry, lines[at + 1 : at + 1 + count]))
-            return at + 1 + count
+            self.lists[int(fields[0])] = tuple(map(parse_entry, lines[index + 1 : index + 1 + count]))
+            return index + 1 + count
         elif word == "view":
             kind = KINDS[fields[0]]
             entries = () if kind is api.ListKind.ERROR else self.lists[int(fields[2])]
@@ -215,11 +215,11 @@
             batch.pending.append(EVENTS[word](fields))
         elif word != "heard":
             raise WireError("an unknown event")
-        return at + 1
+        return index + 1
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
-    """Answer batches until the input ends."""
+    """Reply to batches until the input ends; returns the exit status, 1 after a protocol error."""
     host = SchedulerHost()
     lines: list[str] = []
     clock: int | None = None
@@ -229,7 +229,7 @@
             if clock is None:
                 word, _, text = line.partition("\t")
                 if word != "turn":
-                    raise WireError(f"line {line[:120]!r}: a batch begins with its clock")
+                    raise WireError(f"line {line[:120]!r}: a batch must begin with its clock")
                 clock = int(text)
                 continue
             if line != "eof_batch":
--- a/hophinge/head/administration.py
+++ b/hophinge/head/administration.py
@@ -17,9 +17,9 @@
 def administration(
     accounts: HeadAccounts, config: AdminConfig, settings: Settings, counters: Counters, log: Callable[[str], None]
 ) -> AdminListener:
-    """Make the listener; raises OSError and ValueError where its token cannot be used."""
+    """Create the API's listener; raises OSError or ValueError if the token file cannot be used."""
     plans = frozenset(plan.name for plan in settings.plans)
-    made = AdminApi(
+    api = AdminApi(
         accounts.ledger,
         accounts.accounts,
         lambda: plans,
@@ -29,4 +29,4 @@
         openapi.encoded_description,
         calls_s=config.calls_s,
     )
-    return AdminListener(made, counters, log)
+    return AdminListener(api, counters, log)
--- a/hophinge/head/cluster_member.py
+++ b/hophinge/head/cluster_member.py
@@ -1,4 +1,4 @@
-"""A cluster member made from the `[cluster]` section: its endpoint, its subscribers and its status."""
+"""A cluster member configured by the `[cluster]` section: its endpoint, its subscribers and its status."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 def build_of_program() -> str:
-    """Return this program's version as members publish it."""
+    """Return this program's version as members publish it; `source` if it is not installed."""
     try:
         return importlib.metadata.version("hophinge")
     except importlib.metadata.PackageNotFoundError:
-        return "source"  # run from a checkout that was never installed
+        return "source"  # run from a checkout
 
 
 class ClusterMember:
-    """One process among its peers."""
+    """The cluster membership of this process."""
 
     def __init__(
         self,
         config: ClusterConfig,
         name: str,
-        say: Callable[[str], None],
+        log: Callable[[str], None],
         *,
         role: Role = Role.HEAD,
         build: str = "",
         tuning: Tuning | None = None,
     ) -> None:
-        """Bind the socket and read the keys, in a running event loop; raises HophingeError naming the setting."""
-        self.say = say
+        """Bind the socket and read the keys, in a running event loop; raises HophingeError with the setting's name."""
+        self.log = log
         self.endpoint = MemberEndpoint(
             config.name or name,
             config.listen,
@@ -46,13 +46,13 @@
             role=role,
             build=build or build_of_program(),
             tuning=tuning,
-            log=say,
+            log=log,
             limits=Limits(config.bytes_s, config.members, config.entries, config.entry_bytes),
         )
 
     @property
     def membership(self) -> MembershipView:
-        """The members as this process knows them."""
+        """The members that this process knows, with their states."""
         return self.endpoint.machine
 
     @property
@@ -60,21 +60,21 @@
         """The replicated entries."""
         return self.endpoint.machine
 
-    def subscribe(self, hearer: Subscriber) -> None:
+    def subscribe(self, subscriber: Subscriber) -> None:
         """Notify a subscriber of all changes from now on."""
-        self.endpoint.subscribers.append(hearer)
+        self.endpoint.subscribers.append(subscriber)
 
     def start(self) -> None:
-        """Join the cluster; without peers the process runs alone."""
+        """Join the cluster; if no peer can be reached, the process runs alone."""
         self.endpoint.start()
-        self.say(f"{self.membership.own_name} is a member at {self.endpoint.address}")
+        self.log(f"{self.membership.own_name} is a member at {self.endpoint.address}")
 
     def reload(self) -> None:
         """Reload the keys, at SIGHUP; an unusable file is logged and changes nothing."""
         try:
             self.endpoint.reload()
         except HophingeError as error:
-            self.say(f"the cluster's keys are kept as they were: {one_line(error)}")
+            self.log(f"cannot reload the cluster's keys, the former ones stay in use: {one_line(error)}")
 
     def leave(self) -> None:
         """Announce that this process leaves."""
@@ -83,23 +83,23 @@
     def status(self) -> dict[str, Any]:
         """Return members and counters, for `/ops/cluster`."""
         core = self.endpoint.machine.core
-        failed = self.endpoint.conflict
+        conflict = self.endpoint.conflict
         return {
             "name": self.membership.own_name,
             "address": self.endpoint.address,
             "health": core.health,
-            "stepped_back": failed.one_line() if failed is not None else "",
+            "stepped_back": conflict.one_line() if conflict is not None else "",
             "members": [
                 {
-                    "name": one.name,
-                    "address": one.address,
-                    "standing": one.state.value,
-                    "incarnation": one.incarnation,
-                    "zone": one.zone,
-                    "role": one.role.value,
-                    "build": one.build,
+                    "name": member.name,
+                    "address": member.address,
+                    "standing": member.state.value,
+                    "incarnation": member.incarnation,
+                    "zone": member.zone,
+                    "role": member.role.value,
+                    "build": member.build,
                 }
-                for one in self.membership.members()
+                for member in self.membership.members()
             ],
             "counters": dict(sorted(core.counters.items())),
         }
--- a/hophinge/head/components.py
+++ b/hophinge/head/components.py
@@ -28,7 +28,7 @@
 
 
 class OptionalComponents:
-    """The enabled components, created before any session is opened, as the file may still be rejected."""
+    """The enabled components, created before any client session, as their settings may still be rejected."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
             )
 
     def connect(self, front: Frontend, control: OperationsServer | None) -> None:
-        """Apply the stream's limits to the frontends, and add the components' calls to the operators' server."""
+        """Apply the stream's limits to the frontends, and add the components' calls to the operations server."""
         if self.streamed is not None:
             front.rate_limit = self.streamed.throttle
             if self.objects is not None:
@@ -75,19 +75,19 @@
             control.reports |= self.operations_calls()
 
     def operations_calls(self) -> dict[str, Callable[[], str]]:
-        """Return the components' calls at the operators' server, by path."""
-        found: dict[str, Callable[[], str]] = (
+        """Return the components' status calls for the operations server, by path."""
+        calls: dict[str, Callable[[], str]] = (
             self.cluster_services.operations_calls() if self.cluster_services is not None else {}
         )
         if self.streamed is not None:
-            found |= {"/ops/config": self.streamed.status, "/ops/tenants": self.streamed.tenants}
-        return found
+            calls |= {"/ops/config": self.streamed.status, "/ops/tenants": self.streamed.tenants}
+        return calls
 
 
 def _accounts(
     operator: OperatorConfig, is_replica: bool, counters: Counters, log: Callable[[str], None]
 ) -> HeadAccounts:
-    from hophinge.head.accounts import HeadAccounts  # SQLite, which the platform's head has no use for
+    from hophinge.head.accounts import HeadAccounts  # imports SQLite, which a head without accounts does not need
 
     folder = operator.stream.folder if operator.stream is not None else Path()
     ledger = operator.objects.tenants.with_suffix(".db") if operator.objects else folder / "accounts.db"
@@ -121,7 +121,7 @@
     gauges: Callable[[], dict[str, float]],
     accounts: HeadAccounts | None,
 ) -> RemoteWrite | None:
-    """Make what sends the head's figures to a store of metrics, where it is on."""
+    """Create the remote-write sender of the head's metrics; None if it is not configured."""
     if operator.remote_write is None:
         return None
     from hophinge.telemetry.remote_write import RemoteWrite  # its libraries cost memory
@@ -138,7 +138,10 @@
 
 
 def maintenance(head: Service, log: Callable[[str], None]) -> HeadMaintenance | None:
-    """Make a head's part in agreed drains and releases, where it is on; begun before the head lists any backend."""
+    """Create a head's part in the drains and releases of the control service; None if it is not configured.
+
+    It must be started before the head applies any list of backends.
+    """
     section, stream = head.operator.maintenance, head.operator.stream
     if section is None or stream is None or head.streamed is None:
         return None
@@ -148,12 +151,12 @@
 
     name = head.config.name or head.config.listen
     member = head.cluster_services.member if head.cluster_services is not None else None
-    holder = PermitHolder(secrets.randbits(48) | 1, section.build or build_of_program())
+    permit_holder = PermitHolder(secrets.randbits(48) | 1, section.build or build_of_program())
     return HeadMaintenance(
         head.streamed.client,
         head.ejections,
         head.exchange,
-        holder,
+        permit_holder,
         section.zone,
         stream.folder / f"drains-{re.sub(r'[^0-9A-Za-z-]', '_', name)}.state",
         log,
--- a/hophinge/head/config.py
+++ b/hophinge/head/config.py
@@ -1,4 +1,4 @@
-"""What a head is started with: its configuration file, what the environment overrides, and the operator's file."""
+"""A head's configuration: its configuration file, the overrides by the environment, and the operator's file."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
     """A configuration that a head cannot start from."""
 
     code = "configuration-unusable"
-    remedy = "Mend the file or variable that is named and start the head again; it has taken nothing."
+    remedy = "Correct the named file or variable and start the head again; it has accepted no requests."
 
 
 class ReloadError(ConfigError):
-    """A configuration that a running head turns down at SIGHUP."""
+    """A configuration file that a running head rejects at SIGHUP."""
 
     code = "reload-refused"
-    remedy = "Mend the file that is named and send SIGHUP again; the head goes on with what it had."
+    remedy = "Correct the named file and send SIGHUP again; the head keeps its former configuration."
 
 
 class Limits(msgspec.Struct):
-    """What the machine allows."""
+    """The resources of the machine that a head may use."""
 
     sockets: int = 1024
     cores: float = 1.0
@@ -51,11 +51,11 @@
     limits: Limits = msgspec.field(default_factory=Limits)
     name: str = ""
     control: str = ""
-    accept_fd: int | None = None  # told by the environment alone
+    accept_fd: int | None = None  # an inherited listening socket, set by EDGE_ACCEPT_FD
 
 
 def address(text: str) -> tuple[str, int]:
-    """Split host:port."""
+    """Split host:port; raises ConfigError."""
     try:
         return split(text)
     except ValueError as error:
@@ -63,33 +63,35 @@
 
 
 def read_config(path: str) -> Config:
-    """Read the configuration file."""
+    """Read and check the configuration file; raises ConfigError with its path."""
     try:
-        parts = msgspec.json.decode(Path(path).read_bytes(), type=dict[str, msgspec.Raw])
-        if "known" in parts:
-            parts["known"] = msgspec.Raw(msgspec.json.encode(_saved(bytes(parts["known"]))))
-        config = msgspec.json.decode(msgspec.json.encode(parts), type=Config)
+        fields = msgspec.json.decode(Path(path).read_bytes(), type=dict[str, msgspec.Raw])
+        if "known" in fields:
+            fields["known"] = msgspec.Raw(msgspec.json.encode(_parse_saved(bytes(fields["known"]))))
+        config = msgspec.json.decode(msgspec.json.encode(fields), type=Config)
         address(config.listen), address(config.discovery)
     except (OSError, ValueError, RecursionError, msgspec.MsgspecError, ConfigError) as error:
         raise ConfigError(f"{CONFIG_FILE} {path!r}: {error}") from error
     return config
 
 
-def _saved(known: bytes) -> Listing:
-    """Read the list as the head had it last, as discovery's own: a malformed entry keeps no head from starting.
+def _parse_saved(known: bytes) -> Listing:
+    """Parse the saved list of backends like one from discovery: a malformed entry does not prevent the start.
 
-    One that lacks entries is not whole, so that discovery is asked for all of it.
+    A list with entries left out counts as incomplete, so that a complete one is requested from discovery.
     """
     try:
         listing, left_out = parse_listing(known)
     except msgspec.MsgspecError:
-        msgspec.json.decode(known, type=RawListing)  # what is no list at all is a slip in the file
+        msgspec.json.decode(
+            known, type=RawListing
+        )  # raises for a value that is not a list, which is an error in the file
         return Listing(0, [])
     return Listing(listing.rev, listing.targets, listing.all and not left_out)
 
 
 def load(environ: Mapping[str, str]) -> tuple[Config, api.Settings, OperatorConfig]:
-    """Read the configuration and the operator's file that the environment names."""
+    """Return the configuration, its scheduler settings and the operator's file, as the environment names them."""
     path = environ.get(CONFIG_FILE, "")
     config = read_config(path)
     try:
@@ -98,14 +100,14 @@
         config.control = environ.get("EDGE_CONTROL") or config.control
         if text := environ.get("EDGE_ACCEPT_FD"):
             config.accept_fd = int(text)
-        for one in (config.listen, config.discovery, *filter(None, [config.control])):
-            address(one)
+        for endpoint in (config.listen, config.discovery, *filter(None, [config.control])):
+            address(endpoint)
         int(config.seed, 16)
         settings = read_settings(bytes(config.settings))
-        # Shares of descriptors that the system does not give would leave none for backends and discovery.
-        most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        if most != resource.RLIM_INFINITY:
-            config.limits.sockets = min(config.limits.sockets, most)
+        # Dividing more descriptors than the system allows would leave none for backends and discovery.
+        max_descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+        if max_descriptors != resource.RLIM_INFINITY:
+            config.limits.sockets = min(config.limits.sockets, max_descriptors)
     except (ValueError, ConfigError) as error:
         raise ConfigError(f"{CONFIG_FILE} {path!r}: {error}") from error
     path = environ.get(OPERATOR_FILE, "")
--- a/hophinge/head/drain_schedule.py
+++ b/hophinge/head/drain_schedule.py
@@ -1,4 +1,4 @@
-"""Which requests a draining head still accepts, by class: those it can answer before SIGKILL."""
+"""Which requests a draining head still accepts, by class: those that it can answer before SIGKILL."""
 
 from __future__ import annotations
 
@@ -6,12 +6,10 @@
 
 from hophinge.core import interface as api
 
-MAX_DEADLINE_US, KILL_MARGIN_US = (
-    3_000_000,
-    700_000,
-)  # SIGKILL follows after the longest deadline, this one at most, and this
-ANSWER_MARGIN_US = 250_000  # before SIGKILL the last answer is out
-TYPICAL_FRACTION = 0.5  # of its aim is what a request of a class usually takes
+# SIGKILL follows the signal after the longest deadline of a class, at most MAX_DEADLINE_US, plus KILL_MARGIN_US.
+MAX_DEADLINE_US, KILL_MARGIN_US = 3_000_000, 700_000
+ANSWER_MARGIN_US = 250_000  # between the last response and SIGKILL
+TYPICAL_FRACTION = 0.5  # of its class's target latency, which a request usually takes
 
 
 class DrainSchedule:
@@ -20,7 +18,7 @@
     def __init__(self, classes: Sequence[api.RequestClass], signalled_us: int) -> None:
         longest_us = max(klass.deadline_us for klass in classes)
         self.answer_by_us = signalled_us + min(MAX_DEADLINE_US, longest_us) + KILL_MARGIN_US - ANSWER_MARGIN_US
-        # Who can hardly be answered any more is better told at once.
+        # A request that can hardly be answered in the time left is rejected at once.
         self.min_time_us = [
             int(TYPICAL_FRACTION * min(klass.target_latency_us or klass.deadline_us, klass.deadline_us))
             for klass in classes
@@ -28,9 +26,9 @@
         self.close_at_us = max(signalled_us, self.answer_by_us - min(self.min_time_us))
 
     def left_us(self, klass: int, time_left_us: int, now_us: int) -> int:
-        """Return the microseconds that a request of a class may take; 0 where it cannot be answered in time.
+        """Return the microseconds that a request of a class may take; 0 if it must be rejected.
 
-        One whose own client waits no longer than is left keeps its time: the end changes nothing for it.
+        A request whose own deadline is not later than the shutdown's keeps its time.
         """
         left = self.answer_by_us - now_us
         if time_left_us <= left:
--- a/hophinge/head/environment.py
+++ b/hophinge/head/environment.py
@@ -1,4 +1,4 @@
-"""Names of what the environment tells a head; nothing is imported for them."""
+"""Names of the environment variables with a head's files, in a module that imports nothing."""
 
 from __future__ import annotations
 
--- a/hophinge/head/log.py
+++ b/hophinge/head/log.py
@@ -1,4 +1,4 @@
-"""The head's log: lines on standard output, which never block the head."""
+"""The head's log: lines on standard output, written without blocking the head."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 from hophinge.core.errors import one_line
 
-MAX_WRITE = select.PIPE_BUF // 4  # characters; their bytes fit into a pipe that has any room
-READER_TIMEOUT_MS = 50.0  # for a reader that is behind; one that let it pass is not waited for until it has read
+MAX_WRITE = select.PIPE_BUF // 4  # characters, 4 bytes each at most: fits into a pipe that polls as writable
+READER_TIMEOUT_MS = 50.0  # wait for a slow reader; after a timeout there is no wait until it has read again
 
 
 class StdoutReadiness:
-    """Whether standard output accepts a write, as its reader keeps up."""
+    """Checks whether standard output accepts a write, that is, whether its reader keeps up."""
 
     def __init__(self) -> None:
         self.wait_ms = READER_TIMEOUT_MS
 
     def is_writable(self) -> bool:
-        """Return whether a write would not block, waiting briefly for a reader that is behind."""
+        """Return whether a write would not block, after a short wait for a reader that is behind."""
         try:
             descriptor = sys.stdout.fileno()
-        except (OSError, ValueError):  # no file of the system's: it keeps nobody waiting
+        except (OSError, ValueError):  # not a file of the operating system, so that it does not block
             return True
-        look = select.poll()
-        look.register(descriptor, select.POLLOUT)
-        found = bool(look.poll(self.wait_ms))
-        self.wait_ms = READER_TIMEOUT_MS if found else 0.0
-        return found
+        poller = select.poll()
+        poller.register(descriptor, select.POLLOUT)
+        is_ready = bool(poller.poll(self.wait_ms))
+        self.wait_ms = READER_TIMEOUT_MS if is_ready else 0.0
+        return is_ready
 
 
 STDOUT = StdoutReadiness()
@@ -39,25 +39,25 @@
 def write_line(text: str) -> None:
     """Write a line to the log; one that cannot be written is dropped.
 
-    Its reader may have gone or stand still, its disk may be full: a head that waited for that would serve nobody.
+    The log's reader may be gone or stalled, or its disk full; a head that waited for it would stop serving.
     """
     text = text.rstrip("\n") + "\n"
     with contextlib.suppress(OSError):
-        for at in range(0, len(text), MAX_WRITE):
+        for start in range(0, len(text), MAX_WRITE):
             if not STDOUT.is_writable():
                 return
-            print(text[at : at + MAX_WRITE], end="", flush=True)
+            print(text[start : start + MAX_WRITE], end="", flush=True)
 
 
 class LibraryLogHandler(logging.Handler):
-    """Writes the libraries' log records as lines of the head's log."""
+    """Writes log records of libraries to the head's log."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record."""
+        """Write a record as a line."""
         write_line(self.format(record))
 
 
 def log_task_failure(task: asyncio.Task[None]) -> None:
-    """Log the failure of a task that should run as long as its head."""
+    """Log the failure of a background task, which should run as long as its head."""
     if not task.cancelled() and (error := task.exception()) is not None:
-        write_line(f"a part of the head has ended, all else goes on: {one_line(error)}")
+        write_line(f"a background task failed, the head serves without it: {one_line(error)}")
--- a/hophinge/head/main.py
+++ b/hophinge/head/main.py
@@ -1,4 +1,4 @@
-"""The process of a head: its start, its signals, its exit status."""
+"""The process of a head: start, signals and exit status."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 def main() -> int:
-    """Run a head; a configuration that it cannot start from ends it with 2."""
+    """Run a head; returns the exit status: 2 if it cannot start, for example with an invalid configuration."""
     with contextlib.suppress(AttributeError, OSError):
-        # Buffers of long bodies go back to the system when they are freed; glibc would keep ever more of them.
+        # Buffers of long bodies are returned to the system when freed; glibc would keep more and more of them.
         ctypes.CDLL(None).mallopt(M_MMAP_THRESHOLD, BUFFER_BYTES)
     try:
         config, settings, operator = load(os.environ)
-        # uvloop: a head has part of a core, and a third of it went to the loop itself.
+        # uvloop: a head has only part of a core, and asyncio's own loop used a third of it.
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, settings, operator))
     except (HophingeError, ValueError, OSError, msgspec.MsgspecError) as error:
@@ -42,12 +42,12 @@
 
 
 async def serve(config: Config, settings: api.Settings, operator: OperatorConfig) -> None:
-    """Make a head in the running loop and run it."""
+    """Create a head in the running event loop and run it."""
     await run(Service(config, settings, operator, os.environ.get(CONFIG_FILE, "")))
 
 
 async def run(service: Service) -> None:
-    """Serve until a signal ends it."""
+    """Serve until a signal, then shut down."""
     loop = asyncio.get_running_loop()
     logging.basicConfig(handlers=[LibraryLogHandler()], level=logging.WARNING, format="%(name)s: %(message)s")
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -62,10 +62,10 @@
         raise
     gc.collect()
     gc.enable()
-    gc.freeze()  # what start-up made is never garbage; collections stay short
+    gc.freeze()  # objects of the start-up live on; excluding them keeps collections short
     await service.stopping.wait()
     try:
         await service.shut_down()
-    except Exception as error:  # what does not close cleanly ends with the process
-        write_line(f"the end was not clean: {one_line(error)}")
+    except Exception as error:  # whatever was not closed ends with the process
+        write_line(f"the shutdown failed: {one_line(error)}")
     service.log_counters()
--- a/hophinge/head/main_import.py
+++ b/hophinge/head/main_import.py
@@ -1,7 +1,8 @@
-"""Imports the head's main function without what a head without an operator's file never uses.
+"""Imports the head's main function, without loading TLS certificates if the head does not use TLS.
 
-aiohttp makes a TLS context as it is imported, and reading the machine's certificates for it is a sixth of a start. A
-head without an operator's file speaks plain HTTP alone, so its context holds none: it would trust nobody.
+aiohttp creates a TLS context when it is imported, and loading the system's certificates for it takes a sixth of the
+start-up time. A head without an operator's file uses plain HTTP only, so none are loaded: its TLS context trusts no
+certificate.
 """
 
 from __future__ import annotations
@@ -11,18 +12,18 @@
 
 from hophinge.head.environment import OPERATOR_FILE
 
-CERTIFICATES = ("SSL_CERT_FILE", "SSL_CERT_DIR")  # OpenSSL's own names
+CERTIFICATES = ("SSL_CERT_FILE", "SSL_CERT_DIR")  # read by OpenSSL
 
 
 def import_main(environ: MutableMapping[str, str] = os.environ) -> Callable[[], int]:
     """Import and return the main function."""
-    kept = {name: environ.get(name) for name in CERTIFICATES}
+    previous = {name: environ.get(name) for name in CERTIFICATES}
     if not environ.get(OPERATOR_FILE):
         environ.update(dict.fromkeys(CERTIFICATES, os.devnull))
     try:
         from hophinge.head.main import main
     finally:
-        for name, text in kept.items():
+        for name, text in previous.items():
             if text is None:
                 environ.pop(name, None)
             else:
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -1,7 +1,6 @@
-"""A head's part in agreed maintenance: its rotation, exchange, stream and board round the deciders of `maintenance/`.
+"""A head's part in maintenance: connects its backends, requests, stream and peers with the rules of `maintenance/`.
 
-Whether all of a backend is quiet is looked at on a timer; nothing here stands in a request's way but one call where an
-attempt has ended.
+Whether a backend is drained is checked on a timer. Requests are affected by a single call only, when an attempt ends.
 """
 
 from __future__ import annotations
@@ -37,19 +36,19 @@
 from hophinge.maintenance.messages import BackendListing, HeadReport
 from hophinge.state import files
 
-KIND, FORM = "drains", 1
-CHECK_INTERVAL_S = 0.1  # between looks at what is out there
-SAVE_RETRY_INTERVAL_S = 1.0  # after the disk failed; until then nothing is said to be drained
+FILE_KIND, FORMAT_VERSION = "drains", 1
+CHECK_INTERVAL_S = 0.1  # between checks of the requests in flight at ejected backends
+SAVE_RETRY_INTERVAL_S = 1.0  # after a disk error; until a save succeeds, no backend is stated as drained
 
 
 class AnswerTimes:
-    """A gate that notes which backends have answered, before the gate there is."""
+    """A gate that records when backends answered, and passes all calls on to the wrapped gate."""
 
     __slots__ = ("gate", "last_answer_us")
 
     def __init__(self, gate: Gate) -> None:
         self.gate = gate
-        self.last_answer_us: dict[str, int] = {}  # by backend: when it answered last
+        self.last_answer_us: dict[str, int] = {}  # by backend
 
     def admit(self, now_us: int, ask: Arrival) -> Bounds | WaitAtGate | int:
         """Pass on."""
@@ -69,7 +68,7 @@
         self.gate.answered(now_us, bounds)
 
     def ended(self, now_us: int, node: str, result: Result) -> None:
-        """Note an answer, and pass on."""
+        """Record a response, and pass on."""
         if result is Result.OK:
             self.last_answer_us[node] = now_us
         self.gate.ended(now_us, node, result)
@@ -80,152 +79,160 @@
 
 
 class HeadMaintenance:
-    """One head's; to be made after its stream and before it starts, `begin` called before it lists any backend."""
+    """The maintenance of one head, created before its stream starts; `begin` is called before any backend is listed."""
 
     def __init__(
         self,
         client: StreamClient,
-        rotation: ManualEjections,
+        ejections: ManualEjections,
         exchange: Exchange,
-        holder: PermitHolder,
+        permit_holder: PermitHolder,
         zone: str,
         path: Path,
         log: Callable[[str], None],
-        ready: Callable[[], bool],
-        go: Callable[[GoOffline], None] | None = None,
-        alone: Callable[[], bool] = lambda: True,
-        board: ReplicatedEntries | None = None,
-        sight: MembershipView | None = None,
+        is_ready: Callable[[], bool],
+        on_go_offline: Callable[[GoOffline], None] | None = None,
+        is_alone: Callable[[], bool] = lambda: True,
+        entries: ReplicatedEntries | None = None,
+        membership: MembershipView | None = None,
         disk: files.Disk = files.DISK,
     ) -> None:
         self.client = client
-        self.ejections = rotation
+        self.ejections = ejections
         self.exchange = exchange
-        self.permit_holder = holder
+        self.permit_holder = permit_holder
         self.zone = zone
         self.path = path
         self.log = log
-        self.ready = ready
-        self.on_go_offline = go
-        self.is_alone = alone
-        self.entries = board
-        self.membership = sight
+        self.is_ready = is_ready
+        self.on_go_offline = on_go_offline
+        self.is_alone = is_alone  # whether this head has no other process, before or after it in an upgrade
+        self.entries = entries
+        self.membership = membership
         self.disk = disk
-        assert exchange.gate is not None, "a stream's router stands there"
+        assert exchange.gate is not None, "the streamed configuration sets a router as the gate"
         self.answer_times = AnswerTimes(exchange.gate)
         exchange.gate = self.answer_times
         self.drains = HeadDrains(self._load_drains())
         self.stored_drains = self.drains.to_store()
         self.started_us = exchange.now_us()
-        self.restored_at: dict[str, int] = {}  # by backend: when it was taken up again
-        self.service_has_sent = False  # the service has sent a word on this stream, so it takes reports
-        self.last_report: HeadReport | None = None  # as reported, with all lists whole
+        self.restored_at: dict[str, int] = {}  # by backend: when it was put back into rotation
+        self.service_has_sent = False  # the service has sent an update on this stream, so that it accepts reports
+        self.last_report: HeadReport | None = None  # with complete lists, also where changes were sent
         self.sender = SnapshotSender()  # of this stream
-        self.accepts_changes = False  # the service on this stream takes lists as changes
-        self.halted: set[str] = set()  # on the board by this head
-        greet, others, figures = client.initial_requests, client.followup_requests, client.collect_metrics
-        client.initial_requests = lambda: self._initial_requests(greet())
-        client.followup_requests = lambda beat: [*others(beat), *self._followup_requests(beat)]
-        client.collect_metrics = lambda: {**figures(), MAINTENANCE_METRIC: 1.0}
+        self.accepts_changes = False  # the service on this stream accepts lists as changes
+        self.published_halts: set[str] = set()  # keys of this head's entries
+        initial, followup, metrics = client.initial_requests, client.followup_requests, client.collect_metrics
+        client.initial_requests = lambda: self._initial_requests(initial())
+        client.followup_requests = lambda is_heartbeat: [
+            *followup(is_heartbeat),
+            *self._followup_requests(is_heartbeat),
+        ]
+        client.collect_metrics = lambda: {**metrics(), MAINTENANCE_METRIC: 1.0}
         client.on_maintenance_response = self._apply_update
 
-    # --- what a restart finds
+    # --- drains across restarts
 
     def _load_drains(self) -> Iterable[tuple[str, str]]:
         try:
-            found = files.load(self.path, KIND, range(1, FORM + 1))
-            return msgspec.json.decode(found.payload, type=dict[str, str]).items() if found is not None else ()
+            stored = files.load(self.path, FILE_KIND, range(1, FORMAT_VERSION + 1))
+            return msgspec.json.decode(stored.payload, type=dict[str, str]).items() if stored is not None else ()
         except (files.StateFileError, OSError, msgspec.MsgspecError) as error:
-            self.log(f"maintenance: which bricks were out is not known here any more: {error}")
+            self.log(f"maintenance: cannot read which backends were ejected before the restart: {error}")
             return ()
 
     def begin(self) -> None:
-        """Take out what was out when this head ended, whoever can be reached."""
+        """Eject the backends that were ejected when this head ended, even if the control service is unreachable."""
         self._carry_out(self.drains.start())
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Save and check the drains until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             try:
-                if (keeps := self.drains.to_store()) != self.stored_drains:
-                    await asyncio.to_thread(files.save, self.path, KIND, FORM, msgspec.json.encode(keeps), self.disk)
-                    self.stored_drains = keeps
+                if (current := self.drains.to_store()) != self.stored_drains:
+                    await asyncio.to_thread(
+                        files.save, self.path, FILE_KIND, FORMAT_VERSION, msgspec.json.encode(current), self.disk
+                    )
+                    self.stored_drains = current
                 self.check_drains()
             except OSError as error:
-                self.log(f"maintenance: what is out cannot be kept, so no brick is said to be drained: {error}")
+                self.log(f"maintenance: cannot save the ejections, so no backend is stated as drained: {error}")
                 await asyncio.sleep(SAVE_RETRY_INTERVAL_S)
 
     # --- the stream
 
-    def _initial_requests(self, before: list[DiscoveryRequest]) -> list[DiscoveryRequest]:
+    def _initial_requests(self, requests: list[DiscoveryRequest]) -> list[DiscoveryRequest]:
+        """Reset the state of the previous stream; the other users' requests are returned unchanged."""
         self.service_has_sent = False
         self.last_report = None
         self.sender = SnapshotSender()
         self.accepts_changes = False
-        return before
+        return requests
 
     def _apply_update(self, response: DiscoveryResponse) -> None:
-        """Take a word off the stream."""
-        word = decode_update(response)
+        """Apply an update of the issuer."""
+        update = decode_update(response)
         self.service_has_sent = True
-        self.accepts_changes = word.accepts_list_changes
+        self.accepts_changes = update.accepts_list_changes
         try:
-            goes = self.permit_holder.apply_update(self.exchange.now_us(), word)
+            departures = self.permit_holder.apply_update(self.exchange.now_us(), update)
         except HophingeError as error:
             return self.log(f"maintenance: {one_line(error)}")
-        if self.permit_holder.update is word:
-            self._carry_out(self.drains.apply_update(word.ejected, word.restored))
-            self._publish_halts({HALT_KEY_PREFIX + one for one in word.halted_releases})
-        for one in goes:
+        if self.permit_holder.update is update:
+            self._carry_out(self.drains.apply_update(update.ejected, update.restored))
+            self._publish_halts({HALT_KEY_PREFIX + release for release in update.halted_releases})
+        for departure in departures:
             self.log(
-                f"maintenance: permit {one.permit} lets this head go; it is to come back with "
-                f"{f'build {one.build}' if one.build else 'any build'}"
+                f"maintenance: permit {departure.permit} allows this head to go offline; it is to come back with "
+                f"{f'build {departure.build}' if departure.build else 'any build'}"
             )
             if self.on_go_offline is not None:
-                self.on_go_offline(one)
+                self.on_go_offline(departure)
         return None
 
     def _followup_requests(self, is_heartbeat: bool) -> list[DiscoveryRequest]:
-        """Report at each beat, and as soon as something has changed."""
+        """Return a report at each heartbeat and after each change; nothing otherwise."""
         if not self.service_has_sent:
             return []
         report, now = self.report(), self.exchange.now_us()
-        asked = self.permit_holder.update.full_lists_request if self.permit_holder.update is not None else 0
-        owes = self.accepts_changes and self.sender.is_full_due(now, asked)
-        if not is_heartbeat and not owes and self.last_report is not None and _same(report, self.last_report):
+        full_lists_request = (
+            self.permit_holder.update.full_lists_request if self.permit_holder.update is not None else 0
+        )
+        is_full_due = self.accepts_changes and self.sender.is_full_due(now, full_lists_request)
+        if not is_heartbeat and not is_full_due and self.last_report is not None and _is_same(report, self.last_report):
             return []
         self.last_report = report
         if self.accepts_changes:
-            report = self.sender.to_changes(now, report, asked)
+            report = self.sender.to_changes(now, report, full_lists_request)
         return [report_request(self.client.follower.head, report)]
 
     def report(self) -> HeadReport:
-        """Return this head's report as it stands now."""
+        """Return this head's current report."""
         now, listed = self.exchange.now_us(), self.ejections.listed
         settings, counts = self.exchange.settings, self.exchange.counters.counts
         avoided = set(self.exchange.scheduler.avoided(now))
         backends = {
             name: BackendListing(
-                settings.zones[one.zone] if one.zone < len(settings.zones) else "",
-                settings.kinds[one.kind] if one.kind < len(settings.kinds) else "",
-                one.phase is Phase.ON and name not in avoided,
+                settings.zones[entry.zone] if entry.zone < len(settings.zones) else "",
+                settings.kinds[entry.kind] if entry.kind < len(settings.kinds) else "",
+                entry.phase is Phase.ON and name not in avoided,
             )
-            for name, one in listed.items()
+            for name, entry in listed.items()
         }
         live, gone = head_states(self.membership.members()) if self.membership is not None else ([], [])
         entries = list(self.entries.entries(Topic.DRAINS)) if self.entries is not None else []
-        me = self.membership.own_name if self.membership is not None else self.client.follower.head
-        said = {owner: rows for owner, rows in statements_by_owner(entries).items() if owner != me}
+        own_name = self.membership.own_name if self.membership is not None else self.client.follower.head
+        peer_statements = {owner: rows for owner, rows in statements_by_owner(entries).items() if owner != own_name}
         return HeadReport(
             self.permit_holder.process,
             self.permit_holder.build,
             self.zone,
-            self.ready() and bool(backends),
+            self.is_ready() and bool(backends),
             self.permit_holder.pending_key(now),
             self.permit_holder.permit_to_begin(now, halted_releases(entries)),
             tuple(self.drains.statements()),
-            said,
+            peer_statements,
             backends,
             tuple(live),
             tuple(gone),
@@ -234,74 +241,80 @@
             counts["requests_failed"] + counts["requests_refused"],
         )
 
-    # --- rotation and exchange
+    # --- backends
 
     def check_drains(self) -> None:
-        """See what is out there, and say what follows."""
+        """Check the requests in flight at ejected backends, act on the result, and report changes."""
         if self.drains.drains:
-            open_there = Counter(
+            in_flight = Counter(
                 attempt.node for request in self.exchange.open.values() for attempt in request.attempts.values()
             )
-            out = [one.backend for one in self.drains.drains.values() if self.ejections.is_ejected(one.backend)]
-            # Another process of this head, before or after it, may still have something there.
-            self._carry_out(self.drains.observe(open_there, out if self.is_alone() else (), self._warm_backends()))
+            ejected = [
+                drain.backend for drain in self.drains.drains.values() if self.ejections.is_ejected(drain.backend)
+            ]
+            # Another process of this head, before or after it in an upgrade, may still have requests in flight there.
+            self._carry_out(self.drains.observe(in_flight, ejected if self.is_alone() else (), self._warm_backends()))
         for request in self._followup_requests(False):
             self.client.outgoing.put_nowait(request)
 
     def _warm_backends(self) -> list[str]:
-        """Return which backends have answered since they are back, for longer than they count as cold."""
-        now, cold = self.exchange.now_us(), self.ejections.slow_start_us
-        since = {
-            one.backend: self.restored_at.get(one.backend, self.started_us)
-            for one in self.drains.drains.values()
-            if one.phase is DrainPhase.RESTORED
+        """Return the restored backends that have answered since, and were restored so long ago that they are warm."""
+        now, slow_start_us = self.exchange.now_us(), self.ejections.slow_start_us
+        restored_at = {
+            drain.backend: self.restored_at.get(drain.backend, self.started_us)
+            for drain in self.drains.drains.values()
+            if drain.phase is DrainPhase.RESTORED
         }
         return [
             backend
-            for backend, at in since.items()
-            if self.answer_times.last_answer_us.get(backend, -1) > at and now - at >= cold
+            for backend, at_us in restored_at.items()
+            if self.answer_times.last_answer_us.get(backend, -1) > at_us and now - at_us >= slow_start_us
         ]
 
     def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case Eject(backend=backend):
-                    # Set also where no list names it yet: it must not come into use when one does.
+                    # Also for a backend that no list names yet: it must not be used when one does.
                     self._set_ejected(backend, True)
-                    self.log(f"maintenance: {backend} is taken out")
+                    self.log(f"maintenance: {backend} is ejected")
                 case Restore(backend=backend):
                     self._set_ejected(backend, False)
                     self.restored_at[backend] = self.exchange.now_us()
-                    self.log(f"maintenance: {backend} is taken up again, cold")
+                    self.log(f"maintenance: {backend} is back in rotation, cold")
                 case Announce(statement=statement):
                     self._publish(statement.key, encode_statement(statement))
                 case Retract(statement=statement):
                     if self.entries is not None:
                         self.entries.delete(Topic.DRAINS, statement.key)
 
-    def _set_ejected(self, backend: str, out: bool) -> None:
+    def _set_ejected(self, backend: str, is_ejected: bool) -> None:
         last = self.ejections.ejections.get(backend)
-        self.ejections.merge({backend: ManualEjection(max(self.exchange.now_us(), last.at_us + 1 if last else 0), out)})
+        self.ejections.merge(
+            {backend: ManualEjection(max(self.exchange.now_us(), last.at_us + 1 if last else 0), is_ejected)}
+        )
         self.ejections.on_ejection()
 
     def _publish_halts(self, keys: set[str]) -> None:
-        for key in self.halted - keys if self.entries is not None else ():
-            self.entries.delete(Topic.DRAINS, key)  # type: ignore[union-attr]   # there, by the line before
-        for key in keys - self.halted:
+        for key in self.published_halts - keys if self.entries is not None else ():
+            self.entries.delete(Topic.DRAINS, key)  # type: ignore[union-attr]   # not None: see the line before
+        for key in keys - self.published_halts:
             self._publish(key, b"")
-        self.halted = keys
+        self.published_halts = keys
 
     def _publish(self, key: str, body: bytes) -> None:
         try:
             if self.entries is not None:
                 self.entries.put(Topic.DRAINS, key, body)
         except HophingeError as error:
-            self.log(f"maintenance: peers do not hear of {key}: {one_line(error)}")
+            self.log(f"maintenance: cannot publish {key} to peers: {one_line(error)}")
 
 
-def _same(one: HeadReport, other: HeadReport) -> bool:
-    """Return whether two reports differ in request counts alone, which a heartbeat carries."""
+def _is_same(report: HeadReport, other: HeadReport) -> bool:
+    """Return whether two reports differ at most in request counts, which are sent with heartbeats."""
     return (
-        msgspec.structs.replace(one, accepted_requests=other.accepted_requests, failed_requests=other.failed_requests)
+        msgspec.structs.replace(
+            report, accepted_requests=other.accepted_requests, failed_requests=other.failed_requests
+        )
         == other
     )
--- a/hophinge/head/operator_config.py
+++ b/hophinge/head/operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file, which switches on what the platform does not have; it names addresses and paths."""
+"""The operator's file, which enables a head's optional components; it names their addresses and paths."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StreamConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """Where a head's configuration comes from; see deploy/stream.toml for what the settings mean."""
+    """`[stream]`: the control service that configures the head; deploy/stream.toml documents the settings."""
 
     endpoints: list[str]
     token_file: Path
@@ -24,14 +24,14 @@
 
     def __post_init__(self) -> None:
         """Check ranges."""
-        if not self.endpoints or any(":" not in one for one in self.endpoints):
-            raise ValueError("endpoints must name host:port, once or more")
+        if not self.endpoints or any(":" not in endpoint for endpoint in self.endpoints):
+            raise ValueError("endpoints must be a list of one or more host:port")
         if not 3.0 <= self.silence_s <= 3600 or not 1.0 <= self.stale_s <= 30 * 24 * 3600:
             raise ValueError("silence_s must be from 3 to 3600, stale_s from 1 to 2592000")
 
 
 class OperatorConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole file; a part that is absent is off."""
+    """The operator's file; a component without a section is disabled."""
 
     objects: ObjectConfig | None = None
     admin: AdminConfig | None = None
@@ -45,12 +45,12 @@
 
 def _path(kind: type, value: Any) -> Path:
     if kind is not Path or not isinstance(value, str):
-        raise ValueError("a path is a text")
+        raise ValueError("a path must be a string")
     return Path(value)
 
 
 def load(path: str) -> OperatorConfig:
-    """Read the file; a path within it is taken from the file's folder."""
+    """Read and check the file; paths in it are relative to its folder."""
     config = msgspec.toml.decode(Path(path).read_bytes(), type=OperatorConfig, dec_hook=_path)
     base = Path(path).resolve().parent
     if config.objects:
@@ -63,13 +63,15 @@
     if config.popularity:
         config.popularity.secret_file = base / config.popularity.secret_file
     if config.maintenance and config.stream is None:
-        raise ValueError("[maintenance] needs [stream], whose control service agrees on it")
+        raise ValueError("[maintenance] needs [stream], whose control service coordinates it")
     if config.popularity and config.objects is None:
-        raise ValueError("[popularity] needs [objects], whose reads it counts")
+        raise ValueError("[popularity] needs [objects], as it counts reads of objects")
     if config.admin:
         config.admin.token_file = base / config.admin.token_file
         if config.objects is None:
-            raise ValueError("[admin] needs [objects], whose tenants it keeps")
+            raise ValueError("[admin] needs [objects], whose tenants it administers")
         if config.stream is not None and config.stream.accounts:
-            raise ValueError("[admin] is the control service's where [stream] has accounts = true")
+            raise ValueError(
+                "[admin] cannot be combined with [stream] accounts = true: the control service administers the accounts"
+            )
     return config
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -26,12 +26,12 @@
 from hophinge.head.operator_config import OperatorConfig
 from hophinge.core.manual_ejections import ManualEjections
 
-FIRST_LIST_S = 0.4  # ready with the saved list alone if discovery, which answers at once, is silent for so long
-SHUTDOWN_S = 2.0  # for answers on their way out
+FIRST_LIST_S = 0.4  # discovery usually answers at once; without an answer by then the saved list is used
+SHUTDOWN_S = 2.0  # per listener, for responses that are still being written
 
 
 class Service:
-    """One head."""
+    """One head: its exchange, its listeners and its background tasks."""
 
     def __init__(self, config: Config, settings: api.Settings, operator: OperatorConfig, path: str = "") -> None:
         self.config = config
@@ -41,13 +41,13 @@
         self.counters = Counters()
         clock = LoopClock(asyncio.get_running_loop())
         self.exchange = Exchange(settings, int(config.seed, 16), clock, self.counters, write_line)
-        parts = components.OptionalComponents(config, operator, self.exchange, self.counters, write_line)
-        self.objects = parts.objects
-        self.admin = parts.admin
-        self.accounts = parts.accounts
-        self.streamed = parts.streamed
-        self.cluster_services = parts.cluster_services
-        # What the configuration can still be refused for lies above; sessions are opened from here on.
+        optional = components.OptionalComponents(config, operator, self.exchange, self.counters, write_line)
+        self.objects = optional.objects
+        self.admin = optional.admin
+        self.accounts = optional.accounts
+        self.streamed = optional.streamed
+        self.cluster_services = optional.cluster_services
+        # The configuration cannot be rejected after this line; client sessions are created only from here on.
         self.directory = EndpointDirectory(settings)
         self.budget = ByteBudget(0)
         self.backends = BackendClient(settings, self.directory.endpoint, self.counters, write_line, self.budget)
@@ -63,15 +63,15 @@
         self.control = (
             OperationsServer(self.counters, self.metrics, self.ejections, self.is_ready) if config.control else None
         )
-        parts.connect(self.front, self.control)
+        optional.connect(self.front, self.control)
         self.remote_write = components.remote_write(
             config, operator, self.exchange, self.counters, self.gauges, self.accounts
         )
-        self.listeners: list[Acceptor] = []  # of clients
+        self.listeners: list[Acceptor] = []  # for clients' connections
         self.control_listener: Acceptor | None = None
         self.tasks: list[asyncio.Task[None]] = []
         self.stopping = asyncio.Event()
-        self.signalled_us = 0  # of the end
+        self.signalled_us = 0  # when the shutdown began, on the exchange's clock
         self.maintenance = components.maintenance(self, write_line)
 
     def _discovery_watch(self) -> DiscoveryWatch:
@@ -87,7 +87,7 @@
         )
 
     async def start(self) -> None:
-        """Listen, and become ready once there is a list of backends."""
+        """Listen, and become ready with discovery's list of backends, or with the saved one if discovery is silent."""
         if self.control is not None:
             self.control_listener = self._acceptor(self.control, self.config.control)
         if self.maintenance is not None:
@@ -115,9 +115,9 @@
         for task in self.tasks:
             task.add_done_callback(log_task_failure)
         if not await shutdown.wait_for_any(FIRST_LIST_S, self.discovery.first_answer, self.stopping):
-            write_line("discovery is silent; starting from the saved list")
+            write_line("no answer from discovery yet; starting with the saved list of backends")
         if self.config.accept_fd is not None:
-            # Not before: until then another process may serve what waits there.
+            # Not earlier: until this process is ready, another one may accept the connections in this socket's queue.
             self._listen(self.front, self.config.listen, self.config.accept_fd)
         self.front.ready = True
         limits = self.config.limits
@@ -127,7 +127,7 @@
         )
 
     def _observe_tenants(self) -> None:
-        """Let the accounts, or the document's tenants, decide on connections and count requests."""
+        """Let the accounts, or the tenants of the service document, admit connections and count requests."""
         if self.accounts is not None:
             self.front.tenant_observer = self.accounts
             self.front.on_connection_closed = self.accounts.dropped
@@ -137,29 +137,29 @@
             self.front.on_connection_closed = self.streamed.document_tenants.dropped
 
     def apply_node_list(self, event: api.NodeList) -> None:
-        """Apply a list of backends, or changes to it."""
+        """Apply a list of backends, or changes to one."""
         self.exchange.nodes(event)
-        # Connections to a backend that is out by hand go: it is about to be restarted.
+        # Connections to manually ejected backends are not kept, as these are about to be restarted.
         self.backends.retain(
-            where for node, where in self.directory.endpoints.items() if not self.ejections.is_ejected(node)
+            endpoint for node, endpoint in self.directory.endpoints.items() if not self.ejections.is_ejected(node)
         )
 
     def is_ready(self) -> bool:
-        """Return whether this process serves."""
+        """Return whether this process is ready and not shutting down."""
         return self.front.ready and not self.stopping.is_set()
 
     def backend_counts(self) -> dict[str, int]:
-        """Return how many backends are listed, and how many of them get no requests now, for whatever reason."""
+        """Return how many backends are listed, and how many of them get no requests now for any reason."""
         listed = self.ejections.listed
         avoided = {node for node in listed if self.exchange.phases.get(node) is not api.Phase.ON}
         avoided.update(node for node in self.exchange.scheduler.avoided(self.exchange.now_us()) if node in listed)
         return {"registry_entries": len(listed), "out_of_rotation": len(avoided)}
 
     def _share_with_other_process(self) -> None:
-        """Share limits and manual ejections with the process that is replaced, or that replaces this one."""
+        """Share limits and manual ejections with the process that this one replaces, or that replaces this one."""
         folder = os.environ.get("TMPDIR")
         if not folder:
-            return write_line("no TMPDIR: bricks out by hand do not outlive an upgrade")
+            return write_line("TMPDIR is not set: manual ejections are lost when an upgrade replaces this process")
         name = re.sub(r"[^0-9A-Za-z-]", "_", self.config.name or self.config.listen)
         self.handoff = ProcessHandoff(
             Path(folder) / f"hophinge-{name}",
@@ -184,13 +184,13 @@
             try:
                 self._refresh_handoff()
             except OSError as error:
-                write_line(f"cannot look for another process: {one_line(error)}")
+                write_line(f"cannot refresh the state shared with other processes: {one_line(error)}")
 
-    def divide_limits(self, elsewhere: int) -> None:
-        """Set the limits of this process, given the descriptors that another process uses."""
+    def divide_limits(self, used_elsewhere: int) -> None:
+        """Set the limits of this process, given how many file descriptors other processes of this head use."""
         processes = self.handoff.processes if self.handoff is not None else 1
         shares = limits.divide_limits(
-            self.config.limits, processes, elsewhere, self.settings.gateways, bool(self.config.control)
+            self.config.limits, processes, used_elsewhere, self.settings.gateways, bool(self.config.control)
         )
         self.budget.limit = shares.body_bytes
         self.backends.max_attempts = self.backends.registry.limit = shares.backend_connections
@@ -198,20 +198,20 @@
         self.front.max_busy = self.front.max_connections = shares.client_connections
         self.front.max_idle = shares.idle_clients
 
-    def _listen(self, front: Listener, where: str, fd: int | None = None) -> None:
-        self.listeners.append(self._acceptor(front, where, fd))
+    def _listen(self, listener: Listener, listen_address: str, fd: int | None = None) -> None:
+        self.listeners.append(self._acceptor(listener, listen_address, fd))
 
-    def _acceptor(self, front: Listener, where: str, fd: int | None = None) -> Acceptor:
-        host, port = address(where)
-        # Where upgrades are, the other fronts' addresses are used by two processes for a while.
-        shared = self.config.accept_fd is not None and fd is None and front is not self.control
+    def _acceptor(self, listener: Listener, listen_address: str, fd: int | None = None) -> Acceptor:
+        host, port = address(listen_address)
+        # An inherited descriptor means upgrades, in which two processes listen on the other addresses for a while.
+        shared = self.config.accept_fd is not None and fd is None and listener is not self.control
         try:
-            return Acceptor(host, port, front, shared, fd)
+            return Acceptor(host, port, listener, shared, fd)
         except OSError as error:
-            raise ConfigError(f"cannot listen on {where}: {error}") from error
+            raise ConfigError(f"cannot listen on {listen_address}: {error}") from error
 
     def stop(self) -> None:
-        """Begin the shutdown; its deadlines count from the first call."""
+        """Begin the shutdown; its deadlines count from the first call, later ones have no effect."""
         if not self.stopping.is_set():
             self.signalled_us = self.exchange.now_us()
             self.stopping.set()
@@ -223,28 +223,28 @@
     def reload(self) -> None:
         """Reload the configuration file; open requests, reservations and connections stay.
 
-        The address of discovery takes effect, and the cluster's keys; all else is what this process was started with.
-        The file rules, as it is what was replaced: a variable that overrides it was set once, at the start.
+        Only discovery's address and the cluster's keys take effect; other settings stay as at the start. The file's
+        address takes precedence over the environment's: the file has been replaced since, the variable was set once.
         """
         try:
             new = read_config(self.path)
         except ConfigError as error:
-            # Somebody's slip, or a file caught half written: the head goes on with what it has.
+            # An operator's error, or a file read while it was being written.
             self.counters.add("reloads_failed")
             write_line(f"the configuration is kept as it was: {one_line(ReloadError(str(error)))}")
             return
         self.counters.add("reloads")
         if new.discovery != self.discovery.address:
-            write_line(f"discovery moves from {self.discovery.address} to {new.discovery}")
+            write_line(f"discovery's address changed from {self.discovery.address} to {new.discovery}")
             self.discovery.follow(new.discovery)
         if self.cluster_services is not None:
             self.cluster_services.reload()
 
     async def shut_down(self) -> None:
-        """Answer what has been accepted, then close everything."""
+        """Answer the accepted requests, then close everything."""
         self.stop()
         open_connections = len(self.front.server.connections)
-        write_line(f"ending with {self.exchange.unanswered} requests open on {open_connections} connections")
+        write_line(f"shutting down with {self.exchange.unanswered} requests open on {open_connections} connections")
         await shutdown.Shutdown(
             self.exchange,
             self.front,
@@ -256,19 +256,19 @@
         ).run()
         if self.control_listener is not None:
             self.control_listener.close()
-        for served in (*self.fronts, self.control):
-            if served is not None:
-                served.server.pre_shutdown()  # else those at rest are waited for, too
-                await served.server.shutdown(SHUTDOWN_S)
+        for listener in (*self.fronts, self.control):
+            if listener is not None:
+                listener.server.pre_shutdown()  # closes idle connections, which `shutdown` would wait for otherwise
+                await listener.server.shutdown(SHUTDOWN_S)
         await self.close()
 
     @property
     def fronts(self) -> list[Listener]:
-        """The listeners that clients use."""
+        """The listeners for clients that are enabled."""
         return [front for front in (self.front, self.objects, self.admin) if front is not None]
 
     async def close(self) -> None:
-        """Cancel the background tasks and close the connections to backends."""
+        """Cancel the background tasks and close connections, files and the cluster's socket."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -276,13 +276,13 @@
             self.control_listener.close()
         if self.handoff is not None:
             self.handoff.close()
-        follower = self.streamed.client if self.streamed is not None else None
-        for part in (self.discovery, self.backends, self.remote_write, follower):
-            if part is not None:
-                await part.close()
-        for held in (self.cluster_services, self.accounts):
-            if held is not None:
-                held.close()
+        stream_client = self.streamed.client if self.streamed is not None else None
+        for client in (self.discovery, self.backends, self.remote_write, stream_client):
+            if client is not None:
+                await client.close()
+        for component in (self.cluster_services, self.accounts):
+            if component is not None:
+                component.close()
 
     def gauges(self) -> dict[str, float]:
         """Return the current values, for remote write."""
--- a/tests/maintenance_rig.py
+++ b/tests/maintenance_rig.py
@@ -21,7 +21,7 @@
 
 PLAN = LoadPlan(work_us=2_000, slots=8)
 POOL = "(hophinge 1) (pool all (zones hall-a)) (route (pools all) (else any)) "
-GOES = re.compile(r"permit (\S+) lets this head go; it is to come back with (?:build (\S+)|any build)")
+GOES = re.compile(r"permit (\S+) allows this head to go offline; it is to come back with (?:build (\S+)|any build)")
 AUDIT = re.compile(r"(\S+) for (head|brick) (\S+): (\w+)")
 LOOK_S = 0.02
 RATE = 40.0  # requests a second to each head, where a test asks for load
--- a/tests/test_maintenance_integration.py
+++ b/tests/test_maintenance_integration.py
@@ -174,7 +174,7 @@
         response = decode_response(encode_update(PermitUpdate("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
         upkeep._apply_update(response)
         assert head.rotation.is_ejected("s-0") and "halt/r/0" in peers.own  # before any list names the backend
-        await until(lambda: any("cannot be kept" in line for line in head.log))
+        await until(lambda: any("cannot save the ejections" in line for line in head.log))
         assert "1.1/s-0" not in peers.own and upkeep.report().statements == ()
         disk.full = False
         await until(lambda: bool(upkeep.stored_drains))
@@ -187,7 +187,7 @@
         assert (report.live_heads, report.departed_heads, report.peer_statements) == (("n0", "n1", "n2"), ("n3",), {})
         peers.full = True
         upkeep._apply_update(decode_response(encode_update(PermitUpdate("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {}))))
-        await until(lambda: any("peers do not hear" in line for line in head.log))
+        await until(lambda: any("cannot publish" in line for line in head.log))
         assert len(upkeep.report().statements) == 2 and "halt/r/0" not in peers.own
         upkeep._apply_update(decode_response(encode_update(PermitUpdate("other", 9, 9))))
         assert any("permit-issuer-unknown" in line for line in head.log) and head.rotation.is_ejected("s-1")
--- a/tests/test_restart_ends.py
+++ b/tests/test_restart_ends.py
@@ -238,6 +238,6 @@
             assert (tally["lost"], tally["written"]) == (0, tally["answered"]), tally
             taken = ending.counts["requests_taken"] + ending.counts["requests_too_many"]
             assert taken == ending.answered + ending.counts["requests_too_many"] == tally["answered"]
-            assert re.search(r"^ending with \d+ requests open", ending.text, re.M)
+            assert re.search(r"^shutting down with \d+ requests open", ending.text, re.M)
 
     run(main())
--- a/tests/test_restart_moments.py
+++ b/tests/test_restart_moments.py
@@ -216,7 +216,7 @@
                 os.read(reads, 4096)  # it goes on: the log does too
                 process.send_signal(signal.SIGTERM)
                 assert await one.ended() and await process.wait() == 0
-            assert os.read(reads, 4096).startswith(b"ending with 0 requests open")
+            assert os.read(reads, 4096).startswith(b"shutting down with 0 requests open")
         finally:
             os.close(reads)
 
@@ -241,7 +241,7 @@
                     assert (await one.receive())[0] == 404
                     assert process.stdout is not None
                     text = await process.stdout.read()
-                    assert await process.wait() == 0 and b"the end was not clean" in text
+                    assert await process.wait() == 0 and b"the shutdown failed" in text
                     assert b"requests_absent 1\n" in text
 
     run(main())
@@ -259,6 +259,6 @@
             one = await made.wire(service)
             one.send(READ, headers(next(NUMBERS)))
             assert (await one.receive())[0] == 404
-            assert "a part of the head has ended" in capsys.readouterr().out
+            assert "a background task failed" in capsys.readouterr().out
 
     run(main())
