--- a/hophinge/head/operator_config.py
+++ b/hophinge/head/operator_config.py
@@ -72,6 +72,6 @@
             raise ValueError("[admin] needs [objects], whose tenants it administers")
         if config.stream is not None and config.stream.accounts:
             raise ValueError(
-                "[admin] cannot be combined with [stream] accounts = true: the control service administers the accounts"
+                "[admin] cannot be combined with [stream] accounts = true; use the control service's administration API"
             )
     return config
--- a/hophinge/head/process_handoff.py
+++ b/hophinge/head/process_handoff.py
@@ -1,4 +1,4 @@
-"""State that the two processes of an upgrade share by files: which are alive, and the manual ejections."""
+"""Files that the two processes of an upgrade share: which processes are alive, and the manual ejections."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from hophinge.core.manual_ejections import ManualEjection, ManualEjections
 
 FILE_VERSION = 1
-REFRESH_INTERVAL_S = 0.05  # between looks; the grace on drains is ten times that
+REFRESH_INTERVAL_S = 0.05  # a tenth of the grace period of drains
 LOCK_PREFIX, EJECTIONS_FILE = "live-", "marks.json"
 
 
 class EjectionFile(msgspec.Struct):
-    """The file of manual ejections; one of an unknown version is left alone."""
+    """The file of manual ejections; one of another version is not merged."""
 
     version: int
     marks: dict[str, ManualEjection]
@@ -27,40 +27,41 @@
 class ProcessHandoff:
     """The shared files of one process.
 
-    Each process holds a file locked while it lives; the kernel lets go of it however the process ends. Marks are
-    merged, the newer counts; who finds that the file lacks a mark writes it whole again, so no write is lost for long.
+    Each process holds a lock on a file while it is alive; the kernel releases it however the process ends. Ejections
+    are merged, the newest of a backend counts. A process that finds an own ejection missing in the file writes it
+    again, so that a concurrent write is not lost for long.
     """
 
     def __init__(
         self,
         folder: Path,
-        rotation: ManualEjections,
+        ejections: ManualEjections,
         now_us: Callable[[], int],
-        rest_us: int,
+        overlap_us: int,
         log: Callable[[str], None],
     ) -> None:
         self.folder = folder
-        self.ejections = rotation
+        self.ejections = ejections
         self.now_us = now_us
-        self.overlap_us = rest_us
+        self.overlap_us = overlap_us
         self.log = log
         folder.mkdir(mode=0o700, exist_ok=True)
         self.file = open(folder / f"new-{os.getpid()}", "w")  # noqa: SIM115
         fcntl.flock(self.file, fcntl.LOCK_EX)
-        # Seen by others only once it is locked: one that can be locked by another is a dead process's.
+        # Renamed only once it is locked: a file under this name that another process can lock is a dead process's.
         self.path = folder / f"{LOCK_PREFIX}{os.getpid()}"
         os.rename(self.file.name, self.path)
         self.other_pids: list[int] = []
-        self.other_counts_until = 0  # its last requests still count against the rules until then
+        self.other_counts_until = 0  # until then another process counts, as its last requests still load the backends
         self.last_read: tuple[int, int] | None = None
 
     @property
     def processes(self) -> int:
-        """The number of processes that share the head's limits."""
+        """The number of processes that share the head's limits, this one included."""
         return max(1 + len(self.other_pids), 2 if self.now_us() < self.other_counts_until else 1)
 
     def refresh(self) -> None:
-        """Refresh which other processes are alive, and the ejections."""
+        """Read which other processes are alive, and merge the ejections; raises OSError."""
         self.other_pids = [
             int(name.removeprefix(LOCK_PREFIX))
             for name in os.listdir(self.folder)
@@ -89,34 +90,34 @@
                 return
             self.last_read = status.st_mtime_ns, status.st_ino
             try:
-                found = msgspec.json.decode(path.read_bytes(), type=EjectionFile)
+                stored = msgspec.json.decode(path.read_bytes(), type=EjectionFile)
             except msgspec.MsgspecError as error:
-                self.log(f"{path} is malformed and is written anew: {error}")
-                found = EjectionFile(FILE_VERSION, {})
-            if found.version != FILE_VERSION:
+                self.log(f"{path} is malformed and will be rewritten: {error}")
+                stored = EjectionFile(FILE_VERSION, {})
+            if stored.version != FILE_VERSION:
                 return self.log(
-                    f"{path} has version {found.version}, not {FILE_VERSION}; bricks out by hand are not shared"
+                    f"{path} has version {stored.version}, not {FILE_VERSION}; manual ejections are not shared"
                 )
-            self.ejections.merge(found.marks)
-            if any(found.marks.get(node) != mark for node, mark in self.ejections.ejections.items()):
+            self.ejections.merge(stored.marks)
+            if any(stored.marks.get(node) != ejection for node, ejection in self.ejections.ejections.items()):
                 self.write()
         return None
 
     def write(self) -> None:
-        """Replace the file by the ejections of this process."""
+        """Write the ejections of this process to the file, replacing it atomically."""
         path = self.folder / f"marks-{os.getpid()}"
         path.write_bytes(msgspec.json.encode(EjectionFile(FILE_VERSION, self.ejections.ejections)))
         os.replace(path, self.folder / EJECTIONS_FILE)
 
     def descriptors(self) -> int:
-        """Return the number of file descriptors of the other processes; the limit covers all together."""
-        held = 0
-        for process in self.other_pids:
+        """Return the number of file descriptors that the other processes use; all share one limit."""
+        count = 0
+        for pid in self.other_pids:
             with contextlib.suppress(OSError):
-                held += len(os.listdir(f"/proc/{process}/fd"))
-        return held
+                count += len(os.listdir(f"/proc/{pid}/fd"))
+        return count
 
     def close(self) -> None:
-        """Release the lock file."""
+        """Remove the lock file and release the lock."""
         self.path.unlink(missing_ok=True)
         self.file.close()
--- a/hophinge/head/sections.py
+++ b/hophinge/head/sections.py
@@ -1,6 +1,6 @@
-"""The operator's sections for processes that work together; each is off where its section is absent.
+"""The sections of the operator's file for components that work with peers; without its section one is disabled.
 
-Plain figures alone: the packages that they switch on are imported only where they are there.
+This module imports none of these components, as they are imported only if they are enabled.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 class ClusterConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """`[cluster]`: who this process is among its peers, and what it may use for them."""
+    """`[cluster]`: the member that this process is, and the limits of what it uses for the cluster."""
 
-    listen: str  # host:port for datagrams, which peers reach it at too unless `advertise` says else
-    seeds: list[str]  # host:port of some members; its own may be among them
-    key_file: Path  # one key a line, the newest first, at most two: the second is still taken
-    name: str = ""  # unlike all others'; the head's own name where it is empty
+    listen: str  # host:port for datagrams; peers use it, too, unless `advertise` is set
+    seeds: list[str]  # host:port of some members; may include this one
+    key_file: Path  # one key per line, at most two: the first is used, the second is still accepted
+    name: str = ""  # unique in the cluster; empty: the head's name
     zone: str = ""
-    advertise: str = ""
-    bytes_s: int = 20_000  # sent by this process at most, whatever happens
-    members: int = 1_000  # kept at most
-    entries: int = 2_000  # of one member at most
-    entry_bytes: int = 256_000  # of one member's entries at most
+    advertise: str = ""  # host:port at which peers reach this member; empty: `listen`
+    bytes_s: int = 20_000  # maximum that this process sends
+    members: int = 1_000  # maximum that are stored
+    entries: int = 2_000  # maximum of one member
+    entry_bytes: int = 256_000  # maximum of one member's entries together
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -31,25 +31,25 @@
             raise ValueError("bytes_s must be from 2000 to 10000000")
         if not 2 <= self.members <= 10_000 or not 1 <= self.entries <= 100_000:
             raise ValueError("members must be from 2 to 10000, entries from 1 to 100000")
-        if any(":" not in one for one in [self.listen, *self.seeds, *filter(None, [self.advertise])]):
-            raise ValueError("listen, seeds and advertise are host:port")
+        if any(":" not in address for address in [self.listen, *self.seeds, *filter(None, [self.advertise])]):
+            raise ValueError("listen, seeds and advertise must be host:port")
 
 
 class MaintenanceConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """`[maintenance]`: a head's part in drains and releases that its control service agrees; needs `[stream]`."""
+    """`[maintenance]`: a head's part in the drains and releases of its control service; needs `[stream]`."""
 
-    build: str = ""  # what runs here, as a release names it; the program's version where it is empty
-    zone: str = ""  # as bounds by zone count it
+    build: str = ""  # of this process, as releases name it; empty: the program's version
+    zone: str = ""  # for the limits per zone
 
 
 class ScoringConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """`[scoring]`: which scorers are at work, each with its own parameters."""
+    """`[scoring]`: the scorers in use, each with its own parameters."""
 
-    scorers: list[str]  # by the names that their packages give them
-    most_part: float = 0.25  # of the tightest aim: the longest time that they may add
-    budget_us: float = 200.0  # that one scorer may take for one choice
+    scorers: list[str]  # names of built-in scorers and of installed packages' scorers
+    most_part: float = 0.25  # maximum added time, as a fraction of the tightest latency target
+    budget_us: float = 200.0  # of one scorer for one choice
     parameters: dict[str, dict[str, Any]] = {}  # by scorer
-    share: bool = True  # weights, with peers, where [cluster] is there
+    share: bool = True  # share weights with peers, if [cluster] is configured
 
     def __post_init__(self) -> None:
         """Check ranges."""
@@ -58,13 +58,13 @@
 
 
 class PopularityConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """`[popularity]`: counting, prediction and the cache of a site."""
+    """`[popularity]`: request counts, prediction and the cache of prefetched objects."""
 
-    secret_file: Path  # of the installation: keys leave a process hashed with it
-    count_bytes: int = 1_000_000  # for counts
-    cache_bytes: int = 16_000_000  # of objects kept at this head; 0: none
-    fetch_bytes_s: float = 1e6  # for fetches beforehand
-    tenant_part: float = 0.5  # of those budgets that one tenant may use
+    secret_file: Path  # the installation's secret; names of objects leave a process only hashed with it
+    count_bytes: int = 1_000_000  # memory for counts
+    cache_bytes: int = 16_000_000  # of objects cached at this head; 0: no cache
+    fetch_bytes_s: float = 1e6  # for prefetches
+    tenant_part: float = 0.5  # maximum fraction of these budgets for one tenant
 
     def __post_init__(self) -> None:
         """Check ranges."""
--- a/hophinge/head/streamed_configuration.py
+++ b/hophinge/head/streamed_configuration.py
@@ -1,4 +1,4 @@
-"""Streamed configuration at a head: the router in front of the scheduler, and the stream that configures it."""
+"""Streamed configuration of a head: the router in front of the scheduler, and the stream that configures it."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 if TYPE_CHECKING:
     from hophinge.head.accounts import HeadAccounts
 
-MIN_TOKEN = 16  # characters
-MAX_REPORTED_TENANTS = 100  # tenants in what staff are told; the rest is summed
-MAX_DEMAND_ROWS = 500  # tenants whose demand one ask tells
+MIN_TOKEN_CHARS = 16
+MAX_REPORTED_TENANTS = 100  # listed for operators; the others are summed up
+MAX_DEMAND_ROWS = 500  # of one lease request, each a tenant's demand, and of one usage report
 
 
 def _read_token(config: StreamConfig) -> str:
     token = config.token_file.read_text().strip()
-    if len(token) < MIN_TOKEN or not token.isascii():
-        raise ValueError(f"{config.token_file}: a token has {MIN_TOKEN} ASCII characters or more")
+    if len(token) < MIN_TOKEN_CHARS or not token.isascii():
+        raise ValueError(f"{config.token_file}: a token must have at least {MIN_TOKEN_CHARS} ASCII characters")
     return token
 
 
@@ -89,7 +89,7 @@
         self._set_hooks()
 
     def _set_hooks(self) -> None:
-        """Let accounts, leases and the router's shares use the stream."""
+        """Connect the accounts and the leases to the stream, and the router to the leases."""
         if self.replicated_accounts is not None:
             self.client.initial_requests = self.replicated_accounts.initial_requests
             self.client.on_account_response = self.replicated_accounts.receive
@@ -98,14 +98,14 @@
         self.client.on_lease = self.take_lease
         self.router.reserve_share = self.quota_share
 
-    async def throttle(self, volume: str, klass: str, way: int, size: int) -> None:
-        """Wait as the limits require after bytes of a long body were transferred."""
-        pause_us = self.router.pacing_delay_us(self.exchange.now_us(), volume, klass, way, size)
-        if pause_us:
-            await asyncio.sleep(pause_us / 1e6)
+    async def throttle(self, volume: str, klass: str, direction: int, size: int) -> None:
+        """Count transferred bytes of a long body, and wait as long as the rate limits require."""
+        delay_us = self.router.pacing_delay_us(self.exchange.now_us(), volume, klass, direction, size)
+        if delay_us:
+            await asyncio.sleep(delay_us / 1e6)
 
     def tenant_ended(self, tenant: str) -> None:
-        """Reject at once what a tenant that is served no more has queued."""
+        """Reject the queued requests of a tenant that is not active any more."""
         if self.router.evict_tenant(tenant):
             self.exchange.gate_changed()
 
@@ -122,19 +122,19 @@
         )
 
     def lease_request(self) -> dict[str, float]:
-        """Return the metrics of a lease request; empty where the version in force has no leases."""
+        """Return the metrics of a lease request; empty if the active version has no leases."""
         if not self._has_leases() or self.router.admission is None:
             return {}
         now = self.exchange.now_us()
-        asked, held = self.lease_holder.next_request(now)
+        request_number, current_serial = self.lease_holder.next_request(now)
         span_s, self.demand_since = max(0.1, (now - self.demand_since) / 1e6), now
-        # The largest are told; for the others the even part will do.
+        # Only the largest demands are sent; the other tenants get the even share.
         largest = sorted(self.router.admission.take_demand().items(), key=lambda row: -row[1])[:MAX_DEMAND_ROWS]
         return {
             "heads": self.exchange.settings.gateways,
             "process": self.lease_holder.process,
-            "asked": asked,
-            "held": held,
+            "asked": request_number,
+            "held": current_serial,
             "span_s": span_s,
             **{DEMAND_PREFIX + tenant: units for tenant, units in largest if tenant},
         }
@@ -144,17 +144,18 @@
         self.lease_holder.accept(self.exchange.now_us(), msgspec.json.decode(json, type=ShareLease))
 
     def apply(self, table: RoutingTable) -> None:
-        """Apply a version, in one step between two iterations of the event loop."""
+        """Activate a version, in one step within an iteration of the event loop."""
         self.exchange.scheduler.replan(self.router.activate(table, self.exchange.now_us()))
 
     def rollout_metrics(self) -> dict[str, float]:
         """Return the metrics by which the control service judges a rollout."""
         counts = self.exchange.counters.counts
-        # What a limit or a share refuses is meant; what finds no backend, or no time, may be the version's fault.
-        meant = self.router.rejected_by_limit + self.router.rejected_beyond_share
+        # Rejections by a limit or a share are intended; others, for lack of a backend or of time, may be the version's
+        # fault.
+        intended = self.router.rejected_by_limit + self.router.rejected_beyond_share
         return {
             "taken": counts["requests_taken"],
-            "failed": counts["requests_failed"] + counts["requests_refused"] - meant,
+            "failed": counts["requests_failed"] + counts["requests_refused"] - intended,
             "heads": self.exchange.settings.gateways,
         }
 
@@ -173,7 +174,7 @@
         }
 
     def tenants(self) -> str:
-        """Return the tenants' quotas and use here, as JSON for operators."""
+        """Return the tenants' quotas and their usage at this head, as JSON for operators."""
         rows = {
             "leases": self._has_leases(),
             "serial": self.lease_holder.serial,
@@ -182,13 +183,13 @@
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
     def status(self) -> str:
-        """Return the version in force and the stream's state, as JSON for operators."""
+        """Return the active version and the stream's state, as JSON for operators."""
         rows = {**self.follower.status(self.exchange.now_us()), "routing": self.router.status()}
         return msgspec.json.format(msgspec.json.encode(rows), indent=1).decode() + "\n"
 
 
 class DocumentTenants:
-    """The tenants of the service document at the platform's frontend, each with a bound on its connections."""
+    """The tenants of the service document at the platform's frontend, each with a limit on its connections."""
 
     def __init__(self, router: Router, counters: Counters) -> None:
         self.router = router
@@ -200,9 +201,9 @@
         return self.router.table.tenant_by_volume.get(volume.lower(), "")
 
     def admits(self, connection: object, volume: str) -> bool:
-        """Return whether a connection may carry a request of a volume."""
-        form = self.router.table.tenants.get(self.owner(volume))
-        if form is None or self.connections.acquire(form.name, connection, form.max_connections):
+        """Return whether a connection may carry a request for a volume."""
+        tenant = self.router.table.tenants.get(self.owner(volume))
+        if tenant is None or self.connections.acquire(tenant.name, connection, tenant.max_connections):
             return True
         self.counters.add("tenants_bounded")
         return False
@@ -211,7 +212,7 @@
         """Ignore an answer: without accounts, usage is not recorded."""
 
     def dropped(self, holder: object) -> None:
-        """Release the connection's capacity."""
+        """Record that a connection has closed."""
         self.connections.release(holder)
 
 
@@ -222,11 +223,11 @@
         self.accounts = accounts
         self.name = name
         self.receiver = AccountReceiver(accounts.ledger.epoch, accounts.ledger.seq)
-        self.pending_chunk: AccountChunk | None = None  # taken off the stream, and not written yet
+        self.pending_chunk: AccountChunk | None = None  # received, and not stored yet
         self.pending_acknowledgements: list[DiscoveryRequest] = []
 
     def initial_requests(self) -> list[DiscoveryRequest]:
-        """Return the subscription with the position of this replica; chunks in flight are sent anew."""
+        """Return the subscription with this replica's position, from which chunks are sent again."""
         self.pending_chunk = None
         self.pending_acknowledgements = []
         self.receiver.discard_staged()
@@ -248,24 +249,24 @@
             self.pending_chunk = decode_account_chunk(response)
 
     def followup_requests(self, is_heartbeat: bool) -> list[DiscoveryRequest]:
-        """Store the pending chunk and return the requests to send; a busy ledger is retried at the next heartbeat."""
-        part = self.pending_chunk
-        if part is not None and self.accounts.replicate(self.receiver, part):
+        """Store the pending chunk and return the requests to send; a failed store is retried at the next call."""
+        chunk = self.pending_chunk
+        if chunk is not None and self.accounts.replicate(self.receiver, chunk):
             self.pending_chunk = None
             self.pending_acknowledgements.append(
-                DiscoveryRequest(ResourceType.ACCOUNT, f"{part.epoch}.{part.seq}", head=self.name)
+                DiscoveryRequest(ResourceType.ACCOUNT, f"{chunk.epoch}.{chunk.seq}", head=self.name)
             )
-        said, self.pending_acknowledgements = self.pending_acknowledgements, []
+        requests, self.pending_acknowledgements = self.pending_acknowledgements, []
         if is_heartbeat and self.accounts.reports.unreported:
             number, totals = self.accounts.next_usage_report(MAX_DEMAND_ROWS)
-            said.append(
+            requests.append(
                 DiscoveryRequest(
                     ResourceType.USAGE,
                     str(number),
                     head=self.name,
                     metrics={
-                        f"{self.accounts.ledger.store_id}/{'/'.join(place)}": total for place, total in totals.items()
+                        f"{self.accounts.ledger.store_id}/{'/'.join(key)}": total for key, total in totals.items()
                     },
                 )
             )
-        return said
+        return requests
