--- a/tests/restarting.py
+++ b/tests/restarting.py
@@ -1,4 +1,4 @@
-"""Clients of a head that is told to end: each counts what it wrote, what it got, and what ended with no answer."""
+"""Clients of a head that shuts down: each counts what it sent, the responses, and requests that got none."""
 
 from __future__ import annotations
 
@@ -21,67 +21,69 @@
 
 HOST, PORT = f"127.72.{os.getpid() % 250}.{os.getpid() // 250 % 250 + 1}", 18082
 NUMBERS = itertools.count(1)
-OVERDUE = 502  # the answer to a request that may have run, and whose time is over
-EARLY_S = 0.1  # that a head may answer before that time is over
+OVERDUE = 502  # status of a request that may have run, and whose deadline has passed
+EARLY_S = 0.1  # by which a head may answer a request before its deadline
 
 
-def lasting(deadline_ms: int) -> dict[str, Any]:
-    """Settings whose classes all have this aim and deadline."""
-    made = setup()
-    for one in made["RequestClasses"]:
-        one["GoalTimeUs"] = one["DeadlineUs"] = deadline_ms * 1000
-    return made
+def settings_with_deadline(deadline_ms: int) -> dict[str, Any]:
+    """Return settings whose classes all have this deadline, and the same target latency."""
+    settings = setup()
+    for request_class in settings["RequestClasses"]:
+        request_class["GoalTimeUs"] = request_class["DeadlineUs"] = deadline_ms * 1000
+    return settings
 
 
 class Tally(Counter[str]):
-    """What clients count.
+    """The counts of all clients.
 
-    `written`: requests whose last byte went out; `answered`, and of those `closing` (with `Connection: close`), each
-    status, and `early` (as overdue, before its time was over); `crossed`: a kept connection ended under a request,
-    before any of its answer; `lost`: the same on a connection's first request, or after a part of the answer;
-    `turned`: connects refused.
+    `written`: requests that were sent completely; `answered`, and of these `closing` (with `Connection: close`), each
+    status, and `early` (overdue, but answered before the deadline); `crossed`: a connection used before was closed
+    during a request, before any of its response; `lost`: the same on a connection's first request, or after a part of
+    the response; `connects_refused`: refused connection attempts.
     """
 
     def balanced(self) -> bool:
-        """Tell whether each request that was written has one end."""
+        """Return whether each request that was written has exactly one outcome."""
         return self["written"] == self["answered"] + self["crossed"] + self["lost"]
 
 
 class Caller:
-    """One client: it asks again and again on the connection that it has, and opens another once that has ended."""
+    """A client that sends request after request on its connection, and opens a new one when that is closed."""
 
     def __init__(self, tally: Tally, target: str = READ, pause_s: float = 0.0, **fields: str) -> None:
         self.tally, self.target, self.pause_s, self.fields = tally, target, pause_s, fields
         self.wire: Wire | None = None
-        self.asked = 0  # on this connection
+        self.request_count = 0  # on this connection
 
     async def open(self) -> bool:
-        """Connect; False where nobody listens any more."""
+        """Connect; returns False if the connection is refused."""
         try:
-            self.wire, self.asked = Wire(*await asyncio.open_connection(HOST, PORT)), 0
+            self.wire, self.request_count = Wire(*await asyncio.open_connection(HOST, PORT)), 0
         except OSError:
-            self.tally["turned"] += 1
+            self.tally["connects_refused"] += 1
             return False
         return True
 
-    async def ask(self) -> bool:
-        """Ask once; False where the connection has ended."""
+    async def request(self) -> bool:
+        """Send a request and await its response; returns False if the connection was closed."""
         assert self.wire is not None
-        kept, self.asked = self.asked > 0, self.asked + 1
+        is_reused, self.request_count = self.request_count > 0, self.request_count + 1
         self.wire.send(self.target, headers(next(NUMBERS), **self.fields))
         sent_at = asyncio.get_running_loop().time()
         self.tally["written"] += 1
         try:
             status, fields, _ = await self.wire.receive()
         except (OSError, asyncio.IncompleteReadError) as error:
-            begun = bool(getattr(error, "partial", b""))
-            self.tally["crossed" if kept and not begun else "lost"] += 1
+            has_partial_response = bool(getattr(error, "partial", b""))
+            self.tally["crossed" if is_reused and not has_partial_response else "lost"] += 1
             self.wire.close()
             return False
         self.tally["answered"] += 1
         self.tally[str(status)] += 1
-        took_s = asyncio.get_running_loop().time() - sent_at
-        self.tally["early"] += status == OVERDUE and took_s < int(self.fields.get("X_Remaining_Ms", 0)) / 1000 - EARLY_S
+        elapsed_s = asyncio.get_running_loop().time() - sent_at
+        self.tally["early"] += (
+            status == OVERDUE and elapsed_s < int(self.fields.get("X_Remaining_Ms", 0)) / 1000 - EARLY_S
+        )
         if fields.get("connection") == "close":
             self.tally["closing"] += 1
             self.wire.close()
@@ -89,63 +91,63 @@
         return True
 
     async def run(self) -> None:
-        """Ask on until no connection is to be had."""
+        """Send requests until a connection is refused."""
         while await self.open():
-            while await self.ask():
+            while await self.request():
                 await asyncio.sleep(self.pause_s)
 
 
-class Ending:
-    """A head in a process of its own, and what it counted once it has ended."""
+class HeadProcess:
+    """A head in a process of its own; its counters and its log once it has exited."""
 
     def __init__(self, process: asyncio.subprocess.Process, made: World) -> None:
         self.process, self.made = process, made
-        self.begun = 0.0
+        self.signalled_at = 0.0  # event loop time
         self.counts: dict[str, int] = {}
         self.text = ""
 
-    def tell(self) -> None:
+    def terminate(self) -> None:
         """Send SIGTERM."""
-        self.begun = asyncio.get_running_loop().time()
+        self.signalled_at = asyncio.get_running_loop().time()
         self.process.send_signal(signal.SIGTERM)
 
-    async def over(self) -> float:
-        """Wait for its end; how long it took, in seconds."""
+    async def wait_for_exit(self) -> float:
+        """Wait for its exit with status 0; returns the seconds since the signal."""
         assert self.process.stdout is not None
         self.text = (await self.process.stdout.read()).decode()
         assert await self.process.wait() == 0, self.text
-        took = asyncio.get_running_loop().time() - self.begun
+        elapsed_s = asyncio.get_running_loop().time() - self.signalled_at
         self.counts = {name: int(value) for name, value in re.findall(r"^(\w+) (\d+)$", self.text, re.M)}
-        return took
+        return elapsed_s
 
-    async def wire(self) -> Wire:
-        """Open a connection, closed at the test's end."""
-        return await wire(self.made)
+    async def connect(self) -> Wire:
+        """Open a connection, which is closed at the end of the test."""
+        return await connect_when_serving(self.made)
 
     @property
     def answered(self) -> int:
-        """Tell the requests that it took and answered."""
+        """The number of requests that it accepted and answered."""
         return sum(self.counts[f"requests_{name}"] for name in ("served", "absent", "refused", "failed"))
 
 
-async def wire(made: World) -> Wire:
-    """Wait until the head serves; a connection to it, on which nothing was asked yet but its health."""
+async def connect_when_serving(made: World) -> Wire:
+    """Wait until the head serves, and return a connection to it that was used for a health check only."""
     while True:
         with contextlib.suppress(OSError):
-            one = Wire(*await asyncio.open_connection(HOST, PORT))
-            made.wires.append(one)
-            one.send("/healthz", {})
-            if (await one.receive())[0] == 200:
-                return one
-            one.close()
+            wire = Wire(*await asyncio.open_connection(HOST, PORT))
+            made.wires.append(wire)
+            wire.send("/healthz", {})
+            if (await wire.receive())[0] == 200:
+                return wire
+            wire.close()
         await asyncio.sleep(0.02)
 
 
 @asynccontextmanager
-async def head(folder: Path, *backends: Backend, **changes: Any) -> AsyncIterator[Ending]:
-    """Start a head that is ready, beside bricks and discovery."""
+async def start_head(folder: Path, *backends: Backend, **changes: Any) -> AsyncIterator[HeadProcess]:
+    """Start backends, discovery and a head, and wait until the head serves."""
     async with world(*backends) as made:
         environ = config(folder, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint, **changes)
         async with program({**environ, "TMPDIR": str(folder)}) as process:
-            (await wire(made)).close()
-            yield Ending(process, made)
+            (await connect_when_serving(made)).close()
+            yield HeadProcess(process, made)
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -231,13 +231,13 @@
 
     async def main() -> None:
         gate = asyncio.Event()
-        async with restarting.head(tmp_path, Backend(0), settings=settings) as ending:
-            ending.made.backends[0].behave = held_by(gate)
-            wire = await ending.wire()
+        async with restarting.start_head(tmp_path, Backend(0), settings=settings) as head_process:
+            head_process.made.backends[0].behave = held_by(gate)
+            wire = await head_process.connect()
             wire.send(f"/scan/{VOLUME}/{OBJECT}", headers(1, X_Remaining_Ms=str(deadline_ms)))
-            await until(lambda: bool(ending.made.backends[0].seen))
-            ending.tell()
-            killing = asyncio.get_running_loop().call_later(3.7, ending.process.send_signal, signal.SIGKILL)
+            await until(lambda: bool(head_process.made.backends[0].seen))
+            head_process.terminate()
+            killing = asyncio.get_running_loop().call_later(3.7, head_process.process.send_signal, signal.SIGKILL)
             try:
                 status, _, _ = await wire.receive()  # ends without one where the head is killed
             finally:
--- a/tests/test_restart_hangups.py
+++ b/tests/test_restart_hangups.py
@@ -1,4 +1,4 @@
-"""Configurations that follow each other faster than discovery answers: only the last one's list is taken."""
+"""Reloads that follow each other faster than discovery answers: only the list of the last address is applied."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.test_service import config
 
 
-class Held(DiscoveryAgent):
-    """An agent that answers nothing before its gate opens, and then all calls that it got."""
+class GatedAgent(DiscoveryAgent):
+    """An agent that answers no request before its gate opens, and then all of them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,22 +31,22 @@
 
 
 @asynccontextmanager
-async def agents(*backends: Backend) -> AsyncIterator[list[Held]]:
-    """One agent for each of these bricks, which it alone lists."""
-    made = [Held() for _ in backends]
-    for agent, backend in zip(made, backends, strict=True):
+async def agents(*backends: Backend) -> AsyncIterator[list[GatedAgent]]:
+    """Start an agent for each of the backends; its list has this backend only."""
+    started = [GatedAgent() for _ in backends]
+    for agent, backend in zip(started, backends, strict=True):
         agent.targets = {backend.name: backend.target()}
         await agent.open()
     try:
-        yield made
+        yield started
     finally:
-        for agent in made:
+        for agent in started:
             await agent.close()
 
 
-def test_two_hangups_while_nothing_is_answered_leave_the_last_address_alone(tmp_path: Path) -> None:
+def test_reloads_while_discovery_does_not_answer_leave_only_the_last_address_in_use(tmp_path: Path) -> None:
     async def main() -> None:
-        # The first brick holds the first agent's shard, and so on: what is served tells whose list is in force.
+        # Each agent lists a backend with a shard of its own, so a served request shows whose list is in use.
         backends = [Backend(shard) for shard in range(3)]
         async with world(*backends) as made, agents(*backends) as (first, second, third):
             made.agent.silent = True
@@ -57,21 +57,21 @@
                 service.reload()
                 await until(lambda: len(agent.asked) > 0)  # noqa: B023
             service.reload()  # the same address again
-            for agent in (first, second):  # who was left, and answers now
+            for agent in (first, second):  # the former addresses, which answer only now
                 agent.gate.set()
-            await until(lambda: first.connections == second.connections == 0)  # its calls are over
-            assert set(service.directory.endpoints) == {backends[0].name}  # the saved list is in force
+            await until(lambda: first.connections == second.connections == 0)  # all calls to them have ended
+            assert set(service.directory.endpoints) == {backends[0].name}  # the saved list is still in use
             third.gate.set()
             await until(lambda: set(service.directory.endpoints) == {backends[2].name})
-            one = await made.wire(service)
-            one.send(READ, headers(next(NUMBERS), X_Placement="units=2,shard=2,hosts=1"))
-            assert (await one.receive())[0] == 404
+            wire = await made.wire(service)
+            wire.send(READ, headers(next(NUMBERS), X_Placement="units=2,shard=2,hosts=1"))
+            assert (await wire.receive())[0] == 404
             assert service.counters.counts["reloads"] == 4 and not backends[0].seen and not backends[1].seen
 
     run(main())
 
 
-def test_a_new_configuration_changes_nothing_but_the_address_of_discovery(tmp_path: Path) -> None:
+def test_a_reload_changes_only_the_address_of_discovery(tmp_path: Path) -> None:
     async def main() -> None:
         backends = [Backend(0), Backend(1)]
         async with world(*backends) as made, agents(backends[1]) as (other,):
--- a/tests/test_restart_herds.py
+++ b/tests/test_restart_herds.py
@@ -1,4 +1,4 @@
-"""Many more clients than places, all at once: new connections closed with no answer, counted at both ends."""
+"""Many more clients than a head has connections for, all at once: each gets a response, counted at both ends."""
 
 from __future__ import annotations
 
@@ -6,54 +6,54 @@
 import signal
 from pathlib import Path
 
-from tests.restarting import Caller, Tally, head
+from tests.restarting import Caller, Tally, start_head
 from tests.servers import Backend
 from tests.stand_in import run
 
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 120}  # of these 48 for clients
 
 
-def test_a_herd_that_connects_at_once_and_stays_has_an_answer_each_at_a_full_table(tmp_path: Path) -> None:
+def test_clients_that_connect_at_once_and_stay_connected_are_all_answered(tmp_path: Path) -> None:
     async def main() -> None:
-        async with head(tmp_path, Backend(0), limits=LIMITS) as ending:
+        async with start_head(tmp_path, Backend(0), limits=LIMITS) as head_process:
             tally = Tally()
-            herd = [Caller(tally, X_Remaining_Ms="3000") for _ in range(300)]
+            callers = [Caller(tally, X_Remaining_Ms="3000") for _ in range(300)]
 
-            async def comes(caller: Caller) -> None:
+            async def connect_and_request(caller: Caller) -> None:
                 assert await caller.open()
-                await caller.ask()  # its connection stays: the table holds those that rest
+                await caller.request()  # the connection stays open and counts as idle
 
-            await asyncio.gather(*(comes(caller) for caller in herd))
-            assert tally["answered"] == tally["written"] == 300 and tally["lost"] == tally["turned"] == 0
-            ending.tell()
-            await ending.over()
-            for caller in herd:
+            await asyncio.gather(*(connect_and_request(caller) for caller in callers))
+            assert tally["answered"] == tally["written"] == 300 and tally["lost"] == tally["connects_refused"] == 0
+            head_process.terminate()
+            await head_process.wait_for_exit()
+            for caller in callers:
                 assert caller.wire is not None
                 caller.wire.close()
-            assert ending.counts["requests_taken"] + ending.counts["requests_too_many"] == 300
-            assert ending.counts["connections_yielded"] >= 300 - 48 - ending.counts["requests_too_many"]
+            assert head_process.counts["requests_taken"] + head_process.counts["requests_too_many"] == 300
+            assert head_process.counts["connections_yielded"] >= 300 - 48 - head_process.counts["requests_too_many"]
 
     run(main())
 
 
-def test_a_herd_that_waits_unaccepted_as_the_head_is_told_to_end_is_taken(tmp_path: Path) -> None:
+def test_clients_that_wait_in_the_backlog_at_the_shutdown_are_answered(tmp_path: Path) -> None:
     async def main() -> None:
-        async with head(tmp_path, Backend(0), limits=LIMITS) as ending:
+        async with start_head(tmp_path, Backend(0), limits=LIMITS) as head_process:
             tally = Tally()
-            herd = [Caller(tally, X_Remaining_Ms="3000") for _ in range(200)]
-            ending.process.send_signal(signal.SIGSTOP)  # the kernel goes on taking connections for it
-            assert all(await asyncio.gather(*(caller.open() for caller in herd)))
-            asked = [asyncio.create_task(caller.ask()) for caller in herd]
-            while tally["written"] < len(herd):
+            callers = [Caller(tally, X_Remaining_Ms="3000") for _ in range(200)]
+            head_process.process.send_signal(signal.SIGSTOP)  # the kernel still completes connections
+            assert all(await asyncio.gather(*(caller.open() for caller in callers)))
+            requests = [asyncio.create_task(caller.request()) for caller in callers]
+            while tally["written"] < len(callers):
                 await asyncio.sleep(0.01)
-            ending.tell()
-            ending.process.send_signal(signal.SIGCONT)
-            await asyncio.gather(*asked)
-            await ending.over()
-            for caller in herd:
+            head_process.terminate()
+            head_process.process.send_signal(signal.SIGCONT)
+            await asyncio.gather(*requests)
+            await head_process.wait_for_exit()
+            for caller in callers:
                 assert caller.wire is not None
                 caller.wire.close()
-            assert tally["answered"] == len(herd) and tally["lost"] == 0, tally
-            assert ending.answered + ending.counts["requests_too_many"] == len(herd)
+            assert tally["answered"] == len(callers) and tally["lost"] == 0, tally
+            assert head_process.answered + head_process.counts["requests_too_many"] == len(callers)
 
     run(main())
--- a/tests/test_restart_moments.py
+++ b/tests/test_restart_moments.py
@@ -1,4 +1,4 @@
-"""Moments of a head's end and start in which something is still owed, each forced at a named point."""
+"""Rare moments of a head's start and shutdown, each forced at a certain point of the code."""
 
 from __future__ import annotations
 
@@ -22,68 +22,74 @@
 from hophinge.net.acceptor import Acceptor
 from hophinge.telemetry.config import RemoteWriteConfig
 from hophinge.telemetry.remote_write import RemoteWrite
-from tests.restarting import HOST, NUMBERS, PORT, head, lasting, wire
+from tests.restarting import HOST, NUMBERS, PORT, connect_when_serving, settings_with_deadline, start_head
 from tests.stand_in import Backend, Wire, headers, held_by, run, until, world
 from tests.test_net import READ, WRITE
 from tests.test_service import COMMAND, ROOT, config, program
 
-LONGEST_US, KILL_US, MARGIN_US = 3_000_000, 700_000, 250_000  # the protocol's, and what is kept before SIGKILL
+LONGEST_US, KILL_US, MARGIN_US = 3_000_000, 700_000, 250_000  # the platform's rule, and the margin before SIGKILL
 
 
-def test_who_is_accepted_as_the_last_class_has_closed_has_an_answer_before_the_head_ends(
+def test_connections_accepted_when_all_classes_are_rejected_have_a_response_before_the_head_exits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    take = Acceptor._connect
+    connect = Acceptor._connect
 
-    async def late(self: Acceptor, *args: Any) -> None:
-        await asyncio.sleep(0.1)  # accepted, and not among its front's connections yet
-        await take(self, *args)
+    async def connect_late(self: Acceptor, *args: Any) -> None:
+        await asyncio.sleep(0.1)  # accepted, but not counted by the frontend yet
+        await connect(self, *args)
 
     async def main() -> None:
         async with world(Backend(0)) as made:
-            service = await made.head(settings=lasting(100))  # closes sooner than new connections stop coming
-            service.front.max_connections = 0  # all wait in the listening socket's queue up to its last moment
+            service = await made.head(
+                settings=settings_with_deadline(100)
+            )  # closes before new connections stop arriving
+            service.front.max_connections = 0  # all wait in the listening socket's queue until the last moment
             wires = [await made.wire(service) for _ in range(5)]
-            for one in wires:
-                one.send(READ, headers(next(NUMBERS), X_Remaining_Ms="100"))
-            monkeypatch.setattr(Acceptor, "_connect", late)
+            for wire in wires:
+                wire.send(READ, headers(next(NUMBERS), X_Remaining_Ms="100"))
+            monkeypatch.setattr(Acceptor, "_connect", connect_late)
             await service.shut_down()
             made.services.remove(service)
             assert service.counters.counts["requests_taken"] == len(wires)  # before the process would exit
-            assert [(await one.receive())[0] for one in wires] == [503] * len(wires)
+            assert [(await wire.receive())[0] for wire in wires] == [503] * len(wires)
 
     run(main())
 
 
-def test_a_client_that_reads_no_answer_keeps_no_head_from_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_does_not_read_its_response_does_not_block_the_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             monkeypatch.setattr(shutdown, "UNREAD_TIMEOUT_S", 0.2)
             monkeypatch.setattr(service_module, "SHUTDOWN_S", 0.2)
-            service, backend, large = await made.head(settings=lasting(300)), made.backends[0], b"x" * 60_000
+            service, backend, large = (
+                await made.head(settings=settings_with_deadline(300)),
+                made.backends[0],
+                b"x" * 60_000,
+            )
 
-            async def answers(_: Any, __: bytes) -> web.Response:
+            async def answer(_: Any, __: bytes) -> web.Response:
                 return web.Response(body=large)
 
-            backend.behave = answers
-            one = await made.wire(service)
-            one.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            small = one.writer.get_extra_info("socket")
-            small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            asked, busy = 0, service.front.busy
+            backend.behave = answer
+            wire = await made.wire(service)
+            wire.writer.transport.pause_reading()  # type: ignore[attr-defined]
+            client_socket = wire.writer.get_extra_info("socket")
+            client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            request_count, busy = 0, service.front.busy
 
-            async def stuck() -> bool:
-                """Tell whether an answer stays unwritten."""
+            async def is_write_blocked() -> bool:
+                """Return whether a response stays unwritten."""
                 for _ in range(200):
                     await asyncio.sleep(0.002)
                     if not busy:
                         return False
                 return service.exchange.unanswered == 0
 
-            while not await stuck():
-                one.send(READ, headers(next(NUMBERS), X_Remaining_Ms="300"))
-                asked += 1
-                await until(lambda: len(backend.seen) == asked)  # noqa: B023
+            while not await is_write_blocked():
+                wire.send(READ, headers(next(NUMBERS), X_Remaining_Ms="300"))
+                request_count += 1
+                await until(lambda: len(backend.seen) == request_count)  # noqa: B023
             async with asyncio.timeout(20.0):
                 await service.shut_down()
             made.services.remove(service)
@@ -91,24 +97,24 @@
     run(main())
 
 
-def test_the_time_that_is_left_counts_from_the_signal_and_not_from_when_the_head_comes_to_it() -> None:
+def test_the_shutdown_s_deadlines_count_from_the_signal_even_if_the_event_loop_is_late() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             service = await made.head()
-            told_us = service.exchange.now_us()
+            signalled_us = service.exchange.now_us()
             service.stop()
-            time.sleep(0.05)  # the loop stands still: a signal's handler ran, what waits for it has not
-            ending = asyncio.create_task(service.shut_down())
+            time.sleep(0.05)  # blocks the loop after the signal's handler ran, before the task that waits for it
+            shutdown_task = asyncio.create_task(service.shut_down())
             await until(lambda: service.front.final_drain is not None)
-            last: Any = service.front.final_drain
-            assert last.answer_by_us <= told_us + LONGEST_US + KILL_US - MARGIN_US + 10_000
-            await ending
+            schedule: Any = service.front.final_drain
+            assert schedule.answer_by_us <= signalled_us + LONGEST_US + KILL_US - MARGIN_US + 10_000
+            await shutdown_task
             made.services.remove(service)
 
     run(main())
 
 
-def test_a_signal_in_the_wait_for_the_first_list_ends_that_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_signal_during_the_wait_for_the_first_list_ends_the_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             monkeypatch.setattr(service_module, "FIRST_LIST_S", 60.0)
@@ -123,13 +129,13 @@
 
 
 @pytest.mark.parametrize(("shard", "status"), [(1, 503), (0, 502)])
-def test_what_an_end_cuts_off_is_refused_where_nothing_of_it_was_sent(shard: int, status: int) -> None:
-    """A write that must not be repeated: held, as no listed brick has its shard, or out at a brick."""
+def test_a_write_cut_off_by_the_shutdown_is_refused_if_it_was_not_sent_to_a_backend(shard: int, status: int) -> None:
+    """The write must not be repeated; it is held, as no listed backend has its shard, or in flight at a backend."""
 
     async def main() -> None:
-        settings, gate = lasting(30_000), asyncio.Event()
-        for one in settings["RequestClasses"]:
-            one["Effect"] = "side_effect"
+        settings, gate = settings_with_deadline(30_000), asyncio.Event()
+        for request_class in settings["RequestClasses"]:
+            request_class["Effect"] = "side_effect"
         async with world(Backend(0)) as made:
             made.backends[0].behave = held_by(gate)
             service = await made.head(settings=settings)
@@ -148,82 +154,82 @@
 
 
 @pytest.mark.parametrize("text", [b"[" * 100_000, b"\xff\xfe", b'{"listen":1}', None])
-def test_a_hangup_with_any_spoilt_file_changes_nothing(text: bytes | None, tmp_path: Path) -> None:
+def test_sighup_with_a_malformed_file_changes_nothing(text: bytes | None, tmp_path: Path) -> None:
     async def main() -> None:
-        async with head(tmp_path, Backend(0)) as ending:
-            path, one = tmp_path / "config.json", await ending.wire()
+        async with start_head(tmp_path, Backend(0)) as head_process:
+            path, wire = tmp_path / "config.json", await head_process.connect()
             path.unlink()
             path.mkdir() if text is None else path.write_bytes(text)
-            ending.process.send_signal(signal.SIGHUP)
-            assert ending.process.stdout is not None
-            await ending.process.stdout.readuntil(b"kept as it was")
-            one.send(READ, headers(next(NUMBERS)))
-            assert (await one.receive())[0] == 404
-            ending.tell()
-            await ending.over()
-            assert ending.counts["reloads_failed"] == 1 and "Traceback" not in ending.text
+            head_process.process.send_signal(signal.SIGHUP)
+            assert head_process.process.stdout is not None
+            await head_process.process.stdout.readuntil(b"kept as it was")
+            wire.send(READ, headers(next(NUMBERS)))
+            assert (await wire.receive())[0] == 404
+            head_process.terminate()
+            await head_process.wait_for_exit()
+            assert head_process.counts["reloads_failed"] == 1 and "Traceback" not in head_process.text
 
     run(main())
 
 
 @asynccontextmanager
-async def logging_to(writes: int, folder: Path) -> AsyncIterator[tuple[asyncio.subprocess.Process, Wire]]:
-    """A head whose log goes to a descriptor, closed here, and a connection to it once it serves."""
+async def start_head_logging_to(write_fd: int, folder: Path) -> AsyncIterator[tuple[asyncio.subprocess.Process, Wire]]:
+    """Start a head that logs to a descriptor, and connect to it; the descriptor is closed in this process."""
     async with world(Backend(0)) as made:
         process = await asyncio.create_subprocess_exec(
             *COMMAND,
             cwd=ROOT,
-            stdout=writes,
-            stderr=writes,
+            stdout=write_fd,
+            stderr=write_fd,
             env=config(folder, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint),
         )
-        os.close(writes)
+        os.close(write_fd)
         try:
             async with asyncio.timeout(30.0):
-                one: Wire = await wire(made)
-            yield process, one
+                client: Wire = await connect_when_serving(made)
+            yield process, client
         finally:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
 
 
-def test_a_log_that_nobody_reads_any_more_ends_nothing(tmp_path: Path) -> None:
+def test_a_closed_log_pipe_does_not_disturb_the_head(tmp_path: Path) -> None:
     async def main() -> None:
-        reads, writes = os.pipe()
-        os.close(reads)  # from the first line on: every write fails
-        async with logging_to(writes, tmp_path) as (process, one):
+        read_fd, write_fd = os.pipe()
+        os.close(read_fd)  # every write fails, from the first line on
+        async with start_head_logging_to(write_fd, tmp_path) as (process, client):
             for number in (signal.SIGUSR1, signal.SIGHUP, signal.SIGTERM):
                 process.send_signal(number)
-                one.send(READ, headers(next(NUMBERS)))
-                assert (await one.receive())[0] == 404
-            assert await one.ended() and await process.wait() == 0
+                client.send(READ, headers(next(NUMBERS)))
+                assert (await client.receive())[0] == 404
+            assert await client.ended() and await process.wait() == 0
 
     run(main())
 
 
-def test_a_log_whose_reader_stands_still_holds_up_nothing(tmp_path: Path) -> None:
+def test_a_stalled_log_reader_does_not_block_the_head(tmp_path: Path) -> None:
     async def main() -> None:
-        reads, writes = os.pipe()
-        os.set_blocking(reads, False)
-        fcntl.fcntl(writes, fcntl.F_SETPIPE_SZ, 4096)
-        os.write(writes, b"x" * 4096)  # from the first line on: there is no room, and nobody makes any
+        read_fd, write_fd = os.pipe()
+        os.set_blocking(read_fd, False)
+        fcntl.fcntl(write_fd, fcntl.F_SETPIPE_SZ, 4096)
+        os.write(write_fd, b"x" * 4096)  # the pipe is full from the first line on
         try:
-            async with logging_to(writes, tmp_path) as (process, one):
+            async with start_head_logging_to(write_fd, tmp_path) as (process, client):
                 process.send_signal(signal.SIGUSR1)
-                one.send(READ, headers(next(NUMBERS)))
-                assert (await one.receive())[0] == 404
-                os.read(reads, 4096)  # it goes on: the log does too
+                client.send(READ, headers(next(NUMBERS)))
+                assert (await client.receive())[0] == 404
+                os.read(read_fd, 4096)  # the reader resumes, and so does the log
                 process.send_signal(signal.SIGTERM)
-                assert await one.ended() and await process.wait() == 0
-            assert os.read(reads, 4096).startswith(b"shutting down with 0 requests open")
+                assert await client.ended() and await process.wait() == 0
+            assert os.read(read_fd, 4096).startswith(b"shutting down with 0 requests open")
         finally:
-            os.close(reads)
+            os.close(read_fd)
 
     run(main())
 
 
-def test_an_end_that_does_not_close_cleanly_changes_no_exit_status(tmp_path: Path) -> None:
+def test_a_failed_shutdown_does_not_change_the_exit_status(tmp_path: Path) -> None:
     async def main() -> None:
         with socket.create_server((HOST, PORT)) as listening:
             async with world(Backend(0)) as made:
@@ -232,13 +238,13 @@
                     "EDGE_ACCEPT_FD": str(listening.fileno()),
                 }
                 async with program(environ, listening.fileno()) as process:
-                    one: Wire = await wire(made)
-                    mine = next(tmp_path.glob("hophinge-*/live-*"))
-                    mine.unlink()
-                    mine.mkdir()  # what the head removes at its end can't be removed
+                    client: Wire = await connect_when_serving(made)
+                    lock_file = next(tmp_path.glob("hophinge-*/live-*"))
+                    lock_file.unlink()
+                    lock_file.mkdir()  # the head cannot remove it when it shuts down
                     process.send_signal(signal.SIGTERM)
-                    one.send(READ, headers(next(NUMBERS)))
-                    assert (await one.receive())[0] == 404
+                    client.send(READ, headers(next(NUMBERS)))
+                    assert (await client.receive())[0] == 404
                     assert process.stdout is not None
                     text = await process.stdout.read()
                     assert await process.wait() == 0 and b"the shutdown failed" in text
@@ -247,7 +253,7 @@
     run(main())
 
 
-def test_a_part_that_dies_is_logged_and_ends_nothing_else(
+def test_a_failed_background_task_is_logged_and_ends_nothing_else(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
@@ -256,9 +262,9 @@
             monkeypatch.setattr(RemoteWrite, "sample", lambda _: [][1])
             service = await made.head(operator)
             await until(lambda: any(task.done() for task in service.tasks))
-            one = await made.wire(service)
-            one.send(READ, headers(next(NUMBERS)))
-            assert (await one.receive())[0] == 404
+            wire = await made.wire(service)
+            wire.send(READ, headers(next(NUMBERS)))
+            assert (await wire.receive())[0] == 404
             assert "a background task failed" in capsys.readouterr().out
 
     run(main())
--- a/tests/test_restart_queue.py
+++ b/tests/test_restart_queue.py
@@ -1,4 +1,4 @@
-"""The listening socket's end under clients in processes of their own: nobody who came in is reset."""
+"""A listening socket is closed under clients in other processes: no connection that was established is reset."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from hophinge.net.acceptor import Acceptor
 from tests.stand_in import run, until
 
-CLOSES = 12
-MAX_S = 10.0  # where the kernel lets clients in all the while the queue is never empty, and this is used up
-# Connects, says one byte, waits for one, and again, until nobody listens: tells how many had an answer, how many none.
+ROUNDS = 12
+MAX_S = 10.0  # reached only if the kernel goes on accepting connections, so that the queue is never empty
+# Connects, sends one byte and waits for one, until a connect is refused; prints the unanswered and answered counts.
 CLIENT = """
 import socket, sys
 lost = answered = 0
@@ -33,14 +33,14 @@
 """
 
 
-class Says(asyncio.Protocol):
-    """Answers what comes with one byte, and its client ends the connection."""
+class OneByteServer(asyncio.Protocol):
+    """Answers with one byte; the client closes the connection."""
 
-    def __init__(self, open_: set[Says]) -> None:
+    def __init__(self, open_: set[OneByteServer]) -> None:
         self.open = open_
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # the loop's own class, which is none of asyncio's
+        self.transport = cast(asyncio.Transport, transport)  # the loop's class, which does not derive from asyncio's
         self.open.add(self)
 
     def data_received(self, data: bytes) -> None:
@@ -50,26 +50,26 @@
         self.open.discard(self)
 
 
-class Taker:
-    """Has room for everybody."""
+class UnlimitedOwner:
+    """An owner of connections that always has capacity."""
 
     def __init__(self) -> None:
-        self.counters, self.open = Counters(), set[Says]()
+        self.counters, self.open = Counters(), set[OneByteServer]()
 
-    def server(self) -> Says:
-        """Make the protocol of a new connection."""
-        return Says(self.open)
+    def server(self) -> OneByteServer:
+        """Create the protocol of a new connection."""
+        return OneByteServer(self.open)
 
     def has_capacity(self) -> bool:
         return True
 
 
-def test_the_queue_is_empty_soon_whoever_comes_and_all_who_came_in_have_an_answer() -> None:
+def test_the_backlog_is_emptied_in_time_and_all_established_connections_are_answered() -> None:
     async def main() -> None:
         lost = answered = 0
-        for _ in range(CLOSES):
-            taker = Taker()
-            acceptor = Acceptor("127.0.0.1", 0, taker)  # type: ignore[arg-type]
+        for _ in range(ROUNDS):
+            owner = UnlimitedOwner()
+            acceptor = Acceptor("127.0.0.1", 0, owner)  # type: ignore[arg-type]
             port = str(acceptor.socket.getsockname()[1])
             clients = [
                 await asyncio.create_subprocess_exec(sys.executable, "-S", "-c", CLIENT, port, stdout=subprocess.PIPE)
@@ -77,13 +77,13 @@
             ]
             await asyncio.sleep(0.1)
             acceptor.stop_deferring()
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await acceptor.finish(MAX_S)
-            assert asyncio.get_running_loop().time() - begun < MAX_S
-            await until(lambda: not taker.open and not acceptor.tasks)  # noqa: B023
+            assert asyncio.get_running_loop().time() - started_at < MAX_S
+            await until(lambda: not owner.open and not acceptor.tasks)  # noqa: B023
             for client in clients:
-                told, _ = await client.communicate()
-                lost, answered = lost + int(told.split()[0]), answered + int(told.split()[1])
+                output, _ = await client.communicate()
+                lost, answered = lost + int(output.split()[0]), answered + int(output.split()[1])
         assert lost == 0 < answered
 
     run(main())
