--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Upgrades: two processes on one listening socket, one set of bricks out by hand, one share of every limit."""
+"""Upgrades: two processes share a listening socket, the manual ejections and the head's limits."""
 
 from __future__ import annotations
 
@@ -23,93 +23,93 @@
 from tests.test_service import HOST, config, program
 
 TARGET = f"/record-read/{VOLUME}/{OBJECT}"
-REST_US = 1_500_000
+OVERLAP_US = 1_500_000
 
 
-class Desk:
-    """A rotation of one brick and its files; `lives` plays another process."""
+class SharedEjections:
+    """The manual ejections of one backend, and the files that they are shared by."""
 
     def __init__(self, folder: Path) -> None:
-        self.now, self.lines, self.folder = 1_000_000, list[str](), folder / "hophinge-n0"
-        self.rotation = ManualEjections(lambda _: None, lambda: self.now, 17_000_000)
-        self.rotation.apply_list(NodeList(ListKind.FULL, (NodeEntry("a", 0, 0, Phase.ON, 1.0, 0),)))
-        self.handover = ProcessHandoff(self.folder, self.rotation, lambda: self.now, REST_US, self.lines.append)
-        self.rotation.on_ejection = self.handover.write
+        self.now, self.log_lines, self.folder = 1_000_000, list[str](), folder / "hophinge-n0"
+        self.ejections = ManualEjections(lambda _: None, lambda: self.now, 17_000_000)
+        self.ejections.apply_list(NodeList(ListKind.FULL, (NodeEntry("a", 0, 0, Phase.ON, 1.0, 0),)))
+        self.handoff = ProcessHandoff(self.folder, self.ejections, lambda: self.now, OVERLAP_US, self.log_lines.append)
+        self.ejections.on_ejection = self.handoff.write
 
-    def marks(self) -> EjectionFile:
+    def read(self) -> EjectionFile:
         return msgspec.json.decode((self.folder / EJECTIONS_FILE).read_bytes(), type=EjectionFile)
 
-    def put(self, content: bytes) -> None:
-        (self.folder / "elsewhere").write_bytes(content)
-        os.replace(self.folder / "elsewhere", self.folder / EJECTIONS_FILE)
+    def replace(self, content: bytes) -> None:
+        (self.folder / "temporary").write_bytes(content)
+        os.replace(self.folder / "temporary", self.folder / EJECTIONS_FILE)
 
 
-def test_who_lives_is_counted_and_who_died_is_not(tmp_path: Path) -> None:
-    desk = Desk(tmp_path)
-    desk.handover.refresh()
-    assert desk.handover.processes == 1 and desk.handover.descriptors() == 0
-    (desk.folder / f"{LOCK_PREFIX}1").touch()  # left by a process that was killed
-    with open(desk.folder / f"{LOCK_PREFIX}{os.getppid()}", "w") as other:
+def test_only_processes_that_are_alive_are_counted(tmp_path: Path) -> None:
+    shared = SharedEjections(tmp_path)
+    shared.handoff.refresh()
+    assert shared.handoff.processes == 1 and shared.handoff.descriptors() == 0
+    (shared.folder / f"{LOCK_PREFIX}1").touch()  # left by a process that was killed
+    with open(shared.folder / f"{LOCK_PREFIX}{os.getppid()}", "w") as other:
         fcntl.flock(other, fcntl.LOCK_EX)
-        desk.handover.refresh()
-        assert desk.handover.processes == 2 and desk.handover.descriptors() > 0
-        assert not (desk.folder / f"{LOCK_PREFIX}1").exists()
-    desk.handover.refresh()
-    assert desk.handover.processes == 2  # its last requests still count
-    desk.now += REST_US
-    assert desk.handover.processes == 1 and desk.handover.descriptors() == 0
-    desk.handover.close()
-    assert not list(desk.folder.glob(f"{LOCK_PREFIX}*"))
-
-
-def test_marks_are_shared_and_none_is_lost_when_both_write_at_once(tmp_path: Path) -> None:
-    desk = Desk(tmp_path)
-    assert desk.rotation.eject("a")
-    assert desk.marks() == EjectionFile(FILE_VERSION, {"a": ManualEjection(1_000_000, True)})
-    desk.put(
+        shared.handoff.refresh()
+        assert shared.handoff.processes == 2 and shared.handoff.descriptors() > 0
+        assert not (shared.folder / f"{LOCK_PREFIX}1").exists()
+    shared.handoff.refresh()
+    assert shared.handoff.processes == 2  # its last requests still load the backends
+    shared.now += OVERLAP_US
+    assert shared.handoff.processes == 1 and shared.handoff.descriptors() == 0
+    shared.handoff.close()
+    assert not list(shared.folder.glob(f"{LOCK_PREFIX}*"))
+
+
+def test_ejections_are_shared_and_none_is_lost_when_both_processes_write_at_once(tmp_path: Path) -> None:
+    shared = SharedEjections(tmp_path)
+    assert shared.ejections.eject("a")
+    assert shared.read() == EjectionFile(FILE_VERSION, {"a": ManualEjection(1_000_000, True)})
+    shared.replace(
         msgspec.json.encode(EjectionFile(FILE_VERSION, {"b": ManualEjection(5, True)}))
-    )  # the other had not seen it
-    desk.handover.refresh()
+    )  # the other process had not read the ejection
+    shared.handoff.refresh()
     assert (
-        desk.rotation.is_ejected("a")
-        and desk.rotation.is_ejected("b")
-        and desk.marks().marks == desk.rotation.ejections
+        shared.ejections.is_ejected("a")
+        and shared.ejections.is_ejected("b")
+        and shared.read().marks == shared.ejections.ejections
     )
-    desk.put(
+    shared.replace(
         msgspec.json.encode(
             EjectionFile(FILE_VERSION, {"a": ManualEjection(1_000_001, False), "b": ManualEjection(5, True)})
         )
     )
-    desk.handover.refresh()
-    assert not desk.rotation.is_ejected("a")
-    desk.handover.close()
+    shared.handoff.refresh()
+    assert not shared.ejections.is_ejected("a")
+    shared.handoff.close()
 
 
 @pytest.mark.parametrize(
-    ("content", "after"),
+    ("content", "is_rewritten"),
     [(b"", True), (b"{", True), (b'{"version": 1, "marks": {"a": 3}}', True), (b'{"version": 2, "marks": {}}', False)],
 )
-def test_a_file_of_marks_that_cannot_be_read_is_told_and_what_is_held_stays(
-    content: bytes, after: bool, tmp_path: Path
+def test_an_unreadable_file_of_ejections_is_logged_and_own_ejections_stay(
+    content: bytes, is_rewritten: bool, tmp_path: Path
 ) -> None:
-    desk = Desk(tmp_path)
-    desk.rotation.eject("a")
-    desk.put(content)
-    desk.handover.refresh()
-    assert desk.rotation.is_ejected("a") and len(desk.lines) == 1
-    # One that is malformed is written anew; another version's belongs to a newer program and is left alone.
+    shared = SharedEjections(tmp_path)
+    shared.ejections.eject("a")
+    shared.replace(content)
+    shared.handoff.refresh()
+    assert shared.ejections.is_ejected("a") and len(shared.log_lines) == 1
+    # A malformed file is rewritten; one of another version belongs to a newer program and is left unchanged.
     assert (
-        (desk.folder / EJECTIONS_FILE).read_bytes() != content
-        if after
-        else (desk.folder / EJECTIONS_FILE).read_bytes() == content
+        (shared.folder / EJECTIONS_FILE).read_bytes() != content
+        if is_rewritten
+        else (shared.folder / EJECTIONS_FILE).read_bytes() == content
     )
-    desk.handover.close()
+    shared.handoff.close()
 
 
 @pytest.mark.parametrize("processes", [1, 2])
-def test_two_processes_give_a_cold_backend_and_a_warm_one_no_more_than_one_does(processes: int) -> None:
+def test_two_processes_send_no_more_to_a_cold_or_warm_backend_than_one_does(processes: int) -> None:
     rules = dataclasses.replace(
-        SETTINGS.rules, slow_start_units=16.0, slow_start_us=17_000_000, overload_window_us=REST_US
+        SETTINGS.rules, slow_start_units=16.0, slow_start_us=17_000_000, overload_window_us=OVERLAP_US
     )
     settings = dataclasses.replace(SETTINGS, rules=rules)
     sent = dict.fromkeys(("cold", "warm"), 0.0)
@@ -117,17 +117,17 @@
         scheduler = Scheduler(settings, 1)
         scheduler.processes = processes
         nodes = (NodeEntry("cold", 0, 0, Phase.ON, 1.0, T0), NodeEntry("warm", 0, 1, Phase.ON, 1.0, 0))
-        asks = [ask(f"{at:016x}", shard=at % 2, units=0.05) for at in range(4 * MAX_IN_FLIGHT)]
-        asks += [ask(f"{at + 999:016x}", shard=0, units=1.0) for at in range(40)]
-        for action in scheduler.handle(T0 + 1, [NodeList(ListKind.FULL, nodes), *asks]):
+        arrivals = [ask(f"{at:016x}", shard=at % 2, units=0.05) for at in range(4 * MAX_IN_FLIGHT)]
+        arrivals += [ask(f"{at + 999:016x}", shard=0, units=1.0) for at in range(40)]
+        for action in scheduler.handle(T0 + 1, [NodeList(ListKind.FULL, nodes), *arrivals]):
             if isinstance(action, Send):
-                units = next(one.units for one in asks if one.request == action.request)
+                units = next(arrival.units for arrival in arrivals if arrival.request == action.request)
                 sent[action.node] += units if action.node == "cold" else 1
     assert 0 < sent["cold"] <= 16.0 / settings.gateways + 1 and 0 < sent["warm"] <= MAX_IN_FLIGHT
 
 
 async def call(port: int, path: str, backend: str = "") -> tuple[int, str]:
-    """Call a process's second address once it listens."""
+    """Call a process's operations server once it listens."""
     while True:
         try:
             wire = Wire(*await asyncio.open_connection(HOST, port))
@@ -142,11 +142,11 @@
 
 
 def free_port() -> int:
-    with socket.create_server((HOST, 0)) as one:
-        return int(one.getsockname()[1])
+    with socket.create_server((HOST, 0)) as listening:
+        return int(listening.getsockname()[1])
 
 
-def test_an_upgrade_under_load_meets_no_broken_connection_and_keeps_backends_out(tmp_path: Path) -> None:
+def test_an_upgrade_under_load_breaks_no_connection_and_keeps_manual_ejections(tmp_path: Path) -> None:
     async def main() -> None:
         listening = socket.create_server((HOST, 0))
         port, fd = listening.getsockname()[1], listening.fileno()
@@ -157,53 +157,53 @@
             environ |= {"TMPDIR": str(tmp_path), "EDGE_ACCEPT_FD": str(fd)}
             numbers = itertools.count(1)
 
-            async def ready(control: int) -> None:
+            async def wait_until_ready(control: int) -> None:
                 while (await call(control, "/ops/readiness"))[0] != 200:
                     await asyncio.sleep(0.02)
 
             async def open_wire() -> Wire:
                 return Wire(*await asyncio.open_connection(HOST, port))
 
-            async def ask_on(wire: Wire) -> tuple[int, dict[str, str]]:
+            async def request_on(wire: Wire) -> tuple[int, dict[str, str]]:
                 wire.send(TARGET, headers(next(numbers), X_Placement="units=2,shard=1,hosts=1"))
                 return (await wire.receive())[:2]
 
             async with program({**environ, "EDGE_CONTROL": f"{HOST}:{old_port}"}, fd) as old:
-                await ready(old_port)
-                kept, busy = await open_wire(), await open_wire()
-                assert (await ask_on(kept))[0] == 404
+                await wait_until_ready(old_port)
+                reused, busy = await open_wire(), await open_wire()
+                assert (await request_on(reused))[0] == 404
 
                 backend.behave = held_by(gate)
                 busy.send(TARGET, headers(next(numbers), X_Remaining_Ms="3000"))
                 await until(lambda: len(backend.seen) == 1)
                 async with program({**environ, "EDGE_CONTROL": f"{HOST}:{new_port}"}, fd) as new:
-                    # Its client asks on: who rests for two seconds is closed on, and a start may take longer.
-                    coming = asyncio.create_task(ready(new_port))
-                    while not coming.done():
-                        assert (await ask_on(kept))[0] == 404
+                    # Requests keep the connection open: it is closed after 2 s idle, and the start may take longer.
+                    starting = asyncio.create_task(wait_until_ready(new_port))
+                    while not starting.done():
+                        assert (await request_on(reused))[0] == 404
                         await asyncio.sleep(0.05)
-                    assert (await call(new_port, "/ops/bricks/down", "s-0"))[0] == 200  # the old one hears of it
+                    assert (await call(new_port, "/ops/bricks/down", "s-0"))[0] == 200  # shared with the old process
                     while "edge.out_of_rotation=1\n" not in (await call(old_port, "/ops/stats"))[1]:
                         await asyncio.sleep(0.01)
                     old.send_signal(signal.SIGTERM)
                     while (await call(old_port, "/ops/readiness"))[0] == 200:
                         await asyncio.sleep(0.01)
-                    status, fields = await ask_on(kept)
-                    assert status == 404 and fields["connection"] == "close" and await kept.ended()
+                    status, fields = await request_on(reused)
+                    assert status == 404 and fields["connection"] == "close" and await reused.ended()
                     other = await open_wire()
-                    assert (await ask_on(other))[0] == 404  # the socket was not shut down for the new one
+                    assert (await request_on(other))[0] == 404  # the socket was not shut down for the new one
                     gate.set()
-                    status, fields, _ = await busy.receive()  # what was open is answered
+                    status, fields, _ = await busy.receive()  # the open request is answered
                     assert status == 404 and fields["connection"] == "close"
                     assert await old.wait() == 0
                     _, text = await call(new_port, "/ops/stats")
                     assert "edge.operations.record-read.faulted=1\n" in text and "edge.out_of_rotation=1\n" in text
                     assert (await call(new_port, "/ops/bricks/up", "s-0"))[0] == 200
                     backend.behave = None
-                    last = await open_wire()  # the other one has rested while the old process ended
+                    last = await open_wire()  # `other` may have been closed while it was idle
                     last.send(TARGET, headers(next(numbers)))
                     assert (await last.receive())[0] == 404 and len(backend.seen) == 2
-                    for wire in (kept, busy, other, last):
+                    for wire in (reused, busy, other, last):
                         wire.close()
                     new.send_signal(signal.SIGTERM)
                     assert await new.wait() == 0
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("text", ["x", "0", "999"])
-def test_a_descriptor_that_does_not_listen_is_refused_at_the_start(text: str, tmp_path: Path) -> None:
+def test_a_descriptor_that_does_not_listen_is_rejected_at_the_start(text: str, tmp_path: Path) -> None:
     async def main() -> None:
         environ = config(tmp_path) | {"EDGE_ACCEPT_FD": text, "TMPDIR": str(tmp_path)}
         async with program(environ) as process:
@@ -223,7 +223,7 @@
     run(main())
 
 
-def test_the_other_fronts_go_on_through_an_upgrade(tmp_path: Path) -> None:
+def test_the_other_listeners_serve_throughout_an_upgrade(tmp_path: Path) -> None:
     async def main() -> None:
         listening = socket.create_server((HOST, 0))
         objects, admin, controls = free_port(), free_port(), [free_port(), free_port()]
@@ -239,7 +239,7 @@
                 "HOPHINGE_OPERATOR_FILE": str(tmp_path / "operator.toml"),
             }
 
-            async def asked(port: int) -> int:
+            async def request_status(port: int) -> int:
                 wire = Wire(*await asyncio.open_connection(HOST, port))
                 wire.send(
                     "/bucket/name" if port == objects else "/v1/plans",
@@ -249,7 +249,7 @@
                 wire.close()
                 return status
 
-            async def start(control: int) -> None:
+            async def wait_until_ready(control: int) -> None:
                 while (await call(control, "/ops/readiness"))[0] != 200:
                     await asyncio.sleep(0.02)
 
@@ -258,12 +258,12 @@
                 program({**environ, "EDGE_CONTROL": f"{HOST}:{controls[1]}"}, listening.fileno()) as new,
             ):
                 for control in controls:
-                    await start(control)
-                for at in range(40):
-                    if at == 10:
+                    await wait_until_ready(control)
+                for number in range(40):
+                    if number == 10:
                         old.send_signal(signal.SIGTERM)
                         assert await old.wait() == 0
-                    assert (await asked(objects), await asked(admin)) == (403, 200)
+                    assert (await request_status(objects), await request_status(admin)) == (403, 200)
                 new.send_signal(signal.SIGTERM)
                 assert await new.wait() == 0
         listening.close()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The program itself: a bad configuration, counters on request, and its end by a signal."""
+"""The program as a process: invalid configurations, counters on request, reload and shutdown by signals."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from tests.test_net import READ
 
 ROOT = Path(__file__).parent.parent
-# A loopback address of this run's own, where nothing else listens, nor another run beside it.
+# A loopback address that only this test run uses, so that parallel runs do not collide.
 HOST, PORT = f"127.71.{os.getpid() % 250}.{os.getpid() // 250 % 250 + 1}", 18081
 COMMAND = [sys.executable, "-m", "hophinge"]
 
 
 def config(folder: Path, **changes: Any) -> dict[str, str]:
-    made = {
+    fields = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:9",
@@ -37,14 +37,14 @@
         "settings": setup(),
         **changes,
     }
-    (folder / "config.json").write_text(json.dumps(made))
+    (folder / "config.json").write_text(json.dumps(fields))
     return {**os.environ, "EDGE_CONFIG": str(folder / "config.json")}
 
 
-def refused(environ: dict[str, str]) -> bool:
-    """Start the program; tell whether it ended with 2 and one plain line."""
-    done = subprocess.run(COMMAND, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=20, check=False)
-    return done.returncode == 2 and done.stderr.count("\n") == 1 and done.stderr.startswith("hophinge: ")
+def is_rejected(environ: dict[str, str]) -> bool:
+    """Start the program and return whether it exited with status 2 and a single line on standard error."""
+    completed = subprocess.run(COMMAND, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=20, check=False)
+    return completed.returncode == 2 and completed.stderr.count("\n") == 1 and completed.stderr.startswith("hophinge: ")
 
 
 @pytest.mark.parametrize(
@@ -59,13 +59,15 @@
         {"settings": 3},
     ],
 )
-def test_a_bad_configuration_is_one_line_and_exit_2(changes: dict[str, Any], tmp_path: Path) -> None:
-    assert refused(config(tmp_path, **changes))
+def test_an_invalid_configuration_is_reported_in_one_line_with_exit_status_2(
+    changes: dict[str, Any], tmp_path: Path
+) -> None:
+    assert is_rejected(config(tmp_path, **changes))
 
 
-def test_an_address_in_use_too(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        assert refused(config(tmp_path, listen=f"127.0.0.1:{taken.getsockname()[1]}"))
+def test_an_address_in_use_is_reported_in_one_line_with_exit_status_2(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as listening:
+        assert is_rejected(config(tmp_path, listen=f"127.0.0.1:{listening.getsockname()[1]}"))
 
 
 @pytest.mark.parametrize(
@@ -78,52 +80,54 @@
         "[objects]\nlisten='127.0.0.1:0'\ntenants='t'\nread_class='no'\nwrite_class='no'",
     ],
 )
-def test_a_bad_operator_s_file_too(text: str | None, tmp_path: Path) -> None:
+def test_an_invalid_operator_s_file_is_reported_in_one_line_with_exit_status_2(
+    text: str | None, tmp_path: Path
+) -> None:
     path = tmp_path / "operator.toml"
     if text is not None:
         path.write_text(text)
-    assert refused({**config(tmp_path), "HOPHINGE_OPERATOR_FILE": str(path)})
+    assert is_rejected({**config(tmp_path), "HOPHINGE_OPERATOR_FILE": str(path)})
 
 
 @pytest.mark.parametrize(("path", "parts"), [("deploy/objects.toml", 1), ("examples/operator.toml", 2)])
-def test_the_repository_s_own_operator_s_files_are_read(path: str, parts: int) -> None:
-    found = load(str(ROOT / path))
-    assert found.objects is not None and found.objects.tenants.is_absolute()
-    assert sum(one is not None for one in (found.objects, found.admin, found.remote_write)) == parts
+def test_the_repository_s_own_operator_s_files_are_valid(path: str, parts: int) -> None:
+    operator = load(str(ROOT / path))
+    assert operator.objects is not None and operator.objects.tenants.is_absolute()
+    assert sum(section is not None for section in (operator.objects, operator.admin, operator.remote_write)) == parts
 
 
-def test_every_part_of_the_operator_s_file_is_read(tmp_path: Path) -> None:
+def test_the_commented_sections_of_the_operator_s_file_are_valid_too(tmp_path: Path) -> None:
     text = (ROOT / "deploy" / "objects.toml").read_text()
-    head, _, rest = text.partition("# [admin]")
+    enabled, _, rest = text.partition("# [admin]")
     uncommented = "[admin]" + "\n".join(line.removeprefix("# ") for line in rest.splitlines())
-    (tmp_path / "all.toml").write_text(head + uncommented)
-    found = load(str(tmp_path / "all.toml"))
-    assert found.admin is not None and found.admin.listen == "127.0.0.1:9081"
-    assert found.remote_write is not None and found.remote_write.queue == 64
+    (tmp_path / "all.toml").write_text(enabled + uncommented)
+    operator = load(str(tmp_path / "all.toml"))
+    assert operator.admin is not None and operator.admin.listen == "127.0.0.1:9081"
+    assert operator.remote_write is not None and operator.remote_write.queue == 64
 
 
-@pytest.mark.parametrize("operated", [False, True])
-def test_a_head_on_its_own_settings_reads_no_certificates(operated: bool) -> None:
+@pytest.mark.parametrize("has_operator_file", [False, True])
+def test_a_head_without_an_operator_s_file_loads_no_certificates(has_operator_file: bool) -> None:
     code = (
         "import os\nfrom hophinge.head.main_import import import_main\nimport_main()\nimport aiohttp.connector as c\n"
         "print(c._SSL_CONTEXT_VERIFIED.cert_store_stats()['x509'], os.environ.get('SSL_CERT_DIR'),\n"
         "      c.ssl.create_default_context().cert_store_stats()['x509'])"
     )
     environ = {name: text for name, text in os.environ.items() if name != "SSL_CERT_DIR"}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=True,
-        env={**environ, **({"HOPHINGE_OPERATOR_FILE": "op.toml"} if operated else {})},
+        env={**environ, **({"HOPHINGE_OPERATOR_FILE": "op.toml"} if has_operator_file else {})},
     )
-    count, folder, there = done.stdout.split()
-    assert folder == "None" and count == (there if operated else "0")
+    count, folder, system_count = completed.stdout.split()
+    assert folder == "None" and count == (system_count if has_operator_file else "0")
 
 
 async def connected() -> Wire:
-    """Wait until the program serves; a connection to it."""
+    """Wait until the program serves, and return a connection to it."""
     while True:
         try:
             wire = Wire(*await asyncio.open_connection(HOST, PORT))
@@ -138,7 +142,7 @@
 
 @asynccontextmanager
 async def program(environ: dict[str, str], *fds: int) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program in a process of its own, killed if the test leaves it."""
+    """Start the program as a process, which is killed if it is still running at the end."""
     process = await asyncio.create_subprocess_exec(
         *COMMAND, cwd=ROOT, env=environ, stdout=asyncio.subprocess.PIPE, pass_fds=fds
     )
@@ -150,7 +154,7 @@
             await process.wait()
 
 
-def test_the_program_serves_prints_its_counters_and_ends_by_a_signal(tmp_path: Path) -> None:
+def test_the_program_serves_prints_its_counters_and_shuts_down_at_sigterm(tmp_path: Path) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             backend = made.backends[0]
@@ -178,7 +182,7 @@
     run(main())
 
 
-def test_a_hangup_moves_discovery_at_once_and_keeps_all_else(tmp_path: Path) -> None:
+def test_sighup_changes_the_address_of_discovery_at_once_and_nothing_else(tmp_path: Path) -> None:
     async def main() -> None:
         async with world(Backend(0), Backend(1)) as made:
             backend, other, gate = *made.backends, asyncio.Event()
@@ -194,21 +198,23 @@
                 wire = await connected()
                 wire.send(READ, headers(1, X_Remaining_Ms="20000"))
                 await until(lambda: len(backend.seen) == 1)
-                (tmp_path / "config.json").write_text("{")  # half written: logged, and nothing changes
+                (tmp_path / "config.json").write_text(
+                    "{"
+                )  # a file that is still being written: logged, and nothing changes
                 process.send_signal(signal.SIGHUP)
                 await process.stdout.readuntil(b"kept as it was")
                 assert not agent.asked
-                agent.targets = {one.name: one.target() for one in made.backends}
+                agent.targets = {listed.name: listed.target() for listed in made.backends}
                 config(tmp_path, listen=f"{HOST}:{PORT}", discovery=agent.endpoint)
                 process.send_signal(signal.SIGHUP)
-                await until(lambda: len(agent.asked) == 2)  # a whole list, then a watch
+                await until(lambda: len(agent.asked) == 2)  # a complete list, then a watch
                 assert agent.asked[0] == "/v1/servers"
                 await until(lambda: made.agent.watching == 0)  # the old watch has ended
                 second = await connected()
                 second.send(READ, headers(2, X_Placement="units=2,shard=1,hosts=1"))
                 assert (await second.receive())[0] == 404 and len(other.seen) == 1
                 gate.set()
-                assert (await wire.receive())[0] == 404  # what was open lived on
+                assert (await wire.receive())[0] == 404  # the open request was not affected
                 wire.close()
                 second.close()
                 process.send_signal(signal.SIGTERM)
@@ -218,18 +224,18 @@
     run(main())
 
 
-def test_a_hangup_before_the_service_runs_does_not_end_the_program(tmp_path: Path) -> None:
+def test_sighup_before_the_service_runs_does_not_end_the_program(tmp_path: Path) -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
             environ = config(tmp_path, listen=f"{HOST}:{PORT}", discovery=made.agent.endpoint)
             async with program(environ) as process:
-                # Blocked signals are inherited by nobody here: the mask shows when the program has set its own.
+                # The process inherits no blocked signals, so its mask shows when the program has blocked SIGHUP.
                 status = Path(f"/proc/{process.pid}/status")
                 await until(
                     lambda: (
                         not process.returncode
                         and b"hophinge" in Path(f"/proc/{process.pid}/cmdline").read_bytes()
-                        and blocks(status.read_text())
+                        and blocks_sighup(status.read_text())
                     )
                 )
                 process.send_signal(signal.SIGHUP)
@@ -239,7 +245,7 @@
                 assert process.stdout is not None
                 assert b"reloads 1\n" in await process.stdout.read() and await process.wait() == 0
 
-    def blocks(status: str) -> bool:
+    def blocks_sighup(status: str) -> bool:
         masks = {name: text for name, _, text in (line.partition(":\t") for line in status.splitlines())}
         return bool(int(masks["SigBlk"], 16) >> (signal.SIGHUP - 1) & 1)
 
