--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -80,9 +80,8 @@
         entry = AuditEntry(self.now_ms(), "hophinge", "service", "take_over", str(old), {"rows": len(rows)})
 
         def decide() -> LedgerChange:
-            return LedgerChange(
-                [] if self.ledger.seq else rows, entry
-            )  # another process may have imported it meanwhile
+            # Another process may have imported it meanwhile.
+            return LedgerChange([] if self.ledger.seq else rows, entry)
 
         self.ledger.change(decide)
         self.log(f"imported {len(rows)} rows from {old} into {self.ledger.path}; the file is not read again")
--- a/hophinge/head/config.py
+++ b/hophinge/head/config.py
@@ -83,9 +83,8 @@
     try:
         listing, left_out = parse_listing(known)
     except msgspec.MsgspecError:
-        msgspec.json.decode(
-            known, type=RawListing
-        )  # raises for a value that is not a list, which is an error in the file
+        # Raises for a value that is not a list, which is an error in the file.
+        msgspec.json.decode(known, type=RawListing)
         return Listing(0, [])
     return Listing(listing.rev, listing.targets, listing.all and not left_out)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -66,9 +66,8 @@
     shared = SharedEjections(tmp_path)
     assert shared.ejections.eject("a")
     assert shared.read() == EjectionFile(FILE_VERSION, {"a": ManualEjection(1_000_000, True)})
-    shared.replace(
-        msgspec.json.encode(EjectionFile(FILE_VERSION, {"b": ManualEjection(5, True)}))
-    )  # the other process had not read the ejection
+    # The other process had not read the ejection.
+    shared.replace(msgspec.json.encode(EjectionFile(FILE_VERSION, {"b": ManualEjection(5, True)})))
     shared.handoff.refresh()
     assert (
         shared.ejections.is_ejected("a")
--- a/tests/test_restart_crossings.py
+++ b/tests/test_restart_crossings.py
@@ -51,14 +51,12 @@
 def test_a_request_that_arrives_as_idle_connections_are_closed_is_answered_whether_complete_or_partial() -> None:
     async def main() -> None:
         async with world(Backend(0)) as made:
-            service = await made.head(
-                settings=settings_with_deadline(1000)
-            )  # idle connections live no longer than the shutdown
+            # Idle connections live no longer than the shutdown.
+            service = await made.head(settings=settings_with_deadline(1000))
             body, idle = await open_idle(made, True), await open_idle(made, True)
             shutdown_task = asyncio.create_task(service.shut_down())
-            await until(
-                lambda: service.front.final_drain is not None
-            )  # from here on connections are accepted before they send anything
+            # From here on connections are accepted before they send anything.
+            await until(lambda: service.front.final_drain is not None)
             complete = [await open_idle(made, is_used) for is_used in (True, False)]
             partial = [await open_idle(made, is_used) for is_used in USED_AND_NEW]
             await until(lambda: len(service.front.server.connections) == 4 + len(USED_AND_NEW))
--- a/tests/test_restart_moments.py
+++ b/tests/test_restart_moments.py
@@ -41,9 +41,8 @@
 
     async def main() -> None:
         async with world(Backend(0)) as made:
-            service = await made.head(
-                settings=settings_with_deadline(100)
-            )  # closes before new connections stop arriving
+            # Closes before new connections stop arriving.
+            service = await made.head(settings=settings_with_deadline(100))
             service.front.max_connections = 0  # all wait in the listening socket's queue until the last moment
             wires = [await made.wire(service) for _ in range(5)]
             for wire in wires:
