--- a/tests/test_maintenance_integration.py
+++ b/tests/test_maintenance_integration.py
@@ -176,7 +176,7 @@
         response = decode_response(encode_update(PermitUpdate("s", 1, 1, {"1.1": "s-0"}, {}, None, "", ("r/0",))))
         maintenance._apply_update(response)
         assert head.rotation.is_ejected("s-0") and "halt/r/0" in peers.own  # before any list has the backend
-        await until(lambda: any("cannot be kept" in line for line in head.log))
+        await until(lambda: any("cannot save the ejections" in line for line in head.log))
         assert "1.1/s-0" not in peers.own and maintenance.report().statements == ()
         disk.full = False
         await until(lambda: bool(maintenance.stored_drains))
@@ -191,7 +191,7 @@
         maintenance._apply_update(
             decode_response(encode_update(PermitUpdate("s", 1, 2, {"1.1": "s-0", "1.2": "s-1"}, {})))
         )
-        await until(lambda: any("peers do not hear" in line for line in head.log))
+        await until(lambda: any("cannot publish" in line for line in head.log))
         assert len(maintenance.report().statements) == 2 and "halt/r/0" not in peers.own
         maintenance._apply_update(decode_response(encode_update(PermitUpdate("other", 9, 9))))
         assert any("permit-issuer-unknown" in line for line in head.log) and head.rotation.is_ejected("s-1")
