--- a/hophinge/core/choice/dispatcher.py
+++ b/hophinge/core/choice/dispatcher.py
@@ -13,7 +13,7 @@
 
 GROUP_SIZE = 9  # nodes of a key's group: the negotiating group of the paper, three times three replicas
 UNLEARN_AFTER = 8.0  # tightest target latencies, times gateways, after which an idle node's learned times are reset
-DELAY_EXPONENT = 0.7  # of the fraction of its full value that a request earns, for the queue delay that it accepts
+DELAY_EXPONENT = 0.7  # the longest accepted queue delay is proportional to the earned fraction of value to this power
 # Negative value, target time and name, which give the order; the request, and its node (None: a new object).
 Ready = tuple[float, int, str, RequestState, NodeState | None]
 
@@ -33,7 +33,7 @@
         return factor if self.now + wait <= request.target_at else factor * request.klass.late_value
 
     def _fair_use_per_weight(self, queue_key: str) -> float:
-        """Return the mean use beyond the reserves per weight of plans, over the volumes with such use of a queue."""
+        """Return the use of a queue beyond reserves per unit of plan weight, over all volumes with such use."""
         computed_at, use_per_weight = self.fair_use.get(queue_key, (-self.target_us, 0.0))
         if self.now - computed_at >= self.target_us / WAKEUPS_PER_TARGET * 3:
             volumes = [volume for volume in self.volumes.values() if queue_key in volume.excess_use]
@@ -44,7 +44,7 @@
         return use_per_weight
 
     def _candidates(self, request: RequestState) -> list[NodeState]:
-        """Return the group of a key: the permitted nodes with the lowest rendezvous hashes, in that order."""
+        """Return the group of a key: the permitted nodes of lowest rendezvous hash; their order breaks ties."""
         key, is_unbounded = request.arrival.key or request.arrival.request, request.arrival.bounds is None
         nodes = [
             node
@@ -93,7 +93,7 @@
                 self.recheck_at[key] = min([self.now + self.wake_interval_us, *unblock_times])
 
     def _shed(self, ready: list[Ready]) -> list[Ready]:
-        """Answer the requests that miss their deadline by the work ahead of them, and return the others.
+        """Answer unsent requests that the work queued ahead would delay past their deadline; return the others.
 
         Otherwise a flood would be queued as a whole (incident i75347d).
         """
@@ -111,7 +111,8 @@
                     for other in self.nodes.values()
                     if not other.reservations and other.last_answer_at < idle_since
                 ]
-                # No answer corrects what an idle node's stall has taught: it would refuse requests for ever.
+                # An idle node gets no answers that correct times learned during a stall: without a reset, its requests
+                # would be refused for ever.
                 if node is not None and node in idle:
                     node.service_time = node.served_units = 0.0
                 if len(idle) == len(self.nodes):
--- a/hophinge/core/choice/gateway_state.py
+++ b/hophinge/core/choice/gateway_state.py
@@ -46,9 +46,9 @@
         self.shards: dict[int, list[NodeState]] = {}
         self.volumes: dict[str, VolumeState] = {}
         self.requests: dict[str, RequestState] = {}
-        self.queued_new_objects: dict[str, RequestState] = {}  # for new objects, not bound to a node
-        self.unplaced_reads: dict[str, RequestState] = {}  # whose shard has no usable node
-        self.key_order: dict[tuple[str, str], list[RequestState]] = {}  # in order, by volume and key
+        self.queued_new_objects: dict[str, RequestState] = {}  # requests for new objects, not bound to a node
+        self.unplaced_reads: dict[str, RequestState] = {}  # requests whose shard has no usable node
+        self.key_order: dict[tuple[str, str], list[RequestState]] = {}  # of ordered classes, as they arrived
         self.key_blocked_until: dict[tuple[str, str], int] = {}
         self.retry_times = deque[int]()
         self.arrival_times = deque[int]()
@@ -58,7 +58,7 @@
         self.deadlines: list[tuple[int, str]] = []
         self.hedge_times: list[tuple[int, str]] = []  # when a request may be hedged
         self.fair_use: dict[str, tuple[int, float]] = {}  # when it was computed, and use per weight, by queue
-        self.total_service_time = self.total_served_units = 0.0  # of all nodes, for one without answers
+        self.total_service_time = self.total_served_units = 0.0  # of all nodes, used for nodes without answers
         self.nominal_unit_us: dict[int, float] = {}  # time per unit without queueing, by machine type
         # Recent queue delay over all nodes, and when it was last observed.
         self.typical_delay = 0.0
@@ -113,7 +113,8 @@
             (reservation.sent_at for reservation in node.reservations.values() if reservation.units), default=0
         )
         is_alone_unresponsive = node.is_unresponsive and self._typical_delay() < TARGET_FRACTION * self.target_us
-        # One may be sent if none in flight may still be answered, and again if only this node is unresponsive.
+        # A request may be sent if no attempt in flight is still expected to be answered, and as a trial now and then if
+        # this node is unresponsive while the typical queue delay of all nodes is short.
         if not last_sent_at or (
             is_alone_unresponsive and self.now - last_sent_at > 2 * UNRESPONSIVE_AFTER * self.target_us
         ):
@@ -148,8 +149,8 @@
 
     def _record_service(self, node: NodeState, reservation: Reservation, duration: int, done: int) -> None:
         """Learn from an attempt that took `duration` and was completed by its node at `done`."""
-        # Nodes serve requests in order: an attempt in flight for over twice as long as an answered one has lost its
-        # answer. Keeping its units reserved would leave an idle node unused until the client's deadline.
+        # Nodes serve requests in order: the answer of an attempt in flight for over twice as long as an answered one is
+        # taken as lost. Keeping its units reserved would leave an idle node unused until the client's deadline.
         now = self.now
         for other in node.reservations.values():
             if now - other.sent_at > 2 * (now - reservation.sent_at):
--- a/hophinge/core/choice/node_state.py
+++ b/hophinge/core/choice/node_state.py
@@ -8,7 +8,7 @@
 from hophinge.core.choice.volume_state import VolumeState
 
 DECAY = 0.9  # factor of older samples at each new answer: about ten answers count
-MAX_QUEUE_FRACTION = 0.25  # fraction of its time that a request may be queued without having been sent
+MAX_QUEUE_FRACTION = 0.25  # fraction of its time left on arrival that a request may be queued without having been sent
 
 
 class Reservation:
@@ -39,7 +39,7 @@
         self.queue_delay = 0.0
         self.queue_delay_at = 0
         self.backoff_until = 0
-        self.failures = 0  # attempts in a row that failed
+        self.failures = 0  # attempts failed since the last served one, without those sent before a backoff ended
         self.is_unresponsive = False
         self.is_blocked = False  # its next queued request does not fit until an attempt ends
         self.recent_sends: deque[tuple[int, float]] = deque()
--- a/hophinge/core/choice/request_lifecycle.py
+++ b/hophinge/core/choice/request_lifecycle.py
@@ -10,7 +10,7 @@
 from hophinge.core.choice.volume_state import VolumeState
 
 FIRST_BACKOFF = 0.2  # tightest target latencies without requests for a node that failed or rejected an attempt
-MAX_BACKOFF_DOUBLINGS = 5  # of that backoff while attempts keep failing: some seconds, as lists are late
+MAX_BACKOFF_DOUBLINGS = 5  # of that backoff while attempts keep failing: up to some seconds, as node lists lag
 RETRY_AFTER = 2.0  # tightest target latencies that a refused client is told to wait
 VOLUME_IDLE_US = 60_000_000  # without requests, after which a volume is removed; no request lives that long
 NEVER_RAN = frozenset({api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT, api.Result.MISPLACED})
@@ -176,7 +176,7 @@
             node.last_answer_at = now
 
     def _record_request_outcome(self, request: RequestState, node: NodeState, event: api.Outcome) -> None:
-        """Record the end of an attempt in its request, which may have been executed."""
+        """Record the end of an attempt in its request, and whether the request may have been executed."""
         now = self.now
         if event.used > 0:
             request.volume.reported_use = (event.used - 1) / 100 * request.volume.plan.rate
--- a/hophinge/core/choice/send_rules.py
+++ b/hophinge/core/choice/send_rules.py
@@ -67,7 +67,7 @@
         )
 
     def _is_within_bounds(self, request: RequestState, node: NodeState) -> bool:
-        """Return whether the bounds of a request allow a node at which none of its attempts is in flight."""
+        """Return whether a request's bounds allow a node; False if one of its attempts is in flight there."""
         arrival, ran_on = request.arrival, request.may_have_run_on
         if node in request.in_flight.values():
             return False
--- a/hophinge/core/choice/volume_state.py
+++ b/hophinge/core/choice/volume_state.py
@@ -74,7 +74,10 @@
         return self.plan.limit <= 0 or self.limit.fill(now, self.limit.rate) >= units
 
     def reserve_left(self, now: int) -> float:
-        """Return the units of the reserve left here; this gateway's share is its share of the volume's metered use."""
+        """Return the units of the reserve left here.
+
+        This gateway's share of it is its share of the volume's metered use, but at least an equal share.
+        """
         own = self.local_use.rate(now)
         share = max(own / max(own, self.reported_use, 1e-9), 1 / self.gateways)
         return self.reserve.fill(now, self.plan.reserve * share)
--- a/hophinge/core/exchange/attempts.py
+++ b/hophinge/core/exchange/attempts.py
@@ -104,7 +104,7 @@
         self.node = node
         self.sent_at = sent_at
         self.give_up_at = give_up_at
-        self.write_before = write_before  # nothing of it may be written after that; 0: no limit
+        self.write_before = write_before  # none of it may be written from this time on; 0: no limit
         # Read now, as the node may be removed from the list before the attempt ends.
         self.shard = exchange.shards.get(node, -1)
         self.stop: Callable[[], None] | None = None
@@ -151,7 +151,7 @@
         if result is not api.Result.MISPLACED or arrival.write:
             return None
         shard = write_locations.find(now, arrival.volume, arrival.key)
-        # Rejected by the recorded shard itself, the request is out of time. A shard without nodes in use cannot answer.
+        # If the recorded shard itself rejected the read, its time is over. A shard without nodes in use cannot answer.
         available = {self.exchange.shards.get(node) for node, phase in nodes.items() if phase is api.Phase.ON}
         return None if shard is None or shard not in available - {self.shard} else structs.replace(arrival, shard=shard)
 
--- a/hophinge/core/exchange/event_loop_driver.py
+++ b/hophinge/core/exchange/event_loop_driver.py
@@ -15,7 +15,7 @@
 from hophinge.core.request_metrics import RequestMetrics
 from hophinge.core.write_locations import WriteLocations
 
-BACKSTOP = 0.5  # fraction of the answer grace period after which a request without an answer is failed
+BACKSTOP = 0.5  # fraction of the grace period after its deadline, when an unanswered request is failed
 
 
 class EventLoopDriver:
@@ -156,8 +156,8 @@
         try:
             actions = self.scheduler.handle(now, events)
         except Exception:
-            # An error in the scheduler must not leave a client without an answer: the requests of this batch are failed
-            # here, earlier ones by their backstop timer at the latest.
+            # An error in the scheduler must not leave a client without an answer: the arrivals of this batch are failed
+            # here, earlier requests by their backstop timer at the latest.
             self.counters.add("module_faults")
             self.log(traceback.format_exc())
             for event in events:
--- a/hophinge/core/interface/protocols.py
+++ b/hophinge/core/interface/protocols.py
@@ -54,7 +54,7 @@
 
     @property
     def failures(self) -> int:
-        """The number of attempts that failed in a row."""
+        """The attempts that failed since the last served one, without those sent before a backoff ended."""
 
     def warmth(self, now: int, slow_start_us: int) -> float:
         """Return how far it has warmed up since it started, from 0 to 1."""
--- a/hophinge/core/interface/settings.py
+++ b/hophinge/core/interface/settings.py
@@ -47,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's rates for each of its volumes, in units per second over all gateways and nodes."""
+    """A plan, for each of its volumes over all gateways and nodes.
+
+    `rate`, `reserve` and `limit` are in units per second, `limit_burst` and `limit_slack` in units.
+    """
 
     rate: float
     reserve: float
--- a/hophinge/scoring/encoding.py
+++ b/hophinge/scoring/encoding.py
@@ -82,7 +82,7 @@
     """Decode a peer's entry into its version and weights from 0 to 1.
 
     Raises:
-        InvalidEntryError: The entry is not valid, whatever its content.
+        InvalidEntryError: The entry is not valid; no content of an entry raises any other error.
 
     """
     if len(value) > MAX_VALUE_BYTES:
--- a/hophinge/scoring/interface.py
+++ b/hophinge/scoring/interface.py
@@ -101,7 +101,7 @@
 
     @property
     def failures(self) -> tuple[int, ...]:
-        """The number of attempts that failed in a row."""
+        """The attempts that failed since the last served one, without those sent before a backoff ended."""
         cached: tuple[int, ...] | None = self._kept.get("failures")
         if cached is None:
             cached = self._kept["failures"] = tuple([observation.failures for observation in self._seen])
--- a/hophinge/scoring/latency.py
+++ b/hophinge/scoring/latency.py
@@ -1,4 +1,4 @@
-"""The scorer `latency`: adds the excess of a backend's latency quantile over the median of all backends."""
+"""The scorer `latency`: adds a backend's excess latency over the tolerated multiple of the median of all backends."""
 
 from __future__ import annotations
 
@@ -31,7 +31,10 @@
 
 
 class Latency(Scorer):
-    """Weights are slowness: 1 - median / own quantile, so that near and distant heads can compare them."""
+    """Weights are slowness: 1 - tolerance * median / own quantile, but at least 0.
+
+    They are relative, so that near and distant heads can compare them.
+    """
 
     def __init__(self, parameters: Parameters, setting: Setting) -> None:
         self.parameters = parameters
--- a/hophinge/scoring/sharing.py
+++ b/hophinge/scoring/sharing.py
@@ -24,8 +24,8 @@
 HEARTBEAT_US = 5_000_000  # interval of changes of entry 0, which show that a member is alive
 FRESH_US = 15_000_000  # three heartbeats, some of which may be lost, before weights begin to age
 HALF_LIFE_US = 5_000_000  # in which weights then halve
-FORGOTTEN_US = 60_000_000  # until a silent peer is removed, after ten seconds with weights below a hundredth
-MAX_REPORTS = 20_000  # processed in one step of a tick: some tens of milliseconds
+FORGOTTEN_US = 60_000_000  # until a silent peer is removed; its weights count below a hundredth for ten seconds before
+MAX_REPORTS = 20_000  # processed in one tick for judging, and as many for merging: some tens of milliseconds each
 MAX_ENTRIES_READ = 500  # in one tick; other changed entries are read in the next
 SLICE_STEPS = 500  # entries or reports processed at a time: under a millisecond
 READ_STEPS = 10  # for decoding an entry, beside one for each ten bytes of it
--- a/hophinge/scoring/suspicion.py
+++ b/hophinge/scoring/suspicion.py
@@ -65,7 +65,7 @@
         return [get(node, 0.0) * time_us for node in view.nodes]
 
     def heard(self, now_us: int, node: str, result: api.Result, elapsed_us: int) -> None:
-        """Record a result; results that this head caused, such as a cancellation, are ignored."""
+        """Record a served or failed attempt; rejections and cancellations are ignored."""
         if result not in FAILED and result is not api.Result.OK:
             return
         record = self.records.get(node)
