--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -243,12 +243,10 @@
             weight * (model_mean + model_mean * model_mean / shape + model_mean * model_mean)
             for weight, model_mean, shape in zip(weights, forecast.means, forecast.shapes, strict=True)
         )
-        prediction = self.calibration.interval(
-            prediction_class(mean, forecast.age), mean, max(mean, square - mean * mean)
-        )
-        forecast.mean = prediction.mean
-        forecast.low = prediction.low
-        forecast.high = prediction.high
+        bounds = self.calibration.interval(prediction_class(mean, forecast.age), mean, max(mean, square - mean * mean))
+        forecast.mean = bounds.mean
+        forecast.low = bounds.low
+        forecast.high = bounds.high
 
 
 def _weights(evidence: list[float]) -> list[float]:
