--- a/hophinge/maintenance/permits.py
+++ b/hophinge/maintenance/permits.py
@@ -220,7 +220,7 @@
         limit: DisruptionBudget | None,
         floors: Iterable[CapacityFloor] = (),
     ) -> PermitDecision:
-        """Begin a permit that was granted, unless the limits forbid it, as other processes went out since then."""
+        """Begin a permit that was granted, unless it has expired or the limits, checked again, now forbid it."""
         permit = self.active.get(permit_id)
         if permit is None:
             return PermitDecision(reason=f"permit {permit_id} has expired, was withdrawn or never existed")
@@ -313,7 +313,7 @@
             members = floor.members or availability.up
             up_count = sum(member in availability.up and member not in unavailable for member in members)
             if up_count < floor.min_up:
-                return f"{floor.name} would have {up_count} {kind.value}s, its reserves need {floor.min_up}"
+                return f"{floor.name} would have {up_count} {kind.value}s, it needs at least {floor.min_up}"
     return ""
 
 
--- a/hophinge/maintenance/releases.py
+++ b/hophinge/maintenance/releases.py
@@ -46,7 +46,7 @@
     build: str
     order: int = msgspec.field(name="began")  # releases run in this order
     stage: ReleaseStage = ReleaseStage.WAITING
-    wave: int = 0  # 0: a single head
+    wave: int = 0  # 0: the first wave, a single head
     attempt: int = msgspec.field(default=0, name="again")
     halted_automatically: bool = msgspec.field(default=False, name="by_itself")
     reason: str = ""  # why it is halted
@@ -79,7 +79,7 @@
 
 
 def rollout_order(names: Iterable[str]) -> list[str]:
-    """Return heads in the order of their restarts: by a hash, so the same for all releases and unrelated to names."""
+    """Return heads in the order of their restarts: by a hash of the name, so it is the same for all releases."""
     return sorted(names, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
 
 
--- a/hophinge/maintenance/retirement.py
+++ b/hophinge/maintenance/retirement.py
@@ -1,4 +1,4 @@
-"""Heads that an operator has declared retired, `(retired n7)`: rejected while the head is connected.
+"""Heads that an operator has declared gone for good by `(retired n7)`, which is rejected while they are connected.
 
 An operator can be wrong about a head: it may only be partitioned or stopped, and return with its requests in flight. So
 a declaration is valid for one absence. When the head returns, the store removes the declaration, and the head's
@@ -87,6 +87,9 @@
     since_ms: Callable[[str], int],
     max_rows: int,
 ) -> list[AbsentHead]:
-    """Return at most `max_rows` heads that are neither connected nor declared retired, the longest absent first."""
+    """Return at most `max_rows` heads that are neither connected nor declared retired, the longest absent first.
+
+    Heads of which it is unknown when they were connected last come before all others.
+    """
     absent = sorted((since_ms(name), name) for name in known if name not in connected and name not in retired)
     return [AbsentHead(name, since, absence_remedy(name)) for since, name in absent[:max_rows]]
--- a/hophinge/maintenance/snapshots.py
+++ b/hophinge/maintenance/snapshots.py
@@ -1,8 +1,9 @@
 """Lists that a head reports repeatedly: sent as changes with a digest of the complete list, in full on request.
 
 The digest is the sum of the row digests, so both sides update it with each change. A lost report is detected at the
-next one: the digests differ, and the issuer requests full lists. Until it has them, what they concern counts as
-unavailable. Duplicate and late reports are detected by their sequence.
+next one: the digests differ, and the issuer requests full lists. Until it has them, no backend counts as up if
+the list of backends differs, and the head neither exempts other heads nor relays their statements if those lists do.
+Duplicate and late reports are detected by their sequence.
 """
 
 from __future__ import annotations
--- a/hophinge/maintenance/wave_monitor.py
+++ b/hophinge/maintenance/wave_monitor.py
@@ -59,7 +59,7 @@
     wave_id: WaveId
     baseline: dict[str, Baseline] = {}
     began_us: dict[str, int] = {}  # when a head's permit was first observed as begun
-    disconnected_us: dict[str, int] = {}  # when a head was first observed without a stream
+    disconnected_us: dict[str, int] = {}  # when a restarted head was first observed without stream and permit
     stable_since_us: int = 0  # since when all heads of the wave run the build; 0: some do not
 
     @classmethod
@@ -117,7 +117,7 @@
     def _find_failures(
         self, build: str, release: Release, wave: Mapping[str, HeadStatus], heads: Mapping[str, HeadStatus]
     ) -> str:
-        """Compare the failure rate of the wave's heads that run the build with that of all other heads."""
+        """Compare the failure rate of the wave's updated heads, together and each alone, with that of all others."""
         updated = {name: head for name, head in wave.items() if head.build == build}
         others = self.count_requests((name, head) for name, head in heads.items() if name not in updated)
         if not others.accepted:  # all heads are in the wave: compare with the rate before it
--- a/hophinge/popularity/frequency_sketch.py
+++ b/hophinge/popularity/frequency_sketch.py
@@ -1,8 +1,9 @@
 """Decayed counts of requested keys in bounded memory: the space-saving algorithm with forward decay, by tenant.
 
 A counter never underestimates, and has a bound on its overestimate (its error). Each tenant has a bounded share of the
-counters and a floor of its own, the upper bound for its keys without a counter. So a tenant that requests millions of
-objects evicts its own counters and not those of others.
+counters and a floor of its own, the upper bound for its keys without a counter. A tenant whose share
+is used up evicts a counter of its own; otherwise, if all counters are in use, the tenant with most counters loses one.
+So a tenant that requests millions of objects evicts its own counters, and not those of small tenants.
 """
 
 from __future__ import annotations
@@ -161,7 +162,7 @@
         return KeyCount(key, tenant, floor, floor)
 
     def top(self, now_us: int, max_keys: int, tenant: str | None = None) -> list[KeyCount]:
-        """Return the keys with the highest counts, of one tenant or all; ties are ordered by key."""
+        """Return the keys with the highest counts less error, of one tenant or all; ties are ordered by key."""
         growth = self._growth(now_us)
         ranked = (
             (-(counter.count - counter.error), key)
--- a/hophinge/popularity/interval.py
+++ b/hophinge/popularity/interval.py
@@ -13,8 +13,8 @@
 from msgspec import Struct
 
 MISS_RATE = 0.1  # intended share of counts outside the interval: half on each side, all above if the low bound is 0
-ADAPTATION_STEP = 0.02  # in standard deviations, scaled by 1 - rate for a miss and by -rate for a hit
-INITIAL_Z = 1.645  # standard deviations at the start: those of a normal distribution
+ADAPTATION_STEP = 0.02  # in standard deviations, times 1 - r for a miss and -r for a hit; r: intended miss rate
+INITIAL_Z = 1.645  # standard deviations at the start: a normal distribution has 5 % beyond them on each side
 MAX_Z = 4.0
 MEAN_CLASSES = 6  # of predicted means: below 1/4, 1, 4, 16, 64, and 64 or more
 MAX_YOUNG_AGE = 4  # in spans; younger objects have separate classes
@@ -35,7 +35,7 @@
 
 
 class Calibration:
-    """The distances of both bounds from the mean in standard deviations, by class; the size is constant."""
+    """The distances of both bounds from the mean in standard deviations, by class; the number of classes is fixed."""
 
     def __init__(self) -> None:
         self.below = [INITIAL_Z] * (2 * MEAN_CLASSES)
--- a/hophinge/popularity/peer_demand.py
+++ b/hophinge/popularity/peer_demand.py
@@ -1,4 +1,4 @@
-"""The demand reports that heads exchange: the counts of a span in pages, and their sums over all owners.
+"""The demand reports that heads exchange: the counts of a span in pages, and their sums by zone.
 
 The owner of a page is the head that reports it. A newer page replaces the old one and is never added to it, so a page
 that is received twice, late or out of order counts once. Pages of different spans of one owner are never combined: a
@@ -45,7 +45,7 @@
 
 
 def encode_pages(span: int, served: float, items: Sequence[DemandItem]) -> list[bytes]:
-    """Encode the counts of a span in their order; what exceeds `MAX_PAGES` is omitted."""
+    """Encode the counts of a span in their order; items beyond `MAX_PAGES` pages are omitted."""
     items = items[: ITEMS_PER_PAGE * MAX_PAGES]
     item_groups = [items[start : start + ITEMS_PER_PAGE] for start in range(0, len(items), ITEMS_PER_PAGE)] or [()]
     return [
@@ -90,7 +90,7 @@
         self.malformed = 0
 
     def apply_page(self, now_us: int, owner: str, zone: str, version: tuple[int, int], data: bytes) -> bool:
-        """Apply a page; returns whether it is new. An older, duplicate or malformed one has no effect."""
+        """Apply a page; returns whether it is new. An older or duplicate page is ignored, a malformed one counted."""
         page = decode_page(data)
         if page is None:
             self.malformed += 1
--- a/hophinge/popularity/planner.py
+++ b/hophinge/popularity/planner.py
@@ -18,10 +18,10 @@
 from hophinge.cluster.interface import Member, Role, MemberState
 
 BURST_S = 10.0  # of unused budget that may accumulate: enough to carry over between spans, not from a whole night
-MIN_REQUEST_PROBABILITY = 0.4  # in the span; below it most fetches would be wasted
+MIN_REQUEST_PROBABILITY = 0.4  # of an object in the next span; below it most fetches would be wasted
 MAX_UNANSWERED = 8  # requests at this head from which on nothing is prefetched: the reads of two objects at once
 BUSY_BACKOFF_US = 50_000  # after that many unanswered requests were observed
-OVERLOAD_BACKOFF_US = 2_000_000  # after overload was observed: a queue that has just emptied may fill again
+OVERLOAD_BACKOFF_US = 2_000_000  # after overload or a rejected prefetch: a queue that just emptied may fill again
 # Share of the idle capacity of a shard's backends that the prefetches of all heads may use. A read occupies the idle
 # part of its backend. If the heads together read at intervals of the last read's duration divided by this share,
 # prefetches add at most this share to the mean wait of other requests there.
@@ -34,7 +34,7 @@
 class HoldReason(Enum):
     """Why no prefetch may be made now, from one shard or from any."""
 
-    BUSY = "busy"  # this head is overloaded or has many unanswered requests, or was or had a moment ago
+    BUSY = "busy"  # overload, many unanswered requests or a rejected prefetch, now or a moment ago
     UNKNOWN = "unknown"  # no backend of the shard is known
     SHARD_BACKOFF = "rest"  # too little time has passed since the last read from the shard
     DRAINING = "drain"
@@ -175,7 +175,7 @@
         self.backoff_until_us = now_us + OVERLOAD_BACKOFF_US
 
     def is_backing_off(self, now_us: int, load: LoadSnapshot) -> bool:
-        """Return whether prefetching backs off because of clients' requests."""
+        """Update the backoff by the load; returns whether prefetching backs off now."""
         if load.is_overloaded:
             self.backoff_until_us = now_us + OVERLOAD_BACKOFF_US
         elif load.unanswered >= MAX_UNANSWERED:
--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -200,7 +200,7 @@
     def _update_daily_rates(self, forecast: DemandForecast, count: float) -> None:
         if forecast.daily_rates is None:
             if forecast.age * BUCKETS_PER_DAY < self.season.spans_a_day:
-                return  # younger than an hour, as most objects stay: they need no daily rates
+                return  # younger than an hour: most objects are not followed for longer, and need no daily rates
             forecast.daily_rates = [-1.0] * BUCKETS_PER_DAY
         last_rate = forecast.daily_rates[self.current_bucket]
         weight = min(1.0, 2.0 * BUCKETS_PER_DAY / self.season.spans_a_day)
--- a/hophinge/popularity/season.py
+++ b/hophinge/popularity/season.py
@@ -28,7 +28,7 @@
         self.covariance = self.variance = INITIAL_TRUST
 
     def bucket(self, spans_ahead: int = 0) -> int:
-        """Return the bucket of the current span, or of the one that follows after `spans_ahead`."""
+        """Return the bucket of the span that is `spans_ahead` after the current one."""
         return (self.span + spans_ahead) % self.spans_a_day * BUCKETS_PER_DAY // self.spans_a_day
 
     def close_span(self, total: float) -> float:
--- a/hophinge/popularity/site.py
+++ b/hophinge/popularity/site.py
@@ -59,7 +59,7 @@
         self.by_manifest: dict[str, bytes] = {}  # by manifest id; not unique across volumes, so only used as a hint
         self.span = 0
         self.served = 0.0
-        self.typical_served = 0.0  # recent requests per span, by which peers' claims are limited
+        self.typical_served = 0.0  # decaying maximum of own requests per span, by which peers' claims are limited
         # Key, tenant and count of the closed span, as far as they are not forecast yet.
         self.pending_counts: list[tuple[bytes, str, float]] = []
         self.demand_elsewhere: dict[bytes, float] = {}  # mean requests per span at other sites, by key
@@ -208,7 +208,7 @@
     # --- queries
 
     def expected_requests(self, key: bytes) -> float:
-        """Return the expected requests in the next span, by own requests, or else by peers' reports.
+        """Return the expected requests in the next span, by the site's forecast, or else by other sites' reports.
 
         The count of the current span is a lower bound, as a flash crowd would otherwise be noticed a span late.
         """
@@ -227,7 +227,10 @@
         return self.expected_requests(object_key) * 1e6 / self.span_us if object_key is not None else 0.0
 
     def sole_reporter(self, key: bytes) -> str:
-        """Return the owner on whose report alone an object is expected; empty if the site has its own forecast."""
+        """Return the owner with the largest claim for an object that is expected by reports alone.
+
+        Empty if the site has a forecast of its own for the object, or if no owner claims it.
+        """
         if key in self.predictor.forecasts:
             return ""
         return next(iter(self.peer_demand.claimants(key)), "")
@@ -241,8 +244,8 @@
         """Return the prefetch candidates, whether or not they are cached already.
 
         An object that was requested here recently is usually cached. So an object with a forecast is a candidate only
-        if its lower bound is at least one request: the others that are not cached are overestimated more often than
-        not. An object known from reports alone counts by its mean.
+        if its lower bound is at least one request: of the objects with a smaller bound, those that are not cached are
+        overestimated more often than not. An object without a forecast here counts by its expected requests.
 
         Args:
             units: Returns the cost of a read by its size in bytes.
