--- a/hophinge/popularity/predict.py
+++ b/hophinge/popularity/predict.py
@@ -200,7 +200,7 @@
     def _update_daily_rates(self, forecast: DemandForecast, count: float) -> None:
         if forecast.daily_rates is None:
             if forecast.age * BUCKETS_PER_DAY < self.season.spans_a_day:
-                return  # younger than an hour, as most objects stay: they need no daily rates
+                return  # younger than an hour: most objects are not followed for longer, and need no daily rates
             forecast.daily_rates = [-1.0] * BUCKETS_PER_DAY
         last_rate = forecast.daily_rates[self.current_bucket]
         weight = min(1.0, 2.0 * BUCKETS_PER_DAY / self.season.spans_a_day)
@@ -243,12 +243,10 @@
             weight * (model_mean + model_mean * model_mean / shape + model_mean * model_mean)
             for weight, model_mean, shape in zip(weights, forecast.means, forecast.shapes, strict=True)
         )
-        prediction = self.calibration.interval(
-            prediction_class(mean, forecast.age), mean, max(mean, square - mean * mean)
-        )
-        forecast.mean = prediction.mean
-        forecast.low = prediction.low
-        forecast.high = prediction.high
+        bounds = self.calibration.interval(prediction_class(mean, forecast.age), mean, max(mean, square - mean * mean))
+        forecast.mean = bounds.mean
+        forecast.low = bounds.low
+        forecast.high = bounds.high
 
 
 def _weights(evidence: list[float]) -> list[float]:
