--- a/hophinge/fleet/dataplane/cluster_state.py
+++ b/hophinge/fleet/dataplane/cluster_state.py
@@ -82,9 +82,10 @@
         return self.renewal.max_holder_count if is_known else 0
 
     def connected_head_count(self, now: float) -> int:
-        """Return the largest number of heads known at once, as far as a granter in contact with a majority counts them.
+        """Return the largest number of heads known at once, if a granter in contact with a majority has counted them.
 
-        It is 0 until then: heads on the other side of a partition, or heads that just started, may be missing.
+        It is 0 until a lease duration after such a granter's first grant: heads on the other side of a partition, or
+        heads that just started, may be missing until then.
         """
         since = self.first_connected_at
         return self.renewal.max_holder_count if since is not None and now - since >= LEASE_DURATION_S else 0
--- a/hophinge/fleet/dataplane/connections.py
+++ b/hophinge/fleet/dataplane/connections.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """The state that the attempts of one request share: with one id, their responses cannot be told apart by it."""
+    """The state that a request's attempts share; they also share one id, which cannot tell their responses apart."""
 
     request_id: str | None = None
     carriers: set[InstanceConnection] = field(default_factory=set)  # connections that the request was sent on
@@ -175,7 +175,7 @@
     async def release(self) -> None:
         """Release the connection after its request; close it if its response was not read completely.
 
-        A second cancellation, for one, interrupts the reading.
+        For example, a second cancellation interrupts the reading.
         """
         self.idle_since = asyncio.get_running_loop().time()
         claim_id = self.claim_id
--- a/hophinge/fleet/forwarding/claims.py
+++ b/hophinge/fleet/forwarding/claims.py
@@ -24,7 +24,7 @@
         return bool(self._deadlines)
 
     def acquire(self, deadline: float) -> int | None:
-        """Return the id of a new claim that ends at `deadline` at the latest; None where the resource is retired."""
+        """Return the id of a new claim that ends at `deadline` at the latest; None if the resource is retired."""
         if self.is_retired:
             return None
         claim_id = next(self._claim_ids)
--- a/hophinge/fleet/forwarding/pending.py
+++ b/hophinge/fleet/forwarding/pending.py
@@ -1,8 +1,8 @@
 """Decides whether a request waits for a stage that is about to have an instance, or is rejected with `Retry-After`.
 
 A rejected client retries once, and follows `Retry-After` only up to a fraction of its remaining time. A response after
-the target has less value, and no response has none. So a request waits if it can still be answered by its target, or if
-its client would retry too early; it is rejected at once if the client can retry in time, or would give up before.
+the target has less value, and a missing one has none. So a request waits if it can still be answered by its target, or
+if its client would retry too early; it is rejected at once if the client can retry in time, or would give up before.
 
 Without I/O; times are seconds on the caller's clock.
 """
@@ -14,7 +14,9 @@
 RETRY_AFTER_FRACTION = 1 / 3  # of its remaining time: the longest `Retry-After` that a client follows
 MIN_SERVICE_S = 0.1  # from an instance's readiness to the first event of a response, at least
 POLL_INTERVAL_S = 0.1  # between checks whether the stage is ready
-FRESH_FRACTION = 0.95  # of the route's timeout: a request with less time left was rejected before
+FRESH_FRACTION = (
+    0.95  # of the route's timeout: a request that arrives with less time left is taken for a client's retry
+)
 MAX_PENDING = 64  # requests of one head that wait at once; its limit on bodies bounds their memory
 
 
--- a/hophinge/fleet/forwarding/request_lifecycle.py
+++ b/hophinge/fleet/forwarding/request_lifecycle.py
@@ -21,7 +21,7 @@
 from hophinge.fleet.placement.prompt import Prompt
 
 MIN_ATTEMPT_S = 0.02  # no attempt begins with less time left than this
-INITIAL_BACKOFF_S = 0.02  # after the first round in which all instances refused; doubled after each later one
+INITIAL_BACKOFF_S = 0.02  # after the first round in which no instance took the request; doubled after each later one
 MAX_BACKOFF_S = 0.32
 MAX_PREFILLS = 4  # for one request
 UNAVAILABLE, BAD_GATEWAY, GATEWAY_TIMEOUT = 503, 502, 504
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Wait before the next round: every instance refused the request in this one, or its stage has no instance yet."""
+    """Wait before the next round: no untried instance is left in this one, or the stage has no instance yet."""
 
     seconds: float
 
@@ -91,7 +91,7 @@
     last_event_id: str | None = None
     excluded: set[str] = field(default_factory=set)
     attempts: int = 0
-    retry_rounds: int = 0  # in which every instance refused
+    retry_rounds: int = 0  # in which no instance took the request
     pending_since: float | None = None  # since when it waits for a stage that has no instance
 
     def next_step(self, now: float) -> NextStep:
@@ -116,7 +116,7 @@
         return self._prefill(now, plan) if plan.is_prefill_only else self._generate(now, plan)
 
     def _begin_retry_round(self, now: float) -> NextStep:
-        """Back off before all instances are tried again: an instance that has just refused would refuse again."""
+        """Back off before all instances are tried again: one that has just failed or refused would do so again."""
         backoff_s = min(INITIAL_BACKOFF_S * 2**self.retry_rounds, MAX_BACKOFF_S)
         if self.deadline - now < backoff_s + MIN_ATTEMPT_S:
             return self._reject(BAD_GATEWAY, "no instance")
--- a/hophinge/fleet/forwarding/trace.py
+++ b/hophinge/fleet/forwarding/trace.py
@@ -20,7 +20,7 @@
     sent_s: float
     units: float  # prompt tokens that are not expected in the instance's cache
     forecast: Forecast
-    over_s: float | None = None
+    over_s: float | None = None  # end of the attempt; None while it is in flight
     ending: str = ""
 
 
@@ -33,7 +33,7 @@
     aim_s: float
     attempts: list[Attempt] = field(default_factory=list)
     first_s: float | None = None  # its first event, or its complete response
-    over_s: float | None = None
+    over_s: float | None = None  # end of the request; None while it is open
     ending: str = ""
     refusal: str = ""  # why no further attempt was made, if the request was rejected
 
--- a/hophinge/fleet/transport/connection_state.py
+++ b/hophinge/fleet/transport/connection_state.py
@@ -113,9 +113,8 @@
             self.waiting_since = now
         elif self.read_state is ReadState.HEAD:
             previous_bytes = 0 if self.is_header_new else self.header_bytes
-            is_shared = (
-                self.is_header_new and self.completed_requests > 0
-            )  # some of these bytes belong to another request
+            # Some of these bytes belong to another request.
+            is_shared = self.is_header_new and self.completed_requests > 0
             self.header_bytes = previous_bytes + (0 if is_shared else count)
         self.is_header_new = False
         self.completed_requests = 0
--- a/hophinge/head/accounts.py
+++ b/hophinge/head/accounts.py
@@ -29,8 +29,8 @@
 from hophinge.tenancy.concurrency_quota import ConcurrencyQuota
 from hophinge.tenancy.lifecycle import TenantState
 
-FLUSH_INTERVAL_S = 1.0  # of usage; a head that is killed loses the usage counted since the last flush
-MAX_UPLOADS_CHECKED = 50  # of a tenant's open uploads, in one pass over them
+FLUSH_INTERVAL_S = 1.0  # between flushes of usage; a head that is killed loses the usage counted since the last one
+MAX_UPLOADS_CHECKED = 50  # open uploads of one tenant that are checked or aborted in one pass
 RETRY_INTERVAL_S = 1.0  # suggested to clients of a tenant that is at its limit of connections or requests
 INVALID_KEYS_S, INVALID_KEYS_BURST = 50.0, 200.0  # from one address; beyond, its requests fail without a key check
 
@@ -39,7 +39,7 @@
     """The tenants that the service document names and that have no account."""
 
     def owner(self, volume: str) -> str:
-        """Return the tenant of a volume; empty where there is none."""
+        """Return the tenant of a volume; empty if there is none."""
 
     def admits(self, connection: object, volume: str) -> bool:
         """Return whether a request for a volume is allowed on a connection."""
@@ -202,9 +202,9 @@
             return False
         return True
 
-    def answered(self, ask: api.Arrival, status: int, bytes_in: int, bytes_out: int) -> None:
+    def answered(self, arrival: api.Arrival, status: int, bytes_in: int, bytes_out: int) -> None:
         """Count a response of the platform's frontend as its tenant's usage."""
-        volume = ask.volume.lower()
+        volume = arrival.volume.lower()
         tenant = self.accounts.owner(volume) or (
             self.document_tenants.owner(volume) if self.document_tenants is not None else ""
         )
@@ -215,7 +215,7 @@
             (outcome, 1),
             (used.BYTES_IN, bytes_in),
             (used.BYTES_OUT, bytes_out),
-            (used.UNITS, ask.units if outcome == used.SERVED else 0),
+            (used.UNITS, arrival.units if outcome == used.SERVED else 0),
         ):
             if amount:
                 self.count(tenant, volume, field, amount)
--- a/hophinge/head/drain_schedule.py
+++ b/hophinge/head/drain_schedule.py
@@ -9,7 +9,7 @@
 # SIGKILL follows the signal after the longest deadline of a class, at most MAX_DEADLINE_US, plus KILL_MARGIN_US.
 MAX_DEADLINE_US, KILL_MARGIN_US = 3_000_000, 700_000
 ANSWER_MARGIN_US = 250_000  # between the last response and SIGKILL
-TYPICAL_FRACTION = 0.5  # of its class's target latency, which a request usually takes
+TYPICAL_FRACTION = 0.5  # of its class's target latency: the time that a request usually takes
 
 
 class DrainSchedule:
--- a/hophinge/head/limits.py
+++ b/hophinge/head/limits.py
@@ -10,8 +10,8 @@
 MIN_SOCKETS = 16  # for backends and for clients each, however many another process uses
 RESERVED_SOCKETS = 40  # for files, discovery and connections that are being closed
 BACKEND_FRACTION = 0.4  # of the rest, for connections to backends
-CLIENT_DIVISOR = 3  # of the limit: clients' connections with a request
-IDLE_DIVISOR = 5  # of the limit: clients' idle connections, besides those with a request
+CLIENT_DIVISOR = 3  # of the socket limit: connections that clients may hold for requests, also in an upgrade
+IDLE_DIVISOR = 5  # of the socket limit: clients' idle connections, besides those with a request
 MAX_IDLE_PER_BACKEND = 24  # connections to one backend, from all heads together; idle ones beyond it are closed
 SMALL_FLEET = 8  # processes; so few never fill a backend's connection table, and reconnecting costs more than idling
 BASE_MB = 36  # memory of a process without bodies
--- a/hophinge/head/maintenance.py
+++ b/hophinge/head/maintenance.py
@@ -50,9 +50,9 @@
         self.gate = gate
         self.last_answer_us: dict[str, int] = {}  # by backend
 
-    def admit(self, now_us: int, ask: Arrival) -> Bounds | WaitAtGate | int:
+    def admit(self, now_us: int, arrival: Arrival) -> Bounds | WaitAtGate | int:
         """Pass on."""
-        return self.gate.admit(now_us, ask)
+        return self.gate.admit(now_us, arrival)
 
     def release(self, now_us: int) -> list[tuple[str, int]]:
         """Pass on."""
@@ -171,7 +171,7 @@
         return requests
 
     def _apply_update(self, response: DiscoveryResponse) -> None:
-        """Apply an update of the issuer."""
+        """Apply an update that the control service sent on the stream."""
         update = decode_update(response)
         self.service_has_sent = True
         self.accepts_changes = update.accepts_list_changes
--- a/hophinge/head/process_handoff.py
+++ b/hophinge/head/process_handoff.py
@@ -28,8 +28,8 @@
     """The shared files of one process.
 
     Each process holds a lock on a file while it is alive; the kernel releases it however the process ends. Ejections
-    are merged, the newest of a backend counts. A process that finds an own ejection missing in the file writes it
-    again, so that a concurrent write is not lost for long.
+    are merged; the newest one of a backend wins. A process that finds one of its ejections missing in the file writes
+    it again, so that a concurrent write is not lost for long.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.path = folder / f"{LOCK_PREFIX}{os.getpid()}"
         os.rename(self.file.name, self.path)
         self.other_pids: list[int] = []
-        self.other_counts_until = 0  # until then another process counts, as its last requests still load the backends
+        self.other_counts_until = 0  # until then another process counts: its last requests are in the overload window
         self.last_read: tuple[int, int] | None = None
 
     @property
--- a/hophinge/head/sections.py
+++ b/hophinge/head/sections.py
@@ -16,7 +16,7 @@
 
     listen: str  # host:port for datagrams; peers use it, too, unless `advertise` is set
     seeds: list[str]  # host:port of some members; may include this one
-    key_file: Path  # one key per line, at most two: the first is used, the second is still accepted
+    key_file: Path  # one key per line, newest first, at most two: the first is used, the second is still accepted
     name: str = ""  # unique in the cluster; empty: the head's name
     zone: str = ""
     advertise: str = ""  # host:port at which peers reach this member; empty: `listen`
--- a/hophinge/head/service.py
+++ b/hophinge/head/service.py
@@ -258,7 +258,7 @@
             self.control_listener.close()
         for listener in (*self.fronts, self.control):
             if listener is not None:
-                listener.server.pre_shutdown()  # closes idle connections, which `shutdown` would wait for otherwise
+                listener.server.pre_shutdown()  # ends the handlers of idle connections; `shutdown` would wait for them
                 await listener.server.shutdown(SHUTDOWN_S)
         await self.close()
 
--- a/hophinge/head/shutdown.py
+++ b/hophinge/head/shutdown.py
@@ -16,7 +16,7 @@
 
 LATE_ARRIVALS_S = 0.6  # for which new connections keep arriving after SIGTERM
 BACKLOG_TIMEOUT_S = 1.0  # to accept the connections in the listening socket's queue while capacity is short
-MIN_IDLE_S = 0.7  # a connection that has been idle for so long is hardly the next to be used
+MIN_IDLE_S = 0.7  # a connection that has been idle for this long is unlikely to be used next
 # In a handoff, all connections are closed this long before SIGKILL; until then each response closes its connection.
 HANDOFF_MARGIN_S = 0.5
 FLUSH_TIMEOUT_S = 0.1  # after the time of the last response, for connections that close and data being written
@@ -43,7 +43,7 @@
         front: The platform's frontend.
         objects: The object front, if it is enabled.
         admin: The administration API's listener, if it is enabled.
-        acceptors: Of all listeners for clients.
+        acceptors: The acceptors of all listeners for clients.
         hands_over: Whether another process takes over the listening socket.
         signalled_us: When the signal came, on the exchange's clock: the platform counts from then, while the event
             loop may begin the shutdown later.
--- a/hophinge/head/streamed_configuration.py
+++ b/hophinge/head/streamed_configuration.py
@@ -197,7 +197,7 @@
         self.connections = ConcurrencyQuota()
 
     def owner(self, volume: str) -> str:
-        """Return the tenant of a volume; empty where there is none."""
+        """Return the tenant of a volume; empty if there is none."""
         return self.router.table.tenant_by_volume.get(volume.lower(), "")
 
     def admits(self, connection: object, volume: str) -> bool:
@@ -208,7 +208,7 @@
         self.counters.add("tenants_bounded")
         return False
 
-    def answered(self, ask: Arrival, status: int, bytes_in: int, bytes_out: int) -> None:
+    def answered(self, arrival: Arrival, status: int, bytes_in: int, bytes_out: int) -> None:
         """Ignore an answer: without accounts, usage is not recorded."""
 
     def dropped(self, holder: object) -> None:
--- a/hophinge/head/watchdog.py
+++ b/hophinge/head/watchdog.py
@@ -1,7 +1,7 @@
 """Interrupts a scorer's call that does not return: a thread watches, and a signal handler raises in the call.
 
 This ends loops in Python and waits in the kernel (sleep, a lock, a socket); an exception set by another thread would
-not end the latter. It costs nothing at a call. C code that does not release the interpreter lock is not interrupted.
+not end the latter. It adds no cost to a call. C code that does not release the interpreter lock is not interrupted.
 """
 
 from __future__ import annotations
--- a/hophinge/net/backend_connection.py
+++ b/hophinge/net/backend_connection.py
@@ -167,9 +167,8 @@
             super().data_received(data)
             self.framing_bytes += len(data)
             if self.exception() is not None:
-                self._fail(
-                    "the chunked encoding is malformed"
-                )  # aiohttp fails the connection, but not the body being read
+                # aiohttp fails the connection, but not the body being read.
+                self._fail("the chunked encoding is malformed")
             elif body is None or body.is_eof():
                 self.state = "idle"
             elif self.framing_bytes > MAX_CHUNK_FRAMING + 2 * body.total_bytes:
--- a/hophinge/net/connection_pool.py
+++ b/hophinge/net/connection_pool.py
@@ -18,7 +18,7 @@
 from hophinge.net.connection_attempts import ConnectionAttempts, ConnectTimeEstimate
 from hophinge.net.connection_registry import ConnectionRegistry
 
-MAX_CONNECT_FACTOR = 6.0  # multiple of the connect time-out after which a connect without a waiter is cancelled
+MAX_CONNECT_FACTOR = 6.0  # multiple of the connect time-out after which a connect is cancelled
 # Event-loop iterations before a connect counts as late: after a stall of this process, connects that have completed
 # meanwhile must be processed first.
 LATE_CHECK_ITERATIONS = 5
@@ -178,7 +178,7 @@
             async with asyncio.timeout(MAX_CONNECT_FACTOR * self.connect_timeout_s):
                 connection = await self.connect(endpoint)
         except TimeoutError:
-            pass  # waiting requests have had their own time-out before
+            pass  # the request that caused this connect has timed out before; later ones get a new connect below
         except (aiohttp.ClientError, OSError) as error:
             failure = error
         finally:
@@ -190,7 +190,7 @@
         self._start_connects(endpoint, pool)
 
     def retain(self, endpoints: set[str]) -> None:
-        """Discard all endpoints but these, and those that requests still wait for."""
+        """Discard all endpoints except these and those that requests still wait for."""
         for endpoint, pool in list(self.endpoints.items()):
             if endpoint not in endpoints and not pool.waiters:
                 self._discard(pool)
--- a/hophinge/net/discovery.py
+++ b/hophinge/net/discovery.py
@@ -160,7 +160,7 @@
         self.last_fault = ""  # the error of the most recent failed calls, "" after a success
         self.pacer = DiscoveryPacer(heads, random.Random(seed), pushed)
         self.task: asyncio.Task[None] | None = None
-        # Set once the first list has arrived, or discovery has turned out to be unavailable.
+        # Set once the first list has arrived, or discovery is unavailable and there is a saved list to start from.
         self.first_answer = asyncio.Event()
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
--- a/hophinge/net/frontend.py
+++ b/hophinge/net/frontend.py
@@ -138,7 +138,10 @@
         return structs.replace(arrival, time_left_us=left_us)
 
     def _reject_overload(self, request: web.BaseRequest, klass: str) -> web.Response:
-        """Reject a request above the limit of open ones, so that sockets remain for backends and accepts."""
+        """Reject a request above the limit of open ones, or one that its tenant's limits do not admit.
+
+        The connection is closed with the answer, so that sockets remain for backends and accepts.
+        """
         request[OPEN_COUNT] = self.exchange.metrics.open_request(klass)
         advice_us = min(RETRY_AFTER_US, self.exchange.settings.allowed.retry_after_us)
         response = web.Response(status=503, headers={"Retry-After": f"{advice_us / 1e6:g}"} if advice_us > 0 else {})
--- a/hophinge/net/listener.py
+++ b/hophinge/net/listener.py
@@ -90,9 +90,8 @@
         self.is_draining = False
         self.on_connection_closed: Callable[[Any], None] | None = None  # called with each connection that has ended
         self.busy: set[ClientConnection] = set()
-        self.idle: dict[
-            ClientConnection, float
-        ] = {}  # by idle connection, the longest idle first: loop time since when it is idle
+        # The loop time at which each idle connection became idle, the longest idle first.
+        self.idle: dict[ClientConnection, float] = {}
         self.closing_connections: set[ClientConnection] = set()  # connections whose sending side is shut down
         self.server: web.Server = ConnectionFactory(self, first_head_timeout_s)
 
--- a/hophinge/net/payload.py
+++ b/hophinge/net/payload.py
@@ -6,7 +6,7 @@
 
 from hophinge.net.request_body import RequestBodyStream
 
-MAX_SHORT_BODY = 64 * 1024  # bytes
+MAX_SHORT_BODY = 64 * 1024  # bytes; request bodies up to this length are always buffered whole
 MAX_LONG_BODY = 33 * 1024 * 1024  # bytes of a request or answer body
 IDEMPOTENCY_KEY = "Idempotency-Key"
 MAX_BUFFERED_ANSWER = 64 * 1024  # bytes; an answer of at most this length is forwarded once it is complete
