--- a/hophinge/control/rollout.py
+++ b/hophinge/control/rollout.py
@@ -85,7 +85,7 @@
         self.rule = rule
         self.heads = {name: HeadStatus(name, last_seen_us) for name, last_seen_us in known_heads}
         self.acknowledged_since_us = 0  # when the last head of the wave acknowledged; 0: some have not
-        self.unacknowledged: dict[str, int] = {}  # by name of a head that does not run the target yet: since when, µs
+        self.unacknowledged: dict[str, int] = {}  # reached heads that do not run the target yet, and since when, in us
 
     # --- targets
 
@@ -105,7 +105,7 @@
         if wave == 0 and self.rule.first:
             return first
         share = self.rule.waves[min(wave - bool(self.rule.first), len(self.rule.waves) - 1)]
-        # Ordered by hash, so that a head is in the same wave of every rollout, whatever its name.
+        # Ordered by a hash of the name: the order is the same in every rollout and does not follow naming schemes.
         ranked = sorted(known, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
         return first | set(ranked[: math.ceil(share * len(ranked) - ROUNDING_TOLERANCE)])
 
@@ -247,7 +247,7 @@
         usual = sum(head.usual_failure_rate * (head.requests - head.baseline_requests) for head in upgraded)
         if requests >= MIN_REQUESTS and failed > usual + self.rule.max_failure_share * requests:
             return (
-                f"{failed:g} of {requests:g} requests failed where it runs, {usual:.0f} by what was usual there; "
-                f"over the stated {100 * self.rule.max_failure_share:g} % more"
+                f"{failed:g} of {requests:g} requests failed where it runs, {usual:.0f} expected from earlier rates; "
+                f"the excess is above the limit of {100 * self.rule.max_failure_share:g} %"
             )
         return ""
--- a/hophinge/control/wire.py
+++ b/hophinge/control/wire.py
@@ -1,7 +1,7 @@
 """Protobuf encoding of the discovery stream's messages.
 
 Records, leases and accounts are encoded as JSON within a protobuf message, so that each is defined in one place only:
-`hophinge.routing.records`, `hophinge.tenancy.share_leases` and `hophinge.tenancy.accounts`.
+`hophinge.routing.records`, `hophinge.tenancy.share_leases` and `hophinge.tenancy.records`.
 """
 
 from __future__ import annotations
--- a/hophinge/routing/limits.py
+++ b/hophinge/routing/limits.py
@@ -3,7 +3,8 @@
 A request is open until it is answered. It must be within all limits that match it.
 
 A limit's state survives a version that changes the limit, so that units which were already used stay used: raising a
-limit does not grant them a second time, and lowering it leaves a debt.
+limit does not grant them a second time, and lowering it does not cancel a debt. If a limit without a rate gets one, its
+bucket starts full.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
         return self.level
 
     def set_limit(self, limit: Limit, now_us: int) -> None:
-        """Replace the limit by that of another version, and keep what was used."""
+        """Replace the limit by that of another version; used units stay used unless the old limit had no rate."""
         self.refill(now_us)
         has_new_rate = not self.limit.rate and limit.rate
         self.limit = limit
@@ -91,7 +92,7 @@
         self.updated_us = [now_us, now_us]
 
     def pacing_delay_us(self, limit: Limit, direction: int, size: int, now_us: int) -> int:
-        """Count `size` transferred bytes; return the delay before the next chunk. `direction`: 0 for in, 1 for out."""
+        """Count `size` transferred bytes; return the us until the next chunk may follow. `direction`: 0 in, 1 out."""
         rate = (limit.bytes_in, limit.bytes_out)[direction]
         if not rate:
             return 0
@@ -102,7 +103,7 @@
 
 
 class Limiter:
-    """States of all limits of the active version."""
+    """States of the limits that were used, including removed ones until `drop_removed` drops them."""
 
     def __init__(self) -> None:
         self.states: dict[str, LimitState] = {}
--- a/hophinge/routing/router.py
+++ b/hophinge/routing/router.py
@@ -217,7 +217,7 @@
         return self.limiter.pacing_delay_us(self.table.limits.matching(tenant, name, klass), direction, size, now_us)
 
     def _level(self, table: RoutingTable, route: Route | None, shard: int) -> FailoverLevel | None:
-        """Return the level of its route that a request goes to; None if it may use no backend that is live."""
+        """Return the level that a request goes to; None if no pool of its route is usable and no other may be used."""
         levels = self.failover_levels.levels_of(table, route.pools if route is not None else ALL_BACKENDS)
         if shard >= 0:
             return next((level for level in levels if shard in level.view.shards), levels[0])
--- a/hophinge/tenancy/admission.py
+++ b/hophinge/tenancy/admission.py
@@ -18,7 +18,7 @@
 from hophinge.tenancy.reserve import Reserve
 
 MIN_RETRY_AFTER_US = 10_000
-# Retry advice if the tenant is no longer served; the exchange caps it at the maximum of the settings.
+# Retry advice if the tenant is no longer served; the core's exchange caps it at the maximum of the settings.
 EVICTED_RETRY_AFTER_US = 60_000_000
 MAX_BURST_S = 0.25  # of a reserve that may accumulate; small, since all tenants may use theirs at the same time
 # A tenant that is idle for longer is dropped: its reserve is full by then, as that of a new tenant is.
@@ -39,7 +39,8 @@
 class SpareCapacity(Struct, frozen=True):
     """How a head shares the capacity that no reserve uses."""
 
-    max_units_in_flight: float  # units at the decision module, above which only reserved requests are admitted
+    # Units at the decision module, above which only reserved requests are admitted; with none in flight, any is.
+    max_units_in_flight: float
     max_wait_us: int  # in the queue
     max_queued_requests: int = 256  # per tenant
 
@@ -283,7 +284,7 @@
         self.units_in_flight += ticket.request.units
 
     def _retry_after_us(self, ticket: Ticket, now_us: int) -> int:
-        """Return the us until the tenant's reserve covers the request, or twice the longest wait if it never will."""
+        """Return the us until the tenant's reserve covers the request; twice the longest wait if it never will."""
         ticket.tenant.reserve.fill(now_us)
         wait_us = ticket.tenant.reserve.total.wait_us(ticket.request.units)
         return max(MIN_RETRY_AFTER_US, wait_us if wait_us >= 0 else 2 * self.spare_capacity.max_wait_us)
--- a/hophinge/tenancy/fair_queue.py
+++ b/hophinge/tenancy/fair_queue.py
@@ -13,7 +13,7 @@
 import itertools
 from typing import Generic, TypeVar
 
-MAX_REMOVED_ENTRIES = 16  # removed items that a leaf's queue may keep before it is compacted
+MAX_REMOVED_ENTRIES = 16  # removed items that a leaf's queue may keep, in addition to one per queued item
 MIN_FLOWS_TO_SWEEP = 64  # number of flows of a node up to which idle flows are not dropped
 IDLE_FLOWS_RATIO = 4  # flows per flow with queued items, above which idle flows are dropped
 
@@ -74,7 +74,7 @@
         }
 
     def activate(self, flow: Flow[Item]) -> None:
-        """Add a flow to the heap that had no queued items until now."""
+        """Add a flow, which had no queued items until now, to the heap."""
         flow.start_tag = max(self.virtual_time, flow.finish_tag)
         heapq.heappush(self.active, (flow.start_tag, next(self._count), flow))
 
