--- a/hophinge/fleet/configuration/route_table_reader.py
+++ b/hophinge/fleet/configuration/route_table_reader.py
@@ -103,9 +103,8 @@
         """Read a number; where there is a default, null counts as missing."""
         value: Any = self.fields.get(name)
         kind = type(value)
-        if (
-            kind is int or kind is float
-        ) and -MAX_INTEGER <= value <= MAX_INTEGER:  # fast path: documents have many numbers
+        # Fast path, because documents have many numbers.
+        if (kind is int or kind is float) and -MAX_INTEGER <= value <= MAX_INTEGER:
             return float(value)
         if value is None and default is not None:
             return default
--- a/hophinge/fleet/controlplane/counter_api.py
+++ b/hophinge/fleet/controlplane/counter_api.py
@@ -31,7 +31,7 @@
 
 
 class CounterApi:
-    """Serves requests for counters; a member without a disk redirects callers to a member that stores counters."""
+    """Serves requests for counters; a member without counters redirects callers to a member that stores them."""
 
     def __init__(self, host: CounterHost | None, directory: CounterDirectory, control_address: str) -> None:
         self.host = host
--- a/hophinge/fleet/controlplane/counter_host.py
+++ b/hophinge/fleet/controlplane/counter_host.py
@@ -101,7 +101,7 @@
         self.handle(CounterMessageReceived(source, message))
 
     async def add(self, increment: Increment) -> CounterResponse:
-        """Store an increment, and wait until it may be acknowledged or its outcome is unknown."""
+        """Store an increment, and wait until it may be acknowledged, is rejected, or its outcome is unknown."""
         return await self._request(lambda request_id: AddRequest(request_id, increment))
 
     async def read(self, counter: str) -> CounterResponse:
@@ -216,7 +216,7 @@
 
 
 class CounterDirectory:
-    """Chooses the member to which a member without a disk redirects requests for counters."""
+    """Chooses the member to which a member that stores no counters redirects requests for them."""
 
     def __init__(self, replica: ReplicaStateMachine, records: GossipStore, random: Random) -> None:
         self.replica = replica
--- a/hophinge/fleet/controlplane/departure_host.py
+++ b/hophinge/fleet/controlplane/departure_host.py
@@ -1,4 +1,7 @@
-"""Stores departure records, which mark unregistered instances, on a member's disk and confirms synced records."""
+"""Stores departure records on a member's disk, and confirms them once they are synced.
+
+A departure record marks an instance as draining or unregistered.
+"""
 
 from __future__ import annotations
 
--- a/hophinge/fleet/controlplane/schemas.py
+++ b/hophinge/fleet/controlplane/schemas.py
@@ -53,7 +53,7 @@
     @field_validator("address")
     @classmethod
     def _validate_address(cls, address: str) -> str:
-        """Reject addresses other than an IPv4 address with a valid port: calls would fail or need a DNS lookup."""
+        """Reject addresses other than an IPv4 address with a valid port: requests would fail or need a DNS lookup."""
         host, port = address.rsplit(":", 1)
         if not 0 < int(port) <= MAX_PORT:
             raise ValueError("the port is not between 1 and 65535")
--- a/hophinge/fleet/placement/admission.py
+++ b/hophinge/fleet/placement/admission.py
@@ -34,7 +34,7 @@
     def is_unreachable(self, now: float, instance: Instance, may_probe: bool = True) -> bool:
         """Return whether the instance is avoided because its zone is unreachable.
 
-        It gets requests only when its stage has no other instance.
+        Requests are sent to it only if its stage has no reachable instance, and never for the prefill stage.
         """
         return self.reachability.is_avoided(now, instance, may_probe)
 
--- a/hophinge/fleet/placement/hint_exchange.py
+++ b/hophinge/fleet/placement/hint_exchange.py
@@ -20,7 +20,7 @@
 
 MILLISECONDS = 1_000
 MEAN_RELAY_DELAY_S = 0.03  # of a hint on its way from one head to another
-MIN_TOKENS = 64  # charged for each request, even if it needs no prefill
+MIN_TOKENS = 64  # minimum that a request is charged, even if it needs no prefill
 
 
 class HintExchange:
--- a/hophinge/fleet/placement/instance_table.py
+++ b/hophinge/fleet/placement/instance_table.py
@@ -74,7 +74,7 @@
             node.cache.capacity_tokens = self.cache_tokens.get(node.instance.service, 0)
 
     def predict_stage(self, now: float, service: str, stage: str) -> StageOutlook:
-        """Predict when a stage of a service that rejects requests now will accept them."""
+        """Predict when a service's stage that accepts no requests now will accept them again."""
         members = self.pool(service, stage).available_nodes()
         other_stage = OTHER_STAGE.get(stage)
         others = self.pool(service, other_stage).available_nodes() if other_stage is not None else []
--- a/hophinge/fleet/placement/queue.py
+++ b/hophinge/fleet/placement/queue.py
@@ -75,7 +75,7 @@
         return next((job for job in (*self.started, *self.queued) if job.job_id == job_id), None)
 
     def service_us(self, job: Job, ended_at_us: float) -> float:
-        """Return the service time of a job that has just ended: since the previous job's end, or its own arrival."""
+        """Return the service time of a job that has just ended: since the last job's end, or its own later arrival."""
         return max(MIN_SAMPLE_US, ended_at_us - max(self.last_done_at_us, job.arrived_at_us))
 
     def finish(self, now_us: float, job: Job, ended_at_us: float) -> None:
@@ -98,8 +98,8 @@
         """Correct the estimate by the number of requests that the instance reports as waiting.
 
         If the estimated queue is longer, its first jobs are removed, except those that are too new to be in the report.
-        If it is shorter, jobs of mean size and the lowest priority are added, up to a length of MAX_PHANTOM_JOBS. One
-        job more than reported remains: the running one.
+        One job more than reported remains: the running one. If the queue is shorter by more than one job, jobs of mean
+        size and the lowest priority are added until it is one job shorter, up to a length of MAX_PHANTOM_JOBS.
         """
         self._advance(now_us)
         reportable = [job for job in self.queued if now_us - job.arrived_at_us > MAX_REPORT_AGE_US]
--- a/hophinge/fleet/placement/reachability.py
+++ b/hophinge/fleet/placement/reachability.py
@@ -31,9 +31,8 @@
 class ZoneState:
     """The reachability of one zone, as this head knows it."""
 
-    failed_at: dict[str, float] = field(
-        default_factory=dict
-    )  # by instance: the last failure here since the zone's last response
+    # By instance: the last failure here since the zone's last response.
+    failed_at: dict[str, float] = field(default_factory=dict)
     suspected_at: dict[str, float] = field(default_factory=dict)  # by instance: the last failure at another head
     answered_at: float = float("-inf")
     reported_at: float = float("-inf")
@@ -97,7 +96,7 @@
             zone.suspected_at[instance.identity] = now
 
     def record_reports(self, now: float, instances: Iterable[Instance]) -> None:
-        """Record the load reports of engines; the first one of a zone after a gap ends the zone's backoff."""
+        """Record the load reports of engines; after a gap, the first one of a zone allows a probe at once."""
         for name in {instance.zone for instance in instances}:
             zone = self.zones.setdefault(name, ZoneState())
             if now - zone.reported_at > REPORT_GAP_S:
--- a/hophinge/fleet/placement/scoring.py
+++ b/hophinge/fleet/placement/scoring.py
@@ -74,7 +74,10 @@
         return candidate.done_at_us + weight * candidate.service_us + reread_us + self._cross_zone_body_us(node)
 
     def _decode_cost_us(self, prefill_node: Node, candidate: Candidate) -> float:
-        """Return the cost of decoding at an instance after the prefill at another; infinite without a KV transfer."""
+        """Return the cost of decoding at an instance after the prefill at another.
+
+        The cost is infinite if the KV cache cannot be transferred between them.
+        """
         node = candidate.node
         if not self.can_transfer(prefill_node, node):
             return float("inf")
--- a/hophinge/fleet/placement/timing.py
+++ b/hophinge/fleet/placement/timing.py
@@ -13,22 +13,15 @@
 OTHER_STAGE = {PREFILL: DECODE, DECODE: PREFILL}
 MEAN_UNITS_STEP = 0.04  # weight of the newest request in the mean size of requests
 START_UNIT_US = {PREFILL: 30.0, DECODE: 60.0, PLAIN: 20_000.0}  # before any sample
-START_FIXED_US = {
-    PREFILL: 25_000.0,
-    DECODE: 30_000.0,
-    PLAIN: 0.0,
-}  # part of a response time that does not depend on its units, before any sample
+# The part of a response time that does not depend on its units, before any sample.
+START_FIXED_US = {PREFILL: 25_000.0, DECODE: 30_000.0, PLAIN: 0.0}
 QUANTILE = 0.3  # of response times: responses below it count as served without queueing
 NODE_STEP = 0.3  # weight of the newest sample in an instance's time per unit
 TYPICAL_STEP = 0.05  # weight of the newest sample in the typical time per unit of the stage
 UNIT_STEP = 0.1  # maximum relative change of the time per unit by one response
 FIXED_STEP_US = 4_000.0  # maximum change of the fixed time by one response
 MAX_SAMPLE_RATIO = 2.0  # between a sample and the time per unit; samples beyond it are clipped
-MIN_SAMPLE_UNITS = {
-    PREFILL: 1_500.0,
-    DECODE: 1_500.0,
-    PLAIN: 0.0,
-}  # smaller requests are not used as samples
+MIN_SAMPLE_UNITS = {PREFILL: 1_500.0, DECODE: 1_500.0, PLAIN: 0.0}  # smaller requests are not used as samples
 
 
 class StageTiming:
--- a/hophinge/fleet/placement/warmup.py
+++ b/hophinge/fleet/placement/warmup.py
@@ -1,4 +1,4 @@
-"""Rate limits for cold instances: a cold instance can handle only few requests a second, summed over all heads.
+"""Rate limits for cold instances: a cold instance can handle only a few requests per second, summed over all heads.
 
 Heads do not share a counter: by the time a count arrived, the next requests would already be on their way. Instead,
 each head decides independently, by hashing its own name with the instance's, whether it has a permit to send to a cold
--- a/hophinge/fleet/program.py
+++ b/hophinge/fleet/program.py
@@ -109,7 +109,7 @@
         try:
             await work()
             failures = 0
-        except Exception:  # broad: no kind of failure in a step may end the process
+        except Exception:  # broad: a single failure of any kind must not end the process
             failures += 1
             logger.exception("periodic step failed consecutive_failures={}", failures)
             if failures >= max_failures:
--- a/hophinge/fleet/registry/registry.py
+++ b/hophinge/fleet/registry/registry.py
@@ -134,7 +134,10 @@
         return record_of(instance, *stamp)
 
     def unregister(self, now: float, identity: str) -> GossipRecord:
-        """Remove an instance at its own request, and return its tombstone; the identity is never registered again."""
+        """Remove an instance at its own request, and return its tombstone.
+
+        Heartbeats of the identity are ignored for UNREGISTERED_RETENTION_S.
+        """
         self.unregistered[identity] = now
         self._remove(identity)
         return GossipRecord(INSTANCE_PREFIX + identity, (UNREGISTERED_SEQUENCE, 0), b"", True)
