--- a/hophinge/control/maintenance_channel.py
+++ b/hophinge/control/maintenance_channel.py
@@ -67,7 +67,7 @@
         """Store new maintenance statements without a new version."""
         with self.control_store.transaction():
             self.control_store.write_maintenance(encode_statements(statements))
-            detail = f"{len(statements)} maintenance forms{': ' if note else ''}{note}"
+            detail = f"{len(statements)} forms on maintenance{': ' if note else ''}{note}"
             self.control_store.append_audit(now_ms(), author, "words", detail)
         self.on_statements(statements)
 
@@ -154,7 +154,7 @@
         with self.control_store.transaction():
             self.control_store.write_maintenance(encode_statements(self.statements))
             for name in self.returned_heads:
-                detail = f"{name} is connected again: (retired {name}) no longer applies, remove it from the document"
+                detail = f"{name} is back: (retired {name}) holds no more, take it out of the document"
                 self.control_store.append_audit(now_ms(), "control service", "words", detail)
         self.returned_heads.clear()
 
--- a/hophinge/control/rollout.py
+++ b/hophinge/control/rollout.py
@@ -247,7 +247,7 @@
         usual = sum(head.usual_failure_rate * (head.requests - head.baseline_requests) for head in upgraded)
         if requests >= MIN_REQUESTS and failed > usual + self.rule.max_failure_share * requests:
             return (
-                f"{failed:g} of {requests:g} requests failed where it runs, {usual:.0f} expected from earlier rates; "
-                f"the excess is above the limit of {100 * self.rule.max_failure_share:g} %"
+                f"{failed:g} of {requests:g} requests failed where it runs, {usual:.0f} by what was usual there; "
+                f"over the stated {100 * self.rule.max_failure_share:g} % more"
             )
         return ""
--- a/hophinge/maintenance/releases.py
+++ b/hophinge/maintenance/releases.py
@@ -122,7 +122,7 @@
                 last_order += 1
                 changes.append(ReleaseProgress(name, config.build, last_order, attempt=config.resume_count))
             elif known.build != config.build and known.stage is not ReleaseStage.HALTED:
-                reason = f"its configuration now has another build, {config.build}; release that under another name"
+                reason = f"its form has another build, {config.build}; give that a name of its own"
                 changes.append(_halted(known, reason))
         return tuple(changes)
 
@@ -210,7 +210,7 @@
         ReleaseStage.ROLLING,
         ReleaseStage.RETURNING,
     ):
-        return replace(release, stage=ReleaseStage.HALTED, halted_automatically=False, reason="halted by an operator")
+        return replace(release, stage=ReleaseStage.HALTED, halted_automatically=False, reason="halted by word")
     if config.command == ROLL_BACK and release.stage is not ReleaseStage.RETURNING:
         attempt = max(release.attempt, config.resume_count)
         return replace(release, stage=ReleaseStage.RETURNING, reason="", attempt=attempt)
--- a/hophinge/maintenance/wave_monitor.py
+++ b/hophinge/maintenance/wave_monitor.py
@@ -104,7 +104,7 @@
             if head.is_connected or head.permit is not None or name not in restarted:
                 self.disconnected_us.pop(name, None)
             elif now_us - self.disconnected_us.setdefault(name, now_us) > DISCONNECT_TIMEOUT_US:
-                return f"{name} was lost without a permit to be out"
+                return f"{name} was lost while no permit let it go"
             permit = head.permit
             if permit is not None and permit.state in (PermitState.BEGUN, PermitState.OUT, PermitState.BACK):
                 since_us = self.began_us.setdefault(name, now_us)
@@ -132,8 +132,7 @@
             if accepted >= MIN_REQUESTS and failed / accepted > allowed + SIGNIFICANCE * error:
                 return (
                     f"{label}: {failed:g} of {accepted:g} requests were refused or failed; "
-                    f"the limit is {100 * allowed:.1f} %, "
-                    f"{100 * release.max_failure_share:g} percentage points above that of other heads"
+                    f"{100 * allowed:.1f} % may, {100 * release.max_failure_share:g} % more than elsewhere"
                 )
         return ""
 
